--- a/src/main/java/switchgap/controlfeed/Event.java
+++ b/src/main/java/switchgap/controlfeed/Event.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import switchgap.json.Json;
-import switchgap.port.Standing;
+import switchgap.policy.api.WorkerState;
 import switchgap.router.Listed;
 
 /** One numbered event: a version of the list, whole or its changes; an event of another kind has no list. */
@@ -39,16 +39,16 @@
     }
 
     private static Listed worker(Map<?, ?> w, Book book) throws IOException {
-        Standing standing = switch (text(w, "state")) {
-            case "SERVING" -> Standing.READY;
-            case "DRAINING" -> Standing.DRAINING;
-            case "DELETED" -> Standing.GONE;
+        WorkerState standing = switch (text(w, "state")) {
+            case "SERVING" -> WorkerState.READY;
+            case "DRAINING" -> WorkerState.DRAINING;
+            case "DELETED" -> WorkerState.GONE;
             default -> throw new IOException("state: unknown word " + w.get("state"));
         };
         String name = text(w, "uid");
         String host = "";
         int port = 0;
-        if (standing != Standing.GONE || w.get("endpoint") != null) {
+        if (standing != WorkerState.GONE || w.get("endpoint") != null) {
             URI at = URI.create("tcp://" + text(w, "endpoint").replace(' ', '_'));
             host = at.getHost();
             port = at.getPort();
--- a/src/main/java/switchgap/day/Rig.java
+++ b/src/main/java/switchgap/day/Rig.java
@@ -14,7 +14,6 @@
 import switchgap.standin.Catalogue;
 import switchgap.standin.Clients;
 import switchgap.standin.ListService;
-import switchgap.standin.Model;
 import switchgap.standin.ModelServer;
 import switchgap.standin.Record;
 import switchgap.standin.SocketWay;
--- a/src/main/java/switchgap/gateway/Gateway.java
+++ b/src/main/java/switchgap/gateway/Gateway.java
@@ -8,7 +8,6 @@
 import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import switchgap.Decide;
 import switchgap.invoke.InvokeApi;
 import switchgap.level.Change;
 import switchgap.level.Levels;
@@ -16,6 +15,7 @@
 import switchgap.list.ListWatch;
 import switchgap.loop.Loop;
 import switchgap.plan.Plan;
+import switchgap.policy.RoutingPolicy;
 import switchgap.router.Core;
 import switchgap.router.Deferred;
 import switchgap.router.Gate;
@@ -49,7 +49,7 @@
     private final int port;
 
     public Gateway(GatewayPage page) throws IOException {
-        this(page, new Decide(page.terms(), page.seed())::round);
+        this(page, new RoutingPolicy(page.terms(), page.seed())::round);
     }
 
     /** A router under another decider: for measurements of the module beside a baseline. */
--- a/src/main/java/switchgap/gateway/GatewayPage.java
+++ b/src/main/java/switchgap/gateway/GatewayPage.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import switchgap.port.Standing;
+import switchgap.policy.api.WorkerState;
 import switchgap.router.Listed;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
@@ -59,7 +59,7 @@
             int zone = terms.zone(w.text("zone", terms.zoneName(0)));
             if (zone < 0) { throw w.wrong("zone", "'" + w.text("zone") + "' is not among zones"); }
             fixed.add(new Listed(w.text("name"), w.text("host", "127.0.0.1"), w.whole("port", 1, 65535),
-                Standing.READY, zone, w.whole("cell", 0, 100_000, 0), terms.machineKind(w.text("kind", "")),
+                WorkerState.READY, zone, w.whole("cell", 0, 100_000, 0), terms.machineKind(w.text("kind", "")),
                 w.number("size", 0, 1e9, 1), null));
             w.done();
         }
--- a/src/main/java/switchgap/gateway/Planned.java
+++ b/src/main/java/switchgap/gateway/Planned.java
@@ -10,7 +10,7 @@
 import switchgap.plan.Told;
 import switchgap.plan.Wish;
 import switchgap.plan.Wishes;
-import switchgap.port.End;
+import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Core;
 import switchgap.router.Order;
 import switchgap.router.Outside;
@@ -141,7 +141,7 @@
 
     @Override public void send(Run run, Duration allow) { inner.send(run, allow); }
 
-    @Override public End abandon(Run run) { return inner.abandon(run); }
+    @Override public AttemptOutcome abandon(Run run) { return inner.abandon(run); }
 
     @Override public void drop(Seen worker, String function, Order order) { inner.drop(worker, function, order); }
 
--- a/src/main/java/switchgap/gateway/Rehearsal.java
+++ b/src/main/java/switchgap/gateway/Rehearsal.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import switchgap.port.End;
-import switchgap.port.Standing;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.WorkerState;
 import switchgap.router.Answer;
 import switchgap.router.Asker;
 import switchgap.router.Call;
@@ -47,20 +47,20 @@
         List<Consumer<Core>> next = new ArrayList<>();
         Outside outside = new Outside() {
             @Override public void send(Run run, Duration allow) {
-                next.add(c -> c.executionEnded(run, End.FINISHED, new Loads(0.2, 1, 0, 0),
+                next.add(c -> c.executionEnded(run, AttemptOutcome.FINISHED, new Loads(0.2, 1, 0, 0),
                     Answer.finished(200, Map.of(), new byte[0])));
             }
 
-            @Override public End abandon(Run run) { return End.TIMED_OUT; }
+            @Override public AttemptOutcome abandon(Run run) { return AttemptOutcome.TIMED_OUT; }
 
             @Override public void hold(Seen worker, String function, int copies, Order order) {
-                next.add(c -> c.orderEnded(order, End.FINISHED, copies));
+                next.add(c -> c.orderEnded(order, AttemptOutcome.FINISHED, copies));
             }
 
             @Override public void drop(Seen worker, String function, Order order) { }
 
             @Override public void probe(Seen worker, Order order) {
-                next.add(c -> c.probed(order, End.FINISHED, Loads.UNTOLD));
+                next.add(c -> c.probed(order, AttemptOutcome.FINISHED, Loads.UNTOLD));
             }
 
             @Override public void abandon(Order order) { }
@@ -70,7 +70,7 @@
         Core core = new Core(terms, 1, outside, Duration.ofSeconds(1), Duration.ofSeconds(1), 100);
         List<Listed> list = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            list.add(new Listed("rehearsal-" + i, "127.0.0.1", 1, Standing.READY, 0, 0, 0, 1, null));
+            list.add(new Listed("rehearsal-" + i, "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null));
         }
         next.add(c -> c.list(true, list));
         Asker nobody = new Asker() {
--- a/src/main/java/switchgap/invoke/Ask.java
+++ b/src/main/java/switchgap/invoke/Ask.java
@@ -1,7 +1,7 @@
 package switchgap.invoke;
 
 import java.time.Duration;
-import switchgap.port.Repeat;
+import switchgap.policy.api.Idempotency;
 import switchgap.terms.PageTerms;
 import switchgap.wire.Request;
 
@@ -41,7 +41,7 @@
         limit = least(limit, r);
         Duration hint = millis(r, "Switchgap-Cost-Hint", null);
         String key = brief(r, "Idempotency-Key");
-        if (kind.repeat() == Repeat.FINGERPRINTED && key == null) {
+        if (kind.repeat() == Idempotency.FINGERPRINTED && key == null) {
             throw no(400, "fingerprint-missing", "workload " + kind.name() + " needs an Idempotency-Key");
         }
         String prefer = r.header("Prefer");
--- a/src/main/java/switchgap/lab/Baseline.java
+++ b/src/main/java/switchgap/lab/Baseline.java
@@ -6,20 +6,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import switchgap.port.Decisions;
-import switchgap.port.End;
-import switchgap.port.Feed;
-import switchgap.port.Incoming;
-import switchgap.port.Repeat;
-import switchgap.port.Standing;
-import switchgap.port.Terms;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.EventBatch;
+import switchgap.policy.api.Idempotency;
+import switchgap.policy.api.PolicyActions;
+import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.RouterSettings;
+import switchgap.policy.api.WorkerState;
 import switchgap.router.Core;
 
 /**
  * Textbook choices to measure the module against: any ready worker by chance, or each in turn. A miss has the copy
  * loaded there and the job waits for it; what may run again does, elsewhere; the rest is given up as the rules ask.
  */
-final class Baseline implements Core.Decider, Feed {
+final class Baseline implements Core.Decider, PolicyEvents {
     private static final class Held {
         final int job;
         final int workload;
@@ -36,28 +36,28 @@
         }
     }
 
-    private final Terms terms;
+    private final RouterSettings terms;
     private final boolean turns;
     private final SplittableRandom chance;
     private final Duration margin;
     private final List<Integer> ready = new ArrayList<>();
-    private final Map<Integer, Standing> standing = new HashMap<>();
+    private final Map<Integer, WorkerState> standing = new HashMap<>();
     private final Map<Integer, Held> held = new HashMap<>();
     private final Map<Long, List<Held>> loading = new HashMap<>();
     private final Map<Integer, Integer> flying = new HashMap<>();
     private Duration now = Duration.ZERO;
-    private Decisions out;
+    private PolicyActions out;
     private int turn;
     private boolean wakes;
 
-    Baseline(Terms terms, boolean turns, long seed) {
+    Baseline(RouterSettings terms, boolean turns, long seed) {
         this.terms = terms;
         this.turns = turns;
         this.chance = new SplittableRandom(seed);
         this.margin = terms.tick().multipliedBy(2);
     }
 
-    @Override public void round(Duration at, Incoming in, Decisions to) {
+    @Override public void round(Duration at, EventBatch in, PolicyActions to) {
         now = at;
         out = to;
         in.into(this);
@@ -91,7 +91,7 @@
     private void giveUp(int job, Held h) {
         if (h.closed) { return; }
         h.closed = true;
-        if (terms.repeat(h.workload) == Repeat.RESTARTABLE || h.mayHaveRun + h.out == 0) {
+        if (terms.repeat(h.workload) == Idempotency.RESTARTABLE || h.mayHaveRun + h.out == 0) {
             out.pushBack(job, null);
         } else {
             out.kill(job);
@@ -104,20 +104,20 @@
     }
 
     @Override public void listBegins(boolean whole) {
-        if (whole) { standing.replaceAll((w, s) -> Standing.GONE); }
+        if (whole) { standing.replaceAll((w, s) -> WorkerState.GONE); }
     }
 
-    @Override public void worker(int worker, long mark, Standing s, int zone, int cell, int kind, double size,
+    @Override public void worker(int worker, long mark, WorkerState s, int zone, int cell, int kind, double size,
                                  Duration started) {
         standing.put(worker, s);
     }
 
     @Override public void listEnds() {
         ready.clear();
-        standing.forEach((w, s) -> { if (s == Standing.READY) { ready.add(w); } });
+        standing.forEach((w, s) -> { if (s == WorkerState.READY) { ready.add(w); } });
         List<Integer> gone = new ArrayList<>();
         standing.forEach((w, s) -> {
-            if (s == Standing.GONE && flying.getOrDefault(w, 0) == 0
+            if (s == WorkerState.GONE && flying.getOrDefault(w, 0) == 0
                 && loading.keySet().stream().noneMatch(k -> (int) (k >> 32) == w)) { gone.add(w); }
         });
         gone.forEach(w -> {
@@ -137,14 +137,14 @@
 
     @Override public void streamBegan(int job, int execution) { }
 
-    @Override public void ended(int job, int execution, int worker, End end, Duration took, boolean closed, int crowd,
+    @Override public void ended(int job, int execution, int worker, AttemptOutcome end, Duration took, boolean closed, int crowd,
                                 double busy, double atWork, double queued) {
         Held h = held.get(job);
         h.out--;
         flying.merge(worker, -1, Integer::sum);
         h.mayHaveRun += end.neverRan ? 0 : 1;
         h.closed |= closed;
-        if (!h.closed && end == End.MISS && standing.get(worker) == Standing.READY) {
+        if (!h.closed && end == AttemptOutcome.MISS && standing.get(worker) == WorkerState.READY) {
             long key = (long) worker << 32 | h.function;
             List<Held> wait = loading.get(key);
             if (wait == null) {
@@ -153,7 +153,7 @@
             }
             wait.add(h);
         } else if (!h.closed) {
-            if (h.mayHaveRun == 0 || terms.repeat(h.workload) == Repeat.RESTARTABLE) {
+            if (h.mayHaveRun == 0 || terms.repeat(h.workload) == Idempotency.RESTARTABLE) {
                 place(job, h);
             } else {
                 giveUp(job, h);
@@ -162,13 +162,13 @@
         settle(job, h);
     }
 
-    @Override public void orderEnded(int worker, int function, End end, Duration took, int copies) {
+    @Override public void orderEnded(int worker, int function, AttemptOutcome end, Duration took, int copies) {
         List<Held> wait = loading.remove((long) worker << 32 | function);
         if (wait == null) { return; }
         for (Held h : wait) { // a job given up meanwhile may have left its index to another
             int job = h.job;
             if (held.get(job) != h || h.closed || h.out > 0) { continue; }
-            if (copies > 0 && standing.get(worker) == Standing.READY && h.executions < terms.mostExecutions()
+            if (copies > 0 && standing.get(worker) == WorkerState.READY && h.executions < terms.mostExecutions()
                 && now.plus(margin).compareTo(h.limit) < 0) {
                 send(job, h, worker);
             } else {
@@ -185,5 +185,5 @@
 
     @Override public void timer(long token) { wakes = false; }
 
-    @Override public void probed(int worker, End end, Duration took, double busy, double atWork, double queued) { }
+    @Override public void probed(int worker, AttemptOutcome end, Duration took, double busy, double atWork, double queued) { }
 }
--- a/src/main/java/switchgap/lab/EmulatedRouter.java
+++ b/src/main/java/switchgap/lab/EmulatedRouter.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import switchgap.port.End;
+import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Answer;
 import switchgap.router.Core;
 import switchgap.router.Gate;
@@ -83,39 +83,39 @@
         Model model = world.catalogue.find(run.call.function);
         world.ticker.after(world.hop, () -> {
             if (dead || m == null || m.dead()) {
-                world.ticker.after(world.hop, () -> post(c -> c.executionEnded(run, End.NO_CONNECTION, Loads.UNTOLD, null)));
+                world.ticker.after(world.hop, () -> post(c -> c.executionEnded(run, AttemptOutcome.NO_CONNECTION, Loads.UNTOLD, null)));
                 return;
             }
             run.exchange = m.infer(model, () -> { }, (o, crowd) -> world.ticker.after(world.hop, () -> post(c ->
                 c.executionEnded(run, switch (o) {
-                    case OK, DROPPED -> End.FINISHED;
-                    case MISS -> End.MISS;
-                    case FULL -> End.FULL;
-                    default -> End.ERROR;
+                    case OK, DROPPED -> AttemptOutcome.FINISHED;
+                    case MISS -> AttemptOutcome.MISS;
+                    case FULL -> AttemptOutcome.FULL;
+                    default -> AttemptOutcome.ERROR;
                 }, loads(m, crowd), Answer.finished(200, Map.of(), NOTHING)))));
         });
     }
 
-    @Override public End abandon(Run run) {
+    @Override public AttemptOutcome abandon(Run run) {
         Machine m = world.machine(run.worker.name);
         world.ticker.after(world.hop, () -> {
             if (m != null && run.exchange instanceof Machine.Work w) { m.leave(w); }
         });
-        return End.TIMED_OUT;
+        return AttemptOutcome.TIMED_OUT;
     }
 
     @Override public void hold(Seen worker, String function, int copies, Order order) {
         Machine m = world.machine(worker.name);
         world.ticker.after(world.hop, () -> {
             if (m == null || m.dead()) {
-                post(c -> c.orderEnded(order, End.NO_CONNECTION, 0));
+                post(c -> c.orderEnded(order, AttemptOutcome.NO_CONNECTION, 0));
             } else if (copies == 0) {
                 int n = m.standing(function);
-                world.ticker.after(world.hop, () -> post(c -> c.orderEnded(order, End.FINISHED, n)));
+                world.ticker.after(world.hop, () -> post(c -> c.orderEnded(order, AttemptOutcome.FINISHED, n)));
             } else {
                 m.hold(world.catalogue.find(function), copies, (o, n) -> world.ticker.after(world.hop, () -> post(c ->
-                    c.orderEnded(order, o == Machine.Outcome.OK ? End.FINISHED : o == Machine.Outcome.FULL ? End.FULL
-                        : End.ERROR, n))));
+                    c.orderEnded(order, o == Machine.Outcome.OK ? AttemptOutcome.FINISHED : o == Machine.Outcome.FULL ? AttemptOutcome.FULL
+                        : AttemptOutcome.ERROR, n))));
             }
         });
     }
@@ -128,8 +128,8 @@
 
     @Override public void probe(Seen worker, Order order) {
         Machine m = world.machine(worker.name);
-        world.ticker.after(2 * world.hop, () -> post(c -> c.probed(order, m == null || m.dead() ? End.NO_CONNECTION
-            : End.FINISHED, m == null ? Loads.UNTOLD : loads(m, -1))));
+        world.ticker.after(2 * world.hop, () -> post(c -> c.probed(order, m == null || m.dead() ? AttemptOutcome.NO_CONNECTION
+            : AttemptOutcome.FINISHED, m == null ? Loads.UNTOLD : loads(m, -1))));
     }
 
     @Override public void abandon(Order order) { }
--- a/src/main/java/switchgap/lab/Emulator.java
+++ b/src/main/java/switchgap/lab/Emulator.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.LongToDoubleFunction;
-import switchgap.Decide;
 import switchgap.day.Day;
 import switchgap.day.LoadTroubles;
 import switchgap.level.Change;
 import switchgap.level.Levels;
-import switchgap.port.Standing;
-import switchgap.port.Terms;
+import switchgap.policy.RoutingPolicy;
+import switchgap.policy.api.RouterSettings;
+import switchgap.policy.api.WorkerState;
 import switchgap.router.Answer;
 import switchgap.router.Asker;
 import switchgap.router.Call;
@@ -84,16 +84,16 @@
         routers.set(i, r);
         PageTerms t = terms.get(i);
         long own = seed * 31 + i * 7919L + ticker.now();
-        Core core = new Core(t, new Decide(t, own)::round, r, Duration.ofSeconds(10), Duration.ofMillis(250), 20_000);
+        Core core = new Core(t, new RoutingPolicy(t, own)::round, r, Duration.ofSeconds(10), Duration.ofMillis(250), 20_000);
         Levels levels = variant.before() == Variant.Before.LEVELS ? new Levels(t.levelTerms(), own + 1) : null;
         if (levels != null && variant.pinned() != null) { levels.pin(r.now(), variant.pinned(), Duration.ofDays(1000)); }
         r.gate(new Gate(core, t, levels, c -> changes.add(new Seen(i, c))));
         List<Listed> list = new ArrayList<>();
-        machines.keySet().forEach(n -> { if (ready.get(n)) { list.add(line(n, Standing.READY, r)); } });
+        machines.keySet().forEach(n -> { if (ready.get(n)) { list.add(line(n, WorkerState.READY, r)); } });
         r.post(c -> c.list(true, list));
     }
 
-    private Listed line(String name, Standing s, EmulatedRouter r) {
+    private Listed line(String name, WorkerState s, EmulatedRouter r) {
         int n = Integer.parseInt(name.substring(1));
         Machine m = machines.get(name);
         return new Listed(name, "emulated", 1, s, day.zoneOf(n), n / day.cellSize(), terms.isEmpty() ? 0
@@ -106,7 +106,7 @@
         String name = "w" + n;
         machines.put(name, new Machine(day.makeOf(n), ticker, store, name, seed + 1000 + n, cold, () -> { }));
         ready.put(name, true);
-        if (cold) { tell(name, Standing.READY); }
+        if (cold) { tell(name, WorkerState.READY); }
     }
 
     /** Mean share of cores at work, over the workers that run. */
@@ -116,8 +116,8 @@
 
     Machine machine(String name) { return machines.get(name); }
 
-    private void tell(String name, Standing s) {
-        ready.put(name, s == Standing.READY);
+    private void tell(String name, WorkerState s) {
+        ready.put(name, s == WorkerState.READY);
         ticker.after(day.listLag(), () -> routers.forEach(r -> {
             Listed l = line(name, s, r);
             r.post(c -> c.list(false, List.of(l)));
@@ -162,7 +162,7 @@
     }
 
     /** The baseline of a static cut-off: so many held at a router, and what is less important is turned away. */
-    private boolean cutOff(EmulatedRouter r, int workload, Terms t) {
+    private boolean cutOff(EmulatedRouter r, int workload, RouterSettings t) {
         double most = 0;
         for (int w = 0; w < t.workloads(); w++) { most = Math.max(most, t.importance(w)); }
         return t.importance(workload) < most && r.gate().core().held() >= day.staticHeld();
@@ -199,7 +199,7 @@
             case WORKERS_KILLED -> some(t.part()).forEach(m -> {
                 m.die();
                 ticker.after(t.lasts(), () -> {
-                    tell(m.name(), Standing.GONE);
+                    tell(m.name(), WorkerState.GONE);
                     start(true);
                 });
             });
--- a/src/main/java/switchgap/level/LevelTerms.java
+++ b/src/main/java/switchgap/level/LevelTerms.java
@@ -1,7 +1,7 @@
 package switchgap.level;
 
 import java.time.Duration;
-import switchgap.port.Repeat;
+import switchgap.policy.api.Idempotency;
 
 /**
  * What levels go by, from the operator's terms.
@@ -16,7 +16,7 @@
  * @param keep        share of their start targets that the most important workloads keep, at the cost of all lesser work that may
  *                    run again; 0 where service as a whole goes first
  */
-public record LevelTerms(double[] importance, Repeat[] repeat, Duration[] target, double[] share, boolean[] spared,
+public record LevelTerms(double[] importance, Idempotency[] repeat, Duration[] target, double[] share, boolean[] spared,
                          Rung ceiling, Duration comeBack, double keep) {
     double mostImportance() {
         double most = 0;
--- a/src/main/java/switchgap/level/Levels.java
+++ b/src/main/java/switchgap/level/Levels.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import switchgap.port.Repeat;
+import switchgap.policy.api.Idempotency;
 
 /**
  * Which offered calls reach the module. One ladder for all and one for each customer. Conditions are ratios to what
@@ -83,8 +83,8 @@
         boolean lesser = false;
         for (int w = 0; w < t.importance().length; w++) {
             boolean best = t.importance()[w] >= t.mostImportance();
-            least |= !best && !t.spared()[w] && t.repeat()[w] == Repeat.RESTARTABLE;
-            lesser |= !best && !t.spared()[w] && t.repeat()[w] != Repeat.RESTARTABLE;
+            least |= !best && !t.spared()[w] && t.repeat()[w] == Idempotency.RESTARTABLE;
+            lesser |= !best && !t.spared()[w] && t.repeat()[w] != Idempotency.RESTARTABLE;
         }
         List<Rung> all = new ArrayList<>(List.of(Rung.FULL));
         if (least) { all.add(Rung.LEAST); }
@@ -116,7 +116,7 @@
     /** The rung that pushes this call back, or null where it passes. */
     private Rung rungFor(int customer, int workload, long key) {
         if (terms.spared()[workload]) { return null; }
-        boolean again = terms.repeat()[workload] == Repeat.RESTARTABLE;
+        boolean again = terms.repeat()[workload] == Idempotency.RESTARTABLE;
         boolean best = terms.importance()[workload] >= most;
         Rung all = common.rung();
         Rung at = best ? Rung.HOLD : again ? Rung.LEAST : Rung.MOST; // the first rung that may push it back
--- a/src/main/java/switchgap/list/ListLine.java
+++ b/src/main/java/switchgap/list/ListLine.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.function.ToIntFunction;
-import switchgap.port.Standing;
+import switchgap.policy.api.WorkerState;
 import switchgap.router.Listed;
 
 /**
@@ -41,9 +41,9 @@
             if (port < 1 || port > 65535) { throw new IOException("worker " + name + ": port " + port); }
             double size = w.path("size").asDouble(1);
             if (!(size >= 0 && size < 1e9)) { throw new IOException("worker " + name + ": size " + size); }
-            Standing standing;
+            WorkerState standing;
             try {
-                standing = Standing.valueOf(w.path("state").asText("").toUpperCase(Locale.ROOT));
+                standing = WorkerState.valueOf(w.path("state").asText("").toUpperCase(Locale.ROOT));
             } catch (IllegalArgumentException e) {
                 throw new IOException("worker " + name + ": state " + w.path("state") + " is not ready, draining or gone");
             }
--- a/src/main/java/switchgap/Decide.java
+++ b/src/main/java/switchgap/policy/RoutingPolicy.java
@@ -1,12 +1,27 @@
-package switchgap;
+package switchgap.policy;
 
-import static switchgap.state.Spans.*;
+import static switchgap.policy.state.Durations.*;
 
 import java.time.Duration;
 import java.util.*;
-import switchgap.port.*;
-import switchgap.state.*;
-import switchgap.state.Copy.Belief;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.DeduplicationScope;
+import switchgap.policy.api.EventBatch;
+import switchgap.policy.api.Idempotency;
+import switchgap.policy.api.PolicyActions;
+import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.RouterSettings;
+import switchgap.policy.api.WorkerState;
+import switchgap.policy.state.Attempt;
+import switchgap.policy.state.Function;
+import switchgap.policy.state.Histogram;
+import switchgap.policy.state.IndexedTable;
+import switchgap.policy.state.Replica;
+import switchgap.policy.state.Replica.ReplicaState;
+import switchgap.policy.state.Request;
+import switchgap.policy.state.RequestClass;
+import switchgap.policy.state.SlidingWindow;
+import switchgap.policy.state.Worker;
 
 /**
  * All decisions of one router. Invoked once a round, {@code decide.round(now, in, out)}: {@code in} calls the
@@ -14,7 +29,7 @@
  * {@code switchgap.port}; the holders of what is remembered are {@code switchgap.state}. docs/design.md
  * says what follows the design page and under what conditions each exception acts.
  */
-public final class Decide implements Feed {
+public final class RoutingPolicy implements PolicyEvents {
     // --- Bins. All are ratios: to a start target, to what is usual, or to a copy's lanes.
     private static final double[] SPANS = {1 / 16., 1 / 8., 1 / 4., 1 / 2., 1, 2, 4};
     private static final double[] RATIOS = {0.5, 1, 1.5, 2, 3, 5, 8};
@@ -46,7 +61,7 @@
     private final double part;          // of a place at each worker, this router's own
     private final Duration margin;      // before a time limit: two ticks, so that an answer is never late
     private final Duration step, soonest; // between looks at what waits; the shortest start target
-    private final Workload[] workloads;
+    private final RequestClass[] workloads;
     private final double[] fairShare, kindMemory;
     private final boolean second, crossingPriced, sizesTold, loadsOnMiss, drops, stays;
     private final boolean mayCancel, mayOrder, mayAsk;
@@ -57,11 +72,11 @@
     private final Duration askEvery;    // null: the list comes by itself
     private final SplittableRandom chance;
 
-    private final Slots<Worker> workers = new Slots<>();
-    private final Slots<Function> functions = new Slots<>();
-    private final Slots<Job> jobs = new Slots<>();
-    private final List<Job> waiting = new ArrayList<>();
-    private final Window orders = new Window(), arrivals = new Window();
+    private final IndexedTable<Worker> workers = new IndexedTable<>();
+    private final IndexedTable<Function> functions = new IndexedTable<>();
+    private final IndexedTable<Request> jobs = new IndexedTable<>();
+    private final List<Request> waiting = new ArrayList<>();
+    private final SlidingWindow orders = new SlidingWindow(), arrivals = new SlidingWindow();
     private final Histogram crowds = new Histogram(JOBS);
     private final Histogram stretch = new Histogram(RATIOS), failing = new Histogram(BAD);
     private final double[] customerCame;
@@ -79,9 +94,9 @@
     private Duration nextSecond = Duration.ZERO, nextAsk = Duration.ZERO;
     private Duration nextStep;           // the last wake-up asked for, and its number
     private long wakes, seconds;
-    private Decisions out;
+    private PolicyActions out;
 
-    public Decide(Terms t, long seed) {
+    public RoutingPolicy(RouterSettings t, long seed) {
         chance = new SplittableRandom(seed);
         self = t.self();
         zone = t.zone();
@@ -89,8 +104,8 @@
         routers = Math.max(1, t.routers());
         part = Math.min(1, ROOM / routers);
         margin = t.tick().multipliedBy(2);
-        workloads = new Workload[t.workloads()];
-        Arrays.setAll(workloads, i -> new Workload(t, i, SPANS, JOBS));
+        workloads = new RequestClass[t.workloads()];
+        Arrays.setAll(workloads, i -> new RequestClass(t, i, SPANS, JOBS));
         mostValue = Arrays.stream(workloads).mapToDouble(x -> x.value).max().orElse(1);
         soonest = Arrays.stream(workloads).map(x -> x.target).min(Comparator.naturalOrder()).orElseThrow();
         step = most(t.tick(), soonest.dividedBy(20));
@@ -122,7 +137,7 @@
         askEvery = t.asksForList() ? t.askWithin().dividedBy(4) : null;
     }
 
-    public void round(Duration at, Incoming in, Decisions to) {
+    public void round(Duration at, EventBatch in, PolicyActions to) {
         now = at;
         out = to;
         in.into(this);
@@ -148,7 +163,7 @@
      * The design's path: the first of k copies in hash order that is not beyond the bound, else onward. Where
      * the routers outnumber the places at a worker, the bound is part of a job and is kept by chance.
      */
-    private boolean place(Job j) {
+    private boolean place(Request j) {
         Function f = j.function;
         Worker best = null, other = null, unknown = null, stray = null, more = null;
         boolean avoid = j.failedAt.cardinality() < ready;
@@ -162,17 +177,17 @@
             if (shunned(w) || avoid && j.failedAt.get(w.id)) { continue; }
             boolean home = i++ < f.target;
             if (!home && (best != null || stray != null || i > 2 * f.target + FURTHER)) { break; }
-            Belief b = belief(f, w);
+            ReplicaState b = belief(f, w);
             met = met == null ? w : met;
-            stands |= b == Belief.STANDS;
-            awaited |= b == Belief.ORDERED;
+            stands |= b == ReplicaState.STANDS;
+            awaited |= b == ReplicaState.ORDERED;
             boolean may = maySend(j, w);
             boolean fits = may && hasRoom(j, w);
-            beyond |= home && may && !fits && (b == Belief.STANDS || b == Belief.UNKNOWN);
-            if (b == Belief.STANDS && !home && fits) {
+            beyond |= home && may && !fits && (b == ReplicaState.STANDS || b == ReplicaState.UNKNOWN);
+            if (b == ReplicaState.STANDS && !home && fits) {
                 stray = w;
-            } else if (home && fits && (b == Belief.STANDS || b == Belief.UNKNOWN && guess)) {
-                double load = load(w) + (b == Belief.UNKNOWN ? STEP_ASIDE : 0)
+            } else if (home && fits && (b == ReplicaState.STANDS || b == ReplicaState.UNKNOWN && guess)) {
+                double load = load(w) + (b == ReplicaState.UNKNOWN ? STEP_ASIDE : 0)
                     + (crossingPriced && w.zone != zone ? 1.5 * STEP_ASIDE : 0) // own zone unless more loaded
                     + chance.nextDouble() * STEP_ASIDE * (1 - part);
                 if (load < least - (best == null ? 0 : STEP_ASIDE * part)) {
@@ -182,9 +197,9 @@
                 } else if (other == null) {
                     other = w;
                 }
-            } else if (home && fits && unknown == null && (b == Belief.UNKNOWN || loadsOnMiss)) {
+            } else if (home && fits && unknown == null && (b == ReplicaState.UNKNOWN || loadsOnMiss)) {
                 unknown = w;
-            } else if (!home && more == null && b != Belief.ORDERED && hasRoom(j, w)) {
+            } else if (!home && more == null && b != ReplicaState.ORDERED && hasRoom(j, w)) {
                 more = w;
             }
         }
@@ -193,14 +208,14 @@
         if (best == null && beyond) { f.pressed++; }
         boolean fitsMemory = planned + f.size <= MEMORY * room;
         boolean further = to == null && beyond && !awaited && more != null && fitsMemory;
-        if (further && belief(f, more) != Belief.STANDS) { hold(f, more); } // it may, where it is too cold
+        if (further && belief(f, more) != ReplicaState.STANDS) { hold(f, more); } // it may, where it is too cold
         if (best == null && unknown == null && !awaited && !beyond) { holdFirst(f); }
         if (to != null) { send(j, to); }
         return to != null;
     }
 
     /** Asks two copies how loaded they are, where answers come too seldom to tell; the job waits for it. */
-    private boolean look(Job j, Worker a, Worker b) {
+    private boolean look(Request j, Worker a, Worker b) {
         if (part == 1 || !mayAsk || !told) { return false; }
         j.lookBy = now.plus(step);
         for (Worker w : List.of(a, b)) {
@@ -212,7 +227,7 @@
         return j.looks > 0;
     }
 
-    private boolean hasRoom(Job j, Worker w) {
+    private boolean hasRoom(Request j, Worker w) {
         return (part == 1 || w.busy < BUSY || others(w) * w.slowness * Math.min(1, j.luck) < places(j.of))
             && w.flying - w.loading < bound(w) && w.flying < 3 * bound(w);
     }
@@ -221,29 +236,29 @@
     private void holdFirst(Function f) {
         int i = 0;
         for (Worker w : order(f)) {
-            Copy c = f.at(w);
+            Replica c = f.at(w);
             if (shunned(w) || refusedLately(c)) { continue; }
             if (i++ >= f.target) { return; }
-            if (belief(f, w) == Belief.UNKNOWN && part < 1 && mayOrder && !c.asked) { // no ration
+            if (belief(f, w) == ReplicaState.UNKNOWN && part < 1 && mayOrder && !c.asked) { // no ration
                 c.asked = true;
                 w.orders++;
                 f.orders++;
                 out.hold(w.id, f.id, 0);
                 return;
             }
-            if (!c.asked && c.belief != Belief.STANDS && hold(f, w)) { return; }
+            if (!c.asked && c.belief != ReplicaState.STANDS && hold(f, w)) { return; }
         }
     }
 
     /** No room a moment ago, or it drains and the list is late: the next in order is asked. */
-    private boolean refusedLately(Copy c) { return c.refused != null && less(now, c.refused.plus(SECOND)); }
+    private boolean refusedLately(Replica c) { return c.refused != null && less(now, c.refused.plus(SECOND)); }
 
     /** All ready workers, by rendezvous hashing of worker and function: the same order at every router. */
     private Worker[] order(Function f) {
         if (f.orderOf != listing) {
             List<Worker> all = new ArrayList<>();
             for (Worker w : workers) {
-                if (w.standing == Standing.READY) { all.add(w); }
+                if (w.standing == WorkerState.READY) { all.add(w); }
             }
             all.sort(Comparator.comparingDouble((Worker w) -> -draw(f, w)).thenComparingLong(w -> w.mark));
             f.order = all.toArray(new Worker[0]);
@@ -276,7 +291,7 @@
     }
 
     /** What a worker may hold of all routers: jobs met there over the time they took, times the target. */
-    private double places(Workload of) {
+    private double places(RequestClass of) {
         return of.took.total() < 1 ? ROOM : (of.took.total() + of.met.sum()) / of.took.sum();
     }
 
@@ -300,14 +315,14 @@
                 w.bad.halve();
             }
             w.empty &= cold(w); // later others may have loaded there what this router never heard of
-            ownRate += w.standing == Standing.READY ? w.took.total() / 2 / ready : 0;
+            ownRate += w.standing == WorkerState.READY ? w.took.total() / 2 / ready : 0;
             w.took.halve();
         }
         usualOthers = (crowds.sum() + 1) / (crowds.total() + 1);
         if (crowds.total() > 64) { crowds.halve(); }
         stretch.halve();
         arrivals.within(now, rationSpan); // kept for their span, also where no order is asked for
-        for (Workload of : workloads) { // or what is usual is what was usual days ago
+        for (RequestClass of : workloads) { // or what is usual is what was usual days ago
             if (of.took.total() > 256) {
                 of.took.halve();
                 of.met.halve();
@@ -352,10 +367,10 @@
             planned -= f.size;
             Worker last = f.target < order(f).length ? order(f)[f.target] : null;
             f.busySince = now;
-            if (drops && last != null && f.at(last).ordered != null && last.standing == Standing.READY) {
+            if (drops && last != null && f.at(last).ordered != null && last.standing == WorkerState.READY) {
                 out.drop(last.id, f.id); // only where idle memory is priced; else the copy expires by itself
                 f.at(last).ordered = null;
-                f.at(last).belief = Belief.UNKNOWN;
+                f.at(last).belief = ReplicaState.UNKNOWN;
             }
         }
         f.target = Math.min(f.target, Math.max(1, cap));
@@ -374,8 +389,8 @@
         if (f.jobs < 2 || planned + kept > MEMORY * room) { return; } // of one-off functions no copy stays
         for (Worker w : order(f)) {
             if (shunned(w)) { continue; }
-            Copy c = f.at(w);
-            if (belief(f, w) == Belief.STANDS && !c.asked && !less(now.minus(c.used), times(keep, RENEW))) {
+            Replica c = f.at(w);
+            if (belief(f, w) == ReplicaState.STANDS && !c.asked && !less(now.minus(c.used), times(keep, RENEW))) {
                 c.asked = true; // told like a question: what is believed stays until it is answered
                 w.orders++;
                 f.orders++;
@@ -385,10 +400,10 @@
         }
     }
 
-    private Belief belief(Function f, Worker w) {
-        Copy c = f.at(w);
-        boolean old = c.belief == Belief.STANDS && !less(now.minus(c.used), keep);
-        return c.belief = old ? Belief.UNKNOWN : c.belief;
+    private ReplicaState belief(Function f, Worker w) {
+        Replica c = f.at(w);
+        boolean old = c.belief == ReplicaState.STANDS && !less(now.minus(c.used), keep);
+        return c.belief = old ? ReplicaState.UNKNOWN : c.belief;
     }
 
     // ------------------------------------------------------------------ what comes in
@@ -407,7 +422,7 @@
         f.came++;
         f.jobs++;
         f.open++;
-        Job j = new Job(job, workloads[workload], f, now, limit, hint);
+        Request j = new Request(job, workloads[workload], f, now, limit, hint);
         boolean over = false;
         if (customer < customerCame.length) {
             customerCame[customer]++;
@@ -425,10 +440,10 @@
     /** Places what waits, the most valuable first; gives up at once what can no longer be worth its place. */
     private void placeWaiting() {
         if (waiting.isEmpty()) { return; }
-        waiting.sort(Comparator.comparingDouble((Job j) -> -worthNow(j)).thenComparing(j -> j.arrived));
-        List<Job> still = new ArrayList<>();
+        waiting.sort(Comparator.comparingDouble((Request j) -> -worthNow(j)).thenComparing(j -> j.arrived));
+        List<Request> still = new ArrayList<>();
         List<Worker> lines = new ArrayList<>();
-        for (Job j : waiting) {
+        for (Request j : waiting) {
             if (j.closed || !j.waiting) { continue; }
             boolean looking = j.looks > 0 && less(now, j.lookBy);
             j.waiting = looking || !place(j);
@@ -452,47 +467,47 @@
         waiting.addAll(still);
     }
 
-    private double worthNow(Job j) {
+    private double worthNow(Request j) {
         return less(now.minus(j.arrived), j.of.target) ? j.value : j.value * j.of.late;
     }
 
-    @Override public void ended(int job, int execution, int worker, End end, Duration took, boolean closed,
+    @Override public void ended(int job, int execution, int worker, AttemptOutcome end, Duration took, boolean closed,
                                 int crowd, double busy, double held, double queued) {
-        Job j = jobs.get(job);
+        Request j = jobs.get(job);
         Worker w = workers.get(worker);
-        Execution x = j.executions.get(execution);
-        Copy c = j.function.at(w);
+        Attempt x = j.executions.get(execution);
+        Replica c = j.function.at(w);
         x.done = true;
         j.outstanding--;
         w.flying--;
         w.loading -= x.loads ? 1 : 0;
-        report(j.of, w, busy, held, crowd, end == End.FULL);
+        report(j.of, w, busy, held, crowd, end == AttemptOutcome.FULL);
         if (crowd >= 0) { // waiting of all k copies, in lanes: of any k it stays true until the next answer
             j.function.crowd.add(crowd / Math.min(j.function.lanes, MOST_LANES) * j.function.target);
         }
         judge(j, x, w, end, took);
-        if (end != End.TIMED_OUT && end != End.NO_CONNECTION) { w.heard = now; }
-        if (end == End.FINISHED) {
-            c.belief = Belief.STANDS;
+        if (end != AttemptOutcome.TIMED_OUT && end != AttemptOutcome.NO_CONNECTION) { w.heard = now; }
+        if (end == AttemptOutcome.FINISHED) {
+            c.belief = ReplicaState.STANDS;
             c.used = now;
             j.function.stood = true;
-        } else if (end == End.MISS) {
-            if (c.belief != Belief.ORDERED) { c.belief = Belief.ABSENT; }
+        } else if (end == AttemptOutcome.MISS) {
+            if (c.belief != ReplicaState.ORDERED) { c.belief = ReplicaState.ABSENT; }
             hold(j.function, w);
         }
         if (!end.neverRan) { j.mayHaveRun++; }
         if (closed) {
             close(j);
         } else if (!j.closed && j.outstanding == 0) {
-            if (end != End.MISS) { j.failedAt.set(worker); }
+            if (end != AttemptOutcome.MISS) { j.failedAt.set(worker); }
             placeOrWait(j, j.executions.size() < mostExecutions // another one where allowed
-                && (j.mayHaveRun == 0 || j.of.repeat != Repeat.RUN_ONCE)
+                && (j.mayHaveRun == 0 || j.of.repeat != Idempotency.RUN_ONCE)
                 && less(now.plus(margin).plus(usual(j.of)), j.limit));
         }
         settle(j);
     }
 
-    private void placeOrWait(Job j, boolean may) {
+    private void placeOrWait(Request j, boolean may) {
         if (!may) {
             giveUp(j);
         } else if (j.waiting = !place(j)) {
@@ -500,40 +515,40 @@
         }
     }
 
-    @Override public void orderEnded(int worker, int function, End end, Duration took, int standing) {
+    @Override public void orderEnded(int worker, int function, AttemptOutcome end, Duration took, int standing) {
         Worker w = workers.get(worker);
         Function f = functions.get(function);
         if (w == null || f == null) { return; }
         w.orders--;
-        Copy c = f.at(w);
+        Replica c = f.at(w);
         f.orders--;
         boolean heard = c.asked; // a question's answer: it went out before any order
         c.asked = false;
         c.used = now;
-        boolean lost = standing == 0 && end == End.FULL; // held anew in vain
-        if (heard ? lost || c.belief == Belief.UNKNOWN : c.belief == Belief.ORDERED) {
-            c.belief = standing > 0 ? Belief.STANDS : Belief.ABSENT;
+        boolean lost = standing == 0 && end == AttemptOutcome.FULL; // held anew in vain
+        if (heard ? lost || c.belief == ReplicaState.UNKNOWN : c.belief == ReplicaState.ORDERED) {
+            c.belief = standing > 0 ? ReplicaState.STANDS : ReplicaState.ABSENT;
         }
         if (heard) { return; }
         c.out = false; // whatever is believed by now: such orders stayed counted for ever
         ordersOut--;
         c.refused = lost ? now : null;
         f.stood |= standing > 0;
-        if (end == End.ERROR && !f.stood) {
+        if (end == AttemptOutcome.ERROR && !f.stood) {
             f.failedOrders++;
             f.orderFailed = now;
         }
-        boolean well = end == End.FINISHED && less(took, keep.dividedBy(3));
+        boolean well = end == AttemptOutcome.FINISHED && less(took, keep.dividedBy(3));
         if (well) {
             ordersMost += 1 / ordersMost;
-        } else if (end != End.ERROR || f.stood) { // what never stood may be nobody's: no sign of the store
+        } else if (end != AttemptOutcome.ERROR || f.stood) { // what never stood may be nobody's: no sign of the store
             ordersMost = Math.max(1, ordersMost / 2);
         }
-        if (end == End.NO_CONNECTION || end == End.BROKEN) { fail(w, true); }
+        if (end == AttemptOutcome.NO_CONNECTION || end == AttemptOutcome.BROKEN) { fail(w, true); }
     }
 
     @Override public void left(int job) {
-        Job j = jobs.get(job);
+        Request j = jobs.get(job);
         close(j);
         for (int i = 0; mayCancel && i < j.executions.size(); i++) {
             if (!j.executions.get(i).done) { out.cancel(j.id, i); }
@@ -545,22 +560,22 @@
 
     @Override public void timer(long token) { nextStep = token == wakes ? null : nextStep; }
 
-    @Override public void probed(int worker, End end, Duration took, double busy, double held,
+    @Override public void probed(int worker, AttemptOutcome end, Duration took, double busy, double held,
                                  double queued) {
         Worker w = workers.get(worker);
         if (w == null) { return; }
         w.looks.forEach(j -> j.looks--);
         w.looks.clear();
         report(null, w, busy, Double.isNaN(held) ? queued + w.flying : held, -1, false);
-        if (end == End.FINISHED) {
+        if (end == AttemptOutcome.FINISHED) {
             w.heard = now;
             told = !Double.isNaN(held) || !Double.isNaN(queued);
         }
-        if (end == End.NO_CONNECTION || end == End.BROKEN) { fail(w, true); }
+        if (end == AttemptOutcome.NO_CONNECTION || end == AttemptOutcome.BROKEN) { fail(w, true); }
     }
 
     /** Takes in what a worker tells; a full one is taken to hold twice what it may. */
-    private void report(Workload of, Worker w, double busy, double holds, int crowd, boolean full) {
+    private void report(RequestClass of, Worker w, double busy, double holds, int crowd, boolean full) {
         // With few routers much of that is this one's own, as of a while ago: less today's, it is noise.
         double held = part < 1 ? holds : Double.NaN;
         if (Double.isNaN(held) && crowd < 0 && !full) { return; }
@@ -578,7 +593,7 @@
         workers.forEach(w -> w.named = false);
     }
 
-    @Override public void worker(int worker, long mark, Standing standing, int zone, int cell, int kind,
+    @Override public void worker(int worker, long mark, WorkerState standing, int zone, int cell, int kind,
                                  double size, Duration started) {
         Worker w = workers.get(worker);
         if (w == null) {
@@ -591,7 +606,7 @@
             w.started = started;
             w.empty = cold(w);
             for (Function f : functions) { // a new process: empty, cold and not to blame for the old one
-                if (f.at(w).belief != Belief.ORDERED) { f.at(w).belief = Belief.ABSENT; }
+                if (f.at(w).belief != ReplicaState.ORDERED) { f.at(w).belief = ReplicaState.ABSENT; }
             }
             w.slow.clear();
             w.bad.clear();
@@ -612,9 +627,9 @@
         ready = 0;
         room = 0;
         for (Worker w : workers) {
-            if (wholeList && !w.named) { w.standing = Standing.GONE; }
-            if (w.standing == Standing.GONE && w.flying + w.orders == 0) { forget(w); }
-            if (w.standing == Standing.READY) {
+            if (wholeList && !w.named) { w.standing = WorkerState.GONE; }
+            if (w.standing == WorkerState.GONE && w.flying + w.orders == 0) { forget(w); }
+            if (w.standing == WorkerState.READY) {
                 ready++;
                 room += w.memory;
             }
@@ -637,8 +652,8 @@
     // ------------------------------------------------------------------ health
 
     /** Judges a worker by its own outcomes against its peers'; what proves nothing of it is left out. */
-    private void judge(Job j, Execution x, Worker w, End end, Duration took) {
-        if (end == End.FINISHED) {
+    private void judge(Request j, Attempt x, Worker w, AttemptOutcome end, Duration took) {
+        if (end == AttemptOutcome.FINISHED) {
             w.took.add(seconds(took) / seconds(j.of.target));
             if (x.stood) {
                 double u = seconds(j.hint != null && !j.hint.isZero() ? j.hint : usual(j.of));
@@ -653,12 +668,12 @@
             w.onTrial = false;
             if (j.erred != null) { fail(j.erred, false); } // so the fault was that worker's
             j.erred = null;
-        } else if (end == End.ERROR && !j.function.stood) {
+        } else if (end == AttemptOutcome.ERROR && !j.function.stood) {
             j.erred = w; // of what never stood anywhere the fault may be the call's own
-        } else if (end == End.ERROR || end == End.BROKEN || end == End.NO_CONNECTION
+        } else if (end == AttemptOutcome.ERROR || end == AttemptOutcome.BROKEN || end == AttemptOutcome.NO_CONNECTION
             // A hung worker answers nothing; where answers get lost, others of the same worker come.
-            || end == End.TIMED_OUT && !less(took, j.of.target) && less(w.heard, now.minus(took))) {
-            fail(w, end == End.NO_CONNECTION);
+            || end == AttemptOutcome.TIMED_OUT && !less(took, j.of.target) && less(w.heard, now.minus(took))) {
+            fail(w, end == AttemptOutcome.NO_CONNECTION);
         }
     }
 
@@ -672,7 +687,7 @@
     /** Shuns a worker for a while, longer each time, as long as not too many are shunned already. */
     private void strike(Worker w) {
         int n = 1;
-        for (Worker o : workers) { n += o.standing == Standing.READY && shunned(o) ? 1 : 0; }
+        for (Worker o : workers) { n += o.standing == WorkerState.READY && shunned(o) ? 1 : 0; }
         if (shunned(w) || n > ready * SHUN_MOST) { return; }
         w.shunned = now.plus(SECOND.multipliedBy(1L << Math.min(3, w.strikes++) /* 1, 2, 4, then 8 s */));
         w.onTrial = true;
@@ -685,31 +700,31 @@
     }
 
     /** What this job should take: its hint, stretched as others were, else its workload's usual time. */
-    private Duration expected(Job j) {
+    private Duration expected(Request j) {
         double q = stretch.quantile(0.5);
         boolean hinted = j.hint != null && !j.hint.isZero() && !Double.isNaN(q);
         return hinted ? times(j.hint, q) : usual(j.of);
     }
 
-    private static Duration usual(Workload of) {
+    private static Duration usual(RequestClass of) {
         return times(of.target, of.took.total() == 0 ? 0.25 : of.took.quantile(0.5));
     }
 
     // ------------------------------------------------------------------ guards: each rule in one place
 
     /** Rules 2, 3 and 4: whether this job may be sent to this worker now. */
-    private boolean maySend(Job j, Worker w) {
-        if (j.closed || w.standing != Standing.READY || j.executions.size() >= mostExecutions
-            || j.outstanding > 0 && (!second || j.of.repeat == Repeat.RUN_ONCE)
+    private boolean maySend(Request j, Worker w) {
+        if (j.closed || w.standing != WorkerState.READY || j.executions.size() >= mostExecutions
+            || j.outstanding > 0 && (!second || j.of.repeat == Idempotency.RUN_ONCE)
             || !less(now.plus(margin), j.limit)) {
             return false;
         }
         if (j.mayHaveRun + j.outstanding > 0) {
-            if (j.of.repeat == Repeat.RUN_ONCE) { return false; }
-            if (j.of.repeat == Repeat.FINGERPRINTED
+            if (j.of.repeat == Idempotency.RUN_ONCE) { return false; }
+            if (j.of.repeat == Idempotency.FINGERPRINTED
                 && (!less(now.minus(j.anchored), j.of.memory.minus(margin))
-                || j.of.group == Group.ZONE && w.zone != j.anchor.zone
-                || j.of.group == Group.CELL && (w.cell != j.anchor.cell || w.zone != j.anchor.zone))) {
+                || j.of.group == DeduplicationScope.ZONE && w.zone != j.anchor.zone
+                || j.of.group == DeduplicationScope.CELL && (w.cell != j.anchor.cell || w.zone != j.anchor.zone))) {
                 return false;
             }
         }
@@ -738,8 +753,8 @@
         return sent == 0 && (now.minus(w.started).dividedBy(fallSpan) + self) % turns == 0;
     }
 
-    private void send(Job j, Worker w) {
-        Execution x = new Execution(belief(j.function, w) == Belief.STANDS, loadsOnMiss);
+    private void send(Request j, Worker w) {
+        Attempt x = new Attempt(belief(j.function, w) == ReplicaState.STANDS, loadsOnMiss);
         j.executions.add(x);
         j.outstanding++;
         if (j.mayHaveRun == 0 && j.outstanding == 1) {
@@ -755,9 +770,9 @@
 
     /** Rules 3 and 5, and the shared store's pace: whether an order goes out, and the order itself. */
     private boolean hold(Function f, Worker w) {
-        Copy c = f.at(w);
+        Replica c = f.at(w);
         boolean nobodys = !f.stood && f.failedOrders > 1 && less(now, f.orderFailed.plus(SECOND));
-        if (!mayOrder || w.standing != Standing.READY || c.out || shunned(w) || refusedLately(c) || nobodys
+        if (!mayOrder || w.standing != WorkerState.READY || c.out || shunned(w) || refusedLately(c) || nobodys
             || ordersOut >= Math.max(1, ordersMost)) {
             return false;
         }
@@ -766,7 +781,7 @@
             return false;
         }
         if (!rationSpan.isZero()) { orders.add(now); }
-        c.belief = Belief.ORDERED;
+        c.belief = ReplicaState.ORDERED;
         c.ordered = now;
         c.out = true;
         ordersOut++;
@@ -777,11 +792,11 @@
     }
 
     /** Rule 1 and 2: the one final answer, at once; a pushback only where a repeat is harmless. */
-    private void giveUp(Job j) {
+    private void giveUp(Request j) {
         if (j.closed) { return; }
         boolean harmless = switch (j.of.repeat) {
             case RESTARTABLE -> true;
-            case FINGERPRINTED -> j.mayHaveRun + j.outstanding == 0 || j.of.group == Group.ALL;
+            case FINGERPRINTED -> j.mayHaveRun + j.outstanding == 0 || j.of.group == DeduplicationScope.ALL;
             case RUN_ONCE -> j.mayHaveRun + j.outstanding == 0;
         };
         Duration back = comeBack == null ? null : times(comeBack, 0.5 + chance.nextDouble() / 2);
@@ -790,14 +805,14 @@
         settle(j);
     }
 
-    private void close(Job j) {
+    private void close(Request j) {
         j.function.open -= j.closed ? 0 : 1;
         j.waiting = false;
         j.closed = true;
     }
 
     /** A closed job is forgotten with its last execution's end. */
-    private void settle(Job j) {
+    private void settle(Request j) {
         if (j.closed && j.outstanding == 0 && jobs.get(j.id) == j) {
             jobs.set(j.id, null);
             out.forgetJob(j.id);
--- /dev/null
+++ b/src/main/java/switchgap/policy/api/EventBatch.java
@@ -0,0 +1,6 @@
+package switchgap.policy.api;
+
+/** All that came in since the last round, in order of arrival. */
+public interface EventBatch {
+    void into(PolicyEvents feed);
+}
--- a/src/main/java/switchgap/port/Decisions.java
+++ b/src/main/java/switchgap/policy/api/PolicyActions.java
@@ -1,9 +1,9 @@
-package switchgap.port;
+package switchgap.policy.api;
 
 import java.time.Duration;
 
 /** Where decisions go, in the order they are taken. */
-public interface Decisions {
+public interface PolicyActions {
     /** Starts an execution; they are numbered from 0 for each job. */
     void send(int job, int worker, Duration allow);
 
--- a/src/main/java/switchgap/port/Feed.java
+++ b/src/main/java/switchgap/policy/api/PolicyEvents.java
@@ -1,18 +1,18 @@
-package switchgap.port;
+package switchgap.policy.api;
 
 import java.time.Duration;
 
 /**
  * What a router hears, one call an event. Ids are small indices that the caller assigns and may hand out
- * again once {@link Decisions} has forgotten them; times are spans since the router's start. Values that
+ * again once {@link PolicyActions} has forgotten them; times are spans since the router's start. Values that
  * did not come are null, NaN or, for counts, below zero.
  */
-public interface Feed {
+public interface PolicyEvents {
     /** A list of workers begins; a whole one replaces what was held. Its entries follow, then its end. */
     void listBegins(boolean whole);
 
     /** One worker; {@code mark} is its id as all routers see it, {@code started} null if long past. */
-    void worker(int worker, long mark, Standing standing, int zone, int cell, int kind, double size,
+    void worker(int worker, long mark, WorkerState standing, int zone, int cell, int kind, double size,
                 Duration started);
 
     void listEnds();
@@ -26,7 +26,7 @@
     void streamBegan(int job, int execution);
 
     /** An execution ended; {@code closed} if the job has its answer. {@code crowd}: jobs met there. */
-    void ended(int job, int execution, int worker, End end, Duration took, boolean closed, int crowd,
+    void ended(int job, int execution, int worker, AttemptOutcome end, Duration took, boolean closed, int crowd,
                double busy, double held, double queued);
 
     /** The client left; nothing more is owed. */
@@ -34,8 +34,8 @@
 
     void timer(long token);
 
-    void probed(int worker, End end, Duration took, double busy, double held, double queued);
+    void probed(int worker, AttemptOutcome end, Duration took, double busy, double held, double queued);
 
     /** An order to hold copies ended, with the number that stand. */
-    void orderEnded(int worker, int function, End end, Duration took, int standing);
+    void orderEnded(int worker, int function, AttemptOutcome end, Duration took, int standing);
 }
--- a/src/main/java/switchgap/port/Terms.java
+++ b/src/main/java/switchgap/policy/api/RouterSettings.java
@@ -1,9 +1,9 @@
-package switchgap.port;
+package switchgap.policy.api;
 
 import java.time.Duration;
 
 /** What the operator states at a router's start. */
-public interface Terms {
+public interface RouterSettings {
     int self();
 
     int routers();
@@ -30,9 +30,9 @@
     /** The share of the importance that an answer after the start target still earns. */
     double lateShare(int workload);
 
-    Repeat repeat(int workload);
+    Idempotency repeat(int workload);
 
-    Group group(int workload);
+    DeduplicationScope group(int workload);
 
     Duration memorySpan(int workload);
 
--- a/src/main/java/switchgap/state/Spans.java
+++ b/src/main/java/switchgap/policy/state/Durations.java
@@ -1,10 +1,10 @@
-package switchgap.state;
+package switchgap.policy.state;
 
 import java.time.Duration;
 
 /** Short names for arithmetic on spans of time. */
-public final class Spans {
-    private Spans() { }
+public final class Durations {
+    private Durations() { }
 
     public static boolean less(Duration a, Duration b) {
         return a.compareTo(b) < 0;
--- a/src/main/java/switchgap/state/Function.java
+++ b/src/main/java/switchgap/policy/state/Function.java
@@ -1,4 +1,4 @@
-package switchgap.state;
+package switchgap.policy.state;
 
 import java.time.Duration;
 
@@ -24,7 +24,7 @@
     public int pressed;
     public Duration used;
     public Duration busySince;
-    private final Slots<Copy> copies = new Slots<>();
+    private final IndexedTable<Replica> copies = new IndexedTable<>();
 
     public Function(int id, long mark, double[] crowdEdges) {
         this.id = id;
@@ -32,11 +32,11 @@
         this.crowd = new Histogram(crowdEdges);
     }
 
-    public Copy at(Worker w) {
-        Copy c = copies.get(w.id);
+    public Replica at(Worker w) {
+        Replica c = copies.get(w.id);
         if (c == null) {
-            c = copies.set(w.id, new Copy());
-            c.belief = w.empty ? Copy.Belief.ABSENT : Copy.Belief.UNKNOWN;
+            c = copies.set(w.id, new Replica());
+            c.belief = w.empty ? Replica.ReplicaState.ABSENT : Replica.ReplicaState.UNKNOWN;
         }
         return c;
     }
--- a/src/main/java/switchgap/state/Histogram.java
+++ b/src/main/java/switchgap/policy/state/Histogram.java
@@ -1,4 +1,4 @@
-package switchgap.state;
+package switchgap.policy.state;
 
 /** A few coarse bins between edges that the caller gives; halved when the caller says so. */
 public final class Histogram {
--- a/src/main/java/switchgap/state/Ids.java
+++ b/src/main/java/switchgap/policy/state/IndexAllocator.java
@@ -1,11 +1,11 @@
-package switchgap.state;
+package switchgap.policy.state;
 
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
 
 /** Outside ids to small indices and back; a freed index is handed out again, the lowest freed last first. */
-public final class Ids {
+public final class IndexAllocator {
     private final Map<Long, Integer> indices = new HashMap<>();
     private long[] names = new long[16];
     private int[] free = new int[16];
--- a/src/main/java/switchgap/state/Slots.java
+++ b/src/main/java/switchgap/policy/state/IndexedTable.java
@@ -1,11 +1,11 @@
-package switchgap.state;
+package switchgap.policy.state;
 
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
 
 /** Things by small index; looping passes over the empty places, in the order of the indices. */
-public final class Slots<T> implements Iterable<T> {
+public final class IndexedTable<T> implements Iterable<T> {
     private final List<T> slots = new ArrayList<>();
 
     public T get(int index) {
--- a/src/main/java/switchgap/state/Copy.java
+++ b/src/main/java/switchgap/policy/state/Replica.java
@@ -1,13 +1,13 @@
-package switchgap.state;
+package switchgap.policy.state;
 
 import java.time.Duration;
 
 /** What is believed of a function's copies at one worker. */
-public final class Copy {
+public final class Replica {
     /** UNKNOWN: not heard of lately; ORDERED: on its way, as a hold order went out. */
-    public enum Belief { UNKNOWN, ABSENT, ORDERED, STANDS }
+    public enum ReplicaState { UNKNOWN, ABSENT, ORDERED, STANDS }
 
-    public Belief belief = Belief.UNKNOWN;
+    public ReplicaState belief = ReplicaState.UNKNOWN;
     public Duration used;
     public Duration ordered;
     /** When an order ended without a copy, as there is no room or the worker drains; else null. */
--- a/src/main/java/switchgap/state/Job.java
+++ b/src/main/java/switchgap/policy/state/Request.java
@@ -1,4 +1,4 @@
-package switchgap.state;
+package switchgap.policy.state;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /** A job taken and what has become of it. */
-public final class Job {
+public final class Request {
     public final int id;
-    public final Workload of;
+    public final RequestClass of;
     public final Function function;
     public final Duration arrived;
     public final Duration limit;
     public final Duration hint;
-    public final List<Execution> executions = new ArrayList<>(2);
+    public final List<Attempt> executions = new ArrayList<>(2);
     public final BitSet failedAt = new BitSet();
     /** Where it erred last before its function was seen to stand anywhere. */
     public Worker erred;
@@ -28,7 +28,7 @@
     public int looks;
     public boolean waiting;
 
-    public Job(int id, Workload of, Function function, Duration arrived, Duration limit,
+    public Request(int id, RequestClass of, Function function, Duration arrived, Duration limit,
                Duration hint) {
         this.id = id;
         this.of = of;
--- a/src/main/java/switchgap/state/Workload.java
+++ b/src/main/java/switchgap/policy/state/RequestClass.java
@@ -1,22 +1,22 @@
-package switchgap.state;
+package switchgap.policy.state;
 
 import java.time.Duration;
-import switchgap.port.Group;
-import switchgap.port.Repeat;
-import switchgap.port.Terms;
+import switchgap.policy.api.DeduplicationScope;
+import switchgap.policy.api.Idempotency;
+import switchgap.policy.api.RouterSettings;
 
 /** A workload as stated, and how long its executions usually take, as a share of the start target. */
-public final class Workload {
+public final class RequestClass {
     public final Duration target;
     public final Duration memory;
     public final double value;
     public final double late;
-    public final Repeat repeat;
-    public final Group group;
+    public final Idempotency repeat;
+    public final DeduplicationScope group;
     public final Histogram took;
     public final Histogram met;
 
-    public Workload(Terms t, int index, double[] tookEdges, double[] metEdges) {
+    public RequestClass(RouterSettings t, int index, double[] tookEdges, double[] metEdges) {
         target = t.startTarget(index);
         memory = t.memorySpan(index);
         value = t.importance(index);
--- a/src/main/java/switchgap/state/Window.java
+++ b/src/main/java/switchgap/policy/state/SlidingWindow.java
@@ -1,10 +1,10 @@
-package switchgap.state;
+package switchgap.policy.state;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
 
 /** The times at which something happened, as far back as the caller asks. */
-public final class Window {
+public final class SlidingWindow {
     private final ArrayDeque<Duration> times = new ArrayDeque<>();
 
     public void add(Duration now) {
--- a/src/main/java/switchgap/state/Worker.java
+++ b/src/main/java/switchgap/policy/state/Worker.java
@@ -1,10 +1,10 @@
-package switchgap.state;
+package switchgap.policy.state;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 
-import switchgap.port.Standing;
+import switchgap.policy.api.WorkerState;
 
 /** A worker: what the list says of it and what this router has seen of it. */
 public final class Worker {
@@ -13,8 +13,8 @@
     public final Histogram slow;
     public final Histogram bad;
     public final Histogram took;
-    public final Window coldSends = new Window();
-    public Standing standing = Standing.GONE;
+    public final SlidingWindow coldSends = new SlidingWindow();
+    public WorkerState standing = WorkerState.GONE;
     public boolean named;
     public boolean empty;
     public int zone;
@@ -23,7 +23,7 @@
     public double weight;
     public Duration started;
     public int flying;
-    public final List<Job> looks = new ArrayList<>();
+    public final List<Request> looks = new ArrayList<>();
     public int ahead;
     public int loading;
     public int orders;
--- a/src/main/java/switchgap/port/Group.java
+++ /dev/null
@@ -1,4 +0,0 @@
-package switchgap.port;
-
-/** The workers among which a fingerprinted job's repeats are dropped. */
-public enum Group { ALL, ZONE, CELL }
--- a/src/main/java/switchgap/resp/Errand.java
+++ b/src/main/java/switchgap/resp/Errand.java
@@ -1,6 +1,6 @@
 package switchgap.resp;
 
-import switchgap.port.End;
+import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Call;
 import switchgap.router.Core;
 import switchgap.router.Seen;
@@ -14,7 +14,7 @@
 
     /** Hears once how it ended, with the reply where there was one. */
     interface Ended {
-        void ended(Core c, End end, Reply reply);
+        void ended(Core c, AttemptOutcome end, Reply reply);
     }
 
     final Seen worker;
@@ -45,7 +45,7 @@
     /** Asked as it is about to go out, not when it was decided: its worker may drain and its client leave in between. */
     boolean mayGo() { return state == State.WAITING && (harmless || worker.takesNew) && (call == null || call.awaited()); }
 
-    void end(Core c, End end, Reply reply) {
+    void end(Core c, AttemptOutcome end, Reply reply) {
         if (state != State.OVER) {
             state = State.OVER;
             ended.ended(c, end, reply);
--- a/src/main/java/switchgap/resp/Pool.java
+++ b/src/main/java/switchgap/resp/Pool.java
@@ -4,7 +4,7 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import switchgap.port.End;
+import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Core;
 import switchgap.router.Run;
 
@@ -37,7 +37,7 @@
         } else if (e.mayGo() && opening > 0 && waiting.size() < workers.bounds.waiting()) {
             waiting.add(e);
         } else {
-            workers.soon(c -> e.end(c, End.NOT_SENT, null));
+            workers.soon(c -> e.end(c, AttemptOutcome.NOT_SENT, null));
         }
     }
 
@@ -83,14 +83,14 @@
 
     private void put(Errand e, Link l) {
         if (!e.mayGo() || !l.bytes.send(e.command)) { // no byte of it went out
-            workers.soon(c -> e.end(c, End.NOT_SENT, null));
+            workers.soon(c -> e.end(c, AttemptOutcome.NOT_SENT, null));
             return;
         }
         e.state = Errand.State.OUT;
         e.link = l;
         e.sent = workers.nanos();
         l.used = e.sent;
-        if (e.id != null) { l.out.put(e.id, e); } else { workers.soon(c -> e.end(c, End.FINISHED, null)); }
+        if (e.id != null) { l.out.put(e.id, e); } else { workers.soon(c -> e.end(c, AttemptOutcome.FINISHED, null)); }
     }
 
     /** A connection is up. */
@@ -102,17 +102,17 @@
         } else {
             links.add(l);
         }
-        settle(c, End.NOT_SENT);
+        settle(c, AttemptOutcome.NOT_SENT);
     }
 
     void failed(Core c) {
         opening--;
         workers.ended();
-        settle(c, End.NO_CONNECTION);
+        settle(c, AttemptOutcome.NO_CONNECTION);
     }
 
     /** Places what waits; with no connection under way the rest is told at once that it never went out. */
-    private void settle(Core c, End none) {
+    private void settle(Core c, AttemptOutcome none) {
         for (int n = waiting.size(); n > 0; n--) {
             Errand e = waiting.poll();
             if (e.state != Errand.State.WAITING) { continue; }
@@ -122,7 +122,7 @@
             } else if (opening > 0) {
                 waiting.add(e);
             } else {
-                e.end(c, links.isEmpty() ? none : End.NOT_SENT, null);
+                e.end(c, links.isEmpty() ? none : AttemptOutcome.NOT_SENT, null);
             }
         }
     }
@@ -132,7 +132,7 @@
         if (links.remove(l)) { workers.ended(); }
         List<Errand> all = List.copyOf(l.out.values());
         l.out.clear();
-        all.forEach(e -> e.end(c, End.BROKEN, null));
+        all.forEach(e -> e.end(c, AttemptOutcome.BROKEN, null));
     }
 
     /** An answer; one for an id that is not out on this very connection is passed over. */
@@ -141,7 +141,7 @@
         l.heard = workers.nanos();
         Errand e = l.out.get(r.id());
         if (e == null) { return; }
-        End end = r.end();
+        AttemptOutcome end = r.end();
         if (end == null) {
             l.bytes.close("an answer of no known word");
             return;
@@ -152,12 +152,12 @@
     }
 
     /** Ends an exchange whose answer is not wanted any more; tells what that proves. */
-    End abandon(Errand e) {
+    AttemptOutcome abandon(Errand e) {
         Errand.State was = e.state;
         e.state = Errand.State.OVER;
         if (was == Errand.State.WAITING) {
             waiting.remove(e);
-            return links.isEmpty() ? End.NO_CONNECTION : End.NOT_SENT;
+            return links.isEmpty() ? AttemptOutcome.NO_CONNECTION : AttemptOutcome.NOT_SENT;
         }
         Link l = e.link;
         if (was == Errand.State.OUT && l.out.remove(e.id, e)) {
@@ -168,14 +168,14 @@
                 l.bytes.send(Command.of("UNDO", e.id));
             }
         }
-        return End.TIMED_OUT;
+        return AttemptOutcome.TIMED_OUT;
     }
 
     /** Its worker takes nothing new: what waits is told at once, what is out goes on. */
     void refuse() {
         for (int n = waiting.size(); n > 0; n--) {
             Errand e = waiting.poll();
-            if (e.mayGo()) { waiting.add(e); } else { workers.soon(c -> e.end(c, End.NOT_SENT, null)); }
+            if (e.mayGo()) { waiting.add(e); } else { workers.soon(c -> e.end(c, AttemptOutcome.NOT_SENT, null)); }
         }
     }
 
@@ -184,7 +184,7 @@
         retired = true;
         for (Errand e; (e = waiting.poll()) != null;) {
             Errand x = e;
-            workers.soon(c -> x.end(c, End.NOT_SENT, null));
+            workers.soon(c -> x.end(c, AttemptOutcome.NOT_SENT, null));
         }
         sweep(0);
     }
--- a/src/main/java/switchgap/resp/Reply.java
+++ b/src/main/java/switchgap/resp/Reply.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
-import switchgap.port.End;
+import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Loads;
 
 /** One answer of a worker: {@code ID WORD FIELDS BODY}. What its word proves is said in {@link #end()} and nowhere else. */
@@ -30,14 +30,14 @@
         return all;
     }
 
-    /** What the answer means, and by {@link End#neverRan} what it proves; null: no word of the protocol. */
-    End end() {
+    /** What the answer means, and by {@link AttemptOutcome#neverRan} what it proves; null: no word of the protocol. */
+    AttemptOutcome end() {
         return switch (word) {
-            case "data", "well" -> End.FINISHED;
-            case "absent" -> End.MISS;    // never ran
-            case "full" -> End.FULL;      // never ran
-            case "moot" -> End.NOT_SENT;  // over before it came: never ran
-            case "failed", "ill" -> End.ERROR; // may have run
+            case "data", "well" -> AttemptOutcome.FINISHED;
+            case "absent" -> AttemptOutcome.MISS;    // never ran
+            case "full" -> AttemptOutcome.FULL;      // never ran
+            case "moot" -> AttemptOutcome.NOT_SENT;  // over before it came: never ran
+            case "failed", "ill" -> AttemptOutcome.ERROR; // may have run
             default -> null;
         };
     }
--- a/src/main/java/switchgap/resp/Workers.java
+++ b/src/main/java/switchgap/resp/Workers.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import switchgap.port.End;
+import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Answer;
 import switchgap.router.Core;
 import switchgap.router.Loads;
@@ -136,13 +136,13 @@
         String fields = "profile=" + names[run.call.workload] + ",thing=" + run.call.function + ",max=" + Math.max(1, allow.toMillis());
         Errand e = new Errand(run.worker, run.call.id, run.call, false, Command.with(run.call.body, "DO", run.call.id, fields),
             nanos() + allow.toNanos(), (c, end, r) -> c.executionEnded(run, end, r == null ? Loads.UNTOLD : r.loads(bounds.crowds()),
-                end == End.FINISHED ? Answer.finished(0, Map.of(), r.body()) : null));
+                end == AttemptOutcome.FINISHED ? Answer.finished(0, Map.of(), r.body()) : null));
         run.exchange = e;
         pool(run.worker).ask(e);
     }
 
-    @Override public End abandon(Run run) {
-        return run.exchange instanceof Errand e ? pool(run.worker).abandon(e) : End.TIMED_OUT;
+    @Override public AttemptOutcome abandon(Run run) {
+        return run.exchange instanceof Errand e ? pool(run.worker).abandon(e) : AttemptOutcome.TIMED_OUT;
     }
 
     @Override public void abandon(Order order) {
--- a/src/main/java/switchgap/router/Core.java
+++ b/src/main/java/switchgap/router/Core.java
@@ -8,21 +8,21 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import switchgap.Decide;
-import switchgap.port.Decisions;
-import switchgap.port.End;
-import switchgap.port.Feed;
-import switchgap.port.Incoming;
-import switchgap.port.Standing;
-import switchgap.port.Terms;
+import switchgap.policy.RoutingPolicy;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.EventBatch;
+import switchgap.policy.api.PolicyActions;
+import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.RouterSettings;
+import switchgap.policy.api.WorkerState;
 
 /**
- * One router: owns one {@link Decide}. Its owner calls {@link #round} from one thread with what came in; the event
+ * One router: owns one {@link RoutingPolicy}. Its owner calls {@link #round} from one thread with what came in; the event
  * methods below are for those events only. It decides nothing that the module decides; it only keeps what is
  * mechanical about the rules: one answer a call, none past its limit, one end an execution.
  */
 public final class Core {
-    private final Terms terms;
+    private final RouterSettings terms;
     private final Outside outside;
     private final Decider decide;
     private final Carrier carrier = new Carrier();
@@ -37,13 +37,13 @@
     private final List<Call> calls = new ArrayList<>();
     private final List<Integer> freeCalls = new ArrayList<>();
     private Duration now = Duration.ZERO;
-    private Feed feed;
+    private PolicyEvents feed;
     private Watch watch = (c, a) -> { };
     private int held;
 
     /** What decides: the module, or in measurements a baseline. */
     public interface Decider {
-        void round(Duration now, Incoming in, Decisions out);
+        void round(Duration now, EventBatch in, PolicyActions out);
     }
 
     /** Hears of each call taken how it ended: its answer, null where it got none. */
@@ -63,12 +63,12 @@
     public void later(Duration at, Runnable then) { timers.at(at, then); }
 
     /** A core under the module. Orders and probes are given up after their limits. */
-    public Core(Terms terms, long seed, Outside outside, Duration orderLimit, Duration probeLimit, int mostFunctions) {
-        this(terms, new Decide(terms, seed)::round, outside, orderLimit, probeLimit, mostFunctions);
+    public Core(RouterSettings terms, long seed, Outside outside, Duration orderLimit, Duration probeLimit, int mostFunctions) {
+        this(terms, new RoutingPolicy(terms, seed)::round, outside, orderLimit, probeLimit, mostFunctions);
     }
 
     /** At most so many functions are known at a time. */
-    public Core(Terms terms, Decider decide, Outside outside, Duration orderLimit, Duration probeLimit,
+    public Core(RouterSettings terms, Decider decide, Outside outside, Duration orderLimit, Duration probeLimit,
                 int mostFunctions) {
         this.terms = terms;
         this.outside = outside;
@@ -149,20 +149,20 @@
      * An execution ended; the first end counts, a later one is a late answer and reaches nobody. An answer that
      * comes when the limit has passed (a pause) is told as overdue: most protocols send nothing after a limit.
      */
-    public void executionEnded(Run r, End end, Loads loads, Answer answer) {
+    public void executionEnded(Run r, AttemptOutcome end, Loads loads, Answer answer) {
         if (r.ended) { return; }
         r.ended = true;
         r.mayHaveRun = !end.neverRan;
         timers.stop(r.timer);
         watch.told(loads);
         Call c = r.call;
-        boolean first = end == End.FINISHED && c.state == Call.State.HELD;
+        boolean first = end == AttemptOutcome.FINISHED && c.state == Call.State.HELD;
         if (first) { answer(c, answer); }
         feed.ended(c.index, r.number, r.worker.index, end, now.minus(r.sent), c.state != Call.State.HELD, loads.crowd(),
             loads.busy(), loads.held(), loads.queued());
     }
 
-    public void orderEnded(Order o, End end, int standing) {
+    public void orderEnded(Order o, AttemptOutcome end, int standing) {
         if (ends(o) && known(o.worker)) {
             feed.orderEnded(o.worker.index, o.function, end, now.minus(o.sent), standing);
         }
@@ -172,7 +172,7 @@
         ends(o);
     }
 
-    public void probed(Order o, End end, Loads loads) {
+    public void probed(Order o, AttemptOutcome end, Loads loads) {
         if (ends(o) && known(o.worker)) {
             feed.probed(o.worker.index, end, now.minus(o.sent), loads.busy(), loads.held(), loads.queued());
         }
@@ -193,7 +193,7 @@
         for (Listed l : lines) {
             Seen s = seen.get(l.name());
             if (s == null) {
-                if (l.standing() == Standing.GONE) { continue; }
+                if (l.standing() == WorkerState.GONE) { continue; }
                 s = new Seen(l.name(), l.host(), l.port(), newWorker());
                 seen.put(l.name(), s);
                 workers.set(s.index, s);
@@ -205,7 +205,7 @@
                 s = moved;
             }
             named.add(l.name());
-            takes(s, l.standing() == Standing.READY, false);
+            takes(s, l.standing() == WorkerState.READY, false);
             feed.worker(s.index, Names.mark(l.name()), l.standing(), l.zone(), l.cell(), l.kind(), l.size(),
                 l.started());
         }
@@ -257,7 +257,7 @@
     // ------------------------------------------------------------------ what the module decides
 
     /** Carries out decisions in the order they are taken. */
-    private final class Carrier implements Decisions {
+    private final class Carrier implements PolicyActions {
         @Override public void send(int job, int worker, Duration allow) {
             Call c = calls.get(job);
             Run r = new Run(c, c.runs.size(), workers.get(worker), now);
@@ -274,7 +274,7 @@
             Run r = calls.get(job).runs.get(execution);
             if (!r.ended) {
                 outside.abandon(r);
-                timers.at(now, () -> executionEnded(r, End.CANCELLED, Loads.UNTOLD, null));
+                timers.at(now, () -> executionEnded(r, AttemptOutcome.CANCELLED, Loads.UNTOLD, null));
             }
         }
 
@@ -292,7 +292,7 @@
         }
 
         @Override public void hold(int worker, int function, int copies) {
-            Order o = order(worker, function, orderLimit, x -> orderEnded(x, End.TIMED_OUT, 0));
+            Order o = order(worker, function, orderLimit, x -> orderEnded(x, AttemptOutcome.TIMED_OUT, 0));
             outside.hold(o.worker, functions.name(function), copies, o);
         }
 
@@ -302,7 +302,7 @@
         }
 
         @Override public void probe(int worker) {
-            Order o = order(worker, -1, probeLimit, x -> probed(x, End.TIMED_OUT, Loads.UNTOLD));
+            Order o = order(worker, -1, probeLimit, x -> probed(x, AttemptOutcome.TIMED_OUT, Loads.UNTOLD));
             outside.probe(o.worker, o);
         }
 
--- a/src/main/java/switchgap/router/Gate.java
+++ b/src/main/java/switchgap/router/Gate.java
@@ -8,7 +8,7 @@
 import switchgap.level.Outcome;
 import switchgap.level.Rung;
 import switchgap.level.Verdict;
-import switchgap.port.Terms;
+import switchgap.policy.api.RouterSettings;
 
 /**
  * Where calls are offered: asks the levels, and hands on to the core what passes. What a level pushes back was never
@@ -17,12 +17,12 @@
 public final class Gate {
     private static final double CROWDED_BY = 1.2; // start targets: a pushback so early found no room
     private final Core core;
-    private final Terms terms;
+    private final RouterSettings terms;
     private final Levels levels;
     private final Consumer<Change> told;
 
     /** Without levels (null) everything passes. Each change of level is told. */
-    public Gate(Core core, Terms terms, Levels levels, Consumer<Change> told) {
+    public Gate(Core core, RouterSettings terms, Levels levels, Consumer<Change> told) {
         this.core = core;
         this.terms = terms;
         this.levels = levels;
--- a/src/main/java/switchgap/router/Listed.java
+++ b/src/main/java/switchgap/router/Listed.java
@@ -1,11 +1,11 @@
 package switchgap.router;
 
 import java.time.Duration;
-import switchgap.port.Standing;
+import switchgap.policy.api.WorkerState;
 
 /**
  * One line of the list. {@code started} is the start of its process as a span since the router's start (below zero
  * before it), null where it is not told; the same process must have the same value in each version.
  */
-public record Listed(String name, String host, int port, Standing standing, int zone, int cell, int kind, double size,
+public record Listed(String name, String host, int port, WorkerState standing, int zone, int cell, int kind, double size,
                      Duration started) { }
--- a/src/main/java/switchgap/router/Outside.java
+++ b/src/main/java/switchgap/router/Outside.java
@@ -1,7 +1,7 @@
 package switchgap.router;
 
 import java.time.Duration;
-import switchgap.port.End;
+import switchgap.policy.api.AttemptOutcome;
 
 /** The seam: what the core asks of the world. None of these calls back at once; what follows comes as an event. */
 public interface Outside {
@@ -12,7 +12,7 @@
      * Ends an execution's exchange: a late answer must reach nobody. Tells what that proves: NOT_SENT or NO_CONNECTION
      * where no byte of it went out and none will, else TIMED_OUT.
      */
-    End abandon(Run run);
+    AttemptOutcome abandon(Run run);
 
     /** Orders copies, or with 0 asks how many stand; the end is told by {@link Core#orderEnded}. */
     void hold(Seen worker, String function, int copies, Order order);
--- a/src/main/java/switchgap/simhost/Instance.java
+++ b/src/main/java/switchgap/simhost/Instance.java
@@ -6,31 +6,31 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import switchgap.Decide;
-import switchgap.port.Decisions;
-import switchgap.port.End;
-import switchgap.port.Feed;
-import switchgap.port.Incoming;
-import switchgap.port.Standing;
-import switchgap.state.Ids;
+import switchgap.policy.RoutingPolicy;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.EventBatch;
+import switchgap.policy.api.PolicyActions;
+import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.WorkerState;
+import switchgap.policy.state.IndexAllocator;
 import switchgap.stated.StatedTerms;
 
 /** One router: its events decoded into the module's calls, the module's decisions encoded as records. */
-final class Instance implements Incoming, Decisions {
+final class Instance implements EventBatch, PolicyActions {
     private static final int FAILED_LIST = 1;
     private static final int DELTA_LIST = 0;
     private static final long U32 = 0xffffffffL;
     private final int who;
     private final long born;
     private final Reply reply;
-    private final Ids jobs = new Ids();
-    private final Ids workers = new Ids();
-    private final Ids functions = new Ids();
+    private final IndexAllocator jobs = new IndexAllocator();
+    private final IndexAllocator workers = new IndexAllocator();
+    private final IndexAllocator functions = new IndexAllocator();
     private final List<byte[]> lists = new ArrayList<>();
     private int[] records = new int[16];
     private int taken;
     private ByteBuffer body;
-    private Decide decide;
+    private RoutingPolicy decide;
     private boolean crowds;
     private int busyAt;
     private int heldAt;
@@ -46,7 +46,7 @@
             busyAt = terms.field("load_share");
             heldAt = terms.field("concurrent");
             queuedAt = terms.field("depth");
-            decide = new Decide(terms, seed);
+            decide = new RoutingPolicy(terms, seed);
         } catch (RuntimeException e) {
             fault(e);
         }
@@ -102,22 +102,22 @@
         return field >= 0 && field < (body.get(at) & 0xff) ? body.getFloat(at + 1 + 4 * field) : Double.NaN;
     }
 
-    private static End end(int code) {
+    private static AttemptOutcome end(int code) {
         return switch (code) {
-            case 0 -> End.FINISHED;
-            case 13 -> End.ERROR;
-            case 8 -> End.FULL;
-            case 4 -> End.TIMED_OUT;
-            case 14 -> End.NO_CONNECTION;
-            case 10 -> End.BROKEN;
-            case 1 -> End.CANCELLED;
-            case 9 -> End.NOT_SENT;
-            case 5 -> End.MISS;
+            case 0 -> AttemptOutcome.FINISHED;
+            case 13 -> AttemptOutcome.ERROR;
+            case 8 -> AttemptOutcome.FULL;
+            case 4 -> AttemptOutcome.TIMED_OUT;
+            case 14 -> AttemptOutcome.NO_CONNECTION;
+            case 10 -> AttemptOutcome.BROKEN;
+            case 1 -> AttemptOutcome.CANCELLED;
+            case 9 -> AttemptOutcome.NOT_SENT;
+            case 5 -> AttemptOutcome.MISS;
             default -> throw new IllegalArgumentException("unknown outcome " + code);
         };
     }
 
-    @Override public void into(Feed feed) {
+    @Override public void into(PolicyEvents feed) {
         int list = 0;
         for (int i = 0; i < taken; i++) {
             int at = records[i];
@@ -165,20 +165,20 @@
         }
     }
 
-    private void ended(Feed feed, int at) {
+    private void ended(PolicyEvents feed, int at) {
         int job = jobs.find(body.getLong(at + 3));
         int worker = workers.find(server(at + 13));
         if (job < 0 || worker < 0) {
             return;
         }
-        End end = end(body.get(at + 19));
-        boolean told = crowds && (end == End.FINISHED || end == End.FULL);
+        AttemptOutcome end = end(body.get(at + 19));
+        boolean told = crowds && (end == AttemptOutcome.FINISHED || end == AttemptOutcome.FULL);
         feed.ended(job, body.getShort(at + 11) & 0xffff, worker, end, micros(body.getInt(at + 20) & U32),
             body.get(at + 24) != 0, told ? (body.get(at + 25) & 0xff) >> 3 : -1,
             report(at + 26, busyAt), report(at + 26, heldAt), report(at + 26, queuedAt));
     }
 
-    private void job(Feed feed, int at) {
+    private void job(PolicyEvents feed, int at) {
         long mark = body.getLong(at + 16);
         int marks = body.getShort(at + 48);
         float load = body.getFloat(at + 44);
@@ -189,14 +189,14 @@
             load > 0 ? micros(Math.round(load * 1000.0)) : null, (marks & 2) != 0);
     }
 
-    private void list(Feed feed, byte[] bytes, boolean whole) {
+    private void list(PolicyEvents feed, byte[] bytes, boolean whole) {
         ByteBuffer b = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
         feed.listBegins(whole);
         for (int at = 0; at < bytes.length; at += Host.ENTRY) {
-            Standing standing = switch (b.get(at)) {
-                case 0 -> Standing.GONE;
-                case 1 -> Standing.READY;
-                default -> Standing.DRAINING;
+            WorkerState standing = switch (b.get(at)) {
+                case 0 -> WorkerState.GONE;
+                case 1 -> WorkerState.READY;
+                default -> WorkerState.DRAINING;
             };
             long started = b.getLong(at + 3);
             long name = (b.getInt(at + 13) & U32) << 16 | b.getShort(at + 17) & 0xffffL;
--- a/src/main/java/switchgap/stated/StatedTerms.java
+++ b/src/main/java/switchgap/stated/StatedTerms.java
@@ -4,12 +4,12 @@
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
-import switchgap.port.Group;
-import switchgap.port.Repeat;
-import switchgap.port.Terms;
+import switchgap.policy.api.DeduplicationScope;
+import switchgap.policy.api.Idempotency;
+import switchgap.policy.api.RouterSettings;
 
 /** What a router is told at its start, path by path, read as terms; unknown paths are ignored, a needed one must be there. */
-public final class StatedTerms implements Terms {
+public final class StatedTerms implements RouterSettings {
     private final Map<String, String> lines;
 
     /** Of values by path: lists of plain values joined by commas, lists of objects as {@code .count}, {@code .0} and so on. */
@@ -144,12 +144,12 @@
 
     @Override public double lateShare(int w) { return real(lane(w, "LateValue")); }
 
-    @Override public Repeat repeat(int w) {
-        return choice(lane(w, "Effect"), new String[] {"retryable", "dedup", "fragile"}, Repeat.values());
+    @Override public Idempotency repeat(int w) {
+        return choice(lane(w, "Effect"), new String[] {"retryable", "dedup", "fragile"}, Idempotency.values());
     }
 
-    @Override public Group group(int w) {
-        return choice(lane(w, "Group"), new String[] {"all", "zone", "cell"}, Group.values());
+    @Override public DeduplicationScope group(int w) {
+        return choice(lane(w, "Group"), new String[] {"all", "zone", "cell"}, DeduplicationScope.values());
     }
 
     @Override public Duration memorySpan(int w) { return span(lane(w, "MemorySpanUs")); }
--- a/src/main/java/switchgap/terms/PageTerms.java
+++ b/src/main/java/switchgap/terms/PageTerms.java
@@ -5,18 +5,18 @@
 import java.util.List;
 import switchgap.level.LevelTerms;
 import switchgap.level.Rung;
-import switchgap.port.Group;
-import switchgap.port.Repeat;
-import switchgap.port.Terms;
+import switchgap.policy.api.DeduplicationScope;
+import switchgap.policy.api.Idempotency;
+import switchgap.policy.api.RouterSettings;
 
 /**
  * The terms that a page states, with the catalogue of functions, workloads, customers and zones by name. What the
  * page leaves out is taken as absent (no ration, no prices), never guessed.
  */
-public final class PageTerms implements Terms {
+public final class PageTerms implements RouterSettings {
     /** A workload as the page states it. */
-    public record Kind(String name, Duration target, Duration limit, double importance, double late, Repeat repeat,
-                       Group group, Duration memory) { }
+    public record Kind(String name, Duration target, Duration limit, double importance, double late, Idempotency repeat,
+                       DeduplicationScope group, Duration memory) { }
 
     /** A function, or all whose names begin alike when the name ends in an asterisk. Memory in MB. */
     public record Entry(String name, int workload, double memory, int lanes, Duration load, int customer) {
@@ -125,14 +125,14 @@
         Duration limit = k.span("time_limit");
         if (target.isZero()) { throw k.wrong("start_target", "must be above 0"); }
         if (limit.compareTo(target) < 0) { throw k.wrong("time_limit", "must not be under the start target"); }
-        Repeat repeat = k.choice("repeat", Repeat.class, null);
+        Idempotency repeat = k.choice("repeat", Idempotency.class, null);
         if (repeat == null) { k.text("repeat"); }
         Duration memory = k.span("memory_span", Duration.ZERO);
-        if (repeat == Repeat.FINGERPRINTED && memory.isZero()) {
+        if (repeat == Idempotency.FINGERPRINTED && memory.isZero()) {
             throw k.wrong("repeat", "a fingerprinted workload needs memory_span, the span for which repeats are known");
         }
         Kind kind = new Kind(name, target, limit, k.number("importance", 0, 1e6, 1),
-            k.number("late_share", 0, 1, 0), repeat, k.choice("group", Group.class, Group.ALL), memory);
+            k.number("late_share", 0, 1, 0), repeat, k.choice("group", DeduplicationScope.class, DeduplicationScope.ALL), memory);
         k.done();
         return kind;
     }
@@ -198,7 +198,7 @@
     public LevelTerms levelTerms() {
         int n = kinds.size();
         double[] importance = new double[n];
-        Repeat[] repeats = new Repeat[n];
+        Idempotency[] repeats = new Idempotency[n];
         Duration[] targets = new Duration[n];
         for (int w = 0; w < n; w++) {
             importance[w] = kinds.get(w).importance();
@@ -235,9 +235,9 @@
 
     @Override public double lateShare(int w) { return kinds.get(w).late(); }
 
-    @Override public Repeat repeat(int w) { return kinds.get(w).repeat(); }
+    @Override public Idempotency repeat(int w) { return kinds.get(w).repeat(); }
 
-    @Override public Group group(int w) { return kinds.get(w).group(); }
+    @Override public DeduplicationScope group(int w) { return kinds.get(w).group(); }
 
     @Override public Duration memorySpan(int w) { return kinds.get(w).memory(); }
 
--- a/src/main/java/switchgap/thrift/Asked.java
+++ b/src/main/java/switchgap/thrift/Asked.java
@@ -2,14 +2,14 @@
 
 import java.time.Duration;
 import java.util.Map;
-import switchgap.port.Terms;
+import switchgap.policy.api.RouterSettings;
 import switchgap.router.Asker;
 import switchgap.router.Call;
 
 /** What a submitted request says, field by field, as a call; what can't be used is refused with its field's name. */
 final class Asked {
     /** Names of workloads and customers as the operators state them. */
-    record Book(Terms terms, Map<String, Integer> workloads, Map<String, Integer> customers) { }
+    record Book(RouterSettings terms, Map<String, Integer> workloads, Map<String, Integer> customers) { }
 
     static final class Unusable extends Exception {
         private static final long serialVersionUID = 1;
--- a/src/main/java/switchgap/thrift/Door.java
+++ b/src/main/java/switchgap/thrift/Door.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import switchgap.port.Terms;
+import switchgap.policy.api.RouterSettings;
 import switchgap.router.Answer;
 import switchgap.router.Asker;
 import switchgap.router.Call;
@@ -76,7 +76,7 @@
     private ByteLink.Door listener;
 
     /** {@code clock} is the router's, {@code events} its loop. */
-    public Door(Terms terms, Map<String, Integer> workloads, Map<String, Integer> customers, Bounds bounds,
+    public Door(RouterSettings terms, Map<String, Integer> workloads, Map<String, Integer> customers, Bounds bounds,
                 Supplier<Duration> clock, Consumer<Consumer<Core>> events, Consumer<String> log) {
         this.log = log;
         this.book = new Asked.Book(terms, workloads, customers);
--- a/src/main/java/switchgap/workers/Asked.java
+++ b/src/main/java/switchgap/workers/Asked.java
@@ -1,7 +1,7 @@
 package switchgap.workers;
 
 import java.util.Map;
-import switchgap.port.End;
+import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Seen;
 import switchgap.wire.HttpLink;
 
@@ -31,7 +31,7 @@
     }
 
     /** Ended without a byte sent. */
-    abstract void unsent(End end, String why);
+    abstract void unsent(AttemptOutcome end, String why);
 
     abstract void replied(int status, Map<String, String> head, byte[] content);
 
@@ -73,7 +73,7 @@
     }
 
     /** Ends it as never sent; false where it was over already. */
-    final boolean endUnsent(End end, String why) {
+    final boolean endUnsent(AttemptOutcome end, String why) {
         boolean was = over();
         if (was) { unsent(end, why); }
         return was;
@@ -89,7 +89,7 @@
      * Ends it. Asking whether it was sent and ending it are one step: between two, a carrier could send it and a job
      * that may have run would count as never sent (rule 2; seen on a day of crowded links).
      */
-    final End abandon() {
+    final AttemptOutcome abandon() {
         HttpLink l;
         State was;
         synchronized (this) {
@@ -98,8 +98,8 @@
             l = link;
         }
         if (was == State.OUT && l != null) { l.abandon(this); }
-        if (was != State.WAITING) { return End.TIMED_OUT; }
-        return pool != null && pool.open() > 0 ? End.NOT_SENT : End.NO_CONNECTION; // all links taken, or none had
+        if (was != State.WAITING) { return AttemptOutcome.TIMED_OUT; }
+        return pool != null && pool.open() > 0 ? AttemptOutcome.NOT_SENT : AttemptOutcome.NO_CONNECTION; // all links taken, or none had
     }
 
     @Override public final void answered(int status, Map<String, String> head, byte[] content, boolean reusable) {
--- a/src/main/java/switchgap/workers/Inference.java
+++ b/src/main/java/switchgap/workers/Inference.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
-import switchgap.port.End;
+import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Answer;
 import switchgap.router.Core;
 import switchgap.router.Loads;
@@ -103,7 +103,7 @@
         if (run.call.contentType != null) { headers.put("Content-Type", run.call.contentType); }
         if (run.call.fingerprint != null) { headers.put("Idempotency-Key", run.call.fingerprint); }
         Asked a = new Asked(run.worker, "POST", model(run.call.function) + "/infer", headers, run.call.body) {
-            @Override void unsent(End end, String why) {
+            @Override void unsent(AttemptOutcome end, String why) {
                 events.accept(c -> c.executionEnded(run, end, Loads.UNTOLD, null));
             }
 
@@ -114,13 +114,13 @@
                     return;
                 }
                 Orca orca = Orca.read(head);
-                End end = proof(status, orca);
-                Answer answer = end == End.FINISHED ? Answer.finished(status, passedOn(head), content) : null;
+                AttemptOutcome end = proof(status, orca);
+                Answer answer = end == AttemptOutcome.FINISHED ? Answer.finished(status, passedOn(head), content) : null;
                 events.accept(c -> c.executionEnded(run, end, orca.loads(), answer));
             }
 
             @Override void lost(String why) {
-                events.accept(c -> c.executionEnded(run, End.BROKEN, Loads.UNTOLD, null));
+                events.accept(c -> c.executionEnded(run, AttemptOutcome.BROKEN, Loads.UNTOLD, null));
             }
         };
         run.exchange = a;
@@ -130,11 +130,11 @@
     }
 
     /** What a reply to an execution means and proves. */
-    static End proof(int status, Orca orca) {
+    static AttemptOutcome proof(int status, Orca orca) {
         boolean notRun = orca.named("executed") == 0;
-        if (status >= 200 && status < 300) { return End.FINISHED; }
-        if (notRun && status == 404) { return End.MISS; }
-        return notRun && (status == 503 || status == 429) ? End.FULL : End.ERROR;
+        if (status >= 200 && status < 300) { return AttemptOutcome.FINISHED; }
+        if (notRun && status == 404) { return AttemptOutcome.MISS; }
+        return notRun && (status == 503 || status == 429) ? AttemptOutcome.FULL : AttemptOutcome.ERROR;
     }
 
     private static Map<String, String> passedOn(Map<String, String> head) {
@@ -145,8 +145,8 @@
         return on;
     }
 
-    @Override public End abandon(Run run) {
-        return run.exchange instanceof Asked a ? a.abandon() : End.TIMED_OUT;
+    @Override public AttemptOutcome abandon(Run run) {
+        return run.exchange instanceof Asked a ? a.abandon() : AttemptOutcome.TIMED_OUT;
     }
 
     @Override public void abandon(Order order) {
@@ -159,16 +159,16 @@
             super(worker, method, path, content.length == 0 ? Map.of() : Map.of("Content-Type", "application/json"), content);
         }
 
-        abstract void end(End end, Orca orca);
+        abstract void end(AttemptOutcome end, Orca orca);
 
-        @Override void unsent(End end, String why) { end(end, Orca.read(Map.of())); }
+        @Override void unsent(AttemptOutcome end, String why) { end(end, Orca.read(Map.of())); }
 
         @Override void replied(int status, Map<String, String> head, byte[] content) {
-            end(status >= 200 && status < 300 ? End.FINISHED : status == 503 || status == 429 ? End.FULL : End.ERROR,
+            end(status >= 200 && status < 300 ? AttemptOutcome.FINISHED : status == 503 || status == 429 ? AttemptOutcome.FULL : AttemptOutcome.ERROR,
                 Orca.read(head));
         }
 
-        @Override void lost(String why) { end(End.BROKEN, Orca.read(Map.of())); }
+        @Override void lost(String why) { end(AttemptOutcome.BROKEN, Orca.read(Map.of())); }
     }
 
     private void go(Seen worker, Order order, Asked a) {
@@ -181,9 +181,9 @@
             : ("{\"parameters\":{\"copies\":" + copies + "}}").getBytes(StandardCharsets.UTF_8);
         Asked a = new Errand(worker, copies == 0 ? "GET" : "POST",
             copies == 0 ? model(function) + "/ready" : repository(function, "load"), content) {
-            @Override void end(End end, Orca orca) {
+            @Override void end(AttemptOutcome end, Orca orca) {
                 double told = orca.named("copies"); // a worker that tells no count: ready means one
-                int standing = Double.isNaN(told) ? end == End.FINISHED ? 1 : 0 : (int) told;
+                int standing = Double.isNaN(told) ? end == AttemptOutcome.FINISHED ? 1 : 0 : (int) told;
                 events.accept(c -> c.orderEnded(order, end, standing));
             }
         };
@@ -193,14 +193,14 @@
     @Override public void drop(Seen worker, String function, Order order) {
         Asked a = new Errand(worker, "POST", repository(function, "unload"),
             "{\"parameters\":{\"idle_only\":true}}".getBytes(StandardCharsets.UTF_8)) {
-            @Override void end(End end, Orca orca) { events.accept(c -> c.dropEnded(order)); }
+            @Override void end(AttemptOutcome end, Orca orca) { events.accept(c -> c.dropEnded(order)); }
         };
         go(worker, order, a);
     }
 
     @Override public void probe(Seen worker, Order order) {
         Asked a = new Errand(worker, "GET", "/v2/health/ready", NOTHING) {
-            @Override void end(End end, Orca orca) { events.accept(c -> c.probed(order, end, orca.loads())); }
+            @Override void end(AttemptOutcome end, Orca orca) { events.accept(c -> c.probed(order, end, orca.loads())); }
         };
         go(worker, order, a);
     }
--- a/src/main/java/switchgap/workers/Pool.java
+++ b/src/main/java/switchgap/workers/Pool.java
@@ -5,7 +5,7 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import switchgap.port.End;
+import switchgap.policy.api.AttemptOutcome;
 import switchgap.wire.HttpLink;
 
 /**
@@ -54,7 +54,7 @@
         }
         if (link != null) {
             put(a, link);
-        } else if (a == null || !a.endUnsent(End.NOT_SENT, "too many wait for a connection, or its worker takes nothing new")) {
+        } else if (a == null || !a.endUnsent(AttemptOutcome.NOT_SENT, "too many wait for a connection, or its worker takes nothing new")) {
             openMore();
         }
     }
@@ -68,7 +68,7 @@
     /** Puts an exchange on a link; a link that took nothing is no loss, the next one is tried. */
     private void put(Asked a, HttpLink link) {
         if (!a.go(link)) { // told at once: what is known not to have run can still be placed elsewhere
-            a.endUnsent(End.NOT_SENT, "its worker takes nothing new, or its time is over");
+            a.endUnsent(AttemptOutcome.NOT_SENT, "its worker takes nothing new, or its time is over");
             back(link);
         } else if (!link.ask(a.method, a.path, a.headers, a.body, a)) {
             if (a.back()) { ask(a); }
@@ -102,7 +102,7 @@
                         opening--;
                         a = waiting.size() > opening ? next() : null;
                     }
-                    if (a != null) { a.endUnsent(End.NO_CONNECTION, why); }
+                    if (a != null) { a.endUnsent(AttemptOutcome.NO_CONNECTION, why); }
                     openMore(); // more may wait than links may be open: each is tried, and told, in its turn
                 }
             });
@@ -145,7 +145,7 @@
             all = List.copyOf(waiting);
             waiting.clear();
         }
-        all.forEach(a -> a.endUnsent(End.NOT_SENT, "its worker takes nothing new"));
+        all.forEach(a -> a.endUnsent(AttemptOutcome.NOT_SENT, "its worker takes nothing new"));
     }
 
     /** Its worker is gone for good: links close as they fall idle. */
--- a/src/test/java/switchgap/LayersTest.java
+++ b/src/test/java/switchgap/LayersTest.java
@@ -17,7 +17,7 @@
     @Test void packagesDependOneWay() {
         slices().matching("switchgap.(*)..").should().beFreeOfCycles().check(all);
         layeredArchitecture().consideringOnlyDependenciesInAnyPackage("switchgap..")
-            .layer("module").definedBy("switchgap", "switchgap.port", "switchgap.state")
+            .layer("module").definedBy("switchgap.policy", "switchgap.policy.api", "switchgap.policy.state")
             .layer("levels").definedBy("switchgap.level")
             .layer("plans").definedBy("switchgap.plan")
             .layer("core").definedBy("switchgap.router")
@@ -51,7 +51,7 @@
     }
 
     @Test void decisionsAndCoreTouchNoSocketThreadOrClock() {
-        noClasses().that().resideInAnyPackage("switchgap", "switchgap.port", "switchgap.state", "switchgap.router", "switchgap.level", "switchgap.plan")
+        noClasses().that().resideInAnyPackage("switchgap.policy", "switchgap.policy.api", "switchgap.policy.state", "switchgap.router", "switchgap.level", "switchgap.plan")
             .should().dependOnClassesThat().resideInAnyPackage("java.net..", "java.nio..", "java.io..", "org.glassfish..",
                 "java.util.concurrent..", "org.slf4j..", "com.fasterxml..")
             .orShould().callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
--- a/src/test/java/switchgap/gateway/PlannedTest.java
+++ b/src/test/java/switchgap/gateway/PlannedTest.java
@@ -8,12 +8,11 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import switchgap.Held;
 import switchgap.plan.Plan;
 import switchgap.plan.Sequence;
-import switchgap.port.End;
-import switchgap.port.Feed;
-import switchgap.port.Standing;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.WorkerState;
 import switchgap.router.Call;
 import switchgap.router.Core;
 import switchgap.router.Listed;
@@ -24,13 +23,14 @@
 import switchgap.router.Seen;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
+import switchgap.testing.ReachableObjects;
 
 /** Days of load orders through the edge's part for the planner: none running, one that goes, one that stays. */
 class PlannedTest implements Outside {
     private final List<Consumer<Core>> next = new ArrayList<>();
     private final PageTerms terms = new PageTerms(Page.read("t", Served.TERMS));
     private final Planned planned = new Planned(this, terms, Duration.ofMillis(60), next::add);
-    private final Feed nothing = (Feed) Proxy.newProxyInstance(Feed.class.getClassLoader(), new Class<?>[] {Feed.class}, (p, m, a) -> null);
+    private final PolicyEvents nothing = (PolicyEvents) Proxy.newProxyInstance(PolicyEvents.class.getClassLoader(), new Class<?>[] {PolicyEvents.class}, (p, m, a) -> null);
     private int ordered;
     private final Core core = new Core(terms, (now, in, out) -> {
         in.into(nothing);
@@ -47,21 +47,21 @@
 
     @Test void ordersThatHaveEndedAreNotKept() {
         next.add(c -> {
-            c.list(true, List.of(new Listed("w", "127.0.0.1", 1, Standing.READY, 0, 0, 0, 1, null)));
+            c.list(true, List.of(new Listed("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
             c.callCame(new Call("c", "again-1", 0, -1, Duration.ofDays(9), null, null, null, new byte[0], 1, 1, null, false, null));
         });
         rounds(1, 0);
-        long before = Held.by(planned);
+        long before = ReachableObjects.by(planned);
         ordered = 1;
         rounds(20_000, 1); // no planner
-        assertThat(Held.by(planned)).isLessThan(before + 100);
+        assertThat(ReachableObjects.by(planned)).isLessThan(before + 100);
         next.add(c -> planned.linked(c, 1));
         rounds(20_000, 30_000); // one that is silent
         next.add(c -> planned.unlinked(c, 1));
         rounds(20_000, 60_000);
         ordered = 0;
         rounds(100, 90_000);
-        assertThat(Held.by(planned)).isLessThan(before + 100);
+        assertThat(ReachableObjects.by(planned)).isLessThan(before + 100);
         assertThat(planned.waiting()).isZero();
     }
 
@@ -75,7 +75,7 @@
                 Plan p = planner.plan(t);
                 return p != null && next.add(x -> planned.plan(x, p));
             });
-            c.list(true, List.of(new Listed("w", "127.0.0.1", 1, Standing.READY, 0, 0, 0, 1, null)));
+            c.list(true, List.of(new Listed("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
             c.callCame(new Call("c", "again-1", 0, -1, Duration.ofDays(9), null, null, null, new byte[0], 1, 1, null, false, null));
             planned.linked(c, 1);
         });
@@ -91,16 +91,16 @@
     }
 
     @Override public void hold(Seen worker, String function, int copies, Order order) {
-        next.add(c -> c.orderEnded(order, End.FINISHED, 1));
+        next.add(c -> c.orderEnded(order, AttemptOutcome.FINISHED, 1));
     }
 
     @Override public void send(Run run, Duration allow) { }
 
-    @Override public End abandon(Run run) { return End.TIMED_OUT; }
+    @Override public AttemptOutcome abandon(Run run) { return AttemptOutcome.TIMED_OUT; }
 
     @Override public void drop(Seen worker, String function, Order order) { }
 
-    @Override public void probe(Seen worker, Order order) { next.add(c -> c.probed(order, End.FINISHED, Loads.UNTOLD)); }
+    @Override public void probe(Seen worker, Order order) { next.add(c -> c.probed(order, AttemptOutcome.FINISHED, Loads.UNTOLD)); }
 
     @Override public void abandon(Order order) { }
 
--- a/src/test/java/switchgap/level/LevelsTest.java
+++ b/src/test/java/switchgap/level/LevelsTest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import switchgap.port.Repeat;
+import switchgap.policy.api.Idempotency;
 
 /** Levels under loads that a test makes: a fleet that crowds what passes beyond its capacity. Traces are read by people. */
 class LevelsTest {
@@ -22,7 +22,7 @@
     private static LevelTerms terms(double least, double best, int customers) {
         double[] share = new double[customers];
         java.util.Arrays.fill(share, 1.0 / customers);
-        return new LevelTerms(new double[] {least, best}, new Repeat[] {Repeat.RESTARTABLE, Repeat.RUN_ONCE}, TARGETS, share,
+        return new LevelTerms(new double[] {least, best}, new Idempotency[] {Idempotency.RESTARTABLE, Idempotency.RUN_ONCE}, TARGETS, share,
             new boolean[2], Rung.HOLD, Duration.ofSeconds(1), 0);
     }
 
@@ -115,7 +115,7 @@
     @Test void aShareOfStartTargetsToKeepIsPaidForByLesserWork() {
         int[] pushed = new int[2];
         for (int keep = 0; keep < 2; keep++) {
-            LevelTerms t = new LevelTerms(new double[] {1, 2}, new Repeat[] {Repeat.RESTARTABLE, Repeat.RUN_ONCE}, TARGETS,
+            LevelTerms t = new LevelTerms(new double[] {1, 2}, new Idempotency[] {Idempotency.RESTARTABLE, Idempotency.RUN_ONCE}, TARGETS,
                 new double[] {1}, new boolean[2], Rung.LEAST, null, keep * 0.97);
             Levels l = new Levels(t, 1);
             for (int i = 0; i < 3000; i++) {
@@ -185,7 +185,7 @@
     }
 
     @Test void nothingRestartableMeansTheNextRung() {
-        LevelTerms t = new LevelTerms(new double[] {1, 2}, new Repeat[] {Repeat.RUN_ONCE, Repeat.RUN_ONCE}, TARGETS,
+        LevelTerms t = new LevelTerms(new double[] {1, 2}, new Idempotency[] {Idempotency.RUN_ONCE, Idempotency.RUN_ONCE}, TARGETS,
             new double[] {1}, new boolean[2], Rung.MOST, null, 0);
         Levels l = new Levels(t, 1);
         load(l, 40, 150, 60, 0.97, 1);
@@ -195,7 +195,7 @@
     }
 
     @Test void aSparedWorkloadIsNeverTouchedAndACeilingHolds() {
-        LevelTerms t = new LevelTerms(new double[] {1, 2}, new Repeat[] {Repeat.RESTARTABLE, Repeat.RESTARTABLE}, TARGETS,
+        LevelTerms t = new LevelTerms(new double[] {1, 2}, new Idempotency[] {Idempotency.RESTARTABLE, Idempotency.RESTARTABLE}, TARGETS,
             new double[] {1}, new boolean[] {true, false}, Rung.LEAST, null, 0);
         Levels l = new Levels(t, 1);
         load(l, 60, 300, 60, 0.99, 1);
@@ -253,7 +253,7 @@
             }
         }
         assertThat(l.changes()).hasSize(64);
-        assertThat(switchgap.Held.by(l)).isLessThan(2000);
+        assertThat(switchgap.testing.ReachableObjects.by(l)).isLessThan(2000);
         assertThat(l.fresh().size()).isLessThanOrEqualTo(64);
         assertThat(l.pressure()).isBetween(0.0, 1.0);
     }
--- a/src/test/java/switchgap/loop/LoopTest.java
+++ b/src/test/java/switchgap/loop/LoopTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import switchgap.platform.TestTerms;
-import switchgap.port.Terms;
+import switchgap.policy.api.RouterSettings;
 import switchgap.router.Core;
 import switchgap.router.Outside;
 
@@ -17,7 +17,7 @@
 class LoopTest {
     @ParameterizedTest @ValueSource(ints = {1, 2})
     void anErrorInAnyRoundIsToldTheFirstToo(int round) throws Exception {
-        Terms terms = TestTerms.terms();
+        RouterSettings terms = TestTerms.terms();
         Outside nothing = (Outside) Proxy.newProxyInstance(LoopTest.class.getClassLoader(), new Class<?>[] {Outside.class}, (p, m, a) -> null);
         int[] rounds = {0};
         CompletableFuture<Throwable> told = new CompletableFuture<>();
--- a/src/test/java/switchgap/platform/TestTerms.java
+++ b/src/test/java/switchgap/platform/TestTerms.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.Map;
 import switchgap.json.Json;
-import switchgap.port.Terms;
+import switchgap.policy.api.RouterSettings;
 import switchgap.stated.StatedTerms;
 
 /** The terms that the platform's tests state, in the platform's words. */
@@ -23,7 +23,7 @@
 
     private TestTerms() { }
 
-    public static Terms terms() throws IOException {
+    public static RouterSettings terms() throws IOException {
         Map<String, Object> o = Json.object(SETTINGS);
         return new StatedTerms(Json.paths(o));
     }
--- a/src/test/java/switchgap/Bench.java
+++ b/src/test/java/switchgap/policy/PolicyHarness.java
@@ -1,4 +1,4 @@
-package switchgap;
+package switchgap.policy;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -10,21 +10,22 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import switchgap.port.Decisions;
-import switchgap.port.End;
-import switchgap.port.Feed;
-import switchgap.port.Group;
-import switchgap.port.Repeat;
-import switchgap.port.Standing;
-import switchgap.port.Terms;
-import switchgap.state.Function;
-import switchgap.state.Slots;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.DeduplicationScope;
+import switchgap.policy.api.Idempotency;
+import switchgap.policy.api.PolicyActions;
+import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.RouterSettings;
+import switchgap.policy.api.WorkerState;
+import switchgap.policy.state.Function;
+import switchgap.policy.state.IndexedTable;
+import switchgap.testing.ReachableObjects;
 
 /** The tests' one helper: terms that a test changes, one router under them, and its decisions as printed lines. */
-final class Bench implements Decisions {
-    static class Said implements Terms {
-        Repeat repeat = Repeat.RESTARTABLE;
-        Group group = Group.ALL;
+final class PolicyHarness implements PolicyActions {
+    static class TestSettings implements RouterSettings {
+        Idempotency repeat = Idempotency.RESTARTABLE;
+        DeduplicationScope group = DeduplicationScope.ALL;
         boolean loads;
         int routers = 2;
         int me;
@@ -53,9 +54,9 @@
 
         @Override public double lateShare(int w) { return 0.2; }
 
-        @Override public Repeat repeat(int w) { return repeat; }
+        @Override public Idempotency repeat(int w) { return repeat; }
 
-        @Override public Group group(int w) { return group; }
+        @Override public DeduplicationScope group(int w) { return group; }
 
         @Override public Duration memorySpan(int w) { return ms(1000); }
 
@@ -112,7 +113,7 @@
         @Override public Duration askWithin() { return ms(10_000); }
     }
 
-    private final Decide decide;
+    private final RoutingPolicy decide;
     private final List<String> lines = new ArrayList<>();
     private int at;
     int wakes;
@@ -120,8 +121,8 @@
     BiConsumer<Integer, Integer> onHold = (w, f) -> { };
     private final Map<Integer, Integer> sent = new HashMap<>();
 
-    Bench(Terms terms) {
-        decide = new Decide(terms, 7);
+    PolicyHarness(RouterSettings terms) {
+        decide = new RoutingPolicy(terms, 7);
     }
 
     static Duration ms(long n) {
@@ -129,48 +130,48 @@
     }
 
     /** A round at this time, with what comes in; no event is a round for the clock alone. */
-    Bench at(int millis, Consumer<Feed> events) {
+    PolicyHarness at(int millis, Consumer<PolicyEvents> events) {
         at = millis;
         decide.round(ms(millis), events::accept, this);
         return this;
     }
 
     /** Rounds for the clock alone, each 20 ms. */
-    Bench until(int millis) {
+    PolicyHarness until(int millis) {
         for (int t = at + 20; t <= millis; t += 20) {
             at(t, f -> f.timer(0));
         }
         return this;
     }
 
-    static void list(Feed f, int workers) {
+    static void list(PolicyEvents f, int workers) {
         f.listBegins(true);
         for (int w = 0; w < workers; w++) {
-            worker(f, w, Standing.READY, null);
+            worker(f, w, WorkerState.READY, null);
         }
         f.listEnds();
     }
 
-    static void change(Feed f, int worker, Standing standing, Duration started) {
+    static void change(PolicyEvents f, int worker, WorkerState standing, Duration started) {
         f.listBegins(false);
         worker(f, worker, standing, started);
         f.listEnds();
     }
 
-    private static void worker(Feed f, int w, Standing standing, Duration started) {
+    private static void worker(PolicyEvents f, int w, WorkerState standing, Duration started) {
         f.worker(w, 1000 + w, standing, w % 2, w % 2, 0, 1, started);
     }
 
-    void job(Feed f, int job, int function) {
+    void job(PolicyEvents f, int job, int function) {
         job(f, job, function, 2000);
     }
 
-    void job(Feed f, int job, int function, int left) {
+    void job(PolicyEvents f, int job, int function, int left) {
         f.job(job, 0, 0, function, 50 + function, ms(at + left), null, 100, 2, null, false);
     }
 
-    void end(Feed f, int job, int execution, int worker, End end, int took, int crowd) {
-        f.ended(job, execution, worker, end, ms(took), end == End.FINISHED, crowd, Double.NaN, Double.NaN, Double.NaN);
+    void end(PolicyEvents f, int job, int execution, int worker, AttemptOutcome end, int took, int crowd) {
+        f.ended(job, execution, worker, end, ms(took), end == AttemptOutcome.FINISHED, crowd, Double.NaN, Double.NaN, Double.NaN);
     }
 
     /** The copy target of a function. */
@@ -178,12 +179,12 @@
         return functions().get(function).target;
     }
 
-    @SuppressWarnings("unchecked") private Slots<Function> functions() {
-        return (Slots<Function>) Held.field(decide, "functions");
+    @SuppressWarnings("unchecked") private IndexedTable<Function> functions() {
+        return (IndexedTable<Function>) ReachableObjects.field(decide, "functions");
     }
 
     /** All that the module holds: elements of its tables. */
-    long held() { return Held.by(decide, this); }
+    long held() { return ReachableObjects.by(decide, this); }
 
     String trace() {
         return String.join("\n", lines) + "\n";
@@ -200,7 +201,7 @@
     }
 
     static String kept(String name) throws IOException {
-        try (InputStream in = Bench.class.getResourceAsStream(name + ".txt")) {
+        try (InputStream in = PolicyHarness.class.getResourceAsStream(name + ".txt")) {
             return in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
--- a/src/test/java/switchgap/RulesTest.java
+++ b/src/test/java/switchgap/policy/RoutingInvariantsTest.java
@@ -1,7 +1,7 @@
-package switchgap;
+package switchgap.policy;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static switchgap.Bench.ms;
+import static switchgap.policy.PolicyHarness.ms;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -15,60 +15,61 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import switchgap.port.Decisions;
-import switchgap.port.End;
-import switchgap.port.Feed;
-import switchgap.port.Group;
-import switchgap.port.Repeat;
-import switchgap.port.Standing;
-import switchgap.state.Ids;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.DeduplicationScope;
+import switchgap.policy.api.Idempotency;
+import switchgap.policy.api.PolicyActions;
+import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.WorkerState;
+import switchgap.policy.state.IndexAllocator;
+import switchgap.testing.ReachableObjects;
 
 /**
  * The module amid events drawn from a seed: ends of all kinds, late and early, lists that drain, lose, renew and rename
  * workers, clients that leave. Each decision is held against the five rules as it is taken, and when all is over nothing
  * may be left: no job, no worker's tally, no order counted as out.
  */
-class RulesTest implements Decisions {
-    private static final End[] ENDS = {End.FINISHED, End.FINISHED, End.FINISHED, End.ERROR, End.FULL, End.TIMED_OUT,
-        End.NO_CONNECTION, End.BROKEN, End.NOT_SENT, End.MISS, End.MISS};
+class RoutingInvariantsTest implements PolicyActions {
+    private static final AttemptOutcome[] ENDS = {AttemptOutcome.FINISHED, AttemptOutcome.FINISHED, AttemptOutcome.FINISHED, AttemptOutcome.ERROR, AttemptOutcome.FULL, AttemptOutcome.TIMED_OUT,
+        AttemptOutcome.NO_CONNECTION, AttemptOutcome.BROKEN, AttemptOutcome.NOT_SENT, AttemptOutcome.MISS, AttemptOutcome.MISS};
     private static final int WORKERS = 6;
 
     private static final class Job {
         final List<Integer> at = new ArrayList<>();
-        final List<End> ends = new ArrayList<>();
+        final List<AttemptOutcome> ends = new ArrayList<>();
         int out;
         boolean closed;
         Duration limit;
         Duration first;
     }
 
-    private final Bench.Said said = new Bench.Said();
-    private final Ids jobs = new Ids(), workers = new Ids(), functions = new Ids();
-    private final TreeMap<Duration, List<Consumer<Feed>>> due = new TreeMap<>();
+    private final PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
+    private final IndexAllocator jobs = new IndexAllocator(), workers = new IndexAllocator(), functions = new IndexAllocator();
+    private final TreeMap<Duration, List<Consumer<PolicyEvents>>> due = new TreeMap<>();
     private final Map<Integer, Job> open = new HashMap<>();
-    private final Map<Long, Standing> standing = new HashMap<>();
+    private final Map<Long, WorkerState> standing = new HashMap<>();
     private final Map<Long, Duration> started = new HashMap<>();
     private final Map<Integer, ArrayDeque<Duration>> coldSends = new HashMap<>();
     private final ArrayDeque<Duration> holds = new ArrayDeque<>(), came = new ArrayDeque<>();
     private SplittableRandom draw = new SplittableRandom(1);
     private Duration now = Duration.ZERO;
-    private Decide decide;
+    private RoutingPolicy decide;
     private int sends, repeats, answers, held, wakes;
     private long next;
 
-    private void later(long millis, Consumer<Feed> event) {
+    private void later(long millis, Consumer<PolicyEvents> event) {
         due.computeIfAbsent(now.plus(ms(millis)), t -> new ArrayList<>()).add(event);
     }
 
     private void run(Duration until) {
         while (!due.isEmpty() && due.firstKey().compareTo(until) <= 0) {
-            Map.Entry<Duration, List<Consumer<Feed>>> e = due.pollFirstEntry();
+            Map.Entry<Duration, List<Consumer<PolicyEvents>>> e = due.pollFirstEntry();
             now = e.getKey();
             decide.round(now, f -> e.getValue().forEach(x -> x.accept(f)), this);
         }
     }
 
-    private void job(Feed f, String function) {
+    private void job(PolicyEvents f, String function) {
         int j = jobs.add(next++);
         Job job = new Job();
         job.limit = now.plus(ms(200 + draw.nextInt(1800)));
@@ -86,29 +87,29 @@
         }
     }
 
-    private void list(Feed f, boolean whole) {
+    private void list(PolicyEvents f, boolean whole) {
         f.listBegins(whole);
         standing.forEach((name, s) -> {
-            if (s == Standing.GONE && workers.find(name) < 0) { return; }
+            if (s == WorkerState.GONE && workers.find(name) < 0) { return; }
             f.worker(workers.add(name), name, s, (int) (name % 2), (int) (name % 3), 0, 1, started.get(name));
         });
         f.listEnds();
     }
 
-    private void change(Feed f) {
+    private void change(PolicyEvents f) {
         long name = 1000 + draw.nextInt(WORKERS);
-        Standing s = Standing.values()[draw.nextInt(3)];
+        WorkerState s = WorkerState.values()[draw.nextInt(3)];
         standing.put(name, s);
-        if (s == Standing.READY && draw.nextBoolean()) { started.put(name, now.minus(ms(draw.nextInt(2000)))); }
+        if (s == WorkerState.READY && draw.nextBoolean()) { started.put(name, now.minus(ms(draw.nextInt(2000)))); }
         list(f, draw.nextBoolean());
     }
 
     /** So many seconds of jobs, each some milliseconds after the last, then quiet until all is over. */
     private void day(int seed, int seconds, int everyMillis, int changeMillis, int functions) {
         draw = new SplittableRandom(seed);
-        if (decide == null) { decide = new Decide(said, seed); }
+        if (decide == null) { decide = new RoutingPolicy(said, seed); }
         later(0, f -> {
-            for (long w = 0; w < WORKERS; w++) { standing.putIfAbsent(1000 + w, Standing.READY); }
+            for (long w = 0; w < WORKERS; w++) { standing.putIfAbsent(1000 + w, WorkerState.READY); }
             list(f, true);
         });
         for (long t = 1; t < seconds * 1000L; t += 1 + draw.nextInt(2 * everyMillis)) {
@@ -119,7 +120,7 @@
         Duration end = now.plus(ms(seconds * 1000L + 40_000));
         run(end.minus(ms(1000)));
         later(0, f -> {
-            for (long w = 0; w < WORKERS; w++) { standing.put(1000 + w, Standing.READY); }
+            for (long w = 0; w < WORKERS; w++) { standing.put(1000 + w, WorkerState.READY); }
             list(f, true);
         });
         run(end);
@@ -129,17 +130,17 @@
         assertThat(open).isEmpty();
         assertThat(jobs.size()).isZero();
         assertThat(functions.size()).isZero();
-        assertThat(Held.field(decide, "ordersOut")).as("orders counted as out").isEqualTo(0);
-        for (Object w : (Iterable<?>) Held.field(decide, "workers")) {
+        assertThat(ReachableObjects.field(decide, "ordersOut")).as("orders counted as out").isEqualTo(0);
+        for (Object w : (Iterable<?>) ReachableObjects.field(decide, "workers")) {
             for (String tally : new String[] {"flying", "loading", "orders", "ahead"}) {
-                assertThat(Held.field(w, tally)).as(tally).isEqualTo(0);
+                assertThat(ReachableObjects.field(w, tally)).as(tally).isEqualTo(0);
             }
         }
     }
 
     @ParameterizedTest @CsvSource({"RESTARTABLE,ALL,2,false", "RESTARTABLE,ALL,2,true", "RUN_ONCE,ALL,2,false", "RUN_ONCE,ALL,200,true",
         "FINGERPRINTED,ZONE,2,false", "FINGERPRINTED,CELL,2,true", "FINGERPRINTED,ALL,200,false", "RESTARTABLE,ALL,200,true"})
-    void theRulesHoldAmidDrawnEvents(Repeat repeat, Group group, int routers, boolean loads) {
+    void theRulesHoldAmidDrawnEvents(Idempotency repeat, DeduplicationScope group, int routers, boolean loads) {
         said.repeat = repeat;
         said.group = group;
         said.routers = routers;
@@ -154,7 +155,7 @@
         }
         assertThat(sends).isGreaterThan(1500);
         assertThat(held).isGreaterThan(20);
-        if (repeat != Repeat.RUN_ONCE) { assertThat(repeats).isGreaterThan(100); }
+        if (repeat != Idempotency.RUN_ONCE) { assertThat(repeats).isGreaterThan(100); }
     }
 
     /** What is held after three days of jobs, functions and workers that come and go is what was held after one. */
@@ -166,7 +167,7 @@
         for (int d = 0; d < 3; d++) {
             day(d, 24 * 3600, 5000, 60_000, 40 + 40 * d);
             nothingIsLeft();
-            after[d] = Held.by(decide, this);
+            after[d] = ReachableObjects.by(decide, this);
         }
         assertThat(after[2]).isLessThan(after[0] + 200);
     }
@@ -179,12 +180,12 @@
         assertThat(now.plus(allow)).as("rule 1: two ticks before the limit").isLessThanOrEqualTo(j.limit.minus(ms(10)));
         ready(worker);
         boolean mayHaveRun = j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverRan);
-        if (said.repeat == Repeat.RUN_ONCE) { assertThat(mayHaveRun).as("rule 2: run-once").isFalse(); }
-        if (said.repeat == Repeat.FINGERPRINTED && mayHaveRun) {
+        if (said.repeat == Idempotency.RUN_ONCE) { assertThat(mayHaveRun).as("rule 2: run-once").isFalse(); }
+        if (said.repeat == Idempotency.FINGERPRINTED && mayHaveRun) {
             long a = workers.name(j.at.get(anchor(j)));
             long b = workers.name(worker);
-            if (said.group != Group.ALL) { assertThat(b % 2).as("rule 2: zone").isEqualTo(a % 2); }
-            if (said.group == Group.CELL) { assertThat(b % 3).as("rule 2: cell").isEqualTo(a % 3); }
+            if (said.group != DeduplicationScope.ALL) { assertThat(b % 2).as("rule 2: zone").isEqualTo(a % 2); }
+            if (said.group == DeduplicationScope.CELL) { assertThat(b % 3).as("rule 2: cell").isEqualTo(a % 3); }
             assertThat(now.minus(j.first)).as("rule 2: memory").isLessThan(ms(1000 - 10));
         }
         assertThat(j.out).as("one execution at a time").isZero();
@@ -194,14 +195,14 @@
         repeats += x > 0 ? 1 : 0;
         sends++;
         j.at.add(worker);
-        j.ends.add(End.TIMED_OUT); // until it is known better
+        j.ends.add(AttemptOutcome.TIMED_OUT); // until it is known better
         j.out++;
-        End end = ENDS[draw.nextInt(ENDS.length)];
-        long took = end == End.TIMED_OUT ? allow.toMillis() : Math.min(allow.toMillis(), 1 + draw.nextInt(120));
+        AttemptOutcome end = ENDS[draw.nextInt(ENDS.length)];
+        long took = end == AttemptOutcome.TIMED_OUT ? allow.toMillis() : Math.min(allow.toMillis(), 1 + draw.nextInt(120));
         later(took, f -> {
             j.ends.set(x, end);
             j.out--;
-            if (end == End.FINISHED && !j.closed) { closed(job, j); }
+            if (end == AttemptOutcome.FINISHED && !j.closed) { closed(job, j); }
             f.ended(job, x, worker, end, ms(took), j.closed, draw.nextInt(4) - 1, Double.NaN, Double.NaN, Double.NaN);
         });
     }
@@ -214,7 +215,7 @@
     }
 
     private void ready(int worker) {
-        assertThat(standing.get(workers.name(worker))).as("rule 3").isEqualTo(Standing.READY);
+        assertThat(standing.get(workers.name(worker))).as("rule 3").isEqualTo(WorkerState.READY);
     }
 
     /** Far above what is due (DecideTest has that), so that only a guard that is gone is seen here. */
@@ -237,7 +238,7 @@
         Job j = open.get(job);
         assertThat(j.closed).as("rule 1: answered twice").isFalse();
         boolean mayHaveRun = j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverRan);
-        assertThat(mayHaveRun && (said.repeat == Repeat.RUN_ONCE || said.repeat == Repeat.FINGERPRINTED && said.group != Group.ALL))
+        assertThat(mayHaveRun && (said.repeat == Idempotency.RUN_ONCE || said.repeat == Idempotency.FINGERPRINTED && said.group != DeduplicationScope.ALL))
             .as("rule 2: pushed back").isFalse();
         closed(job, j);
     }
@@ -258,9 +259,9 @@
             while (!came.isEmpty() && now.minus(came.peek()).compareTo(said.span) > 0) { came.poll(); }
             assertThat((double) holds.size()).as("rule 5").isLessThanOrEqualTo(said.free + said.share * came.size());
         }
-        End end = draw.nextInt(3) > 0 ? End.FINISHED : draw.nextBoolean() ? End.TIMED_OUT : End.BROKEN;
-        long took = end == End.TIMED_OUT ? 10_000 : 5 + draw.nextInt(1500);
-        later(took, f -> f.orderEnded(worker, function, end, ms(took), end == End.FINISHED ? 1 : 0));
+        AttemptOutcome end = draw.nextInt(3) > 0 ? AttemptOutcome.FINISHED : draw.nextBoolean() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.BROKEN;
+        long took = end == AttemptOutcome.TIMED_OUT ? 10_000 : 5 + draw.nextInt(1500);
+        later(took, f -> f.orderEnded(worker, function, end, ms(took), end == AttemptOutcome.FINISHED ? 1 : 0));
     }
 
     @Override public void cancel(int job, int execution) { }
@@ -271,7 +272,7 @@
         String name = String.valueOf(workers.name(worker));
         later(2, f -> {
             int w = workers.find(Long.parseLong(name));
-            if (w >= 0) { f.probed(w, End.FINISHED, ms(2), 0.3, draw.nextInt(5), 0); }
+            if (w >= 0) { f.probed(w, AttemptOutcome.FINISHED, ms(2), 0.3, draw.nextInt(5), 0); }
         });
     }
 
--- a/src/test/java/switchgap/DecideTest.java
+++ b/src/test/java/switchgap/policy/RoutingPolicyTest.java
@@ -1,41 +1,41 @@
-package switchgap;
+package switchgap.policy;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static switchgap.Bench.change;
-import static switchgap.Bench.list;
-import static switchgap.Bench.ms;
+import static switchgap.policy.PolicyHarness.change;
+import static switchgap.policy.PolicyHarness.list;
+import static switchgap.policy.PolicyHarness.ms;
 
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import switchgap.port.End;
-import switchgap.port.Group;
-import switchgap.port.Repeat;
-import switchgap.port.Standing;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.DeduplicationScope;
+import switchgap.policy.api.Idempotency;
+import switchgap.policy.api.WorkerState;
 
 /** Traces of decisions against those kept beside this file's resources, which people read. */
-class DecideTest {
-    private static void same(String name, Bench b) throws IOException {
-        assertThat(b.trace()).isEqualTo(Bench.kept(name));
+class RoutingPolicyTest {
+    private static void same(String name, PolicyHarness b) throws IOException {
+        assertThat(b.trace()).isEqualTo(PolicyHarness.kept(name));
     }
 
     /** One job at home, one execution that errs there; what then happens depends on the kind of workload. */
-    private static Bench erring(Repeat repeat, Group group) {
+    private static PolicyHarness erring(Idempotency repeat, DeduplicationScope group) {
         return erring(repeat, group, 0);
     }
 
-    private static Bench erring(Repeat repeat, Group group, int function) {
-        Bench.Said said = new Bench.Said();
+    private static PolicyHarness erring(Idempotency repeat, DeduplicationScope group, int function) {
+        PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
         said.repeat = repeat;
         said.group = group;
-        Bench b = new Bench(said);
+        PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, function));
         int home = home(b);
-        return b.at(60, f -> b.end(f, 0, 0, home, End.ERROR, 50, -1)).until(2100);
+        return b.at(60, f -> b.end(f, 0, 0, home, AttemptOutcome.ERROR, 50, -1)).until(2100);
     }
 
-    private static int home(Bench b) {
+    private static int home(PolicyHarness b) {
         String line = b.trace().lines().filter(l -> l.contains("send")).findFirst().orElseThrow();
         return worker(line);
     }
@@ -45,34 +45,34 @@
     }
 
     /** Where the last order to hold function 0 went. */
-    private static int held(Bench b) {
+    private static int held(PolicyHarness b) {
         return Integer.parseInt(b.trace().replaceAll("(?s).*hold function 0 at worker (\\d).*", "$1"));
     }
 
     @Test void restartableRunsAgainElsewhere() throws IOException {
-        same("restartable", erring(Repeat.RESTARTABLE, Group.ALL));
+        same("restartable", erring(Idempotency.RESTARTABLE, DeduplicationScope.ALL));
     }
 
     @Test void runOnceIsKilledAfterAnErrorAndNeverPushedBack() throws IOException {
-        same("run-once", erring(Repeat.RUN_ONCE, Group.ALL));
+        same("run-once", erring(Idempotency.RUN_ONCE, DeduplicationScope.ALL));
     }
 
     @Test void fingerprintedStaysInItsGroup() throws IOException {
-        same("fingerprinted-zone", erring(Repeat.FINGERPRINTED, Group.ZONE));
+        same("fingerprinted-zone", erring(Idempotency.FINGERPRINTED, DeduplicationScope.ZONE));
         for (int function = 1; function < 8; function++) { // the helper's zones are a worker's number modulo 2
-            assertThat(erring(Repeat.FINGERPRINTED, Group.ZONE, function).trace().lines()
+            assertThat(erring(Idempotency.FINGERPRINTED, DeduplicationScope.ZONE, function).trace().lines()
                 .filter(l -> l.contains("send")).map(l -> worker(l) % 2).distinct())
                 .hasSize(1);
         }
     }
 
     @Test void fingerprintedIsNotRepeatedPastItsMemorySpan() {
-        Bench.Said said = new Bench.Said();
-        said.repeat = Repeat.FINGERPRINTED;
-        Bench b = new Bench(said);
+        PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
+        said.repeat = Idempotency.FINGERPRINTED;
+        PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(1050, f -> b.end(f, 0, 0, home, End.ERROR, 1040, -1)).until(2100);
+        b.at(1050, f -> b.end(f, 0, 0, home, AttemptOutcome.ERROR, 1040, -1)).until(2100);
         assertThat(b.count("send")).isEqualTo(1);
         assertThat(b.count("push back") + b.count("kill")).isEqualTo(1);
     }
@@ -80,45 +80,45 @@
     /** Of 1,000 ms less two ticks, whichever execution it was that ended: 980 ms on it may be repeated, 994 ms on no more. */
     @Test void theMemorySpanCountsFromTheFirstExecutionThatMayHaveRun() {
         for (int[] ends : new int[][] {{980, 2}, {994, 1}, {500, 980, 3}, {500, 994, 2}}) {
-            Bench.Said said = new Bench.Said();
-            said.repeat = Repeat.FINGERPRINTED;
-            Bench b = new Bench(said);
+            PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
+            said.repeat = Idempotency.FINGERPRINTED;
+            PolicyHarness b = new PolicyHarness(said);
             b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
             for (int i = 0; i < ends.length - 1; i++) {
                 int x = i;
                 int at = b.sentTo(0);
-                b.at(10 + ends[i], f -> b.end(f, 0, x, at, End.ERROR, 50, -1));
+                b.at(10 + ends[i], f -> b.end(f, 0, x, at, AttemptOutcome.ERROR, 50, -1));
             }
             assertThat(b.count("send")).as(java.util.Arrays.toString(ends)).isEqualTo(ends[ends.length - 1]);
         }
     }
 
     @Test void eachJobGetsOneAnswerBeforeItsLimit() throws IOException {
-        Bench b = new Bench(new Bench.Said());
+        PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 3)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(12, f -> b.end(f, 0, 0, home, End.MISS, 2, -1)).until(2500);
+        b.at(12, f -> b.end(f, 0, 0, home, AttemptOutcome.MISS, 2, -1)).until(2500);
         same("answered-in-time", b);
     }
 
     @Test void aMissOrdersACopyAndTheJobFollowsTheLoad() throws IOException {
-        Bench b = new Bench(new Bench.Said());
+        PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 3)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(12, f -> b.end(f, 0, 0, home, End.MISS, 2, -1))
-            .at(15, f -> f.orderEnded((home + 1) % 3, 0, End.FINISHED, ms(3), 0))
-            .at(300, f -> f.orderEnded(home, 0, End.FINISHED, ms(288), 1))
-            .at(380, f -> b.end(f, 0, 1, home, End.FINISHED, 80, 0));
+        b.at(12, f -> b.end(f, 0, 0, home, AttemptOutcome.MISS, 2, -1))
+            .at(15, f -> f.orderEnded((home + 1) % 3, 0, AttemptOutcome.FINISHED, ms(3), 0))
+            .at(300, f -> f.orderEnded(home, 0, AttemptOutcome.FINISHED, ms(288), 1))
+            .at(380, f -> b.end(f, 0, 1, home, AttemptOutcome.FINISHED, 80, 0));
         same("miss", b);
     }
 
     @Test void nothingNewToADrainingWorkerFromTheRoundThatTellsOfIt() {
-        Bench b = new Bench(new Bench.Said());
+        PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 3)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(100, f -> b.end(f, 0, 0, home, End.FINISHED, 90, 0));
+        b.at(100, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 90, 0));
         b.at(110, f -> {
-            change(f, home, Standing.DRAINING, null);
+            change(f, home, WorkerState.DRAINING, null);
             b.job(f, 1, 0);
         }).until(1500);
         assertThat(b.trace().lines().filter(l -> l.endsWith("at worker " + home) || l.contains("worker " + home + " ")))
@@ -128,13 +128,13 @@
 
     /** All routers share one budget: misses, which come back at once, count like any send. */
     @Test void aColdWorkerIsNotPushedOver() {
-        Bench.Said said = new Bench.Said();
+        PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
         said.loads = true;
         said.routers = 4;
-        Bench b = new Bench(said);
+        PolicyHarness b = new PolicyHarness(said);
         b.at(1000, f -> {
             f.listBegins(true);
-            f.worker(0, 1000, Standing.READY, 0, 0, 0, 1, ms(1000));
+            f.worker(0, 1000, WorkerState.READY, 0, 0, 0, 1, ms(1000));
             f.listEnds();
         });
         for (int i = 0; i < 50; i++) {
@@ -146,11 +146,11 @@
     }
 
     @Test void loadOrdersStayWithinTheRation() {
-        Bench.Said said = new Bench.Said();
+        PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
         said.free = 2;
         said.share = 0.25;
         said.span = ms(5000);
-        Bench b = new Bench(said);
+        PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4));
         for (int i = 0; i < 12; i++) {
             int job = i;
@@ -158,8 +158,8 @@
             String last = b.trace().lines().filter(l -> l.contains("send job " + job + " ")).findFirst().orElse(null);
             if (last != null) {
                 int w = worker(last);
-                b.at(15 + 50 * i, f -> b.end(f, job, 0, w, End.MISS, 2, -1));
-                b.at(20 + 50 * i, f -> f.orderEnded(w, job, End.FINISHED, ms(5), 1));
+                b.at(15 + 50 * i, f -> b.end(f, job, 0, w, AttemptOutcome.MISS, 2, -1));
+                b.at(20 + 50 * i, f -> f.orderEnded(w, job, AttemptOutcome.FINISHED, ms(5), 1));
             }
             assertThat((double) b.count("hold")).isLessThanOrEqualTo(2 + 0.25 * (i + 1));
         }
@@ -168,43 +168,43 @@
 
     /** k rises with the crowd at the copies and falls, with a drop only where idle memory is priced. */
     @Test void targetRisesAndFalls() throws IOException {
-        Bench.Said said = new Bench.Said();
+        PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
         said.price = 0.05;
-        Bench b = new Bench(said);
+        PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4));
         for (int i = 0; i < 6; i++) {
             int job = i;
             b.at(10 + 150 * i, f -> b.job(f, job, 0));
             int home = home(b);
-            b.at(90 + 150 * i, f -> b.end(f, job, 0, home, End.FINISHED, 80, 3));
+            b.at(90 + 150 * i, f -> b.end(f, job, 0, home, AttemptOutcome.FINISHED, 80, 3));
         }
         b.until(1100);
         int next = held(b);
-        b.at(1300, f -> f.orderEnded(next, 0, End.FINISHED, ms(200), 1));
+        b.at(1300, f -> f.orderEnded(next, 0, AttemptOutcome.FINISHED, ms(200), 1));
         b.until(17_500);
         same("target", b);
     }
 
     /** Past the bound at home a job goes on along the hash order, to a copy that stands. */
     @Test void overflowGoesOnward() throws IOException {
-        Bench b = new Bench(new Bench.Said());
+        PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(90, f -> b.end(f, 0, 0, home, End.FINISHED, 80, 0));
+        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 80, 0));
         b.at(100, f -> {
             for (int j = 1; j < 9; j++) {
                 b.job(f, j, 0);
             }
         });
         int next = held(b);
-        b.at(300, f -> f.orderEnded(next, 0, End.FINISHED, ms(200), 1));
+        b.at(300, f -> f.orderEnded(next, 0, AttemptOutcome.FINISHED, ms(200), 1));
         same("overflow", b);
     }
 
     @Test void aRestartedRouterSendsFromItsCachedListAlone() throws IOException {
-        Bench.Said said = new Bench.Said();
+        PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
         said.loads = true;
-        Bench b = new Bench(said);
+        PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> {
             list(f, 3);
             for (int j = 0; j < 8; j++) {
@@ -215,24 +215,24 @@
     }
 
     @Test void goneWorkersAndOneOffFunctionsAreForgotten() {
-        Bench b = new Bench(new Bench.Said());
+        PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 3)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(90, f -> b.end(f, 0, 0, home, End.FINISHED, 80, 0));
-        b.at(100, f -> change(f, home, Standing.GONE, null)).until(1100);
+        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 80, 0));
+        b.at(100, f -> change(f, home, WorkerState.GONE, null)).until(1100);
         int next = held(b);
-        b.at(1200, f -> f.orderEnded(next, 0, End.FINISHED, ms(200), 1)).until(31_000);
+        b.at(1200, f -> f.orderEnded(next, 0, AttemptOutcome.FINISHED, ms(200), 1)).until(31_000);
         assertThat(b.trace()).contains("forget job 0", "forget worker " + home, "forget function 0");
     }
 
     @Test void sameEventsSameDecisions() {
-        assertThat(erring(Repeat.RESTARTABLE, Group.ALL).trace())
-            .isEqualTo(erring(Repeat.RESTARTABLE, Group.ALL).trace());
+        assertThat(erring(Idempotency.RESTARTABLE, DeduplicationScope.ALL).trace())
+            .isEqualTo(erring(Idempotency.RESTARTABLE, DeduplicationScope.ALL).trace());
     }
 
     /** Clients that give up before the work can be done, and try again, filled every worker for nothing. */
     @Test void aJobThatCannotBeAnsweredInTimeIsPushedBackOnArrival() {
-        Bench b = new Bench(new Bench.Said());
+        PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 3)).at(10, f -> b.job(f, 0, 0, 90));
         assertThat(b.count("push back job 0")).isEqualTo(1);
         assertThat(b.count("send")).isZero();
@@ -240,7 +240,7 @@
 
     /** Fast failures look idle: after two errors the worker's functions move on, until one job retests it. */
     @Test void aWorkerThatErrsIsShunnedAndRetested() throws IOException {
-        Bench b = new Bench(new Bench.Said());
+        PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 4));
         for (int i = 0; i < 5; i++) {
             int job = i;
@@ -248,11 +248,11 @@
             String sent = b.trace().lines().filter(l -> l.contains("send job " + job)).findFirst().orElseThrow();
             int at = worker(sent);
             boolean errs = at == home(b) && i < 2;
-            b.at(15 + 300 * i, f -> b.end(f, job, 0, at, errs ? End.ERROR : End.FINISHED, 5, 0));
+            b.at(15 + 300 * i, f -> b.end(f, job, 0, at, errs ? AttemptOutcome.ERROR : AttemptOutcome.FINISHED, 5, 0));
             b.at(40 + 300 * i, f -> {
                 if (errs) {
                     int other = Integer.parseInt(b.trace().strip().replaceAll("(?s).*to worker (\\d).*", "$1"));
-                    b.end(f, job, 1, other, End.FINISHED, 20, 0);
+                    b.end(f, job, 1, other, AttemptOutcome.FINISHED, 20, 0);
                 }
             });
         }
@@ -261,15 +261,15 @@
 
     /** A full worker counts as twice what it may hold: the next job goes to another of the copies. */
     @Test void aFullWorkerIsPassedOver() {
-        Bench.Said said = new Bench.Said();
+        PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
         said.routers = 200;
-        Bench b = new Bench(said);
+        PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = b.sentTo(0);
-        b.at(90, f -> b.end(f, 0, 0, home, End.FINISHED, 80, 8)).until(1100); // k rises to two
+        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 80, 8)).until(1100); // k rises to two
         b.at(1110, f -> b.job(f, 1, 0)).until(1200);
         int full = b.sentTo(1);
-        b.at(1210, f -> b.end(f, 1, 0, full, End.FULL, 2, 5));
+        b.at(1210, f -> b.end(f, 1, 0, full, AttemptOutcome.FULL, 2, 5));
         assertThat(b.sentTo(1)).isNotEqualTo(full);
         b.at(1220, f -> b.job(f, 2, 0)).until(1260);
         assertThat(b.sentTo(2)).isNotEqualTo(full);
@@ -277,49 +277,49 @@
 
     /** Of 200 routers each hears of a function seldom: k stuck at one, and the first copy took all first jobs. */
     @Test void atSizeOneAnswerRaisesTheTargetAndChanceSpreadsTheJobs() {
-        Bench.Said said = new Bench.Said();
+        PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
         said.routers = 200;
-        Bench b = new Bench(said);
+        PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(90, f -> b.end(f, 0, 0, home, End.FINISHED, 80, 8));
+        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 80, 8));
         for (int i = 1; i < 9; i++) {
             int job = i;
             b.at(3000 + 500 * i, f -> b.job(f, job, 0));
         }
-        assertThat(b.trace().lines().filter(l -> l.contains("send")).map(DecideTest::worker).distinct().count())
+        assertThat(b.trace().lines().filter(l -> l.contains("send")).map(RoutingPolicyTest::worker).distinct().count())
             .isGreaterThan(1);
     }
 
     /** A failed question had ended all questions at that router, and shunned a worker that was only busy. */
     @Test void aProbeThatTimesOutDoesNotShun() {
-        Bench b = new Bench(new Bench.Said());
+        PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(90, f -> b.end(f, 0, 0, home, End.FINISHED, 80, 0));
-        b.at(100, f -> f.probed(home, End.TIMED_OUT, ms(250), Double.NaN, Double.NaN, Double.NaN));
+        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 80, 0));
+        b.at(100, f -> f.probed(home, AttemptOutcome.TIMED_OUT, ms(250), Double.NaN, Double.NaN, Double.NaN));
         b.at(110, f -> b.job(f, 1, 0));
         assertThat(b.trace()).contains("110 send job 1 to worker " + home);
     }
 
     /** What waits for a load is not waiting for cores; a copy that others loaded needs no order of ours. */
     @Test void atSizeACopyIsAskedForBeforeItIsOrdered() {
-        Bench.Said said = new Bench.Said();
+        PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
         said.routers = 200;
         said.loads = true;
-        Bench b = new Bench(said);
+        PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(90, f -> b.end(f, 0, 0, home, End.FINISHED, 80, 8)).until(1900).at(1950, f -> b.job(f, 1, 0)).until(2100);
+        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 80, 8)).until(1900).at(1950, f -> b.job(f, 1, 0)).until(2100);
         assertThat(b.count("ask function 0")).isEqualTo(1);
         assertThat(b.count("hold function 0")).isZero();
     }
 
     /** After a pause of the router a copy stands, but there is no time left to hear of an execution. */
     @Test void withinTheMarginOfItsLimitAJobIsNotSentAnyMore() {
-        Bench b = new Bench(new Bench.Said());
-        b.at(0, f -> list(f, 1)).at(10, f -> b.job(f, 0, 0)).at(12, f -> b.end(f, 0, 0, 0, End.MISS, 2, -1));
-        b.at(2003, f -> f.orderEnded(0, 0, End.FINISHED, ms(1990), 1)); // its limit is 2010, the margin two ticks of 5
+        PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
+        b.at(0, f -> list(f, 1)).at(10, f -> b.job(f, 0, 0)).at(12, f -> b.end(f, 0, 0, 0, AttemptOutcome.MISS, 2, -1));
+        b.at(2003, f -> f.orderEnded(0, 0, AttemptOutcome.FINISHED, ms(1990), 1)); // its limit is 2010, the margin two ticks of 5
         assertThat(b.count("send")).isEqualTo(1);
         assertThat(b.count("push back job 0")).isEqualTo(1);
     }
@@ -330,10 +330,10 @@
             int of = function;
             List<Integer> first = new ArrayList<>();
             for (int me = 0; me < 4; me++) {
-                Bench.Said said = new Bench.Said();
+                PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
                 said.me = me;
                 said.routers = 4;
-                Bench b = new Bench(said);
+                PolicyHarness b = new PolicyHarness(said);
                 b.at(0, f -> list(f, 9)).at(10, f -> b.job(f, 0, of));
                 first.add(b.sentTo(0));
             }
@@ -343,7 +343,7 @@
 
     /** The gap: between the marks k stays as it is; under the unload mark it falls after a keep-alive, and one copy stays. */
     @Test void betweenTheMarksTheTargetStays() {
-        Bench b = new Bench(new Bench.Said());
+        PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 4));
         int[] after = new int[3];
         for (int i = 0; i < 2400; i++) {
@@ -352,7 +352,7 @@
             int phase = i < 100 ? 0 : i < 1300 ? 1 : 2; // 4 s crowded, 48 s at 0.2 of a lane, 44 s idle
             int crowd = phase == 0 ? 3 : phase == 1 && i % 4 == 0 ? 1 : 0;
             b.at(t, f -> b.job(f, j, 0));
-            if (b.sentTo(j) >= 0) { b.at(t + 30, f -> b.end(f, j, 0, b.sentTo(j), End.FINISHED, 30, crowd)); }
+            if (b.sentTo(j) >= 0) { b.at(t + 30, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.FINISHED, 30, crowd)); }
             after[phase] = b.target(0);
         }
         assertThat(after).containsExactly(2, 2, 1);
@@ -361,13 +361,13 @@
     /** However crowded its copies are told to be: k ends at half of the ready workers, and at what their memory holds. */
     @Test void theTargetEndsAtHalfOfTheWorkersAndAtTheirMemory() {
         for (int size : new int[] {100, 9000}) {
-            Bench b = new Bench(new Bench.Said());
+            PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
             b.at(0, f -> list(f, 6));
             for (int i = 0; i < 2000; i++) {
                 int t = 20 + 40 * i;
                 int j = i % 50;
                 b.at(t, f -> f.job(j, 0, 0, 0, 50, ms(t + 2000), null, size, 2, null, false));
-                if (b.sentTo(j) >= 0) { b.at(t + 30, f -> b.end(f, j, 0, b.sentTo(j), End.FINISHED, 30, 30)); }
+                if (b.sentTo(j) >= 0) { b.at(t + 30, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.FINISHED, 30, 30)); }
             }
             assertThat(b.target(0)).isEqualTo(size == 100 ? 3 : 1); // six workers of 4,000 MB, half of them for copies
         }
@@ -376,26 +376,26 @@
     /** The client has the execution now: no limit, no pushback, no further execution, until its end comes. */
     /** Orders out at a time for ten new functions, after {@code failed} orders for functions of nobody ended in an error. */
     private static long ordersAfter(int failed) {
-        Bench b = new Bench(new Bench.Said());
+        PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         List<int[]> orders = new ArrayList<>();
         b.onHold = (w, f) -> orders.add(new int[] {w, f});
         b.at(0, f -> list(f, 8));
         for (int i = 0; i < failed; i++) {
             int job = i;
             b.at(10 + 10 * i, f -> b.job(f, job, 100 + job));
-            b.at(12 + 10 * i, f -> b.end(f, job, 0, b.sentTo(job), End.MISS, 2, -1));
+            b.at(12 + 10 * i, f -> b.end(f, job, 0, b.sentTo(job), AttemptOutcome.MISS, 2, -1));
             int[] o = orders.remove(0);
             b.at(14 + 10 * i, f -> {
-                f.orderEnded(o[0], o[1], End.ERROR, ms(1), 0);
+                f.orderEnded(o[0], o[1], AttemptOutcome.ERROR, ms(1), 0);
                 f.left(job);
             });
-            orders.forEach(x -> b.at(15, f -> f.orderEnded(x[0], x[1], End.ERROR, ms(1), 0)));
+            orders.forEach(x -> b.at(15, f -> f.orderEnded(x[0], x[1], AttemptOutcome.ERROR, ms(1), 0)));
             orders.clear();
         }
         for (int i = 0; i < 10; i++) {
             int job = 50 + i;
             b.at(500, f -> b.job(f, job, job));
-            b.at(502, f -> b.end(f, job, 0, b.sentTo(job), End.MISS, 2, -1));
+            b.at(502, f -> b.end(f, job, 0, b.sentTo(job), AttemptOutcome.MISS, 2, -1));
         }
         return orders.size();
     }
@@ -408,23 +408,23 @@
 
     /** Where jobs of eight functions go after so many calls of functions of nobody erred. */
     private static List<Integer> placesAfter(int errors) {
-        Bench.Said said = new Bench.Said();
-        said.repeat = Repeat.RUN_ONCE;
-        Bench b = new Bench(said);
+        PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
+        said.repeat = Idempotency.RUN_ONCE;
+        PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4));
         int one = -1;
         for (int i = 0; i < 60; i++) { // or all workers would err alike, which blames none
             int job = 200 + i;
             b.at(1 + i, f -> b.job(f, job, job % 8));
             one = job == 206 ? b.sentTo(job) : one;
-            b.at(1 + i, f -> b.end(f, job, 0, b.sentTo(job), End.FINISHED, 5, 0));
+            b.at(1 + i, f -> b.end(f, job, 0, b.sentTo(job), AttemptOutcome.FINISHED, 5, 0));
         }
         int bad = one;
         for (int i = 0; i < errors; i++) {
             int job = i;
             b.at(70 + 5 * i, f -> b.job(f, job, 100 + job)).at(72 + 5 * i, f -> {
                 if (b.sentTo(job) != bad) { f.left(job); }
-                b.end(f, job, 0, b.sentTo(job), b.sentTo(job) == bad ? End.ERROR : End.CANCELLED, 2, -1);
+                b.end(f, job, 0, b.sentTo(job), b.sentTo(job) == bad ? AttemptOutcome.ERROR : AttemptOutcome.CANCELLED, 2, -1);
             });
         }
         b.at(500, f -> {
@@ -440,69 +440,69 @@
 
     /** Seen on sockets: with three routers reports of jobs held, a while old, drove jobs away from idle workers. */
     @Test void withFewRoutersWhatAWorkerHoldsIsNotReadFromReports() {
-        Bench b = new Bench(new Bench.Said());
+        PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         java.util.Set<Integer> orders = new java.util.HashSet<>();
         b.onHold = (w, f) -> orders.add(w);
         b.at(0, f -> list(f, 4));
         for (int i = 0; i < 200; i++) { // a crowd at both copies, until the target is at two
             int job = i;
             b.at(10 + 20 * i, f -> b.job(f, job, 0));
-            b.at(15 + 20 * i, f -> b.end(f, job, 0, b.sentTo(job), End.FINISHED, 5, 4));
+            b.at(15 + 20 * i, f -> b.end(f, job, 0, b.sentTo(job), AttemptOutcome.FINISHED, 5, 4));
         }
         assertThat(b.target(0)).isEqualTo(2);
-        b.at(4500, f -> orders.forEach(w -> f.orderEnded(w, 0, End.FINISHED, ms(200), 1)));
+        b.at(4500, f -> orders.forEach(w -> f.orderEnded(w, 0, AttemptOutcome.FINISHED, ms(200), 1)));
         b.at(5000, f -> b.job(f, 300, 0));
         int first = b.sentTo(300);
-        b.at(5010, f -> f.ended(300, 0, first, End.FINISHED, ms(10), true, 0, 0.9, 50, Double.NaN));
+        b.at(5010, f -> f.ended(300, 0, first, AttemptOutcome.FINISHED, ms(10), true, 0, 0.9, 50, Double.NaN));
         b.at(5020, f -> b.job(f, 301, 0));
         assertThat(b.sentTo(301)).isEqualTo(first);
     }
 
     /** Two jobs, then none: the home copy is held anew before its keep-alive of 10 s is over, for four of them. */
-    private static Bench calledTwice(Bench.Said said) {
-        Bench b = new Bench(said);
+    private static PolicyHarness calledTwice(PolicyHarness.TestSettings said) {
+        PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
         b.onHold = (w, f) -> assertThat(w).isEqualTo(home);
-        b.at(60, f -> b.end(f, 0, 0, home, End.FINISHED, 50, 0)).at(100, f -> b.job(f, 1, 0));
-        b.at(150, f -> b.end(f, 1, 0, home, End.FINISHED, 50, 0));
+        b.at(60, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 50, 0)).at(100, f -> b.job(f, 1, 0));
+        b.at(150, f -> b.end(f, 1, 0, home, AttemptOutcome.FINISHED, 50, 0));
         for (int t = 1000; t <= 60_000; t += 1000) {
             long held = b.count("hold");
             b.at(t, f -> f.timer(0));
-            if (b.count("hold") > held) { b.at(t + 20, f -> f.orderEnded(home, 0, End.FINISHED, ms(20), 1)); }
+            if (b.count("hold") > held) { b.at(t + 20, f -> f.orderEnded(home, 0, AttemptOutcome.FINISHED, ms(20), 1)); }
         }
         return b;
     }
 
     @Test void oneCopyStaysForSomeKeepAlives() {
-        Bench b = calledTwice(new Bench.Said());
+        PolicyHarness b = calledTwice(new PolicyHarness.TestSettings());
         assertThat(b.count("hold")).isEqualTo(5); // each 7 s, within 40 s of the last job
         assertThat(b.count("forget function")).isEqualTo(1);
     }
 
     @Test void noCopyStaysWhereOrdersAreRationedOrMemoryIsPricedOrRoutersAreManyOrAfterOneJob() {
-        Bench.Said rationed = new Bench.Said();
+        PolicyHarness.TestSettings rationed = new PolicyHarness.TestSettings();
         rationed.span = ms(5000);
         rationed.free = 3;
-        Bench.Said priced = new Bench.Said();
+        PolicyHarness.TestSettings priced = new PolicyHarness.TestSettings();
         priced.price = 0.05;
-        Bench.Said many = new Bench.Said();
+        PolicyHarness.TestSettings many = new PolicyHarness.TestSettings();
         many.routers = 40;
-        for (Bench.Said said : List.of(rationed, priced, many)) { assertThat(calledTwice(said).count("hold")).isZero(); }
-        Bench once = new Bench(new Bench.Said());
+        for (PolicyHarness.TestSettings said : List.of(rationed, priced, many)) { assertThat(calledTwice(said).count("hold")).isZero(); }
+        PolicyHarness once = new PolicyHarness(new PolicyHarness.TestSettings());
         once.at(0, f -> list(f, 4)).at(10, f -> once.job(f, 0, 0));
         int home = home(once);
-        once.at(60, f -> once.end(f, 0, 0, home, End.FINISHED, 50, 0)).until(30_000);
+        once.at(60, f -> once.end(f, 0, 0, home, AttemptOutcome.FINISHED, 50, 0)).until(30_000);
         assertThat(once.count("hold")).isZero();
     }
 
     @Test void aStreamThatBeganIsLeftAloneUntilItsEnd() {
-        Bench b = new Bench(new Bench.Said());
+        PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 3)).at(10, f -> b.job(f, 0, 0)).at(60, f -> f.streamBegan(0, 0)).until(5000);
         assertThat(b.count("send")).isEqualTo(1);
         assertThat(b.count("push back") + b.count("kill") + b.count("cancel")).isZero();
         int at = b.sentTo(0);
-        b.at(5100, f -> f.ended(0, 0, at, End.BROKEN, ms(5090), true, -1, Double.NaN, Double.NaN, Double.NaN));
+        b.at(5100, f -> f.ended(0, 0, at, AttemptOutcome.BROKEN, ms(5090), true, -1, Double.NaN, Double.NaN, Double.NaN));
         assertThat(b.count("send")).isEqualTo(1);
         assertThat(b.count("forget job 0")).isEqualTo(1);
     }
@@ -511,14 +511,14 @@
     @Test void atSizeTurnsAtAColdWorkerAreShared() {
         int sent = 0;
         for (int me = 0; me < 200; me++) {
-            Bench.Said said = new Bench.Said();
+            PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
             said.loads = true;
             said.routers = 200;
             said.me = me;
-            Bench b = new Bench(said);
+            PolicyHarness b = new PolicyHarness(said);
             b.at(1000, f -> {
                 f.listBegins(true);
-                f.worker(0, 1000, Standing.READY, 0, 0, 0, 1, ms(1000));
+                f.worker(0, 1000, WorkerState.READY, 0, 0, 0, 1, ms(1000));
                 f.listEnds();
                 b.job(f, 0, 0);
                 b.job(f, 1, 0);
--- a/src/test/java/switchgap/resp/ReaderTest.java
+++ b/src/test/java/switchgap/resp/ReaderTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import switchgap.port.End;
+import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Loads;
 
 /** The workers' protocol: split at every byte, at and past each bound, and what each word proves. */
@@ -71,7 +71,7 @@
 
     @ParameterizedTest @CsvSource({"data,FINISHED,false", "absent,MISS,true", "full,FULL,true", "moot,NOT_SENT,true", "failed,ERROR,false",
         "well,FINISHED,false", "ill,ERROR,false"})
-    void whatEachWordProves(String word, End end, boolean neverRan) throws Exception {
+    void whatEachWordProves(String word, AttemptOutcome end, boolean neverRan) throws Exception {
         assertThat(reply(word, "-").end()).isEqualTo(end);
         assertThat(end.neverRan).isEqualTo(neverRan);
         assertThat(reply("page", "-").end()).isNull();
--- a/src/test/java/switchgap/router/BoundsTest.java
+++ b/src/test/java/switchgap/router/BoundsTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import switchgap.Held;
+import switchgap.testing.ReachableObjects;
 
 /** Tables of the core at their bounds. */
 class BoundsTest {
@@ -36,7 +36,7 @@
         assertThat(e.stream().filter(x -> d.known(d.id(x)) == Deferred.Known.ENDED).count()).isEqualTo(3);
         d.tick(Duration.ofMinutes(6));
         assertThat(d.size()).isZero();
-        assertThat(Held.field(d, "bytes")).isEqualTo(0L);
+        assertThat(ReachableObjects.field(d, "bytes")).isEqualTo(0L);
     }
 
     @Test void eightWaitForADeferredCallAndANinthIsAnsweredAtOnce() {
@@ -52,7 +52,7 @@
     @Test void stoppedTimersDoNotPileUp() {
         Timers t = new Timers();
         for (int i = 0; i < 1_000_000; i++) { t.stop(t.at(Duration.ofSeconds(10 + i), () -> { })); }
-        assertThat(Held.by(t)).isLessThan(4000);
+        assertThat(ReachableObjects.by(t)).isLessThan(4000);
         assertThat(t.size()).isZero();
         assertThat(t.next()).isNull();
     }
@@ -61,6 +61,6 @@
         Names n = new Names();
         for (int i = 0; i < 100_000; i++) { n.release(n.add("n" + i)); }
         assertThat(n.add("last")).isZero();
-        assertThat(Held.by(n)).isLessThan(10);
+        assertThat(ReachableObjects.by(n)).isLessThan(10);
     }
 }
--- a/src/test/java/switchgap/router/CoreOverDaysTest.java
+++ b/src/test/java/switchgap/router/CoreOverDaysTest.java
@@ -10,11 +10,11 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import switchgap.Held;
-import switchgap.port.End;
-import switchgap.port.Standing;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.WorkerState;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
+import switchgap.testing.ReachableObjects;
 
 /** The core under the module for simulated days: workers replaced by others for ever, functions asked for once, clients that leave. */
 class CoreOverDaysTest implements Outside, Asker {
@@ -53,7 +53,7 @@
 
     private void list(Core c) {
         List<Listed> lines = new ArrayList<>();
-        for (String n : fleet) { lines.add(new Listed(n, "h", 1 + draw.nextInt(3) / 2, Standing.READY, 0, 0, 0, 1, null)); }
+        for (String n : fleet) { lines.add(new Listed(n, "h", 1 + draw.nextInt(3) / 2, WorkerState.READY, 0, 0, 0, 1, null)); }
         c.list(true, lines);
     }
 
@@ -90,39 +90,39 @@
     @Test void nothingOfWhatHasGoneIsKept() {
         later(0, this::list);
         hours(12);
-        long after = Held.by(core, this);
+        long after = ReachableObjects.by(core, this);
         hours(36);
         assertThat(names).isGreaterThan(3000);
-        assertThat(Held.by(core, this)).isLessThan(after + 300);
+        assertThat(ReachableObjects.by(core, this)).isLessThan(after + 300);
         assertThat(core.held()).isZero();
         assertThat(core.outstanding()).isZero();
         assertThat(answers + overdue + left).isEqualTo(taken);
         assertThat(overdue).isZero();
         assertThat(refused).isZero();
-        assertThat(((Names) Held.field(core, "functions")).size()).isLessThan(60);
-        assertThat((Map<?, ?>) Held.field(core, "seen")).hasSizeLessThan(8);
+        assertThat(((Names) ReachableObjects.field(core, "functions")).size()).isLessThan(60);
+        assertThat((Map<?, ?>) ReachableObjects.field(core, "seen")).hasSizeLessThan(8);
     }
 
     // ---- the seam
 
     @Override public void send(Run run, Duration allow) {
-        End end = draw.nextInt(5) > 0 ? End.FINISHED : End.values()[draw.nextInt(End.values().length)];
-        if (end == End.TIMED_OUT) { return; } // never answers
+        AttemptOutcome end = draw.nextInt(5) > 0 ? AttemptOutcome.FINISHED : AttemptOutcome.values()[draw.nextInt(AttemptOutcome.values().length)];
+        if (end == AttemptOutcome.TIMED_OUT) { return; } // never answers
         later(1 + draw.nextInt(400), c -> c.executionEnded(run, end, Loads.UNTOLD, Answer.finished(200, Map.of(), new byte[0])));
     }
 
-    @Override public End abandon(Run run) { return End.TIMED_OUT; }
+    @Override public AttemptOutcome abandon(Run run) { return AttemptOutcome.TIMED_OUT; }
 
     @Override public void hold(Seen w, String f, int copies, Order o) {
         if (draw.nextInt(20) == 0) { return; } // never ends by itself
-        later(1 + draw.nextInt(2000), c -> c.orderEnded(o, End.FINISHED, 1));
+        later(1 + draw.nextInt(2000), c -> c.orderEnded(o, AttemptOutcome.FINISHED, 1));
     }
 
     @Override public void drop(Seen worker, String function, Order order) {
         if (draw.nextBoolean()) { later(5, c -> c.dropEnded(order)); }
     }
 
-    @Override public void probe(Seen worker, Order order) { later(2, c -> c.probed(order, End.FINISHED, Loads.UNTOLD)); }
+    @Override public void probe(Seen worker, Order order) { later(2, c -> c.probed(order, AttemptOutcome.FINISHED, Loads.UNTOLD)); }
 
     @Override public void abandon(Order order) { }
 
--- a/src/test/java/switchgap/router/CoreTest.java
+++ b/src/test/java/switchgap/router/CoreTest.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import switchgap.port.End;
-import switchgap.port.Standing;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.WorkerState;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
 
@@ -27,7 +27,7 @@
     private final List<String> said = new ArrayList<>();
     private final Core core = new Core(new PageTerms(Page.read("t", TERMS)), 1, this, ms(500), ms(50), 2);
     private Duration at = Duration.ZERO;
-    private End proves = End.TIMED_OUT;
+    private AttemptOutcome proves = AttemptOutcome.TIMED_OUT;
 
     private static Duration ms(long n) { return Duration.ofMillis(n); }
 
@@ -47,7 +47,7 @@
 
     private void list(String... names) {
         List<Listed> all = new ArrayList<>();
-        for (String n : names) { all.add(new Listed(n, "h", 1, Standing.READY, 0, 0, 0, 1, null)); }
+        for (String n : names) { all.add(new Listed(n, "h", 1, WorkerState.READY, 0, 0, 0, 1, null)); }
         next.add(c -> c.list(true, all));
     }
 
@@ -59,7 +59,7 @@
     }
 
     private void finish(Run r) {
-        next.add(c -> c.executionEnded(r, End.FINISHED, Loads.UNTOLD, Answer.finished(200, Map.of(), new byte[0])));
+        next.add(c -> c.executionEnded(r, AttemptOutcome.FINISHED, Loads.UNTOLD, Answer.finished(200, Map.of(), new byte[0])));
     }
 
     @Test void aPauseOverALimitEndsInSilenceAndSendsNothing() {
@@ -103,7 +103,7 @@
     }
 
     @Test void anExecutionThatNeverWentOutIsNoReasonToKill() {
-        proves = End.NOT_SENT; // it waited for a connection until its time-out
+        proves = AttemptOutcome.NOT_SENT; // it waited for a connection until its time-out
         list("a");
         call(1, "f");
         at(0);
@@ -128,10 +128,10 @@
         at(0);
         call(1, "f");
         at(1);
-        next.add(c -> c.executionEnded(sent.get(0), End.MISS, Loads.UNTOLD, null)); // now a load is ordered at a
+        next.add(c -> c.executionEnded(sent.get(0), AttemptOutcome.MISS, Loads.UNTOLD, null)); // now a load is ordered at a
         at(2);
         next.clear(); // the load does not end
-        next.add(c -> c.list(false, List.of(new Listed("a", "h", 1, Standing.DRAINING, 0, 0, 0, 1, null))));
+        next.add(c -> c.list(false, List.of(new Listed("a", "h", 1, WorkerState.DRAINING, 0, 0, 0, 1, null))));
         at(10);
         until(890);
         assertThat(sent).hasSize(1);
@@ -152,7 +152,7 @@
         list("a");
         at(0);
         Order o = new Order(new Seen("gone", "h", 1, 0), -1, Duration.ZERO);
-        next.add(c -> c.probed(o, End.FINISHED, new Loads(1, 99, 99, -1))); // index 0 is now another worker's
+        next.add(c -> c.probed(o, AttemptOutcome.FINISHED, new Loads(1, 99, 99, -1))); // index 0 is now another worker's
         at(1);
         call(0, "f");
         at(2);
@@ -163,13 +163,13 @@
 
     @Override public void send(Run run, Duration allow) { sent.add(run); }
 
-    @Override public End abandon(Run run) {
+    @Override public AttemptOutcome abandon(Run run) {
         said.add("abandoned");
         return proves;
     }
 
     @Override public void hold(Seen w, String f, int copies, Order o) {
-        next.add(c -> c.orderEnded(o, End.FINISHED, Math.max(1, copies)));
+        next.add(c -> c.orderEnded(o, AttemptOutcome.FINISHED, Math.max(1, copies)));
     }
 
     @Override public void drop(Seen worker, String function, Order order) { }
--- a/src/test/java/switchgap/router/LinksTest.java
+++ b/src/test/java/switchgap/router/LinksTest.java
@@ -13,13 +13,13 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import switchgap.Held;
 import switchgap.gateway.Peer;
-import switchgap.port.Decisions;
-import switchgap.port.Feed;
-import switchgap.port.Standing;
+import switchgap.policy.api.PolicyActions;
+import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.WorkerState;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
+import switchgap.testing.ReachableObjects;
 import switchgap.wire.Carriers;
 import switchgap.wire.HttpLink;
 import switchgap.wire.Net;
@@ -33,7 +33,7 @@
         functions: {f: {workload: again, memory: 1, lanes: 100}}
         """;
     private final ConcurrentLinkedQueue<Consumer<Core>> events = new ConcurrentLinkedQueue<>();
-    private final List<Consumer<Decisions>> say = new ArrayList<>();
+    private final List<Consumer<PolicyActions>> say = new ArrayList<>();
     private final List<String> heard = new CopyOnWriteArrayList<>();
     private final long born = System.nanoTime();
     private final Net net;
@@ -49,7 +49,7 @@
     private void links(int most, int waiting) {
         links = new Inference(new HttpLink.Opener(net, null, 1 << 16), new Inference.Links(most, waiting, Duration.ofMillis(250),
             Duration.ofSeconds(30)), carriers, events::add, () -> { });
-        Feed feed = (Feed) Proxy.newProxyInstance(Feed.class.getClassLoader(), new Class<?>[] {Feed.class}, (p, m, a) -> {
+        PolicyEvents feed = (PolicyEvents) Proxy.newProxyInstance(PolicyEvents.class.getClassLoader(), new Class<?>[] {PolicyEvents.class}, (p, m, a) -> {
             switch (m.getName()) {
                 case "ended" -> heard.add(a[0] + " " + a[3]);
                 case "probed" -> heard.add("probed " + a[1]);
@@ -82,7 +82,7 @@
         return false;
     }
 
-    private void list(String host, int port, Standing s) {
+    private void list(String host, int port, WorkerState s) {
         events.add(c -> c.list(true, List.of(new Listed("w", host, port, s, 0, 0, 0, 1, null))));
         round();
     }
@@ -100,14 +100,14 @@
     @Test void whatWaitsForALinkIsToldAtOnceWhenItsWorkerDrains() throws Exception {
         try (Peer w = new Peer(Peer::silent)) {
             links(1);
-            list("127.0.0.1", w.port(), Standing.READY);
+            list("127.0.0.1", w.port(), WorkerState.READY);
             job();
             assertThat(until(2000, () -> w.infers() == 1)).isTrue();
             int waits = job();
-            list("127.0.0.1", w.port(), Standing.DRAINING);
+            list("127.0.0.1", w.port(), WorkerState.DRAINING);
             assertThat(until(300, () -> heard.contains(waits + " NOT_SENT"))).isTrue();
             assertThat(w.infers()).isEqualTo(1);
-            list("127.0.0.1", w.port(), Standing.READY); // the drain is taken back: the link serves again
+            list("127.0.0.1", w.port(), WorkerState.READY); // the drain is taken back: the link serves again
             w.manner(Peer::well);
             say.add(d -> d.probe(0));
             assertThat(until(1000, () -> heard.contains("probed FINISHED"))).isTrue();
@@ -120,11 +120,11 @@
             return Peer.well(q, out);
         }); Peer fresh = new Peer(Peer::well)) {
             links(1);
-            list("127.0.0.1", old.port(), Standing.READY);
+            list("127.0.0.1", old.port(), WorkerState.READY);
             int first = job();
             assertThat(until(2000, () -> old.infers() == 1)).isTrue();
             int waits = job();
-            list("127.0.0.1", fresh.port(), Standing.READY);
+            list("127.0.0.1", fresh.port(), WorkerState.READY);
             assertThat(until(200, () -> heard.contains(waits + " NOT_SENT"))).isTrue();
             assertThat(until(2000, () -> heard.contains(first + " FINISHED"))).isTrue(); // what was out may still answer
             assertThat(old.infers()).isEqualTo(1);
@@ -138,7 +138,7 @@
         int dead;
         try (Peer gone = new Peer(Peer::silent)) { dead = gone.port(); }
         links(2);
-        list("127.0.0.1", dead, Standing.READY);
+        list("127.0.0.1", dead, WorkerState.READY);
         for (int i = 0; i < 6; i++) { job(); }
         assertThat(until(2000, () -> heard.size() == 6)).as(heard.toString()).isTrue();
         assertThat(Set.copyOf(heard)).allMatch(h -> h.endsWith("NO_CONNECTION"));
@@ -147,7 +147,7 @@
     @Test void pastTheBoundOfWhatWaitsForALinkAJobIsToldAtOnce() throws Exception {
         try (Peer w = new Peer(Peer::silent)) {
             links(1, 3);
-            list("127.0.0.1", w.port(), Standing.READY);
+            list("127.0.0.1", w.port(), WorkerState.READY);
             job();
             assertThat(until(2000, () -> w.infers() == 1)).isTrue();
             for (int i = 0; i < 3; i++) { job(); }
@@ -159,7 +159,7 @@
 
     @Test void anAddressThatIsNoneEndsWhatIsSentThereAndNothingElse() throws Exception {
         links(2);
-        list("::g", 80, Standing.READY);
+        list("::g", 80, WorkerState.READY);
         int j = job();
         say.add(d -> d.probe(0));
         say.add(d -> d.hold(0, 0, 1));
@@ -170,7 +170,7 @@
     @Test void aDropAtAWorkerThatIsSilentGivesItsLinkBack() throws Exception {
         try (Peer w = new Peer((q, out) -> !q.line().contains("/unload") ? Peer.well(q, out) : Peer.silent(q, out))) {
             links(1);
-            list("127.0.0.1", w.port(), Standing.READY);
+            list("127.0.0.1", w.port(), WorkerState.READY);
             job();
             say.add(d -> d.drop(0, 0));
             assertThat(until(2000, () -> w.asked.stream().anyMatch(a -> a.line().contains("/unload")))).isTrue();
@@ -188,15 +188,15 @@
             links(4);
             for (int i = 0; i < 6; i++) { // to and fro, as a name that is handed from process to process
                 Peer p = i % 2 == 0 ? a : b;
-                list("127.0.0.1", p.port(), Standing.READY);
+                list("127.0.0.1", p.port(), WorkerState.READY);
                 int j = job();
                 assertThat(until(2000, () -> heard.contains(j + " FINISHED"))).isTrue();
             }
-            assertThat((Set<?>) Held.field(links, "pools")).hasSizeLessThanOrEqualTo(2);
+            assertThat((Set<?>) ReachableObjects.field(links, "pools")).hasSizeLessThanOrEqualTo(2);
             assertThat(until(1000, () -> a.connected() == 0)).isTrue();
             say.add(d -> d.forgetWorker(0));
             round();
-            assertThat((Set<?>) Held.field(links, "pools")).isEmpty();
+            assertThat((Set<?>) ReachableObjects.field(links, "pools")).isEmpty();
             assertThat(until(1000, () -> b.connected() == 0)).isTrue();
         }
     }
--- a/src/test/java/switchgap/Held.java
+++ b/src/test/java/switchgap/testing/ReachableObjects.java
@@ -1,4 +1,4 @@
-package switchgap;
+package switchgap.testing;
 
 import java.lang.reflect.Array;
 import java.lang.reflect.Field;
@@ -11,8 +11,8 @@
 import java.util.Set;
 
 /** Counts what an object of this program holds: the elements of all collections and arrays that it reaches. */
-public final class Held {
-    private Held() { }
+public final class ReachableObjects {
+    private ReachableObjects() { }
 
     /** All but what is reached through {@code but}. */
     public static long by(Object root, Object... but) {
--- a/src/test/java/switchgap/workers/AskedTest.java
+++ b/src/test/java/switchgap/workers/AskedTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import switchgap.gateway.Peer;
-import switchgap.port.End;
+import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Seen;
 import switchgap.wire.HttpLink;
 import switchgap.wire.Net;
@@ -23,7 +23,7 @@
         List<String> heard = new CopyOnWriteArrayList<>();
         try (Net net = new Net(1, "asked"); Peer w = new Peer((q, out) -> q.line().contains("/first") ? Peer.silent(q, out) : Peer.well(q, out))) {
             Pool pool = new Pool(new HttpLink.Opener(net, null, 1024), new InetSocketAddress("127.0.0.1", w.port()), 1, 10, Duration.ofSeconds(1));
-            CompletableFuture<End> given = new CompletableFuture<>();
+            CompletableFuture<AttemptOutcome> given = new CompletableFuture<>();
             pool.ask(new Told(heard, "/first") {
                 @Override synchronized boolean go(HttpLink to) {
                     boolean goes = super.go(to);
@@ -31,7 +31,7 @@
                     return goes;
                 }
             });
-            assertThat(given.get(2, TimeUnit.SECONDS)).isEqualTo(End.TIMED_OUT); // it may have gone out, and counts so
+            assertThat(given.get(2, TimeUnit.SECONDS)).isEqualTo(AttemptOutcome.TIMED_OUT); // it may have gone out, and counts so
             pool.ask(new Told(heard, "/second"));
             for (int i = 0; i < 100 && heard.isEmpty(); i++) { Thread.sleep(10); }
             assertThat(heard).containsExactly("replied 200");
@@ -46,7 +46,7 @@
             this.heard = heard;
         }
 
-        @Override void unsent(End end, String why) { heard.add("unsent " + end); }
+        @Override void unsent(AttemptOutcome end, String why) { heard.add("unsent " + end); }
 
         @Override void replied(int status, Map<String, String> head, byte[] content) { heard.add("replied " + status); }
 
