--- a/src/main/java/switchgap/controlfeed/Event.java
+++ b/src/main/java/switchgap/controlfeed/Event.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import switchgap.json.Json;
 import switchgap.policy.api.WorkerState;
-import switchgap.router.Listed;
+import switchgap.router.EndpointUpdate;
 
 /** One numbered event: a version of the list, whole or its changes; an event of another kind has no list. */
-public record Event(long number, boolean whole, List<Listed> workers) {
+public record Event(long number, boolean whole, List<EndpointUpdate> workers) {
     /** Names of zones and of kinds of worker as the operators state them, and the Unix millisecond of the router's start. */
     public record Book(Map<String, Integer> zones, Map<String, Integer> kinds, long born) { }
 
@@ -30,7 +30,7 @@
         long number = (long) number(o, "n");
         if (!(o.get("members") instanceof Map<?, ?> m)) { return new Event(number, false, null); }
         if (!(m.get("targets") instanceof List<?> l) || l.size() > MOST_WORKERS) { throw new IOException("members.targets: no list, or too long"); }
-        List<Listed> workers = new ArrayList<>(l.size());
+        List<EndpointUpdate> workers = new ArrayList<>(l.size());
         for (Object t : l) {
             if (!(t instanceof Map<?, ?> w)) { throw new IOException("members.targets: no object"); }
             workers.add(worker(w, book));
@@ -38,7 +38,7 @@
         return new Event(number, Boolean.TRUE.equals(m.get("all")), workers);
     }
 
-    private static Listed worker(Map<?, ?> w, Book book) throws IOException {
+    private static EndpointUpdate worker(Map<?, ?> w, Book book) throws IOException {
         WorkerState standing = switch (text(w, "state")) {
             case "SERVING" -> WorkerState.READY;
             case "DRAINING" -> WorkerState.DRAINING;
@@ -55,7 +55,7 @@
             if (host == null || port <= 0 || port > 0xffff) { throw new IOException("endpoint: " + w.get("endpoint")); }
         }
         double boot = w.get("boot_ms") == null ? 0 : number(w, "boot_ms");
-        return new Listed(name, host, port, standing, place(book.zones, w.get("az")), (int) (w.get("pod_group") == null ? 0 : number(w, "pod_group")),
+        return new EndpointUpdate(name, host, port, standing, place(book.zones, w.get("az")), (int) (w.get("pod_group") == null ? 0 : number(w, "pod_group")),
             place(book.kinds, w.get("model")), w.get("capacity_hint") == null ? 0 : number(w, "capacity_hint"),
             boot == 0 ? null : Duration.ofMillis((long) boot - book.born));
     }
--- a/src/main/java/switchgap/loop/Loop.java
+++ b/src/main/java/switchgap/eventloop/EventLoop.java
@@ -1,4 +1,4 @@
-package switchgap.loop;
+package switchgap.eventloop;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -8,15 +8,15 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.LongConsumer;
-import switchgap.router.Core;
+import switchgap.router.RouterCore;
 
 /** The router's one thread: gathers events, runs rounds, sleeps until the next is due. */
-public final class Loop implements Runnable {
+public final class EventLoop implements Runnable {
     private static final int MOST_EVENTS = 512;
     private final long born = System.nanoTime();
-    private final ConcurrentLinkedQueue<Consumer<Core>> queue = new ConcurrentLinkedQueue<>();
-    private final ConcurrentLinkedQueue<Consumer<Core>> urgent = new ConcurrentLinkedQueue<>();
-    private final Core core;
+    private final ConcurrentLinkedQueue<Consumer<RouterCore>> queue = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<Consumer<RouterCore>> urgent = new ConcurrentLinkedQueue<>();
+    private final RouterCore core;
     private final Thread thread;
     private final LongConsumer late;
     private final Consumer<Throwable> failed;
@@ -27,7 +27,7 @@
      * {@code late} hears the microseconds by which a round came after its due time, {@code failed} of a round that
      * failed: the loop ends there, as what is half done can't be gone on from.
      */
-    public Loop(Function<Loop, Core> make, String name, LongConsumer late, Consumer<Throwable> failed) {
+    public EventLoop(Function<EventLoop, RouterCore> make, String name, LongConsumer late, Consumer<Throwable> failed) {
         this.late = late;
         this.failed = failed;
         core = make.apply(this);
@@ -43,12 +43,12 @@
     }
 
     /** Goes before all that waits: news of workers that drain must not stand in line. */
-    public void postFirst(Consumer<Core> event) {
+    public void postFirst(Consumer<RouterCore> event) {
         urgent.add(event);
         if (asleep) { LockSupport.unpark(thread); }
     }
 
-    public void post(Consumer<Core> event) {
+    public void post(Consumer<RouterCore> event) {
         queue.add(event);
         if (asleep) { LockSupport.unpark(thread); }
     }
@@ -72,11 +72,11 @@
     }
 
     private void rounds() {
-        List<Consumer<Core>> batch = new ArrayList<>();
+        List<Consumer<RouterCore>> batch = new ArrayList<>();
         core.round(now(), batch); // the module asks for its first wake-up
         while (!stopped) {
-            for (Consumer<Core> e; (e = urgent.poll()) != null;) { batch.add(e); }
-            for (Consumer<Core> e; batch.size() < MOST_EVENTS && (e = queue.poll()) != null;) { batch.add(e); }
+            for (Consumer<RouterCore> e; (e = urgent.poll()) != null;) { batch.add(e); }
+            for (Consumer<RouterCore> e; batch.size() < MOST_EVENTS && (e = queue.poll()) != null;) { batch.add(e); }
             Duration due = core.nextDue();
             Duration now = now();
             boolean isDue = due != null && due.compareTo(now) <= 0;
--- a/src/main/java/switchgap/loop/package-info.java
+++ b/src/main/java/switchgap/eventloop/package-info.java
@@ -1,2 +1,2 @@
 /** The one thread that runs a router's rounds. */
-package switchgap.loop;
+package switchgap.eventloop;
--- a/src/main/java/switchgap/gateway/Gateway.java
+++ b/src/main/java/switchgap/gateway/Gateway.java
@@ -8,17 +8,17 @@
 import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.eventloop.EventLoop;
 import switchgap.invoke.InvokeApi;
 import switchgap.level.Change;
 import switchgap.level.Levels;
 import switchgap.link.EdgeDoor;
 import switchgap.list.ListWatch;
-import switchgap.loop.Loop;
 import switchgap.plan.Plan;
 import switchgap.policy.RoutingPolicy;
-import switchgap.router.Core;
-import switchgap.router.Deferred;
-import switchgap.router.Gate;
+import switchgap.router.AdmissionGate;
+import switchgap.router.DeferredResults;
+import switchgap.router.RouterCore;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
 import switchgap.wire.Carriers;
@@ -36,7 +36,7 @@
     private final AtomicReference<State> state = new AtomicReference<>(State.STARTING);
     private final Net net;
     private final Carriers carriers;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Histogram lateness = new Histogram(60_000_000, 2); // microseconds; read by others through lateness()
     private final InvokeApi api;
     private final HttpDoor door;
@@ -53,7 +53,7 @@
     }
 
     /** A router under another decider: for measurements of the module beside a baseline. */
-    public Gateway(GatewayPage page, Core.Decider decide) throws IOException {
+    public Gateway(GatewayPage page, RouterCore.Policy decide) throws IOException {
         PageTerms terms = page.terms();
         net = new Net(page.selectors(), "router-" + terms.self());
         Rehearsal.run(terms, net);
@@ -63,21 +63,21 @@
         AtomicReference<Runnable> listening = new AtomicReference<>(() -> { });
         AtomicReference<Inference> made = new AtomicReference<>();
         AtomicReference<Planned> behind = new AtomicReference<>();
-        loop = new Loop(l -> {
+        loop = new EventLoop(l -> {
             made.set(new Inference(opener, page.links(), carriers, l::post, () -> listening.get().run()));
             if (page.planner() != null) { behind.set(new Planned(made.get(), terms, page.patience(), l::post)); }
-            return new Core(terms, decide, behind.get() == null ? made.get() : behind.get(), page.orderLimit(), page.probeLimit(), page.mostFunctions());
+            return new RouterCore(terms, decide, behind.get() == null ? made.get() : behind.get(), page.orderLimit(), page.probeLimit(), page.mostFunctions());
         }, "loop-" + terms.self(), this::late, Gateway::failed);
         workers = made.get();
         planned = behind.get();
         Levels levels = terms.levelsAct() ? new Levels(terms.levelTerms(), page.seed() * 31 + bornWall) : null;
-        AtomicReference<Gate> gate = new AtomicReference<>();
+        AtomicReference<AdmissionGate> gate = new AtomicReference<>();
         loop.post(c -> {
-            gate.set(new Gate(c, terms, levels, x -> told(terms, x)));
+            gate.set(new AdmissionGate(c, terms, levels, x -> told(terms, x)));
             if (levels != null && terms.pinned() != null) { gate.get().pin(terms.pinned(), terms.pinnedFor()); }
         });
         String start = "r" + terms.self() + "-" + Long.toString(bornWall, 36) + "-";
-        Deferred deferred = new Deferred(start + "d", page.kept(), page.mostDeferred(), page.mostDeferredBytes());
+        DeferredResults deferred = new DeferredResults(start + "d", page.kept(), page.mostDeferred(), page.mostDeferredBytes());
         api = new InvokeApi(terms, loop::now, loop::post, carriers, deferred, gate::get, start, page.mostHeld(), page.mostWait());
         api.status(c -> Status.show(terms.self(), c, api.held(), api.ends(), levels, planned));
         door = new HttpDoor(net, page.bounds(), api);
--- a/src/main/java/switchgap/gateway/GatewayPage.java
+++ b/src/main/java/switchgap/gateway/GatewayPage.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import switchgap.policy.api.WorkerState;
-import switchgap.router.Listed;
+import switchgap.router.EndpointUpdate;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
 import switchgap.wire.Bounds;
@@ -16,7 +16,7 @@
 public record GatewayPage(PageTerms terms, long seed, String host, int port, Bounds bounds, int mostHeld, int mostWait,
                           int mostFunctions, Duration kept, int mostDeferred, long mostDeferredBytes,
                           Inference.Links links, String from, int answerBytes, int selectors, Duration orderLimit,
-                          Duration probeLimit, InetSocketAddress list, Duration listAgain, List<Listed> fixed, InetSocketAddress planner,
+                          Duration probeLimit, InetSocketAddress list, Duration listAgain, List<EndpointUpdate> fixed, InetSocketAddress planner,
                           Duration patience) {
     public static GatewayPage read(Path file) throws java.io.IOException {
         return read(Page.read(file));
@@ -54,11 +54,11 @@
         InetSocketAddress list = s.has("port")
             ? new InetSocketAddress(s.text("host", "127.0.0.1"), s.whole("port", 1, 65535)) : null;
         Duration again = s.span("ask_again", Duration.ofMillis(500));
-        List<Listed> fixed = new ArrayList<>();
+        List<EndpointUpdate> fixed = new ArrayList<>();
         for (Page w : s.parts("workers")) {
             int zone = terms.zone(w.text("zone", terms.zoneName(0)));
             if (zone < 0) { throw w.wrong("zone", "'" + w.text("zone") + "' is not among zones"); }
-            fixed.add(new Listed(w.text("name"), w.text("host", "127.0.0.1"), w.whole("port", 1, 65535),
+            fixed.add(new EndpointUpdate(w.text("name"), w.text("host", "127.0.0.1"), w.whole("port", 1, 65535),
                 WorkerState.READY, zone, w.whole("cell", 0, 100_000, 0), terms.machineKind(w.text("kind", "")),
                 w.number("size", 0, 1e9, 1), null));
             w.done();
--- a/src/main/java/switchgap/gateway/Planned.java
+++ b/src/main/java/switchgap/gateway/Planned.java
@@ -11,39 +11,39 @@
 import switchgap.plan.Wish;
 import switchgap.plan.Wishes;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.router.Core;
-import switchgap.router.Order;
-import switchgap.router.Outside;
-import switchgap.router.Run;
-import switchgap.router.Seen;
+import switchgap.router.Attempt;
+import switchgap.router.RouterCore;
+import switchgap.router.WorkerCommand;
+import switchgap.router.WorkerEntry;
+import switchgap.router.WorkerTransport;
 import switchgap.terms.PageTerms;
 
 /** Load orders wait for the planner's word before they go out; all else goes straight to the workers. On the loop's thread. */
-final class Planned implements Outside {
+final class Planned implements WorkerTransport {
     private static final Logger LOG = LoggerFactory.getLogger(Planned.class);
     private static final int MOST_WAITING = 1024;
 
     /** An order that waits. */
-    private record Held(Seen worker, String function, int copies, Order order) { }
+    private record Held(WorkerEntry worker, String function, int copies, WorkerCommand order) { }
 
     /** Tells the planner; false where it was not told. */
     interface Teller {
         boolean tell(Told t);
     }
 
-    private final Outside inner;
+    private final WorkerTransport inner;
     private final PageTerms terms;
-    private final Consumer<Consumer<Core>> events;
+    private final Consumer<Consumer<RouterCore>> events;
     private final Wishes wishes;
     private final Map<Long, Held> held = new HashMap<>();
-    private final Map<Order, Long> ids = new HashMap<>();
+    private final Map<WorkerCommand, Long> ids = new HashMap<>();
     private Teller teller = t -> false;
     private Duration now = Duration.ZERO;
     private long seq;
     private boolean due;
     private boolean ticking;
 
-    Planned(Outside inner, PageTerms terms, Duration patience, Consumer<Consumer<Core>> events) {
+    Planned(WorkerTransport inner, PageTerms terms, Duration patience, Consumer<Consumer<RouterCore>> events) {
         this.inner = inner;
         this.terms = terms;
         this.events = events;
@@ -56,19 +56,19 @@
 
     void teller(Teller t) { teller = t; }
 
-    void linked(Core c, long epoch) {
+    void linked(RouterCore c, long epoch) {
         now = c.now();
         seq = 0;
         wishes.linked(epoch);
         tell(c);
     }
 
-    void unlinked(Core c, long epoch) {
+    void unlinked(RouterCore c, long epoch) {
         now = c.now();
         if (wishes.epoch() == epoch) { wishes.unlinked(); }
     }
 
-    void plan(Core c, Plan p) {
+    void plan(RouterCore c, Plan p) {
         now = c.now();
         wishes.plan(p); // no word back: what a plan left waiting is told with what is asked for next, or goes out in time
     }
@@ -87,7 +87,7 @@
         inner.hold(h.worker, h.function, h.copies, h.order); // refuses by itself what drains since it was asked
     }
 
-    private void tell(Core c) {
+    private void tell(RouterCore c) {
         due = false;
         now = c.now();
         if (wishes.state() != Wishes.State.ALONE) {
@@ -104,14 +104,14 @@
         }
     }
 
-    private void tick(Core c) {
+    private void tick(RouterCore c) {
         now = c.now();
         Duration next = wishes.tick(now);
         ticking = next != null;
         if (ticking) { c.later(next, () -> tick(c)); }
     }
 
-    @Override public void hold(Seen worker, String function, int copies, Order order) {
+    @Override public void hold(WorkerEntry worker, String function, int copies, WorkerCommand order) {
         if (copies == 0) { // a question, no load
             inner.hold(worker, function, copies, order);
             return;
@@ -130,7 +130,7 @@
         }
     }
 
-    @Override public void abandon(Order order) {
+    @Override public void abandon(WorkerCommand order) {
         Long id = ids.remove(order);
         if (id != null && wishes.withdrawn(id)) {
             held.remove(id);
@@ -139,15 +139,15 @@
         }
     }
 
-    @Override public void send(Run run, Duration allow) { inner.send(run, allow); }
+    @Override public void send(Attempt run, Duration allow) { inner.send(run, allow); }
 
-    @Override public AttemptOutcome abandon(Run run) { return inner.abandon(run); }
+    @Override public AttemptOutcome abandon(Attempt run) { return inner.abandon(run); }
 
-    @Override public void drop(Seen worker, String function, Order order) { inner.drop(worker, function, order); }
+    @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) { inner.drop(worker, function, order); }
 
-    @Override public void refuses(Seen worker, boolean forGood) { inner.refuses(worker, forGood); }
+    @Override public void refuses(WorkerEntry worker, boolean forGood) { inner.refuses(worker, forGood); }
 
-    @Override public void probe(Seen worker, Order order) { inner.probe(worker, order); }
+    @Override public void probe(WorkerEntry worker, WorkerCommand order) { inner.probe(worker, order); }
 
     @Override public void list() { inner.list(); }
 }
--- a/src/main/java/switchgap/gateway/Rehearsal.java
+++ b/src/main/java/switchgap/gateway/Rehearsal.java
@@ -11,16 +11,16 @@
 import java.util.function.Consumer;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.policy.api.WorkerState;
-import switchgap.router.Answer;
-import switchgap.router.Asker;
-import switchgap.router.Call;
-import switchgap.router.Core;
-import switchgap.router.Listed;
-import switchgap.router.Loads;
-import switchgap.router.Order;
-import switchgap.router.Outside;
-import switchgap.router.Run;
-import switchgap.router.Seen;
+import switchgap.router.Attempt;
+import switchgap.router.EndpointUpdate;
+import switchgap.router.LoadReport;
+import switchgap.router.PendingRequest;
+import switchgap.router.Response;
+import switchgap.router.ResponseListener;
+import switchgap.router.RouterCore;
+import switchgap.router.WorkerCommand;
+import switchgap.router.WorkerEntry;
+import switchgap.router.WorkerTransport;
 import switchgap.terms.PageTerms;
 import switchgap.wire.Bounds;
 import switchgap.wire.HttpDoor;
@@ -44,47 +44,47 @@
     }
 
     private static void decisions(PageTerms terms) {
-        List<Consumer<Core>> next = new ArrayList<>();
-        Outside outside = new Outside() {
-            @Override public void send(Run run, Duration allow) {
-                next.add(c -> c.executionEnded(run, AttemptOutcome.FINISHED, new Loads(0.2, 1, 0, 0),
-                    Answer.finished(200, Map.of(), new byte[0])));
+        List<Consumer<RouterCore>> next = new ArrayList<>();
+        WorkerTransport outside = new WorkerTransport() {
+            @Override public void send(Attempt run, Duration allow) {
+                next.add(c -> c.executionEnded(run, AttemptOutcome.FINISHED, new LoadReport(0.2, 1, 0, 0),
+                    Response.finished(200, Map.of(), new byte[0])));
             }
 
-            @Override public AttemptOutcome abandon(Run run) { return AttemptOutcome.TIMED_OUT; }
+            @Override public AttemptOutcome abandon(Attempt run) { return AttemptOutcome.TIMED_OUT; }
 
-            @Override public void hold(Seen worker, String function, int copies, Order order) {
+            @Override public void hold(WorkerEntry worker, String function, int copies, WorkerCommand order) {
                 next.add(c -> c.orderEnded(order, AttemptOutcome.FINISHED, copies));
             }
 
-            @Override public void drop(Seen worker, String function, Order order) { }
+            @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) { }
 
-            @Override public void probe(Seen worker, Order order) {
-                next.add(c -> c.probed(order, AttemptOutcome.FINISHED, Loads.UNTOLD));
+            @Override public void probe(WorkerEntry worker, WorkerCommand order) {
+                next.add(c -> c.probed(order, AttemptOutcome.FINISHED, LoadReport.UNTOLD));
             }
 
-            @Override public void abandon(Order order) { }
+            @Override public void abandon(WorkerCommand order) { }
 
             @Override public void list() { }
         };
-        Core core = new Core(terms, 1, outside, Duration.ofSeconds(1), Duration.ofSeconds(1), 100);
-        List<Listed> list = new ArrayList<>();
+        RouterCore core = new RouterCore(terms, 1, outside, Duration.ofSeconds(1), Duration.ofSeconds(1), 100);
+        List<EndpointUpdate> list = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            list.add(new Listed("rehearsal-" + i, "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null));
+            list.add(new EndpointUpdate("rehearsal-" + i, "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null));
         }
         next.add(c -> c.list(true, list));
-        Asker nobody = new Asker() {
-            @Override public void answered(Call c, Answer a) { }
+        ResponseListener nobody = new ResponseListener() {
+            @Override public void answered(PendingRequest c, Response a) { }
 
-            @Override public void overdue(Call c, Answer late) { }
+            @Override public void overdue(PendingRequest c, Response late) { }
         };
         long began = System.nanoTime();
         for (int i = 0; i < CALLS && System.nanoTime() - began < MOST.toNanos(); i++) {
             Duration at = Duration.ofMillis(2L * i);
-            Call call = new Call("rehearsal", "rehearsal-" + i % 20, i % terms.workloads(), -1,
+            PendingRequest call = new PendingRequest("rehearsal", "rehearsal-" + i % 20, i % terms.workloads(), -1,
                 at.plus(terms.timeLimit(i % terms.workloads())), null, null, null, new byte[0], 1, 2, null, false, nobody);
             next.add(c -> c.callCame(call));
-            List<Consumer<Core>> now = List.copyOf(next);
+            List<Consumer<RouterCore>> now = List.copyOf(next);
             next.clear();
             core.round(at, now);
         }
--- a/src/main/java/switchgap/gateway/Status.java
+++ b/src/main/java/switchgap/gateway/Status.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
 import switchgap.level.Levels;
-import switchgap.router.Core;
+import switchgap.router.RouterCore;
 import switchgap.terms.Page;
 
 /** How a router stands, for operators: calls, level, and its planner where it has one. */
@@ -13,7 +13,7 @@
 
     private Status() { }
 
-    static byte[] show(int router, Core c, int held, long[] ends, Levels levels, Planned planned) {
+    static byte[] show(int router, RouterCore c, int held, long[] ends, Levels levels, Planned planned) {
         ObjectNode n = JSON.createObjectNode();
         n.put("router", router).put("up_s", c.now().toMillis() / 1000.0);
         n.putObject("calls").put("held", held).put("finished", ends[0]).put("pushed_back", ends[1]).put("killed", ends[2])
--- a/src/main/java/switchgap/invoke/InvokeApi.java
+++ b/src/main/java/switchgap/invoke/InvokeApi.java
@@ -12,12 +12,12 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import switchgap.level.Rung;
-import switchgap.router.Answer;
-import switchgap.router.Asker;
-import switchgap.router.Call;
-import switchgap.router.Core;
-import switchgap.router.Deferred;
-import switchgap.router.Gate;
+import switchgap.router.AdmissionGate;
+import switchgap.router.DeferredResults;
+import switchgap.router.PendingRequest;
+import switchgap.router.Response;
+import switchgap.router.ResponseListener;
+import switchgap.router.RouterCore;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
 import switchgap.wire.Carriers;
@@ -33,12 +33,12 @@
     private static final String JSON = "application/json";
     private final PageTerms terms;
     private final Supplier<Duration> now;
-    private final Consumer<Consumer<Core>> events;
+    private final Consumer<Consumer<RouterCore>> events;
     private final Carriers carriers;
-    private final Deferred deferred;
-    private final Supplier<Gate> gate;
+    private final DeferredResults deferred;
+    private final Supplier<AdmissionGate> gate;
     private final LevelsDesk levels;
-    private volatile Function<Core, byte[]> status;
+    private volatile Function<RouterCore, byte[]> status;
     private final String prefix;
     private final int mostHeld;
     private final int mostWait;
@@ -48,8 +48,8 @@
     private volatile boolean closing;
 
     /** {@code prefix} of call ids: unlike any other start of any router; {@code mostWait} seconds of a held poll. */
-    public InvokeApi(PageTerms terms, Supplier<Duration> now, Consumer<Consumer<Core>> events, Carriers carriers,
-                     Deferred deferred, Supplier<Gate> gate, String prefix, int mostHeld, int mostWait) {
+    public InvokeApi(PageTerms terms, Supplier<Duration> now, Consumer<Consumer<RouterCore>> events, Carriers carriers,
+                     DeferredResults deferred, Supplier<AdmissionGate> gate, String prefix, int mostHeld, int mostWait) {
         this.terms = terms;
         this.now = now;
         this.events = events;
@@ -66,7 +66,7 @@
     public void stopTaking() { closing = true; }
 
     /** What {@code GET /v1/status} answers, as JSON; runs on the router's loop. */
-    public void status(Function<Core, byte[]> s) { status = s; }
+    public void status(Function<RouterCore, byte[]> s) { status = s; }
 
     public int held() { return held.get(); }
 
@@ -135,13 +135,13 @@
         if (a.deferred()) {
             events.accept(c -> defer(r, a, limit, c));
         } else {
-            Call call = call(a, r, limit, prefix + next.getAndIncrement(), new Sync(r, a.call()));
+            PendingRequest call = call(a, r, limit, prefix + next.getAndIncrement(), new Sync(r, a.call()));
             r.attachment = call;
             events.accept(c -> {
                 if (!gate.get().offer(call)) {
                     held.decrementAndGet();
                     refuse(r, notTaken("no room for a further function").problem, a.call());
-                } else if (!r.open() && call.state() == Call.State.HELD) {
+                } else if (!r.open() && call.state() == PendingRequest.State.HELD) {
                     c.clientLeft(call);
                     held.decrementAndGet();
                 }
@@ -154,16 +154,16 @@
         return new Ask.Refused(new Problem(503, "not-taken", why, Map.of("end", "pushed-back", "repeat_harmless", true)));
     }
 
-    private static Call call(Ask a, Request r, Duration limit, String id, Asker asker) {
-        return new Call(id, a.function(), a.workload(), a.customer(), limit, a.hint(), a.fingerprint(),
+    private static PendingRequest call(Ask a, Request r, Duration limit, String id, ResponseListener asker) {
+        return new PendingRequest(id, a.function(), a.workload(), a.customer(), limit, a.hint(), a.fingerprint(),
             r.header("Content-Type"), r.body, a.entry().memory(), a.entry().lanes(), a.entry().load(), a.repeat(),
             asker);
     }
 
     @Override public void left(Request r) {
-        if (r.attachment instanceof Call call) {
+        if (r.attachment instanceof PendingRequest call) {
             events.accept(c -> {
-                if (call.state() == Call.State.HELD) {
+                if (call.state() == PendingRequest.State.HELD) {
                     c.clientLeft(call);
                     held.decrementAndGet();
                 }
@@ -174,7 +174,7 @@
     }
 
     /** A client that waits for its answer on the connection it asked on. */
-    private final class Sync implements Asker {
+    private final class Sync implements ResponseListener {
         private final Request r;
         private final String echo;
 
@@ -183,7 +183,7 @@
             this.echo = echo;
         }
 
-        @Override public void answered(Call c, Answer a) {
+        @Override public void answered(PendingRequest c, Response a) {
             ended(a);
             carriers.carry(c.id.hashCode(), () -> {
                 if (now.get().compareTo(c.limit) < 0) {
@@ -195,34 +195,34 @@
             });
         }
 
-        @Override public void overdue(Call c, Answer late) {
+        @Override public void overdue(PendingRequest c, Response late) {
             ended(null);
             r.drop();
         }
     }
 
-    private void ended(Answer a) {
+    private void ended(Response a) {
         held.decrementAndGet();
         ends[a == null ? 3 : a.kind().ordinal()].incrementAndGet();
     }
 
     // ------------------------------------------------------------------ deferred calls, on the loop
 
-    private void defer(Request r, Ask a, Duration limit, Core core) {
+    private void defer(Request r, Ask a, Duration limit, RouterCore core) {
         deferred.tick(now.get());
-        Deferred.Entry e = deferred.open();
+        DeferredResults.Entry e = deferred.open();
         if (e == null) {
             held.decrementAndGet();
             refuse(r, notTaken("no room for a further deferred call").problem, a.call());
             return;
         }
-        Call call = call(a, r, limit, deferred.id(e), new Asker() {
-            @Override public void answered(Call c, Answer answer) {
+        PendingRequest call = call(a, r, limit, deferred.id(e), new ResponseListener() {
+            @Override public void answered(PendingRequest c, Response answer) {
                 ended(answer);
                 e.answered(c, answer);
             }
 
-            @Override public void overdue(Call c, Answer late) {
+            @Override public void overdue(PendingRequest c, Response late) {
                 ended(null);
                 e.overdue(c, late);
             }
@@ -252,8 +252,8 @@
             case GONE -> refuse(r, new Problem(410, "result-gone", "the result of " + id + " is kept no longer"), null);
             case ENDED -> replyEnded(r, deferred.find(id));
             default -> {
-                Deferred.Entry e = deferred.find(id);
-                Consumer<Deferred.Entry> waiter = x -> replyEnded(r, x);
+                DeferredResults.Entry e = deferred.find(id);
+                Consumer<DeferredResults.Entry> waiter = x -> replyEnded(r, x);
                 if (wait == 0 || !deferred.await(e, waiter)) {
                     replyHeld(r, id);
                     return;
@@ -274,20 +274,20 @@
         r.answer(202, headers, state(id));
     }
 
-    private void replyEnded(Request r, Deferred.Entry e) {
-        Answer a = e.answer();
-        reply(r, a == null ? Answer.killed() : a, deferred.id(e), null,
+    private void replyEnded(Request r, DeferredResults.Entry e) {
+        Response a = e.answer();
+        reply(r, a == null ? Response.killed() : a, deferred.id(e), null,
             e.call() == null ? null : e.call().met);
     }
 
-    private void leave(Request r, String id, Core core) {
+    private void leave(Request r, String id, RouterCore core) {
         deferred.tick(now.get());
-        Deferred.Entry e = deferred.find(id);
+        DeferredResults.Entry e = deferred.find(id);
         if (e == null) {
             look(r, id, 0);
             return;
         }
-        if (!e.ended() && e.call().state() == Call.State.HELD) {
+        if (!e.ended() && e.call().state() == PendingRequest.State.HELD) {
             core.clientLeft(e.call());
             held.decrementAndGet();
         }
@@ -311,7 +311,7 @@
         r.answer(p.status(), h, p.bytes());
     }
 
-    private static void reply(Request r, Answer a, String id, String echo, Rung met) {
+    private static void reply(Request r, Response a, String id, String echo, Rung met) {
         Map<String, String> h = headers(id, echo);
         if (met != null) { h.put("Switchgap-Level", Page.word(met)); }
         switch (a.kind()) {
--- a/src/main/java/switchgap/invoke/LevelsDesk.java
+++ b/src/main/java/switchgap/invoke/LevelsDesk.java
@@ -10,7 +10,7 @@
 import switchgap.level.Change;
 import switchgap.level.Levels;
 import switchgap.level.Rung;
-import switchgap.router.Gate;
+import switchgap.router.AdmissionGate;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
 import switchgap.wire.Request;
@@ -24,7 +24,7 @@
     LevelsDesk(PageTerms terms) { this.terms = terms; }
 
     /** {@code GET /v1/levels}: now and the last changes; {@code POST /v1/levels?pin=RUNG&seconds=N}: a pin that expires. */
-    void asked(Request r, Gate gate) {
+    void asked(Request r, AdmissionGate gate) {
         Levels l = gate.levels();
         if (l == null) {
             InvokeApi.refuse(r, new Problem(404, "no-levels", "levels do not act at this router"), null);
--- a/src/main/java/switchgap/lab/Baseline.java
+++ b/src/main/java/switchgap/lab/Baseline.java
@@ -13,13 +13,13 @@
 import switchgap.policy.api.PolicyEvents;
 import switchgap.policy.api.RouterSettings;
 import switchgap.policy.api.WorkerState;
-import switchgap.router.Core;
+import switchgap.router.RouterCore;
 
 /**
  * Textbook choices to measure the module against: any ready worker by chance, or each in turn. A miss has the copy
  * loaded there and the job waits for it; what may run again does, elsewhere; the rest is given up as the rules ask.
  */
-final class Baseline implements Core.Decider, PolicyEvents {
+final class Baseline implements RouterCore.Policy, PolicyEvents {
     private static final class Held {
         final int job;
         final int workload;
--- a/src/main/java/switchgap/lab/EmulatedRouter.java
+++ b/src/main/java/switchgap/lab/EmulatedRouter.java
@@ -6,24 +6,24 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.router.Answer;
-import switchgap.router.Core;
-import switchgap.router.Gate;
-import switchgap.router.Loads;
-import switchgap.router.Order;
-import switchgap.router.Outside;
-import switchgap.router.Run;
-import switchgap.router.Seen;
+import switchgap.router.AdmissionGate;
+import switchgap.router.Attempt;
+import switchgap.router.LoadReport;
+import switchgap.router.Response;
+import switchgap.router.RouterCore;
+import switchgap.router.WorkerCommand;
+import switchgap.router.WorkerEntry;
+import switchgap.router.WorkerTransport;
 import switchgap.standin.Machine;
 import switchgap.standin.Model;
 
 /** The program's own core and gate in simulated time: its outside is the emulator's machines, a hop away. */
-final class EmulatedRouter implements Outside {
+final class EmulatedRouter implements WorkerTransport {
     private static final byte[] NOTHING = {};
     private final Emulator world;
     private final long born;
-    private final List<Consumer<Core>> events = new ArrayList<>();
-    private Gate gate;
+    private final List<Consumer<RouterCore>> events = new ArrayList<>();
+    private AdmissionGate gate;
     private boolean due;
     private long wake = Long.MAX_VALUE;
     private boolean dead;
@@ -33,19 +33,19 @@
         this.born = world.ticker.now();
     }
 
-    void gate(Gate g) {
+    void gate(AdmissionGate g) {
         gate = g;
         post(c -> { });
     }
 
-    Gate gate() { return gate; }
+    AdmissionGate gate() { return gate; }
 
     /** The process dies: what it held is lost. */
     void kill() { dead = true; }
 
     Duration now() { return Duration.ofNanos((world.ticker.now() - born) * 1000); }
 
-    void post(Consumer<Core> e) {
+    void post(Consumer<RouterCore> e) {
         if (dead) { return; }
         events.add(e);
         if (!due) {
@@ -57,7 +57,7 @@
     private void round() {
         due = false;
         if (dead) { return; }
-        List<Consumer<Core>> now = new ArrayList<>(events);
+        List<Consumer<RouterCore>> now = new ArrayList<>(events);
         events.clear();
         gate.core().round(now(), now);
         Duration next = gate.core().nextDue();
@@ -73,17 +73,17 @@
         }
     }
 
-    private Loads loads(Machine m, int crowd) {
-        return world.day.tellsLoad() ? new Loads(m.busy(), m.inHand(), m.waiting(), crowd)
-            : new Loads(Double.NaN, Double.NaN, Double.NaN, crowd);
+    private LoadReport loads(Machine m, int crowd) {
+        return world.day.tellsLoad() ? new LoadReport(m.busy(), m.inHand(), m.waiting(), crowd)
+            : new LoadReport(Double.NaN, Double.NaN, Double.NaN, crowd);
     }
 
-    @Override public void send(Run run, Duration allow) {
+    @Override public void send(Attempt run, Duration allow) {
         Machine m = world.machine(run.worker.name);
         Model model = world.catalogue.find(run.call.function);
         world.ticker.after(world.hop, () -> {
             if (dead || m == null || m.dead()) {
-                world.ticker.after(world.hop, () -> post(c -> c.executionEnded(run, AttemptOutcome.NO_CONNECTION, Loads.UNTOLD, null)));
+                world.ticker.after(world.hop, () -> post(c -> c.executionEnded(run, AttemptOutcome.NO_CONNECTION, LoadReport.UNTOLD, null)));
                 return;
             }
             run.exchange = m.infer(model, () -> { }, (o, crowd) -> world.ticker.after(world.hop, () -> post(c ->
@@ -92,11 +92,11 @@
                     case MISS -> AttemptOutcome.MISS;
                     case FULL -> AttemptOutcome.FULL;
                     default -> AttemptOutcome.ERROR;
-                }, loads(m, crowd), Answer.finished(200, Map.of(), NOTHING)))));
+                }, loads(m, crowd), Response.finished(200, Map.of(), NOTHING)))));
         });
     }
 
-    @Override public AttemptOutcome abandon(Run run) {
+    @Override public AttemptOutcome abandon(Attempt run) {
         Machine m = world.machine(run.worker.name);
         world.ticker.after(world.hop, () -> {
             if (m != null && run.exchange instanceof Machine.Work w) { m.leave(w); }
@@ -104,7 +104,7 @@
         return AttemptOutcome.TIMED_OUT;
     }
 
-    @Override public void hold(Seen worker, String function, int copies, Order order) {
+    @Override public void hold(WorkerEntry worker, String function, int copies, WorkerCommand order) {
         Machine m = world.machine(worker.name);
         world.ticker.after(world.hop, () -> {
             if (m == null || m.dead()) {
@@ -120,19 +120,19 @@
         });
     }
 
-    @Override public void drop(Seen worker, String function, Order order) {
+    @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) {
         Machine m = world.machine(worker.name);
         if (m != null) { world.ticker.after(world.hop, () -> m.drop(function)); }
         world.ticker.after(2 * world.hop, () -> post(c -> c.dropEnded(order)));
     }
 
-    @Override public void probe(Seen worker, Order order) {
+    @Override public void probe(WorkerEntry worker, WorkerCommand order) {
         Machine m = world.machine(worker.name);
         world.ticker.after(2 * world.hop, () -> post(c -> c.probed(order, m == null || m.dead() ? AttemptOutcome.NO_CONNECTION
-            : AttemptOutcome.FINISHED, m == null ? Loads.UNTOLD : loads(m, -1))));
+            : AttemptOutcome.FINISHED, m == null ? LoadReport.UNTOLD : loads(m, -1))));
     }
 
-    @Override public void abandon(Order order) { }
+    @Override public void abandon(WorkerCommand order) { }
 
     @Override public void list() { }
 }
--- a/src/main/java/switchgap/lab/Emulator.java
+++ b/src/main/java/switchgap/lab/Emulator.java
@@ -14,12 +14,12 @@
 import switchgap.policy.RoutingPolicy;
 import switchgap.policy.api.RouterSettings;
 import switchgap.policy.api.WorkerState;
-import switchgap.router.Answer;
-import switchgap.router.Asker;
-import switchgap.router.Call;
-import switchgap.router.Core;
-import switchgap.router.Gate;
-import switchgap.router.Listed;
+import switchgap.router.AdmissionGate;
+import switchgap.router.EndpointUpdate;
+import switchgap.router.PendingRequest;
+import switchgap.router.Response;
+import switchgap.router.ResponseListener;
+import switchgap.router.RouterCore;
 import switchgap.standin.Catalogue;
 import switchgap.standin.Clients;
 import switchgap.standin.Machine;
@@ -84,19 +84,19 @@
         routers.set(i, r);
         PageTerms t = terms.get(i);
         long own = seed * 31 + i * 7919L + ticker.now();
-        Core core = new Core(t, new RoutingPolicy(t, own)::round, r, Duration.ofSeconds(10), Duration.ofMillis(250), 20_000);
+        RouterCore core = new RouterCore(t, new RoutingPolicy(t, own)::round, r, Duration.ofSeconds(10), Duration.ofMillis(250), 20_000);
         Levels levels = variant.before() == Variant.Before.LEVELS ? new Levels(t.levelTerms(), own + 1) : null;
         if (levels != null && variant.pinned() != null) { levels.pin(r.now(), variant.pinned(), Duration.ofDays(1000)); }
-        r.gate(new Gate(core, t, levels, c -> changes.add(new Seen(i, c))));
-        List<Listed> list = new ArrayList<>();
+        r.gate(new AdmissionGate(core, t, levels, c -> changes.add(new Seen(i, c))));
+        List<EndpointUpdate> list = new ArrayList<>();
         machines.keySet().forEach(n -> { if (ready.get(n)) { list.add(line(n, WorkerState.READY, r)); } });
         r.post(c -> c.list(true, list));
     }
 
-    private Listed line(String name, WorkerState s, EmulatedRouter r) {
+    private EndpointUpdate line(String name, WorkerState s, EmulatedRouter r) {
         int n = Integer.parseInt(name.substring(1));
         Machine m = machines.get(name);
-        return new Listed(name, "emulated", 1, s, day.zoneOf(n), n / day.cellSize(), terms.isEmpty() ? 0
+        return new EndpointUpdate(name, "emulated", 1, s, day.zoneOf(n), n / day.cellSize(), terms.isEmpty() ? 0
             : terms.get(0).machineKind(day.kindName(n)), day.sizeOf(n),
             m.cold() ? r.now().minus(Duration.ofNanos((ticker.now() - m.started()) * 1000)) : null);
     }
@@ -119,7 +119,7 @@
     private void tell(String name, WorkerState s) {
         ready.put(name, s == WorkerState.READY);
         ticker.after(day.listLag(), () -> routers.forEach(r -> {
-            Listed l = line(name, s, r);
+            EndpointUpdate l = line(name, s, r);
             r.post(c -> c.list(false, List.of(l)));
         }));
     }
@@ -130,25 +130,25 @@
         PageTerms.Entry e = own.function(t.model().name());
         long began = ticker.now();
         boolean[] over = {false};
-        Call[] call = new Call[1];
-        Asker asker = new Asker() {
-            @Override public void answered(Call c, Answer a) {
+        PendingRequest[] call = new PendingRequest[1];
+        ResponseListener asker = new ResponseListener() {
+            @Override public void answered(PendingRequest c, Response a) {
                 ticker.after(hop, () -> over(over, then, switch (a.kind()) {
                     case FINISHED -> "finished";
                     case PUSHED_BACK -> "pushed-back";
                     case KILLED -> "killed";
-                }, a.kind() == Answer.Kind.FINISHED ? 200 : 503, a.comeBack() == null ? -1 : a.comeBack().toMillis()));
+                }, a.kind() == Response.Kind.FINISHED ? 200 : 503, a.comeBack() == null ? -1 : a.comeBack().toMillis()));
             }
 
-            @Override public void overdue(Call c, Answer late) { }
+            @Override public void overdue(PendingRequest c, Response late) { }
         };
         ticker.after(hop, () -> r.post(c -> {
-            call[0] = new Call(t.call(), t.model().name(), t.model().workload(), own.customer(t.customer()),
+            call[0] = new PendingRequest(t.call(), t.model().name(), t.model().workload(), own.customer(t.customer()),
                 r.now().plus(Duration.ofNanos((t.limit() - ticker.now()) * 1000)),
                 Duration.ofNanos((long) (t.model().work() * 1000)), t.key(), null, new byte[0], e.memory(), e.lanes(), e.load(),
                 false, asker);
             if (variant.before() == Variant.Before.STATIC && cutOff(r, t.model().workload(), own)) {
-                asker.answered(call[0], Answer.pushedBack(Duration.ofMillis(500)));
+                asker.answered(call[0], Response.pushedBack(Duration.ofMillis(500)));
             } else if (!r.gate().offer(call[0])) {
                 ticker.after(hop, () -> over(over, then, "refused", 503, -1));
             }
--- a/src/main/java/switchgap/list/ListLine.java
+++ b/src/main/java/switchgap/list/ListLine.java
@@ -11,14 +11,14 @@
 import java.util.Set;
 import java.util.function.ToIntFunction;
 import switchgap.policy.api.WorkerState;
-import switchgap.router.Listed;
+import switchgap.router.EndpointUpdate;
 
 /**
  * One version of the list as a line of JSON: {@code {"whole":true,"version":7,"workers":[{"name":"w1",
  * "host":"127.0.0.1","port":8001,"state":"ready","zone":"a","cell":0,"kind":"std","size":1,"started":1764600000000}]}};
  * {@code started} in milliseconds of wall time, left out where it is long past. A line is good as a whole or not at all.
  */
-public record ListLine(boolean whole, long version, List<Listed> workers) {
+public record ListLine(boolean whole, long version, List<EndpointUpdate> workers) {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MOST_WORKERS = 100_000;
 
@@ -31,7 +31,7 @@
             throw new IOException("a list needs whole, version and workers");
         }
         if (all.size() > MOST_WORKERS) { throw new IOException("more than " + MOST_WORKERS + " workers"); }
-        List<Listed> workers = new ArrayList<>();
+        List<EndpointUpdate> workers = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (JsonNode w : all) {
             String name = w.path("name").asText("");
@@ -49,7 +49,7 @@
             }
             int zone = zones.applyAsInt(w.path("zone").asText(""));
             if (zone < 0) { throw new IOException("worker " + name + ": unknown zone " + w.path("zone")); }
-            workers.add(new Listed(name, w.path("host").asText("127.0.0.1"), port, standing, zone,
+            workers.add(new EndpointUpdate(name, w.path("host").asText("127.0.0.1"), port, standing, zone,
                 w.path("cell").asInt(0), kinds.applyAsInt(w.path("kind").asText("")), size,
                 w.hasNonNull("started") ? Duration.ofMillis(w.get("started").asLong() - born) : null));
         }
--- a/src/main/java/switchgap/list/ListWatch.java
+++ b/src/main/java/switchgap/list/ListWatch.java
@@ -12,7 +12,7 @@
 import java.util.function.ToIntFunction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import switchgap.router.Core;
+import switchgap.router.RouterCore;
 import switchgap.wire.Clock;
 import switchgap.wire.HttpLink;
 
@@ -34,7 +34,7 @@
     private final Duration again;
     private final ToIntFunction<String> zones;
     private final ToIntFunction<String> kinds;
-    private final Consumer<Consumer<Core>> events;
+    private final Consumer<Consumer<RouterCore>> events;
     private State state = State.AWAY;
     private long version = -1;
     private volatile HttpLink link;
@@ -43,7 +43,7 @@
 
     /** {@code again}: the pause before asking anew. */
     public ListWatch(HttpLink.Opener opener, InetSocketAddress service, int router, long born, Duration again,
-                     ToIntFunction<String> zones, ToIntFunction<String> kinds, Consumer<Consumer<Core>> events) {
+                     ToIntFunction<String> zones, ToIntFunction<String> kinds, Consumer<Consumer<RouterCore>> events) {
         this.opener = opener;
         this.service = service;
         this.router = router;
@@ -89,7 +89,7 @@
         if (state == State.CLOSED) { return; }
         if (state != State.AWAY) { LOG.warn("list service away, the last list stays: {}", why); }
         state = State.AWAY;
-        events.accept(Core::listFailed);
+        events.accept(RouterCore::listFailed);
         Clock.LATER.schedule(this::follow, again.toMillis(), TimeUnit.MILLISECONDS);
     }
 
--- a/src/main/java/switchgap/platform/Platform.java
+++ b/src/main/java/switchgap/platform/Platform.java
@@ -8,9 +8,9 @@
 import java.util.function.Consumer;
 import switchgap.controlfeed.Event;
 import switchgap.controlfeed.Follow;
-import switchgap.loop.Loop;
+import switchgap.eventloop.EventLoop;
 import switchgap.resp.Workers;
-import switchgap.router.Core;
+import switchgap.router.RouterCore;
 import switchgap.stated.StatedTerms;
 import switchgap.thrift.Door;
 import switchgap.wire.HttpLink;
@@ -38,7 +38,7 @@
     private static final int QUIET = 3; // looks one after the other that find nothing under way
     private final Log log;
     private final Net net;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Workers workers;
     private final Door door;
     private final Follow feed;
@@ -51,9 +51,9 @@
         AtomicReference<Workers> made = new AtomicReference<>();
         Workers.Bounds bounds = new Workers.Bounds(Math.max(1, g.sockets() / WORKER_SHARE), MOST_LINKS, MOST_WAITING, terms.multiplex(), terms.connectWithin(), terms.idle().dividedBy(2),
             terms.tellsCrowd());
-        loop = new Loop(l -> {
+        loop = new EventLoop(l -> {
             made.set(new Workers(net, bounds, names(terms), terms.orderLimit(), terms.connectWithin(), l::now, l::post));
-            return new Core(terms, g.seed(), made.get(), terms.orderLimit(), terms.connectWithin(), MOST_FUNCTIONS);
+            return new RouterCore(terms, g.seed(), made.get(), terms.orderLimit(), terms.connectWithin(), MOST_FUNCTIONS);
         }, "loop", late -> { }, this::failed);
         workers = made.get();
         int bytes = (int) Math.min(Integer.MAX_VALUE, Runtime.getRuntime().maxMemory() / BYTE_SHARE);
@@ -95,7 +95,7 @@
         if (e.workers() != null) { loop.postFirst(c -> c.list(e.whole(), e.workers())); }
     }
 
-    private void sweep(Core c) {
+    private void sweep(RouterCore c) {
         door.sweep(c.now());
         workers.sweep();
         c.later(c.now().plus(SWEEP), () -> sweep(c));
@@ -137,7 +137,7 @@
     }
 
     /** Runs it in a round, and waits for that. */
-    void onLoop(Consumer<Core> event) throws InterruptedException {
+    void onLoop(Consumer<RouterCore> event) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         loop.post(c -> {
             event.accept(c);
--- a/src/main/java/switchgap/resp/Errand.java
+++ b/src/main/java/switchgap/resp/Errand.java
@@ -1,9 +1,9 @@
 package switchgap.resp;
 
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.router.Call;
-import switchgap.router.Core;
-import switchgap.router.Seen;
+import switchgap.router.PendingRequest;
+import switchgap.router.RouterCore;
+import switchgap.router.WorkerEntry;
 
 /**
  * One exchange with a worker: an execution, an order or a probe. WAITING: no byte has gone out; OUT on a link; OVER.
@@ -14,14 +14,14 @@
 
     /** Hears once how it ended, with the reply where there was one. */
     interface Ended {
-        void ended(Core c, AttemptOutcome end, Reply reply);
+        void ended(RouterCore c, AttemptOutcome end, Reply reply);
     }
 
-    final Seen worker;
+    final WorkerEntry worker;
     /** What its answer will bear; null where none comes. */
     final String id;
     /** The call of an execution, else null. */
-    final Call call;
+    final PendingRequest call;
     final byte[] command;
     private final boolean harmless;
     private final Ended ended;
@@ -32,7 +32,7 @@
     final long until;
 
     /** {@code harmless}: a worker that takes nothing new may still have it. */
-    Errand(Seen worker, String id, Call call, boolean harmless, byte[] command, long until, Ended ended) {
+    Errand(WorkerEntry worker, String id, PendingRequest call, boolean harmless, byte[] command, long until, Ended ended) {
         this.worker = worker;
         this.id = id;
         this.call = call;
@@ -45,7 +45,7 @@
     /** Asked as it is about to go out, not when it was decided: its worker may drain and its client leave in between. */
     boolean mayGo() { return state == State.WAITING && (harmless || worker.takesNew) && (call == null || call.awaited()); }
 
-    void end(Core c, AttemptOutcome end, Reply reply) {
+    void end(RouterCore c, AttemptOutcome end, Reply reply) {
         if (state != State.OVER) {
             state = State.OVER;
             ended.ended(c, end, reply);
--- a/src/main/java/switchgap/resp/Pool.java
+++ b/src/main/java/switchgap/resp/Pool.java
@@ -5,8 +5,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.router.Core;
-import switchgap.router.Run;
+import switchgap.router.Attempt;
+import switchgap.router.RouterCore;
 
 /**
  * Connections to one worker, few and shared, each with as little out as can be: an answer that can't be read takes all
@@ -75,7 +75,7 @@
     /** Whether an earlier execution of the job went out there: both bear its id, and a late answer would be the wrong one's. */
     private static boolean met(Errand e, Link l) {
         if (e.call == null) { return false; }
-        for (Run r : e.call.runs()) {
+        for (Attempt r : e.call.runs()) {
             if (r.exchange instanceof Errand o && o != e && o.link == l) { return true; }
         }
         return false;
@@ -94,7 +94,7 @@
     }
 
     /** A connection is up. */
-    void opened(Core c, Link l) {
+    void opened(RouterCore c, Link l) {
         opening--;
         if (retired || !l.bytes.open()) {
             l.bytes.close("its worker is gone");
@@ -105,14 +105,14 @@
         settle(c, AttemptOutcome.NOT_SENT);
     }
 
-    void failed(Core c) {
+    void failed(RouterCore c) {
         opening--;
         workers.ended();
         settle(c, AttemptOutcome.NO_CONNECTION);
     }
 
     /** Places what waits; with no connection under way the rest is told at once that it never went out. */
-    private void settle(Core c, AttemptOutcome none) {
+    private void settle(RouterCore c, AttemptOutcome none) {
         for (int n = waiting.size(); n > 0; n--) {
             Errand e = waiting.poll();
             if (e.state != Errand.State.WAITING) { continue; }
@@ -128,7 +128,7 @@
     }
 
     /** A connection ended; what was out on it may have run. */
-    void closed(Core c, Link l) {
+    void closed(RouterCore c, Link l) {
         if (links.remove(l)) { workers.ended(); }
         List<Errand> all = List.copyOf(l.out.values());
         l.out.clear();
@@ -136,7 +136,7 @@
     }
 
     /** An answer; one for an id that is not out on this very connection is passed over. */
-    void answered(Core c, Link l, Reply r) {
+    void answered(RouterCore c, Link l, Reply r) {
         l.mute = false;
         l.heard = workers.nanos();
         Errand e = l.out.get(r.id());
--- a/src/main/java/switchgap/resp/Reply.java
+++ b/src/main/java/switchgap/resp/Reply.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.router.Loads;
+import switchgap.router.LoadReport;
 
 /** One answer of a worker: {@code ID WORD FIELDS BODY}. What its word proves is said in {@link #end()} and nowhere else. */
 record Reply(String id, String word, Map<String, String> fields, byte[] body) {
@@ -46,7 +46,7 @@
     int count() { return (int) number(fields.get("count"), 0); }
 
     /** What is told of the worker's load; {@code crowds}: whether the absence of a crowd means none. */
-    Loads loads(boolean crowds) {
+    LoadReport loads(boolean crowds) {
         double busy = Double.NaN;
         double held = Double.NaN;
         double queued = Double.NaN;
@@ -62,7 +62,7 @@
             }
         }
         boolean tells = crowds && (word.equals("data") || word.equals("full"));
-        return new Loads(busy, held, queued, tells ? (int) Math.max(0, number(fields.get("crowd"), 0)) : -1);
+        return new LoadReport(busy, held, queued, tells ? (int) Math.max(0, number(fields.get("crowd"), 0)) : -1);
     }
 
     /** A figure within reason, or what stands for none: a peer's nonsense must not reach the module. */
--- a/src/main/java/switchgap/resp/Workers.java
+++ b/src/main/java/switchgap/resp/Workers.java
@@ -11,19 +11,19 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.router.Answer;
-import switchgap.router.Core;
-import switchgap.router.Loads;
-import switchgap.router.Order;
-import switchgap.router.Outside;
-import switchgap.router.Run;
-import switchgap.router.Seen;
+import switchgap.router.Attempt;
+import switchgap.router.LoadReport;
+import switchgap.router.Response;
+import switchgap.router.RouterCore;
+import switchgap.router.WorkerCommand;
+import switchgap.router.WorkerEntry;
+import switchgap.router.WorkerTransport;
 import switchgap.wire.ByteLink;
 import switchgap.wire.Dial;
 import switchgap.wire.Net;
 
 /** Executions, orders and probes as RESP commands. Selector threads read and decode; all else runs on the router's loop. */
-public final class Workers implements Outside {
+public final class Workers implements WorkerTransport {
     /**
      * Connections over all workers; connections and exchanges waiting for one, each a worker; executions that a connection
      * carries; the span of a connect and of lying idle; whether answers tell of a crowd.
@@ -35,7 +35,7 @@
     final Bounds bounds;
     private final String[] names;
     private final Supplier<Duration> clock;
-    private final Consumer<Consumer<Core>> events;
+    private final Consumer<Consumer<RouterCore>> events;
     private final Set<Pool> pools = new HashSet<>();
     private final ByteLink.Opener opener;
     private final Duration probeLimit;
@@ -48,7 +48,7 @@
      * are given up by the core after their limits.
      */
     public Workers(Net net, Bounds bounds, String[] names, Duration orderLimit, Duration probeLimit, Supplier<Duration> clock,
-                   Consumer<Consumer<Core>> events) {
+                   Consumer<Consumer<RouterCore>> events) {
         this.bounds = bounds;
         this.names = names;
         this.orderLimit = orderLimit;
@@ -61,9 +61,9 @@
     long nanos() { return clock.get().toNanos(); }
 
     /** As an event of its own: what the core asks is never answered at once. */
-    void soon(Consumer<Core> event) { events.accept(event); }
+    void soon(Consumer<RouterCore> event) { events.accept(event); }
 
-    private Pool pool(Seen w) {
+    private Pool pool(WorkerEntry w) {
         if (w.links == null) {
             Pool p = new Pool(this, new InetSocketAddress(w.host, w.port));
             w.links = p;
@@ -132,24 +132,24 @@
 
     // ------------------------------------------------------------------ what the core asks
 
-    @Override public void send(Run run, Duration allow) {
+    @Override public void send(Attempt run, Duration allow) {
         String fields = "profile=" + names[run.call.workload] + ",thing=" + run.call.function + ",max=" + Math.max(1, allow.toMillis());
         Errand e = new Errand(run.worker, run.call.id, run.call, false, Command.with(run.call.body, "DO", run.call.id, fields),
-            nanos() + allow.toNanos(), (c, end, r) -> c.executionEnded(run, end, r == null ? Loads.UNTOLD : r.loads(bounds.crowds()),
-                end == AttemptOutcome.FINISHED ? Answer.finished(0, Map.of(), r.body()) : null));
+            nanos() + allow.toNanos(), (c, end, r) -> c.executionEnded(run, end, r == null ? LoadReport.UNTOLD : r.loads(bounds.crowds()),
+                end == AttemptOutcome.FINISHED ? Response.finished(0, Map.of(), r.body()) : null));
         run.exchange = e;
         pool(run.worker).ask(e);
     }
 
-    @Override public AttemptOutcome abandon(Run run) {
+    @Override public AttemptOutcome abandon(Attempt run) {
         return run.exchange instanceof Errand e ? pool(run.worker).abandon(e) : AttemptOutcome.TIMED_OUT;
     }
 
-    @Override public void abandon(Order order) {
+    @Override public void abandon(WorkerCommand order) {
         if (order.exchange instanceof Errand e) { pool(e.worker).abandon(e); }
     }
 
-    private void ask(Seen worker, Order order, String tag, boolean harmless, Duration limit, Errand.Ended ended, String... words) {
+    private void ask(WorkerEntry worker, WorkerCommand order, String tag, boolean harmless, Duration limit, Errand.Ended ended, String... words) {
         Errand e = new Errand(worker, tag, null, harmless, Command.of(words), nanos() + limit.toNanos(), ended);
         order.exchange = e;
         pool(worker).ask(e);
@@ -157,23 +157,23 @@
 
     private String tag() { return "t" + Long.toString(++tags, 36); } // no id of a call: those are 16 hex digits
 
-    @Override public void hold(Seen worker, String function, int copies, Order order) {
+    @Override public void hold(WorkerEntry worker, String function, int copies, WorkerCommand order) {
         String tag = tag();
         ask(worker, order, tag, copies == 0, orderLimit, (c, end, r) -> c.orderEnded(order, end, r == null ? 0 : r.count()),
             "PIN", tag, "thing=" + function + ",count=" + copies);
     }
 
-    @Override public void drop(Seen worker, String function, Order order) {
+    @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) {
         ask(worker, order, null, true, orderLimit, (c, end, r) -> c.dropEnded(order), "UNPIN", function);
     }
 
-    @Override public void probe(Seen worker, Order order) {
+    @Override public void probe(WorkerEntry worker, WorkerCommand order) {
         String tag = tag();
-        ask(worker, order, tag, true, probeLimit, (c, end, r) -> c.probed(order, end, r == null ? Loads.UNTOLD : r.loads(false)),
+        ask(worker, order, tag, true, probeLimit, (c, end, r) -> c.probed(order, end, r == null ? LoadReport.UNTOLD : r.loads(false)),
             "METER", tag);
     }
 
-    @Override public void refuses(Seen worker, boolean forGood) {
+    @Override public void refuses(WorkerEntry worker, boolean forGood) {
         if (!(worker.links instanceof Pool p)) { return; }
         if (forGood) { p.retire(); } else { p.refuse(); }
     }
--- a/src/main/java/switchgap/router/Gate.java
+++ b/src/main/java/switchgap/router/AdmissionGate.java
@@ -14,34 +14,34 @@
  * Where calls are offered: asks the levels, and hands on to the core what passes. What a level pushes back was never
  * executed, so the pushback keeps rules 1 and 2. Runs within the core's rounds.
  */
-public final class Gate {
+public final class AdmissionGate {
     private static final double CROWDED_BY = 1.2; // start targets: a pushback so early found no room
-    private final Core core;
+    private final RouterCore core;
     private final RouterSettings terms;
     private final Levels levels;
     private final Consumer<Change> told;
 
     /** Without levels (null) everything passes. Each change of level is told. */
-    public Gate(Core core, RouterSettings terms, Levels levels, Consumer<Change> told) {
+    public AdmissionGate(RouterCore core, RouterSettings terms, Levels levels, Consumer<Change> told) {
         this.core = core;
         this.terms = terms;
         this.levels = levels;
         this.told = told;
         if (levels != null) {
-            core.watch(new Core.Watch() {
-                @Override public void ended(Call c, Answer a) { Gate.this.ended(c, a); }
+            core.watch(new RouterCore.RequestObserver() {
+                @Override public void ended(PendingRequest c, Response a) { AdmissionGate.this.ended(c, a); }
 
-                @Override public void told(Loads l) { levels.busy(l.busy()); }
+                @Override public void told(LoadReport l) { levels.busy(l.busy()); }
             });
         }
     }
 
-    public Core core() { return core; }
+    public RouterCore core() { return core; }
 
     public Levels levels() { return levels; }
 
     /** Offers a call. False when it was not taken and gets no answer here: no room, or its limit has passed. */
-    public boolean offer(Call c) {
+    public boolean offer(PendingRequest c) {
         if (levels == null) { return core.callCame(c); }
         Verdict v = levels.offered(core.now(), c.customer, c.workload, c.function.hashCode());
         tell();
@@ -50,25 +50,25 @@
         return true;
     }
 
-    private void pushBack(Call c, Verdict v) {
+    private void pushBack(PendingRequest c, Verdict v) {
         if (c.limit.compareTo(core.now()) <= 0) {
-            c.state = Call.State.OVERDUE;
-            c.asker.overdue(c, Answer.pushedBack(v.comeBack()));
+            c.state = PendingRequest.State.OVERDUE;
+            c.asker.overdue(c, Response.pushedBack(v.comeBack()));
             return;
         }
-        c.state = Call.State.ANSWERED;
+        c.state = PendingRequest.State.ANSWERED;
         c.met = v.rung();
-        c.asker.answered(c, Answer.pushedBack(v.comeBack()));
+        c.asker.answered(c, Response.pushedBack(v.comeBack()));
     }
 
-    private void ended(Call c, Answer a) {
+    private void ended(PendingRequest c, Response a) {
         Duration took = core.now().minus(c.taken);
         Duration target = terms.startTarget(c.workload);
         levels.ended(core.now(), c.workload, outcome(c, a, took, target));
         tell();
     }
 
-    private static Outcome outcome(Call c, Answer a, Duration took, Duration target) {
+    private static Outcome outcome(PendingRequest c, Response a, Duration took, Duration target) {
         if (a == null) { return Outcome.OTHER; }
         return switch (a.kind()) {
             case FINISHED -> took.compareTo(target) <= 0 ? Outcome.IN_TARGET : Outcome.LATE;
--- a/src/main/java/switchgap/router/Run.java
+++ b/src/main/java/switchgap/router/Attempt.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 
 /** One execution of a call at a worker; it ends once, by whichever comes first of its answer and its time-out. */
-public final class Run {
-    public final Call call;
+public final class Attempt {
+    public final PendingRequest call;
     public final int number;
-    public final Seen worker;
+    public final WorkerEntry worker;
     final Duration sent;
     boolean ended;
     boolean mayHaveRun = true;
-    Timers.Timer timer;
+    TimerQueue.Timer timer;
     /** The transport's own. */
     public volatile Object exchange;
 
-    Run(Call call, int number, Seen worker, Duration sent) {
+    Attempt(PendingRequest call, int number, WorkerEntry worker, Duration sent) {
         this.call = call;
         this.number = number;
         this.worker = worker;
--- a/src/main/java/switchgap/router/Deferred.java
+++ b/src/main/java/switchgap/router/DeferredResults.java
@@ -13,34 +13,34 @@
  * of the answers kept; when full, the answers kept longest go first, and new calls are not accepted while all room
  * is taken by held ones. One thread.
  */
-public final class Deferred {
+public final class DeferredResults {
     /** What is known of an id. */
-    public enum Known { HELD, ENDED, GONE, NEVER }
+    public enum Status { HELD, ENDED, GONE, NEVER }
 
     /** A deferred call; {@code answer} is null while it is held, and when its limit passed unanswered. */
-    public static final class Entry implements Asker {
-        private final Deferred home;
+    public static final class Entry implements ResponseListener {
+        private final DeferredResults home;
         private final long number;
-        private Call call;
-        private Answer answer;
+        private PendingRequest call;
+        private Response answer;
         private boolean ended;
         private Duration until;
         private final List<Consumer<Entry>> waiters = new ArrayList<>(1);
 
-        private Entry(Deferred home, long number) {
+        private Entry(DeferredResults home, long number) {
             this.home = home;
             this.number = number;
         }
 
-        public Call call() { return call; }
+        public PendingRequest call() { return call; }
 
         public boolean ended() { return ended; }
 
-        public Answer answer() { return answer; }
+        public Response answer() { return answer; }
 
-        @Override public void answered(Call c, Answer a) { home.end(this, a); }
+        @Override public void answered(PendingRequest c, Response a) { home.end(this, a); }
 
-        @Override public void overdue(Call c, Answer late) { home.end(this, null); }
+        @Override public void overdue(PendingRequest c, Response late) { home.end(this, null); }
     }
 
     private static final int MOST_WAITERS = 8;
@@ -55,7 +55,7 @@
     private long bytes;
 
     /** Ids begin with the prefix, which differs from one start of a router to the next. */
-    public Deferred(String prefix, Duration kept, int most, long mostBytes) {
+    public DeferredResults(String prefix, Duration kept, int most, long mostBytes) {
         this.prefix = prefix;
         this.kept = kept;
         this.most = most;
@@ -74,7 +74,7 @@
     public String id(Entry e) { return prefix + e.number; }
 
     /** The call behind an entry was taken. */
-    public void held(Entry e, Call c) { e.call = c; }
+    public void held(Entry e, PendingRequest c) { e.call = c; }
 
     /** The call behind an entry was not taken. */
     public void refused(Entry e) { entries.remove(e.number); }
@@ -85,11 +85,11 @@
         while (!ended.isEmpty() && ended.peek().until.compareTo(at) <= 0) { forget(ended.poll()); }
     }
 
-    public Known known(String id) {
+    public Status known(String id) {
         long n = number(id);
-        if (n < 0 || n >= next) { return Known.NEVER; }
+        if (n < 0 || n >= next) { return Status.NEVER; }
         Entry e = entries.get(n);
-        return e == null ? Known.GONE : e.ended ? Known.ENDED : Known.HELD;
+        return e == null ? Status.GONE : e.ended ? Status.ENDED : Status.HELD;
     }
 
     /** The entry of an id that is held or ended, else null. */
@@ -120,7 +120,7 @@
         }
     }
 
-    private void end(Entry e, Answer a) {
+    private void end(Entry e, Response a) {
         if (!entries.containsKey(e.number)) { return; }
         e.answer = a;
         e.ended = true;
--- a/src/main/java/switchgap/router/Names.java
+++ b/src/main/java/switchgap/router/NameIndex.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** Names to small indices and back; a released index is handed out again. */
-final class Names {
+final class NameIndex {
     private final Map<String, Integer> indices = new HashMap<>();
     private final List<String> names = new ArrayList<>();
     private final List<Integer> free = new ArrayList<>();
--- a/src/main/java/switchgap/router/Call.java
+++ b/src/main/java/switchgap/router/PendingRequest.java
@@ -7,7 +7,7 @@
 import switchgap.level.Rung;
 
 /** A call as a client gave it, and how it stands. All times are spans since the router's start. */
-public final class Call {
+public final class PendingRequest {
     /** HELD until its end; LEFT: the client went; OVERDUE: its limit passed unanswered; REFUSED: never taken. */
     public enum State { HELD, ANSWERED, LEFT, OVERDUE, REFUSED }
 
@@ -30,17 +30,17 @@
     /** The client says that this is a repeat. */
     public final boolean repeat;
     /** Whoever is told of the end. */
-    public final Asker asker;
+    public final ResponseListener asker;
     /** The reduced level that pushed it back, null where none did. */
     public Rung met;
     State state = State.HELD;
     Duration taken = Duration.ZERO;
     int index = -1;
-    final List<Run> runs = new ArrayList<>(1);
+    final List<Attempt> runs = new ArrayList<>(1);
 
-    public Call(String id, String function, int workload, int customer, Duration limit, Duration hint,
+    public PendingRequest(String id, String function, int workload, int customer, Duration limit, Duration hint,
                 String fingerprint, String contentType, byte[] body, double memory, int lanes, Duration load,
-                boolean repeat, Asker asker) {
+                boolean repeat, ResponseListener asker) {
         this.id = id;
         this.function = function;
         this.workload = workload;
@@ -58,7 +58,7 @@
     }
 
     /** Its executions so far, to be read only. */
-    public List<Run> runs() {
+    public List<Attempt> runs() {
         return Collections.unmodifiableList(runs);
     }
 
--- a/src/main/java/switchgap/router/Core.java
+++ b/src/main/java/switchgap/router/RouterCore.java
@@ -21,40 +21,40 @@
  * methods below are for those events only. It decides nothing that the module decides; it only keeps what is
  * mechanical about the rules: one answer a call, none past its limit, one end an execution.
  */
-public final class Core {
+public final class RouterCore {
     private final RouterSettings terms;
-    private final Outside outside;
-    private final Decider decide;
-    private final Carrier carrier = new Carrier();
+    private final WorkerTransport outside;
+    private final Policy decide;
+    private final ActionExecutor carrier = new ActionExecutor();
     private final Duration orderLimit;
     private final Duration probeLimit;
     private final int mostFunctions;
-    private final Timers timers = new Timers();
-    private final Names functions = new Names();
-    private final Map<String, Seen> seen = new HashMap<>();
-    private final List<Seen> workers = new ArrayList<>();
+    private final TimerQueue timers = new TimerQueue();
+    private final NameIndex functions = new NameIndex();
+    private final Map<String, WorkerEntry> seen = new HashMap<>();
+    private final List<WorkerEntry> workers = new ArrayList<>();
     private final List<Integer> freeWorkers = new ArrayList<>();
-    private final List<Call> calls = new ArrayList<>();
+    private final List<PendingRequest> calls = new ArrayList<>();
     private final List<Integer> freeCalls = new ArrayList<>();
     private Duration now = Duration.ZERO;
     private PolicyEvents feed;
-    private Watch watch = (c, a) -> { };
+    private RequestObserver watch = (c, a) -> { };
     private int held;
 
     /** What decides: the module, or in measurements a baseline. */
-    public interface Decider {
+    public interface Policy {
         void round(Duration now, EventBatch in, PolicyActions out);
     }
 
     /** Hears of each call taken how it ended: its answer, null where it got none. */
-    interface Watch {
-        void ended(Call c, Answer a);
+    interface RequestObserver {
+        void ended(PendingRequest c, Response a);
 
         /** What a worker told with an execution's end. */
-        default void told(Loads l) { }
+        default void told(LoadReport l) { }
     }
 
-    void watch(Watch w) { watch = w; }
+    void watch(RequestObserver w) { watch = w; }
 
     /** Time of the round, since the router's start. */
     public Duration now() { return now; }
@@ -63,12 +63,12 @@
     public void later(Duration at, Runnable then) { timers.at(at, then); }
 
     /** A core under the module. Orders and probes are given up after their limits. */
-    public Core(RouterSettings terms, long seed, Outside outside, Duration orderLimit, Duration probeLimit, int mostFunctions) {
+    public RouterCore(RouterSettings terms, long seed, WorkerTransport outside, Duration orderLimit, Duration probeLimit, int mostFunctions) {
         this(terms, new RoutingPolicy(terms, seed)::round, outside, orderLimit, probeLimit, mostFunctions);
     }
 
     /** At most so many functions are known at a time. */
-    public Core(RouterSettings terms, Decider decide, Outside outside, Duration orderLimit, Duration probeLimit,
+    public RouterCore(RouterSettings terms, Policy decide, WorkerTransport outside, Duration orderLimit, Duration probeLimit,
                 int mostFunctions) {
         this.terms = terms;
         this.outside = outside;
@@ -79,7 +79,7 @@
     }
 
     /** One round of the module with all that came in, and what is due. */
-    public void round(Duration at, Iterable<Consumer<Core>> events) {
+    public void round(Duration at, Iterable<Consumer<RouterCore>> events) {
         now = at;
         decide.round(at, f -> {
             feed = f;
@@ -102,15 +102,15 @@
     /** Everything that must be none once all is over: calls known to the module and executions out. */
     public int outstanding() {
         int n = 0;
-        for (Call c : calls) { n += c == null ? 0 : 1; }
+        for (PendingRequest c : calls) { n += c == null ? 0 : 1; }
         return n;
     }
 
     /** Importance of the calls that are held and at no worker, by function. */
     public Map<String, Double> waitingWorth() {
         Map<String, Double> worth = new HashMap<>();
-        for (Call c : calls) {
-            if (c != null && c.state == Call.State.HELD && c.runs.stream().allMatch(r -> r.ended)) {
+        for (PendingRequest c : calls) {
+            if (c != null && c.state == PendingRequest.State.HELD && c.runs.stream().allMatch(r -> r.ended)) {
                 worth.merge(c.function, terms.importance(c.workload), Double::sum);
             }
         }
@@ -120,9 +120,9 @@
     // ------------------------------------------------------------------ events
 
     /** A call came. Taken: it gets one final answer. Not taken (false): its limit has passed or no room is left. */
-    public boolean callCame(Call c) {
+    public boolean callCame(PendingRequest c) {
         if (c.limit.compareTo(now) <= 0 || functions.find(c.function) < 0 && functions.size() >= mostFunctions) {
-            c.state = Call.State.REFUSED;
+            c.state = PendingRequest.State.REFUSED;
             return false;
         }
         c.index = freeCalls.isEmpty() ? calls.size() : freeCalls.remove(freeCalls.size() - 1);
@@ -130,18 +130,18 @@
         c.taken = now;
         held++;
         feed.job(c.index, c.workload, c.customer < 0 ? terms.customers() : c.customer, functions.add(c.function),
-            Names.mark(c.function), c.limit, c.hint, c.memory, c.lanes, c.load, c.repeat);
+            NameIndex.mark(c.function), c.limit, c.hint, c.memory, c.lanes, c.load, c.repeat);
         return true;
     }
 
     /** The client hung up or asked to leave. */
-    public void clientLeft(Call c) {
-        if (c.state == Call.State.HELD && c.index >= 0) {
-            end(c, Call.State.LEFT);
+    public void clientLeft(PendingRequest c) {
+        if (c.state == PendingRequest.State.HELD && c.index >= 0) {
+            end(c, PendingRequest.State.LEFT);
             watch.ended(c, null);
             feed.left(c.index);
-        } else if (c.state == Call.State.HELD) { // was not offered to the module yet
-            c.state = Call.State.LEFT;
+        } else if (c.state == PendingRequest.State.HELD) { // was not offered to the module yet
+            c.state = PendingRequest.State.LEFT;
         }
     }
 
@@ -149,37 +149,37 @@
      * An execution ended; the first end counts, a later one is a late answer and reaches nobody. An answer that
      * comes when the limit has passed (a pause) is told as overdue: most protocols send nothing after a limit.
      */
-    public void executionEnded(Run r, AttemptOutcome end, Loads loads, Answer answer) {
+    public void executionEnded(Attempt r, AttemptOutcome end, LoadReport loads, Response answer) {
         if (r.ended) { return; }
         r.ended = true;
         r.mayHaveRun = !end.neverRan;
         timers.stop(r.timer);
         watch.told(loads);
-        Call c = r.call;
-        boolean first = end == AttemptOutcome.FINISHED && c.state == Call.State.HELD;
+        PendingRequest c = r.call;
+        boolean first = end == AttemptOutcome.FINISHED && c.state == PendingRequest.State.HELD;
         if (first) { answer(c, answer); }
-        feed.ended(c.index, r.number, r.worker.index, end, now.minus(r.sent), c.state != Call.State.HELD, loads.crowd(),
+        feed.ended(c.index, r.number, r.worker.index, end, now.minus(r.sent), c.state != PendingRequest.State.HELD, loads.crowd(),
             loads.busy(), loads.held(), loads.queued());
     }
 
-    public void orderEnded(Order o, AttemptOutcome end, int standing) {
+    public void orderEnded(WorkerCommand o, AttemptOutcome end, int standing) {
         if (ends(o) && known(o.worker)) {
             feed.orderEnded(o.worker.index, o.function, end, now.minus(o.sent), standing);
         }
     }
 
-    public void dropEnded(Order o) {
+    public void dropEnded(WorkerCommand o) {
         ends(o);
     }
 
-    public void probed(Order o, AttemptOutcome end, Loads loads) {
+    public void probed(WorkerCommand o, AttemptOutcome end, LoadReport loads) {
         if (ends(o) && known(o.worker)) {
             feed.probed(o.worker.index, end, now.minus(o.sent), loads.busy(), loads.held(), loads.queued());
         }
     }
 
     /** Whether this is its first end. */
-    private boolean ends(Order o) {
+    private boolean ends(WorkerCommand o) {
         boolean first = !o.ended;
         o.ended = true;
         timers.stop(o.timer);
@@ -187,18 +187,18 @@
     }
 
     /** A version of the list, whole or its changes; a worker with a new address is a new process to the links. */
-    public void list(boolean whole, List<Listed> lines) {
+    public void list(boolean whole, List<EndpointUpdate> lines) {
         feed.listBegins(whole);
         Set<String> named = new HashSet<>();
-        for (Listed l : lines) {
-            Seen s = seen.get(l.name());
+        for (EndpointUpdate l : lines) {
+            WorkerEntry s = seen.get(l.name());
             if (s == null) {
                 if (l.standing() == WorkerState.GONE) { continue; }
-                s = new Seen(l.name(), l.host(), l.port(), newWorker());
+                s = new WorkerEntry(l.name(), l.host(), l.port(), newWorker());
                 seen.put(l.name(), s);
                 workers.set(s.index, s);
             } else if (s.port != l.port() || !s.host.equals(l.host())) {
-                Seen moved = new Seen(l.name(), l.host(), l.port(), s.index);
+                WorkerEntry moved = new WorkerEntry(l.name(), l.host(), l.port(), s.index);
                 takes(s, false, true); // whatever listens there now is not this worker
                 seen.put(l.name(), moved);
                 workers.set(s.index, moved);
@@ -206,16 +206,16 @@
             }
             named.add(l.name());
             takes(s, l.standing() == WorkerState.READY, false);
-            feed.worker(s.index, Names.mark(l.name()), l.standing(), l.zone(), l.cell(), l.kind(), l.size(),
+            feed.worker(s.index, NameIndex.mark(l.name()), l.standing(), l.zone(), l.cell(), l.kind(), l.size(),
                 l.started());
         }
-        for (Seen s : whole ? workers : List.<Seen>of()) {
+        for (WorkerEntry s : whole ? workers : List.<WorkerEntry>of()) {
             if (s != null && !named.contains(s.name)) { takes(s, false, false); }
         }
         feed.listEnds();
     }
 
-    private void takes(Seen s, boolean takesNew, boolean forGood) {
+    private void takes(WorkerEntry s, boolean takesNew, boolean forGood) {
         boolean stops = s.takesNew && !takesNew;
         s.takesNew = takesNew;
         if (stops || forGood) { outside.refuses(s, forGood); }
@@ -226,8 +226,8 @@
     }
 
     /** An index may have been handed out again while a probe was out. */
-    private boolean known(Seen w) {
-        Seen s = w.index < 0 ? null : workers.get(w.index);
+    private boolean known(WorkerEntry w) {
+        WorkerEntry s = w.index < 0 ? null : workers.get(w.index);
         return s != null && s.name.equals(w.name);
     }
 
@@ -237,18 +237,18 @@
         return workers.size() - 1;
     }
 
-    private void end(Call c, Call.State state) {
+    private void end(PendingRequest c, PendingRequest.State state) {
         c.state = state;
         held--;
     }
 
-    private void answer(Call c, Answer a) {
+    private void answer(PendingRequest c, Response a) {
         if (now.compareTo(c.limit) >= 0) { // paused past the limit
-            end(c, Call.State.OVERDUE);
+            end(c, PendingRequest.State.OVERDUE);
             watch.ended(c, null);
             c.asker.overdue(c, a);
         } else {
-            end(c, Call.State.ANSWERED);
+            end(c, PendingRequest.State.ANSWERED);
             watch.ended(c, a);
             c.asker.answered(c, a);
         }
@@ -257,58 +257,58 @@
     // ------------------------------------------------------------------ what the module decides
 
     /** Carries out decisions in the order they are taken. */
-    private final class Carrier implements PolicyActions {
+    private final class ActionExecutor implements PolicyActions {
         @Override public void send(int job, int worker, Duration allow) {
-            Call c = calls.get(job);
-            Run r = new Run(c, c.runs.size(), workers.get(worker), now);
+            PendingRequest c = calls.get(job);
+            Attempt r = new Attempt(c, c.runs.size(), workers.get(worker), now);
             c.runs.add(r);
             r.timer = timers.at(now.plus(allow), () -> {
                 if (!r.ended) {
-                    executionEnded(r, outside.abandon(r), Loads.UNTOLD, null); // asked and ended in one: see Outside
+                    executionEnded(r, outside.abandon(r), LoadReport.UNTOLD, null); // asked and ended in one: see Outside
                 }
             });
             outside.send(r, allow);
         }
 
         @Override public void cancel(int job, int execution) {
-            Run r = calls.get(job).runs.get(execution);
+            Attempt r = calls.get(job).runs.get(execution);
             if (!r.ended) {
                 outside.abandon(r);
-                timers.at(now, () -> executionEnded(r, AttemptOutcome.CANCELLED, Loads.UNTOLD, null));
+                timers.at(now, () -> executionEnded(r, AttemptOutcome.CANCELLED, LoadReport.UNTOLD, null));
             }
         }
 
         @Override public void pushBack(int job, Duration comeBack) {
-            answer(job, Answer.pushedBack(comeBack));
+            answer(job, Response.pushedBack(comeBack));
         }
 
         @Override public void kill(int job) {
-            answer(job, Answer.killed());
+            answer(job, Response.killed());
         }
 
-        private void answer(int job, Answer a) {
-            Call c = calls.get(job);
-            if (c.state == Call.State.HELD) { Core.this.answer(c, a); }
+        private void answer(int job, Response a) {
+            PendingRequest c = calls.get(job);
+            if (c.state == PendingRequest.State.HELD) { RouterCore.this.answer(c, a); }
         }
 
         @Override public void hold(int worker, int function, int copies) {
-            Order o = order(worker, function, orderLimit, x -> orderEnded(x, AttemptOutcome.TIMED_OUT, 0));
+            WorkerCommand o = order(worker, function, orderLimit, x -> orderEnded(x, AttemptOutcome.TIMED_OUT, 0));
             outside.hold(o.worker, functions.name(function), copies, o);
         }
 
         @Override public void drop(int worker, int function) {
-            Order o = order(worker, function, orderLimit, Core.this::dropEnded); // or at a silent worker it keeps a link for ever
+            WorkerCommand o = order(worker, function, orderLimit, RouterCore.this::dropEnded); // or at a silent worker it keeps a link for ever
             outside.drop(o.worker, functions.name(function), o);
         }
 
         @Override public void probe(int worker) {
-            Order o = order(worker, -1, probeLimit, x -> probed(x, AttemptOutcome.TIMED_OUT, Loads.UNTOLD));
+            WorkerCommand o = order(worker, -1, probeLimit, x -> probed(x, AttemptOutcome.TIMED_OUT, LoadReport.UNTOLD));
             outside.probe(o.worker, o);
         }
 
         /** An order that is given up after its limit, and how its end is then told. */
-        private Order order(int worker, int function, Duration limit, Consumer<Order> timedOut) {
-            Order o = new Order(workers.get(worker), function, now);
+        private WorkerCommand order(int worker, int function, Duration limit, Consumer<WorkerCommand> timedOut) {
+            WorkerCommand o = new WorkerCommand(workers.get(worker), function, now);
             o.timer = timers.at(now.plus(limit), () -> {
                 outside.abandon(o);
                 timedOut.accept(o);
@@ -331,7 +331,7 @@
         @Override public void forgetFunction(int function) { functions.release(function); }
 
         @Override public void forgetWorker(int worker) {
-            Seen s = workers.get(worker);
+            WorkerEntry s = workers.get(worker);
             takes(s, false, true);
             seen.remove(s.name);
             s.index = -1;
--- a/src/main/java/switchgap/router/Timers.java
+++ b/src/main/java/switchgap/router/TimerQueue.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 
 /** What is due when, in order; equal times in the order they were set. */
-final class Timers {
+final class TimerQueue {
     static final class Timer {
         private final Duration due;
         private final long number;
--- a/src/main/java/switchgap/router/Order.java
+++ b/src/main/java/switchgap/router/WorkerCommand.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /** An order to a worker, or a probe (no function); it ends once. */
-public final class Order {
-    final Seen worker;
+public final class WorkerCommand {
+    final WorkerEntry worker;
     final int function;
     final Duration sent;
     boolean ended;
-    Timers.Timer timer;
+    TimerQueue.Timer timer;
     /** The transport's own. */
     public volatile Object exchange;
 
-    Order(Seen worker, int function, Duration sent) {
+    WorkerCommand(WorkerEntry worker, int function, Duration sent) {
         this.worker = worker;
         this.function = function;
         this.sent = sent;
--- a/src/main/java/switchgap/router/Seen.java
+++ b/src/main/java/switchgap/router/WorkerEntry.java
@@ -1,7 +1,7 @@
 package switchgap.router;
 
 /** A worker of the list, with its address; {@code index} is what the module calls it, -1 once forgotten. */
-public final class Seen {
+public final class WorkerEntry {
     public final String name;
     public final String host;
     public final int port;
@@ -11,7 +11,7 @@
     /** The transport's own. */
     public volatile Object links;
 
-    public Seen(String name, String host, int port, int index) {
+    public WorkerEntry(String name, String host, int port, int index) {
         this.name = name;
         this.host = host;
         this.port = port;
--- a/src/main/java/switchgap/router/Outside.java
+++ b/src/main/java/switchgap/router/WorkerTransport.java
@@ -4,33 +4,33 @@
 import switchgap.policy.api.AttemptOutcome;
 
 /** The seam: what the core asks of the world. None of these calls back at once; what follows comes as an event. */
-public interface Outside {
-    /** Begins an execution; its end is told by {@link Core#executionEnded}. */
-    void send(Run run, Duration allow);
+public interface WorkerTransport {
+    /** Begins an execution; its end is told by {@link RouterCore#executionEnded}. */
+    void send(Attempt run, Duration allow);
 
     /**
      * Ends an execution's exchange: a late answer must reach nobody. Tells what that proves: NOT_SENT or NO_CONNECTION
      * where no byte of it went out and none will, else TIMED_OUT.
      */
-    AttemptOutcome abandon(Run run);
+    AttemptOutcome abandon(Attempt run);
 
-    /** Orders copies, or with 0 asks how many stand; the end is told by {@link Core#orderEnded}. */
-    void hold(Seen worker, String function, int copies, Order order);
+    /** Orders copies, or with 0 asks how many stand; the end is told by {@link RouterCore#orderEnded}. */
+    void hold(WorkerEntry worker, String function, int copies, WorkerCommand order);
 
-    /** Has idle copies unloaded; the end is told by {@link Core#dropEnded}. */
-    void drop(Seen worker, String function, Order order);
+    /** Has idle copies unloaded; the end is told by {@link RouterCore#dropEnded}. */
+    void drop(WorkerEntry worker, String function, WorkerCommand order);
 
-    /** Asks a worker for its load; the end is told by {@link Core#probed}. */
-    void probe(Seen worker, Order order);
+    /** Asks a worker for its load; the end is told by {@link RouterCore#probed}. */
+    void probe(WorkerEntry worker, WorkerCommand order);
 
     /** Ends an order's or a probe's exchange. */
-    void abandon(Order order);
+    void abandon(WorkerCommand order);
 
     /**
      * A worker takes nothing new; for good where it is forgotten or has another address. What waits for a connection
      * to it is told at once, in place of at its time-out.
      */
-    default void refuses(Seen worker, boolean forGood) { }
+    default void refuses(WorkerEntry worker, boolean forGood) { }
 
     /** Asks for the list, or for its changes from now on. */
     void list();
--- a/src/main/java/switchgap/thrift/Asked.java
+++ b/src/main/java/switchgap/thrift/Asked.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 import java.util.Map;
 import switchgap.policy.api.RouterSettings;
-import switchgap.router.Asker;
-import switchgap.router.Call;
+import switchgap.router.PendingRequest;
+import switchgap.router.ResponseListener;
 
 /** What a submitted request says, field by field, as a call; what can't be used is refused with its field's name. */
 final class Asked {
@@ -26,7 +26,7 @@
 
     private Asked() { }
 
-    static Call read(Message m, Book book, Duration now, Asker asker) throws Unusable {
+    static PendingRequest read(Message m, Book book, Duration now, ResponseListener asker) throws Unusable {
         if (m.fields() == null) { throw new Unusable("no fields"); }
         byte[] body = m.body() == null ? NOTHING : m.body();
         if (body.length > MOST_BODY) { throw new Unusable("bytes"); }
@@ -58,7 +58,7 @@
             }
             at = end + 1;
         }
-        return new Call(id, function, workload, customer, limit, hint, null, null, body, memory, lanes, load, false, asker);
+        return new PendingRequest(id, function, workload, customer, limit, hint, null, null, body, memory, lanes, load, false, asker);
     }
 
     private static String mark(Message m, String field) throws Unusable {
--- a/src/main/java/switchgap/thrift/Door.java
+++ b/src/main/java/switchgap/thrift/Door.java
@@ -14,10 +14,10 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import switchgap.policy.api.RouterSettings;
-import switchgap.router.Answer;
-import switchgap.router.Asker;
-import switchgap.router.Call;
-import switchgap.router.Core;
+import switchgap.router.PendingRequest;
+import switchgap.router.Response;
+import switchgap.router.ResponseListener;
+import switchgap.router.RouterCore;
 import switchgap.wire.ByteLink;
 import switchgap.wire.Frames;
 import switchgap.wire.Net;
@@ -45,7 +45,7 @@
         final ByteLink link;
         final Frames frames = new Frames(MOST_FRAME);
         final AtomicInteger waiting = new AtomicInteger();
-        final Map<Integer, Call> open = new HashMap<>();
+        final Map<Integer, PendingRequest> open = new HashMap<>();
         volatile boolean partial; // a message has begun and is not whole
         volatile Duration since; // of the connect, or of the first byte of a message that is not whole; null: of none
         volatile boolean spoke;
@@ -64,7 +64,7 @@
 
     private final Asked.Book book;
     private final Supplier<Duration> clock;
-    private final Consumer<Consumer<Core>> events;
+    private final Consumer<Consumer<RouterCore>> events;
     private final Bounds bounds;
     private final Consumer<String> log;
     private final AtomicInteger connected = new AtomicInteger();
@@ -77,7 +77,7 @@
 
     /** {@code clock} is the router's, {@code events} its loop. */
     public Door(RouterSettings terms, Map<String, Integer> workloads, Map<String, Integer> customers, Bounds bounds,
-                Supplier<Duration> clock, Consumer<Consumer<Core>> events, Consumer<String> log) {
+                Supplier<Duration> clock, Consumer<Consumer<RouterCore>> events, Consumer<String> log) {
         this.log = log;
         this.book = new Asked.Book(terms, workloads, customers);
         this.bounds = bounds;
@@ -172,10 +172,10 @@
     }
 
     /** Fails what is still held, as nothing of it can be waited for any more. */
-    public void endAll(Core c) {
+    public void endAll(RouterCore c) {
         for (Visit v : visits) {
             v.open.forEach((number, call) -> send(v, Replies.declared("submit", number, 2, Map.of())));
-            for (Call x : List.copyOf(v.open.values())) { gone(c, x); }
+            for (PendingRequest x : List.copyOf(v.open.values())) { gone(c, x); }
             v.open.clear();
         }
     }
@@ -188,7 +188,7 @@
     /** As the selectors know them. */
     public int connected() { return connected.get(); }
 
-    private void came(Core c, Visit v) {
+    private void came(RouterCore c, Visit v) {
         visits.add(v);
         if (!v.link.open()) {
             visits.remove(v);
@@ -217,29 +217,29 @@
         return !v.spoke && now.minus(v.heard).compareTo(bounds.arrival.dividedBy(MUTE)) > 0;
     }
 
-    private void left(Core c, Visit v, String why) {
+    private void left(RouterCore c, Visit v, String why) {
         visits.remove(v);
         if (!v.open.isEmpty()) { log.accept("a client's connection ended with " + v.open.size() + " calls held: " + why); }
-        for (Call x : List.copyOf(v.open.values())) { gone(c, x); }
+        for (PendingRequest x : List.copyOf(v.open.values())) { gone(c, x); }
         v.open.clear();
     }
 
-    private void gone(Core c, Call x) {
+    private void gone(RouterCore c, PendingRequest x) {
         over(x);
         c.clientLeft(x);
     }
 
-    private void over(Call call) {
+    private void over(PendingRequest call) {
         holders.remove(call.id);
         heldBytes -= call.body.length;
     }
 
-    private void message(Core c, Visit v, Message m, Duration came) {
+    private void message(RouterCore c, Visit v, Message m, Duration came) {
         if (!v.link.open()) { return; }
         v.heard = c.now();
         if (m.method().equals("revoke")) {
             v.revoked.remove(m.first());
-            Call x = v.open.remove(m.first());
+            PendingRequest x = v.open.remove(m.first());
             if (x != null) { gone(c, x); }
             return;
         }
@@ -248,13 +248,13 @@
             v.link.close("two requests under one number, or too many open"); // an answer could be read as the other's
             return;
         }
-        Call call;
+        PendingRequest call;
         try {
-            call = Asked.read(m, book, came, new Asker() {
-                @Override public void answered(Call x, Answer a) { Door.this.answered(v, m, x, a); }
+            call = Asked.read(m, book, came, new ResponseListener() {
+                @Override public void answered(PendingRequest x, Response a) { Door.this.answered(v, m, x, a); }
 
                 /** Within half a second it only earns nothing; a call without its final answer is lost. */
-                @Override public void overdue(Call x, Answer late) { Door.this.answered(v, m, x, late); }
+                @Override public void overdue(PendingRequest x, Response late) { Door.this.answered(v, m, x, late); }
 
                 @Override public boolean gone() { return !v.link.open() || v.revoked.contains(m.number()); }
             });
@@ -290,12 +290,12 @@
             comeBack == null ? Map.of() : Map.of("cooldown", String.valueOf(Math.max(1, comeBack.toMillis())))));
     }
 
-    private void done(Visit v, Message m, Call x) {
+    private void done(Visit v, Message m, PendingRequest x) {
         v.open.remove(m.number());
         over(x);
     }
 
-    private void answered(Visit v, Message m, Call x, Answer a) {
+    private void answered(Visit v, Message m, PendingRequest x, Response a) {
         done(v, m, x);
         switch (a.kind()) {
             case FINISHED -> send(v, Replies.answer(m.method(), m.number(), a.body(), true));
--- a/src/main/java/switchgap/thrift/Replies.java
+++ b/src/main/java/switchgap/thrift/Replies.java
@@ -12,7 +12,7 @@
 
     private Replies() { }
 
-    /** {@code Answer}: the result's field 0. */
+    /** {@code Response}: the result's field 0. */
     static byte[] answer(String method, int number, byte[] body, boolean good) {
         ByteBuffer b = begin(Message.REPLY, method, number, 40 + body.length);
         field(b, Message.STRUCT, 0);
--- a/src/main/java/switchgap/workers/Asked.java
+++ b/src/main/java/switchgap/workers/Asked.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.router.Seen;
+import switchgap.router.WorkerEntry;
 import switchgap.wire.HttpLink;
 
 /**
@@ -19,10 +19,10 @@
     private State state = State.WAITING;
     private HttpLink link;
     private long expires = Long.MAX_VALUE;
-    private final Seen worker;
+    private final WorkerEntry worker;
     Pool pool;
 
-    Asked(Seen worker, String method, String path, Map<String, String> headers, byte[] body) {
+    Asked(WorkerEntry worker, String method, String path, Map<String, String> headers, byte[] body) {
         this.worker = worker;
         this.method = method;
         this.path = path;
--- a/src/main/java/switchgap/workers/Inference.java
+++ b/src/main/java/switchgap/workers/Inference.java
@@ -10,13 +10,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.router.Answer;
-import switchgap.router.Core;
-import switchgap.router.Loads;
-import switchgap.router.Order;
-import switchgap.router.Outside;
-import switchgap.router.Run;
-import switchgap.router.Seen;
+import switchgap.router.Attempt;
+import switchgap.router.LoadReport;
+import switchgap.router.Response;
+import switchgap.router.RouterCore;
+import switchgap.router.WorkerCommand;
+import switchgap.router.WorkerEntry;
+import switchgap.router.WorkerTransport;
 import switchgap.wire.Carriers;
 import switchgap.wire.HttpLink;
 
@@ -26,7 +26,7 @@
  * 429 or 503, each only with {@code named_metrics.executed=0} in its load report; any other reply that is no 2xx may
  * have run. Docs: docs/router.md.
  */
-public final class Inference implements Outside {
+public final class Inference implements WorkerTransport {
     /** Bounds of the links: connections and exchanges waiting for one, each a worker; spans of connect and idling. */
     public record Links(int connections, int waiting, Duration connectWithin, Duration idle) { }
 
@@ -36,11 +36,11 @@
     private final HttpLink.Opener opener;
     private final Links bounds;
     private final Carriers carriers;
-    private final Consumer<Consumer<Core>> events;
+    private final Consumer<Consumer<RouterCore>> events;
     private final Runnable askList;
     private final Set<Pool> pools = ConcurrentHashMap.newKeySet();
 
-    public Inference(HttpLink.Opener opener, Links bounds, Carriers carriers, Consumer<Consumer<Core>> events,
+    public Inference(HttpLink.Opener opener, Links bounds, Carriers carriers, Consumer<Consumer<RouterCore>> events,
                      Runnable askList) {
         this.opener = opener;
         this.bounds = bounds;
@@ -52,7 +52,7 @@
     /** A worker's links: an order holds its link for as long as a load takes, so orders have links of their own. */
     private record Both(Pool jobs, Pool orders) { }
 
-    private Both both(Seen w) {
+    private Both both(WorkerEntry w) {
         Both b = (Both) w.links;
         if (b == null) {
             b = new Both(pool(w), pool(w));
@@ -63,7 +63,7 @@
         return b;
     }
 
-    private Pool pool(Seen w) {
+    private Pool pool(WorkerEntry w) {
         return new Pool(opener, new InetSocketAddress(w.host, w.port), bounds.connections(), bounds.waiting(),
             bounds.connectWithin());
     }
@@ -73,7 +73,7 @@
         pools.forEach(p -> p.sweep(bounds.idle()));
     }
 
-    @Override public void refuses(Seen worker, boolean forGood) {
+    @Override public void refuses(WorkerEntry worker, boolean forGood) {
         if (!(worker.links instanceof Both b)) { return; }
         for (Pool p : new Pool[] {b.jobs, b.orders}) {
             if (forGood) {
@@ -97,14 +97,14 @@
         return "/v2/repository/models/" + URLEncoder.encode(function, StandardCharsets.UTF_8) + "/" + what;
     }
 
-    @Override public void send(Run run, Duration allow) {
+    @Override public void send(Attempt run, Duration allow) {
         Map<String, String> headers = new HashMap<>();
         headers.put("X-Request-Id", run.name());
         if (run.call.contentType != null) { headers.put("Content-Type", run.call.contentType); }
         if (run.call.fingerprint != null) { headers.put("Idempotency-Key", run.call.fingerprint); }
         Asked a = new Asked(run.worker, "POST", model(run.call.function) + "/infer", headers, run.call.body) {
             @Override void unsent(AttemptOutcome end, String why) {
-                events.accept(c -> c.executionEnded(run, end, Loads.UNTOLD, null));
+                events.accept(c -> c.executionEnded(run, end, LoadReport.UNTOLD, null));
             }
 
             @Override void replied(int status, Map<String, String> head, byte[] content) {
@@ -115,12 +115,12 @@
                 }
                 Orca orca = Orca.read(head);
                 AttemptOutcome end = proof(status, orca);
-                Answer answer = end == AttemptOutcome.FINISHED ? Answer.finished(status, passedOn(head), content) : null;
+                Response answer = end == AttemptOutcome.FINISHED ? Response.finished(status, passedOn(head), content) : null;
                 events.accept(c -> c.executionEnded(run, end, orca.loads(), answer));
             }
 
             @Override void lost(String why) {
-                events.accept(c -> c.executionEnded(run, AttemptOutcome.BROKEN, Loads.UNTOLD, null));
+                events.accept(c -> c.executionEnded(run, AttemptOutcome.BROKEN, LoadReport.UNTOLD, null));
             }
         };
         run.exchange = a;
@@ -145,17 +145,17 @@
         return on;
     }
 
-    @Override public AttemptOutcome abandon(Run run) {
+    @Override public AttemptOutcome abandon(Attempt run) {
         return run.exchange instanceof Asked a ? a.abandon() : AttemptOutcome.TIMED_OUT;
     }
 
-    @Override public void abandon(Order order) {
+    @Override public void abandon(WorkerCommand order) {
         if (order.exchange instanceof Asked a) { a.abandon(); }
     }
 
     /** An exchange of an order or a probe: its end by what came of it. */
     private abstract class Errand extends Asked {
-        Errand(Seen worker, String method, String path, byte[] content) {
+        Errand(WorkerEntry worker, String method, String path, byte[] content) {
             super(worker, method, path, content.length == 0 ? Map.of() : Map.of("Content-Type", "application/json"), content);
         }
 
@@ -171,12 +171,12 @@
         @Override void lost(String why) { end(AttemptOutcome.BROKEN, Orca.read(Map.of())); }
     }
 
-    private void go(Seen worker, Order order, Asked a) {
+    private void go(WorkerEntry worker, WorkerCommand order, Asked a) {
         order.exchange = a;
         both(worker).orders().ask(a);
     }
 
-    @Override public void hold(Seen worker, String function, int copies, Order order) {
+    @Override public void hold(WorkerEntry worker, String function, int copies, WorkerCommand order) {
         byte[] content = copies == 0 ? NOTHING
             : ("{\"parameters\":{\"copies\":" + copies + "}}").getBytes(StandardCharsets.UTF_8);
         Asked a = new Errand(worker, copies == 0 ? "GET" : "POST",
@@ -190,7 +190,7 @@
         go(worker, order, a);
     }
 
-    @Override public void drop(Seen worker, String function, Order order) {
+    @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) {
         Asked a = new Errand(worker, "POST", repository(function, "unload"),
             "{\"parameters\":{\"idle_only\":true}}".getBytes(StandardCharsets.UTF_8)) {
             @Override void end(AttemptOutcome end, Orca orca) { events.accept(c -> c.dropEnded(order)); }
@@ -198,7 +198,7 @@
         go(worker, order, a);
     }
 
-    @Override public void probe(Seen worker, Order order) {
+    @Override public void probe(WorkerEntry worker, WorkerCommand order) {
         Asked a = new Errand(worker, "GET", "/v2/health/ready", NOTHING) {
             @Override void end(AttemptOutcome end, Orca orca) { events.accept(c -> c.probed(order, end, orca.loads())); }
         };
--- a/src/main/java/switchgap/workers/Orca.java
+++ b/src/main/java/switchgap/workers/Orca.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.Map;
-import switchgap.router.Loads;
+import switchgap.router.LoadReport;
 
 /**
  * Load reports in the response header {@code endpoint-load-metrics} of the Open Request Cost Aggregation format, in
@@ -63,9 +63,9 @@
     }
 
     /** The part of the report that the module uses. */
-    Loads loads() {
+    LoadReport loads() {
         double crowd = named("crowd");
-        return new Loads(values.getOrDefault("cpu_utilization", Double.NaN), named("inflight"), named("queue"),
+        return new LoadReport(values.getOrDefault("cpu_utilization", Double.NaN), named("inflight"), named("queue"),
             Double.isNaN(crowd) ? -1 : (int) Math.min(crowd, Integer.MAX_VALUE));
     }
 }
--- a/src/test/java/switchgap/LayersTest.java
+++ b/src/test/java/switchgap/LayersTest.java
@@ -26,7 +26,7 @@
             .layer("edges").definedBy("switchgap.workers", "switchgap.list", "switchgap.invoke", "switchgap.link")
             .layer("stated").definedBy("switchgap.stated")
             .layer("json").definedBy("switchgap.json")
-            .layer("loop").definedBy("switchgap.loop")
+            .layer("loop").definedBy("switchgap.eventloop")
             .layer("platform's edges").definedBy("switchgap.thrift", "switchgap.resp", "switchgap.controlfeed")
             .layer("platform").definedBy("switchgap.platform")
             .layer("gateway").definedBy("switchgap.gateway")
--- a/src/test/java/switchgap/controlfeed/FollowTest.java
+++ b/src/test/java/switchgap/controlfeed/FollowTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import switchgap.platform.Feed;
 import switchgap.policy.api.WorkerState;
-import switchgap.router.Listed;
+import switchgap.router.EndpointUpdate;
 import switchgap.wire.HttpLink;
 import switchgap.wire.Net;
 
@@ -44,7 +44,7 @@
         Event e = Event.read(Feed.event(41, true, Feed.worker("s-1", "10.1.0.9:10080", "SERVING", 1500)), BOOK);
         assertThat(e.number()).isEqualTo(41);
         assertThat(e.whole()).isTrue();
-        assertThat(e.workers()).containsExactly(new Listed("s-1", "10.1.0.9", 10080, WorkerState.READY, 0, 2, 0, 4, Duration.ofMillis(500)));
+        assertThat(e.workers()).containsExactly(new EndpointUpdate("s-1", "10.1.0.9", 10080, WorkerState.READY, 0, 2, 0, 4, Duration.ofMillis(500)));
         assertThat(Event.read("{\"n\":5,\"news\":{}}", BOOK).workers()).isNull();
     }
 
--- a/src/test/java/switchgap/loop/LoopTest.java
+++ b/src/test/java/switchgap/eventloop/EventLoopTest.java
@@ -1,4 +1,4 @@
-package switchgap.loop;
+package switchgap.eventloop;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,18 +10,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import switchgap.platform.TestTerms;
 import switchgap.policy.api.RouterSettings;
-import switchgap.router.Core;
-import switchgap.router.Outside;
+import switchgap.router.RouterCore;
+import switchgap.router.WorkerTransport;
 
 /** A loop whose thread is gone serves nobody: whatever ends it is told. */
-class LoopTest {
+class EventLoopTest {
     @ParameterizedTest @ValueSource(ints = {1, 2})
     void anErrorInAnyRoundIsToldTheFirstToo(int round) throws Exception {
         RouterSettings terms = TestTerms.terms();
-        Outside nothing = (Outside) Proxy.newProxyInstance(LoopTest.class.getClassLoader(), new Class<?>[] {Outside.class}, (p, m, a) -> null);
+        WorkerTransport nothing = (WorkerTransport) Proxy.newProxyInstance(EventLoopTest.class.getClassLoader(), new Class<?>[] {WorkerTransport.class}, (p, m, a) -> null);
         int[] rounds = {0};
         CompletableFuture<Throwable> told = new CompletableFuture<>();
-        Loop loop = new Loop(l -> new Core(terms, (now, in, out) -> {
+        EventLoop loop = new EventLoop(l -> new RouterCore(terms, (now, in, out) -> {
             if (++rounds[0] == round) { throw new StackOverflowError("planted"); }
         }, nothing, Duration.ofSeconds(1), Duration.ofSeconds(1), 10), "planted", late -> { }, told::complete);
         loop.start();
--- a/src/test/java/switchgap/gateway/PlannedTest.java
+++ b/src/test/java/switchgap/gateway/PlannedTest.java
@@ -13,33 +13,33 @@
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.policy.api.PolicyEvents;
 import switchgap.policy.api.WorkerState;
-import switchgap.router.Call;
-import switchgap.router.Core;
-import switchgap.router.Listed;
-import switchgap.router.Loads;
-import switchgap.router.Order;
-import switchgap.router.Outside;
-import switchgap.router.Run;
-import switchgap.router.Seen;
+import switchgap.router.Attempt;
+import switchgap.router.EndpointUpdate;
+import switchgap.router.LoadReport;
+import switchgap.router.PendingRequest;
+import switchgap.router.RouterCore;
+import switchgap.router.WorkerCommand;
+import switchgap.router.WorkerEntry;
+import switchgap.router.WorkerTransport;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
 import switchgap.testing.ReachableObjects;
 
 /** Days of load orders through the edge's part for the planner: none running, one that goes, one that stays. */
-class PlannedTest implements Outside {
-    private final List<Consumer<Core>> next = new ArrayList<>();
+class PlannedTest implements WorkerTransport {
+    private final List<Consumer<RouterCore>> next = new ArrayList<>();
     private final PageTerms terms = new PageTerms(Page.read("t", Served.TERMS));
     private final Planned planned = new Planned(this, terms, Duration.ofMillis(60), next::add);
     private final PolicyEvents nothing = (PolicyEvents) Proxy.newProxyInstance(PolicyEvents.class.getClassLoader(), new Class<?>[] {PolicyEvents.class}, (p, m, a) -> null);
     private int ordered;
-    private final Core core = new Core(terms, (now, in, out) -> {
+    private final RouterCore core = new RouterCore(terms, (now, in, out) -> {
         in.into(nothing);
         if (ordered > 0) { out.hold(0, 0, 1); }
     }, planned, Duration.ofSeconds(1), Duration.ofSeconds(1), 10);
 
     private void rounds(int n, long from) {
         for (int i = 0; i < n; i++) {
-            List<Consumer<Core>> now = List.copyOf(next);
+            List<Consumer<RouterCore>> now = List.copyOf(next);
             next.clear();
             core.round(Duration.ofMillis(from + i), now);
         }
@@ -47,8 +47,8 @@
 
     @Test void ordersThatHaveEndedAreNotKept() {
         next.add(c -> {
-            c.list(true, List.of(new Listed("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
-            c.callCame(new Call("c", "again-1", 0, -1, Duration.ofDays(9), null, null, null, new byte[0], 1, 1, null, false, null));
+            c.list(true, List.of(new EndpointUpdate("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
+            c.callCame(new PendingRequest("c", "again-1", 0, -1, Duration.ofDays(9), null, null, null, new byte[0], 1, 1, null, false, null));
         });
         rounds(1, 0);
         long before = ReachableObjects.by(planned);
@@ -75,8 +75,8 @@
                 Plan p = planner.plan(t);
                 return p != null && next.add(x -> planned.plan(x, p));
             });
-            c.list(true, List.of(new Listed("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
-            c.callCame(new Call("c", "again-1", 0, -1, Duration.ofDays(9), null, null, null, new byte[0], 1, 1, null, false, null));
+            c.list(true, List.of(new EndpointUpdate("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
+            c.callCame(new PendingRequest("c", "again-1", 0, -1, Duration.ofDays(9), null, null, null, new byte[0], 1, 1, null, false, null));
             planned.linked(c, 1);
         });
         rounds(1000, 0);
@@ -90,19 +90,19 @@
         assertThat(planned.counts()[0]).isEqualTo(1); // it went out at the planner's word
     }
 
-    @Override public void hold(Seen worker, String function, int copies, Order order) {
+    @Override public void hold(WorkerEntry worker, String function, int copies, WorkerCommand order) {
         next.add(c -> c.orderEnded(order, AttemptOutcome.FINISHED, 1));
     }
 
-    @Override public void send(Run run, Duration allow) { }
+    @Override public void send(Attempt run, Duration allow) { }
 
-    @Override public AttemptOutcome abandon(Run run) { return AttemptOutcome.TIMED_OUT; }
+    @Override public AttemptOutcome abandon(Attempt run) { return AttemptOutcome.TIMED_OUT; }
 
-    @Override public void drop(Seen worker, String function, Order order) { }
+    @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) { }
 
-    @Override public void probe(Seen worker, Order order) { next.add(c -> c.probed(order, AttemptOutcome.FINISHED, Loads.UNTOLD)); }
+    @Override public void probe(WorkerEntry worker, WorkerCommand order) { next.add(c -> c.probed(order, AttemptOutcome.FINISHED, LoadReport.UNTOLD)); }
 
-    @Override public void abandon(Order order) { }
+    @Override public void abandon(WorkerCommand order) { }
 
     @Override public void list() { }
 }
--- a/src/test/java/switchgap/resp/ReaderTest.java
+++ b/src/test/java/switchgap/resp/ReaderTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.router.Loads;
+import switchgap.router.LoadReport;
 
 /** The workers' protocol: split at every byte, at and past each bound, and what each word proves. */
 class ReaderTest {
@@ -79,10 +79,10 @@
 
     /** Seen on a calm day: reports bear the settings' words, not the page's, and the module was told of no load at all. */
     @Test void loadsAreReadByEitherWord() throws Exception {
-        assertThat(reply("data", "crowd=2,report=load_share:0.61;concurrent:7.5").loads(true)).isEqualTo(new Loads(0.61, 7.5, Double.NaN, 2));
-        assertThat(reply("full", "report=util:0.5;inflight:3;queue:1").loads(true)).isEqualTo(new Loads(0.5, 3, 1, 0));
-        assertThat(reply("absent", "-").loads(true)).isEqualTo(Loads.UNTOLD);
-        assertThat(reply("data", "report=util:NaN;inflight:-4;queue:1e99").loads(false)).isEqualTo(Loads.UNTOLD);
+        assertThat(reply("data", "crowd=2,report=load_share:0.61;concurrent:7.5").loads(true)).isEqualTo(new LoadReport(0.61, 7.5, Double.NaN, 2));
+        assertThat(reply("full", "report=util:0.5;inflight:3;queue:1").loads(true)).isEqualTo(new LoadReport(0.5, 3, 1, 0));
+        assertThat(reply("absent", "-").loads(true)).isEqualTo(LoadReport.UNTOLD);
+        assertThat(reply("data", "report=util:NaN;inflight:-4;queue:1e99").loads(false)).isEqualTo(LoadReport.UNTOLD);
         assertThatThrownBy(() -> reply("data", "noise")).isInstanceOf(Reader.Unreadable.class);
         assertThatThrownBy(() -> Reply.of(new byte[][] {{}, {}})).isInstanceOf(Reader.Unreadable.class);
     }
--- a/src/test/java/switchgap/router/BoundsTest.java
+++ b/src/test/java/switchgap/router/BoundsTest.java
@@ -11,37 +11,37 @@
 
 /** Tables of the core at their bounds. */
 class BoundsTest {
-    private static Answer answer(int bytes) { return Answer.finished(200, Map.of(), new byte[bytes]); }
+    private static Response answer(int bytes) { return Response.finished(200, Map.of(), new byte[bytes]); }
 
     @Test void deferredResultsMakeRoomOldestFirstAndCallsThatAreHeldNever() {
-        Deferred d = new Deferred("p", Duration.ofMinutes(5), 3, 1000);
-        List<Deferred.Entry> e = new ArrayList<>(List.of(d.open(), d.open(), d.open()));
+        DeferredResults d = new DeferredResults("p", Duration.ofMinutes(5), 3, 1000);
+        List<DeferredResults.Entry> e = new ArrayList<>(List.of(d.open(), d.open(), d.open()));
         assertThat(d.open()).isNull(); // all held
         e.get(1).answered(null, answer(10));
         e.get(0).answered(null, answer(10));
         assertThat(d.open()).isNotNull(); // the oldest result went
-        assertThat(d.known(d.id(e.get(1)))).isEqualTo(Deferred.Known.GONE);
-        assertThat(d.known(d.id(e.get(0)))).isEqualTo(Deferred.Known.ENDED);
-        assertThat(d.known(d.id(e.get(2)))).isEqualTo(Deferred.Known.HELD);
+        assertThat(d.known(d.id(e.get(1)))).isEqualTo(DeferredResults.Status.GONE);
+        assertThat(d.known(d.id(e.get(0)))).isEqualTo(DeferredResults.Status.ENDED);
+        assertThat(d.known(d.id(e.get(2)))).isEqualTo(DeferredResults.Status.HELD);
         assertThat(d.size()).isEqualTo(3);
     }
 
     @Test void deferredBytesAreBoundedAndComeBackToNone() {
-        Deferred d = new Deferred("p", Duration.ofMinutes(5), 100, 1000);
-        List<Deferred.Entry> e = new ArrayList<>();
+        DeferredResults d = new DeferredResults("p", Duration.ofMinutes(5), 100, 1000);
+        List<DeferredResults.Entry> e = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             e.add(d.open());
             e.get(i).answered(null, answer(300));
         }
-        assertThat(e.stream().filter(x -> d.known(d.id(x)) == Deferred.Known.ENDED).count()).isEqualTo(3);
+        assertThat(e.stream().filter(x -> d.known(d.id(x)) == DeferredResults.Status.ENDED).count()).isEqualTo(3);
         d.tick(Duration.ofMinutes(6));
         assertThat(d.size()).isZero();
         assertThat(ReachableObjects.field(d, "bytes")).isEqualTo(0L);
     }
 
     @Test void eightWaitForADeferredCallAndANinthIsAnsweredAtOnce() {
-        Deferred d = new Deferred("p", Duration.ofMinutes(5), 3, 1000);
-        Deferred.Entry e = d.open();
+        DeferredResults d = new DeferredResults("p", Duration.ofMinutes(5), 3, 1000);
+        DeferredResults.Entry e = d.open();
         int[] told = {0};
         for (int i = 0; i < 8; i++) { assertThat(d.await(e, x -> told[0]++)).isTrue(); }
         assertThat(d.await(e, x -> told[0]++)).isFalse();
@@ -50,7 +50,7 @@
     }
 
     @Test void stoppedTimersDoNotPileUp() {
-        Timers t = new Timers();
+        TimerQueue t = new TimerQueue();
         for (int i = 0; i < 1_000_000; i++) { t.stop(t.at(Duration.ofSeconds(10 + i), () -> { })); }
         assertThat(ReachableObjects.by(t)).isLessThan(4000);
         assertThat(t.size()).isZero();
@@ -58,7 +58,7 @@
     }
 
     @Test void namesThatAreReleasedAreHandedOutAgain() {
-        Names n = new Names();
+        NameIndex n = new NameIndex();
         for (int i = 0; i < 100_000; i++) { n.release(n.add("n" + i)); }
         assertThat(n.add("last")).isZero();
         assertThat(ReachableObjects.by(n)).isLessThan(10);
--- a/src/test/java/switchgap/router/CoreOverDaysTest.java
+++ b/src/test/java/switchgap/router/RouterCoreLongRunTest.java
@@ -17,7 +17,7 @@
 import switchgap.testing.ReachableObjects;
 
 /** The core under the module for simulated days: workers replaced by others for ever, functions asked for once, clients that leave. */
-class CoreOverDaysTest implements Outside, Asker {
+class RouterCoreLongRunTest implements WorkerTransport, ResponseListener {
     private static final String TERMS = """
         router: {number: 0, of: 3, tick: 5ms, executions: 3}
         workloads:
@@ -27,14 +27,14 @@
         workers: {miss: answers, orders: true, keep_alive: 10s}
         prices: {memory: 0.05}
         """;
-    private final TreeMap<Duration, List<Consumer<Core>>> due = new TreeMap<>();
+    private final TreeMap<Duration, List<Consumer<RouterCore>>> due = new TreeMap<>();
     private final SplittableRandom draw = new SplittableRandom(3);
-    private final Core core = new Core(new PageTerms(Page.read("t", TERMS)), 1, this, Duration.ofSeconds(10), Duration.ofMillis(250), 500);
+    private final RouterCore core = new RouterCore(new PageTerms(Page.read("t", TERMS)), 1, this, Duration.ofSeconds(10), Duration.ofMillis(250), 500);
     private final List<String> fleet = new ArrayList<>(List.of("w0", "w1", "w2", "w3"));
     private Duration now = Duration.ZERO;
     private int names = 4, taken, answers, overdue, refused, left;
 
-    private void later(long millis, Consumer<Core> e) {
+    private void later(long millis, Consumer<RouterCore> e) {
         due.computeIfAbsent(now.plusMillis(millis), t -> new ArrayList<>()).add(e);
     }
 
@@ -45,21 +45,21 @@
             Duration next = a == null || b != null && b.compareTo(a) < 0 ? b : a;
             if (next == null || next.compareTo(end) > 0) { return; }
             now = next.compareTo(now) < 0 ? now : next;
-            List<Consumer<Core>> events = new ArrayList<>();
+            List<Consumer<RouterCore>> events = new ArrayList<>();
             while (!due.isEmpty() && due.firstKey().compareTo(now) <= 0) { events.addAll(due.pollFirstEntry().getValue()); }
             core.round(now, events);
         }
     }
 
-    private void list(Core c) {
-        List<Listed> lines = new ArrayList<>();
-        for (String n : fleet) { lines.add(new Listed(n, "h", 1 + draw.nextInt(3) / 2, WorkerState.READY, 0, 0, 0, 1, null)); }
+    private void list(RouterCore c) {
+        List<EndpointUpdate> lines = new ArrayList<>();
+        for (String n : fleet) { lines.add(new EndpointUpdate(n, "h", 1 + draw.nextInt(3) / 2, WorkerState.READY, 0, 0, 0, 1, null)); }
         c.list(true, lines);
     }
 
-    private void call(Core c) {
+    private void call(RouterCore c) {
         String f = draw.nextInt(4) == 0 ? "f-once-" + draw.nextInt(1_000_000) : "f" + draw.nextInt(20);
-        Call call = new Call("c", f, draw.nextInt(2), -1, now.plusMillis(300 + draw.nextInt(1700)), null, null, null, new byte[0], 1, 4,
+        PendingRequest call = new PendingRequest("c", f, draw.nextInt(2), -1, now.plusMillis(300 + draw.nextInt(1700)), null, null, null, new byte[0], 1, 4,
             null, false, this);
         if (!c.callCame(call)) {
             refused++;
@@ -68,7 +68,7 @@
         taken++;
         if (draw.nextInt(30) == 0) {
             later(draw.nextInt(200), x -> {
-                left += call.state() == Call.State.HELD ? 1 : 0;
+                left += call.state() == PendingRequest.State.HELD ? 1 : 0;
                 x.clientLeft(call);
             });
         }
@@ -99,36 +99,36 @@
         assertThat(answers + overdue + left).isEqualTo(taken);
         assertThat(overdue).isZero();
         assertThat(refused).isZero();
-        assertThat(((Names) ReachableObjects.field(core, "functions")).size()).isLessThan(60);
+        assertThat(((NameIndex) ReachableObjects.field(core, "functions")).size()).isLessThan(60);
         assertThat((Map<?, ?>) ReachableObjects.field(core, "seen")).hasSizeLessThan(8);
     }
 
     // ---- the seam
 
-    @Override public void send(Run run, Duration allow) {
+    @Override public void send(Attempt run, Duration allow) {
         AttemptOutcome end = draw.nextInt(5) > 0 ? AttemptOutcome.FINISHED : AttemptOutcome.values()[draw.nextInt(AttemptOutcome.values().length)];
         if (end == AttemptOutcome.TIMED_OUT) { return; } // never answers
-        later(1 + draw.nextInt(400), c -> c.executionEnded(run, end, Loads.UNTOLD, Answer.finished(200, Map.of(), new byte[0])));
+        later(1 + draw.nextInt(400), c -> c.executionEnded(run, end, LoadReport.UNTOLD, Response.finished(200, Map.of(), new byte[0])));
     }
 
-    @Override public AttemptOutcome abandon(Run run) { return AttemptOutcome.TIMED_OUT; }
+    @Override public AttemptOutcome abandon(Attempt run) { return AttemptOutcome.TIMED_OUT; }
 
-    @Override public void hold(Seen w, String f, int copies, Order o) {
+    @Override public void hold(WorkerEntry w, String f, int copies, WorkerCommand o) {
         if (draw.nextInt(20) == 0) { return; } // never ends by itself
         later(1 + draw.nextInt(2000), c -> c.orderEnded(o, AttemptOutcome.FINISHED, 1));
     }
 
-    @Override public void drop(Seen worker, String function, Order order) {
+    @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) {
         if (draw.nextBoolean()) { later(5, c -> c.dropEnded(order)); }
     }
 
-    @Override public void probe(Seen worker, Order order) { later(2, c -> c.probed(order, AttemptOutcome.FINISHED, Loads.UNTOLD)); }
+    @Override public void probe(WorkerEntry worker, WorkerCommand order) { later(2, c -> c.probed(order, AttemptOutcome.FINISHED, LoadReport.UNTOLD)); }
 
-    @Override public void abandon(Order order) { }
+    @Override public void abandon(WorkerCommand order) { }
 
     @Override public void list() { }
 
-    @Override public void answered(Call c, Answer a) { answers++; }
+    @Override public void answered(PendingRequest c, Response a) { answers++; }
 
-    @Override public void overdue(Call c, Answer late) { overdue++; }
+    @Override public void overdue(PendingRequest c, Response late) { overdue++; }
 }
--- a/src/test/java/switchgap/router/CoreTest.java
+++ b/src/test/java/switchgap/router/RouterCoreTest.java
@@ -14,7 +14,7 @@
 import switchgap.terms.PageTerms;
 
 /** The core on a clock that the test moves: limits, pauses, late ends, and nothing left behind. */
-class CoreTest implements Outside, Asker {
+class RouterCoreTest implements WorkerTransport, ResponseListener {
     private static final String TERMS = """
         router: {number: 0, of: 1, tick: 5ms, executions: 3}
         workloads:
@@ -22,10 +22,10 @@
           once: {start_target: 300ms, time_limit: 900ms, repeat: run-once}
         functions: {f: {workload: again, memory: 1, lanes: 100}}
         """;
-    private final List<Consumer<Core>> next = new ArrayList<>();
-    private final List<Run> sent = new ArrayList<>();
+    private final List<Consumer<RouterCore>> next = new ArrayList<>();
+    private final List<Attempt> sent = new ArrayList<>();
     private final List<String> said = new ArrayList<>();
-    private final Core core = new Core(new PageTerms(Page.read("t", TERMS)), 1, this, ms(500), ms(50), 2);
+    private final RouterCore core = new RouterCore(new PageTerms(Page.read("t", TERMS)), 1, this, ms(500), ms(50), 2);
     private Duration at = Duration.ZERO;
     private AttemptOutcome proves = AttemptOutcome.TIMED_OUT;
 
@@ -33,7 +33,7 @@
 
     private void at(long millis) {
         at = ms(millis);
-        List<Consumer<Core>> now = List.copyOf(next);
+        List<Consumer<RouterCore>> now = List.copyOf(next);
         next.clear();
         core.round(at, now);
     }
@@ -46,33 +46,33 @@
     }
 
     private void list(String... names) {
-        List<Listed> all = new ArrayList<>();
-        for (String n : names) { all.add(new Listed(n, "h", 1, WorkerState.READY, 0, 0, 0, 1, null)); }
+        List<EndpointUpdate> all = new ArrayList<>();
+        for (String n : names) { all.add(new EndpointUpdate(n, "h", 1, WorkerState.READY, 0, 0, 0, 1, null)); }
         next.add(c -> c.list(true, all));
     }
 
-    private Call call(int workload, String function) {
-        Call c = new Call("c" + said.size(), function, workload, -1, at.plus(ms(900)), null, null, null, new byte[0], 1, 100,
+    private PendingRequest call(int workload, String function) {
+        PendingRequest c = new PendingRequest("c" + said.size(), function, workload, -1, at.plus(ms(900)), null, null, null, new byte[0], 1, 100,
             null, false, this);
         next.add(x -> said.add(x.callCame(c) ? "taken" : "not taken"));
         return c;
     }
 
-    private void finish(Run r) {
-        next.add(c -> c.executionEnded(r, AttemptOutcome.FINISHED, Loads.UNTOLD, Answer.finished(200, Map.of(), new byte[0])));
+    private void finish(Attempt r) {
+        next.add(c -> c.executionEnded(r, AttemptOutcome.FINISHED, LoadReport.UNTOLD, Response.finished(200, Map.of(), new byte[0])));
     }
 
     @Test void aPauseOverALimitEndsInSilenceAndSendsNothing() {
         list("a", "b");
-        Call c = call(1, "f");
+        PendingRequest c = call(1, "f");
         at(0);
         assertThat(sent).hasSize(1);
-        Call waits = call(0, "f");
+        PendingRequest waits = call(0, "f");
         finish(sent.get(0)); // came during the pause
         at(2000);
         assertThat(said).contains("overdue").doesNotContain("FINISHED", "KILLED", "PUSHED_BACK");
-        assertThat(c.state()).isEqualTo(Call.State.OVERDUE);
-        assertThat(waits.state()).isIn(Call.State.OVERDUE, Call.State.REFUSED);
+        assertThat(c.state()).isEqualTo(PendingRequest.State.OVERDUE);
+        assertThat(waits.state()).isIn(PendingRequest.State.OVERDUE, PendingRequest.State.REFUSED);
         assertThat(sent).hasSize(1);
         assertThat(core.held()).isZero();
         assertThat(core.outstanding()).isZero();
@@ -113,7 +113,7 @@
 
     @Test void aClientThatLeftGetsNothingAndItsExecutionIsAbandoned() {
         list("a");
-        Call c = call(1, "f");
+        PendingRequest c = call(1, "f");
         at(0);
         next.add(x -> x.clientLeft(c));
         at(5);
@@ -128,10 +128,10 @@
         at(0);
         call(1, "f");
         at(1);
-        next.add(c -> c.executionEnded(sent.get(0), AttemptOutcome.MISS, Loads.UNTOLD, null)); // now a load is ordered at a
+        next.add(c -> c.executionEnded(sent.get(0), AttemptOutcome.MISS, LoadReport.UNTOLD, null)); // now a load is ordered at a
         at(2);
         next.clear(); // the load does not end
-        next.add(c -> c.list(false, List.of(new Listed("a", "h", 1, WorkerState.DRAINING, 0, 0, 0, 1, null))));
+        next.add(c -> c.list(false, List.of(new EndpointUpdate("a", "h", 1, WorkerState.DRAINING, 0, 0, 0, 1, null))));
         at(10);
         until(890);
         assertThat(sent).hasSize(1);
@@ -151,8 +151,8 @@
     @Test void aProbeOfAWorkerForgottenMeanwhileTouchesNoOther() {
         list("a");
         at(0);
-        Order o = new Order(new Seen("gone", "h", 1, 0), -1, Duration.ZERO);
-        next.add(c -> c.probed(o, AttemptOutcome.FINISHED, new Loads(1, 99, 99, -1))); // index 0 is now another worker's
+        WorkerCommand o = new WorkerCommand(new WorkerEntry("gone", "h", 1, 0), -1, Duration.ZERO);
+        next.add(c -> c.probed(o, AttemptOutcome.FINISHED, new LoadReport(1, 99, 99, -1))); // index 0 is now another worker's
         at(1);
         call(0, "f");
         at(2);
@@ -161,26 +161,26 @@
 
     // ---- the seam
 
-    @Override public void send(Run run, Duration allow) { sent.add(run); }
+    @Override public void send(Attempt run, Duration allow) { sent.add(run); }
 
-    @Override public AttemptOutcome abandon(Run run) {
+    @Override public AttemptOutcome abandon(Attempt run) {
         said.add("abandoned");
         return proves;
     }
 
-    @Override public void hold(Seen w, String f, int copies, Order o) {
+    @Override public void hold(WorkerEntry w, String f, int copies, WorkerCommand o) {
         next.add(c -> c.orderEnded(o, AttemptOutcome.FINISHED, Math.max(1, copies)));
     }
 
-    @Override public void drop(Seen worker, String function, Order order) { }
+    @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) { }
 
-    @Override public void probe(Seen worker, Order order) { }
+    @Override public void probe(WorkerEntry worker, WorkerCommand order) { }
 
-    @Override public void abandon(Order order) { }
+    @Override public void abandon(WorkerCommand order) { }
 
     @Override public void list() { }
 
-    @Override public void answered(Call c, Answer a) { said.add(a.kind().name()); }
+    @Override public void answered(PendingRequest c, Response a) { said.add(a.kind().name()); }
 
-    @Override public void overdue(Call c, Answer late) { said.add("overdue"); }
+    @Override public void overdue(PendingRequest c, Response late) { said.add("overdue"); }
 }
--- a/src/test/java/switchgap/router/LinksTest.java
+++ b/src/test/java/switchgap/router/WorkerConnectionsTest.java
@@ -26,23 +26,23 @@
 import switchgap.workers.Inference;
 
 /** The core and its links to workers on real sockets, under decisions that a test dictates. */
-class LinksTest implements Asker {
+class WorkerConnectionsTest implements ResponseListener {
     private static final String TERMS = """
         router: {number: 0, of: 1, tick: 5ms, executions: 3}
         workloads: {again: {start_target: 300ms, time_limit: 5s, repeat: restartable}}
         functions: {f: {workload: again, memory: 1, lanes: 100}}
         """;
-    private final ConcurrentLinkedQueue<Consumer<Core>> events = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<Consumer<RouterCore>> events = new ConcurrentLinkedQueue<>();
     private final List<Consumer<PolicyActions>> say = new ArrayList<>();
     private final List<String> heard = new CopyOnWriteArrayList<>();
     private final long born = System.nanoTime();
     private final Net net;
     private final Carriers carriers = new Carriers(1, "test-carrier");
     private Inference links;
-    private Core core;
+    private RouterCore core;
     private int jobs;
 
-    LinksTest() throws Exception { net = new Net(1, "test-links"); }
+    WorkerConnectionsTest() throws Exception { net = new Net(1, "test-links"); }
 
     private void links(int most) { links(most, 100); }
 
@@ -58,7 +58,7 @@
             }
             return null;
         });
-        core = new Core(new PageTerms(Page.read("t", TERMS)), (now, in, out) -> {
+        core = new RouterCore(new PageTerms(Page.read("t", TERMS)), (now, in, out) -> {
             in.into(feed);
             List.copyOf(say).forEach(s -> s.accept(out));
             say.clear();
@@ -68,8 +68,8 @@
     private Duration now() { return Duration.ofNanos(System.nanoTime() - born); }
 
     private void round() {
-        List<Consumer<Core>> all = new ArrayList<>();
-        for (Consumer<Core> e; (e = events.poll()) != null;) { all.add(e); }
+        List<Consumer<RouterCore>> all = new ArrayList<>();
+        for (Consumer<RouterCore> e; (e = events.poll()) != null;) { all.add(e); }
         core.round(now(), all);
     }
 
@@ -83,12 +83,12 @@
     }
 
     private void list(String host, int port, WorkerState s) {
-        events.add(c -> c.list(true, List.of(new Listed("w", host, port, s, 0, 0, 0, 1, null))));
+        events.add(c -> c.list(true, List.of(new EndpointUpdate("w", host, port, s, 0, 0, 0, 1, null))));
         round();
     }
 
     private int job() {
-        Call c = new Call("c" + jobs, "f", 0, -1, now().plusSeconds(5), null, null, null, new byte[] {'1'}, 1, 1, null, false, this);
+        PendingRequest c = new PendingRequest("c" + jobs, "f", 0, -1, now().plusSeconds(5), null, null, null, new byte[] {'1'}, 1, 1, null, false, this);
         events.add(x -> x.callCame(c));
         round();
         int j = jobs++;
@@ -201,9 +201,9 @@
         }
     }
 
-    @Override public void answered(Call c, Answer a) { }
+    @Override public void answered(PendingRequest c, Response a) { }
 
-    @Override public void overdue(Call c, Answer late) { }
+    @Override public void overdue(PendingRequest c, Response late) { }
 
     @AfterEach void over() {
         if (links != null) { links.close(); }
--- a/src/test/java/switchgap/thrift/MessageTest.java
+++ b/src/test/java/switchgap/thrift/MessageTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import switchgap.platform.Client;
-import switchgap.router.Call;
+import switchgap.router.PendingRequest;
 
 /** The client protocol against Apache Thrift's own codec, and against everything that is no message. */
 class MessageTest {
@@ -107,7 +107,7 @@
         }
     }
 
-    private static Call call(String field, String value) throws Exception {
+    private static PendingRequest call(String field, String value) throws Exception {
         Map<String, String> fields = new HashMap<>(FIELDS);
         if (value == null) { fields.remove(field); } else { fields.put(field, value); }
         var book = new Asked.Book(switchgap.platform.TestTerms.terms(), Map.of("again", 0, "once", 1), Map.of("shop", 0));
@@ -115,7 +115,7 @@
     }
 
     @Test void fieldsBecomeACall() throws Exception {
-        Call c = call("effort", "8.2");
+        PendingRequest c = call("effort", "8.2");
         assertThat(c.limit).isEqualTo(Duration.ofMillis(1900));
         assertThat(c.hint).isEqualTo(Duration.ofNanos(8_200_000));
         assertThat(c.memory).isEqualTo(512);
--- a/src/test/java/switchgap/workers/AskedTest.java
+++ b/src/test/java/switchgap/workers/AskedTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import switchgap.gateway.Peer;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.router.Seen;
+import switchgap.router.WorkerEntry;
 import switchgap.wire.HttpLink;
 import switchgap.wire.Net;
 
@@ -42,7 +42,7 @@
         private final List<String> heard;
 
         Told(List<String> heard, String path) {
-            super(new Seen("w", "127.0.0.1", 1, 0), "GET", path, Map.of(), new byte[0]);
+            super(new WorkerEntry("w", "127.0.0.1", 1, 0), "GET", path, Map.of(), new byte[0]);
             this.heard = heard;
         }
 
