--- a/src/main/java/switchgap/cli/PlannerCommand.java
+++ b/src/main/java/switchgap/cli/PlannerCommand.java
@@ -10,8 +10,8 @@
 import switchgap.day.Child;
 import switchgap.gateway.GatewayPage;
 import switchgap.link.PlannerEnd;
+import switchgap.net.NetworkTransport;
 import switchgap.terms.BadPage;
-import switchgap.wire.Net;
 
 /** The planner: settles order and time of one edge's loads. */
 @Command(name = "planner", description = "Plans the load orders of the edge whose page this is.", mixinStandardHelpOptions = true)
@@ -21,7 +21,7 @@
 
     @Override public Integer call() throws Exception {
         GatewayPage p = linked(page, GatewayPage.read(page));
-        Net net = new Net(1, "planner-" + p.terms().self());
+        NetworkTransport net = new NetworkTransport(1, "planner-" + p.terms().self());
         PlannerEnd end = new PlannerEnd(net, p.planner(), p.terms().self());
         Runtime.getRuntime().addShutdownHook(new Thread(end::close));
         Thread.currentThread().join();
--- a/src/main/java/switchgap/controlfeed/Follow.java
+++ b/src/main/java/switchgap/controlfeed/Follow.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import switchgap.wire.Clock;
-import switchgap.wire.HttpLink;
+import switchgap.net.HttpClientConnection;
+import switchgap.net.TimerThread;
 
 /**
  * Follows the control feed from a number on. Events are handed on once each and in order; whatever befalls the feed, the
@@ -25,7 +25,7 @@
     private static final Duration CONNECT = Duration.ofMillis(1000);
     private static final Duration PAUSE = Duration.ofMillis(100);    // doubled with each try, up to the silence
     private static final Duration LASTS = Duration.ofMillis(500);    // following for so long, it is well again
-    private final HttpLink.Opener opener;
+    private final HttpClientConnection.Factory opener;
     private final Event.Book book;
     private final Consumer<Event> events;
     private final Consumer<String> log;
@@ -37,18 +37,18 @@
     private int tries;
     private long turn;     // of the connection asked for last
     private long telling;  // of the one that told last, until a later one does: what others say counts for nothing
-    private HttpLink link; // the one asked last
-    private HttpLink teller;
+    private HttpClientConnection link; // the one asked last
+    private HttpClientConnection teller;
     private long heard;
 
     /** {@code last}: the number of the last event known already. */
-    public Follow(HttpLink.Opener opener, long last, Event.Book book, Consumer<Event> events, Consumer<String> log) {
+    public Follow(HttpClientConnection.Factory opener, long last, Event.Book book, Consumer<Event> events, Consumer<String> log) {
         this.opener = opener;
         this.last = last;
         this.book = book;
         this.events = events;
         this.log = log;
-        look = Clock.LATER.scheduleAtFixedRate(this::look, LOOK.toMillis(), LOOK.toMillis(), TimeUnit.MILLISECONDS);
+        look = TimerThread.LATER.scheduleAtFixedRate(this::look, LOOK.toMillis(), LOOK.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /** Begins, or goes over to another address from the last number on. */
@@ -80,14 +80,14 @@
         state = State.ASKING;
         heard = System.nanoTime();
         long mine = ++turn;
-        opener.open(feed, CONNECT, new HttpLink.Opening() {
-            @Override public void open(HttpLink l) { asked(mine, l); }
+        opener.open(feed, CONNECT, new HttpClientConnection.ConnectCallback() {
+            @Override public void open(HttpClientConnection l) { asked(mine, l); }
 
             @Override public void failed(String why) { away(mine, why); }
         });
     }
 
-    private synchronized void asked(long mine, HttpLink l) {
+    private synchronized void asked(long mine, HttpClientConnection l) {
         if (mine != turn || state == State.CLOSED) {
             l.close();
             return;
@@ -110,10 +110,10 @@
         tries++;
         state = State.AWAY;
         long then = ++turn;
-        HttpLink old = link;
+        HttpClientConnection old = link;
         link = null;
         if (old != null && old != teller) { old.close(); }
-        Clock.LATER.schedule(() -> again(then), pause.toMillis(), TimeUnit.MILLISECONDS);
+        TimerThread.LATER.schedule(() -> again(then), pause.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     private synchronized void again(long mine) {
@@ -147,7 +147,7 @@
         if (teller != null) { teller.close(); }
     }
 
-    private final class Stream implements HttpLink.Exchange {
+    private final class Stream implements HttpClientConnection.ResponseHandler {
         private final long mine;
         private final Sse sse = new Sse(MOST_EVENT);
         private final long began = System.nanoTime();
--- a/src/main/java/switchgap/day/Rig.java
+++ b/src/main/java/switchgap/day/Rig.java
@@ -11,6 +11,7 @@
 import java.util.SplittableRandom;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.net.NetworkTransport;
 import switchgap.standin.Catalogue;
 import switchgap.standin.Clients;
 import switchgap.standin.ListService;
@@ -20,7 +21,6 @@
 import switchgap.standin.Store;
 import switchgap.standin.StoreService;
 import switchgap.standin.WallTicker;
-import switchgap.wire.Net;
 
 /** Everything a day needs on loopback ports: model servers, store, list service, routers, clients, and their logs. */
 final class Rig implements AutoCloseable {
@@ -38,7 +38,7 @@
     final Map<String, ModelServer> servers = new LinkedHashMap<>();
     final List<RouterHost> routers = new ArrayList<>();
     final SplittableRandom chance;
-    private final Net net;
+    private final NetworkTransport net;
     private final List<Map<String, Long>> fingerprints = new ArrayList<>();
     private final Path dir;
     private final int[] ports;
@@ -53,7 +53,7 @@
         this.day = day;
         this.dir = Files.createDirectories(dir);
         chance = new SplittableRandom(day.seed);
-        net = new Net(3, "rig");
+        net = new NetworkTransport(3, "rig");
         fleetLog = new Record(dir.resolve("fleet.jsonl"));
         clientLog = new Record(dir.resolve("clients.jsonl"));
         listLog = new Record(dir.resolve("list.jsonl"));
--- a/src/main/java/switchgap/gateway/Gateway.java
+++ b/src/main/java/switchgap/gateway/Gateway.java
@@ -14,6 +14,11 @@
 import switchgap.level.Levels;
 import switchgap.link.EdgeDoor;
 import switchgap.list.ListWatch;
+import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpServer;
+import switchgap.net.KeyedWriters;
+import switchgap.net.NetworkTransport;
+import switchgap.net.TimerThread;
 import switchgap.plan.Plan;
 import switchgap.policy.RoutingPolicy;
 import switchgap.router.AdmissionGate;
@@ -21,11 +26,6 @@
 import switchgap.router.RouterCore;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
-import switchgap.wire.Carriers;
-import switchgap.wire.Clock;
-import switchgap.wire.HttpDoor;
-import switchgap.wire.HttpLink;
-import switchgap.wire.Net;
 import switchgap.workers.Inference;
 
 /** A running router. States: STARTING, SERVING, STOPPING (answers what it holds), STOPPED. */
@@ -34,12 +34,12 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
     private final AtomicReference<State> state = new AtomicReference<>(State.STARTING);
-    private final Net net;
-    private final Carriers carriers;
+    private final NetworkTransport net;
+    private final KeyedWriters carriers;
     private final EventLoop loop;
     private final Histogram lateness = new Histogram(60_000_000, 2); // microseconds; read by others through lateness()
     private final InvokeApi api;
-    private final HttpDoor door;
+    private final HttpServer door;
     private final ListWatch watch;
     private final Duration longest;
     private final ScheduledFuture<?> sweeper;
@@ -55,11 +55,11 @@
     /** A router under another decider: for measurements of the module beside a baseline. */
     public Gateway(GatewayPage page, RouterCore.Policy decide) throws IOException {
         PageTerms terms = page.terms();
-        net = new Net(page.selectors(), "router-" + terms.self());
+        net = new NetworkTransport(page.selectors(), "router-" + terms.self());
         Rehearsal.run(terms, net);
         long bornWall = System.currentTimeMillis();
-        carriers = new Carriers(page.selectors(), "carrier-" + terms.self());
-        HttpLink.Opener opener = new HttpLink.Opener(net, page.from(), page.answerBytes());
+        carriers = new KeyedWriters(page.selectors(), "carrier-" + terms.self());
+        HttpClientConnection.Factory opener = new HttpClientConnection.Factory(net, page.from(), page.answerBytes());
         AtomicReference<Runnable> listening = new AtomicReference<>(() -> { });
         AtomicReference<Inference> made = new AtomicReference<>();
         AtomicReference<Planned> behind = new AtomicReference<>();
@@ -80,7 +80,7 @@
         DeferredResults deferred = new DeferredResults(start + "d", page.kept(), page.mostDeferred(), page.mostDeferredBytes());
         api = new InvokeApi(terms, loop::now, loop::post, carriers, deferred, gate::get, start, page.mostHeld(), page.mostWait());
         api.status(c -> Status.show(terms.self(), c, api.held(), api.ends(), levels, planned));
-        door = new HttpDoor(net, page.bounds(), api);
+        door = new HttpServer(net, page.bounds(), api);
         watch = page.list() == null ? null : new ListWatch(opener, page.list(), terms.self(), bornWall, page.listAgain(),
             terms::zone, terms::machineKind, loop::postFirst);
         if (!page.fixed().isEmpty()) { loop.post(c -> c.list(true, page.fixed())); }
@@ -89,7 +89,7 @@
             watch.follow();
         }
         longest = terms.longestLimit();
-        sweeper = Clock.LATER.scheduleAtFixedRate(() -> {
+        sweeper = TimerThread.LATER.scheduleAtFixedRate(() -> {
             workers.sweep();
             loop.post(c -> gate.get().tick());
         }, 1, 1, TimeUnit.SECONDS);
--- a/src/main/java/switchgap/gateway/GatewayPage.java
+++ b/src/main/java/switchgap/gateway/GatewayPage.java
@@ -5,15 +5,15 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import switchgap.net.ConnectionLimits;
 import switchgap.policy.api.WorkerState;
 import switchgap.router.EndpointUpdate;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
-import switchgap.wire.Bounds;
 import switchgap.workers.Inference;
 
 /** All that a router's page states: its terms, where it listens, whom it asks for the list, and its bounds. */
-public record GatewayPage(PageTerms terms, long seed, String host, int port, Bounds bounds, int mostHeld, int mostWait,
+public record GatewayPage(PageTerms terms, long seed, String host, int port, ConnectionLimits bounds, int mostHeld, int mostWait,
                           int mostFunctions, Duration kept, int mostDeferred, long mostDeferredBytes,
                           Inference.Links links, String from, int answerBytes, int selectors, Duration orderLimit,
                           Duration probeLimit, InetSocketAddress list, Duration listAgain, List<EndpointUpdate> fixed, InetSocketAddress planner,
@@ -28,7 +28,7 @@
         Page l = p.part("listen");
         String host = l.text("host", "127.0.0.1");
         int port = l.whole("port", 0, 65535);
-        Bounds bounds = new Bounds(l.whole("header_bytes", 1024, 1 << 20, 16 << 10),
+        ConnectionLimits bounds = new ConnectionLimits(l.whole("header_bytes", 1024, 1 << 20, 16 << 10),
             l.whole("body_bytes", 1, 1 << 28, 1 << 20), l.whole("connections", 1, 1_000_000, 20_000),
             l.span("idle", Duration.ofSeconds(75)), l.span("arrival", Duration.ofSeconds(10)));
         int selectors = l.whole("selectors", 1, 64, 2);
--- a/src/main/java/switchgap/gateway/Rehearsal.java
+++ b/src/main/java/switchgap/gateway/Rehearsal.java
@@ -9,6 +9,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import switchgap.net.ConnectionLimits;
+import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpServer;
+import switchgap.net.NetworkTransport;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.policy.api.WorkerState;
 import switchgap.router.Attempt;
@@ -22,10 +26,6 @@
 import switchgap.router.WorkerEntry;
 import switchgap.router.WorkerTransport;
 import switchgap.terms.PageTerms;
-import switchgap.wire.Bounds;
-import switchgap.wire.HttpDoor;
-import switchgap.wire.HttpLink;
-import switchgap.wire.Net;
 
 /**
  * Runs made-up calls through a core of its own and over a door of its own before the router serves. Guards against
@@ -38,7 +38,7 @@
 
     private Rehearsal() { }
 
-    static void run(PageTerms terms, Net net) throws IOException {
+    static void run(PageTerms terms, NetworkTransport net) throws IOException {
         decisions(terms);
         sockets(net);
     }
@@ -90,14 +90,14 @@
         }
     }
 
-    private static void sockets(Net net) throws IOException {
-        try (HttpDoor door = new HttpDoor(net, Bounds.USUAL, r -> r.answer(200, Map.of("Content-Type", "text/plain"),
+    private static void sockets(NetworkTransport net) throws IOException {
+        try (HttpServer door = new HttpServer(net, ConnectionLimits.USUAL, r -> r.answer(200, Map.of("Content-Type", "text/plain"),
             r.body))) {
             int port = door.listen("127.0.0.1", 0);
             CountDownLatch done = new CountDownLatch(1);
-            new HttpLink.Opener(net, null, 1 << 16).open(new InetSocketAddress("127.0.0.1", port), MOST,
-                new HttpLink.Opening() {
-                    @Override public void open(HttpLink link) { ask(link, ASKS, done); }
+            new HttpClientConnection.Factory(net, null, 1 << 16).open(new InetSocketAddress("127.0.0.1", port), MOST,
+                new HttpClientConnection.ConnectCallback() {
+                    @Override public void open(HttpClientConnection link) { ask(link, ASKS, done); }
 
                     @Override public void failed(String why) { done.countDown(); }
                 });
@@ -107,9 +107,9 @@
         }
     }
 
-    private static void ask(HttpLink link, int left, CountDownLatch done) {
+    private static void ask(HttpClientConnection link, int left, CountDownLatch done) {
         boolean took = left > 0 && link.ask("POST", "/rehearsal", Map.of("Content-Type", "text/plain"), new byte[64],
-            new HttpLink.Exchange() {
+            new HttpClientConnection.ResponseHandler() {
                 @Override public void answered(int s, Map<String, String> h, byte[] b, boolean reusable) {
                     if (reusable) { ask(link, left - 1, done); } else { done.countDown(); }
                 }
--- a/src/main/java/switchgap/invoke/Ask.java
+++ b/src/main/java/switchgap/invoke/Ask.java
@@ -1,9 +1,9 @@
 package switchgap.invoke;
 
 import java.time.Duration;
+import switchgap.net.HttpExchange;
 import switchgap.policy.api.Idempotency;
 import switchgap.terms.PageTerms;
-import switchgap.wire.Request;
 
 /**
  * What an invoke request asks for, checked against the terms. Headers: {@code Switchgap-Workload},
@@ -25,7 +25,7 @@
 
     private static final int MOST_KEY = 256;
 
-    static Ask read(String function, Request r, PageTerms terms) throws Refused {
+    static Ask read(String function, HttpExchange r, PageTerms terms) throws Refused {
         PageTerms.Entry entry = function.length() > MOST_KEY ? null : terms.function(function);
         if (entry == null) { throw no(404, "unknown-function", "no function is called " + brief(function)); }
         String asked = r.header("Switchgap-Workload");
@@ -53,7 +53,7 @@
      * Guards against a request that lay in the socket while the router was paused: a span alone would begin anew
      * when it is read. The wall clock may only shorten the limit.
      */
-    private static Duration least(Duration limit, Request r) throws Refused {
+    private static Duration least(Duration limit, HttpExchange r) throws Refused {
         String v = r.header("Switchgap-Deadline");
         if (v == null) { return limit; }
         try {
@@ -65,7 +65,7 @@
         }
     }
 
-    private static String brief(Request r, String header) throws Refused {
+    private static String brief(HttpExchange r, String header) throws Refused {
         String v = r.header(header);
         if (v != null && v.length() > MOST_KEY) {
             throw no(400, "malformed-header", header + " is longer than " + MOST_KEY + " characters");
@@ -73,7 +73,7 @@
         return v;
     }
 
-    private static Duration millis(Request r, String header, Duration otherwise) throws Refused {
+    private static Duration millis(HttpExchange r, String header, Duration otherwise) throws Refused {
         String v = r.header(header);
         if (v == null) { return otherwise; }
         try {
--- a/src/main/java/switchgap/invoke/InvokeApi.java
+++ b/src/main/java/switchgap/invoke/InvokeApi.java
@@ -12,6 +12,10 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import switchgap.level.Rung;
+import switchgap.net.HttpExchange;
+import switchgap.net.HttpServer;
+import switchgap.net.KeyedWriters;
+import switchgap.net.TimerThread;
 import switchgap.router.AdmissionGate;
 import switchgap.router.DeferredResults;
 import switchgap.router.PendingRequest;
@@ -20,21 +24,17 @@
 import switchgap.router.RouterCore;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
-import switchgap.wire.Carriers;
-import switchgap.wire.Clock;
-import switchgap.wire.HttpDoor;
-import switchgap.wire.Request;
 
 /**
  * The desk of the invoke API. Requests are checked on the selector thread that read them; what concerns calls and
  * deferred results is posted to the router's one loop. Takes at most so many calls at a time.
  */
-public final class InvokeApi implements HttpDoor.Desk {
+public final class InvokeApi implements HttpServer.RequestHandler {
     private static final String JSON = "application/json";
     private final PageTerms terms;
     private final Supplier<Duration> now;
     private final Consumer<Consumer<RouterCore>> events;
-    private final Carriers carriers;
+    private final KeyedWriters carriers;
     private final DeferredResults deferred;
     private final Supplier<AdmissionGate> gate;
     private final LevelsDesk levels;
@@ -48,7 +48,7 @@
     private volatile boolean closing;
 
     /** {@code prefix} of call ids: unlike any other start of any router; {@code mostWait} seconds of a held poll. */
-    public InvokeApi(PageTerms terms, Supplier<Duration> now, Consumer<Consumer<RouterCore>> events, Carriers carriers,
+    public InvokeApi(PageTerms terms, Supplier<Duration> now, Consumer<Consumer<RouterCore>> events, KeyedWriters carriers,
                      DeferredResults deferred, Supplier<AdmissionGate> gate, String prefix, int mostHeld, int mostWait) {
         this.terms = terms;
         this.now = now;
@@ -77,7 +77,7 @@
         return n;
     }
 
-    @Override public void asked(Request r) {
+    @Override public void asked(HttpExchange r) {
         try {
             String[] at = r.path.split("/", -1);
             if (at.length == 5 && at[1].equals("v1") && at[2].equals("functions") && at[4].equals("invoke")) {
@@ -109,13 +109,13 @@
         }
     }
 
-    private static void only(Request r, String method) throws Ask.Refused {
+    private static void only(HttpExchange r, String method) throws Ask.Refused {
         if (!r.method.equals(method)) {
             throw Ask.no(405, "method-not-allowed", Ask.brief(r.method) + " is not spoken here, " + method + " is");
         }
     }
 
-    private int wait(Request r) throws Ask.Refused {
+    private int wait(HttpExchange r) throws Ask.Refused {
         String prefer = r.header("Prefer");
         int i = prefer == null ? -1 : prefer.indexOf("wait=");
         if (i < 0) { return 0; }
@@ -124,7 +124,7 @@
         return Math.min(mostWait, Integer.parseInt(digits));
     }
 
-    private void invoke(String function, Request r) throws Ask.Refused {
+    private void invoke(String function, HttpExchange r) throws Ask.Refused {
         Ask a = Ask.read(function, r, terms);
         if (closing) { throw notTaken("the router is stopping"); }
         if (held.incrementAndGet() > mostHeld) {
@@ -154,13 +154,13 @@
         return new Ask.Refused(new Problem(503, "not-taken", why, Map.of("end", "pushed-back", "repeat_harmless", true)));
     }
 
-    private static PendingRequest call(Ask a, Request r, Duration limit, String id, ResponseListener asker) {
+    private static PendingRequest call(Ask a, HttpExchange r, Duration limit, String id, ResponseListener asker) {
         return new PendingRequest(id, a.function(), a.workload(), a.customer(), limit, a.hint(), a.fingerprint(),
             r.header("Content-Type"), r.body, a.entry().memory(), a.entry().lanes(), a.entry().load(), a.repeat(),
             asker);
     }
 
-    @Override public void left(Request r) {
+    @Override public void left(HttpExchange r) {
         if (r.attachment instanceof PendingRequest call) {
             events.accept(c -> {
                 if (call.state() == PendingRequest.State.HELD) {
@@ -175,10 +175,10 @@
 
     /** A client that waits for its answer on the connection it asked on. */
     private final class Sync implements ResponseListener {
-        private final Request r;
+        private final HttpExchange r;
         private final String echo;
 
-        Sync(Request r, String echo) {
+        Sync(HttpExchange r, String echo) {
             this.r = r;
             this.echo = echo;
         }
@@ -208,7 +208,7 @@
 
     // ------------------------------------------------------------------ deferred calls, on the loop
 
-    private void defer(Request r, Ask a, Duration limit, RouterCore core) {
+    private void defer(HttpExchange r, Ask a, Duration limit, RouterCore core) {
         deferred.tick(now.get());
         DeferredResults.Entry e = deferred.open();
         if (e == null) {
@@ -245,7 +245,7 @@
         return ("{\"call\":\"" + id + "\",\"state\":\"held\"}").getBytes(StandardCharsets.UTF_8);
     }
 
-    private void look(Request r, String id, int wait) {
+    private void look(HttpExchange r, String id, int wait) {
         deferred.tick(now.get());
         switch (deferred.known(id)) {
             case NEVER -> refuse(r, new Problem(404, "unknown-call", "no deferred call is called " + Ask.brief(id)), null);
@@ -259,7 +259,7 @@
                     return;
                 }
                 r.attachment = (Runnable) () -> deferred.leave(e, waiter);
-                Clock.LATER.schedule(() -> events.accept(c -> {
+                TimerThread.LATER.schedule(() -> events.accept(c -> {
                     deferred.leave(e, waiter);
                     replyHeld(r, id);
                 }), wait, TimeUnit.SECONDS);
@@ -267,20 +267,20 @@
         }
     }
 
-    private static void replyHeld(Request r, String id) {
+    private static void replyHeld(HttpExchange r, String id) {
         Map<String, String> headers = headers(id, null);
         headers.put("Location", "/v1/calls/" + id);
         headers.put("Content-Type", JSON);
         r.answer(202, headers, state(id));
     }
 
-    private void replyEnded(Request r, DeferredResults.Entry e) {
+    private void replyEnded(HttpExchange r, DeferredResults.Entry e) {
         Response a = e.answer();
         reply(r, a == null ? Response.killed() : a, deferred.id(e), null,
             e.call() == null ? null : e.call().met);
     }
 
-    private void leave(Request r, String id, RouterCore core) {
+    private void leave(HttpExchange r, String id, RouterCore core) {
         deferred.tick(now.get());
         DeferredResults.Entry e = deferred.find(id);
         if (e == null) {
@@ -304,14 +304,14 @@
         return h;
     }
 
-    static void refuse(Request r, Problem p, String echo) {
+    static void refuse(HttpExchange r, Problem p, String echo) {
         Map<String, String> h = headers(null, echo);
         h.put("Content-Type", Problem.TYPE);
         if (p.members().get("end") != null) { h.put("Switchgap-End", String.valueOf(p.members().get("end"))); }
         r.answer(p.status(), h, p.bytes());
     }
 
-    private static void reply(Request r, Response a, String id, String echo, Rung met) {
+    private static void reply(HttpExchange r, Response a, String id, String echo, Rung met) {
         Map<String, String> h = headers(id, echo);
         if (met != null) { h.put("Switchgap-Level", Page.word(met)); }
         switch (a.kind()) {
@@ -337,7 +337,7 @@
         }
     }
 
-    private static void problem(Request r, Map<String, String> h, Problem p) {
+    private static void problem(HttpExchange r, Map<String, String> h, Problem p) {
         h.put("Switchgap-End", p.kind());
         h.put("Content-Type", Problem.TYPE);
         r.answer(p.status(), h, p.bytes());
--- a/src/main/java/switchgap/invoke/LevelsDesk.java
+++ b/src/main/java/switchgap/invoke/LevelsDesk.java
@@ -10,10 +10,10 @@
 import switchgap.level.Change;
 import switchgap.level.Levels;
 import switchgap.level.Rung;
+import switchgap.net.HttpExchange;
 import switchgap.router.AdmissionGate;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
-import switchgap.wire.Request;
 
 /** Shows the levels of a router and pins them; on the router's loop. */
 final class LevelsDesk {
@@ -24,7 +24,7 @@
     LevelsDesk(PageTerms terms) { this.terms = terms; }
 
     /** {@code GET /v1/levels}: now and the last changes; {@code POST /v1/levels?pin=RUNG&seconds=N}: a pin that expires. */
-    void asked(Request r, AdmissionGate gate) {
+    void asked(HttpExchange r, AdmissionGate gate) {
         Levels l = gate.levels();
         if (l == null) {
             InvokeApi.refuse(r, new Problem(404, "no-levels", "levels do not act at this router"), null);
--- a/src/main/java/switchgap/lab/Load.java
+++ b/src/main/java/switchgap/lab/Load.java
@@ -12,8 +12,8 @@
 import java.util.function.IntFunction;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
-import switchgap.wire.HttpLink;
-import switchgap.wire.Net;
+import switchgap.net.HttpClientConnection;
+import switchgap.net.NetworkTransport;
 
 /** A load of small calls: closed (so many connections, each asks again at once) or open (so many calls a second). */
 final class Load {
@@ -24,7 +24,7 @@
 
     private static final byte[] BODY = "{\"id\":\"x\",\"inputs\":[{\"name\":\"a\",\"shape\":[4],\"datatype\":\"FP32\",\"data\":[1,2,3,4]}]}"
         .getBytes(StandardCharsets.US_ASCII);
-    private final HttpLink.Opener opener;
+    private final HttpClientConnection.Factory opener;
     private final InetSocketAddress[] to;
     private final IntFunction<String> path;
     private final AtomicLong good = new AtomicLong();
@@ -34,8 +34,8 @@
     private volatile boolean measuring;
     private volatile boolean over;
 
-    Load(Net net, InetSocketAddress[] to, IntFunction<String> path) {
-        this.opener = new HttpLink.Opener(net, null, 1 << 20);
+    Load(NetworkTransport net, InetSocketAddress[] to, IntFunction<String> path) {
+        this.opener = new HttpClientConnection.Factory(net, null, 1 << 20);
         this.to = to;
         this.path = path;
     }
@@ -44,8 +44,8 @@
     Result closed(int connections, Duration warm, Duration span) throws InterruptedException {
         CountDownLatch open = new CountDownLatch(connections);
         for (int i = 0; i < connections; i++) {
-            opener.open(to[i % to.length], Duration.ofSeconds(2), new HttpLink.Opening() {
-                @Override public void open(HttpLink link) {
+            opener.open(to[i % to.length], Duration.ofSeconds(2), new HttpClientConnection.ConnectCallback() {
+                @Override public void open(HttpClientConnection link) {
                     open.countDown();
                     again(link);
                 }
@@ -71,7 +71,7 @@
         return r;
     }
 
-    private void again(HttpLink link) {
+    private void again(HttpClientConnection link) {
         if (over) {
             link.close();
             return;
@@ -79,9 +79,9 @@
         ask(link, System.nanoTime(), () -> again(link));
     }
 
-    private void ask(HttpLink link, long due, Runnable then) {
+    private void ask(HttpClientConnection link, long due, Runnable then) {
         boolean took = link.ask("POST", path.apply((int) number.getAndIncrement()), Map.of("Content-Type", "application/json"),
-            BODY, new HttpLink.Exchange() {
+            BODY, new HttpClientConnection.ResponseHandler() {
                 @Override public void answered(int status, Map<String, String> h, byte[] body, boolean reusable) {
                     (status == 200 ? good : bad).incrementAndGet();
                     if (measuring) { micros.recordValue(Math.min(59_000_000, (System.nanoTime() - due) / 1000)); }
@@ -95,7 +95,7 @@
 
     /** So many calls a second at even distances; latency counts from when a call was due. */
     Result open(int rate, Duration warm, Duration span) throws InterruptedException {
-        ConcurrentLinkedDeque<HttpLink> idle = new ConcurrentLinkedDeque<>();
+        ConcurrentLinkedDeque<HttpClientConnection> idle = new ConcurrentLinkedDeque<>();
         Thread pacer = new Thread(() -> {
             long due = System.nanoTime();
             for (int i = 0; !over; i++) {
@@ -103,12 +103,12 @@
                 long wait = due - System.nanoTime();
                 if (wait > 0) { LockSupport.parkNanos(wait); }
                 long mine = due;
-                HttpLink l = idle.poll();
+                HttpClientConnection l = idle.poll();
                 if (l != null && l.usable()) {
                     ask(l, mine, () -> idle.push(l));
                 } else {
-                    opener.open(to[i % to.length], Duration.ofSeconds(2), new HttpLink.Opening() {
-                        @Override public void open(HttpLink link) { ask(link, mine, () -> idle.push(link)); }
+                    opener.open(to[i % to.length], Duration.ofSeconds(2), new HttpClientConnection.ConnectCallback() {
+                        @Override public void open(HttpClientConnection link) { ask(link, mine, () -> idle.push(link)); }
 
                         @Override public void failed(String why) { bad.incrementAndGet(); }
                     });
--- a/src/main/java/switchgap/lab/LoadRun.java
+++ b/src/main/java/switchgap/lab/LoadRun.java
@@ -13,6 +13,7 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 import switchgap.day.Day;
+import switchgap.net.NetworkTransport;
 import switchgap.standin.Catalogue;
 import switchgap.standin.Clients;
 import switchgap.standin.Record;
@@ -20,7 +21,6 @@
 import switchgap.standin.Ticker;
 import switchgap.standin.WallTicker;
 import switchgap.terms.Page;
-import switchgap.wire.Net;
 
 /**
  * An open-loop load with a curve, against routers on sockets or the emulator: jobs come when they are due, whatever became
@@ -92,7 +92,7 @@
 
     private Clients sockets(List<InetSocketAddress> routers) throws IOException, InterruptedException {
         Catalogue catalogue = day.catalogue(day.seed()); // as the stand-ins of the day have it
-        try (WallTicker ticker = new WallTicker(); Net net = new Net(2, "load")) {
+        try (WallTicker ticker = new WallTicker(); NetworkTransport net = new NetworkTransport(2, "load")) {
             SocketWay way = new SocketWay(ticker, net, Record.none(), routers.size());
             for (int i = 0; i < routers.size(); i++) { way.router(i, routers.get(i)); }
             Clients clients = day.clients(ticker, way, catalogue, seed + 1);
--- a/src/main/java/switchgap/lab/Memory.java
+++ b/src/main/java/switchgap/lab/Memory.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.CompletableFuture;
 import switchgap.gateway.Gateway;
 import switchgap.gateway.GatewayPage;
+import switchgap.net.ConnectionLimits;
+import switchgap.net.HttpServer;
+import switchgap.net.NetworkTransport;
 import switchgap.terms.Page;
-import switchgap.wire.Bounds;
-import switchgap.wire.HttpDoor;
-import switchgap.wire.Net;
 
 /** Heap of a router that knows 81 workers and 2,000 functions, and of each call that it holds. */
 public final class Memory {
@@ -25,9 +25,9 @@
 
     /** Measures in this process and prints; calls are deferred ones of a small body, held by workers that are silent. */
     public static void run(int calls, PrintStream out) throws IOException, InterruptedException {
-        try (Net net = new Net(2, "lab")) {
+        try (NetworkTransport net = new NetworkTransport(2, "lab")) {
             boolean[] silent = {false};
-            int port = new HttpDoor(net, Bounds.USUAL, r -> {
+            int port = new HttpServer(net, ConnectionLimits.USUAL, r -> {
                 if (!silent[0]) { r.answer(200, java.util.Map.of("Content-Type", "application/json"), new byte[2]); }
             }).listen("127.0.0.1", 0);
             HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
--- a/src/main/java/switchgap/lab/Relay.java
+++ b/src/main/java/switchgap/lab/Relay.java
@@ -6,22 +6,22 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentLinkedDeque;
 import java.util.concurrent.atomic.AtomicInteger;
-import switchgap.wire.Bounds;
-import switchgap.wire.HttpDoor;
-import switchgap.wire.HttpLink;
-import switchgap.wire.Net;
-import switchgap.wire.Request;
+import switchgap.net.ConnectionLimits;
+import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpExchange;
+import switchgap.net.HttpServer;
+import switchgap.net.NetworkTransport;
 
 /** The baseline: passes each request on to one of the workers in turn, through the same filter chains, deciding nothing. */
-final class Relay implements HttpDoor.Desk {
-    private final HttpLink.Opener opener;
+final class Relay implements HttpServer.RequestHandler {
+    private final HttpClientConnection.Factory opener;
     private final InetSocketAddress[] workers;
-    private final ConcurrentLinkedDeque<HttpLink>[] idle;
+    private final ConcurrentLinkedDeque<HttpClientConnection>[] idle;
     private final AtomicInteger turn = new AtomicInteger();
 
     @SuppressWarnings({"unchecked"})
-    private Relay(Net net, InetSocketAddress[] workers) {
-        this.opener = new HttpLink.Opener(net, null, 4 << 20);
+    private Relay(NetworkTransport net, InetSocketAddress[] workers) {
+        this.opener = new HttpClientConnection.Factory(net, null, 4 << 20);
         this.workers = workers;
         this.idle = new ConcurrentLinkedDeque[workers.length];
         for (int i = 0; i < idle.length; i++) { idle[i] = new ConcurrentLinkedDeque<>(); }
@@ -29,27 +29,27 @@
 
     /** Listens at the port until the process ends. */
     static void serve(int port, InetSocketAddress[] workers, int selectors) throws IOException {
-        Net net = new Net(selectors, "relay");
-        new HttpDoor(net, Bounds.USUAL, new Relay(net, workers)).listen("127.0.0.1", port);
+        NetworkTransport net = new NetworkTransport(selectors, "relay");
+        new HttpServer(net, ConnectionLimits.USUAL, new Relay(net, workers)).listen("127.0.0.1", port);
     }
 
-    @Override public void asked(Request r) {
+    @Override public void asked(HttpExchange r) {
         int w = Math.floorMod(turn.getAndIncrement(), workers.length);
-        HttpLink l = idle[w].poll();
+        HttpClientConnection l = idle[w].poll();
         if (l != null && l.usable()) {
             pass(r, l, w);
             return;
         }
-        opener.open(workers[w], Duration.ofSeconds(1), new HttpLink.Opening() {
-            @Override public void open(HttpLink link) { pass(r, link, w); }
+        opener.open(workers[w], Duration.ofSeconds(1), new HttpClientConnection.ConnectCallback() {
+            @Override public void open(HttpClientConnection link) { pass(r, link, w); }
 
             @Override public void failed(String why) { r.drop(); }
         });
     }
 
-    private void pass(Request r, HttpLink l, int w) {
+    private void pass(HttpExchange r, HttpClientConnection l, int w) {
         boolean took = l.ask("POST", "/v2/models/f/infer", Map.of("Content-Type", "application/json"), r.body,
-            new HttpLink.Exchange() {
+            new HttpClientConnection.ResponseHandler() {
                 @Override public void answered(int status, Map<String, String> h, byte[] body, boolean reusable) {
                     if (reusable) { idle[w].push(l); }
                     r.answer(status, Map.of("Content-Type", "application/json"), body);
--- a/src/main/java/switchgap/lab/Speed.java
+++ b/src/main/java/switchgap/lab/Speed.java
@@ -13,10 +13,10 @@
 import java.util.function.IntFunction;
 import switchgap.day.Child;
 import switchgap.day.Ports;
-import switchgap.wire.Bounds;
-import switchgap.wire.HttpDoor;
-import switchgap.wire.Net;
-import switchgap.wire.Request;
+import switchgap.net.ConnectionLimits;
+import switchgap.net.HttpExchange;
+import switchgap.net.HttpServer;
+import switchgap.net.NetworkTransport;
 
 /**
  * Latency that the router adds, and the most calls it passes, beside a relay of the same filter chains and a direct
@@ -38,10 +38,10 @@
     public static void run(Duration span, int connections, int rate, PrintStream out) throws IOException, InterruptedException {
         Path dir = Files.createTempDirectory("switchgap-speed");
         List<Process> children = new ArrayList<>();
-        try (Net net = new Net(3, "lab")) {
+        try (NetworkTransport net = new NetworkTransport(3, "lab")) {
             int[] ports = new int[WORKERS];
             for (int i = 0; i < WORKERS; i++) {
-                ports[i] = new HttpDoor(net, Bounds.USUAL, Speed::worker).listen("127.0.0.1", 0);
+                ports[i] = new HttpServer(net, ConnectionLimits.USUAL, Speed::worker).listen("127.0.0.1", 0);
             }
             int[] two = Ports.free(2);
             int relayPort = two[0];
@@ -92,7 +92,7 @@
     private static final Map<String, String> HEAD = Map.of("Content-Type", "application/json", "endpoint-load-metrics",
         "TEXT cpu_utilization=0.1,named_metrics.inflight=1,named_metrics.crowd=0,named_metrics.copies=1");
 
-    private static void worker(Request r) {
+    private static void worker(HttpExchange r) {
         r.answer(200, HEAD, OUTPUT);
     }
 
--- a/src/main/java/switchgap/link/EdgeDoor.java
+++ b/src/main/java/switchgap/link/EdgeDoor.java
@@ -6,11 +6,11 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.net.FramedConnection;
+import switchgap.net.NetworkTransport;
+import switchgap.net.TimerThread;
 import switchgap.plan.Plan;
 import switchgap.plan.Told;
-import switchgap.wire.Clock;
-import switchgap.wire.FrameLink;
-import switchgap.wire.Net;
 
 /**
  * The edge's end of the link: takes one planner at a time, after a handshake. Whoever speaks another version, is no
@@ -31,11 +31,11 @@
 
     /** A link that was greeted. */
     private static final class Planner {
-        final FrameLink link;
+        final FramedConnection link;
         final long epoch;
         volatile long heard = System.nanoTime();
 
-        Planner(FrameLink link, long epoch) {
+        Planner(FramedConnection link, long epoch) {
             this.link = link;
             this.epoch = epoch;
         }
@@ -44,15 +44,15 @@
     private final int router;
     private final Heard heard;
     private final AtomicReference<Planner> planner = new AtomicReference<>();
-    private final switchgap.wire.ByteLink.Door door;
+    private final switchgap.net.TcpConnection.Server door;
     private final ScheduledFuture<?> watch;
     private long epochs = System.currentTimeMillis() * 1000; // past those of any process before it
 
-    public EdgeDoor(Net net, String host, int port, int router, Heard heard) throws IOException {
+    public EdgeDoor(NetworkTransport net, String host, int port, int router, Heard heard) throws IOException {
         this.router = router;
         this.heard = heard;
-        door = FrameLink.listen(net, host, port, Codec.MOST, new Ear());
-        watch = Clock.LATER.scheduleAtFixedRate(() -> {
+        door = FramedConnection.listen(net, host, port, Codec.MOST, new Ear());
+        watch = TimerThread.LATER.scheduleAtFixedRate(() -> {
             Planner p = planner.get();
             if (p != null && System.nanoTime() - p.heard > SILENCE) { p.link.close("the planner is silent"); }
         }, 250, 250, TimeUnit.MILLISECONDS);
@@ -66,16 +66,16 @@
         return p != null && p.epoch == t.epoch() && p.link.send(Codec.write(t));
     }
 
-    private final class Ear implements FrameLink.Ear {
+    private final class Ear implements FramedConnection.Listener {
         /** Who connects and says nothing is not kept. */
-        @Override public void opened(FrameLink l) {
-            Clock.LATER.schedule(() -> {
+        @Override public void opened(FramedConnection l) {
+            TimerThread.LATER.schedule(() -> {
                 Planner p = planner.get();
                 if (p == null || p.link != l) { l.close("no handshake within a second"); }
             }, SILENCE, TimeUnit.NANOSECONDS);
         }
 
-        @Override public void frame(FrameLink l, byte[] bytes) {
+        @Override public void frame(FramedConnection l, byte[] bytes) {
             Object m;
             try {
                 m = Codec.read(bytes);
@@ -95,7 +95,7 @@
             }
         }
 
-        @Override public void closed(FrameLink l, String why) {
+        @Override public void closed(FramedConnection l, String why) {
             Planner p = planner.get();
             if (p != null && p.link == l && planner.compareAndSet(p, null)) {
                 LOG.warn("router {}: planner gone: {}; orders go out as they come", router, why);
@@ -104,7 +104,7 @@
         }
     }
 
-    private synchronized void greet(FrameLink l, Codec.Hello h) {
+    private synchronized void greet(FramedConnection l, Codec.Hello h) {
         if (h.version() != Codec.VERSION) { refuse(l, "version " + h.version() + ", this edge speaks " + Codec.VERSION); return; }
         if (!h.side().equals("planner")) { refuse(l, "a " + h.side() + ", no planner"); return; }
         if (h.router() != router) { refuse(l, "a planner for router " + h.router() + ", this is " + router); return; }
@@ -115,10 +115,10 @@
         heard.linked(mine.epoch);
     }
 
-    private void refuse(FrameLink l, String why) {
+    private void refuse(FramedConnection l, String why) {
         LOG.warn("router {}: planner refused: {}", router, why);
         l.send(Codec.write(new Codec.Refused(why)));
-        Clock.LATER.schedule(() -> l.close("refused: " + why), 100, TimeUnit.MILLISECONDS);
+        TimerThread.LATER.schedule(() -> l.close("refused: " + why), 100, TimeUnit.MILLISECONDS);
     }
 
     @Override public void close() {
--- a/src/main/java/switchgap/link/PlannerEnd.java
+++ b/src/main/java/switchgap/link/PlannerEnd.java
@@ -6,35 +6,35 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.net.FramedConnection;
+import switchgap.net.NetworkTransport;
+import switchgap.net.TimerThread;
 import switchgap.plan.Plan;
 import switchgap.plan.Sequence;
 import switchgap.plan.Told;
-import switchgap.wire.Clock;
-import switchgap.wire.FrameLink;
-import switchgap.wire.Net;
 
 /** The planner's end: links to its edge, again and again with back-off, answers each word of what waits with a plan. */
 public final class PlannerEnd implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(PlannerEnd.class);
     private static final long BEAT = 200;
     private static final long LONGEST_WAIT = 2000;
-    private final FrameLink.Opener opener;
+    private final FramedConnection.Factory opener;
     private final InetSocketAddress edge;
     private final int router;
     private final Sequence sequence = new Sequence();
     private final ScheduledFuture<?> beat;
-    private volatile FrameLink link;
+    private volatile FramedConnection link;
     private volatile boolean greeted;
     private volatile boolean closed;
     private long wait = 50;
     private long beats;
 
-    public PlannerEnd(Net net, InetSocketAddress edge, int router) {
-        this.opener = new FrameLink.Opener(net, Codec.MOST, new Ear());
+    public PlannerEnd(NetworkTransport net, InetSocketAddress edge, int router) {
+        this.opener = new FramedConnection.Factory(net, Codec.MOST, new Ear());
         this.edge = edge;
         this.router = router;
-        beat = Clock.LATER.scheduleAtFixedRate(() -> {
-            FrameLink l = link;
+        beat = TimerThread.LATER.scheduleAtFixedRate(() -> {
+            FramedConnection l = link;
             if (l != null && greeted) { l.send(Codec.write(new Codec.Beat(beats++))); }
         }, BEAT, BEAT, TimeUnit.MILLISECONDS);
         open();
@@ -50,17 +50,17 @@
         greeted = false;
         link = null;
         if (closed) { return; }
-        Clock.LATER.schedule(this::open, wait, TimeUnit.MILLISECONDS);
+        TimerThread.LATER.schedule(this::open, wait, TimeUnit.MILLISECONDS);
         wait = Math.min(LONGEST_WAIT, wait * 2);
     }
 
-    private final class Ear implements FrameLink.Ear {
-        @Override public void opened(FrameLink l) {
+    private final class Ear implements FramedConnection.Listener {
+        @Override public void opened(FramedConnection l) {
             link = l;
             l.send(Codec.write(new Codec.Hello(Codec.VERSION, "planner", router, 0)));
         }
 
-        @Override public void frame(FrameLink l, byte[] bytes) {
+        @Override public void frame(FramedConnection l, byte[] bytes) {
             try {
                 Object m = Codec.read(bytes);
                 if (m instanceof Codec.Hello h && h.version() == Codec.VERSION && h.side().equals("edge")) {
@@ -81,7 +81,7 @@
             }
         }
 
-        @Override public void closed(FrameLink l, String why) {
+        @Override public void closed(FramedConnection l, String why) {
             LOG.warn("planner of router {} has lost its edge: {}", router, why);
             again();
         }
@@ -90,7 +90,7 @@
     @Override public void close() {
         closed = true;
         beat.cancel(false);
-        FrameLink l = link;
+        FramedConnection l = link;
         if (l != null) { l.close("the planner stops"); }
     }
 }
--- a/src/main/java/switchgap/list/ListWatch.java
+++ b/src/main/java/switchgap/list/ListWatch.java
@@ -12,9 +12,9 @@
 import java.util.function.ToIntFunction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.net.HttpClientConnection;
+import switchgap.net.TimerThread;
 import switchgap.router.RouterCore;
-import switchgap.wire.Clock;
-import switchgap.wire.HttpLink;
 
 /**
  * Follows the list service by a held request that answers in lines. While the service is away, or tells nonsense,
@@ -27,7 +27,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ListWatch.class);
     private static final int MOST_LINE = 16 << 20;
     private static final int SILENCE = 20; // pauses without a byte, then it is asked anew
-    private final HttpLink.Opener opener;
+    private final HttpClientConnection.Factory opener;
     private final InetSocketAddress service;
     private final int router;
     private final long born;
@@ -37,12 +37,12 @@
     private final Consumer<Consumer<RouterCore>> events;
     private State state = State.AWAY;
     private long version = -1;
-    private volatile HttpLink link;
+    private volatile HttpClientConnection link;
     private volatile long heard = System.nanoTime();
     private final ScheduledFuture<?> look;
 
     /** {@code again}: the pause before asking anew. */
-    public ListWatch(HttpLink.Opener opener, InetSocketAddress service, int router, long born, Duration again,
+    public ListWatch(HttpClientConnection.Factory opener, InetSocketAddress service, int router, long born, Duration again,
                      ToIntFunction<String> zones, ToIntFunction<String> kinds, Consumer<Consumer<RouterCore>> events) {
         this.opener = opener;
         this.service = service;
@@ -52,7 +52,7 @@
         this.zones = zones;
         this.kinds = kinds;
         this.events = events;
-        look = Clock.LATER.scheduleAtFixedRate(this::look, again.toMillis(), again.toMillis(), TimeUnit.MILLISECONDS);
+        look = TimerThread.LATER.scheduleAtFixedRate(this::look, again.toMillis(), again.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     private synchronized void look() {
@@ -65,9 +65,9 @@
         if (state != State.AWAY) { return; }
         state = State.ASKING;
         heard = System.nanoTime();
-        opener.open(service, again.multipliedBy(4), new HttpLink.Opening() {
-            @Override public void open(HttpLink l) {
-                HttpLink old;
+        opener.open(service, again.multipliedBy(4), new HttpClientConnection.ConnectCallback() {
+            @Override public void open(HttpClientConnection l) {
+                HttpClientConnection old;
                 synchronized (ListWatch.this) {
                     if (state == State.CLOSED) {
                         l.close();
@@ -90,7 +90,7 @@
         if (state != State.AWAY) { LOG.warn("list service away, the last list stays: {}", why); }
         state = State.AWAY;
         events.accept(RouterCore::listFailed);
-        Clock.LATER.schedule(this::follow, again.toMillis(), TimeUnit.MILLISECONDS);
+        TimerThread.LATER.schedule(this::follow, again.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     public synchronized void close() {
@@ -99,11 +99,11 @@
         if (link != null) { link.close(); }
     }
 
-    private final class Following implements HttpLink.Exchange {
-        private final HttpLink on;
+    private final class Following implements HttpClientConnection.ResponseHandler {
+        private final HttpClientConnection on;
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-        Following(HttpLink on) { this.on = on; }
+        Following(HttpClientConnection on) { this.on = on; }
 
         @Override public boolean piece(byte[] bytes) {
             heard = System.nanoTime();
--- a/src/main/java/switchgap/wire/Dial.java
+++ b/src/main/java/switchgap/net/Connector.java
@@ -1,4 +1,4 @@
-package switchgap.wire;
+package switchgap.net;
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -13,26 +13,26 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 
 /** Opens connections within a span. One that isn't up by then is given up: a silent machine must not keep descriptors. */
-public final class Dial {
+public final class Connector {
     /** How opening a connection ended. */
-    public interface Opening<L> {
+    public interface ConnectCallback<L> {
         void open(L link);
 
         void failed(String why);
     }
 
-    private Dial() { }
+    private Connector() { }
 
     @SuppressWarnings("rawtypes")
     static <L> void dial(TCPNIOConnectorHandler connector, InetSocketAddress to, InetSocketAddress from, Duration within,
-                         Opening<L> then, Function<Connection, L> make, Consumer<L> close) {
-        AtomicReference<Opening<L>> left = new AtomicReference<>(then);
+                         ConnectCallback<L> then, Function<Connection, L> make, Consumer<L> close) {
+        AtomicReference<ConnectCallback<L>> left = new AtomicReference<>(then);
         AtomicReference<GrizzlyFuture<Connection>> dialled = new AtomicReference<>();
         Consumer<String> failed = why -> {
-            Opening<L> o = left.getAndSet(null);
+            ConnectCallback<L> o = left.getAndSet(null);
             if (o != null) { o.failed(why); }
         };
-        var late = Clock.LATER.schedule(() -> {
+        var late = TimerThread.LATER.schedule(() -> {
             failed.accept("no connection within " + within.toMillis() + " ms");
             GrizzlyFuture<Connection> f = dialled.get();
             if (f != null) { f.cancel(true); }
@@ -41,7 +41,7 @@
             @Override public void completed(Connection c) {
                 late.cancel(false);
                 L link = make.apply(c);
-                Opening<L> o = left.getAndSet(null);
+                ConnectCallback<L> o = left.getAndSet(null);
                 if (o == null) { close.accept(link); } else { o.open(link); }
             }
 
--- a/src/main/java/switchgap/wire/Frames.java
+++ b/src/main/java/switchgap/net/FrameDecoder.java
@@ -1,10 +1,10 @@
-package switchgap.wire;
+package switchgap.net;
 
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
 
 /** Frames out of a stream of bytes: four bytes of length, then so many. A length out of bounds is never gathered. */
-public final class Frames {
+public final class FrameDecoder {
     private static final int HEAD = 4;
     private static final int FIRST = 512; // gathered as bytes come, not as a length claims
     private final int most;
@@ -14,7 +14,7 @@
     private int size;
     private int got;
 
-    public Frames(int most) { this.most = most; }
+    public FrameDecoder(int most) { this.most = most; }
 
     /** Whether a part of a frame waits for its rest. */
     public boolean partial() { return headed > 0; }
--- a/src/main/java/switchgap/wire/FrameLink.java
+++ b/src/main/java/switchgap/net/FramedConnection.java
@@ -1,4 +1,4 @@
-package switchgap.wire;
+package switchgap.net;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -6,24 +6,24 @@
 import java.time.Duration;
 
 /** A connection of frames: four bytes of length, then so many bytes. Bounded both ways. */
-public final class FrameLink {
+public final class FramedConnection {
     /** Hears of a link; on a selector thread. After closed nothing comes. */
-    public interface Ear {
-        void opened(FrameLink l);
+    public interface Listener {
+        void opened(FramedConnection l);
 
-        void frame(FrameLink l, byte[] bytes);
+        void frame(FramedConnection l, byte[] bytes);
 
-        void closed(FrameLink l, String why);
+        void closed(FramedConnection l, String why);
     }
 
     private static final int MOST_UNSENT = 64;
     private static final Duration OPENS_WITHIN = Duration.ofSeconds(10);
-    private final ByteLink link;
-    private final Frames frames;
+    private final TcpConnection link;
+    private final FrameDecoder frames;
 
-    private FrameLink(ByteLink link, int most) {
+    private FramedConnection(TcpConnection link, int most) {
         this.link = link;
-        this.frames = new Frames(most);
+        this.frames = new FrameDecoder(most);
     }
 
     /** Sends a frame; false, and nothing is sent, while too many are unsent: the next one must make up for it. */
@@ -36,16 +36,16 @@
 
     public void close(String why) { link.close(why); }
 
-    private static ByteLink.Ear ear(Ear ear, int most) {
-        return new ByteLink.Ear() {
-            @Override public void opened(ByteLink l) {
-                FrameLink f = new FrameLink(l, most);
+    private static TcpConnection.Listener ear(Listener ear, int most) {
+        return new TcpConnection.Listener() {
+            @Override public void opened(TcpConnection l) {
+                FramedConnection f = new FramedConnection(l, most);
                 l.holder = f;
                 ear.opened(f);
             }
 
-            @Override public void bytes(ByteLink l, ByteBuffer more) {
-                FrameLink f = (FrameLink) l.holder;
+            @Override public void bytes(TcpConnection l, ByteBuffer more) {
+                FramedConnection f = (FramedConnection) l.holder;
                 if (!f.frames.take(more, x -> {
                     if (l.open()) { ear.frame(f, x); }
                 })) {
@@ -53,25 +53,25 @@
                 }
             }
 
-            @Override public void closed(ByteLink l, String why) { ear.closed((FrameLink) l.holder, why); }
+            @Override public void closed(TcpConnection l, String why) { ear.closed((FramedConnection) l.holder, why); }
         };
     }
 
     /** Listens; port 0 takes any. */
-    public static ByteLink.Door listen(Net net, String host, int port, int most, Ear ear) throws IOException {
-        return ByteLink.listen(net, host, port, 16, ear(ear, most));
+    public static TcpConnection.Server listen(NetworkTransport net, String host, int port, int most, Listener ear) throws IOException {
+        return TcpConnection.listen(net, host, port, 16, ear(ear, most));
     }
 
     /** Opens links of one kind, again and again, through one filter chain. */
-    public static final class Opener {
-        private final ByteLink.Opener opener;
+    public static final class Factory {
+        private final TcpConnection.Factory opener;
 
-        public Opener(Net net, int most, Ear ear) { opener = new ByteLink.Opener(net, ear(ear, most)); }
+        public Factory(NetworkTransport net, int most, Listener ear) { opener = new TcpConnection.Factory(net, ear(ear, most)); }
 
         /** Opens one; {@code failed} runs where that can't be done. */
         public void open(InetSocketAddress to, Runnable failed) {
-            opener.open(to, OPENS_WITHIN, new Dial.Opening<>() {
-                @Override public void open(ByteLink l) { }
+            opener.open(to, OPENS_WITHIN, new Connector.ConnectCallback<>() {
+                @Override public void open(TcpConnection l) { }
 
                 @Override public void failed(String why) { failed.run(); }
             });
--- a/src/main/java/switchgap/wire/HttpLink.java
+++ b/src/main/java/switchgap/net/HttpClientConnection.java
@@ -1,4 +1,4 @@
-package switchgap.wire;
+package switchgap.net;
 
 import java.io.ByteArrayOutputStream;
 import java.net.InetSocketAddress;
@@ -25,9 +25,9 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 
 /** One connection that asks: one exchange at a time, each answer matched to the exchange that is on it. */
-public final class HttpLink {
+public final class HttpClientConnection {
     /** What becomes of one exchange: exactly one of answered and broken, unless it was abandoned. */
-    public interface Exchange {
+    public interface ResponseHandler {
         void answered(int status, Map<String, String> headers, byte[] body, boolean reusable);
 
         /** The connection ended or spoke no HTTP. */
@@ -40,37 +40,37 @@
     }
 
     /** How opening a connection ended. */
-    public interface Opening extends Dial.Opening<HttpLink> { }
+    public interface ConnectCallback extends Connector.ConnectCallback<HttpClientConnection> { }
 
     /** Opens links of one kind through one filter chain. */
-    public static final class Opener {
-        private final Net net;
-        private final Attribute<HttpLink> links = Grizzly.DEFAULT_ATTRIBUTE_BUILDER
+    public static final class Factory {
+        private final NetworkTransport net;
+        private final Attribute<HttpClientConnection> links = Grizzly.DEFAULT_ATTRIBUTE_BUILDER
             .createAttribute("switchgap.link." + System.identityHashCode(this));
         private final TCPNIOConnectorHandler connector;
         private final InetSocketAddress from;
         private final int bodyBytes;
 
         /** {@code from} is the local address to ask from, or null for any; answers hold bodyBytes at the most. */
-        public Opener(Net net, String from, int bodyBytes) {
+        public Factory(NetworkTransport net, String from, int bodyBytes) {
             this.net = net;
             this.bodyBytes = bodyBytes;
             this.from = from == null ? null : new InetSocketAddress(from, 0);
             this.connector = TCPNIOConnectorHandler.builder(net.transport).processor(FilterChainBuilder.stateless()
-                .add(new TransportFilter()).add(new Unasked()).add(new Interim()).add(new HttpClientFilter()).add(new Ear()).build())
+                .add(new TransportFilter()).add(new UnsolicitedBytesFilter()).add(new InterimResponseFilter()).add(new HttpClientFilter()).add(new ResponseFilter()).build())
                 .build();
         }
 
         /** Opens a connection; exactly one of the two answers comes, within the span. */
-        public void open(InetSocketAddress to, Duration within, Opening then) {
-            Dial.dial(connector, to, from, within, then, c -> {
-                HttpLink link = new HttpLink(c, Opener.this);
+        public void open(InetSocketAddress to, Duration within, ConnectCallback then) {
+            Connector.dial(connector, to, from, within, then, c -> {
+                HttpClientConnection link = new HttpClientConnection(c, Factory.this);
                 links.set(c, link);
                 return link;
-            }, HttpLink::close);
+            }, HttpClientConnection::close);
         }
 
-        private HttpLink of(FilterChainContext ctx) {
+        private HttpClientConnection of(FilterChainContext ctx) {
             return links.get(ctx.getConnection());
         }
 
@@ -78,9 +78,9 @@
          * Guards against bytes that nobody asked for: a second answer to a request must never be read as the
          * answer to the next one, so a link that speaks while idle ends.
          */
-        private final class Unasked extends BaseFilter {
+        private final class UnsolicitedBytesFilter extends BaseFilter {
             @Override public NextAction handleRead(FilterChainContext ctx) {
-                HttpLink link = of(ctx);
+                HttpClientConnection link = of(ctx);
                 if (link == null || link.now.get() == null) {
                     if (link != null) { link.surplus = true; }
                     ctx.getConnection().closeSilently();
@@ -91,12 +91,12 @@
         }
 
         /** Drops interim answers (1xx): each was read as an answer with a body that never ends, until the time limit. */
-        private final class Interim extends BaseFilter {
+        private final class InterimResponseFilter extends BaseFilter {
             private static final int HEAD = 16 << 10;
             private static final int STATUS = 9; // bytes of "HTTP/1.1 "
 
             @Override public NextAction handleRead(FilterChainContext ctx) {
-                HttpLink link = of(ctx);
+                HttpClientConnection link = of(ctx);
                 Buffer b = ctx.getMessage();
                 while (!link.answering) {
                     if (b.remaining() <= STATUS) { return ctx.getStopAction(b); }
@@ -126,23 +126,23 @@
             }
         }
 
-        private final class Ear extends BaseFilter {
+        private final class ResponseFilter extends BaseFilter {
             @Override public NextAction handleRead(FilterChainContext ctx) {
-                HttpLink link = of(ctx);
+                HttpClientConnection link = of(ctx);
                 if (link != null && link.hear(ctx.getMessage())) {
-                    ctx.getInternalContext().addLifeCycleListener(new Whole(link));
+                    ctx.getInternalContext().addLifeCycleListener(new WriteListener(link));
                 }
                 return ctx.getStopAction();
             }
 
             @Override public NextAction handleClose(FilterChainContext ctx) {
-                HttpLink link = of(ctx);
+                HttpClientConnection link = of(ctx);
                 if (link != null) { link.ended("connection ended"); }
                 return ctx.getInvokeAction();
             }
 
             @Override public void exceptionOccurred(FilterChainContext ctx, Throwable e) {
-                HttpLink link = of(ctx);
+                HttpClientConnection link = of(ctx);
                 ctx.getConnection().closeSilently();
                 if (link != null) { link.ended("unreadable answer: " + e.getMessage()); }
             }
@@ -153,10 +153,10 @@
      * Hands an answer over once all that was read with it has been looked at. Guards against a second answer in the
      * same bytes: the link must not be free for the next exchange before those are seen.
      */
-    private static final class Whole extends IOEventLifeCycleListener.Adapter {
-        private final HttpLink link;
+    private static final class WriteListener extends IOEventLifeCycleListener.Adapter {
+        private final HttpClientConnection link;
 
-        Whole(HttpLink link) { this.link = link; }
+        WriteListener(HttpClientConnection link) { this.link = link; }
 
         @Override public void onComplete(Context c, Object data) { link.hand(); }
 
@@ -172,9 +172,9 @@
     }
 
     private final Connection<?> connection;
-    private final Opener opener;
+    private final Factory opener;
     private volatile Runnable whole;
-    private final AtomicReference<Exchange> now = new AtomicReference<>();
+    private final AtomicReference<ResponseHandler> now = new AtomicReference<>();
     private ByteArrayOutputStream gathered;
     private volatile boolean surplus;
     private volatile boolean answering; // whether the head of the final answer has begun
@@ -182,7 +182,7 @@
     /** Nanoseconds of System.nanoTime at which the last exchange ended. */
     public volatile long idleSince = System.nanoTime();
 
-    private HttpLink(Connection<?> connection, Opener opener) {
+    private HttpClientConnection(Connection<?> connection, Factory opener) {
         this.connection = connection;
         this.opener = opener;
     }
@@ -200,7 +200,7 @@
      * Asks. False when the link is not open or busy: then no byte has gone out. True: bytes may have gone out and
      * the exchange hears of its end once.
      */
-    public boolean ask(String method, String path, Map<String, String> headers, byte[] body, Exchange x) {
+    public boolean ask(String method, String path, Map<String, String> headers, byte[] body, ResponseHandler x) {
         if (!usable() || !now.compareAndSet(null, x)) {
             return false;
         }
@@ -229,7 +229,7 @@
     }
 
     /** Forgets the exchange and ends the connection: a late answer reaches nobody. */
-    public void abandon(Exchange x) {
+    public void abandon(ResponseHandler x) {
         if (now.compareAndSet(x, null)) { close(); }
     }
 
@@ -245,7 +245,7 @@
 
     /** Takes a part of an answer in; true when it was the last one. */
     private boolean hear(HttpContent part) {
-        Exchange x = now.get();
+        ResponseHandler x = now.get();
         if (x == null || whole != null) {
             surplus = true;
             close();
@@ -293,7 +293,7 @@
 
     private void ended(String why) {
         hand(); // an answer that came whole before the end stays one
-        Exchange x = now.getAndSet(null);
+        ResponseHandler x = now.getAndSet(null);
         if (x != null) { x.broken(why); }
         onClose.run();
     }
--- a/src/main/java/switchgap/wire/Request.java
+++ b/src/main/java/switchgap/net/HttpExchange.java
@@ -1,4 +1,4 @@
-package switchgap.wire;
+package switchgap.net;
 
 import java.util.Locale;
 import java.util.Map;
@@ -11,7 +11,7 @@
 import org.glassfish.grizzly.memory.Buffers;
 
 /** A request that has come whole, and the way to answer it once, from any thread. */
-public final class Request {
+public final class HttpExchange {
     private final Connection<?> connection;
     private final HttpRequestPacket head;
     private final HttpResponsePacket response;
@@ -24,7 +24,7 @@
     /** Whatever the desk wants to find again when the asker leaves. */
     public volatile Object attachment;
 
-    Request(Connection<?> connection, HttpRequestPacket head, byte[] body, Runnable onAnswer) {
+    HttpExchange(Connection<?> connection, HttpRequestPacket head, byte[] body, Runnable onAnswer) {
         this.connection = connection;
         this.head = head;
         this.response = head.getResponse();
@@ -103,7 +103,7 @@
             onAnswer.run();
         }
         Connection<?> c = connection;
-        Raw.write(c, bytes, close);
+        RawBytesFilter.write(c, bytes, close);
     }
 
     private void fill(int status, Map<String, String> headers) {
--- a/src/main/java/switchgap/wire/HttpDoor.java
+++ b/src/main/java/switchgap/net/HttpServer.java
@@ -1,4 +1,4 @@
-package switchgap.wire;
+package switchgap.net;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -24,35 +24,35 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOServerConnection;
 
 /** Listens, reads requests whole within bounds, and hands each to the desk on a selector thread. */
-public final class HttpDoor implements AutoCloseable {
+public final class HttpServer implements AutoCloseable {
     /** Takes the requests. */
-    public interface Desk {
-        void asked(Request r);
+    public interface RequestHandler {
+        void asked(HttpExchange r);
 
         /** The asker's connection ended before its request was answered. */
-        default void left(Request r) { }
+        default void left(HttpExchange r) { }
     }
 
-    private static final class Visit {
+    private static final class ConnectionState {
         byte[] body = new byte[0];
         int size;
         boolean discarded;
         final long opened = System.nanoTime();
         volatile long began; // of a request that is not whole yet, or 0
         volatile boolean used;
-        volatile Request asked;
+        volatile HttpExchange asked;
     }
 
-    private final Attribute<Visit> visits =
-        Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("switchgap.visit." + System.identityHashCode(this), Visit::new);
-    private final Net net;
-    private final Bounds bounds;
-    private final Desk desk;
+    private final Attribute<ConnectionState> visits =
+        Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("switchgap.visit." + System.identityHashCode(this), ConnectionState::new);
+    private final NetworkTransport net;
+    private final ConnectionLimits bounds;
+    private final RequestHandler desk;
     private final Set<Connection<?>> open = ConcurrentHashMap.newKeySet();
     private TCPNIOServerConnection listener;
     private ScheduledFuture<?> look;
 
-    public HttpDoor(Net net, Bounds bounds, Desk desk) {
+    public HttpServer(NetworkTransport net, ConnectionLimits bounds, RequestHandler desk) {
         this.net = net;
         this.bounds = bounds;
         this.desk = desk;
@@ -67,12 +67,12 @@
         HttpServerFilter http = new HttpServerFilter(false, bounds.headerBytes(), "text/plain", keep,
             net.timers(), 100, 100);
         TCPNIOBindingHandler binding = TCPNIOBindingHandler.builder(net.transport)
-            .processor(FilterChainBuilder.stateless().add(new TransportFilter()).add(new First()).add(http)
-                .add(new Hall()).build())
+            .processor(FilterChainBuilder.stateless().add(new TransportFilter()).add(new RequestStartFilter()).add(http)
+                .add(new RequestAssemblyFilter()).build())
             .build();
         listener = binding.bind(new InetSocketAddress(host, port), 4096);
         long every = Math.max(10, bounds.arrival().toMillis() / 4);
-        look = Clock.LATER.scheduleAtFixedRate(this::look, every, every, TimeUnit.MILLISECONDS);
+        look = TimerThread.LATER.scheduleAtFixedRate(this::look, every, every, TimeUnit.MILLISECONDS);
         return ((InetSocketAddress) listener.getLocalAddress()).getPort();
     }
 
@@ -91,7 +91,7 @@
     private void look() {
         long now = System.nanoTime();
         open.forEach(c -> {
-            Visit v = visits.get(c);
+            ConnectionState v = visits.get(c);
             long began = v.began;
             if (began != 0 && now - began > bounds.arrival().toNanos()
                 || began == 0 && !v.used && now - v.opened > bounds.idle().toNanos()) {
@@ -107,16 +107,16 @@
     }
 
     /** The first filter: notes when a request begins, before its head can be read. */
-    private final class First extends BaseFilter {
+    private final class RequestStartFilter extends BaseFilter {
         @Override public NextAction handleRead(FilterChainContext ctx) {
-            Visit v = visits.get(ctx.getConnection());
+            ConnectionState v = visits.get(ctx.getConnection());
             if (v.began == 0 && v.asked == null) { v.began = System.nanoTime(); }
             return ctx.getInvokeAction();
         }
     }
 
     /** The last filter: gathers bodies and notices who leaves. */
-    private final class Hall extends BaseFilter {
+    private final class RequestAssemblyFilter extends BaseFilter {
         @Override public NextAction handleAccept(FilterChainContext ctx) {
             if (open.size() >= bounds.connections()) {
                 ctx.getConnection().closeSilently();
@@ -128,8 +128,8 @@
 
         @Override public NextAction handleClose(FilterChainContext ctx) {
             open.remove(ctx.getConnection());
-            Visit v = visits.peek(ctx.getConnection());
-            Request asked = v == null ? null : v.asked;
+            ConnectionState v = visits.peek(ctx.getConnection());
+            HttpExchange asked = v == null ? null : v.asked;
             if (asked != null) {
                 v.asked = null;
                 desk.left(asked);
@@ -141,7 +141,7 @@
             HttpContent part = ctx.getMessage();
             HttpRequestPacket head = (HttpRequestPacket) part.getHttpHeader();
             Connection<?> c = ctx.getConnection();
-            Visit v = visits.get(c);
+            ConnectionState v = visits.get(c);
             if (v.asked != null) { // a further request before the answer: pipelining is not spoken here
                 c.closeSilently();
                 return ctx.getStopAction();
@@ -171,7 +171,7 @@
                 return ctx.getStopAction();
             }
             byte[] body = v.size == v.body.length ? v.body : java.util.Arrays.copyOf(v.body, v.size);
-            Request r = new Request(c, head, body, () -> v.asked = null);
+            HttpExchange r = new HttpExchange(c, head, body, () -> v.asked = null);
             v.body = new byte[0];
             v.size = 0;
             v.asked = r;
@@ -183,7 +183,7 @@
 
         private void refuse(Connection<?> c, HttpRequestPacket head, int status, String why) {
             head.getProcessingState().setKeepAlive(false);
-            new Request(c, head, new byte[0], () -> { }).answer(status,
+            new HttpExchange(c, head, new byte[0], () -> { }).answer(status,
                 Map.of("Content-Type", "application/problem+json", "Connection", "close"),
                 ("{\"title\":\"refused\",\"status\":" + status + ",\"detail\":\"" + why + "\"}").getBytes());
         }
--- a/src/main/java/switchgap/wire/Carriers.java
+++ b/src/main/java/switchgap/net/KeyedWriters.java
@@ -1,4 +1,4 @@
-package switchgap.wire;
+package switchgap.net;
 
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.locks.LockSupport;
@@ -9,10 +9,10 @@
  * A few threads that write what one loop decided: encoding and the write itself are most of what a call costs, and
  * the loop is one thread. What carries the same key is written in order.
  */
-public final class Carriers implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Carriers.class);
+public final class KeyedWriters implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(KeyedWriters.class);
 
-    private static final class Lane implements Runnable {
+    private static final class WriterThread implements Runnable {
         private final ConcurrentLinkedQueue<Runnable> queue = new ConcurrentLinkedQueue<>();
         private volatile boolean asleep;
         private volatile boolean stopped;
@@ -36,12 +36,12 @@
         }
     }
 
-    private final Lane[] lanes;
+    private final WriterThread[] lanes;
 
-    public Carriers(int threads, String name) {
-        lanes = new Lane[threads];
+    public KeyedWriters(int threads, String name) {
+        lanes = new WriterThread[threads];
         for (int i = 0; i < threads; i++) {
-            lanes[i] = new Lane();
+            lanes[i] = new WriterThread();
             lanes[i].thread = new Thread(lanes[i], name + "-" + i);
             lanes[i].thread.setDaemon(true);
             lanes[i].thread.start();
@@ -49,13 +49,13 @@
     }
 
     public void carry(int key, Runnable r) {
-        Lane l = lanes[Math.floorMod(key, lanes.length)];
+        WriterThread l = lanes[Math.floorMod(key, lanes.length)];
         l.queue.add(r);
         if (l.asleep) { LockSupport.unpark(l.thread); }
     }
 
     @Override public void close() {
-        for (Lane l : lanes) {
+        for (WriterThread l : lanes) {
             l.stopped = true;
             LockSupport.unpark(l.thread);
         }
--- a/src/main/java/switchgap/wire/Net.java
+++ b/src/main/java/switchgap/net/NetworkTransport.java
@@ -1,4 +1,4 @@
-package switchgap.wire;
+package switchgap.net;
 
 import java.io.IOException;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
@@ -7,12 +7,12 @@
 import org.glassfish.grizzly.utils.DelayedExecutor;
 
 /** One Grizzly transport with its selector threads and its timers, shared by the doors and links of a program. */
-public final class Net implements AutoCloseable {
+public final class NetworkTransport implements AutoCloseable {
     final TCPNIOTransport transport;
     private static final int READ_BYTES = 16 << 10; // at a time; by itself it is as large as the socket's own buffer
     private DelayedExecutor timers;
 
-    public Net(int selectors, String name) throws IOException {
+    public NetworkTransport(int selectors, String name) throws IOException {
         var pool = org.glassfish.grizzly.threadpool.ThreadPoolConfig.defaultConfig().copy()
             .setPoolName(name).setCorePoolSize(selectors).setMaxPoolSize(selectors).setDaemon(true);
         transport = TCPNIOTransportBuilder.newInstance()
--- a/src/main/java/switchgap/wire/Raw.java
+++ b/src/main/java/switchgap/net/RawBytesFilter.java
@@ -1,4 +1,4 @@
-package switchgap.wire;
+package switchgap.net;
 
 import java.net.SocketAddress;
 import org.glassfish.grizzly.Connection;
@@ -10,8 +10,8 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /** Bytes written below the HTTP filters. */
-final class Raw {
-    private Raw() { }
+final class RawBytesFilter {
+    private RawBytesFilter() { }
 
     static void write(Connection<?> c, byte[] bytes, boolean close) {
         ((TCPNIOTransport) c.getTransport()).getAsyncQueueIO().getWriter().write((NIOConnection) c,
--- a/src/main/java/switchgap/wire/ByteLink.java
+++ b/src/main/java/switchgap/net/TcpConnection.java
@@ -1,4 +1,4 @@
-package switchgap.wire;
+package switchgap.net;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -28,26 +28,26 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /** A connection that carries bytes as they come; it tells how many it has yet to write. */
-public final class ByteLink {
+public final class TcpConnection {
     /** Hears of a link; on a selector thread. After closed nothing comes. */
-    public interface Ear {
-        void opened(ByteLink l);
+    public interface Listener {
+        void opened(TcpConnection l);
 
         /** What came, to be read before this returns. */
-        void bytes(ByteLink l, ByteBuffer more);
+        void bytes(TcpConnection l, ByteBuffer more);
 
-        void closed(ByteLink l, String why);
+        void closed(TcpConnection l, String why);
     }
 
     private final Connection<?> connection;
-    private final Ear ear;
+    private final Listener ear;
     private final AtomicBoolean over = new AtomicBoolean();
     private final AtomicInteger unsent = new AtomicInteger();
     private final AtomicInteger writes = new AtomicInteger();
     /** The ear's own. */
     public volatile Object holder;
 
-    private ByteLink(Connection<?> c, Ear ear) {
+    private TcpConnection(Connection<?> c, Listener ear) {
         this.connection = c;
         this.ear = ear;
     }
@@ -85,15 +85,15 @@
         }
     }
 
-    private static final class Reader extends BaseFilter {
-        private final Attribute<ByteLink> links = Grizzly.DEFAULT_ATTRIBUTE_BUILDER
+    private static final class ConnectionFilter extends BaseFilter {
+        private final Attribute<TcpConnection> links = Grizzly.DEFAULT_ATTRIBUTE_BUILDER
             .createAttribute("switchgap.bytes." + System.identityHashCode(this));
-        private final Ear ear;
+        private final Listener ear;
 
-        Reader(Ear ear) { this.ear = ear; }
+        ConnectionFilter(Listener ear) { this.ear = ear; }
 
         private NextAction begin(FilterChainContext x) {
-            ByteLink l = new ByteLink(x.getConnection(), ear);
+            TcpConnection l = new TcpConnection(x.getConnection(), ear);
             links.set(x.getConnection(), l);
             ear.opened(l);
             return x.getStopAction();
@@ -105,34 +105,34 @@
 
         @Override public NextAction handleRead(FilterChainContext x) {
             Buffer b = x.getMessage();
-            ByteLink l = links.get(x.getConnection());
+            TcpConnection l = links.get(x.getConnection());
             if (l != null && !l.over.get()) { ear.bytes(l, b.toByteBuffer()); }
             b.tryDispose();
             return x.getStopAction();
         }
 
         @Override public NextAction handleClose(FilterChainContext x) {
-            ByteLink l = links.get(x.getConnection());
+            TcpConnection l = links.get(x.getConnection());
             if (l != null) { l.close("the other side closed"); }
             return x.getStopAction();
         }
     }
 
-    private static FilterChain chain(Reader r) {
+    private static FilterChain chain(ConnectionFilter r) {
         return FilterChainBuilder.stateless().add(new TransportFilter()).add(r).build();
     }
 
     /** Listens; port 0 takes any; so many connections may wait to be accepted. */
-    public static Door listen(Net net, String host, int port, int backlog, Ear ear) throws IOException {
-        return new Door(TCPNIOBindingHandler.builder(net.transport).processor(chain(new Reader(ear))).build()
+    public static Server listen(NetworkTransport net, String host, int port, int backlog, Listener ear) throws IOException {
+        return new Server(TCPNIOBindingHandler.builder(net.transport).processor(chain(new ConnectionFilter(ear))).build()
             .bind(new InetSocketAddress(host, port), backlog));
     }
 
     /** A listener. */
-    public static final class Door implements AutoCloseable {
+    public static final class Server implements AutoCloseable {
         private final TCPNIOServerConnection c;
 
-        private Door(TCPNIOServerConnection c) { this.c = c; }
+        private Server(TCPNIOServerConnection c) { this.c = c; }
 
         public int port() { return ((InetSocketAddress) c.getLocalAddress()).getPort(); }
 
@@ -140,18 +140,18 @@
     }
 
     /** Opens links of one kind, again and again, through one filter chain. */
-    public static final class Opener {
-        private final Reader reader;
+    public static final class Factory {
+        private final ConnectionFilter reader;
         private final TCPNIOConnectorHandler connector;
 
-        public Opener(Net net, Ear ear) {
-            reader = new Reader(ear);
+        public Factory(NetworkTransport net, Listener ear) {
+            reader = new ConnectionFilter(ear);
             connector = TCPNIOConnectorHandler.builder(net.transport).processor(chain(reader)).build();
         }
 
         /** Opens one; exactly one of the two answers comes, within the span. */
-        public void open(InetSocketAddress to, Duration within, Dial.Opening<ByteLink> then) {
-            Dial.dial(connector, to, null, within, then, c -> reader.links.get(c), l -> l.close("opened too late"));
+        public void open(InetSocketAddress to, Duration within, Connector.ConnectCallback<TcpConnection> then) {
+            Connector.dial(connector, to, null, within, then, c -> reader.links.get(c), l -> l.close("opened too late"));
         }
     }
 }
--- a/src/main/java/switchgap/wire/Clock.java
+++ b/src/main/java/switchgap/net/TimerThread.java
@@ -1,9 +1,9 @@
-package switchgap.wire;
+package switchgap.net;
 
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 
 /** One thread for rare timers of the sockets: slow senders, slow connects. */
-public final class Clock {
+public final class TimerThread {
     public static final ScheduledThreadPoolExecutor LATER = new ScheduledThreadPoolExecutor(1, r -> {
         Thread t = new Thread(r, "later");
         t.setDaemon(true);
@@ -14,5 +14,5 @@
         LATER.setRemoveOnCancelPolicy(true);
     }
 
-    private Clock() { }
+    private TimerThread() { }
 }
--- a/src/main/java/switchgap/platform/Platform.java
+++ b/src/main/java/switchgap/platform/Platform.java
@@ -9,12 +9,12 @@
 import switchgap.controlfeed.Event;
 import switchgap.controlfeed.Follow;
 import switchgap.eventloop.EventLoop;
+import switchgap.net.HttpClientConnection;
+import switchgap.net.NetworkTransport;
 import switchgap.resp.Workers;
 import switchgap.router.RouterCore;
 import switchgap.stated.StatedTerms;
 import switchgap.thrift.Door;
-import switchgap.wire.HttpLink;
-import switchgap.wire.Net;
 
 /** A running router on the platform: one more way in and out of the core, under the module and nothing else. */
 final class Platform implements AutoCloseable {
@@ -37,7 +37,7 @@
     private static final Duration LOOK = Duration.ofMillis(20);
     private static final int QUIET = 3; // looks one after the other that find nothing under way
     private final Log log;
-    private final Net net;
+    private final NetworkTransport net;
     private final EventLoop loop;
     private final Workers workers;
     private final Door door;
@@ -47,7 +47,7 @@
     Platform(Given g, Log log) throws IOException {
         this.log = log;
         StatedTerms terms = g.terms();
-        net = new Net(1, "net");
+        net = new NetworkTransport(1, "net");
         AtomicReference<Workers> made = new AtomicReference<>();
         Workers.Bounds bounds = new Workers.Bounds(Math.max(1, g.sockets() / WORKER_SHARE), MOST_LINKS, MOST_WAITING, terms.multiplex(), terms.connectWithin(), terms.idle().dividedBy(2),
             terms.tellsCrowd());
@@ -61,7 +61,7 @@
             Math.max(1, g.sockets() / CROWD_SHARE), bytes / 4,
             bytes, Math.min(terms.mostHeld(), MOST_CALLS), ARRIVAL), loop::now, loop::post, log::line);
         longest = terms.longestLimit();
-        feed = new Follow(new HttpLink.Opener(net, null, 1 << 16), g.lastEvent(), g.book(), this::list, log::line);
+        feed = new Follow(new HttpClientConnection.Factory(net, null, 1 << 16), g.lastEvent(), g.book(), this::list, log::line);
         g.known().forEach(this::list);
         CountDownLatch known = new CountDownLatch(1);
         loop.post(c -> {
--- a/src/main/java/switchgap/resp/Link.java
+++ b/src/main/java/switchgap/resp/Link.java
@@ -2,11 +2,11 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import switchgap.wire.ByteLink;
+import switchgap.net.TcpConnection;
 
 /** One connection to a worker with what is out on it. Its reader belongs to a selector thread, the rest to the loop. */
 final class Link {
-    final ByteLink bytes;
+    final TcpConnection bytes;
     final Pool pool;
     final Reader reader;
     final Map<String, Errand> out = new HashMap<>();
@@ -16,7 +16,7 @@
     long used;
     long heard;
 
-    Link(ByteLink bytes, Pool pool, Reader reader, long now) {
+    Link(TcpConnection bytes, Pool pool, Reader reader, long now) {
         this.bytes = bytes;
         this.pool = pool;
         this.reader = reader;
--- a/src/main/java/switchgap/resp/Workers.java
+++ b/src/main/java/switchgap/resp/Workers.java
@@ -10,6 +10,9 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import switchgap.net.Connector;
+import switchgap.net.NetworkTransport;
+import switchgap.net.TcpConnection;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Attempt;
 import switchgap.router.LoadReport;
@@ -18,9 +21,6 @@
 import switchgap.router.WorkerCommand;
 import switchgap.router.WorkerEntry;
 import switchgap.router.WorkerTransport;
-import switchgap.wire.ByteLink;
-import switchgap.wire.Dial;
-import switchgap.wire.Net;
 
 /** Executions, orders and probes as RESP commands. Selector threads read and decode; all else runs on the router's loop. */
 public final class Workers implements WorkerTransport {
@@ -37,7 +37,7 @@
     private final Supplier<Duration> clock;
     private final Consumer<Consumer<RouterCore>> events;
     private final Set<Pool> pools = new HashSet<>();
-    private final ByteLink.Opener opener;
+    private final TcpConnection.Factory opener;
     private final Duration probeLimit;
     private final Duration orderLimit;
     private long tags;
@@ -47,7 +47,7 @@
      * {@code names} are those of the workloads, {@code clock} is the router's, {@code events} its loop. Orders and probes
      * are given up by the core after their limits.
      */
-    public Workers(Net net, Bounds bounds, String[] names, Duration orderLimit, Duration probeLimit, Supplier<Duration> clock,
+    public Workers(NetworkTransport net, Bounds bounds, String[] names, Duration orderLimit, Duration probeLimit, Supplier<Duration> clock,
                    Consumer<Consumer<RouterCore>> events) {
         this.bounds = bounds;
         this.names = names;
@@ -55,7 +55,7 @@
         this.probeLimit = probeLimit;
         this.clock = clock;
         this.events = events;
-        this.opener = new ByteLink.Opener(net, new Ear());
+        this.opener = new TcpConnection.Factory(net, new Ear());
     }
 
     long nanos() { return clock.get().toNanos(); }
@@ -91,8 +91,8 @@
 
     void dial(Pool p, InetSocketAddress to) {
         connections++;
-        opener.open(to, bounds.connectWithin(), new Dial.Opening<>() {
-            @Override public void open(ByteLink l) {
+        opener.open(to, bounds.connectWithin(), new Connector.ConnectCallback<>() {
+            @Override public void open(TcpConnection l) {
                 Link k = new Link(l, p, new Reader(MOST_STRING), nanos());
                 l.holder = k;
                 events.accept(c -> p.opened(c, k)); // which looks whether it has closed since
@@ -103,10 +103,10 @@
     }
 
     /** On selector threads. */
-    private final class Ear implements ByteLink.Ear {
-        @Override public void opened(ByteLink l) { }
+    private final class Ear implements TcpConnection.Listener {
+        @Override public void opened(TcpConnection l) { }
 
-        @Override public void bytes(ByteLink l, ByteBuffer more) {
+        @Override public void bytes(TcpConnection l, ByteBuffer more) {
             Link k = (Link) l.holder;
             List<Reply> replies = new ArrayList<>(2);
             String why = k == null ? "it spoke before it was asked" : null;
@@ -119,7 +119,7 @@
             if (why != null) { l.close(why); } // unreadable once, it is of no use to anything out on it
         }
 
-        @Override public void closed(ByteLink l, String why) {
+        @Override public void closed(TcpConnection l, String why) {
             if (l.holder instanceof Link k) { events.accept(c -> k.pool.closed(c, k)); }
         }
     }
--- a/src/main/java/switchgap/standin/ListService.java
+++ b/src/main/java/switchgap/standin/ListService.java
@@ -7,13 +7,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import switchgap.wire.Bounds;
-import switchgap.wire.HttpDoor;
-import switchgap.wire.Net;
-import switchgap.wire.Request;
+import switchgap.net.ConnectionLimits;
+import switchgap.net.HttpExchange;
+import switchgap.net.HttpServer;
+import switchgap.net.NetworkTransport;
 
 /** Pushes the list of workers over held requests: the whole list first, then each change, late by a stated span. */
-public final class ListService implements HttpDoor.Desk {
+public final class ListService implements HttpServer.RequestHandler {
     /** One line of the list; {@code started} in milliseconds of wall time, 0 where long past. */
     public record Line(String name, int port, String state, String zone, int cell, String kind, double size, long started) {
         String json() {
@@ -24,13 +24,13 @@
     }
 
     private static final class Watcher {
-        final Request request;
+        final HttpExchange request;
         final int router;
         final ArrayDeque<Line> due = new ArrayDeque<>();
         long version;
         long busyUntil;
 
-        Watcher(Request request, int router) {
+        Watcher(HttpExchange request, int router) {
             this.request = request;
             this.router = router;
         }
@@ -39,18 +39,18 @@
     private final Ticker ticker;
     private final Record record;
     private final Map<String, Line> lines = new LinkedHashMap<>();
-    private final Map<Request, Watcher> watchers = new LinkedHashMap<>();
-    private final HttpDoor door;
+    private final Map<HttpExchange, Watcher> watchers = new LinkedHashMap<>();
+    private final HttpServer door;
     private final int port;
     private long lag;
     private boolean away;
 
     /** Changes reach each router after {@code lag} microseconds. */
-    public ListService(Ticker ticker, Net net, Record record, long lag) throws IOException {
+    public ListService(Ticker ticker, NetworkTransport net, Record record, long lag) throws IOException {
         this.ticker = ticker;
         this.record = record;
         this.lag = lag;
-        door = new HttpDoor(net, Bounds.USUAL, this);
+        door = new HttpServer(net, ConnectionLimits.USUAL, this);
         port = door.listen("127.0.0.1", 0);
     }
 
@@ -64,7 +64,7 @@
     public void away(boolean is) {
         away = is;
         if (is) {
-            List.copyOf(watchers.keySet()).forEach(Request::drop);
+            List.copyOf(watchers.keySet()).forEach(HttpExchange::drop);
             watchers.clear();
         }
     }
@@ -103,7 +103,7 @@
         }
     }
 
-    @Override public void asked(Request r) {
+    @Override public void asked(HttpExchange r) {
         ticker.post(() -> {
             String router = r.asked("router");
             if (away || router == null || !r.path.equals("/v1/workers")) {
--- a/src/main/java/switchgap/standin/ModelServer.java
+++ b/src/main/java/switchgap/standin/ModelServer.java
@@ -10,39 +10,39 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
-import switchgap.wire.Bounds;
-import switchgap.wire.HttpDoor;
-import switchgap.wire.Net;
-import switchgap.wire.Request;
+import switchgap.net.ConnectionLimits;
+import switchgap.net.HttpExchange;
+import switchgap.net.HttpServer;
+import switchgap.net.NetworkTransport;
 
 /**
  * A model server that speaks the Open Inference Protocol with its repository extension and load reports as response
  * headers, before a {@link Machine}. It logs each request that came and each answer that went.
  */
-public final class ModelServer implements HttpDoor.Desk {
+public final class ModelServer implements HttpServer.RequestHandler {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Bounds BOUNDS = new Bounds(16 << 10, 4 << 20, 10_000, Duration.ofSeconds(120),
+    private static final ConnectionLimits BOUNDS = new ConnectionLimits(16 << 10, 4 << 20, 10_000, Duration.ofSeconds(120),
         Duration.ofSeconds(30));
     private static final long LATE = 5_000_000;
     private static final long SLOW_CONNECT = 400_000;
     public final String name;
     public final Faults faults;
     private final Ticker ticker;
-    private final Net net;
+    private final NetworkTransport net;
     private final Record record;
     private final Function<String, Model> models;
     private final Function<String, Integer> routers;
     private final Map<String, Long> fingerprints;
     private final boolean tellsUtil;
     private Machine machine;
-    private HttpDoor door;
+    private HttpServer door;
     private int port;
 
     /**
      * {@code models}: the function of a name, null where there is none; {@code routers}: the number of the router
      * behind an address; {@code fingerprints}: shared by the group of servers that drops repeats.
      */
-    public ModelServer(String name, Ticker ticker, Net net, Record record, Function<String, Model> models,
+    public ModelServer(String name, Ticker ticker, NetworkTransport net, Record record, Function<String, Model> models,
                        Function<String, Integer> routers, Map<String, Long> fingerprints, boolean tellsUtil, long seed) {
         this.name = name;
         this.ticker = ticker;
@@ -62,7 +62,7 @@
             kill();
         });
         record.line(ticker.now(), "started", "worker", name, "cold", cold, "cores", make.cores(), "speed", make.speed());
-        door = new HttpDoor(net, BOUNDS, this);
+        door = new HttpServer(net, BOUNDS, this);
         port = door.listen("127.0.0.1", port);
         return port;
     }
@@ -82,7 +82,7 @@
         door = null;
     }
 
-    @Override public void asked(Request r) {
+    @Override public void asked(HttpExchange r) {
         long came = ticker.now();
         ticker.post(() -> {
             if (door == null) { return; }
@@ -94,7 +94,7 @@
         });
     }
 
-    private void serve(Request r, long came) {
+    private void serve(HttpExchange r, long came) {
         String[] at = r.path.split("/", -1);
         if (r.path.equals("/v2/health/ready") || r.path.equals("/v2/health/live")) {
             record.line(came, "probe", "worker", name, "router", routers.apply(r.peer()), "conn", r.connection());
@@ -143,7 +143,7 @@
         return h;
     }
 
-    private void infer(Request r, long came, String function) {
+    private void infer(HttpExchange r, long came, String function) {
         Model m = models.apply(function);
         String run = String.valueOf(r.header("X-Request-Id"));
         String call = id(r.body);
@@ -188,7 +188,7 @@
         r.attachment = w;
     }
 
-    @Override public void left(Request r) {
+    @Override public void left(HttpExchange r) {
         ticker.post(() -> {
             if (door != null && r.path.endsWith("/infer")) {
                 record.line(ticker.now(), "left", "worker", name, "run", String.valueOf(r.header("X-Request-Id")));
@@ -211,7 +211,7 @@
         }
     }
 
-    private void answer(Request r, String run, String call, int status, int crowd, int executed, byte[] content) {
+    private void answer(HttpExchange r, String run, String call, int status, int crowd, int executed, byte[] content) {
         Map<String, String> head = report(crowd, executed, -1);
         head.put("X-Request-Id", run);
         String fault = null;
@@ -241,7 +241,7 @@
         record.line(ticker.now(), "answer", "worker", name, "run", run, "call", call, "status", status, "fault", fault);
     }
 
-    private void load(Request r, long came, String function) {
+    private void load(HttpExchange r, long came, String function) {
         Model m = models.apply(function);
         int copies;
         try {
--- a/src/main/java/switchgap/standin/SocketWay.java
+++ b/src/main/java/switchgap/standin/SocketWay.java
@@ -6,8 +6,8 @@
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
-import switchgap.wire.HttpLink;
-import switchgap.wire.Net;
+import switchgap.net.HttpClientConnection;
+import switchgap.net.NetworkTransport;
 
 /** Tries over sockets. After its limit a client listens on for a while, so that a late answer is seen and logged. */
 public final class SocketWay implements Way {
@@ -15,19 +15,19 @@
     private static final Duration CONNECT = Duration.ofMillis(500);
 
     private static final class Line {
-        final ArrayDeque<HttpLink> idle = new ArrayDeque<>();
+        final ArrayDeque<HttpClientConnection> idle = new ArrayDeque<>();
         InetSocketAddress at;
     }
 
     private final Ticker ticker;
     private final Record record;
-    private final HttpLink.Opener opener;
+    private final HttpClientConnection.Factory opener;
     private final Line[] lines;
 
-    public SocketWay(Ticker ticker, Net net, Record record, int routers) {
+    public SocketWay(Ticker ticker, NetworkTransport net, Record record, int routers) {
         this.ticker = ticker;
         this.record = record;
-        this.opener = new HttpLink.Opener(net, null, 1 << 20);
+        this.opener = new HttpClientConnection.Factory(net, null, 1 << 20);
         this.lines = new Line[routers];
         for (int i = 0; i < routers; i++) { lines[i] = new Line(); }
     }
@@ -41,24 +41,24 @@
     @Override public void send(Try t, Ending then) {
         Line line = lines[t.router()];
         Out out = new Out(t, line, then);
-        HttpLink l = line.idle.pollFirst();
+        HttpClientConnection l = line.idle.pollFirst();
         while (l != null && !l.usable()) { l = line.idle.pollFirst(); }
         if (l != null) {
             out.ask(l);
             return;
         }
-        opener.open(line.at, CONNECT, new HttpLink.Opening() {
-            @Override public void open(HttpLink link) { ticker.post(() -> out.ask(link)); }
+        opener.open(line.at, CONNECT, new HttpClientConnection.ConnectCallback() {
+            @Override public void open(HttpClientConnection link) { ticker.post(() -> out.ask(link)); }
 
             @Override public void failed(String why) { ticker.post(() -> out.over("unreachable", 0, -1)); }
         });
     }
 
-    private final class Out implements HttpLink.Exchange {
+    private final class Out implements HttpClientConnection.ResponseHandler {
         private final Try t;
         private final Line line;
         private final Ending then;
-        private HttpLink link;
+        private HttpClientConnection link;
         private boolean over;
 
         Out(Try t, Line line, Ending then) {
@@ -67,7 +67,7 @@
             this.then = then;
         }
 
-        void ask(HttpLink l) {
+        void ask(HttpClientConnection l) {
             link = l;
             long now = ticker.now();
             Map<String, String> h = new HashMap<>();
--- a/src/main/java/switchgap/standin/StoreService.java
+++ b/src/main/java/switchgap/standin/StoreService.java
@@ -6,31 +6,31 @@
 import java.util.ArrayDeque;
 import java.util.Map;
 import java.util.function.Consumer;
-import switchgap.wire.Bounds;
-import switchgap.wire.HttpDoor;
-import switchgap.wire.HttpLink;
-import switchgap.wire.Net;
-import switchgap.wire.Request;
+import switchgap.net.ConnectionLimits;
+import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpExchange;
+import switchgap.net.HttpServer;
+import switchgap.net.NetworkTransport;
 
 /** The store on a socket: {@code GET /v1/functions/NAME?worker=W&micros=N}, 200 when fetched, 503 when refused. */
-public final class StoreService implements HttpDoor.Desk, AutoCloseable {
+public final class StoreService implements HttpServer.RequestHandler, AutoCloseable {
     private static final byte[] BLOB = new byte[1024];
     private static final Map<String, String> HEAD = Map.of("Content-Type", "application/octet-stream");
     private final Ticker ticker;
     private final Store store;
-    private final HttpDoor door;
+    private final HttpServer door;
     private final int port;
 
-    public StoreService(Ticker ticker, Net net, Store store) throws IOException {
+    public StoreService(Ticker ticker, NetworkTransport net, Store store) throws IOException {
         this.ticker = ticker;
         this.store = store;
-        door = new HttpDoor(net, Bounds.USUAL, this);
+        door = new HttpServer(net, ConnectionLimits.USUAL, this);
         port = door.listen("127.0.0.1", 0);
     }
 
     public int port() { return port; }
 
-    @Override public void asked(Request r) {
+    @Override public void asked(HttpExchange r) {
         ticker.post(() -> {
             String worker = r.asked("worker");
             String micros = r.asked("micros");
@@ -49,33 +49,33 @@
     public static final class Line implements Fetches {
         private static final Duration CONNECT = Duration.ofSeconds(1);
         private final Ticker ticker;
-        private final HttpLink.Opener opener;
+        private final HttpClientConnection.Factory opener;
         private final InetSocketAddress at;
-        private final ArrayDeque<HttpLink> idle = new ArrayDeque<>();
+        private final ArrayDeque<HttpClientConnection> idle = new ArrayDeque<>();
 
-        public Line(Ticker ticker, Net net, int port) {
+        public Line(Ticker ticker, NetworkTransport net, int port) {
             this.ticker = ticker;
-            this.opener = new HttpLink.Opener(net, null, 1 << 20);
+            this.opener = new HttpClientConnection.Factory(net, null, 1 << 20);
             this.at = new InetSocketAddress("127.0.0.1", port);
         }
 
         @Override public void fetch(String worker, String function, long micros, Consumer<Boolean> then) {
-            HttpLink l = idle.pollFirst();
+            HttpClientConnection l = idle.pollFirst();
             while (l != null && !l.usable()) { l = idle.pollFirst(); }
             String path = "/v1/functions/" + function + "?worker=" + worker + "&micros=" + micros;
             if (l != null) {
                 ask(l, path, then);
                 return;
             }
-            opener.open(at, CONNECT, new HttpLink.Opening() {
-                @Override public void open(HttpLink link) { ticker.post(() -> ask(link, path, then)); }
+            opener.open(at, CONNECT, new HttpClientConnection.ConnectCallback() {
+                @Override public void open(HttpClientConnection link) { ticker.post(() -> ask(link, path, then)); }
 
                 @Override public void failed(String why) { ticker.post(() -> then.accept(false)); }
             });
         }
 
-        private void ask(HttpLink l, String path, Consumer<Boolean> then) {
-            boolean took = l.ask("GET", path, Map.of(), new byte[0], new HttpLink.Exchange() {
+        private void ask(HttpClientConnection l, String path, Consumer<Boolean> then) {
+            boolean took = l.ask("GET", path, Map.of(), new byte[0], new HttpClientConnection.ResponseHandler() {
                 @Override public void answered(int status, Map<String, String> h, byte[] body, boolean reusable) {
                     ticker.post(() -> {
                         if (reusable) { idle.addFirst(l); }
--- a/src/main/java/switchgap/thrift/Door.java
+++ b/src/main/java/switchgap/thrift/Door.java
@@ -13,20 +13,20 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import switchgap.net.FrameDecoder;
+import switchgap.net.NetworkTransport;
+import switchgap.net.TcpConnection;
 import switchgap.policy.api.RouterSettings;
 import switchgap.router.PendingRequest;
 import switchgap.router.Response;
 import switchgap.router.ResponseListener;
 import switchgap.router.RouterCore;
-import switchgap.wire.ByteLink;
-import switchgap.wire.Frames;
-import switchgap.wire.Net;
 
 /**
  * Where clients connect. Selector threads read and decode; whatever is known of connections and calls belongs to the
  * router's loop, where the messages are taken in order. Everything a client can make grow is bounded.
  */
-public final class Door implements ByteLink.Ear, AutoCloseable {
+public final class Door implements TcpConnection.Listener, AutoCloseable {
     /**
      * What the door allows: connections at a time, and more of them until the loop has made room, bytes of one connection's unread answers, bytes of all messages that
      * wait for the loop and of all calls held, calls held, and how long a connection may take for its first message or
@@ -42,8 +42,8 @@
     private static final int MUTE = 4;   // a message's span, one in so many
 
     private static final class Visit {
-        final ByteLink link;
-        final Frames frames = new Frames(MOST_FRAME);
+        final TcpConnection link;
+        final FrameDecoder frames = new FrameDecoder(MOST_FRAME);
         final AtomicInteger waiting = new AtomicInteger();
         final Map<Integer, PendingRequest> open = new HashMap<>();
         volatile boolean partial; // a message has begun and is not whole
@@ -53,7 +53,7 @@
         final Set<Integer> revoked = ConcurrentHashMap.newKeySet();
         Duration heard;
 
-        Visit(ByteLink link, Duration now) {
+        Visit(TcpConnection link, Duration now) {
             this.link = link;
             since = now;
             heard = now;
@@ -73,7 +73,7 @@
     private final Map<String, Visit> holders = new HashMap<>(); // of calls held, by their ids
     private int heldBytes;
     private volatile boolean good;
-    private ByteLink.Door listener;
+    private TcpConnection.Server listener;
 
     /** {@code clock} is the router's, {@code events} its loop. */
     public Door(RouterSettings terms, Map<String, Integer> workloads, Map<String, Integer> customers, Bounds bounds,
@@ -85,8 +85,8 @@
         this.events = events;
     }
 
-    public void listen(Net net, String host, int port) throws IOException {
-        listener = ByteLink.listen(net, host, port, BACKLOG, this);
+    public void listen(NetworkTransport net, String host, int port) throws IOException {
+        listener = TcpConnection.listen(net, host, port, BACKLOG, this);
     }
 
     public int port() { return listener.port(); }
@@ -99,7 +99,7 @@
 
     // ------------------------------------------------------------------ on a selector thread
 
-    @Override public void opened(ByteLink l) {
+    @Override public void opened(TcpConnection l) {
         Visit v = new Visit(l, clock.get());
         l.holder = v;
         if (connected.incrementAndGet() > bounds.connections + bounds.crowd) {
@@ -109,7 +109,7 @@
         }
     }
 
-    @Override public void bytes(ByteLink l, ByteBuffer more) {
+    @Override public void bytes(TcpConnection l, ByteBuffer more) {
         Visit v = (Visit) l.holder;
         Duration now = clock.get();
         boolean fits = v.frames.take(more, f -> frame(v, f, now));
@@ -156,7 +156,7 @@
         }
     }
 
-    @Override public void closed(ByteLink l, String why) {
+    @Override public void closed(TcpConnection l, String why) {
         connected.decrementAndGet();
         Visit v = (Visit) l.holder;
         events.accept(c -> left(c, v, why));
--- a/src/main/java/switchgap/workers/Asked.java
+++ b/src/main/java/switchgap/workers/Asked.java
@@ -1,15 +1,15 @@
 package switchgap.workers;
 
 import java.util.Map;
+import switchgap.net.HttpClientConnection;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.WorkerEntry;
-import switchgap.wire.HttpLink;
 
 /**
  * One exchange with a worker. Its states: WAITING for a connection (no byte has gone out), OUT on a link, OVER. The
  * pool's lock guards the state.
  */
-abstract class Asked implements HttpLink.Exchange {
+abstract class Asked implements HttpClientConnection.ResponseHandler {
     private enum State { WAITING, OUT, OVER }
 
     final String method;
@@ -17,7 +17,7 @@
     final Map<String, String> headers;
     final byte[] body;
     private State state = State.WAITING;
-    private HttpLink link;
+    private HttpClientConnection link;
     private long expires = Long.MAX_VALUE;
     private final WorkerEntry worker;
     Pool pool;
@@ -46,7 +46,7 @@
     /**
      * Takes a link, unless it is too late. Guards rule 3: what waited here while its worker began to drain does not go.
      */
-    synchronized boolean go(HttpLink to) {
+    synchronized boolean go(HttpClientConnection to) {
         if (state != State.WAITING || !wanted()) { return false; }
         state = State.OUT;
         link = to;
@@ -90,7 +90,7 @@
      * that may have run would count as never sent (rule 2; seen on a day of crowded links).
      */
     final AttemptOutcome abandon() {
-        HttpLink l;
+        HttpClientConnection l;
         State was;
         synchronized (this) {
             was = state;
@@ -103,7 +103,7 @@
     }
 
     @Override public final void answered(int status, Map<String, String> head, byte[] content, boolean reusable) {
-        HttpLink l = link;
+        HttpClientConnection l = link;
         boolean was = over();
         if (reusable) { pool.back(l); }
         if (was) { replied(status, head, content); }
--- a/src/main/java/switchgap/workers/Inference.java
+++ b/src/main/java/switchgap/workers/Inference.java
@@ -9,6 +9,8 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
+import switchgap.net.HttpClientConnection;
+import switchgap.net.KeyedWriters;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Attempt;
 import switchgap.router.LoadReport;
@@ -17,8 +19,6 @@
 import switchgap.router.WorkerCommand;
 import switchgap.router.WorkerEntry;
 import switchgap.router.WorkerTransport;
-import switchgap.wire.Carriers;
-import switchgap.wire.HttpLink;
 
 /**
  * Executions, orders and probes by the Open Inference Protocol (version 2, HTTP) with its model repository
@@ -33,14 +33,14 @@
     private static final Set<String> OWN = Set.of("content-length", "transfer-encoding", "connection", "keep-alive",
         "date", "server", Orca.HEADER, "x-request-id");
     private static final byte[] NOTHING = {};
-    private final HttpLink.Opener opener;
+    private final HttpClientConnection.Factory opener;
     private final Links bounds;
-    private final Carriers carriers;
+    private final KeyedWriters carriers;
     private final Consumer<Consumer<RouterCore>> events;
     private final Runnable askList;
     private final Set<Pool> pools = ConcurrentHashMap.newKeySet();
 
-    public Inference(HttpLink.Opener opener, Links bounds, Carriers carriers, Consumer<Consumer<RouterCore>> events,
+    public Inference(HttpClientConnection.Factory opener, Links bounds, KeyedWriters carriers, Consumer<Consumer<RouterCore>> events,
                      Runnable askList) {
         this.opener = opener;
         this.bounds = bounds;
--- a/src/main/java/switchgap/workers/Pool.java
+++ b/src/main/java/switchgap/workers/Pool.java
@@ -5,8 +5,8 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
+import switchgap.net.HttpClientConnection;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.wire.HttpLink;
 
 /**
  * Kept connections to one worker: opened as needed up to a cap, the last used first, closed when idle. Nothing is
@@ -14,18 +14,18 @@
  * out is tried on a further link.
  */
 final class Pool {
-    private final HttpLink.Opener opener;
+    private final HttpClientConnection.Factory opener;
     private final InetSocketAddress address;
     private final int most;
     private final int mostWaiting;
     private final Duration connectWithin;
-    private final ArrayDeque<HttpLink> idle = new ArrayDeque<>();
+    private final ArrayDeque<HttpClientConnection> idle = new ArrayDeque<>();
     private final ArrayDeque<Asked> waiting = new ArrayDeque<>();
     private int open;
     private int opening;
     private boolean retired;
 
-    Pool(HttpLink.Opener opener, InetSocketAddress address, int most, int mostWaiting, Duration connectWithin) {
+    Pool(HttpClientConnection.Factory opener, InetSocketAddress address, int most, int mostWaiting, Duration connectWithin) {
         this.opener = opener;
         this.address = address;
         this.most = most;
@@ -39,7 +39,7 @@
 
     void ask(Asked a) {
         a.pool = this;
-        HttpLink link = null;
+        HttpClientConnection link = null;
         synchronized (this) {
             if (a.wanted()) {
                 link = takeIdle();
@@ -59,14 +59,14 @@
         }
     }
 
-    private HttpLink takeIdle() {
-        HttpLink l = idle.pollFirst();
+    private HttpClientConnection takeIdle() {
+        HttpClientConnection l = idle.pollFirst();
         while (l != null && !l.usable()) { l = idle.pollFirst(); }
         return l;
     }
 
     /** Puts an exchange on a link; a link that took nothing is no loss, the next one is tried. */
-    private void put(Asked a, HttpLink link) {
+    private void put(Asked a, HttpClientConnection link) {
         if (!a.go(link)) { // told at once: what is known not to have run can still be placed elsewhere
             a.endUnsent(AttemptOutcome.NOT_SENT, "its worker takes nothing new, or its time is over");
             back(link);
@@ -86,8 +86,8 @@
             opening += more;
         }
         for (int i = 0; i < more; i++) {
-            opener.open(address, connectWithin, new HttpLink.Opening() {
-                @Override public void open(HttpLink link) {
+            opener.open(address, connectWithin, new HttpClientConnection.ConnectCallback() {
+                @Override public void open(HttpClientConnection link) {
                     synchronized (Pool.this) {
                         opening--;
                         open++;
@@ -109,9 +109,9 @@
         }
     }
 
-    private final java.util.Set<HttpLink> gone = java.util.Collections.newSetFromMap(new java.util.WeakHashMap<>());
+    private final java.util.Set<HttpClientConnection> gone = java.util.Collections.newSetFromMap(new java.util.WeakHashMap<>());
 
-    private void closed(HttpLink link) {
+    private void closed(HttpClientConnection link) {
         boolean more;
         synchronized (this) {
             if (!gone.add(link)) { return; }
@@ -129,7 +129,7 @@
     }
 
     /** A link is free: the next one waiting takes it. */
-    void back(HttpLink link) {
+    void back(HttpClientConnection link) {
         Asked a;
         synchronized (this) {
             a = next();
@@ -157,20 +157,20 @@
 
     /** Closes links idle for longer than this. */
     void sweep(Duration idleFor) {
-        List<HttpLink> old = new ArrayList<>();
+        List<HttpClientConnection> old = new ArrayList<>();
         long now = System.nanoTime();
         synchronized (this) {
             while (!idle.isEmpty() && now - idle.peekLast().idleSince > idleFor.toNanos()) { old.add(idle.pollLast()); }
         }
-        old.forEach(HttpLink::close);
+        old.forEach(HttpClientConnection::close);
     }
 
     void close() {
-        List<HttpLink> all;
+        List<HttpClientConnection> all;
         synchronized (this) {
             all = List.copyOf(idle);
             idle.clear();
         }
-        all.forEach(HttpLink::close);
+        all.forEach(HttpClientConnection::close);
     }
 }
--- a/src/test/java/switchgap/LayersTest.java
+++ b/src/test/java/switchgap/LayersTest.java
@@ -21,7 +21,7 @@
             .layer("levels").definedBy("switchgap.level")
             .layer("plans").definedBy("switchgap.plan")
             .layer("core").definedBy("switchgap.router")
-            .layer("wire").definedBy("switchgap.wire")
+            .layer("wire").definedBy("switchgap.net")
             .layer("terms").definedBy("switchgap.terms")
             .layer("edges").definedBy("switchgap.workers", "switchgap.list", "switchgap.invoke", "switchgap.link")
             .layer("stated").definedBy("switchgap.stated")
--- a/src/test/java/switchgap/controlfeed/FollowTest.java
+++ b/src/test/java/switchgap/controlfeed/FollowTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import switchgap.net.HttpClientConnection;
+import switchgap.net.NetworkTransport;
 import switchgap.platform.Feed;
 import switchgap.policy.api.WorkerState;
 import switchgap.router.EndpointUpdate;
-import switchgap.wire.HttpLink;
-import switchgap.wire.Net;
 
 /** The control feed through all that may befall it. */
 class FollowTest {
@@ -79,8 +79,8 @@
             for (long e = last + 1; n > 2 && e <= 6; e++) { Feed.say(out, event(e)); }
             return n > 2;
         };
-        try (Feed feed = new Feed(manner); Net net = new Net(1, "follow");
-             Follow f = new Follow(new HttpLink.Opener(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
+        try (Feed feed = new Feed(manner); NetworkTransport net = new NetworkTransport(1, "follow");
+             Follow f = new Follow(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
             f.follow(feed.at());
             until(() -> got.size() >= 5);
             assertThat(got).containsExactly(2L, 3L, 4L, 5L, 6L);
@@ -98,8 +98,8 @@
             Feed.say(out, event(last + 1));
             return true;
         };
-        try (Feed first = new Feed(tells); Feed second = new Feed(later); Net net = new Net(1, "follow");
-             Follow f = new Follow(new HttpLink.Opener(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
+        try (Feed first = new Feed(tells); Feed second = new Feed(later); NetworkTransport net = new NetworkTransport(1, "follow");
+             Follow f = new Follow(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
             f.follow(first.at());
             until(() -> got.size() == 1); // on the second connection, as the first was silent
             assertThat(first.asked).containsExactly(1L, 1L);
@@ -132,8 +132,8 @@
             trickles.start();
             return true;
         };
-        try (Feed feed = new Feed(manner); Net net = new Net(1, "follow");
-             Follow f = new Follow(new HttpLink.Opener(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
+        try (Feed feed = new Feed(manner); NetworkTransport net = new NetworkTransport(1, "follow");
+             Follow f = new Follow(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
             f.follow(feed.at());
             long began = System.nanoTime();
             until(() -> got.size() == 1);
@@ -163,8 +163,8 @@
             return true;
         };
         Feed.Manner later = once(speak, 2); // the first of them the old one told, too
-        try (Feed old = new Feed(beats); Feed anew = new Feed(later); Net net = new Net(1, "follow");
-             Follow f = new Follow(new HttpLink.Opener(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
+        try (Feed old = new Feed(beats); Feed anew = new Feed(later); NetworkTransport net = new NetworkTransport(1, "follow");
+             Follow f = new Follow(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
             f.follow(old.at());
             until(() -> old.asked.size() == 1);
             old.say(event(2));
@@ -191,8 +191,8 @@
             out.write(": beat\n\n".getBytes(StandardCharsets.UTF_8));
             return true;
         });
-        try (Feed anew = new Feed(later); Net net = new Net(1, "follow");
-             Follow f = new Follow(new HttpLink.Opener(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
+        try (Feed anew = new Feed(later); NetworkTransport net = new NetworkTransport(1, "follow");
+             Follow f = new Follow(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
             f.follow(old.at());
             until(() -> old.asked.size() == 1);
             old.say(event(2));
@@ -217,8 +217,8 @@
             Feed.say(out, event(last + 4));
             return true;
         };
-        try (Feed feed = new Feed(manner); Net net = new Net(1, "follow");
-             Follow f = new Follow(new HttpLink.Opener(net, null, 1 << 16), 5, BOOK, e -> got.add(e.number() + e.workers().get(0).name()), w -> { })) {
+        try (Feed feed = new Feed(manner); NetworkTransport net = new NetworkTransport(1, "follow");
+             Follow f = new Follow(new HttpClientConnection.Factory(net, null, 1 << 16), 5, BOOK, e -> got.add(e.number() + e.workers().get(0).name()), w -> { })) {
             f.follow(feed.at());
             until(() -> got.size() == 3);
             assertThat(got).containsExactly("5same", "8ahead", "9w9");
--- a/src/test/java/switchgap/gateway/EdgeAndPlannerTest.java
+++ b/src/test/java/switchgap/gateway/EdgeAndPlannerTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 import switchgap.link.Codec;
 import switchgap.link.PlannerEnd;
+import switchgap.net.NetworkTransport;
 import switchgap.plan.Plan;
-import switchgap.wire.Net;
 
 /** Edge and planner over a socket: loads are led, a planner's death or nonsense disturbs no call. */
 class EdgeAndPlannerTest {
@@ -34,7 +34,7 @@
         @Override public void close() throws java.io.IOException { peer.close(); }
     }
 
-    private static Net net() throws Exception { return new Net(1, "test-planner"); }
+    private static NetworkTransport net() throws Exception { return new NetworkTransport(1, "test-planner"); }
 
     private static InetSocketAddress at(Served s) { return new InetSocketAddress("127.0.0.1", s.gateway.plannerPort()); }
 
@@ -63,7 +63,7 @@
     }
 
     @Test void aLoadGoesOutAtThePlannersWord() throws Exception {
-        try (Loads w = new Loads(); Served s = new Served(LINK, w.peer); Net net = net();
+        try (Loads w = new Loads(); Served s = new Served(LINK, w.peer); NetworkTransport net = net();
              PlannerEnd p = new PlannerEnd(net, at(s), 0)) {
             Served.until(p::linked);
             answered(s);
@@ -75,7 +75,7 @@
     }
 
     @Test void withNoPlannerOrADeadOneCallsAreAnswered() throws Exception {
-        try (Loads w = new Loads(); Served s = new Served(LINK, w.peer); Net net = net()) {
+        try (Loads w = new Loads(); Served s = new Served(LINK, w.peer); NetworkTransport net = net()) {
             PlannerEnd p = new PlannerEnd(net, at(s), 0);
             Served.until(p::linked);
             p.close();
@@ -95,7 +95,7 @@
     }
 
     @Test void whoCannotBeAPlannerIsRefusedByName() throws Exception {
-        try (Loads w = new Loads(); Served s = new Served(LINK, w.peer); Net net = net(); PlannerEnd p = new PlannerEnd(net, at(s), 0)) {
+        try (Loads w = new Loads(); Served s = new Served(LINK, w.peer); NetworkTransport net = net(); PlannerEnd p = new PlannerEnd(net, at(s), 0)) {
             Served.until(p::linked);
             Object[] firsts = {new Codec.Hello(Codec.VERSION + 1, "planner", 0, 0), new Codec.Hello(Codec.VERSION, "edge", 0, 0),
                 new Codec.Hello(Codec.VERSION, "planner", 5, 0), new Codec.Hello(Codec.VERSION, "planner", 0, 0), new Codec.Beat(1)};
--- a/src/test/java/switchgap/gateway/ListTest.java
+++ b/src/test/java/switchgap/gateway/ListTest.java
@@ -9,10 +9,10 @@
 import java.net.http.HttpResponse;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import switchgap.net.NetworkTransport;
 import switchgap.standin.ListService;
 import switchgap.standin.Record;
 import switchgap.standin.WallTicker;
-import switchgap.wire.Net;
 
 /** The list while calls run: gone, draining, back with a new process, and a service that is away. */
 class ListTest {
@@ -27,7 +27,7 @@
             Thread.sleep(150);
             return Peer.well(q, out);
         };
-        try (Net net = new Net(1, "list"); WallTicker t = new WallTicker(); Record log = new Record(dir.resolve("l"));
+        try (NetworkTransport net = new NetworkTransport(1, "list"); WallTicker t = new WallTicker(); Record log = new Record(dir.resolve("l"));
              Peer a = new Peer(slow); Peer b = new Peer(slow)) {
             ListService list = new ListService(t, net, log, 0);
             t.post(() -> list.put(line("w0", a, "ready")));
--- a/src/test/java/switchgap/wire/SelectorTest.java
+++ b/src/test/java/switchgap/net/SelectorThreadsTest.java
@@ -1,4 +1,4 @@
-package switchgap.wire;
+package switchgap.net;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,26 +9,26 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The one selector outlives whatever reading a connection does: else a process is up that serves nobody. */
-class SelectorTest {
-    private static final class Planted implements ByteLink.Ear {
+class SelectorThreadsTest {
+    private static final class Planted implements TcpConnection.Listener {
         private final boolean error;
 
         Planted(boolean error) { this.error = error; }
 
-        @Override public void opened(ByteLink l) { }
+        @Override public void opened(TcpConnection l) { }
 
-        @Override public void bytes(ByteLink l, ByteBuffer more) {
+        @Override public void bytes(TcpConnection l, ByteBuffer more) {
             if (more.get() == 'x' && error) { throw new StackOverflowError("planted"); }
             if (more.get(more.position() - 1) == 'x') { throw new IllegalStateException("planted"); }
             l.send(new byte[] {'y'});
         }
 
-        @Override public void closed(ByteLink l, String why) { }
+        @Override public void closed(TcpConnection l, String why) { }
     }
 
     @ParameterizedTest @ValueSource(booleans = {true, false})
     void aFaultInReadingOneConnectionLeavesTheOthersServed(boolean error) throws Exception {
-        try (Net net = new Net(1, "planted"); ByteLink.Door door = ByteLink.listen(net, "127.0.0.1", 0, 50, new Planted(error))) {
+        try (NetworkTransport net = new NetworkTransport(1, "planted"); TcpConnection.Server door = TcpConnection.listen(net, "127.0.0.1", 0, 50, new Planted(error))) {
             for (int i = 0; i < 3; i++) {
                 try (Socket bad = new Socket("127.0.0.1", door.port()); Socket good = new Socket("127.0.0.1", door.port())) {
                     bad.getOutputStream().write('x');
--- a/src/test/java/switchgap/router/WorkerConnectionsTest.java
+++ b/src/test/java/switchgap/router/WorkerConnectionsTest.java
@@ -14,15 +14,15 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import switchgap.gateway.Peer;
+import switchgap.net.HttpClientConnection;
+import switchgap.net.KeyedWriters;
+import switchgap.net.NetworkTransport;
 import switchgap.policy.api.PolicyActions;
 import switchgap.policy.api.PolicyEvents;
 import switchgap.policy.api.WorkerState;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
 import switchgap.testing.ReachableObjects;
-import switchgap.wire.Carriers;
-import switchgap.wire.HttpLink;
-import switchgap.wire.Net;
 import switchgap.workers.Inference;
 
 /** The core and its links to workers on real sockets, under decisions that a test dictates. */
@@ -36,18 +36,18 @@
     private final List<Consumer<PolicyActions>> say = new ArrayList<>();
     private final List<String> heard = new CopyOnWriteArrayList<>();
     private final long born = System.nanoTime();
-    private final Net net;
-    private final Carriers carriers = new Carriers(1, "test-carrier");
+    private final NetworkTransport net;
+    private final KeyedWriters carriers = new KeyedWriters(1, "test-carrier");
     private Inference links;
     private RouterCore core;
     private int jobs;
 
-    WorkerConnectionsTest() throws Exception { net = new Net(1, "test-links"); }
+    WorkerConnectionsTest() throws Exception { net = new NetworkTransport(1, "test-links"); }
 
     private void links(int most) { links(most, 100); }
 
     private void links(int most, int waiting) {
-        links = new Inference(new HttpLink.Opener(net, null, 1 << 16), new Inference.Links(most, waiting, Duration.ofMillis(250),
+        links = new Inference(new HttpClientConnection.Factory(net, null, 1 << 16), new Inference.Links(most, waiting, Duration.ofMillis(250),
             Duration.ofSeconds(30)), carriers, events::add, () -> { });
         PolicyEvents feed = (PolicyEvents) Proxy.newProxyInstance(PolicyEvents.class.getClassLoader(), new Class<?>[] {PolicyEvents.class}, (p, m, a) -> {
             switch (m.getName()) {
