--- a/src/main/java/switchgap/controlfeed/Event.java
+++ b/src/main/java/switchgap/endpoints/EndpointListEvent.java
@@ -1,4 +1,4 @@
-package switchgap.controlfeed;
+package switchgap.endpoints;
 
 import java.io.IOException;
 import java.net.URI;
@@ -11,13 +11,13 @@
 import switchgap.router.EndpointUpdate;
 
 /** One numbered event: a version of the list, whole or its changes; an event of another kind has no list. */
-public record Event(long number, boolean whole, List<EndpointUpdate> workers) {
+public record EndpointListEvent(long number, boolean whole, List<EndpointUpdate> workers) {
     /** Names of zones and of kinds of worker as the operators state them, and the Unix millisecond of the router's start. */
-    public record Book(Map<String, Integer> zones, Map<String, Integer> kinds, long born) { }
+    public record NameDirectory(Map<String, Integer> zones, Map<String, Integer> kinds, long born) { }
 
     private static final int MOST_WORKERS = 4096;
 
-    static Event read(String text, Book book) throws IOException {
+    static EndpointListEvent read(String text, NameDirectory book) throws IOException {
         try {
             return of(Json.object(text), book);
         } catch (IOException e) {
@@ -26,19 +26,19 @@
     }
 
     /** Reads one that is decoded already; a mistake is named by its key. */
-    public static Event of(Map<?, ?> o, Book book) throws IOException {
+    public static EndpointListEvent of(Map<?, ?> o, NameDirectory book) throws IOException {
         long number = (long) number(o, "n");
-        if (!(o.get("members") instanceof Map<?, ?> m)) { return new Event(number, false, null); }
+        if (!(o.get("members") instanceof Map<?, ?> m)) { return new EndpointListEvent(number, false, null); }
         if (!(m.get("targets") instanceof List<?> l) || l.size() > MOST_WORKERS) { throw new IOException("members.targets: no list, or too long"); }
         List<EndpointUpdate> workers = new ArrayList<>(l.size());
         for (Object t : l) {
             if (!(t instanceof Map<?, ?> w)) { throw new IOException("members.targets: no object"); }
             workers.add(worker(w, book));
         }
-        return new Event(number, Boolean.TRUE.equals(m.get("all")), workers);
+        return new EndpointListEvent(number, Boolean.TRUE.equals(m.get("all")), workers);
     }
 
-    private static EndpointUpdate worker(Map<?, ?> w, Book book) throws IOException {
+    private static EndpointUpdate worker(Map<?, ?> w, NameDirectory book) throws IOException {
         WorkerState standing = switch (text(w, "state")) {
             case "SERVING" -> WorkerState.READY;
             case "DRAINING" -> WorkerState.DRAINING;
--- a/src/main/java/switchgap/list/ListWatch.java
+++ b/src/main/java/switchgap/endpoints/EndpointListWatcher.java
@@ -1,4 +1,4 @@
-package switchgap.list;
+package switchgap.endpoints;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -21,10 +21,10 @@
  * the last good list stays. States: ASKING, FOLLOWING, AWAY (asks again after a pause). A service that says nothing for
  * long is asked anew on a further connection: a connection that is half open sounds like a fleet in which nothing changes.
  */
-public final class ListWatch {
+public final class EndpointListWatcher {
     private enum State { ASKING, FOLLOWING, AWAY, CLOSED }
 
-    private static final Logger LOG = LoggerFactory.getLogger(ListWatch.class);
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointListWatcher.class);
     private static final int MOST_LINE = 16 << 20;
     private static final int SILENCE = 20; // pauses without a byte, then it is asked anew
     private final HttpClientConnection.Factory opener;
@@ -42,7 +42,7 @@
     private final ScheduledFuture<?> look;
 
     /** {@code again}: the pause before asking anew. */
-    public ListWatch(HttpClientConnection.Factory opener, InetSocketAddress service, int router, long born, Duration again,
+    public EndpointListWatcher(HttpClientConnection.Factory opener, InetSocketAddress service, int router, long born, Duration again,
                      ToIntFunction<String> zones, ToIntFunction<String> kinds, Consumer<Consumer<RouterCore>> events) {
         this.opener = opener;
         this.service = service;
@@ -68,7 +68,7 @@
         opener.open(service, again.multipliedBy(4), new HttpClientConnection.ConnectCallback() {
             @Override public void open(HttpClientConnection l) {
                 HttpClientConnection old;
-                synchronized (ListWatch.this) {
+                synchronized (EndpointListWatcher.this) {
                     if (state == State.CLOSED) {
                         l.close();
                         return;
@@ -78,7 +78,7 @@
                 }
                 if (old != null) { old.close(); }
                 l.ask("GET", "/v1/workers?watch=1&router=" + router + "&from=" + version, Map.of(), new byte[0],
-                    new Following(l));
+                    new LineHandler(l));
             }
 
             @Override public void failed(String why) { away(why); }
@@ -99,11 +99,11 @@
         if (link != null) { link.close(); }
     }
 
-    private final class Following implements HttpClientConnection.ResponseHandler {
+    private final class LineHandler implements HttpClientConnection.ResponseHandler {
         private final HttpClientConnection on;
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-        Following(HttpClientConnection on) { this.on = on; }
+        LineHandler(HttpClientConnection on) { this.on = on; }
 
         @Override public boolean piece(byte[] bytes) {
             heard = System.nanoTime();
@@ -124,9 +124,9 @@
 
         private void take(String text) {
             if (text.isBlank() || on != link) { return; }
-            ListLine l;
+            EndpointListLine l;
             try {
-                l = ListLine.read(text, born, zones, kinds);
+                l = EndpointListLine.read(text, born, zones, kinds);
             } catch (IOException e) {
                 LOG.warn("a list was refused, the last one stays: {}", e.getMessage());
                 version = -1; // ask for a whole one
@@ -139,7 +139,7 @@
                 on.close();
                 return;
             }
-            synchronized (ListWatch.this) {
+            synchronized (EndpointListWatcher.this) {
                 if (state == State.ASKING) { state = State.FOLLOWING; }
             }
             version = l.version();
--- a/src/main/java/switchgap/controlfeed/Follow.java
+++ b/src/main/java/switchgap/endpoints/EventStreamClient.java
@@ -1,4 +1,4 @@
-package switchgap.controlfeed;
+package switchgap.endpoints;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -9,6 +9,7 @@
 import java.util.function.Consumer;
 import switchgap.net.HttpClientConnection;
 import switchgap.net.TimerThread;
+import switchgap.protocol.sse.ServerSentEventDecoder;
 
 /**
  * Follows the control feed from a number on. Events are handed on once each and in order; whatever befalls the feed, the
@@ -16,7 +17,7 @@
  * for longer than two of its comments is asked anew on a further connection: one that is half open sounds like a fleet in
  * which nothing changes. The connection that told last goes on telling until its successor does.
  */
-public final class Follow implements AutoCloseable {
+public final class EventStreamClient implements AutoCloseable {
     private enum State { ASKING, FOLLOWING, AWAY, CLOSED }
 
     private static final int MOST_EVENT = 1 << 20;
@@ -26,8 +27,8 @@
     private static final Duration PAUSE = Duration.ofMillis(100);    // doubled with each try, up to the silence
     private static final Duration LASTS = Duration.ofMillis(500);    // following for so long, it is well again
     private final HttpClientConnection.Factory opener;
-    private final Event.Book book;
-    private final Consumer<Event> events;
+    private final EndpointListEvent.NameDirectory book;
+    private final Consumer<EndpointListEvent> events;
     private final Consumer<String> log;
     private final ScheduledFuture<?> look;
     private InetSocketAddress feed;
@@ -42,7 +43,7 @@
     private long heard;
 
     /** {@code last}: the number of the last event known already. */
-    public Follow(HttpClientConnection.Factory opener, long last, Event.Book book, Consumer<Event> events, Consumer<String> log) {
+    public EventStreamClient(HttpClientConnection.Factory opener, long last, EndpointListEvent.NameDirectory book, Consumer<EndpointListEvent> events, Consumer<String> log) {
         this.opener = opener;
         this.last = last;
         this.book = book;
@@ -94,7 +95,7 @@
         }
         if (link != null && link != teller) { link.close(); }
         link = l;
-        l.ask("GET", "/v1/events", Map.of("Last-Event-ID", String.valueOf(last), "Accept", "text/event-stream"), new byte[0], new Stream(mine));
+        l.ask("GET", "/v1/events", Map.of("Last-Event-ID", String.valueOf(last), "Accept", "text/event-stream"), new byte[0], new StreamHandler(mine));
     }
 
     private synchronized void away(long mine, String why) {
@@ -126,7 +127,7 @@
     private synchronized void event(long mine, String text) {
         if (!counts(mine)) { return; }
         try {
-            Event e = Event.read(text, book);
+            EndpointListEvent e = EndpointListEvent.read(text, book);
             if (e.number() < last || e.number() == last && !e.whole()) { return; } // told before
             if (e.number() > last + 1 && !e.whole() && gap != e.number()) {
                 gap = e.number();
@@ -147,20 +148,20 @@
         if (teller != null) { teller.close(); }
     }
 
-    private final class Stream implements HttpClientConnection.ResponseHandler {
+    private final class StreamHandler implements HttpClientConnection.ResponseHandler {
         private final long mine;
-        private final Sse sse = new Sse(MOST_EVENT);
+        private final ServerSentEventDecoder sse = new ServerSentEventDecoder(MOST_EVENT);
         private final long began = System.nanoTime();
 
-        Stream(long mine) { this.mine = mine; }
+        StreamHandler(long mine) { this.mine = mine; }
 
         @Override public boolean piece(byte[] bytes) {
-            synchronized (Follow.this) {
+            synchronized (EventStreamClient.this) {
                 if (!counts(mine)) { return true; }
             }
             long lines = sse.lines();
             boolean fits = sse.take(bytes, (id, data) -> event(mine, data));
-            synchronized (Follow.this) {
+            synchronized (EventStreamClient.this) {
                 if (mine == turn && sse.lines() > lines) { told(); } // bytes of a line that never ends are silence
             }
             if (!fits) { away(mine, "an event over " + MOST_EVENT + " bytes"); }
--- a/src/main/java/switchgap/gateway/Gateway.java
+++ b/src/main/java/switchgap/gateway/Gateway.java
@@ -8,12 +8,11 @@
 import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.endpoints.EndpointListWatcher;
 import switchgap.eventloop.EventLoop;
-import switchgap.invoke.InvokeApi;
 import switchgap.level.Change;
 import switchgap.level.Levels;
 import switchgap.link.EdgeDoor;
-import switchgap.list.ListWatch;
 import switchgap.net.HttpClientConnection;
 import switchgap.net.HttpServer;
 import switchgap.net.KeyedWriters;
@@ -21,12 +20,13 @@
 import switchgap.net.TimerThread;
 import switchgap.plan.Plan;
 import switchgap.policy.RoutingPolicy;
+import switchgap.protocol.inference.InferenceWorkerTransport;
+import switchgap.protocol.invoke.InvokeApi;
 import switchgap.router.AdmissionGate;
 import switchgap.router.DeferredResults;
 import switchgap.router.RouterCore;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
-import switchgap.workers.Inference;
 
 /** A running router. States: STARTING, SERVING, STOPPING (answers what it holds), STOPPED. */
 public final class Gateway implements AutoCloseable {
@@ -40,10 +40,10 @@
     private final Histogram lateness = new Histogram(60_000_000, 2); // microseconds; read by others through lateness()
     private final InvokeApi api;
     private final HttpServer door;
-    private final ListWatch watch;
+    private final EndpointListWatcher watch;
     private final Duration longest;
     private final ScheduledFuture<?> sweeper;
-    private final Inference workers;
+    private final InferenceWorkerTransport workers;
     private final Planned planned; // null: one program, orders go straight out
     private final EdgeDoor planners;
     private final int port;
@@ -61,10 +61,10 @@
         carriers = new KeyedWriters(page.selectors(), "carrier-" + terms.self());
         HttpClientConnection.Factory opener = new HttpClientConnection.Factory(net, page.from(), page.answerBytes());
         AtomicReference<Runnable> listening = new AtomicReference<>(() -> { });
-        AtomicReference<Inference> made = new AtomicReference<>();
+        AtomicReference<InferenceWorkerTransport> made = new AtomicReference<>();
         AtomicReference<Planned> behind = new AtomicReference<>();
         loop = new EventLoop(l -> {
-            made.set(new Inference(opener, page.links(), carriers, l::post, () -> listening.get().run()));
+            made.set(new InferenceWorkerTransport(opener, page.links(), carriers, l::post, () -> listening.get().run()));
             if (page.planner() != null) { behind.set(new Planned(made.get(), terms, page.patience(), l::post)); }
             return new RouterCore(terms, decide, behind.get() == null ? made.get() : behind.get(), page.orderLimit(), page.probeLimit(), page.mostFunctions());
         }, "loop-" + terms.self(), this::late, Gateway::failed);
@@ -81,7 +81,7 @@
         api = new InvokeApi(terms, loop::now, loop::post, carriers, deferred, gate::get, start, page.mostHeld(), page.mostWait());
         api.status(c -> Status.show(terms.self(), c, api.held(), api.ends(), levels, planned));
         door = new HttpServer(net, page.bounds(), api);
-        watch = page.list() == null ? null : new ListWatch(opener, page.list(), terms.self(), bornWall, page.listAgain(),
+        watch = page.list() == null ? null : new EndpointListWatcher(opener, page.list(), terms.self(), bornWall, page.listAgain(),
             terms::zone, terms::machineKind, loop::postFirst);
         if (!page.fixed().isEmpty()) { loop.post(c -> c.list(true, page.fixed())); }
         if (watch != null) {
--- a/src/main/java/switchgap/gateway/GatewayPage.java
+++ b/src/main/java/switchgap/gateway/GatewayPage.java
@@ -7,15 +7,15 @@
 import java.util.List;
 import switchgap.net.ConnectionLimits;
 import switchgap.policy.api.WorkerState;
+import switchgap.protocol.inference.InferenceWorkerTransport;
 import switchgap.router.EndpointUpdate;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
-import switchgap.workers.Inference;
 
 /** All that a router's page states: its terms, where it listens, whom it asks for the list, and its bounds. */
 public record GatewayPage(PageTerms terms, long seed, String host, int port, ConnectionLimits bounds, int mostHeld, int mostWait,
                           int mostFunctions, Duration kept, int mostDeferred, long mostDeferredBytes,
-                          Inference.Links links, String from, int answerBytes, int selectors, Duration orderLimit,
+                          InferenceWorkerTransport.ConnectionLimits links, String from, int answerBytes, int selectors, Duration orderLimit,
                           Duration probeLimit, InetSocketAddress list, Duration listAgain, List<EndpointUpdate> fixed, InetSocketAddress planner,
                           Duration patience) {
     public static GatewayPage read(Path file) throws java.io.IOException {
@@ -42,7 +42,7 @@
         int mostWait = h.whole("poll_seconds", 0, 3600, 60);
         h.done();
         Page k = p.partOrNone("links");
-        Inference.Links links = new Inference.Links(k.whole("connections", 1, 100_000, 64),
+        InferenceWorkerTransport.ConnectionLimits links = new InferenceWorkerTransport.ConnectionLimits(k.whole("connections", 1, 100_000, 64),
             k.whole("waiting", 1, 1_000_000, 1024), k.span("connect_within", Duration.ofMillis(250)),
             k.span("idle", Duration.ofSeconds(30)));
         String from = k.text("from", null);
--- a/src/main/java/switchgap/list/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** The list of workers: its lines, and a held request that follows its versions. */
-package switchgap.list;
--- a/src/main/java/switchgap/platform/Given.java
+++ b/src/main/java/switchgap/platform/Given.java
@@ -8,13 +8,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import switchgap.controlfeed.Event;
+import switchgap.endpoints.EndpointListEvent;
 import switchgap.json.Json;
 import switchgap.stated.StatedTerms;
 
 /** What the platform tells a router at its start: its name and address, limits, the feed, the list so far and the terms. */
 record Given(String name, InetSocketAddress listen, long seed, int sockets, InetSocketAddress feed, long lastEvent,
-             List<Event> known, StatedTerms terms, Event.Book book) {
+             List<EndpointListEvent> known, StatedTerms terms, EndpointListEvent.NameDirectory book) {
     private static final int MOST_BYTES = 8 << 20;
 
     /** Reads what the environment names. */
@@ -27,7 +27,7 @@
         @SuppressWarnings("unchecked") Map<String, Object> stated = (Map<String, Object>) m;
         try {
             StatedTerms terms = new StatedTerms(Json.paths(stated));
-            Event.Book book = new Event.Book(terms.places("Zones"), terms.places("Skus"), born);
+            EndpointListEvent.NameDirectory book = new EndpointListEvent.NameDirectory(terms.places("Zones"), terms.places("Skus"), born);
             Object limits = o.get("limits");
             int sockets = limits instanceof Map<?, ?> l && l.get("sockets") instanceof Number n ? n.intValue() : 0;
             if (sockets <= 0) { throw new Unusable(file + ": limits.sockets", "no number above 0"); }
@@ -35,10 +35,10 @@
             if (!(known instanceof Map<?, ?> k) || !(k.get("n") instanceof Number last) || !(k.get("events") instanceof List<?> all)) {
                 throw new Unusable(file + ": known", "no last number with its events");
             }
-            List<Event> events = new ArrayList<>();
+            List<EndpointListEvent> events = new ArrayList<>();
             for (Object e : all) {
                 if (!(e instanceof Map<?, ?> x)) { throw new Unusable(file + ": known.events", "no object"); }
-                events.add(Event.of(x, book));
+                events.add(EndpointListEvent.of(x, book));
             }
             return new Given(name, address("NODE_LISTEN", listen), seed(file, o), sockets, feed(o, file), last.longValue(), events, terms, book);
         } catch (IOException | IllegalArgumentException x) {
--- a/src/main/java/switchgap/platform/Platform.java
+++ b/src/main/java/switchgap/platform/Platform.java
@@ -6,15 +6,15 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
-import switchgap.controlfeed.Event;
-import switchgap.controlfeed.Follow;
+import switchgap.endpoints.EndpointListEvent;
+import switchgap.endpoints.EventStreamClient;
 import switchgap.eventloop.EventLoop;
 import switchgap.net.HttpClientConnection;
 import switchgap.net.NetworkTransport;
-import switchgap.resp.Workers;
+import switchgap.protocol.resp.RespWorkerTransport;
+import switchgap.protocol.thrift.ThriftServer;
 import switchgap.router.RouterCore;
 import switchgap.stated.StatedTerms;
-import switchgap.thrift.Door;
 
 /** A running router on the platform: one more way in and out of the core, under the module and nothing else. */
 final class Platform implements AutoCloseable {
@@ -39,29 +39,29 @@
     private final Log log;
     private final NetworkTransport net;
     private final EventLoop loop;
-    private final Workers workers;
-    private final Door door;
-    private final Follow feed;
+    private final RespWorkerTransport workers;
+    private final ThriftServer door;
+    private final EventStreamClient feed;
     private final Duration longest;
 
     Platform(Given g, Log log) throws IOException {
         this.log = log;
         StatedTerms terms = g.terms();
         net = new NetworkTransport(1, "net");
-        AtomicReference<Workers> made = new AtomicReference<>();
-        Workers.Bounds bounds = new Workers.Bounds(Math.max(1, g.sockets() / WORKER_SHARE), MOST_LINKS, MOST_WAITING, terms.multiplex(), terms.connectWithin(), terms.idle().dividedBy(2),
+        AtomicReference<RespWorkerTransport> made = new AtomicReference<>();
+        RespWorkerTransport.ConnectionLimits bounds = new RespWorkerTransport.ConnectionLimits(Math.max(1, g.sockets() / WORKER_SHARE), MOST_LINKS, MOST_WAITING, terms.multiplex(), terms.connectWithin(), terms.idle().dividedBy(2),
             terms.tellsCrowd());
         loop = new EventLoop(l -> {
-            made.set(new Workers(net, bounds, names(terms), terms.orderLimit(), terms.connectWithin(), l::now, l::post));
+            made.set(new RespWorkerTransport(net, bounds, names(terms), terms.orderLimit(), terms.connectWithin(), l::now, l::post));
             return new RouterCore(terms, g.seed(), made.get(), terms.orderLimit(), terms.connectWithin(), MOST_FUNCTIONS);
         }, "loop", late -> { }, this::failed);
         workers = made.get();
         int bytes = (int) Math.min(Integer.MAX_VALUE, Runtime.getRuntime().maxMemory() / BYTE_SHARE);
-        door = new Door(terms, terms.names("Lanes"), terms.names("Tenants"), new Door.Bounds(Math.max(1, g.sockets() / CLIENT_SHARE),
+        door = new ThriftServer(terms, terms.names("Lanes"), terms.names("Tenants"), new ThriftServer.ConnectionLimits(Math.max(1, g.sockets() / CLIENT_SHARE),
             Math.max(1, g.sockets() / CROWD_SHARE), bytes / 4,
             bytes, Math.min(terms.mostHeld(), MOST_CALLS), ARRIVAL), loop::now, loop::post, log::line);
         longest = terms.longestLimit();
-        feed = new Follow(new HttpClientConnection.Factory(net, null, 1 << 16), g.lastEvent(), g.book(), this::list, log::line);
+        feed = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), g.lastEvent(), g.book(), this::list, log::line);
         g.known().forEach(this::list);
         CountDownLatch known = new CountDownLatch(1);
         loop.post(c -> {
@@ -91,7 +91,7 @@
     /** Goes on with the feed at another address. */
     void follow(InetSocketAddress to) { feed.follow(to); }
 
-    private void list(Event e) {
+    private void list(EndpointListEvent e) {
         if (e.workers() != null) { loop.postFirst(c -> c.list(e.whole(), e.workers())); }
     }
 
--- a/src/main/java/switchgap/workers/Pool.java
+++ b/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
@@ -1,4 +1,4 @@
-package switchgap.workers;
+package switchgap.protocol.inference;
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -13,19 +13,19 @@
  * ever sent again by itself: an exchange whose link took bytes and broke is lost, and only one that saw no byte go
  * out is tried on a further link.
  */
-final class Pool {
+final class HttpConnectionPool {
     private final HttpClientConnection.Factory opener;
     private final InetSocketAddress address;
     private final int most;
     private final int mostWaiting;
     private final Duration connectWithin;
     private final ArrayDeque<HttpClientConnection> idle = new ArrayDeque<>();
-    private final ArrayDeque<Asked> waiting = new ArrayDeque<>();
+    private final ArrayDeque<PendingExchange> waiting = new ArrayDeque<>();
     private int open;
     private int opening;
     private boolean retired;
 
-    Pool(HttpClientConnection.Factory opener, InetSocketAddress address, int most, int mostWaiting, Duration connectWithin) {
+    HttpConnectionPool(HttpClientConnection.Factory opener, InetSocketAddress address, int most, int mostWaiting, Duration connectWithin) {
         this.opener = opener;
         this.address = address;
         this.most = most;
@@ -37,7 +37,7 @@
         return open;
     }
 
-    void ask(Asked a) {
+    void ask(PendingExchange a) {
         a.pool = this;
         HttpClientConnection link = null;
         synchronized (this) {
@@ -66,7 +66,7 @@
     }
 
     /** Puts an exchange on a link; a link that took nothing is no loss, the next one is tried. */
-    private void put(Asked a, HttpClientConnection link) {
+    private void put(PendingExchange a, HttpClientConnection link) {
         if (!a.go(link)) { // told at once: what is known not to have run can still be placed elsewhere
             a.endUnsent(AttemptOutcome.NOT_SENT, "its worker takes nothing new, or its time is over");
             back(link);
@@ -88,7 +88,7 @@
         for (int i = 0; i < more; i++) {
             opener.open(address, connectWithin, new HttpClientConnection.ConnectCallback() {
                 @Override public void open(HttpClientConnection link) {
-                    synchronized (Pool.this) {
+                    synchronized (HttpConnectionPool.this) {
                         opening--;
                         open++;
                     }
@@ -97,8 +97,8 @@
                 }
 
                 @Override public void failed(String why) {
-                    Asked a;
-                    synchronized (Pool.this) {
+                    PendingExchange a;
+                    synchronized (HttpConnectionPool.this) {
                         opening--;
                         a = waiting.size() > opening ? next() : null;
                     }
@@ -122,15 +122,15 @@
         if (more) { openMore(); }
     }
 
-    private Asked next() {
-        Asked a = waiting.pollFirst();
+    private PendingExchange next() {
+        PendingExchange a = waiting.pollFirst();
         while (a != null && !a.unsent()) { a = waiting.pollFirst(); }
         return a;
     }
 
     /** A link is free: the next one waiting takes it. */
     void back(HttpClientConnection link) {
-        Asked a;
+        PendingExchange a;
         synchronized (this) {
             a = next();
             if (a == null && link.usable() && !retired) { idle.addFirst(link); }
@@ -140,7 +140,7 @@
 
     /** Its worker takes nothing new: what waits is told at once, what is out goes on. */
     void refuse() {
-        List<Asked> all;
+        List<PendingExchange> all;
         synchronized (this) {
             all = List.copyOf(waiting);
             waiting.clear();
--- a/src/main/java/switchgap/workers/Inference.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
@@ -1,4 +1,4 @@
-package switchgap.workers;
+package switchgap.protocol.inference;
 
 import java.net.InetSocketAddress;
 import java.net.URLEncoder;
@@ -26,21 +26,21 @@
  * 429 or 503, each only with {@code named_metrics.executed=0} in its load report; any other reply that is no 2xx may
  * have run. Docs: docs/router.md.
  */
-public final class Inference implements WorkerTransport {
+public final class InferenceWorkerTransport implements WorkerTransport {
     /** Bounds of the links: connections and exchanges waiting for one, each a worker; spans of connect and idling. */
-    public record Links(int connections, int waiting, Duration connectWithin, Duration idle) { }
+    public record ConnectionLimits(int connections, int waiting, Duration connectWithin, Duration idle) { }
 
     private static final Set<String> OWN = Set.of("content-length", "transfer-encoding", "connection", "keep-alive",
-        "date", "server", Orca.HEADER, "x-request-id");
+        "date", "server", OrcaLoadReport.HEADER, "x-request-id");
     private static final byte[] NOTHING = {};
     private final HttpClientConnection.Factory opener;
-    private final Links bounds;
+    private final ConnectionLimits bounds;
     private final KeyedWriters carriers;
     private final Consumer<Consumer<RouterCore>> events;
     private final Runnable askList;
-    private final Set<Pool> pools = ConcurrentHashMap.newKeySet();
+    private final Set<HttpConnectionPool> pools = ConcurrentHashMap.newKeySet();
 
-    public Inference(HttpClientConnection.Factory opener, Links bounds, KeyedWriters carriers, Consumer<Consumer<RouterCore>> events,
+    public InferenceWorkerTransport(HttpClientConnection.Factory opener, ConnectionLimits bounds, KeyedWriters carriers, Consumer<Consumer<RouterCore>> events,
                      Runnable askList) {
         this.opener = opener;
         this.bounds = bounds;
@@ -50,12 +50,12 @@
     }
 
     /** A worker's links: an order holds its link for as long as a load takes, so orders have links of their own. */
-    private record Both(Pool jobs, Pool orders) { }
+    private record WorkerPools(HttpConnectionPool jobs, HttpConnectionPool orders) { }
 
-    private Both both(WorkerEntry w) {
-        Both b = (Both) w.links;
+    private WorkerPools both(WorkerEntry w) {
+        WorkerPools b = (WorkerPools) w.links;
         if (b == null) {
-            b = new Both(pool(w), pool(w));
+            b = new WorkerPools(pool(w), pool(w));
             w.links = b;
             pools.add(b.jobs);
             pools.add(b.orders);
@@ -63,8 +63,8 @@
         return b;
     }
 
-    private Pool pool(WorkerEntry w) {
-        return new Pool(opener, new InetSocketAddress(w.host, w.port), bounds.connections(), bounds.waiting(),
+    private HttpConnectionPool pool(WorkerEntry w) {
+        return new HttpConnectionPool(opener, new InetSocketAddress(w.host, w.port), bounds.connections(), bounds.waiting(),
             bounds.connectWithin());
     }
 
@@ -74,8 +74,8 @@
     }
 
     @Override public void refuses(WorkerEntry worker, boolean forGood) {
-        if (!(worker.links instanceof Both b)) { return; }
-        for (Pool p : new Pool[] {b.jobs, b.orders}) {
+        if (!(worker.links instanceof WorkerPools b)) { return; }
+        for (HttpConnectionPool p : new HttpConnectionPool[] {b.jobs, b.orders}) {
             if (forGood) {
                 pools.remove(p);
                 p.retire();
@@ -86,7 +86,7 @@
     }
 
     public void close() {
-        pools.forEach(Pool::close);
+        pools.forEach(HttpConnectionPool::close);
     }
 
     private static String model(String function) {
@@ -102,7 +102,7 @@
         headers.put("X-Request-Id", run.name());
         if (run.call.contentType != null) { headers.put("Content-Type", run.call.contentType); }
         if (run.call.fingerprint != null) { headers.put("Idempotency-Key", run.call.fingerprint); }
-        Asked a = new Asked(run.worker, "POST", model(run.call.function) + "/infer", headers, run.call.body) {
+        PendingExchange a = new PendingExchange(run.worker, "POST", model(run.call.function) + "/infer", headers, run.call.body) {
             @Override void unsent(AttemptOutcome end, String why) {
                 events.accept(c -> c.executionEnded(run, end, LoadReport.UNTOLD, null));
             }
@@ -113,7 +113,7 @@
                     lost("answer to " + echo);
                     return;
                 }
-                Orca orca = Orca.read(head);
+                OrcaLoadReport orca = OrcaLoadReport.read(head);
                 AttemptOutcome end = proof(status, orca);
                 Response answer = end == AttemptOutcome.FINISHED ? Response.finished(status, passedOn(head), content) : null;
                 events.accept(c -> c.executionEnded(run, end, orca.loads(), answer));
@@ -125,12 +125,12 @@
         };
         run.exchange = a;
         a.expiresAt(System.nanoTime() + allow.toNanos());
-        Pool p = both(run.worker).jobs();
+        HttpConnectionPool p = both(run.worker).jobs();
         carriers.carry(run.worker.port, () -> p.ask(a));
     }
 
     /** What a reply to an execution means and proves. */
-    static AttemptOutcome proof(int status, Orca orca) {
+    static AttemptOutcome proof(int status, OrcaLoadReport orca) {
         boolean notRun = orca.named("executed") == 0;
         if (status >= 200 && status < 300) { return AttemptOutcome.FINISHED; }
         if (notRun && status == 404) { return AttemptOutcome.MISS; }
@@ -146,32 +146,32 @@
     }
 
     @Override public AttemptOutcome abandon(Attempt run) {
-        return run.exchange instanceof Asked a ? a.abandon() : AttemptOutcome.TIMED_OUT;
+        return run.exchange instanceof PendingExchange a ? a.abandon() : AttemptOutcome.TIMED_OUT;
     }
 
     @Override public void abandon(WorkerCommand order) {
-        if (order.exchange instanceof Asked a) { a.abandon(); }
+        if (order.exchange instanceof PendingExchange a) { a.abandon(); }
     }
 
     /** An exchange of an order or a probe: its end by what came of it. */
-    private abstract class Errand extends Asked {
-        Errand(WorkerEntry worker, String method, String path, byte[] content) {
+    private abstract class CommandExchange extends PendingExchange {
+        CommandExchange(WorkerEntry worker, String method, String path, byte[] content) {
             super(worker, method, path, content.length == 0 ? Map.of() : Map.of("Content-Type", "application/json"), content);
         }
 
-        abstract void end(AttemptOutcome end, Orca orca);
+        abstract void end(AttemptOutcome end, OrcaLoadReport orca);
 
-        @Override void unsent(AttemptOutcome end, String why) { end(end, Orca.read(Map.of())); }
+        @Override void unsent(AttemptOutcome end, String why) { end(end, OrcaLoadReport.read(Map.of())); }
 
         @Override void replied(int status, Map<String, String> head, byte[] content) {
             end(status >= 200 && status < 300 ? AttemptOutcome.FINISHED : status == 503 || status == 429 ? AttemptOutcome.FULL : AttemptOutcome.ERROR,
-                Orca.read(head));
+                OrcaLoadReport.read(head));
         }
 
-        @Override void lost(String why) { end(AttemptOutcome.BROKEN, Orca.read(Map.of())); }
+        @Override void lost(String why) { end(AttemptOutcome.BROKEN, OrcaLoadReport.read(Map.of())); }
     }
 
-    private void go(WorkerEntry worker, WorkerCommand order, Asked a) {
+    private void go(WorkerEntry worker, WorkerCommand order, PendingExchange a) {
         order.exchange = a;
         both(worker).orders().ask(a);
     }
@@ -179,9 +179,9 @@
     @Override public void hold(WorkerEntry worker, String function, int copies, WorkerCommand order) {
         byte[] content = copies == 0 ? NOTHING
             : ("{\"parameters\":{\"copies\":" + copies + "}}").getBytes(StandardCharsets.UTF_8);
-        Asked a = new Errand(worker, copies == 0 ? "GET" : "POST",
+        PendingExchange a = new CommandExchange(worker, copies == 0 ? "GET" : "POST",
             copies == 0 ? model(function) + "/ready" : repository(function, "load"), content) {
-            @Override void end(AttemptOutcome end, Orca orca) {
+            @Override void end(AttemptOutcome end, OrcaLoadReport orca) {
                 double told = orca.named("copies"); // a worker that tells no count: ready means one
                 int standing = Double.isNaN(told) ? end == AttemptOutcome.FINISHED ? 1 : 0 : (int) told;
                 events.accept(c -> c.orderEnded(order, end, standing));
@@ -191,16 +191,16 @@
     }
 
     @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) {
-        Asked a = new Errand(worker, "POST", repository(function, "unload"),
+        PendingExchange a = new CommandExchange(worker, "POST", repository(function, "unload"),
             "{\"parameters\":{\"idle_only\":true}}".getBytes(StandardCharsets.UTF_8)) {
-            @Override void end(AttemptOutcome end, Orca orca) { events.accept(c -> c.dropEnded(order)); }
+            @Override void end(AttemptOutcome end, OrcaLoadReport orca) { events.accept(c -> c.dropEnded(order)); }
         };
         go(worker, order, a);
     }
 
     @Override public void probe(WorkerEntry worker, WorkerCommand order) {
-        Asked a = new Errand(worker, "GET", "/v2/health/ready", NOTHING) {
-            @Override void end(AttemptOutcome end, Orca orca) { events.accept(c -> c.probed(order, end, orca.loads())); }
+        PendingExchange a = new CommandExchange(worker, "GET", "/v2/health/ready", NOTHING) {
+            @Override void end(AttemptOutcome end, OrcaLoadReport orca) { events.accept(c -> c.probed(order, end, orca.loads())); }
         };
         go(worker, order, a);
     }
--- a/src/main/java/switchgap/workers/Orca.java
+++ b/src/main/java/switchgap/protocol/inference/OrcaLoadReport.java
@@ -1,4 +1,4 @@
-package switchgap.workers;
+package switchgap.protocol.inference;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -11,16 +11,16 @@
  * Load reports in the response header {@code endpoint-load-metrics} of the Open Request Cost Aggregation format, in
  * its TEXT and JSON forms. A value that can't be read is left out; a report never fails a reply.
  */
-final class Orca {
+final class OrcaLoadReport {
     static final String HEADER = "endpoint-load-metrics";
     private static final int MOST = 4096;
     private static final ObjectMapper JSON = new ObjectMapper();
     private final Map<String, Double> values = new HashMap<>();
 
-    private Orca() { }
+    private OrcaLoadReport() { }
 
-    static Orca read(Map<String, String> headers) {
-        Orca o = new Orca();
+    static OrcaLoadReport read(Map<String, String> headers) {
+        OrcaLoadReport o = new OrcaLoadReport();
         String h = headers.get(HEADER);
         if (h == null || h.length() > MOST) { return o; }
         if (h.startsWith("JSON")) {
--- a/src/main/java/switchgap/workers/Asked.java
+++ b/src/main/java/switchgap/protocol/inference/PendingExchange.java
@@ -1,4 +1,4 @@
-package switchgap.workers;
+package switchgap.protocol.inference;
 
 import java.util.Map;
 import switchgap.net.HttpClientConnection;
@@ -9,7 +9,7 @@
  * One exchange with a worker. Its states: WAITING for a connection (no byte has gone out), OUT on a link, OVER. The
  * pool's lock guards the state.
  */
-abstract class Asked implements HttpClientConnection.ResponseHandler {
+abstract class PendingExchange implements HttpClientConnection.ResponseHandler {
     private enum State { WAITING, OUT, OVER }
 
     final String method;
@@ -20,9 +20,9 @@
     private HttpClientConnection link;
     private long expires = Long.MAX_VALUE;
     private final WorkerEntry worker;
-    Pool pool;
+    HttpConnectionPool pool;
 
-    Asked(WorkerEntry worker, String method, String path, Map<String, String> headers, byte[] body) {
+    PendingExchange(WorkerEntry worker, String method, String path, Map<String, String> headers, byte[] body) {
         this.worker = worker;
         this.method = method;
         this.path = path;
--- a/src/main/java/switchgap/workers/package-info.java
+++ b/src/main/java/switchgap/protocol/inference/package-info.java
@@ -1,2 +1,2 @@
 /** The worker side: the inference protocol on kept connections, and what a reply proves. */
-package switchgap.workers;
+package switchgap.protocol.inference;
--- a/src/main/java/switchgap/invoke/InvokeApi.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeApi.java
@@ -1,4 +1,4 @@
-package switchgap.invoke;
+package switchgap.protocol.invoke;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -37,7 +37,7 @@
     private final KeyedWriters carriers;
     private final DeferredResults deferred;
     private final Supplier<AdmissionGate> gate;
-    private final LevelsDesk levels;
+    private final ServiceLevelHandler levels;
     private volatile Function<RouterCore, byte[]> status;
     private final String prefix;
     private final int mostHeld;
@@ -56,7 +56,7 @@
         this.carriers = carriers;
         this.deferred = deferred;
         this.gate = gate;
-        this.levels = new LevelsDesk(terms);
+        this.levels = new ServiceLevelHandler(terms);
         this.prefix = prefix;
         this.mostHeld = mostHeld;
         this.mostWait = mostWait;
@@ -102,30 +102,30 @@
                 r.answer(closing ? 503 : 200, Map.of("Content-Type", "text/plain"),
                     (closing ? "stopping\n" : "ok\n").getBytes(StandardCharsets.US_ASCII));
             } else {
-                throw Ask.no(404, "unknown-path", "nothing is at " + Ask.brief(r.path));
+                throw InvokeRequest.no(404, "unknown-path", "nothing is at " + InvokeRequest.brief(r.path));
             }
-        } catch (Ask.Refused e) {
+        } catch (InvokeRequest.InvalidRequestException e) {
             refuse(r, e.problem, null);
         }
     }
 
-    private static void only(HttpExchange r, String method) throws Ask.Refused {
+    private static void only(HttpExchange r, String method) throws InvokeRequest.InvalidRequestException {
         if (!r.method.equals(method)) {
-            throw Ask.no(405, "method-not-allowed", Ask.brief(r.method) + " is not spoken here, " + method + " is");
+            throw InvokeRequest.no(405, "method-not-allowed", InvokeRequest.brief(r.method) + " is not spoken here, " + method + " is");
         }
     }
 
-    private int wait(HttpExchange r) throws Ask.Refused {
+    private int wait(HttpExchange r) throws InvokeRequest.InvalidRequestException {
         String prefer = r.header("Prefer");
         int i = prefer == null ? -1 : prefer.indexOf("wait=");
         if (i < 0) { return 0; }
         String digits = prefer.substring(i + 5).split("[^0-9]", 2)[0];
-        if (digits.isEmpty() || digits.length() > 6) { throw Ask.no(400, "malformed-header", "Prefer: wait= needs seconds"); }
+        if (digits.isEmpty() || digits.length() > 6) { throw InvokeRequest.no(400, "malformed-header", "Prefer: wait= needs seconds"); }
         return Math.min(mostWait, Integer.parseInt(digits));
     }
 
-    private void invoke(String function, HttpExchange r) throws Ask.Refused {
-        Ask a = Ask.read(function, r, terms);
+    private void invoke(String function, HttpExchange r) throws InvokeRequest.InvalidRequestException {
+        InvokeRequest a = InvokeRequest.read(function, r, terms);
         if (closing) { throw notTaken("the router is stopping"); }
         if (held.incrementAndGet() > mostHeld) {
             held.decrementAndGet();
@@ -150,11 +150,11 @@
     }
 
     /** Never executed, so trying again is harmless: a pushback in all but that the call was not taken. */
-    private static Ask.Refused notTaken(String why) {
-        return new Ask.Refused(new Problem(503, "not-taken", why, Map.of("end", "pushed-back", "repeat_harmless", true)));
+    private static InvokeRequest.InvalidRequestException notTaken(String why) {
+        return new InvokeRequest.InvalidRequestException(new ProblemDetails(503, "not-taken", why, Map.of("end", "pushed-back", "repeat_harmless", true)));
     }
 
-    private static PendingRequest call(Ask a, HttpExchange r, Duration limit, String id, ResponseListener asker) {
+    private static PendingRequest call(InvokeRequest a, HttpExchange r, Duration limit, String id, ResponseListener asker) {
         return new PendingRequest(id, a.function(), a.workload(), a.customer(), limit, a.hint(), a.fingerprint(),
             r.header("Content-Type"), r.body, a.entry().memory(), a.entry().lanes(), a.entry().load(), a.repeat(),
             asker);
@@ -208,7 +208,7 @@
 
     // ------------------------------------------------------------------ deferred calls, on the loop
 
-    private void defer(HttpExchange r, Ask a, Duration limit, RouterCore core) {
+    private void defer(HttpExchange r, InvokeRequest a, Duration limit, RouterCore core) {
         deferred.tick(now.get());
         DeferredResults.Entry e = deferred.open();
         if (e == null) {
@@ -248,8 +248,8 @@
     private void look(HttpExchange r, String id, int wait) {
         deferred.tick(now.get());
         switch (deferred.known(id)) {
-            case NEVER -> refuse(r, new Problem(404, "unknown-call", "no deferred call is called " + Ask.brief(id)), null);
-            case GONE -> refuse(r, new Problem(410, "result-gone", "the result of " + id + " is kept no longer"), null);
+            case NEVER -> refuse(r, new ProblemDetails(404, "unknown-call", "no deferred call is called " + InvokeRequest.brief(id)), null);
+            case GONE -> refuse(r, new ProblemDetails(410, "result-gone", "the result of " + id + " is kept no longer"), null);
             case ENDED -> replyEnded(r, deferred.find(id));
             default -> {
                 DeferredResults.Entry e = deferred.find(id);
@@ -304,9 +304,9 @@
         return h;
     }
 
-    static void refuse(HttpExchange r, Problem p, String echo) {
+    static void refuse(HttpExchange r, ProblemDetails p, String echo) {
         Map<String, String> h = headers(null, echo);
-        h.put("Content-Type", Problem.TYPE);
+        h.put("Content-Type", ProblemDetails.TYPE);
         if (p.members().get("end") != null) { h.put("Switchgap-End", String.valueOf(p.members().get("end"))); }
         r.answer(p.status(), h, p.bytes());
     }
@@ -330,16 +330,16 @@
                     h.put("Retry-After", String.valueOf((a.comeBack().toMillis() + 999) / 1000));
                     h.put("Switchgap-Come-Back", String.valueOf(a.comeBack().toMillis()));
                 }
-                problem(r, h, new Problem(503, "pushed-back", "not done; trying again is harmless", members));
+                problem(r, h, new ProblemDetails(503, "pushed-back", "not done; trying again is harmless", members));
             }
-            default -> problem(r, h, new Problem(504, "killed", "no promise is made about its effect",
+            default -> problem(r, h, new ProblemDetails(504, "killed", "no promise is made about its effect",
                 Map.of("end", "killed", "repeat_harmless", false)));
         }
     }
 
-    private static void problem(HttpExchange r, Map<String, String> h, Problem p) {
+    private static void problem(HttpExchange r, Map<String, String> h, ProblemDetails p) {
         h.put("Switchgap-End", p.kind());
-        h.put("Content-Type", Problem.TYPE);
+        h.put("Content-Type", ProblemDetails.TYPE);
         r.answer(p.status(), h, p.bytes());
     }
 }
--- a/src/main/java/switchgap/invoke/Ask.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeRequest.java
@@ -1,4 +1,4 @@
-package switchgap.invoke;
+package switchgap.protocol.invoke;
 
 import java.time.Duration;
 import switchgap.net.HttpExchange;
@@ -10,14 +10,14 @@
  * {@code Switchgap-Customer}, {@code Switchgap-Time-Limit} and {@code Switchgap-Cost-Hint} in milliseconds,
  * {@code Switchgap-Deadline} in milliseconds of wall time, {@code Switchgap-Call}, {@code Switchgap-Repeat}, {@code Idempotency-Key}, {@code Prefer: respond-async}.
  */
-record Ask(String function, PageTerms.Entry entry, int workload, int customer, Duration limit, Duration hint,
+record InvokeRequest(String function, PageTerms.Entry entry, int workload, int customer, Duration limit, Duration hint,
            String fingerprint, String call, boolean repeat, boolean deferred) {
     /** Not a request that can be taken; the problem says why. */
-    static final class Refused extends Exception {
+    static final class InvalidRequestException extends Exception {
         private static final long serialVersionUID = 1;
-        final transient Problem problem;
+        final transient ProblemDetails problem;
 
-        Refused(Problem problem) {
+        InvalidRequestException(ProblemDetails problem) {
             super(problem.detail(), null, false, false);
             this.problem = problem;
         }
@@ -25,7 +25,7 @@
 
     private static final int MOST_KEY = 256;
 
-    static Ask read(String function, HttpExchange r, PageTerms terms) throws Refused {
+    static InvokeRequest read(String function, HttpExchange r, PageTerms terms) throws InvalidRequestException {
         PageTerms.Entry entry = function.length() > MOST_KEY ? null : terms.function(function);
         if (entry == null) { throw no(404, "unknown-function", "no function is called " + brief(function)); }
         String asked = r.header("Switchgap-Workload");
@@ -45,7 +45,7 @@
             throw no(400, "fingerprint-missing", "workload " + kind.name() + " needs an Idempotency-Key");
         }
         String prefer = r.header("Prefer");
-        return new Ask(function, entry, workload, customer, limit, hint, key, brief(r, "Switchgap-Call"),
+        return new InvokeRequest(function, entry, workload, customer, limit, hint, key, brief(r, "Switchgap-Call"),
             "true".equals(r.header("Switchgap-Repeat")), prefer != null && prefer.contains("respond-async"));
     }
 
@@ -53,7 +53,7 @@
      * Guards against a request that lay in the socket while the router was paused: a span alone would begin anew
      * when it is read. The wall clock may only shorten the limit.
      */
-    private static Duration least(Duration limit, HttpExchange r) throws Refused {
+    private static Duration least(Duration limit, HttpExchange r) throws InvalidRequestException {
         String v = r.header("Switchgap-Deadline");
         if (v == null) { return limit; }
         try {
@@ -65,7 +65,7 @@
         }
     }
 
-    private static String brief(HttpExchange r, String header) throws Refused {
+    private static String brief(HttpExchange r, String header) throws InvalidRequestException {
         String v = r.header(header);
         if (v != null && v.length() > MOST_KEY) {
             throw no(400, "malformed-header", header + " is longer than " + MOST_KEY + " characters");
@@ -73,7 +73,7 @@
         return v;
     }
 
-    private static Duration millis(HttpExchange r, String header, Duration otherwise) throws Refused {
+    private static Duration millis(HttpExchange r, String header, Duration otherwise) throws InvalidRequestException {
         String v = r.header(header);
         if (v == null) { return otherwise; }
         try {
@@ -92,7 +92,7 @@
         return "'" + s.replaceAll("\\p{Cntrl}", "?") + "'";
     }
 
-    static Refused no(int status, String kind, String detail) {
-        return new Refused(new Problem(status, kind, detail));
+    static InvalidRequestException no(int status, String kind, String detail) {
+        return new InvalidRequestException(new ProblemDetails(status, kind, detail));
     }
 }
--- a/src/main/java/switchgap/invoke/Problem.java
+++ b/src/main/java/switchgap/protocol/invoke/ProblemDetails.java
@@ -1,4 +1,4 @@
-package switchgap.invoke;
+package switchgap.protocol.invoke;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -6,11 +6,11 @@
 import java.util.Map;
 
 /** A problem by RFC 9457: {@code type} names the kind, further members what a program may act on. */
-record Problem(int status, String kind, String detail, Map<String, Object> members) {
+record ProblemDetails(int status, String kind, String detail, Map<String, Object> members) {
     static final String TYPE = "application/problem+json";
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    Problem(int status, String kind, String detail) {
+    ProblemDetails(int status, String kind, String detail) {
         this(status, kind, detail, Map.of());
     }
 
--- a/src/main/java/switchgap/invoke/LevelsDesk.java
+++ b/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
@@ -1,4 +1,4 @@
-package switchgap.invoke;
+package switchgap.protocol.invoke;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -16,18 +16,18 @@
 import switchgap.terms.PageTerms;
 
 /** Shows the levels of a router and pins them; on the router's loop. */
-final class LevelsDesk {
+final class ServiceLevelHandler {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long LONGEST_PIN = 86_400;
     private final PageTerms terms;
 
-    LevelsDesk(PageTerms terms) { this.terms = terms; }
+    ServiceLevelHandler(PageTerms terms) { this.terms = terms; }
 
     /** {@code GET /v1/levels}: now and the last changes; {@code POST /v1/levels?pin=RUNG&seconds=N}: a pin that expires. */
     void asked(HttpExchange r, AdmissionGate gate) {
         Levels l = gate.levels();
         if (l == null) {
-            InvokeApi.refuse(r, new Problem(404, "no-levels", "levels do not act at this router"), null);
+            InvokeApi.refuse(r, new ProblemDetails(404, "no-levels", "levels do not act at this router"), null);
             return;
         }
         if (r.method.equals("POST")) {
@@ -35,7 +35,7 @@
             for (Rung g : Rung.values()) { rung = Page.word(g).equals(r.asked("pin")) && g != Rung.SHARE ? g : rung; }
             long seconds = seconds(r.asked("seconds"));
             if (rung == null || seconds < 1 || seconds > LONGEST_PIN) {
-                InvokeApi.refuse(r, new Problem(400, "malformed-pin", "pin must be full, least, most or hold, seconds from 1 to "
+                InvokeApi.refuse(r, new ProblemDetails(400, "malformed-pin", "pin must be full, least, most or hold, seconds from 1 to "
                     + LONGEST_PIN), null);
                 return;
             }
--- a/src/main/java/switchgap/invoke/package-info.java
+++ b/src/main/java/switchgap/protocol/invoke/package-info.java
@@ -1,2 +1,2 @@
 /** The invoke API: calls in by HTTP, synchronous and deferred, and their final answers out. */
-package switchgap.invoke;
+package switchgap.protocol.invoke;
--- a/src/main/java/switchgap/resp/Errand.java
+++ b/src/main/java/switchgap/protocol/resp/PendingExchange.java
@@ -1,4 +1,4 @@
-package switchgap.resp;
+package switchgap.protocol.resp;
 
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.PendingRequest;
@@ -9,12 +9,12 @@
  * One exchange with a worker: an execution, an order or a probe. WAITING: no byte has gone out; OUT on a link; OVER.
  * All of it belongs to the router's loop.
  */
-final class Errand {
+final class PendingExchange {
     enum State { WAITING, OUT, OVER }
 
     /** Hears once how it ended, with the reply where there was one. */
-    interface Ended {
-        void ended(RouterCore c, AttemptOutcome end, Reply reply);
+    interface CompletionListener {
+        void ended(RouterCore c, AttemptOutcome end, WorkerReply reply);
     }
 
     final WorkerEntry worker;
@@ -24,15 +24,15 @@
     final PendingRequest call;
     final byte[] command;
     private final boolean harmless;
-    private final Ended ended;
+    private final CompletionListener ended;
     State state = State.WAITING;
-    Link link;
+    RespConnection link;
     /** Nanoseconds of the loop: when it went out, and when it is given up. */
     long sent;
     final long until;
 
     /** {@code harmless}: a worker that takes nothing new may still have it. */
-    Errand(WorkerEntry worker, String id, PendingRequest call, boolean harmless, byte[] command, long until, Ended ended) {
+    PendingExchange(WorkerEntry worker, String id, PendingRequest call, boolean harmless, byte[] command, long until, CompletionListener ended) {
         this.worker = worker;
         this.id = id;
         this.call = call;
@@ -45,7 +45,7 @@
     /** Asked as it is about to go out, not when it was decided: its worker may drain and its client leave in between. */
     boolean mayGo() { return state == State.WAITING && (harmless || worker.takesNew) && (call == null || call.awaited()); }
 
-    void end(RouterCore c, AttemptOutcome end, Reply reply) {
+    void end(RouterCore c, AttemptOutcome end, WorkerReply reply) {
         if (state != State.OVER) {
             state = State.OVER;
             ended.ended(c, end, reply);
--- a/src/main/java/switchgap/resp/Command.java
+++ b/src/main/java/switchgap/protocol/resp/RespCommandEncoder.java
@@ -1,11 +1,11 @@
-package switchgap.resp;
+package switchgap.protocol.resp;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
 /** Commands as arrays of bulk strings. */
-final class Command {
-    private Command() { }
+final class RespCommandEncoder {
+    private RespCommandEncoder() { }
 
     static byte[] of(String... words) { return with(null, words); }
 
--- a/src/main/java/switchgap/resp/Pool.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
@@ -1,4 +1,4 @@
-package switchgap.resp;
+package switchgap.protocol.resp;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -13,21 +13,21 @@
  * of its connection with it. Nothing is ever sent again by itself. Exchanges wait only while a connection is being
  * opened. All of it belongs to the router's loop.
  */
-final class Pool {
-    private final Workers workers;
+final class RespConnectionPool {
+    private final RespWorkerTransport workers;
     private final InetSocketAddress address;
-    private final List<Link> links = new ArrayList<>();
-    private final ArrayDeque<Errand> waiting = new ArrayDeque<>();
+    private final List<RespConnection> links = new ArrayList<>();
+    private final ArrayDeque<PendingExchange> waiting = new ArrayDeque<>();
     private int opening;
     private boolean retired;
 
-    Pool(Workers workers, InetSocketAddress address) {
+    RespConnectionPool(RespWorkerTransport workers, InetSocketAddress address) {
         this.workers = workers;
         this.address = address;
     }
 
-    void ask(Errand e) {
-        Link l = e.mayGo() && !retired ? least(e) : null;
+    void ask(PendingExchange e) {
+        RespConnection l = e.mayGo() && !retired ? least(e) : null;
         if (e.mayGo() && !retired && (l == null || !l.out.isEmpty()) && mayOpen()) {
             opening++;
             workers.dial(this, address);
@@ -44,15 +44,15 @@
     /** Mute links count for nothing: each is replaced, and closed once nothing is out on it. */
     private boolean mayOpen() {
         int live = opening;
-        for (Link l : links) { live += l.mute ? 0 : 1; }
+        for (RespConnection l : links) { live += l.mute ? 0 : 1; }
         int most = workers.perWorker();
         return live < most && links.size() + opening < 2 * most && workers.room();
     }
 
     /** The idle link that was of use the longest ago: of this worker's and {@code of}. */
-    Link leastUsed(Link of) {
-        Link least = of;
-        for (Link l : links) {
+    RespConnection leastUsed(RespConnection of) {
+        RespConnection least = of;
+        for (RespConnection l : links) {
             if (l.out.isEmpty() && l.bytes.open() && (least == null || l.used < least.used)) { least = l; }
         }
         return least;
@@ -62,9 +62,9 @@
      * The usable link with the least out, or null. One with bytes to write is passed over: what waits behind them would go
      * out after its worker drained or its client left.
      */
-    private Link least(Errand e) {
-        Link least = null;
-        for (Link l : links) {
+    private RespConnection least(PendingExchange e) {
+        RespConnection least = null;
+        for (RespConnection l : links) {
             boolean usable = !l.mute && l.bytes.open() && l.out.size() < workers.bounds.multiplex()
                 && l.bytes.unsent() == 0 && !met(e, l);
             if (usable && (least == null || l.out.size() < least.out.size())) { least = l; }
@@ -73,20 +73,20 @@
     }
 
     /** Whether an earlier execution of the job went out there: both bear its id, and a late answer would be the wrong one's. */
-    private static boolean met(Errand e, Link l) {
+    private static boolean met(PendingExchange e, RespConnection l) {
         if (e.call == null) { return false; }
         for (Attempt r : e.call.runs()) {
-            if (r.exchange instanceof Errand o && o != e && o.link == l) { return true; }
+            if (r.exchange instanceof PendingExchange o && o != e && o.link == l) { return true; }
         }
         return false;
     }
 
-    private void put(Errand e, Link l) {
+    private void put(PendingExchange e, RespConnection l) {
         if (!e.mayGo() || !l.bytes.send(e.command)) { // no byte of it went out
             workers.soon(c -> e.end(c, AttemptOutcome.NOT_SENT, null));
             return;
         }
-        e.state = Errand.State.OUT;
+        e.state = PendingExchange.State.OUT;
         e.link = l;
         e.sent = workers.nanos();
         l.used = e.sent;
@@ -94,7 +94,7 @@
     }
 
     /** A connection is up. */
-    void opened(RouterCore c, Link l) {
+    void opened(RouterCore c, RespConnection l) {
         opening--;
         if (retired || !l.bytes.open()) {
             l.bytes.close("its worker is gone");
@@ -114,9 +114,9 @@
     /** Places what waits; with no connection under way the rest is told at once that it never went out. */
     private void settle(RouterCore c, AttemptOutcome none) {
         for (int n = waiting.size(); n > 0; n--) {
-            Errand e = waiting.poll();
-            if (e.state != Errand.State.WAITING) { continue; }
-            Link to = least(e);
+            PendingExchange e = waiting.poll();
+            if (e.state != PendingExchange.State.WAITING) { continue; }
+            RespConnection to = least(e);
             if (to != null) {
                 put(e, to);
             } else if (opening > 0) {
@@ -128,18 +128,18 @@
     }
 
     /** A connection ended; what was out on it may have run. */
-    void closed(RouterCore c, Link l) {
+    void closed(RouterCore c, RespConnection l) {
         if (links.remove(l)) { workers.ended(); }
-        List<Errand> all = List.copyOf(l.out.values());
+        List<PendingExchange> all = List.copyOf(l.out.values());
         l.out.clear();
         all.forEach(e -> e.end(c, AttemptOutcome.BROKEN, null));
     }
 
     /** An answer; one for an id that is not out on this very connection is passed over. */
-    void answered(RouterCore c, Link l, Reply r) {
+    void answered(RouterCore c, RespConnection l, WorkerReply r) {
         l.mute = false;
         l.heard = workers.nanos();
-        Errand e = l.out.get(r.id());
+        PendingExchange e = l.out.get(r.id());
         if (e == null) { return; }
         AttemptOutcome end = r.end();
         if (end == null) {
@@ -152,20 +152,20 @@
     }
 
     /** Ends an exchange whose answer is not wanted any more; tells what that proves. */
-    AttemptOutcome abandon(Errand e) {
-        Errand.State was = e.state;
-        e.state = Errand.State.OVER;
-        if (was == Errand.State.WAITING) {
+    AttemptOutcome abandon(PendingExchange e) {
+        PendingExchange.State was = e.state;
+        e.state = PendingExchange.State.OVER;
+        if (was == PendingExchange.State.WAITING) {
             waiting.remove(e);
             return links.isEmpty() ? AttemptOutcome.NO_CONNECTION : AttemptOutcome.NOT_SENT;
         }
-        Link l = e.link;
-        if (was == Errand.State.OUT && l.out.remove(e.id, e)) {
+        RespConnection l = e.link;
+        if (was == PendingExchange.State.OUT && l.out.remove(e.id, e)) {
             l.mute |= workers.nanos() >= e.until && l.heard < e.sent;
             if (l.mute && l.out.isEmpty()) {
                 l.bytes.close("it says nothing"); // which gives up all that was open on it
             } else if (e.call != null) {
-                l.bytes.send(Command.of("UNDO", e.id));
+                l.bytes.send(RespCommandEncoder.of("UNDO", e.id));
             }
         }
         return AttemptOutcome.TIMED_OUT;
@@ -174,7 +174,7 @@
     /** Its worker takes nothing new: what waits is told at once, what is out goes on. */
     void refuse() {
         for (int n = waiting.size(); n > 0; n--) {
-            Errand e = waiting.poll();
+            PendingExchange e = waiting.poll();
             if (e.mayGo()) { waiting.add(e); } else { workers.soon(c -> e.end(c, AttemptOutcome.NOT_SENT, null)); }
         }
     }
@@ -182,8 +182,8 @@
     /** Its worker is gone for good: links close as they fall idle. */
     void retire() {
         retired = true;
-        for (Errand e; (e = waiting.poll()) != null;) {
-            Errand x = e;
+        for (PendingExchange e; (e = waiting.poll()) != null;) {
+            PendingExchange x = e;
             workers.soon(c -> x.end(c, AttemptOutcome.NOT_SENT, null));
         }
         sweep(0);
@@ -192,7 +192,7 @@
     /** Closes links that were of no use for so long; true where the pool can be forgotten. */
     boolean sweep(long idle) {
         long now = workers.nanos();
-        for (Link l : links) {
+        for (RespConnection l : links) {
             if (l.out.isEmpty() && (retired || now - l.used >= idle)) { l.bytes.close("idle"); }
         }
         return retired && links.isEmpty() && opening == 0;
--- a/src/main/java/switchgap/resp/Reader.java
+++ b/src/main/java/switchgap/protocol/resp/RespDecoder.java
@@ -1,4 +1,4 @@
-package switchgap.resp;
+package switchgap.protocol.resp;
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
@@ -7,17 +7,17 @@
  * Arrays of bulk strings out of a stream of bytes, split anywhere. Each length is checked before it is gathered, and
  * bytes are kept as they come, not as a length claims.
  */
-final class Reader {
+final class RespDecoder {
     /** What is no such array, or is longer than allowed. */
-    static final class Unreadable extends Exception {
+    static final class MalformedReplyException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Unreadable(String why) { super(why, null, false, false); }
+        MalformedReplyException(String why) { super(why, null, false, false); }
     }
 
     /** Takes an array; it may find that what it says can't be read. */
-    interface Whole {
-        void array(byte[][] parts) throws Unreadable;
+    interface ArrayHandler {
+        void array(byte[][] parts) throws MalformedReplyException;
     }
 
     private static final int MOST_PARTS = 8;
@@ -35,22 +35,22 @@
     private boolean returned;   // the line's carriage return came
 
     /** No string may be longer than {@code most} bytes. */
-    Reader(int most) { this.most = most; }
+    RespDecoder(int most) { this.most = most; }
 
-    void take(ByteBuffer more, Whole whole) throws Unreadable {
+    void take(ByteBuffer more, ArrayHandler whole) throws MalformedReplyException {
         while (more.hasRemaining()) {
             if (part != null) { string(more, whole); } else { line(more.get(), whole); }
         }
     }
 
-    private void line(byte b, Whole whole) throws Unreadable {
+    private void line(byte b, ArrayHandler whole) throws MalformedReplyException {
         if (sign == 0) {
-            if (b != (parts == null ? '*' : '$')) { throw new Unreadable("byte " + b + " where an array or a string begins"); }
+            if (b != (parts == null ? '*' : '$')) { throw new MalformedReplyException("byte " + b + " where an array or a string begins"); }
             sign = b;
             number = 0;
             digits = 0;
         } else if (returned) {
-            if (b != '\n') { throw new Unreadable("a line that does not end"); }
+            if (b != '\n') { throw new MalformedReplyException("a line that does not end"); }
             returned = false;
             begin(whole);
         } else if (b == '\r' && digits > 0) {
@@ -59,17 +59,17 @@
             number = number * 10 + b - '0';
             digits++;
         } else {
-            throw new Unreadable("no length");
+            throw new MalformedReplyException("no length");
         }
     }
 
-    private void begin(Whole whole) throws Unreadable {
+    private void begin(ArrayHandler whole) throws MalformedReplyException {
         if (sign == '*') {
-            if (number == 0 || number > MOST_PARTS) { throw new Unreadable("an array of " + number); }
+            if (number == 0 || number > MOST_PARTS) { throw new MalformedReplyException("an array of " + number); }
             parts = new byte[number][];
             filled = 0;
         } else {
-            if (number > most) { throw new Unreadable("a string of " + number + " bytes"); }
+            if (number > most) { throw new MalformedReplyException("a string of " + number + " bytes"); }
             size = number;
             got = 0;
             part = new byte[Math.min(size, FIRST)];
@@ -77,7 +77,7 @@
         sign = 0;
     }
 
-    private void string(ByteBuffer more, Whole whole) throws Unreadable {
+    private void string(ByteBuffer more, ArrayHandler whole) throws MalformedReplyException {
         if (got < size) {
             int n = Math.min(more.remaining(), size - got);
             if (got + n > part.length) { part = Arrays.copyOf(part, Math.min(size, Math.max(got + n, 2 * part.length))); }
@@ -85,7 +85,7 @@
             got += n;
             return;
         }
-        if (more.get() != (got == size ? '\r' : '\n')) { throw new Unreadable("a string longer than its length"); }
+        if (more.get() != (got == size ? '\r' : '\n')) { throw new MalformedReplyException("a string longer than its length"); }
         if (got++ == size) { return; }
         parts[filled++] = part;
         part = null;
--- a/src/main/java/switchgap/resp/Workers.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -1,4 +1,4 @@
-package switchgap.resp;
+package switchgap.protocol.resp;
 
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -23,20 +23,20 @@
 import switchgap.router.WorkerTransport;
 
 /** Executions, orders and probes as RESP commands. Selector threads read and decode; all else runs on the router's loop. */
-public final class Workers implements WorkerTransport {
+public final class RespWorkerTransport implements WorkerTransport {
     /**
      * Connections over all workers; connections and exchanges waiting for one, each a worker; executions that a connection
      * carries; the span of a connect and of lying idle; whether answers tell of a crowd.
      */
-    public record Bounds(int connections, int links, int waiting, int multiplex, Duration connectWithin, Duration idle, boolean crowds) { }
+    public record ConnectionLimits(int connections, int links, int waiting, int multiplex, Duration connectWithin, Duration idle, boolean crowds) { }
 
     private static final int LEAST_LINKS = 2;
     private static final int MOST_STRING = 16 << 10; // the longest body
-    final Bounds bounds;
+    final ConnectionLimits bounds;
     private final String[] names;
     private final Supplier<Duration> clock;
     private final Consumer<Consumer<RouterCore>> events;
-    private final Set<Pool> pools = new HashSet<>();
+    private final Set<RespConnectionPool> pools = new HashSet<>();
     private final TcpConnection.Factory opener;
     private final Duration probeLimit;
     private final Duration orderLimit;
@@ -47,7 +47,7 @@
      * {@code names} are those of the workloads, {@code clock} is the router's, {@code events} its loop. Orders and probes
      * are given up by the core after their limits.
      */
-    public Workers(NetworkTransport net, Bounds bounds, String[] names, Duration orderLimit, Duration probeLimit, Supplier<Duration> clock,
+    public RespWorkerTransport(NetworkTransport net, ConnectionLimits bounds, String[] names, Duration orderLimit, Duration probeLimit, Supplier<Duration> clock,
                    Consumer<Consumer<RouterCore>> events) {
         this.bounds = bounds;
         this.names = names;
@@ -55,7 +55,7 @@
         this.probeLimit = probeLimit;
         this.clock = clock;
         this.events = events;
-        this.opener = new TcpConnection.Factory(net, new Ear());
+        this.opener = new TcpConnection.Factory(net, new ReplyListener());
     }
 
     long nanos() { return clock.get().toNanos(); }
@@ -63,13 +63,13 @@
     /** As an event of its own: what the core asks is never answered at once. */
     void soon(Consumer<RouterCore> event) { events.accept(event); }
 
-    private Pool pool(WorkerEntry w) {
+    private RespConnectionPool pool(WorkerEntry w) {
         if (w.links == null) {
-            Pool p = new Pool(this, new InetSocketAddress(w.host, w.port));
+            RespConnectionPool p = new RespConnectionPool(this, new InetSocketAddress(w.host, w.port));
             w.links = p;
             pools.add(p);
         }
-        return (Pool) w.links;
+        return (RespConnectionPool) w.links;
     }
 
     // ------------------------------------------------------------------ connections
@@ -80,8 +80,8 @@
     /** Whether one more fits; past the bound, the one that has been of no use for longest goes for it. */
     boolean room() {
         if (connections < bounds.connections) { return true; }
-        Link least = null;
-        for (Pool p : pools) { least = p.leastUsed(least); }
+        RespConnection least = null;
+        for (RespConnectionPool p : pools) { least = p.leastUsed(least); }
         if (least != null) { least.bytes.close("the place is needed"); }
         return least != null;
     }
@@ -89,11 +89,11 @@
     /** One has ended, or never came up. */
     void ended() { connections--; }
 
-    void dial(Pool p, InetSocketAddress to) {
+    void dial(RespConnectionPool p, InetSocketAddress to) {
         connections++;
         opener.open(to, bounds.connectWithin(), new Connector.ConnectCallback<>() {
             @Override public void open(TcpConnection l) {
-                Link k = new Link(l, p, new Reader(MOST_STRING), nanos());
+                RespConnection k = new RespConnection(l, p, new RespDecoder(MOST_STRING), nanos());
                 l.holder = k;
                 events.accept(c -> p.opened(c, k)); // which looks whether it has closed since
             }
@@ -103,16 +103,16 @@
     }
 
     /** On selector threads. */
-    private final class Ear implements TcpConnection.Listener {
+    private final class ReplyListener implements TcpConnection.Listener {
         @Override public void opened(TcpConnection l) { }
 
         @Override public void bytes(TcpConnection l, ByteBuffer more) {
-            Link k = (Link) l.holder;
-            List<Reply> replies = new ArrayList<>(2);
+            RespConnection k = (RespConnection) l.holder;
+            List<WorkerReply> replies = new ArrayList<>(2);
             String why = k == null ? "it spoke before it was asked" : null;
             try {
-                if (k != null) { k.reader.take(more, parts -> replies.add(Reply.of(parts))); }
-            } catch (Reader.Unreadable x) {
+                if (k != null) { k.reader.take(more, parts -> replies.add(WorkerReply.of(parts))); }
+            } catch (RespDecoder.MalformedReplyException x) {
                 why = x.getMessage();
             }
             if (!replies.isEmpty()) { events.accept(c -> replies.forEach(r -> k.pool.answered(c, k, r))); }
@@ -120,7 +120,7 @@
         }
 
         @Override public void closed(TcpConnection l, String why) {
-            if (l.holder instanceof Link k) { events.accept(c -> k.pool.closed(c, k)); }
+            if (l.holder instanceof RespConnection k) { events.accept(c -> k.pool.closed(c, k)); }
         }
     }
 
@@ -134,7 +134,7 @@
 
     @Override public void send(Attempt run, Duration allow) {
         String fields = "profile=" + names[run.call.workload] + ",thing=" + run.call.function + ",max=" + Math.max(1, allow.toMillis());
-        Errand e = new Errand(run.worker, run.call.id, run.call, false, Command.with(run.call.body, "DO", run.call.id, fields),
+        PendingExchange e = new PendingExchange(run.worker, run.call.id, run.call, false, RespCommandEncoder.with(run.call.body, "DO", run.call.id, fields),
             nanos() + allow.toNanos(), (c, end, r) -> c.executionEnded(run, end, r == null ? LoadReport.UNTOLD : r.loads(bounds.crowds()),
                 end == AttemptOutcome.FINISHED ? Response.finished(0, Map.of(), r.body()) : null));
         run.exchange = e;
@@ -142,15 +142,15 @@
     }
 
     @Override public AttemptOutcome abandon(Attempt run) {
-        return run.exchange instanceof Errand e ? pool(run.worker).abandon(e) : AttemptOutcome.TIMED_OUT;
+        return run.exchange instanceof PendingExchange e ? pool(run.worker).abandon(e) : AttemptOutcome.TIMED_OUT;
     }
 
     @Override public void abandon(WorkerCommand order) {
-        if (order.exchange instanceof Errand e) { pool(e.worker).abandon(e); }
+        if (order.exchange instanceof PendingExchange e) { pool(e.worker).abandon(e); }
     }
 
-    private void ask(WorkerEntry worker, WorkerCommand order, String tag, boolean harmless, Duration limit, Errand.Ended ended, String... words) {
-        Errand e = new Errand(worker, tag, null, harmless, Command.of(words), nanos() + limit.toNanos(), ended);
+    private void ask(WorkerEntry worker, WorkerCommand order, String tag, boolean harmless, Duration limit, PendingExchange.CompletionListener ended, String... words) {
+        PendingExchange e = new PendingExchange(worker, tag, null, harmless, RespCommandEncoder.of(words), nanos() + limit.toNanos(), ended);
         order.exchange = e;
         pool(worker).ask(e);
     }
@@ -174,7 +174,7 @@
     }
 
     @Override public void refuses(WorkerEntry worker, boolean forGood) {
-        if (!(worker.links instanceof Pool p)) { return; }
+        if (!(worker.links instanceof RespConnectionPool p)) { return; }
         if (forGood) { p.retire(); } else { p.refuse(); }
     }
 
--- a/src/main/java/switchgap/resp/Reply.java
+++ b/src/main/java/switchgap/protocol/resp/WorkerReply.java
@@ -1,4 +1,4 @@
-package switchgap.resp;
+package switchgap.protocol.resp;
 
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -7,24 +7,24 @@
 import switchgap.router.LoadReport;
 
 /** One answer of a worker: {@code ID WORD FIELDS BODY}. What its word proves is said in {@link #end()} and nowhere else. */
-record Reply(String id, String word, Map<String, String> fields, byte[] body) {
+record WorkerReply(String id, String word, Map<String, String> fields, byte[] body) {
     private static final int MOST_NAME = 64; // bytes of an id, a tag or a word
 
-    static Reply of(byte[][] parts) throws Reader.Unreadable {
+    static WorkerReply of(byte[][] parts) throws RespDecoder.MalformedReplyException {
         if (parts.length != 4 || parts[0].length > MOST_NAME || parts[1].length > MOST_NAME) {
-            throw new Reader.Unreadable("an answer of " + parts.length + " parts, or an id or word too long");
+            throw new RespDecoder.MalformedReplyException("an answer of " + parts.length + " parts, or an id or word too long");
         }
-        return new Reply(text(parts[0]), text(parts[1]), fields(text(parts[2])), parts[3]);
+        return new WorkerReply(text(parts[0]), text(parts[1]), fields(text(parts[2])), parts[3]);
     }
 
     private static String text(byte[] b) { return new String(b, StandardCharsets.ISO_8859_1); }
 
-    private static Map<String, String> fields(String s) throws Reader.Unreadable {
+    private static Map<String, String> fields(String s) throws RespDecoder.MalformedReplyException {
         if (s.equals("-") || s.isEmpty()) { return Map.of(); }
         Map<String, String> all = new HashMap<>();
         for (String f : s.split(",", -1)) {
             int eq = f.indexOf('=');
-            if (eq <= 0) { throw new Reader.Unreadable("fields that can't be read"); }
+            if (eq <= 0) { throw new RespDecoder.MalformedReplyException("fields that can't be read"); }
             all.put(f.substring(0, eq), f.substring(eq + 1));
         }
         return all;
--- a/src/main/java/switchgap/resp/package-info.java
+++ b/src/main/java/switchgap/protocol/resp/package-info.java
@@ -1,2 +1,2 @@
 /** The workers' side of the platform: RESP arrays over few multiplexed connections. Codec pure; the pool holds no policy. */
-package switchgap.resp;
+package switchgap.protocol.resp;
--- a/src/main/java/switchgap/controlfeed/Sse.java
+++ b/src/main/java/switchgap/protocol/sse/ServerSentEventDecoder.java
@@ -1,11 +1,11 @@
-package switchgap.controlfeed;
+package switchgap.protocol.sse;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.function.BiConsumer;
 
 /** Server-sent events out of a stream of bytes, split anywhere. An event counts once its blank line has come. */
-final class Sse {
+public final class ServerSentEventDecoder {
     private final int most;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private final StringBuilder data = new StringBuilder();
@@ -14,10 +14,10 @@
     private long lines;
 
     /** A line or an event's data may hold {@code most} bytes. */
-    Sse(int most) { this.most = most; }
+    public ServerSentEventDecoder(int most) { this.most = most; }
 
     /** Hands on each event's id (null: none) and data. False, for good, at one that is too long. */
-    boolean take(byte[] bytes, BiConsumer<String, String> event) {
+    public boolean take(byte[] bytes, BiConsumer<String, String> event) {
         for (byte b : bytes) {
             boolean end = b == '\r' || b == '\n' && !returned;
             boolean pairs = b == '\n' && returned;
@@ -37,7 +37,7 @@
     }
 
     /** Lines that have come whole, comments too. */
-    long lines() { return lines; }
+    public long lines() { return lines; }
 
     private boolean line(String text, BiConsumer<String, String> event) {
         if (text.isEmpty()) {
--- /dev/null
+++ b/src/main/java/switchgap/protocol/sse/package-info.java
@@ -0,0 +1,2 @@
+/** Server-sent events: a pure decoder, bounded. */
+package switchgap.protocol.sse;
--- a/src/main/java/switchgap/thrift/Message.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftMessage.java
@@ -1,4 +1,4 @@
-package switchgap.thrift;
+package switchgap.protocol.thrift;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -10,7 +10,7 @@
  * One message as it came: its method, number, and of its arguments the map of fields, the body and the first number.
  * Every length is checked against what is there before anything is made of it.
  */
-public record Message(int type, String method, int number, Map<String, String> fields, byte[] body, int first) {
+public record ThriftMessage(int type, String method, int number, Map<String, String> fields, byte[] body, int first) {
     static final int CALL = 1;
     static final int REPLY = 2;
     static final int EXCEPTION = 3;
@@ -28,33 +28,33 @@
     private static final int MOST_DEPTH = 8;
 
     /** What can't be read; {@code number} and {@code method} where the head still could. */
-    static final class Unreadable extends Exception {
+    static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1;
         final transient String method;
         final int number;
 
-        Unreadable(String why, String method, int number) {
+        MalformedMessageException(String why, String method, int number) {
             super(why, null, false, false); // no trace: such messages come at full speed
             this.method = method;
             this.number = number;
         }
     }
 
-    private static final class Bad extends RuntimeException {
+    private static final class ParseException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        Bad(String why) { super(why, null, false, false); }
+        ParseException(String why) { super(why, null, false, false); }
     }
 
-    static Message read(byte[] frame) throws Unreadable {
+    static ThriftMessage read(byte[] frame) throws MalformedMessageException {
         ByteBuffer b = ByteBuffer.wrap(frame);
         String method = null;
         int number = 0;
         try {
             int head = b.getInt();
-            if ((head & 0xffffff00) != STRICT) { throw new Bad("no strict binary message"); }
+            if ((head & 0xffffff00) != STRICT) { throw new ParseException("no strict binary message"); }
             int type = head & 0xff;
-            if (type < CALL || type > ONEWAY) { throw new Bad("message type " + type); }
+            if (type < CALL || type > ONEWAY) { throw new ParseException("message type " + type); }
             String name = text(b, MOST_NAME);
             number = b.getInt();
             method = name;
@@ -63,7 +63,7 @@
             int first = 0;
             int seen = 0;
             for (byte t = b.get(); t != STOP; t = b.get()) {
-                if (++seen > MOST_FIELDS) { throw new Bad("too many arguments"); }
+                if (++seen > MOST_FIELDS) { throw new ParseException("too many arguments"); }
                 int id = b.getShort();
                 if (id == 1 && t == MAP && fields == null) {
                     fields = map(b);
@@ -76,18 +76,18 @@
                     skip(b, t, 0);
                 }
             }
-            if (b.hasRemaining()) { throw new Bad(b.remaining() + " bytes behind the message"); }
-            return new Message(type, name, number, fields, body, first);
-        } catch (Bad x) {
-            throw new Unreadable(x.getMessage(), method, number);
+            if (b.hasRemaining()) { throw new ParseException(b.remaining() + " bytes behind the message"); }
+            return new ThriftMessage(type, name, number, fields, body, first);
+        } catch (ParseException x) {
+            throw new MalformedMessageException(x.getMessage(), method, number);
         } catch (BufferUnderflowException x) {
-            throw new Unreadable("ends too soon", method, number);
+            throw new MalformedMessageException("ends too soon", method, number);
         }
     }
 
     private static int length(ByteBuffer b, int most) {
         int n = b.getInt();
-        if (n < 0 || n > most || n > b.remaining()) { throw new Bad("a length of " + n + " with " + b.remaining() + " bytes left"); }
+        if (n < 0 || n > most || n > b.remaining()) { throw new ParseException("a length of " + n + " with " + b.remaining() + " bytes left"); }
         return n;
     }
 
@@ -102,17 +102,17 @@
         byte k = b.get();
         byte v = b.get();
         int n = b.getInt();
-        if (n < 0 || n > MOST_FIELDS) { throw new Bad("a map of " + n); }
-        if (n > 0 && (k != STRING || v != STRING)) { throw new Bad("a map of types " + k + ", " + v); }
+        if (n < 0 || n > MOST_FIELDS) { throw new ParseException("a map of " + n); }
+        if (n > 0 && (k != STRING || v != STRING)) { throw new ParseException("a map of types " + k + ", " + v); }
         Map<String, String> m = new HashMap<>(2 * n);
         for (int i = 0; i < n; i++) {
-            if (m.put(text(b, MOST_NAME), text(b, MOST_VALUE)) != null) { throw new Bad("a field twice"); }
+            if (m.put(text(b, MOST_NAME), text(b, MOST_VALUE)) != null) { throw new ParseException("a field twice"); }
         }
         return m;
     }
 
     private static void skip(ByteBuffer b, byte type, int depth) {
-        if (depth > MOST_DEPTH) { throw new Bad("nested too deep"); }
+        if (depth > MOST_DEPTH) { throw new ParseException("nested too deep"); }
         switch (type) {
             case BOOL, 3 -> pass(b, 1);
             case 6 -> pass(b, 2);
@@ -139,13 +139,13 @@
                 int n = b.getInt();
                 for (int i = count(b, n); i > 0; i--) { skip(b, e, depth + 1); }
             }
-            default -> throw new Bad("type " + type);
+            default -> throw new ParseException("type " + type);
         }
     }
 
     /** Every element takes a byte at the least. */
     private static int count(ByteBuffer b, int n) {
-        if (n < 0 || n > b.remaining()) { throw new Bad("a count of " + n); }
+        if (n < 0 || n > b.remaining()) { throw new ParseException("a count of " + n); }
         return n;
     }
 
--- a/src/main/java/switchgap/thrift/Door.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -1,4 +1,4 @@
-package switchgap.thrift;
+package switchgap.protocol.thrift;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -26,13 +26,13 @@
  * Where clients connect. Selector threads read and decode; whatever is known of connections and calls belongs to the
  * router's loop, where the messages are taken in order. Everything a client can make grow is bounded.
  */
-public final class Door implements TcpConnection.Listener, AutoCloseable {
+public final class ThriftServer implements TcpConnection.Listener, AutoCloseable {
     /**
      * What the door allows: connections at a time, and more of them until the loop has made room, bytes of one connection's unread answers, bytes of all messages that
      * wait for the loop and of all calls held, calls held, and how long a connection may take for its first message or
      * for the rest of one.
      */
-    public record Bounds(int connections, int crowd, int unread, int bytes, int calls, Duration arrival) { }
+    public record ConnectionLimits(int connections, int crowd, int unread, int bytes, int calls, Duration arrival) { }
 
     private static final int MOST_FRAME = 32 << 10;
     /** The protocol says 32, yet usual clients were seen with more than 200 open on a connection; memory is bounded below. */
@@ -41,7 +41,7 @@
     private static final int BACKLOG = 512;
     private static final int MUTE = 4;   // a message's span, one in so many
 
-    private static final class Visit {
+    private static final class ClientConnection {
         final TcpConnection link;
         final FrameDecoder frames = new FrameDecoder(MOST_FRAME);
         final AtomicInteger waiting = new AtomicInteger();
@@ -53,7 +53,7 @@
         final Set<Integer> revoked = ConcurrentHashMap.newKeySet();
         Duration heard;
 
-        Visit(TcpConnection link, Duration now) {
+        ClientConnection(TcpConnection link, Duration now) {
             this.link = link;
             since = now;
             heard = now;
@@ -62,24 +62,24 @@
         boolean idle() { return open.isEmpty() && waiting.get() == 0; }
     }
 
-    private final Asked.Book book;
+    private final SubmitRequestDecoder.NameDirectory book;
     private final Supplier<Duration> clock;
     private final Consumer<Consumer<RouterCore>> events;
-    private final Bounds bounds;
+    private final ConnectionLimits bounds;
     private final Consumer<String> log;
     private final AtomicInteger connected = new AtomicInteger();
     private final AtomicInteger waitingBytes = new AtomicInteger();
-    private final Set<Visit> visits = new HashSet<>();
-    private final Map<String, Visit> holders = new HashMap<>(); // of calls held, by their ids
+    private final Set<ClientConnection> visits = new HashSet<>();
+    private final Map<String, ClientConnection> holders = new HashMap<>(); // of calls held, by their ids
     private int heldBytes;
     private volatile boolean good;
     private TcpConnection.Server listener;
 
     /** {@code clock} is the router's, {@code events} its loop. */
-    public Door(RouterSettings terms, Map<String, Integer> workloads, Map<String, Integer> customers, Bounds bounds,
+    public ThriftServer(RouterSettings terms, Map<String, Integer> workloads, Map<String, Integer> customers, ConnectionLimits bounds,
                 Supplier<Duration> clock, Consumer<Consumer<RouterCore>> events, Consumer<String> log) {
         this.log = log;
-        this.book = new Asked.Book(terms, workloads, customers);
+        this.book = new SubmitRequestDecoder.NameDirectory(terms, workloads, customers);
         this.bounds = bounds;
         this.clock = clock;
         this.events = events;
@@ -100,7 +100,7 @@
     // ------------------------------------------------------------------ on a selector thread
 
     @Override public void opened(TcpConnection l) {
-        Visit v = new Visit(l, clock.get());
+        ClientConnection v = new ClientConnection(l, clock.get());
         l.holder = v;
         if (connected.incrementAndGet() > bounds.connections + bounds.crowd) {
             l.close("too many connections");
@@ -110,7 +110,7 @@
     }
 
     @Override public void bytes(TcpConnection l, ByteBuffer more) {
-        Visit v = (Visit) l.holder;
+        ClientConnection v = (ClientConnection) l.holder;
         Duration now = clock.get();
         boolean fits = v.frames.take(more, f -> frame(v, f, now));
         v.partial = v.frames.partial();
@@ -118,24 +118,24 @@
         if (!fits) { l.close("a frame's length is out of bounds"); }
     }
 
-    private void frame(Visit v, byte[] frame, Duration now) {
+    private void frame(ClientConnection v, byte[] frame, Duration now) {
         if (!v.link.open()) { return; }
         v.spoke = true;
         v.since = null;
-        Message m;
+        ThriftMessage m;
         try {
-            m = Message.read(frame);
-        } catch (Message.Unreadable x) {
-            if (x.method != null) { v.link.send(Replies.unreadable(x.method, x.number, x.getMessage())); }
+            m = ThriftMessage.read(frame);
+        } catch (ThriftMessage.MalformedMessageException x) {
+            if (x.method != null) { v.link.send(ThriftResponseEncoder.unreadable(x.method, x.number, x.getMessage())); }
             v.link.close("unreadable message");
             return;
         }
-        if (m.type() != Message.CALL && m.type() != Message.ONEWAY) {
+        if (m.type() != ThriftMessage.CALL && m.type() != ThriftMessage.ONEWAY) {
             v.link.close("a reply from a client");
         } else if (m.method().equals("heartbeat")) {
-            send(v, Replies.heartbeat(m.method(), m.number(), good));
+            send(v, ThriftResponseEncoder.heartbeat(m.method(), m.number(), good));
         } else if (!m.method().equals("submit") && !m.method().equals("revoke")) {
-            send(v, Replies.unknownMethod(m.method(), m.number()));
+            send(v, ThriftResponseEncoder.unknownMethod(m.method(), m.number()));
         } else if (v.waiting.incrementAndGet() > MOST_WAITING || waitingBytes.addAndGet(frame.length) > bounds.bytes) {
             v.link.close("more messages than the router keeps up with");
         } else {
@@ -148,7 +148,7 @@
         }
     }
 
-    private void send(Visit v, byte[] reply) {
+    private void send(ClientConnection v, byte[] reply) {
         if (v.link.unsent() > bounds.unread) {
             v.link.close("reads no answers");
         } else {
@@ -158,7 +158,7 @@
 
     @Override public void closed(TcpConnection l, String why) {
         connected.decrementAndGet();
-        Visit v = (Visit) l.holder;
+        ClientConnection v = (ClientConnection) l.holder;
         events.accept(c -> left(c, v, why));
     }
 
@@ -167,14 +167,14 @@
     /** Connections on which anything is under way: a call, a message half come or not seen yet, an answer not written. */
     public int busy() {
         int n = Math.max(0, connected.get() - visits.size()); // some have come that the loop has not heard of
-        for (Visit v : visits) { n += v.link.open() && (!v.idle() || v.partial || v.link.unsent() > 0) ? 1 : 0; }
+        for (ClientConnection v : visits) { n += v.link.open() && (!v.idle() || v.partial || v.link.unsent() > 0) ? 1 : 0; }
         return n;
     }
 
     /** Fails what is still held, as nothing of it can be waited for any more. */
     public void endAll(RouterCore c) {
-        for (Visit v : visits) {
-            v.open.forEach((number, call) -> send(v, Replies.declared("submit", number, 2, Map.of())));
+        for (ClientConnection v : visits) {
+            v.open.forEach((number, call) -> send(v, ThriftResponseEncoder.declared("submit", number, 2, Map.of())));
             for (PendingRequest x : List.copyOf(v.open.values())) { gone(c, x); }
             v.open.clear();
         }
@@ -188,36 +188,36 @@
     /** As the selectors know them. */
     public int connected() { return connected.get(); }
 
-    private void came(RouterCore c, Visit v) {
+    private void came(RouterCore c, ClientConnection v) {
         visits.add(v);
         if (!v.link.open()) {
             visits.remove(v);
         } else if (visits.size() > bounds.connections) {
-            Visit least = emptiest(c.now());
+            ClientConnection least = emptiest(c.now());
             (least == null ? v : least).link.close("the place is needed");
         }
     }
 
     /** The connection that would be missed least: no call of it is held or on its way here, and it is mute or silent for longest; or null. */
-    private Visit emptiest(Duration now) {
-        Visit least = null;
-        for (Visit v : visits) {
+    private ClientConnection emptiest(Duration now) {
+        ClientConnection least = null;
+        for (ClientConnection v : visits) {
             if (v.link.open() && v.idle() && (least == null || emptier(v, least, now))) { least = v; }
         }
         return least;
     }
 
-    private boolean emptier(Visit a, Visit b, Duration now) {
+    private boolean emptier(ClientConnection a, ClientConnection b, Duration now) {
         if (mute(a, now) != mute(b, now)) { return mute(a, now); }
         return a.heard.compareTo(b.heard) < 0;
     }
 
     /** Never said a thing, though it had the time to: one that has just come is about to. */
-    private boolean mute(Visit v, Duration now) {
+    private boolean mute(ClientConnection v, Duration now) {
         return !v.spoke && now.minus(v.heard).compareTo(bounds.arrival.dividedBy(MUTE)) > 0;
     }
 
-    private void left(RouterCore c, Visit v, String why) {
+    private void left(RouterCore c, ClientConnection v, String why) {
         visits.remove(v);
         if (!v.open.isEmpty()) { log.accept("a client's connection ended with " + v.open.size() + " calls held: " + why); }
         for (PendingRequest x : List.copyOf(v.open.values())) { gone(c, x); }
@@ -234,7 +234,7 @@
         heldBytes -= call.body.length;
     }
 
-    private void message(RouterCore c, Visit v, Message m, Duration came) {
+    private void message(RouterCore c, ClientConnection v, ThriftMessage m, Duration came) {
         if (!v.link.open()) { return; }
         v.heard = c.now();
         if (m.method().equals("revoke")) {
@@ -250,19 +250,19 @@
         }
         PendingRequest call;
         try {
-            call = Asked.read(m, book, came, new ResponseListener() {
-                @Override public void answered(PendingRequest x, Response a) { Door.this.answered(v, m, x, a); }
+            call = SubmitRequestDecoder.read(m, book, came, new ResponseListener() {
+                @Override public void answered(PendingRequest x, Response a) { ThriftServer.this.answered(v, m, x, a); }
 
                 /** Within half a second it only earns nothing; a call without its final answer is lost. */
-                @Override public void overdue(PendingRequest x, Response late) { Door.this.answered(v, m, x, late); }
+                @Override public void overdue(PendingRequest x, Response late) { ThriftServer.this.answered(v, m, x, late); }
 
                 @Override public boolean gone() { return !v.link.open() || v.revoked.contains(m.number()); }
             });
-        } catch (Asked.Unusable x) {
+        } catch (SubmitRequestDecoder.InvalidRequestException x) {
             unusable(v, m, x.getMessage());
             return;
         }
-        Visit holder = holders.get(call.id);
+        ClientConnection holder = holders.get(call.id);
         if (holder != null && !holder.link.open()) { // sent again on a new connection, which came before the old one's end
             left(c, holder, "sent again on another one");
             holder = null;
@@ -281,32 +281,32 @@
         }
     }
 
-    private void unusable(Visit v, Message m, String field) {
-        send(v, Replies.declared(m.method(), m.number(), 2, Map.of("reason", "unusable " + field)));
+    private void unusable(ClientConnection v, ThriftMessage m, String field) {
+        send(v, ThriftResponseEncoder.declared(m.method(), m.number(), 2, Map.of("reason", "unusable " + field)));
     }
 
-    private void refuse(Visit v, Message m, Duration comeBack) {
-        send(v, Replies.declared(m.method(), m.number(), 1,
+    private void refuse(ClientConnection v, ThriftMessage m, Duration comeBack) {
+        send(v, ThriftResponseEncoder.declared(m.method(), m.number(), 1,
             comeBack == null ? Map.of() : Map.of("cooldown", String.valueOf(Math.max(1, comeBack.toMillis())))));
     }
 
-    private void done(Visit v, Message m, PendingRequest x) {
+    private void done(ClientConnection v, ThriftMessage m, PendingRequest x) {
         v.open.remove(m.number());
         over(x);
     }
 
-    private void answered(Visit v, Message m, PendingRequest x, Response a) {
+    private void answered(ClientConnection v, ThriftMessage m, PendingRequest x, Response a) {
         done(v, m, x);
         switch (a.kind()) {
-            case FINISHED -> send(v, Replies.answer(m.method(), m.number(), a.body(), true));
+            case FINISHED -> send(v, ThriftResponseEncoder.answer(m.method(), m.number(), a.body(), true));
             case PUSHED_BACK -> refuse(v, m, a.comeBack());
-            case KILLED -> send(v, Replies.declared(m.method(), m.number(), 2, Map.of()));
+            case KILLED -> send(v, ThriftResponseEncoder.declared(m.method(), m.number(), 2, Map.of()));
         }
     }
 
     /** Ends connections that take too long for a message; called now and then. */
     public void sweep(Duration now) {
-        for (Visit v : new ArrayList<>(visits)) {
+        for (ClientConnection v : new ArrayList<>(visits)) {
             Duration since = v.since;
             if (since != null && now.minus(since).compareTo(bounds.arrival) > 0) { v.link.close("no whole message in time"); }
         }
--- a/src/test/java/switchgap/list/ListLineTest.java
+++ b/src/test/java/switchgap/endpoints/EndpointListLineTest.java
@@ -1,4 +1,4 @@
-package switchgap.list;
+package switchgap.endpoints;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 
 /** A line of the list is good as a whole or refused with its reason; its size is bounded. */
-class ListLineTest {
+class EndpointListLineTest {
     private static final String GOOD = "{\"name\":\"w\",\"port\":80,\"state\":\"ready\",\"zone\":\"a\"}";
 
-    private static ListLine read(String workers) throws IOException {
-        return ListLine.read("{\"whole\":true,\"version\":7,\"workers\":[" + workers + "]}", 0, z -> z.equals("a") ? 0 : -1, k -> 0);
+    private static EndpointListLine read(String workers) throws IOException {
+        return EndpointListLine.read("{\"whole\":true,\"version\":7,\"workers\":[" + workers + "]}", 0, z -> z.equals("a") ? 0 : -1, k -> 0);
     }
 
     private static void refused(String workers, String why) {
@@ -32,7 +32,7 @@
         refused(GOOD.replace("\"a\"", "\"q\""), "worker w: unknown zone \"q\"");
         refused(GOOD.replace("\"w\"", "\"\""), "without a usable name");
         refused(GOOD.replace("}", ",\"size\":-1}"), "worker w: size -1.0");
-        assertThatThrownBy(() -> ListLine.read("{\"whole\":true,\"workers\":[]}", 0, z -> 0, k -> 0)).hasMessageContaining("version");
-        assertThatThrownBy(() -> ListLine.read("{\"whole\":tr", 0, z -> 0, k -> 0)).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> EndpointListLine.read("{\"whole\":true,\"workers\":[]}", 0, z -> 0, k -> 0)).hasMessageContaining("version");
+        assertThatThrownBy(() -> EndpointListLine.read("{\"whole\":tr", 0, z -> 0, k -> 0)).isInstanceOf(IOException.class);
     }
 }
--- a/src/test/java/switchgap/controlfeed/FollowTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientTest.java
@@ -1,4 +1,4 @@
-package switchgap.controlfeed;
+package switchgap.endpoints;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -20,39 +20,40 @@
 import switchgap.net.NetworkTransport;
 import switchgap.platform.Feed;
 import switchgap.policy.api.WorkerState;
+import switchgap.protocol.sse.ServerSentEventDecoder;
 import switchgap.router.EndpointUpdate;
 
 /** The control feed through all that may befall it. */
-class FollowTest {
-    private static final Event.Book BOOK = new Event.Book(Map.of("east", 0), Map.of("std", 0), 1000);
+class EventStreamClientTest {
+    private static final EndpointListEvent.NameDirectory BOOK = new EndpointListEvent.NameDirectory(Map.of("east", 0), Map.of("std", 0), 1000);
 
     private static String event(long n) { return Feed.event(n, false, Feed.worker("w" + n, "127.0.0.1:7", "SERVING", 0)); }
 
     @Test void splitAnywhereEventsReadTheSame() {
         byte[] stream = ": hello\r\nid: 4\r\ndata: a\r\ndata: b\r\n\r\nid:5\ndata:c\n\ndata: cut off".getBytes(StandardCharsets.UTF_8);
         for (int i = 0; i <= stream.length; i++) {
-            Sse sse = new Sse(100);
+            ServerSentEventDecoder sse = new ServerSentEventDecoder(100);
             List<String> got = new ArrayList<>();
             assertThat(sse.take(java.util.Arrays.copyOf(stream, i), (id, d) -> got.add(id + "=" + d))).isTrue();
             assertThat(sse.take(java.util.Arrays.copyOfRange(stream, i, stream.length), (id, d) -> got.add(id + "=" + d))).isTrue();
             assertThat(got).as("split at %d", i).containsExactly("4=a\nb", "5=c");
         }
-        assertThat(new Sse(10).take("data: more than ten".getBytes(StandardCharsets.UTF_8), (id, d) -> { })).isFalse();
+        assertThat(new ServerSentEventDecoder(10).take("data: more than ten".getBytes(StandardCharsets.UTF_8), (id, d) -> { })).isFalse();
     }
 
     @Test void aLineBecomesAWorker() throws Exception {
-        Event e = Event.read(Feed.event(41, true, Feed.worker("s-1", "10.1.0.9:10080", "SERVING", 1500)), BOOK);
+        EndpointListEvent e = EndpointListEvent.read(Feed.event(41, true, Feed.worker("s-1", "10.1.0.9:10080", "SERVING", 1500)), BOOK);
         assertThat(e.number()).isEqualTo(41);
         assertThat(e.whole()).isTrue();
         assertThat(e.workers()).containsExactly(new EndpointUpdate("s-1", "10.1.0.9", 10080, WorkerState.READY, 0, 2, 0, 4, Duration.ofMillis(500)));
-        assertThat(Event.read("{\"n\":5,\"news\":{}}", BOOK).workers()).isNull();
+        assertThat(EndpointListEvent.read("{\"n\":5,\"news\":{}}", BOOK).workers()).isNull();
     }
 
     @ParameterizedTest @ValueSource(strings = {"{", "[]", "{}", "{\"n\":1,\"members\":{}}", "{\"n\":1,\"members\":{\"targets\":[3]}}",
         "{\"n\":1,\"members\":{\"targets\":[{\"uid\":\"a\",\"state\":\"ODD\"}]}}", "{\"n\":1} more",
         "{\"n\":1,\"members\":{\"targets\":[{\"uid\":\"a\",\"endpoint\":\"nowhere\",\"state\":\"SERVING\"}]}}"})
     void nonsenseIsRefused(String text) {
-        assertThatThrownBy(() -> Event.read(text, BOOK)).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> EndpointListEvent.read(text, BOOK)).isInstanceOf(IOException.class);
     }
 
     private static void until(java.util.function.BooleanSupplier so) throws InterruptedException {
@@ -80,7 +81,7 @@
             return n > 2;
         };
         try (Feed feed = new Feed(manner); NetworkTransport net = new NetworkTransport(1, "follow");
-             Follow f = new Follow(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
+             EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
             f.follow(feed.at());
             until(() -> got.size() >= 5);
             assertThat(got).containsExactly(2L, 3L, 4L, 5L, 6L);
@@ -99,7 +100,7 @@
             return true;
         };
         try (Feed first = new Feed(tells); Feed second = new Feed(later); NetworkTransport net = new NetworkTransport(1, "follow");
-             Follow f = new Follow(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
+             EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
             f.follow(first.at());
             until(() -> got.size() == 1); // on the second connection, as the first was silent
             assertThat(first.asked).containsExactly(1L, 1L);
@@ -133,7 +134,7 @@
             return true;
         };
         try (Feed feed = new Feed(manner); NetworkTransport net = new NetworkTransport(1, "follow");
-             Follow f = new Follow(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
+             EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
             f.follow(feed.at());
             long began = System.nanoTime();
             until(() -> got.size() == 1);
@@ -164,7 +165,7 @@
         };
         Feed.Manner later = once(speak, 2); // the first of them the old one told, too
         try (Feed old = new Feed(beats); Feed anew = new Feed(later); NetworkTransport net = new NetworkTransport(1, "follow");
-             Follow f = new Follow(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
+             EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
             f.follow(old.at());
             until(() -> old.asked.size() == 1);
             old.say(event(2));
@@ -192,7 +193,7 @@
             return true;
         });
         try (Feed anew = new Feed(later); NetworkTransport net = new NetworkTransport(1, "follow");
-             Follow f = new Follow(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
+             EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
             f.follow(old.at());
             until(() -> old.asked.size() == 1);
             old.say(event(2));
@@ -218,7 +219,7 @@
             return true;
         };
         try (Feed feed = new Feed(manner); NetworkTransport net = new NetworkTransport(1, "follow");
-             Follow f = new Follow(new HttpClientConnection.Factory(net, null, 1 << 16), 5, BOOK, e -> got.add(e.number() + e.workers().get(0).name()), w -> { })) {
+             EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 5, BOOK, e -> got.add(e.number() + e.workers().get(0).name()), w -> { })) {
             f.follow(feed.at());
             until(() -> got.size() == 3);
             assertThat(got).containsExactly("5same", "8ahead", "9w9");
--- a/src/test/java/switchgap/workers/AskedTest.java
+++ b/src/test/java/switchgap/protocol/inference/PendingExchangeTest.java
@@ -1,4 +1,4 @@
-package switchgap.workers;
+package switchgap.protocol.inference;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -17,12 +17,12 @@
 import switchgap.router.WorkerEntry;
 
 /** Steps of an exchange that two threads can take at once, taken one after the other in the worst order. */
-class AskedTest {
+class PendingExchangeTest {
     /** Given up by the loop between the carrier's look and its write: the link was kept by an exchange that nobody would end. */
     @Test void anExchangeAbandonedJustBeforeItGoesOutFreesItsLink() throws Exception {
         List<String> heard = new CopyOnWriteArrayList<>();
         try (NetworkTransport net = new NetworkTransport(1, "asked"); Peer w = new Peer((q, out) -> q.line().contains("/first") ? Peer.silent(q, out) : Peer.well(q, out))) {
-            Pool pool = new Pool(new HttpClientConnection.Factory(net, null, 1024), new InetSocketAddress("127.0.0.1", w.port()), 1, 10, Duration.ofSeconds(1));
+            HttpConnectionPool pool = new HttpConnectionPool(new HttpClientConnection.Factory(net, null, 1024), new InetSocketAddress("127.0.0.1", w.port()), 1, 10, Duration.ofSeconds(1));
             CompletableFuture<AttemptOutcome> given = new CompletableFuture<>();
             pool.ask(new Told(heard, "/first") {
                 @Override synchronized boolean go(HttpClientConnection to) {
@@ -38,7 +38,7 @@
         }
     }
 
-    private static class Told extends Asked {
+    private static class Told extends PendingExchange {
         private final List<String> heard;
 
         Told(List<String> heard, String path) {
--- a/src/test/java/switchgap/resp/ReaderTest.java
+++ b/src/test/java/switchgap/protocol/resp/RespDecoderTest.java
@@ -1,4 +1,4 @@
-package switchgap.resp;
+package switchgap.protocol.resp;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -18,13 +18,13 @@
 import switchgap.router.LoadReport;
 
 /** The workers' protocol: split at every byte, at and past each bound, and what each word proves. */
-class ReaderTest {
+class RespDecoderTest {
     private static final int MOST = 64;
 
-    private static List<String> read(byte[] bytes, int split) throws Reader.Unreadable {
-        Reader r = new Reader(MOST);
+    private static List<String> read(byte[] bytes, int split) throws RespDecoder.MalformedReplyException {
+        RespDecoder r = new RespDecoder(MOST);
         List<String> all = new ArrayList<>();
-        Reader.Whole whole = parts -> {
+        RespDecoder.ArrayHandler whole = parts -> {
             for (byte[] p : parts) { all.add(new String(p, StandardCharsets.ISO_8859_1)); }
         };
         r.take(ByteBuffer.wrap(bytes, 0, split), whole);
@@ -42,31 +42,31 @@
     }
 
     @Test void aCommandIsReadAsItWasMeant() throws Exception {
-        assertThat(read(Command.with(bytes("b\r\n"), "DO", "id", "-"), 5)).containsExactly("DO", "id", "-", "b\r\n");
-        assertThat(read(Command.of("UNDO", "id"), 0)).containsExactly("UNDO", "id");
+        assertThat(read(RespCommandEncoder.with(bytes("b\r\n"), "DO", "id", "-"), 5)).containsExactly("DO", "id", "-", "b\r\n");
+        assertThat(read(RespCommandEncoder.of("UNDO", "id"), 0)).containsExactly("UNDO", "id");
     }
 
     @Test void aStringAtTheBoundIsReadAndOneByteMoreIsNot() throws Exception {
         assertThat(read(bytes("*1\r\n$64\r\n" + "x".repeat(64) + "\r\n"), 3)).hasSize(1);
-        assertThatThrownBy(() -> read(bytes("*1\r\n$65\r\n"), 3)).isInstanceOf(Reader.Unreadable.class);
+        assertThatThrownBy(() -> read(bytes("*1\r\n$65\r\n"), 3)).isInstanceOf(RespDecoder.MalformedReplyException.class);
     }
 
     @ParameterizedTest @ValueSource(strings = {"+OK\r\n", "*0\r\n", "*9\r\n", "*-1\r\n", "*1\r\n:3\r\n", "*1\r\n$3000000000\r\n", "*1\n", "*\r\n",
         "*1\r\n$2\r\nabc", "*1\r\n$2\r\nab\rx", "*111111111", "noise", "*1\r\n$-1\r\n"})
     void anythingElseIsUnreadable(String s) {
-        assertThatThrownBy(() -> read(bytes(s), 0)).isInstanceOf(Reader.Unreadable.class);
+        assertThatThrownBy(() -> read(bytes(s), 0)).isInstanceOf(RespDecoder.MalformedReplyException.class);
     }
 
     @Property(tries = 1000, seed = "42") void noBytesDoMoreThanBeUnreadable(@ForAll @Size(max = 100) byte[] noise) {
         try {
             assertThat(read(noise, noise.length / 2)).hasSizeLessThanOrEqualTo(noise.length);
-        } catch (Reader.Unreadable x) {
+        } catch (RespDecoder.MalformedReplyException x) {
             assertThat(x.getMessage()).isNotEmpty();
         }
     }
 
-    private static Reply reply(String word, String fields) throws Reader.Unreadable {
-        return Reply.of(new byte[][] {bytes("id"), bytes(word), bytes(fields), {}});
+    private static WorkerReply reply(String word, String fields) throws RespDecoder.MalformedReplyException {
+        return WorkerReply.of(new byte[][] {bytes("id"), bytes(word), bytes(fields), {}});
     }
 
     @ParameterizedTest @CsvSource({"data,FINISHED,false", "absent,MISS,true", "full,FULL,true", "moot,NOT_SENT,true", "failed,ERROR,false",
@@ -83,7 +83,7 @@
         assertThat(reply("full", "report=util:0.5;inflight:3;queue:1").loads(true)).isEqualTo(new LoadReport(0.5, 3, 1, 0));
         assertThat(reply("absent", "-").loads(true)).isEqualTo(LoadReport.UNTOLD);
         assertThat(reply("data", "report=util:NaN;inflight:-4;queue:1e99").loads(false)).isEqualTo(LoadReport.UNTOLD);
-        assertThatThrownBy(() -> reply("data", "noise")).isInstanceOf(Reader.Unreadable.class);
-        assertThatThrownBy(() -> Reply.of(new byte[][] {{}, {}})).isInstanceOf(Reader.Unreadable.class);
+        assertThatThrownBy(() -> reply("data", "noise")).isInstanceOf(RespDecoder.MalformedReplyException.class);
+        assertThatThrownBy(() -> WorkerReply.of(new byte[][] {{}, {}})).isInstanceOf(RespDecoder.MalformedReplyException.class);
     }
 }
--- a/src/test/java/switchgap/thrift/MessageTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftMessageTest.java
@@ -1,4 +1,4 @@
-package switchgap.thrift;
+package switchgap.protocol.thrift;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -25,7 +25,7 @@
 import switchgap.router.PendingRequest;
 
 /** The client protocol against Apache Thrift's own codec, and against everything that is no message. */
-class MessageTest {
+class ThriftMessageTest {
     static final Map<String, String> FIELDS = Map.of("service", "again", "ref", "9b1f03aa5c7e2d41", "allow", "900", "project", "shop",
         "lookup", "7f3a9c21e0b4d655", "effort", "8.2", "extras", "memory_mb:512;lanes:2;colour:3");
 
@@ -49,7 +49,7 @@
     }
 
     @Test void readsWhatThriftWrites() throws Exception {
-        Message m = Message.read(submit(FIELDS, new byte[] {0, 1, 2}, 7));
+        ThriftMessage m = ThriftMessage.read(submit(FIELDS, new byte[] {0, 1, 2}, 7));
         assertThat(m.method()).isEqualTo("submit");
         assertThat(m.number()).isEqualTo(7);
         assertThat(m.fields()).isEqualTo(FIELDS);
@@ -57,7 +57,7 @@
     }
 
     @Test void thriftReadsTheAnswer() throws Exception {
-        TProtocol p = reply(Replies.answer("submit", 9, new byte[] {5, 6}, true));
+        TProtocol p = reply(ThriftResponseEncoder.answer("submit", 9, new byte[] {5, 6}, true));
         TMessage head = p.readMessageBegin();
         assertThat(head.type).isEqualTo((byte) 2);
         assertThat(head.seqid).isEqualTo(9);
@@ -73,13 +73,13 @@
     }
 
     @Test void thriftReadsRefusalsAndApplicationExceptions() throws Exception {
-        TProtocol p = reply(Replies.declared("submit", 3, 1, Map.of("cooldown", "250")));
+        TProtocol p = reply(ThriftResponseEncoder.declared("submit", 3, 1, Map.of("cooldown", "250")));
         assertThat(p.readMessageBegin().seqid).isEqualTo(3);
         assertThat(p.readFieldBegin().id).isEqualTo((short) 1);
         assertThat(p.readFieldBegin().id).isEqualTo((short) 1);
         assertThat(p.readMapBegin().size).isEqualTo(1);
         assertThat(p.readString() + p.readString()).isEqualTo("cooldown250");
-        TProtocol x = reply(Replies.unknownMethod("nothing", 4));
+        TProtocol x = reply(ThriftResponseEncoder.unknownMethod("nothing", 4));
         assertThat(x.readMessageBegin().type).isEqualTo((byte) 3);
         assertThat(TApplicationException.readFrom(x).getType()).isEqualTo(TApplicationException.UNKNOWN_METHOD);
     }
@@ -88,9 +88,9 @@
         byte[] whole = submit(FIELDS, new byte[40], 1);
         for (int n = 0; n < whole.length; n++) {
             byte[] cut = Arrays.copyOf(whole, n);
-            assertThatThrownBy(() -> Message.read(cut)).as("cut at %d", n).isInstanceOf(Message.Unreadable.class);
+            assertThatThrownBy(() -> ThriftMessage.read(cut)).as("cut at %d", n).isInstanceOf(ThriftMessage.MalformedMessageException.class);
         }
-        assertThatThrownBy(() -> Message.read(Arrays.copyOf(whole, whole.length + 1))).isInstanceOf(Message.Unreadable.class);
+        assertThatThrownBy(() -> ThriftMessage.read(Arrays.copyOf(whole, whole.length + 1))).isInstanceOf(ThriftMessage.MalformedMessageException.class);
     }
 
     /** Also every byte of a good message changed: it is read or refused, never anything else. */
@@ -99,9 +99,9 @@
         for (int i = 0; i < noise.length; i++) { changed[Math.floorMod(at + 7 * i, changed.length)] = noise[i]; }
         for (byte[] b : new byte[][] {noise, changed}) {
             try {
-                Message m = Message.read(b);
+                ThriftMessage m = ThriftMessage.read(b);
                 assertThat(m.method()).isNotNull();
-            } catch (Message.Unreadable x) {
+            } catch (ThriftMessage.MalformedMessageException x) {
                 assertThat(x.getMessage()).isNotEmpty();
             }
         }
@@ -110,8 +110,8 @@
     private static PendingRequest call(String field, String value) throws Exception {
         Map<String, String> fields = new HashMap<>(FIELDS);
         if (value == null) { fields.remove(field); } else { fields.put(field, value); }
-        var book = new Asked.Book(switchgap.platform.TestTerms.terms(), Map.of("again", 0, "once", 1), Map.of("shop", 0));
-        return Asked.read(Message.read(submit(fields, new byte[0], 1)), book, Duration.ofSeconds(1), null);
+        var book = new SubmitRequestDecoder.NameDirectory(switchgap.platform.TestTerms.terms(), Map.of("again", 0, "once", 1), Map.of("shop", 0));
+        return SubmitRequestDecoder.read(ThriftMessage.read(submit(fields, new byte[0], 1)), book, Duration.ofSeconds(1), null);
     }
 
     @Test void fieldsBecomeACall() throws Exception {
@@ -128,6 +128,6 @@
         "lookup,null", "lookup,7f3a9c21e0b4d65500", "effort,-1", "effort,many", "effort,1e99", "extras,memory_mb", "extras,lanes:1e9",
         "extras,memory_mb:-3"})
     void whatCannotBeUsedIsNamed(String field, String value) {
-        assertThatThrownBy(() -> call(field, value)).isInstanceOf(Asked.Unusable.class).hasMessage(field);
+        assertThatThrownBy(() -> call(field, value)).isInstanceOf(SubmitRequestDecoder.InvalidRequestException.class).hasMessage(field);
     }
 }
--- a/src/test/java/switchgap/router/WorkerConnectionsTest.java
+++ b/src/test/java/switchgap/router/WorkerConnectionsTest.java
@@ -20,10 +20,10 @@
 import switchgap.policy.api.PolicyActions;
 import switchgap.policy.api.PolicyEvents;
 import switchgap.policy.api.WorkerState;
+import switchgap.protocol.inference.InferenceWorkerTransport;
 import switchgap.terms.Page;
 import switchgap.terms.PageTerms;
 import switchgap.testing.ReachableObjects;
-import switchgap.workers.Inference;
 
 /** The core and its links to workers on real sockets, under decisions that a test dictates. */
 class WorkerConnectionsTest implements ResponseListener {
@@ -38,7 +38,7 @@
     private final long born = System.nanoTime();
     private final NetworkTransport net;
     private final KeyedWriters carriers = new KeyedWriters(1, "test-carrier");
-    private Inference links;
+    private InferenceWorkerTransport links;
     private RouterCore core;
     private int jobs;
 
@@ -47,7 +47,7 @@
     private void links(int most) { links(most, 100); }
 
     private void links(int most, int waiting) {
-        links = new Inference(new HttpClientConnection.Factory(net, null, 1 << 16), new Inference.Links(most, waiting, Duration.ofMillis(250),
+        links = new InferenceWorkerTransport(new HttpClientConnection.Factory(net, null, 1 << 16), new InferenceWorkerTransport.ConnectionLimits(most, waiting, Duration.ofMillis(250),
             Duration.ofSeconds(30)), carriers, events::add, () -> { });
         PolicyEvents feed = (PolicyEvents) Proxy.newProxyInstance(PolicyEvents.class.getClassLoader(), new Class<?>[] {PolicyEvents.class}, (p, m, a) -> {
             switch (m.getName()) {
