--- a/src/main/java/switchgap/cli/Commands.java
+++ b/src/main/java/switchgap/cli/Commands.java
@@ -8,12 +8,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
+import switchgap.config.InvalidConfigException;
 import switchgap.day.DayCheck;
 import switchgap.day.DayRun;
 import switchgap.day.Demo;
-import switchgap.gateway.Gateway;
-import switchgap.gateway.GatewayPage;
-import switchgap.terms.BadPage;
+import switchgap.server.gateway.GatewayConfig;
+import switchgap.server.gateway.GatewayRouter;
 
 /** The commands. Exit codes: 0 done, 1 failed or a rule broken, 2 unusable input or words. */
 @Command(name = "switchgap", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
@@ -29,10 +29,10 @@
         SLF4JBridgeHandler.install();
         CommandLine line = new CommandLine(new Commands());
         line.setExecutionExceptionHandler((e, cmd, parsed) -> {
-            cmd.getErr().println("switchgap: " + (e instanceof BadPage || e instanceof java.io.IOException
+            cmd.getErr().println("switchgap: " + (e instanceof InvalidConfigException || e instanceof java.io.IOException
                 ? e instanceof java.nio.file.NoSuchFileException ? "no such file: " + e.getMessage() : e.getMessage() : e));
-            if (!(e instanceof BadPage || e instanceof java.io.IOException)) { e.printStackTrace(cmd.getErr()); }
-            return e instanceof BadPage ? 2 : 1;
+            if (!(e instanceof InvalidConfigException || e instanceof java.io.IOException)) { e.printStackTrace(cmd.getErr()); }
+            return e instanceof InvalidConfigException ? 2 : 1;
         });
         int code = line.execute(args);
         if (args.length == 0) { line.usage(System.out); }
@@ -62,13 +62,13 @@
         boolean split;
 
         @Override public Integer call() throws Exception {
-            GatewayPage p = GatewayPage.read(page);
+            GatewayConfig p = GatewayConfig.read(page);
             if (split) { PlannerCommand.linked(page, p); }
             if (check) {
                 System.out.println(page + ": good");
                 return 0;
             }
-            Gateway g = baseline == null ? new Gateway(p) : switchgap.lab.BaselineRouter.start(page, baseline);
+            GatewayRouter g = baseline == null ? new GatewayRouter(p) : switchgap.lab.BaselineRouter.start(page, baseline);
             PlannerCommand.Keeper keeper = split ? new PlannerCommand.Keeper(page) : null;
             CountDownLatch ended = new CountDownLatch(1);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
@@ -137,7 +137,7 @@
                 DayCheck c = DayCheck.read(dir);
                 c.print(System.out);
                 return c.violations().isEmpty() ? 0 : 1;
-            } catch (java.io.IOException | BadPage e) {
+            } catch (java.io.IOException | InvalidConfigException e) {
                 System.err.println("switchgap: unusable: " + e.getMessage());
                 return 2;
             }
@@ -182,7 +182,7 @@
     @Command(name = "serve", description = "Runs a router on the platform until SIGTERM, by NODE_NAME, NODE_LISTEN and NODE_CONFIG.",
         mixinStandardHelpOptions = true)
     static final class ServeCommand implements Callable<Integer> {
-        @Override public Integer call() { return switchgap.platform.Serve.run(); }
+        @Override public Integer call() { return switchgap.server.platform.ServeCommand.run(); }
     }
 
     @Command(name = "simhost", description = "Hosts router instances on the simulator's wire, on standard input and output.",
--- a/src/main/java/switchgap/cli/Main.java
+++ b/src/main/java/switchgap/cli/Main.java
@@ -17,7 +17,7 @@
             System.exit(simhost());
         }
         if (args.length == 1 && args[0].equals("serve")) {
-            Runtime.getRuntime().halt(switchgap.platform.Serve.run()); // all is answered by now: nothing is left to hook
+            Runtime.getRuntime().halt(switchgap.server.platform.ServeCommand.run()); // all is answered by now: nothing is left to hook
         }
         System.exit(Commands.run(args));
     }
--- a/src/main/java/switchgap/cli/PlannerCommand.java
+++ b/src/main/java/switchgap/cli/PlannerCommand.java
@@ -7,11 +7,11 @@
 import org.slf4j.LoggerFactory;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
+import switchgap.config.InvalidConfigException;
 import switchgap.day.Child;
-import switchgap.gateway.GatewayPage;
 import switchgap.link.PlannerEnd;
 import switchgap.net.NetworkTransport;
-import switchgap.terms.BadPage;
+import switchgap.server.gateway.GatewayConfig;
 
 /** The planner: settles order and time of one edge's loads. */
 @Command(name = "planner", description = "Plans the load orders of the edge whose page this is.", mixinStandardHelpOptions = true)
@@ -20,7 +20,7 @@
     Path page;
 
     @Override public Integer call() throws Exception {
-        GatewayPage p = linked(page, GatewayPage.read(page));
+        GatewayConfig p = linked(page, GatewayConfig.read(page));
         NetworkTransport net = new NetworkTransport(1, "planner-" + p.terms().self());
         PlannerEnd end = new PlannerEnd(net, p.planner(), p.terms().self());
         Runtime.getRuntime().addShutdownHook(new Thread(end::close));
@@ -29,8 +29,8 @@
     }
 
     /** The page where it states at which port the planner finds its edge, else a mistake. */
-    static GatewayPage linked(Path file, GatewayPage p) {
-        if (p.planner() == null || p.planner().getPort() == 0) { throw new BadPage(file.toString(), 1, "needs the part planner with its port"); }
+    static GatewayConfig linked(Path file, GatewayConfig p) {
+        if (p.planner() == null || p.planner().getPort() == 0) { throw new InvalidConfigException(file.toString(), 1, "needs the part planner with its port"); }
         return p;
     }
 
--- a/src/main/java/switchgap/json/Json.java
+++ b/src/main/java/switchgap/config/JsonDocument.java
@@ -1,4 +1,4 @@
-package switchgap.json;
+package switchgap.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -10,11 +10,11 @@
 import java.util.Map;
 
 /** Reads a JSON text as maps, lists, strings, numbers, booleans and null; its depth is bounded. */
-public final class Json {
+public final class JsonDocument {
     private static final int DEPTH = 32;
     private static final JsonFactory FACTORY = new JsonFactory();
 
-    private Json() { }
+    private JsonDocument() { }
 
     /** An object; anything else, or anything after it, is refused with its place. */
     public static Map<String, Object> object(String text) throws IOException {
--- a/src/main/java/switchgap/stated/StatedTerms.java
+++ b/src/main/java/switchgap/config/PropertyRouterSettings.java
@@ -1,4 +1,4 @@
-package switchgap.stated;
+package switchgap.config;
 
 import java.time.Duration;
 import java.util.Arrays;
@@ -9,16 +9,16 @@
 import switchgap.policy.api.RouterSettings;
 
 /** What a router is told at its start, path by path, read as terms; unknown paths are ignored, a needed one must be there. */
-public final class StatedTerms implements RouterSettings {
+public final class PropertyRouterSettings implements RouterSettings {
     private final Map<String, String> lines;
 
     /** Of values by path: lists of plain values joined by commas, lists of objects as {@code .count}, {@code .0} and so on. */
-    public StatedTerms(Map<String, String> lines) {
+    public PropertyRouterSettings(Map<String, String> lines) {
         this.lines = lines;
     }
 
     /** Of the simulator's path=value lines. */
-    public static StatedTerms of(String info) {
+    public static PropertyRouterSettings of(String info) {
         Map<String, String> lines = new HashMap<>();
         for (String line : info.split("\n")) {
             int eq = line.indexOf('=');
@@ -26,7 +26,7 @@
                 lines.put(line.substring(0, eq).trim(), line.substring(eq + 1).trim());
             }
         }
-        return new StatedTerms(lines);
+        return new PropertyRouterSettings(lines);
     }
 
     private String text(String path) {
--- a/src/main/java/switchgap/terms/Page.java
+++ b/src/main/java/switchgap/config/YamlDocument.java
@@ -1,4 +1,4 @@
-package switchgap.terms;
+package switchgap.config;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -25,7 +25,7 @@
  * A mapping of a YAML page. Each value is asked for by key and kind; a key that nobody asked for is refused by
  * {@link #done()}, with the keys that are allowed. Spans are written 250ms, 1.5s, 2m; shares are numbers.
  */
-public final class Page {
+public final class YamlDocument {
     private static final Pattern SPAN = Pattern.compile("(\\d+(?:\\.\\d+)?)\\s*(us|ms|s|m|h)");
     private static final int MOST_BYTES = 4 << 20;
     private final String file;
@@ -35,34 +35,34 @@
     private final Map<String, Integer> lines = new LinkedHashMap<>();
     private final TreeSet<String> known = new TreeSet<>();
 
-    private Page(String file, String name, Node node) {
+    private YamlDocument(String file, String name, Node node) {
         this.file = file;
         this.name = name;
         this.line = line(node);
         if (!(node instanceof MappingNode m)) {
-            throw new BadPage(file, line, name + " must be a mapping of keys to values");
+            throw new InvalidConfigException(file, line, name + " must be a mapping of keys to values");
         }
         for (NodeTuple t : m.getValue()) {
             String key = t.getKeyNode() instanceof ScalarNode s ? s.getValue() : null;
             if (key == null) {
-                throw new BadPage(file, line(t.getKeyNode()), "a key of " + name + " must be plain text");
+                throw new InvalidConfigException(file, line(t.getKeyNode()), "a key of " + name + " must be plain text");
             }
             if (values.put(key, t.getValueNode()) != null) {
-                throw new BadPage(file, line(t.getKeyNode()), "key " + key + " stands twice in " + name
+                throw new InvalidConfigException(file, line(t.getKeyNode()), "key " + key + " stands twice in " + name
                     + ", first in line " + lines.get(key));
             }
             lines.put(key, line(t.getKeyNode()));
         }
     }
 
-    public static Page read(Path path) throws IOException {
+    public static YamlDocument read(Path path) throws IOException {
         if (Files.size(path) > MOST_BYTES) {
-            throw new BadPage(path.toString(), 1, "larger than " + MOST_BYTES + " bytes");
+            throw new InvalidConfigException(path.toString(), 1, "larger than " + MOST_BYTES + " bytes");
         }
         return read(path.toString(), Files.readString(path));
     }
 
-    public static Page read(String file, String text) {
+    public static YamlDocument read(String file, String text) {
         LoaderOptions bounds = new LoaderOptions();
         bounds.setMaxAliasesForCollections(20);
         bounds.setNestingDepthLimit(20);
@@ -70,14 +70,14 @@
         try {
             Node root = new Yaml(bounds).compose(new java.io.StringReader(text));
             if (root == null) {
-                throw new BadPage(file, 1, "the page is empty");
+                throw new InvalidConfigException(file, 1, "the page is empty");
             }
-            return new Page(file, "the page", root);
+            return new YamlDocument(file, "the page", root);
         } catch (MarkedYAMLException e) {
-            throw new BadPage(file, e.getProblemMark() == null ? 1 : e.getProblemMark().getLine() + 1,
+            throw new InvalidConfigException(file, e.getProblemMark() == null ? 1 : e.getProblemMark().getLine() + 1,
                 "no YAML: " + e.getProblem());
         } catch (org.yaml.snakeyaml.error.YAMLException e) {
-            throw new BadPage(file, 1, "no YAML: " + e.getMessage());
+            throw new InvalidConfigException(file, 1, "no YAML: " + e.getMessage());
         }
     }
 
@@ -95,13 +95,13 @@
         return new ArrayList<>(values.keySet());
     }
 
-    public BadPage wrong(String key, String reason) {
-        return new BadPage(file, lines.getOrDefault(key, line), name + ": " + key + ": " + reason);
+    public InvalidConfigException wrong(String key, String reason) {
+        return new InvalidConfigException(file, lines.getOrDefault(key, line), name + ": " + key + ": " + reason);
     }
 
     public String text(String key) {
         if (!has(key)) {
-            throw new BadPage(file, line, name + ": key " + key + " is absent");
+            throw new InvalidConfigException(file, line, name + ": key " + key + " is absent");
         }
         if (!(values.get(key) instanceof ScalarNode s)) {
             throw wrong(key, "must be one value");
@@ -188,7 +188,7 @@
         if (!has(key)) {
             return otherwise;
         }
-        List<String> words = Arrays.stream(kind.getEnumConstants()).map(Page::word).toList();
+        List<String> words = Arrays.stream(kind.getEnumConstants()).map(YamlDocument::word).toList();
         return kind.getEnumConstants()[words.indexOf(choice(key, words))];
     }
 
@@ -196,31 +196,31 @@
         return e.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
     }
 
-    public Page part(String key) {
+    public YamlDocument part(String key) {
         if (!has(key)) {
-            throw new BadPage(file, line, name + ": key " + key + " is absent");
+            throw new InvalidConfigException(file, line, name + ": key " + key + " is absent");
         }
-        return new Page(file, key, values.get(key));
+        return new YamlDocument(file, key, values.get(key));
     }
 
     /** A mapping, or an empty one when the key is absent. */
-    public Page partOrNone(String key) {
+    public YamlDocument partOrNone(String key) {
         return has(key) ? part(key)
-            : new Page(file, key, new MappingNode(org.yaml.snakeyaml.nodes.Tag.MAP, List.of(),
+            : new YamlDocument(file, key, new MappingNode(org.yaml.snakeyaml.nodes.Tag.MAP, List.of(),
                 org.yaml.snakeyaml.DumperOptions.FlowStyle.BLOCK));
     }
 
     /** The mappings of a list; empty when the key is absent. */
-    public List<Page> parts(String key) {
+    public List<YamlDocument> parts(String key) {
         if (!has(key)) {
             return List.of();
         }
         if (!(values.get(key) instanceof SequenceNode s)) {
             throw wrong(key, "must be a list");
         }
-        List<Page> all = new ArrayList<>();
+        List<YamlDocument> all = new ArrayList<>();
         for (Node n : s.getValue()) {
-            all.add(new Page(file, key + " " + all.size(), n));
+            all.add(new YamlDocument(file, key + " " + all.size(), n));
         }
         return all;
     }
@@ -235,7 +235,7 @@
         List<String> all = new ArrayList<>();
         for (Node n : s.getValue()) {
             if (!(n instanceof ScalarNode t)) {
-                throw new BadPage(file, line(n), name + ": " + key + " must be a list of plain values");
+                throw new InvalidConfigException(file, line(n), name + ": " + key + " must be a list of plain values");
             }
             all.add(t.getValue());
         }
@@ -246,7 +246,7 @@
     public void done() {
         for (String key : values.keySet()) {
             if (!known.contains(key)) {
-                throw new BadPage(file, lines.get(key), name + ": unknown key " + key + "; allowed are "
+                throw new InvalidConfigException(file, lines.get(key), name + ": unknown key " + key + "; allowed are "
                     + String.join(", ", known));
             }
         }
--- a/src/main/java/switchgap/terms/PageTerms.java
+++ b/src/main/java/switchgap/config/YamlRouterSettings.java
@@ -1,4 +1,4 @@
-package switchgap.terms;
+package switchgap.config;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -13,26 +13,26 @@
  * The terms that a page states, with the catalogue of functions, workloads, customers and zones by name. What the
  * page leaves out is taken as absent (no ration, no prices), never guessed.
  */
-public final class PageTerms implements RouterSettings {
+public final class YamlRouterSettings implements RouterSettings {
     /** A workload as the page states it. */
-    public record Kind(String name, Duration target, Duration limit, double importance, double late, Idempotency repeat,
+    public record RequestClassSettings(String name, Duration target, Duration limit, double importance, double late, Idempotency repeat,
                        DeduplicationScope group, Duration memory) { }
 
     /** A function, or all whose names begin alike when the name ends in an asterisk. Memory in MB. */
-    public record Entry(String name, int workload, double memory, int lanes, Duration load, int customer) {
+    public record FunctionSettings(String name, int workload, double memory, int lanes, Duration load, int customer) {
         boolean fits(String asked) {
             return name.endsWith("*") ? asked.startsWith(name.substring(0, name.length() - 1)) : name.equals(asked);
         }
     }
 
-    private final List<Kind> kinds = new ArrayList<>();
+    private final List<RequestClassSettings> kinds = new ArrayList<>();
     private final List<String> zones;
     private final List<String> machineKinds = new ArrayList<>();
     private final double[] machineMemory;
     private final List<String> customers = new ArrayList<>();
     private final List<Double> rates = new ArrayList<>();
-    private final java.util.Map<String, Entry> named = new java.util.HashMap<>();
-    private final List<Entry> families = new ArrayList<>();
+    private final java.util.Map<String, FunctionSettings> named = new java.util.HashMap<>();
+    private final List<FunctionSettings> families = new ArrayList<>();
     private final int self, routers, zone, mostExecutions;
     private final Duration tick, mostComeBack, coldSpan, fallSpan, keep, loadsSpan, askWithin;
     private final boolean second, probe, cancel, comeBack, onMiss, order, sizes, asks;
@@ -44,9 +44,9 @@
     private final double coldShare, multiple, free, share, memoryPrice, crossing, probePrice, overWorth;
 
     /** Reads the parts {@code router, zones, kinds, workloads, customers, functions, workers, rules, prices}. */
-    public PageTerms(Page p) {
+    public YamlRouterSettings(YamlDocument p) {
         zones = p.has("zones") ? p.texts("zones") : List.of("zone");
-        Page r = p.part("router");
+        YamlDocument r = p.part("router");
         routers = r.whole("of", 1, 100_000);
         self = r.whole("number", 0, routers - 1);
         zone = zoneOf(r, "zone");
@@ -59,35 +59,35 @@
         mostComeBack = r.span("most_come_back", Duration.ZERO);
         comeBack = !mostComeBack.isZero();
         r.done();
-        Page m = p.partOrNone("kinds");
+        YamlDocument m = p.partOrNone("kinds");
         machineMemory = new double[m.keys().size()];
         for (String k : m.keys()) {
-            Page one = m.part(k);
+            YamlDocument one = m.part(k);
             machineMemory[machineKinds.size()] = one.number("memory", 0, 1e9);
             machineKinds.add(k);
             one.done();
         }
-        Page w = p.part("workloads");
+        YamlDocument w = p.part("workloads");
         for (String k : w.keys()) { kinds.add(kind(k, w.part(k))); }
         if (kinds.isEmpty()) { throw p.wrong("workloads", "names none"); }
-        Page c = p.partOrNone("customers");
+        YamlDocument c = p.partOrNone("customers");
         for (String k : c.keys()) {
-            Page one = c.part(k);
+            YamlDocument one = c.part(k);
             customers.add(k);
             rates.add(one.number("rate", 0, 1e9));
             one.done();
         }
-        Page f = p.part("functions");
+        YamlDocument f = p.part("functions");
         for (String k : f.keys()) { function(k, f.part(k)); }
-        Page x = p.partOrNone("workers");
-        onMiss = x.choice("miss", Miss.class, Miss.ANSWERS) == Miss.LOADS;
+        YamlDocument x = p.partOrNone("workers");
+        onMiss = x.choice("miss", MissHandling.class, MissHandling.ANSWERS) == MissHandling.LOADS;
         order = x.flag("orders", true);
         keep = x.span("keep_alive", Duration.ofSeconds(10));
         sizes = x.flag("sizes_told", false);
         asks = x.flag("ask_for_list", false);
         askWithin = x.span("ask_within", Duration.ofSeconds(10));
         x.done();
-        Page u = p.partOrNone("rules");
+        YamlDocument u = p.partOrNone("rules");
         coldShare = u.number("cold_share", 0, 1, 1);
         coldSpan = u.span("cold_span", Duration.ofMillis(1)); // none stated: warm from the first moment
         if (coldSpan.isZero()) { throw u.wrong("cold_span", "must be above 0; leave it out where nothing is cold"); }
@@ -98,7 +98,7 @@
         share = u.number("loads_share", 0, 1e6, 0);
         loadsSpan = u.span("loads_span", Duration.ZERO);
         u.done();
-        Page v = p.partOrNone("levels");
+        YamlDocument v = p.partOrNone("levels");
         levels = v.flag("act", true);
         ceiling = v.choice("ceiling", Rung.class, Rung.HOLD);
         pinned = v.choice("pin", Rung.class, null);
@@ -110,7 +110,7 @@
             spared[workload(name)] = true;
         }
         v.done();
-        Page prices = p.partOrNone("prices");
+        YamlDocument prices = p.partOrNone("prices");
         memoryPrice = prices.number("memory", 0, 1e3, 0);
         crossing = prices.number("crossing", 0, 1e3, 0);
         probePrice = prices.number("probe", 0, 1e3, 0);
@@ -118,9 +118,9 @@
         prices.done();
     }
 
-    private enum Miss { ANSWERS, LOADS }
+    private enum MissHandling { ANSWERS, LOADS }
 
-    private Kind kind(String name, Page k) {
+    private RequestClassSettings kind(String name, YamlDocument k) {
         Duration target = k.span("start_target");
         Duration limit = k.span("time_limit");
         if (target.isZero()) { throw k.wrong("start_target", "must be above 0"); }
@@ -131,30 +131,30 @@
         if (repeat == Idempotency.FINGERPRINTED && memory.isZero()) {
             throw k.wrong("repeat", "a fingerprinted workload needs memory_span, the span for which repeats are known");
         }
-        Kind kind = new Kind(name, target, limit, k.number("importance", 0, 1e6, 1),
+        RequestClassSettings kind = new RequestClassSettings(name, target, limit, k.number("importance", 0, 1e6, 1),
             k.number("late_share", 0, 1, 0), repeat, k.choice("group", DeduplicationScope.class, DeduplicationScope.ALL), memory);
         k.done();
         return kind;
     }
 
-    private void function(String name, Page f) {
+    private void function(String name, YamlDocument f) {
         int workload = workload(f.text("workload"));
         if (workload < 0) {
             throw f.wrong("workload", "'" + f.text("workload") + "' must be one of "
-                + String.join(", ", kinds.stream().map(Kind::name).toList()));
+                + String.join(", ", kinds.stream().map(RequestClassSettings::name).toList()));
         }
         String of = f.text("customer", null);
         int customer = of == null ? -1 : customers.indexOf(of);
         if (of != null && customer < 0) {
             throw f.wrong("customer", "'" + of + "' must be one of " + String.join(", ", customers));
         }
-        Entry e = new Entry(name, workload, f.number("memory", 0, 1e9), f.whole("lanes", 1, 10_000),
+        FunctionSettings e = new FunctionSettings(name, workload, f.number("memory", 0, 1e9), f.whole("lanes", 1, 10_000),
             f.span("load_time", null), customer);
         f.done();
         if (name.endsWith("*")) { families.add(e); } else { named.put(name, e); }
     }
 
-    private int zoneOf(Page p, String key) {
+    private int zoneOf(YamlDocument p, String key) {
         String z = p.text(key, zones.get(0));
         int i = zones.indexOf(z);
         if (i < 0) { throw p.wrong(key, "'" + z + "' must be one of " + String.join(", ", zones)); }
@@ -162,15 +162,15 @@
     }
 
     /** The entry of a function, or null: exact names first, then families in the order of the page. */
-    public Entry function(String name) {
-        Entry e = named.get(name);
+    public FunctionSettings function(String name) {
+        FunctionSettings e = named.get(name);
         for (int i = 0; e == null && i < families.size(); i++) {
             e = families.get(i).fits(name) ? families.get(i) : null;
         }
         return e;
     }
 
-    public Kind kind(int workload) { return kinds.get(workload); }
+    public RequestClassSettings kind(int workload) { return kinds.get(workload); }
 
     /** The index of a workload, or -1. */
     public int workload(String name) {
--- a/src/main/java/switchgap/day/Day.java
+++ b/src/main/java/switchgap/day/Day.java
@@ -11,10 +11,10 @@
 import org.yaml.snakeyaml.LoaderOptions;
 import org.yaml.snakeyaml.Yaml;
 import org.yaml.snakeyaml.constructor.SafeConstructor;
+import switchgap.config.YamlDocument;
 import switchgap.standin.Catalogue;
 import switchgap.standin.Clients;
 import switchgap.standin.Machine;
-import switchgap.terms.Page;
 
 /** A day as its page states it: fleet, terms, load, script, seed. */
 public final class Day {
@@ -52,9 +52,9 @@
     final List<Trouble> script = new ArrayList<>();
     private final Map<String, Object> raw;
 
-    private Day(Path path, Page p, Map<String, Object> raw) {
+    private Day(Path path, YamlDocument p, Map<String, Object> raw) {
         this.raw = raw;
-        Page d = p.part("day");
+        YamlDocument d = p.part("day");
         name = d.text("name", path.getFileName().toString().replaceAll("\\.ya?ml$", ""));
         length = micros(d.span("length"));
         seed = (long) d.number("seed", 0, 1L << 50);
@@ -62,7 +62,7 @@
         tick = d.text("tick", "5ms");
         d.done();
         zones = p.has("zones") ? p.texts("zones") : List.of("zone");
-        Page f = p.part("fleet");
+        YamlDocument f = p.part("fleet");
         workers = f.whole("workers", 1, 500);
         cellSize = f.whole("cell_size", 1, 500, 4);
         slotsPerCore = f.whole("slots_per_core", 1, 100, 3);
@@ -73,22 +73,22 @@
         loadFails = f.number("load_fails", 0, 1, 0);
         eager = f.flag("eager", true);
         tellsLoad = f.flag("tells_load", true);
-        Page k = f.part("kinds");
+        YamlDocument k = f.part("kinds");
         for (String n : k.keys()) {
-            Page one = k.part(n);
+            YamlDocument one = k.part(n);
             kinds.add(new Kind(n, one.number("share", 0, 1), one.whole("cores", 1, 256), one.number("speed", 0.01, 100),
                 one.number("memory", 1, 1e9)));
             one.done();
         }
         f.done();
-        Page s = p.partOrNone("store");
+        YamlDocument s = p.partOrNone("store");
         storeTakes = s.number("takes", 0.1, 1e6, 8);
         storeDown = micros(s.span("down", Duration.ofSeconds(3)));
         s.done();
-        Page l = p.partOrNone("list");
+        YamlDocument l = p.partOrNone("list");
         listLag = micros(l.span("lag", Duration.ofSeconds(1)));
         l.done();
-        Page r = p.part("routers");
+        YamlDocument r = p.part("routers");
         routers = r.whole("count", 1, 250);
         busiest = r.number("busiest", 0, 1, 1.0 / routers);
         ownProcesses = !r.has("processes") || r.choice("processes", List.of("own", "one")).equals("own");
@@ -98,25 +98,25 @@
         r.text("most_come_back", "1s");
         r.flag("second_executions", false);
         r.done();
-        Page o = p.part("load");
+        YamlDocument o = p.part("load");
         rate = o.number("rate", 0.1, 100_000);
         zipf = o.number("zipf", 0, 5, 1.2);
         functions = o.whole("functions", 1, 5000, 30);
         manner = new Clients.Manner(o.whole("retries", 0, 20, 2), o.number("least_wait", 0.01, 1, 0.6),
             micros(o.span("backoff", Duration.ofMillis(80))), o.number("honour", 0, 1, 0.8));
         o.done();
-        Page w = p.part("workloads");
+        YamlDocument w = p.part("workloads");
         for (String n : w.keys()) { workload(n, w.part(n)); }
-        Page c = p.part("customers");
+        YamlDocument c = p.part("customers");
         for (String n : c.keys()) {
-            Page one = c.part(n);
+            YamlDocument one = c.part(n);
             one.number("rate", 0, 1e9);
             customers.put(n, one.number("share", 0, 1));
             one.done();
         }
-        Page x = p.partOrNone("workers");
+        YamlDocument x = p.partOrNone("workers");
         onMissLoads = x.text("miss", "answers").equals("loads");
-        Page u = p.partOrNone("rules");
+        YamlDocument u = p.partOrNone("rules");
         grace = micros(u.span("drain_grace", Duration.ofMillis(500)));
         coldShare = u.number("cold_share", 0, 1, 1);
         coldSpan = micros(u.span("cold_span", Duration.ZERO));
@@ -125,7 +125,7 @@
         loadsFree = u.number("loads_free", 0, 1e6, 0);
         loadsShare = u.number("loads_share", 0, 1e6, 0);
         loadsSpan = micros(u.span("loads_span", Duration.ZERO));
-        for (Page t : p.parts("script")) { script.add(trouble(t)); }
+        for (YamlDocument t : p.parts("script")) { script.add(trouble(t)); }
         p.keys().stream().filter(n -> !List.of("day", "zones", "fleet", "store", "list", "routers", "load", "workloads",
             "customers", "workers", "rules", "prices", "holds", "links", "levels", "script").contains(n)).findFirst()
             .ifPresent(n -> { throw p.wrong(n, "is no part of a day"); });
@@ -134,14 +134,14 @@
     /** Reads a day; a mistake names file, line and key. */
     public static Day read(Path path) throws IOException {
         String text = Files.readString(path);
-        Page page = Page.read(path.toString(), text);
+        YamlDocument page = YamlDocument.read(path.toString(), text);
         Map<String, Object> raw = new Yaml(new SafeConstructor(new LoaderOptions())).load(text);
         return new Day(path, page, raw);
     }
 
     private static long micros(Duration d) { return d.toNanos() / 1000; }
 
-    private void workload(String n, Page w) {
+    private void workload(String n, YamlDocument w) {
         String repeat = w.choice("repeat", List.of("restartable", "fingerprinted", "run-once"));
         long target = micros(w.span("start_target"));
         long limit = micros(w.span("time_limit"));
@@ -157,7 +157,7 @@
         w.done();
     }
 
-    private static Trouble trouble(Page t) {
+    private static Trouble trouble(YamlDocument t) {
         Verb v = t.choice("trouble", Verb.class, null);
         if (v == null) { t.text("trouble"); }
         Trouble made = new Trouble(micros(t.span("at")), v, micros(t.span("lasts", Duration.ZERO)),
--- a/src/main/java/switchgap/day/RouterInside.java
+++ b/src/main/java/switchgap/day/RouterInside.java
@@ -2,17 +2,17 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import switchgap.gateway.Gateway;
-import switchgap.gateway.GatewayPage;
+import switchgap.server.gateway.GatewayConfig;
+import switchgap.server.gateway.GatewayRouter;
 
 /** A router inside this process. */
 final class RouterInside implements RouterHost {
     private final Path page;
-    private Gateway gateway;
+    private GatewayRouter gateway;
 
     RouterInside(Path page) { this.page = page; }
 
-    @Override public void start() throws IOException { gateway = new Gateway(GatewayPage.read(page)); }
+    @Override public void start() throws IOException { gateway = new GatewayRouter(GatewayConfig.read(page)); }
 
     @Override public boolean runs() { return gateway != null; }
 
--- a/src/main/java/switchgap/endpoints/EndpointListEvent.java
+++ b/src/main/java/switchgap/endpoints/EndpointListEvent.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import switchgap.json.Json;
+import switchgap.config.JsonDocument;
 import switchgap.policy.api.WorkerState;
 import switchgap.router.EndpointUpdate;
 
@@ -19,7 +19,7 @@
 
     static EndpointListEvent read(String text, NameDirectory book) throws IOException {
         try {
-            return of(Json.object(text), book);
+            return of(JsonDocument.object(text), book);
         } catch (IOException e) {
             throw new IOException("event: " + e.getMessage(), e);
         }
--- a/src/main/java/switchgap/json/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** JSON texts as plain values, bounded. */
-package switchgap.json;
--- a/src/main/java/switchgap/lab/Curve.java
+++ b/src/main/java/switchgap/lab/Curve.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVRecord;
+import switchgap.config.InvalidConfigException;
+import switchgap.config.YamlDocument;
 import switchgap.standin.Clients;
 import switchgap.standin.Ticker;
-import switchgap.terms.BadPage;
-import switchgap.terms.Page;
 
 /**
  * A load over time: straight lines between points of time (microseconds) and load (share of capacity), with waves and
@@ -32,10 +32,10 @@
     private Curve(String name) { this.name = name; }
 
     /** Reads {@code {points: [{at: SPAN, load: SHARE}] or csv: FILE, waves: {every, by}, bursts, customers}}; files beside the page. */
-    static Curve read(String name, Page p, Path beside) throws IOException {
+    static Curve read(String name, YamlDocument p, Path beside) throws IOException {
         Curve c = new Curve(name);
         if (p.has("csv")) { c.csv(beside.resolveSibling(p.text("csv"))); }
-        for (Page q : p.parts("points")) {
+        for (YamlDocument q : p.parts("points")) {
             double at = micros(q, "at");
             if (!c.points.isEmpty() && at < c.points.get(c.points.size() - 1)[0]) { throw q.wrong("at", "must not go back in time"); }
             c.points.add(new double[] {at, q.number("load", 0, 100)});
@@ -43,16 +43,16 @@
         }
         if (c.points.size() < 2) { throw p.wrong("points", "needs two points or more, or a csv file"); }
         if (p.has("waves")) {
-            Page w = p.part("waves");
+            YamlDocument w = p.part("waves");
             c.every = Math.max(1000, micros(w, "every"));
             c.by = w.number("by", 0, 100);
             w.done();
         }
-        for (Page b : p.parts("bursts")) {
+        for (YamlDocument b : p.parts("bursts")) {
             c.spells.add(new Spell(micros(b, "at"), micros(b, "lasts"), null, b.number("times", 0, 100), 0));
             b.done();
         }
-        for (Page b : p.parts("customers")) {
+        for (YamlDocument b : p.parts("customers")) {
             c.spells.add(new Spell(micros(b, "at"), micros(b, "lasts"), b.text("of"), b.number("times", 0, 1000, 1),
                 b.whole("hammers", 0, 100, 0)));
             b.done();
@@ -69,7 +69,7 @@
         return c;
     }
 
-    private static long micros(Page p, String key) { return p.span(key).toNanos() / 1000; }
+    private static long micros(YamlDocument p, String key) { return p.span(key).toNanos() / 1000; }
 
     /** Lines of seconds and load under a head that names them. */
     private void csv(Path file) throws IOException {
@@ -78,25 +78,25 @@
                 int line = (int) l.getRecordNumber() + 1;
                 double at = number(file, line, l, "seconds") * 1e6;
                 double load = number(file, line, l, "load");
-                if (load < 0 || load > 100) { throw new BadPage(file.toString(), line, "load: " + load + " must lie from 0 to 100"); }
+                if (load < 0 || load > 100) { throw new InvalidConfigException(file.toString(), line, "load: " + load + " must lie from 0 to 100"); }
                 if (!points.isEmpty() && at < points.get(points.size() - 1)[0]) {
-                    throw new BadPage(file.toString(), line, "seconds: must not go back in time");
+                    throw new InvalidConfigException(file.toString(), line, "seconds: must not go back in time");
                 }
-                if (points.size() == MOST_POINTS) { throw new BadPage(file.toString(), line, "more than " + MOST_POINTS + " points"); }
+                if (points.size() == MOST_POINTS) { throw new InvalidConfigException(file.toString(), line, "more than " + MOST_POINTS + " points"); }
                 points.add(new double[] {at, load});
             }
         }
     }
 
     private static double number(Path file, int line, CSVRecord l, String column) {
-        if (!l.isMapped(column)) { throw new BadPage(file.toString(), 1, "has no column " + column); }
+        if (!l.isMapped(column)) { throw new InvalidConfigException(file.toString(), 1, "has no column " + column); }
         try {
             double v = Double.parseDouble(l.get(column));
             if (Double.isFinite(v)) { return v; }
         } catch (IllegalArgumentException e) {
-            throw new BadPage(file.toString(), line, column + ": " + (l.isSet(column) ? "'" + l.get(column) + "' is no number" : "absent"));
+            throw new InvalidConfigException(file.toString(), line, column + ": " + (l.isSet(column) ? "'" + l.get(column) + "' is no number" : "absent"));
         }
-        throw new BadPage(file.toString(), line, column + ": must be a number");
+        throw new InvalidConfigException(file.toString(), line, column + ": must be a number");
     }
 
     /** The same curve over a share of the time. */
--- a/src/main/java/switchgap/lab/Emulator.java
+++ b/src/main/java/switchgap/lab/Emulator.java
@@ -7,6 +7,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.LongToDoubleFunction;
+import switchgap.config.YamlDocument;
+import switchgap.config.YamlRouterSettings;
 import switchgap.day.Day;
 import switchgap.day.LoadTroubles;
 import switchgap.level.Change;
@@ -25,8 +27,6 @@
 import switchgap.standin.Machine;
 import switchgap.standin.Store;
 import switchgap.standin.Way;
-import switchgap.terms.Page;
-import switchgap.terms.PageTerms;
 
 /**
  * A day in simulated time: the stand-ins' machines, store and clients, and the program's own core, gate, levels and
@@ -47,7 +47,7 @@
     private final Variant variant;
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final Map<String, Boolean> ready = new LinkedHashMap<>();
-    private final List<PageTerms> terms = new ArrayList<>();
+    private final List<YamlRouterSettings> terms = new ArrayList<>();
     private final Store store;
     private final LoadTroubles loads;
     private final SplittableRandom chance;
@@ -70,7 +70,7 @@
         for (int i = 0; i < day.workers(); i++) { start(false); }
         catalogue.seed(List.copyOf(machines.values()));
         for (int i = 0; i < day.routers(); i++) {
-            terms.add(new PageTerms(Page.read("router " + i, day.routerPage(i, 1, 1, catalogue, variant.terms()))));
+            terms.add(new YamlRouterSettings(YamlDocument.read("router " + i, day.routerPage(i, 1, 1, catalogue, variant.terms()))));
             clients.zone(i, day.zone(i));
             routers.add(null);
             router(i);
@@ -82,7 +82,7 @@
         if (routers.get(i) != null) { routers.get(i).kill(); }
         EmulatedRouter r = new EmulatedRouter(this);
         routers.set(i, r);
-        PageTerms t = terms.get(i);
+        YamlRouterSettings t = terms.get(i);
         long own = seed * 31 + i * 7919L + ticker.now();
         RouterCore core = new RouterCore(t, new RoutingPolicy(t, own)::round, r, Duration.ofSeconds(10), Duration.ofMillis(250), 20_000);
         Levels levels = variant.before() == Variant.Before.LEVELS ? new Levels(t.levelTerms(), own + 1) : null;
@@ -126,8 +126,8 @@
 
     private void send(Way.Try t, Way.Ending then) {
         EmulatedRouter r = routers.get(t.router());
-        PageTerms own = terms.get(t.router());
-        PageTerms.Entry e = own.function(t.model().name());
+        YamlRouterSettings own = terms.get(t.router());
+        YamlRouterSettings.FunctionSettings e = own.function(t.model().name());
         long began = ticker.now();
         boolean[] over = {false};
         PendingRequest[] call = new PendingRequest[1];
@@ -206,7 +206,7 @@
             case ROUTERS_RESTARTED -> {
                 for (int i = 0; i < Math.max(1, Math.round(t.part() * day.routers())); i++) { router(i); }
             }
-            default -> throw new IllegalArgumentException("the emulator does not bring " + Page.word(t.verb())
+            default -> throw new IllegalArgumentException("the emulator does not bring " + YamlDocument.word(t.verb())
                 + "; it brings what needs no socket");
         }
     }
--- a/src/main/java/switchgap/lab/Experiment.java
+++ b/src/main/java/switchgap/lab/Experiment.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.function.ToDoubleFunction;
+import switchgap.config.YamlDocument;
 import switchgap.day.Day;
 import switchgap.level.Change;
-import switchgap.terms.Page;
 
 /** Variants over days, curves and seeds, the same arrivals for each variant, on all cores. */
 public final class Experiment {
@@ -53,8 +53,8 @@
     final int seeds;
 
     private Experiment(Path file, boolean quick) throws IOException {
-        Page p = Page.read(file);
-        Page e = p.part("experiment");
+        YamlDocument p = YamlDocument.read(file);
+        YamlDocument e = p.part("experiment");
         name = e.text("name");
         int n = e.whole("seeds", 1, 1000, 3);
         seeds = quick ? 1 : n;
@@ -123,7 +123,7 @@
             StringBuilder met = new StringBuilder();
             all.get(0).inTarget.keySet().forEach(w -> met.append(String.format("%s %.3f  ", w, c.spread(v, t -> t.inTarget.get(w)).mean)));
             StringBuilder at = new StringBuilder();
-            all.get(0).timeAt.forEach((r, s) -> { if (s > 0) { at.append(String.format("%s %.0f s ", Page.word(r), s)); } });
+            all.get(0).timeAt.forEach((r, s) -> { if (s > 0) { at.append(String.format("%s %.0f s ", YamlDocument.word(r), s)); } });
             all.forEach(t -> { if (!t.own.isEmpty()) { at.append(t.own).append(' '); } });
             out.printf("%-10s %.3f ±%.3f   %+.3f ±%.3f   %-40s %8.1f %7d %5d %5.2f %s%n", v.name(), service.mean, service.deviation,
                 paired.mean, paired.deviation, met, c.spread(v, t -> t.changes / (double) c.day.routers()).mean,
@@ -163,7 +163,7 @@
                     for (Emulator.Seen n : x.changed) {
                         Change h = n.change();
                         g.row(c.name(), x.variant.name(), x.seed, n.router(), h.at().toMillis() / 1e3, h.customer() < 0 ? "all"
-                            : Trial.customer(c.day, h.customer()), Page.word(h.from()), Page.word(h.to()), h.condition(), h.pressure(),
+                            : Trial.customer(c.day, h.customer()), YamlDocument.word(h.from()), YamlDocument.word(h.to()), h.condition(), h.pressure(),
                             h.evidence());
                     }
                     for (int i = 0; i < x.course.size(); i++) {
--- a/src/main/java/switchgap/lab/LoadRun.java
+++ b/src/main/java/switchgap/lab/LoadRun.java
@@ -12,6 +12,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
+import switchgap.config.YamlDocument;
 import switchgap.day.Day;
 import switchgap.net.NetworkTransport;
 import switchgap.standin.Catalogue;
@@ -20,7 +21,6 @@
 import switchgap.standin.SocketWay;
 import switchgap.standin.Ticker;
 import switchgap.standin.WallTicker;
-import switchgap.terms.Page;
 
 /**
  * An open-loop load with a curve, against routers on sockets or the emulator: jobs come when they are due, whatever became
@@ -40,8 +40,8 @@
     private long began;
 
     private LoadRun(Path file, double within) throws IOException {
-        Page p = Page.read(file);
-        Page l = p.part("load");
+        YamlDocument p = YamlDocument.read(file);
+        YamlDocument l = p.part("load");
         name = l.text("name");
         day = Day.read(file.resolveSibling(l.text("day")).normalize());
         seed = (long) l.number("seed", 0, 1L << 50, day.seed());
@@ -55,7 +55,7 @@
             throws IOException, InterruptedException {
         LoadRun r = new LoadRun(file, within);
         if (!routers.isEmpty() && routers.size() != r.day.routers()) {
-            throw new switchgap.terms.BadPage(file.toString(), 1, "its day has " + r.day.routers() + " routers, "
+            throw new switchgap.config.InvalidConfigException(file.toString(), 1, "its day has " + r.day.routers() + " routers, "
                 + routers.size() + " were named");
         }
         LinkedHashMap<String, Class<?>> kinds = new LinkedHashMap<>();
--- a/src/main/java/switchgap/lab/Memory.java
+++ b/src/main/java/switchgap/lab/Memory.java
@@ -9,12 +9,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import switchgap.gateway.Gateway;
-import switchgap.gateway.GatewayPage;
+import switchgap.config.YamlDocument;
 import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpServer;
 import switchgap.net.NetworkTransport;
-import switchgap.terms.Page;
+import switchgap.server.gateway.GatewayConfig;
+import switchgap.server.gateway.GatewayRouter;
 
 /** Heap of a router that knows 81 workers and 2,000 functions, and of each call that it holds. */
 public final class Memory {
@@ -32,7 +32,7 @@
             }).listen("127.0.0.1", 0);
             HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
             long before = used();
-            try (Gateway g = new Gateway(GatewayPage.read(Page.read("memory", page(port))))) {
+            try (GatewayRouter g = new GatewayRouter(GatewayConfig.read(YamlDocument.read("memory", page(port))))) {
                 send(client, g, FUNCTIONS, true);
                 Thread.sleep(1500);
                 long known = used();
@@ -47,7 +47,7 @@
         }
     }
 
-    private static void send(HttpClient client, Gateway g, int n, boolean deferred) {
+    private static void send(HttpClient client, GatewayRouter g, int n, boolean deferred) {
         List<CompletableFuture<HttpResponse<Void>>> out = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             HttpRequest.Builder b = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + g.port() + "/v1/functions/f"
--- a/src/main/java/switchgap/lab/Variant.java
+++ b/src/main/java/switchgap/lab/Variant.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import switchgap.config.YamlDocument;
 import switchgap.level.Rung;
-import switchgap.terms.Page;
 
 /**
  * One way to run the routers of an experiment.
@@ -23,12 +23,12 @@
     static final Variant LEVELS = new Variant("levels", Before.LEVELS, null, Map.of());
 
     /** Reads {@code - {name: off, before: nothing, pin: least, terms: {levels.keep: 0.985}}} and its like. */
-    static List<Variant> read(Page under) {
+    static List<Variant> read(YamlDocument under) {
         List<Variant> all = new ArrayList<>();
-        for (Page p : under.parts("variants")) {
+        for (YamlDocument p : under.parts("variants")) {
             Map<String, String> terms = new LinkedHashMap<>();
             if (p.has("terms")) {
-                Page t = p.part("terms");
+                YamlDocument t = p.part("terms");
                 for (String k : t.keys()) {
                     if (k.split("\\.").length != 2) { throw t.wrong(k, "must be written part.key"); }
                     terms.put(k, t.text(k));
--- a/src/main/java/switchgap/protocol/invoke/InvokeApi.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeApi.java
@@ -11,6 +11,8 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
+import switchgap.config.YamlDocument;
+import switchgap.config.YamlRouterSettings;
 import switchgap.level.Rung;
 import switchgap.net.HttpExchange;
 import switchgap.net.HttpServer;
@@ -22,8 +24,6 @@
 import switchgap.router.Response;
 import switchgap.router.ResponseListener;
 import switchgap.router.RouterCore;
-import switchgap.terms.Page;
-import switchgap.terms.PageTerms;
 
 /**
  * The desk of the invoke API. Requests are checked on the selector thread that read them; what concerns calls and
@@ -31,7 +31,7 @@
  */
 public final class InvokeApi implements HttpServer.RequestHandler {
     private static final String JSON = "application/json";
-    private final PageTerms terms;
+    private final YamlRouterSettings terms;
     private final Supplier<Duration> now;
     private final Consumer<Consumer<RouterCore>> events;
     private final KeyedWriters carriers;
@@ -48,7 +48,7 @@
     private volatile boolean closing;
 
     /** {@code prefix} of call ids: unlike any other start of any router; {@code mostWait} seconds of a held poll. */
-    public InvokeApi(PageTerms terms, Supplier<Duration> now, Consumer<Consumer<RouterCore>> events, KeyedWriters carriers,
+    public InvokeApi(YamlRouterSettings terms, Supplier<Duration> now, Consumer<Consumer<RouterCore>> events, KeyedWriters carriers,
                      DeferredResults deferred, Supplier<AdmissionGate> gate, String prefix, int mostHeld, int mostWait) {
         this.terms = terms;
         this.now = now;
@@ -313,7 +313,7 @@
 
     private static void reply(HttpExchange r, Response a, String id, String echo, Rung met) {
         Map<String, String> h = headers(id, echo);
-        if (met != null) { h.put("Switchgap-Level", Page.word(met)); }
+        if (met != null) { h.put("Switchgap-Level", YamlDocument.word(met)); }
         switch (a.kind()) {
             case FINISHED -> {
                 h.putAll(a.headers());
@@ -324,7 +324,7 @@
                 Map<String, Object> members = new LinkedHashMap<>();
                 members.put("end", "pushed-back");
                 members.put("repeat_harmless", true);
-                if (met != null) { members.put("level", Page.word(met)); }
+                if (met != null) { members.put("level", YamlDocument.word(met)); }
                 if (a.comeBack() != null) {
                     members.put("come_back_ms", a.comeBack().toMillis());
                     h.put("Retry-After", String.valueOf((a.comeBack().toMillis() + 999) / 1000));
--- a/src/main/java/switchgap/protocol/invoke/InvokeRequest.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeRequest.java
@@ -1,16 +1,16 @@
 package switchgap.protocol.invoke;
 
 import java.time.Duration;
+import switchgap.config.YamlRouterSettings;
 import switchgap.net.HttpExchange;
 import switchgap.policy.api.Idempotency;
-import switchgap.terms.PageTerms;
 
 /**
  * What an invoke request asks for, checked against the terms. Headers: {@code Switchgap-Workload},
  * {@code Switchgap-Customer}, {@code Switchgap-Time-Limit} and {@code Switchgap-Cost-Hint} in milliseconds,
  * {@code Switchgap-Deadline} in milliseconds of wall time, {@code Switchgap-Call}, {@code Switchgap-Repeat}, {@code Idempotency-Key}, {@code Prefer: respond-async}.
  */
-record InvokeRequest(String function, PageTerms.Entry entry, int workload, int customer, Duration limit, Duration hint,
+record InvokeRequest(String function, YamlRouterSettings.FunctionSettings entry, int workload, int customer, Duration limit, Duration hint,
            String fingerprint, String call, boolean repeat, boolean deferred) {
     /** Not a request that can be taken; the problem says why. */
     static final class InvalidRequestException extends Exception {
@@ -25,8 +25,8 @@
 
     private static final int MOST_KEY = 256;
 
-    static InvokeRequest read(String function, HttpExchange r, PageTerms terms) throws InvalidRequestException {
-        PageTerms.Entry entry = function.length() > MOST_KEY ? null : terms.function(function);
+    static InvokeRequest read(String function, HttpExchange r, YamlRouterSettings terms) throws InvalidRequestException {
+        YamlRouterSettings.FunctionSettings entry = function.length() > MOST_KEY ? null : terms.function(function);
         if (entry == null) { throw no(404, "unknown-function", "no function is called " + brief(function)); }
         String asked = r.header("Switchgap-Workload");
         int workload = asked == null ? entry.workload() : terms.workload(asked);
@@ -34,7 +34,7 @@
         String named = r.header("Switchgap-Customer");
         int customer = named == null ? entry.customer() : terms.customer(named);
         if (named != null && customer < 0) { throw no(400, "unknown-customer", "no customer is called " + brief(named)); }
-        PageTerms.Kind kind = terms.kind(workload);
+        YamlRouterSettings.RequestClassSettings kind = terms.kind(workload);
         Duration limit = millis(r, "Switchgap-Time-Limit", kind.limit());
         if (limit.isZero()) { throw no(400, "limit-past", "the time limit has passed already"); }
         if (limit.compareTo(kind.limit()) > 0) { limit = kind.limit(); }
--- a/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
@@ -7,21 +7,21 @@
 import java.time.Duration;
 import java.util.Locale;
 import java.util.Map;
+import switchgap.config.YamlDocument;
+import switchgap.config.YamlRouterSettings;
 import switchgap.level.Change;
 import switchgap.level.Levels;
 import switchgap.level.Rung;
 import switchgap.net.HttpExchange;
 import switchgap.router.AdmissionGate;
-import switchgap.terms.Page;
-import switchgap.terms.PageTerms;
 
 /** Shows the levels of a router and pins them; on the router's loop. */
 final class ServiceLevelHandler {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long LONGEST_PIN = 86_400;
-    private final PageTerms terms;
+    private final YamlRouterSettings terms;
 
-    ServiceLevelHandler(PageTerms terms) { this.terms = terms; }
+    ServiceLevelHandler(YamlRouterSettings terms) { this.terms = terms; }
 
     /** {@code GET /v1/levels}: now and the last changes; {@code POST /v1/levels?pin=RUNG&seconds=N}: a pin that expires. */
     void asked(HttpExchange r, AdmissionGate gate) {
@@ -32,7 +32,7 @@
         }
         if (r.method.equals("POST")) {
             Rung rung = null;
-            for (Rung g : Rung.values()) { rung = Page.word(g).equals(r.asked("pin")) && g != Rung.SHARE ? g : rung; }
+            for (Rung g : Rung.values()) { rung = YamlDocument.word(g).equals(r.asked("pin")) && g != Rung.SHARE ? g : rung; }
             long seconds = seconds(r.asked("seconds"));
             if (rung == null || seconds < 1 || seconds > LONGEST_PIN) {
                 InvokeApi.refuse(r, new ProblemDetails(400, "malformed-pin", "pin must be full, least, most or hold, seconds from 1 to "
@@ -54,24 +54,24 @@
 
     private byte[] show(Levels l) {
         ObjectNode n = JSON.createObjectNode();
-        n.put("level", Page.word(l.rung())).put("depth", l.depth()).put("pinned", l.pinned()).put("pressure", l.pressure());
+        n.put("level", YamlDocument.word(l.rung())).put("depth", l.depth()).put("pinned", l.pinned()).put("pressure", l.pressure());
         ObjectNode spent = n.putObject("seconds_at");
         ObjectNode touched = n.putObject("pushed_back");
         for (Rung g : Rung.values()) {
-            spent.put(Page.word(g), l.spent(g).toMillis() / 1000.0);
+            spent.put(YamlDocument.word(g), l.spent(g).toMillis() / 1000.0);
             for (int w = 0; w < terms.workloads(); w++) {
                 long t = l.touched(g, w);
-                if (t > 0) { touched.withObject("/" + Page.word(g)).put(terms.kind(w).name(), t); }
+                if (t > 0) { touched.withObject("/" + YamlDocument.word(g)).put(terms.kind(w).name(), t); }
             }
         }
         ObjectNode customers = n.putObject("customers");
         for (int c = 0; c < terms.customers(); c++) {
-            customers.putObject(terms.customerName(c)).put("level", Page.word(l.rung(c))).put("depth", l.depth(c));
+            customers.putObject(terms.customerName(c)).put("level", YamlDocument.word(l.rung(c))).put("depth", l.depth(c));
         }
         ArrayNode all = n.putArray("changes");
         for (Change c : l.changes()) {
             all.addObject().put("at_s", c.at().toMillis() / 1000.0).put("for", c.customer() < 0 ? "all"
-                : terms.customerName(c.customer())).put("from", Page.word(c.from())).put("to", Page.word(c.to()))
+                : terms.customerName(c.customer())).put("from", YamlDocument.word(c.from())).put("to", YamlDocument.word(c.to()))
                 .put("condition", c.condition()).put("pressure", c.pressure()).put("evidence", c.evidence());
         }
         return n.toPrettyString().concat("\n").getBytes(StandardCharsets.UTF_8);
@@ -87,10 +87,10 @@
             s.append("switchgap_level ").append(l.rung().ordinal()).append('\n');
             s.append("switchgap_level_depth ").append(String.format(Locale.ROOT, "%.3f", l.depth())).append('\n');
             for (Rung g : Rung.values()) {
-                s.append("switchgap_level_seconds{level=\"").append(Page.word(g)).append("\"} ")
+                s.append("switchgap_level_seconds{level=\"").append(YamlDocument.word(g)).append("\"} ")
                     .append(l.spent(g).toMillis() / 1000.0).append('\n');
                 for (int w = 0; w < terms.workloads(); w++) {
-                    s.append("switchgap_level_pushed_back{level=\"").append(Page.word(g)).append("\",workload=\"")
+                    s.append("switchgap_level_pushed_back{level=\"").append(YamlDocument.word(g)).append("\",workload=\"")
                         .append(terms.kind(w).name()).append("\"} ").append(l.touched(g, w)).append('\n');
                 }
             }
--- a/src/main/java/switchgap/gateway/Gateway.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -1,4 +1,4 @@
-package switchgap.gateway;
+package switchgap.server.gateway;
 
 import java.io.IOException;
 import java.time.Duration;
@@ -8,6 +8,8 @@
 import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.config.YamlDocument;
+import switchgap.config.YamlRouterSettings;
 import switchgap.endpoints.EndpointListWatcher;
 import switchgap.eventloop.EventLoop;
 import switchgap.level.Change;
@@ -25,14 +27,12 @@
 import switchgap.router.AdmissionGate;
 import switchgap.router.DeferredResults;
 import switchgap.router.RouterCore;
-import switchgap.terms.Page;
-import switchgap.terms.PageTerms;
 
 /** A running router. States: STARTING, SERVING, STOPPING (answers what it holds), STOPPED. */
-public final class Gateway implements AutoCloseable {
+public final class GatewayRouter implements AutoCloseable {
     private enum State { STARTING, SERVING, STOPPING, STOPPED }
 
-    private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
+    private static final Logger LOG = LoggerFactory.getLogger(GatewayRouter.class);
     private final AtomicReference<State> state = new AtomicReference<>(State.STARTING);
     private final NetworkTransport net;
     private final KeyedWriters carriers;
@@ -44,30 +44,30 @@
     private final Duration longest;
     private final ScheduledFuture<?> sweeper;
     private final InferenceWorkerTransport workers;
-    private final Planned planned; // null: one program, orders go straight out
+    private final PlannedWorkerTransport planned; // null: one program, orders go straight out
     private final EdgeDoor planners;
     private final int port;
 
-    public Gateway(GatewayPage page) throws IOException {
+    public GatewayRouter(GatewayConfig page) throws IOException {
         this(page, new RoutingPolicy(page.terms(), page.seed())::round);
     }
 
     /** A router under another decider: for measurements of the module beside a baseline. */
-    public Gateway(GatewayPage page, RouterCore.Policy decide) throws IOException {
-        PageTerms terms = page.terms();
+    public GatewayRouter(GatewayConfig page, RouterCore.Policy decide) throws IOException {
+        YamlRouterSettings terms = page.terms();
         net = new NetworkTransport(page.selectors(), "router-" + terms.self());
-        Rehearsal.run(terms, net);
+        JvmWarmup.run(terms, net);
         long bornWall = System.currentTimeMillis();
         carriers = new KeyedWriters(page.selectors(), "carrier-" + terms.self());
         HttpClientConnection.Factory opener = new HttpClientConnection.Factory(net, page.from(), page.answerBytes());
         AtomicReference<Runnable> listening = new AtomicReference<>(() -> { });
         AtomicReference<InferenceWorkerTransport> made = new AtomicReference<>();
-        AtomicReference<Planned> behind = new AtomicReference<>();
+        AtomicReference<PlannedWorkerTransport> behind = new AtomicReference<>();
         loop = new EventLoop(l -> {
             made.set(new InferenceWorkerTransport(opener, page.links(), carriers, l::post, () -> listening.get().run()));
-            if (page.planner() != null) { behind.set(new Planned(made.get(), terms, page.patience(), l::post)); }
+            if (page.planner() != null) { behind.set(new PlannedWorkerTransport(made.get(), terms, page.patience(), l::post)); }
             return new RouterCore(terms, decide, behind.get() == null ? made.get() : behind.get(), page.orderLimit(), page.probeLimit(), page.mostFunctions());
-        }, "loop-" + terms.self(), this::late, Gateway::failed);
+        }, "loop-" + terms.self(), this::late, GatewayRouter::failed);
         workers = made.get();
         planned = behind.get();
         Levels levels = terms.levelsAct() ? new Levels(terms.levelTerms(), page.seed() * 31 + bornWall) : null;
@@ -79,7 +79,7 @@
         String start = "r" + terms.self() + "-" + Long.toString(bornWall, 36) + "-";
         DeferredResults deferred = new DeferredResults(start + "d", page.kept(), page.mostDeferred(), page.mostDeferredBytes());
         api = new InvokeApi(terms, loop::now, loop::post, carriers, deferred, gate::get, start, page.mostHeld(), page.mostWait());
-        api.status(c -> Status.show(terms.self(), c, api.held(), api.ends(), levels, planned));
+        api.status(c -> RouterStatus.show(terms.self(), c, api.held(), api.ends(), levels, planned));
         door = new HttpServer(net, page.bounds(), api);
         watch = page.list() == null ? null : new EndpointListWatcher(opener, page.list(), terms.self(), bornWall, page.listAgain(),
             terms::zone, terms::machineKind, loop::postFirst);
@@ -114,8 +114,8 @@
     }
 
     /** A change of level is what an operator acts on: one line, with the figures that met the condition. */
-    private static void told(PageTerms terms, Change c) {
-        LOG.warn("level {} to {} for {}: {} (pressure {}, evidence {} calls)", Page.word(c.from()), Page.word(c.to()),
+    private static void told(YamlRouterSettings terms, Change c) {
+        LOG.warn("level {} to {} for {}: {} (pressure {}, evidence {} calls)", YamlDocument.word(c.from()), YamlDocument.word(c.to()),
             c.customer() < 0 ? "all" : terms.customerName(c.customer()), c.condition(),
             String.format(java.util.Locale.ROOT, "%.3f", c.pressure()), Math.round(c.evidence()));
     }
--- a/src/main/java/switchgap/gateway/Rehearsal.java
+++ b/src/main/java/switchgap/server/gateway/JvmWarmup.java
@@ -1,4 +1,4 @@
-package switchgap.gateway;
+package switchgap.server.gateway;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -9,6 +9,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import switchgap.config.YamlRouterSettings;
 import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpClientConnection;
 import switchgap.net.HttpServer;
@@ -25,25 +26,24 @@
 import switchgap.router.WorkerCommand;
 import switchgap.router.WorkerEntry;
 import switchgap.router.WorkerTransport;
-import switchgap.terms.PageTerms;
 
 /**
  * Runs made-up calls through a core of its own and over a door of its own before the router serves. Guards against
  * answers that come late in the first second, while the JVM still interprets the code that must meet time limits.
  */
-final class Rehearsal {
+final class JvmWarmup {
     private static final int CALLS = 3000;
     private static final int ASKS = 600;
     private static final Duration MOST = Duration.ofSeconds(2);
 
-    private Rehearsal() { }
+    private JvmWarmup() { }
 
-    static void run(PageTerms terms, NetworkTransport net) throws IOException {
+    static void run(YamlRouterSettings terms, NetworkTransport net) throws IOException {
         decisions(terms);
         sockets(net);
     }
 
-    private static void decisions(PageTerms terms) {
+    private static void decisions(YamlRouterSettings terms) {
         List<Consumer<RouterCore>> next = new ArrayList<>();
         WorkerTransport outside = new WorkerTransport() {
             @Override public void send(Attempt run, Duration allow) {
--- a/src/main/java/switchgap/gateway/Planned.java
+++ b/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
@@ -1,4 +1,4 @@
-package switchgap.gateway;
+package switchgap.server.gateway;
 
 import java.time.Duration;
 import java.util.HashMap;
@@ -6,6 +6,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.config.YamlRouterSettings;
 import switchgap.plan.Plan;
 import switchgap.plan.Told;
 import switchgap.plan.Wish;
@@ -16,45 +17,44 @@
 import switchgap.router.WorkerCommand;
 import switchgap.router.WorkerEntry;
 import switchgap.router.WorkerTransport;
-import switchgap.terms.PageTerms;
 
 /** Load orders wait for the planner's word before they go out; all else goes straight to the workers. On the loop's thread. */
-final class Planned implements WorkerTransport {
-    private static final Logger LOG = LoggerFactory.getLogger(Planned.class);
+final class PlannedWorkerTransport implements WorkerTransport {
+    private static final Logger LOG = LoggerFactory.getLogger(PlannedWorkerTransport.class);
     private static final int MOST_WAITING = 1024;
 
     /** An order that waits. */
-    private record Held(WorkerEntry worker, String function, int copies, WorkerCommand order) { }
+    private record HeldLoad(WorkerEntry worker, String function, int copies, WorkerCommand order) { }
 
     /** Tells the planner; false where it was not told. */
-    interface Teller {
+    interface BacklogSender {
         boolean tell(Told t);
     }
 
     private final WorkerTransport inner;
-    private final PageTerms terms;
+    private final YamlRouterSettings terms;
     private final Consumer<Consumer<RouterCore>> events;
     private final Wishes wishes;
-    private final Map<Long, Held> held = new HashMap<>();
+    private final Map<Long, HeldLoad> held = new HashMap<>();
     private final Map<WorkerCommand, Long> ids = new HashMap<>();
-    private Teller teller = t -> false;
+    private BacklogSender teller = t -> false;
     private Duration now = Duration.ZERO;
     private long seq;
     private boolean due;
     private boolean ticking;
 
-    Planned(WorkerTransport inner, PageTerms terms, Duration patience, Consumer<Consumer<RouterCore>> events) {
+    PlannedWorkerTransport(WorkerTransport inner, YamlRouterSettings terms, Duration patience, Consumer<Consumer<RouterCore>> events) {
         this.inner = inner;
         this.terms = terms;
         this.events = events;
         this.wishes = new Wishes(patience, MOST_WAITING, new Wishes.Carrier() {
-            @Override public void release(long id) { Planned.this.release(id); }
+            @Override public void release(long id) { PlannedWorkerTransport.this.release(id); }
 
             @Override public void refused(String why) { LOG.warn("the planner is wrong: {}", why); }
         });
     }
 
-    void teller(Teller t) { teller = t; }
+    void teller(BacklogSender t) { teller = t; }
 
     void linked(RouterCore c, long epoch) {
         now = c.now();
@@ -82,7 +82,7 @@
     long[] counts() { return wishes.counts(); }
 
     private void release(long id) {
-        Held h = held.remove(id);
+        HeldLoad h = held.remove(id);
         ids.remove(h.order);
         inner.hold(h.worker, h.function, h.copies, h.order); // refuses by itself what drains since it was asked
     }
@@ -116,10 +116,10 @@
             inner.hold(worker, function, copies, order);
             return;
         }
-        PageTerms.Entry e = terms.function(function);
+        YamlRouterSettings.FunctionSettings e = terms.function(function);
         long load = e == null || e.load() == null ? 0 : e.load().toNanos() / 1000;
         long id = wishes.nextId();
-        held.put(id, new Held(worker, function, copies, order));
+        held.put(id, new HeldLoad(worker, function, copies, order));
         ids.put(order, id);
         now = order.sentAt();
         wishes.ask(now, new Wish(id, worker.name, function, e == null ? 0 : e.memory(), load, 0, 0));
--- a/src/main/java/switchgap/gateway/package-info.java
+++ b/src/main/java/switchgap/server/gateway/package-info.java
@@ -1,2 +1,2 @@
 /** Puts a router together: its page, its loop, its sockets. */
-package switchgap.gateway;
+package switchgap.server.gateway;
--- a/src/main/java/switchgap/platform/Platform.java
+++ b/src/main/java/switchgap/server/platform/PlatformRouter.java
@@ -1,4 +1,4 @@
-package switchgap.platform;
+package switchgap.server.platform;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -6,6 +6,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
+import switchgap.config.PropertyRouterSettings;
 import switchgap.endpoints.EndpointListEvent;
 import switchgap.endpoints.EventStreamClient;
 import switchgap.eventloop.EventLoop;
@@ -14,10 +15,9 @@
 import switchgap.protocol.resp.RespWorkerTransport;
 import switchgap.protocol.thrift.ThriftServer;
 import switchgap.router.RouterCore;
-import switchgap.stated.StatedTerms;
 
 /** A running router on the platform: one more way in and out of the core, under the module and nothing else. */
-final class Platform implements AutoCloseable {
+final class PlatformRouter implements AutoCloseable {
     // Of the descriptors, one in so many. A quarter is nobody's: files, selectors, the listener and the control feed.
     private static final int CLIENT_SHARE = 3;
     private static final int CROWD_SHARE = 12;      // clients that came while the loop had no time to make room
@@ -36,7 +36,7 @@
     private static final Duration ANSWERED_BY = Duration.ofMillis(500); // past the longest: all is answered
     private static final Duration LOOK = Duration.ofMillis(20);
     private static final int QUIET = 3; // looks one after the other that find nothing under way
-    private final Log log;
+    private final RateLimitedLog log;
     private final NetworkTransport net;
     private final EventLoop loop;
     private final RespWorkerTransport workers;
@@ -44,9 +44,9 @@
     private final EventStreamClient feed;
     private final Duration longest;
 
-    Platform(Given g, Log log) throws IOException {
+    PlatformRouter(PlatformConfig g, RateLimitedLog log) throws IOException {
         this.log = log;
-        StatedTerms terms = g.terms();
+        PropertyRouterSettings terms = g.terms();
         net = new NetworkTransport(1, "net");
         AtomicReference<RespWorkerTransport> made = new AtomicReference<>();
         RespWorkerTransport.ConnectionLimits bounds = new RespWorkerTransport.ConnectionLimits(Math.max(1, g.sockets() / WORKER_SHARE), MOST_LINKS, MOST_WAITING, terms.multiplex(), terms.connectWithin(), terms.idle().dividedBy(2),
@@ -80,7 +80,7 @@
         log.line("router " + g.name() + " serves at " + g.listen().getHostString() + ":" + door.port());
     }
 
-    private static String[] names(StatedTerms terms) {
+    private static String[] names(PropertyRouterSettings terms) {
         String[] names = new String[terms.workloads()];
         terms.names("Lanes").forEach((name, at) -> names[at] = name);
         return names;
@@ -101,7 +101,7 @@
         c.later(c.now().plus(SWEEP), () -> sweep(c));
     }
 
-    private void failed(Throwable e) { Serve.failed(log, "a round failed", e); }
+    private void failed(Throwable e) { ServeCommand.failed(log, "a round failed", e); }
 
     /**
      * Is no longer good, goes on taking what may still come, and ends once nothing is under way: no call held, no message
--- a/src/main/java/switchgap/platform/Log.java
+++ b/src/main/java/switchgap/server/platform/RateLimitedLog.java
@@ -1,7 +1,7 @@
-package switchgap.platform;
+package switchgap.server.platform;
 
 /** Lines on standard error, so many a span at the most: what others send must not fill the log. */
-final class Log {
+final class RateLimitedLog {
     private static final int MOST = 30;
     private static final long SPAN = 10_000_000_000L;
     private long began = System.nanoTime();
--- a/src/main/java/switchgap/platform/Signals.java
+++ b/src/main/java/switchgap/server/platform/SignalHandlers.java
@@ -1,4 +1,4 @@
-package switchgap.platform;
+package switchgap.server.platform;
 
 import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.Proxy;
@@ -8,12 +8,12 @@
  * HUP and TERM. A HUP before anybody listens must not end the process, so the handlers are there before anything else;
  * it is kept until somebody does. The compiler knows the JDK's handler type only with a warning, hence by name.
  */
-final class Signals {
+final class SignalHandlers {
     private Runnable hup;
     private boolean missed;
     private final CountDownLatch term = new CountDownLatch(1);
 
-    Signals() throws ReflectiveOperationException {
+    SignalHandlers() throws ReflectiveOperationException {
         on("HUP", this::hup);
         on("TERM", term::countDown);
         on("INT", term::countDown);
@@ -41,7 +41,7 @@
             return method.getName().equals("hashCode") ? (Object) System.identityHashCode(proxy)
                 : method.getName().equals("equals") ? (Object) (proxy == args[0]) : null;
         };
-        Object h = Proxy.newProxyInstance(Signals.class.getClassLoader(), new Class<?>[] {handler}, told);
+        Object h = Proxy.newProxyInstance(SignalHandlers.class.getClassLoader(), new Class<?>[] {handler}, told);
         signal.getMethod("handle", signal, handler).invoke(null, signal.getConstructor(String.class).newInstance(name), h);
     }
 }
--- a/src/main/java/switchgap/platform/package-info.java
+++ b/src/main/java/switchgap/server/platform/package-info.java
@@ -1,2 +1,2 @@
 /** A router on the platform, put together: what it is given, its clients' door, its workers, the control feed, signals. */
-package switchgap.platform;
+package switchgap.server.platform;
--- a/src/main/java/switchgap/simhost/Instance.java
+++ b/src/main/java/switchgap/simhost/Instance.java
@@ -6,6 +6,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import switchgap.config.PropertyRouterSettings;
 import switchgap.policy.RoutingPolicy;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.policy.api.EventBatch;
@@ -13,7 +14,6 @@
 import switchgap.policy.api.PolicyEvents;
 import switchgap.policy.api.WorkerState;
 import switchgap.policy.state.IndexAllocator;
-import switchgap.stated.StatedTerms;
 
 /** One router: its events decoded into the module's calls, the module's decisions encoded as records. */
 final class Instance implements EventBatch, PolicyActions {
@@ -41,7 +41,7 @@
         this.born = clock;
         this.reply = reply;
         try {
-            StatedTerms terms = StatedTerms.of(info);
+            PropertyRouterSettings terms = PropertyRouterSettings.of(info);
             crowds = terms.tellsCrowd();
             busyAt = terms.field("load_share");
             heldAt = terms.field("concurrent");
--- a/src/test/java/switchgap/LayersTest.java
+++ b/src/test/java/switchgap/LayersTest.java
@@ -8,6 +8,8 @@
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
+import switchgap.config.JsonDocument;
+import switchgap.config.PropertyRouterSettings;
 
 /** Packages depend one way; what decides and what holds calls is free of sockets, threads and clock. */
 class LayersTest {
@@ -22,14 +24,12 @@
             .layer("plans").definedBy("switchgap.plan")
             .layer("core").definedBy("switchgap.router")
             .layer("wire").definedBy("switchgap.net")
-            .layer("terms").definedBy("switchgap.terms")
+            .layer("config").definedBy("switchgap.config")
             .layer("edges").definedBy("switchgap.protocol.inference", "switchgap.endpoints", "switchgap.protocol.invoke", "switchgap.link")
-            .layer("stated").definedBy("switchgap.stated")
-            .layer("json").definedBy("switchgap.json")
             .layer("loop").definedBy("switchgap.eventloop")
             .layer("platform's edges").definedBy("switchgap.protocol.thrift", "switchgap.protocol.resp", "switchgap.protocol.sse")
-            .layer("platform").definedBy("switchgap.platform")
-            .layer("gateway").definedBy("switchgap.gateway")
+            .layer("platform").definedBy("switchgap.server.platform")
+            .layer("gateway").definedBy("switchgap.server.gateway")
             .layer("standins").definedBy("switchgap.standin")
             .layer("days").definedBy("switchgap.day", "switchgap.lab")
             .layer("bench").definedBy("switchgap.simhost")
@@ -42,14 +42,19 @@
             .whereLayer("platform").mayOnlyBeAccessedByLayers("cli")
             .whereLayer("platform's edges").mayOnlyBeAccessedByLayers("platform", "edges")
             .whereLayer("platform's edges").mayOnlyAccessLayers("module", "core", "wire", "json")
-            .whereLayer("stated").mayOnlyBeAccessedByLayers("platform", "bench")
-            .whereLayer("json").mayOnlyBeAccessedByLayers("platform", "platform's edges", "edges")
             .whereLayer("loop").mayOnlyBeAccessedByLayers("gateway", "platform")
             .whereLayer("edges").mayOnlyBeAccessedByLayers("gateway", "platform", "cli")
             .whereLayer("wire").mayOnlyBeAccessedByLayers("edges", "platform's edges", "platform", "gateway", "standins", "days", "cli")
             .check(all);
     }
 
+    @Test void jsonAndStatedSettingsAreReadOnlyWhereTheyAreWritten() {
+        noClasses().that().resideOutsideOfPackages("switchgap.config", "switchgap.endpoints", "switchgap.server.platform")
+            .should().dependOnClassesThat().haveFullyQualifiedName(JsonDocument.class.getName()).check(all);
+        noClasses().that().resideOutsideOfPackages("switchgap.config", "switchgap.server.platform", "switchgap.simulator", "switchgap.simhost")
+            .should().dependOnClassesThat().haveFullyQualifiedName(PropertyRouterSettings.class.getName()).check(all);
+    }
+
     @Test void decisionsAndCoreTouchNoSocketThreadOrClock() {
         noClasses().that().resideInAnyPackage("switchgap.policy", "switchgap.policy.api", "switchgap.policy.state", "switchgap.router", "switchgap.level", "switchgap.plan")
             .should().dependOnClassesThat().resideInAnyPackage("java.net..", "java.nio..", "java.io..", "org.glassfish..",
--- a/src/test/java/switchgap/terms/PageTest.java
+++ b/src/test/java/switchgap/config/YamlDocumentTest.java
@@ -1,14 +1,14 @@
-package switchgap.terms;
+package switchgap.config;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
-import switchgap.gateway.GatewayPage;
+import switchgap.server.gateway.GatewayConfig;
 
 /** Each mistake on a page names file, line, key and what is allowed. */
-class PageTest {
+class YamlDocumentTest {
     private static final String GOOD = """
         router: {number: 0, of: 2, tick: 5ms}
         workloads:
@@ -21,12 +21,12 @@
         """;
 
     private static void refused(String page, String message) {
-        assertThatThrownBy(() -> GatewayPage.read(Page.read("r.yaml", page))).isInstanceOf(BadPage.class)
+        assertThatThrownBy(() -> GatewayConfig.read(YamlDocument.read("r.yaml", page))).isInstanceOf(InvalidConfigException.class)
             .hasMessageStartingWith("r.yaml:").hasMessageContaining(message);
     }
 
     @Test void aGoodPage() {
-        GatewayPage p = GatewayPage.read(Page.read("r.yaml", GOOD));
+        GatewayConfig p = GatewayConfig.read(YamlDocument.read("r.yaml", GOOD));
         assertThat(p.terms().timeLimit(0)).isEqualTo(Duration.ofMillis(1500));
         assertThat(p.terms().function("f1").memory()).isEqualTo(20);
         assertThat(p.terms().function("f22").memory()).isEqualTo(10);
--- a/src/test/java/switchgap/endpoints/EventStreamClientTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientTest.java
@@ -18,16 +18,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import switchgap.net.HttpClientConnection;
 import switchgap.net.NetworkTransport;
-import switchgap.platform.Feed;
 import switchgap.policy.api.WorkerState;
 import switchgap.protocol.sse.ServerSentEventDecoder;
 import switchgap.router.EndpointUpdate;
+import switchgap.server.platform.ControlFeedServer;
 
 /** The control feed through all that may befall it. */
 class EventStreamClientTest {
     private static final EndpointListEvent.NameDirectory BOOK = new EndpointListEvent.NameDirectory(Map.of("east", 0), Map.of("std", 0), 1000);
 
-    private static String event(long n) { return Feed.event(n, false, Feed.worker("w" + n, "127.0.0.1:7", "SERVING", 0)); }
+    private static String event(long n) { return ControlFeedServer.event(n, false, ControlFeedServer.worker("w" + n, "127.0.0.1:7", "SERVING", 0)); }
 
     @Test void splitAnywhereEventsReadTheSame() {
         byte[] stream = ": hello\r\nid: 4\r\ndata: a\r\ndata: b\r\n\r\nid:5\ndata:c\n\ndata: cut off".getBytes(StandardCharsets.UTF_8);
@@ -42,7 +42,7 @@
     }
 
     @Test void aLineBecomesAWorker() throws Exception {
-        EndpointListEvent e = EndpointListEvent.read(Feed.event(41, true, Feed.worker("s-1", "10.1.0.9:10080", "SERVING", 1500)), BOOK);
+        EndpointListEvent e = EndpointListEvent.read(ControlFeedServer.event(41, true, ControlFeedServer.worker("s-1", "10.1.0.9:10080", "SERVING", 1500)), BOOK);
         assertThat(e.number()).isEqualTo(41);
         assertThat(e.whole()).isTrue();
         assertThat(e.workers()).containsExactly(new EndpointUpdate("s-1", "10.1.0.9", 10080, WorkerState.READY, 0, 2, 0, 4, Duration.ofMillis(500)));
@@ -63,24 +63,24 @@
 
     @Test void eachNumberOnceAndInOrderThroughBreaksRepeatsAndGaps() throws Exception {
         List<Long> got = new CopyOnWriteArrayList<>();
-        Feed.Manner manner = (n, last, out) -> {
+        ControlFeedServer.Behaviour manner = (n, last, out) -> {
             if (n == 0) { // cut in the middle of an event
-                Feed.say(out, event(last + 1));
+                ControlFeedServer.say(out, event(last + 1));
                 out.write(("data: " + event(last + 2).substring(0, 20)).getBytes(StandardCharsets.UTF_8));
                 return false;
             }
             if (n == 1) { // twice, and then one that is missing before it
-                Feed.say(out, event(last));
-                Feed.say(out, event(last + 1));
-                Feed.say(out, event(last + 1));
-                Feed.say(out, event(last + 3));
+                ControlFeedServer.say(out, event(last));
+                ControlFeedServer.say(out, event(last + 1));
+                ControlFeedServer.say(out, event(last + 1));
+                ControlFeedServer.say(out, event(last + 3));
                 return true;
             }
-            if (n == 2) { Feed.say(out, "{\"n\":\"nonsense\"}"); }
-            for (long e = last + 1; n > 2 && e <= 6; e++) { Feed.say(out, event(e)); }
+            if (n == 2) { ControlFeedServer.say(out, "{\"n\":\"nonsense\"}"); }
+            for (long e = last + 1; n > 2 && e <= 6; e++) { ControlFeedServer.say(out, event(e)); }
             return n > 2;
         };
-        try (Feed feed = new Feed(manner); NetworkTransport net = new NetworkTransport(1, "follow");
+        try (ControlFeedServer feed = new ControlFeedServer(manner); NetworkTransport net = new NetworkTransport(1, "follow");
              EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
             f.follow(feed.at());
             until(() -> got.size() >= 5);
@@ -91,15 +91,15 @@
 
     @Test void aSilentFeedIsAskedAnewAndAnotherAddressFollowedFromTheLastNumber() throws Exception {
         List<Long> got = new CopyOnWriteArrayList<>();
-        Feed.Manner tells = (n, last, out) -> {
-            if (n == 1) { Feed.say(out, event(last + 1)); }
+        ControlFeedServer.Behaviour tells = (n, last, out) -> {
+            if (n == 1) { ControlFeedServer.say(out, event(last + 1)); }
             return true; // and then says nothing
         };
-        Feed.Manner later = (n, last, out) -> {
-            Feed.say(out, event(last + 1));
+        ControlFeedServer.Behaviour later = (n, last, out) -> {
+            ControlFeedServer.say(out, event(last + 1));
             return true;
         };
-        try (Feed first = new Feed(tells); Feed second = new Feed(later); NetworkTransport net = new NetworkTransport(1, "follow");
+        try (ControlFeedServer first = new ControlFeedServer(tells); ControlFeedServer second = new ControlFeedServer(later); NetworkTransport net = new NetworkTransport(1, "follow");
              EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
             f.follow(first.at());
             until(() -> got.size() == 1); // on the second connection, as the first was silent
@@ -113,9 +113,9 @@
     /** Bytes of an event that never ends are no sign of life: what the feed tells elsewhere counts as told. */
     @Test void aFeedWhoseEventNeverEndsIsSilent() throws Exception {
         List<Long> got = new CopyOnWriteArrayList<>();
-        Feed.Manner manner = (n, last, out) -> {
+        ControlFeedServer.Behaviour manner = (n, last, out) -> {
             if (n > 0) {
-                Feed.say(out, event(last + 1));
+                ControlFeedServer.say(out, event(last + 1));
                 return true;
             }
             Thread trickles = new Thread(() -> {
@@ -133,7 +133,7 @@
             trickles.start();
             return true;
         };
-        try (Feed feed = new Feed(manner); NetworkTransport net = new NetworkTransport(1, "follow");
+        try (ControlFeedServer feed = new ControlFeedServer(manner); NetworkTransport net = new NetworkTransport(1, "follow");
              EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
             f.follow(feed.at());
             long began = System.nanoTime();
@@ -143,14 +143,14 @@
     }
 
     /** Tells so many further events, once it may. */
-    private static Feed.Manner once(CountDownLatch may, int events) {
+    private static ControlFeedServer.Behaviour once(CountDownLatch may, int events) {
         return (n, last, out) -> {
             try {
                 may.await();
             } catch (InterruptedException x) {
                 return false;
             }
-            for (int e = 1; e <= events; e++) { Feed.say(out, event(last + e)); }
+            for (int e = 1; e <= events; e++) { ControlFeedServer.say(out, event(last + e)); }
             return true;
         };
     }
@@ -159,12 +159,12 @@
     @Test void theOldAddressIsHeardUntilTheNewOneSpeaks() throws Exception {
         List<Long> got = new CopyOnWriteArrayList<>();
         CountDownLatch speak = new CountDownLatch(1);
-        Feed.Manner beats = (n, last, out) -> {
+        ControlFeedServer.Behaviour beats = (n, last, out) -> {
             out.write(": beat\n\n".getBytes(StandardCharsets.UTF_8));
             return true;
         };
-        Feed.Manner later = once(speak, 2); // the first of them the old one told, too
-        try (Feed old = new Feed(beats); Feed anew = new Feed(later); NetworkTransport net = new NetworkTransport(1, "follow");
+        ControlFeedServer.Behaviour later = once(speak, 2); // the first of them the old one told, too
+        try (ControlFeedServer old = new ControlFeedServer(beats); ControlFeedServer anew = new ControlFeedServer(later); NetworkTransport net = new NetworkTransport(1, "follow");
              EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
             f.follow(old.at());
             until(() -> old.asked.size() == 1);
@@ -187,12 +187,12 @@
     @Test void theOldAddressMayEndBeforeTheNewOneSpeaks() throws Exception {
         List<Long> got = new CopyOnWriteArrayList<>();
         CountDownLatch speak = new CountDownLatch(1);
-        Feed.Manner later = once(speak, 1);
-        Feed old = new Feed((n, last, out) -> {
+        ControlFeedServer.Behaviour later = once(speak, 1);
+        ControlFeedServer old = new ControlFeedServer((n, last, out) -> {
             out.write(": beat\n\n".getBytes(StandardCharsets.UTF_8));
             return true;
         });
-        try (Feed anew = new Feed(later); NetworkTransport net = new NetworkTransport(1, "follow");
+        try (ControlFeedServer anew = new ControlFeedServer(later); NetworkTransport net = new NetworkTransport(1, "follow");
              EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.number()), w -> { })) {
             f.follow(old.at());
             until(() -> old.asked.size() == 1);
@@ -210,15 +210,15 @@
     /** A list that comes whole under the number of the last event says how things stand; an older one does not. */
     @Test void aWholeListUnderTheLastNumberCountsAndAnOlderOneDoesNot() throws Exception {
         List<String> got = new CopyOnWriteArrayList<>();
-        Feed.Manner manner = (n, last, out) -> {
-            Feed.say(out, Feed.event(last - 1, true, Feed.worker("old", "127.0.0.1:7", "SERVING", 0)));
-            Feed.say(out, Feed.event(last, true, Feed.worker("same", "127.0.0.1:7", "DRAINING", 0)));
-            Feed.say(out, Feed.event(last, false, Feed.worker("told", "127.0.0.1:7", "SERVING", 0)));
-            Feed.say(out, Feed.event(last + 3, true, Feed.worker("ahead", "127.0.0.1:7", "SERVING", 0)));
-            Feed.say(out, event(last + 4));
+        ControlFeedServer.Behaviour manner = (n, last, out) -> {
+            ControlFeedServer.say(out, ControlFeedServer.event(last - 1, true, ControlFeedServer.worker("old", "127.0.0.1:7", "SERVING", 0)));
+            ControlFeedServer.say(out, ControlFeedServer.event(last, true, ControlFeedServer.worker("same", "127.0.0.1:7", "DRAINING", 0)));
+            ControlFeedServer.say(out, ControlFeedServer.event(last, false, ControlFeedServer.worker("told", "127.0.0.1:7", "SERVING", 0)));
+            ControlFeedServer.say(out, ControlFeedServer.event(last + 3, true, ControlFeedServer.worker("ahead", "127.0.0.1:7", "SERVING", 0)));
+            ControlFeedServer.say(out, event(last + 4));
             return true;
         };
-        try (Feed feed = new Feed(manner); NetworkTransport net = new NetworkTransport(1, "follow");
+        try (ControlFeedServer feed = new ControlFeedServer(manner); NetworkTransport net = new NetworkTransport(1, "follow");
              EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 5, BOOK, e -> got.add(e.number() + e.workers().get(0).name()), w -> { })) {
             f.follow(feed.at());
             until(() -> got.size() == 3);
--- a/src/test/java/switchgap/eventloop/EventLoopTest.java
+++ b/src/test/java/switchgap/eventloop/EventLoopTest.java
@@ -8,16 +8,16 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import switchgap.platform.TestTerms;
 import switchgap.policy.api.RouterSettings;
 import switchgap.router.RouterCore;
 import switchgap.router.WorkerTransport;
+import switchgap.server.platform.TestPlatformSettings;
 
 /** A loop whose thread is gone serves nobody: whatever ends it is told. */
 class EventLoopTest {
     @ParameterizedTest @ValueSource(ints = {1, 2})
     void anErrorInAnyRoundIsToldTheFirstToo(int round) throws Exception {
-        RouterSettings terms = TestTerms.terms();
+        RouterSettings terms = TestPlatformSettings.terms();
         WorkerTransport nothing = (WorkerTransport) Proxy.newProxyInstance(EventLoopTest.class.getClassLoader(), new Class<?>[] {WorkerTransport.class}, (p, m, a) -> null);
         int[] rounds = {0};
         CompletableFuture<Throwable> told = new CompletableFuture<>();
--- a/src/test/java/switchgap/protocol/inference/PendingExchangeTest.java
+++ b/src/test/java/switchgap/protocol/inference/PendingExchangeTest.java
@@ -10,18 +10,18 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import switchgap.gateway.Peer;
 import switchgap.net.HttpClientConnection;
 import switchgap.net.NetworkTransport;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.WorkerEntry;
+import switchgap.server.gateway.HttpTestServer;
 
 /** Steps of an exchange that two threads can take at once, taken one after the other in the worst order. */
 class PendingExchangeTest {
     /** Given up by the loop between the carrier's look and its write: the link was kept by an exchange that nobody would end. */
     @Test void anExchangeAbandonedJustBeforeItGoesOutFreesItsLink() throws Exception {
         List<String> heard = new CopyOnWriteArrayList<>();
-        try (NetworkTransport net = new NetworkTransport(1, "asked"); Peer w = new Peer((q, out) -> q.line().contains("/first") ? Peer.silent(q, out) : Peer.well(q, out))) {
+        try (NetworkTransport net = new NetworkTransport(1, "asked"); HttpTestServer w = new HttpTestServer((q, out) -> q.line().contains("/first") ? HttpTestServer.silent(q, out) : HttpTestServer.well(q, out))) {
             HttpConnectionPool pool = new HttpConnectionPool(new HttpClientConnection.Factory(net, null, 1024), new InetSocketAddress("127.0.0.1", w.port()), 1, 10, Duration.ofSeconds(1));
             CompletableFuture<AttemptOutcome> given = new CompletableFuture<>();
             pool.ask(new Told(heard, "/first") {
--- a/src/test/java/switchgap/protocol/thrift/ThriftMessageTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftMessageTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import switchgap.platform.Client;
 import switchgap.router.PendingRequest;
+import switchgap.server.platform.ThriftTestClient;
 
 /** The client protocol against Apache Thrift's own codec, and against everything that is no message. */
 class ThriftMessageTest {
@@ -32,7 +32,7 @@
     private static byte[] submit(Map<String, String> fields, byte[] body, int number) throws Exception {
         TMemoryBuffer m = new TMemoryBuffer(256);
         TBinaryProtocol p = new TBinaryProtocol(m);
-        Client.arguments(p, number, fields, body);
+        ThriftTestClient.arguments(p, number, fields, body);
         p.writeFieldBegin(new TField("later", TType.LIST, (short) 9)); // a field of a later version is passed over
         p.writeListBegin(new org.apache.thrift.protocol.TList(TType.I32, 2));
         p.writeI32(1);
@@ -110,7 +110,7 @@
     private static PendingRequest call(String field, String value) throws Exception {
         Map<String, String> fields = new HashMap<>(FIELDS);
         if (value == null) { fields.remove(field); } else { fields.put(field, value); }
-        var book = new SubmitRequestDecoder.NameDirectory(switchgap.platform.TestTerms.terms(), Map.of("again", 0, "once", 1), Map.of("shop", 0));
+        var book = new SubmitRequestDecoder.NameDirectory(switchgap.server.platform.TestPlatformSettings.terms(), Map.of("again", 0, "once", 1), Map.of("shop", 0));
         return SubmitRequestDecoder.read(ThriftMessage.read(submit(fields, new byte[0], 1)), book, Duration.ofSeconds(1), null);
     }
 
--- a/src/test/java/switchgap/router/RouterCoreLongRunTest.java
+++ b/src/test/java/switchgap/router/RouterCoreLongRunTest.java
@@ -10,10 +10,10 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
+import switchgap.config.YamlDocument;
+import switchgap.config.YamlRouterSettings;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.policy.api.WorkerState;
-import switchgap.terms.Page;
-import switchgap.terms.PageTerms;
 import switchgap.testing.ReachableObjects;
 
 /** The core under the module for simulated days: workers replaced by others for ever, functions asked for once, clients that leave. */
@@ -29,7 +29,7 @@
         """;
     private final TreeMap<Duration, List<Consumer<RouterCore>>> due = new TreeMap<>();
     private final SplittableRandom draw = new SplittableRandom(3);
-    private final RouterCore core = new RouterCore(new PageTerms(Page.read("t", TERMS)), 1, this, Duration.ofSeconds(10), Duration.ofMillis(250), 500);
+    private final RouterCore core = new RouterCore(new YamlRouterSettings(YamlDocument.read("t", TERMS)), 1, this, Duration.ofSeconds(10), Duration.ofMillis(250), 500);
     private final List<String> fleet = new ArrayList<>(List.of("w0", "w1", "w2", "w3"));
     private Duration now = Duration.ZERO;
     private int names = 4, taken, answers, overdue, refused, left;
--- a/src/test/java/switchgap/router/RouterCoreTest.java
+++ b/src/test/java/switchgap/router/RouterCoreTest.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
+import switchgap.config.YamlDocument;
+import switchgap.config.YamlRouterSettings;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.policy.api.WorkerState;
-import switchgap.terms.Page;
-import switchgap.terms.PageTerms;
 
 /** The core on a clock that the test moves: limits, pauses, late ends, and nothing left behind. */
 class RouterCoreTest implements WorkerTransport, ResponseListener {
@@ -25,7 +25,7 @@
     private final List<Consumer<RouterCore>> next = new ArrayList<>();
     private final List<Attempt> sent = new ArrayList<>();
     private final List<String> said = new ArrayList<>();
-    private final RouterCore core = new RouterCore(new PageTerms(Page.read("t", TERMS)), 1, this, ms(500), ms(50), 2);
+    private final RouterCore core = new RouterCore(new YamlRouterSettings(YamlDocument.read("t", TERMS)), 1, this, ms(500), ms(50), 2);
     private Duration at = Duration.ZERO;
     private AttemptOutcome proves = AttemptOutcome.TIMED_OUT;
 
--- a/src/test/java/switchgap/router/WorkerConnectionsTest.java
+++ b/src/test/java/switchgap/router/WorkerConnectionsTest.java
@@ -13,7 +13,8 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import switchgap.gateway.Peer;
+import switchgap.config.YamlDocument;
+import switchgap.config.YamlRouterSettings;
 import switchgap.net.HttpClientConnection;
 import switchgap.net.KeyedWriters;
 import switchgap.net.NetworkTransport;
@@ -21,8 +22,7 @@
 import switchgap.policy.api.PolicyEvents;
 import switchgap.policy.api.WorkerState;
 import switchgap.protocol.inference.InferenceWorkerTransport;
-import switchgap.terms.Page;
-import switchgap.terms.PageTerms;
+import switchgap.server.gateway.HttpTestServer;
 import switchgap.testing.ReachableObjects;
 
 /** The core and its links to workers on real sockets, under decisions that a test dictates. */
@@ -58,7 +58,7 @@
             }
             return null;
         });
-        core = new RouterCore(new PageTerms(Page.read("t", TERMS)), (now, in, out) -> {
+        core = new RouterCore(new YamlRouterSettings(YamlDocument.read("t", TERMS)), (now, in, out) -> {
             in.into(feed);
             List.copyOf(say).forEach(s -> s.accept(out));
             say.clear();
@@ -98,7 +98,7 @@
     }
 
     @Test void whatWaitsForALinkIsToldAtOnceWhenItsWorkerDrains() throws Exception {
-        try (Peer w = new Peer(Peer::silent)) {
+        try (HttpTestServer w = new HttpTestServer(HttpTestServer::silent)) {
             links(1);
             list("127.0.0.1", w.port(), WorkerState.READY);
             job();
@@ -108,17 +108,17 @@
             assertThat(until(300, () -> heard.contains(waits + " NOT_SENT"))).isTrue();
             assertThat(w.infers()).isEqualTo(1);
             list("127.0.0.1", w.port(), WorkerState.READY); // the drain is taken back: the link serves again
-            w.manner(Peer::well);
+            w.manner(HttpTestServer::well);
             say.add(d -> d.probe(0));
             assertThat(until(1000, () -> heard.contains("probed FINISHED"))).isTrue();
         }
     }
 
     @Test void whatWaitsForALinkDoesNotGoToTheAddressThatTheWorkerHasLeft() throws Exception {
-        try (Peer old = new Peer((q, out) -> {
+        try (HttpTestServer old = new HttpTestServer((q, out) -> {
             Thread.sleep(300);
-            return Peer.well(q, out);
-        }); Peer fresh = new Peer(Peer::well)) {
+            return HttpTestServer.well(q, out);
+        }); HttpTestServer fresh = new HttpTestServer(HttpTestServer::well)) {
             links(1);
             list("127.0.0.1", old.port(), WorkerState.READY);
             int first = job();
@@ -136,7 +136,7 @@
 
     @Test void moreThanTheLinksWaitForAWorkerThatRefusesAndAllAreTold() throws Exception {
         int dead;
-        try (Peer gone = new Peer(Peer::silent)) { dead = gone.port(); }
+        try (HttpTestServer gone = new HttpTestServer(HttpTestServer::silent)) { dead = gone.port(); }
         links(2);
         list("127.0.0.1", dead, WorkerState.READY);
         for (int i = 0; i < 6; i++) { job(); }
@@ -145,7 +145,7 @@
     }
 
     @Test void pastTheBoundOfWhatWaitsForALinkAJobIsToldAtOnce() throws Exception {
-        try (Peer w = new Peer(Peer::silent)) {
+        try (HttpTestServer w = new HttpTestServer(HttpTestServer::silent)) {
             links(1, 3);
             list("127.0.0.1", w.port(), WorkerState.READY);
             job();
@@ -168,7 +168,7 @@
     }
 
     @Test void aDropAtAWorkerThatIsSilentGivesItsLinkBack() throws Exception {
-        try (Peer w = new Peer((q, out) -> !q.line().contains("/unload") ? Peer.well(q, out) : Peer.silent(q, out))) {
+        try (HttpTestServer w = new HttpTestServer((q, out) -> !q.line().contains("/unload") ? HttpTestServer.well(q, out) : HttpTestServer.silent(q, out))) {
             links(1);
             list("127.0.0.1", w.port(), WorkerState.READY);
             job();
@@ -184,10 +184,10 @@
     }
 
     @Test void linksOfAWorkerThatIsGoneOrMovedAreClosedAndForgotten() throws Exception {
-        try (Peer a = new Peer(Peer::well); Peer b = new Peer(Peer::well)) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); HttpTestServer b = new HttpTestServer(HttpTestServer::well)) {
             links(4);
             for (int i = 0; i < 6; i++) { // to and fro, as a name that is handed from process to process
-                Peer p = i % 2 == 0 ? a : b;
+                HttpTestServer p = i % 2 == 0 ? a : b;
                 list("127.0.0.1", p.port(), WorkerState.READY);
                 int j = job();
                 assertThat(until(2000, () -> heard.contains(j + " FINISHED"))).isTrue();
--- a/src/test/java/switchgap/gateway/EdgeAndPlannerTest.java
+++ b/src/test/java/switchgap/server/gateway/EdgeAndPlannerTest.java
@@ -1,4 +1,4 @@
-package switchgap.gateway;
+package switchgap.server.gateway;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -20,13 +20,13 @@
 
     private static final class Loads implements AutoCloseable {
         final AtomicInteger loads = new AtomicInteger();
-        final Peer peer = new Peer((q, out) -> {
+        final HttpTestServer peer = new HttpTestServer((q, out) -> {
             if (q.line().contains("/load")) { loads.incrementAndGet(); }
             if (q.line().contains("/infer") && loads.get() == 0) {
-                out.write(Peer.http(404, "", "{}"));
+                out.write(HttpTestServer.http(404, "", "{}"));
                 return true;
             }
-            return Peer.well(q, out);
+            return HttpTestServer.well(q, out);
         });
 
         Loads() throws Exception { }
@@ -36,10 +36,10 @@
 
     private static NetworkTransport net() throws Exception { return new NetworkTransport(1, "test-planner"); }
 
-    private static InetSocketAddress at(Served s) { return new InetSocketAddress("127.0.0.1", s.gateway.plannerPort()); }
+    private static InetSocketAddress at(GatewayFixture s) { return new InetSocketAddress("127.0.0.1", s.gateway.plannerPort()); }
 
     /** The function is loaded at the first miss: calls are pushed back until it stands, each has its answer, then one is finished. */
-    private static void answered(Served s) throws Exception {
+    private static void answered(GatewayFixture s) throws Exception {
         int status = 503;
         for (int i = 0; i < 100 && status == 503; i++) {
             status = s.invoke("again-1", "1").statusCode();
@@ -63,11 +63,11 @@
     }
 
     @Test void aLoadGoesOutAtThePlannersWord() throws Exception {
-        try (Loads w = new Loads(); Served s = new Served(LINK, w.peer); NetworkTransport net = net();
+        try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer); NetworkTransport net = net();
              PlannerEnd p = new PlannerEnd(net, at(s), 0)) {
-            Served.until(p::linked);
+            GatewayFixture.until(p::linked);
             answered(s);
-            Served.until(() -> s.gateway.plans()[0] > 0);
+            GatewayFixture.until(() -> s.gateway.plans()[0] > 0);
             assertThat(w.loads.get()).isEqualTo(1);
             assertThat(s.gateway.plans()[3]).isZero();
             assertThat(s.get("/v1/status").body()).contains("\"state\" : \"led\"").contains("\"led\" : 1");
@@ -75,9 +75,9 @@
     }
 
     @Test void withNoPlannerOrADeadOneCallsAreAnswered() throws Exception {
-        try (Loads w = new Loads(); Served s = new Served(LINK, w.peer); NetworkTransport net = net()) {
+        try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer); NetworkTransport net = net()) {
             PlannerEnd p = new PlannerEnd(net, at(s), 0);
-            Served.until(p::linked);
+            GatewayFixture.until(p::linked);
             p.close();
             answered(s);
             assertThat(w.loads.get()).isEqualTo(1);
@@ -85,7 +85,7 @@
     }
 
     @Test void aSilentPlannerCostsThePatienceAndNoMore() throws Exception {
-        try (Loads w = new Loads(); Served s = new Served(LINK, w.peer); Socket mute = new Socket("127.0.0.1", s.gateway.plannerPort())) {
+        try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer); Socket mute = new Socket("127.0.0.1", s.gateway.plannerPort())) {
             DataOutputStream out = new DataOutputStream(mute.getOutputStream());
             send(out, new Codec.Hello(Codec.VERSION, "planner", 0, 0));
             assertThat(read(new DataInputStream(mute.getInputStream()))).isInstanceOf(Codec.Hello.class);
@@ -95,8 +95,8 @@
     }
 
     @Test void whoCannotBeAPlannerIsRefusedByName() throws Exception {
-        try (Loads w = new Loads(); Served s = new Served(LINK, w.peer); NetworkTransport net = net(); PlannerEnd p = new PlannerEnd(net, at(s), 0)) {
-            Served.until(p::linked);
+        try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer); NetworkTransport net = net(); PlannerEnd p = new PlannerEnd(net, at(s), 0)) {
+            GatewayFixture.until(p::linked);
             Object[] firsts = {new Codec.Hello(Codec.VERSION + 1, "planner", 0, 0), new Codec.Hello(Codec.VERSION, "edge", 0, 0),
                 new Codec.Hello(Codec.VERSION, "planner", 5, 0), new Codec.Hello(Codec.VERSION, "planner", 0, 0), new Codec.Beat(1)};
             String[] why = {"version 3", "no planner", "router 5", "linked already", "before the handshake"};
@@ -114,7 +114,7 @@
     }
 
     @Test void garbageHalfFramesAndWrongPlansDisturbNoCall() throws Exception {
-        try (Loads w = new Loads(); Served s = new Served(LINK, w.peer)) {
+        try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer)) {
             int port = s.gateway.plannerPort();
             try (Socket c = new Socket("127.0.0.1", port)) {
                 c.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)); // a frame of 1 GB
@@ -133,7 +133,7 @@
                 Codec.Hello h = (Codec.Hello) read(new DataInputStream(c.getInputStream()));
                 send(out, new Plan(h.epoch(), 1, new long[] {99, -4}));
                 send(out, new Plan(h.epoch() + 1, 1, new long[] {0}));
-                Served.until(() -> s.gateway.plans()[3] == 3);
+                GatewayFixture.until(() -> s.gateway.plans()[3] == 3);
                 out.writeInt(400); // half a frame, then the end
                 out.write(new byte[17]);
             }
--- a/src/test/java/switchgap/gateway/ListTest.java
+++ b/src/test/java/switchgap/server/gateway/EndpointListTest.java
@@ -1,8 +1,8 @@
-package switchgap.gateway;
+package switchgap.server.gateway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static switchgap.gateway.Served.end;
-import static switchgap.gateway.Served.until;
+import static switchgap.server.gateway.GatewayFixture.end;
+import static switchgap.server.gateway.GatewayFixture.until;
 
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
@@ -15,23 +15,23 @@
 import switchgap.standin.WallTicker;
 
 /** The list while calls run: gone, draining, back with a new process, and a service that is away. */
-class ListTest {
+class EndpointListTest {
     @TempDir Path dir;
 
-    private static ListService.Line line(String name, Peer p, String state) {
+    private static ListService.Line line(String name, HttpTestServer p, String state) {
         return new ListService.Line(name, p.port(), state, "zone", 0, "", 1, 0);
     }
 
     @Test void goneDrainingAndBack() throws Exception {
-        Peer.Manner slow = (q, out) -> {
+        HttpTestServer.Behaviour slow = (q, out) -> {
             Thread.sleep(150);
-            return Peer.well(q, out);
+            return HttpTestServer.well(q, out);
         };
         try (NetworkTransport net = new NetworkTransport(1, "list"); WallTicker t = new WallTicker(); Record log = new Record(dir.resolve("l"));
-             Peer a = new Peer(slow); Peer b = new Peer(slow)) {
+             HttpTestServer a = new HttpTestServer(slow); HttpTestServer b = new HttpTestServer(slow)) {
             ListService list = new ListService(t, net, log, 0);
             t.post(() -> list.put(line("w0", a, "ready")));
-            try (Served s = new Served("list: {port: " + list.port() + ", ask_again: 50ms}\n")) {
+            try (GatewayFixture s = new GatewayFixture("list: {port: " + list.port() + ", ask_again: 50ms}\n")) {
                 until(() -> list.lines().size() == 1);
                 Thread.sleep(200);
                 assertThat(end(s.invoke("once-1", "1"))).isEqualTo("finished");
@@ -73,15 +73,15 @@
     /** Half open: the service's machine is gone without a word. It sounded like a fleet in which nothing changes, for ever. */
     @Test void aListServiceThatSaysNothingForLongIsAskedAnew() throws Exception {
         java.util.concurrent.atomic.AtomicInteger asked = new java.util.concurrent.atomic.AtomicInteger();
-        try (Peer a = new Peer(Peer::well); Peer service = new Peer((q, out) -> {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); HttpTestServer service = new HttpTestServer((q, out) -> {
             int n = asked.incrementAndGet();
             String line = "{\"whole\":true,\"version\":" + n + ",\"workers\":[{\"name\":\"w0\",\"port\":" + a.port() + ",\"state\":\""
                 + (n < 3 ? "ready" : "draining") + "\",\"zone\":\"zone\"}]}\n";
             out.write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n")
                 .getBytes(java.nio.charset.StandardCharsets.US_ASCII));
             out.flush();
-            return Peer.silent(q, out);
-        }); Served s = new Served("list: {port: " + service.port() + ", ask_again: 20ms}\n")) {
+            return HttpTestServer.silent(q, out);
+        }); GatewayFixture s = new GatewayFixture("list: {port: " + service.port() + ", ask_again: 20ms}\n")) {
             until(() -> asked.get() == 1);
             assertThat(end(s.invoke("once-1", "1"))).isEqualTo("finished"); // the last list stays meanwhile
             for (int i = 0; i < 300 && asked.get() < 3; i++) { Thread.sleep(10); }
--- a/src/test/java/switchgap/gateway/Served.java
+++ b/src/test/java/switchgap/server/gateway/GatewayFixture.java
@@ -1,4 +1,4 @@
-package switchgap.gateway;
+package switchgap.server.gateway;
 
 import java.io.IOException;
 import java.net.URI;
@@ -7,10 +7,10 @@
 import java.net.http.HttpResponse;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
-import switchgap.terms.Page;
+import switchgap.config.YamlDocument;
 
 /** A router over peers, and a client for it. */
-final class Served implements AutoCloseable {
+final class GatewayFixture implements AutoCloseable {
     static final String TERMS = """
         router: {number: 0, of: 1, tick: 20ms, executions: 3, most_come_back: 900ms}
         workloads:
@@ -23,14 +23,14 @@
           once*: {workload: once, memory: 100, lanes: 4}
           known*: {workload: known, memory: 100, lanes: 4}
         """;
-    final Gateway gateway;
+    final GatewayRouter gateway;
     final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-    Served(String more, Peer... peers) throws IOException { this(TERMS, more, peers); }
+    GatewayFixture(String more, HttpTestServer... peers) throws IOException { this(TERMS, more, peers); }
 
-    static Served with(String terms, String more, Peer... peers) throws IOException { return new Served(terms, more, peers); }
+    static GatewayFixture with(String terms, String more, HttpTestServer... peers) throws IOException { return new GatewayFixture(terms, more, peers); }
 
-    private Served(String terms, String more, Peer... peers) throws IOException {
+    private GatewayFixture(String terms, String more, HttpTestServer... peers) throws IOException {
         StringBuilder s = new StringBuilder(terms).append(more);
         if (!more.contains("listen:")) { s.append("listen: {port: 0}\n"); }
         if (!more.contains("list:")) {
@@ -39,7 +39,7 @@
                 s.append("    - {name: w").append(i).append(", port: ").append(peers[i].port()).append("}\n");
             }
         }
-        gateway = new Gateway(GatewayPage.read(Page.read("test.yaml", s.toString())));
+        gateway = new GatewayRouter(GatewayConfig.read(YamlDocument.read("test.yaml", s.toString())));
     }
 
     HttpRequest.Builder to(String path) {
--- a/src/test/java/switchgap/gateway/Peer.java
+++ b/src/test/java/switchgap/server/gateway/HttpTestServer.java
@@ -1,4 +1,4 @@
-package switchgap.gateway;
+package switchgap.server.gateway;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
@@ -12,24 +12,24 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A worker on a plain socket that does with each request what a test says, and keeps what came. */
-public final class Peer implements AutoCloseable {
+public final class HttpTestServer implements AutoCloseable {
     /** What came: the request line, the execution's name, the body, and on which connection. */
-    public record Asked(String line, String run, String body, int connection) { }
+    public record ReceivedRequest(String line, String run, String body, int connection) { }
 
     /** Answers a request on the raw connection; false closes it. */
-    public interface Manner {
-        boolean answer(Asked a, OutputStream out) throws IOException, InterruptedException;
+    public interface Behaviour {
+        boolean answer(ReceivedRequest a, OutputStream out) throws IOException, InterruptedException;
     }
 
-    public final List<Asked> asked = new CopyOnWriteArrayList<>();
+    public final List<ReceivedRequest> asked = new CopyOnWriteArrayList<>();
     private final ServerSocket listener;
     private final List<Socket> open = new CopyOnWriteArrayList<>();
     private final AtomicInteger connections = new AtomicInteger();
-    private volatile Manner manner;
+    private volatile Behaviour manner;
 
-    public Peer(Manner manner) throws IOException { this(0, manner); }
+    public HttpTestServer(Behaviour manner) throws IOException { this(0, manner); }
 
-    public Peer(int port, Manner manner) throws IOException {
+    public HttpTestServer(int port, Behaviour manner) throws IOException {
         this.manner = manner;
         listener = new ServerSocket();
         listener.setReuseAddress(true);
@@ -41,7 +41,7 @@
 
     public int port() { return listener.getLocalPort(); }
 
-    public void manner(Manner m) { manner = m; }
+    public void manner(Behaviour m) { manner = m; }
 
     /** Executions that came. */
     public long infers() { return asked.stream().filter(a -> a.line().contains("/infer")).count(); }
@@ -74,7 +74,7 @@
                     if (h.toLowerCase().startsWith("content-length:")) { length = Integer.parseInt(h.substring(15).trim()); }
                     if (h.toLowerCase().startsWith("x-request-id:")) { run = h.substring(13).trim(); }
                 }
-                Asked a = new Asked(line, run, new String(in.readNBytes(length), StandardCharsets.UTF_8), n);
+                ReceivedRequest a = new ReceivedRequest(line, run, new String(in.readNBytes(length), StandardCharsets.UTF_8), n);
                 asked.add(a);
                 if (!manner.answer(a, s.getOutputStream())) { return; }
                 s.getOutputStream().flush();
@@ -94,19 +94,19 @@
     }
 
     /** An answer as a well-behaved worker writes it. */
-    public static byte[] ok(Asked a, String body) { return http(200, "X-Request-Id: " + a.run() + "\r\n", body); }
+    public static byte[] ok(ReceivedRequest a, String body) { return http(200, "X-Request-Id: " + a.run() + "\r\n", body); }
 
     public static byte[] http(int status, String headers, String body) {
         return ("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body)
             .getBytes(StandardCharsets.UTF_8);
     }
 
-    public static boolean well(Asked a, OutputStream out) throws IOException {
+    public static boolean well(ReceivedRequest a, OutputStream out) throws IOException {
         out.write(ok(a, "{\"echo\":" + (a.body().isEmpty() ? "0" : a.body()) + "}"));
         return true;
     }
 
-    public static boolean silent(Asked a, OutputStream out) throws InterruptedException {
+    public static boolean silent(ReceivedRequest a, OutputStream out) throws InterruptedException {
         Thread.sleep(20_000);
         return false;
     }
--- a/src/test/java/switchgap/gateway/InvokeApiTest.java
+++ b/src/test/java/switchgap/server/gateway/InvokeApiTest.java
@@ -1,8 +1,8 @@
-package switchgap.gateway;
+package switchgap.server.gateway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static switchgap.gateway.Served.end;
-import static switchgap.gateway.Served.until;
+import static switchgap.server.gateway.GatewayFixture.end;
+import static switchgap.server.gateway.GatewayFixture.until;
 
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -15,7 +15,7 @@
 /** The invoke API: what is refused and how, deferred calls, and what a bad client can't do to others. */
 class InvokeApiTest {
     @Test void badInputGetsAClearProblem() throws Exception {
-        try (Peer a = new Peer(Peer::well); Served s = new Served("", a)) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); GatewayFixture s = new GatewayFixture("", a)) {
             String[][] cases = {
                 {"nothing", "", "", "404", "unknown-function"},
                 {"again-1", "Switchgap-Workload", "none", "400", "unknown-workload"},
@@ -47,7 +47,7 @@
 
     // A client of HTTP/2 offers an upgrade with its first request, which the filters then never called whole.
     @Test void aRequestThatOffersAnUpgradeIsAnsweredAsAPlainOne() throws Exception {
-        try (Peer a = new Peer(Peer::well); Served s = new Served("", a)) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); GatewayFixture s = new GatewayFixture("", a)) {
             var client = java.net.http.HttpClient.newHttpClient();
             var bodies = java.net.http.HttpResponse.BodyHandlers.ofString();
             for (int i = 0; i < 2; i++) {
@@ -59,8 +59,8 @@
     }
 
     @Test void tooMuchIsRefusedAndDisturbsNobody() throws Exception {
-        try (Peer a = new Peer(Peer::well);
-             Served s = new Served("listen: {port: 0, body_bytes: 1000, header_bytes: 2048, connections: 4, arrival: 300ms}\n", a)) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well);
+             GatewayFixture s = new GatewayFixture("listen: {port: 0, body_bytes: 1000, header_bytes: 2048, connections: 4, arrival: 300ms}\n", a)) {
             assertThat(s.invoke("again-1", "x".repeat(2000)).statusCode()).isEqualTo(413);
             assertThat(raw(s, "POST /v1/functions/again-1/invoke HTTP/1.1\r\nHost: x\r\nX: " + "y".repeat(4000) + "\r\n\r\n"))
                 .doesNotContain("200 OK");
@@ -94,7 +94,7 @@
         }
     }
 
-    private static String raw(Served s, String request) throws Exception {
+    private static String raw(GatewayFixture s, String request) throws Exception {
         try (Socket c = new Socket("127.0.0.1", s.gateway.port())) {
             c.setSoTimeout(1500);
             OutputStream out = c.getOutputStream();
@@ -108,10 +108,10 @@
     }
 
     @Test void tooManyHeldCallsArePushedBackUntaken() throws Exception {
-        try (Peer a = new Peer((q, out) -> {
+        try (HttpTestServer a = new HttpTestServer((q, out) -> {
             Thread.sleep(300);
-            return Peer.well(q, out);
-        }); Served s = new Served("holds: {calls: 2}\n", a)) {
+            return HttpTestServer.well(q, out);
+        }); GatewayFixture s = new GatewayFixture("holds: {calls: 2}\n", a)) {
             var one = s.later("once-1", "1");
             var two = s.later("once-1", "2");
             until(() -> s.gateway.held() == 2);
@@ -124,10 +124,10 @@
     }
 
     @Test void aDeferredCallIsAcceptedPolledAndGoneInTime() throws Exception {
-        try (Peer a = new Peer((q, out) -> {
+        try (HttpTestServer a = new HttpTestServer((q, out) -> {
             Thread.sleep(200);
-            return Peer.well(q, out);
-        }); Served s = new Served("holds: {results_kept: 600ms, deferred: 2}\n", a)) {
+            return HttpTestServer.well(q, out);
+        }); GatewayFixture s = new GatewayFixture("holds: {results_kept: 600ms, deferred: 2}\n", a)) {
             HttpResponse<String> r = s.invoke("once-1", "5", "Prefer", "respond-async");
             assertThat(r.statusCode()).isEqualTo(202);
             String at = r.headers().firstValue("Location").orElseThrow();
@@ -149,7 +149,7 @@
     }
 
     @Test void tenThousandDeferredCallsAreAllAnsweredAtTheirLimits() throws Exception {
-        try (Peer a = new Peer(Peer::silent); Served s = new Served("holds: {calls: 20000, deferred: 20000}\n", a)) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::silent); GatewayFixture s = new GatewayFixture("holds: {calls: 20000, deferred: 20000}\n", a)) {
             java.util.List<java.util.concurrent.CompletableFuture<HttpResponse<String>>> all = new java.util.ArrayList<>();
             for (int i = 0; i < 10_000; i++) {
                 all.add(s.later(i % 2 == 0 ? "once-1" : "again-1", "1", "Prefer", "respond-async"));
@@ -169,10 +169,10 @@
     }
 
     @Test void stoppingAnswersWhatIsHeldAndTakesNothingMore() throws Exception {
-        try (Peer a = new Peer((q, out) -> {
+        try (HttpTestServer a = new HttpTestServer((q, out) -> {
             Thread.sleep(400);
-            return Peer.well(q, out);
-        }); Served s = new Served("", a)) {
+            return HttpTestServer.well(q, out);
+        }); GatewayFixture s = new GatewayFixture("", a)) {
             assertThat(end(s.invoke("once-1", "0"))).isEqualTo("finished");
             var held = s.later("once-1", "1");
             until(() -> s.gateway.held() == 1);
@@ -185,7 +185,7 @@
     }
 
     @Test void aFingerprintGoesWithTheExecution() throws Exception {
-        try (Peer a = new Peer(Peer::well); Served s = new Served("", a)) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); GatewayFixture s = new GatewayFixture("", a)) {
             HttpRequest r = s.to("/v1/functions/known-1/invoke").header("Idempotency-Key", "k1")
                 .POST(HttpRequest.BodyPublishers.ofString("1")).build();
             assertThat(end(s.client.send(r, HttpResponse.BodyHandlers.ofString()))).isEqualTo("finished");
--- a/src/test/java/switchgap/gateway/PlannedTest.java
+++ b/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
@@ -1,4 +1,4 @@
-package switchgap.gateway;
+package switchgap.server.gateway;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,6 +8,8 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
+import switchgap.config.YamlDocument;
+import switchgap.config.YamlRouterSettings;
 import switchgap.plan.Plan;
 import switchgap.plan.Sequence;
 import switchgap.policy.api.AttemptOutcome;
@@ -21,15 +23,13 @@
 import switchgap.router.WorkerCommand;
 import switchgap.router.WorkerEntry;
 import switchgap.router.WorkerTransport;
-import switchgap.terms.Page;
-import switchgap.terms.PageTerms;
 import switchgap.testing.ReachableObjects;
 
 /** Days of load orders through the edge's part for the planner: none running, one that goes, one that stays. */
-class PlannedTest implements WorkerTransport {
+class PlannedWorkerTransportTest implements WorkerTransport {
     private final List<Consumer<RouterCore>> next = new ArrayList<>();
-    private final PageTerms terms = new PageTerms(Page.read("t", Served.TERMS));
-    private final Planned planned = new Planned(this, terms, Duration.ofMillis(60), next::add);
+    private final YamlRouterSettings terms = new YamlRouterSettings(YamlDocument.read("t", GatewayFixture.TERMS));
+    private final PlannedWorkerTransport planned = new PlannedWorkerTransport(this, terms, Duration.ofMillis(60), next::add);
     private final PolicyEvents nothing = (PolicyEvents) Proxy.newProxyInstance(PolicyEvents.class.getClassLoader(), new Class<?>[] {PolicyEvents.class}, (p, m, a) -> null);
     private int ordered;
     private final RouterCore core = new RouterCore(terms, (now, in, out) -> {
--- a/src/test/java/switchgap/gateway/LevelsAtTheRouterTest.java
+++ b/src/test/java/switchgap/server/gateway/ServiceLevelsAtTheRouterTest.java
@@ -1,22 +1,22 @@
-package switchgap.gateway;
+package switchgap.server.gateway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static switchgap.gateway.Served.end;
-import static switchgap.gateway.Served.until;
+import static switchgap.server.gateway.GatewayFixture.end;
+import static switchgap.server.gateway.GatewayFixture.until;
 
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import org.junit.jupiter.api.Test;
 
 /** Levels as clients and operators meet them at the router. */
-class LevelsAtTheRouterTest {
-    private static HttpResponse<String> pin(Served s, String rung, int seconds) throws Exception {
+class ServiceLevelsAtTheRouterTest {
+    private static HttpResponse<String> pin(GatewayFixture s, String rung, int seconds) throws Exception {
         return s.client.send(s.to("/v1/levels?pin=" + rung + "&seconds=" + seconds).POST(HttpRequest.BodyPublishers.noBody())
             .build(), HttpResponse.BodyHandlers.ofString());
     }
 
     @Test void aPinnedLevelPushesBackSaysSoAndExpires() throws Exception {
-        try (Peer a = new Peer(Peer::well); Served s = new Served("", a)) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); GatewayFixture s = new GatewayFixture("", a)) {
             assertThat(s.get("/v1/levels").body()).contains("\"level\" : \"full\"");
             assertThat(pin(s, "least", 1).statusCode()).isEqualTo(200);
             HttpResponse<String> r = s.invoke("again-1", "1");
@@ -42,9 +42,9 @@
 
     /** Its answer was kept back until two start targets before the limit, to be offered again and again. */
     @Test void aDeferredCallThatALevelPushesBackIsAnsweredAtOnce() throws Exception {
-        String slow = Served.TERMS.replace("again: {start_target: 300ms, time_limit: 900ms",
+        String slow = GatewayFixture.TERMS.replace("again: {start_target: 300ms, time_limit: 900ms",
             "again: {start_target: 300ms, time_limit: 6s");
-        try (Peer a = new Peer(Peer::well); Served s = Served.with(slow, "", a)) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); GatewayFixture s = GatewayFixture.with(slow, "", a)) {
             pin(s, "hold", 1);
             String at = s.invoke("again-1", "9", "Prefer", "respond-async").headers().firstValue("Location").orElseThrow();
             HttpResponse<String> r = s.get(at);
@@ -56,7 +56,7 @@
     }
 
     @Test void badPinsAreRefused() throws Exception {
-        try (Peer a = new Peer(Peer::well); Served s = new Served("levels: {pin: hold, pin_for: 300ms, spare: [known]}\n", a)) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); GatewayFixture s = new GatewayFixture("levels: {pin: hold, pin_for: 300ms, spare: [known]}\n", a)) {
             assertThat(end(s.invoke("once-1", "1"))).isEqualTo("pushed-back"); // the page's pin
             assertThat(end(s.invoke("known-1", "1", "Idempotency-Key", "k"))).isEqualTo("finished"); // spared
             assertThat(pin(s, "share", 5).statusCode()).isEqualTo(400);
@@ -65,7 +65,7 @@
             Thread.sleep(500);
             assertThat(end(s.invoke("once-1", "1"))).isEqualTo("finished");
         }
-        try (Peer a = new Peer(Peer::well); Served s = new Served("levels: {act: false}\n", a)) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); GatewayFixture s = new GatewayFixture("levels: {act: false}\n", a)) {
             assertThat(s.get("/v1/levels").statusCode()).isEqualTo(404);
         }
     }
--- a/src/test/java/switchgap/gateway/WorstMomentTest.java
+++ b/src/test/java/switchgap/server/gateway/WorstMomentTest.java
@@ -1,8 +1,8 @@
-package switchgap.gateway;
+package switchgap.server.gateway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static switchgap.gateway.Served.end;
-import static switchgap.gateway.Served.until;
+import static switchgap.server.gateway.GatewayFixture.end;
+import static switchgap.server.gateway.GatewayFixture.until;
 
 import java.io.OutputStream;
 import java.net.ServerSocket;
@@ -26,12 +26,12 @@
 
     /** An interim answer is no answer: the final one follows on the same connection. */
     @Test void anInterimAnswerIsNoEnd() throws Exception {
-        try (Peer a = new Peer((q, out) -> {
+        try (HttpTestServer a = new HttpTestServer((q, out) -> {
             write(out, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 10");
             Thread.sleep(30);
             write(out, "2 Processing\r\nX: y\r\n\r\n");
-            return Peer.well(q, out);
-        }); Served s = new Served("", a)) {
+            return HttpTestServer.well(q, out);
+        }); GatewayFixture s = new GatewayFixture("", a)) {
             for (int i = 0; i < 3; i++) {
                 HttpResponse<String> r = s.invoke("once-1", "\"n" + i + "\"");
                 assertThat(end(r)).isEqualTo("finished");
@@ -59,7 +59,7 @@
             });
             t.setDaemon(true);
             t.start();
-            try (Served s = new Served("listen: {port: 0, body_bytes: 8000000}\nlist:\n  workers:\n    - {name: w, port: "
+            try (GatewayFixture s = new GatewayFixture("listen: {port: 0, body_bytes: 8000000}\nlist:\n  workers:\n    - {name: w, port: "
                 + l.getLocalPort() + "}\n")) {
                 String big = "\"" + "x".repeat(4_000_000) + "\"";
                 for (int i = 0; i < 3; i++) { // either the answer counts, or the break; a run-once job has one of them, once
@@ -72,12 +72,12 @@
 
     @Test void aCloseBetweenHeadAndBodyMayHaveRun() throws Exception {
         AtomicInteger n = new AtomicInteger();
-        Peer.Manner once = (q, out) -> {
-            if (!q.line().contains("/infer") || n.incrementAndGet() > 1) { return Peer.well(q, out); }
+        HttpTestServer.Behaviour once = (q, out) -> {
+            if (!q.line().contains("/infer") || n.incrementAndGet() > 1) { return HttpTestServer.well(q, out); }
             write(out, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n");
             return false;
         };
-        try (Peer a = new Peer(once); Peer b = new Peer(once); Served s = new Served("", a, b)) {
+        try (HttpTestServer a = new HttpTestServer(once); HttpTestServer b = new HttpTestServer(once); GatewayFixture s = new GatewayFixture("", a, b)) {
             assertThat(end(s.invoke("once-1", "1"))).isEqualTo("killed");
             assertThat(a.infers() + b.infers()).isEqualTo(1);
             n.set(0);
@@ -88,7 +88,7 @@
 
     /** Closed while idle: the router sees it before it writes, and a run-once job goes out on a new connection. */
     @Test void anIdleLinkThatTheWorkerClosedIsNotUsed() throws Exception {
-        try (Peer a = new Peer(Peer::well); Served s = new Served("", a)) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); GatewayFixture s = new GatewayFixture("", a)) {
             for (int i = 0; i < 5; i++) {
                 assertThat(end(s.invoke("once-1", "1"))).isEqualTo("finished");
                 a.hangUp();
@@ -102,18 +102,18 @@
     @Test void aCloseDuringALoadEndsTheOrderAndTheLoadGoesElsewhere() throws Exception {
         AtomicInteger bad = new AtomicInteger();
         AtomicInteger good = new AtomicInteger();
-        try (Peer a = new Peer(loading(bad, false)); Peer b = new Peer(loading(good, true));
-             Served s = new Served("workers: {miss: answers, orders: true}\n", a, b)) {
+        try (HttpTestServer a = new HttpTestServer(loading(bad, false)); HttpTestServer b = new HttpTestServer(loading(good, true));
+             GatewayFixture s = new GatewayFixture("workers: {miss: answers, orders: true}\n", a, b)) {
             for (int i = 0; i < 4; i++) {
                 String f = "once-" + i; // some are at home at the one, some at the other
-                until(() -> s.later(f, "1").thenApply(Served::end).join().equals("finished"));
+                until(() -> s.later(f, "1").thenApply(GatewayFixture::end).join().equals("finished"));
             }
             assertThat(bad.get()).isLessThanOrEqualTo(8);
             assertThat(s.gateway.held()).isZero();
         }
     }
 
-    private static Peer.Manner loading(AtomicInteger loads, boolean well) {
+    private static HttpTestServer.Behaviour loading(AtomicInteger loads, boolean well) {
         java.util.Set<String> stand = java.util.concurrent.ConcurrentHashMap.newKeySet();
         return (q, out) -> {
             String f = q.line().replaceAll(".*/models/([a-z0-9-]+)/.*", "$1");
@@ -121,18 +121,18 @@
                 loads.incrementAndGet();
                 Thread.sleep(50);
                 stand.add(f);
-                return well && Peer.well(q, out);
+                return well && HttpTestServer.well(q, out);
             }
-            if (!q.line().contains("/infer") || well && stand.contains(f)) { return Peer.well(q, out); }
-            out.write(Peer.http(404, NOT_RUN, "{}"));
+            if (!q.line().contains("/infer") || well && stand.contains(f)) { return HttpTestServer.well(q, out); }
+            out.write(HttpTestServer.http(404, NOT_RUN, "{}"));
             return true;
         };
     }
 
     /** Half open: connects, takes bytes, never answers, stays listed. It must not go on drawing the jobs that are at home there. */
     @Test void aHalfOpenWorkerIsFoundOutByItsSilence() throws Exception {
-        try (Peer dumb = new Peer(Peer::silent); Peer a = new Peer(Peer::well); Peer b = new Peer(Peer::well); Peer c = new Peer(Peer::well);
-             Served s = new Served("", dumb, a, b, c)) {
+        try (HttpTestServer dumb = new HttpTestServer(HttpTestServer::silent); HttpTestServer a = new HttpTestServer(HttpTestServer::well); HttpTestServer b = new HttpTestServer(HttpTestServer::well); HttpTestServer c = new HttpTestServer(HttpTestServer::well);
+             GatewayFixture s = new GatewayFixture("", dumb, a, b, c)) {
             int finished = 0;
             for (int round = 0; round < 5; round++) {
                 List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
@@ -147,7 +147,7 @@
 
     /** Each held a place among the connections for good: bytes of a head and then silence, or no byte at all. */
     @Test void aClientThatNeverGetsToAWholeRequestGivesItsPlaceBack() throws Exception {
-        try (Peer a = new Peer(Peer::well); Served s = new Served("listen: {port: 0, arrival: 300ms, idle: 1s, connections: 3}\n", a)) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); GatewayFixture s = new GatewayFixture("listen: {port: 0, arrival: 300ms, idle: 1s, connections: 3}\n", a)) {
             String[] halves = {"POST /v1/functions/once-1/inv", "", "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n+GET /heal"};
             List<Socket> half = new ArrayList<>();
             for (String h : halves) {
@@ -172,7 +172,7 @@
 
     /** A planner's door, the same: who connects and says nothing is not kept. */
     @Test void whoSaysNothingAtThePlannersDoorIsNotKept() throws Exception {
-        try (Peer a = new Peer(Peer::well); Served s = new Served("planner: {port: 0}\nworkers: {orders: true}\n", a);
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); GatewayFixture s = new GatewayFixture("planner: {port: 0}\nworkers: {orders: true}\n", a);
              Socket c = new Socket("127.0.0.1", s.gateway.plannerPort())) {
             c.setSoTimeout(5000);
             assertThat(c.getInputStream().read()).isEqualTo(-1);
--- a/src/test/java/switchgap/platform/Feed.java
+++ b/src/test/java/switchgap/server/platform/ControlFeedServer.java
@@ -1,4 +1,4 @@
-package switchgap.platform;
+package switchgap.server.platform;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -13,9 +13,9 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** A scripted control feed on a plain socket. */
-public final class Feed implements AutoCloseable {
+public final class ControlFeedServer implements AutoCloseable {
     /** Tells on the n-th connection, from 0; false closes it. */
-    public interface Manner {
+    public interface Behaviour {
         boolean tell(int n, long last, OutputStream out) throws IOException;
     }
 
@@ -23,9 +23,9 @@
     private final List<Socket> open = new CopyOnWriteArrayList<>();
     private final ServerSocket listener;
 
-    public Feed(Manner manner) throws IOException { this(0, manner); }
+    public ControlFeedServer(Behaviour manner) throws IOException { this(0, manner); }
 
-    public Feed(int port, Manner manner) throws IOException {
+    public ControlFeedServer(int port, Behaviour manner) throws IOException {
         listener = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         Thread t = new Thread(() -> {
             try {
@@ -38,7 +38,7 @@
         t.start();
     }
 
-    private void serve(Socket s, int n, Manner manner) throws IOException {
+    private void serve(Socket s, int n, Behaviour manner) throws IOException {
         open.add(s);
         try {
             BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
--- a/src/test/java/switchgap/platform/ClientsThatGoTest.java
+++ b/src/test/java/switchgap/server/platform/DepartedClientsTest.java
@@ -1,4 +1,4 @@
-package switchgap.platform;
+package switchgap.server.platform;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -13,10 +13,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Clients that close, withdraw or come again between two steps of the router; the crossing is forced by holding its loop. */
-class ClientsThatGoTest extends OnSockets {
-    private Client served(Client c, Peer w, int number) throws Exception {
+class DepartedClientsTest extends PlatformFixture {
+    private ThriftTestClient served(ThriftTestClient c, RespTestServer w, int number) throws Exception {
         String id = id();
-        c.ask(number, Client.fields("again", id, 900, F), "served");
+        c.ask(number, ThriftTestClient.fields("again", id, 900, F), "served");
         assertThat(text(c.reply())).isEqualTo(id + ":served");
         assertThat(w.came("DO").stream().filter(a -> a.id().equals(id))).hasSize(1);
         return c;
@@ -24,27 +24,27 @@
 
     /** Seen on roll+mass: a call pushed back as it came was counted as held until its connection ended, also at a stop. */
     @Test void aCallAnsweredAsItComesIsNotHeld() throws Exception {
-        serve(256, new Peer(Peer::well));
-        Client c = client();
+        serve(256, new RespTestServer(RespTestServer::well));
+        ThriftTestClient c = client();
         String id = id();
-        c.ask(1, Client.fields("again", id, 60, F), "hopeless");
+        c.ask(1, ThriftTestClient.fields("again", id, 60, F), "hopeless");
         assertThat(c.reply().field()).isEqualTo(1);
         assertThat(platform.held()[0]).isZero();
-        c.ask(2, Client.fields("again", id, 900, F), "again");
+        c.ask(2, ThriftTestClient.fields("again", id, 900, F), "again");
         assertThat(text(c.reply())).isEqualTo(id + ":again");
     }
 
     /** Seen on roll+mass and join+mass: the round that should have given up came 3 ms past the limit, and nothing was said. */
     @Test void aCallWhoseLimitPassedWhileTheRouterStoodStillGetsItsAnswer() throws Exception {
-        Peer w = new Peer((a, out) -> a.word().equals("DO") || Peer.well(a, out));
+        RespTestServer w = new RespTestServer((a, out) -> a.word().equals("DO") || RespTestServer.well(a, out));
         serve(256, w);
-        Client c = client();
-        c.ask(1, Client.fields("again", id(), 300, F), "x");
-        c.ask(2, Client.fields("once", id(), 300, "00000000000000f2"), "x");
+        ThriftTestClient c = client();
+        c.ask(1, ThriftTestClient.fields("again", id(), 300, F), "x");
+        c.ask(2, ThriftTestClient.fields("once", id(), 300, "00000000000000f2"), "x");
         until(() -> w.came("DO").size() == 2);
-        Client late = client();
+        ThriftTestClient late = client();
         try (AutoCloseable gate = holdLoop()) {
-            late.ask(1, Client.fields("again", id(), 150, F), "read and not yet taken");
+            late.ask(1, ThriftTestClient.fields("again", id(), 150, F), "read and not yet taken");
             Thread.sleep(400); // past each limit
         }
         assertThat(List.of(c.reply().number(), c.reply().number())).containsExactlyInAnyOrder(1, 2);
@@ -53,19 +53,19 @@
     }
 
     @Test void whatIsWithdrawnBehindItInTheQueueNeverGoesOut() throws Exception {
-        Peer w = new Peer(Peer::well);
+        RespTestServer w = new RespTestServer(RespTestServer::well);
         serve(256, w);
-        Client c = client();
+        ThriftTestClient c = client();
         String withdrawn = id();
         String closed = id();
-        Client leaves = client();
+        ThriftTestClient leaves = client();
         read(leaves, 1);
         served(client(), w, 1); // a copy stands: the next one goes out as it is taken
         try (AutoCloseable gate = holdLoop()) {
-            c.ask(1, Client.fields("again", withdrawn, 900, F), "x");
+            c.ask(1, ThriftTestClient.fields("again", withdrawn, 900, F), "x");
             c.revoke(2, 1);
             read(c, 3);
-            leaves.ask(2, Client.fields("again", closed, 900, F), "x");
+            leaves.ask(2, ThriftTestClient.fields("again", closed, 900, F), "x");
             read(leaves, 3);
             leaves.close();
             until(() -> platform.connected() == 2);
@@ -79,25 +79,25 @@
     @Test void noFurtherExecutionBeginsInTheRoundInWhichTheClientsEndIsWaiting() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         CountDownLatch answered = new CountDownLatch(1);
-        Peer.Manner manner = (a, out) -> {
-            if (!a.word().equals("DO") || !a.words().get(3).equals("turned away")) { return Peer.well(a, out); }
+        RespTestServer.Behaviour manner = (a, out) -> {
+            if (!a.word().equals("DO") || !a.words().get(3).equals("turned away")) { return RespTestServer.well(a, out); }
             answer.await();
-            Peer.say(out, a.id(), "full", "-", "");
+            RespTestServer.say(out, a.id(), "full", "-", "");
             answered.countDown();
             return true;
         };
-        Peer one = new Peer(manner);
-        Peer two = new Peer(manner);
+        RespTestServer one = new RespTestServer(manner);
+        RespTestServer two = new RespTestServer(manner);
         serve(256, one, two);
-        Client usual = client();
+        ThriftTestClient usual = client();
         int n = 0;
         while (one.came("DO").isEmpty() || two.came("DO").isEmpty()) { // a connection to each is up
-            usual.ask(++n, Client.fields("again", id(), 900, String.format("%016x", n)), "x");
+            usual.ask(++n, ThriftTestClient.fields("again", id(), 900, String.format("%016x", n)), "x");
             assertThat(usual.reply().field()).isZero();
         }
-        Client leaves = client();
+        ThriftTestClient leaves = client();
         String id = id();
-        leaves.ask(1, Client.fields("again", id, 900, String.format("%016x", n)), "turned away");
+        leaves.ask(1, ThriftTestClient.fields("again", id, 900, String.format("%016x", n)), "turned away");
         until(() -> one.came("DO").size() + two.came("DO").size() > usualCalls(one, two, id));
         int before = platform.connected();
         try (AutoCloseable gate = holdLoop()) {
@@ -108,12 +108,12 @@
             leaves.close();
             until(() -> platform.connected() == before - 1);
         }
-        usual.ask(++n, Client.fields("again", id(), 900, F), "x");
+        usual.ask(++n, ThriftTestClient.fields("again", id(), 900, F), "x");
         assertThat(usual.reply().field()).isZero();
         assertThat(one.came("DO").size() + two.came("DO").size() - usualCalls(one, two, id)).isEqualTo(1);
     }
 
-    private static int usualCalls(Peer one, Peer two, String but) {
+    private static int usualCalls(RespTestServer one, RespTestServer two, String but) {
         return (int) java.util.stream.Stream.of(one, two).flatMap(p -> p.came("DO").stream()).filter(a -> !a.id().equals(but)).count();
     }
 
@@ -131,13 +131,13 @@
             before.add(s);
         }
         serveAt(256, "127.0.0.1:" + full.getLocalPort());
-        Client stays = client();
-        Client leaves = client();
+        ThriftTestClient stays = client();
+        ThriftTestClient leaves = client();
         String left = id();
         String kept = id();
-        leaves.ask(1, Client.fields("again", left, 8000, F), "x");
+        leaves.ask(1, ThriftTestClient.fields("again", left, 8000, F), "x");
         until(() -> held(0) == 1 && held(2) > 0);
-        stays.ask(1, Client.fields("again", kept, 8000, F), "x");
+        stays.ask(1, ThriftTestClient.fields("again", kept, 8000, F), "x");
         until(() -> held(0) == 2);
         leaves.close();
         until(() -> held(0) == 1);
@@ -176,18 +176,18 @@
 
     /** The client's new connection is read before the end of the old one, which the router itself closed. */
     @Test void aCallSentAgainOnANewConnectionDoesNotMeetItself() throws Exception {
-        Peer w = new Peer((a, out) -> a.word().equals("DO") && a.words().get(3).equals("first") || Peer.well(a, out));
+        RespTestServer w = new RespTestServer((a, out) -> a.word().equals("DO") && a.words().get(3).equals("first") || RespTestServer.well(a, out));
         serve(256, w);
-        Client old = client();
-        Client anew = client();
+        ThriftTestClient old = client();
+        ThriftTestClient anew = client();
         read(anew, 1);
         String id = id();
-        old.ask(1, Client.fields("again", id, 900, F), "first");
+        old.ask(1, ThriftTestClient.fields("again", id, 900, F), "first");
         until(() -> w.came("DO").size() == 1);
         try (AutoCloseable gate = holdLoop()) {
-            old.ask(1, Client.fields("again", id(), 900, F), "under a number that is taken: the router closes");
+            old.ask(1, ThriftTestClient.fields("again", id(), 900, F), "under a number that is taken: the router closes");
             read(old, 2);
-            anew.ask(2, Client.fields("again", id, 900, F), "second");
+            anew.ask(2, ThriftTestClient.fields("again", id, 900, F), "second");
             read(anew, 3);
         }
         assertThat(text(anew.reply())).isEqualTo(id + ":second");
@@ -197,21 +197,21 @@
     /** With each place taken by connections that wait for an answer, the one that has just come goes, not one of them. */
     @Test void aConnectionWithACallIsNeverTheOneThatMakesRoom() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        Peer w = new Peer((a, out) -> {
+        RespTestServer w = new RespTestServer((a, out) -> {
             if (a.word().equals("DO")) { answer.await(); }
-            return Peer.well(a, out);
+            return RespTestServer.well(a, out);
         });
         serve(30, w); // ten places
-        List<Client> all = new ArrayList<>();
+        List<ThriftTestClient> all = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            Client c = client();
-            c.ask(1, Client.fields("again", id(), 900, F), "x");
+            ThriftTestClient c = client();
+            c.ask(1, ThriftTestClient.fields("again", id(), 900, F), "x");
             all.add(c);
         }
         until(() -> held(0) == 10);
         try (AutoCloseable gate = holdLoop()) {
-            Client newest = client();
-            newest.ask(1, Client.fields("again", id(), 900, F), "x"); // it is busy, too
+            ThriftTestClient newest = client();
+            newest.ask(1, ThriftTestClient.fields("again", id(), 900, F), "x"); // it is busy, too
             read(newest, 2);
             all.add(newest);
         }
--- a/src/test/java/switchgap/platform/StopTest.java
+++ b/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
@@ -1,4 +1,4 @@
-package switchgap.platform;
+package switchgap.server.platform;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Test;
 
 /** A planned restart with something under way in each place that a request or an answer can be. */
-class StopTest extends OnSockets {
+class GracefulShutdownTest extends PlatformFixture {
     private Thread stopping() throws Exception {
         Thread t = stop();
-        try (Client c = new Client(platform.port())) {
+        try (ThriftTestClient c = new ThriftTestClient(platform.port())) {
             for (int n = 1;; n++) { // it is told by a heartbeat
                 c.heartbeat(n);
                 if (!c.reply().good()) { return t; }
@@ -26,11 +26,11 @@
 
     /** The rest of a request that came in pieces comes later than the last new one may. */
     @Test void aRequestHalfComeIsWaitedFor() throws Exception {
-        serve(256, new Peer(Peer::well));
-        Client c = client();
+        serve(256, new RespTestServer(RespTestServer::well));
+        ThriftTestClient c = client();
         read(c, 1);
         String id = id();
-        byte[] frame = Client.submit(2, Client.fields("again", id, 900, F), "x".getBytes());
+        byte[] frame = ThriftTestClient.submit(2, ThriftTestClient.fields("again", id, 900, F), "x".getBytes());
         c.raw(Arrays.copyOf(frame, 30));
         Thread stopping = stopping();
         Thread.sleep(1400); // calls are taken for 1 s, and the piece may lie for 2 s
@@ -41,27 +41,27 @@
 
     /** Answers that their client reads slowly are written whole before the end. */
     @Test void answersAreWrittenToTheirEnd() throws Exception {
-        Peer w = new Peer((a, out) -> {
+        RespTestServer w = new RespTestServer((a, out) -> {
             if (a.word().equals("DO")) {
-                Peer.say(out, a.id(), "data", "-", "y".repeat(16000));
+                RespTestServer.say(out, a.id(), "data", "-", "y".repeat(16000));
                 return true;
             }
-            return Peer.well(a, out);
+            return RespTestServer.well(a, out);
         });
         serve(256, w);
-        Client c = new Client(platform.port(), 4096); // its system takes little of what it does not read
+        ThriftTestClient c = new ThriftTestClient(platform.port(), 4096); // its system takes little of what it does not read
         open.add(c);
         int calls = 0;
         while (platform.held()[3] == 0 || platform.held()[0] > 0) { // until answered ones wait to be written
             assertThat(++calls).isLessThan(2000);
             int asked = calls;
-            c.ask(asked, Client.fields("again", id(), 900, F), "x");
+            c.ask(asked, ThriftTestClient.fields("again", id(), 900, F), "x");
             until(() -> w.came("DO").size() == asked);
         }
         Thread stopping = stopping();
         Thread.sleep(1300); // past the time in which calls are taken
         for (int n = 1; n <= calls; n++) {
-            Client.Reply r = c.reply();
+            ThriftTestClient.Reply r = c.reply();
             assertThat(r).as("answer %d", n).isNotNull();
             assertThat(r.body()).hasSize(16000);
         }
@@ -71,17 +71,17 @@
     /** A call that may wait for longer than the system lets a router live is failed, not dropped. */
     @Test void whatCannotBeWaitedForIsFailedInTime() throws Exception {
         settings = settings.replace("\"DeadlineUs\":1000000", "\"DeadlineUs\":2900000");
-        Peer w = new Peer((a, out) -> a.word().equals("DO") || Peer.well(a, out));
+        RespTestServer w = new RespTestServer((a, out) -> a.word().equals("DO") || RespTestServer.well(a, out));
         serve(256, w);
-        Client c = client();
-        c.ask(1, Client.fields("again", id(), 5800, F), "x");
+        ThriftTestClient c = client();
+        c.ask(1, ThriftTestClient.fields("again", id(), 5800, F), "x");
         until(() -> w.came("DO").size() == 1);
         long began = System.nanoTime();
         Thread.sleep(100);
         Thread stopping = stopping();
         Thread.sleep(500);
-        Client late = client();
-        late.ask(1, Client.fields("again", id(), 5800, F), "x"); // beyond its end: answered by then
+        ThriftTestClient late = client();
+        late.ask(1, ThriftTestClient.fields("again", id(), 5800, F), "x"); // beyond its end: answered by then
         assertThat(c.reply().field()).isPositive();
         assertThat(late.reply().field()).isPositive();
         ended(stopping);
@@ -90,9 +90,9 @@
 
     /** With nothing under way nothing is waited for; a connection that idles does not count. */
     @Test void idleConnectionsKeepNobody() throws Exception {
-        serve(256, new Peer(Peer::well));
-        Client c = client();
-        c.ask(1, Client.fields("again", id(), 60, F), "pushed back as it comes");
+        serve(256, new RespTestServer(RespTestServer::well));
+        ThriftTestClient c = client();
+        c.ask(1, ThriftTestClient.fields("again", id(), 60, F), "pushed back as it comes");
         assertThat(c.reply().field()).isEqualTo(1);
         long began = System.nanoTime();
         ended(stopping());
@@ -103,19 +103,19 @@
     /** Read by the selector and not yet taken by the loop as the stop looks. */
     @Test void whatWaitsForTheLoopIsTaken() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        Peer w = new Peer((a, out) -> {
+        RespTestServer w = new RespTestServer((a, out) -> {
             if (a.word().equals("DO")) { answer.await(); }
-            return Peer.well(a, out);
+            return RespTestServer.well(a, out);
         });
         serve(256, w);
-        Client one = client();
-        Client two = client();
+        ThriftTestClient one = client();
+        ThriftTestClient two = client();
         read(two, 1);
-        one.ask(1, Client.fields("again", id(), 900, F), "x");
+        one.ask(1, ThriftTestClient.fields("again", id(), 900, F), "x");
         until(() -> w.came("DO").size() == 1);
         Thread stopping = stopping();
         try (AutoCloseable gate = holdLoop()) {
-            two.ask(2, Client.fields("again", id(), 900, F), "y");
+            two.ask(2, ThriftTestClient.fields("again", id(), 900, F), "y");
             read(two, 3);
         }
         answer.countDown();
--- a/src/test/java/switchgap/platform/OnSockets.java
+++ b/src/test/java/switchgap/server/platform/PlatformFixture.java
@@ -1,4 +1,4 @@
-package switchgap.platform;
+package switchgap.server.platform;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -15,17 +15,17 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A router on the platform between scripted clients, workers and a feed; what is judged is what these saw. */
-abstract class OnSockets {
+abstract class PlatformFixture {
     static final String F = "00000000000000f1";
     @TempDir Path dir;
     final List<AutoCloseable> open = new ArrayList<>();
-    Feed feed;
-    Platform platform;
-    String settings = TestTerms.SETTINGS;
+    ControlFeedServer feed;
+    PlatformRouter platform;
+    String settings = TestPlatformSettings.SETTINGS;
     private int ids;
 
     @BeforeEach void feed() throws Exception {
-        feed = new Feed((n, last, out) -> true);
+        feed = new ControlFeedServer((n, last, out) -> true);
         open.add(feed);
     }
 
@@ -40,31 +40,31 @@
         return Map.of("NODE_NAME", "n1", "NODE_LISTEN", "127.0.0.1:0", "NODE_CONFIG", file.toString());
     }
 
-    String config(int sockets, Peer... peers) {
-        return config(sockets, java.util.Arrays.stream(peers).map(Peer::at).toArray(String[]::new));
+    String config(int sockets, RespTestServer... peers) {
+        return config(sockets, java.util.Arrays.stream(peers).map(RespTestServer::at).toArray(String[]::new));
     }
 
     private String config(int sockets, String... at) {
         List<String> workers = new ArrayList<>();
-        for (int i = 0; i < at.length; i++) { workers.add(Feed.worker("w" + i, at[i], "SERVING", 0)); }
+        for (int i = 0; i < at.length; i++) { workers.add(ControlFeedServer.worker("w" + i, at[i], "SERVING", 0)); }
         return "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":64,\"sockets\":" + sockets
-            + "},\"feed\":\"127.0.0.1:" + feed.at().getPort() + "\",\"known\":{\"n\":1,\"events\":[" + Feed.event(1, true, workers.toArray(new String[0]))
+            + "},\"feed\":\"127.0.0.1:" + feed.at().getPort() + "\",\"known\":{\"n\":1,\"events\":[" + ControlFeedServer.event(1, true, workers.toArray(new String[0]))
             + "]},\"settings\":" + settings + "}";
     }
 
-    Platform serve(int sockets, Peer... peers) throws Exception {
+    PlatformRouter serve(int sockets, RespTestServer... peers) throws Exception {
         open.addAll(List.of(peers));
-        return serveAt(sockets, java.util.Arrays.stream(peers).map(Peer::at).toArray(String[]::new));
+        return serveAt(sockets, java.util.Arrays.stream(peers).map(RespTestServer::at).toArray(String[]::new));
     }
 
-    Platform serveAt(int sockets, String... workers) throws Exception {
-        platform = new Platform(Given.read(environment(config(sockets, workers)), System.currentTimeMillis()), new Log());
+    PlatformRouter serveAt(int sockets, String... workers) throws Exception {
+        platform = new PlatformRouter(PlatformConfig.read(environment(config(sockets, workers)), System.currentTimeMillis()), new RateLimitedLog());
         open.add(0, platform);
         return platform;
     }
 
-    Client client() throws Exception {
-        Client c = new Client(platform.port());
+    ThriftTestClient client() throws Exception {
+        ThriftTestClient c = new ThriftTestClient(platform.port());
         open.add(c);
         return c;
     }
@@ -77,7 +77,7 @@
         assertThat(so.getAsBoolean()).isTrue();
     }
 
-    static String text(Client.Reply r) { return new String(r.body(), StandardCharsets.ISO_8859_1); }
+    static String text(ThriftTestClient.Reply r) { return new String(r.body(), StandardCharsets.ISO_8859_1); }
 
     /** Begins the router's stop; the thread ends with it. */
     Thread stop() {
@@ -119,7 +119,7 @@
     }
 
     /** All that this client sent so far has been read: the answer to a heartbeat does not pass through the loop. */
-    static void read(Client c, int number) throws Exception {
+    static void read(ThriftTestClient c, int number) throws Exception {
         c.heartbeat(number);
         assertThat(c.reply().number()).isEqualTo(number);
     }
--- a/src/test/java/switchgap/platform/Peer.java
+++ b/src/test/java/switchgap/server/platform/RespTestServer.java
@@ -1,4 +1,4 @@
-package switchgap.platform;
+package switchgap.server.platform;
 
 import java.io.BufferedInputStream;
 import java.io.EOFException;
@@ -13,25 +13,25 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** A scripted worker on a plain socket that keeps what came. */
-final class Peer implements AutoCloseable {
+final class RespTestServer implements AutoCloseable {
     /** What came, in words, and on which connection. */
-    record Asked(int connection, List<String> words) {
+    record Command(int connection, List<String> words) {
         String word() { return words.get(0); }
 
         String id() { return words.size() > 1 ? words.get(1) : ""; }
     }
 
     /** Answers on the raw connection, or not at all; false closes it. */
-    interface Manner {
-        boolean answer(Asked a, OutputStream out) throws IOException, InterruptedException;
+    interface Behaviour {
+        boolean answer(Command a, OutputStream out) throws IOException, InterruptedException;
     }
 
-    final List<Asked> asked = new CopyOnWriteArrayList<>();
+    final List<Command> asked = new CopyOnWriteArrayList<>();
     private final List<Socket> open = new CopyOnWriteArrayList<>();
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    volatile Manner manner;
+    volatile Behaviour manner;
 
-    Peer(Manner manner) throws IOException {
+    RespTestServer(Behaviour manner) throws IOException {
         this.manner = manner;
         Thread t = new Thread(() -> {
             try {
@@ -61,7 +61,7 @@
                     words[i] = new String(in.readNBytes((int) number(in, '$')), StandardCharsets.ISO_8859_1);
                     in.skipNBytes(2);
                 }
-                Asked a = new Asked(n, List.of(words));
+                Command a = new Command(n, List.of(words));
                 asked.add(a);
                 if (!manner.answer(a, s.getOutputStream())) { return; }
             }
@@ -88,7 +88,7 @@
     }
 
     /** Serves all: a job's body comes back behind its id. */
-    static boolean well(Asked a, OutputStream out) throws IOException {
+    static boolean well(Command a, OutputStream out) throws IOException {
         switch (a.word()) {
             case "DO" -> say(out, a.id(), "data", "report=load_share:0.1;concurrent:1", a.id() + ":" + a.words().get(3));
             case "PIN" -> say(out, a.id(), "data", "count=1", "");
@@ -98,7 +98,7 @@
         return true;
     }
 
-    List<Asked> came(String word) { return asked.stream().filter(a -> a.word().equals(word)).toList(); }
+    List<Command> came(String word) { return asked.stream().filter(a -> a.word().equals(word)).toList(); }
 
     String at() { return "127.0.0.1:" + listener.getLocalPort(); }
 
--- a/src/test/java/switchgap/platform/ProcessTest.java
+++ b/src/test/java/switchgap/server/platform/ServeProcessTest.java
@@ -1,4 +1,4 @@
-package switchgap.platform;
+package switchgap.server.platform;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The router as a process, with signals as signals. Its configuration is a pipe where its start has to be held. */
-class ProcessTest extends OnSockets {
+class ServeProcessTest extends PlatformFixture {
     private Path file;
     private Process process;
     private Path log;
@@ -45,9 +45,9 @@
     private void signal(String name) throws Exception { shell("kill -" + name + " " + process.pid()); }
 
     /** A connection that has its answer; one that came while the router made room was closed, and is opened again as clients do. */
-    private Client answered(int port) throws Exception {
+    private ThriftTestClient answered(int port) throws Exception {
         for (int i = 0; i < 50; i++) {
-            Client c = new Client(port);
+            ThriftTestClient c = new ThriftTestClient(port);
             open.add(c);
             try {
                 c.heartbeat(1);
@@ -79,7 +79,7 @@
     /** The new configuration and its SIGHUP come while the old one is being read; the signal counted for nothing. */
     @Test void aSighupDuringTheStartCounts() throws Exception {
         pipe();
-        try (Peer w = new Peer(Peer::well); Feed anew = new Feed((n, last, out) -> true)) {
+        try (RespTestServer w = new RespTestServer(RespTestServer::well); ControlFeedServer anew = new ControlFeedServer((n, last, out) -> true)) {
             String config = config(256, w);
             start("");
             try (OutputStream held = Files.newOutputStream(file)) { // opened: the router reads, and its handlers stand
@@ -102,7 +102,7 @@
 
     @Test void aSigtermDuringTheStartEndsItWell() throws Exception {
         pipe();
-        try (Peer w = new Peer(Peer::well)) {
+        try (RespTestServer w = new RespTestServer(RespTestServer::well)) {
             String config = config(256, w);
             start("");
             try (OutputStream held = Files.newOutputStream(file)) {
@@ -116,15 +116,15 @@
     @Test void aSecondSigtermAndASighupDuringTheStopHarmNobody() throws Exception {
         file = dir.resolve("config.json");
         java.util.concurrent.CountDownLatch answer = new java.util.concurrent.CountDownLatch(1);
-        try (Peer w = new Peer((a, out) -> {
+        try (RespTestServer w = new RespTestServer((a, out) -> {
             if (a.word().equals("DO")) { answer.await(); }
-            return Peer.well(a, out);
+            return RespTestServer.well(a, out);
         })) {
             Files.writeString(file, config(256, w));
             start("");
-            Client c = new Client(serves());
+            ThriftTestClient c = new ThriftTestClient(serves());
             open.add(c);
-            c.ask(1, Client.fields("again", id(), 900, F), "x");
+            c.ask(1, ThriftTestClient.fields("again", id(), 900, F), "x");
             until(() -> w.came("DO").size() == 1);
             signal("TERM");
             int n = 1;
@@ -141,20 +141,20 @@
     /** With its descriptors taken by idle clients as far as it lets them, the feed comes back and jobs are served. */
     @Test void idleClientsLeaveRoomForTheFeedAndTheWorkers() throws Exception {
         file = dir.resolve("config.json");
-        try (Peer w = new Peer(Peer::well)) {
+        try (RespTestServer w = new RespTestServer(RespTestServer::well)) {
             int port = feed.at().getPort();
             Files.writeString(file, config(120, w));
             feed.close(); // discovery is down
             start("ulimit -n 120; ");
             int at = serves();
-            for (int i = 0; i < 300; i++) { open.add(new Client(at)); }
+            for (int i = 0; i < 300; i++) { open.add(new ThriftTestClient(at)); }
             java.time.Duration before = process.info().totalCpuDuration().orElseThrow();
-            Client usual = answered(at);
+            ThriftTestClient usual = answered(at);
             for (int n = 2; n <= 6; n++) {
-                usual.ask(n, Client.fields("again", id(), 900, F), "x");
+                usual.ask(n, ThriftTestClient.fields("again", id(), 900, F), "x");
                 assertThat(usual.reply().field()).as(log()).isZero();
             }
-            try (Feed back = new Feed(port, (n, last, out) -> true)) {
+            try (ControlFeedServer back = new ControlFeedServer(port, (n, last, out) -> true)) {
                 until(() -> !back.asked.isEmpty());
             }
             assertThat(process.info().totalCpuDuration().orElseThrow().minus(before).toMillis()).isLessThan(1500); // nothing spins
--- a/src/test/java/switchgap/platform/TestTerms.java
+++ b/src/test/java/switchgap/server/platform/TestPlatformSettings.java
@@ -1,13 +1,13 @@
-package switchgap.platform;
+package switchgap.server.platform;
 
 import java.io.IOException;
 import java.util.Map;
-import switchgap.json.Json;
+import switchgap.config.JsonDocument;
+import switchgap.config.PropertyRouterSettings;
 import switchgap.policy.api.RouterSettings;
-import switchgap.stated.StatedTerms;
 
 /** The terms that the platform's tests state, in the platform's words. */
-public final class TestTerms {
+public final class TestPlatformSettings {
     static final String SETTINGS = """
         {"Balancers":1,"Me":0,"MyZone":0,"TickUs":1000,"OverShareWorth":0.2,"Weights":"rough","Discovery":"automatic",
          "Zones":["east","west"],"Skus":["std"],"Costs":{"CrossZone":0.0},
@@ -21,10 +21,10 @@
                   "MachineMb":[4000],"LoadWaitUs":4000000,"SaysCompany":true},
          "Telemetry":{"Fields":["load_share","concurrent"],"How":"piggyback"}}""";
 
-    private TestTerms() { }
+    private TestPlatformSettings() { }
 
     public static RouterSettings terms() throws IOException {
-        Map<String, Object> o = Json.object(SETTINGS);
-        return new StatedTerms(Json.paths(o));
+        Map<String, Object> o = JsonDocument.object(SETTINGS);
+        return new PropertyRouterSettings(JsonDocument.paths(o));
     }
 }
--- a/src/test/java/switchgap/platform/Client.java
+++ b/src/test/java/switchgap/server/platform/ThriftTestClient.java
@@ -1,4 +1,4 @@
-package switchgap.platform;
+package switchgap.server.platform;
 
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -15,7 +15,7 @@
 import org.apache.thrift.transport.TMemoryBuffer;
 
 /** A client on a plain socket, with Apache Thrift's codec. */
-public final class Client implements AutoCloseable {
+public final class ThriftTestClient implements AutoCloseable {
     /** What came: the message's type and number; of a reply the result's field (0 Answer, 1 Full, 2 Error), fields and body. */
     record Reply(int type, int number, int field, Map<String, String> fields, byte[] body, boolean good) { }
 
@@ -23,10 +23,10 @@
     private final DataInputStream in;
     private final OutputStream out;
 
-    Client(int port) throws IOException { this(port, 0); }
+    ThriftTestClient(int port) throws IOException { this(port, 0); }
 
     /** {@code unread}: bytes that its system takes without its reading them, about; 0: as usual. */
-    Client(int port, int unread) throws IOException {
+    ThriftTestClient(int port, int unread) throws IOException {
         socket = new Socket();
         if (unread > 0) { socket.setReceiveBufferSize(unread); }
         socket.connect(new java.net.InetSocketAddress("127.0.0.1", port));
