--- a/src/main/java/switchgap/level/Levels.java
+++ b/src/main/java/switchgap/admission/AdmissionController.java
@@ -1,4 +1,4 @@
-package switchgap.level;
+package switchgap.admission;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -12,7 +12,7 @@
  * the terms state and what this router measures; it never sees a name. The module's own pushbacks, bounds and places
  * stay the module's: levels only see what it pushed back for want of room, as pressure.
  */
-public final class Levels {
+public final class AdmissionController {
     // --- Marks. Shares of the importance of calls that passed.
     private static final double CROWDED = 0.10;   // of all: pushed back by the module for want of room
     private static final double PROTECTED = 0.05; // of the most important workloads: the same
@@ -38,25 +38,25 @@
     private static final double EVEN = 1.1;       // of its share: what an over-share customer keeps
     private static final int KEPT = 64;           // changes remembered
 
-    private final LevelTerms terms;
+    private final AdmissionSettings terms;
     private final SplittableRandom chance;
     private final double most;
     private final double fade;
-    private final Turns turns;
+    private final SheddingRotation turns;
     private final Duration stay;
-    private final Ladder common;
-    private final Ladder[] own;
-    private final Turns[] ownTurns;
+    private final DegradationController common;
+    private final DegradationController[] own;
+    private final SheddingRotation[] ownTurns;
     private final double[] came;                  // importance offered by each customer, first tries and repeats
     private final double[] cut;                   // of it, the share beyond an even load for the share
     private double passed, crowded, passedBest, crowdedBest, missedBest, calls, told, tells;
     private double worst;                         // pressure, in marks
-    private final List<Change> changes = new ArrayList<>();
+    private final List<ServiceLevelChange> changes = new ArrayList<>();
     private final long[][] touched;               // calls pushed back: by rung, by workload
-    private final Duration[] spent = new Duration[Rung.values().length];
+    private final Duration[] spent = new Duration[ServiceLevel.values().length];
     private Duration last = Duration.ZERO;
 
-    public Levels(LevelTerms terms, long seed) {
+    public AdmissionController(AdmissionSettings terms, long seed) {
         this.terms = terms;
         this.chance = new SplittableRandom(seed);
         this.most = terms.mostImportance();
@@ -64,21 +64,21 @@
         this.fade = longest * FADE;
         stay = Duration.ofNanos((long) (longest * STAY * (0.8 + 0.4 * chance.nextDouble()) * 1e9)); // not in step
         Duration round = Duration.ofNanos((long) (longest * ROUND * 1e9));
-        this.turns = new Turns(round, chance.split());
-        this.common = new Ladder(stay, chance.split(), rungs(terms));
+        this.turns = new SheddingRotation(round, chance.split());
+        this.common = new DegradationController(stay, chance.split(), rungs(terms));
         int n = terms.share().length;
-        this.own = new Ladder[n];
-        Arrays.setAll(own, c -> new Ladder(stay, chance.split(), Rung.FULL, Rung.SHARE));
-        this.ownTurns = new Turns[n];
-        Arrays.setAll(ownTurns, c -> new Turns(round, chance.split()));
+        this.own = new DegradationController[n];
+        Arrays.setAll(own, c -> new DegradationController(stay, chance.split(), ServiceLevel.FULL, ServiceLevel.SHARE));
+        this.ownTurns = new SheddingRotation[n];
+        Arrays.setAll(ownTurns, c -> new SheddingRotation(round, chance.split()));
         this.came = new double[n];
         this.cut = new double[n];
-        this.touched = new long[Rung.values().length][terms.importance().length];
+        this.touched = new long[ServiceLevel.values().length][terms.importance().length];
         Arrays.fill(spent, Duration.ZERO);
     }
 
     /** The rungs that touch anything under these terms. */
-    private static Rung[] rungs(LevelTerms t) {
+    private static ServiceLevel[] rungs(AdmissionSettings t) {
         boolean least = false;
         boolean lesser = false;
         for (int w = 0; w < t.importance().length; w++) {
@@ -86,11 +86,11 @@
             least |= !best && !t.spared()[w] && t.repeat()[w] == Idempotency.RESTARTABLE;
             lesser |= !best && !t.spared()[w] && t.repeat()[w] != Idempotency.RESTARTABLE;
         }
-        List<Rung> all = new ArrayList<>(List.of(Rung.FULL));
-        if (least) { all.add(Rung.LEAST); }
-        if (lesser) { all.add(Rung.MOST); }
-        all.add(Rung.HOLD);
-        return all.toArray(new Rung[0]);
+        List<ServiceLevel> all = new ArrayList<>(List.of(ServiceLevel.FULL));
+        if (least) { all.add(ServiceLevel.LEAST); }
+        if (lesser) { all.add(ServiceLevel.MOST); }
+        all.add(ServiceLevel.HOLD);
+        return all.toArray(new ServiceLevel[0]);
     }
 
     /** A worker's answer told how busy its cores are; NaN where it tells nothing. */
@@ -104,49 +104,49 @@
      * A call is offered; a customer below 0 is none. {@code key} tells calls for the same thing (a function) from others, so
      * that one which comes back meets the same verdict. What the ladders push back was never executed.
      */
-    public Verdict offered(Duration now, int customer, int workload, long key) {
+    public AdmissionDecision offered(Duration now, int customer, int workload, long key) {
         tick(now);
         if (customer >= 0) { came[customer] += terms.importance()[workload]; }
-        Rung r = rungFor(customer, workload, key);
-        if (r == null) { return Verdict.PASSES; }
+        ServiceLevel r = rungFor(customer, workload, key);
+        if (r == null) { return AdmissionDecision.PASSES; }
         touched[r.ordinal()][workload]++;
-        return new Verdict(false, r, comeBack(r));
+        return new AdmissionDecision(false, r, comeBack(r));
     }
 
     /** The rung that pushes this call back, or null where it passes. */
-    private Rung rungFor(int customer, int workload, long key) {
+    private ServiceLevel rungFor(int customer, int workload, long key) {
         if (terms.spared()[workload]) { return null; }
         boolean again = terms.repeat()[workload] == Idempotency.RESTARTABLE;
         boolean best = terms.importance()[workload] >= most;
-        Rung all = common.rung();
-        Rung at = best ? Rung.HOLD : again ? Rung.LEAST : Rung.MOST; // the first rung that may push it back
+        ServiceLevel all = common.rung();
+        ServiceLevel at = best ? ServiceLevel.HOLD : again ? ServiceLevel.LEAST : ServiceLevel.MOST; // the first rung that may push it back
         if (all.compareTo(at) > 0) { return at; }
         if (all == at && turns.meets(customer, key, terms.importance()[workload], common.depth(), chance.nextDouble())) { return at; }
-        if (customer < 0 || !again || own[customer].rung() != Rung.SHARE) { return null; }
+        if (customer < 0 || !again || own[customer].rung() != ServiceLevel.SHARE) { return null; }
         double width = own[customer].depth() * cut[customer];
-        return ownTurns[customer].meets(customer, key, terms.importance()[workload], width, chance.nextDouble()) ? Rung.SHARE : null;
+        return ownTurns[customer].meets(customer, key, terms.importance()[workload], width, chance.nextDouble()) ? ServiceLevel.SHARE : null;
     }
 
     /** Longer the deeper, spread by chance so that those pushed back together don't come back together. */
-    private Duration comeBack(Rung r) {
+    private Duration comeBack(ServiceLevel r) {
         double spread = chance.nextDouble();
         if (terms.comeBack() == null) { return null; }
-        double base = r == Rung.SHARE ? 0.5 : 0.4 + 0.2 * Math.min(3, r.ordinal() - 1);
+        double base = r == ServiceLevel.SHARE ? 0.5 : 0.4 + 0.2 * Math.min(3, r.ordinal() - 1);
         return Duration.ofNanos((long) (terms.comeBack().toNanos() * Math.min(1, base * (0.6 + 0.8 * spread))));
     }
 
     /** A call that passed has ended. */
-    public void ended(Duration now, int workload, Outcome o) {
+    public void ended(Duration now, int workload, RequestOutcome o) {
         tick(now);
         double worth = terms.importance()[workload];
-        double lost = o == Outcome.CROWDED ? worth : o == Outcome.LATE ? worth * LATE : 0;
+        double lost = o == RequestOutcome.CROWDED ? worth : o == RequestOutcome.LATE ? worth * LATE : 0;
         calls++;
         passed += worth;
         crowded += lost;
         if (worth >= most) {
             passedBest += worth;
             crowdedBest += lost;
-            missedBest += o == Outcome.IN_TARGET ? 0 : worth;
+            missedBest += o == RequestOutcome.IN_TARGET ? 0 : worth;
         }
     }
 
@@ -168,9 +168,9 @@
         boolean hard = worst >= TWICE;
         for (int c = 0; c < own.length; c++) {
             boolean over = cut[c] > 0;
-            if (own[c].rung() == Rung.SHARE) { ownTurns[c].step(dt, keep); }
+            if (own[c].rung() == ServiceLevel.SHARE) { ownTurns[c].step(dt, keep); }
             expire(own[c], c, now);
-            Rung from = own[c].rung();
+            ServiceLevel from = own[c].rung();
             String why = own[c].step(now, dt, over ? error : -GIVE_BACK * 4, known, hard, terms.ceiling());
             if (why != null) { note(now, c, from, own[c].rung(), why); }
             excess += came[c] * cut[c];
@@ -179,15 +179,15 @@
         expire(common, -1, now);
         // What customers bring beyond their share counts against their own ladders, as long as these can still give.
         boolean theirs = ownBusy && error > 0 && excess / total > 0.5 * pressure();
-        Rung from = common.rung();
-        String why = common.step(now, dt, theirs ? 0 : error, known, hard, pressure() < HARD && terms.ceiling() == Rung.HOLD
-            ? Rung.MOST : terms.ceiling());
+        ServiceLevel from = common.rung();
+        String why = common.step(now, dt, theirs ? 0 : error, known, hard, pressure() < HARD && terms.ceiling() == ServiceLevel.HOLD
+            ? ServiceLevel.MOST : terms.ceiling());
         if (why != null && !common.pinned()) { note(now, -1, from, common.rung(), why); }
         decay(dt);
     }
 
-    private void expire(Ladder l, int customer, Duration now) {
-        Rung from = l.rung();
+    private void expire(DegradationController l, int customer, Duration now) {
+        ServiceLevel from = l.rung();
         if (l.expire(now)) { note(now, customer, from, l.rung(), "the pin has expired"); }
     }
 
@@ -257,44 +257,44 @@
         }
     }
 
-    private void note(Duration now, int customer, Rung from, Rung to, String why) {
-        Change c = new Change(now, customer, from, to, why, pressure(), calls);
+    private void note(Duration now, int customer, ServiceLevel from, ServiceLevel to, String why) {
+        ServiceLevelChange c = new ServiceLevelChange(now, customer, from, to, why, pressure(), calls);
         keep(changes, c);
         keep(fresh, c);
     }
 
-    private static void keep(List<Change> last, Change c) {
+    private static void keep(List<ServiceLevelChange> last, ServiceLevelChange c) {
         if (last.size() == KEPT) { last.remove(0); }
         last.add(c);
     }
 
-    private final List<Change> fresh = new ArrayList<>();
+    private final List<ServiceLevelChange> fresh = new ArrayList<>();
 
     // ------------------------------------------------------------------ for operators
 
     /** Holds a level for all until a time, whatever the pressure. */
-    public void pin(Duration now, Rung r, Duration until) {
-        Rung from = common.rung();
+    public void pin(Duration now, ServiceLevel r, Duration until) {
+        ServiceLevel from = common.rung();
         common.pin(r, until);
         note(now, -1, from, r, "pinned");
     }
 
     public boolean pinned() { return common.pinned(); }
 
-    public Rung rung() { return common.rung(); }
+    public ServiceLevel rung() { return common.rung(); }
 
     public double depth() { return common.depth(); }
 
-    public Rung rung(int customer) { return own[customer].rung(); }
+    public ServiceLevel rung(int customer) { return own[customer].rung(); }
 
     public double depth(int customer) { return own[customer].depth(); }
 
     /** The last changes, oldest first. */
-    public List<Change> changes() { return List.copyOf(changes); }
+    public List<ServiceLevelChange> changes() { return List.copyOf(changes); }
 
     /** Changes since this was last asked. */
-    public List<Change> fresh() {
-        List<Change> all = List.copyOf(fresh);
+    public List<ServiceLevelChange> fresh() {
+        List<ServiceLevelChange> all = List.copyOf(fresh);
         fresh.clear();
         return all;
     }
@@ -303,8 +303,8 @@
     public Duration shortestStay() { return stay; }
 
     /** Time spent at a level for all. */
-    public Duration spent(Rung r) { return spent[r.ordinal()]; }
+    public Duration spent(ServiceLevel r) { return spent[r.ordinal()]; }
 
     /** Calls of a workload that a rung pushed back. */
-    public long touched(Rung r, int workload) { return touched[r.ordinal()][workload]; }
+    public long touched(ServiceLevel r, int workload) { return touched[r.ordinal()][workload]; }
 }
--- a/src/main/java/switchgap/level/LevelTerms.java
+++ b/src/main/java/switchgap/admission/AdmissionSettings.java
@@ -1,4 +1,4 @@
-package switchgap.level;
+package switchgap.admission;
 
 import java.time.Duration;
 import switchgap.policy.api.Idempotency;
@@ -16,8 +16,8 @@
  * @param keep        share of their start targets that the most important workloads keep, at the cost of all lesser work that may
  *                    run again; 0 where service as a whole goes first
  */
-public record LevelTerms(double[] importance, Idempotency[] repeat, Duration[] target, double[] share, boolean[] spared,
-                         Rung ceiling, Duration comeBack, double keep) {
+public record AdmissionSettings(double[] importance, Idempotency[] repeat, Duration[] target, double[] share, boolean[] spared,
+                         ServiceLevel ceiling, Duration comeBack, double keep) {
     double mostImportance() {
         double most = 0;
         for (double i : importance) { most = Math.max(most, i); }
--- a/src/main/java/switchgap/level/Ladder.java
+++ b/src/main/java/switchgap/admission/DegradationController.java
@@ -1,4 +1,4 @@
-package switchgap.level;
+package switchgap.admission;
 
 import java.time.Duration;
 import java.util.SplittableRandom;
@@ -8,12 +8,12 @@
  * follows the pressure at a bounded slope, so that service is given up and taken back in a ramp. A rung is left only
  * when its depth has come to an end and has stayed there.
  */
-final class Ladder {
+final class DegradationController {
     /** Rung changes wait: for more of the same pressure, and for its being over. */
     private static final double SLOWER_BACK = 1.5; // times: taking service back against giving it up
     private static final int STAYS = 4;           // on a rung before it is left, and after it was left before mild pressure brings it back
     private static final double FASTEST = 0.1;   // of the depth a second
-    private final Rung[] rungs;
+    private final ServiceLevel[] rungs;
     private final Duration stay;
     private final SplittableRandom chance;
     private double draw; // drawn anew at each change: many routers must not change in step
@@ -22,25 +22,25 @@
     private Duration since = Duration.ZERO;
     private boolean left;        // a rung was left before: the first entry need not wait
     private Duration endSince;   // the depth is at an end that asks for another rung since then
-    private Rung pinned;
+    private ServiceLevel pinned;
     private Duration pinnedUntil;
 
     /** The rungs it may stand on, from FULL down; the shortest stay on one. */
-    Ladder(Duration stay, SplittableRandom chance, Rung... rungs) {
+    DegradationController(Duration stay, SplittableRandom chance, ServiceLevel... rungs) {
         this.rungs = rungs;
         this.stay = stay;
         this.chance = chance;
         this.draw = 0.5 + 2 * chance.nextDouble();
     }
 
-    Rung rung() { return pinned != null ? pinned : rungs[at]; }
+    ServiceLevel rung() { return pinned != null ? pinned : rungs[at]; }
 
     /** The share pushed back of what the rung may push back; a pinned rung pushes back all of it. */
     double depth() { return pinned != null ? 1 : depth; }
 
     boolean pinned() { return pinned != null; }
 
-    void pin(Rung r, Duration until) {
+    void pin(ServiceLevel r, Duration until) {
         pinned = r;
         pinnedUntil = until;
     }
@@ -59,7 +59,7 @@
      * evidence enough to give up more;
      * hard: the pressure is far past the marks. Returns the condition of a change of rung, or null.
      */
-    String step(Duration now, double dt, double error, boolean known, boolean hard, Rung ceiling) {
+    String step(Duration now, double dt, double error, boolean known, boolean hard, ServiceLevel ceiling) {
         double slope = Math.max(-FASTEST / SLOWER_BACK, Math.min(FASTEST, error));
         if (slope > 0 && !known) { slope = 0; }
         if (at == 0) {
@@ -85,7 +85,7 @@
         return null;
     }
 
-    private String up(Duration now, boolean wants, Rung ceiling, String why) {
+    private String up(Duration now, boolean wants, ServiceLevel ceiling, String why) {
         if (!wants || at + 1 >= rungs.length || rungs[at + 1].compareTo(ceiling) > 0) {
             endSince = null;
             return null;
--- a/src/main/java/switchgap/level/Rung.java
+++ b/src/main/java/switchgap/admission/ServiceLevel.java
@@ -1,7 +1,7 @@
-package switchgap.level;
+package switchgap.admission;
 
 /** The levels, from full service down. Each keeps what those before it push back. */
-public enum Rung {
+public enum ServiceLevel {
     /** All calls reach the module. */
     FULL,
     /** A customer over its share: what is beyond it and may run again is pushed back. Customers' own ladders only. */
--- a/src/main/java/switchgap/level/Turns.java
+++ b/src/main/java/switchgap/admission/SheddingRotation.java
@@ -1,4 +1,4 @@
-package switchgap.level;
+package switchgap.admission;
 
 import java.time.Duration;
 import java.util.SplittableRandom;
@@ -9,7 +9,7 @@
  * as before for most of the time, in place of passing at its second or third try, when its start target is over and
  * the work that it then causes is worth little. A slot that carries much is met by the arc's ends, a call at a time.
  */
-final class Turns {
+final class SheddingRotation {
     private static final int SLOTS = 64;
     private final double[] came = new double[SLOTS];
     private final double[] starts = new double[SLOTS];
@@ -19,7 +19,7 @@
     private final double round; // seconds for the arc to go round
     private double begin;
 
-    Turns(Duration round, SplittableRandom chance) {
+    SheddingRotation(Duration round, SplittableRandom chance) {
         this.round = round.toNanos() / 1e9;
         this.salt = chance.nextLong();
         this.begin = chance.nextDouble();
--- a/src/main/java/switchgap/cli/PlannerCommand.java
+++ b/src/main/java/switchgap/cli/PlannerCommand.java
@@ -9,8 +9,8 @@
 import picocli.CommandLine.Parameters;
 import switchgap.config.InvalidConfigException;
 import switchgap.day.Child;
-import switchgap.link.PlannerEnd;
 import switchgap.net.NetworkTransport;
+import switchgap.planner.link.PlannerClient;
 import switchgap.server.gateway.GatewayConfig;
 
 /** The planner: settles order and time of one edge's loads. */
@@ -22,7 +22,7 @@
     @Override public Integer call() throws Exception {
         GatewayConfig p = linked(page, GatewayConfig.read(page));
         NetworkTransport net = new NetworkTransport(1, "planner-" + p.terms().self());
-        PlannerEnd end = new PlannerEnd(net, p.planner(), p.terms().self());
+        PlannerClient end = new PlannerClient(net, p.planner(), p.terms().self());
         Runtime.getRuntime().addShutdownHook(new Thread(end::close));
         Thread.currentThread().join();
         return 0;
--- a/src/main/java/switchgap/config/YamlRouterSettings.java
+++ b/src/main/java/switchgap/config/YamlRouterSettings.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import switchgap.level.LevelTerms;
-import switchgap.level.Rung;
+import switchgap.admission.AdmissionSettings;
+import switchgap.admission.ServiceLevel;
 import switchgap.policy.api.DeduplicationScope;
 import switchgap.policy.api.Idempotency;
 import switchgap.policy.api.RouterSettings;
@@ -38,7 +38,7 @@
     private final boolean second, probe, cancel, comeBack, onMiss, order, sizes, asks;
     private final boolean levels;
     private final boolean[] spared;
-    private final Rung ceiling, pinned;
+    private final ServiceLevel ceiling, pinned;
     private final double kept;
     private final Duration pinnedFor;
     private final double coldShare, multiple, free, share, memoryPrice, crossing, probePrice, overWorth;
@@ -100,8 +100,8 @@
         u.done();
         YamlDocument v = p.partOrNone("levels");
         levels = v.flag("act", true);
-        ceiling = v.choice("ceiling", Rung.class, Rung.HOLD);
-        pinned = v.choice("pin", Rung.class, null);
+        ceiling = v.choice("ceiling", ServiceLevel.class, ServiceLevel.HOLD);
+        pinned = v.choice("pin", ServiceLevel.class, null);
         pinnedFor = v.span("pin_for", Duration.ofMinutes(10));
         kept = v.number("keep", 0, 0.999, 0);
         spared = new boolean[kinds.size()];
@@ -195,7 +195,7 @@
     }
 
     /** What the page states for reduced levels. */
-    public LevelTerms levelTerms() {
+    public AdmissionSettings levelTerms() {
         int n = kinds.size();
         double[] importance = new double[n];
         Idempotency[] repeats = new Idempotency[n];
@@ -205,7 +205,7 @@
             repeats[w] = kinds.get(w).repeat();
             targets[w] = kinds.get(w).target();
         }
-        return new LevelTerms(importance, repeats, targets, rates.stream().mapToDouble(x -> x).toArray(), spared.clone(),
+        return new AdmissionSettings(importance, repeats, targets, rates.stream().mapToDouble(x -> x).toArray(), spared.clone(),
             ceiling, comeBack ? mostComeBack : null, kept);
     }
 
@@ -213,7 +213,7 @@
     public boolean levelsAct() { return levels; }
 
     /** The level that the page pins, null for none, and for how long from the start. */
-    public Rung pinned() { return pinned; }
+    public ServiceLevel pinned() { return pinned; }
 
     public Duration pinnedFor() { return pinnedFor; }
 
--- a/src/main/java/switchgap/lab/Emulator.java
+++ b/src/main/java/switchgap/lab/Emulator.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.LongToDoubleFunction;
+import switchgap.admission.AdmissionController;
+import switchgap.admission.ServiceLevelChange;
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
 import switchgap.day.Day;
 import switchgap.day.LoadTroubles;
-import switchgap.level.Change;
-import switchgap.level.Levels;
 import switchgap.policy.RoutingPolicy;
 import switchgap.policy.api.RouterSettings;
 import switchgap.policy.api.WorkerState;
@@ -34,7 +34,7 @@
  */
 final class Emulator {
     /** A change of level at a router. */
-    record Seen(int router, Change change) { }
+    record Seen(int router, ServiceLevelChange change) { }
 
     final Day day;
     final VirtualTicker ticker = new VirtualTicker();
@@ -85,7 +85,7 @@
         YamlRouterSettings t = terms.get(i);
         long own = seed * 31 + i * 7919L + ticker.now();
         RouterCore core = new RouterCore(t, new RoutingPolicy(t, own)::round, r, Duration.ofSeconds(10), Duration.ofMillis(250), 20_000);
-        Levels levels = variant.before() == Variant.Before.LEVELS ? new Levels(t.levelTerms(), own + 1) : null;
+        AdmissionController levels = variant.before() == Variant.Before.LEVELS ? new AdmissionController(t.levelTerms(), own + 1) : null;
         if (levels != null && variant.pinned() != null) { levels.pin(r.now(), variant.pinned(), Duration.ofDays(1000)); }
         r.gate(new AdmissionGate(core, t, levels, c -> changes.add(new Seen(i, c))));
         List<EndpointUpdate> list = new ArrayList<>();
--- a/src/main/java/switchgap/lab/Experiment.java
+++ b/src/main/java/switchgap/lab/Experiment.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.function.ToDoubleFunction;
+import switchgap.admission.ServiceLevelChange;
 import switchgap.config.YamlDocument;
 import switchgap.day.Day;
-import switchgap.level.Change;
 
 /** Variants over days, curves and seeds, the same arrivals for each variant, on all cores. */
 public final class Experiment {
@@ -161,7 +161,7 @@
                         t.row(c.name(), x.variant.name(), x.seed, "customer", e.getKey(), "service", e.getValue());
                     }
                     for (Emulator.Seen n : x.changed) {
-                        Change h = n.change();
+                        ServiceLevelChange h = n.change();
                         g.row(c.name(), x.variant.name(), x.seed, n.router(), h.at().toMillis() / 1e3, h.customer() < 0 ? "all"
                             : Trial.customer(c.day, h.customer()), YamlDocument.word(h.from()), YamlDocument.word(h.to()), h.condition(), h.pressure(),
                             h.evidence());
--- a/src/main/java/switchgap/lab/Report.java
+++ b/src/main/java/switchgap/lab/Report.java
@@ -15,8 +15,8 @@
 import org.knowm.xchart.internal.chartpart.Chart;
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
+import switchgap.admission.ServiceLevel;
 import switchgap.config.YamlDocument;
-import switchgap.level.Rung;
 
 /** An experiment as one page with its plots inside. */
 final class Report {
@@ -129,8 +129,8 @@
     private static CategoryChart times(List<Trial> one) {
         CategoryChart c = new CategoryChartBuilder().width(1000).height(320).title("Seconds at each level, mean of the routers").build();
         one.stream().filter(t -> !t.timeAt.isEmpty()).forEach(t -> c.addSeries(t.variant.name(),
-            t.timeAt.keySet().stream().filter(r -> r != Rung.SHARE).map(YamlDocument::word).toList(),
-            t.timeAt.entrySet().stream().filter(e -> e.getKey() != Rung.SHARE).map(e -> e.getValue()).toList()));
+            t.timeAt.keySet().stream().filter(r -> r != ServiceLevel.SHARE).map(YamlDocument::word).toList(),
+            t.timeAt.entrySet().stream().filter(e -> e.getKey() != ServiceLevel.SHARE).map(e -> e.getValue()).toList()));
         if (c.getSeriesMap().isEmpty()) { c.addSeries("no levels", List.of("full"), List.of(0)); }
         return c;
     }
--- a/src/main/java/switchgap/lab/Trial.java
+++ b/src/main/java/switchgap/lab/Trial.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import switchgap.admission.AdmissionController;
+import switchgap.admission.ServiceLevel;
 import switchgap.day.Day;
-import switchgap.level.Levels;
-import switchgap.level.Rung;
 import switchgap.standin.Clients;
 
 /** One variant over one curve with one seed, and what came of it. */
@@ -25,7 +25,7 @@
     final Map<String, Double> byCustomer = new TreeMap<>();
     /** For each second: load, worth earned over asked, mean depth of the common ladder (rung + depth), share of routers below full. */
     final List<double[]> course = new ArrayList<>();
-    final Map<Rung, Double> timeAt = new TreeMap<>();
+    final Map<ServiceLevel, Double> timeAt = new TreeMap<>();
     final List<Emulator.Seen> changed;
     final int changes;
     /** Changes of customers' own ladders. */
@@ -51,11 +51,11 @@
             double depth = 0;
             int below = 0;
             for (EmulatedRouter r : e.routers) {
-                Levels l = r.gate().levels();
+                AdmissionController l = r.gate().levels();
                 if (l != null) {
                     l.tick(r.now());
                     depth += l.rung().ordinal() == 0 ? 0 : l.rung().ordinal() - 2 + l.depth();
-                    below += l.rung() == Rung.FULL ? 0 : 1;
+                    below += l.rung() == ServiceLevel.FULL ? 0 : 1;
                 }
             }
             course.add(new double[] {curve.at(s * 1_000_000), 0, depth / e.routers.size(), below / (double) e.routers.size()});
@@ -81,7 +81,7 @@
         mostInFourStays = mostInFourStays(e);
         for (EmulatedRouter r : e.routers) {
             if (r.gate().levels() != null) {
-                for (Rung g : Rung.values()) {
+                for (ServiceLevel g : ServiceLevel.values()) {
                     timeAt.merge(g, r.gate().levels().spent(g).toMillis() / 1000.0 / e.routers.size(), Double::sum);
                 }
             }
--- a/src/main/java/switchgap/lab/Variant.java
+++ b/src/main/java/switchgap/lab/Variant.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import switchgap.admission.ServiceLevel;
 import switchgap.config.YamlDocument;
-import switchgap.level.Rung;
 
 /**
  * One way to run the routers of an experiment.
@@ -15,7 +15,7 @@
  * @param pinned a level held the whole time, or null
  * @param terms  values put into the routers' pages, by {@code part.key}
  */
-record Variant(String name, Before before, Rung pinned, Map<String, String> terms) {
+record Variant(String name, Before before, ServiceLevel pinned, Map<String, String> terms) {
     /** What stands before the module. */
     enum Before { NOTHING, STATIC, LEVELS }
 
@@ -34,7 +34,7 @@
                     terms.put(k, t.text(k));
                 }
             }
-            all.add(new Variant(p.text("name"), p.choice("before", Before.class, Before.LEVELS), p.choice("pin", Rung.class, null),
+            all.add(new Variant(p.text("name"), p.choice("before", Before.class, Before.LEVELS), p.choice("pin", ServiceLevel.class, null),
                 Map.copyOf(terms)));
             p.done();
         }
--- a/src/main/java/switchgap/plan/Sequence.java
+++ b/src/main/java/switchgap/planner/LoadScheduler.java
@@ -1,4 +1,4 @@
-package switchgap.plan;
+package switchgap.planner;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,29 +8,29 @@
  * age counts for importance so that nothing waits for ever. Where copies lie, how many, and how many loads are out at a time
  * is what the edge's module asked for: it alone learns the store's pace.
  */
-public final class Sequence {
+public final class LoadScheduler {
     private static final double AGE = 1;      // importance a second of waiting adds
     private static final long USUAL = 500_000; // microseconds, where a function tells no load time
     private long lastSeq = -1;
     private long epoch = -1;
 
     /** Answers what the edge told; null where it is older than what was answered before. */
-    public Plan plan(Told t) {
+    public LoadPlan plan(LoadBacklog t) {
         if (t.epoch() != epoch) {
             epoch = t.epoch();
             lastSeq = -1;
         }
         if (t.seq() <= lastSeq) { return null; }
         lastSeq = t.seq();
-        List<Wish> by = new ArrayList<>(t.waiting());
+        List<PendingLoad> by = new ArrayList<>(t.waiting());
         by.sort((a, b) -> {
             int c = Double.compare(worth(b), worth(a));
             return c != 0 ? c : Long.compare(a.id(), b.id());
         });
-        return new Plan(t.epoch(), t.seq(), by.stream().mapToLong(Wish::id).toArray());
+        return new LoadPlan(t.epoch(), t.seq(), by.stream().mapToLong(PendingLoad::id).toArray());
     }
 
-    private static double worth(Wish w) {
+    private static double worth(PendingLoad w) {
         return (w.importance() + AGE * w.age() / 1e6) / Math.max(1, w.load() > 0 ? w.load() : USUAL) * 1e6;
     }
 }
--- a/src/main/java/switchgap/plan/Wish.java
+++ b/src/main/java/switchgap/planner/PendingLoad.java
@@ -1,4 +1,4 @@
-package switchgap.plan;
+package switchgap.planner;
 
 /**
  * A load that the edge's module asks for and that has not gone out.
@@ -8,4 +8,4 @@
  * @param importance of the calls that wait for the function
  * @param age        since it was asked for, microseconds
  */
-public record Wish(long id, String worker, String function, double memory, long load, double importance, long age) { }
+public record PendingLoad(long id, String worker, String function, double memory, long load, double importance, long age) { }
--- a/src/main/java/switchgap/plan/Wishes.java
+++ b/src/main/java/switchgap/planner/PendingLoadQueue.java
@@ -1,4 +1,4 @@
-package switchgap.plan;
+package switchgap.planner;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -11,11 +11,11 @@
  * once. States: ALONE (no planner: what is asked goes out at once), LED, STALLED (linked, but no plan came in time: as
  * ALONE until one comes). The edge never depends on the planner: what goes out when in doubt is what goes out without one.
  */
-public final class Wishes {
+public final class PendingLoadQueue {
     public enum State { ALONE, LED, STALLED }
 
     /** Carries out what is decided here. */
-    public interface Carrier {
+    public interface Listener {
         /** The order goes out now; at most once for each id. */
         void release(long id);
 
@@ -23,12 +23,12 @@
         void refused(String why);
     }
 
-    private record Waiting(Wish wish, Duration asked, Duration due) { }
+    private record Waiting(PendingLoad wish, Duration asked, Duration due) { }
 
     private static final int STRIKES = 3; // wishes that waited in vain, one after the other
     private final Duration patience;
     private final int most;
-    private final Carrier carrier;
+    private final Listener carrier;
     private final Map<Long, Waiting> waiting = new LinkedHashMap<>();
     private State state = State.ALONE;
     private long epoch;
@@ -38,7 +38,7 @@
     private long stale, refused, led, late;
 
     /** Each wish waits at most for {@code patience}, and at most so many wait. */
-    public Wishes(Duration patience, int most, Carrier carrier) {
+    public PendingLoadQueue(Duration patience, int most, Listener carrier) {
         this.patience = patience;
         this.most = most;
         this.carrier = carrier;
@@ -65,7 +65,7 @@
     public long nextId() { return next; }
 
     /** The module asks for a load. */
-    public void ask(Duration now, Wish w) {
+    public void ask(Duration now, PendingLoad w) {
         if (w.id() != next) { throw new IllegalArgumentException("wish " + w.id() + " in place of " + next); }
         next++;
         waiting.put(w.id(), new Waiting(w, now, now.plus(patience)));
@@ -76,7 +76,7 @@
     public boolean withdrawn(long id) { return waiting.remove(id) != null; }
 
     /** A plan came. What it names and has gone out already is stale and dropped; what was never asked for is refused. */
-    public void plan(Plan p) {
+    public void plan(LoadPlan p) {
         if (p.epoch() != epoch || state == State.ALONE) {
             refuse("a plan for epoch " + p.epoch() + ", this is " + epoch);
             return;
@@ -127,9 +127,9 @@
     public long epoch() { return epoch; }
 
     /** What waits, with its age now and the importance that waits for its function. */
-    public List<Wish> waiting(Duration now, java.util.function.ToDoubleFunction<String> importance) {
-        List<Wish> all = new ArrayList<>(waiting.size());
-        waiting.values().forEach(w -> all.add(new Wish(w.wish.id(), w.wish.worker(), w.wish.function(), w.wish.memory(),
+    public List<PendingLoad> waiting(Duration now, java.util.function.ToDoubleFunction<String> importance) {
+        List<PendingLoad> all = new ArrayList<>(waiting.size());
+        waiting.values().forEach(w -> all.add(new PendingLoad(w.wish.id(), w.wish.worker(), w.wish.function(), w.wish.memory(),
             w.wish.load(), importance.applyAsDouble(w.wish.function()), now.minus(w.asked).toNanos() / 1000)));
         return all;
     }
--- a/src/main/java/switchgap/link/PlannerEnd.java
+++ b/src/main/java/switchgap/planner/link/PlannerClient.java
@@ -1,4 +1,4 @@
-package switchgap.link;
+package switchgap.planner.link;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -9,19 +9,19 @@
 import switchgap.net.FramedConnection;
 import switchgap.net.NetworkTransport;
 import switchgap.net.TimerThread;
-import switchgap.plan.Plan;
-import switchgap.plan.Sequence;
-import switchgap.plan.Told;
+import switchgap.planner.LoadBacklog;
+import switchgap.planner.LoadPlan;
+import switchgap.planner.LoadScheduler;
 
 /** The planner's end: links to its edge, again and again with back-off, answers each word of what waits with a plan. */
-public final class PlannerEnd implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(PlannerEnd.class);
+public final class PlannerClient implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(PlannerClient.class);
     private static final long BEAT = 200;
     private static final long LONGEST_WAIT = 2000;
     private final FramedConnection.Factory opener;
     private final InetSocketAddress edge;
     private final int router;
-    private final Sequence sequence = new Sequence();
+    private final LoadScheduler sequence = new LoadScheduler();
     private final ScheduledFuture<?> beat;
     private volatile FramedConnection link;
     private volatile boolean greeted;
@@ -29,13 +29,13 @@
     private long wait = 50;
     private long beats;
 
-    public PlannerEnd(NetworkTransport net, InetSocketAddress edge, int router) {
-        this.opener = new FramedConnection.Factory(net, Codec.MOST, new Ear());
+    public PlannerClient(NetworkTransport net, InetSocketAddress edge, int router) {
+        this.opener = new FramedConnection.Factory(net, PlannerMessageCodec.MOST, new FrameListener());
         this.edge = edge;
         this.router = router;
         beat = TimerThread.LATER.scheduleAtFixedRate(() -> {
             FramedConnection l = link;
-            if (l != null && greeted) { l.send(Codec.write(new Codec.Beat(beats++))); }
+            if (l != null && greeted) { l.send(PlannerMessageCodec.write(new PlannerMessageCodec.Heartbeat(beats++))); }
         }, BEAT, BEAT, TimeUnit.MILLISECONDS);
         open();
     }
@@ -54,25 +54,25 @@
         wait = Math.min(LONGEST_WAIT, wait * 2);
     }
 
-    private final class Ear implements FramedConnection.Listener {
+    private final class FrameListener implements FramedConnection.Listener {
         @Override public void opened(FramedConnection l) {
             link = l;
-            l.send(Codec.write(new Codec.Hello(Codec.VERSION, "planner", router, 0)));
+            l.send(PlannerMessageCodec.write(new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", router, 0)));
         }
 
         @Override public void frame(FramedConnection l, byte[] bytes) {
             try {
-                Object m = Codec.read(bytes);
-                if (m instanceof Codec.Hello h && h.version() == Codec.VERSION && h.side().equals("edge")) {
+                Object m = PlannerMessageCodec.read(bytes);
+                if (m instanceof PlannerMessageCodec.Hello h && h.version() == PlannerMessageCodec.VERSION && h.side().equals("edge")) {
                     greeted = true;
                     wait = 50;
                     LOG.info("planner of router {} linked, epoch {}", router, h.epoch());
-                } else if (m instanceof Codec.Refused r) {
+                } else if (m instanceof PlannerMessageCodec.Refused r) {
                     LOG.error("the edge refuses this planner: {}", r.why());
                     wait = LONGEST_WAIT;
-                } else if (m instanceof Told t && greeted) {
-                    Plan p = sequence.plan(t);
-                    if (p != null) { l.send(Codec.write(p)); }
+                } else if (m instanceof LoadBacklog t && greeted) {
+                    LoadPlan p = sequence.plan(t);
+                    if (p != null) { l.send(PlannerMessageCodec.write(p)); }
                 } else {
                     l.close("no message for a planner");
                 }
--- a/src/main/java/switchgap/link/Codec.java
+++ b/src/main/java/switchgap/planner/link/PlannerMessageCodec.java
@@ -1,4 +1,4 @@
-package switchgap.link;
+package switchgap.planner.link;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
@@ -8,11 +8,11 @@
 import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
 import java.io.IOException;
 import java.util.Map;
-import switchgap.plan.Plan;
-import switchgap.plan.Told;
+import switchgap.planner.LoadBacklog;
+import switchgap.planner.LoadPlan;
 
 /** Messages as CBOR maps; the member {@code is} says which. What is no message is refused by name. */
-public final class Codec {
+public final class PlannerMessageCodec {
     /** What this program speaks. */
     public static final int VERSION = 2;
     /** The largest message, bytes. */
@@ -25,15 +25,15 @@
     public record Refused(String why) { }
 
     /** Nothing but a sign of life. */
-    public record Beat(long number) { }
+    public record Heartbeat(long number) { }
 
-    private static final Map<String, Class<?>> KINDS = Map.of("hello", Hello.class, "refused", Refused.class, "beat", Beat.class,
-        "told", Told.class, "plan", Plan.class);
+    private static final Map<String, Class<?>> KINDS = Map.of("hello", Hello.class, "refused", Refused.class, "beat", Heartbeat.class,
+        "told", LoadBacklog.class, "plan", LoadPlan.class);
     private static final ObjectMapper CBOR = new CBORMapper()
         .configure(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES, true)
         .configure(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES, true);
 
-    private Codec() { }
+    private PlannerMessageCodec() { }
 
     public static byte[] write(Object message) {
         ObjectNode n = CBOR.valueToTree(message);
--- a/src/main/java/switchgap/link/EdgeDoor.java
+++ b/src/main/java/switchgap/planner/link/PlannerServer.java
@@ -1,4 +1,4 @@
-package switchgap.link;
+package switchgap.planner.link;
 
 import java.io.IOException;
 import java.util.concurrent.ScheduledFuture;
@@ -9,51 +9,51 @@
 import switchgap.net.FramedConnection;
 import switchgap.net.NetworkTransport;
 import switchgap.net.TimerThread;
-import switchgap.plan.Plan;
-import switchgap.plan.Told;
+import switchgap.planner.LoadBacklog;
+import switchgap.planner.LoadPlan;
 
 /**
  * The edge's end of the link: takes one planner at a time, after a handshake. Whoever speaks another version, is no
  * planner, is for another router, or comes while one is linked is refused by name; calls are undisturbed.
  */
-public final class EdgeDoor implements AutoCloseable {
+public final class PlannerServer implements AutoCloseable {
     /** Hears of the planner; on other threads than the edge's. */
-    public interface Heard {
+    public interface Listener {
         void linked(long epoch);
 
         void unlinked(long epoch);
 
-        void plan(Plan p);
+        void plan(LoadPlan p);
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(EdgeDoor.class);
+    private static final Logger LOG = LoggerFactory.getLogger(PlannerServer.class);
     private static final long SILENCE = 1_000_000_000L;
 
     /** A link that was greeted. */
-    private static final class Planner {
+    private static final class PlannerSession {
         final FramedConnection link;
         final long epoch;
         volatile long heard = System.nanoTime();
 
-        Planner(FramedConnection link, long epoch) {
+        PlannerSession(FramedConnection link, long epoch) {
             this.link = link;
             this.epoch = epoch;
         }
     }
 
     private final int router;
-    private final Heard heard;
-    private final AtomicReference<Planner> planner = new AtomicReference<>();
+    private final Listener heard;
+    private final AtomicReference<PlannerSession> planner = new AtomicReference<>();
     private final switchgap.net.TcpConnection.Server door;
     private final ScheduledFuture<?> watch;
     private long epochs = System.currentTimeMillis() * 1000; // past those of any process before it
 
-    public EdgeDoor(NetworkTransport net, String host, int port, int router, Heard heard) throws IOException {
+    public PlannerServer(NetworkTransport net, String host, int port, int router, Listener heard) throws IOException {
         this.router = router;
         this.heard = heard;
-        door = FramedConnection.listen(net, host, port, Codec.MOST, new Ear());
+        door = FramedConnection.listen(net, host, port, PlannerMessageCodec.MOST, new FrameListener());
         watch = TimerThread.LATER.scheduleAtFixedRate(() -> {
-            Planner p = planner.get();
+            PlannerSession p = planner.get();
             if (p != null && System.nanoTime() - p.heard > SILENCE) { p.link.close("the planner is silent"); }
         }, 250, 250, TimeUnit.MILLISECONDS);
     }
@@ -61,16 +61,16 @@
     public int port() { return door.port(); }
 
     /** Tells the planner what waits; false where none is linked or it does not keep up: what is told next makes up for it. */
-    public boolean tell(Told t) {
-        Planner p = planner.get();
-        return p != null && p.epoch == t.epoch() && p.link.send(Codec.write(t));
+    public boolean tell(LoadBacklog t) {
+        PlannerSession p = planner.get();
+        return p != null && p.epoch == t.epoch() && p.link.send(PlannerMessageCodec.write(t));
     }
 
-    private final class Ear implements FramedConnection.Listener {
+    private final class FrameListener implements FramedConnection.Listener {
         /** Who connects and says nothing is not kept. */
         @Override public void opened(FramedConnection l) {
             TimerThread.LATER.schedule(() -> {
-                Planner p = planner.get();
+                PlannerSession p = planner.get();
                 if (p == null || p.link != l) { l.close("no handshake within a second"); }
             }, SILENCE, TimeUnit.NANOSECONDS);
         }
@@ -78,25 +78,25 @@
         @Override public void frame(FramedConnection l, byte[] bytes) {
             Object m;
             try {
-                m = Codec.read(bytes);
+                m = PlannerMessageCodec.read(bytes);
             } catch (IOException e) {
                 refuse(l, "unreadable: " + e.getMessage().lines().findFirst().orElse(""));
                 return;
             }
-            Planner p = planner.get();
+            PlannerSession p = planner.get();
             boolean greeted = p != null && p.link == l;
-            if (m instanceof Codec.Hello h && !greeted) {
+            if (m instanceof PlannerMessageCodec.Hello h && !greeted) {
                 greet(l, h);
             } else if (!greeted) {
                 refuse(l, "a message before the handshake");
             } else {
                 p.heard = System.nanoTime();
-                if (m instanceof Plan x) { heard.plan(x); } else if (!(m instanceof Codec.Beat)) { refuse(l, "no message for an edge"); }
+                if (m instanceof LoadPlan x) { heard.plan(x); } else if (!(m instanceof PlannerMessageCodec.Heartbeat)) { refuse(l, "no message for an edge"); }
             }
         }
 
         @Override public void closed(FramedConnection l, String why) {
-            Planner p = planner.get();
+            PlannerSession p = planner.get();
             if (p != null && p.link == l && planner.compareAndSet(p, null)) {
                 LOG.warn("router {}: planner gone: {}; orders go out as they come", router, why);
                 heard.unlinked(p.epoch);
@@ -104,27 +104,27 @@
         }
     }
 
-    private synchronized void greet(FramedConnection l, Codec.Hello h) {
-        if (h.version() != Codec.VERSION) { refuse(l, "version " + h.version() + ", this edge speaks " + Codec.VERSION); return; }
+    private synchronized void greet(FramedConnection l, PlannerMessageCodec.Hello h) {
+        if (h.version() != PlannerMessageCodec.VERSION) { refuse(l, "version " + h.version() + ", this edge speaks " + PlannerMessageCodec.VERSION); return; }
         if (!h.side().equals("planner")) { refuse(l, "a " + h.side() + ", no planner"); return; }
         if (h.router() != router) { refuse(l, "a planner for router " + h.router() + ", this is " + router); return; }
-        Planner mine = new Planner(l, ++epochs);
+        PlannerSession mine = new PlannerSession(l, ++epochs);
         if (!planner.compareAndSet(null, mine)) { refuse(l, "a planner is linked already"); return; }
-        l.send(Codec.write(new Codec.Hello(Codec.VERSION, "edge", router, mine.epoch)));
+        l.send(PlannerMessageCodec.write(new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "edge", router, mine.epoch)));
         LOG.info("router {}: planner linked, epoch {}", router, mine.epoch);
         heard.linked(mine.epoch);
     }
 
     private void refuse(FramedConnection l, String why) {
         LOG.warn("router {}: planner refused: {}", router, why);
-        l.send(Codec.write(new Codec.Refused(why)));
+        l.send(PlannerMessageCodec.write(new PlannerMessageCodec.Refused(why)));
         TimerThread.LATER.schedule(() -> l.close("refused: " + why), 100, TimeUnit.MILLISECONDS);
     }
 
     @Override public void close() {
         watch.cancel(false);
         door.close();
-        Planner p = planner.get();
+        PlannerSession p = planner.get();
         if (p != null) { p.link.close("the edge stops"); }
     }
 }
--- a/src/main/java/switchgap/protocol/invoke/InvokeApi.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeApi.java
@@ -11,9 +11,9 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
+import switchgap.admission.ServiceLevel;
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
-import switchgap.level.Rung;
 import switchgap.net.HttpExchange;
 import switchgap.net.HttpServer;
 import switchgap.net.KeyedWriters;
@@ -311,7 +311,7 @@
         r.answer(p.status(), h, p.bytes());
     }
 
-    private static void reply(HttpExchange r, Response a, String id, String echo, Rung met) {
+    private static void reply(HttpExchange r, Response a, String id, String echo, ServiceLevel met) {
         Map<String, String> h = headers(id, echo);
         if (met != null) { h.put("Switchgap-Level", YamlDocument.word(met)); }
         switch (a.kind()) {
--- a/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
@@ -7,11 +7,11 @@
 import java.time.Duration;
 import java.util.Locale;
 import java.util.Map;
+import switchgap.admission.AdmissionController;
+import switchgap.admission.ServiceLevel;
+import switchgap.admission.ServiceLevelChange;
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
-import switchgap.level.Change;
-import switchgap.level.Levels;
-import switchgap.level.Rung;
 import switchgap.net.HttpExchange;
 import switchgap.router.AdmissionGate;
 
@@ -25,14 +25,14 @@
 
     /** {@code GET /v1/levels}: now and the last changes; {@code POST /v1/levels?pin=RUNG&seconds=N}: a pin that expires. */
     void asked(HttpExchange r, AdmissionGate gate) {
-        Levels l = gate.levels();
+        AdmissionController l = gate.levels();
         if (l == null) {
             InvokeApi.refuse(r, new ProblemDetails(404, "no-levels", "levels do not act at this router"), null);
             return;
         }
         if (r.method.equals("POST")) {
-            Rung rung = null;
-            for (Rung g : Rung.values()) { rung = YamlDocument.word(g).equals(r.asked("pin")) && g != Rung.SHARE ? g : rung; }
+            ServiceLevel rung = null;
+            for (ServiceLevel g : ServiceLevel.values()) { rung = YamlDocument.word(g).equals(r.asked("pin")) && g != ServiceLevel.SHARE ? g : rung; }
             long seconds = seconds(r.asked("seconds"));
             if (rung == null || seconds < 1 || seconds > LONGEST_PIN) {
                 InvokeApi.refuse(r, new ProblemDetails(400, "malformed-pin", "pin must be full, least, most or hold, seconds from 1 to "
@@ -52,12 +52,12 @@
         }
     }
 
-    private byte[] show(Levels l) {
+    private byte[] show(AdmissionController l) {
         ObjectNode n = JSON.createObjectNode();
         n.put("level", YamlDocument.word(l.rung())).put("depth", l.depth()).put("pinned", l.pinned()).put("pressure", l.pressure());
         ObjectNode spent = n.putObject("seconds_at");
         ObjectNode touched = n.putObject("pushed_back");
-        for (Rung g : Rung.values()) {
+        for (ServiceLevel g : ServiceLevel.values()) {
             spent.put(YamlDocument.word(g), l.spent(g).toMillis() / 1000.0);
             for (int w = 0; w < terms.workloads(); w++) {
                 long t = l.touched(g, w);
@@ -69,7 +69,7 @@
             customers.putObject(terms.customerName(c)).put("level", YamlDocument.word(l.rung(c))).put("depth", l.depth(c));
         }
         ArrayNode all = n.putArray("changes");
-        for (Change c : l.changes()) {
+        for (ServiceLevelChange c : l.changes()) {
             all.addObject().put("at_s", c.at().toMillis() / 1000.0).put("for", c.customer() < 0 ? "all"
                 : terms.customerName(c.customer())).put("from", YamlDocument.word(c.from())).put("to", YamlDocument.word(c.to()))
                 .put("condition", c.condition()).put("pressure", c.pressure()).put("evidence", c.evidence());
@@ -78,7 +78,7 @@
     }
 
     /** Plain metrics of the levels and of the calls ended: finished, pushed back, killed, overdue. */
-    byte[] metrics(Levels l, int held, long[] ends) {
+    byte[] metrics(AdmissionController l, int held, long[] ends) {
         StringBuilder s = new StringBuilder();
         s.append("switchgap_calls_held ").append(held).append('\n');
         String[] kinds = {"finished", "pushed_back", "killed", "overdue"};
@@ -86,7 +86,7 @@
         if (l != null) {
             s.append("switchgap_level ").append(l.rung().ordinal()).append('\n');
             s.append("switchgap_level_depth ").append(String.format(Locale.ROOT, "%.3f", l.depth())).append('\n');
-            for (Rung g : Rung.values()) {
+            for (ServiceLevel g : ServiceLevel.values()) {
                 s.append("switchgap_level_seconds{level=\"").append(YamlDocument.word(g)).append("\"} ")
                     .append(l.spent(g).toMillis() / 1000.0).append('\n');
                 for (int w = 0; w < terms.workloads(); w++) {
--- a/src/main/java/switchgap/router/AdmissionGate.java
+++ b/src/main/java/switchgap/router/AdmissionGate.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.function.Consumer;
-import switchgap.level.Change;
-import switchgap.level.Levels;
-import switchgap.level.Outcome;
-import switchgap.level.Rung;
-import switchgap.level.Verdict;
+import switchgap.admission.AdmissionController;
+import switchgap.admission.AdmissionDecision;
+import switchgap.admission.RequestOutcome;
+import switchgap.admission.ServiceLevel;
+import switchgap.admission.ServiceLevelChange;
 import switchgap.policy.api.RouterSettings;
 
 /**
@@ -18,11 +18,11 @@
     private static final double CROWDED_BY = 1.2; // start targets: a pushback so early found no room
     private final RouterCore core;
     private final RouterSettings terms;
-    private final Levels levels;
-    private final Consumer<Change> told;
+    private final AdmissionController levels;
+    private final Consumer<ServiceLevelChange> told;
 
     /** Without levels (null) everything passes. Each change of level is told. */
-    public AdmissionGate(RouterCore core, RouterSettings terms, Levels levels, Consumer<Change> told) {
+    public AdmissionGate(RouterCore core, RouterSettings terms, AdmissionController levels, Consumer<ServiceLevelChange> told) {
         this.core = core;
         this.terms = terms;
         this.levels = levels;
@@ -38,19 +38,19 @@
 
     public RouterCore core() { return core; }
 
-    public Levels levels() { return levels; }
+    public AdmissionController levels() { return levels; }
 
     /** Offers a call. False when it was not taken and gets no answer here: no room, or its limit has passed. */
     public boolean offer(PendingRequest c) {
         if (levels == null) { return core.callCame(c); }
-        Verdict v = levels.offered(core.now(), c.customer, c.workload, c.function.hashCode());
+        AdmissionDecision v = levels.offered(core.now(), c.customer, c.workload, c.function.hashCode());
         tell();
         if (v.passes()) { return core.callCame(c); }
         pushBack(c, v); // deferred ones too: to give up is to answer now
         return true;
     }
 
-    private void pushBack(PendingRequest c, Verdict v) {
+    private void pushBack(PendingRequest c, AdmissionDecision v) {
         if (c.limit.compareTo(core.now()) <= 0) {
             c.state = PendingRequest.State.OVERDUE;
             c.asker.overdue(c, Response.pushedBack(v.comeBack()));
@@ -68,18 +68,18 @@
         tell();
     }
 
-    private static Outcome outcome(PendingRequest c, Response a, Duration took, Duration target) {
-        if (a == null) { return Outcome.OTHER; }
+    private static RequestOutcome outcome(PendingRequest c, Response a, Duration took, Duration target) {
+        if (a == null) { return RequestOutcome.OTHER; }
         return switch (a.kind()) {
-            case FINISHED -> took.compareTo(target) <= 0 ? Outcome.IN_TARGET : Outcome.LATE;
+            case FINISHED -> took.compareTo(target) <= 0 ? RequestOutcome.IN_TARGET : RequestOutcome.LATE;
             case PUSHED_BACK -> c.runs.stream().noneMatch(r -> r.mayHaveRun)
-                && took.toNanos() <= target.toNanos() * CROWDED_BY ? Outcome.CROWDED : Outcome.OTHER;
-            case KILLED -> Outcome.OTHER;
+                && took.toNanos() <= target.toNanos() * CROWDED_BY ? RequestOutcome.CROWDED : RequestOutcome.OTHER;
+            case KILLED -> RequestOutcome.OTHER;
         };
     }
 
     /** Holds a level for all for a span. */
-    public void pin(Rung r, Duration span) {
+    public void pin(ServiceLevel r, Duration span) {
         levels.pin(core.now(), r, core.now().plus(span));
         tell();
     }
@@ -93,7 +93,7 @@
     }
 
     private void tell() {
-        List<Change> fresh = levels.fresh();
+        List<ServiceLevelChange> fresh = levels.fresh();
         fresh.forEach(told);
     }
 }
--- a/src/main/java/switchgap/router/PendingRequest.java
+++ b/src/main/java/switchgap/router/PendingRequest.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import switchgap.level.Rung;
+import switchgap.admission.ServiceLevel;
 
 /** A call as a client gave it, and how it stands. All times are spans since the router's start. */
 public final class PendingRequest {
@@ -32,7 +32,7 @@
     /** Whoever is told of the end. */
     public final ResponseListener asker;
     /** The reduced level that pushed it back, null where none did. */
-    public Rung met;
+    public ServiceLevel met;
     State state = State.HELD;
     Duration taken = Duration.ZERO;
     int index = -1;
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -8,19 +8,19 @@
 import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.admission.AdmissionController;
+import switchgap.admission.ServiceLevelChange;
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
 import switchgap.endpoints.EndpointListWatcher;
 import switchgap.eventloop.EventLoop;
-import switchgap.level.Change;
-import switchgap.level.Levels;
-import switchgap.link.EdgeDoor;
 import switchgap.net.HttpClientConnection;
 import switchgap.net.HttpServer;
 import switchgap.net.KeyedWriters;
 import switchgap.net.NetworkTransport;
 import switchgap.net.TimerThread;
-import switchgap.plan.Plan;
+import switchgap.planner.LoadPlan;
+import switchgap.planner.link.PlannerServer;
 import switchgap.policy.RoutingPolicy;
 import switchgap.protocol.inference.InferenceWorkerTransport;
 import switchgap.protocol.invoke.InvokeApi;
@@ -45,7 +45,7 @@
     private final ScheduledFuture<?> sweeper;
     private final InferenceWorkerTransport workers;
     private final PlannedWorkerTransport planned; // null: one program, orders go straight out
-    private final EdgeDoor planners;
+    private final PlannerServer planners;
     private final int port;
 
     public GatewayRouter(GatewayConfig page) throws IOException {
@@ -70,7 +70,7 @@
         }, "loop-" + terms.self(), this::late, GatewayRouter::failed);
         workers = made.get();
         planned = behind.get();
-        Levels levels = terms.levelsAct() ? new Levels(terms.levelTerms(), page.seed() * 31 + bornWall) : null;
+        AdmissionController levels = terms.levelsAct() ? new AdmissionController(terms.levelTerms(), page.seed() * 31 + bornWall) : null;
         AtomicReference<AdmissionGate> gate = new AtomicReference<>();
         loop.post(c -> {
             gate.set(new AdmissionGate(c, terms, levels, x -> told(terms, x)));
@@ -94,13 +94,13 @@
             loop.post(c -> gate.get().tick());
         }, 1, 1, TimeUnit.SECONDS);
         loop.start();
-        planners = planned == null ? null : new EdgeDoor(net, page.planner().getHostString(), page.planner().getPort(), terms.self(),
-            new EdgeDoor.Heard() {
+        planners = planned == null ? null : new PlannerServer(net, page.planner().getHostString(), page.planner().getPort(), terms.self(),
+            new PlannerServer.Listener() {
                 @Override public void linked(long epoch) { loop.post(c -> planned.linked(c, epoch)); }
 
                 @Override public void unlinked(long epoch) { loop.post(c -> planned.unlinked(c, epoch)); }
 
-                @Override public void plan(Plan p) { loop.post(c -> planned.plan(c, p)); }
+                @Override public void plan(LoadPlan p) { loop.post(c -> planned.plan(c, p)); }
             });
         if (planners != null) { loop.post(c -> planned.teller(planners::tell)); }
         try {
@@ -114,7 +114,7 @@
     }
 
     /** A change of level is what an operator acts on: one line, with the figures that met the condition. */
-    private static void told(YamlRouterSettings terms, Change c) {
+    private static void told(YamlRouterSettings terms, ServiceLevelChange c) {
         LOG.warn("level {} to {} for {}: {} (pressure {}, evidence {} calls)", YamlDocument.word(c.from()), YamlDocument.word(c.to()),
             c.customer() < 0 ? "all" : terms.customerName(c.customer()), c.condition(),
             String.format(java.util.Locale.ROOT, "%.3f", c.pressure()), Math.round(c.evidence()));
--- a/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
@@ -7,10 +7,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import switchgap.config.YamlRouterSettings;
-import switchgap.plan.Plan;
-import switchgap.plan.Told;
-import switchgap.plan.Wish;
-import switchgap.plan.Wishes;
+import switchgap.planner.LoadBacklog;
+import switchgap.planner.LoadPlan;
+import switchgap.planner.PendingLoad;
+import switchgap.planner.PendingLoadQueue;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Attempt;
 import switchgap.router.RouterCore;
@@ -28,13 +28,13 @@
 
     /** Tells the planner; false where it was not told. */
     interface BacklogSender {
-        boolean tell(Told t);
+        boolean tell(LoadBacklog t);
     }
 
     private final WorkerTransport inner;
     private final YamlRouterSettings terms;
     private final Consumer<Consumer<RouterCore>> events;
-    private final Wishes wishes;
+    private final PendingLoadQueue wishes;
     private final Map<Long, HeldLoad> held = new HashMap<>();
     private final Map<WorkerCommand, Long> ids = new HashMap<>();
     private BacklogSender teller = t -> false;
@@ -47,7 +47,7 @@
         this.inner = inner;
         this.terms = terms;
         this.events = events;
-        this.wishes = new Wishes(patience, MOST_WAITING, new Wishes.Carrier() {
+        this.wishes = new PendingLoadQueue(patience, MOST_WAITING, new PendingLoadQueue.Listener() {
             @Override public void release(long id) { PlannedWorkerTransport.this.release(id); }
 
             @Override public void refused(String why) { LOG.warn("the planner is wrong: {}", why); }
@@ -68,12 +68,12 @@
         if (wishes.epoch() == epoch) { wishes.unlinked(); }
     }
 
-    void plan(RouterCore c, Plan p) {
+    void plan(RouterCore c, LoadPlan p) {
         now = c.now();
         wishes.plan(p); // no word back: what a plan left waiting is told with what is asked for next, or goes out in time
     }
 
-    Wishes.State state() { return wishes.state(); }
+    PendingLoadQueue.State state() { return wishes.state(); }
 
     long epoch() { return wishes.epoch(); }
 
@@ -90,15 +90,15 @@
     private void tell(RouterCore c) {
         due = false;
         now = c.now();
-        if (wishes.state() != Wishes.State.ALONE) {
+        if (wishes.state() != PendingLoadQueue.State.ALONE) {
             Map<String, Double> worth = held.isEmpty() ? Map.of() : c.waitingWorth(); // walks all calls held
-            teller.tell(new Told(wishes.epoch(), ++seq, wishes.waiting(now, f -> worth.getOrDefault(f, 0.0))));
+            teller.tell(new LoadBacklog(wishes.epoch(), ++seq, wishes.waiting(now, f -> worth.getOrDefault(f, 0.0))));
         }
     }
 
     /** Once after what happens now. */
     private void soon() {
-        if (!due && wishes.state() != Wishes.State.ALONE) {
+        if (!due && wishes.state() != PendingLoadQueue.State.ALONE) {
             due = true;
             events.accept(this::tell);
         }
@@ -122,7 +122,7 @@
         held.put(id, new HeldLoad(worker, function, copies, order));
         ids.put(order, id);
         now = order.sentAt();
-        wishes.ask(now, new Wish(id, worker.name, function, e == null ? 0 : e.memory(), load, 0, 0));
+        wishes.ask(now, new PendingLoad(id, worker.name, function, e == null ? 0 : e.memory(), load, 0, 0));
         soon();
         if (!ticking && held.containsKey(id)) {
             ticking = true;
--- a/src/main/java/switchgap/server/gateway/RouterStatus.java
+++ b/src/main/java/switchgap/server/gateway/RouterStatus.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
+import switchgap.admission.AdmissionController;
 import switchgap.config.YamlDocument;
-import switchgap.level.Levels;
 import switchgap.router.RouterCore;
 
 /** How a router stands, for operators: calls, level, and its planner where it has one. */
@@ -13,7 +13,7 @@
 
     private RouterStatus() { }
 
-    static byte[] show(int router, RouterCore c, int held, long[] ends, Levels levels, PlannedWorkerTransport planned) {
+    static byte[] show(int router, RouterCore c, int held, long[] ends, AdmissionController levels, PlannedWorkerTransport planned) {
         ObjectNode n = JSON.createObjectNode();
         n.put("router", router).put("up_s", c.now().toMillis() / 1000.0);
         n.putObject("calls").put("held", held).put("finished", ends[0]).put("pushed_back", ends[1]).put("killed", ends[2])
--- a/src/test/java/switchgap/LayersTest.java
+++ b/src/test/java/switchgap/LayersTest.java
@@ -20,12 +20,12 @@
         slices().matching("switchgap.(*)..").should().beFreeOfCycles().check(all);
         layeredArchitecture().consideringOnlyDependenciesInAnyPackage("switchgap..")
             .layer("module").definedBy("switchgap.policy", "switchgap.policy.api", "switchgap.policy.state")
-            .layer("levels").definedBy("switchgap.level")
-            .layer("plans").definedBy("switchgap.plan")
+            .layer("levels").definedBy("switchgap.admission")
+            .layer("plans").definedBy("switchgap.planner")
             .layer("core").definedBy("switchgap.router")
             .layer("wire").definedBy("switchgap.net")
             .layer("config").definedBy("switchgap.config")
-            .layer("edges").definedBy("switchgap.protocol.inference", "switchgap.endpoints", "switchgap.protocol.invoke", "switchgap.link")
+            .layer("edges").definedBy("switchgap.protocol.inference", "switchgap.endpoints", "switchgap.protocol.invoke", "switchgap.planner.link")
             .layer("loop").definedBy("switchgap.eventloop")
             .layer("platform's edges").definedBy("switchgap.protocol.thrift", "switchgap.protocol.resp", "switchgap.protocol.sse")
             .layer("platform").definedBy("switchgap.server.platform")
@@ -56,7 +56,7 @@
     }
 
     @Test void decisionsAndCoreTouchNoSocketThreadOrClock() {
-        noClasses().that().resideInAnyPackage("switchgap.policy", "switchgap.policy.api", "switchgap.policy.state", "switchgap.router", "switchgap.level", "switchgap.plan")
+        noClasses().that().resideInAnyPackage("switchgap.policy", "switchgap.policy.api", "switchgap.policy.state", "switchgap.router", "switchgap.admission", "switchgap.planner")
             .should().dependOnClassesThat().resideInAnyPackage("java.net..", "java.nio..", "java.io..", "org.glassfish..",
                 "java.util.concurrent..", "org.slf4j..", "com.fasterxml..")
             .orShould().callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
--- a/src/test/java/switchgap/level/LevelsTest.java
+++ b/src/test/java/switchgap/admission/AdmissionControllerTest.java
@@ -1,4 +1,4 @@
-package switchgap.level;
+package switchgap.admission;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -13,23 +13,23 @@
 import switchgap.policy.api.Idempotency;
 
 /** Levels under loads that a test makes: a fleet that crowds what passes beyond its capacity. Traces are read by people. */
-class LevelsTest {
+class AdmissionControllerTest {
     private static final Duration[] TARGETS = {Duration.ofMillis(400), Duration.ofMillis(800)};
     private final SplittableRandom chance = new SplittableRandom(3);
     private double second;
     private double passedNow;
 
-    private static LevelTerms terms(double least, double best, int customers) {
+    private static AdmissionSettings terms(double least, double best, int customers) {
         double[] share = new double[customers];
         java.util.Arrays.fill(share, 1.0 / customers);
-        return new LevelTerms(new double[] {least, best}, new Idempotency[] {Idempotency.RESTARTABLE, Idempotency.RUN_ONCE}, TARGETS, share,
-            new boolean[2], Rung.HOLD, Duration.ofSeconds(1), 0);
+        return new AdmissionSettings(new double[] {least, best}, new Idempotency[] {Idempotency.RESTARTABLE, Idempotency.RUN_ONCE}, TARGETS, share,
+            new boolean[2], ServiceLevel.HOLD, Duration.ofSeconds(1), 0);
     }
 
     private static Duration at(double seconds) { return Duration.ofNanos((long) (seconds * 1e9)); }
 
     /** So many seconds of calls; what passes beyond the capacity (calls a second) is crowded out. Returns what was cut. */
-    private int[] load(Levels l, double seconds, double rate, double capacity, double busy, double... weights) {
+    private int[] load(AdmissionController l, double seconds, double rate, double capacity, double busy, double... weights) {
         int[] cut = new int[Math.max(1, weights.length)];
         for (double end = second + seconds; second < end; second += 1 / rate) {
             int c = 0;
@@ -41,7 +41,7 @@
                 passedNow += 1 / 0.5;
                 l.busy(busy);
                 boolean crowded = chance.nextDouble() < 1 - capacity / passedNow;
-                l.ended(at(second), w, crowded ? Outcome.CROWDED : Outcome.IN_TARGET);
+                l.ended(at(second), w, crowded ? RequestOutcome.CROWDED : RequestOutcome.IN_TARGET);
             } else {
                 cut[c]++;
             }
@@ -49,75 +49,75 @@
         return cut;
     }
 
-    private static String trace(Levels l) {
+    private static String trace(AdmissionController l) {
         StringBuilder s = new StringBuilder();
         l.changes().forEach(c -> s.append(String.format(Locale.ROOT, "%6.1f %s %s to %s: %s%n", c.at().toMillis() / 1000.0,
             c.customer() < 0 ? "all" : "customer " + c.customer(), c.from(), c.to(), c.condition())));
         return s.toString();
     }
 
-    private static void same(String name, Levels l) throws IOException {
-        try (InputStream in = LevelsTest.class.getResourceAsStream(name + ".txt")) {
+    private static void same(String name, AdmissionController l) throws IOException {
+        try (InputStream in = AdmissionControllerTest.class.getResourceAsStream(name + ".txt")) {
             assertThat(trace(l)).isEqualTo(in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8));
         }
     }
 
     @Test void anOverloadIsMetAndServiceComesBackInARamp() throws IOException {
-        Levels l = new Levels(terms(1, 2, 2), 1);
+        AdmissionController l = new AdmissionController(terms(1, 2, 2), 1);
         load(l, 30, 50, 60, 0.6, 1, 1);
         load(l, 60, 120, 60, 0.97, 1, 1);
-        assertThat(l.rung()).isEqualTo(Rung.LEAST);
-        assertThat(l.touched(Rung.LEAST, 1)).isZero(); // the most important is never touched there
-        assertThat(l.touched(Rung.LEAST, 0)).isPositive();
+        assertThat(l.rung()).isEqualTo(ServiceLevel.LEAST);
+        assertThat(l.touched(ServiceLevel.LEAST, 1)).isZero(); // the most important is never touched there
+        assertThat(l.touched(ServiceLevel.LEAST, 0)).isPositive();
         double deep = l.depth();
         load(l, 3, 40, 60, 0.5, 1, 1);
         assertThat(l.depth()).isBetween(0.3 * deep, 0.999 * deep); // a ramp, not a jump
         load(l, 60, 40, 60, 0.5, 1, 1);
-        assertThat(l.rung()).isEqualTo(Rung.FULL);
+        assertThat(l.rung()).isEqualTo(ServiceLevel.FULL);
         same("overload", l);
     }
 
     @Test void loadThatHoversAtTheMarkDoesNotSwing() {
-        Levels l = new Levels(terms(1, 2, 2), 1);
+        AdmissionController l = new AdmissionController(terms(1, 2, 2), 1);
         for (int i = 0; i < 60; i++) { load(l, 10, 60 * 1.17 * (0.95 + 0.1 * chance.nextDouble()), 60, 0.95, 1, 1); }
         assertThat(l.changes().size()).isLessThanOrEqualTo(600 / (4 * 8)); // one change in four shortest stays
     }
 
     @Test void crowdsAtOneCopyWhileWorkersIdleAreNotALevelsMatter() {
-        Levels l = new Levels(terms(1, 2, 2), 1);
+        AdmissionController l = new AdmissionController(terms(1, 2, 2), 1);
         load(l, 60, 80, 60, 0.5, 1, 1);
         assertThat(l.changes()).isEmpty();
     }
 
     @Test void aHammeringCustomerMeetsItsOwnLevelOnly() throws IOException {
-        Levels l = new Levels(terms(1, 2, 5), 1);
+        AdmissionController l = new AdmissionController(terms(1, 2, 5), 1);
         load(l, 20, 50, 100, 0.7, 1, 1, 1, 1, 1);
         int[] cut = load(l, 60, 130, 100, 0.95, 9, 1, 1, 1, 1);
         assertThat(cut[0]).isGreaterThan(500);
         assertThat(cut[1] + cut[2] + cut[3] + cut[4]).isZero();
-        assertThat(l.rung()).isEqualTo(Rung.FULL);
+        assertThat(l.rung()).isEqualTo(ServiceLevel.FULL);
         load(l, 60, 50, 100, 0.7, 1, 1, 1, 1, 1);
-        assertThat(l.rung(0)).isEqualTo(Rung.FULL);
+        assertThat(l.rung(0)).isEqualTo(ServiceLevel.FULL);
         same("hammering", l);
     }
 
     @Test void twoHammeringCustomersReduceNoThird() {
-        Levels l = new Levels(terms(1, 2, 5), 1);
+        AdmissionController l = new AdmissionController(terms(1, 2, 5), 1);
         load(l, 20, 50, 100, 0.7, 1, 1, 1, 1, 1);
         int[] cut = load(l, 60, 150, 110, 0.95, 6, 6, 1, 1, 1);
         assertThat(cut[2] + cut[3] + cut[4]).isZero();
         assertThat(cut[0]).isPositive();
         assertThat(cut[1]).isPositive();
-        assertThat(l.rung()).isEqualTo(Rung.FULL);
+        assertThat(l.rung()).isEqualTo(ServiceLevel.FULL);
     }
 
     /** A fleet at half of its cores where a tenth of all is late: with nothing to keep no level acts, with a share to keep one does. */
     @Test void aShareOfStartTargetsToKeepIsPaidForByLesserWork() {
         int[] pushed = new int[2];
         for (int keep = 0; keep < 2; keep++) {
-            LevelTerms t = new LevelTerms(new double[] {1, 2}, new Idempotency[] {Idempotency.RESTARTABLE, Idempotency.RUN_ONCE}, TARGETS,
-                new double[] {1}, new boolean[2], Rung.LEAST, null, keep * 0.97);
-            Levels l = new Levels(t, 1);
+            AdmissionSettings t = new AdmissionSettings(new double[] {1, 2}, new Idempotency[] {Idempotency.RESTARTABLE, Idempotency.RUN_ONCE}, TARGETS,
+                new double[] {1}, new boolean[2], ServiceLevel.LEAST, null, keep * 0.97);
+            AdmissionController l = new AdmissionController(t, 1);
             for (int i = 0; i < 3000; i++) {
                 l.busy(0.6);
                 int w = i % 3 == 0 ? 1 : 0;
@@ -125,7 +125,7 @@
                     pushed[keep]++;
                     continue;
                 }
-                l.ended(at(i / 50.0), w, i % 10 == 0 ? Outcome.LATE : Outcome.IN_TARGET);
+                l.ended(at(i / 50.0), w, i % 10 == 0 ? RequestOutcome.LATE : RequestOutcome.IN_TARGET);
             }
         }
         assertThat(pushed[0]).isZero();
@@ -134,98 +134,98 @@
 
     // Guards against a rung that comes and goes with each wave: it is left, and taken again, only after four stays.
     @Test void aRungThatWasLeftComesBackOnlyAfterFourStaysOfMildPressure() {
-        Ladder l = new Ladder(Duration.ofSeconds(8), new SplittableRandom(1), Rung.FULL, Rung.LEAST);
+        DegradationController l = new DegradationController(Duration.ofSeconds(8), new SplittableRandom(1), ServiceLevel.FULL, ServiceLevel.LEAST);
         double s = 0;
-        for (; l.rung() == Rung.FULL; s += 0.1) { l.step(at(s), 0.1, 0.05, true, false, Rung.HOLD); }
+        for (; l.rung() == ServiceLevel.FULL; s += 0.1) { l.step(at(s), 0.1, 0.05, true, false, ServiceLevel.HOLD); }
         double entered = s;
-        for (; l.rung() == Rung.LEAST; s += 0.1) { l.step(at(s), 0.1, -0.05, true, false, Rung.HOLD); }
+        for (; l.rung() == ServiceLevel.LEAST; s += 0.1) { l.step(at(s), 0.1, -0.05, true, false, ServiceLevel.HOLD); }
         assertThat(s - entered).isBetween(31.9, 40.0);
         double out = s;
-        for (; l.rung() == Rung.FULL; s += 0.1) { l.step(at(s), 0.1, 0.05, true, false, Rung.HOLD); }
+        for (; l.rung() == ServiceLevel.FULL; s += 0.1) { l.step(at(s), 0.1, 0.05, true, false, ServiceLevel.HOLD); }
         assertThat(s - out).isBetween(31.9, 45.0);
-        for (; l.rung() == Rung.LEAST; s += 0.1) { l.step(at(s), 0.1, -0.05, true, false, Rung.HOLD); }
+        for (; l.rung() == ServiceLevel.LEAST; s += 0.1) { l.step(at(s), 0.1, -0.05, true, false, ServiceLevel.HOLD); }
         out = s;
-        for (; l.rung() == Rung.FULL; s += 0.1) { l.step(at(s), 0.1, 0.05, true, true, Rung.HOLD); }
+        for (; l.rung() == ServiceLevel.FULL; s += 0.1) { l.step(at(s), 0.1, 0.05, true, true, ServiceLevel.HOLD); }
         assertThat(s - out).isLessThan(10); // hard pressure does not wait
     }
 
     @Test void oneCustomerAloneIsNeverOverItsShare() {
-        Levels l = new Levels(terms(1, 2, 1), 1);
+        AdmissionController l = new AdmissionController(terms(1, 2, 1), 1);
         load(l, 40, 120, 60, 0.97, 1);
-        assertThat(l.rung(0)).isEqualTo(Rung.FULL);
-        assertThat(l.rung()).isEqualTo(Rung.LEAST);
+        assertThat(l.rung(0)).isEqualTo(ServiceLevel.FULL);
+        assertThat(l.rung()).isEqualTo(ServiceLevel.LEAST);
     }
 
     @Test void aRouterWithTwoCallsASecondNeitherJumpsOnOneSampleNorSticks() {
-        Levels l = new Levels(terms(1, 2, 2), 1);
+        AdmissionController l = new AdmissionController(terms(1, 2, 2), 1);
         l.offered(at(1), 0, 1, 0);
         l.busy(1);
-        l.ended(at(1.1), 1, Outcome.CROWDED);
+        l.ended(at(1.1), 1, RequestOutcome.CROWDED);
         load(l, 1, 2, 0.001, 1, 1, 1);
         assertThat(l.changes()).isEmpty();
         second = 2;
         load(l, 40, 2, 0.8, 1, 1, 1);
-        assertThat(l.rung()).isNotEqualTo(Rung.FULL);
+        assertThat(l.rung()).isNotEqualTo(ServiceLevel.FULL);
         load(l, 300, 2, 100, 0.5, 1, 1);
-        assertThat(l.rung()).isEqualTo(Rung.FULL);
+        assertThat(l.rung()).isEqualTo(ServiceLevel.FULL);
     }
 
     @Test void aRouterRestartedInOverloadFindsItsLevelByItself() {
-        Levels l = new Levels(terms(1, 2, 2), 9);
+        AdmissionController l = new AdmissionController(terms(1, 2, 2), 9);
         load(l, 15, 120, 60, 0.97, 1, 1);
-        assertThat(l.rung()).isEqualTo(Rung.LEAST);
+        assertThat(l.rung()).isEqualTo(ServiceLevel.LEAST);
     }
 
     @Test void equalImportanceLeavesNoLesserWork() {
-        Levels l = new Levels(terms(1, 1, 2), 1);
+        AdmissionController l = new AdmissionController(terms(1, 1, 2), 1);
         load(l, 40, 90, 60, 0.97, 1, 1);
-        assertThat(l.rung()).isEqualTo(Rung.FULL); // a third too much is the module's to push back
+        assertThat(l.rung()).isEqualTo(ServiceLevel.FULL); // a third too much is the module's to push back
         load(l, 60, 300, 60, 0.99, 1, 1);
-        assertThat(l.rung()).isEqualTo(Rung.HOLD);
+        assertThat(l.rung()).isEqualTo(ServiceLevel.HOLD);
     }
 
     @Test void nothingRestartableMeansTheNextRung() {
-        LevelTerms t = new LevelTerms(new double[] {1, 2}, new Idempotency[] {Idempotency.RUN_ONCE, Idempotency.RUN_ONCE}, TARGETS,
-            new double[] {1}, new boolean[2], Rung.MOST, null, 0);
-        Levels l = new Levels(t, 1);
+        AdmissionSettings t = new AdmissionSettings(new double[] {1, 2}, new Idempotency[] {Idempotency.RUN_ONCE, Idempotency.RUN_ONCE}, TARGETS,
+            new double[] {1}, new boolean[2], ServiceLevel.MOST, null, 0);
+        AdmissionController l = new AdmissionController(t, 1);
         load(l, 40, 150, 60, 0.97, 1);
-        assertThat(l.rung()).isEqualTo(Rung.MOST);
-        assertThat(l.touched(Rung.MOST, 0)).isPositive();
-        assertThat(l.touched(Rung.MOST, 1)).isZero();
+        assertThat(l.rung()).isEqualTo(ServiceLevel.MOST);
+        assertThat(l.touched(ServiceLevel.MOST, 0)).isPositive();
+        assertThat(l.touched(ServiceLevel.MOST, 1)).isZero();
     }
 
     @Test void aSparedWorkloadIsNeverTouchedAndACeilingHolds() {
-        LevelTerms t = new LevelTerms(new double[] {1, 2}, new Idempotency[] {Idempotency.RESTARTABLE, Idempotency.RESTARTABLE}, TARGETS,
-            new double[] {1}, new boolean[] {true, false}, Rung.LEAST, null, 0);
-        Levels l = new Levels(t, 1);
+        AdmissionSettings t = new AdmissionSettings(new double[] {1, 2}, new Idempotency[] {Idempotency.RESTARTABLE, Idempotency.RESTARTABLE}, TARGETS,
+            new double[] {1}, new boolean[] {true, false}, ServiceLevel.LEAST, null, 0);
+        AdmissionController l = new AdmissionController(t, 1);
         load(l, 60, 300, 60, 0.99, 1);
-        for (Rung r : Rung.values()) { assertThat(l.touched(r, 0)).isZero(); }
-        assertThat(l.rung()).isEqualTo(Rung.FULL); // nothing left to touch under this ceiling
+        for (ServiceLevel r : ServiceLevel.values()) { assertThat(l.touched(r, 0)).isZero(); }
+        assertThat(l.rung()).isEqualTo(ServiceLevel.FULL); // nothing left to touch under this ceiling
     }
 
     @Test void aPinHoldsAndItsEndInOverloadGoesOnFromWhatIsMeasured() {
-        Levels l = new Levels(terms(1, 2, 2), 1);
-        l.pin(at(0), Rung.HOLD, at(20));
+        AdmissionController l = new AdmissionController(terms(1, 2, 2), 1);
+        l.pin(at(0), ServiceLevel.HOLD, at(20));
         int[] cut = load(l, 19, 100, 60, 0.97, 1, 1);
         assertThat(cut[0] + cut[1]).isGreaterThan(1800); // all of it
-        l.pin(at(second), Rung.FULL, at(40));
+        l.pin(at(second), ServiceLevel.FULL, at(40));
         assertThat(l.offered(at(second), 0, 0, 0).passes()).isTrue();
         load(l, 22, 120, 60, 0.97, 1, 1);
         load(l, 10, 120, 60, 0.97, 1, 1);
         assertThat(l.pinned()).isFalse();
-        assertThat(l.rung()).isEqualTo(Rung.LEAST);
+        assertThat(l.rung()).isEqualTo(ServiceLevel.LEAST);
     }
 
     @Test void aClockThatStepsMovesNothingAtOnce() {
-        Levels l = new Levels(terms(1, 2, 2), 1);
+        AdmissionController l = new AdmissionController(terms(1, 2, 2), 1);
         load(l, 40, 120, 60, 0.97, 1, 1);
         double deep = l.depth();
         second += 7;
         l.tick(at(second));
-        assertThat(l.rung()).isEqualTo(Rung.LEAST);
+        assertThat(l.rung()).isEqualTo(ServiceLevel.LEAST);
         assertThat(l.depth()).isBetween(deep - 0.2, deep + 0.2);
         l.tick(at(second - 3)); // back: nothing
-        assertThat(l.rung()).isEqualTo(Rung.LEAST);
+        assertThat(l.rung()).isEqualTo(ServiceLevel.LEAST);
     }
 
     @Test void routersDoNotChangeInStep() {
@@ -233,7 +233,7 @@
         TreeSet<Long> backs = new TreeSet<>();
         for (int i = 0; i < 40; i++) {
             second = 0;
-            Levels l = new Levels(terms(1, 2, 2), i);
+            AdmissionController l = new AdmissionController(terms(1, 2, 2), i);
             load(l, 30, 3, 1, 1, 1, 1);
             if (!l.changes().isEmpty()) { times.add(l.changes().get(0).at().toMillis() / 500); }
             backs.add(l.offered(at(second), 0, 0, 0).comeBack() == null ? 0 : 1L);
@@ -243,13 +243,13 @@
 
     /** Days of pins and loads: what is remembered is bounded, whether anybody asks for it or not. */
     @Test void changesAndTalliesAreBoundedOverDays() {
-        Levels l = new Levels(terms(1, 2, 3), 1);
+        AdmissionController l = new AdmissionController(terms(1, 2, 3), 1);
         for (int day = 0; day < 2; day++) {
             for (int i = 0; i < 20_000; i++) {
                 Duration t = at(day * 200_000 + i * 10);
                 l.offered(t, i % 3, i % 2, i);
-                l.ended(t, i % 2, Outcome.CROWDED);
-                if (i % 10 == 0) { l.pin(t, Rung.LEAST, t.plusSeconds(5)); }
+                l.ended(t, i % 2, RequestOutcome.CROWDED);
+                if (i % 10 == 0) { l.pin(t, ServiceLevel.LEAST, t.plusSeconds(5)); }
             }
         }
         assertThat(l.changes()).hasSize(64);
--- a/src/test/java/switchgap/level/TurnsTest.java
+++ b/src/test/java/switchgap/admission/SheddingRotationTest.java
@@ -1,4 +1,4 @@
-package switchgap.level;
+package switchgap.admission;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Turns of being pushed back: the share is that of the depth, and a client that comes back meets the same verdict. */
-class TurnsTest {
+class SheddingRotationTest {
     private final SplittableRandom chance = new SplittableRandom(7);
-    private final Turns turns = new Turns(Duration.ofSeconds(60), new SplittableRandom(3));
+    private final SheddingRotation turns = new SheddingRotation(Duration.ofSeconds(60), new SplittableRandom(3));
 
     private void load(int seconds, int keys) {
         for (int s = 0; s < seconds; s++) {
--- a/src/test/java/switchgap/lab/EmulatorTest.java
+++ b/src/test/java/switchgap/lab/EmulatorTest.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import switchgap.admission.ServiceLevel;
 import switchgap.day.Day;
-import switchgap.level.Rung;
 
 /** Simulated time: the same seed plays the same day, variants meet the same arrivals, and levels act in overload. */
 class EmulatorTest {
@@ -36,7 +36,7 @@
         Trial none = new Trial(day(), 3, Variant.OFF, flat(2));
         assertThat(full.changes).isPositive();
         assertThat(full.service).isGreaterThan(none.service - 0.005);
-        Trial alone = new Trial(day(), 3, new Variant("alone", Variant.Before.LEVELS, Rung.LEAST, Map.of()), flat(2));
+        Trial alone = new Trial(day(), 3, new Variant("alone", Variant.Before.LEVELS, ServiceLevel.LEAST, Map.of()), flat(2));
         assertThat(alone.inTarget.get("notice-send")).isGreaterThan(none.inTarget.get("notice-send"));
         assertThat(alone.inTarget.get("status-refresh")).isZero();
     }
--- a/src/test/java/switchgap/plan/WishesTest.java
+++ b/src/test/java/switchgap/planner/PendingLoadQueueTest.java
@@ -1,4 +1,4 @@
-package switchgap.plan;
+package switchgap.planner;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -11,18 +11,18 @@
 import org.junit.jupiter.api.Test;
 
 /** The edge's wishes with and without a planner; and all orders of loss, restart and repetition up to a depth. */
-class WishesTest {
+class PendingLoadQueueTest {
     /** Edge and planner with a link between them that a test breaks as it likes. */
-    private static final class World implements Wishes.Carrier {
-        final Wishes wishes = new Wishes(Duration.ofMillis(60), 4, this);
+    private static final class World implements PendingLoadQueue.Listener {
+        final PendingLoadQueue wishes = new PendingLoadQueue(Duration.ofMillis(60), 4, this);
         final List<Long> out = new ArrayList<>();
         final Set<Long> withdrawn = new HashSet<>();
         final List<String> refusals = new ArrayList<>();
-        final ArrayDeque<Told> up = new ArrayDeque<>();
-        final ArrayDeque<Plan> down = new ArrayDeque<>();
-        Sequence planner = new Sequence();
+        final ArrayDeque<LoadBacklog> up = new ArrayDeque<>();
+        final ArrayDeque<LoadPlan> down = new ArrayDeque<>();
+        LoadScheduler planner = new LoadScheduler();
         Duration now = Duration.ZERO;
-        Plan last;
+        LoadPlan last;
         long epoch;
         long seq;
 
@@ -34,7 +34,7 @@
 
         @Override public void refused(String why) { refusals.add(why); }
 
-        Wish wish(double importance, long load) { return new Wish(wishes.nextId(), "w", "f", 1, load, importance, 0); }
+        PendingLoad wish(double importance, long load) { return new PendingLoad(wishes.nextId(), "w", "f", 1, load, importance, 0); }
 
         void ask() {
             wishes.ask(now, wish(0, 1000));
@@ -42,7 +42,7 @@
         }
 
         void tell() {
-            if (wishes.state() != Wishes.State.ALONE) { up.add(new Told(epoch, ++seq, wishes.waiting(now, f -> 1))); }
+            if (wishes.state() != PendingLoadQueue.State.ALONE) { up.add(new LoadBacklog(epoch, ++seq, wishes.waiting(now, f -> 1))); }
         }
 
         void link() {
@@ -53,13 +53,13 @@
         }
 
         void plannerHears() {
-            Told t = up.poll();
-            Plan p = t == null ? null : planner.plan(t);
+            LoadBacklog t = up.poll();
+            LoadPlan p = t == null ? null : planner.plan(t);
             if (p != null) { down.add(p); }
         }
 
         void edgeHears() {
-            Plan p = down.poll();
+            LoadPlan p = down.poll();
             if (p == null) { return; }
             wishes.plan(p);
             last = p;
@@ -78,7 +78,7 @@
                     now = now.plusMillis(61);
                     wishes.tick(now);
                 }
-                case 8 -> planner = new Sequence(); // restarted, knows nothing
+                case 8 -> planner = new LoadScheduler(); // restarted, knows nothing
                 default -> { // the module takes the latest back
                     long id = wishes.nextId() - 1;
                     if (id >= 0 && wishes.withdrawn(id)) { withdrawn.add(id); }
@@ -127,18 +127,18 @@
     }
 
     @Test void whatTheMostImportanceHangsOnGoesFirst() {
-        Sequence s = new Sequence();
-        List<Wish> waiting = new ArrayList<>();
-        for (int i = 0; i < 12; i++) { waiting.add(new Wish(i, "w", "f" + i, 1, i == 11 ? 100_000 : 1_000_000, i == 5 ? 50 : 1, 0)); }
-        Plan p = s.plan(new Told(1, 1, waiting));
+        LoadScheduler s = new LoadScheduler();
+        List<PendingLoad> waiting = new ArrayList<>();
+        for (int i = 0; i < 12; i++) { waiting.add(new PendingLoad(i, "w", "f" + i, 1, i == 11 ? 100_000 : 1_000_000, i == 5 ? 50 : 1, 0)); }
+        LoadPlan p = s.plan(new LoadBacklog(1, 1, waiting));
         assertThat(p.ids()).startsWith(5, 11, 0); // most that waits, then the short one, then the first asked
         assertThat(p.ids()).hasSize(12); // how many are out at a time the edge's module has settled
-        assertThat(s.plan(new Told(1, 1, waiting))).isNull(); // told before
+        assertThat(s.plan(new LoadBacklog(1, 1, waiting))).isNull(); // told before
     }
 
     @Test void whatHasWaitedLongPassesWhatIsImportant() {
-        Sequence s = new Sequence();
-        Plan p = s.plan(new Told(1, 1, List.of(new Wish(0, "w", "new", 1, 1000, 5, 0), new Wish(1, "w", "old", 1, 1000, 1, 6_000_000))));
+        LoadScheduler s = new LoadScheduler();
+        LoadPlan p = s.plan(new LoadBacklog(1, 1, List.of(new PendingLoad(0, "w", "new", 1, 1000, 5, 0), new PendingLoad(1, "w", "old", 1, 1000, 1, 6_000_000))));
         assertThat(p.ids()).containsExactly(1, 0);
     }
 
@@ -163,23 +163,23 @@
             w.ask();
             w.step(7);
         }
-        assertThat(w.wishes.state()).isEqualTo(Wishes.State.STALLED);
+        assertThat(w.wishes.state()).isEqualTo(PendingLoadQueue.State.STALLED);
         w.ask();
         assertThat(w.out).hasSize(4); // goes out at once
         w.plannerHears();
         while (!w.up.isEmpty()) { w.plannerHears(); }
         while (!w.down.isEmpty()) { w.edgeHears(); }
-        assertThat(w.wishes.state()).isEqualTo(Wishes.State.LED);
+        assertThat(w.wishes.state()).isEqualTo(PendingLoadQueue.State.LED);
     }
 
     @Test void whatWasNeverAskedForAndOtherEpochsAreRefused() {
         World w = new World();
         w.link();
         w.ask();
-        w.wishes.plan(new Plan(1, 5, new long[] {7, -1, 0}));
+        w.wishes.plan(new LoadPlan(1, 5, new long[] {7, -1, 0}));
         assertThat(w.refusals).hasSize(2);
         assertThat(w.out).containsExactly(0L);
-        w.wishes.plan(new Plan(9, 6, new long[] {0}));
+        w.wishes.plan(new LoadPlan(9, 6, new long[] {0}));
         assertThat(w.refusals).hasSize(3);
     }
 }
--- a/src/test/java/switchgap/server/gateway/EdgeAndPlannerTest.java
+++ b/src/test/java/switchgap/server/gateway/EdgeAndPlannerTest.java
@@ -9,10 +9,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
-import switchgap.link.Codec;
-import switchgap.link.PlannerEnd;
 import switchgap.net.NetworkTransport;
-import switchgap.plan.Plan;
+import switchgap.planner.LoadPlan;
+import switchgap.planner.link.PlannerClient;
+import switchgap.planner.link.PlannerMessageCodec;
 
 /** Edge and planner over a socket: loads are led, a planner's death or nonsense disturbs no call. */
 class EdgeAndPlannerTest {
@@ -50,7 +50,7 @@
     }
 
     private static void send(DataOutputStream out, Object message) throws Exception {
-        byte[] b = Codec.write(message);
+        byte[] b = PlannerMessageCodec.write(message);
         out.writeInt(b.length);
         out.write(b);
         out.flush();
@@ -59,12 +59,12 @@
     private static Object read(DataInputStream in) throws Exception {
         byte[] b = new byte[in.readInt()];
         in.readFully(b);
-        return Codec.read(b);
+        return PlannerMessageCodec.read(b);
     }
 
     @Test void aLoadGoesOutAtThePlannersWord() throws Exception {
         try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer); NetworkTransport net = net();
-             PlannerEnd p = new PlannerEnd(net, at(s), 0)) {
+             PlannerClient p = new PlannerClient(net, at(s), 0)) {
             GatewayFixture.until(p::linked);
             answered(s);
             GatewayFixture.until(() -> s.gateway.plans()[0] > 0);
@@ -76,7 +76,7 @@
 
     @Test void withNoPlannerOrADeadOneCallsAreAnswered() throws Exception {
         try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer); NetworkTransport net = net()) {
-            PlannerEnd p = new PlannerEnd(net, at(s), 0);
+            PlannerClient p = new PlannerClient(net, at(s), 0);
             GatewayFixture.until(p::linked);
             p.close();
             answered(s);
@@ -87,25 +87,25 @@
     @Test void aSilentPlannerCostsThePatienceAndNoMore() throws Exception {
         try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer); Socket mute = new Socket("127.0.0.1", s.gateway.plannerPort())) {
             DataOutputStream out = new DataOutputStream(mute.getOutputStream());
-            send(out, new Codec.Hello(Codec.VERSION, "planner", 0, 0));
-            assertThat(read(new DataInputStream(mute.getInputStream()))).isInstanceOf(Codec.Hello.class);
+            send(out, new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0));
+            assertThat(read(new DataInputStream(mute.getInputStream()))).isInstanceOf(PlannerMessageCodec.Hello.class);
             answered(s);
             assertThat(s.gateway.plans()[1]).isPositive(); // its time was over
         }
     }
 
     @Test void whoCannotBeAPlannerIsRefusedByName() throws Exception {
-        try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer); NetworkTransport net = net(); PlannerEnd p = new PlannerEnd(net, at(s), 0)) {
+        try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer); NetworkTransport net = net(); PlannerClient p = new PlannerClient(net, at(s), 0)) {
             GatewayFixture.until(p::linked);
-            Object[] firsts = {new Codec.Hello(Codec.VERSION + 1, "planner", 0, 0), new Codec.Hello(Codec.VERSION, "edge", 0, 0),
-                new Codec.Hello(Codec.VERSION, "planner", 5, 0), new Codec.Hello(Codec.VERSION, "planner", 0, 0), new Codec.Beat(1)};
+            Object[] firsts = {new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION + 1, "planner", 0, 0), new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "edge", 0, 0),
+                new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 5, 0), new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0), new PlannerMessageCodec.Heartbeat(1)};
             String[] why = {"version 3", "no planner", "router 5", "linked already", "before the handshake"};
             for (int i = 0; i < firsts.length; i++) {
                 try (Socket c = new Socket("127.0.0.1", s.gateway.plannerPort())) {
                     send(new DataOutputStream(c.getOutputStream()), firsts[i]);
                     Object answer = read(new DataInputStream(c.getInputStream()));
-                    assertThat(answer).isInstanceOf(Codec.Refused.class);
-                    assertThat(((Codec.Refused) answer).why()).contains(why[i]);
+                    assertThat(answer).isInstanceOf(PlannerMessageCodec.Refused.class);
+                    assertThat(((PlannerMessageCodec.Refused) answer).why()).contains(why[i]);
                 }
             }
             assertThat(p.linked()).isTrue();
@@ -125,14 +125,14 @@
                 out.writeInt(5);
                 out.write(new byte[] {1, 2, 3, 4, 5});
                 out.flush();
-                assertThat(read(new DataInputStream(c.getInputStream()))).isInstanceOf(Codec.Refused.class);
+                assertThat(read(new DataInputStream(c.getInputStream()))).isInstanceOf(PlannerMessageCodec.Refused.class);
             }
             try (Socket c = new Socket("127.0.0.1", port)) {
                 DataOutputStream out = new DataOutputStream(c.getOutputStream());
-                send(out, new Codec.Hello(Codec.VERSION, "planner", 0, 0));
-                Codec.Hello h = (Codec.Hello) read(new DataInputStream(c.getInputStream()));
-                send(out, new Plan(h.epoch(), 1, new long[] {99, -4}));
-                send(out, new Plan(h.epoch() + 1, 1, new long[] {0}));
+                send(out, new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0));
+                PlannerMessageCodec.Hello h = (PlannerMessageCodec.Hello) read(new DataInputStream(c.getInputStream()));
+                send(out, new LoadPlan(h.epoch(), 1, new long[] {99, -4}));
+                send(out, new LoadPlan(h.epoch() + 1, 1, new long[] {0}));
                 GatewayFixture.until(() -> s.gateway.plans()[3] == 3);
                 out.writeInt(400); // half a frame, then the end
                 out.write(new byte[17]);
--- a/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
+++ b/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
-import switchgap.plan.Plan;
-import switchgap.plan.Sequence;
+import switchgap.planner.LoadPlan;
+import switchgap.planner.LoadScheduler;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.policy.api.PolicyEvents;
 import switchgap.policy.api.WorkerState;
@@ -68,11 +68,11 @@
     /** Each plan was answered by a further word of what waits, and each word by a plan: an idle pair took most of a core. */
     @Test void nothingIsToldWhereNothingHasChanged() {
         int[] told = {0};
-        Sequence planner = new Sequence();
+        LoadScheduler planner = new LoadScheduler();
         next.add(c -> {
             planned.teller(t -> {
                 told[0]++;
-                Plan p = planner.plan(t);
+                LoadPlan p = planner.plan(t);
                 return p != null && next.add(x -> planned.plan(x, p));
             });
             c.list(true, List.of(new EndpointUpdate("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
