--- a/src/main/java/switchgap/cli/PlannerCommand.java
+++ b/src/main/java/switchgap/cli/PlannerCommand.java
@@ -21,8 +21,8 @@
 
     @Override public Integer call() throws Exception {
         GatewayConfig p = linked(page, GatewayConfig.read(page));
-        NetworkTransport net = new NetworkTransport(1, "planner-" + p.terms().self());
-        PlannerClient end = new PlannerClient(net, p.planner(), p.terms().self());
+        NetworkTransport net = new NetworkTransport(1, "planner-" + p.terms().routerIndex());
+        PlannerClient end = new PlannerClient(net, p.planner(), p.terms().routerIndex());
         Runtime.getRuntime().addShutdownHook(new Thread(end::close));
         Thread.currentThread().join();
         return 0;
--- a/src/main/java/switchgap/config/PropertyRouterSettings.java
+++ b/src/main/java/switchgap/config/PropertyRouterSettings.java
@@ -126,77 +126,77 @@
     /** Calls that may be held at a time. */
     public int mostHeld() { return whole("Limits.MaxOpen"); }
 
-    @Override public int self() { return whole("Me"); }
+    @Override public int routerIndex() { return whole("Me"); }
 
-    @Override public int routers() { return whole("Balancers"); }
+    @Override public int routerCount() { return whole("Balancers"); }
 
     @Override public int zone() { return whole("MyZone"); }
 
-    @Override public Duration tick() { return span("TickUs"); }
+    @Override public Duration tickInterval() { return span("TickUs"); }
 
-    @Override public int workloads() { return whole("Lanes.count"); }
+    @Override public int requestClassCount() { return whole("Lanes.count"); }
 
-    @Override public Duration startTarget(int w) { return span(lane(w, "AimUs")); }
+    @Override public Duration latencyObjective(int w) { return span(lane(w, "AimUs")); }
 
-    @Override public Duration timeLimit(int w) { return span(lane(w, "DeadlineUs")); }
+    @Override public Duration requestTimeout(int w) { return span(lane(w, "DeadlineUs")); }
 
-    @Override public double importance(int w) { return real(lane(w, "Worth")); }
+    @Override public double priorityWeight(int w) { return real(lane(w, "Worth")); }
 
-    @Override public double lateShare(int w) { return real(lane(w, "LateValue")); }
+    @Override public double lateValueShare(int w) { return real(lane(w, "LateValue")); }
 
-    @Override public Idempotency repeat(int w) {
+    @Override public Idempotency idempotency(int w) {
         return choice(lane(w, "Effect"), new String[] {"retryable", "dedup", "fragile"}, Idempotency.values());
     }
 
-    @Override public DeduplicationScope group(int w) {
+    @Override public DeduplicationScope deduplicationScope(int w) {
         return choice(lane(w, "Group"), new String[] {"all", "zone", "cell"}, DeduplicationScope.values());
     }
 
-    @Override public Duration memorySpan(int w) { return span(lane(w, "MemorySpanUs")); }
+    @Override public Duration deduplicationWindow(int w) { return span(lane(w, "MemorySpanUs")); }
 
-    @Override public int customers() { return lines.containsKey("Tenants.count") ? whole("Tenants.count") : 0; }
+    @Override public int tenantCount() { return lines.containsKey("Tenants.count") ? whole("Tenants.count") : 0; }
 
-    @Override public double customerRate(int c) { return real("Tenants." + c + ".QuotaPerS"); }
+    @Override public double tenantQuota(int c) { return real("Tenants." + c + ".QuotaPerS"); }
 
-    @Override public double overShareWorth() { return real("OverShareWorth"); }
+    @Override public double overQuotaWeight() { return real("OverShareWorth"); }
 
-    @Override public int mostExecutions() { return whole("Limits.MaxAttempts"); }
+    @Override public int maxAttempts() { return whole("Limits.MaxAttempts"); }
 
-    @Override public boolean secondExecutions() { return flag("Limits.SecondCopies"); }
+    @Override public boolean hedgingAllowed() { return flag("Limits.SecondCopies"); }
 
-    @Override public boolean mayProbe() { return flag("Limits.Probes"); }
+    @Override public boolean probesAllowed() { return flag("Limits.Probes"); }
 
-    @Override public boolean mayCancel() { return flag("Limits.Cancel"); }
+    @Override public boolean cancellationAllowed() { return flag("Limits.Cancel"); }
 
-    @Override public boolean tellsComeBack() { return flag("Limits.RetryAfter"); }
+    @Override public boolean retryAfterAllowed() { return flag("Limits.RetryAfter"); }
 
-    @Override public Duration mostComeBack() { return span("Limits.MaxRetryAfterUs"); }
+    @Override public Duration maxRetryAfter() { return span("Limits.MaxRetryAfterUs"); }
 
-    @Override public double coldShare() { return real("Guarantees.ColdFrom"); }
+    @Override public double coldCapacityShare() { return real("Guarantees.ColdFrom"); }
 
-    @Override public Duration coldSpan() { return span("Guarantees.ColdUs"); }
+    @Override public Duration warmUpDuration() { return span("Guarantees.ColdUs"); }
 
-    @Override public double fallMultiple() { return real("Guarantees.FallMultiple"); }
+    @Override public double coldOverloadMultiple() { return real("Guarantees.FallMultiple"); }
 
-    @Override public Duration fallSpan() { return span("Guarantees.OverloadForUs"); }
+    @Override public Duration coldOverloadWindow() { return span("Guarantees.OverloadForUs"); }
 
-    @Override public boolean loadsOnMiss() {
+    @Override public boolean loadsOnDemand() {
         return choice("Extra.IfCold", new String[] {"load", "miss"}, new Boolean[] {true, false});
     }
 
-    @Override public boolean mayOrder() { return flag("Extra.PlacementCalls"); }
+    @Override public boolean loadCommandsAllowed() { return flag("Extra.PlacementCalls"); }
 
-    @Override public Duration keepAlive() { return span("Extra.IdleLifeUs"); }
+    @Override public Duration replicaIdleTimeout() { return span("Extra.IdleLifeUs"); }
 
-    @Override public double loadsFree() { return real("Extra.LoadFree"); }
+    @Override public double loadQuotaBase() { return real("Extra.LoadFree"); }
 
-    @Override public double loadsShare() { return real("Extra.LoadRatio"); }
+    @Override public double loadQuotaPerRequest() { return real("Extra.LoadRatio"); }
 
-    @Override public Duration loadsSpan() { return span("Extra.LoadSpanUs"); }
+    @Override public Duration loadQuotaWindow() { return span("Extra.LoadSpanUs"); }
 
-    @Override public double memoryPrice() { return cost("Extra.MemoryPrice"); }
+    @Override public double idleMemoryPrice() { return cost("Extra.MemoryPrice"); }
 
-    @Override public double[] kindMemory() {
+    @Override public double[] workerKindMemory() {
         try {
             return Arrays.stream(text("Extra.MachineMb").split(",")).mapToDouble(Double::parseDouble).toArray();
         } catch (NumberFormatException e) {
@@ -206,16 +206,16 @@
 
     @Override public double probePrice() { return cost("Costs.Probe"); }
 
-    @Override public boolean sizesTold() {
+    @Override public boolean capacityReported() {
         return choice("Weights", new String[] {"silent", "nominal", "rough", "live"},
             new Boolean[] {false, true, true, false});
     }
 
-    @Override public double crossingPrice() { return cost("Costs.CrossZone"); }
+    @Override public double crossZonePrice() { return cost("Costs.CrossZone"); }
 
-    @Override public boolean asksForList() {
+    @Override public boolean pollsEndpointList() {
         return choice("Discovery", new String[] {"subscribe", "automatic"}, new Boolean[] {true, false});
     }
 
-    @Override public Duration askWithin() { return span("Guarantees.AskWithinUs"); }
+    @Override public Duration endpointPollInterval() { return span("Guarantees.AskWithinUs"); }
 }
--- a/src/main/java/switchgap/config/YamlRouterSettings.java
+++ b/src/main/java/switchgap/config/YamlRouterSettings.java
@@ -217,79 +217,79 @@
 
     public Duration pinnedFor() { return pinnedFor; }
 
-    @Override public int self() { return self; }
+    @Override public int routerIndex() { return self; }
 
-    @Override public int routers() { return routers; }
+    @Override public int routerCount() { return routers; }
 
     @Override public int zone() { return zone; }
 
-    @Override public Duration tick() { return tick; }
+    @Override public Duration tickInterval() { return tick; }
 
-    @Override public int workloads() { return kinds.size(); }
+    @Override public int requestClassCount() { return kinds.size(); }
 
-    @Override public Duration startTarget(int w) { return kinds.get(w).target(); }
+    @Override public Duration latencyObjective(int w) { return kinds.get(w).target(); }
 
-    @Override public Duration timeLimit(int w) { return kinds.get(w).limit(); }
+    @Override public Duration requestTimeout(int w) { return kinds.get(w).limit(); }
 
-    @Override public double importance(int w) { return kinds.get(w).importance(); }
+    @Override public double priorityWeight(int w) { return kinds.get(w).importance(); }
 
-    @Override public double lateShare(int w) { return kinds.get(w).late(); }
+    @Override public double lateValueShare(int w) { return kinds.get(w).late(); }
 
-    @Override public Idempotency repeat(int w) { return kinds.get(w).repeat(); }
+    @Override public Idempotency idempotency(int w) { return kinds.get(w).repeat(); }
 
-    @Override public DeduplicationScope group(int w) { return kinds.get(w).group(); }
+    @Override public DeduplicationScope deduplicationScope(int w) { return kinds.get(w).group(); }
 
-    @Override public Duration memorySpan(int w) { return kinds.get(w).memory(); }
+    @Override public Duration deduplicationWindow(int w) { return kinds.get(w).memory(); }
 
-    @Override public int customers() { return customers.size(); }
+    @Override public int tenantCount() { return customers.size(); }
 
-    @Override public double customerRate(int c) { return rates.get(c); }
+    @Override public double tenantQuota(int c) { return rates.get(c); }
 
-    @Override public double overShareWorth() { return overWorth; }
+    @Override public double overQuotaWeight() { return overWorth; }
 
-    @Override public int mostExecutions() { return mostExecutions; }
+    @Override public int maxAttempts() { return mostExecutions; }
 
-    @Override public boolean secondExecutions() { return second; }
+    @Override public boolean hedgingAllowed() { return second; }
 
-    @Override public boolean mayProbe() { return probe; }
+    @Override public boolean probesAllowed() { return probe; }
 
-    @Override public boolean mayCancel() { return cancel; }
+    @Override public boolean cancellationAllowed() { return cancel; }
 
-    @Override public boolean tellsComeBack() { return comeBack; }
+    @Override public boolean retryAfterAllowed() { return comeBack; }
 
-    @Override public Duration mostComeBack() { return mostComeBack; }
+    @Override public Duration maxRetryAfter() { return mostComeBack; }
 
-    @Override public double coldShare() { return coldShare; }
+    @Override public double coldCapacityShare() { return coldShare; }
 
-    @Override public Duration coldSpan() { return coldSpan; }
+    @Override public Duration warmUpDuration() { return coldSpan; }
 
-    @Override public double fallMultiple() { return multiple; }
+    @Override public double coldOverloadMultiple() { return multiple; }
 
-    @Override public Duration fallSpan() { return fallSpan; }
+    @Override public Duration coldOverloadWindow() { return fallSpan; }
 
-    @Override public boolean loadsOnMiss() { return onMiss; }
+    @Override public boolean loadsOnDemand() { return onMiss; }
 
-    @Override public boolean mayOrder() { return order; }
+    @Override public boolean loadCommandsAllowed() { return order; }
 
-    @Override public Duration keepAlive() { return keep; }
+    @Override public Duration replicaIdleTimeout() { return keep; }
 
-    @Override public double loadsFree() { return free; }
+    @Override public double loadQuotaBase() { return free; }
 
-    @Override public double loadsShare() { return share; }
+    @Override public double loadQuotaPerRequest() { return share; }
 
-    @Override public Duration loadsSpan() { return loadsSpan; }
+    @Override public Duration loadQuotaWindow() { return loadsSpan; }
 
-    @Override public double memoryPrice() { return memoryPrice; }
+    @Override public double idleMemoryPrice() { return memoryPrice; }
 
-    @Override public double[] kindMemory() { return machineMemory.clone(); }
+    @Override public double[] workerKindMemory() { return machineMemory.clone(); }
 
-    @Override public double crossingPrice() { return crossing; }
+    @Override public double crossZonePrice() { return crossing; }
 
     @Override public double probePrice() { return probePrice; }
 
-    @Override public boolean sizesTold() { return sizes; }
+    @Override public boolean capacityReported() { return sizes; }
 
-    @Override public boolean asksForList() { return asks; }
+    @Override public boolean pollsEndpointList() { return asks; }
 
-    @Override public Duration askWithin() { return askWithin; }
+    @Override public Duration endpointPollInterval() { return askWithin; }
 }
--- a/src/main/java/switchgap/experiment/BaselinePolicy.java
+++ b/src/main/java/switchgap/experiment/BaselinePolicy.java
@@ -54,13 +54,13 @@
         this.terms = terms;
         this.turns = turns;
         this.chance = new SplittableRandom(seed);
-        this.margin = terms.tick().multipliedBy(2);
+        this.margin = terms.tickInterval().multipliedBy(2);
     }
 
     @Override public void round(Duration at, EventBatch in, PolicyActions to) {
         now = at;
         out = to;
-        in.into(this);
+        in.deliverTo(this);
         List<Integer> due = new ArrayList<>();
         held.forEach((j, h) -> {
             if (!h.closed && h.out == 0 && now.plus(margin.multipliedBy(2)).compareTo(h.limit) >= 0) { due.add(j); }
@@ -68,13 +68,13 @@
         due.forEach(j -> giveUp(j, held.get(j)));
         if (!wakes) {
             wakes = true;
-            out.wake(margin, 0);
+            out.scheduleWakeUp(margin, 0);
         }
     }
 
     private void place(int job, HeldRequest h) {
         if (h.closed) { return; }
-        if (ready.isEmpty() || h.executions >= terms.mostExecutions() || now.plus(margin).compareTo(h.limit) >= 0) {
+        if (ready.isEmpty() || h.executions >= terms.maxAttempts() || now.plus(margin).compareTo(h.limit) >= 0) {
             giveUp(job, h);
             return;
         }
@@ -85,34 +85,34 @@
         h.executions++;
         h.out++;
         flying.merge(worker, 1, Integer::sum);
-        out.send(job, worker, h.limit.minus(now).minus(margin));
+        out.startAttempt(job, worker, h.limit.minus(now).minus(margin));
     }
 
     private void giveUp(int job, HeldRequest h) {
         if (h.closed) { return; }
         h.closed = true;
-        if (terms.repeat(h.workload) == Idempotency.RESTARTABLE || h.mayHaveRun + h.out == 0) {
-            out.pushBack(job, null);
+        if (terms.idempotency(h.workload) == Idempotency.RESTARTABLE || h.mayHaveRun + h.out == 0) {
+            out.reject(job, null);
         } else {
-            out.kill(job);
+            out.fail(job);
         }
         settle(job, h);
     }
 
     private void settle(int job, HeldRequest h) {
-        if (h.closed && h.out == 0 && held.remove(job) != null) { out.forgetJob(job); }
+        if (h.closed && h.out == 0 && held.remove(job) != null) { out.releaseRequest(job); }
     }
 
-    @Override public void listBegins(boolean whole) {
+    @Override public void endpointListStarted(boolean whole) {
         if (whole) { standing.replaceAll((w, s) -> WorkerState.GONE); }
     }
 
-    @Override public void worker(int worker, long mark, WorkerState s, int zone, int cell, int kind, double size,
+    @Override public void endpointListed(int worker, long mark, WorkerState s, int zone, int cell, int kind, double size,
                                  Duration started) {
         standing.put(worker, s);
     }
 
-    @Override public void listEnds() {
+    @Override public void endpointListEnded() {
         ready.clear();
         standing.forEach((w, s) -> { if (s == WorkerState.READY) { ready.add(w); } });
         List<Integer> gone = new ArrayList<>();
@@ -122,38 +122,38 @@
         });
         gone.forEach(w -> {
             standing.remove(w);
-            out.forgetWorker(w);
+            out.releaseWorker(w);
         });
     }
 
-    @Override public void listFailed() { }
+    @Override public void endpointListFailed() { }
 
-    @Override public void job(int job, int workload, int customer, int function, long mark, Duration limit, Duration hint,
+    @Override public void requestArrived(int job, int workload, int customer, int function, long mark, Duration limit, Duration hint,
                               double memory, int lanes, Duration load, boolean repeat) {
         HeldRequest h = new HeldRequest(job, workload, function, limit);
         held.put(job, h);
         place(job, h);
     }
 
-    @Override public void streamBegan(int job, int execution) { }
+    @Override public void responseStarted(int job, int execution) { }
 
-    @Override public void ended(int job, int execution, int worker, AttemptOutcome end, Duration took, boolean closed, int crowd,
+    @Override public void attemptEnded(int job, int execution, int worker, AttemptOutcome end, Duration took, boolean closed, int crowd,
                                 double busy, double atWork, double queued) {
         HeldRequest h = held.get(job);
         h.out--;
         flying.merge(worker, -1, Integer::sum);
-        h.mayHaveRun += end.neverRan ? 0 : 1;
+        h.mayHaveRun += end.neverExecuted ? 0 : 1;
         h.closed |= closed;
-        if (!h.closed && end == AttemptOutcome.MISS && standing.get(worker) == WorkerState.READY) {
+        if (!h.closed && end == AttemptOutcome.NOT_LOADED && standing.get(worker) == WorkerState.READY) {
             long key = (long) worker << 32 | h.function;
             List<HeldRequest> wait = loading.get(key);
             if (wait == null) {
                 loading.put(key, wait = new ArrayList<>());
-                out.hold(worker, h.function, 1);
+                out.load(worker, h.function, 1);
             }
             wait.add(h);
         } else if (!h.closed) {
-            if (h.mayHaveRun == 0 || terms.repeat(h.workload) == Idempotency.RESTARTABLE) {
+            if (h.mayHaveRun == 0 || terms.idempotency(h.workload) == Idempotency.RESTARTABLE) {
                 place(job, h);
             } else {
                 giveUp(job, h);
@@ -162,13 +162,13 @@
         settle(job, h);
     }
 
-    @Override public void orderEnded(int worker, int function, AttemptOutcome end, Duration took, int copies) {
+    @Override public void loadCommandEnded(int worker, int function, AttemptOutcome end, Duration took, int copies) {
         List<HeldRequest> wait = loading.remove((long) worker << 32 | function);
         if (wait == null) { return; }
         for (HeldRequest h : wait) { // a job given up meanwhile may have left its index to another
             int job = h.job;
             if (held.get(job) != h || h.closed || h.out > 0) { continue; }
-            if (copies > 0 && standing.get(worker) == WorkerState.READY && h.executions < terms.mostExecutions()
+            if (copies > 0 && standing.get(worker) == WorkerState.READY && h.executions < terms.maxAttempts()
                 && now.plus(margin).compareTo(h.limit) < 0) {
                 send(job, h, worker);
             } else {
@@ -177,13 +177,13 @@
         }
     }
 
-    @Override public void left(int job) {
+    @Override public void clientLeft(int job) {
         HeldRequest h = held.get(job);
         h.closed = true;
         settle(job, h);
     }
 
-    @Override public void timer(long token) { wakes = false; }
+    @Override public void wakeUp(long token) { wakes = false; }
 
-    @Override public void probed(int worker, AttemptOutcome end, Duration took, double busy, double atWork, double queued) { }
+    @Override public void probeEnded(int worker, AttemptOutcome end, Duration took, double busy, double atWork, double queued) { }
 }
--- a/src/main/java/switchgap/experiment/EmulatedRouter.java
+++ b/src/main/java/switchgap/experiment/EmulatedRouter.java
@@ -8,9 +8,9 @@
 import switchgap.emulator.EmulatedWorker;
 import switchgap.emulator.FunctionModel;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.LoadReport;
 import switchgap.router.AdmissionGate;
 import switchgap.router.Attempt;
-import switchgap.router.LoadReport;
 import switchgap.router.Response;
 import switchgap.router.RouterCore;
 import switchgap.router.WorkerCommand;
@@ -83,15 +83,15 @@
         FunctionModel model = world.catalogue.find(run.call.function);
         world.ticker.after(world.hop, () -> {
             if (dead || m == null || m.dead()) {
-                world.ticker.after(world.hop, () -> post(c -> c.executionEnded(run, AttemptOutcome.NO_CONNECTION, LoadReport.UNTOLD, null)));
+                world.ticker.after(world.hop, () -> post(c -> c.executionEnded(run, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE, null)));
                 return;
             }
             run.exchange = m.infer(model, () -> { }, (o, crowd) -> world.ticker.after(world.hop, () -> post(c ->
                 c.executionEnded(run, switch (o) {
-                    case OK, DROPPED -> AttemptOutcome.FINISHED;
-                    case MISS -> AttemptOutcome.MISS;
-                    case FULL -> AttemptOutcome.FULL;
-                    default -> AttemptOutcome.ERROR;
+                    case OK, DROPPED -> AttemptOutcome.SUCCEEDED;
+                    case MISS -> AttemptOutcome.NOT_LOADED;
+                    case FULL -> AttemptOutcome.REJECTED;
+                    default -> AttemptOutcome.FAILED;
                 }, loads(m, crowd), Response.finished(200, Map.of(), NOTHING)))));
         });
     }
@@ -108,14 +108,14 @@
         EmulatedWorker m = world.machine(worker.name);
         world.ticker.after(world.hop, () -> {
             if (m == null || m.dead()) {
-                post(c -> c.orderEnded(order, AttemptOutcome.NO_CONNECTION, 0));
+                post(c -> c.orderEnded(order, AttemptOutcome.CONNECT_FAILED, 0));
             } else if (copies == 0) {
                 int n = m.standing(function);
-                world.ticker.after(world.hop, () -> post(c -> c.orderEnded(order, AttemptOutcome.FINISHED, n)));
+                world.ticker.after(world.hop, () -> post(c -> c.orderEnded(order, AttemptOutcome.SUCCEEDED, n)));
             } else {
                 m.hold(world.catalogue.find(function), copies, (o, n) -> world.ticker.after(world.hop, () -> post(c ->
-                    c.orderEnded(order, o == EmulatedWorker.Outcome.OK ? AttemptOutcome.FINISHED : o == EmulatedWorker.Outcome.FULL ? AttemptOutcome.FULL
-                        : AttemptOutcome.ERROR, n))));
+                    c.orderEnded(order, o == EmulatedWorker.Outcome.OK ? AttemptOutcome.SUCCEEDED : o == EmulatedWorker.Outcome.FULL ? AttemptOutcome.REJECTED
+                        : AttemptOutcome.FAILED, n))));
             }
         });
     }
@@ -128,8 +128,8 @@
 
     @Override public void probe(WorkerEntry worker, WorkerCommand order) {
         EmulatedWorker m = world.machine(worker.name);
-        world.ticker.after(2 * world.hop, () -> post(c -> c.probed(order, m == null || m.dead() ? AttemptOutcome.NO_CONNECTION
-            : AttemptOutcome.FINISHED, m == null ? LoadReport.UNTOLD : loads(m, -1))));
+        world.ticker.after(2 * world.hop, () -> post(c -> c.probed(order, m == null || m.dead() ? AttemptOutcome.CONNECT_FAILED
+            : AttemptOutcome.SUCCEEDED, m == null ? LoadReport.NONE : loads(m, -1))));
     }
 
     @Override public void abandon(WorkerCommand order) { }
--- a/src/main/java/switchgap/experiment/Emulator.java
+++ b/src/main/java/switchgap/experiment/Emulator.java
@@ -164,8 +164,8 @@
     /** The baseline of a static cut-off: so many held at a router, and what is less important is turned away. */
     private boolean cutOff(EmulatedRouter r, int workload, RouterSettings t) {
         double most = 0;
-        for (int w = 0; w < t.workloads(); w++) { most = Math.max(most, t.importance(w)); }
-        return t.importance(workload) < most && r.gate().core().held() >= day.staticHeld();
+        for (int w = 0; w < t.requestClassCount(); w++) { most = Math.max(most, t.priorityWeight(w)); }
+        return t.priorityWeight(workload) < most && r.gate().core().held() >= day.staticHeld();
     }
 
     private static void over(boolean[] over, ClientTransport.ResultHandler then, String end, int status, long comeBack) {
--- a/src/main/java/switchgap/policy/api/AttemptOutcome.java
+++ b/src/main/java/switchgap/policy/api/AttemptOutcome.java
@@ -2,12 +2,12 @@
 
 /** How an execution, a probe or an order ended, and whether that proves the job did not run. */
 public enum AttemptOutcome {
-    FINISHED(false), ERROR(false), FULL(true), TIMED_OUT(false), NO_CONNECTION(true), BROKEN(false),
-    CANCELLED(false), NOT_SENT(true), MISS(true);
+    SUCCEEDED(false), FAILED(false), REJECTED(true), TIMED_OUT(false), CONNECT_FAILED(true), CONNECTION_LOST(false),
+    CANCELLED(false), NOT_SENT(true), NOT_LOADED(true);
 
-    public final boolean neverRan;
+    public final boolean neverExecuted;
 
     AttemptOutcome(boolean neverRan) {
-        this.neverRan = neverRan;
+        this.neverExecuted = neverRan;
     }
 }
--- a/src/main/java/switchgap/policy/api/EventBatch.java
+++ b/src/main/java/switchgap/policy/api/EventBatch.java
@@ -2,5 +2,5 @@
 
 /** All that came in since the last round, in order of arrival. */
 public interface EventBatch {
-    void into(PolicyEvents feed);
+    void deliverTo(PolicyEvents feed);
 }
--- a/src/main/java/switchgap/policy/api/PolicyActions.java
+++ b/src/main/java/switchgap/policy/api/PolicyActions.java
@@ -5,33 +5,33 @@
 /** Where decisions go, in the order they are taken. */
 public interface PolicyActions {
     /** Starts an execution; they are numbered from 0 for each job. */
-    void send(int job, int worker, Duration allow);
+    void startAttempt(int job, int worker, Duration allow);
 
-    void cancel(int job, int execution);
+    void cancelAttempt(int job, int execution);
 
     /** Final answer: harmless to try again; {@code comeBack} null for no advice. */
-    void pushBack(int job, Duration comeBack);
+    void reject(int job, Duration comeBack);
 
     /** Final answer: no promise about its effect. */
-    void kill(int job);
+    void fail(int job);
 
     /** Orders a worker to hold copies of a function; 0 only asks how many stand. */
-    void hold(int worker, int function, int copies);
+    void load(int worker, int function, int copies);
 
     /** Has the idle copies of a function unloaded. */
-    void drop(int worker, int function);
+    void unload(int worker, int function);
 
     void probe(int worker);
 
-    void wake(Duration after, long token);
+    void scheduleWakeUp(Duration after, long token);
 
     /** Asks for the list, or for its changes from now on. */
-    void subscribe();
+    void subscribeToEndpoints();
 
     /** Nothing refers to this index any more. */
-    void forgetJob(int job);
+    void releaseRequest(int job);
 
-    void forgetFunction(int function);
+    void releaseFunction(int function);
 
-    void forgetWorker(int worker);
+    void releaseWorker(int worker);
 }
--- a/src/main/java/switchgap/policy/api/PolicyEvents.java
+++ b/src/main/java/switchgap/policy/api/PolicyEvents.java
@@ -9,33 +9,33 @@
  */
 public interface PolicyEvents {
     /** A list of workers begins; a whole one replaces what was held. Its entries follow, then its end. */
-    void listBegins(boolean whole);
+    void endpointListStarted(boolean whole);
 
     /** One worker; {@code mark} is its id as all routers see it, {@code started} null if long past. */
-    void worker(int worker, long mark, WorkerState standing, int zone, int cell, int kind, double size,
+    void endpointListed(int worker, long mark, WorkerState standing, int zone, int cell, int kind, double size,
                 Duration started);
 
-    void listEnds();
+    void endpointListEnded();
 
-    void listFailed();
+    void endpointListFailed();
 
     /** A job was taken: it is owed one final answer before {@code limit}. */
-    void job(int job, int workload, int customer, int function, long mark, Duration limit, Duration hint,
+    void requestArrived(int job, int workload, int customer, int function, long mark, Duration limit, Duration hint,
              double memory, int lanes, Duration load, boolean repeat);
 
-    void streamBegan(int job, int execution);
+    void responseStarted(int job, int execution);
 
     /** An execution ended; {@code closed} if the job has its answer. {@code crowd}: jobs met there. */
-    void ended(int job, int execution, int worker, AttemptOutcome end, Duration took, boolean closed, int crowd,
+    void attemptEnded(int job, int execution, int worker, AttemptOutcome end, Duration took, boolean closed, int crowd,
                double busy, double held, double queued);
 
     /** The client left; nothing more is owed. */
-    void left(int job);
+    void clientLeft(int job);
 
-    void timer(long token);
+    void wakeUp(long token);
 
-    void probed(int worker, AttemptOutcome end, Duration took, double busy, double held, double queued);
+    void probeEnded(int worker, AttemptOutcome end, Duration took, double busy, double held, double queued);
 
     /** An order to hold copies ended, with the number that stand. */
-    void orderEnded(int worker, int function, AttemptOutcome end, Duration took, int standing);
+    void loadCommandEnded(int worker, int function, AttemptOutcome end, Duration took, int standing);
 }
--- a/src/main/java/switchgap/policy/api/RouterSettings.java
+++ b/src/main/java/switchgap/policy/api/RouterSettings.java
@@ -4,92 +4,92 @@
 
 /** What the operator states at a router's start. */
 public interface RouterSettings {
-    int self();
+    int routerIndex();
 
-    int routers();
+    int routerCount();
 
     int zone();
 
-    Duration tick();
+    Duration tickInterval();
 
-    int workloads();
+    int requestClassCount();
 
-    Duration startTarget(int workload);
+    Duration latencyObjective(int workload);
 
-    Duration timeLimit(int workload);
+    Duration requestTimeout(int workload);
 
     /** The longest of all workloads' time limits. */
-    default Duration longestLimit() {
+    default Duration longestTimeout() {
         Duration most = Duration.ZERO;
-        for (int w = 0; w < workloads(); w++) { most = most.compareTo(timeLimit(w)) < 0 ? timeLimit(w) : most; }
+        for (int w = 0; w < requestClassCount(); w++) { most = most.compareTo(requestTimeout(w)) < 0 ? requestTimeout(w) : most; }
         return most;
     }
 
-    double importance(int workload);
+    double priorityWeight(int workload);
 
     /** The share of the importance that an answer after the start target still earns. */
-    double lateShare(int workload);
+    double lateValueShare(int workload);
 
-    Idempotency repeat(int workload);
+    Idempotency idempotency(int workload);
 
-    DeduplicationScope group(int workload);
+    DeduplicationScope deduplicationScope(int workload);
 
-    Duration memorySpan(int workload);
+    Duration deduplicationWindow(int workload);
 
-    int customers();
+    int tenantCount();
 
     /** Jobs a second within the customer's share, all routers together. */
-    double customerRate(int customer);
+    double tenantQuota(int customer);
 
-    double overShareWorth();
+    double overQuotaWeight();
 
-    int mostExecutions();
+    int maxAttempts();
 
-    boolean secondExecutions();
+    boolean hedgingAllowed();
 
-    boolean mayProbe();
+    boolean probesAllowed();
 
-    boolean mayCancel();
+    boolean cancellationAllowed();
 
-    boolean tellsComeBack();
+    boolean retryAfterAllowed();
 
-    Duration mostComeBack();
+    Duration maxRetryAfter();
 
-    double coldShare();
+    double coldCapacityShare();
 
-    Duration coldSpan();
+    Duration warmUpDuration();
 
-    double fallMultiple();
+    double coldOverloadMultiple();
 
-    Duration fallSpan();
+    Duration coldOverloadWindow();
 
-    boolean loadsOnMiss();
+    boolean loadsOnDemand();
 
-    boolean mayOrder();
+    boolean loadCommandsAllowed();
 
-    Duration keepAlive();
+    Duration replicaIdleTimeout();
 
-    double loadsFree();
+    double loadQuotaBase();
 
-    double loadsShare();
+    double loadQuotaPerRequest();
 
-    Duration loadsSpan();
+    Duration loadQuotaWindow();
 
-    double memoryPrice();
+    double idleMemoryPrice();
 
     /** Memory of each kind of worker, in MB. */
-    double[] kindMemory();
+    double[] workerKindMemory();
 
-    double crossingPrice();
+    double crossZonePrice();
 
     /** Of a probe, in a job's worth. */
     double probePrice();
 
     /** Whether the list tells sizes that stay as they are and can be compared. */
-    boolean sizesTold();
+    boolean capacityReported();
 
     /** Whether the list must be asked for, and how often at the least. */
-    boolean asksForList();
+    boolean pollsEndpointList();
 
-    Duration askWithin();
+    Duration endpointPollInterval();
 }
--- a/src/main/java/switchgap/policy/state/Durations.java
+++ b/src/main/java/switchgap/policy/state/Durations.java
@@ -6,23 +6,23 @@
 public final class Durations {
     private Durations() { }
 
-    public static boolean less(Duration a, Duration b) {
+    public static boolean isShorter(Duration a, Duration b) {
         return a.compareTo(b) < 0;
     }
 
-    public static Duration least(Duration a, Duration b) {
-        return less(a, b) ? a : b;
+    public static Duration min(Duration a, Duration b) {
+        return isShorter(a, b) ? a : b;
     }
 
-    public static Duration most(Duration a, Duration b) {
-        return less(a, b) ? b : a;
+    public static Duration max(Duration a, Duration b) {
+        return isShorter(a, b) ? b : a;
     }
 
-    public static double seconds(Duration d) {
+    public static double toSeconds(Duration d) {
         return d.toNanos() / 1e9;
     }
 
-    public static Duration times(Duration d, double n) {
+    public static Duration scale(Duration d, double n) {
         return Duration.ofNanos((long) (d.toNanos() * n));
     }
 }
--- a/src/main/java/switchgap/policy/state/Histogram.java
+++ b/src/main/java/switchgap/policy/state/Histogram.java
@@ -38,7 +38,7 @@
     }
 
     /** What lies in this bin and above. */
-    public double from(int bin) {
+    public double countFrom(int bin) {
         double sum = 0;
         for (int i = bin; i < counts.length; i++) {
             sum += counts[i];
--- a/src/main/java/switchgap/policy/state/IndexAllocator.java
+++ b/src/main/java/switchgap/policy/state/IndexAllocator.java
@@ -18,7 +18,7 @@
         return i == null ? -1 : i;
     }
 
-    public int add(long name) {
+    public int allocate(long name) {
         Integer known = indices.get(name);
         if (known != null) {
             return known;
@@ -32,7 +32,7 @@
         return i;
     }
 
-    public long name(int index) {
+    public long idOf(int index) {
         return names[index];
     }
 
--- a/src/main/java/switchgap/policy/state/Replica.java
+++ b/src/main/java/switchgap/policy/state/Replica.java
@@ -5,14 +5,14 @@
 /** What is believed of a function's copies at one worker. */
 public final class Replica {
     /** UNKNOWN: not heard of lately; ORDERED: on its way, as a hold order went out. */
-    public enum ReplicaState { UNKNOWN, ABSENT, ORDERED, STANDS }
+    public enum State { UNKNOWN, ABSENT, LOADING, LOADED }
 
-    public ReplicaState belief = ReplicaState.UNKNOWN;
-    public Duration used;
-    public Duration ordered;
+    public State state = State.UNKNOWN;
+    public Duration lastUsed;
+    public Duration loadCommandedAt;
     /** When an order ended without a copy, as there is no room or the worker drains; else null. */
-    public Duration refused;
-    public boolean asked;
+    public Duration loadRefusedAt;
+    public boolean queryPending;
     /** Whether a hold order is out, whatever is believed meanwhile. */
-    public boolean out;
+    public boolean loadPending;
 }
--- a/src/main/java/switchgap/policy/state/Request.java
+++ b/src/main/java/switchgap/policy/state/Request.java
@@ -8,33 +8,33 @@
 /** A job taken and what has become of it. */
 public final class Request {
     public final int id;
-    public final RequestClass of;
+    public final RequestClass requestClass;
     public final Function function;
-    public final Duration arrived;
-    public final Duration limit;
-    public final Duration hint;
-    public final List<Attempt> executions = new ArrayList<>(2);
-    public final BitSet failedAt = new BitSet();
+    public final Duration arrivedAt;
+    public final Duration deadline;
+    public final Duration durationHint;
+    public final List<Attempt> attempts = new ArrayList<>(2);
+    public final BitSet failedWorkers = new BitSet();
     /** Where it erred last before its function was seen to stand anywhere. */
-    public Worker erred;
-    public double value;
-    public double luck;
-    public int outstanding;
-    public int mayHaveRun;
-    public Worker anchor;
-    public Duration anchored;
+    public Worker suspectWorker;
+    public double weight;
+    public double capacityDraw;
+    public int inFlight;
+    public int possibleExecutions;
+    public Worker firstWorker;
+    public Duration firstSentAt;
     public boolean closed;
-    public Duration lookBy;
-    public int looks;
-    public boolean waiting;
+    public Duration probeDeadline;
+    public int pendingProbes;
+    public boolean queued;
 
     public Request(int id, RequestClass of, Function function, Duration arrived, Duration limit,
                Duration hint) {
         this.id = id;
-        this.of = of;
+        this.requestClass = of;
         this.function = function;
-        this.arrived = arrived;
-        this.limit = limit;
-        this.hint = hint;
+        this.arrivedAt = arrived;
+        this.deadline = limit;
+        this.durationHint = hint;
     }
 }
--- a/src/main/java/switchgap/policy/state/RequestClass.java
+++ b/src/main/java/switchgap/policy/state/RequestClass.java
@@ -7,23 +7,23 @@
 
 /** A workload as stated, and how long its executions usually take, as a share of the start target. */
 public final class RequestClass {
-    public final Duration target;
-    public final Duration memory;
-    public final double value;
-    public final double late;
-    public final Idempotency repeat;
-    public final DeduplicationScope group;
-    public final Histogram took;
-    public final Histogram met;
+    public final Duration latencyObjective;
+    public final Duration deduplicationWindow;
+    public final double priorityWeight;
+    public final double lateValueShare;
+    public final Idempotency idempotency;
+    public final DeduplicationScope deduplicationScope;
+    public final Histogram relativeDurations;
+    public final Histogram foreignLoads;
 
     public RequestClass(RouterSettings t, int index, double[] tookEdges, double[] metEdges) {
-        target = t.startTarget(index);
-        memory = t.memorySpan(index);
-        value = t.importance(index);
-        late = t.lateShare(index);
-        repeat = t.repeat(index);
-        group = t.group(index);
-        met = new Histogram(metEdges);
-        took = new Histogram(tookEdges);
+        latencyObjective = t.latencyObjective(index);
+        deduplicationWindow = t.deduplicationWindow(index);
+        priorityWeight = t.priorityWeight(index);
+        lateValueShare = t.lateValueShare(index);
+        idempotency = t.idempotency(index);
+        deduplicationScope = t.deduplicationScope(index);
+        foreignLoads = new Histogram(metEdges);
+        relativeDurations = new Histogram(tookEdges);
     }
 }
--- a/src/main/java/switchgap/policy/state/SlidingWindow.java
+++ b/src/main/java/switchgap/policy/state/SlidingWindow.java
@@ -12,7 +12,7 @@
     }
 
     /** How often in the span up to now; what is older is dropped for good. */
-    public int within(Duration now, Duration span) {
+    public int countWithin(Duration now, Duration span) {
         while (!times.isEmpty() && span.compareTo(now.minus(times.peekFirst())) < 0) {
             times.pollFirst();
         }
--- a/src/main/java/switchgap/policy/state/Worker.java
+++ b/src/main/java/switchgap/policy/state/Worker.java
@@ -9,39 +9,39 @@
 /** A worker: what the list says of it and what this router has seen of it. */
 public final class Worker {
     public final int id;
-    public final long mark;
-    public final Histogram slow;
-    public final Histogram bad;
-    public final Histogram took;
-    public final SlidingWindow coldSends = new SlidingWindow();
-    public WorkerState standing = WorkerState.GONE;
-    public boolean named;
-    public boolean empty;
+    public final long hash;
+    public final Histogram latencyRatios;
+    public final Histogram errors;
+    public final Histogram relativeDurations;
+    public final SlidingWindow sendsWhileCold = new SlidingWindow();
+    public WorkerState state = WorkerState.GONE;
+    public boolean listed;
+    public boolean presumedEmpty;
     public int zone;
     public int cell;
-    public double memory;
-    public double weight;
-    public Duration started;
-    public int flying;
-    public final List<Request> looks = new ArrayList<>();
-    public int ahead;
-    public int loading;
-    public int orders;
-    public int strikes;
-    public boolean onTrial;
-    public Duration shunned;
+    public double memoryMb;
+    public double hashWeight;
+    public Duration startedAt;
+    public int inFlight;
+    public final List<Request> awaitingProbe = new ArrayList<>();
+    public int queuedAhead;
+    public int waitingForLoad;
+    public int pendingCommands;
+    public int ejectionCount;
+    public boolean onProbation;
+    public Duration ejectedUntil;
     /** When it last answered anything. */
-    public Duration heard = Duration.ZERO;
-    public double others;
-    public double busy = 1;
-    public Duration reported;
-    public double slowness = 1;
+    public Duration lastResponse = Duration.ZERO;
+    public double foreignLoad;
+    public double cpuUtilization = 1;
+    public Duration lastReport;
+    public double latencyRatio = 1;
 
     public Worker(int id, long mark, double[] slowEdges, double[] badEdges, double[] tookEdges) {
         this.id = id;
-        this.mark = mark;
-        this.slow = new Histogram(slowEdges);
-        this.bad = new Histogram(badEdges);
-        this.took = new Histogram(tookEdges);
+        this.hash = mark;
+        this.latencyRatios = new Histogram(slowEdges);
+        this.errors = new Histogram(badEdges);
+        this.relativeDurations = new Histogram(tookEdges);
     }
 }
--- a/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
+++ b/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
@@ -102,7 +102,7 @@
                         opening--;
                         a = waiting.size() > opening ? next() : null;
                     }
-                    if (a != null) { a.endUnsent(AttemptOutcome.NO_CONNECTION, why); }
+                    if (a != null) { a.endUnsent(AttemptOutcome.CONNECT_FAILED, why); }
                     openMore(); // more may wait than links may be open: each is tried, and told, in its turn
                 }
             });
--- a/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
@@ -12,8 +12,8 @@
 import switchgap.net.HttpClientConnection;
 import switchgap.net.KeyedWriters;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.LoadReport;
 import switchgap.router.Attempt;
-import switchgap.router.LoadReport;
 import switchgap.router.Response;
 import switchgap.router.RouterCore;
 import switchgap.router.WorkerCommand;
@@ -104,7 +104,7 @@
         if (run.call.fingerprint != null) { headers.put("Idempotency-Key", run.call.fingerprint); }
         PendingExchange a = new PendingExchange(run.worker, "POST", model(run.call.function) + "/infer", headers, run.call.body) {
             @Override void unsent(AttemptOutcome end, String why) {
-                events.accept(c -> c.executionEnded(run, end, LoadReport.UNTOLD, null));
+                events.accept(c -> c.executionEnded(run, end, LoadReport.NONE, null));
             }
 
             @Override void replied(int status, Map<String, String> head, byte[] content) {
@@ -115,12 +115,12 @@
                 }
                 OrcaLoadReport orca = OrcaLoadReport.read(head);
                 AttemptOutcome end = proof(status, orca);
-                Response answer = end == AttemptOutcome.FINISHED ? Response.finished(status, passedOn(head), content) : null;
+                Response answer = end == AttemptOutcome.SUCCEEDED ? Response.finished(status, passedOn(head), content) : null;
                 events.accept(c -> c.executionEnded(run, end, orca.loads(), answer));
             }
 
             @Override void lost(String why) {
-                events.accept(c -> c.executionEnded(run, AttemptOutcome.BROKEN, LoadReport.UNTOLD, null));
+                events.accept(c -> c.executionEnded(run, AttemptOutcome.CONNECTION_LOST, LoadReport.NONE, null));
             }
         };
         run.exchange = a;
@@ -132,9 +132,9 @@
     /** What a reply to an execution means and proves. */
     static AttemptOutcome proof(int status, OrcaLoadReport orca) {
         boolean notRun = orca.named("executed") == 0;
-        if (status >= 200 && status < 300) { return AttemptOutcome.FINISHED; }
-        if (notRun && status == 404) { return AttemptOutcome.MISS; }
-        return notRun && (status == 503 || status == 429) ? AttemptOutcome.FULL : AttemptOutcome.ERROR;
+        if (status >= 200 && status < 300) { return AttemptOutcome.SUCCEEDED; }
+        if (notRun && status == 404) { return AttemptOutcome.NOT_LOADED; }
+        return notRun && (status == 503 || status == 429) ? AttemptOutcome.REJECTED : AttemptOutcome.FAILED;
     }
 
     private static Map<String, String> passedOn(Map<String, String> head) {
@@ -164,11 +164,11 @@
         @Override void unsent(AttemptOutcome end, String why) { end(end, OrcaLoadReport.read(Map.of())); }
 
         @Override void replied(int status, Map<String, String> head, byte[] content) {
-            end(status >= 200 && status < 300 ? AttemptOutcome.FINISHED : status == 503 || status == 429 ? AttemptOutcome.FULL : AttemptOutcome.ERROR,
+            end(status >= 200 && status < 300 ? AttemptOutcome.SUCCEEDED : status == 503 || status == 429 ? AttemptOutcome.REJECTED : AttemptOutcome.FAILED,
                 OrcaLoadReport.read(head));
         }
 
-        @Override void lost(String why) { end(AttemptOutcome.BROKEN, OrcaLoadReport.read(Map.of())); }
+        @Override void lost(String why) { end(AttemptOutcome.CONNECTION_LOST, OrcaLoadReport.read(Map.of())); }
     }
 
     private void go(WorkerEntry worker, WorkerCommand order, PendingExchange a) {
@@ -183,7 +183,7 @@
             copies == 0 ? model(function) + "/ready" : repository(function, "load"), content) {
             @Override void end(AttemptOutcome end, OrcaLoadReport orca) {
                 double told = orca.named("copies"); // a worker that tells no count: ready means one
-                int standing = Double.isNaN(told) ? end == AttemptOutcome.FINISHED ? 1 : 0 : (int) told;
+                int standing = Double.isNaN(told) ? end == AttemptOutcome.SUCCEEDED ? 1 : 0 : (int) told;
                 events.accept(c -> c.orderEnded(order, end, standing));
             }
         };
--- a/src/main/java/switchgap/protocol/inference/OrcaLoadReport.java
+++ b/src/main/java/switchgap/protocol/inference/OrcaLoadReport.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.Map;
-import switchgap.router.LoadReport;
+import switchgap.policy.api.LoadReport;
 
 /**
  * Load reports in the response header {@code endpoint-load-metrics} of the Open Request Cost Aggregation format, in
--- a/src/main/java/switchgap/protocol/inference/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/inference/PendingExchange.java
@@ -99,7 +99,7 @@
         }
         if (was == State.OUT && l != null) { l.abandon(this); }
         if (was != State.WAITING) { return AttemptOutcome.TIMED_OUT; }
-        return pool != null && pool.open() > 0 ? AttemptOutcome.NOT_SENT : AttemptOutcome.NO_CONNECTION; // all links taken, or none had
+        return pool != null && pool.open() > 0 ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED; // all links taken, or none had
     }
 
     @Override public final void answered(int status, Map<String, String> head, byte[] content, boolean reusable) {
--- a/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
@@ -59,13 +59,13 @@
         ObjectNode touched = n.putObject("pushed_back");
         for (ServiceLevel g : ServiceLevel.values()) {
             spent.put(YamlDocument.word(g), l.spent(g).toMillis() / 1000.0);
-            for (int w = 0; w < terms.workloads(); w++) {
+            for (int w = 0; w < terms.requestClassCount(); w++) {
                 long t = l.touched(g, w);
                 if (t > 0) { touched.withObject("/" + YamlDocument.word(g)).put(terms.kind(w).name(), t); }
             }
         }
         ObjectNode customers = n.putObject("customers");
-        for (int c = 0; c < terms.customers(); c++) {
+        for (int c = 0; c < terms.tenantCount(); c++) {
             customers.putObject(terms.customerName(c)).put("level", YamlDocument.word(l.rung(c))).put("depth", l.depth(c));
         }
         ArrayNode all = n.putArray("changes");
@@ -89,7 +89,7 @@
             for (ServiceLevel g : ServiceLevel.values()) {
                 s.append("switchgap_level_seconds{level=\"").append(YamlDocument.word(g)).append("\"} ")
                     .append(l.spent(g).toMillis() / 1000.0).append('\n');
-                for (int w = 0; w < terms.workloads(); w++) {
+                for (int w = 0; w < terms.requestClassCount(); w++) {
                     s.append("switchgap_level_pushed_back{level=\"").append(YamlDocument.word(g)).append("\",workload=\"")
                         .append(terms.kind(w).name()).append("\"} ").append(l.touched(g, w)).append('\n');
                 }
--- a/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
@@ -90,7 +90,7 @@
         e.link = l;
         e.sent = workers.nanos();
         l.used = e.sent;
-        if (e.id != null) { l.out.put(e.id, e); } else { workers.soon(c -> e.end(c, AttemptOutcome.FINISHED, null)); }
+        if (e.id != null) { l.out.put(e.id, e); } else { workers.soon(c -> e.end(c, AttemptOutcome.SUCCEEDED, null)); }
     }
 
     /** A connection is up. */
@@ -108,7 +108,7 @@
     void failed(RouterCore c) {
         opening--;
         workers.ended();
-        settle(c, AttemptOutcome.NO_CONNECTION);
+        settle(c, AttemptOutcome.CONNECT_FAILED);
     }
 
     /** Places what waits; with no connection under way the rest is told at once that it never went out. */
@@ -132,7 +132,7 @@
         if (links.remove(l)) { workers.ended(); }
         List<PendingExchange> all = List.copyOf(l.out.values());
         l.out.clear();
-        all.forEach(e -> e.end(c, AttemptOutcome.BROKEN, null));
+        all.forEach(e -> e.end(c, AttemptOutcome.CONNECTION_LOST, null));
     }
 
     /** An answer; one for an id that is not out on this very connection is passed over. */
@@ -157,7 +157,7 @@
         e.state = PendingExchange.State.OVER;
         if (was == PendingExchange.State.WAITING) {
             waiting.remove(e);
-            return links.isEmpty() ? AttemptOutcome.NO_CONNECTION : AttemptOutcome.NOT_SENT;
+            return links.isEmpty() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT;
         }
         RespConnection l = e.link;
         if (was == PendingExchange.State.OUT && l.out.remove(e.id, e)) {
--- a/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -14,8 +14,8 @@
 import switchgap.net.NetworkTransport;
 import switchgap.net.TcpConnection;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.LoadReport;
 import switchgap.router.Attempt;
-import switchgap.router.LoadReport;
 import switchgap.router.Response;
 import switchgap.router.RouterCore;
 import switchgap.router.WorkerCommand;
@@ -135,8 +135,8 @@
     @Override public void send(Attempt run, Duration allow) {
         String fields = "profile=" + names[run.call.workload] + ",thing=" + run.call.function + ",max=" + Math.max(1, allow.toMillis());
         PendingExchange e = new PendingExchange(run.worker, run.call.id, run.call, false, RespCommandEncoder.with(run.call.body, "DO", run.call.id, fields),
-            nanos() + allow.toNanos(), (c, end, r) -> c.executionEnded(run, end, r == null ? LoadReport.UNTOLD : r.loads(bounds.crowds()),
-                end == AttemptOutcome.FINISHED ? Response.finished(0, Map.of(), r.body()) : null));
+            nanos() + allow.toNanos(), (c, end, r) -> c.executionEnded(run, end, r == null ? LoadReport.NONE : r.loads(bounds.crowds()),
+                end == AttemptOutcome.SUCCEEDED ? Response.finished(0, Map.of(), r.body()) : null));
         run.exchange = e;
         pool(run.worker).ask(e);
     }
@@ -169,7 +169,7 @@
 
     @Override public void probe(WorkerEntry worker, WorkerCommand order) {
         String tag = tag();
-        ask(worker, order, tag, true, probeLimit, (c, end, r) -> c.probed(order, end, r == null ? LoadReport.UNTOLD : r.loads(false)),
+        ask(worker, order, tag, true, probeLimit, (c, end, r) -> c.probed(order, end, r == null ? LoadReport.NONE : r.loads(false)),
             "METER", tag);
     }
 
--- a/src/main/java/switchgap/protocol/resp/WorkerReply.java
+++ b/src/main/java/switchgap/protocol/resp/WorkerReply.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.router.LoadReport;
+import switchgap.policy.api.LoadReport;
 
 /** One answer of a worker: {@code ID WORD FIELDS BODY}. What its word proves is said in {@link #end()} and nowhere else. */
 record WorkerReply(String id, String word, Map<String, String> fields, byte[] body) {
@@ -33,11 +33,11 @@
     /** What the answer means, and by {@link AttemptOutcome#neverRan} what it proves; null: no word of the protocol. */
     AttemptOutcome end() {
         return switch (word) {
-            case "data", "well" -> AttemptOutcome.FINISHED;
-            case "absent" -> AttemptOutcome.MISS;    // never ran
-            case "full" -> AttemptOutcome.FULL;      // never ran
+            case "data", "well" -> AttemptOutcome.SUCCEEDED;
+            case "absent" -> AttemptOutcome.NOT_LOADED;    // never ran
+            case "full" -> AttemptOutcome.REJECTED;      // never ran
             case "moot" -> AttemptOutcome.NOT_SENT;  // over before it came: never ran
-            case "failed", "ill" -> AttemptOutcome.ERROR; // may have run
+            case "failed", "ill" -> AttemptOutcome.FAILED; // may have run
             default -> null;
         };
     }
--- a/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
+++ b/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
@@ -37,7 +37,7 @@
         if (customer == null) { throw new InvalidRequestException("project"); }
         String function = mark(m, "lookup");
         // Nobody may wait for longer than twice what the operators state: such a call would only be kept.
-        double longest = 2e-6 * book.terms.timeLimit(workload).toNanos();
+        double longest = 2e-6 * book.terms.requestTimeout(workload).toNanos();
         Duration limit = now.plus(span(number(m.fields().get("allow"), "allow", longest)));
         String effort = m.fields().get("effort");
         Duration hint = effort == null ? null : span(number(effort, "effort", HOUR));
--- a/src/main/java/switchgap/protocol/thrift/ThriftServer.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -277,7 +277,7 @@
         v.open.put(m.number(), call);
         if (!room || !c.callCame(call)) {
             done(v, m, call);
-            refuse(v, m, book.terms().tellsComeBack() ? book.terms().mostComeBack() : null);
+            refuse(v, m, book.terms().retryAfterAllowed() ? book.terms().maxRetryAfter() : null);
         }
     }
 
--- a/src/main/java/switchgap/router/AdmissionGate.java
+++ b/src/main/java/switchgap/router/AdmissionGate.java
@@ -8,6 +8,7 @@
 import switchgap.admission.RequestOutcome;
 import switchgap.admission.ServiceLevel;
 import switchgap.admission.ServiceLevelChange;
+import switchgap.policy.api.LoadReport;
 import switchgap.policy.api.RouterSettings;
 
 /**
@@ -31,7 +32,7 @@
             core.watch(new RouterCore.RequestObserver() {
                 @Override public void ended(PendingRequest c, Response a) { AdmissionGate.this.ended(c, a); }
 
-                @Override public void told(LoadReport l) { levels.busy(l.busy()); }
+                @Override public void told(LoadReport l) { levels.busy(l.cpuUtilization()); }
             });
         }
     }
@@ -63,7 +64,7 @@
 
     private void ended(PendingRequest c, Response a) {
         Duration took = core.now().minus(c.taken);
-        Duration target = terms.startTarget(c.workload);
+        Duration target = terms.latencyObjective(c.workload);
         levels.ended(core.now(), c.workload, outcome(c, a, took, target));
         tell();
     }
--- a/src/main/java/switchgap/router/RouterCore.java
+++ b/src/main/java/switchgap/router/RouterCore.java
@@ -11,6 +11,7 @@
 import switchgap.policy.RoutingPolicy;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.policy.api.EventBatch;
+import switchgap.policy.api.LoadReport;
 import switchgap.policy.api.PolicyActions;
 import switchgap.policy.api.PolicyEvents;
 import switchgap.policy.api.RouterSettings;
@@ -111,7 +112,7 @@
         Map<String, Double> worth = new HashMap<>();
         for (PendingRequest c : calls) {
             if (c != null && c.state == PendingRequest.State.HELD && c.runs.stream().allMatch(r -> r.ended)) {
-                worth.merge(c.function, terms.importance(c.workload), Double::sum);
+                worth.merge(c.function, terms.priorityWeight(c.workload), Double::sum);
             }
         }
         return worth;
@@ -129,7 +130,7 @@
         if (c.index == calls.size()) { calls.add(c); } else { calls.set(c.index, c); }
         c.taken = now;
         held++;
-        feed.job(c.index, c.workload, c.customer < 0 ? terms.customers() : c.customer, functions.add(c.function),
+        feed.requestArrived(c.index, c.workload, c.customer < 0 ? terms.tenantCount() : c.customer, functions.add(c.function),
             NameIndex.mark(c.function), c.limit, c.hint, c.memory, c.lanes, c.load, c.repeat);
         return true;
     }
@@ -139,7 +140,7 @@
         if (c.state == PendingRequest.State.HELD && c.index >= 0) {
             end(c, PendingRequest.State.LEFT);
             watch.ended(c, null);
-            feed.left(c.index);
+            feed.clientLeft(c.index);
         } else if (c.state == PendingRequest.State.HELD) { // was not offered to the module yet
             c.state = PendingRequest.State.LEFT;
         }
@@ -152,19 +153,19 @@
     public void executionEnded(Attempt r, AttemptOutcome end, LoadReport loads, Response answer) {
         if (r.ended) { return; }
         r.ended = true;
-        r.mayHaveRun = !end.neverRan;
+        r.mayHaveRun = !end.neverExecuted;
         timers.stop(r.timer);
         watch.told(loads);
         PendingRequest c = r.call;
-        boolean first = end == AttemptOutcome.FINISHED && c.state == PendingRequest.State.HELD;
+        boolean first = end == AttemptOutcome.SUCCEEDED && c.state == PendingRequest.State.HELD;
         if (first) { answer(c, answer); }
-        feed.ended(c.index, r.number, r.worker.index, end, now.minus(r.sent), c.state != PendingRequest.State.HELD, loads.crowd(),
-            loads.busy(), loads.held(), loads.queued());
+        feed.attemptEnded(c.index, r.number, r.worker.index, end, now.minus(r.sent), c.state != PendingRequest.State.HELD, loads.concurrency(),
+            loads.cpuUtilization(), loads.inFlight(), loads.queueLength());
     }
 
     public void orderEnded(WorkerCommand o, AttemptOutcome end, int standing) {
         if (ends(o) && known(o.worker)) {
-            feed.orderEnded(o.worker.index, o.function, end, now.minus(o.sent), standing);
+            feed.loadCommandEnded(o.worker.index, o.function, end, now.minus(o.sent), standing);
         }
     }
 
@@ -174,7 +175,7 @@
 
     public void probed(WorkerCommand o, AttemptOutcome end, LoadReport loads) {
         if (ends(o) && known(o.worker)) {
-            feed.probed(o.worker.index, end, now.minus(o.sent), loads.busy(), loads.held(), loads.queued());
+            feed.probeEnded(o.worker.index, end, now.minus(o.sent), loads.cpuUtilization(), loads.inFlight(), loads.queueLength());
         }
     }
 
@@ -188,7 +189,7 @@
 
     /** A version of the list, whole or its changes; a worker with a new address is a new process to the links. */
     public void list(boolean whole, List<EndpointUpdate> lines) {
-        feed.listBegins(whole);
+        feed.endpointListStarted(whole);
         Set<String> named = new HashSet<>();
         for (EndpointUpdate l : lines) {
             WorkerEntry s = seen.get(l.name());
@@ -206,13 +207,13 @@
             }
             named.add(l.name());
             takes(s, l.standing() == WorkerState.READY, false);
-            feed.worker(s.index, NameIndex.mark(l.name()), l.standing(), l.zone(), l.cell(), l.kind(), l.size(),
+            feed.endpointListed(s.index, NameIndex.mark(l.name()), l.standing(), l.zone(), l.cell(), l.kind(), l.size(),
                 l.started());
         }
         for (WorkerEntry s : whole ? workers : List.<WorkerEntry>of()) {
             if (s != null && !named.contains(s.name)) { takes(s, false, false); }
         }
-        feed.listEnds();
+        feed.endpointListEnded();
     }
 
     private void takes(WorkerEntry s, boolean takesNew, boolean forGood) {
@@ -222,7 +223,7 @@
     }
 
     public void listFailed() {
-        feed.listFailed();
+        feed.endpointListFailed();
     }
 
     /** An index may have been handed out again while a probe was out. */
@@ -258,31 +259,31 @@
 
     /** Carries out decisions in the order they are taken. */
     private final class ActionExecutor implements PolicyActions {
-        @Override public void send(int job, int worker, Duration allow) {
+        @Override public void startAttempt(int job, int worker, Duration allow) {
             PendingRequest c = calls.get(job);
             Attempt r = new Attempt(c, c.runs.size(), workers.get(worker), now);
             c.runs.add(r);
             r.timer = timers.at(now.plus(allow), () -> {
                 if (!r.ended) {
-                    executionEnded(r, outside.abandon(r), LoadReport.UNTOLD, null); // asked and ended in one: see Outside
+                    executionEnded(r, outside.abandon(r), LoadReport.NONE, null); // asked and ended in one: see Outside
                 }
             });
             outside.send(r, allow);
         }
 
-        @Override public void cancel(int job, int execution) {
+        @Override public void cancelAttempt(int job, int execution) {
             Attempt r = calls.get(job).runs.get(execution);
             if (!r.ended) {
                 outside.abandon(r);
-                timers.at(now, () -> executionEnded(r, AttemptOutcome.CANCELLED, LoadReport.UNTOLD, null));
+                timers.at(now, () -> executionEnded(r, AttemptOutcome.CANCELLED, LoadReport.NONE, null));
             }
         }
 
-        @Override public void pushBack(int job, Duration comeBack) {
+        @Override public void reject(int job, Duration comeBack) {
             answer(job, Response.pushedBack(comeBack));
         }
 
-        @Override public void kill(int job) {
+        @Override public void fail(int job) {
             answer(job, Response.killed());
         }
 
@@ -291,18 +292,18 @@
             if (c.state == PendingRequest.State.HELD) { RouterCore.this.answer(c, a); }
         }
 
-        @Override public void hold(int worker, int function, int copies) {
+        @Override public void load(int worker, int function, int copies) {
             WorkerCommand o = order(worker, function, orderLimit, x -> orderEnded(x, AttemptOutcome.TIMED_OUT, 0));
             outside.hold(o.worker, functions.name(function), copies, o);
         }
 
-        @Override public void drop(int worker, int function) {
+        @Override public void unload(int worker, int function) {
             WorkerCommand o = order(worker, function, orderLimit, RouterCore.this::dropEnded); // or at a silent worker it keeps a link for ever
             outside.drop(o.worker, functions.name(function), o);
         }
 
         @Override public void probe(int worker) {
-            WorkerCommand o = order(worker, -1, probeLimit, x -> probed(x, AttemptOutcome.TIMED_OUT, LoadReport.UNTOLD));
+            WorkerCommand o = order(worker, -1, probeLimit, x -> probed(x, AttemptOutcome.TIMED_OUT, LoadReport.NONE));
             outside.probe(o.worker, o);
         }
 
@@ -316,21 +317,21 @@
             return o;
         }
 
-        @Override public void wake(Duration after, long token) {
-            timers.at(now.plus(after), () -> feed.timer(token));
+        @Override public void scheduleWakeUp(Duration after, long token) {
+            timers.at(now.plus(after), () -> feed.wakeUp(token));
         }
 
-        @Override public void subscribe() { outside.list(); }
+        @Override public void subscribeToEndpoints() { outside.list(); }
 
-        @Override public void forgetJob(int job) {
+        @Override public void releaseRequest(int job) {
             calls.get(job).index = -1;
             calls.set(job, null);
             freeCalls.add(job);
         }
 
-        @Override public void forgetFunction(int function) { functions.release(function); }
+        @Override public void releaseFunction(int function) { functions.release(function); }
 
-        @Override public void forgetWorker(int worker) {
+        @Override public void releaseWorker(int worker) {
             WorkerEntry s = workers.get(worker);
             takes(s, false, true);
             seen.remove(s.name);
--- a/src/main/java/switchgap/server/gateway/GatewayConfig.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfig.java
@@ -72,11 +72,11 @@
             planner = new InetSocketAddress(q.text("host", "127.0.0.1"), q.whole("port", 0, 65535));
             patience = q.span("patience", Duration.ofMillis(60));
             q.done();
-            if (!terms.loadsSpan().isZero()) { // an order that waits would be counted in another span than it goes out in
+            if (!terms.loadQuotaWindow().isZero()) { // an order that waits would be counted in another span than it goes out in
                 throw p.wrong("planner", "is not used where load orders are rationed");
             }
         }
-        long seed = (long) p.number("seed", 0, 1L << 52, terms.self() + 1);
+        long seed = (long) p.number("seed", 0, 1L << 52, terms.routerIndex() + 1);
         p.done();
         return new GatewayConfig(terms, seed, host, port, bounds, mostHeld, mostWait, mostFunctions, kept, mostDeferred,
             (long) mb << 20, links, from, answerBytes, selectors, orderLimit, probeLimit, list, again, fixed, planner, patience);
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -55,10 +55,10 @@
     /** A router under another decider: for measurements of the module beside a baseline. */
     public GatewayRouter(GatewayConfig page, RouterCore.Policy decide) throws IOException {
         YamlRouterSettings terms = page.terms();
-        net = new NetworkTransport(page.selectors(), "router-" + terms.self());
+        net = new NetworkTransport(page.selectors(), "router-" + terms.routerIndex());
         JvmWarmup.run(terms, net);
         long bornWall = System.currentTimeMillis();
-        carriers = new KeyedWriters(page.selectors(), "carrier-" + terms.self());
+        carriers = new KeyedWriters(page.selectors(), "carrier-" + terms.routerIndex());
         HttpClientConnection.Factory opener = new HttpClientConnection.Factory(net, page.from(), page.answerBytes());
         AtomicReference<Runnable> listening = new AtomicReference<>(() -> { });
         AtomicReference<InferenceWorkerTransport> made = new AtomicReference<>();
@@ -67,7 +67,7 @@
             made.set(new InferenceWorkerTransport(opener, page.links(), carriers, l::post, () -> listening.get().run()));
             if (page.planner() != null) { behind.set(new PlannedWorkerTransport(made.get(), terms, page.patience(), l::post)); }
             return new RouterCore(terms, decide, behind.get() == null ? made.get() : behind.get(), page.orderLimit(), page.probeLimit(), page.mostFunctions());
-        }, "loop-" + terms.self(), this::late, GatewayRouter::failed);
+        }, "loop-" + terms.routerIndex(), this::late, GatewayRouter::failed);
         workers = made.get();
         planned = behind.get();
         AdmissionController levels = terms.levelsAct() ? new AdmissionController(terms.levelTerms(), page.seed() * 31 + bornWall) : null;
@@ -76,25 +76,25 @@
             gate.set(new AdmissionGate(c, terms, levels, x -> told(terms, x)));
             if (levels != null && terms.pinned() != null) { gate.get().pin(terms.pinned(), terms.pinnedFor()); }
         });
-        String start = "r" + terms.self() + "-" + Long.toString(bornWall, 36) + "-";
+        String start = "r" + terms.routerIndex() + "-" + Long.toString(bornWall, 36) + "-";
         DeferredResults deferred = new DeferredResults(start + "d", page.kept(), page.mostDeferred(), page.mostDeferredBytes());
         api = new InvokeApi(terms, loop::now, loop::post, carriers, deferred, gate::get, start, page.mostHeld(), page.mostWait());
-        api.status(c -> RouterStatus.show(terms.self(), c, api.held(), api.ends(), levels, planned));
+        api.status(c -> RouterStatus.show(terms.routerIndex(), c, api.held(), api.ends(), levels, planned));
         door = new HttpServer(net, page.bounds(), api);
-        watch = page.list() == null ? null : new EndpointListWatcher(opener, page.list(), terms.self(), bornWall, page.listAgain(),
+        watch = page.list() == null ? null : new EndpointListWatcher(opener, page.list(), terms.routerIndex(), bornWall, page.listAgain(),
             terms::zone, terms::machineKind, loop::postFirst);
         if (!page.fixed().isEmpty()) { loop.post(c -> c.list(true, page.fixed())); }
         if (watch != null) {
             listening.set(watch::follow);
             watch.follow();
         }
-        longest = terms.longestLimit();
+        longest = terms.longestTimeout();
         sweeper = TimerThread.LATER.scheduleAtFixedRate(() -> {
             workers.sweep();
             loop.post(c -> gate.get().tick());
         }, 1, 1, TimeUnit.SECONDS);
         loop.start();
-        planners = planned == null ? null : new PlannerServer(net, page.planner().getHostString(), page.planner().getPort(), terms.self(),
+        planners = planned == null ? null : new PlannerServer(net, page.planner().getHostString(), page.planner().getPort(), terms.routerIndex(),
             new PlannerServer.Listener() {
                 @Override public void linked(long epoch) { loop.post(c -> planned.linked(c, epoch)); }
 
@@ -110,7 +110,7 @@
             throw new IOException("can't listen at " + page.host() + ":" + page.port() + ": " + e.getMessage(), e);
         }
         state.set(State.SERVING);
-        LOG.info("router {} of {} serves at {}:{}", terms.self(), terms.routers(), page.host(), port);
+        LOG.info("router {} of {} serves at {}:{}", terms.routerIndex(), terms.routerCount(), page.host(), port);
     }
 
     /** A change of level is what an operator acts on: one line, with the figures that met the condition. */
--- a/src/main/java/switchgap/server/gateway/JvmWarmup.java
+++ b/src/main/java/switchgap/server/gateway/JvmWarmup.java
@@ -15,10 +15,10 @@
 import switchgap.net.HttpServer;
 import switchgap.net.NetworkTransport;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.LoadReport;
 import switchgap.policy.api.WorkerState;
 import switchgap.router.Attempt;
 import switchgap.router.EndpointUpdate;
-import switchgap.router.LoadReport;
 import switchgap.router.PendingRequest;
 import switchgap.router.Response;
 import switchgap.router.ResponseListener;
@@ -47,20 +47,20 @@
         List<Consumer<RouterCore>> next = new ArrayList<>();
         WorkerTransport outside = new WorkerTransport() {
             @Override public void send(Attempt run, Duration allow) {
-                next.add(c -> c.executionEnded(run, AttemptOutcome.FINISHED, new LoadReport(0.2, 1, 0, 0),
+                next.add(c -> c.executionEnded(run, AttemptOutcome.SUCCEEDED, new LoadReport(0.2, 1, 0, 0),
                     Response.finished(200, Map.of(), new byte[0])));
             }
 
             @Override public AttemptOutcome abandon(Attempt run) { return AttemptOutcome.TIMED_OUT; }
 
             @Override public void hold(WorkerEntry worker, String function, int copies, WorkerCommand order) {
-                next.add(c -> c.orderEnded(order, AttemptOutcome.FINISHED, copies));
+                next.add(c -> c.orderEnded(order, AttemptOutcome.SUCCEEDED, copies));
             }
 
             @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) { }
 
             @Override public void probe(WorkerEntry worker, WorkerCommand order) {
-                next.add(c -> c.probed(order, AttemptOutcome.FINISHED, LoadReport.UNTOLD));
+                next.add(c -> c.probed(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE));
             }
 
             @Override public void abandon(WorkerCommand order) { }
@@ -81,8 +81,8 @@
         long began = System.nanoTime();
         for (int i = 0; i < CALLS && System.nanoTime() - began < MOST.toNanos(); i++) {
             Duration at = Duration.ofMillis(2L * i);
-            PendingRequest call = new PendingRequest("rehearsal", "rehearsal-" + i % 20, i % terms.workloads(), -1,
-                at.plus(terms.timeLimit(i % terms.workloads())), null, null, null, new byte[0], 1, 2, null, false, nobody);
+            PendingRequest call = new PendingRequest("rehearsal", "rehearsal-" + i % 20, i % terms.requestClassCount(), -1,
+                at.plus(terms.requestTimeout(i % terms.requestClassCount())), null, null, null, new byte[0], 1, 2, null, false, nobody);
             next.add(c -> c.callCame(call));
             List<Consumer<RouterCore>> now = List.copyOf(next);
             next.clear();
--- a/src/main/java/switchgap/server/platform/PlatformRouter.java
+++ b/src/main/java/switchgap/server/platform/PlatformRouter.java
@@ -60,7 +60,7 @@
         door = new ThriftServer(terms, terms.names("Lanes"), terms.names("Tenants"), new ThriftServer.ConnectionLimits(Math.max(1, g.sockets() / CLIENT_SHARE),
             Math.max(1, g.sockets() / CROWD_SHARE), bytes / 4,
             bytes, Math.min(terms.mostHeld(), MOST_CALLS), ARRIVAL), loop::now, loop::post, log::line);
-        longest = terms.longestLimit();
+        longest = terms.longestTimeout();
         feed = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), g.lastEvent(), g.book(), this::list, log::line);
         g.known().forEach(this::list);
         CountDownLatch known = new CountDownLatch(1);
@@ -81,7 +81,7 @@
     }
 
     private static String[] names(PropertyRouterSettings terms) {
-        String[] names = new String[terms.workloads()];
+        String[] names = new String[terms.requestClassCount()];
         terms.names("Lanes").forEach((name, at) -> names[at] = name);
         return names;
     }
--- a/src/main/java/switchgap/simulator/SimulatedRouter.java
+++ b/src/main/java/switchgap/simulator/SimulatedRouter.java
@@ -94,7 +94,7 @@
     }
 
     private void putServer(int at, int worker) {
-        long name = workers.name(worker);
+        long name = workers.idOf(worker);
         reply.fields().putInt(at, (int) (name >>> 16)).putShort(at + 4, (short) name);
     }
 
@@ -104,20 +104,20 @@
 
     private static AttemptOutcome end(int code) {
         return switch (code) {
-            case 0 -> AttemptOutcome.FINISHED;
-            case 13 -> AttemptOutcome.ERROR;
-            case 8 -> AttemptOutcome.FULL;
+            case 0 -> AttemptOutcome.SUCCEEDED;
+            case 13 -> AttemptOutcome.FAILED;
+            case 8 -> AttemptOutcome.REJECTED;
             case 4 -> AttemptOutcome.TIMED_OUT;
-            case 14 -> AttemptOutcome.NO_CONNECTION;
-            case 10 -> AttemptOutcome.BROKEN;
+            case 14 -> AttemptOutcome.CONNECT_FAILED;
+            case 10 -> AttemptOutcome.CONNECTION_LOST;
             case 1 -> AttemptOutcome.CANCELLED;
             case 9 -> AttemptOutcome.NOT_SENT;
-            case 5 -> AttemptOutcome.MISS;
+            case 5 -> AttemptOutcome.NOT_LOADED;
             default -> throw new IllegalArgumentException("unknown outcome " + code);
         };
     }
 
-    @Override public void into(PolicyEvents feed) {
+    @Override public void deliverTo(PolicyEvents feed) {
         int list = 0;
         for (int i = 0; i < taken; i++) {
             int at = records[i];
@@ -126,19 +126,19 @@
                 case 3 -> {
                     int job = jobs.find(body.getLong(at + 3));
                     if (job >= 0) {
-                        feed.left(job);
+                        feed.clientLeft(job);
                     }
                 }
                 case 4 -> {
                     int worker = workers.find(server(at + 3));
                     if (worker >= 0) {
-                        feed.probed(worker, end(body.get(at + 9)), micros(body.getInt(at + 10) & U32),
+                        feed.probeEnded(worker, end(body.get(at + 9)), micros(body.getInt(at + 10) & U32),
                             report(at + 14, busyAt), report(at + 14, heldAt), report(at + 14, queuedAt));
                     }
                 }
                 case 6 -> {
                     if (body.get(at + 11) == FAILED_LIST) {
-                        feed.listFailed();
+                        feed.endpointListFailed();
                     } else {
                         list(feed, lists.get(list++), body.get(at + 11) != DELTA_LIST);
                     }
@@ -146,16 +146,16 @@
                 case 7 -> {
                     int job = jobs.find(body.getLong(at + 3));
                     if (job >= 0) {
-                        feed.streamBegan(job, body.getShort(at + 21) & 0xffff);
+                        feed.responseStarted(job, body.getShort(at + 21) & 0xffff);
                     }
                 }
                 case 8 -> ended(feed, at);
-                case 10 -> feed.timer(body.getLong(at + 3));
+                case 10 -> feed.wakeUp(body.getLong(at + 3));
                 case 11 -> {
                     int worker = workers.find(server(at + 3));
                     int function = functions.find(body.getLong(at + 14));
                     if (worker >= 0 && function >= 0) {
-                        feed.orderEnded(worker, function, end(body.get(at + 22)),
+                        feed.loadCommandEnded(worker, function, end(body.get(at + 22)),
                             micros(body.getInt(at + 9) & U32), body.get(at + 13) & 0xff);
                     }
                 }
@@ -172,8 +172,8 @@
             return;
         }
         AttemptOutcome end = end(body.get(at + 19));
-        boolean told = crowds && (end == AttemptOutcome.FINISHED || end == AttemptOutcome.FULL);
-        feed.ended(job, body.getShort(at + 11) & 0xffff, worker, end, micros(body.getInt(at + 20) & U32),
+        boolean told = crowds && (end == AttemptOutcome.SUCCEEDED || end == AttemptOutcome.REJECTED);
+        feed.attemptEnded(job, body.getShort(at + 11) & 0xffff, worker, end, micros(body.getInt(at + 20) & U32),
             body.get(at + 24) != 0, told ? (body.get(at + 25) & 0xff) >> 3 : -1,
             report(at + 26, busyAt), report(at + 26, heldAt), report(at + 26, queuedAt));
     }
@@ -182,8 +182,8 @@
         long mark = body.getLong(at + 16);
         int marks = body.getShort(at + 48);
         float load = body.getFloat(at + 44);
-        feed.job(jobs.add(body.getLong(at + 3)), body.get(at + 11) & 0xff, body.getInt(at + 12),
-            functions.add(mark), mark, micros(body.getLong(at + 24) - born),
+        feed.requestArrived(jobs.allocate(body.getLong(at + 3)), body.get(at + 11) & 0xff, body.getInt(at + 12),
+            functions.allocate(mark), mark, micros(body.getLong(at + 24) - born),
             (marks & 1) == 0 ? null : micros(body.getInt(at + 32) & U32),
             body.getFloat(at + 36), Math.max(1, Math.round(body.getFloat(at + 40))),
             load > 0 ? micros(Math.round(load * 1000.0)) : null, (marks & 2) != 0);
@@ -191,7 +191,7 @@
 
     private void list(PolicyEvents feed, byte[] bytes, boolean whole) {
         ByteBuffer b = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
-        feed.listBegins(whole);
+        feed.endpointListStarted(whole);
         for (int at = 0; at < bytes.length; at += SimulatorHost.ENTRY) {
             WorkerState standing = switch (b.get(at)) {
                 case 0 -> WorkerState.GONE;
@@ -200,35 +200,35 @@
             };
             long started = b.getLong(at + 3);
             long name = (b.getInt(at + 13) & U32) << 16 | b.getShort(at + 17) & 0xffffL;
-            feed.worker(workers.add(name), name, standing, b.getShort(at + 1) & 0xffff,
+            feed.endpointListed(workers.allocate(name), name, standing, b.getShort(at + 1) & 0xffff,
                 b.getShort(at + 11) & 0xffff, b.getShort(at + 19) & 0xffff, b.getFloat(at + 21),
                 started == 0 ? null : micros(started - born));
         }
-        feed.listEnds();
+        feed.endpointListEnded();
     }
 
-    @Override public void send(int job, int worker, Duration allow) {
+    @Override public void startAttempt(int job, int worker, Duration allow) {
         int at = reply.record(1, who);
-        reply.fields().putLong(at + 3, jobs.name(job)).putInt(at + 17, (int) micros(allow));
+        reply.fields().putLong(at + 3, jobs.idOf(job)).putInt(at + 17, (int) micros(allow));
         putServer(at + 11, worker);
     }
 
-    @Override public void pushBack(int job, Duration comeBack) {
+    @Override public void reject(int job, Duration comeBack) {
         int at = reply.record(2, who);
-        reply.fields().putLong(at + 3, jobs.name(job)).putInt(at + 11, comeBack == null ? 0 : (int) micros(comeBack));
+        reply.fields().putLong(at + 3, jobs.idOf(job)).putInt(at + 11, comeBack == null ? 0 : (int) micros(comeBack));
     }
 
-    @Override public void kill(int job) {
+    @Override public void fail(int job) {
         int at = reply.record(3, who);
-        reply.fields().putLong(at + 3, jobs.name(job));
+        reply.fields().putLong(at + 3, jobs.idOf(job));
     }
 
-    @Override public void cancel(int job, int execution) {
+    @Override public void cancelAttempt(int job, int execution) {
         int at = reply.record(4, who);
-        reply.fields().putLong(at + 3, jobs.name(job)).putShort(at + 11, (short) execution);
+        reply.fields().putLong(at + 3, jobs.idOf(job)).putShort(at + 11, (short) execution);
     }
 
-    @Override public void wake(Duration after, long token) {
+    @Override public void scheduleWakeUp(Duration after, long token) {
         int at = reply.record(5, who);
         reply.fields().putInt(at + 3, (int) micros(after)).putLong(at + 7, token);
     }
@@ -237,32 +237,32 @@
         putServer(reply.record(6, who) + 3, worker);
     }
 
-    @Override public void subscribe() {
+    @Override public void subscribeToEndpoints() {
         int at = reply.record(11, who);
         reply.fields().put(at + 3, (byte) 1);
     }
 
-    @Override public void hold(int worker, int function, int copies) {
+    @Override public void load(int worker, int function, int copies) {
         int at = reply.record(13, who);
         putServer(at + 3, worker);
-        reply.fields().putLong(at + 9, functions.name(function)).put(at + 17, (byte) copies);
+        reply.fields().putLong(at + 9, functions.idOf(function)).put(at + 17, (byte) copies);
     }
 
-    @Override public void drop(int worker, int function) {
+    @Override public void unload(int worker, int function) {
         int at = reply.record(14, who);
         putServer(at + 3, worker);
-        reply.fields().putLong(at + 9, functions.name(function));
+        reply.fields().putLong(at + 9, functions.idOf(function));
     }
 
-    @Override public void forgetJob(int job) {
+    @Override public void releaseRequest(int job) {
         jobs.release(job);
     }
 
-    @Override public void forgetFunction(int function) {
+    @Override public void releaseFunction(int function) {
         functions.release(function);
     }
 
-    @Override public void forgetWorker(int worker) {
+    @Override public void releaseWorker(int worker) {
         workers.release(worker);
     }
 }
--- a/src/test/java/switchgap/policy/PolicyHarness.java
+++ b/src/test/java/switchgap/policy/PolicyHarness.java
@@ -36,81 +36,81 @@
         double probePrice = 0;
         int executions = 4;
 
-        @Override public int self() { return me; }
+        @Override public int routerIndex() { return me; }
 
-        @Override public int routers() { return routers; }
+        @Override public int routerCount() { return routers; }
 
         @Override public int zone() { return 0; }
 
-        @Override public Duration tick() { return ms(5); }
+        @Override public Duration tickInterval() { return ms(5); }
 
-        @Override public int workloads() { return 1; }
+        @Override public int requestClassCount() { return 1; }
 
-        @Override public Duration startTarget(int w) { return ms(400); }
+        @Override public Duration latencyObjective(int w) { return ms(400); }
 
-        @Override public Duration timeLimit(int w) { return ms(2000); }
+        @Override public Duration requestTimeout(int w) { return ms(2000); }
 
-        @Override public double importance(int w) { return 1; }
+        @Override public double priorityWeight(int w) { return 1; }
 
-        @Override public double lateShare(int w) { return 0.2; }
+        @Override public double lateValueShare(int w) { return 0.2; }
 
-        @Override public Idempotency repeat(int w) { return repeat; }
+        @Override public Idempotency idempotency(int w) { return repeat; }
 
-        @Override public DeduplicationScope group(int w) { return group; }
+        @Override public DeduplicationScope deduplicationScope(int w) { return group; }
 
-        @Override public Duration memorySpan(int w) { return ms(1000); }
+        @Override public Duration deduplicationWindow(int w) { return ms(1000); }
 
-        @Override public int customers() { return 0; }
+        @Override public int tenantCount() { return 0; }
 
-        @Override public double customerRate(int c) { return 0; }
+        @Override public double tenantQuota(int c) { return 0; }
 
-        @Override public double overShareWorth() { return 0.2; }
+        @Override public double overQuotaWeight() { return 0.2; }
 
-        @Override public int mostExecutions() { return executions; }
+        @Override public int maxAttempts() { return executions; }
 
-        @Override public boolean secondExecutions() { return false; }
+        @Override public boolean hedgingAllowed() { return false; }
 
-        @Override public boolean mayProbe() { return true; }
+        @Override public boolean probesAllowed() { return true; }
 
-        @Override public boolean mayCancel() { return true; }
+        @Override public boolean cancellationAllowed() { return true; }
 
-        @Override public boolean tellsComeBack() { return false; }
+        @Override public boolean retryAfterAllowed() { return false; }
 
-        @Override public Duration mostComeBack() { return ms(500); }
+        @Override public Duration maxRetryAfter() { return ms(500); }
 
-        @Override public double coldShare() { return 0.2; }
+        @Override public double coldCapacityShare() { return 0.2; }
 
-        @Override public Duration coldSpan() { return ms(10_000); }
+        @Override public Duration warmUpDuration() { return ms(10_000); }
 
-        @Override public double fallMultiple() { return 2; }
+        @Override public double coldOverloadMultiple() { return 2; }
 
-        @Override public Duration fallSpan() { return ms(1000); }
+        @Override public Duration coldOverloadWindow() { return ms(1000); }
 
-        @Override public boolean loadsOnMiss() { return loads; }
+        @Override public boolean loadsOnDemand() { return loads; }
 
-        @Override public boolean mayOrder() { return true; }
+        @Override public boolean loadCommandsAllowed() { return true; }
 
-        @Override public Duration keepAlive() { return ms(10_000); }
+        @Override public Duration replicaIdleTimeout() { return ms(10_000); }
 
-        @Override public double loadsFree() { return free; }
+        @Override public double loadQuotaBase() { return free; }
 
-        @Override public double loadsShare() { return share; }
+        @Override public double loadQuotaPerRequest() { return share; }
 
-        @Override public Duration loadsSpan() { return span; }
+        @Override public Duration loadQuotaWindow() { return span; }
 
-        @Override public double memoryPrice() { return price; }
+        @Override public double idleMemoryPrice() { return price; }
 
-        @Override public double[] kindMemory() { return new double[] {4000}; }
+        @Override public double[] workerKindMemory() { return new double[] {4000}; }
 
-        @Override public double crossingPrice() { return 0; }
+        @Override public double crossZonePrice() { return 0; }
 
         @Override public double probePrice() { return probePrice; }
 
-        @Override public boolean sizesTold() { return false; }
+        @Override public boolean capacityReported() { return false; }
 
-        @Override public boolean asksForList() { return false; }
+        @Override public boolean pollsEndpointList() { return false; }
 
-        @Override public Duration askWithin() { return ms(10_000); }
+        @Override public Duration endpointPollInterval() { return ms(10_000); }
     }
 
     private final RoutingPolicy decide;
@@ -139,27 +139,27 @@
     /** Rounds for the clock alone, each 20 ms. */
     PolicyHarness until(int millis) {
         for (int t = at + 20; t <= millis; t += 20) {
-            at(t, f -> f.timer(0));
+            at(t, f -> f.wakeUp(0));
         }
         return this;
     }
 
     static void list(PolicyEvents f, int workers) {
-        f.listBegins(true);
+        f.endpointListStarted(true);
         for (int w = 0; w < workers; w++) {
             worker(f, w, WorkerState.READY, null);
         }
-        f.listEnds();
+        f.endpointListEnded();
     }
 
     static void change(PolicyEvents f, int worker, WorkerState standing, Duration started) {
-        f.listBegins(false);
+        f.endpointListStarted(false);
         worker(f, worker, standing, started);
-        f.listEnds();
+        f.endpointListEnded();
     }
 
     private static void worker(PolicyEvents f, int w, WorkerState standing, Duration started) {
-        f.worker(w, 1000 + w, standing, w % 2, w % 2, 0, 1, started);
+        f.endpointListed(w, 1000 + w, standing, w % 2, w % 2, 0, 1, started);
     }
 
     void job(PolicyEvents f, int job, int function) {
@@ -167,16 +167,16 @@
     }
 
     void job(PolicyEvents f, int job, int function, int left) {
-        f.job(job, 0, 0, function, 50 + function, ms(at + left), null, 100, 2, null, false);
+        f.requestArrived(job, 0, 0, function, 50 + function, ms(at + left), null, 100, 2, null, false);
     }
 
     void end(PolicyEvents f, int job, int execution, int worker, AttemptOutcome end, int took, int crowd) {
-        f.ended(job, execution, worker, end, ms(took), end == AttemptOutcome.FINISHED, crowd, Double.NaN, Double.NaN, Double.NaN);
+        f.attemptEnded(job, execution, worker, end, ms(took), end == AttemptOutcome.SUCCEEDED, crowd, Double.NaN, Double.NaN, Double.NaN);
     }
 
     /** The copy target of a function. */
     int target(int function) {
-        return functions().get(function).target;
+        return functions().get(function).targetReplicas;
     }
 
     @SuppressWarnings("unchecked") private IndexedTable<Function> functions() {
@@ -210,36 +210,36 @@
         lines.add(at + " " + what);
     }
 
-    @Override public void send(int job, int worker, Duration allow) {
+    @Override public void startAttempt(int job, int worker, Duration allow) {
         sent.put(job, worker);
         say("send job " + job + " to worker " + worker + " for " + allow.toMillis() + " ms");
     }
 
-    @Override public void cancel(int job, int execution) { say("cancel job " + job + " execution " + execution); }
+    @Override public void cancelAttempt(int job, int execution) { say("cancel job " + job + " execution " + execution); }
 
-    @Override public void pushBack(int job, Duration comeBack) { say("push back job " + job); }
+    @Override public void reject(int job, Duration comeBack) { say("push back job " + job); }
 
-    @Override public void kill(int job) { say("kill job " + job); }
+    @Override public void fail(int job) { say("kill job " + job); }
 
-    @Override public void hold(int worker, int function, int copies) {
+    @Override public void load(int worker, int function, int copies) {
         if (copies > 0) { onHold.accept(worker, function); }
         say((copies == 0 ? "ask" : "hold") + " function " + function + " at worker " + worker);
     }
 
-    @Override public void drop(int worker, int function) { say("drop function " + function + " at worker " + worker); }
+    @Override public void unload(int worker, int function) { say("drop function " + function + " at worker " + worker); }
 
     @Override public void probe(int worker) { say("probe worker " + worker); }
 
-    @Override public void wake(Duration after, long token) { wakes++; }
+    @Override public void scheduleWakeUp(Duration after, long token) { wakes++; }
 
-    @Override public void subscribe() { say("subscribe"); }
+    @Override public void subscribeToEndpoints() { say("subscribe"); }
 
-    @Override public void forgetJob(int job) {
+    @Override public void releaseRequest(int job) {
         sent.remove(job);
         say("forget job " + job);
     }
 
-    @Override public void forgetFunction(int function) { say("forget function " + function); }
+    @Override public void releaseFunction(int function) { say("forget function " + function); }
 
-    @Override public void forgetWorker(int worker) { say("forget worker " + worker); }
+    @Override public void releaseWorker(int worker) { say("forget worker " + worker); }
 }
--- a/src/test/java/switchgap/policy/RoutingInvariantsTest.java
+++ b/src/test/java/switchgap/policy/RoutingInvariantsTest.java
@@ -30,8 +30,8 @@
  * may be left: no job, no worker's tally, no order counted as out.
  */
 class RoutingInvariantsTest implements PolicyActions {
-    private static final AttemptOutcome[] ENDS = {AttemptOutcome.FINISHED, AttemptOutcome.FINISHED, AttemptOutcome.FINISHED, AttemptOutcome.ERROR, AttemptOutcome.FULL, AttemptOutcome.TIMED_OUT,
-        AttemptOutcome.NO_CONNECTION, AttemptOutcome.BROKEN, AttemptOutcome.NOT_SENT, AttemptOutcome.MISS, AttemptOutcome.MISS};
+    private static final AttemptOutcome[] ENDS = {AttemptOutcome.SUCCEEDED, AttemptOutcome.SUCCEEDED, AttemptOutcome.SUCCEEDED, AttemptOutcome.FAILED, AttemptOutcome.REJECTED, AttemptOutcome.TIMED_OUT,
+        AttemptOutcome.CONNECT_FAILED, AttemptOutcome.CONNECTION_LOST, AttemptOutcome.NOT_SENT, AttemptOutcome.NOT_LOADED, AttemptOutcome.NOT_LOADED};
     private static final int WORKERS = 6;
 
     private static final class Job {
@@ -70,30 +70,30 @@
     }
 
     private void job(PolicyEvents f, String function) {
-        int j = jobs.add(next++);
+        int j = jobs.allocate(next++);
         Job job = new Job();
         job.limit = now.plus(ms(200 + draw.nextInt(1800)));
         open.put(j, job);
         came.add(now);
         long mark = function.hashCode();
-        f.job(j, 0, 0, functions.add(mark), mark, job.limit, null, 100, 2, null, false);
+        f.requestArrived(j, 0, 0, functions.allocate(mark), mark, job.limit, null, 100, 2, null, false);
         if (draw.nextInt(40) == 0) {
             later(draw.nextInt(300), g -> {
                 if (open.get(j) == job && !job.closed) {
                     job.closed = true;
-                    g.left(j);
+                    g.clientLeft(j);
                 }
             });
         }
     }
 
     private void list(PolicyEvents f, boolean whole) {
-        f.listBegins(whole);
+        f.endpointListStarted(whole);
         standing.forEach((name, s) -> {
             if (s == WorkerState.GONE && workers.find(name) < 0) { return; }
-            f.worker(workers.add(name), name, s, (int) (name % 2), (int) (name % 3), 0, 1, started.get(name));
+            f.endpointListed(workers.allocate(name), name, s, (int) (name % 2), (int) (name % 3), 0, 1, started.get(name));
         });
-        f.listEnds();
+        f.endpointListEnded();
     }
 
     private void change(PolicyEvents f) {
@@ -174,16 +174,16 @@
 
     // ---- decisions, each held against the rules
 
-    @Override public void send(int job, int worker, Duration allow) {
+    @Override public void startAttempt(int job, int worker, Duration allow) {
         Job j = open.get(job);
         assertThat(j.closed).as("rule 1: sent after the answer").isFalse();
         assertThat(now.plus(allow)).as("rule 1: two ticks before the limit").isLessThanOrEqualTo(j.limit.minus(ms(10)));
         ready(worker);
-        boolean mayHaveRun = j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverRan);
+        boolean mayHaveRun = j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted);
         if (said.repeat == Idempotency.RUN_ONCE) { assertThat(mayHaveRun).as("rule 2: run-once").isFalse(); }
         if (said.repeat == Idempotency.FINGERPRINTED && mayHaveRun) {
-            long a = workers.name(j.at.get(anchor(j)));
-            long b = workers.name(worker);
+            long a = workers.idOf(j.at.get(anchor(j)));
+            long b = workers.idOf(worker);
             if (said.group != DeduplicationScope.ALL) { assertThat(b % 2).as("rule 2: zone").isEqualTo(a % 2); }
             if (said.group == DeduplicationScope.CELL) { assertThat(b % 3).as("rule 2: cell").isEqualTo(a % 3); }
             assertThat(now.minus(j.first)).as("rule 2: memory").isLessThan(ms(1000 - 10));
@@ -202,25 +202,25 @@
         later(took, f -> {
             j.ends.set(x, end);
             j.out--;
-            if (end == AttemptOutcome.FINISHED && !j.closed) { closed(job, j); }
-            f.ended(job, x, worker, end, ms(took), j.closed, draw.nextInt(4) - 1, Double.NaN, Double.NaN, Double.NaN);
+            if (end == AttemptOutcome.SUCCEEDED && !j.closed) { closed(job, j); }
+            f.attemptEnded(job, x, worker, end, ms(took), j.closed, draw.nextInt(4) - 1, Double.NaN, Double.NaN, Double.NaN);
         });
     }
 
     /** The first execution that may have run. */
     private static int anchor(Job j) {
         int i = 0;
-        while (j.ends.get(i).neverRan) { i++; }
+        while (j.ends.get(i).neverExecuted) { i++; }
         return i;
     }
 
     private void ready(int worker) {
-        assertThat(standing.get(workers.name(worker))).as("rule 3").isEqualTo(WorkerState.READY);
+        assertThat(standing.get(workers.idOf(worker))).as("rule 3").isEqualTo(WorkerState.READY);
     }
 
     /** Far above what is due (DecideTest has that), so that only a guard that is gone is seen here. */
     private void cold(int worker) {
-        Duration s = started.get(workers.name(worker));
+        Duration s = started.get(workers.idOf(worker));
         if (s == null || now.minus(s).compareTo(ms(10_000)) >= 0) { return; }
         ArrayDeque<Duration> sent = coldSends.computeIfAbsent(worker, w -> new ArrayDeque<>());
         sent.add(now);
@@ -234,23 +234,23 @@
         assertThat(now).as("rule 1: before the limit").isLessThan(j.limit);
     }
 
-    @Override public void pushBack(int job, Duration comeBack) {
+    @Override public void reject(int job, Duration comeBack) {
         Job j = open.get(job);
         assertThat(j.closed).as("rule 1: answered twice").isFalse();
-        boolean mayHaveRun = j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverRan);
+        boolean mayHaveRun = j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted);
         assertThat(mayHaveRun && (said.repeat == Idempotency.RUN_ONCE || said.repeat == Idempotency.FINGERPRINTED && said.group != DeduplicationScope.ALL))
             .as("rule 2: pushed back").isFalse();
         closed(job, j);
     }
 
-    @Override public void kill(int job) {
+    @Override public void fail(int job) {
         Job j = open.get(job);
         assertThat(j.closed).as("rule 1: answered twice").isFalse();
-        assertThat(j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverRan)).as("killed for nothing").isTrue();
+        assertThat(j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted)).as("killed for nothing").isTrue();
         closed(job, j);
     }
 
-    @Override public void hold(int worker, int function, int copies) {
+    @Override public void load(int worker, int function, int copies) {
         if (copies > 0) {
             ready(worker);
             held++;
@@ -259,41 +259,41 @@
             while (!came.isEmpty() && now.minus(came.peek()).compareTo(said.span) > 0) { came.poll(); }
             assertThat((double) holds.size()).as("rule 5").isLessThanOrEqualTo(said.free + said.share * came.size());
         }
-        AttemptOutcome end = draw.nextInt(3) > 0 ? AttemptOutcome.FINISHED : draw.nextBoolean() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.BROKEN;
+        AttemptOutcome end = draw.nextInt(3) > 0 ? AttemptOutcome.SUCCEEDED : draw.nextBoolean() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECTION_LOST;
         long took = end == AttemptOutcome.TIMED_OUT ? 10_000 : 5 + draw.nextInt(1500);
-        later(took, f -> f.orderEnded(worker, function, end, ms(took), end == AttemptOutcome.FINISHED ? 1 : 0));
+        later(took, f -> f.loadCommandEnded(worker, function, end, ms(took), end == AttemptOutcome.SUCCEEDED ? 1 : 0));
     }
 
-    @Override public void cancel(int job, int execution) { }
+    @Override public void cancelAttempt(int job, int execution) { }
 
-    @Override public void drop(int worker, int function) { }
+    @Override public void unload(int worker, int function) { }
 
     @Override public void probe(int worker) {
-        String name = String.valueOf(workers.name(worker));
+        String name = String.valueOf(workers.idOf(worker));
         later(2, f -> {
             int w = workers.find(Long.parseLong(name));
-            if (w >= 0) { f.probed(w, AttemptOutcome.FINISHED, ms(2), 0.3, draw.nextInt(5), 0); }
+            if (w >= 0) { f.probeEnded(w, AttemptOutcome.SUCCEEDED, ms(2), 0.3, draw.nextInt(5), 0); }
         });
     }
 
-    @Override public void wake(Duration after, long token) {
+    @Override public void scheduleWakeUp(Duration after, long token) {
         wakes++;
-        due.computeIfAbsent(now.plus(after), t -> new ArrayList<>()).add(f -> f.timer(token));
+        due.computeIfAbsent(now.plus(after), t -> new ArrayList<>()).add(f -> f.wakeUp(token));
     }
 
-    @Override public void subscribe() { }
+    @Override public void subscribeToEndpoints() { }
 
-    @Override public void forgetJob(int job) {
+    @Override public void releaseRequest(int job) {
         Job j = open.remove(job);
         assertThat(j.closed).isTrue();
         assertThat(j.out).isZero();
         jobs.release(job);
     }
 
-    @Override public void forgetFunction(int function) { functions.release(function); }
+    @Override public void releaseFunction(int function) { functions.release(function); }
 
-    @Override public void forgetWorker(int worker) {
-        started.remove(workers.name(worker));
+    @Override public void releaseWorker(int worker) {
+        started.remove(workers.idOf(worker));
         coldSends.remove(worker);
         workers.release(worker);
     }
--- a/src/test/java/switchgap/policy/RoutingPolicyFaultsTest.java
+++ b/src/test/java/switchgap/policy/RoutingPolicyFaultsTest.java
@@ -19,15 +19,15 @@
         int home = b.sentTo(0);
         int[] second = {-1};
         b.onHold = (w, f) -> second[0] = w;
-        b.at(60, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 50, 3));
+        b.at(60, f -> b.end(f, 0, 0, home, AttemptOutcome.SUCCEEDED, 50, 3));
         for (int i = 0; i < 20; i++) {
             int t = 100 + 60 * i;
             b.at(t, f -> b.job(f, 1, function));
             int at = b.sentTo(1);
-            b.at(t + 50, f -> b.end(f, 1, 0, at, AttemptOutcome.FINISHED, 50, 3));
+            b.at(t + 50, f -> b.end(f, 1, 0, at, AttemptOutcome.SUCCEEDED, 50, 3));
         }
         assertThat(b.target(function)).isEqualTo(2);
-        b.at(1400, f -> f.orderEnded(second[0], function, AttemptOutcome.FINISHED, ms(100), 1));
+        b.at(1400, f -> f.loadCommandEnded(second[0], function, AttemptOutcome.SUCCEEDED, ms(100), 1));
         return new int[] {home, second[0]};
     }
 
@@ -47,7 +47,7 @@
                 int job = j;
                 early += i < 3 && w == at[0] ? 1 : 0;
                 late += i >= 40 && w == at[0] ? 1 : 0;
-                b.at(t + (w == at[0] ? 400 : 30 + j), f -> b.end(f, job, 0, w, AttemptOutcome.FINISHED, w == at[0] ? 400 : 30, 3));
+                b.at(t + (w == at[0] ? 400 : 30 + j), f -> b.end(f, job, 0, w, AttemptOutcome.SUCCEEDED, w == at[0] ? 400 : 30, 3));
             }
         }
         assertThat(early).isGreaterThanOrEqualTo(3);
@@ -65,11 +65,11 @@
             for (int j = 2; j < 5; j++) {
                 int job = j;
                 int w = b.sentTo(j);
-                if (j > 2) { b.at(from + 60 + j, f -> b.end(f, job, 0, w, AttemptOutcome.FINISHED, 60, 3)); }
+                if (j > 2) { b.at(from + 60 + j, f -> b.end(f, job, 0, w, AttemptOutcome.SUCCEEDED, 60, 3)); }
             }
             int lost = b.sentTo(2);
             b.at(from + 500, f -> b.end(f, 2, 0, lost, AttemptOutcome.TIMED_OUT, 500, -1));
-            b.at(from + 600, f -> { if (b.sentTo(2) >= 0) { b.end(f, 2, 1, b.sentTo(2), AttemptOutcome.FINISHED, 500, 3); } });
+            b.at(from + 600, f -> { if (b.sentTo(2) >= 0) { b.end(f, 2, 1, b.sentTo(2), AttemptOutcome.SUCCEEDED, 500, 3); } });
         }
         PolicyHarness c = new PolicyHarness(new PolicyHarness.TestSettings());
         int dumb = two(c)[0];
@@ -79,8 +79,8 @@
             c.at(from, f -> c.job(f, 2, 0));
             int w = c.sentTo(2);
             sent.add(w);
-            c.at(from + 500, f -> c.end(f, 2, 0, w, w == dumb ? AttemptOutcome.TIMED_OUT : AttemptOutcome.FINISHED, 500, 3));
-            c.at(from + 650, f -> { if (c.sentTo(2) >= 0) { c.end(f, 2, 1, c.sentTo(2), AttemptOutcome.FINISHED, 150, 3); } });
+            c.at(from + 500, f -> c.end(f, 2, 0, w, w == dumb ? AttemptOutcome.TIMED_OUT : AttemptOutcome.SUCCEEDED, 500, 3));
+            c.at(from + 650, f -> { if (c.sentTo(2) >= 0) { c.end(f, 2, 1, c.sentTo(2), AttemptOutcome.SUCCEEDED, 150, 3); } });
         }
         assertThat(sent.subList(0, 2)).containsOnly(dumb);
         assertThat(sent.subList(2, 4)).doesNotContain(dumb);
@@ -102,11 +102,11 @@
                 b.at(now[0], f -> {
                     b.job(f, function, function);
                     for (int[] o : List.copyOf(out)) {
-                        if (o[0] <= now[0] && out.remove(o)) { f.orderEnded(o[1], o[2], AttemptOutcome.FINISHED, ms(took), 1); }
+                        if (o[0] <= now[0] && out.remove(o)) { f.loadCommandEnded(o[1], o[2], AttemptOutcome.SUCCEEDED, ms(took), 1); }
                     }
                 });
                 int w = b.sentTo(function);
-                if (w >= 0) { b.at(now[0] + 2, f -> b.end(f, function, b.tries(function) - 1, w, AttemptOutcome.MISS, 2, -1)); }
+                if (w >= 0) { b.at(now[0] + 2, f -> b.end(f, function, b.tries(function) - 1, w, AttemptOutcome.NOT_LOADED, 2, -1)); }
                 most = Math.max(most, out.size());
                 last = i > 2000 ? Math.max(last, out.size()) : last;
                 if (i == 8) { assertThat(out.size()).as("to begin with").isEqualTo(3); }
@@ -117,28 +117,28 @@
 
     @Test void aCustomerOverItsShareWaitsBehindTheOthers() {
         PolicyHarness.TestSettings said = new PolicyHarness.TestSettings() {
-            @Override public int customers() { return 2; }
+            @Override public int tenantCount() { return 2; }
 
-            @Override public double customerRate(int c) { return 10; }
+            @Override public double tenantQuota(int c) { return 10; }
         };
         PolicyHarness b = new PolicyHarness(said);
-        b.at(0, f -> list(f, 1)).at(10, f -> b.job(f, 0, 0)).at(60, f -> b.end(f, 0, 0, 0, AttemptOutcome.FINISHED, 50, 0));
+        b.at(0, f -> list(f, 1)).at(10, f -> b.job(f, 0, 0)).at(60, f -> b.end(f, 0, 0, 0, AttemptOutcome.SUCCEEDED, 50, 0));
         for (int i = 0; i < 40; i++) {
             int t = 100 + 10 * i;
             b.at(t, f -> b.job(f, 1, 0));
-            if (b.sentTo(1) >= 0) { b.at(t + 8, f -> b.end(f, 1, 0, 0, AttemptOutcome.FINISHED, 8, 0)); }
+            if (b.sentTo(1) >= 0) { b.at(t + 8, f -> b.end(f, 1, 0, 0, AttemptOutcome.SUCCEEDED, 8, 0)); }
         }
         b.at(600, f -> { for (int j = 2; j < 40; j++) { b.job(f, j, 0); } });
-        b.at(610, f -> { for (int j = 40; j < 43; j++) { f.job(j, 0, 1, 0, 50, ms(2610), null, 100, 2, null, false); } });
+        b.at(610, f -> { for (int j = 40; j < 43; j++) { f.requestArrived(j, 0, 1, 0, 50, ms(2610), null, 100, 2, null, false); } });
         assertThat(b.sentTo(39)).isEqualTo(-1);
         assertThat(b.sentTo(40)).isEqualTo(-1);
-        b.at(640, f -> { for (int j = 2; j < 5; j++) { b.end(f, j, 0, 0, AttemptOutcome.FINISHED, 40, 3); } });
+        b.at(640, f -> { for (int j = 2; j < 5; j++) { b.end(f, j, 0, 0, AttemptOutcome.SUCCEEDED, 40, 3); } });
         assertThat(List.of(b.sentTo(40), b.sentTo(41), b.sentTo(42))).containsOnly(0);
     }
 
     @Test void theOwnZoneGoesFirstAndYieldsWhenItIsCrowded() {
         PolicyHarness.TestSettings said = new PolicyHarness.TestSettings() {
-            @Override public double crossingPrice() { return 0.02; }
+            @Override public double crossZonePrice() { return 0.02; }
         };
         int function = 0;
         PolicyHarness b = new PolicyHarness(said);
--- a/src/test/java/switchgap/policy/RoutingPolicyLongRunTest.java
+++ b/src/test/java/switchgap/policy/RoutingPolicyLongRunTest.java
@@ -24,14 +24,14 @@
             int j = job++ % 50;
             b.at(t, f -> b.job(f, j, 0));
             b.at(t + took, f -> {
-                if (b.sentTo(j) >= 0) { b.end(f, j, 0, b.sentTo(j), AttemptOutcome.FINISHED, took, 0); }
+                if (b.sentTo(j) >= 0) { b.end(f, j, 0, b.sentTo(j), AttemptOutcome.SUCCEEDED, took, 0); }
             });
         }
         return t;
     }
 
     private void home(PolicyHarness b) {
-        b.at(0, f -> list(f, 3)).at(5, f -> b.job(f, 0, 0)).at(50, f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.FINISHED, 45, 0));
+        b.at(0, f -> list(f, 3)).at(5, f -> b.job(f, 0, 0)).at(50, f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.SUCCEEDED, 45, 0));
     }
 
     /** Each job's arrival stayed until the next order: for days where all copies stand. */
@@ -66,9 +66,9 @@
         said.routers = 200;
         PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> {
-            f.listBegins(true);
-            f.worker(0, 1000, WorkerState.READY, 0, 0, 0, 1, ms(0));
-            f.listEnds();
+            f.endpointListStarted(true);
+            f.endpointListed(0, 1000, WorkerState.READY, 0, 0, 0, 1, ms(0));
+            f.endpointListEnded();
         }).until(11_000).at(3_600_000, f -> b.job(f, 0, 0));
         assertThat(b.count("send")).isEqualTo(1); // others may have loaded it within the hour: tried, not ordered
         assertThat(b.count("hold")).isZero();
@@ -96,12 +96,12 @@
             refused.add(w);
             all.add(w);
         };
-        b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0)).at(20, f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.MISS, 2, 0));
+        b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0)).at(20, f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.NOT_LOADED, 2, 0));
         for (int t = 30; t < 900; t += 10) {
             List<Integer> now = List.copyOf(refused);
             refused.clear();
-            b.at(t, f -> now.forEach(w -> f.orderEnded(w, 0, AttemptOutcome.FULL, ms(2), 0)));
-            if (b.sentTo(0) >= 0 && b.tries(0) == 2) { b.at(t, f -> b.end(f, 0, 1, b.sentTo(0), AttemptOutcome.MISS, 2, 0)); }
+            b.at(t, f -> now.forEach(w -> f.loadCommandEnded(w, 0, AttemptOutcome.REJECTED, ms(2), 0)));
+            if (b.sentTo(0) >= 0 && b.tries(0) == 2) { b.at(t, f -> b.end(f, 0, 1, b.sentTo(0), AttemptOutcome.NOT_LOADED, 2, 0)); }
         }
         assertThat(all).isNotEmpty().doesNotHaveDuplicates(); // each worker once a second,
         assertThat(all.size() + b.count("ask")).isGreaterThan(1); // and others are tried; at size they are asked first
@@ -122,10 +122,10 @@
             out.clear();
             int j = t;
             b.at(t, f -> {
-                now.forEach(w -> f.orderEnded(w, 0, AttemptOutcome.ERROR, ms(2), 0));
+                now.forEach(w -> f.loadCommandEnded(w, 0, AttemptOutcome.FAILED, ms(2), 0));
                 b.job(f, j, 0);
             });
-            if (b.sentTo(j) >= 0) { b.at(t, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.MISS, 2, 0)); }
+            if (b.sentTo(j) >= 0) { b.at(t, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.NOT_LOADED, 2, 0)); }
         }
         assertThat(orders[0]).isBetween(3, 2 + 4);
     }
@@ -143,7 +143,7 @@
             out.add(w);
             orders[0]++;
         };
-        b.at(1000, f -> list(f, 1)).at(1010, f -> b.job(f, 0, function)).at(1020, f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.FINISHED, 10, 0));
+        b.at(1000, f -> list(f, 1)).at(1010, f -> b.job(f, 0, function)).at(1020, f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.SUCCEEDED, 10, 0));
         b.at(1030, f -> {
             change(f, 1, WorkerState.READY, ms(1030)); // new and cold
             change(f, 2, WorkerState.READY, ms(1030));
@@ -153,7 +153,7 @@
             out.clear();
             int j = t;
             b.at(t, f -> {
-                now.forEach(w -> f.orderEnded(w, function, AttemptOutcome.FINISHED, ms(2), 1));
+                now.forEach(w -> f.loadCommandEnded(w, function, AttemptOutcome.SUCCEEDED, ms(2), 1));
                 b.job(f, j, function); // more than the one warm worker takes
             });
         }
@@ -167,7 +167,7 @@
         said.routers = 200;
         said.probePrice = price;
         PolicyHarness b = new PolicyHarness(said);
-        b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0)).at(90, f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.FINISHED, 80, 8)).until(1100);
+        b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0)).at(90, f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.SUCCEEDED, 80, 8)).until(1100);
         b.at(1200, f -> b.job(f, 1, 0)).until(1300);
         assertThat(b.count("probe") > 0).isEqualTo(price < 0.015);
         assertThat(b.count("send")).isEqualTo(2); // asked or not, the job goes out
@@ -178,19 +178,19 @@
         PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
         said.routers = 200;
         PolicyHarness b = new PolicyHarness(said);
-        b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0)).at(90, f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.FINISHED, 80, 8)).until(1100);
+        b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0)).at(90, f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.SUCCEEDED, 80, 8)).until(1100);
         b.at(1200, f -> b.job(f, 1, 0));
         assertThat(b.count("probe")).isPositive();
         long asked = b.count("probe");
         for (int w = 0; w < 4; w++) {
             int at = w;
-            b.at(1202, f -> f.probed(at, AttemptOutcome.FINISHED, ms(2), Double.NaN, Double.NaN, Double.NaN));
+            b.at(1202, f -> f.probeEnded(at, AttemptOutcome.SUCCEEDED, ms(2), Double.NaN, Double.NaN, Double.NaN));
         }
-        b.until(1300).at(1320, f -> b.end(f, 1, 0, b.sentTo(1), AttemptOutcome.FINISHED, 80, 8)).until(3000);
+        b.until(1300).at(1320, f -> b.end(f, 1, 0, b.sentTo(1), AttemptOutcome.SUCCEEDED, 80, 8)).until(3000);
         for (int i = 0; i < 20; i++) {
             int j = 2 + i;
             b.at(3000 + 6000 * i, f -> b.job(f, j, 0)).until(3100 + 6000 * i);
-            if (b.sentTo(j) >= 0) { b.at(3120 + 6000 * i, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.FINISHED, 80, 8)); }
+            if (b.sentTo(j) >= 0) { b.at(3120 + 6000 * i, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.SUCCEEDED, 80, 8)); }
             b.until(8980 + 6000 * i);
         }
         assertThat(b.count("probe")).as(b.trace().substring(Math.max(0, b.trace().length() - 1500))).isGreaterThan(asked + 1);
@@ -201,10 +201,10 @@
         PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 1)); // asks for its first, which is lost
         int asked = b.wakes;
-        b.at(5000, f -> b.job(f, 0, 0)).at(5002, f -> b.end(f, 0, 0, 0, AttemptOutcome.MISS, 2, -1)); // now it waits
+        b.at(5000, f -> b.job(f, 0, 0)).at(5002, f -> b.end(f, 0, 0, 0, AttemptOutcome.NOT_LOADED, 2, -1)); // now it waits
         assertThat(b.wakes).isGreaterThan(asked);
         int then = b.wakes;
-        b.at(5500, f -> f.timer(1)).at(5520, f -> f.timer(1)); // late, and twice
+        b.at(5500, f -> f.wakeUp(1)).at(5520, f -> f.wakeUp(1)); // late, and twice
         assertThat(b.wakes).isBetween(then, then + 2);
     }
 }
--- a/src/test/java/switchgap/policy/RoutingPolicyTest.java
+++ b/src/test/java/switchgap/policy/RoutingPolicyTest.java
@@ -32,7 +32,7 @@
         PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, function));
         int home = home(b);
-        return b.at(60, f -> b.end(f, 0, 0, home, AttemptOutcome.ERROR, 50, -1)).until(2100);
+        return b.at(60, f -> b.end(f, 0, 0, home, AttemptOutcome.FAILED, 50, -1)).until(2100);
     }
 
     private static int home(PolicyHarness b) {
@@ -72,7 +72,7 @@
         PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(1050, f -> b.end(f, 0, 0, home, AttemptOutcome.ERROR, 1040, -1)).until(2100);
+        b.at(1050, f -> b.end(f, 0, 0, home, AttemptOutcome.FAILED, 1040, -1)).until(2100);
         assertThat(b.count("send")).isEqualTo(1);
         assertThat(b.count("push back") + b.count("kill")).isEqualTo(1);
     }
@@ -87,7 +87,7 @@
             for (int i = 0; i < ends.length - 1; i++) {
                 int x = i;
                 int at = b.sentTo(0);
-                b.at(10 + ends[i], f -> b.end(f, 0, x, at, AttemptOutcome.ERROR, 50, -1));
+                b.at(10 + ends[i], f -> b.end(f, 0, x, at, AttemptOutcome.FAILED, 50, -1));
             }
             assertThat(b.count("send")).as(java.util.Arrays.toString(ends)).isEqualTo(ends[ends.length - 1]);
         }
@@ -97,7 +97,7 @@
         PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 3)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(12, f -> b.end(f, 0, 0, home, AttemptOutcome.MISS, 2, -1)).until(2500);
+        b.at(12, f -> b.end(f, 0, 0, home, AttemptOutcome.NOT_LOADED, 2, -1)).until(2500);
         same("answered-in-time", b);
     }
 
@@ -105,10 +105,10 @@
         PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 3)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(12, f -> b.end(f, 0, 0, home, AttemptOutcome.MISS, 2, -1))
-            .at(15, f -> f.orderEnded((home + 1) % 3, 0, AttemptOutcome.FINISHED, ms(3), 0))
-            .at(300, f -> f.orderEnded(home, 0, AttemptOutcome.FINISHED, ms(288), 1))
-            .at(380, f -> b.end(f, 0, 1, home, AttemptOutcome.FINISHED, 80, 0));
+        b.at(12, f -> b.end(f, 0, 0, home, AttemptOutcome.NOT_LOADED, 2, -1))
+            .at(15, f -> f.loadCommandEnded((home + 1) % 3, 0, AttemptOutcome.SUCCEEDED, ms(3), 0))
+            .at(300, f -> f.loadCommandEnded(home, 0, AttemptOutcome.SUCCEEDED, ms(288), 1))
+            .at(380, f -> b.end(f, 0, 1, home, AttemptOutcome.SUCCEEDED, 80, 0));
         same("miss", b);
     }
 
@@ -116,7 +116,7 @@
         PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 3)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(100, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 90, 0));
+        b.at(100, f -> b.end(f, 0, 0, home, AttemptOutcome.SUCCEEDED, 90, 0));
         b.at(110, f -> {
             change(f, home, WorkerState.DRAINING, null);
             b.job(f, 1, 0);
@@ -133,9 +133,9 @@
         said.routers = 4;
         PolicyHarness b = new PolicyHarness(said);
         b.at(1000, f -> {
-            f.listBegins(true);
-            f.worker(0, 1000, WorkerState.READY, 0, 0, 0, 1, ms(1000));
-            f.listEnds();
+            f.endpointListStarted(true);
+            f.endpointListed(0, 1000, WorkerState.READY, 0, 0, 0, 1, ms(1000));
+            f.endpointListEnded();
         });
         for (int i = 0; i < 50; i++) {
             int job = i;
@@ -158,8 +158,8 @@
             String last = b.trace().lines().filter(l -> l.contains("send job " + job + " ")).findFirst().orElse(null);
             if (last != null) {
                 int w = worker(last);
-                b.at(15 + 50 * i, f -> b.end(f, job, 0, w, AttemptOutcome.MISS, 2, -1));
-                b.at(20 + 50 * i, f -> f.orderEnded(w, job, AttemptOutcome.FINISHED, ms(5), 1));
+                b.at(15 + 50 * i, f -> b.end(f, job, 0, w, AttemptOutcome.NOT_LOADED, 2, -1));
+                b.at(20 + 50 * i, f -> f.loadCommandEnded(w, job, AttemptOutcome.SUCCEEDED, ms(5), 1));
             }
             assertThat((double) b.count("hold")).isLessThanOrEqualTo(2 + 0.25 * (i + 1));
         }
@@ -176,11 +176,11 @@
             int job = i;
             b.at(10 + 150 * i, f -> b.job(f, job, 0));
             int home = home(b);
-            b.at(90 + 150 * i, f -> b.end(f, job, 0, home, AttemptOutcome.FINISHED, 80, 3));
+            b.at(90 + 150 * i, f -> b.end(f, job, 0, home, AttemptOutcome.SUCCEEDED, 80, 3));
         }
         b.until(1100);
         int next = held(b);
-        b.at(1300, f -> f.orderEnded(next, 0, AttemptOutcome.FINISHED, ms(200), 1));
+        b.at(1300, f -> f.loadCommandEnded(next, 0, AttemptOutcome.SUCCEEDED, ms(200), 1));
         b.until(17_500);
         same("target", b);
     }
@@ -190,14 +190,14 @@
         PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 80, 0));
+        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.SUCCEEDED, 80, 0));
         b.at(100, f -> {
             for (int j = 1; j < 9; j++) {
                 b.job(f, j, 0);
             }
         });
         int next = held(b);
-        b.at(300, f -> f.orderEnded(next, 0, AttemptOutcome.FINISHED, ms(200), 1));
+        b.at(300, f -> f.loadCommandEnded(next, 0, AttemptOutcome.SUCCEEDED, ms(200), 1));
         same("overflow", b);
     }
 
@@ -218,10 +218,10 @@
         PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 3)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 80, 0));
+        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.SUCCEEDED, 80, 0));
         b.at(100, f -> change(f, home, WorkerState.GONE, null)).until(1100);
         int next = held(b);
-        b.at(1200, f -> f.orderEnded(next, 0, AttemptOutcome.FINISHED, ms(200), 1)).until(31_000);
+        b.at(1200, f -> f.loadCommandEnded(next, 0, AttemptOutcome.SUCCEEDED, ms(200), 1)).until(31_000);
         assertThat(b.trace()).contains("forget job 0", "forget worker " + home, "forget function 0");
     }
 
@@ -248,11 +248,11 @@
             String sent = b.trace().lines().filter(l -> l.contains("send job " + job)).findFirst().orElseThrow();
             int at = worker(sent);
             boolean errs = at == home(b) && i < 2;
-            b.at(15 + 300 * i, f -> b.end(f, job, 0, at, errs ? AttemptOutcome.ERROR : AttemptOutcome.FINISHED, 5, 0));
+            b.at(15 + 300 * i, f -> b.end(f, job, 0, at, errs ? AttemptOutcome.FAILED : AttemptOutcome.SUCCEEDED, 5, 0));
             b.at(40 + 300 * i, f -> {
                 if (errs) {
                     int other = Integer.parseInt(b.trace().strip().replaceAll("(?s).*to worker (\\d).*", "$1"));
-                    b.end(f, job, 1, other, AttemptOutcome.FINISHED, 20, 0);
+                    b.end(f, job, 1, other, AttemptOutcome.SUCCEEDED, 20, 0);
                 }
             });
         }
@@ -266,10 +266,10 @@
         PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = b.sentTo(0);
-        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 80, 8)).until(1100); // k rises to two
+        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.SUCCEEDED, 80, 8)).until(1100); // k rises to two
         b.at(1110, f -> b.job(f, 1, 0)).until(1200);
         int full = b.sentTo(1);
-        b.at(1210, f -> b.end(f, 1, 0, full, AttemptOutcome.FULL, 2, 5));
+        b.at(1210, f -> b.end(f, 1, 0, full, AttemptOutcome.REJECTED, 2, 5));
         assertThat(b.sentTo(1)).isNotEqualTo(full);
         b.at(1220, f -> b.job(f, 2, 0)).until(1260);
         assertThat(b.sentTo(2)).isNotEqualTo(full);
@@ -282,7 +282,7 @@
         PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 80, 8));
+        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.SUCCEEDED, 80, 8));
         for (int i = 1; i < 9; i++) {
             int job = i;
             b.at(3000 + 500 * i, f -> b.job(f, job, 0));
@@ -296,8 +296,8 @@
         PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 80, 0));
-        b.at(100, f -> f.probed(home, AttemptOutcome.TIMED_OUT, ms(250), Double.NaN, Double.NaN, Double.NaN));
+        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.SUCCEEDED, 80, 0));
+        b.at(100, f -> f.probeEnded(home, AttemptOutcome.TIMED_OUT, ms(250), Double.NaN, Double.NaN, Double.NaN));
         b.at(110, f -> b.job(f, 1, 0));
         assertThat(b.trace()).contains("110 send job 1 to worker " + home);
     }
@@ -310,7 +310,7 @@
         PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 80, 8)).until(1900).at(1950, f -> b.job(f, 1, 0)).until(2100);
+        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.SUCCEEDED, 80, 8)).until(1900).at(1950, f -> b.job(f, 1, 0)).until(2100);
         assertThat(b.count("ask function 0")).isEqualTo(1);
         assertThat(b.count("hold function 0")).isZero();
     }
@@ -318,8 +318,8 @@
     /** After a pause of the router a copy stands, but there is no time left to hear of an execution. */
     @Test void withinTheMarginOfItsLimitAJobIsNotSentAnyMore() {
         PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
-        b.at(0, f -> list(f, 1)).at(10, f -> b.job(f, 0, 0)).at(12, f -> b.end(f, 0, 0, 0, AttemptOutcome.MISS, 2, -1));
-        b.at(2003, f -> f.orderEnded(0, 0, AttemptOutcome.FINISHED, ms(1990), 1)); // its limit is 2010, the margin two ticks of 5
+        b.at(0, f -> list(f, 1)).at(10, f -> b.job(f, 0, 0)).at(12, f -> b.end(f, 0, 0, 0, AttemptOutcome.NOT_LOADED, 2, -1));
+        b.at(2003, f -> f.loadCommandEnded(0, 0, AttemptOutcome.SUCCEEDED, ms(1990), 1)); // its limit is 2010, the margin two ticks of 5
         assertThat(b.count("send")).isEqualTo(1);
         assertThat(b.count("push back job 0")).isEqualTo(1);
     }
@@ -352,7 +352,7 @@
             int phase = i < 100 ? 0 : i < 1300 ? 1 : 2; // 4 s crowded, 48 s at 0.2 of a lane, 44 s idle
             int crowd = phase == 0 ? 3 : phase == 1 && i % 4 == 0 ? 1 : 0;
             b.at(t, f -> b.job(f, j, 0));
-            if (b.sentTo(j) >= 0) { b.at(t + 30, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.FINISHED, 30, crowd)); }
+            if (b.sentTo(j) >= 0) { b.at(t + 30, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.SUCCEEDED, 30, crowd)); }
             after[phase] = b.target(0);
         }
         assertThat(after).containsExactly(2, 2, 1);
@@ -366,8 +366,8 @@
             for (int i = 0; i < 2000; i++) {
                 int t = 20 + 40 * i;
                 int j = i % 50;
-                b.at(t, f -> f.job(j, 0, 0, 0, 50, ms(t + 2000), null, size, 2, null, false));
-                if (b.sentTo(j) >= 0) { b.at(t + 30, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.FINISHED, 30, 30)); }
+                b.at(t, f -> f.requestArrived(j, 0, 0, 0, 50, ms(t + 2000), null, size, 2, null, false));
+                if (b.sentTo(j) >= 0) { b.at(t + 30, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.SUCCEEDED, 30, 30)); }
             }
             assertThat(b.target(0)).isEqualTo(size == 100 ? 3 : 1); // six workers of 4,000 MB, half of them for copies
         }
@@ -383,19 +383,19 @@
         for (int i = 0; i < failed; i++) {
             int job = i;
             b.at(10 + 10 * i, f -> b.job(f, job, 100 + job));
-            b.at(12 + 10 * i, f -> b.end(f, job, 0, b.sentTo(job), AttemptOutcome.MISS, 2, -1));
+            b.at(12 + 10 * i, f -> b.end(f, job, 0, b.sentTo(job), AttemptOutcome.NOT_LOADED, 2, -1));
             int[] o = orders.remove(0);
             b.at(14 + 10 * i, f -> {
-                f.orderEnded(o[0], o[1], AttemptOutcome.ERROR, ms(1), 0);
-                f.left(job);
+                f.loadCommandEnded(o[0], o[1], AttemptOutcome.FAILED, ms(1), 0);
+                f.clientLeft(job);
             });
-            orders.forEach(x -> b.at(15, f -> f.orderEnded(x[0], x[1], AttemptOutcome.ERROR, ms(1), 0)));
+            orders.forEach(x -> b.at(15, f -> f.loadCommandEnded(x[0], x[1], AttemptOutcome.FAILED, ms(1), 0)));
             orders.clear();
         }
         for (int i = 0; i < 10; i++) {
             int job = 50 + i;
             b.at(500, f -> b.job(f, job, job));
-            b.at(502, f -> b.end(f, job, 0, b.sentTo(job), AttemptOutcome.MISS, 2, -1));
+            b.at(502, f -> b.end(f, job, 0, b.sentTo(job), AttemptOutcome.NOT_LOADED, 2, -1));
         }
         return orders.size();
     }
@@ -417,14 +417,14 @@
             int job = 200 + i;
             b.at(1 + i, f -> b.job(f, job, job % 8));
             one = job == 206 ? b.sentTo(job) : one;
-            b.at(1 + i, f -> b.end(f, job, 0, b.sentTo(job), AttemptOutcome.FINISHED, 5, 0));
+            b.at(1 + i, f -> b.end(f, job, 0, b.sentTo(job), AttemptOutcome.SUCCEEDED, 5, 0));
         }
         int bad = one;
         for (int i = 0; i < errors; i++) {
             int job = i;
             b.at(70 + 5 * i, f -> b.job(f, job, 100 + job)).at(72 + 5 * i, f -> {
-                if (b.sentTo(job) != bad) { f.left(job); }
-                b.end(f, job, 0, b.sentTo(job), b.sentTo(job) == bad ? AttemptOutcome.ERROR : AttemptOutcome.CANCELLED, 2, -1);
+                if (b.sentTo(job) != bad) { f.clientLeft(job); }
+                b.end(f, job, 0, b.sentTo(job), b.sentTo(job) == bad ? AttemptOutcome.FAILED : AttemptOutcome.CANCELLED, 2, -1);
             });
         }
         b.at(500, f -> {
@@ -447,13 +447,13 @@
         for (int i = 0; i < 200; i++) { // a crowd at both copies, until the target is at two
             int job = i;
             b.at(10 + 20 * i, f -> b.job(f, job, 0));
-            b.at(15 + 20 * i, f -> b.end(f, job, 0, b.sentTo(job), AttemptOutcome.FINISHED, 5, 4));
+            b.at(15 + 20 * i, f -> b.end(f, job, 0, b.sentTo(job), AttemptOutcome.SUCCEEDED, 5, 4));
         }
         assertThat(b.target(0)).isEqualTo(2);
-        b.at(4500, f -> orders.forEach(w -> f.orderEnded(w, 0, AttemptOutcome.FINISHED, ms(200), 1)));
+        b.at(4500, f -> orders.forEach(w -> f.loadCommandEnded(w, 0, AttemptOutcome.SUCCEEDED, ms(200), 1)));
         b.at(5000, f -> b.job(f, 300, 0));
         int first = b.sentTo(300);
-        b.at(5010, f -> f.ended(300, 0, first, AttemptOutcome.FINISHED, ms(10), true, 0, 0.9, 50, Double.NaN));
+        b.at(5010, f -> f.attemptEnded(300, 0, first, AttemptOutcome.SUCCEEDED, ms(10), true, 0, 0.9, 50, Double.NaN));
         b.at(5020, f -> b.job(f, 301, 0));
         assertThat(b.sentTo(301)).isEqualTo(first);
     }
@@ -464,12 +464,12 @@
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
         b.onHold = (w, f) -> assertThat(w).isEqualTo(home);
-        b.at(60, f -> b.end(f, 0, 0, home, AttemptOutcome.FINISHED, 50, 0)).at(100, f -> b.job(f, 1, 0));
-        b.at(150, f -> b.end(f, 1, 0, home, AttemptOutcome.FINISHED, 50, 0));
+        b.at(60, f -> b.end(f, 0, 0, home, AttemptOutcome.SUCCEEDED, 50, 0)).at(100, f -> b.job(f, 1, 0));
+        b.at(150, f -> b.end(f, 1, 0, home, AttemptOutcome.SUCCEEDED, 50, 0));
         for (int t = 1000; t <= 60_000; t += 1000) {
             long held = b.count("hold");
-            b.at(t, f -> f.timer(0));
-            if (b.count("hold") > held) { b.at(t + 20, f -> f.orderEnded(home, 0, AttemptOutcome.FINISHED, ms(20), 1)); }
+            b.at(t, f -> f.wakeUp(0));
+            if (b.count("hold") > held) { b.at(t + 20, f -> f.loadCommandEnded(home, 0, AttemptOutcome.SUCCEEDED, ms(20), 1)); }
         }
         return b;
     }
@@ -492,17 +492,17 @@
         PolicyHarness once = new PolicyHarness(new PolicyHarness.TestSettings());
         once.at(0, f -> list(f, 4)).at(10, f -> once.job(f, 0, 0));
         int home = home(once);
-        once.at(60, f -> once.end(f, 0, 0, home, AttemptOutcome.FINISHED, 50, 0)).until(30_000);
+        once.at(60, f -> once.end(f, 0, 0, home, AttemptOutcome.SUCCEEDED, 50, 0)).until(30_000);
         assertThat(once.count("hold")).isZero();
     }
 
     @Test void aStreamThatBeganIsLeftAloneUntilItsEnd() {
         PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
-        b.at(0, f -> list(f, 3)).at(10, f -> b.job(f, 0, 0)).at(60, f -> f.streamBegan(0, 0)).until(5000);
+        b.at(0, f -> list(f, 3)).at(10, f -> b.job(f, 0, 0)).at(60, f -> f.responseStarted(0, 0)).until(5000);
         assertThat(b.count("send")).isEqualTo(1);
         assertThat(b.count("push back") + b.count("kill") + b.count("cancel")).isZero();
         int at = b.sentTo(0);
-        b.at(5100, f -> f.ended(0, 0, at, AttemptOutcome.BROKEN, ms(5090), true, -1, Double.NaN, Double.NaN, Double.NaN));
+        b.at(5100, f -> f.attemptEnded(0, 0, at, AttemptOutcome.CONNECTION_LOST, ms(5090), true, -1, Double.NaN, Double.NaN, Double.NaN));
         assertThat(b.count("send")).isEqualTo(1);
         assertThat(b.count("forget job 0")).isEqualTo(1);
     }
@@ -517,9 +517,9 @@
             said.me = me;
             PolicyHarness b = new PolicyHarness(said);
             b.at(1000, f -> {
-                f.listBegins(true);
-                f.worker(0, 1000, WorkerState.READY, 0, 0, 0, 1, ms(1000));
-                f.listEnds();
+                f.endpointListStarted(true);
+                f.endpointListed(0, 1000, WorkerState.READY, 0, 0, 0, 1, ms(1000));
+                f.endpointListEnded();
                 b.job(f, 0, 0);
                 b.job(f, 1, 0);
             });
--- a/src/test/java/switchgap/protocol/resp/RespDecoderTest.java
+++ b/src/test/java/switchgap/protocol/resp/RespDecoderTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.router.LoadReport;
+import switchgap.policy.api.LoadReport;
 
 /** The workers' protocol: split at every byte, at and past each bound, and what each word proves. */
 class RespDecoderTest {
@@ -73,7 +73,7 @@
         "well,FINISHED,false", "ill,ERROR,false"})
     void whatEachWordProves(String word, AttemptOutcome end, boolean neverRan) throws Exception {
         assertThat(reply(word, "-").end()).isEqualTo(end);
-        assertThat(end.neverRan).isEqualTo(neverRan);
+        assertThat(end.neverExecuted).isEqualTo(neverRan);
         assertThat(reply("page", "-").end()).isNull();
     }
 
@@ -81,8 +81,8 @@
     @Test void loadsAreReadByEitherWord() throws Exception {
         assertThat(reply("data", "crowd=2,report=load_share:0.61;concurrent:7.5").loads(true)).isEqualTo(new LoadReport(0.61, 7.5, Double.NaN, 2));
         assertThat(reply("full", "report=util:0.5;inflight:3;queue:1").loads(true)).isEqualTo(new LoadReport(0.5, 3, 1, 0));
-        assertThat(reply("absent", "-").loads(true)).isEqualTo(LoadReport.UNTOLD);
-        assertThat(reply("data", "report=util:NaN;inflight:-4;queue:1e99").loads(false)).isEqualTo(LoadReport.UNTOLD);
+        assertThat(reply("absent", "-").loads(true)).isEqualTo(LoadReport.NONE);
+        assertThat(reply("data", "report=util:NaN;inflight:-4;queue:1e99").loads(false)).isEqualTo(LoadReport.NONE);
         assertThatThrownBy(() -> reply("data", "noise")).isInstanceOf(RespDecoder.MalformedReplyException.class);
         assertThatThrownBy(() -> WorkerReply.of(new byte[][] {{}, {}})).isInstanceOf(RespDecoder.MalformedReplyException.class);
     }
--- a/src/test/java/switchgap/router/RouterCoreLongRunTest.java
+++ b/src/test/java/switchgap/router/RouterCoreLongRunTest.java
@@ -13,6 +13,7 @@
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.LoadReport;
 import switchgap.policy.api.WorkerState;
 import switchgap.testing.ReachableObjects;
 
@@ -106,23 +107,23 @@
     // ---- the seam
 
     @Override public void send(Attempt run, Duration allow) {
-        AttemptOutcome end = draw.nextInt(5) > 0 ? AttemptOutcome.FINISHED : AttemptOutcome.values()[draw.nextInt(AttemptOutcome.values().length)];
+        AttemptOutcome end = draw.nextInt(5) > 0 ? AttemptOutcome.SUCCEEDED : AttemptOutcome.values()[draw.nextInt(AttemptOutcome.values().length)];
         if (end == AttemptOutcome.TIMED_OUT) { return; } // never answers
-        later(1 + draw.nextInt(400), c -> c.executionEnded(run, end, LoadReport.UNTOLD, Response.finished(200, Map.of(), new byte[0])));
+        later(1 + draw.nextInt(400), c -> c.executionEnded(run, end, LoadReport.NONE, Response.finished(200, Map.of(), new byte[0])));
     }
 
     @Override public AttemptOutcome abandon(Attempt run) { return AttemptOutcome.TIMED_OUT; }
 
     @Override public void hold(WorkerEntry w, String f, int copies, WorkerCommand o) {
         if (draw.nextInt(20) == 0) { return; } // never ends by itself
-        later(1 + draw.nextInt(2000), c -> c.orderEnded(o, AttemptOutcome.FINISHED, 1));
+        later(1 + draw.nextInt(2000), c -> c.orderEnded(o, AttemptOutcome.SUCCEEDED, 1));
     }
 
     @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) {
         if (draw.nextBoolean()) { later(5, c -> c.dropEnded(order)); }
     }
 
-    @Override public void probe(WorkerEntry worker, WorkerCommand order) { later(2, c -> c.probed(order, AttemptOutcome.FINISHED, LoadReport.UNTOLD)); }
+    @Override public void probe(WorkerEntry worker, WorkerCommand order) { later(2, c -> c.probed(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE)); }
 
     @Override public void abandon(WorkerCommand order) { }
 
--- a/src/test/java/switchgap/router/RouterCoreTest.java
+++ b/src/test/java/switchgap/router/RouterCoreTest.java
@@ -11,6 +11,7 @@
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.LoadReport;
 import switchgap.policy.api.WorkerState;
 
 /** The core on a clock that the test moves: limits, pauses, late ends, and nothing left behind. */
@@ -59,7 +60,7 @@
     }
 
     private void finish(Attempt r) {
-        next.add(c -> c.executionEnded(r, AttemptOutcome.FINISHED, LoadReport.UNTOLD, Response.finished(200, Map.of(), new byte[0])));
+        next.add(c -> c.executionEnded(r, AttemptOutcome.SUCCEEDED, LoadReport.NONE, Response.finished(200, Map.of(), new byte[0])));
     }
 
     @Test void aPauseOverALimitEndsInSilenceAndSendsNothing() {
@@ -128,7 +129,7 @@
         at(0);
         call(1, "f");
         at(1);
-        next.add(c -> c.executionEnded(sent.get(0), AttemptOutcome.MISS, LoadReport.UNTOLD, null)); // now a load is ordered at a
+        next.add(c -> c.executionEnded(sent.get(0), AttemptOutcome.NOT_LOADED, LoadReport.NONE, null)); // now a load is ordered at a
         at(2);
         next.clear(); // the load does not end
         next.add(c -> c.list(false, List.of(new EndpointUpdate("a", "h", 1, WorkerState.DRAINING, 0, 0, 0, 1, null))));
@@ -152,7 +153,7 @@
         list("a");
         at(0);
         WorkerCommand o = new WorkerCommand(new WorkerEntry("gone", "h", 1, 0), -1, Duration.ZERO);
-        next.add(c -> c.probed(o, AttemptOutcome.FINISHED, new LoadReport(1, 99, 99, -1))); // index 0 is now another worker's
+        next.add(c -> c.probed(o, AttemptOutcome.SUCCEEDED, new LoadReport(1, 99, 99, -1))); // index 0 is now another worker's
         at(1);
         call(0, "f");
         at(2);
@@ -169,7 +170,7 @@
     }
 
     @Override public void hold(WorkerEntry w, String f, int copies, WorkerCommand o) {
-        next.add(c -> c.orderEnded(o, AttemptOutcome.FINISHED, Math.max(1, copies)));
+        next.add(c -> c.orderEnded(o, AttemptOutcome.SUCCEEDED, Math.max(1, copies)));
     }
 
     @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) { }
--- a/src/test/java/switchgap/router/WorkerConnectionsTest.java
+++ b/src/test/java/switchgap/router/WorkerConnectionsTest.java
@@ -59,7 +59,7 @@
             return null;
         });
         core = new RouterCore(new YamlRouterSettings(YamlDocument.read("t", TERMS)), (now, in, out) -> {
-            in.into(feed);
+            in.deliverTo(feed);
             List.copyOf(say).forEach(s -> s.accept(out));
             say.clear();
         }, links, Duration.ofMillis(1000), Duration.ofMillis(200), 10);
@@ -92,7 +92,7 @@
         events.add(x -> x.callCame(c));
         round();
         int j = jobs++;
-        say.add(d -> d.send(j, 0, Duration.ofSeconds(4)));
+        say.add(d -> d.startAttempt(j, 0, Duration.ofSeconds(4)));
         round();
         return j;
     }
@@ -162,7 +162,7 @@
         list("::g", 80, WorkerState.READY);
         int j = job();
         say.add(d -> d.probe(0));
-        say.add(d -> d.hold(0, 0, 1));
+        say.add(d -> d.load(0, 0, 1));
         assertThat(until(300, () -> heard.size() == 3)).as(heard.toString()).isTrue();
         assertThat(heard).containsExactlyInAnyOrder(j + " NO_CONNECTION", "probed NO_CONNECTION", "ordered NO_CONNECTION");
     }
@@ -172,7 +172,7 @@
             links(1);
             list("127.0.0.1", w.port(), WorkerState.READY);
             job();
-            say.add(d -> d.drop(0, 0));
+            say.add(d -> d.unload(0, 0));
             assertThat(until(2000, () -> w.asked.stream().anyMatch(a -> a.line().contains("/unload")))).isTrue();
             assertThat(until(1200, () -> false)).isFalse(); // past the limit of an order
             for (int i = 0; i < 20 && !heard.contains("probed FINISHED"); i++) {
@@ -194,7 +194,7 @@
             }
             assertThat((Set<?>) ReachableObjects.field(links, "pools")).hasSizeLessThanOrEqualTo(2);
             assertThat(until(1000, () -> a.connected() == 0)).isTrue();
-            say.add(d -> d.forgetWorker(0));
+            say.add(d -> d.releaseWorker(0));
             round();
             assertThat((Set<?>) ReachableObjects.field(links, "pools")).isEmpty();
             assertThat(until(1000, () -> b.connected() == 0)).isTrue();
--- a/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
+++ b/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
@@ -13,11 +13,11 @@
 import switchgap.planner.LoadPlan;
 import switchgap.planner.LoadScheduler;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.LoadReport;
 import switchgap.policy.api.PolicyEvents;
 import switchgap.policy.api.WorkerState;
 import switchgap.router.Attempt;
 import switchgap.router.EndpointUpdate;
-import switchgap.router.LoadReport;
 import switchgap.router.PendingRequest;
 import switchgap.router.RouterCore;
 import switchgap.router.WorkerCommand;
@@ -33,8 +33,8 @@
     private final PolicyEvents nothing = (PolicyEvents) Proxy.newProxyInstance(PolicyEvents.class.getClassLoader(), new Class<?>[] {PolicyEvents.class}, (p, m, a) -> null);
     private int ordered;
     private final RouterCore core = new RouterCore(terms, (now, in, out) -> {
-        in.into(nothing);
-        if (ordered > 0) { out.hold(0, 0, 1); }
+        in.deliverTo(nothing);
+        if (ordered > 0) { out.load(0, 0, 1); }
     }, planned, Duration.ofSeconds(1), Duration.ofSeconds(1), 10);
 
     private void rounds(int n, long from) {
@@ -91,7 +91,7 @@
     }
 
     @Override public void hold(WorkerEntry worker, String function, int copies, WorkerCommand order) {
-        next.add(c -> c.orderEnded(order, AttemptOutcome.FINISHED, 1));
+        next.add(c -> c.orderEnded(order, AttemptOutcome.SUCCEEDED, 1));
     }
 
     @Override public void send(Attempt run, Duration allow) { }
@@ -100,7 +100,7 @@
 
     @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) { }
 
-    @Override public void probe(WorkerEntry worker, WorkerCommand order) { next.add(c -> c.probed(order, AttemptOutcome.FINISHED, LoadReport.UNTOLD)); }
+    @Override public void probe(WorkerEntry worker, WorkerCommand order) { next.add(c -> c.probed(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE)); }
 
     @Override public void abandon(WorkerCommand order) { }
 
