--- a/src/main/java/switchgap/admission/AdmissionController.java
+++ b/src/main/java/switchgap/admission/AdmissionController.java
@@ -83,8 +83,8 @@
         boolean lesser = false;
         for (int w = 0; w < t.importance().length; w++) {
             boolean best = t.importance()[w] >= t.mostImportance();
-            least |= !best && !t.spared()[w] && t.repeat()[w] == Idempotency.RESTARTABLE;
-            lesser |= !best && !t.spared()[w] && t.repeat()[w] != Idempotency.RESTARTABLE;
+            least |= !best && !t.spared()[w] && t.repeat()[w] == Idempotency.IDEMPOTENT;
+            lesser |= !best && !t.spared()[w] && t.repeat()[w] != Idempotency.IDEMPOTENT;
         }
         List<ServiceLevel> all = new ArrayList<>(List.of(ServiceLevel.FULL));
         if (least) { all.add(ServiceLevel.LEAST); }
@@ -116,7 +116,7 @@
     /** The rung that pushes this call back, or null where it passes. */
     private ServiceLevel rungFor(int customer, int workload, long key) {
         if (terms.spared()[workload]) { return null; }
-        boolean again = terms.repeat()[workload] == Idempotency.RESTARTABLE;
+        boolean again = terms.repeat()[workload] == Idempotency.IDEMPOTENT;
         boolean best = terms.importance()[workload] >= most;
         ServiceLevel all = common.rung();
         ServiceLevel at = best ? ServiceLevel.HOLD : again ? ServiceLevel.LEAST : ServiceLevel.MOST; // the first rung that may push it back
--- a/src/main/java/switchgap/config/YamlDocument.java
+++ b/src/main/java/switchgap/config/YamlDocument.java
@@ -192,6 +192,11 @@
         return kind.getEnumConstants()[words.indexOf(choice(key, words))];
     }
 
+    /** One of the document's words for a choice, each standing for a value; null where the key is absent. */
+    public <T> T choice(String key, Map<String, T> words) {
+        return has(key) ? words.get(choice(key, List.copyOf(words.keySet()))) : null;
+    }
+
     public static String word(Enum<?> e) {
         return e.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
     }
--- a/src/main/java/switchgap/config/YamlRouterSettings.java
+++ b/src/main/java/switchgap/config/YamlRouterSettings.java
@@ -2,7 +2,9 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Map;
 import switchgap.admission.AdmissionSettings;
 import switchgap.admission.ServiceLevel;
 import switchgap.policy.api.DeduplicationScope;
@@ -25,13 +27,22 @@
         }
     }
 
+    /** The words of the key {@code repeat}, in the order in which a mistake names them. */
+    private static final Map<String, Idempotency> IDEMPOTENCY_WORDS = new LinkedHashMap<>();
+
+    static {
+        IDEMPOTENCY_WORDS.put("restartable", Idempotency.IDEMPOTENT);
+        IDEMPOTENCY_WORDS.put("fingerprinted", Idempotency.IDEMPOTENT_WITH_KEY);
+        IDEMPOTENCY_WORDS.put("run-once", Idempotency.NON_IDEMPOTENT);
+    }
+
     private final List<RequestClassSettings> kinds = new ArrayList<>();
     private final List<String> zones;
     private final List<String> machineKinds = new ArrayList<>();
     private final double[] machineMemory;
     private final List<String> customers = new ArrayList<>();
     private final List<Double> rates = new ArrayList<>();
-    private final java.util.Map<String, FunctionSettings> named = new java.util.HashMap<>();
+    private final Map<String, FunctionSettings> named = new java.util.HashMap<>();
     private final List<FunctionSettings> families = new ArrayList<>();
     private final int self, routers, zone, mostExecutions;
     private final Duration tick, mostComeBack, coldSpan, fallSpan, keep, loadsSpan, askWithin;
@@ -125,10 +136,10 @@
         Duration limit = k.span("time_limit");
         if (target.isZero()) { throw k.wrong("start_target", "must be above 0"); }
         if (limit.compareTo(target) < 0) { throw k.wrong("time_limit", "must not be under the start target"); }
-        Idempotency repeat = k.choice("repeat", Idempotency.class, null);
+        Idempotency repeat = k.choice("repeat", IDEMPOTENCY_WORDS);
         if (repeat == null) { k.text("repeat"); }
         Duration memory = k.span("memory_span", Duration.ZERO);
-        if (repeat == Idempotency.FINGERPRINTED && memory.isZero()) {
+        if (repeat == Idempotency.IDEMPOTENT_WITH_KEY && memory.isZero()) {
             throw k.wrong("repeat", "a fingerprinted workload needs memory_span, the span for which repeats are known");
         }
         RequestClassSettings kind = new RequestClassSettings(name, target, limit, k.number("importance", 0, 1e6, 1),
--- a/src/main/java/switchgap/experiment/BaselinePolicy.java
+++ b/src/main/java/switchgap/experiment/BaselinePolicy.java
@@ -91,7 +91,7 @@
     private void giveUp(int job, HeldRequest h) {
         if (h.closed) { return; }
         h.closed = true;
-        if (terms.idempotency(h.workload) == Idempotency.RESTARTABLE || h.mayHaveRun + h.out == 0) {
+        if (terms.idempotency(h.workload) == Idempotency.IDEMPOTENT || h.mayHaveRun + h.out == 0) {
             out.reject(job, null);
         } else {
             out.fail(job);
@@ -153,7 +153,7 @@
             }
             wait.add(h);
         } else if (!h.closed) {
-            if (h.mayHaveRun == 0 || terms.idempotency(h.workload) == Idempotency.RESTARTABLE) {
+            if (h.mayHaveRun == 0 || terms.idempotency(h.workload) == Idempotency.IDEMPOTENT) {
                 place(job, h);
             } else {
                 giveUp(job, h);
--- a/src/main/java/switchgap/policy/RoutingPolicy.java
+++ b/src/main/java/switchgap/policy/RoutingPolicy.java
@@ -501,7 +501,7 @@
         } else if (!j.closed && j.inFlight == 0) {
             if (end != AttemptOutcome.NOT_LOADED) { j.failedWorkers.set(worker); }
             placeOrWait(j, j.attempts.size() < mostExecutions // another one where allowed
-                && (j.possibleExecutions == 0 || j.requestClass.idempotency != Idempotency.RUN_ONCE)
+                && (j.possibleExecutions == 0 || j.requestClass.idempotency != Idempotency.NON_IDEMPOTENT)
                 && isShorter(now.plus(margin).plus(usual(j.requestClass)), j.deadline));
         }
         settle(j);
@@ -715,13 +715,13 @@
     /** Rules 2, 3 and 4: whether this job may be sent to this worker now. */
     private boolean maySend(Request j, Worker w) {
         if (j.closed || w.state != WorkerState.READY || j.attempts.size() >= mostExecutions
-            || j.inFlight > 0 && (!second || j.requestClass.idempotency == Idempotency.RUN_ONCE)
+            || j.inFlight > 0 && (!second || j.requestClass.idempotency == Idempotency.NON_IDEMPOTENT)
             || !isShorter(now.plus(margin), j.deadline)) {
             return false;
         }
         if (j.possibleExecutions + j.inFlight > 0) {
-            if (j.requestClass.idempotency == Idempotency.RUN_ONCE) { return false; }
-            if (j.requestClass.idempotency == Idempotency.FINGERPRINTED
+            if (j.requestClass.idempotency == Idempotency.NON_IDEMPOTENT) { return false; }
+            if (j.requestClass.idempotency == Idempotency.IDEMPOTENT_WITH_KEY
                 && (!isShorter(now.minus(j.firstSentAt), j.requestClass.deduplicationWindow.minus(margin))
                 || j.requestClass.deduplicationScope == DeduplicationScope.ZONE && w.zone != j.firstWorker.zone
                 || j.requestClass.deduplicationScope == DeduplicationScope.CELL && (w.cell != j.firstWorker.cell || w.zone != j.firstWorker.zone))) {
@@ -795,9 +795,9 @@
     private void giveUp(Request j) {
         if (j.closed) { return; }
         boolean harmless = switch (j.requestClass.idempotency) {
-            case RESTARTABLE -> true;
-            case FINGERPRINTED -> j.possibleExecutions + j.inFlight == 0 || j.requestClass.deduplicationScope == DeduplicationScope.ALL;
-            case RUN_ONCE -> j.possibleExecutions + j.inFlight == 0;
+            case IDEMPOTENT -> true;
+            case IDEMPOTENT_WITH_KEY -> j.possibleExecutions + j.inFlight == 0 || j.requestClass.deduplicationScope == DeduplicationScope.ALL;
+            case NON_IDEMPOTENT -> j.possibleExecutions + j.inFlight == 0;
         };
         Duration back = comeBack == null ? null : scale(comeBack, 0.5 + chance.nextDouble() / 2);
         if (harmless) { out.reject(j.id, back); } else { out.fail(j.id); }
--- a/src/main/java/switchgap/policy/api/Idempotency.java
+++ b/src/main/java/switchgap/policy/api/Idempotency.java
@@ -1,4 +1,4 @@
 package switchgap.policy.api;
 
 /** Whether a workload's jobs may run again. */
-public enum Idempotency { RESTARTABLE, FINGERPRINTED, RUN_ONCE }
+public enum Idempotency { IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT }
--- a/src/main/java/switchgap/protocol/invoke/InvokeRequest.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeRequest.java
@@ -41,7 +41,7 @@
         limit = least(limit, r);
         Duration hint = millis(r, "Switchgap-Cost-Hint", null);
         String key = brief(r, "Idempotency-Key");
-        if (kind.repeat() == Idempotency.FINGERPRINTED && key == null) {
+        if (kind.repeat() == Idempotency.IDEMPOTENT_WITH_KEY && key == null) {
             throw no(400, "fingerprint-missing", "workload " + kind.name() + " needs an Idempotency-Key");
         }
         String prefer = r.header("Prefer");
--- a/src/test/java/switchgap/admission/AdmissionControllerTest.java
+++ b/src/test/java/switchgap/admission/AdmissionControllerTest.java
@@ -22,7 +22,7 @@
     private static AdmissionSettings terms(double least, double best, int customers) {
         double[] share = new double[customers];
         java.util.Arrays.fill(share, 1.0 / customers);
-        return new AdmissionSettings(new double[] {least, best}, new Idempotency[] {Idempotency.RESTARTABLE, Idempotency.RUN_ONCE}, TARGETS, share,
+        return new AdmissionSettings(new double[] {least, best}, new Idempotency[] {Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT}, TARGETS, share,
             new boolean[2], ServiceLevel.HOLD, Duration.ofSeconds(1), 0);
     }
 
@@ -115,7 +115,7 @@
     @Test void aShareOfStartTargetsToKeepIsPaidForByLesserWork() {
         int[] pushed = new int[2];
         for (int keep = 0; keep < 2; keep++) {
-            AdmissionSettings t = new AdmissionSettings(new double[] {1, 2}, new Idempotency[] {Idempotency.RESTARTABLE, Idempotency.RUN_ONCE}, TARGETS,
+            AdmissionSettings t = new AdmissionSettings(new double[] {1, 2}, new Idempotency[] {Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT}, TARGETS,
                 new double[] {1}, new boolean[2], ServiceLevel.LEAST, null, keep * 0.97);
             AdmissionController l = new AdmissionController(t, 1);
             for (int i = 0; i < 3000; i++) {
@@ -185,7 +185,7 @@
     }
 
     @Test void nothingRestartableMeansTheNextRung() {
-        AdmissionSettings t = new AdmissionSettings(new double[] {1, 2}, new Idempotency[] {Idempotency.RUN_ONCE, Idempotency.RUN_ONCE}, TARGETS,
+        AdmissionSettings t = new AdmissionSettings(new double[] {1, 2}, new Idempotency[] {Idempotency.NON_IDEMPOTENT, Idempotency.NON_IDEMPOTENT}, TARGETS,
             new double[] {1}, new boolean[2], ServiceLevel.MOST, null, 0);
         AdmissionController l = new AdmissionController(t, 1);
         load(l, 40, 150, 60, 0.97, 1);
@@ -195,7 +195,7 @@
     }
 
     @Test void aSparedWorkloadIsNeverTouchedAndACeilingHolds() {
-        AdmissionSettings t = new AdmissionSettings(new double[] {1, 2}, new Idempotency[] {Idempotency.RESTARTABLE, Idempotency.RESTARTABLE}, TARGETS,
+        AdmissionSettings t = new AdmissionSettings(new double[] {1, 2}, new Idempotency[] {Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT}, TARGETS,
             new double[] {1}, new boolean[] {true, false}, ServiceLevel.LEAST, null, 0);
         AdmissionController l = new AdmissionController(t, 1);
         load(l, 60, 300, 60, 0.99, 1);
--- a/src/test/java/switchgap/policy/PolicyHarness.java
+++ b/src/test/java/switchgap/policy/PolicyHarness.java
@@ -24,7 +24,7 @@
 /** The tests' one helper: terms that a test changes, one router under them, and its decisions as printed lines. */
 final class PolicyHarness implements PolicyActions {
     static class TestSettings implements RouterSettings {
-        Idempotency repeat = Idempotency.RESTARTABLE;
+        Idempotency repeat = Idempotency.IDEMPOTENT;
         DeduplicationScope group = DeduplicationScope.ALL;
         boolean loads;
         int routers = 2;
--- a/src/test/java/switchgap/policy/RoutingInvariantsTest.java
+++ b/src/test/java/switchgap/policy/RoutingInvariantsTest.java
@@ -132,7 +132,7 @@
         assertThat(functions.size()).isZero();
         assertThat(ReachableObjects.field(decide, "ordersOut")).as("orders counted as out").isEqualTo(0);
         for (Object w : (Iterable<?>) ReachableObjects.field(decide, "workers")) {
-            for (String tally : new String[] {"flying", "loading", "orders", "ahead"}) {
+            for (String tally : new String[] {"inFlight", "waitingForLoad", "pendingCommands", "queuedAhead"}) {
                 assertThat(ReachableObjects.field(w, tally)).as(tally).isEqualTo(0);
             }
         }
@@ -155,7 +155,7 @@
         }
         assertThat(sends).isGreaterThan(1500);
         assertThat(held).isGreaterThan(20);
-        if (repeat != Idempotency.RUN_ONCE) { assertThat(repeats).isGreaterThan(100); }
+        if (repeat != Idempotency.NON_IDEMPOTENT) { assertThat(repeats).isGreaterThan(100); }
     }
 
     /** What is held after three days of jobs, functions and workers that come and go is what was held after one. */
@@ -180,8 +180,8 @@
         assertThat(now.plus(allow)).as("rule 1: two ticks before the limit").isLessThanOrEqualTo(j.limit.minus(ms(10)));
         ready(worker);
         boolean mayHaveRun = j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted);
-        if (said.repeat == Idempotency.RUN_ONCE) { assertThat(mayHaveRun).as("rule 2: run-once").isFalse(); }
-        if (said.repeat == Idempotency.FINGERPRINTED && mayHaveRun) {
+        if (said.repeat == Idempotency.NON_IDEMPOTENT) { assertThat(mayHaveRun).as("rule 2: run-once").isFalse(); }
+        if (said.repeat == Idempotency.IDEMPOTENT_WITH_KEY && mayHaveRun) {
             long a = workers.idOf(j.at.get(anchor(j)));
             long b = workers.idOf(worker);
             if (said.group != DeduplicationScope.ALL) { assertThat(b % 2).as("rule 2: zone").isEqualTo(a % 2); }
@@ -238,7 +238,7 @@
         Job j = open.get(job);
         assertThat(j.closed).as("rule 1: answered twice").isFalse();
         boolean mayHaveRun = j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted);
-        assertThat(mayHaveRun && (said.repeat == Idempotency.RUN_ONCE || said.repeat == Idempotency.FINGERPRINTED && said.group != DeduplicationScope.ALL))
+        assertThat(mayHaveRun && (said.repeat == Idempotency.NON_IDEMPOTENT || said.repeat == Idempotency.IDEMPOTENT_WITH_KEY && said.group != DeduplicationScope.ALL))
             .as("rule 2: pushed back").isFalse();
         closed(job, j);
     }
--- a/src/test/java/switchgap/policy/RoutingPolicyTest.java
+++ b/src/test/java/switchgap/policy/RoutingPolicyTest.java
@@ -50,17 +50,17 @@
     }
 
     @Test void restartableRunsAgainElsewhere() throws IOException {
-        same("restartable", erring(Idempotency.RESTARTABLE, DeduplicationScope.ALL));
+        same("restartable", erring(Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
     }
 
     @Test void runOnceIsKilledAfterAnErrorAndNeverPushedBack() throws IOException {
-        same("run-once", erring(Idempotency.RUN_ONCE, DeduplicationScope.ALL));
+        same("run-once", erring(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL));
     }
 
     @Test void fingerprintedStaysInItsGroup() throws IOException {
-        same("fingerprinted-zone", erring(Idempotency.FINGERPRINTED, DeduplicationScope.ZONE));
+        same("fingerprinted-zone", erring(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE));
         for (int function = 1; function < 8; function++) { // the helper's zones are a worker's number modulo 2
-            assertThat(erring(Idempotency.FINGERPRINTED, DeduplicationScope.ZONE, function).trace().lines()
+            assertThat(erring(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, function).trace().lines()
                 .filter(l -> l.contains("send")).map(l -> worker(l) % 2).distinct())
                 .hasSize(1);
         }
@@ -68,7 +68,7 @@
 
     @Test void fingerprintedIsNotRepeatedPastItsMemorySpan() {
         PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
-        said.repeat = Idempotency.FINGERPRINTED;
+        said.repeat = Idempotency.IDEMPOTENT_WITH_KEY;
         PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
@@ -81,7 +81,7 @@
     @Test void theMemorySpanCountsFromTheFirstExecutionThatMayHaveRun() {
         for (int[] ends : new int[][] {{980, 2}, {994, 1}, {500, 980, 3}, {500, 994, 2}}) {
             PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
-            said.repeat = Idempotency.FINGERPRINTED;
+            said.repeat = Idempotency.IDEMPOTENT_WITH_KEY;
             PolicyHarness b = new PolicyHarness(said);
             b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
             for (int i = 0; i < ends.length - 1; i++) {
@@ -226,8 +226,8 @@
     }
 
     @Test void sameEventsSameDecisions() {
-        assertThat(erring(Idempotency.RESTARTABLE, DeduplicationScope.ALL).trace())
-            .isEqualTo(erring(Idempotency.RESTARTABLE, DeduplicationScope.ALL).trace());
+        assertThat(erring(Idempotency.IDEMPOTENT, DeduplicationScope.ALL).trace())
+            .isEqualTo(erring(Idempotency.IDEMPOTENT, DeduplicationScope.ALL).trace());
     }
 
     /** Clients that give up before the work can be done, and try again, filled every worker for nothing. */
@@ -409,7 +409,7 @@
     /** Where jobs of eight functions go after so many calls of functions of nobody erred. */
     private static List<Integer> placesAfter(int errors) {
         PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
-        said.repeat = Idempotency.RUN_ONCE;
+        said.repeat = Idempotency.NON_IDEMPOTENT;
         PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4));
         int one = -1;
