--- a/src/main/java/switchgap/experiment/BaselinePolicy.java
+++ b/src/main/java/switchgap/experiment/BaselinePolicy.java
@@ -7,10 +7,15 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.AttemptResult;
+import switchgap.policy.api.EndpointEntry;
 import switchgap.policy.api.EventBatch;
 import switchgap.policy.api.Idempotency;
+import switchgap.policy.api.LoadCommandResult;
 import switchgap.policy.api.PolicyActions;
 import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.ProbeResult;
+import switchgap.policy.api.RequestArrival;
 import switchgap.policy.api.RouterSettings;
 import switchgap.policy.api.WorkerState;
 import switchgap.router.RouterCore;
@@ -107,9 +112,8 @@
         if (whole) { standing.replaceAll((w, s) -> WorkerState.GONE); }
     }
 
-    @Override public void endpointListed(int worker, long mark, WorkerState s, int zone, int cell, int kind, double size,
-                                 Duration started) {
-        standing.put(worker, s);
+    @Override public void endpointListed(EndpointEntry entry) {
+        standing.put(entry.worker(), entry.state());
     }
 
     @Override public void endpointListEnded() {
@@ -128,28 +132,27 @@
 
     @Override public void endpointListFailed() { }
 
-    @Override public void requestArrived(int job, int workload, int customer, int function, long mark, Duration limit, Duration hint,
-                              double memory, int lanes, Duration load, boolean repeat) {
-        HeldRequest h = new HeldRequest(job, workload, function, limit);
-        held.put(job, h);
-        place(job, h);
+    @Override public void requestArrived(RequestArrival arrival) {
+        HeldRequest h = new HeldRequest(arrival.request(), arrival.requestClass(), arrival.function(), arrival.deadline());
+        held.put(h.job, h);
+        place(h.job, h);
     }
 
-    @Override public void responseStarted(int job, int execution) { }
-
-    @Override public void attemptEnded(int job, int execution, int worker, AttemptOutcome end, Duration took, boolean closed, int crowd,
-                                double busy, double atWork, double queued) {
+    @Override public void attemptEnded(AttemptResult result) {
+        int job = result.request();
+        int worker = result.worker();
+        AttemptOutcome end = result.outcome();
         HeldRequest h = held.get(job);
         h.out--;
         flying.merge(worker, -1, Integer::sum);
-        h.mayHaveRun += end.neverExecuted ? 0 : 1;
-        h.closed |= closed;
+        h.mayHaveRun += end.neverExecuted() ? 0 : 1;
+        h.closed |= result.requestClosed();
         if (!h.closed && end == AttemptOutcome.NOT_LOADED && standing.get(worker) == WorkerState.READY) {
             long key = (long) worker << 32 | h.function;
             List<HeldRequest> wait = loading.get(key);
             if (wait == null) {
                 loading.put(key, wait = new ArrayList<>());
-                out.load(worker, h.function, 1);
+                out.load(worker, h.function);
             }
             wait.add(h);
         } else if (!h.closed) {
@@ -162,13 +165,14 @@
         settle(job, h);
     }
 
-    @Override public void loadCommandEnded(int worker, int function, AttemptOutcome end, Duration took, int copies) {
-        List<HeldRequest> wait = loading.remove((long) worker << 32 | function);
+    @Override public void loadCommandEnded(LoadCommandResult result) {
+        int worker = result.worker();
+        List<HeldRequest> wait = loading.remove((long) worker << 32 | result.function());
         if (wait == null) { return; }
         for (HeldRequest h : wait) { // a job given up meanwhile may have left its index to another
             int job = h.job;
             if (held.get(job) != h || h.closed || h.out > 0) { continue; }
-            if (copies > 0 && standing.get(worker) == WorkerState.READY && h.executions < terms.maxAttempts()
+            if (result.loadedReplicas() > 0 && standing.get(worker) == WorkerState.READY && h.executions < terms.maxAttempts()
                 && now.plus(margin).compareTo(h.limit) < 0) {
                 send(job, h, worker);
             } else {
@@ -185,5 +189,5 @@
 
     @Override public void wakeUp(long token) { wakes = false; }
 
-    @Override public void probeEnded(int worker, AttemptOutcome end, Duration took, double busy, double atWork, double queued) { }
+    @Override public void probeEnded(ProbeResult result) { }
 }
--- a/src/main/java/switchgap/experiment/EmulatedRouter.java
+++ b/src/main/java/switchgap/experiment/EmulatedRouter.java
@@ -104,7 +104,7 @@
         return AttemptOutcome.TIMED_OUT;
     }
 
-    @Override public void hold(WorkerEntry worker, String function, int copies, WorkerCommand order) {
+    @Override public void requestReplicas(WorkerEntry worker, String function, int copies, WorkerCommand order) {
         EmulatedWorker m = world.machine(worker.name);
         world.ticker.after(world.hop, () -> {
             if (m == null || m.dead()) {
@@ -120,7 +120,7 @@
         });
     }
 
-    @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) {
+    @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {
         EmulatedWorker m = world.machine(worker.name);
         if (m != null) { world.ticker.after(world.hop, () -> m.drop(function)); }
         world.ticker.after(2 * world.hop, () -> post(c -> c.dropEnded(order)));
@@ -134,5 +134,5 @@
 
     @Override public void abandon(WorkerCommand order) { }
 
-    @Override public void list() { }
+    @Override public void requestEndpointList() { }
 }
--- a/src/main/java/switchgap/experiment/Emulator.java
+++ b/src/main/java/switchgap/experiment/Emulator.java
@@ -84,7 +84,7 @@
         routers.set(i, r);
         YamlRouterSettings t = terms.get(i);
         long own = seed * 31 + i * 7919L + ticker.now();
-        RouterCore core = new RouterCore(t, new RoutingPolicy(t, own)::round, r, Duration.ofSeconds(10), Duration.ofMillis(250), 20_000);
+        RouterCore core = new RouterCore(t, new RoutingPolicy(t, own)::tick, r, Duration.ofSeconds(10), Duration.ofMillis(250), 20_000);
         AdmissionController levels = variant.before() == Variant.Before.LEVELS ? new AdmissionController(t.levelTerms(), own + 1) : null;
         if (levels != null && variant.pinned() != null) { levels.pin(r.now(), variant.pinned(), Duration.ofDays(1000)); }
         r.gate(new AdmissionGate(core, t, levels, c -> changes.add(new RouterLevelChange(i, c))));
--- a/src/main/java/switchgap/policy/api/AttemptOutcome.java
+++ b/src/main/java/switchgap/policy/api/AttemptOutcome.java
@@ -1,13 +1,34 @@
 package switchgap.policy.api;
 
-/** How an execution, a probe or an order ended, and whether that proves the job did not run. */
+/** How an attempt, a probe or a load command ended, and whether that proves that the request was not executed. */
 public enum AttemptOutcome {
-    SUCCEEDED(false), FAILED(false), REJECTED(true), TIMED_OUT(false), CONNECT_FAILED(true), CONNECTION_LOST(false),
-    CANCELLED(false), NOT_SENT(true), NOT_LOADED(true);
+    /** The worker answered. */
+    SUCCEEDED(false),
+    /** The worker answered with an error; it may have executed the request. */
+    FAILED(false),
+    /** The worker had no capacity and says that it did not execute the request. */
+    REJECTED(true),
+    /** No answer came in time. */
+    TIMED_OUT(false),
+    /** No connection could be opened. */
+    CONNECT_FAILED(true),
+    /** The connection ended under the request. */
+    CONNECTION_LOST(false),
+    /** This router cancelled it. */
+    CANCELLED(false),
+    /** No byte of it went out. */
+    NOT_SENT(true),
+    /** The worker has no replica of the function and says that it did not execute the request. */
+    NOT_LOADED(true);
 
-    public final boolean neverExecuted;
+    private final boolean neverExecuted;
 
-    AttemptOutcome(boolean neverRan) {
-        this.neverExecuted = neverRan;
+    AttemptOutcome(boolean neverExecuted) {
+        this.neverExecuted = neverExecuted;
+    }
+
+    /** Whether the request is known not to have been executed. */
+    public boolean neverExecuted() {
+        return neverExecuted;
     }
 }
--- a/src/main/java/switchgap/policy/api/EventBatch.java
+++ b/src/main/java/switchgap/policy/api/EventBatch.java
@@ -1,6 +1,7 @@
 package switchgap.policy.api;
 
-/** All that came in since the last round, in order of arrival. */
+/** All events since the last tick, in order of arrival. */
 public interface EventBatch {
-    void deliverTo(PolicyEvents feed);
+    /** Tells each event to {@code events}. */
+    void deliverTo(PolicyEvents events);
 }
--- a/src/main/java/switchgap/policy/api/PolicyEvents.java
+++ b/src/main/java/switchgap/policy/api/PolicyEvents.java
@@ -1,41 +1,41 @@
 package switchgap.policy.api;
 
-import java.time.Duration;
-
 /**
- * What a router hears, one call an event. Ids are small indices that the caller assigns and may hand out
- * again once {@link PolicyActions} has forgotten them; times are spans since the router's start. Values that
- * did not come are null, NaN or, for counts, below zero.
+ * What a policy is told, one call an event, from one thread. Indices are small numbers that the caller assigns and may
+ * hand out again once {@link PolicyActions} has released them; times are spans since the router's start. Values that did
+ * not come are null, NaN or, for counts, below zero.
  */
 public interface PolicyEvents {
-    /** A list of workers begins; a whole one replaces what was held. Its entries follow, then its end. */
-    void endpointListStarted(boolean whole);
+    /** An endpoint list begins; a complete one replaces what was known. Its entries follow, then its end. */
+    void endpointListStarted(boolean complete);
 
-    /** One worker; {@code mark} is its id as all routers see it, {@code started} null if long past. */
-    void endpointListed(int worker, long mark, WorkerState standing, int zone, int cell, int kind, double size,
-                Duration started);
+    /** One entry of the endpoint list under way. */
+    void endpointListed(EndpointEntry entry);
 
+    /** The endpoint list under way has come whole. */
     void endpointListEnded();
 
+    /** A poll for the endpoint list failed; the last one stays in force. */
     void endpointListFailed();
 
-    /** A job was taken: it is owed one final answer before {@code limit}. */
-    void requestArrived(int job, int workload, int customer, int function, long mark, Duration limit, Duration hint,
-             double memory, int lanes, Duration load, boolean repeat);
+    /** A request was taken. */
+    void requestArrived(RequestArrival arrival);
 
-    void responseStarted(int job, int execution);
+    /** The client has received the first bytes of an attempt's response; its end will come. */
+    default void responseStarted(int request, int attempt) { }
 
-    /** An execution ended; {@code closed} if the job has its answer. {@code crowd}: jobs met there. */
-    void attemptEnded(int job, int execution, int worker, AttemptOutcome end, Duration took, boolean closed, int crowd,
-               double busy, double held, double queued);
+    /** An attempt ended. */
+    void attemptEnded(AttemptResult result);
 
-    /** The client left; nothing more is owed. */
-    void clientLeft(int job);
+    /** The client left; no response is owed any more. */
+    void clientLeft(int request);
 
+    /** A wake-up that was scheduled is due. */
     void wakeUp(long token);
 
-    void probeEnded(int worker, AttemptOutcome end, Duration took, double busy, double held, double queued);
+    /** A probe ended. */
+    void probeEnded(ProbeResult result);
 
-    /** An order to hold copies ended, with the number that stand. */
-    void loadCommandEnded(int worker, int function, AttemptOutcome end, Duration took, int standing);
+    /** A load command or a replica query ended. */
+    void loadCommandEnded(LoadCommandResult result);
 }
--- a/src/main/java/switchgap/policy/api/WorkerState.java
+++ b/src/main/java/switchgap/policy/api/WorkerState.java
@@ -1,4 +1,11 @@
 package switchgap.policy.api;
 
-/** What the list says of a worker. */
-public enum WorkerState { READY, DRAINING, GONE }
+/** What the endpoint list says of a worker. */
+public enum WorkerState {
+    /** It takes requests. */
+    READY,
+    /** It finishes what it has and takes nothing new. */
+    DRAINING,
+    /** It is no longer there. */
+    GONE
+}
--- a/src/main/java/switchgap/policy/state/Attempt.java
+++ b/src/main/java/switchgap/policy/state/Attempt.java
@@ -1,13 +1,16 @@
 package switchgap.policy.state;
 
-/** One try of a job at a worker: whether a copy was thought to stand there, or the try waits for its load. */
+/** One attempt of a request at a worker. */
 public final class Attempt {
+    /** Whether a replica was thought to be loaded there. */
     public final boolean replicaLoaded;
+    /** Whether it waits for a replica to be loaded on demand. */
     public final boolean waitsForLoad;
     public boolean ended;
 
-    public Attempt(boolean stood, boolean loadsOnMiss) {
-        this.replicaLoaded = stood;
-        this.waitsForLoad = !stood && loadsOnMiss;
+    /** An attempt that is about to be sent. */
+    public Attempt(boolean replicaLoaded, boolean loadsOnDemand) {
+        this.replicaLoaded = replicaLoaded;
+        this.waitsForLoad = !replicaLoaded && loadsOnDemand;
     }
 }
--- a/src/main/java/switchgap/policy/state/Durations.java
+++ b/src/main/java/switchgap/policy/state/Durations.java
@@ -4,6 +4,9 @@
 
 /** Short names for arithmetic on spans of time. */
 public final class Durations {
+    /** One second. */
+    public static final Duration SECOND = Duration.ofSeconds(1);
+
     private Durations() { }
 
     public static boolean isShorter(Duration a, Duration b) {
--- a/src/main/java/switchgap/policy/state/Histogram.java
+++ b/src/main/java/switchgap/policy/state/Histogram.java
@@ -25,6 +25,18 @@
         }
     }
 
+    /** Halves all bins once they hold more than so much. */
+    public void halveAbove(double most) {
+        if (total() > most) {
+            halve();
+        }
+    }
+
+    /** The mean value, with a prior that weighs as much as so many values. */
+    public double meanWithPrior(double prior, double weight) {
+        return (sum() + weight * prior) / (total() + weight);
+    }
+
     public void clear() {
         java.util.Arrays.fill(counts, 0);
     }
--- a/src/main/java/switchgap/policy/state/RequestClass.java
+++ b/src/main/java/switchgap/policy/state/RequestClass.java
@@ -5,7 +5,7 @@
 import switchgap.policy.api.Idempotency;
 import switchgap.policy.api.RouterSettings;
 
-/** A workload as stated, and how long its executions usually take, as a share of the start target. */
+/** A request class as stated, and what its attempts at loaded replicas usually meet. */
 public final class RequestClass {
     public final Duration latencyObjective;
     public final Duration deduplicationWindow;
@@ -13,17 +13,33 @@
     public final double lateValueShare;
     public final Idempotency idempotency;
     public final DeduplicationScope deduplicationScope;
+    /** Durations as a ratio to the latency objective. */
     public final Histogram relativeDurations;
+    /** Other routers' requests at the workers, one for each duration. */
     public final Histogram foreignLoads;
 
-    public RequestClass(RouterSettings t, int index, double[] tookEdges, double[] metEdges) {
-        latencyObjective = t.latencyObjective(index);
-        deduplicationWindow = t.deduplicationWindow(index);
-        priorityWeight = t.priorityWeight(index);
-        lateValueShare = t.lateValueShare(index);
-        idempotency = t.idempotency(index);
-        deduplicationScope = t.deduplicationScope(index);
-        foreignLoads = new Histogram(metEdges);
-        relativeDurations = new Histogram(tookEdges);
+    RequestClass(RouterSettings settings, int index, HistogramEdges edges) {
+        latencyObjective = settings.latencyObjective(index);
+        deduplicationWindow = settings.deduplicationWindow(index);
+        priorityWeight = settings.priorityWeight(index);
+        lateValueShare = settings.lateValueShare(index);
+        idempotency = settings.idempotency(index);
+        deduplicationScope = settings.deduplicationScope(index);
+        relativeDurations = new Histogram(edges.relativeDurations());
+        foreignLoads = new Histogram(edges.foreignLoads());
+    }
+
+    /** Counts a response of a loaded replica. */
+    public void responded(double relativeDuration, double foreignLoad) {
+        relativeDurations.add(relativeDuration);
+        foreignLoads.add(foreignLoad);
+    }
+
+    /** Halves what was counted once there is more than so much. */
+    public void halveAbove(double maxSamples) {
+        if (relativeDurations.total() > maxSamples) {
+            relativeDurations.halve();
+            foreignLoads.halve();
+        }
     }
 }
--- a/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
@@ -73,7 +73,7 @@
         pools.forEach(p -> p.sweep(bounds.idle()));
     }
 
-    @Override public void refuses(WorkerEntry worker, boolean forGood) {
+    @Override public void stopAccepting(WorkerEntry worker, boolean forGood) {
         if (!(worker.links instanceof WorkerPools b)) { return; }
         for (HttpConnectionPool p : new HttpConnectionPool[] {b.jobs, b.orders}) {
             if (forGood) {
@@ -176,7 +176,7 @@
         both(worker).orders().ask(a);
     }
 
-    @Override public void hold(WorkerEntry worker, String function, int copies, WorkerCommand order) {
+    @Override public void requestReplicas(WorkerEntry worker, String function, int copies, WorkerCommand order) {
         byte[] content = copies == 0 ? NOTHING
             : ("{\"parameters\":{\"copies\":" + copies + "}}").getBytes(StandardCharsets.UTF_8);
         PendingExchange a = new CommandExchange(worker, copies == 0 ? "GET" : "POST",
@@ -190,7 +190,7 @@
         go(worker, order, a);
     }
 
-    @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) {
+    @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {
         PendingExchange a = new CommandExchange(worker, "POST", repository(function, "unload"),
             "{\"parameters\":{\"idle_only\":true}}".getBytes(StandardCharsets.UTF_8)) {
             @Override void end(AttemptOutcome end, OrcaLoadReport orca) { events.accept(c -> c.dropEnded(order)); }
@@ -205,5 +205,5 @@
         go(worker, order, a);
     }
 
-    @Override public void list() { askList.run(); }
+    @Override public void requestEndpointList() { askList.run(); }
 }
--- a/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -157,13 +157,13 @@
 
     private String tag() { return "t" + Long.toString(++tags, 36); } // no id of a call: those are 16 hex digits
 
-    @Override public void hold(WorkerEntry worker, String function, int copies, WorkerCommand order) {
+    @Override public void requestReplicas(WorkerEntry worker, String function, int copies, WorkerCommand order) {
         String tag = tag();
         ask(worker, order, tag, copies == 0, orderLimit, (c, end, r) -> c.orderEnded(order, end, r == null ? 0 : r.count()),
             "PIN", tag, "thing=" + function + ",count=" + copies);
     }
 
-    @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) {
+    @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {
         ask(worker, order, null, true, orderLimit, (c, end, r) -> c.dropEnded(order), "UNPIN", function);
     }
 
@@ -173,10 +173,10 @@
             "METER", tag);
     }
 
-    @Override public void refuses(WorkerEntry worker, boolean forGood) {
+    @Override public void stopAccepting(WorkerEntry worker, boolean forGood) {
         if (!(worker.links instanceof RespConnectionPool p)) { return; }
         if (forGood) { p.retire(); } else { p.refuse(); }
     }
 
-    @Override public void list() { } // the control feed tells by itself
+    @Override public void requestEndpointList() { } // the control feed tells by itself
 }
--- a/src/main/java/switchgap/router/RouterCore.java
+++ b/src/main/java/switchgap/router/RouterCore.java
@@ -10,10 +10,15 @@
 import java.util.function.Consumer;
 import switchgap.policy.RoutingPolicy;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.AttemptResult;
+import switchgap.policy.api.EndpointEntry;
 import switchgap.policy.api.EventBatch;
+import switchgap.policy.api.LoadCommandResult;
 import switchgap.policy.api.LoadReport;
 import switchgap.policy.api.PolicyActions;
 import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.ProbeResult;
+import switchgap.policy.api.RequestArrival;
 import switchgap.policy.api.RouterSettings;
 import switchgap.policy.api.WorkerState;
 
@@ -65,7 +70,7 @@
 
     /** A core under the module. Orders and probes are given up after their limits. */
     public RouterCore(RouterSettings terms, long seed, WorkerTransport outside, Duration orderLimit, Duration probeLimit, int mostFunctions) {
-        this(terms, new RoutingPolicy(terms, seed)::round, outside, orderLimit, probeLimit, mostFunctions);
+        this(terms, new RoutingPolicy(terms, seed)::tick, outside, orderLimit, probeLimit, mostFunctions);
     }
 
     /** At most so many functions are known at a time. */
@@ -130,8 +135,7 @@
         if (c.index == calls.size()) { calls.add(c); } else { calls.set(c.index, c); }
         c.taken = now;
         held++;
-        feed.requestArrived(c.index, c.workload, c.customer < 0 ? terms.tenantCount() : c.customer, functions.add(c.function),
-            NameIndex.mark(c.function), c.limit, c.hint, c.memory, c.lanes, c.load, c.repeat);
+        feed.requestArrived(new RequestArrival(c.index, c.workload, c.customer < 0 ? terms.tenantCount() : c.customer, functions.add(c.function), NameIndex.mark(c.function), c.limit, c.hint, c.memory, c.lanes));
         return true;
     }
 
@@ -153,19 +157,18 @@
     public void executionEnded(Attempt r, AttemptOutcome end, LoadReport loads, Response answer) {
         if (r.ended) { return; }
         r.ended = true;
-        r.mayHaveRun = !end.neverExecuted;
+        r.mayHaveRun = !end.neverExecuted();
         timers.stop(r.timer);
         watch.told(loads);
         PendingRequest c = r.call;
         boolean first = end == AttemptOutcome.SUCCEEDED && c.state == PendingRequest.State.HELD;
         if (first) { answer(c, answer); }
-        feed.attemptEnded(c.index, r.number, r.worker.index, end, now.minus(r.sent), c.state != PendingRequest.State.HELD, loads.concurrency(),
-            loads.cpuUtilization(), loads.inFlight(), loads.queueLength());
+        feed.attemptEnded(new AttemptResult(c.index, r.number, r.worker.index, end, now.minus(r.sent), c.state != PendingRequest.State.HELD, loads));
     }
 
     public void orderEnded(WorkerCommand o, AttemptOutcome end, int standing) {
         if (ends(o) && known(o.worker)) {
-            feed.loadCommandEnded(o.worker.index, o.function, end, now.minus(o.sent), standing);
+            feed.loadCommandEnded(new LoadCommandResult(o.worker.index, o.function, end, now.minus(o.sent), standing));
         }
     }
 
@@ -175,7 +178,7 @@
 
     public void probed(WorkerCommand o, AttemptOutcome end, LoadReport loads) {
         if (ends(o) && known(o.worker)) {
-            feed.probeEnded(o.worker.index, end, now.minus(o.sent), loads.cpuUtilization(), loads.inFlight(), loads.queueLength());
+            feed.probeEnded(new ProbeResult(o.worker.index, end, loads));
         }
     }
 
@@ -207,8 +210,7 @@
             }
             named.add(l.name());
             takes(s, l.standing() == WorkerState.READY, false);
-            feed.endpointListed(s.index, NameIndex.mark(l.name()), l.standing(), l.zone(), l.cell(), l.kind(), l.size(),
-                l.started());
+            feed.endpointListed(new EndpointEntry(s.index, NameIndex.mark(l.name()), l.standing(), l.zone(), l.cell(), l.kind(), l.size(), l.started()));
         }
         for (WorkerEntry s : whole ? workers : List.<WorkerEntry>of()) {
             if (s != null && !named.contains(s.name)) { takes(s, false, false); }
@@ -219,7 +221,7 @@
     private void takes(WorkerEntry s, boolean takesNew, boolean forGood) {
         boolean stops = s.takesNew && !takesNew;
         s.takesNew = takesNew;
-        if (stops || forGood) { outside.refuses(s, forGood); }
+        if (stops || forGood) { outside.stopAccepting(s, forGood); }
     }
 
     public void listFailed() {
@@ -292,14 +294,18 @@
             if (c.state == PendingRequest.State.HELD) { RouterCore.this.answer(c, a); }
         }
 
-        @Override public void load(int worker, int function, int copies) {
+        @Override public void load(int worker, int function) { requestReplicas(worker, function, 1); }
+
+        @Override public void queryReplicas(int worker, int function) { requestReplicas(worker, function, 0); }
+
+        private void requestReplicas(int worker, int function, int copies) {
             WorkerCommand o = order(worker, function, orderLimit, x -> orderEnded(x, AttemptOutcome.TIMED_OUT, 0));
-            outside.hold(o.worker, functions.name(function), copies, o);
+            outside.requestReplicas(o.worker, functions.name(function), copies, o);
         }
 
         @Override public void unload(int worker, int function) {
             WorkerCommand o = order(worker, function, orderLimit, RouterCore.this::dropEnded); // or at a silent worker it keeps a link for ever
-            outside.drop(o.worker, functions.name(function), o);
+            outside.unload(o.worker, functions.name(function), o);
         }
 
         @Override public void probe(int worker) {
@@ -321,7 +327,7 @@
             timers.at(now.plus(after), () -> feed.wakeUp(token));
         }
 
-        @Override public void subscribeToEndpoints() { outside.list(); }
+        @Override public void subscribeToEndpoints() { outside.requestEndpointList(); }
 
         @Override public void releaseRequest(int job) {
             calls.get(job).index = -1;
--- a/src/main/java/switchgap/router/WorkerTransport.java
+++ b/src/main/java/switchgap/router/WorkerTransport.java
@@ -15,10 +15,10 @@
     AttemptOutcome abandon(Attempt run);
 
     /** Orders copies, or with 0 asks how many stand; the end is told by {@link RouterCore#orderEnded}. */
-    void hold(WorkerEntry worker, String function, int copies, WorkerCommand order);
+    void requestReplicas(WorkerEntry worker, String function, int copies, WorkerCommand order);
 
     /** Has idle copies unloaded; the end is told by {@link RouterCore#dropEnded}. */
-    void drop(WorkerEntry worker, String function, WorkerCommand order);
+    void unload(WorkerEntry worker, String function, WorkerCommand order);
 
     /** Asks a worker for its load; the end is told by {@link RouterCore#probed}. */
     void probe(WorkerEntry worker, WorkerCommand order);
@@ -30,8 +30,8 @@
      * A worker takes nothing new; for good where it is forgotten or has another address. What waits for a connection
      * to it is told at once, in place of at its time-out.
      */
-    default void refuses(WorkerEntry worker, boolean forGood) { }
+    default void stopAccepting(WorkerEntry worker, boolean forGood) { }
 
     /** Asks for the list, or for its changes from now on. */
-    void list();
+    void requestEndpointList();
 }
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -49,7 +49,7 @@
     private final int port;
 
     public GatewayRouter(GatewayConfig page) throws IOException {
-        this(page, new RoutingPolicy(page.terms(), page.seed())::round);
+        this(page, new RoutingPolicy(page.terms(), page.seed())::tick);
     }
 
     /** A router under another decider: for measurements of the module beside a baseline. */
--- a/src/main/java/switchgap/server/gateway/JvmWarmup.java
+++ b/src/main/java/switchgap/server/gateway/JvmWarmup.java
@@ -53,11 +53,11 @@
 
             @Override public AttemptOutcome abandon(Attempt run) { return AttemptOutcome.TIMED_OUT; }
 
-            @Override public void hold(WorkerEntry worker, String function, int copies, WorkerCommand order) {
+            @Override public void requestReplicas(WorkerEntry worker, String function, int copies, WorkerCommand order) {
                 next.add(c -> c.orderEnded(order, AttemptOutcome.SUCCEEDED, copies));
             }
 
-            @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) { }
+            @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) { }
 
             @Override public void probe(WorkerEntry worker, WorkerCommand order) {
                 next.add(c -> c.probed(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE));
@@ -65,7 +65,7 @@
 
             @Override public void abandon(WorkerCommand order) { }
 
-            @Override public void list() { }
+            @Override public void requestEndpointList() { }
         };
         RouterCore core = new RouterCore(terms, 1, outside, Duration.ofSeconds(1), Duration.ofSeconds(1), 100);
         List<EndpointUpdate> list = new ArrayList<>();
--- a/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
@@ -84,7 +84,7 @@
     private void release(long id) {
         HeldLoad h = held.remove(id);
         ids.remove(h.order);
-        inner.hold(h.worker, h.function, h.copies, h.order); // refuses by itself what drains since it was asked
+        inner.requestReplicas(h.worker, h.function, h.copies, h.order); // refuses by itself what drains since it was asked
     }
 
     private void tell(RouterCore c) {
@@ -111,9 +111,9 @@
         if (ticking) { c.later(next, () -> tick(c)); }
     }
 
-    @Override public void hold(WorkerEntry worker, String function, int copies, WorkerCommand order) {
+    @Override public void requestReplicas(WorkerEntry worker, String function, int copies, WorkerCommand order) {
         if (copies == 0) { // a question, no load
-            inner.hold(worker, function, copies, order);
+            inner.requestReplicas(worker, function, copies, order);
             return;
         }
         YamlRouterSettings.FunctionSettings e = terms.function(function);
@@ -143,11 +143,11 @@
 
     @Override public AttemptOutcome abandon(Attempt run) { return inner.abandon(run); }
 
-    @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) { inner.drop(worker, function, order); }
+    @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) { inner.unload(worker, function, order); }
 
-    @Override public void refuses(WorkerEntry worker, boolean forGood) { inner.refuses(worker, forGood); }
+    @Override public void stopAccepting(WorkerEntry worker, boolean forGood) { inner.stopAccepting(worker, forGood); }
 
     @Override public void probe(WorkerEntry worker, WorkerCommand order) { inner.probe(worker, order); }
 
-    @Override public void list() { inner.list(); }
+    @Override public void requestEndpointList() { inner.requestEndpointList(); }
 }
--- a/src/main/java/switchgap/simulator/SimulatedRouter.java
+++ b/src/main/java/switchgap/simulator/SimulatedRouter.java
@@ -9,9 +9,15 @@
 import switchgap.config.PropertyRouterSettings;
 import switchgap.policy.RoutingPolicy;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.AttemptResult;
+import switchgap.policy.api.EndpointEntry;
 import switchgap.policy.api.EventBatch;
+import switchgap.policy.api.LoadCommandResult;
+import switchgap.policy.api.LoadReport;
 import switchgap.policy.api.PolicyActions;
 import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.ProbeResult;
+import switchgap.policy.api.RequestArrival;
 import switchgap.policy.api.WorkerState;
 import switchgap.policy.state.IndexAllocator;
 
@@ -66,7 +72,7 @@
         body = frame;
         if (decide != null) {
             try {
-                decide.round(micros(clock - born), this, this);
+                decide.tick(micros(clock - born), this, this);
             } catch (RuntimeException e) {
                 fault(e);
                 decide = null;
@@ -132,8 +138,7 @@
                 case 4 -> {
                     int worker = workers.find(server(at + 3));
                     if (worker >= 0) {
-                        feed.probeEnded(worker, end(body.get(at + 9)), micros(body.getInt(at + 10) & U32),
-                            report(at + 14, busyAt), report(at + 14, heldAt), report(at + 14, queuedAt));
+                        feed.probeEnded(new ProbeResult(worker, end(body.get(at + 9)), new LoadReport(report(at + 14, busyAt), report(at + 14, heldAt), report(at + 14, queuedAt), -1)));
                     }
                 }
                 case 6 -> {
@@ -155,8 +160,7 @@
                     int worker = workers.find(server(at + 3));
                     int function = functions.find(body.getLong(at + 14));
                     if (worker >= 0 && function >= 0) {
-                        feed.loadCommandEnded(worker, function, end(body.get(at + 22)),
-                            micros(body.getInt(at + 9) & U32), body.get(at + 13) & 0xff);
+                        feed.loadCommandEnded(new LoadCommandResult(worker, function, end(body.get(at + 22)), micros(body.getInt(at + 9) & U32), body.get(at + 13) & 0xff));
                     }
                 }
                 case 12 -> job(feed, at);
@@ -173,20 +177,13 @@
         }
         AttemptOutcome end = end(body.get(at + 19));
         boolean told = crowds && (end == AttemptOutcome.SUCCEEDED || end == AttemptOutcome.REJECTED);
-        feed.attemptEnded(job, body.getShort(at + 11) & 0xffff, worker, end, micros(body.getInt(at + 20) & U32),
-            body.get(at + 24) != 0, told ? (body.get(at + 25) & 0xff) >> 3 : -1,
-            report(at + 26, busyAt), report(at + 26, heldAt), report(at + 26, queuedAt));
+        feed.attemptEnded(new AttemptResult(job, body.getShort(at + 11) & 0xffff, worker, end, micros(body.getInt(at + 20) & U32), body.get(at + 24) != 0, new LoadReport(report(at + 26, busyAt), report(at + 26, heldAt), report(at + 26, queuedAt), told ? (body.get(at + 25) & 0xff) >> 3 : -1)));
     }
 
     private void job(PolicyEvents feed, int at) {
         long mark = body.getLong(at + 16);
         int marks = body.getShort(at + 48);
-        float load = body.getFloat(at + 44);
-        feed.requestArrived(jobs.allocate(body.getLong(at + 3)), body.get(at + 11) & 0xff, body.getInt(at + 12),
-            functions.allocate(mark), mark, micros(body.getLong(at + 24) - born),
-            (marks & 1) == 0 ? null : micros(body.getInt(at + 32) & U32),
-            body.getFloat(at + 36), Math.max(1, Math.round(body.getFloat(at + 40))),
-            load > 0 ? micros(Math.round(load * 1000.0)) : null, (marks & 2) != 0);
+        feed.requestArrived(new RequestArrival(jobs.allocate(body.getLong(at + 3)), body.get(at + 11) & 0xff, body.getInt(at + 12), functions.allocate(mark), mark, micros(body.getLong(at + 24) - born), (marks & 1) == 0 ? null : micros(body.getInt(at + 32) & U32), body.getFloat(at + 36), Math.max(1, Math.round(body.getFloat(at + 40)))));
     }
 
     private void list(PolicyEvents feed, byte[] bytes, boolean whole) {
@@ -200,9 +197,7 @@
             };
             long started = b.getLong(at + 3);
             long name = (b.getInt(at + 13) & U32) << 16 | b.getShort(at + 17) & 0xffffL;
-            feed.endpointListed(workers.allocate(name), name, standing, b.getShort(at + 1) & 0xffff,
-                b.getShort(at + 11) & 0xffff, b.getShort(at + 19) & 0xffff, b.getFloat(at + 21),
-                started == 0 ? null : micros(started - born));
+            feed.endpointListed(new EndpointEntry(workers.allocate(name), name, standing, b.getShort(at + 1) & 0xffff, b.getShort(at + 11) & 0xffff, b.getShort(at + 19) & 0xffff, b.getFloat(at + 21), started == 0 ? null : micros(started - born)));
         }
         feed.endpointListEnded();
     }
@@ -242,7 +237,11 @@
         reply.fields().put(at + 3, (byte) 1);
     }
 
-    @Override public void load(int worker, int function, int copies) {
+    @Override public void load(int worker, int function) { requestReplicas(worker, function, 1); }
+
+    @Override public void queryReplicas(int worker, int function) { requestReplicas(worker, function, 0); }
+
+    private void requestReplicas(int worker, int function, int copies) {
         int at = reply.record(13, who);
         putServer(at + 3, worker);
         reply.fields().putLong(at + 9, functions.idOf(function)).put(at + 17, (byte) copies);
--- a/src/test/java/switchgap/policy/PolicyHarness.java
+++ b/src/test/java/switchgap/policy/PolicyHarness.java
@@ -11,10 +11,14 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.AttemptResult;
 import switchgap.policy.api.DeduplicationScope;
+import switchgap.policy.api.EndpointEntry;
 import switchgap.policy.api.Idempotency;
+import switchgap.policy.api.LoadReport;
 import switchgap.policy.api.PolicyActions;
 import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.RequestArrival;
 import switchgap.policy.api.RouterSettings;
 import switchgap.policy.api.WorkerState;
 import switchgap.policy.state.Function;
@@ -132,7 +136,7 @@
     /** A round at this time, with what comes in; no event is a round for the clock alone. */
     PolicyHarness at(int millis, Consumer<PolicyEvents> events) {
         at = millis;
-        decide.round(ms(millis), events::accept, this);
+        decide.tick(ms(millis), events::accept, this);
         return this;
     }
 
@@ -159,7 +163,7 @@
     }
 
     private static void worker(PolicyEvents f, int w, WorkerState standing, Duration started) {
-        f.endpointListed(w, 1000 + w, standing, w % 2, w % 2, 0, 1, started);
+        f.endpointListed(new EndpointEntry(w, 1000 + w, standing, w % 2, w % 2, 0, 1, started));
     }
 
     void job(PolicyEvents f, int job, int function) {
@@ -167,11 +171,11 @@
     }
 
     void job(PolicyEvents f, int job, int function, int left) {
-        f.requestArrived(job, 0, 0, function, 50 + function, ms(at + left), null, 100, 2, null, false);
+        f.requestArrived(new RequestArrival(job, 0, 0, function, 50 + function, ms(at + left), null, 100, 2));
     }
 
     void end(PolicyEvents f, int job, int execution, int worker, AttemptOutcome end, int took, int crowd) {
-        f.attemptEnded(job, execution, worker, end, ms(took), end == AttemptOutcome.SUCCEEDED, crowd, Double.NaN, Double.NaN, Double.NaN);
+        f.attemptEnded(new AttemptResult(job, execution, worker, end, ms(took), end == AttemptOutcome.SUCCEEDED, LoadReport.ofConcurrency(crowd)));
     }
 
     /** The copy target of a function. */
@@ -180,7 +184,7 @@
     }
 
     @SuppressWarnings("unchecked") private IndexedTable<Function> functions() {
-        return (IndexedTable<Function>) ReachableObjects.field(decide, "functions");
+        return (IndexedTable<Function>) ReachableObjects.field(ReachableObjects.field(decide, "state"), "functions");
     }
 
     /** All that the module holds: elements of its tables. */
@@ -221,9 +225,13 @@
 
     @Override public void fail(int job) { say("kill job " + job); }
 
-    @Override public void load(int worker, int function, int copies) {
-        if (copies > 0) { onHold.accept(worker, function); }
-        say((copies == 0 ? "ask" : "hold") + " function " + function + " at worker " + worker);
+    @Override public void load(int worker, int function) {
+        onHold.accept(worker, function);
+        say("hold function " + function + " at worker " + worker);
+    }
+
+    @Override public void queryReplicas(int worker, int function) {
+        say("ask function " + function + " at worker " + worker);
     }
 
     @Override public void unload(int worker, int function) { say("drop function " + function + " at worker " + worker); }
--- a/src/test/java/switchgap/policy/RoutingInvariantsTest.java
+++ b/src/test/java/switchgap/policy/RoutingInvariantsTest.java
@@ -16,10 +16,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.AttemptResult;
 import switchgap.policy.api.DeduplicationScope;
+import switchgap.policy.api.EndpointEntry;
 import switchgap.policy.api.Idempotency;
+import switchgap.policy.api.LoadCommandResult;
+import switchgap.policy.api.LoadReport;
 import switchgap.policy.api.PolicyActions;
 import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.ProbeResult;
+import switchgap.policy.api.RequestArrival;
 import switchgap.policy.api.WorkerState;
 import switchgap.policy.state.IndexAllocator;
 import switchgap.testing.ReachableObjects;
@@ -65,7 +71,7 @@
         while (!due.isEmpty() && due.firstKey().compareTo(until) <= 0) {
             Map.Entry<Duration, List<Consumer<PolicyEvents>>> e = due.pollFirstEntry();
             now = e.getKey();
-            decide.round(now, f -> e.getValue().forEach(x -> x.accept(f)), this);
+            decide.tick(now, f -> e.getValue().forEach(x -> x.accept(f)), this);
         }
     }
 
@@ -76,7 +82,7 @@
         open.put(j, job);
         came.add(now);
         long mark = function.hashCode();
-        f.requestArrived(j, 0, 0, functions.allocate(mark), mark, job.limit, null, 100, 2, null, false);
+        f.requestArrived(new RequestArrival(j, 0, 0, functions.allocate(mark), mark, job.limit, null, 100, 2));
         if (draw.nextInt(40) == 0) {
             later(draw.nextInt(300), g -> {
                 if (open.get(j) == job && !job.closed) {
@@ -91,7 +97,7 @@
         f.endpointListStarted(whole);
         standing.forEach((name, s) -> {
             if (s == WorkerState.GONE && workers.find(name) < 0) { return; }
-            f.endpointListed(workers.allocate(name), name, s, (int) (name % 2), (int) (name % 3), 0, 1, started.get(name));
+            f.endpointListed(new EndpointEntry(workers.allocate(name), name, s, (int) (name % 2), (int) (name % 3), 0, 1, started.get(name)));
         });
         f.endpointListEnded();
     }
@@ -130,16 +136,16 @@
         assertThat(open).isEmpty();
         assertThat(jobs.size()).isZero();
         assertThat(functions.size()).isZero();
-        assertThat(ReachableObjects.field(decide, "ordersOut")).as("orders counted as out").isEqualTo(0);
-        for (Object w : (Iterable<?>) ReachableObjects.field(decide, "workers")) {
+        assertThat(ReachableObjects.field(ReachableObjects.field(decide, "loader"), "pendingLoads")).as("orders counted as out").isEqualTo(0);
+        for (Object w : (Iterable<?>) ReachableObjects.field(ReachableObjects.field(decide, "state"), "workers")) {
             for (String tally : new String[] {"inFlight", "waitingForLoad", "pendingCommands", "queuedAhead"}) {
                 assertThat(ReachableObjects.field(w, tally)).as(tally).isEqualTo(0);
             }
         }
     }
 
-    @ParameterizedTest @CsvSource({"RESTARTABLE,ALL,2,false", "RESTARTABLE,ALL,2,true", "RUN_ONCE,ALL,2,false", "RUN_ONCE,ALL,200,true",
-        "FINGERPRINTED,ZONE,2,false", "FINGERPRINTED,CELL,2,true", "FINGERPRINTED,ALL,200,false", "RESTARTABLE,ALL,200,true"})
+    @ParameterizedTest @CsvSource({"IDEMPOTENT,ALL,2,false", "IDEMPOTENT,ALL,2,true", "NON_IDEMPOTENT,ALL,2,false", "NON_IDEMPOTENT,ALL,200,true",
+        "IDEMPOTENT_WITH_KEY,ZONE,2,false", "IDEMPOTENT_WITH_KEY,CELL,2,true", "IDEMPOTENT_WITH_KEY,ALL,200,false", "IDEMPOTENT,ALL,200,true"})
     void theRulesHoldAmidDrawnEvents(Idempotency repeat, DeduplicationScope group, int routers, boolean loads) {
         said.repeat = repeat;
         said.group = group;
@@ -179,7 +185,7 @@
         assertThat(j.closed).as("rule 1: sent after the answer").isFalse();
         assertThat(now.plus(allow)).as("rule 1: two ticks before the limit").isLessThanOrEqualTo(j.limit.minus(ms(10)));
         ready(worker);
-        boolean mayHaveRun = j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted);
+        boolean mayHaveRun = j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted());
         if (said.repeat == Idempotency.NON_IDEMPOTENT) { assertThat(mayHaveRun).as("rule 2: run-once").isFalse(); }
         if (said.repeat == Idempotency.IDEMPOTENT_WITH_KEY && mayHaveRun) {
             long a = workers.idOf(j.at.get(anchor(j)));
@@ -203,14 +209,14 @@
             j.ends.set(x, end);
             j.out--;
             if (end == AttemptOutcome.SUCCEEDED && !j.closed) { closed(job, j); }
-            f.attemptEnded(job, x, worker, end, ms(took), j.closed, draw.nextInt(4) - 1, Double.NaN, Double.NaN, Double.NaN);
+            f.attemptEnded(new AttemptResult(job, x, worker, end, ms(took), j.closed, LoadReport.ofConcurrency(draw.nextInt(4) - 1)));
         });
     }
 
     /** The first execution that may have run. */
     private static int anchor(Job j) {
         int i = 0;
-        while (j.ends.get(i).neverExecuted) { i++; }
+        while (j.ends.get(i).neverExecuted()) { i++; }
         return i;
     }
 
@@ -237,7 +243,7 @@
     @Override public void reject(int job, Duration comeBack) {
         Job j = open.get(job);
         assertThat(j.closed).as("rule 1: answered twice").isFalse();
-        boolean mayHaveRun = j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted);
+        boolean mayHaveRun = j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted());
         assertThat(mayHaveRun && (said.repeat == Idempotency.NON_IDEMPOTENT || said.repeat == Idempotency.IDEMPOTENT_WITH_KEY && said.group != DeduplicationScope.ALL))
             .as("rule 2: pushed back").isFalse();
         closed(job, j);
@@ -246,22 +252,26 @@
     @Override public void fail(int job) {
         Job j = open.get(job);
         assertThat(j.closed).as("rule 1: answered twice").isFalse();
-        assertThat(j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted)).as("killed for nothing").isTrue();
+        assertThat(j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted())).as("killed for nothing").isTrue();
         closed(job, j);
     }
 
-    @Override public void load(int worker, int function, int copies) {
-        if (copies > 0) {
-            ready(worker);
-            held++;
-            holds.add(now);
-            while (now.minus(holds.peek()).compareTo(said.span) > 0) { holds.poll(); }
-            while (!came.isEmpty() && now.minus(came.peek()).compareTo(said.span) > 0) { came.poll(); }
-            assertThat((double) holds.size()).as("rule 5").isLessThanOrEqualTo(said.free + said.share * came.size());
-        }
+    @Override public void load(int worker, int function) {
+        ready(worker);
+        held++;
+        holds.add(now);
+        while (now.minus(holds.peek()).compareTo(said.span) > 0) { holds.poll(); }
+        while (!came.isEmpty() && now.minus(came.peek()).compareTo(said.span) > 0) { came.poll(); }
+        assertThat((double) holds.size()).as("rule 5").isLessThanOrEqualTo(said.free + said.share * came.size());
+        commandEndsLater(worker, function);
+    }
+
+    @Override public void queryReplicas(int worker, int function) { commandEndsLater(worker, function); }
+
+    private void commandEndsLater(int worker, int function) {
         AttemptOutcome end = draw.nextInt(3) > 0 ? AttemptOutcome.SUCCEEDED : draw.nextBoolean() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECTION_LOST;
         long took = end == AttemptOutcome.TIMED_OUT ? 10_000 : 5 + draw.nextInt(1500);
-        later(took, f -> f.loadCommandEnded(worker, function, end, ms(took), end == AttemptOutcome.SUCCEEDED ? 1 : 0));
+        later(took, f -> f.loadCommandEnded(new LoadCommandResult(worker, function, end, ms(took), end == AttemptOutcome.SUCCEEDED ? 1 : 0)));
     }
 
     @Override public void cancelAttempt(int job, int execution) { }
@@ -272,7 +282,7 @@
         String name = String.valueOf(workers.idOf(worker));
         later(2, f -> {
             int w = workers.find(Long.parseLong(name));
-            if (w >= 0) { f.probeEnded(w, AttemptOutcome.SUCCEEDED, ms(2), 0.3, draw.nextInt(5), 0); }
+            if (w >= 0) { f.probeEnded(new ProbeResult(w, AttemptOutcome.SUCCEEDED, new LoadReport(0.3, draw.nextInt(5), 0, -1))); }
         });
     }
 
--- a/src/test/java/switchgap/policy/RoutingPolicyFaultsTest.java
+++ b/src/test/java/switchgap/policy/RoutingPolicyFaultsTest.java
@@ -8,6 +8,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.LoadCommandResult;
+import switchgap.policy.api.RequestArrival;
 
 /** Troubles whose answers only the bench had shown: slow workers, lost answers, a slow store, a customer's burst, zones. */
 class RoutingPolicyFaultsTest {
@@ -27,7 +29,7 @@
             b.at(t + 50, f -> b.end(f, 1, 0, at, AttemptOutcome.SUCCEEDED, 50, 3));
         }
         assertThat(b.target(function)).isEqualTo(2);
-        b.at(1400, f -> f.loadCommandEnded(second[0], function, AttemptOutcome.SUCCEEDED, ms(100), 1));
+        b.at(1400, f -> f.loadCommandEnded(new LoadCommandResult(second[0], function, AttemptOutcome.SUCCEEDED, ms(100), 1)));
         return new int[] {home, second[0]};
     }
 
@@ -102,7 +104,7 @@
                 b.at(now[0], f -> {
                     b.job(f, function, function);
                     for (int[] o : List.copyOf(out)) {
-                        if (o[0] <= now[0] && out.remove(o)) { f.loadCommandEnded(o[1], o[2], AttemptOutcome.SUCCEEDED, ms(took), 1); }
+                        if (o[0] <= now[0] && out.remove(o)) { f.loadCommandEnded(new LoadCommandResult(o[1], o[2], AttemptOutcome.SUCCEEDED, ms(took), 1)); }
                     }
                 });
                 int w = b.sentTo(function);
@@ -129,7 +131,7 @@
             if (b.sentTo(1) >= 0) { b.at(t + 8, f -> b.end(f, 1, 0, 0, AttemptOutcome.SUCCEEDED, 8, 0)); }
         }
         b.at(600, f -> { for (int j = 2; j < 40; j++) { b.job(f, j, 0); } });
-        b.at(610, f -> { for (int j = 40; j < 43; j++) { f.requestArrived(j, 0, 1, 0, 50, ms(2610), null, 100, 2, null, false); } });
+        b.at(610, f -> { for (int j = 40; j < 43; j++) { f.requestArrived(new RequestArrival(j, 0, 1, 0, 50, ms(2610), null, 100, 2)); } });
         assertThat(b.sentTo(39)).isEqualTo(-1);
         assertThat(b.sentTo(40)).isEqualTo(-1);
         b.at(640, f -> { for (int j = 2; j < 5; j++) { b.end(f, j, 0, 0, AttemptOutcome.SUCCEEDED, 40, 3); } });
--- a/src/test/java/switchgap/policy/RoutingPolicyLongRunTest.java
+++ b/src/test/java/switchgap/policy/RoutingPolicyLongRunTest.java
@@ -11,6 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.EndpointEntry;
+import switchgap.policy.api.LoadCommandResult;
+import switchgap.policy.api.LoadReport;
+import switchgap.policy.api.ProbeResult;
 import switchgap.policy.api.WorkerState;
 
 /** What a day on the bench is too short to show: tables that fill, figures that freeze, beliefs that never end. */
@@ -67,7 +71,7 @@
         PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> {
             f.endpointListStarted(true);
-            f.endpointListed(0, 1000, WorkerState.READY, 0, 0, 0, 1, ms(0));
+            f.endpointListed(new EndpointEntry(0, 1000, WorkerState.READY, 0, 0, 0, 1, ms(0)));
             f.endpointListEnded();
         }).until(11_000).at(3_600_000, f -> b.job(f, 0, 0));
         assertThat(b.count("send")).isEqualTo(1); // others may have loaded it within the hour: tried, not ordered
@@ -100,7 +104,7 @@
         for (int t = 30; t < 900; t += 10) {
             List<Integer> now = List.copyOf(refused);
             refused.clear();
-            b.at(t, f -> now.forEach(w -> f.loadCommandEnded(w, 0, AttemptOutcome.REJECTED, ms(2), 0)));
+            b.at(t, f -> now.forEach(w -> f.loadCommandEnded(new LoadCommandResult(w, 0, AttemptOutcome.REJECTED, ms(2), 0))));
             if (b.sentTo(0) >= 0 && b.tries(0) == 2) { b.at(t, f -> b.end(f, 0, 1, b.sentTo(0), AttemptOutcome.NOT_LOADED, 2, 0)); }
         }
         assertThat(all).isNotEmpty().doesNotHaveDuplicates(); // each worker once a second,
@@ -122,7 +126,7 @@
             out.clear();
             int j = t;
             b.at(t, f -> {
-                now.forEach(w -> f.loadCommandEnded(w, 0, AttemptOutcome.FAILED, ms(2), 0));
+                now.forEach(w -> f.loadCommandEnded(new LoadCommandResult(w, 0, AttemptOutcome.FAILED, ms(2), 0)));
                 b.job(f, j, 0);
             });
             if (b.sentTo(j) >= 0) { b.at(t, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.NOT_LOADED, 2, 0)); }
@@ -153,7 +157,7 @@
             out.clear();
             int j = t;
             b.at(t, f -> {
-                now.forEach(w -> f.loadCommandEnded(w, function, AttemptOutcome.SUCCEEDED, ms(2), 1));
+                now.forEach(w -> f.loadCommandEnded(new LoadCommandResult(w, function, AttemptOutcome.SUCCEEDED, ms(2), 1)));
                 b.job(f, j, function); // more than the one warm worker takes
             });
         }
@@ -184,7 +188,7 @@
         long asked = b.count("probe");
         for (int w = 0; w < 4; w++) {
             int at = w;
-            b.at(1202, f -> f.probeEnded(at, AttemptOutcome.SUCCEEDED, ms(2), Double.NaN, Double.NaN, Double.NaN));
+            b.at(1202, f -> f.probeEnded(new ProbeResult(at, AttemptOutcome.SUCCEEDED, LoadReport.NONE)));
         }
         b.until(1300).at(1320, f -> b.end(f, 1, 0, b.sentTo(1), AttemptOutcome.SUCCEEDED, 80, 8)).until(3000);
         for (int i = 0; i < 20; i++) {
--- a/src/test/java/switchgap/policy/RoutingPolicyTest.java
+++ b/src/test/java/switchgap/policy/RoutingPolicyTest.java
@@ -10,8 +10,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.AttemptResult;
 import switchgap.policy.api.DeduplicationScope;
+import switchgap.policy.api.EndpointEntry;
 import switchgap.policy.api.Idempotency;
+import switchgap.policy.api.LoadCommandResult;
+import switchgap.policy.api.LoadReport;
+import switchgap.policy.api.ProbeResult;
+import switchgap.policy.api.RequestArrival;
 import switchgap.policy.api.WorkerState;
 
 /** Traces of decisions against those kept beside this file's resources, which people read. */
@@ -106,8 +112,8 @@
         b.at(0, f -> list(f, 3)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
         b.at(12, f -> b.end(f, 0, 0, home, AttemptOutcome.NOT_LOADED, 2, -1))
-            .at(15, f -> f.loadCommandEnded((home + 1) % 3, 0, AttemptOutcome.SUCCEEDED, ms(3), 0))
-            .at(300, f -> f.loadCommandEnded(home, 0, AttemptOutcome.SUCCEEDED, ms(288), 1))
+            .at(15, f -> f.loadCommandEnded(new LoadCommandResult((home + 1) % 3, 0, AttemptOutcome.SUCCEEDED, ms(3), 0)))
+            .at(300, f -> f.loadCommandEnded(new LoadCommandResult(home, 0, AttemptOutcome.SUCCEEDED, ms(288), 1)))
             .at(380, f -> b.end(f, 0, 1, home, AttemptOutcome.SUCCEEDED, 80, 0));
         same("miss", b);
     }
@@ -134,7 +140,7 @@
         PolicyHarness b = new PolicyHarness(said);
         b.at(1000, f -> {
             f.endpointListStarted(true);
-            f.endpointListed(0, 1000, WorkerState.READY, 0, 0, 0, 1, ms(1000));
+            f.endpointListed(new EndpointEntry(0, 1000, WorkerState.READY, 0, 0, 0, 1, ms(1000)));
             f.endpointListEnded();
         });
         for (int i = 0; i < 50; i++) {
@@ -159,7 +165,7 @@
             if (last != null) {
                 int w = worker(last);
                 b.at(15 + 50 * i, f -> b.end(f, job, 0, w, AttemptOutcome.NOT_LOADED, 2, -1));
-                b.at(20 + 50 * i, f -> f.loadCommandEnded(w, job, AttemptOutcome.SUCCEEDED, ms(5), 1));
+                b.at(20 + 50 * i, f -> f.loadCommandEnded(new LoadCommandResult(w, job, AttemptOutcome.SUCCEEDED, ms(5), 1)));
             }
             assertThat((double) b.count("hold")).isLessThanOrEqualTo(2 + 0.25 * (i + 1));
         }
@@ -180,7 +186,7 @@
         }
         b.until(1100);
         int next = held(b);
-        b.at(1300, f -> f.loadCommandEnded(next, 0, AttemptOutcome.SUCCEEDED, ms(200), 1));
+        b.at(1300, f -> f.loadCommandEnded(new LoadCommandResult(next, 0, AttemptOutcome.SUCCEEDED, ms(200), 1)));
         b.until(17_500);
         same("target", b);
     }
@@ -197,7 +203,7 @@
             }
         });
         int next = held(b);
-        b.at(300, f -> f.loadCommandEnded(next, 0, AttemptOutcome.SUCCEEDED, ms(200), 1));
+        b.at(300, f -> f.loadCommandEnded(new LoadCommandResult(next, 0, AttemptOutcome.SUCCEEDED, ms(200), 1)));
         same("overflow", b);
     }
 
@@ -221,7 +227,7 @@
         b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.SUCCEEDED, 80, 0));
         b.at(100, f -> change(f, home, WorkerState.GONE, null)).until(1100);
         int next = held(b);
-        b.at(1200, f -> f.loadCommandEnded(next, 0, AttemptOutcome.SUCCEEDED, ms(200), 1)).until(31_000);
+        b.at(1200, f -> f.loadCommandEnded(new LoadCommandResult(next, 0, AttemptOutcome.SUCCEEDED, ms(200), 1))).until(31_000);
         assertThat(b.trace()).contains("forget job 0", "forget worker " + home, "forget function 0");
     }
 
@@ -297,7 +303,7 @@
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
         b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.SUCCEEDED, 80, 0));
-        b.at(100, f -> f.probeEnded(home, AttemptOutcome.TIMED_OUT, ms(250), Double.NaN, Double.NaN, Double.NaN));
+        b.at(100, f -> f.probeEnded(new ProbeResult(home, AttemptOutcome.TIMED_OUT, LoadReport.NONE)));
         b.at(110, f -> b.job(f, 1, 0));
         assertThat(b.trace()).contains("110 send job 1 to worker " + home);
     }
@@ -319,7 +325,7 @@
     @Test void withinTheMarginOfItsLimitAJobIsNotSentAnyMore() {
         PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 1)).at(10, f -> b.job(f, 0, 0)).at(12, f -> b.end(f, 0, 0, 0, AttemptOutcome.NOT_LOADED, 2, -1));
-        b.at(2003, f -> f.loadCommandEnded(0, 0, AttemptOutcome.SUCCEEDED, ms(1990), 1)); // its limit is 2010, the margin two ticks of 5
+        b.at(2003, f -> f.loadCommandEnded(new LoadCommandResult(0, 0, AttemptOutcome.SUCCEEDED, ms(1990), 1))); // its limit is 2010, the margin two ticks of 5
         assertThat(b.count("send")).isEqualTo(1);
         assertThat(b.count("push back job 0")).isEqualTo(1);
     }
@@ -366,7 +372,7 @@
             for (int i = 0; i < 2000; i++) {
                 int t = 20 + 40 * i;
                 int j = i % 50;
-                b.at(t, f -> f.requestArrived(j, 0, 0, 0, 50, ms(t + 2000), null, size, 2, null, false));
+                b.at(t, f -> f.requestArrived(new RequestArrival(j, 0, 0, 0, 50, ms(t + 2000), null, size, 2)));
                 if (b.sentTo(j) >= 0) { b.at(t + 30, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.SUCCEEDED, 30, 30)); }
             }
             assertThat(b.target(0)).isEqualTo(size == 100 ? 3 : 1); // six workers of 4,000 MB, half of them for copies
@@ -386,10 +392,10 @@
             b.at(12 + 10 * i, f -> b.end(f, job, 0, b.sentTo(job), AttemptOutcome.NOT_LOADED, 2, -1));
             int[] o = orders.remove(0);
             b.at(14 + 10 * i, f -> {
-                f.loadCommandEnded(o[0], o[1], AttemptOutcome.FAILED, ms(1), 0);
+                f.loadCommandEnded(new LoadCommandResult(o[0], o[1], AttemptOutcome.FAILED, ms(1), 0));
                 f.clientLeft(job);
             });
-            orders.forEach(x -> b.at(15, f -> f.loadCommandEnded(x[0], x[1], AttemptOutcome.FAILED, ms(1), 0)));
+            orders.forEach(x -> b.at(15, f -> f.loadCommandEnded(new LoadCommandResult(x[0], x[1], AttemptOutcome.FAILED, ms(1), 0))));
             orders.clear();
         }
         for (int i = 0; i < 10; i++) {
@@ -450,10 +456,10 @@
             b.at(15 + 20 * i, f -> b.end(f, job, 0, b.sentTo(job), AttemptOutcome.SUCCEEDED, 5, 4));
         }
         assertThat(b.target(0)).isEqualTo(2);
-        b.at(4500, f -> orders.forEach(w -> f.loadCommandEnded(w, 0, AttemptOutcome.SUCCEEDED, ms(200), 1)));
+        b.at(4500, f -> orders.forEach(w -> f.loadCommandEnded(new LoadCommandResult(w, 0, AttemptOutcome.SUCCEEDED, ms(200), 1))));
         b.at(5000, f -> b.job(f, 300, 0));
         int first = b.sentTo(300);
-        b.at(5010, f -> f.attemptEnded(300, 0, first, AttemptOutcome.SUCCEEDED, ms(10), true, 0, 0.9, 50, Double.NaN));
+        b.at(5010, f -> f.attemptEnded(new AttemptResult(300, 0, first, AttemptOutcome.SUCCEEDED, ms(10), true, new LoadReport(0.9, 50, Double.NaN, 0))));
         b.at(5020, f -> b.job(f, 301, 0));
         assertThat(b.sentTo(301)).isEqualTo(first);
     }
@@ -469,7 +475,7 @@
         for (int t = 1000; t <= 60_000; t += 1000) {
             long held = b.count("hold");
             b.at(t, f -> f.wakeUp(0));
-            if (b.count("hold") > held) { b.at(t + 20, f -> f.loadCommandEnded(home, 0, AttemptOutcome.SUCCEEDED, ms(20), 1)); }
+            if (b.count("hold") > held) { b.at(t + 20, f -> f.loadCommandEnded(new LoadCommandResult(home, 0, AttemptOutcome.SUCCEEDED, ms(20), 1))); }
         }
         return b;
     }
@@ -502,7 +508,7 @@
         assertThat(b.count("send")).isEqualTo(1);
         assertThat(b.count("push back") + b.count("kill") + b.count("cancel")).isZero();
         int at = b.sentTo(0);
-        b.at(5100, f -> f.attemptEnded(0, 0, at, AttemptOutcome.CONNECTION_LOST, ms(5090), true, -1, Double.NaN, Double.NaN, Double.NaN));
+        b.at(5100, f -> f.attemptEnded(new AttemptResult(0, 0, at, AttemptOutcome.CONNECTION_LOST, ms(5090), true, LoadReport.NONE)));
         assertThat(b.count("send")).isEqualTo(1);
         assertThat(b.count("forget job 0")).isEqualTo(1);
     }
@@ -518,7 +524,7 @@
             PolicyHarness b = new PolicyHarness(said);
             b.at(1000, f -> {
                 f.endpointListStarted(true);
-                f.endpointListed(0, 1000, WorkerState.READY, 0, 0, 0, 1, ms(1000));
+                f.endpointListed(new EndpointEntry(0, 1000, WorkerState.READY, 0, 0, 0, 1, ms(1000)));
                 f.endpointListEnded();
                 b.job(f, 0, 0);
                 b.job(f, 1, 0);
--- a/src/test/java/switchgap/protocol/resp/RespDecoderTest.java
+++ b/src/test/java/switchgap/protocol/resp/RespDecoderTest.java
@@ -69,11 +69,11 @@
         return WorkerReply.of(new byte[][] {bytes("id"), bytes(word), bytes(fields), {}});
     }
 
-    @ParameterizedTest @CsvSource({"data,FINISHED,false", "absent,MISS,true", "full,FULL,true", "moot,NOT_SENT,true", "failed,ERROR,false",
-        "well,FINISHED,false", "ill,ERROR,false"})
+    @ParameterizedTest @CsvSource({"data,SUCCEEDED,false", "absent,NOT_LOADED,true", "full,REJECTED,true", "moot,NOT_SENT,true", "failed,FAILED,false",
+        "well,SUCCEEDED,false", "ill,FAILED,false"})
     void whatEachWordProves(String word, AttemptOutcome end, boolean neverRan) throws Exception {
         assertThat(reply(word, "-").end()).isEqualTo(end);
-        assertThat(end.neverExecuted).isEqualTo(neverRan);
+        assertThat(end.neverExecuted()).isEqualTo(neverRan);
         assertThat(reply("page", "-").end()).isNull();
     }
 
--- a/src/test/java/switchgap/router/RouterCoreLongRunTest.java
+++ b/src/test/java/switchgap/router/RouterCoreLongRunTest.java
@@ -114,12 +114,12 @@
 
     @Override public AttemptOutcome abandon(Attempt run) { return AttemptOutcome.TIMED_OUT; }
 
-    @Override public void hold(WorkerEntry w, String f, int copies, WorkerCommand o) {
+    @Override public void requestReplicas(WorkerEntry w, String f, int copies, WorkerCommand o) {
         if (draw.nextInt(20) == 0) { return; } // never ends by itself
         later(1 + draw.nextInt(2000), c -> c.orderEnded(o, AttemptOutcome.SUCCEEDED, 1));
     }
 
-    @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) {
+    @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {
         if (draw.nextBoolean()) { later(5, c -> c.dropEnded(order)); }
     }
 
@@ -127,7 +127,7 @@
 
     @Override public void abandon(WorkerCommand order) { }
 
-    @Override public void list() { }
+    @Override public void requestEndpointList() { }
 
     @Override public void answered(PendingRequest c, Response a) { answers++; }
 
--- a/src/test/java/switchgap/router/RouterCoreTest.java
+++ b/src/test/java/switchgap/router/RouterCoreTest.java
@@ -169,17 +169,17 @@
         return proves;
     }
 
-    @Override public void hold(WorkerEntry w, String f, int copies, WorkerCommand o) {
+    @Override public void requestReplicas(WorkerEntry w, String f, int copies, WorkerCommand o) {
         next.add(c -> c.orderEnded(o, AttemptOutcome.SUCCEEDED, Math.max(1, copies)));
     }
 
-    @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) { }
+    @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) { }
 
     @Override public void probe(WorkerEntry worker, WorkerCommand order) { }
 
     @Override public void abandon(WorkerCommand order) { }
 
-    @Override public void list() { }
+    @Override public void requestEndpointList() { }
 
     @Override public void answered(PendingRequest c, Response a) { said.add(a.kind().name()); }
 
--- a/src/test/java/switchgap/router/WorkerConnectionsTest.java
+++ b/src/test/java/switchgap/router/WorkerConnectionsTest.java
@@ -18,8 +18,11 @@
 import switchgap.net.HttpClientConnection;
 import switchgap.net.KeyedWriters;
 import switchgap.net.NetworkTransport;
+import switchgap.policy.api.AttemptResult;
+import switchgap.policy.api.LoadCommandResult;
 import switchgap.policy.api.PolicyActions;
 import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.ProbeResult;
 import switchgap.policy.api.WorkerState;
 import switchgap.protocol.inference.InferenceWorkerTransport;
 import switchgap.server.gateway.HttpTestServer;
@@ -50,11 +53,12 @@
         links = new InferenceWorkerTransport(new HttpClientConnection.Factory(net, null, 1 << 16), new InferenceWorkerTransport.ConnectionLimits(most, waiting, Duration.ofMillis(250),
             Duration.ofSeconds(30)), carriers, events::add, () -> { });
         PolicyEvents feed = (PolicyEvents) Proxy.newProxyInstance(PolicyEvents.class.getClassLoader(), new Class<?>[] {PolicyEvents.class}, (p, m, a) -> {
-            switch (m.getName()) {
-                case "ended" -> heard.add(a[0] + " " + a[3]);
-                case "probed" -> heard.add("probed " + a[1]);
-                case "orderEnded" -> heard.add("ordered " + a[2]);
-                default -> { }
+            if (a != null && a[0] instanceof AttemptResult r) {
+                heard.add(r.request() + " " + r.outcome());
+            } else if (a != null && a[0] instanceof ProbeResult r) {
+                heard.add("probed " + r.outcome());
+            } else if (a != null && a[0] instanceof LoadCommandResult r) {
+                heard.add("ordered " + r.outcome());
             }
             return null;
         });
@@ -110,7 +114,7 @@
             list("127.0.0.1", w.port(), WorkerState.READY); // the drain is taken back: the link serves again
             w.manner(HttpTestServer::well);
             say.add(d -> d.probe(0));
-            assertThat(until(1000, () -> heard.contains("probed FINISHED"))).isTrue();
+            assertThat(until(1000, () -> heard.contains("probed SUCCEEDED"))).isTrue();
         }
     }
 
@@ -126,10 +130,10 @@
             int waits = job();
             list("127.0.0.1", fresh.port(), WorkerState.READY);
             assertThat(until(200, () -> heard.contains(waits + " NOT_SENT"))).isTrue();
-            assertThat(until(2000, () -> heard.contains(first + " FINISHED"))).isTrue(); // what was out may still answer
+            assertThat(until(2000, () -> heard.contains(first + " SUCCEEDED"))).isTrue(); // what was out may still answer
             assertThat(old.infers()).isEqualTo(1);
             int third = job();
-            assertThat(until(2000, () -> heard.contains(third + " FINISHED"))).isTrue();
+            assertThat(until(2000, () -> heard.contains(third + " SUCCEEDED"))).isTrue();
             assertThat(fresh.infers()).isEqualTo(1);
         }
     }
@@ -141,7 +145,7 @@
         list("127.0.0.1", dead, WorkerState.READY);
         for (int i = 0; i < 6; i++) { job(); }
         assertThat(until(2000, () -> heard.size() == 6)).as(heard.toString()).isTrue();
-        assertThat(Set.copyOf(heard)).allMatch(h -> h.endsWith("NO_CONNECTION"));
+        assertThat(Set.copyOf(heard)).allMatch(h -> h.endsWith("CONNECT_FAILED"));
     }
 
     @Test void pastTheBoundOfWhatWaitsForALinkAJobIsToldAtOnce() throws Exception {
@@ -162,9 +166,9 @@
         list("::g", 80, WorkerState.READY);
         int j = job();
         say.add(d -> d.probe(0));
-        say.add(d -> d.load(0, 0, 1));
+        say.add(d -> d.load(0, 0));
         assertThat(until(300, () -> heard.size() == 3)).as(heard.toString()).isTrue();
-        assertThat(heard).containsExactlyInAnyOrder(j + " NO_CONNECTION", "probed NO_CONNECTION", "ordered NO_CONNECTION");
+        assertThat(heard).containsExactlyInAnyOrder(j + " CONNECT_FAILED", "probed CONNECT_FAILED", "ordered CONNECT_FAILED");
     }
 
     @Test void aDropAtAWorkerThatIsSilentGivesItsLinkBack() throws Exception {
@@ -175,11 +179,11 @@
             say.add(d -> d.unload(0, 0));
             assertThat(until(2000, () -> w.asked.stream().anyMatch(a -> a.line().contains("/unload")))).isTrue();
             assertThat(until(1200, () -> false)).isFalse(); // past the limit of an order
-            for (int i = 0; i < 20 && !heard.contains("probed FINISHED"); i++) {
+            for (int i = 0; i < 20 && !heard.contains("probed SUCCEEDED"); i++) {
                 say.add(d -> d.probe(0));
-                until(250, () -> heard.contains("probed FINISHED"));
+                until(250, () -> heard.contains("probed SUCCEEDED"));
             }
-            assertThat(heard).contains("probed FINISHED");
+            assertThat(heard).contains("probed SUCCEEDED");
         }
     }
 
@@ -190,7 +194,7 @@
                 HttpTestServer p = i % 2 == 0 ? a : b;
                 list("127.0.0.1", p.port(), WorkerState.READY);
                 int j = job();
-                assertThat(until(2000, () -> heard.contains(j + " FINISHED"))).isTrue();
+                assertThat(until(2000, () -> heard.contains(j + " SUCCEEDED"))).isTrue();
             }
             assertThat((Set<?>) ReachableObjects.field(links, "pools")).hasSizeLessThanOrEqualTo(2);
             assertThat(until(1000, () -> a.connected() == 0)).isTrue();
--- a/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
+++ b/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
@@ -34,7 +34,7 @@
     private int ordered;
     private final RouterCore core = new RouterCore(terms, (now, in, out) -> {
         in.deliverTo(nothing);
-        if (ordered > 0) { out.load(0, 0, 1); }
+        if (ordered > 0) { out.load(0, 0); }
     }, planned, Duration.ofSeconds(1), Duration.ofSeconds(1), 10);
 
     private void rounds(int n, long from) {
@@ -90,7 +90,7 @@
         assertThat(planned.counts()[0]).isEqualTo(1); // it went out at the planner's word
     }
 
-    @Override public void hold(WorkerEntry worker, String function, int copies, WorkerCommand order) {
+    @Override public void requestReplicas(WorkerEntry worker, String function, int copies, WorkerCommand order) {
         next.add(c -> c.orderEnded(order, AttemptOutcome.SUCCEEDED, 1));
     }
 
@@ -98,11 +98,11 @@
 
     @Override public AttemptOutcome abandon(Attempt run) { return AttemptOutcome.TIMED_OUT; }
 
-    @Override public void drop(WorkerEntry worker, String function, WorkerCommand order) { }
+    @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) { }
 
     @Override public void probe(WorkerEntry worker, WorkerCommand order) { next.add(c -> c.probed(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE)); }
 
     @Override public void abandon(WorkerCommand order) { }
 
-    @Override public void list() { }
+    @Override public void requestEndpointList() { }
 }
