--- a/src/main/java/switchgap/endpoints/EndpointListWatcher.java
+++ b/src/main/java/switchgap/endpoints/EndpointListWatcher.java
@@ -89,7 +89,7 @@
         if (state == State.CLOSED) { return; }
         if (state != State.AWAY) { LOG.warn("list service away, the last list stays: {}", why); }
         state = State.AWAY;
-        events.accept(RouterCore::listFailed);
+        events.accept(RouterCore::endpointListFailed);
         TimerThread.LATER.schedule(this::follow, again.toMillis(), TimeUnit.MILLISECONDS);
     }
 
@@ -143,7 +143,7 @@
                 if (state == State.ASKING) { state = State.FOLLOWING; }
             }
             version = l.version();
-            events.accept(c -> c.list(l.whole(), l.workers()));
+            events.accept(c -> c.endpointListReceived(l.whole(), l.workers()));
         }
 
         @Override public void answered(int status, Map<String, String> headers, byte[] body, boolean reusable) {
--- a/src/main/java/switchgap/eventloop/EventLoop.java
+++ b/src/main/java/switchgap/eventloop/EventLoop.java
@@ -43,7 +43,7 @@
     }
 
     /** Goes before all that waits: news of workers that drain must not stand in line. */
-    public void postFirst(Consumer<RouterCore> event) {
+    public void postUrgent(Consumer<RouterCore> event) {
         urgent.add(event);
         if (asleep) { LockSupport.unpark(thread); }
     }
@@ -65,15 +65,15 @@
 
     @Override public void run() {
         try {
-            rounds();
+            runTicks();
         } catch (Throwable e) { // errors too: a thread that is gone serves nobody
             failed.accept(e);
         }
     }
 
-    private void rounds() {
+    private void runTicks() {
         List<Consumer<RouterCore>> batch = new ArrayList<>();
-        core.round(now(), batch); // the module asks for its first wake-up
+        core.tick(now(), batch); // the module asks for its first wake-up
         while (!stopped) {
             for (Consumer<RouterCore> e; (e = urgent.poll()) != null;) { batch.add(e); }
             for (Consumer<RouterCore> e; batch.size() < MOST_EVENTS && (e = queue.poll()) != null;) { batch.add(e); }
@@ -85,7 +85,7 @@
                 continue;
             }
             if (isDue) { late.accept(now.minus(due).toNanos() / 1000); }
-            core.round(now, batch);
+            core.tick(now, batch);
             batch.clear();
         }
     }
--- a/src/main/java/switchgap/experiment/BaselinePolicy.java
+++ b/src/main/java/switchgap/experiment/BaselinePolicy.java
@@ -62,7 +62,7 @@
         this.margin = terms.tickInterval().multipliedBy(2);
     }
 
-    @Override public void round(Duration at, EventBatch in, PolicyActions to) {
+    @Override public void tick(Duration at, EventBatch in, PolicyActions to) {
         now = at;
         out = to;
         in.deliverTo(this);
--- a/src/main/java/switchgap/experiment/EmulatedRouter.java
+++ b/src/main/java/switchgap/experiment/EmulatedRouter.java
@@ -59,7 +59,7 @@
         if (dead) { return; }
         List<Consumer<RouterCore>> now = new ArrayList<>(events);
         events.clear();
-        gate.core().round(now(), now);
+        gate.core().tick(now(), now);
         Duration next = gate.core().nextDue();
         long at = next == null ? Long.MAX_VALUE : born + next.toNanos() / 1000 + 1;
         if (at < wake || wake <= world.ticker.now()) {
@@ -78,28 +78,28 @@
             : new LoadReport(Double.NaN, Double.NaN, Double.NaN, crowd);
     }
 
-    @Override public void send(Attempt run, Duration allow) {
+    @Override public void startAttempt(Attempt run, Duration allow) {
         EmulatedWorker m = world.machine(run.worker.name);
-        FunctionModel model = world.catalogue.find(run.call.function);
+        FunctionModel model = world.catalogue.find(run.request.function);
         world.ticker.after(world.hop, () -> {
             if (dead || m == null || m.dead()) {
-                world.ticker.after(world.hop, () -> post(c -> c.executionEnded(run, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE, null)));
+                world.ticker.after(world.hop, () -> post(c -> c.attemptEnded(run, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE, null)));
                 return;
             }
-            run.exchange = m.infer(model, () -> { }, (o, crowd) -> world.ticker.after(world.hop, () -> post(c ->
-                c.executionEnded(run, switch (o) {
+            run.attachment = m.infer(model, () -> { }, (o, crowd) -> world.ticker.after(world.hop, () -> post(c ->
+                c.attemptEnded(run, switch (o) {
                     case OK, DROPPED -> AttemptOutcome.SUCCEEDED;
                     case MISS -> AttemptOutcome.NOT_LOADED;
                     case FULL -> AttemptOutcome.REJECTED;
                     default -> AttemptOutcome.FAILED;
-                }, loads(m, crowd), Response.finished(200, Map.of(), NOTHING)))));
+                }, loads(m, crowd), Response.succeeded(200, Map.of(), NOTHING)))));
         });
     }
 
     @Override public AttemptOutcome abandon(Attempt run) {
         EmulatedWorker m = world.machine(run.worker.name);
         world.ticker.after(world.hop, () -> {
-            if (m != null && run.exchange instanceof EmulatedWorker.Execution w) { m.leave(w); }
+            if (m != null && run.attachment instanceof EmulatedWorker.Execution w) { m.leave(w); }
         });
         return AttemptOutcome.TIMED_OUT;
     }
@@ -108,13 +108,13 @@
         EmulatedWorker m = world.machine(worker.name);
         world.ticker.after(world.hop, () -> {
             if (m == null || m.dead()) {
-                post(c -> c.orderEnded(order, AttemptOutcome.CONNECT_FAILED, 0));
+                post(c -> c.loadCommandEnded(order, AttemptOutcome.CONNECT_FAILED, 0));
             } else if (copies == 0) {
                 int n = m.standing(function);
-                world.ticker.after(world.hop, () -> post(c -> c.orderEnded(order, AttemptOutcome.SUCCEEDED, n)));
+                world.ticker.after(world.hop, () -> post(c -> c.loadCommandEnded(order, AttemptOutcome.SUCCEEDED, n)));
             } else {
                 m.hold(world.catalogue.find(function), copies, (o, n) -> world.ticker.after(world.hop, () -> post(c ->
-                    c.orderEnded(order, o == EmulatedWorker.Outcome.OK ? AttemptOutcome.SUCCEEDED : o == EmulatedWorker.Outcome.FULL ? AttemptOutcome.REJECTED
+                    c.loadCommandEnded(order, o == EmulatedWorker.Outcome.OK ? AttemptOutcome.SUCCEEDED : o == EmulatedWorker.Outcome.FULL ? AttemptOutcome.REJECTED
                         : AttemptOutcome.FAILED, n))));
             }
         });
@@ -123,12 +123,12 @@
     @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {
         EmulatedWorker m = world.machine(worker.name);
         if (m != null) { world.ticker.after(world.hop, () -> m.drop(function)); }
-        world.ticker.after(2 * world.hop, () -> post(c -> c.dropEnded(order)));
+        world.ticker.after(2 * world.hop, () -> post(c -> c.unloadEnded(order)));
     }
 
     @Override public void probe(WorkerEntry worker, WorkerCommand order) {
         EmulatedWorker m = world.machine(worker.name);
-        world.ticker.after(2 * world.hop, () -> post(c -> c.probed(order, m == null || m.dead() ? AttemptOutcome.CONNECT_FAILED
+        world.ticker.after(2 * world.hop, () -> post(c -> c.probeEnded(order, m == null || m.dead() ? AttemptOutcome.CONNECT_FAILED
             : AttemptOutcome.SUCCEEDED, m == null ? LoadReport.NONE : loads(m, -1))));
     }
 
--- a/src/main/java/switchgap/experiment/Emulator.java
+++ b/src/main/java/switchgap/experiment/Emulator.java
@@ -20,6 +20,7 @@
 import switchgap.policy.api.RouterSettings;
 import switchgap.policy.api.WorkerState;
 import switchgap.router.AdmissionGate;
+import switchgap.router.CoreLimits;
 import switchgap.router.EndpointUpdate;
 import switchgap.router.PendingRequest;
 import switchgap.router.Response;
@@ -84,13 +85,13 @@
         routers.set(i, r);
         YamlRouterSettings t = terms.get(i);
         long own = seed * 31 + i * 7919L + ticker.now();
-        RouterCore core = new RouterCore(t, new RoutingPolicy(t, own)::tick, r, Duration.ofSeconds(10), Duration.ofMillis(250), 20_000);
+        RouterCore core = new RouterCore(t, new RoutingPolicy(t, own)::tick, r, new CoreLimits(Duration.ofSeconds(10), Duration.ofMillis(250), 20_000));
         AdmissionController levels = variant.before() == Variant.Before.LEVELS ? new AdmissionController(t.levelTerms(), own + 1) : null;
         if (levels != null && variant.pinned() != null) { levels.pin(r.now(), variant.pinned(), Duration.ofDays(1000)); }
         r.gate(new AdmissionGate(core, t, levels, c -> changes.add(new RouterLevelChange(i, c))));
         List<EndpointUpdate> list = new ArrayList<>();
         machines.keySet().forEach(n -> { if (ready.get(n)) { list.add(line(n, WorkerState.READY, r)); } });
-        r.post(c -> c.list(true, list));
+        r.post(c -> c.endpointListReceived(true, list));
     }
 
     private EndpointUpdate line(String name, WorkerState s, EmulatedRouter r) {
@@ -120,7 +121,7 @@
         ready.put(name, s == WorkerState.READY);
         ticker.after(day.listLag(), () -> routers.forEach(r -> {
             EndpointUpdate l = line(name, s, r);
-            r.post(c -> c.list(false, List.of(l)));
+            r.post(c -> c.endpointListReceived(false, List.of(l)));
         }));
     }
 
@@ -132,23 +133,20 @@
         boolean[] over = {false};
         PendingRequest[] call = new PendingRequest[1];
         ResponseListener asker = new ResponseListener() {
-            @Override public void answered(PendingRequest c, Response a) {
+            @Override public void responded(PendingRequest c, Response a) {
                 ticker.after(hop, () -> over(over, then, switch (a.kind()) {
-                    case FINISHED -> "finished";
-                    case PUSHED_BACK -> "pushed-back";
-                    case KILLED -> "killed";
-                }, a.kind() == Response.Kind.FINISHED ? 200 : 503, a.comeBack() == null ? -1 : a.comeBack().toMillis()));
+                    case SUCCEEDED -> "finished";
+                    case REJECTED -> "pushed-back";
+                    case FAILED -> "killed";
+                }, a.kind() == Response.Kind.SUCCEEDED ? 200 : 503, a.retryAfter() == null ? -1 : a.retryAfter().toMillis()));
             }
 
-            @Override public void overdue(PendingRequest c, Response late) { }
+            @Override public void deadlineMissed(PendingRequest c, Response late) { }
         };
         ticker.after(hop, () -> r.post(c -> {
-            call[0] = new PendingRequest(t.call(), t.model().name(), t.model().workload(), own.customer(t.customer()),
-                r.now().plus(Duration.ofNanos((t.limit() - ticker.now()) * 1000)),
-                Duration.ofNanos((long) (t.model().work() * 1000)), t.key(), null, new byte[0], e.memory(), e.lanes(), e.load(),
-                false, asker);
+            call[0] = PendingRequest.builder(t.call(), t.model().name(), r.now().plus(Duration.ofNanos((t.limit() - ticker.now()) * 1000)), asker).requestClass(t.model().workload()).tenant(own.customer(t.customer())).durationHint(Duration.ofNanos((long) (t.model().work() * 1000))).idempotencyKey(t.key()).replica(e.memory(), e.lanes()).build();
             if (variant.before() == Variant.Before.STATIC && cutOff(r, t.model().workload(), own)) {
-                asker.answered(call[0], Response.pushedBack(Duration.ofMillis(500)));
+                asker.responded(call[0], Response.rejected(Duration.ofMillis(500)));
             } else if (!r.gate().offer(call[0])) {
                 ticker.after(hop, () -> over(over, then, "refused", 503, -1));
             }
@@ -165,7 +163,7 @@
     private boolean cutOff(EmulatedRouter r, int workload, RouterSettings t) {
         double most = 0;
         for (int w = 0; w < t.requestClassCount(); w++) { most = Math.max(most, t.priorityWeight(w)); }
-        return t.priorityWeight(workload) < most && r.gate().core().held() >= day.staticHeld();
+        return t.priorityWeight(workload) < most && r.gate().core().pendingRequests() >= day.staticHeld();
     }
 
     private static void over(boolean[] over, ClientTransport.ResultHandler then, String end, int status, long comeBack) {
--- a/src/main/java/switchgap/policy/OutlierDetector.java
+++ b/src/main/java/switchgap/policy/OutlierDetector.java
@@ -2,8 +2,11 @@
 
 import static switchgap.policy.state.Durations.*;
 
-import switchgap.policy.api.*;
-import switchgap.policy.state.*;
+import switchgap.policy.api.AttemptResult;
+import switchgap.policy.state.Histogram;
+import switchgap.policy.state.PolicyState;
+import switchgap.policy.state.Request;
+import switchgap.policy.state.Worker;
 
 /** Judges workers by their own outcomes against their peers', and ejects outliers for a while. */
 final class OutlierDetector {
--- a/src/main/java/switchgap/policy/RequestRouter.java
+++ b/src/main/java/switchgap/policy/RequestRouter.java
@@ -4,7 +4,15 @@
 
 import java.time.Duration;
 import java.util.*;
-import switchgap.policy.state.*;
+import switchgap.policy.state.Attempt;
+import switchgap.policy.state.CandidateSurvey;
+import switchgap.policy.state.Function;
+import switchgap.policy.state.PolicyState;
+import switchgap.policy.state.Replica;
+import switchgap.policy.state.Request;
+import switchgap.policy.state.RequestClass;
+import switchgap.policy.state.SettingsSnapshot;
+import switchgap.policy.state.Worker;
 
 /**
  * Places requests: on the first of the target replicas in hash order below its concurrency limit, else onward
--- a/src/main/java/switchgap/policy/RetryPolicy.java
+++ b/src/main/java/switchgap/policy/RetryPolicy.java
@@ -3,8 +3,9 @@
 import static switchgap.policy.state.Durations.*;
 
 import java.time.Duration;
-import switchgap.policy.api.*;
-import switchgap.policy.state.*;
+import switchgap.policy.state.PolicyState;
+import switchgap.policy.state.Request;
+import switchgap.policy.state.Worker;
 
 /** Rules 1 to 4: whether a request may be attempted, retried or hedged, and the response when given up. */
 final class RetryPolicy {
--- a/src/main/java/switchgap/policy/SlowStart.java
+++ b/src/main/java/switchgap/policy/SlowStart.java
@@ -4,7 +4,8 @@
 
 import java.time.Duration;
 import java.util.Arrays;
-import switchgap.policy.state.*;
+import switchgap.policy.state.PolicyState;
+import switchgap.policy.state.Worker;
 
 /** Rule 4: how much this router may send to a worker that warms up, as its part of what all may send. */
 final class SlowStart {
--- a/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
@@ -53,10 +53,10 @@
     private record WorkerPools(HttpConnectionPool jobs, HttpConnectionPool orders) { }
 
     private WorkerPools both(WorkerEntry w) {
-        WorkerPools b = (WorkerPools) w.links;
+        WorkerPools b = (WorkerPools) w.attachment;
         if (b == null) {
             b = new WorkerPools(pool(w), pool(w));
-            w.links = b;
+            w.attachment = b;
             pools.add(b.jobs);
             pools.add(b.orders);
         }
@@ -74,7 +74,7 @@
     }
 
     @Override public void stopAccepting(WorkerEntry worker, boolean forGood) {
-        if (!(worker.links instanceof WorkerPools b)) { return; }
+        if (!(worker.attachment instanceof WorkerPools b)) { return; }
         for (HttpConnectionPool p : new HttpConnectionPool[] {b.jobs, b.orders}) {
             if (forGood) {
                 pools.remove(p);
@@ -97,33 +97,33 @@
         return "/v2/repository/models/" + URLEncoder.encode(function, StandardCharsets.UTF_8) + "/" + what;
     }
 
-    @Override public void send(Attempt run, Duration allow) {
+    @Override public void startAttempt(Attempt run, Duration allow) {
         Map<String, String> headers = new HashMap<>();
-        headers.put("X-Request-Id", run.name());
-        if (run.call.contentType != null) { headers.put("Content-Type", run.call.contentType); }
-        if (run.call.fingerprint != null) { headers.put("Idempotency-Key", run.call.fingerprint); }
-        PendingExchange a = new PendingExchange(run.worker, "POST", model(run.call.function) + "/infer", headers, run.call.body) {
+        headers.put("X-Request-Id", run.attemptId());
+        if (run.request.contentType != null) { headers.put("Content-Type", run.request.contentType); }
+        if (run.request.idempotencyKey != null) { headers.put("Idempotency-Key", run.request.idempotencyKey); }
+        PendingExchange a = new PendingExchange(run.worker, "POST", model(run.request.function) + "/infer", headers, run.request.body) {
             @Override void unsent(AttemptOutcome end, String why) {
-                events.accept(c -> c.executionEnded(run, end, LoadReport.NONE, null));
+                events.accept(c -> c.attemptEnded(run, end, LoadReport.NONE, null));
             }
 
             @Override void replied(int status, Map<String, String> head, byte[] content) {
                 String echo = head.get("x-request-id");
-                if (echo != null && !echo.equals(run.name())) { // the answer to another request: ours may have run
+                if (echo != null && !echo.equals(run.attemptId())) { // the answer to another request: ours may have run
                     lost("answer to " + echo);
                     return;
                 }
                 OrcaLoadReport orca = OrcaLoadReport.read(head);
                 AttemptOutcome end = proof(status, orca);
-                Response answer = end == AttemptOutcome.SUCCEEDED ? Response.finished(status, passedOn(head), content) : null;
-                events.accept(c -> c.executionEnded(run, end, orca.loads(), answer));
+                Response answer = end == AttemptOutcome.SUCCEEDED ? Response.succeeded(status, passedOn(head), content) : null;
+                events.accept(c -> c.attemptEnded(run, end, orca.loads(), answer));
             }
 
             @Override void lost(String why) {
-                events.accept(c -> c.executionEnded(run, AttemptOutcome.CONNECTION_LOST, LoadReport.NONE, null));
+                events.accept(c -> c.attemptEnded(run, AttemptOutcome.CONNECTION_LOST, LoadReport.NONE, null));
             }
         };
-        run.exchange = a;
+        run.attachment = a;
         a.expiresAt(System.nanoTime() + allow.toNanos());
         HttpConnectionPool p = both(run.worker).jobs();
         carriers.carry(run.worker.port, () -> p.ask(a));
@@ -146,11 +146,11 @@
     }
 
     @Override public AttemptOutcome abandon(Attempt run) {
-        return run.exchange instanceof PendingExchange a ? a.abandon() : AttemptOutcome.TIMED_OUT;
+        return run.attachment instanceof PendingExchange a ? a.abandon() : AttemptOutcome.TIMED_OUT;
     }
 
     @Override public void abandon(WorkerCommand order) {
-        if (order.exchange instanceof PendingExchange a) { a.abandon(); }
+        if (order.attachment instanceof PendingExchange a) { a.abandon(); }
     }
 
     /** An exchange of an order or a probe: its end by what came of it. */
@@ -172,7 +172,7 @@
     }
 
     private void go(WorkerEntry worker, WorkerCommand order, PendingExchange a) {
-        order.exchange = a;
+        order.attachment = a;
         both(worker).orders().ask(a);
     }
 
@@ -184,7 +184,7 @@
             @Override void end(AttemptOutcome end, OrcaLoadReport orca) {
                 double told = orca.named("copies"); // a worker that tells no count: ready means one
                 int standing = Double.isNaN(told) ? end == AttemptOutcome.SUCCEEDED ? 1 : 0 : (int) told;
-                events.accept(c -> c.orderEnded(order, end, standing));
+                events.accept(c -> c.loadCommandEnded(order, end, standing));
             }
         };
         go(worker, order, a);
@@ -193,14 +193,14 @@
     @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {
         PendingExchange a = new CommandExchange(worker, "POST", repository(function, "unload"),
             "{\"parameters\":{\"idle_only\":true}}".getBytes(StandardCharsets.UTF_8)) {
-            @Override void end(AttemptOutcome end, OrcaLoadReport orca) { events.accept(c -> c.dropEnded(order)); }
+            @Override void end(AttemptOutcome end, OrcaLoadReport orca) { events.accept(c -> c.unloadEnded(order)); }
         };
         go(worker, order, a);
     }
 
     @Override public void probe(WorkerEntry worker, WorkerCommand order) {
         PendingExchange a = new CommandExchange(worker, "GET", "/v2/health/ready", NOTHING) {
-            @Override void end(AttemptOutcome end, OrcaLoadReport orca) { events.accept(c -> c.probed(order, end, orca.loads())); }
+            @Override void end(AttemptOutcome end, OrcaLoadReport orca) { events.accept(c -> c.probeEnded(order, end, orca.loads())); }
         };
         go(worker, order, a);
     }
--- a/src/main/java/switchgap/protocol/inference/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/inference/PendingExchange.java
@@ -55,7 +55,7 @@
 
     /** Whether it may still go out: its worker takes what is new, and there is time. */
     final synchronized boolean wanted() {
-        return worker.takesNew && (expires == Long.MAX_VALUE || System.nanoTime() - expires < 0);
+        return worker.accepting && (expires == Long.MAX_VALUE || System.nanoTime() - expires < 0);
     }
 
     /** The link took nothing: back to waiting, unless it was abandoned meanwhile. */
--- a/src/main/java/switchgap/protocol/invoke/InvokeApi.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeApi.java
@@ -141,7 +141,7 @@
                 if (!gate.get().offer(call)) {
                     held.decrementAndGet();
                     refuse(r, notTaken("no room for a further function").problem, a.call());
-                } else if (!r.open() && call.state() == PendingRequest.State.HELD) {
+                } else if (!r.open() && call.state() == PendingRequest.State.PENDING) {
                     c.clientLeft(call);
                     held.decrementAndGet();
                 }
@@ -155,15 +155,13 @@
     }
 
     private static PendingRequest call(InvokeRequest a, HttpExchange r, Duration limit, String id, ResponseListener asker) {
-        return new PendingRequest(id, a.function(), a.workload(), a.customer(), limit, a.hint(), a.fingerprint(),
-            r.header("Content-Type"), r.body, a.entry().memory(), a.entry().lanes(), a.entry().load(), a.repeat(),
-            asker);
+        return PendingRequest.builder(id, a.function(), limit, asker).requestClass(a.workload()).tenant(a.customer()).durationHint(a.hint()).idempotencyKey(a.fingerprint()).payload(r.header("Content-Type"), r.body).replica(a.entry().memory(), a.entry().lanes()).build();
     }
 
     @Override public void left(HttpExchange r) {
         if (r.attachment instanceof PendingRequest call) {
             events.accept(c -> {
-                if (call.state() == PendingRequest.State.HELD) {
+                if (call.state() == PendingRequest.State.PENDING) {
                     c.clientLeft(call);
                     held.decrementAndGet();
                 }
@@ -183,11 +181,11 @@
             this.echo = echo;
         }
 
-        @Override public void answered(PendingRequest c, Response a) {
+        @Override public void responded(PendingRequest c, Response a) {
             ended(a);
             carriers.carry(c.id.hashCode(), () -> {
-                if (now.get().compareTo(c.limit) < 0) {
-                    reply(r, a, c.id, echo, c.met);
+                if (now.get().compareTo(c.deadline) < 0) {
+                    reply(r, a, c.id, echo, c.shedBy);
                 } else { // paused between the decision and the write: silence, not a late answer
                     ends[3].incrementAndGet();
                     r.drop();
@@ -195,7 +193,7 @@
             });
         }
 
-        @Override public void overdue(PendingRequest c, Response late) {
+        @Override public void deadlineMissed(PendingRequest c, Response late) {
             ended(null);
             r.drop();
         }
@@ -210,27 +208,27 @@
 
     private void defer(HttpExchange r, InvokeRequest a, Duration limit, RouterCore core) {
         deferred.tick(now.get());
-        DeferredResults.Entry e = deferred.open();
+        DeferredResults.Entry e = deferred.reserve();
         if (e == null) {
             held.decrementAndGet();
             refuse(r, notTaken("no room for a further deferred call").problem, a.call());
             return;
         }
         PendingRequest call = call(a, r, limit, deferred.id(e), new ResponseListener() {
-            @Override public void answered(PendingRequest c, Response answer) {
+            @Override public void responded(PendingRequest c, Response answer) {
                 ended(answer);
-                e.answered(c, answer);
+                e.responded(c, answer);
             }
 
-            @Override public void overdue(PendingRequest c, Response late) {
+            @Override public void deadlineMissed(PendingRequest c, Response late) {
                 ended(null);
-                e.overdue(c, late);
+                e.deadlineMissed(c, late);
             }
         });
-        deferred.held(e, call);
+        deferred.accepted(e, call);
         if (!gate.get().offer(call)) {
             held.decrementAndGet();
-            deferred.refused(e);
+            deferred.notAccepted(e);
             refuse(r, notTaken("no room for a further function").problem, a.call());
             return;
         }
@@ -247,7 +245,7 @@
 
     private void look(HttpExchange r, String id, int wait) {
         deferred.tick(now.get());
-        switch (deferred.known(id)) {
+        switch (deferred.status(id)) {
             case NEVER -> refuse(r, new ProblemDetails(404, "unknown-call", "no deferred call is called " + InvokeRequest.brief(id)), null);
             case GONE -> refuse(r, new ProblemDetails(410, "result-gone", "the result of " + id + " is kept no longer"), null);
             case ENDED -> replyEnded(r, deferred.find(id));
@@ -258,9 +256,9 @@
                     replyHeld(r, id);
                     return;
                 }
-                r.attachment = (Runnable) () -> deferred.leave(e, waiter);
+                r.attachment = (Runnable) () -> deferred.stopAwaiting(e, waiter);
                 TimerThread.LATER.schedule(() -> events.accept(c -> {
-                    deferred.leave(e, waiter);
+                    deferred.stopAwaiting(e, waiter);
                     replyHeld(r, id);
                 }), wait, TimeUnit.SECONDS);
             }
@@ -275,9 +273,9 @@
     }
 
     private void replyEnded(HttpExchange r, DeferredResults.Entry e) {
-        Response a = e.answer();
-        reply(r, a == null ? Response.killed() : a, deferred.id(e), null,
-            e.call() == null ? null : e.call().met);
+        Response a = e.response();
+        reply(r, a == null ? Response.failed() : a, deferred.id(e), null,
+            e.request() == null ? null : e.request().shedBy);
     }
 
     private void leave(HttpExchange r, String id, RouterCore core) {
@@ -287,8 +285,8 @@
             look(r, id, 0);
             return;
         }
-        if (!e.ended() && e.call().state() == PendingRequest.State.HELD) {
-            core.clientLeft(e.call());
+        if (!e.ended() && e.request().state() == PendingRequest.State.PENDING) {
+            core.clientLeft(e.request());
             held.decrementAndGet();
         }
         deferred.forget(e);
@@ -315,20 +313,20 @@
         Map<String, String> h = headers(id, echo);
         if (met != null) { h.put("Switchgap-Level", YamlDocument.word(met)); }
         switch (a.kind()) {
-            case FINISHED -> {
+            case SUCCEEDED -> {
                 h.putAll(a.headers());
                 h.put("Switchgap-End", "finished");
                 r.answer(a.status(), h, a.body());
             }
-            case PUSHED_BACK -> {
+            case REJECTED -> {
                 Map<String, Object> members = new LinkedHashMap<>();
                 members.put("end", "pushed-back");
                 members.put("repeat_harmless", true);
                 if (met != null) { members.put("level", YamlDocument.word(met)); }
-                if (a.comeBack() != null) {
-                    members.put("come_back_ms", a.comeBack().toMillis());
-                    h.put("Retry-After", String.valueOf((a.comeBack().toMillis() + 999) / 1000));
-                    h.put("Switchgap-Come-Back", String.valueOf(a.comeBack().toMillis()));
+                if (a.retryAfter() != null) {
+                    members.put("come_back_ms", a.retryAfter().toMillis());
+                    h.put("Retry-After", String.valueOf((a.retryAfter().toMillis() + 999) / 1000));
+                    h.put("Switchgap-Come-Back", String.valueOf(a.retryAfter().toMillis()));
                 }
                 problem(r, h, new ProblemDetails(503, "pushed-back", "not done; trying again is harmless", members));
             }
--- a/src/main/java/switchgap/protocol/resp/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/resp/PendingExchange.java
@@ -43,7 +43,7 @@
     }
 
     /** Asked as it is about to go out, not when it was decided: its worker may drain and its client leave in between. */
-    boolean mayGo() { return state == State.WAITING && (harmless || worker.takesNew) && (call == null || call.awaited()); }
+    boolean mayGo() { return state == State.WAITING && (harmless || worker.accepting) && (call == null || call.isAwaited()); }
 
     void end(RouterCore c, AttemptOutcome end, WorkerReply reply) {
         if (state != State.OVER) {
--- a/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
@@ -75,8 +75,8 @@
     /** Whether an earlier execution of the job went out there: both bear its id, and a late answer would be the wrong one's. */
     private static boolean met(PendingExchange e, RespConnection l) {
         if (e.call == null) { return false; }
-        for (Attempt r : e.call.runs()) {
-            if (r.exchange instanceof PendingExchange o && o != e && o.link == l) { return true; }
+        for (Attempt r : e.call.attempts()) {
+            if (r.attachment instanceof PendingExchange o && o != e && o.link == l) { return true; }
         }
         return false;
     }
--- a/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -64,12 +64,12 @@
     void soon(Consumer<RouterCore> event) { events.accept(event); }
 
     private RespConnectionPool pool(WorkerEntry w) {
-        if (w.links == null) {
+        if (w.attachment == null) {
             RespConnectionPool p = new RespConnectionPool(this, new InetSocketAddress(w.host, w.port));
-            w.links = p;
+            w.attachment = p;
             pools.add(p);
         }
-        return (RespConnectionPool) w.links;
+        return (RespConnectionPool) w.attachment;
     }
 
     // ------------------------------------------------------------------ connections
@@ -132,26 +132,26 @@
 
     // ------------------------------------------------------------------ what the core asks
 
-    @Override public void send(Attempt run, Duration allow) {
-        String fields = "profile=" + names[run.call.workload] + ",thing=" + run.call.function + ",max=" + Math.max(1, allow.toMillis());
-        PendingExchange e = new PendingExchange(run.worker, run.call.id, run.call, false, RespCommandEncoder.with(run.call.body, "DO", run.call.id, fields),
-            nanos() + allow.toNanos(), (c, end, r) -> c.executionEnded(run, end, r == null ? LoadReport.NONE : r.loads(bounds.crowds()),
-                end == AttemptOutcome.SUCCEEDED ? Response.finished(0, Map.of(), r.body()) : null));
-        run.exchange = e;
+    @Override public void startAttempt(Attempt run, Duration allow) {
+        String fields = "profile=" + names[run.request.requestClass] + ",thing=" + run.request.function + ",max=" + Math.max(1, allow.toMillis());
+        PendingExchange e = new PendingExchange(run.worker, run.request.id, run.request, false, RespCommandEncoder.with(run.request.body, "DO", run.request.id, fields),
+            nanos() + allow.toNanos(), (c, end, r) -> c.attemptEnded(run, end, r == null ? LoadReport.NONE : r.loads(bounds.crowds()),
+                end == AttemptOutcome.SUCCEEDED ? Response.succeeded(0, Map.of(), r.body()) : null));
+        run.attachment = e;
         pool(run.worker).ask(e);
     }
 
     @Override public AttemptOutcome abandon(Attempt run) {
-        return run.exchange instanceof PendingExchange e ? pool(run.worker).abandon(e) : AttemptOutcome.TIMED_OUT;
+        return run.attachment instanceof PendingExchange e ? pool(run.worker).abandon(e) : AttemptOutcome.TIMED_OUT;
     }
 
     @Override public void abandon(WorkerCommand order) {
-        if (order.exchange instanceof PendingExchange e) { pool(e.worker).abandon(e); }
+        if (order.attachment instanceof PendingExchange e) { pool(e.worker).abandon(e); }
     }
 
     private void ask(WorkerEntry worker, WorkerCommand order, String tag, boolean harmless, Duration limit, PendingExchange.CompletionListener ended, String... words) {
         PendingExchange e = new PendingExchange(worker, tag, null, harmless, RespCommandEncoder.of(words), nanos() + limit.toNanos(), ended);
-        order.exchange = e;
+        order.attachment = e;
         pool(worker).ask(e);
     }
 
@@ -159,22 +159,22 @@
 
     @Override public void requestReplicas(WorkerEntry worker, String function, int copies, WorkerCommand order) {
         String tag = tag();
-        ask(worker, order, tag, copies == 0, orderLimit, (c, end, r) -> c.orderEnded(order, end, r == null ? 0 : r.count()),
+        ask(worker, order, tag, copies == 0, orderLimit, (c, end, r) -> c.loadCommandEnded(order, end, r == null ? 0 : r.count()),
             "PIN", tag, "thing=" + function + ",count=" + copies);
     }
 
     @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {
-        ask(worker, order, null, true, orderLimit, (c, end, r) -> c.dropEnded(order), "UNPIN", function);
+        ask(worker, order, null, true, orderLimit, (c, end, r) -> c.unloadEnded(order), "UNPIN", function);
     }
 
     @Override public void probe(WorkerEntry worker, WorkerCommand order) {
         String tag = tag();
-        ask(worker, order, tag, true, probeLimit, (c, end, r) -> c.probed(order, end, r == null ? LoadReport.NONE : r.loads(false)),
+        ask(worker, order, tag, true, probeLimit, (c, end, r) -> c.probeEnded(order, end, r == null ? LoadReport.NONE : r.loads(false)),
             "METER", tag);
     }
 
     @Override public void stopAccepting(WorkerEntry worker, boolean forGood) {
-        if (!(worker.links instanceof RespConnectionPool p)) { return; }
+        if (!(worker.attachment instanceof RespConnectionPool p)) { return; }
         if (forGood) { p.retire(); } else { p.refuse(); }
     }
 
--- a/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
+++ b/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
@@ -58,7 +58,7 @@
             }
             at = end + 1;
         }
-        return new PendingRequest(id, function, workload, customer, limit, hint, null, null, body, memory, lanes, load, false, asker);
+        return PendingRequest.builder(id, function, limit, asker).requestClass(workload).tenant(customer).durationHint(hint).payload(null, body).replica(memory, lanes).build();
     }
 
     private static String mark(ThriftMessage m, String field) throws InvalidRequestException {
--- a/src/main/java/switchgap/protocol/thrift/ThriftServer.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -251,12 +251,12 @@
         PendingRequest call;
         try {
             call = SubmitRequestDecoder.read(m, book, came, new ResponseListener() {
-                @Override public void answered(PendingRequest x, Response a) { ThriftServer.this.answered(v, m, x, a); }
+                @Override public void responded(PendingRequest x, Response a) { ThriftServer.this.answered(v, m, x, a); }
 
                 /** Within half a second it only earns nothing; a call without its final answer is lost. */
-                @Override public void overdue(PendingRequest x, Response late) { ThriftServer.this.answered(v, m, x, late); }
+                @Override public void deadlineMissed(PendingRequest x, Response late) { ThriftServer.this.answered(v, m, x, late); }
 
-                @Override public boolean gone() { return !v.link.open() || v.revoked.contains(m.number()); }
+                @Override public boolean isDisconnected() { return !v.link.open() || v.revoked.contains(m.number()); }
             });
         } catch (SubmitRequestDecoder.InvalidRequestException x) {
             unusable(v, m, x.getMessage());
@@ -275,7 +275,7 @@
         holders.put(call.id, v); // before it is offered: its answer may come at once, and takes it out again
         heldBytes += call.body.length;
         v.open.put(m.number(), call);
-        if (!room || !c.callCame(call)) {
+        if (!room || !c.accept(call)) {
             done(v, m, call);
             refuse(v, m, book.terms().retryAfterAllowed() ? book.terms().maxRetryAfter() : null);
         }
@@ -298,9 +298,9 @@
     private void answered(ClientConnection v, ThriftMessage m, PendingRequest x, Response a) {
         done(v, m, x);
         switch (a.kind()) {
-            case FINISHED -> send(v, ThriftResponseEncoder.answer(m.method(), m.number(), a.body(), true));
-            case PUSHED_BACK -> refuse(v, m, a.comeBack());
-            case KILLED -> send(v, ThriftResponseEncoder.declared(m.method(), m.number(), 2, Map.of()));
+            case SUCCEEDED -> send(v, ThriftResponseEncoder.answer(m.method(), m.number(), a.body(), true));
+            case REJECTED -> refuse(v, m, a.retryAfter());
+            case FAILED -> send(v, ThriftResponseEncoder.declared(m.method(), m.number(), 2, Map.of()));
         }
     }
 
--- a/src/main/java/switchgap/router/AdmissionGate.java
+++ b/src/main/java/switchgap/router/AdmissionGate.java
@@ -29,10 +29,10 @@
         this.levels = levels;
         this.told = told;
         if (levels != null) {
-            core.watch(new RouterCore.RequestObserver() {
-                @Override public void ended(PendingRequest c, Response a) { AdmissionGate.this.ended(c, a); }
+            core.observe(new RouterCore.RequestObserver() {
+                @Override public void requestEnded(PendingRequest c, Response a) { AdmissionGate.this.requestEnded(c, a); }
 
-                @Override public void told(LoadReport l) { levels.busy(l.cpuUtilization()); }
+                @Override public void workerReported(LoadReport l) { levels.busy(l.cpuUtilization()); }
             });
         }
     }
@@ -43,57 +43,57 @@
 
     /** Offers a call. False when it was not taken and gets no answer here: no room, or its limit has passed. */
     public boolean offer(PendingRequest c) {
-        if (levels == null) { return core.callCame(c); }
-        AdmissionDecision v = levels.offered(core.now(), c.customer, c.workload, c.function.hashCode());
-        tell();
-        if (v.passes()) { return core.callCame(c); }
-        pushBack(c, v); // deferred ones too: to give up is to answer now
+        if (levels == null) { return core.accept(c); }
+        AdmissionDecision v = levels.offered(core.now(), c.tenant, c.requestClass, c.function.hashCode());
+        reportChanges();
+        if (v.passes()) { return core.accept(c); }
+        reject(c, v); // deferred ones too: to give up is to answer now
         return true;
     }
 
-    private void pushBack(PendingRequest c, AdmissionDecision v) {
-        if (c.limit.compareTo(core.now()) <= 0) {
+    private void reject(PendingRequest c, AdmissionDecision v) {
+        if (c.deadline.compareTo(core.now()) <= 0) {
             c.state = PendingRequest.State.OVERDUE;
-            c.asker.overdue(c, Response.pushedBack(v.comeBack()));
+            c.listener.deadlineMissed(c, Response.rejected(v.comeBack()));
             return;
         }
         c.state = PendingRequest.State.ANSWERED;
-        c.met = v.rung();
-        c.asker.answered(c, Response.pushedBack(v.comeBack()));
+        c.shedBy = v.rung();
+        c.listener.responded(c, Response.rejected(v.comeBack()));
     }
 
-    private void ended(PendingRequest c, Response a) {
-        Duration took = core.now().minus(c.taken);
-        Duration target = terms.latencyObjective(c.workload);
-        levels.ended(core.now(), c.workload, outcome(c, a, took, target));
-        tell();
+    private void requestEnded(PendingRequest c, Response a) {
+        Duration took = core.now().minus(c.acceptedAt);
+        Duration target = terms.latencyObjective(c.requestClass);
+        levels.ended(core.now(), c.requestClass, outcome(c, a, took, target));
+        reportChanges();
     }
 
     private static RequestOutcome outcome(PendingRequest c, Response a, Duration took, Duration target) {
         if (a == null) { return RequestOutcome.OTHER; }
         return switch (a.kind()) {
-            case FINISHED -> took.compareTo(target) <= 0 ? RequestOutcome.IN_TARGET : RequestOutcome.LATE;
-            case PUSHED_BACK -> c.runs.stream().noneMatch(r -> r.mayHaveRun)
+            case SUCCEEDED -> took.compareTo(target) <= 0 ? RequestOutcome.IN_TARGET : RequestOutcome.LATE;
+            case REJECTED -> c.attempts.stream().noneMatch(attempt -> attempt.mayHaveExecuted)
                 && took.toNanos() <= target.toNanos() * CROWDED_BY ? RequestOutcome.CROWDED : RequestOutcome.OTHER;
-            case KILLED -> RequestOutcome.OTHER;
+            case FAILED -> RequestOutcome.OTHER;
         };
     }
 
     /** Holds a level for all for a span. */
     public void pin(ServiceLevel r, Duration span) {
         levels.pin(core.now(), r, core.now().plus(span));
-        tell();
+        reportChanges();
     }
 
     /** Lets time pass for the levels where nothing is offered. */
     public void tick() {
         if (levels != null) {
             levels.tick(core.now());
-            tell();
+            reportChanges();
         }
     }
 
-    private void tell() {
+    private void reportChanges() {
         List<ServiceLevelChange> fresh = levels.fresh();
         fresh.forEach(told);
     }
--- a/src/main/java/switchgap/router/Attempt.java
+++ b/src/main/java/switchgap/router/Attempt.java
@@ -2,27 +2,28 @@
 
 import java.time.Duration;
 
-/** One execution of a call at a worker; it ends once, by whichever comes first of its answer and its time-out. */
+/** One attempt of a request at a worker; it ends once, by whichever comes first of its response and its timeout. */
 public final class Attempt {
-    public final PendingRequest call;
+    public final PendingRequest request;
+    /** Counts the request's attempts from 0. */
     public final int number;
     public final WorkerEntry worker;
-    final Duration sent;
+    /** State that the transport keeps with it; the core does not read it. */
+    public volatile Object attachment;
+    final Duration sentAt;
     boolean ended;
-    boolean mayHaveRun = true;
-    TimerQueue.Timer timer;
-    /** The transport's own. */
-    public volatile Object exchange;
+    boolean mayHaveExecuted = true;
+    TimerQueue.Timer timeout;
 
-    Attempt(PendingRequest call, int number, WorkerEntry worker, Duration sent) {
-        this.call = call;
+    Attempt(PendingRequest request, int number, WorkerEntry worker, Duration sentAt) {
+        this.request = request;
         this.number = number;
         this.worker = worker;
-        this.sent = sent;
+        this.sentAt = sentAt;
     }
 
-    /** The execution's name on the wire: the call's id and its number. */
-    public String name() {
-        return call.id + "." + number;
+    /** Its name on the wire: the request's id and its number. */
+    public String attemptId() {
+        return request.id + "." + number;
     }
 }
--- a/src/main/java/switchgap/router/DeferredResults.java
+++ b/src/main/java/switchgap/router/DeferredResults.java
@@ -21,8 +21,8 @@
     public static final class Entry implements ResponseListener {
         private final DeferredResults home;
         private final long number;
-        private PendingRequest call;
-        private Response answer;
+        private PendingRequest request;
+        private Response response;
         private boolean ended;
         private Duration until;
         private final List<Consumer<Entry>> waiters = new ArrayList<>(1);
@@ -32,15 +32,15 @@
             this.number = number;
         }
 
-        public PendingRequest call() { return call; }
+        public PendingRequest request() { return request; }
 
         public boolean ended() { return ended; }
 
-        public Response answer() { return answer; }
+        public Response response() { return response; }
 
-        @Override public void answered(PendingRequest c, Response a) { home.end(this, a); }
+        @Override public void responded(PendingRequest c, Response a) { home.end(this, a); }
 
-        @Override public void overdue(PendingRequest c, Response late) { home.end(this, null); }
+        @Override public void deadlineMissed(PendingRequest c, Response late) { home.end(this, null); }
     }
 
     private static final int MOST_WAITERS = 8;
@@ -63,7 +63,7 @@
     }
 
     /** Room for one more, or null when all of it is taken by calls that are held. */
-    public Entry open() {
+    public Entry reserve() {
         while (entries.size() >= most && !ended.isEmpty()) { forget(ended.poll()); }
         if (entries.size() >= most) { return null; }
         Entry e = new Entry(this, next++);
@@ -74,10 +74,10 @@
     public String id(Entry e) { return prefix + e.number; }
 
     /** The call behind an entry was taken. */
-    public void held(Entry e, PendingRequest c) { e.call = c; }
+    public void accepted(Entry e, PendingRequest c) { e.request = c; }
 
     /** The call behind an entry was not taken. */
-    public void refused(Entry e) { entries.remove(e.number); }
+    public void notAccepted(Entry e) { entries.remove(e.number); }
 
     /** Drops what has been kept long enough. */
     public void tick(Duration at) {
@@ -85,7 +85,7 @@
         while (!ended.isEmpty() && ended.peek().until.compareTo(at) <= 0) { forget(ended.poll()); }
     }
 
-    public Status known(String id) {
+    public Status status(String id) {
         long n = number(id);
         if (n < 0 || n >= next) { return Status.NEVER; }
         Entry e = entries.get(n);
@@ -100,11 +100,11 @@
         return e.waiters.size() < MOST_WAITERS && e.waiters.add(waiter);
     }
 
-    public void leave(Entry e, Consumer<Entry> waiter) { e.waiters.remove(waiter); }
+    public void stopAwaiting(Entry e, Consumer<Entry> waiter) { e.waiters.remove(waiter); }
 
     /** The client wants it no more: nothing is kept of it. */
     public void forget(Entry e) {
-        if (entries.remove(e.number) != null && e.answer != null) { bytes -= e.answer.body().length; }
+        if (entries.remove(e.number) != null && e.response != null) { bytes -= e.response.body().length; }
         ended.remove(e);
         e.waiters.clear();
     }
@@ -122,7 +122,7 @@
 
     private void end(Entry e, Response a) {
         if (!entries.containsKey(e.number)) { return; }
-        e.answer = a;
+        e.response = a;
         e.ended = true;
         e.until = now.plus(kept);
         ended.add(e);
--- a/src/main/java/switchgap/router/NameIndex.java
+++ b/src/main/java/switchgap/router/NameIndex.java
@@ -5,44 +5,60 @@
 import java.util.List;
 import java.util.Map;
 
-/** Names to small indices and back; a released index is handed out again. */
+/** Names to small indices and back; a released index is handed out again. Not bounded: its owner limits the names. */
 final class NameIndex {
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+    private static final long MIX_MULTIPLIER = 0xff51afd7ed558ccdL; // of MurmurHash3's finalizer
+    private static final long HASH_BITS = 0xffffffffffL;
+
     private final Map<String, Integer> indices = new HashMap<>();
     private final List<String> names = new ArrayList<>();
-    private final List<Integer> free = new ArrayList<>();
+    private final List<Integer> freeIndices = new ArrayList<>();
 
+    /** The index of a name, or -1. */
     int find(String name) {
         return indices.getOrDefault(name, -1);
     }
 
-    int add(String name) {
+    /** The index of a name, a new one where it has none. */
+    int allocate(String name) {
         Integer known = indices.get(name);
-        if (known != null) { return known; }
-        int i = free.isEmpty() ? names.size() : free.remove(free.size() - 1);
-        if (i == names.size()) { names.add(name); } else { names.set(i, name); }
-        indices.put(name, i);
-        return i;
+        if (known != null) {
+            return known;
+        }
+        int index = freeIndices.isEmpty() ? names.size() : freeIndices.remove(freeIndices.size() - 1);
+        if (index == names.size()) {
+            names.add(name);
+        } else {
+            names.set(index, name);
+        }
+        indices.put(name, index);
+        return index;
     }
 
-    String name(int index) {
+    String nameOf(int index) {
         return names.get(index);
     }
 
+    /** Frees an index for another name. */
     void release(int index) {
-        if (indices.remove(names.get(index), index)) { free.add(index); }
+        if (indices.remove(names.get(index), index)) {
+            freeIndices.add(index);
+        }
     }
 
     int size() {
         return indices.size();
     }
 
-    /** The same number at every router for the same name: FNV-1a, then mixed. */
-    static long mark(String name) {
-        long h = 0xcbf29ce484222325L;
+    /** The same number at every router for the same name: FNV-1a, then mixed, 40 bits. */
+    static long hash(String name) {
+        long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < name.length(); i++) {
-            h = (h ^ name.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ name.charAt(i)) * FNV_PRIME;
         }
-        h = (h ^ (h >>> 33)) * 0xff51afd7ed558ccdL;
-        return (h ^ (h >>> 33)) & 0xffffffffffL;
+        hash = (hash ^ (hash >>> 33)) * MIX_MULTIPLIER;
+        return (hash ^ (hash >>> 33)) & HASH_BITS;
     }
 }
--- a/src/main/java/switchgap/router/Response.java
+++ b/src/main/java/switchgap/router/Response.java
@@ -4,22 +4,38 @@
 import java.util.Map;
 
 /**
- * A final answer. For FINISHED the worker's status, headers and body as they came; else status is 0 and
- * {@code comeBack}, which may be null, says when to try again.
+ * A final response.
+ *
+ * @param status      the worker's status where it succeeded, else 0
+ * @param headers     the worker's headers where it succeeded
+ * @param body        the worker's body where it succeeded
+ * @param retryAfter  where it was rejected, when to retry; null for no advice
  */
-public record Response(Kind kind, int status, Map<String, String> headers, byte[] body, Duration comeBack) {
-    /** The three ends that a call may have. */
-    public enum Kind { FINISHED, PUSHED_BACK, KILLED }
+public record Response(Kind kind, int status, Map<String, String> headers, byte[] body, Duration retryAfter) {
+    /** The three ways in which a request may end with a response. */
+    public enum Kind {
+        /** A worker's response is passed on. */
+        SUCCEEDED,
+        /** A retry is harmless. */
+        REJECTED,
+        /** No promise about the request's effect. */
+        FAILED
+    }
+
+    private static final byte[] NO_BODY = {};
 
-    public static Response pushedBack(Duration comeBack) {
-        return new Response(Kind.PUSHED_BACK, 0, Map.of(), new byte[0], comeBack);
+    /** A rejection; {@code retryAfter} is null for no advice. */
+    public static Response rejected(Duration retryAfter) {
+        return new Response(Kind.REJECTED, 0, Map.of(), NO_BODY, retryAfter);
     }
 
-    public static Response killed() {
-        return new Response(Kind.KILLED, 0, Map.of(), new byte[0], null);
+    /** A failure. */
+    public static Response failed() {
+        return new Response(Kind.FAILED, 0, Map.of(), NO_BODY, null);
     }
 
-    public static Response finished(int status, Map<String, String> headers, byte[] body) {
-        return new Response(Kind.FINISHED, status, headers, body, null);
+    /** A worker's response. */
+    public static Response succeeded(int status, Map<String, String> headers, byte[] body) {
+        return new Response(Kind.SUCCEEDED, status, headers, body, null);
     }
 }
--- a/src/main/java/switchgap/router/ResponseListener.java
+++ b/src/main/java/switchgap/router/ResponseListener.java
@@ -1,13 +1,18 @@
 package switchgap.router;
 
-/** Is told, once, how a call that was taken ended. */
+/** Is told once, on the event loop, how an accepted request ended. */
 public interface ResponseListener {
-    /** The one final answer. */
-    void answered(PendingRequest c, Response a);
+    /** The one final response. */
+    void responded(PendingRequest request, Response response);
 
-    /** The limit passed before this answer could be passed on; whether anything may still be sent is the protocol's to say. */
-    void overdue(PendingRequest c, Response late);
+    /**
+     * The deadline passed before this response could be passed on; whether anything may still be sent is the protocol's
+     * to say.
+     */
+    void deadlineMissed(PendingRequest request, Response late);
 
-    /** Whether the client is known to have gone, though that has yet to be taken in: nothing further goes out for it. */
-    default boolean gone() { return false; }
+    /** Whether the client is known to have gone, though that has yet to be taken in: nothing goes out for it any more. */
+    default boolean isDisconnected() {
+        return false;
+    }
 }
--- a/src/main/java/switchgap/router/RouterCore.java
+++ b/src/main/java/switchgap/router/RouterCore.java
@@ -1,17 +1,12 @@
 package switchgap.router;
 
 import java.time.Duration;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.function.Consumer;
 import switchgap.policy.RoutingPolicy;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.policy.api.AttemptResult;
-import switchgap.policy.api.EndpointEntry;
 import switchgap.policy.api.EventBatch;
 import switchgap.policy.api.LoadCommandResult;
 import switchgap.policy.api.LoadReport;
@@ -20,330 +15,228 @@
 import switchgap.policy.api.ProbeResult;
 import switchgap.policy.api.RequestArrival;
 import switchgap.policy.api.RouterSettings;
-import switchgap.policy.api.WorkerState;
 
 /**
- * One router: owns one {@link RoutingPolicy}. Its owner calls {@link #round} from one thread with what came in; the event
- * methods below are for those events only. It decides nothing that the module decides; it only keeps what is
- * mechanical about the rules: one answer a call, none past its limit, one end an execution.
+ * One router under one policy. Its owner calls {@link #tick} from one thread with the events since the last one; the
+ * event methods below are for those events only. It decides nothing that the policy decides; it keeps what is mechanical
+ * about the rules: one response a request, none past its deadline, one end an attempt.
  */
 public final class RouterCore {
-    private final RouterSettings terms;
-    private final WorkerTransport outside;
-    private final Policy decide;
-    private final ActionExecutor carrier = new ActionExecutor();
-    private final Duration orderLimit;
-    private final Duration probeLimit;
-    private final int mostFunctions;
+    private final RouterSettings settings;
+    private final Policy policy;
+    private final int maxFunctions;
     private final TimerQueue timers = new TimerQueue();
     private final NameIndex functions = new NameIndex();
-    private final Map<String, WorkerEntry> seen = new HashMap<>();
-    private final List<WorkerEntry> workers = new ArrayList<>();
-    private final List<Integer> freeWorkers = new ArrayList<>();
-    private final List<PendingRequest> calls = new ArrayList<>();
-    private final List<Integer> freeCalls = new ArrayList<>();
+    private final EndpointTable endpoints;
+    private final PendingRequestTable requests = new PendingRequestTable();
+    private final PolicyActions actions;
     private Duration now = Duration.ZERO;
-    private PolicyEvents feed;
-    private RequestObserver watch = (c, a) -> { };
-    private int held;
+    private PolicyEvents policyEvents; // while a tick's events are being told
+    private RequestObserver observer = (request, response) -> { };
 
-    /** What decides: the module, or in measurements a baseline. */
+    /** What decides: the routing policy, or in measurements a baseline. */
     public interface Policy {
-        void round(Duration now, EventBatch in, PolicyActions out);
+        /** Takes in the events since the last tick and decides. */
+        void tick(Duration now, EventBatch events, PolicyActions actions);
     }
 
-    /** Hears of each call taken how it ended: its answer, null where it got none. */
+    /** Is told of each accepted request how it ended. */
     interface RequestObserver {
-        void ended(PendingRequest c, Response a);
+        /** A request ended with its response, null where it got none. */
+        void requestEnded(PendingRequest request, Response response);
 
-        /** What a worker told with an execution's end. */
-        default void told(LoadReport l) { }
+        /** What a worker reported with an attempt's end. */
+        default void workerReported(LoadReport report) { }
     }
 
-    void watch(RequestObserver w) { watch = w; }
+    /** A core under the routing policy; its random draws come from the seed alone. */
+    public RouterCore(RouterSettings settings, long seed, WorkerTransport transport, CoreLimits limits) {
+        this(settings, new RoutingPolicy(settings, seed)::tick, transport, limits);
+    }
 
-    /** Time of the round, since the router's start. */
-    public Duration now() { return now; }
+    /** A core under any policy. */
+    public RouterCore(RouterSettings settings, Policy policy, WorkerTransport transport, CoreLimits limits) {
+        this.settings = settings;
+        this.policy = policy;
+        this.maxFunctions = limits.maxFunctions();
+        this.endpoints = new EndpointTable(transport);
+        this.actions = new ActionExecutor(this, transport, limits);
+    }
 
-    /** Runs in a round at that time or soon after. */
-    public void later(Duration at, Runnable then) { timers.at(at, then); }
+    void observe(RequestObserver to) {
+        observer = to;
+    }
 
-    /** A core under the module. Orders and probes are given up after their limits. */
-    public RouterCore(RouterSettings terms, long seed, WorkerTransport outside, Duration orderLimit, Duration probeLimit, int mostFunctions) {
-        this(terms, new RoutingPolicy(terms, seed)::tick, outside, orderLimit, probeLimit, mostFunctions);
+    /** Time of the tick, since the router's start. */
+    public Duration now() {
+        return now;
     }
 
-    /** At most so many functions are known at a time. */
-    public RouterCore(RouterSettings terms, Policy decide, WorkerTransport outside, Duration orderLimit, Duration probeLimit,
-                int mostFunctions) {
-        this.terms = terms;
-        this.outside = outside;
-        this.orderLimit = orderLimit;
-        this.probeLimit = probeLimit;
-        this.mostFunctions = mostFunctions;
-        this.decide = decide;
+    /** Runs within a tick at that time or soon after. */
+    public void schedule(Duration due, Runnable task) {
+        timers.schedule(due, task);
     }
 
-    /** One round of the module with all that came in, and what is due. */
-    public void round(Duration at, Iterable<Consumer<RouterCore>> events) {
+    /** One tick of the policy with all that came in, and what is due. */
+    public void tick(Duration at, Iterable<Consumer<RouterCore>> events) {
         now = at;
-        decide.round(at, f -> {
-            feed = f;
-            events.forEach(e -> e.accept(this));
-            timers.fire(at);
-            feed = null;
-        }, carrier);
+        policy.tick(at, to -> {
+            policyEvents = to;
+            events.forEach(event -> event.accept(this));
+            timers.runDue(at);
+            policyEvents = null;
+        }, actions);
     }
 
-    /** When the next round is due without an event, or null. */
+    /** When the next tick is due without an event, or null. */
     public Duration nextDue() {
-        return timers.next();
+        return timers.nextDue();
     }
 
-    /** Calls held: taken and without their answer. */
-    public int held() {
-        return held;
+    /** Requests accepted and without their response. */
+    public int pendingRequests() {
+        return requests.pending();
     }
 
-    /** Everything that must be none once all is over: calls known to the module and executions out. */
-    public int outstanding() {
-        int n = 0;
-        for (PendingRequest c : calls) { n += c == null ? 0 : 1; }
-        return n;
+    /** What must be none once all is over: requests known to the policy, with or without attempts in flight. */
+    public int unsettledRequests() {
+        return requests.unsettled();
     }
 
-    /** Importance of the calls that are held and at no worker, by function. */
-    public Map<String, Double> waitingWorth() {
-        Map<String, Double> worth = new HashMap<>();
-        for (PendingRequest c : calls) {
-            if (c != null && c.state == PendingRequest.State.HELD && c.runs.stream().allMatch(r -> r.ended)) {
-                worth.merge(c.function, terms.priorityWeight(c.workload), Double::sum);
-            }
-        }
-        return worth;
+    /** Weight of the pending requests that are at no worker, by function. */
+    public Map<String, Double> queuedWeightByFunction() {
+        return requests.queuedWeightByFunction(request -> settings.priorityWeight(request.requestClass));
     }
 
     // ------------------------------------------------------------------ events
 
-    /** A call came. Taken: it gets one final answer. Not taken (false): its limit has passed or no room is left. */
-    public boolean callCame(PendingRequest c) {
-        if (c.limit.compareTo(now) <= 0 || functions.find(c.function) < 0 && functions.size() >= mostFunctions) {
-            c.state = PendingRequest.State.REFUSED;
+    /**
+     * A request came. Accepted: it gets one final response. Not accepted (false): its deadline has passed, or too many
+     * functions are known.
+     */
+    public boolean accept(PendingRequest request) {
+        boolean tooManyFunctions = functions.find(request.function) < 0 && functions.size() >= maxFunctions;
+        if (request.deadline.compareTo(now) <= 0 || tooManyFunctions) {
+            request.state = PendingRequest.State.NOT_ACCEPTED;
             return false;
         }
-        c.index = freeCalls.isEmpty() ? calls.size() : freeCalls.remove(freeCalls.size() - 1);
-        if (c.index == calls.size()) { calls.add(c); } else { calls.set(c.index, c); }
-        c.taken = now;
-        held++;
-        feed.requestArrived(new RequestArrival(c.index, c.workload, c.customer < 0 ? terms.tenantCount() : c.customer, functions.add(c.function), NameIndex.mark(c.function), c.limit, c.hint, c.memory, c.lanes));
+        requests.add(request);
+        request.acceptedAt = now;
+        int tenant = request.tenant == PendingRequest.NO_TENANT ? settings.tenantCount() : request.tenant;
+        policyEvents.requestArrived(new RequestArrival(request.index, request.requestClass, tenant,
+            functions.allocate(request.function), NameIndex.hash(request.function), request.deadline,
+            request.durationHint, request.memoryMb, request.slots));
         return true;
     }
 
-    /** The client hung up or asked to leave. */
-    public void clientLeft(PendingRequest c) {
-        if (c.state == PendingRequest.State.HELD && c.index >= 0) {
-            end(c, PendingRequest.State.LEFT);
-            watch.ended(c, null);
-            feed.clientLeft(c.index);
-        } else if (c.state == PendingRequest.State.HELD) { // was not offered to the module yet
-            c.state = PendingRequest.State.LEFT;
+    /** The client hung up or cancelled. */
+    public void clientLeft(PendingRequest request) {
+        if (request.state != PendingRequest.State.PENDING) {
+            return;
         }
+        if (request.index == PendingRequest.NO_INDEX) { // was not offered to the policy yet
+            request.state = PendingRequest.State.CLIENT_LEFT;
+            return;
+        }
+        requests.end(request, PendingRequest.State.CLIENT_LEFT);
+        observer.requestEnded(request, null);
+        policyEvents.clientLeft(request.index);
     }
 
     /**
-     * An execution ended; the first end counts, a later one is a late answer and reaches nobody. An answer that
-     * comes when the limit has passed (a pause) is told as overdue: most protocols send nothing after a limit.
+     * An attempt ended; the first end counts, a later one is a late response and reaches nobody. A response that comes
+     * when the deadline has passed (a pause) is told as such: most protocols send nothing after a deadline.
      */
-    public void executionEnded(Attempt r, AttemptOutcome end, LoadReport loads, Response answer) {
-        if (r.ended) { return; }
-        r.ended = true;
-        r.mayHaveRun = !end.neverExecuted();
-        timers.stop(r.timer);
-        watch.told(loads);
-        PendingRequest c = r.call;
-        boolean first = end == AttemptOutcome.SUCCEEDED && c.state == PendingRequest.State.HELD;
-        if (first) { answer(c, answer); }
-        feed.attemptEnded(new AttemptResult(c.index, r.number, r.worker.index, end, now.minus(r.sent), c.state != PendingRequest.State.HELD, loads));
+    public void attemptEnded(Attempt attempt, AttemptOutcome outcome, LoadReport report, Response response) {
+        if (attempt.ended) {
+            return;
+        }
+        attempt.ended = true;
+        attempt.mayHaveExecuted = !outcome.neverExecuted();
+        timers.cancel(attempt.timeout);
+        observer.workerReported(report);
+        PendingRequest request = attempt.request;
+        if (outcome == AttemptOutcome.SUCCEEDED) {
+            respond(request, response);
+        }
+        boolean closed = request.state != PendingRequest.State.PENDING;
+        policyEvents.attemptEnded(new AttemptResult(request.index, attempt.number, attempt.worker.index, outcome,
+            now.minus(attempt.sentAt), closed, report));
     }
 
-    public void orderEnded(WorkerCommand o, AttemptOutcome end, int standing) {
-        if (ends(o) && known(o.worker)) {
-            feed.loadCommandEnded(new LoadCommandResult(o.worker.index, o.function, end, now.minus(o.sent), standing));
+    /** A load command or a query ended; {@code loadedReplicas} are there now. */
+    public void loadCommandEnded(WorkerCommand command, AttemptOutcome outcome, int loadedReplicas) {
+        if (endsFirst(command) && endpoints.isKnown(command.worker)) {
+            policyEvents.loadCommandEnded(new LoadCommandResult(command.worker.index, command.function, outcome,
+                now.minus(command.sentAt), loadedReplicas));
         }
     }
 
-    public void dropEnded(WorkerCommand o) {
-        ends(o);
+    /** An unload ended, however it did. */
+    public void unloadEnded(WorkerCommand command) {
+        endsFirst(command);
     }
 
-    public void probed(WorkerCommand o, AttemptOutcome end, LoadReport loads) {
-        if (ends(o) && known(o.worker)) {
-            feed.probeEnded(new ProbeResult(o.worker.index, end, loads));
+    /** A probe ended. */
+    public void probeEnded(WorkerCommand command, AttemptOutcome outcome, LoadReport report) {
+        if (endsFirst(command) && endpoints.isKnown(command.worker)) {
+            policyEvents.probeEnded(new ProbeResult(command.worker.index, outcome, report));
         }
     }
 
-    /** Whether this is its first end. */
-    private boolean ends(WorkerCommand o) {
-        boolean first = !o.ended;
-        o.ended = true;
-        timers.stop(o.timer);
+    /** Whether this is a command's first end. */
+    private boolean endsFirst(WorkerCommand command) {
+        boolean first = !command.ended;
+        command.ended = true;
+        timers.cancel(command.timeout);
         return first;
     }
 
-    /** A version of the list, whole or its changes; a worker with a new address is a new process to the links. */
-    public void list(boolean whole, List<EndpointUpdate> lines) {
-        feed.endpointListStarted(whole);
-        Set<String> named = new HashSet<>();
-        for (EndpointUpdate l : lines) {
-            WorkerEntry s = seen.get(l.name());
-            if (s == null) {
-                if (l.standing() == WorkerState.GONE) { continue; }
-                s = new WorkerEntry(l.name(), l.host(), l.port(), newWorker());
-                seen.put(l.name(), s);
-                workers.set(s.index, s);
-            } else if (s.port != l.port() || !s.host.equals(l.host())) {
-                WorkerEntry moved = new WorkerEntry(l.name(), l.host(), l.port(), s.index);
-                takes(s, false, true); // whatever listens there now is not this worker
-                seen.put(l.name(), moved);
-                workers.set(s.index, moved);
-                s = moved;
-            }
-            named.add(l.name());
-            takes(s, l.standing() == WorkerState.READY, false);
-            feed.endpointListed(new EndpointEntry(s.index, NameIndex.mark(l.name()), l.standing(), l.zone(), l.cell(), l.kind(), l.size(), l.started()));
-        }
-        for (WorkerEntry s : whole ? workers : List.<WorkerEntry>of()) {
-            if (s != null && !named.contains(s.name)) { takes(s, false, false); }
-        }
-        feed.endpointListEnded();
+    /** A version of the endpoint list came, complete or as its changes. */
+    public void endpointListReceived(boolean complete, List<EndpointUpdate> updates) {
+        endpoints.update(complete, updates, policyEvents);
     }
 
-    private void takes(WorkerEntry s, boolean takesNew, boolean forGood) {
-        boolean stops = s.takesNew && !takesNew;
-        s.takesNew = takesNew;
-        if (stops || forGood) { outside.stopAccepting(s, forGood); }
+    /** A poll for the endpoint list failed; the last one stays in force. */
+    public void endpointListFailed() {
+        policyEvents.endpointListFailed();
     }
 
-    public void listFailed() {
-        feed.endpointListFailed();
-    }
+    // ------------------------------------------------------------------ for the actions
 
-    /** An index may have been handed out again while a probe was out. */
-    private boolean known(WorkerEntry w) {
-        WorkerEntry s = w.index < 0 ? null : workers.get(w.index);
-        return s != null && s.name.equals(w.name);
+    /** Sends a final response, unless the request has its end. */
+    void respond(PendingRequest request, Response response) {
+        if (request.state != PendingRequest.State.PENDING) {
+            return;
+        }
+        if (now.compareTo(request.deadline) >= 0) { // paused past the deadline
+            requests.end(request, PendingRequest.State.OVERDUE);
+            observer.requestEnded(request, null);
+            request.listener.deadlineMissed(request, response);
+        } else {
+            requests.end(request, PendingRequest.State.ANSWERED);
+            observer.requestEnded(request, response);
+            request.listener.responded(request, response);
+        }
     }
 
-    private int newWorker() {
-        if (!freeWorkers.isEmpty()) { return freeWorkers.remove(freeWorkers.size() - 1); }
-        workers.add(null);
-        return workers.size() - 1;
+    void wakeUpLater(Duration delay, long token) {
+        timers.schedule(now.plus(delay), () -> policyEvents.wakeUp(token));
     }
 
-    private void end(PendingRequest c, PendingRequest.State state) {
-        c.state = state;
-        held--;
+    TimerQueue timers() {
+        return timers;
     }
 
-    private void answer(PendingRequest c, Response a) {
-        if (now.compareTo(c.limit) >= 0) { // paused past the limit
-            end(c, PendingRequest.State.OVERDUE);
-            watch.ended(c, null);
-            c.asker.overdue(c, a);
-        } else {
-            end(c, PendingRequest.State.ANSWERED);
-            watch.ended(c, a);
-            c.asker.answered(c, a);
-        }
+    NameIndex functions() {
+        return functions;
     }
 
-    // ------------------------------------------------------------------ what the module decides
-
-    /** Carries out decisions in the order they are taken. */
-    private final class ActionExecutor implements PolicyActions {
-        @Override public void startAttempt(int job, int worker, Duration allow) {
-            PendingRequest c = calls.get(job);
-            Attempt r = new Attempt(c, c.runs.size(), workers.get(worker), now);
-            c.runs.add(r);
-            r.timer = timers.at(now.plus(allow), () -> {
-                if (!r.ended) {
-                    executionEnded(r, outside.abandon(r), LoadReport.NONE, null); // asked and ended in one: see Outside
-                }
-            });
-            outside.send(r, allow);
-        }
-
-        @Override public void cancelAttempt(int job, int execution) {
-            Attempt r = calls.get(job).runs.get(execution);
-            if (!r.ended) {
-                outside.abandon(r);
-                timers.at(now, () -> executionEnded(r, AttemptOutcome.CANCELLED, LoadReport.NONE, null));
-            }
-        }
-
-        @Override public void reject(int job, Duration comeBack) {
-            answer(job, Response.pushedBack(comeBack));
-        }
-
-        @Override public void fail(int job) {
-            answer(job, Response.killed());
-        }
-
-        private void answer(int job, Response a) {
-            PendingRequest c = calls.get(job);
-            if (c.state == PendingRequest.State.HELD) { RouterCore.this.answer(c, a); }
-        }
-
-        @Override public void load(int worker, int function) { requestReplicas(worker, function, 1); }
-
-        @Override public void queryReplicas(int worker, int function) { requestReplicas(worker, function, 0); }
-
-        private void requestReplicas(int worker, int function, int copies) {
-            WorkerCommand o = order(worker, function, orderLimit, x -> orderEnded(x, AttemptOutcome.TIMED_OUT, 0));
-            outside.requestReplicas(o.worker, functions.name(function), copies, o);
-        }
-
-        @Override public void unload(int worker, int function) {
-            WorkerCommand o = order(worker, function, orderLimit, RouterCore.this::dropEnded); // or at a silent worker it keeps a link for ever
-            outside.unload(o.worker, functions.name(function), o);
-        }
-
-        @Override public void probe(int worker) {
-            WorkerCommand o = order(worker, -1, probeLimit, x -> probed(x, AttemptOutcome.TIMED_OUT, LoadReport.NONE));
-            outside.probe(o.worker, o);
-        }
-
-        /** An order that is given up after its limit, and how its end is then told. */
-        private WorkerCommand order(int worker, int function, Duration limit, Consumer<WorkerCommand> timedOut) {
-            WorkerCommand o = new WorkerCommand(workers.get(worker), function, now);
-            o.timer = timers.at(now.plus(limit), () -> {
-                outside.abandon(o);
-                timedOut.accept(o);
-            });
-            return o;
-        }
-
-        @Override public void scheduleWakeUp(Duration after, long token) {
-            timers.at(now.plus(after), () -> feed.wakeUp(token));
-        }
-
-        @Override public void subscribeToEndpoints() { outside.requestEndpointList(); }
-
-        @Override public void releaseRequest(int job) {
-            calls.get(job).index = -1;
-            calls.set(job, null);
-            freeCalls.add(job);
-        }
-
-        @Override public void releaseFunction(int function) { functions.release(function); }
+    EndpointTable endpoints() {
+        return endpoints;
+    }
 
-        @Override public void releaseWorker(int worker) {
-            WorkerEntry s = workers.get(worker);
-            takes(s, false, true);
-            seen.remove(s.name);
-            s.index = -1;
-            workers.set(worker, null);
-            freeWorkers.add(worker);
-        }
+    PendingRequestTable requests() {
+        return requests;
     }
 }
--- a/src/main/java/switchgap/router/TimerQueue.java
+++ b/src/main/java/switchgap/router/TimerQueue.java
@@ -1,64 +1,72 @@
 package switchgap.router;
 
 import java.time.Duration;
+import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** What is due when, in order; equal times in the order they were set. */
+/** What is due when, in order; equal times in the order they were set. Belongs to the event loop. */
 final class TimerQueue {
+    /** Cancelled timers are cleared out past so many, once they are the larger part: they must not pile up until due. */
+    private static final int MIN_CANCELLED_TO_CLEAR = 1024;
+
+    /** A timer that was set; its task is null once it ran or was cancelled. */
     static final class Timer {
         private final Duration due;
         private final long number;
-        private Runnable then;
+        private Runnable task;
 
-        private Timer(Duration due, long number, Runnable then) {
+        private Timer(Duration due, long number, Runnable task) {
             this.due = due;
             this.number = number;
-            this.then = then;
+            this.task = task;
         }
     }
 
-    private final PriorityQueue<Timer> queue = new PriorityQueue<>((a, b) -> {
-        int c = a.due.compareTo(b.due);
-        return c != 0 ? c : Long.compare(a.number, b.number);
-    });
+    private final PriorityQueue<Timer> queue = new PriorityQueue<>(
+        Comparator.comparing((Timer timer) -> timer.due).thenComparingLong(timer -> timer.number));
     private long count;
-    private int stopped;
+    private int cancelled;
 
-    Timer at(Duration due, Runnable then) {
-        Timer t = new Timer(due, count++, then);
-        queue.add(t);
-        return t;
+    /** Has a task run at a time or soon after. */
+    Timer schedule(Duration due, Runnable task) {
+        Timer timer = new Timer(due, count++, task);
+        queue.add(timer);
+        return timer;
     }
 
-    void stop(Timer t) {
-        if (t != null && t.then != null) {
-            t.then = null;
-            if (++stopped > 1024 && stopped > queue.size() / 2) { // stopped ones must not pile up until they are due
-                queue.removeIf(x -> x.then == null);
-                stopped = 0;
-            }
+    /** Has a timer not run; null and timers that ran are passed over. */
+    void cancel(Timer timer) {
+        if (timer == null || timer.task == null) {
+            return;
+        }
+        timer.task = null;
+        if (++cancelled > MIN_CANCELLED_TO_CLEAR && cancelled > queue.size() / 2) {
+            queue.removeIf(each -> each.task == null);
+            cancelled = 0;
         }
     }
 
     /** The next due time, or null. */
-    Duration next() {
-        while (!queue.isEmpty() && queue.peek().then == null) {
+    Duration nextDue() {
+        while (!queue.isEmpty() && queue.peek().task == null) {
             queue.poll();
-            stopped--;
+            cancelled--;
         }
         return queue.isEmpty() ? null : queue.peek().due;
     }
 
-    void fire(Duration now) {
-        for (Duration d = next(); d != null && d.compareTo(now) <= 0; d = next()) {
-            Timer t = queue.poll();
-            Runnable then = t.then;
-            t.then = null;
-            then.run();
+    /** Runs all that is due. */
+    void runDue(Duration now) {
+        for (Duration due = nextDue(); due != null && due.compareTo(now) <= 0; due = nextDue()) {
+            Timer timer = queue.poll();
+            Runnable task = timer.task;
+            timer.task = null;
+            task.run();
         }
     }
 
+    /** Timers that are set. */
     int size() {
-        return queue.size() - stopped;
+        return queue.size() - cancelled;
     }
 }
--- a/src/main/java/switchgap/router/WorkerCommand.java
+++ b/src/main/java/switchgap/router/WorkerCommand.java
@@ -2,22 +2,27 @@
 
 import java.time.Duration;
 
-/** An order to a worker, or a probe (no function); it ends once. */
+/** A load command, a query, an unload or a probe (no function) that is out at a worker; it ends once. */
 public final class WorkerCommand {
+    /** The function of a command that concerns none. */
+    static final int NO_FUNCTION = -1;
+
+    /** State that the transport keeps with it; the core does not read it. */
+    public volatile Object attachment;
     final WorkerEntry worker;
     final int function;
-    final Duration sent;
+    final Duration sentAt;
     boolean ended;
-    TimerQueue.Timer timer;
-    /** The transport's own. */
-    public volatile Object exchange;
+    TimerQueue.Timer timeout;
 
-    WorkerCommand(WorkerEntry worker, int function, Duration sent) {
+    WorkerCommand(WorkerEntry worker, int function, Duration sentAt) {
         this.worker = worker;
         this.function = function;
-        this.sent = sent;
+        this.sentAt = sentAt;
     }
 
-    /** When the module gave it. */
-    public Duration sentAt() { return sent; }
+    /** When the policy gave it. */
+    public Duration sentAt() {
+        return sentAt;
+    }
 }
--- a/src/main/java/switchgap/router/WorkerEntry.java
+++ b/src/main/java/switchgap/router/WorkerEntry.java
@@ -1,16 +1,21 @@
 package switchgap.router;
 
-/** A worker of the list, with its address; {@code index} is what the module calls it, -1 once forgotten. */
+/** A worker of the endpoint list, with its address. */
 public final class WorkerEntry {
+    /** The index of a worker that the policy does not know any more. */
+    static final int FORGOTTEN = -1;
+
     public final String name;
     public final String host;
     public final int port;
-    int index;
     /** Whether anything new may go out to it: what was decided before it drained may still wait for a connection. */
-    public volatile boolean takesNew = true;
-    /** The transport's own. */
-    public volatile Object links;
+    public volatile boolean accepting = true;
+    /** State that the transport keeps with it; the core does not read it. */
+    public volatile Object attachment;
+    /** What the policy calls it, or {@link #FORGOTTEN}. */
+    int index;
 
+    /** A worker that the policy calls by this index. */
     public WorkerEntry(String name, String host, int port, int index) {
         this.name = name;
         this.host = host;
--- a/src/main/java/switchgap/router/WorkerTransport.java
+++ b/src/main/java/switchgap/router/WorkerTransport.java
@@ -3,35 +3,41 @@
 import java.time.Duration;
 import switchgap.policy.api.AttemptOutcome;
 
-/** The seam: what the core asks of the world. None of these calls back at once; what follows comes as an event. */
+/**
+ * What the core asks of the network. Called on the event loop; none of these methods calls back before it returns: what
+ * follows comes as an event.
+ */
 public interface WorkerTransport {
-    /** Begins an execution; its end is told by {@link RouterCore#executionEnded}. */
-    void send(Attempt run, Duration allow);
+    /** Starts an attempt; its end is told by {@link RouterCore#attemptEnded}. */
+    void startAttempt(Attempt attempt, Duration timeout);
 
     /**
-     * Ends an execution's exchange: a late answer must reach nobody. Tells what that proves: NOT_SENT or NO_CONNECTION
+     * Ends an attempt's exchange: a late response must reach nobody. Tells what that proves: NOT_SENT or CONNECT_FAILED
      * where no byte of it went out and none will, else TIMED_OUT.
      */
-    AttemptOutcome abandon(Attempt run);
+    AttemptOutcome abandon(Attempt attempt);
 
-    /** Orders copies, or with 0 asks how many stand; the end is told by {@link RouterCore#orderEnded}. */
-    void requestReplicas(WorkerEntry worker, String function, int copies, WorkerCommand order);
+    /**
+     * Commands a worker to load so many replicas of a function, or with 0 asks how many are loaded; the end is told by
+     * {@link RouterCore#loadCommandEnded}.
+     */
+    void requestReplicas(WorkerEntry worker, String function, int replicas, WorkerCommand command);
 
-    /** Has idle copies unloaded; the end is told by {@link RouterCore#dropEnded}. */
-    void unload(WorkerEntry worker, String function, WorkerCommand order);
+    /** Has idle replicas of a function unloaded; the end is told by {@link RouterCore#unloadEnded}. */
+    void unload(WorkerEntry worker, String function, WorkerCommand command);
 
-    /** Asks a worker for its load; the end is told by {@link RouterCore#probed}. */
-    void probe(WorkerEntry worker, WorkerCommand order);
+    /** Asks a worker for its load; the end is told by {@link RouterCore#probeEnded}. */
+    void probe(WorkerEntry worker, WorkerCommand command);
 
-    /** Ends an order's or a probe's exchange. */
-    void abandon(WorkerCommand order);
+    /** Ends a command's exchange. */
+    void abandon(WorkerCommand command);
 
     /**
      * A worker takes nothing new; for good where it is forgotten or has another address. What waits for a connection
-     * to it is told at once, in place of at its time-out.
+     * to it is told so at once, not at its timeout.
      */
     default void stopAccepting(WorkerEntry worker, boolean forGood) { }
 
-    /** Asks for the list, or for its changes from now on. */
+    /** Asks for the endpoint list, or for its changes from now on. */
     void requestEndpointList();
 }
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -25,6 +25,7 @@
 import switchgap.protocol.inference.InferenceWorkerTransport;
 import switchgap.protocol.invoke.InvokeApi;
 import switchgap.router.AdmissionGate;
+import switchgap.router.CoreLimits;
 import switchgap.router.DeferredResults;
 import switchgap.router.RouterCore;
 
@@ -66,7 +67,7 @@
         loop = new EventLoop(l -> {
             made.set(new InferenceWorkerTransport(opener, page.links(), carriers, l::post, () -> listening.get().run()));
             if (page.planner() != null) { behind.set(new PlannedWorkerTransport(made.get(), terms, page.patience(), l::post)); }
-            return new RouterCore(terms, decide, behind.get() == null ? made.get() : behind.get(), page.orderLimit(), page.probeLimit(), page.mostFunctions());
+            return new RouterCore(terms, decide, behind.get() == null ? made.get() : behind.get(), new CoreLimits(page.orderLimit(), page.probeLimit(), page.mostFunctions()));
         }, "loop-" + terms.routerIndex(), this::late, GatewayRouter::failed);
         workers = made.get();
         planned = behind.get();
@@ -82,8 +83,8 @@
         api.status(c -> RouterStatus.show(terms.routerIndex(), c, api.held(), api.ends(), levels, planned));
         door = new HttpServer(net, page.bounds(), api);
         watch = page.list() == null ? null : new EndpointListWatcher(opener, page.list(), terms.routerIndex(), bornWall, page.listAgain(),
-            terms::zone, terms::machineKind, loop::postFirst);
-        if (!page.fixed().isEmpty()) { loop.post(c -> c.list(true, page.fixed())); }
+            terms::zone, terms::machineKind, loop::postUrgent);
+        if (!page.fixed().isEmpty()) { loop.post(c -> c.endpointListReceived(true, page.fixed())); }
         if (watch != null) {
             listening.set(watch::follow);
             watch.follow();
--- a/src/main/java/switchgap/server/gateway/JvmWarmup.java
+++ b/src/main/java/switchgap/server/gateway/JvmWarmup.java
@@ -18,6 +18,7 @@
 import switchgap.policy.api.LoadReport;
 import switchgap.policy.api.WorkerState;
 import switchgap.router.Attempt;
+import switchgap.router.CoreLimits;
 import switchgap.router.EndpointUpdate;
 import switchgap.router.PendingRequest;
 import switchgap.router.Response;
@@ -46,47 +47,46 @@
     private static void decisions(YamlRouterSettings terms) {
         List<Consumer<RouterCore>> next = new ArrayList<>();
         WorkerTransport outside = new WorkerTransport() {
-            @Override public void send(Attempt run, Duration allow) {
-                next.add(c -> c.executionEnded(run, AttemptOutcome.SUCCEEDED, new LoadReport(0.2, 1, 0, 0),
-                    Response.finished(200, Map.of(), new byte[0])));
+            @Override public void startAttempt(Attempt run, Duration allow) {
+                next.add(c -> c.attemptEnded(run, AttemptOutcome.SUCCEEDED, new LoadReport(0.2, 1, 0, 0),
+                    Response.succeeded(200, Map.of(), new byte[0])));
             }
 
             @Override public AttemptOutcome abandon(Attempt run) { return AttemptOutcome.TIMED_OUT; }
 
             @Override public void requestReplicas(WorkerEntry worker, String function, int copies, WorkerCommand order) {
-                next.add(c -> c.orderEnded(order, AttemptOutcome.SUCCEEDED, copies));
+                next.add(c -> c.loadCommandEnded(order, AttemptOutcome.SUCCEEDED, copies));
             }
 
             @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) { }
 
             @Override public void probe(WorkerEntry worker, WorkerCommand order) {
-                next.add(c -> c.probed(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE));
+                next.add(c -> c.probeEnded(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE));
             }
 
             @Override public void abandon(WorkerCommand order) { }
 
             @Override public void requestEndpointList() { }
         };
-        RouterCore core = new RouterCore(terms, 1, outside, Duration.ofSeconds(1), Duration.ofSeconds(1), 100);
+        RouterCore core = new RouterCore(terms, 1, outside, new CoreLimits(Duration.ofSeconds(1), Duration.ofSeconds(1), 100));
         List<EndpointUpdate> list = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             list.add(new EndpointUpdate("rehearsal-" + i, "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null));
         }
-        next.add(c -> c.list(true, list));
+        next.add(c -> c.endpointListReceived(true, list));
         ResponseListener nobody = new ResponseListener() {
-            @Override public void answered(PendingRequest c, Response a) { }
+            @Override public void responded(PendingRequest c, Response a) { }
 
-            @Override public void overdue(PendingRequest c, Response late) { }
+            @Override public void deadlineMissed(PendingRequest c, Response late) { }
         };
         long began = System.nanoTime();
         for (int i = 0; i < CALLS && System.nanoTime() - began < MOST.toNanos(); i++) {
             Duration at = Duration.ofMillis(2L * i);
-            PendingRequest call = new PendingRequest("rehearsal", "rehearsal-" + i % 20, i % terms.requestClassCount(), -1,
-                at.plus(terms.requestTimeout(i % terms.requestClassCount())), null, null, null, new byte[0], 1, 2, null, false, nobody);
-            next.add(c -> c.callCame(call));
+            PendingRequest call = PendingRequest.builder("rehearsal", "rehearsal-" + i % 20, at.plus(terms.requestTimeout(i % terms.requestClassCount())), nobody).requestClass(i % terms.requestClassCount()).replica(1, 2).build();
+            next.add(c -> c.accept(call));
             List<Consumer<RouterCore>> now = List.copyOf(next);
             next.clear();
-            core.round(at, now);
+            core.tick(at, now);
         }
     }
 
--- a/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
@@ -91,7 +91,7 @@
         due = false;
         now = c.now();
         if (wishes.state() != PendingLoadQueue.State.ALONE) {
-            Map<String, Double> worth = held.isEmpty() ? Map.of() : c.waitingWorth(); // walks all calls held
+            Map<String, Double> worth = held.isEmpty() ? Map.of() : c.queuedWeightByFunction(); // walks all calls held
             teller.tell(new LoadBacklog(wishes.epoch(), ++seq, wishes.waiting(now, f -> worth.getOrDefault(f, 0.0))));
         }
     }
@@ -108,7 +108,7 @@
         now = c.now();
         Duration next = wishes.tick(now);
         ticking = next != null;
-        if (ticking) { c.later(next, () -> tick(c)); }
+        if (ticking) { c.schedule(next, () -> tick(c)); }
     }
 
     @Override public void requestReplicas(WorkerEntry worker, String function, int copies, WorkerCommand order) {
@@ -139,7 +139,7 @@
         }
     }
 
-    @Override public void send(Attempt run, Duration allow) { inner.send(run, allow); }
+    @Override public void startAttempt(Attempt run, Duration allow) { inner.startAttempt(run, allow); }
 
     @Override public AttemptOutcome abandon(Attempt run) { return inner.abandon(run); }
 
--- a/src/main/java/switchgap/server/platform/PlatformRouter.java
+++ b/src/main/java/switchgap/server/platform/PlatformRouter.java
@@ -14,6 +14,7 @@
 import switchgap.net.NetworkTransport;
 import switchgap.protocol.resp.RespWorkerTransport;
 import switchgap.protocol.thrift.ThriftServer;
+import switchgap.router.CoreLimits;
 import switchgap.router.RouterCore;
 
 /** A running router on the platform: one more way in and out of the core, under the module and nothing else. */
@@ -53,7 +54,7 @@
             terms.tellsCrowd());
         loop = new EventLoop(l -> {
             made.set(new RespWorkerTransport(net, bounds, names(terms), terms.orderLimit(), terms.connectWithin(), l::now, l::post));
-            return new RouterCore(terms, g.seed(), made.get(), terms.orderLimit(), terms.connectWithin(), MOST_FUNCTIONS);
+            return new RouterCore(terms, g.seed(), made.get(), new CoreLimits(terms.orderLimit(), terms.connectWithin(), MOST_FUNCTIONS));
         }, "loop", late -> { }, this::failed);
         workers = made.get();
         int bytes = (int) Math.min(Integer.MAX_VALUE, Runtime.getRuntime().maxMemory() / BYTE_SHARE);
@@ -92,13 +93,13 @@
     void follow(InetSocketAddress to) { feed.follow(to); }
 
     private void list(EndpointListEvent e) {
-        if (e.workers() != null) { loop.postFirst(c -> c.list(e.whole(), e.workers())); }
+        if (e.workers() != null) { loop.postUrgent(c -> c.endpointListReceived(e.whole(), e.workers())); }
     }
 
     private void sweep(RouterCore c) {
         door.sweep(c.now());
         workers.sweep();
-        c.later(c.now().plus(SWEEP), () -> sweep(c));
+        c.schedule(c.now().plus(SWEEP), () -> sweep(c));
     }
 
     private void failed(Throwable e) { ServeCommand.failed(log, "a round failed", e); }
--- a/src/test/java/switchgap/eventloop/EventLoopTest.java
+++ b/src/test/java/switchgap/eventloop/EventLoopTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import switchgap.policy.api.RouterSettings;
+import switchgap.router.CoreLimits;
 import switchgap.router.RouterCore;
 import switchgap.router.WorkerTransport;
 import switchgap.server.platform.TestPlatformSettings;
@@ -23,7 +24,7 @@
         CompletableFuture<Throwable> told = new CompletableFuture<>();
         EventLoop loop = new EventLoop(l -> new RouterCore(terms, (now, in, out) -> {
             if (++rounds[0] == round) { throw new StackOverflowError("planted"); }
-        }, nothing, Duration.ofSeconds(1), Duration.ofSeconds(1), 10), "planted", late -> { }, told::complete);
+        }, nothing, new CoreLimits(Duration.ofSeconds(1), Duration.ofSeconds(1), 10)), "planted", late -> { }, told::complete);
         loop.start();
         loop.post(c -> { });
         assertThat(told.get(5, TimeUnit.SECONDS)).hasMessage("planted");
--- a/src/test/java/switchgap/protocol/thrift/ThriftMessageTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftMessageTest.java
@@ -116,11 +116,11 @@
 
     @Test void fieldsBecomeACall() throws Exception {
         PendingRequest c = call("effort", "8.2");
-        assertThat(c.limit).isEqualTo(Duration.ofMillis(1900));
-        assertThat(c.hint).isEqualTo(Duration.ofNanos(8_200_000));
-        assertThat(c.memory).isEqualTo(512);
-        assertThat(c.lanes).isEqualTo(2);
-        assertThat(call("effort", null).hint).isNull();
+        assertThat(c.deadline).isEqualTo(Duration.ofMillis(1900));
+        assertThat(c.durationHint).isEqualTo(Duration.ofNanos(8_200_000));
+        assertThat(c.memoryMb).isEqualTo(512);
+        assertThat(c.slots).isEqualTo(2);
+        assertThat(call("effort", null).durationHint).isNull();
     }
 
     @ParameterizedTest @CsvSource(nullValues = "null", value = {"service,null", "service,other", "ref,null", "ref,12", "ref,9b1f03aa5c7e2d4g", "allow,null",
--- a/src/test/java/switchgap/router/BoundsTest.java
+++ b/src/test/java/switchgap/router/BoundsTest.java
@@ -11,18 +11,18 @@
 
 /** Tables of the core at their bounds. */
 class BoundsTest {
-    private static Response answer(int bytes) { return Response.finished(200, Map.of(), new byte[bytes]); }
+    private static Response answer(int bytes) { return Response.succeeded(200, Map.of(), new byte[bytes]); }
 
     @Test void deferredResultsMakeRoomOldestFirstAndCallsThatAreHeldNever() {
         DeferredResults d = new DeferredResults("p", Duration.ofMinutes(5), 3, 1000);
-        List<DeferredResults.Entry> e = new ArrayList<>(List.of(d.open(), d.open(), d.open()));
-        assertThat(d.open()).isNull(); // all held
-        e.get(1).answered(null, answer(10));
-        e.get(0).answered(null, answer(10));
-        assertThat(d.open()).isNotNull(); // the oldest result went
-        assertThat(d.known(d.id(e.get(1)))).isEqualTo(DeferredResults.Status.GONE);
-        assertThat(d.known(d.id(e.get(0)))).isEqualTo(DeferredResults.Status.ENDED);
-        assertThat(d.known(d.id(e.get(2)))).isEqualTo(DeferredResults.Status.HELD);
+        List<DeferredResults.Entry> e = new ArrayList<>(List.of(d.reserve(), d.reserve(), d.reserve()));
+        assertThat(d.reserve()).isNull(); // all held
+        e.get(1).responded(null, answer(10));
+        e.get(0).responded(null, answer(10));
+        assertThat(d.reserve()).isNotNull(); // the oldest result went
+        assertThat(d.status(d.id(e.get(1)))).isEqualTo(DeferredResults.Status.GONE);
+        assertThat(d.status(d.id(e.get(0)))).isEqualTo(DeferredResults.Status.ENDED);
+        assertThat(d.status(d.id(e.get(2)))).isEqualTo(DeferredResults.Status.HELD);
         assertThat(d.size()).isEqualTo(3);
     }
 
@@ -30,10 +30,10 @@
         DeferredResults d = new DeferredResults("p", Duration.ofMinutes(5), 100, 1000);
         List<DeferredResults.Entry> e = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            e.add(d.open());
-            e.get(i).answered(null, answer(300));
+            e.add(d.reserve());
+            e.get(i).responded(null, answer(300));
         }
-        assertThat(e.stream().filter(x -> d.known(d.id(x)) == DeferredResults.Status.ENDED).count()).isEqualTo(3);
+        assertThat(e.stream().filter(x -> d.status(d.id(x)) == DeferredResults.Status.ENDED).count()).isEqualTo(3);
         d.tick(Duration.ofMinutes(6));
         assertThat(d.size()).isZero();
         assertThat(ReachableObjects.field(d, "bytes")).isEqualTo(0L);
@@ -41,26 +41,26 @@
 
     @Test void eightWaitForADeferredCallAndANinthIsAnsweredAtOnce() {
         DeferredResults d = new DeferredResults("p", Duration.ofMinutes(5), 3, 1000);
-        DeferredResults.Entry e = d.open();
+        DeferredResults.Entry e = d.reserve();
         int[] told = {0};
         for (int i = 0; i < 8; i++) { assertThat(d.await(e, x -> told[0]++)).isTrue(); }
         assertThat(d.await(e, x -> told[0]++)).isFalse();
-        e.answered(null, answer(1));
+        e.responded(null, answer(1));
         assertThat(told[0]).isEqualTo(8);
     }
 
     @Test void stoppedTimersDoNotPileUp() {
         TimerQueue t = new TimerQueue();
-        for (int i = 0; i < 1_000_000; i++) { t.stop(t.at(Duration.ofSeconds(10 + i), () -> { })); }
+        for (int i = 0; i < 1_000_000; i++) { t.cancel(t.schedule(Duration.ofSeconds(10 + i), () -> { })); }
         assertThat(ReachableObjects.by(t)).isLessThan(4000);
         assertThat(t.size()).isZero();
-        assertThat(t.next()).isNull();
+        assertThat(t.nextDue()).isNull();
     }
 
     @Test void namesThatAreReleasedAreHandedOutAgain() {
         NameIndex n = new NameIndex();
-        for (int i = 0; i < 100_000; i++) { n.release(n.add("n" + i)); }
-        assertThat(n.add("last")).isZero();
+        for (int i = 0; i < 100_000; i++) { n.release(n.allocate("n" + i)); }
+        assertThat(n.allocate("last")).isZero();
         assertThat(ReachableObjects.by(n)).isLessThan(10);
     }
 }
--- a/src/test/java/switchgap/router/RouterCoreLongRunTest.java
+++ b/src/test/java/switchgap/router/RouterCoreLongRunTest.java
@@ -30,7 +30,7 @@
         """;
     private final TreeMap<Duration, List<Consumer<RouterCore>>> due = new TreeMap<>();
     private final SplittableRandom draw = new SplittableRandom(3);
-    private final RouterCore core = new RouterCore(new YamlRouterSettings(YamlDocument.read("t", TERMS)), 1, this, Duration.ofSeconds(10), Duration.ofMillis(250), 500);
+    private final RouterCore core = new RouterCore(new YamlRouterSettings(YamlDocument.read("t", TERMS)), 1, this, new CoreLimits(Duration.ofSeconds(10), Duration.ofMillis(250), 500));
     private final List<String> fleet = new ArrayList<>(List.of("w0", "w1", "w2", "w3"));
     private Duration now = Duration.ZERO;
     private int names = 4, taken, answers, overdue, refused, left;
@@ -48,28 +48,27 @@
             now = next.compareTo(now) < 0 ? now : next;
             List<Consumer<RouterCore>> events = new ArrayList<>();
             while (!due.isEmpty() && due.firstKey().compareTo(now) <= 0) { events.addAll(due.pollFirstEntry().getValue()); }
-            core.round(now, events);
+            core.tick(now, events);
         }
     }
 
     private void list(RouterCore c) {
         List<EndpointUpdate> lines = new ArrayList<>();
         for (String n : fleet) { lines.add(new EndpointUpdate(n, "h", 1 + draw.nextInt(3) / 2, WorkerState.READY, 0, 0, 0, 1, null)); }
-        c.list(true, lines);
+        c.endpointListReceived(true, lines);
     }
 
     private void call(RouterCore c) {
         String f = draw.nextInt(4) == 0 ? "f-once-" + draw.nextInt(1_000_000) : "f" + draw.nextInt(20);
-        PendingRequest call = new PendingRequest("c", f, draw.nextInt(2), -1, now.plusMillis(300 + draw.nextInt(1700)), null, null, null, new byte[0], 1, 4,
-            null, false, this);
-        if (!c.callCame(call)) {
+        PendingRequest call = PendingRequest.builder("c", f, now.plusMillis(300 + draw.nextInt(1700)), this).requestClass(draw.nextInt(2)).replica(1, 4).build();
+        if (!c.accept(call)) {
             refused++;
             return;
         }
         taken++;
         if (draw.nextInt(30) == 0) {
             later(draw.nextInt(200), x -> {
-                left += call.state() == PendingRequest.State.HELD ? 1 : 0;
+                left += call.state() == PendingRequest.State.PENDING ? 1 : 0;
                 x.clientLeft(call);
             });
         }
@@ -95,8 +94,8 @@
         hours(36);
         assertThat(names).isGreaterThan(3000);
         assertThat(ReachableObjects.by(core, this)).isLessThan(after + 300);
-        assertThat(core.held()).isZero();
-        assertThat(core.outstanding()).isZero();
+        assertThat(core.pendingRequests()).isZero();
+        assertThat(core.unsettledRequests()).isZero();
         assertThat(answers + overdue + left).isEqualTo(taken);
         assertThat(overdue).isZero();
         assertThat(refused).isZero();
@@ -106,30 +105,30 @@
 
     // ---- the seam
 
-    @Override public void send(Attempt run, Duration allow) {
+    @Override public void startAttempt(Attempt run, Duration allow) {
         AttemptOutcome end = draw.nextInt(5) > 0 ? AttemptOutcome.SUCCEEDED : AttemptOutcome.values()[draw.nextInt(AttemptOutcome.values().length)];
         if (end == AttemptOutcome.TIMED_OUT) { return; } // never answers
-        later(1 + draw.nextInt(400), c -> c.executionEnded(run, end, LoadReport.NONE, Response.finished(200, Map.of(), new byte[0])));
+        later(1 + draw.nextInt(400), c -> c.attemptEnded(run, end, LoadReport.NONE, Response.succeeded(200, Map.of(), new byte[0])));
     }
 
     @Override public AttemptOutcome abandon(Attempt run) { return AttemptOutcome.TIMED_OUT; }
 
     @Override public void requestReplicas(WorkerEntry w, String f, int copies, WorkerCommand o) {
         if (draw.nextInt(20) == 0) { return; } // never ends by itself
-        later(1 + draw.nextInt(2000), c -> c.orderEnded(o, AttemptOutcome.SUCCEEDED, 1));
+        later(1 + draw.nextInt(2000), c -> c.loadCommandEnded(o, AttemptOutcome.SUCCEEDED, 1));
     }
 
     @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {
-        if (draw.nextBoolean()) { later(5, c -> c.dropEnded(order)); }
+        if (draw.nextBoolean()) { later(5, c -> c.unloadEnded(order)); }
     }
 
-    @Override public void probe(WorkerEntry worker, WorkerCommand order) { later(2, c -> c.probed(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE)); }
+    @Override public void probe(WorkerEntry worker, WorkerCommand order) { later(2, c -> c.probeEnded(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE)); }
 
     @Override public void abandon(WorkerCommand order) { }
 
     @Override public void requestEndpointList() { }
 
-    @Override public void answered(PendingRequest c, Response a) { answers++; }
+    @Override public void responded(PendingRequest c, Response a) { answers++; }
 
-    @Override public void overdue(PendingRequest c, Response late) { overdue++; }
+    @Override public void deadlineMissed(PendingRequest c, Response late) { overdue++; }
 }
--- a/src/test/java/switchgap/router/RouterCoreTest.java
+++ b/src/test/java/switchgap/router/RouterCoreTest.java
@@ -26,7 +26,7 @@
     private final List<Consumer<RouterCore>> next = new ArrayList<>();
     private final List<Attempt> sent = new ArrayList<>();
     private final List<String> said = new ArrayList<>();
-    private final RouterCore core = new RouterCore(new YamlRouterSettings(YamlDocument.read("t", TERMS)), 1, this, ms(500), ms(50), 2);
+    private final RouterCore core = new RouterCore(new YamlRouterSettings(YamlDocument.read("t", TERMS)), 1, this, new CoreLimits(ms(500), ms(50), 2));
     private Duration at = Duration.ZERO;
     private AttemptOutcome proves = AttemptOutcome.TIMED_OUT;
 
@@ -36,7 +36,7 @@
         at = ms(millis);
         List<Consumer<RouterCore>> now = List.copyOf(next);
         next.clear();
-        core.round(at, now);
+        core.tick(at, now);
     }
 
     /** Rounds at the times that the core asks for. */
@@ -49,18 +49,17 @@
     private void list(String... names) {
         List<EndpointUpdate> all = new ArrayList<>();
         for (String n : names) { all.add(new EndpointUpdate(n, "h", 1, WorkerState.READY, 0, 0, 0, 1, null)); }
-        next.add(c -> c.list(true, all));
+        next.add(c -> c.endpointListReceived(true, all));
     }
 
     private PendingRequest call(int workload, String function) {
-        PendingRequest c = new PendingRequest("c" + said.size(), function, workload, -1, at.plus(ms(900)), null, null, null, new byte[0], 1, 100,
-            null, false, this);
-        next.add(x -> said.add(x.callCame(c) ? "taken" : "not taken"));
+        PendingRequest c = PendingRequest.builder("c" + said.size(), function, at.plus(ms(900)), this).requestClass(workload).replica(1, 100).build();
+        next.add(x -> said.add(x.accept(c) ? "taken" : "not taken"));
         return c;
     }
 
     private void finish(Attempt r) {
-        next.add(c -> c.executionEnded(r, AttemptOutcome.SUCCEEDED, LoadReport.NONE, Response.finished(200, Map.of(), new byte[0])));
+        next.add(c -> c.attemptEnded(r, AttemptOutcome.SUCCEEDED, LoadReport.NONE, Response.succeeded(200, Map.of(), new byte[0])));
     }
 
     @Test void aPauseOverALimitEndsInSilenceAndSendsNothing() {
@@ -71,12 +70,12 @@
         PendingRequest waits = call(0, "f");
         finish(sent.get(0)); // came during the pause
         at(2000);
-        assertThat(said).contains("overdue").doesNotContain("FINISHED", "KILLED", "PUSHED_BACK");
+        assertThat(said).contains("overdue").doesNotContain("SUCCEEDED", "FAILED", "REJECTED");
         assertThat(c.state()).isEqualTo(PendingRequest.State.OVERDUE);
-        assertThat(waits.state()).isIn(PendingRequest.State.OVERDUE, PendingRequest.State.REFUSED);
+        assertThat(waits.state()).isIn(PendingRequest.State.OVERDUE, PendingRequest.State.NOT_ACCEPTED);
         assertThat(sent).hasSize(1);
-        assertThat(core.held()).isZero();
-        assertThat(core.outstanding()).isZero();
+        assertThat(core.pendingRequests()).isZero();
+        assertThat(core.unsettledRequests()).isZero();
     }
 
     @Test void theFirstEndOfAnExecutionCountsAndALateOneReachesNobody() {
@@ -84,11 +83,11 @@
         call(1, "f");
         at(0);
         until(1000);
-        assertThat(said).containsExactly("taken", "abandoned", "KILLED");
+        assertThat(said).containsExactly("taken", "abandoned", "FAILED");
         finish(sent.get(0));
         at(1100);
-        assertThat(said).containsExactly("taken", "abandoned", "KILLED");
-        assertThat(core.outstanding()).isZero();
+        assertThat(said).containsExactly("taken", "abandoned", "FAILED");
+        assertThat(core.unsettledRequests()).isZero();
     }
 
     @Test void tenThousandHeldCallsAllEndBeforeTheirLimitsAndNothingIsLeft() {
@@ -98,9 +97,9 @@
         at(1);
         until(899);
         assertThat(said.stream().filter("taken"::equals).count()).isEqualTo(10_000);
-        assertThat(said.stream().filter(s -> s.equals("KILLED") || s.equals("PUSHED_BACK")).count()).isEqualTo(10_000);
-        assertThat(core.held()).isZero();
-        assertThat(core.outstanding()).isZero();
+        assertThat(said.stream().filter(s -> s.equals("FAILED") || s.equals("REJECTED")).count()).isEqualTo(10_000);
+        assertThat(core.pendingRequests()).isZero();
+        assertThat(core.unsettledRequests()).isZero();
     }
 
     @Test void anExecutionThatNeverWentOutIsNoReasonToKill() {
@@ -109,7 +108,7 @@
         call(1, "f");
         at(0);
         until(1000);
-        assertThat(said).contains("PUSHED_BACK").doesNotContain("KILLED");
+        assertThat(said).contains("REJECTED").doesNotContain("FAILED");
     }
 
     @Test void aClientThatLeftGetsNothingAndItsExecutionIsAbandoned() {
@@ -120,8 +119,8 @@
         at(5);
         at(6);
         assertThat(said).containsExactly("taken", "abandoned");
-        assertThat(core.held()).isZero();
-        assertThat(core.outstanding()).isZero();
+        assertThat(core.pendingRequests()).isZero();
+        assertThat(core.unsettledRequests()).isZero();
     }
 
     @Test void aDrainWithCallsWaitingForThatWorkersLoadSendsThemElsewhereOrGivesThemUp() {
@@ -129,15 +128,15 @@
         at(0);
         call(1, "f");
         at(1);
-        next.add(c -> c.executionEnded(sent.get(0), AttemptOutcome.NOT_LOADED, LoadReport.NONE, null)); // now a load is ordered at a
+        next.add(c -> c.attemptEnded(sent.get(0), AttemptOutcome.NOT_LOADED, LoadReport.NONE, null)); // now a load is ordered at a
         at(2);
         next.clear(); // the load does not end
-        next.add(c -> c.list(false, List.of(new EndpointUpdate("a", "h", 1, WorkerState.DRAINING, 0, 0, 0, 1, null))));
+        next.add(c -> c.endpointListReceived(false, List.of(new EndpointUpdate("a", "h", 1, WorkerState.DRAINING, 0, 0, 0, 1, null))));
         at(10);
         until(890);
         assertThat(sent).hasSize(1);
-        assertThat(said).contains("PUSHED_BACK").doesNotContain("KILLED"); // a miss proves that nothing ran
-        assertThat(core.held()).isZero();
+        assertThat(said).contains("REJECTED").doesNotContain("FAILED"); // a miss proves that nothing ran
+        assertThat(core.pendingRequests()).isZero();
     }
 
     @Test void functionsKnownAreBounded() {
@@ -153,7 +152,7 @@
         list("a");
         at(0);
         WorkerCommand o = new WorkerCommand(new WorkerEntry("gone", "h", 1, 0), -1, Duration.ZERO);
-        next.add(c -> c.probed(o, AttemptOutcome.SUCCEEDED, new LoadReport(1, 99, 99, -1))); // index 0 is now another worker's
+        next.add(c -> c.probeEnded(o, AttemptOutcome.SUCCEEDED, new LoadReport(1, 99, 99, -1))); // index 0 is now another worker's
         at(1);
         call(0, "f");
         at(2);
@@ -162,7 +161,7 @@
 
     // ---- the seam
 
-    @Override public void send(Attempt run, Duration allow) { sent.add(run); }
+    @Override public void startAttempt(Attempt run, Duration allow) { sent.add(run); }
 
     @Override public AttemptOutcome abandon(Attempt run) {
         said.add("abandoned");
@@ -170,7 +169,7 @@
     }
 
     @Override public void requestReplicas(WorkerEntry w, String f, int copies, WorkerCommand o) {
-        next.add(c -> c.orderEnded(o, AttemptOutcome.SUCCEEDED, Math.max(1, copies)));
+        next.add(c -> c.loadCommandEnded(o, AttemptOutcome.SUCCEEDED, Math.max(1, copies)));
     }
 
     @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) { }
@@ -181,7 +180,7 @@
 
     @Override public void requestEndpointList() { }
 
-    @Override public void answered(PendingRequest c, Response a) { said.add(a.kind().name()); }
+    @Override public void responded(PendingRequest c, Response a) { said.add(a.kind().name()); }
 
-    @Override public void overdue(PendingRequest c, Response late) { said.add("overdue"); }
+    @Override public void deadlineMissed(PendingRequest c, Response late) { said.add("overdue"); }
 }
--- a/src/test/java/switchgap/router/WorkerConnectionsTest.java
+++ b/src/test/java/switchgap/router/WorkerConnectionsTest.java
@@ -66,7 +66,7 @@
             in.deliverTo(feed);
             List.copyOf(say).forEach(s -> s.accept(out));
             say.clear();
-        }, links, Duration.ofMillis(1000), Duration.ofMillis(200), 10);
+        }, links, new CoreLimits(Duration.ofMillis(1000), Duration.ofMillis(200), 10));
     }
 
     private Duration now() { return Duration.ofNanos(System.nanoTime() - born); }
@@ -74,7 +74,7 @@
     private void round() {
         List<Consumer<RouterCore>> all = new ArrayList<>();
         for (Consumer<RouterCore> e; (e = events.poll()) != null;) { all.add(e); }
-        core.round(now(), all);
+        core.tick(now(), all);
     }
 
     /** Rounds until it holds; false after so many milliseconds. */
@@ -87,13 +87,13 @@
     }
 
     private void list(String host, int port, WorkerState s) {
-        events.add(c -> c.list(true, List.of(new EndpointUpdate("w", host, port, s, 0, 0, 0, 1, null))));
+        events.add(c -> c.endpointListReceived(true, List.of(new EndpointUpdate("w", host, port, s, 0, 0, 0, 1, null))));
         round();
     }
 
     private int job() {
-        PendingRequest c = new PendingRequest("c" + jobs, "f", 0, -1, now().plusSeconds(5), null, null, null, new byte[] {'1'}, 1, 1, null, false, this);
-        events.add(x -> x.callCame(c));
+        PendingRequest c = PendingRequest.builder("c" + jobs, "f", now().plusSeconds(5), this).payload(null, new byte[] {'1'}).replica(1, 1).build();
+        events.add(x -> x.accept(c));
         round();
         int j = jobs++;
         say.add(d -> d.startAttempt(j, 0, Duration.ofSeconds(4)));
@@ -205,9 +205,9 @@
         }
     }
 
-    @Override public void answered(PendingRequest c, Response a) { }
+    @Override public void responded(PendingRequest c, Response a) { }
 
-    @Override public void overdue(PendingRequest c, Response late) { }
+    @Override public void deadlineMissed(PendingRequest c, Response late) { }
 
     @AfterEach void over() {
         if (links != null) { links.close(); }
--- a/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
+++ b/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
@@ -17,6 +17,7 @@
 import switchgap.policy.api.PolicyEvents;
 import switchgap.policy.api.WorkerState;
 import switchgap.router.Attempt;
+import switchgap.router.CoreLimits;
 import switchgap.router.EndpointUpdate;
 import switchgap.router.PendingRequest;
 import switchgap.router.RouterCore;
@@ -35,20 +36,20 @@
     private final RouterCore core = new RouterCore(terms, (now, in, out) -> {
         in.deliverTo(nothing);
         if (ordered > 0) { out.load(0, 0); }
-    }, planned, Duration.ofSeconds(1), Duration.ofSeconds(1), 10);
+    }, planned, new CoreLimits(Duration.ofSeconds(1), Duration.ofSeconds(1), 10));
 
     private void rounds(int n, long from) {
         for (int i = 0; i < n; i++) {
             List<Consumer<RouterCore>> now = List.copyOf(next);
             next.clear();
-            core.round(Duration.ofMillis(from + i), now);
+            core.tick(Duration.ofMillis(from + i), now);
         }
     }
 
     @Test void ordersThatHaveEndedAreNotKept() {
         next.add(c -> {
-            c.list(true, List.of(new EndpointUpdate("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
-            c.callCame(new PendingRequest("c", "again-1", 0, -1, Duration.ofDays(9), null, null, null, new byte[0], 1, 1, null, false, null));
+            c.endpointListReceived(true, List.of(new EndpointUpdate("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
+            c.accept(PendingRequest.builder("c", "again-1", Duration.ofDays(9), null).replica(1, 1).build());
         });
         rounds(1, 0);
         long before = ReachableObjects.by(planned);
@@ -75,8 +76,8 @@
                 LoadPlan p = planner.plan(t);
                 return p != null && next.add(x -> planned.plan(x, p));
             });
-            c.list(true, List.of(new EndpointUpdate("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
-            c.callCame(new PendingRequest("c", "again-1", 0, -1, Duration.ofDays(9), null, null, null, new byte[0], 1, 1, null, false, null));
+            c.endpointListReceived(true, List.of(new EndpointUpdate("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
+            c.accept(PendingRequest.builder("c", "again-1", Duration.ofDays(9), null).replica(1, 1).build());
             planned.linked(c, 1);
         });
         rounds(1000, 0);
@@ -91,16 +92,16 @@
     }
 
     @Override public void requestReplicas(WorkerEntry worker, String function, int copies, WorkerCommand order) {
-        next.add(c -> c.orderEnded(order, AttemptOutcome.SUCCEEDED, 1));
+        next.add(c -> c.loadCommandEnded(order, AttemptOutcome.SUCCEEDED, 1));
     }
 
-    @Override public void send(Attempt run, Duration allow) { }
+    @Override public void startAttempt(Attempt run, Duration allow) { }
 
     @Override public AttemptOutcome abandon(Attempt run) { return AttemptOutcome.TIMED_OUT; }
 
     @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) { }
 
-    @Override public void probe(WorkerEntry worker, WorkerCommand order) { next.add(c -> c.probed(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE)); }
+    @Override public void probe(WorkerEntry worker, WorkerCommand order) { next.add(c -> c.probeEnded(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE)); }
 
     @Override public void abandon(WorkerCommand order) { }
 
