--- a/src/main/java/switchgap/policy/LoadEstimator.java
+++ b/src/main/java/switchgap/policy/LoadEstimator.java
@@ -3,15 +3,8 @@
 import static switchgap.policy.state.Durations.*;
 
 import java.time.Duration;
-import switchgap.policy.api.AttemptOutcome;
-import switchgap.policy.api.LoadReport;
-import switchgap.policy.api.ProbeResult;
-import switchgap.policy.state.Attempt;
-import switchgap.policy.state.Histogram;
-import switchgap.policy.state.PolicyState;
-import switchgap.policy.state.Request;
-import switchgap.policy.state.RequestClass;
-import switchgap.policy.state.Worker;
+import switchgap.policy.api.*;
+import switchgap.policy.state.*;
 
 /** Measures workers' load and requests' durations; derives workers' capacity and concurrency limits. */
 final class LoadEstimator {
--- a/src/main/java/switchgap/policy/OutlierDetector.java
+++ b/src/main/java/switchgap/policy/OutlierDetector.java
@@ -2,11 +2,8 @@
 
 import static switchgap.policy.state.Durations.*;
 
-import switchgap.policy.api.AttemptResult;
-import switchgap.policy.state.Histogram;
-import switchgap.policy.state.PolicyState;
-import switchgap.policy.state.Request;
-import switchgap.policy.state.Worker;
+import switchgap.policy.api.*;
+import switchgap.policy.state.*;
 
 /** Judges workers by their own outcomes against their peers', and ejects outliers for a while. */
 final class OutlierDetector {
@@ -42,13 +39,15 @@
                 boolean silent = isShorter(worker.lastResponse, state.now.minus(result.duration()));
                 if (slow && silent) { failed(worker, false); }
             }
-            default -> { }
+            default -> {}
         }
     }
 
     /** Of a function never loaded anywhere an error may be the request's own, until it succeeds elsewhere. */
     private void attemptFailed(Request request, Worker worker) {
-        if (request.function.everLoaded) { failed(worker, false); } else { request.suspectWorker = worker; }
+        boolean itsOwn = request.function.everLoaded;
+        request.suspectWorker = itsOwn ? request.suspectWorker : worker;
+        if (itsOwn) { failed(worker, false); }
     }
 
     private void attemptSucceeded(Request request, Worker worker) {
--- a/src/main/java/switchgap/policy/ReplicaLoader.java
+++ b/src/main/java/switchgap/policy/ReplicaLoader.java
@@ -3,12 +3,8 @@
 import static switchgap.policy.state.Durations.*;
 
 import java.time.Duration;
-import switchgap.policy.api.AttemptOutcome;
-import switchgap.policy.api.LoadCommandResult;
-import switchgap.policy.state.Function;
-import switchgap.policy.state.PolicyState;
-import switchgap.policy.state.Replica;
-import switchgap.policy.state.Worker;
+import switchgap.policy.api.*;
+import switchgap.policy.state.*;
 
 /** Rule 5: commands replicas to be loaded, within the load quota and the pace of the store they come from. */
 final class ReplicaLoader {
--- a/src/main/java/switchgap/policy/ReplicaScaler.java
+++ b/src/main/java/switchgap/policy/ReplicaScaler.java
@@ -3,10 +3,7 @@
 import static switchgap.policy.state.Durations.*;
 
 import java.time.Duration;
-import switchgap.policy.state.Function;
-import switchgap.policy.state.PolicyState;
-import switchgap.policy.state.Replica;
-import switchgap.policy.state.Worker;
+import switchgap.policy.state.*;
 
 /** Sets functions' target replica counts: up past the load mark, down some time below the unload mark. */
 final class ReplicaScaler {
--- a/src/main/java/switchgap/policy/RequestRouter.java
+++ b/src/main/java/switchgap/policy/RequestRouter.java
@@ -4,15 +4,7 @@
 
 import java.time.Duration;
 import java.util.*;
-import switchgap.policy.state.Attempt;
-import switchgap.policy.state.CandidateSurvey;
-import switchgap.policy.state.Function;
-import switchgap.policy.state.PolicyState;
-import switchgap.policy.state.Replica;
-import switchgap.policy.state.Request;
-import switchgap.policy.state.RequestClass;
-import switchgap.policy.state.SettingsSnapshot;
-import switchgap.policy.state.Worker;
+import switchgap.policy.state.*;
 
 /**
  * Places requests: on the first of the target replicas in hash order below its concurrency limit, else onward
@@ -166,8 +158,9 @@
     void placeQueued() {
         if (queue.isEmpty()) { return; }
         List<Request> waiting = new ArrayList<>(queue);
-        waiting.sort(Comparator.comparingDouble((Request request) -> -request.worthAt(state.now))
-            .thenComparing(request -> request.arrivedAt));
+        waiting.sort(
+            Comparator.comparingDouble((Request request) -> -request.worthAt(state.now)).thenComparing(
+                request -> request.arrivedAt));
         queue.clear();
         for (Request request : waiting) {
             if (request.closed || !request.queued) { continue; }
--- a/src/main/java/switchgap/policy/RetryPolicy.java
+++ b/src/main/java/switchgap/policy/RetryPolicy.java
@@ -3,9 +3,7 @@
 import static switchgap.policy.state.Durations.*;
 
 import java.time.Duration;
-import switchgap.policy.state.PolicyState;
-import switchgap.policy.state.Request;
-import switchgap.policy.state.Worker;
+import switchgap.policy.state.*;
 
 /** Rules 1 to 4: whether a request may be attempted, retried or hedged, and the response when given up. */
 final class RetryPolicy {
@@ -55,7 +53,8 @@
             delay = min(delay, state.settings.shortestObjective);
             delay = scale(delay, 0.5 + state.random.nextDouble() / 2);
         }
-        if (harmless) { state.actions.reject(request.id, delay); } else { state.actions.fail(request.id); }
+        if (harmless) { state.actions.reject(request.id, delay); }
+        if (!harmless) { state.actions.fail(request.id); }
         state.close(request);
         state.releaseIfSettled(request);
     }
--- a/src/main/java/switchgap/policy/RoutingPolicy.java
+++ b/src/main/java/switchgap/policy/RoutingPolicy.java
@@ -3,23 +3,8 @@
 import static switchgap.policy.state.Durations.*;
 
 import java.time.Duration;
-import switchgap.policy.api.AttemptOutcome;
-import switchgap.policy.api.AttemptResult;
-import switchgap.policy.api.EndpointEntry;
-import switchgap.policy.api.EventBatch;
-import switchgap.policy.api.LoadCommandResult;
-import switchgap.policy.api.PolicyActions;
-import switchgap.policy.api.PolicyEvents;
-import switchgap.policy.api.ProbeResult;
-import switchgap.policy.api.RequestArrival;
-import switchgap.policy.api.RouterSettings;
-import switchgap.policy.state.Attempt;
-import switchgap.policy.state.Function;
-import switchgap.policy.state.HistogramEdges;
-import switchgap.policy.state.PolicyState;
-import switchgap.policy.state.Request;
-import switchgap.policy.state.SettingsSnapshot;
-import switchgap.policy.state.Worker;
+import switchgap.policy.api.*;
+import switchgap.policy.state.*;
 
 /**
  * All decisions of one router, split by concern over this package. Called once a tick from one thread.
@@ -157,7 +142,7 @@
         switch (result.outcome()) {
             case SUCCEEDED -> worker.lastResponse = state.now;
             case CONNECT_FAILED, CONNECTION_LOST -> outliers.failed(worker, true);
-            default -> { }
+            default -> {}
         }
     }
 
--- a/src/main/java/switchgap/policy/SlowStart.java
+++ b/src/main/java/switchgap/policy/SlowStart.java
@@ -4,8 +4,7 @@
 
 import java.time.Duration;
 import java.util.Arrays;
-import switchgap.policy.state.PolicyState;
-import switchgap.policy.state.Worker;
+import switchgap.policy.state.*;
 
 /** Rule 4: how much this router may send to a worker that warms up, as its part of what all may send. */
 final class SlowStart {
@@ -40,8 +39,8 @@
         if (!state.isWarmingUp(worker)) { return true; }
         Duration window = state.settings.coldOverloadWindow;
         int sent = worker.sendsWhileCold.countWithin(state.now, window);
-        double serialRate = Arrays.stream(state.settings.requestClasses)
-            .mapToDouble(each -> 1 / toSeconds(LoadEstimator.usualDuration(each))).min().orElse(0);
+        double serialRate = Arrays.stream(state.settings.requestClasses).mapToDouble(
+            each -> 1 / toSeconds(LoadEstimator.usualDuration(each))).min().orElse(0);
         // It bears one request after the other, and what it gets; two thirds, as the two can add up.
         double rate = Math.max(serialRate, averageWorkerRate * state.settings.routerCount);
         double allowed = ownOverloadMultiple * capacityShare(worker) * toSeconds(window) * rate * 2 / 3;
