--- a/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -28,7 +28,8 @@
      * Connections over all workers; connections and exchanges waiting for one, each a worker; executions that a connection
      * carries; the span of a connect and of lying idle; whether answers tell of a crowd.
      */
-    public record ConnectionLimits(int connections, int links, int waiting, int multiplex, Duration connectWithin, Duration idle, boolean crowds) { }
+    public record ConnectionLimits(int connections, int links, int waiting, int multiplex,
+        Duration connectWithin, Duration idle, boolean crowds) {}
 
     private static final int LEAST_LINKS = 2;
     private static final int MOST_STRING = 16 << 10; // the longest body
@@ -47,8 +48,9 @@
      * {@code names} are those of the workloads, {@code clock} is the router's, {@code events} its loop. Orders and probes
      * are given up by the core after their limits.
      */
-    public RespWorkerTransport(NetworkTransport net, ConnectionLimits bounds, String[] names, Duration orderLimit, Duration probeLimit, Supplier<Duration> clock,
-                   Consumer<Consumer<RouterCore>> events) {
+    public RespWorkerTransport(NetworkTransport net, ConnectionLimits bounds, String[] names,
+        Duration orderLimit, Duration probeLimit, Supplier<Duration> clock,
+        Consumer<Consumer<RouterCore>> events) {
         this.bounds = bounds;
         this.names = names;
         this.orderLimit = orderLimit;
@@ -61,7 +63,9 @@
     long nanos() { return clock.get().toNanos(); }
 
     /** As an event of its own: what the core asks is never answered at once. */
-    void soon(Consumer<RouterCore> event) { events.accept(event); }
+    void soon(Consumer<RouterCore> event) {
+        events.accept(event);
+    }
 
     private RespConnectionPool pool(WorkerEntry w) {
         if (w.attachment == null) {
@@ -75,7 +79,9 @@
     // ------------------------------------------------------------------ connections
 
     /** Connections that one worker may have, as the fleet in use shares them. */
-    int perWorker() { return Math.max(LEAST_LINKS, Math.min(bounds.links, bounds.connections / Math.max(1, pools.size()))); }
+    int perWorker() {
+        return Math.max(LEAST_LINKS, Math.min(bounds.links, bounds.connections / Math.max(1, pools.size())));
+    }
 
     /** Whether one more fits; past the bound, the one that has been of no use for longest goes for it. */
     boolean room() {
@@ -104,7 +110,7 @@
 
     /** On selector threads. */
     private final class ReplyListener implements TcpConnection.Listener {
-        @Override public void opened(TcpConnection l) { }
+        @Override public void opened(TcpConnection l) {}
 
         @Override public void received(TcpConnection l, ByteBuffer more) {
             RespConnection k = (RespConnection) l.attachment;
@@ -125,7 +131,9 @@
     }
 
     /** Closes idle links and forgets pools of workers that are gone; called now and then, on the loop. */
-    public void sweep() { pools.removeIf(p -> p.sweep(bounds.idle().toNanos())); }
+    public void sweep() {
+        pools.removeIf(p -> p.sweep(bounds.idle().toNanos()));
+    }
 
     /** Connections to workers, with those under way. */
     public int connections() { return connections; }
@@ -133,33 +141,41 @@
     // ------------------------------------------------------------------ what the core asks
 
     @Override public void startAttempt(Attempt run, Duration allow) {
-        String fields = "profile=" + names[run.request.requestClass] + ",thing=" + run.request.function + ",max=" + Math.max(1, allow.toMillis());
-        PendingExchange e = new PendingExchange(run.worker, run.request.id, run.request, false, RespCommandEncoder.with(run.request.body, "DO", run.request.id, fields),
-            nanos() + allow.toNanos(), (c, end, r) -> c.attemptEnded(run, end, r == null ? LoadReport.NONE : r.loads(bounds.crowds()),
+        String fields = "profile=" + names[run.request.requestClass] + ",thing=" + run.request.function
+            + ",max=" + Math.max(1, allow.toMillis());
+        PendingExchange e = new PendingExchange(run.worker, run.request.id, run.request, false,
+            RespCommandEncoder.with(run.request.body, "DO", run.request.id, fields),
+            nanos() + allow.toNanos(),
+            (c, end, r) -> c.attemptEnded(run, end, r == null ? LoadReport.NONE : r.loads(bounds.crowds()),
                 end == AttemptOutcome.SUCCEEDED ? Response.succeeded(0, Map.of(), r.body()) : null));
         run.attachment = e;
         pool(run.worker).ask(e);
     }
 
     @Override public AttemptOutcome abandon(Attempt run) {
-        return run.attachment instanceof PendingExchange e ? pool(run.worker).abandon(e) : AttemptOutcome.TIMED_OUT;
+        return run.attachment instanceof PendingExchange e ? pool(run.worker).abandon(e)
+            : AttemptOutcome.TIMED_OUT;
     }
 
     @Override public void abandon(WorkerCommand order) {
         if (order.attachment instanceof PendingExchange e) { pool(e.worker).abandon(e); }
     }
 
-    private void ask(WorkerEntry worker, WorkerCommand order, String tag, boolean harmless, Duration limit, PendingExchange.CompletionListener ended, String... words) {
-        PendingExchange e = new PendingExchange(worker, tag, null, harmless, RespCommandEncoder.of(words), nanos() + limit.toNanos(), ended);
+    private void ask(WorkerEntry worker, WorkerCommand order, String tag, boolean harmless, Duration limit,
+        PendingExchange.CompletionListener ended, String... words) {
+        PendingExchange e = new PendingExchange(worker, tag, null, harmless, RespCommandEncoder.of(words),
+            nanos() + limit.toNanos(), ended);
         order.attachment = e;
         pool(worker).ask(e);
     }
 
     private String tag() { return "t" + Long.toString(++tags, 36); } // no id of a call: those are 16 hex digits
 
-    @Override public void requestReplicas(WorkerEntry worker, String function, int copies, WorkerCommand order) {
+    @Override public void requestReplicas(WorkerEntry worker, String function, int copies,
+        WorkerCommand order) {
         String tag = tag();
-        ask(worker, order, tag, copies == 0, orderLimit, (c, end, r) -> c.loadCommandEnded(order, end, r == null ? 0 : r.count()),
+        ask(worker, order, tag, copies == 0, orderLimit,
+            (c, end, r) -> c.loadCommandEnded(order, end, r == null ? 0 : r.count()),
             "PIN", tag, "thing=" + function + ",count=" + copies);
     }
 
@@ -169,14 +185,19 @@
 
     @Override public void probe(WorkerEntry worker, WorkerCommand order) {
         String tag = tag();
-        ask(worker, order, tag, true, probeLimit, (c, end, r) -> c.probeEnded(order, end, r == null ? LoadReport.NONE : r.loads(false)),
+        ask(worker, order, tag, true, probeLimit,
+            (c, end, r) -> c.probeEnded(order, end, r == null ? LoadReport.NONE : r.loads(false)),
             "METER", tag);
     }
 
     @Override public void stopAccepting(WorkerEntry worker, boolean forGood) {
         if (!(worker.attachment instanceof RespConnectionPool p)) { return; }
-        if (forGood) { p.retire(); } else { p.refuse(); }
+        if (forGood) {
+            p.retire();
+        } else {
+            p.refuse();
+        }
     }
 
-    @Override public void requestEndpointList() { } // the control feed tells by itself
+    @Override public void requestEndpointList() {} // the control feed tells by itself
 }
--- a/src/main/java/switchgap/protocol/resp/WorkerReply.java
+++ b/src/main/java/switchgap/protocol/resp/WorkerReply.java
@@ -12,7 +12,8 @@
 
     static WorkerReply of(byte[][] parts) throws RespDecoder.MalformedReplyException {
         if (parts.length != 4 || parts[0].length > MOST_NAME || parts[1].length > MOST_NAME) {
-            throw new RespDecoder.MalformedReplyException("an answer of " + parts.length + " parts, or an id or word too long");
+            throw new RespDecoder.MalformedReplyException(
+                "an answer of " + parts.length + " parts, or an id or word too long");
         }
         return new WorkerReply(text(parts[0]), text(parts[1]), fields(text(parts[2])), parts[3]);
     }
@@ -43,7 +44,9 @@
     }
 
     /** Copies that stand, with the end of an order. */
-    int count() { return (int) number(fields.get("count"), 0); }
+    int count() {
+        return (int) number(fields.get("count"), 0);
+    }
 
     /** What is told of the worker's load; {@code crowds}: whether the absence of a crowd means none. */
     LoadReport loads(boolean crowds) {
@@ -58,11 +61,12 @@
                 case "load_share", "util" -> busy = v;   // the settings' words, which reports bear, and the protocol page's
                 case "concurrent", "inflight" -> held = v;
                 case "depth", "queue" -> queued = v;
-                default -> { } // no figure that the module hears of
+                default -> {} // no figure that the module hears of
             }
         }
         boolean tells = crowds && (word.equals("data") || word.equals("full"));
-        return new LoadReport(busy, held, queued, tells ? (int) Math.max(0, number(fields.get("crowd"), 0)) : -1);
+        return new LoadReport(busy, held, queued,
+            tells ? (int) Math.max(0, number(fields.get("crowd"), 0)) : -1);
     }
 
     /** A figure within reason, or what stands for none: a peer's nonsense must not reach the module. */
--- a/src/main/java/switchgap/protocol/sse/ServerSentEventDecoder.java
+++ b/src/main/java/switchgap/protocol/sse/ServerSentEventDecoder.java
@@ -14,7 +14,9 @@
     private long lines;
 
     /** A line or an event's data may hold {@code most} bytes. */
-    public ServerSentEventDecoder(int most) { this.most = most; }
+    public ServerSentEventDecoder(int most) {
+        this.most = most;
+    }
 
     /** Hands on each event's id (null: none) and data. False, for good, at one that is too long. */
     public boolean take(byte[] bytes, BiConsumer<String, String> event) {
@@ -48,7 +50,8 @@
         }
         int colon = text.indexOf(':');
         String name = colon < 0 ? text : text.substring(0, colon);
-        String value = colon < 0 ? "" : text.substring(text.startsWith(" ", colon + 1) ? colon + 2 : colon + 1);
+        String value = colon < 0 ? ""
+            : text.substring(text.startsWith(" ", colon + 1) ? colon + 2 : colon + 1);
         if (name.equals("data")) { data.append(value).append('\n'); }
         if (name.equals("id")) { id = value; }
         return data.length() <= most;
--- a/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
+++ b/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
@@ -9,7 +9,8 @@
 /** What a submitted request says, field by field, as a call; what can't be used is refused with its field's name. */
 final class SubmitRequestDecoder {
     /** Names of workloads and customers as the operators state them. */
-    record NameDirectory(RouterSettings terms, Map<String, Integer> workloads, Map<String, Integer> customers) { }
+    record NameDirectory(RouterSettings terms, Map<String, Integer> workloads,
+        Map<String, Integer> customers) {}
 
     static final class InvalidRequestException extends Exception {
         private static final long serialVersionUID = 1;
@@ -24,16 +25,18 @@
     private static final double HOUR = 3_600_000;    // ms
     private static final byte[] NOTHING = {};
 
-    private SubmitRequestDecoder() { }
+    private SubmitRequestDecoder() {}
 
-    static PendingRequest read(ThriftMessage m, NameDirectory book, Duration now, ResponseListener asker) throws InvalidRequestException {
+    static PendingRequest read(ThriftMessage m, NameDirectory book, Duration now, ResponseListener asker)
+        throws InvalidRequestException {
         if (m.fields() == null) { throw new InvalidRequestException("no fields"); }
         byte[] body = m.body() == null ? NOTHING : m.body();
         if (body.length > MOST_BODY) { throw new InvalidRequestException("bytes"); }
         String id = mark(m, "ref");
         Integer workload = book.workloads.get(m.fields().getOrDefault("service", ""));
         if (workload == null) { throw new InvalidRequestException("service"); }
-        Integer customer = book.customers.isEmpty() ? Integer.valueOf(-1) : book.customers.get(m.fields().getOrDefault("project", ""));
+        Integer customer = book.customers.isEmpty() ? Integer.valueOf(-1)
+            : book.customers.get(m.fields().getOrDefault("project", ""));
         if (customer == null) { throw new InvalidRequestException("project"); }
         String function = mark(m, "lookup");
         // Nobody may wait for longer than twice what the operators state: such a call would only be kept.
@@ -54,11 +57,12 @@
                 case "memory_mb" -> memory = number(value, "extras", MOST_MEMORY);
                 case "lanes" -> lanes = (int) Math.max(1, Math.round(number(value, "extras", MOST_LANES)));
                 case "load_ms" -> load = span(number(value, "extras", HOUR));
-                default -> { } // a figure that this router has no use for
+                default -> {} // a figure that this router has no use for
             }
             at = end + 1;
         }
-        return PendingRequest.builder(id, function, limit, asker).requestClass(workload).tenant(customer).durationHint(hint).payload(null, body).replica(memory, lanes).build();
+        return PendingRequest.builder(id, function, limit, asker).requestClass(workload).tenant(
+            customer).durationHint(hint).payload(null, body).replica(memory, lanes).build();
     }
 
     private static String mark(ThriftMessage m, String field) throws InvalidRequestException {
@@ -66,7 +70,9 @@
         if (s == null || s.length() != MARK) { throw new InvalidRequestException(field); }
         for (int i = 0; i < MARK; i++) {
             char c = s.charAt(i);
-            if ((c < '0' || c > '9') && (c < 'a' || c > 'f') && (c < 'A' || c > 'F')) { throw new InvalidRequestException(field); }
+            if ((c < '0' || c > '9') && (c < 'a' || c > 'f') && (c < 'A' || c > 'F')) {
+                throw new InvalidRequestException(field);
+            }
         }
         return s;
     }
--- a/src/main/java/switchgap/protocol/thrift/ThriftMessage.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftMessage.java
@@ -10,7 +10,8 @@
  * One message as it came: its method, number, and of its arguments the map of fields, the body and the first number.
  * Every length is checked against what is there before anything is made of it.
  */
-public record ThriftMessage(int type, String method, int number, Map<String, String> fields, byte[] body, int first) {
+public record ThriftMessage(int type, String method, int number, Map<String, String> fields, byte[] body,
+    int first) {
     static final int CALL = 1;
     static final int REPLY = 2;
     static final int EXCEPTION = 3;
@@ -87,7 +88,9 @@
 
     private static int length(ByteBuffer b, int most) {
         int n = b.getInt();
-        if (n < 0 || n > most || n > b.remaining()) { throw new ParseException("a length of " + n + " with " + b.remaining() + " bytes left"); }
+        if (n < 0 || n > most || n > b.remaining()) {
+            throw new ParseException("a length of " + n + " with " + b.remaining() + " bytes left");
+        }
         return n;
     }
 
@@ -103,10 +106,14 @@
         byte v = b.get();
         int n = b.getInt();
         if (n < 0 || n > MOST_FIELDS) { throw new ParseException("a map of " + n); }
-        if (n > 0 && (k != STRING || v != STRING)) { throw new ParseException("a map of types " + k + ", " + v); }
+        if (n > 0 && (k != STRING || v != STRING)) {
+            throw new ParseException("a map of types " + k + ", " + v);
+        }
         Map<String, String> m = new HashMap<>(2 * n);
         for (int i = 0; i < n; i++) {
-            if (m.put(text(b, MOST_NAME), text(b, MOST_VALUE)) != null) { throw new ParseException("a field twice"); }
+            if (m.put(text(b, MOST_NAME), text(b, MOST_VALUE)) != null) {
+                throw new ParseException("a field twice");
+            }
         }
         return m;
     }
--- a/src/main/java/switchgap/protocol/thrift/ThriftResponseEncoder.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftResponseEncoder.java
@@ -10,7 +10,7 @@
     private static final int UNKNOWN_METHOD = 1;
     private static final int PROTOCOL_ERROR = 7;
 
-    private ThriftResponseEncoder() { }
+    private ThriftResponseEncoder() {}
 
     /** {@code Response}: the result's field 0. */
     static byte[] answer(String method, int number, byte[] body, boolean good) {
@@ -24,12 +24,16 @@
         return end(b.put(ThriftMessage.STOP).put(ThriftMessage.STOP));
     }
 
-    static byte[] heartbeat(String method, int number, boolean good) { return answer(method, number, NOTHING, good); }
+    static byte[] heartbeat(String method, int number, boolean good) {
+        return answer(method, number, NOTHING, good);
+    }
 
     /** One of the two declared exceptions: 1 {@code Full}, 2 {@code Error}. */
     static byte[] declared(String method, int number, int which, Map<String, String> fields) {
         int size = 32;
-        for (Map.Entry<String, String> e : fields.entrySet()) { size += 8 + 3 * (e.getKey().length() + e.getValue().length()); }
+        for (Map.Entry<String, String> e : fields.entrySet()) {
+            size += 8 + 3 * (e.getKey().length() + e.getValue().length());
+        }
         ByteBuffer b = begin(ThriftMessage.REPLY, method, number, size);
         field(b, ThriftMessage.STRUCT, which);
         fields(b, 1, fields);
@@ -37,9 +41,13 @@
     }
 
     /** An application exception. */
-    static byte[] unknownMethod(String method, int number) { return exception(method, number, UNKNOWN_METHOD, "no such method"); }
+    static byte[] unknownMethod(String method, int number) {
+        return exception(method, number, UNKNOWN_METHOD, "no such method");
+    }
 
-    static byte[] unreadable(String method, int number, String why) { return exception(method, number, PROTOCOL_ERROR, why); }
+    static byte[] unreadable(String method, int number, String why) {
+        return exception(method, number, PROTOCOL_ERROR, why);
+    }
 
     private static byte[] exception(String method, int number, int type, String why) {
         byte[] text = why.getBytes(StandardCharsets.UTF_8);
@@ -52,8 +60,8 @@
 
     private static ByteBuffer begin(int type, String method, int number, int room) {
         byte[] name = method.getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.allocate(16 + name.length + room).putInt(0).putInt(ThriftMessage.STRICT | type).putInt(name.length).put(name)
-            .putInt(number);
+        return ByteBuffer.allocate(16 + name.length + room).putInt(0).putInt(
+            ThriftMessage.STRICT | type).putInt(name.length).put(name).putInt(number);
     }
 
     private static byte[] end(ByteBuffer b) {
--- a/src/main/java/switchgap/protocol/thrift/ThriftServer.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -32,7 +32,8 @@
      * wait for the loop and of all calls held, calls held, and how long a connection may take for its first message or
      * for the rest of one.
      */
-    public record ConnectionLimits(int connections, int crowd, int unread, int bytes, int calls, Duration arrival) { }
+    public record ConnectionLimits(int connections, int crowd, int unread, int bytes, int calls,
+        Duration arrival) {}
 
     private static final int MOST_FRAME = 32 << 10;
     /** The protocol says 32, yet usual clients were seen with more than 200 open on a connection; memory is bounded below. */
@@ -76,8 +77,9 @@
     private TcpConnection.Server listener;
 
     /** {@code clock} is the router's, {@code events} its loop. */
-    public ThriftServer(RouterSettings terms, Map<String, Integer> workloads, Map<String, Integer> customers, ConnectionLimits bounds,
-                Supplier<Duration> clock, Consumer<Consumer<RouterCore>> events, Consumer<String> log) {
+    public ThriftServer(RouterSettings terms, Map<String, Integer> workloads, Map<String, Integer> customers,
+        ConnectionLimits bounds,
+        Supplier<Duration> clock, Consumer<Consumer<RouterCore>> events, Consumer<String> log) {
         this.log = log;
         this.book = new SubmitRequestDecoder.NameDirectory(terms, workloads, customers);
         this.bounds = bounds;
@@ -126,7 +128,9 @@
         try {
             m = ThriftMessage.read(frame);
         } catch (ThriftMessage.MalformedMessageException x) {
-            if (x.method != null) { v.link.send(ThriftResponseEncoder.unreadable(x.method, x.number, x.getMessage())); }
+            if (x.method != null) {
+                v.link.send(ThriftResponseEncoder.unreadable(x.method, x.number, x.getMessage()));
+            }
             v.link.close("unreadable message");
             return;
         }
@@ -136,7 +140,8 @@
             send(v, ThriftResponseEncoder.heartbeat(m.method(), m.number(), good));
         } else if (!m.method().equals("submit") && !m.method().equals("revoke")) {
             send(v, ThriftResponseEncoder.unknownMethod(m.method(), m.number()));
-        } else if (v.waiting.incrementAndGet() > MOST_WAITING || waitingBytes.addAndGet(frame.length) > bounds.bytes) {
+        } else if (v.waiting.incrementAndGet() > MOST_WAITING
+            || waitingBytes.addAndGet(frame.length) > bounds.bytes) {
             v.link.close("more messages than the router keeps up with");
         } else {
             if (m.method().equals("revoke")) { v.revoked.add(m.first()); }
@@ -167,14 +172,17 @@
     /** Connections on which anything is under way: a call, a message half come or not seen yet, an answer not written. */
     public int busy() {
         int n = Math.max(0, connected.get() - visits.size()); // some have come that the loop has not heard of
-        for (ClientConnection v : visits) { n += v.link.isOpen() && (!v.idle() || v.partial || v.link.unsentBytes() > 0) ? 1 : 0; }
+        for (ClientConnection v : visits) {
+            n += v.link.isOpen() && (!v.idle() || v.partial || v.link.unsentBytes() > 0) ? 1 : 0;
+        }
         return n;
     }
 
     /** Fails what is still held, as nothing of it can be waited for any more. */
     public void endAll(RouterCore c) {
         for (ClientConnection v : visits) {
-            v.open.forEach((number, call) -> send(v, ThriftResponseEncoder.declared("submit", number, 2, Map.of())));
+            v.open.forEach(
+                (number, call) -> send(v, ThriftResponseEncoder.declared("submit", number, 2, Map.of())));
             for (PendingRequest x : List.copyOf(v.open.values())) { gone(c, x); }
             v.open.clear();
         }
@@ -219,7 +227,9 @@
 
     private void left(RouterCore c, ClientConnection v, String why) {
         visits.remove(v);
-        if (!v.open.isEmpty()) { log.accept("a client's connection ended with " + v.open.size() + " calls held: " + why); }
+        if (!v.open.isEmpty()) {
+            log.accept("a client's connection ended with " + v.open.size() + " calls held: " + why);
+        }
         for (PendingRequest x : List.copyOf(v.open.values())) { gone(c, x); }
         v.open.clear();
     }
@@ -251,12 +261,18 @@
         PendingRequest call;
         try {
             call = SubmitRequestDecoder.read(m, book, came, new ResponseListener() {
-                @Override public void responded(PendingRequest x, Response a) { ThriftServer.this.answered(v, m, x, a); }
+                @Override public void responded(PendingRequest x, Response a) {
+                    ThriftServer.this.answered(v, m, x, a);
+                }
 
                 /** Within half a second it only earns nothing; a call without its final answer is lost. */
-                @Override public void deadlineMissed(PendingRequest x, Response late) { ThriftServer.this.answered(v, m, x, late); }
+                @Override public void deadlineMissed(PendingRequest x, Response late) {
+                    ThriftServer.this.answered(v, m, x, late);
+                }
 
-                @Override public boolean isDisconnected() { return !v.link.isOpen() || v.revoked.contains(m.number()); }
+                @Override public boolean isDisconnected() {
+                    return !v.link.isOpen() || v.revoked.contains(m.number());
+                }
             });
         } catch (SubmitRequestDecoder.InvalidRequestException x) {
             unusable(v, m, x.getMessage());
@@ -282,12 +298,14 @@
     }
 
     private void unusable(ClientConnection v, ThriftMessage m, String field) {
-        send(v, ThriftResponseEncoder.declared(m.method(), m.number(), 2, Map.of("reason", "unusable " + field)));
+        send(v,
+            ThriftResponseEncoder.declared(m.method(), m.number(), 2, Map.of("reason", "unusable " + field)));
     }
 
     private void refuse(ClientConnection v, ThriftMessage m, Duration comeBack) {
         send(v, ThriftResponseEncoder.declared(m.method(), m.number(), 1,
-            comeBack == null ? Map.of() : Map.of("cooldown", String.valueOf(Math.max(1, comeBack.toMillis())))));
+            comeBack == null ? Map.of()
+                : Map.of("cooldown", String.valueOf(Math.max(1, comeBack.toMillis())))));
     }
 
     private void done(ClientConnection v, ThriftMessage m, PendingRequest x) {
@@ -308,7 +326,9 @@
     public void sweep(Duration now) {
         for (ClientConnection v : new ArrayList<>(visits)) {
             Duration since = v.since;
-            if (since != null && now.minus(since).compareTo(bounds.arrival) > 0) { v.link.close("no whole message in time"); }
+            if (since != null && now.minus(since).compareTo(bounds.arrival) > 0) {
+                v.link.close("no whole message in time");
+            }
         }
     }
 }
--- a/src/main/java/switchgap/router/ActionExecutor.java
+++ b/src/main/java/switchgap/router/ActionExecutor.java
@@ -20,7 +20,8 @@
 
     @Override public void startAttempt(int index, int worker, Duration timeout) {
         PendingRequest request = core.requests().get(index);
-        Attempt attempt = new Attempt(request, request.attempts.size(), core.endpoints().get(worker), core.now());
+        Attempt attempt = new Attempt(request, request.attempts.size(), core.endpoints().get(worker),
+            core.now());
         request.attempts.add(attempt);
         attempt.timeout = core.timers().schedule(core.now().plus(timeout), () -> timeOut(attempt));
         transport.startAttempt(attempt, timeout);
@@ -76,7 +77,8 @@
         transport.probe(command.worker, command);
     }
 
-    private WorkerCommand command(int worker, int function, Duration timeout, Consumer<WorkerCommand> timedOut) {
+    private WorkerCommand command(int worker, int function, Duration timeout,
+        Consumer<WorkerCommand> timedOut) {
         WorkerCommand command = new WorkerCommand(core.endpoints().get(worker), function, core.now());
         command.timeout = core.timers().schedule(core.now().plus(timeout), () -> {
             transport.abandon(command);
--- a/src/main/java/switchgap/router/AdmissionGate.java
+++ b/src/main/java/switchgap/router/AdmissionGate.java
@@ -23,16 +23,21 @@
     private final Consumer<ServiceLevelChange> told;
 
     /** Without levels (null) everything passes. Each change of level is told. */
-    public AdmissionGate(RouterCore core, RouterSettings terms, AdmissionController levels, Consumer<ServiceLevelChange> told) {
+    public AdmissionGate(RouterCore core, RouterSettings terms, AdmissionController levels,
+        Consumer<ServiceLevelChange> told) {
         this.core = core;
         this.terms = terms;
         this.levels = levels;
         this.told = told;
         if (levels != null) {
             core.observe(new RouterCore.RequestObserver() {
-                @Override public void requestEnded(PendingRequest c, Response a) { AdmissionGate.this.requestEnded(c, a); }
+                @Override public void requestEnded(PendingRequest c, Response a) {
+                    AdmissionGate.this.requestEnded(c, a);
+                }
 
-                @Override public void workerReported(LoadReport l) { levels.workerReported(l.cpuUtilization()); }
+                @Override public void workerReported(LoadReport l) {
+                    levels.workerReported(l.cpuUtilization());
+                }
             });
         }
     }
@@ -74,7 +79,8 @@
         return switch (a.kind()) {
             case SUCCEEDED -> took.compareTo(target) <= 0 ? RequestOutcome.IN_TIME : RequestOutcome.LATE;
             case REJECTED -> c.attempts.stream().noneMatch(attempt -> attempt.mayHaveExecuted)
-                && took.toNanos() <= target.toNanos() * CROWDED_BY ? RequestOutcome.SATURATED : RequestOutcome.OTHER;
+                && took.toNanos() <= target.toNanos() * CROWDED_BY ? RequestOutcome.SATURATED
+                    : RequestOutcome.OTHER;
             case FAILED -> RequestOutcome.OTHER;
         };
     }
--- a/src/main/java/switchgap/router/CoreLimits.java
+++ b/src/main/java/switchgap/router/CoreLimits.java
@@ -9,4 +9,4 @@
  * @param probeTimeout    after it a probe is given up
  * @param maxFunctions    functions known at a time; a request for a further one is not accepted
  */
-public record CoreLimits(Duration commandTimeout, Duration probeTimeout, int maxFunctions) { }
+public record CoreLimits(Duration commandTimeout, Duration probeTimeout, int maxFunctions) {}
--- a/src/main/java/switchgap/router/DeferredResults.java
+++ b/src/main/java/switchgap/router/DeferredResults.java
@@ -74,10 +74,14 @@
     public String id(Entry e) { return prefix + e.number; }
 
     /** The call behind an entry was taken. */
-    public void accepted(Entry e, PendingRequest c) { e.request = c; }
+    public void accepted(Entry e, PendingRequest c) {
+        e.request = c;
+    }
 
     /** The call behind an entry was not taken. */
-    public void notAccepted(Entry e) { entries.remove(e.number); }
+    public void notAccepted(Entry e) {
+        entries.remove(e.number);
+    }
 
     /** Drops what has been kept long enough. */
     public void tick(Duration at) {
@@ -93,7 +97,9 @@
     }
 
     /** The entry of an id that is held or ended, else null. */
-    public Entry find(String id) { return entries.get(number(id)); }
+    public Entry find(String id) {
+        return entries.get(number(id));
+    }
 
     /** Tells the waiter at the end; false when too many wait already. */
     public boolean await(Entry e, Consumer<Entry> waiter) {
--- a/src/main/java/switchgap/router/EndpointTable.java
+++ b/src/main/java/switchgap/router/EndpointTable.java
@@ -45,12 +45,13 @@
             WorkerEntry worker = entryFor(update);
             named.add(update.name());
             accept(worker, update.state() == WorkerState.READY);
-            policy.endpointListed(new EndpointEntry(worker.index, NameIndex.hash(update.name()), update.state(),
-                update.zone(), update.cell(), update.kind(), update.capacity(), update.startedAt()));
+            policy.endpointListed(
+                new EndpointEntry(worker.index, NameIndex.hash(update.name()), update.state(),
+                    update.zone(), update.cell(), update.kind(), update.capacity(), update.startedAt()));
         }
         if (complete) {
-            byIndex.stream().filter(worker -> worker != null && !named.contains(worker.name))
-                .forEach(worker -> accept(worker, false));
+            byIndex.stream().filter(worker -> worker != null && !named.contains(worker.name)).forEach(
+                worker -> accept(worker, false));
         }
         policy.endpointListEnded();
     }
--- a/src/main/java/switchgap/router/EndpointUpdate.java
+++ b/src/main/java/switchgap/router/EndpointUpdate.java
@@ -13,5 +13,6 @@
  * @param startedAt  start of its process since the router's start (below zero before it), null where it is not told; the
  *                   same process must have the same value in each version
  */
-public record EndpointUpdate(String name, String host, int port, WorkerState state, int zone, int cell, int kind,
-    double capacity, Duration startedAt) { }
+public record EndpointUpdate(String name, String host, int port, WorkerState state, int zone, int cell,
+    int kind,
+    double capacity, Duration startedAt) {}
--- a/src/main/java/switchgap/router/PendingRequestTable.java
+++ b/src/main/java/switchgap/router/PendingRequestTable.java
@@ -54,8 +54,8 @@
     /** Sum of the weights of pending requests without an attempt in flight, by function. */
     Map<String, Double> queuedWeightByFunction(ToDoubleFunction<PendingRequest> weight) {
         Map<String, Double> weights = new HashMap<>();
-        byIndex.stream().filter(Objects::nonNull).filter(PendingRequestTable::isQueued)
-            .forEach(request -> weights.merge(request.function, weight.applyAsDouble(request), Double::sum));
+        byIndex.stream().filter(Objects::nonNull).filter(PendingRequestTable::isQueued).forEach(
+            request -> weights.merge(request.function, weight.applyAsDouble(request), Double::sum));
         return weights;
     }
 
--- a/src/main/java/switchgap/router/RouterCore.java
+++ b/src/main/java/switchgap/router/RouterCore.java
@@ -32,7 +32,7 @@
     private final PolicyActions actions;
     private Duration now = Duration.ZERO;
     private PolicyEvents policyEvents; // while a tick's events are being told
-    private RequestObserver observer = (request, response) -> { };
+    private RequestObserver observer = (request, response) -> {};
 
     /** What decides: the routing policy, or in measurements a baseline. */
     public interface Policy {
@@ -46,7 +46,7 @@
         void requestEnded(PendingRequest request, Response response);
 
         /** What a worker reported with an attempt's end. */
-        default void workerReported(LoadReport report) { }
+        default void workerReported(LoadReport report) {}
     }
 
     /** A core under the routing policy; its random draws come from the seed alone. */
@@ -160,15 +160,17 @@
             respond(request, response);
         }
         boolean closed = request.state != PendingRequest.State.PENDING;
-        policyEvents.attemptEnded(new AttemptResult(request.index, attempt.number, attempt.worker.index, outcome,
-            now.minus(attempt.sentAt), closed, report));
+        policyEvents.attemptEnded(
+            new AttemptResult(request.index, attempt.number, attempt.worker.index, outcome,
+                now.minus(attempt.sentAt), closed, report));
     }
 
     /** A load command or a query ended; {@code loadedReplicas} are there now. */
     public void loadCommandEnded(WorkerCommand command, AttemptOutcome outcome, int loadedReplicas) {
         if (endsFirst(command) && endpoints.isKnown(command.worker)) {
-            policyEvents.loadCommandEnded(new LoadCommandResult(command.worker.index, command.function, outcome,
-                now.minus(command.sentAt), loadedReplicas));
+            policyEvents.loadCommandEnded(
+                new LoadCommandResult(command.worker.index, command.function, outcome,
+                    now.minus(command.sentAt), loadedReplicas));
         }
     }
 
--- a/src/main/java/switchgap/router/WorkerTransport.java
+++ b/src/main/java/switchgap/router/WorkerTransport.java
@@ -36,7 +36,7 @@
      * A worker takes nothing new; for good where it is forgotten or has another address. What waits for a connection
      * to it is told so at once, not at its timeout.
      */
-    default void stopAccepting(WorkerEntry worker, boolean forGood) { }
+    default void stopAccepting(WorkerEntry worker, boolean forGood) {}
 
     /** Asks for the endpoint list, or for its changes from now on. */
     void requestEndpointList();
--- a/src/main/java/switchgap/scenario/FaultScript.java
+++ b/src/main/java/switchgap/scenario/FaultScript.java
@@ -26,7 +26,8 @@
     private void later(long micros, Runnable then) { rig.ticker.after(micros, then); }
 
     private void bring(Scenario.Fault t) {
-        rig.scriptLog.line(rig.ticker.now(), "trouble", "verb", t.verb().name(), "lasts", t.lasts(), "part", t.part(),
+        rig.scriptLog.line(rig.ticker.now(), "trouble", "verb", t.verb().name(), "lasts", t.lasts(), "part",
+            t.part(),
             "size", t.size());
         if (loads.bring(t)) { return; }
         switch (t.verb()) {
@@ -84,18 +85,21 @@
             }
             case ROUTER_PAUSED -> {
                 int r = (int) t.size() % day.routers;
-                rig.scriptLog.line(rig.ticker.now(), "router-paused", "router", r, "done", rig.routers.get(r).pause(true));
+                rig.scriptLog.line(rig.ticker.now(), "router-paused", "router", r, "done",
+                    rig.routers.get(r).pause(true));
                 later(t.lasts(), () -> {
                     rig.routers.get(r).pause(false);
                     rig.scriptLog.line(rig.ticker.now(), "router-resumed", "router", r);
                 });
             }
             case PLANNERS_KILLED -> {
-                rig.routers.forEach(r -> rig.scriptLog.line(rig.ticker.now(), "planner-killed", "done", r.killPlanner()));
+                rig.routers.forEach(
+                    r -> rig.scriptLog.line(rig.ticker.now(), "planner-killed", "done", r.killPlanner()));
                 later(t.lasts(), rig::startPlanners);
             }
             case PLANNERS_PAUSED -> {
-                rig.routers.forEach(r -> rig.scriptLog.line(rig.ticker.now(), "planner-paused", "done", r.pausePlanner(true)));
+                rig.routers.forEach(r -> rig.scriptLog.line(rig.ticker.now(), "planner-paused", "done",
+                    r.pausePlanner(true)));
                 later(t.lasts(), () -> rig.routers.forEach(r -> r.pausePlanner(false)));
             }
             default -> throw new IllegalStateException("nobody brings " + t.verb());
--- a/src/main/java/switchgap/scenario/InProcessRouter.java
+++ b/src/main/java/switchgap/scenario/InProcessRouter.java
@@ -12,7 +12,9 @@
 
     InProcessRouter(Path page) { this.page = page; }
 
-    @Override public void start() throws IOException { gateway = new GatewayRouter(GatewayConfig.read(page)); }
+    @Override public void start() throws IOException {
+        gateway = new GatewayRouter(GatewayConfig.read(page));
+    }
 
     @Override public boolean runs() { return gateway != null; }
 
--- a/src/main/java/switchgap/scenario/InvariantChecker.java
+++ b/src/main/java/switchgap/scenario/InvariantChecker.java
@@ -20,10 +20,12 @@
  */
 public final class InvariantChecker {
     /** The rules, as rows of the table. */
-    public enum Invariant { ANSWERS, REPEATS, DRAINS, COLD_WORKERS, RATION }
+    public enum Invariant {
+        ANSWERS, REPEATS, DRAINS, COLD_WORKERS, RATION
+    }
 
     /** A broken rule: which call or worker, and the lines of the logs that show it. */
-    public record Violation(Invariant rule, String what) { }
+    public record Violation(Invariant rule, String what) {}
 
     private static final int MOST_SHOWN = 20;
     private static final long NEVER = Long.MAX_VALUE / 2; // spans are added to it
@@ -61,7 +63,8 @@
     private final List<List<long[]>> away = new ArrayList<>();
     private final List<List<long[]>> pauses = new ArrayList<>();
     private final Map<String, Integer> ends = new java.util.TreeMap<>();
-    private int executions, ran, twice, ordersSeen, drainsTold, repeatsDropped, coldWorkers, fellDue, withinSlack;
+    private int executions, ran, twice, ordersSeen, drainsTold, repeatsDropped, coldWorkers, fellDue,
+        withinSlack;
     private long latestAfterDrain = -1;
     private double coldMost, rationMost;
 
@@ -102,12 +105,14 @@
                     }
                     all.add(new LogLine(all.size() + 1, n));
                 } catch (IOException e) {
-                    throw new IOException(file + ":" + (all.size() + 1) + ": unusable line: " + e.getMessage());
+                    throw new IOException(
+                        file + ":" + (all.size() + 1) + ": unusable line: " + e.getMessage());
                 }
             }
         }
         if (all.isEmpty() || !all.get(all.size() - 1).text("what").equals("end")) {
-            throw new IOException(file + ":" + all.size() + ": the log is cut off: its last line is not the end");
+            throw new IOException(
+                file + ":" + all.size() + ": the log is cut off: its last line is not the end");
         }
         return all;
     }
@@ -120,7 +125,7 @@
                 case "router-paused" -> pauses.get(r).add(new long[] {l.t(), NEVER});
                 case "router-resumed" -> pauses.get(r).get(pauses.get(r).size() - 1)[1] = l.t();
                 case "router-started" -> away.get(r).get(away.get(r).size() - 1)[1] = l.t();
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -148,7 +153,9 @@
                         t.end = l.text("end");
                         t.answered = l.t();
                         t.answerLine = l.number();
-                        if (List.of("finished", "pushed-back", "killed", "refused").contains(t.end)) { t.finals++; }
+                        if (List.of("finished", "pushed-back", "killed", "refused").contains(t.end)) {
+                            t.finals++;
+                        }
                     }
                 }
                 case "late-answer" -> {
@@ -160,11 +167,12 @@
                         withinSlack++;
                         t.end = l.text("end");
                     } else {
-                        broken(Invariant.ANSWERS, call + " got an answer " + by / 1000 + " ms after its limit, clients.jsonl:"
-                            + l.number());
+                        broken(Invariant.ANSWERS,
+                            call + " got an answer " + by / 1000 + " ms after its limit, clients.jsonl:"
+                                + l.number());
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -194,7 +202,9 @@
                 }
                 case "repeat-dropped" -> repeatsDropped++;
                 case "ended" -> { // the process died: its connections were cut, so what it had is over
-                    for (WorkerAttempt s : at.getOrDefault(l.text("worker"), List.of())) { s.over = Math.min(s.over, l.t()); }
+                    for (WorkerAttempt s : at.getOrDefault(l.text("worker"), List.of())) {
+                        s.over = Math.min(s.over, l.t());
+                    }
                     at.remove(l.text("worker"));
                 }
                 case "answer", "left" -> {
@@ -203,7 +213,7 @@
                         || l.text("fault").equals("half");
                     if (s != null && !lost) { s.over = Math.min(s.over, l.t()); }
                 }
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -216,7 +226,8 @@
 
     /** A router stopped by a signal can't answer what falls due meanwhile; silence is right then, a late answer is not. */
     private boolean fellDueInPause(ClientAttempt t) {
-        boolean was = pauses.get(t.router).stream().anyMatch(a -> a[0] <= t.limit + day.slack && a[1] + day.slack >= t.limit);
+        boolean was = pauses.get(t.router).stream().anyMatch(
+            a -> a[0] <= t.limit + day.slack && a[1] + day.slack >= t.limit);
         fellDue += was ? 1 : 0;
         return was;
     }
@@ -226,16 +237,19 @@
         for (ClientAttempt t : tries.values()) {
             if (t.finals == 0 && !"unreachable".equals(t.end) && !wasAway(t.router, t.sent, t.limit)
                 && !fellDueInPause(t)) {
-                broken(Invariant.ANSWERS, t.call + " got no final answer (" + t.end + "), clients.jsonl:" + t.callLine);
+                broken(Invariant.ANSWERS,
+                    t.call + " got no final answer (" + t.end + "), clients.jsonl:" + t.callLine);
             }
             if (t.finals > 1) {
-                broken(Invariant.ANSWERS, t.call + " got " + t.finals + " final answers, clients.jsonl:" + t.answerLine);
+                broken(Invariant.ANSWERS,
+                    t.call + " got " + t.finals + " final answers, clients.jsonl:" + t.answerLine);
             }
             for (WorkerAttempt s : t.runs) {
                 long after = t.finals > 0 ? t.answered : t.limit;
                 if (s.t > after + day.slack) {
-                    broken(Invariant.ANSWERS, t.call + " was sent " + (s.t - after) / 1000 + " ms after its end, fleet.jsonl:"
-                        + s.line);
+                    broken(Invariant.ANSWERS,
+                        t.call + " was sent " + (s.t - after) / 1000 + " ms after its end, fleet.jsonl:"
+                            + s.line);
                 }
             }
         }
@@ -248,24 +262,29 @@
             String kind = day.repeats.get(t.workload);
             for (int i = 0; i < t.runs.size(); i++) {
                 WorkerAttempt s = t.runs.get(i);
-                if (s.ran) { byJob.computeIfAbsent(t.job, k -> new ArrayList<>()).add("fleet.jsonl:" + s.line); }
+                if (s.ran) {
+                    byJob.computeIfAbsent(t.job, k -> new ArrayList<>()).add("fleet.jsonl:" + s.line);
+                }
                 for (int k = 0; k < i; k++) {
                     if (t.runs.get(k).over > s.t + day.slack) {
-                        broken(Invariant.REPEATS, t.call + " had two executions out, fleet.jsonl:" + t.runs.get(k).line + " and :"
-                            + s.line);
+                        broken(Invariant.REPEATS,
+                            t.call + " had two executions out, fleet.jsonl:" + t.runs.get(k).line + " and :"
+                                + s.line);
                     }
                 }
             }
             boolean mayHave = t.runs.stream().anyMatch(s -> s.ran);
             if (kind.equals("run-once") && "pushed-back".equals(t.end) && mayHave) {
-                broken(Invariant.REPEATS, t.call + " was pushed back though an execution ran, clients.jsonl:" + t.answerLine);
+                broken(Invariant.REPEATS,
+                    t.call + " was pushed back though an execution ran, clients.jsonl:" + t.answerLine);
             }
         }
         for (ClientAttempt t : tries.values()) {
             List<String> at = byJob.remove(t.job);
             if (at != null && at.size() > 1 && !day.repeats.get(t.workload).equals("restartable")) {
                 twice++;
-                broken(Invariant.REPEATS, t.job + " took effect " + at.size() + " times: " + String.join(", ", at));
+                broken(Invariant.REPEATS,
+                    t.job + " took effect " + at.size() + " times: " + String.join(", ", at));
             }
         }
     }
@@ -281,8 +300,9 @@
             if (since == null) { continue; }
             latestAfterDrain = Math.max(latestAfterDrain, l.t() - since);
             if (l.t() - since > day.grace + day.slack) {
-                broken(Invariant.DRAINS, l.text("worker") + " got " + l.text("what") + " from router " + l.whole("router") + " "
-                    + (l.t() - since) / 1000 + " ms after it was told, fleet.jsonl:" + l.number());
+                broken(Invariant.DRAINS,
+                    l.text("worker") + " got " + l.text("what") + " from router " + l.whole("router") + " "
+                        + (l.t() - since) / 1000 + " ms after it was told, fleet.jsonl:" + l.number());
             }
         }
         for (; at < list.size(); at++) { tell(list.get(at), told); }
@@ -300,7 +320,7 @@
 
     /** Rule 4: the work sent to a cold worker within any span, over multiple times what it can do, times the span. */
     private void cold(List<LogLine> fleet) {
-        record Cold(long started, double full, ArrayDeque<double[]> came, double[] sum) { }
+        record Cold(long started, double full, ArrayDeque<double[]> came, double[] sum) {}
         Map<String, Cold> now = new HashMap<>();
         for (LogLine l : fleet) {
             String w = l.text("worker");
@@ -308,8 +328,9 @@
                 now.remove(w);
                 if (l.n().path("cold").asBoolean()) {
                     coldWorkers++;
-                    now.put(w, new Cold(l.t(), l.whole("cores") * l.n().get("speed").asDouble(), new ArrayDeque<>(),
-                        new double[1]));
+                    now.put(w,
+                        new Cold(l.t(), l.whole("cores") * l.n().get("speed").asDouble(), new ArrayDeque<>(),
+                            new double[1]));
                 }
             } else if (l.text("what").equals("fell")) {
                 broken(Invariant.COLD_WORKERS, w + " fell over, fleet.jsonl:" + l.number());
@@ -327,8 +348,9 @@
                 double used = c.sum[0] / (c.full * Math.min(1, warm) * day.fallSpan * day.fallMultiple);
                 coldMost = Math.max(coldMost, used);
                 if (used > 1) {
-                    broken(Invariant.COLD_WORKERS, w + " was sent " + Math.round(used * 100) + "% of its budget, fleet.jsonl:"
-                        + l.number());
+                    broken(Invariant.COLD_WORKERS,
+                        w + " was sent " + Math.round(used * 100) + "% of its budget, fleet.jsonl:"
+                            + l.number());
                 }
             }
         }
@@ -340,7 +362,9 @@
         for (int i = 0; i < day.routers; i++) { orders.add(new ArrayDeque<>()); }
         for (LogLine l : fleet) {
             int r = l.whole("router");
-            if (!l.text("what").equals("load") || l.whole("copies") < 1 || r < 0 || r >= day.routers) { continue; }
+            if (!l.text("what").equals("load") || l.whole("copies") < 1 || r < 0 || r >= day.routers) {
+                continue;
+            }
             ordersSeen++;
             if (day.loadsSpan == 0) { continue; }
             ArrayDeque<Long> q = orders.get(r);
@@ -350,8 +374,9 @@
             double may = day.loadsFree + day.loadsShare * calls;
             rationMost = Math.max(rationMost, q.size() / may);
             if (q.size() > may) {
-                broken(Invariant.RATION, "router " + r + " ordered " + q.size() + " loads where " + may + " are its ration, "
-                    + "fleet.jsonl:" + l.number());
+                broken(Invariant.RATION,
+                    "router " + r + " ordered " + q.size() + " loads where " + may + " are its ration, "
+                        + "fleet.jsonl:" + l.number());
             }
         }
     }
@@ -362,23 +387,29 @@
     public void print(PrintStream out) {
         Map<Invariant, String> counts = new LinkedHashMap<>();
         counts.put(Invariant.ANSWERS, tries.size() + " calls; " + ends
-            + (withinSlack == 0 ? "" : "; " + withinSlack + " answers were seen past the limit, within the slack of "
-            + day.slack / 1000 + " ms")
+            + (withinSlack == 0 ? ""
+                : "; " + withinSlack + " answers were seen past the limit, within the slack of "
+                    + day.slack / 1000 + " ms")
             + (fellDue == 0 ? "" : "; " + fellDue + " fell due while their router was stopped"));
-        counts.put(Invariant.REPEATS, executions + " executions, " + ran + " ran, " + repeatsDropped + " repeats dropped, "
-            + twice + " jobs took effect twice");
+        counts.put(Invariant.REPEATS,
+            executions + " executions, " + ran + " ran, " + repeatsDropped + " repeats dropped, "
+                + twice + " jobs took effect twice");
         counts.put(Invariant.DRAINS, drainsTold + " drains told; latest send after one "
-            + (latestAfterDrain < 0 ? "none" : latestAfterDrain / 1000.0 + " ms") + ", grace " + day.grace / 1000 + " ms");
+            + (latestAfterDrain < 0 ? "none" : latestAfterDrain / 1000.0 + " ms") + ", grace "
+            + day.grace / 1000 + " ms");
         counts.put(Invariant.COLD_WORKERS, coldWorkers + " cold starts; most of a budget used "
             + Math.round(coldMost * 100) + "%");
-        counts.put(Invariant.RATION, ordersSeen + " load orders; " + (day.loadsSpan == 0 ? "no ration is stated"
-            : "most of the ration used " + Math.round(rationMost * 100) + "%"));
+        counts.put(Invariant.RATION,
+            ordersSeen + " load orders; " + (day.loadsSpan == 0 ? "no ration is stated"
+                : "most of the ration used " + Math.round(rationMost * 100) + "%"));
         counts.forEach((rule, count) -> {
             long n = violations.stream().filter(v -> v.rule() == rule).count();
             out.printf("%-13s %-7s %s%n", rule.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' '),
                 n == 0 ? "kept" : "BROKEN", count + (n == 0 ? "" : "; " + n + " violations"));
         });
         violations.stream().limit(MOST_SHOWN).forEach(v -> out.println("  " + v.what()));
-        if (violations.size() > MOST_SHOWN) { out.println("  and " + (violations.size() - MOST_SHOWN) + " more"); }
+        if (violations.size() > MOST_SHOWN) {
+            out.println("  and " + (violations.size() - MOST_SHOWN) + " more");
+        }
     }
 }
--- a/src/main/java/switchgap/scenario/LoadFaults.java
+++ b/src/main/java/switchgap/scenario/LoadFaults.java
@@ -17,7 +17,8 @@
     private final EmulatedStore store;
     private final Map<String, Double> customers;
 
-    public LoadFaults(Scheduler ticker, EmulatedClients clients, FunctionCatalogue catalogue, EmulatedStore store, Map<String, Double> customers) {
+    public LoadFaults(Scheduler ticker, EmulatedClients clients, FunctionCatalogue catalogue,
+        EmulatedStore store, Map<String, Double> customers) {
         this.ticker = ticker;
         this.clients = clients;
         this.catalogue = catalogue;
--- a/src/main/java/switchgap/scenario/LoopbackPorts.java
+++ b/src/main/java/switchgap/scenario/LoopbackPorts.java
@@ -10,7 +10,7 @@
 public final class LoopbackPorts {
     private static final long MOST_WAIT = 15_000_000_000L;
 
-    private LoopbackPorts() { }
+    private LoopbackPorts() {}
 
     /** So many free ports, held together until all are known: asked for one by one they may all be the same. */
     public static int[] free(int n) throws IOException {
@@ -25,7 +25,7 @@
 
     /** Waits until somebody listens there. */
     public static void await(int port) throws IOException {
-        for (long end = System.nanoTime() + MOST_WAIT; ; ) {
+        for (long end = System.nanoTime() + MOST_WAIT;;) {
             try (Socket s = new Socket("127.0.0.1", port)) {
                 return;
             } catch (IOException e) {
--- a/src/main/java/switchgap/scenario/RouterHost.java
+++ b/src/main/java/switchgap/scenario/RouterHost.java
@@ -19,10 +19,12 @@
     default boolean killPlanner() { return false; }
 
     /** Starts its planner, where it has one that does not run. */
-    default void startPlanner() throws IOException { }
+    default void startPlanner() throws IOException {}
 
     /** Its planner is stopped by a signal for a while; false where that can't be done. */
-    default boolean pausePlanner(boolean is) { return false; }
+    default boolean pausePlanner(boolean is) {
+        return false;
+    }
 
     /** Asked to stop in good order; waits for its end. */
     void stop();
--- a/src/main/java/switchgap/scenario/RouterProcess.java
+++ b/src/main/java/switchgap/scenario/RouterProcess.java
@@ -25,7 +25,8 @@
     @Override public void start() throws IOException {
         List<String> words = new ArrayList<>(List.of("router", page.toString()));
         if (baseline != null) { words.addAll(List.of("--baseline", baseline)); }
-        process = ChildProcess.start(log, List.of("-Xmx256m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"), words);
+        process = ChildProcess.start(log, List.of("-Xmx256m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"),
+            words);
         startPlanner();
     }
 
@@ -53,7 +54,8 @@
 
     private static boolean signal(Process p, boolean stop) {
         try {
-            return new ProcessBuilder("kill", stop ? "-STOP" : "-CONT", String.valueOf(p.pid())).start().waitFor() == 0;
+            return new ProcessBuilder("kill", stop ? "-STOP" : "-CONT",
+                String.valueOf(p.pid())).start().waitFor() == 0;
         } catch (IOException e) {
             return false;
         } catch (InterruptedException e) {
--- a/src/main/java/switchgap/scenario/Scenario.java
+++ b/src/main/java/switchgap/scenario/Scenario.java
@@ -19,10 +19,10 @@
 /** A day as its page states it: fleet, terms, load, script, seed. */
 public final class Scenario {
     /** A kind of worker: its share of the fleet and what it is. */
-    record WorkerKind(String name, double share, int cores, double speed, double memory) { }
+    record WorkerKind(String name, double share, int cores, double speed, double memory) {}
 
     /** One line of the script; {@code at} and {@code lasts} in microseconds of the day. */
-    public record Fault(long at, FaultType verb, long lasts, double part, double size, String of) { }
+    public record Fault(long at, FaultType verb, long lasts, double part, double size, String of) {}
 
     final String name;
     final long length;
@@ -76,7 +76,8 @@
         YamlDocument k = f.section("kinds");
         for (String n : k.keys()) {
             YamlDocument one = k.section(n);
-            kinds.add(new WorkerKind(n, one.number("share", 0, 1), one.integer("cores", 1, 256), one.number("speed", 0.01, 100),
+            kinds.add(new WorkerKind(n, one.number("share", 0, 1), one.integer("cores", 1, 256),
+                one.number("speed", 0.01, 100),
                 one.number("memory", 1, 1e9)));
             one.rejectUnknownKeys();
         }
@@ -102,7 +103,8 @@
         rate = o.number("rate", 0.1, 100_000);
         zipf = o.number("zipf", 0, 5, 1.2);
         functions = o.integer("functions", 1, 5000, 30);
-        manner = new EmulatedClients.RetryBehaviour(o.integer("retries", 0, 20, 2), o.number("least_wait", 0.01, 1, 0.6),
+        manner = new EmulatedClients.RetryBehaviour(o.integer("retries", 0, 20, 2),
+            o.number("least_wait", 0.01, 1, 0.6),
             micros(o.duration("backoff", Duration.ofMillis(80))), o.number("honour", 0, 1, 0.8));
         o.rejectUnknownKeys();
         YamlDocument w = p.section("workloads");
@@ -126,9 +128,12 @@
         loadsShare = u.number("loads_share", 0, 1e6, 0);
         loadsSpan = micros(u.duration("loads_span", Duration.ZERO));
         for (YamlDocument t : p.sections("script")) { script.add(trouble(t)); }
-        p.keys().stream().filter(n -> !List.of("day", "zones", "fleet", "store", "list", "routers", "load", "workloads",
-            "customers", "workers", "rules", "prices", "holds", "links", "levels", "script").contains(n)).findFirst()
-            .ifPresent(n -> { throw p.invalid(n, "is no part of a day"); });
+        p.keys().stream().filter(
+            n -> !List.of("day", "zones", "fleet", "store", "list", "routers", "load", "workloads",
+                "customers", "workers", "rules", "prices", "holds", "links", "levels", "script").contains(
+                    n)).findFirst().ifPresent(n -> {
+                        throw p.invalid(n, "is no part of a day");
+                    });
     }
 
     /** Reads a day; a mistake names file, line and key. */
@@ -146,12 +151,16 @@
         long target = micros(w.duration("start_target"));
         long limit = micros(w.duration("time_limit"));
         repeats.add(repeat);
-        wishes.add(new EmulatedClients.RequestClassProfile(n, target, limit, w.number("importance", 0, 1e6, 1), w.number("late_share", 0, 1, 0),
-            repeat.equals("restartable") || repeat.equals("fingerprinted") && w.text("group", "all").equals("all"),
+        wishes.add(new EmulatedClients.RequestClassProfile(n, target, limit,
+            w.number("importance", 0, 1e6, 1), w.number("late_share", 0, 1, 0),
+            repeat.equals("restartable")
+                || repeat.equals("fingerprinted") && w.text("group", "all").equals("all"),
             repeat.equals("fingerprinted")));
-        likes.add(new FunctionCatalogue.FunctionGroup(n, w.number("share", 0, 1), w.number("memory", 1, 1e6), w.integer("lanes", 1, 1000),
+        likes.add(new FunctionCatalogue.FunctionGroup(n, w.number("share", 0, 1), w.number("memory", 1, 1e6),
+            w.integer("lanes", 1, 1000),
             micros(w.duration("load")), micros(w.duration("work")), micros(w.duration("io", Duration.ZERO)),
-            w.number("spread", 0, 2, 0.4), repeat.equals("fingerprinted") ? micros(w.duration("memory_span")) : 0));
+            w.number("spread", 0, 2, 0.4),
+            repeat.equals("fingerprinted") ? micros(w.duration("memory_span")) : 0));
         w.text("group", "all");
         w.has("memory_span");
         w.rejectUnknownKeys();
@@ -178,8 +187,10 @@
     }
 
     EmulatedWorker.Hardware make(WorkerKind k) {
-        return new EmulatedWorker.Hardware(k.cores(), k.speed(), slotsPerCore * k.cores(), queuePerCore * k.cores(), k.memory(),
-            loadsAtOnce, keep, onMissLoads, eager, coldShare, coldSpan, fallMultiple, fallSpan, fetchShare, loadFails);
+        return new EmulatedWorker.Hardware(k.cores(), k.speed(), slotsPerCore * k.cores(),
+            queuePerCore * k.cores(), k.memory(),
+            loadsAtOnce, keep, onMissLoads, eager, coldShare, coldSpan, fallMultiple, fallSpan, fetchShare,
+            loadFails);
     }
 
     double[] routerShares() {
@@ -193,12 +204,15 @@
     }
 
     /** The loopback address from which a router asks its workers: it tells the logs who asked. */
-    static String address(int router) { return "127.1." + (router / 250) + "." + (router % 250 + 1); }
+    static String address(int router) {
+        return "127.1." + (router / 250) + "." + (router % 250 + 1);
+    }
 
     /** The router of an address, -1 where it is none. */
     static int router(String address) {
         String[] p = address.split("\\.");
-        return p.length == 4 && p[1].equals("1") ? Integer.parseInt(p[2]) * 250 + Integer.parseInt(p[3]) - 1 : -1;
+        return p.length == 4 && p[1].equals("1") ? Integer.parseInt(p[2]) * 250 + Integer.parseInt(p[3]) - 1
+            : -1;
     }
 
     /** The page of one router of this day. */
@@ -207,8 +221,8 @@
     }
 
     /** The same with some values in place of the day's, by {@code part.key}. */
-    @SuppressWarnings("unchecked")
-    public String routerPage(int number, int port, int listPort, FunctionCatalogue catalogue, Map<String, String> instead) {
+    @SuppressWarnings("unchecked") public String routerPage(int number, int port, int listPort,
+        FunctionCatalogue catalogue, Map<String, String> instead) {
         Map<String, Object> page = new LinkedHashMap<>();
         Map<String, Object> r = (Map<String, Object>) raw.get("routers");
         Map<String, Object> router = new LinkedHashMap<>();
@@ -233,12 +247,12 @@
         });
         page.put("workloads", loads);
         Map<String, Object> who = new LinkedHashMap<>();
-        ((Map<String, Object>) raw.get("customers")).forEach((n, v) ->
-            who.put(n, Map.of("rate", ((Map<String, Object>) v).get("rate"))));
+        ((Map<String, Object>) raw.get("customers")).forEach(
+            (n, v) -> who.put(n, Map.of("rate", ((Map<String, Object>) v).get("rate"))));
         page.put("customers", who);
         Map<String, Object> fs = new LinkedHashMap<>();
-        catalogue.known().stream().sorted(java.util.Comparator.comparing(m -> m.name())).forEach(m ->
-            fs.put(m.name(), function(m.workload(), m.memory(), m.lanes(), m.load())));
+        catalogue.known().stream().sorted(java.util.Comparator.comparing(m -> m.name())).forEach(
+            m -> fs.put(m.name(), function(m.workload(), m.memory(), m.lanes(), m.load())));
         for (int w = 0; w < likes.size(); w++) {
             FunctionCatalogue.FunctionGroup like = likes.get(w);
             for (String kind : List.of("hot-", "once-")) {
@@ -247,18 +261,22 @@
         }
         page.put("functions", fs);
         for (String part : List.of("workers", "rules", "prices", "holds", "links", "levels")) {
-            if (raw.containsKey(part)) { page.put(part, new LinkedHashMap<>((Map<String, Object>) raw.get(part))); }
+            if (raw.containsKey(part)) {
+                page.put(part, new LinkedHashMap<>((Map<String, Object>) raw.get(part)));
+            }
         }
         if (page.get("rules") instanceof Map<?, ?> rules) { rules.remove("drain_grace"); } // the checker's; a router stops at once
-        Map<String, Object> links = (Map<String, Object>) page.computeIfAbsent("links", x -> new LinkedHashMap<>());
+        Map<String,
+            Object> links = (Map<String, Object>) page.computeIfAbsent("links", x -> new LinkedHashMap<>());
         links.put("from", address(number));
-        ((Map<String, Object>) page.computeIfAbsent("workers", x -> new LinkedHashMap<>()))
-            .put("keep_alive", keep / 1000 + "ms");
+        ((Map<String, Object>) page.computeIfAbsent("workers", x -> new LinkedHashMap<>())).put("keep_alive",
+            keep / 1000 + "ms");
         page.put("listen", Map.of("port", port));
         page.put("list", Map.of("port", listPort));
         instead.forEach((k, v) -> {
             String[] at = k.split("\\.", 2);
-            Map<String, Object> part = new LinkedHashMap<>((Map<String, Object>) page.getOrDefault(at[0], Map.of()));
+            Map<String,
+                Object> part = new LinkedHashMap<>((Map<String, Object>) page.getOrDefault(at[0], Map.of()));
             part.put(at[1], new Yaml(new SafeConstructor(new LoaderOptions())).load(v));
             page.put(at[0], part);
         });
@@ -304,10 +322,14 @@
 
     public EmulatedWorker.Hardware makeOf(int worker) { return make(kindOf(worker)); }
 
-    public FunctionCatalogue catalogue(long with) { return new FunctionCatalogue(likes, functions, zipf, with); }
+    public FunctionCatalogue catalogue(long with) {
+        return new FunctionCatalogue(likes, functions, zipf, with);
+    }
 
-    public EmulatedClients clients(switchgap.emulator.Scheduler ticker, switchgap.emulator.ClientTransport way, FunctionCatalogue c, long with) {
-        return new EmulatedClients(ticker, way, c, wishes.toArray(new EmulatedClients.RequestClassProfile[0]), manner, rate, routerShares(), customers, with);
+    public EmulatedClients clients(switchgap.emulator.Scheduler ticker,
+        switchgap.emulator.ClientTransport way, FunctionCatalogue c, long with) {
+        return new EmulatedClients(ticker, way, c, wishes.toArray(new EmulatedClients.RequestClassProfile[0]),
+            manner, rate, routerShares(), customers, with);
     }
 
     /** Work a second that the fleet can do at most, in seconds of a core of speed 1, and the work of a mean job. */
@@ -325,7 +347,9 @@
     public double rate() { return rate; }
 
     /** The longest time limit, microseconds. */
-    public long longestLimit() { return wishes.stream().mapToLong(EmulatedClients.RequestClassProfile::limit).max().orElse(0); }
+    public long longestLimit() {
+        return wishes.stream().mapToLong(EmulatedClients.RequestClassProfile::limit).max().orElse(0);
+    }
 
     public long seed() { return seed; }
 
@@ -333,11 +357,14 @@
     public List<double[]> kindsOfWork() {
         List<double[]> all = new ArrayList<>();
         for (int w = 0; w < likes.size(); w++) {
-            all.add(new double[] {likes.get(w).share(), wishes.get(w).worth(), likes.get(w).work() / 1e6 / meanWork()});
+            all.add(new double[] {likes.get(w).share(), wishes.get(w).worth(),
+                likes.get(w).work() / 1e6 / meanWork()});
         }
         return all;
     }
 
     /** Calls held at a router, at which a static cut-off turns the less important away: twice the routers' part of the slots. */
-    public int staticHeld() { return Math.max(2, 2 * workers * slotsPerCore * 2 / routers / 3); }
+    public int staticHeld() {
+        return Math.max(2, 2 * workers * slotsPerCore * 2 / routers / 3);
+    }
 }
--- a/src/main/java/switchgap/scenario/TestBed.java
+++ b/src/main/java/switchgap/scenario/TestBed.java
@@ -77,7 +77,8 @@
             Files.deleteIfExists(dir.resolve("router-" + i + ".log"));
             Files.writeString(page, day.routerPage(i, ports[i], list.port(), catalogue,
                 day.split ? Map.of("planner.port", String.valueOf(links[i])) : Map.of()));
-            routers.add(day.ownProcesses ? new RouterProcess(page, dir.resolve("router-" + i + ".log"), baseline, day.split)
+            routers.add(day.ownProcesses
+                ? new RouterProcess(page, dir.resolve("router-" + i + ".log"), baseline, day.split)
                 : new InProcessRouter(page));
             if (withRouters) { routers.get(i).start(); }
             way.router(i, ports[i]);
@@ -85,7 +86,9 @@
         }
         for (int i = 0; withRouters && i < ports.length; i++) {
             LoopbackPorts.await(ports[i]);
-            if (!routers.get(i).runs()) { throw new IOException("router " + i + " has ended, see its log in " + dir); }
+            if (!routers.get(i).runs()) {
+                throw new IOException("router " + i + " has ended, see its log in " + dir);
+            }
         }
     }
 
@@ -94,15 +97,18 @@
         int n = next++;
         String name = "w" + n;
         Scenario.WorkerKind k = day.kindOf(n);
-        EmulatedModelServer s = new EmulatedModelServer(name, ticker, net, fleetLog, catalogue::find, Scenario::router, fingerprints.get(0),
+        EmulatedModelServer s = new EmulatedModelServer(name, ticker, net, fleetLog, catalogue::find,
+            Scenario::router, fingerprints.get(0),
             day.tellsLoad, day.seed + 100 + n);
         int port = s.start(day.make(k), toStore, day.seed + 1000 + n, cold);
         servers.put(name, s);
         list.put(line(name, port, "ready", n, k, cold));
     }
 
-    private EndpointListService.Entry line(String name, int port, String state, int n, Scenario.WorkerKind k, boolean cold) {
-        return new EndpointListService.Entry(name, port, state, day.zones.get(day.zoneOf(n)), n / day.cellSize, k.name(),
+    private EndpointListService.Entry line(String name, int port, String state, int n, Scenario.WorkerKind k,
+        boolean cold) {
+        return new EndpointListService.Entry(name, port, state, day.zones.get(day.zoneOf(n)),
+            n / day.cellSize, k.name(),
             k.cores() * k.speed(), cold ? ticker.now() / 1000 : 0);
     }
 
@@ -110,7 +116,8 @@
     void state(String name, String state) {
         for (EndpointListService.Entry l : list.lines()) {
             if (l.name().equals(name)) {
-                list.put(new EndpointListService.Entry(name, l.port(), state, l.zone(), l.cell(), l.kind(), l.size(), l.started()));
+                list.put(new EndpointListService.Entry(name, l.port(), state, l.zone(), l.cell(), l.kind(),
+                    l.size(), l.started()));
             }
         }
     }
@@ -130,7 +137,8 @@
         int n = Integer.parseInt(name.substring(1));
         ticker.after(micros, () -> {
             try {
-                int port = servers.get(name).start(day.make(day.kindOf(n)), toStore, day.seed + ticker.now(), true);
+                int port = servers.get(name).start(day.make(day.kindOf(n)), toStore, day.seed + ticker.now(),
+                    true);
                 list.put(line(name, port, "ready", n, day.kindOf(n), true));
             } catch (IOException e) {
                 LOG.error("worker {} can't be started again", name, e);
@@ -142,7 +150,9 @@
     List<EmulatedModelServer> some(double part) {
         List<EmulatedModelServer> ready = new ArrayList<>();
         for (EndpointListService.Entry l : list.lines()) {
-            if (l.state().equals("ready") && servers.get(l.name()).runs()) { ready.add(servers.get(l.name())); }
+            if (l.state().equals("ready") && servers.get(l.name()).runs()) {
+                ready.add(servers.get(l.name()));
+            }
         }
         return LoadFaults.some(ready, part, chance);
     }
--- a/src/main/java/switchgap/server/gateway/GatewayConfig.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfig.java
@@ -13,11 +13,14 @@
 import switchgap.router.EndpointUpdate;
 
 /** All that a router's page states: its terms, where it listens, whom it asks for the list, and its bounds. */
-public record GatewayConfig(YamlRouterSettings terms, long seed, String host, int port, ConnectionLimits bounds, int mostHeld, int mostWait,
-                          int mostFunctions, Duration kept, int mostDeferred, long mostDeferredBytes,
-                          InferenceWorkerTransport.ConnectionLimits links, String from, int answerBytes, int selectors, Duration orderLimit,
-                          Duration probeLimit, InetSocketAddress list, Duration listAgain, List<EndpointUpdate> fixed, InetSocketAddress planner,
-                          Duration patience) {
+public record GatewayConfig(YamlRouterSettings terms, long seed, String host, int port,
+    ConnectionLimits bounds, int mostHeld, int mostWait,
+    int mostFunctions, Duration kept, int mostDeferred, long mostDeferredBytes,
+    InferenceWorkerTransport.ConnectionLimits links, String from, int answerBytes, int selectors,
+    Duration orderLimit,
+    Duration probeLimit, InetSocketAddress list, Duration listAgain, List<EndpointUpdate> fixed,
+    InetSocketAddress planner,
+    Duration patience) {
     public static GatewayConfig read(Path file) throws java.io.IOException {
         return read(YamlDocument.read(file));
     }
@@ -42,7 +45,8 @@
         int mostWait = h.integer("poll_seconds", 0, 3600, 60);
         h.rejectUnknownKeys();
         YamlDocument k = p.optionalSection("links");
-        InferenceWorkerTransport.ConnectionLimits links = new InferenceWorkerTransport.ConnectionLimits(k.integer("connections", 1, 100_000, 64),
+        InferenceWorkerTransport.ConnectionLimits links = new InferenceWorkerTransport.ConnectionLimits(
+            k.integer("connections", 1, 100_000, 64),
             k.integer("waiting", 1, 1_000_000, 1024), k.duration("connect_within", Duration.ofMillis(250)),
             k.duration("idle", Duration.ofSeconds(30)));
         String from = k.text("from", null);
@@ -58,9 +62,11 @@
         for (YamlDocument w : s.sections("workers")) {
             int zone = terms.zoneIndex(w.text("zone", terms.zoneName(0)));
             if (zone < 0) { throw w.invalid("zone", "'" + w.text("zone") + "' is not among zones"); }
-            fixed.add(new EndpointUpdate(w.text("name"), w.text("host", "127.0.0.1"), w.integer("port", 1, 65535),
-                WorkerState.READY, zone, w.integer("cell", 0, 100_000, 0), terms.workerKindIndex(w.text("kind", "")),
-                w.number("size", 0, 1e9, 1), null));
+            fixed.add(
+                new EndpointUpdate(w.text("name"), w.text("host", "127.0.0.1"), w.integer("port", 1, 65535),
+                    WorkerState.READY, zone, w.integer("cell", 0, 100_000, 0),
+                    terms.workerKindIndex(w.text("kind", "")),
+                    w.number("size", 0, 1e9, 1), null));
             w.rejectUnknownKeys();
         }
         s.rejectUnknownKeys();
@@ -78,7 +84,9 @@
         }
         long seed = (long) p.number("seed", 0, 1L << 52, terms.routerIndex() + 1);
         p.rejectUnknownKeys();
-        return new GatewayConfig(terms, seed, host, port, bounds, mostHeld, mostWait, mostFunctions, kept, mostDeferred,
-            (long) mb << 20, links, from, answerBytes, selectors, orderLimit, probeLimit, list, again, fixed, planner, patience);
+        return new GatewayConfig(terms, seed, host, port, bounds, mostHeld, mostWait, mostFunctions, kept,
+            mostDeferred,
+            (long) mb << 20, links, from, answerBytes, selectors, orderLimit, probeLimit, list, again, fixed,
+            planner, patience);
     }
 }
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -60,30 +60,42 @@
         JvmWarmup.run(terms, net);
         long bornWall = System.currentTimeMillis();
         carriers = new KeyedWriters(page.selectors(), "carrier-" + terms.routerIndex());
-        HttpClientConnection.Factory opener = new HttpClientConnection.Factory(net, page.from(), page.answerBytes());
-        AtomicReference<Runnable> listening = new AtomicReference<>(() -> { });
+        HttpClientConnection.Factory opener = new HttpClientConnection.Factory(net, page.from(),
+            page.answerBytes());
+        AtomicReference<Runnable> listening = new AtomicReference<>(() -> {});
         AtomicReference<InferenceWorkerTransport> made = new AtomicReference<>();
         AtomicReference<PlannedWorkerTransport> behind = new AtomicReference<>();
         loop = new EventLoop(l -> {
-            made.set(new InferenceWorkerTransport(opener, page.links(), carriers, l::post, () -> listening.get().run()));
-            if (page.planner() != null) { behind.set(new PlannedWorkerTransport(made.get(), terms, page.patience(), l::post)); }
-            return new RouterCore(terms, decide, behind.get() == null ? made.get() : behind.get(), new CoreLimits(page.orderLimit(), page.probeLimit(), page.mostFunctions()));
+            made.set(new InferenceWorkerTransport(opener, page.links(), carriers, l::post,
+                () -> listening.get().run()));
+            if (page.planner() != null) {
+                behind.set(new PlannedWorkerTransport(made.get(), terms, page.patience(), l::post));
+            }
+            return new RouterCore(terms, decide, behind.get() == null ? made.get() : behind.get(),
+                new CoreLimits(page.orderLimit(), page.probeLimit(), page.mostFunctions()));
         }, "loop-" + terms.routerIndex(), this::late, GatewayRouter::failed);
         workers = made.get();
         planned = behind.get();
-        AdmissionController levels = terms.admissionControlEnabled() ? new AdmissionController(terms.admissionSettings(), page.seed() * 31 + bornWall) : null;
+        AdmissionController levels = terms.admissionControlEnabled()
+            ? new AdmissionController(terms.admissionSettings(), page.seed() * 31 + bornWall) : null;
         AtomicReference<AdmissionGate> gate = new AtomicReference<>();
         loop.post(c -> {
             gate.set(new AdmissionGate(c, terms, levels, x -> told(terms, x)));
-            if (levels != null && terms.pinnedLevel() != null) { gate.get().pin(terms.pinnedLevel(), terms.pinDuration()); }
+            if (levels != null && terms.pinnedLevel() != null) {
+                gate.get().pin(terms.pinnedLevel(), terms.pinDuration());
+            }
         });
         String start = "r" + terms.routerIndex() + "-" + Long.toString(bornWall, 36) + "-";
-        DeferredResults deferred = new DeferredResults(start + "d", page.kept(), page.mostDeferred(), page.mostDeferredBytes());
-        api = new InvokeApi(terms, loop::now, loop::post, carriers, deferred, gate::get, start, page.mostHeld(), page.mostWait());
-        api.statusPage(c -> RouterStatus.show(terms.routerIndex(), c, api.pendingRequests(), api.endCounts(), levels, planned));
+        DeferredResults deferred = new DeferredResults(start + "d", page.kept(), page.mostDeferred(),
+            page.mostDeferredBytes());
+        api = new InvokeApi(terms, loop::now, loop::post, carriers, deferred, gate::get, start,
+            page.mostHeld(), page.mostWait());
+        api.statusPage(c -> RouterStatus.show(terms.routerIndex(), c, api.pendingRequests(), api.endCounts(),
+            levels, planned));
         door = new HttpServer(net, page.bounds(), api);
-        watch = page.list() == null ? null : new EndpointListWatcher(opener, page.list(), terms.routerIndex(), bornWall, page.listAgain(),
-            terms::zoneIndex, terms::workerKindIndex, loop::postUrgent);
+        watch = page.list() == null ? null
+            : new EndpointListWatcher(opener, page.list(), terms.routerIndex(), bornWall, page.listAgain(),
+                terms::zoneIndex, terms::workerKindIndex, loop::postUrgent);
         if (!page.fixed().isEmpty()) { loop.post(c -> c.endpointListReceived(true, page.fixed())); }
         if (watch != null) {
             listening.set(watch::follow);
@@ -95,28 +107,36 @@
             loop.post(c -> gate.get().tick());
         }, 1, 1, TimeUnit.SECONDS);
         loop.start();
-        planners = planned == null ? null : new PlannerServer(net, page.planner().getHostString(), page.planner().getPort(), terms.routerIndex(),
-            new PlannerServer.Listener() {
-                @Override public void plannerConnected(long epoch) { loop.post(c -> planned.linked(c, epoch)); }
-
-                @Override public void plannerDisconnected(long epoch) { loop.post(c -> planned.unlinked(c, epoch)); }
-
-                @Override public void planReceived(LoadPlan p) { loop.post(c -> planned.plan(c, p)); }
-            });
+        planners = planned == null ? null
+            : new PlannerServer(net, page.planner().getHostString(), page.planner().getPort(),
+                terms.routerIndex(),
+                new PlannerServer.Listener() {
+                    @Override public void plannerConnected(
+                        long epoch) { loop.post(c -> planned.linked(c, epoch)); }
+
+                    @Override public void plannerDisconnected(long epoch) {
+                        loop.post(c -> planned.unlinked(c, epoch));
+                    }
+
+                    @Override public void planReceived(LoadPlan p) { loop.post(c -> planned.plan(c, p)); }
+                });
         if (planners != null) { loop.post(c -> planned.teller(planners::send)); }
         try {
             port = door.listen(page.host(), page.port());
         } catch (IOException e) {
             close();
-            throw new IOException("can't listen at " + page.host() + ":" + page.port() + ": " + e.getMessage(), e);
+            throw new IOException(
+                "can't listen at " + page.host() + ":" + page.port() + ": " + e.getMessage(), e);
         }
         state.set(State.SERVING);
-        LOG.info("router {} of {} serves at {}:{}", terms.routerIndex(), terms.routerCount(), page.host(), port);
+        LOG.info("router {} of {} serves at {}:{}", terms.routerIndex(), terms.routerCount(), page.host(),
+            port);
     }
 
     /** A change of level is what an operator acts on: one line, with the figures that met the condition. */
     private static void told(YamlRouterSettings terms, ServiceLevelChange c) {
-        LOG.warn("level {} to {} for {}: {} (pressure {}, evidence {} calls)", YamlDocument.word(c.from()), YamlDocument.word(c.to()),
+        LOG.warn("level {} to {} for {}: {} (pressure {}, evidence {} calls)", YamlDocument.word(c.from()),
+            YamlDocument.word(c.to()),
             c.tenant() < 0 ? "all" : terms.tenantName(c.tenant()), c.condition(),
             String.format(java.util.Locale.ROOT, "%.3f", c.pressure()), Math.round(c.samples()));
     }
@@ -124,24 +144,34 @@
     public int port() { return port; }
 
     /** The port at which the planner is expected, 0 where none is. */
-    public int plannerPort() { return planners == null ? 0 : planners.port(); }
+    public int plannerPort() {
+        return planners == null ? 0 : planners.port();
+    }
 
     /** Loads led by a plan, let out as their time was over, stale and refused parts of plans; null where none is expected. */
-    public long[] plans() { return planned == null ? null : planned.counts(); }
+    public long[] plans() {
+        return planned == null ? null : planned.counts();
+    }
 
     /** Calls held now. */
     public int held() { return api.pendingRequests(); }
 
     /** Calls ended: finished, pushed back, killed, overdue. */
-    public long[] ends() { return api.endCounts(); }
+    public long[] ends() {
+        return api.endCounts();
+    }
 
     /** Microseconds by which the loop came late. */
     public Histogram lateness() {
-        synchronized (lateness) { return lateness.copy(); }
+        synchronized (lateness) {
+            return lateness.copy();
+        }
     }
 
     private void late(long micros) {
-        synchronized (lateness) { lateness.recordValue(Math.min(micros, lateness.getHighestTrackableValue())); }
+        synchronized (lateness) {
+            lateness.recordValue(Math.min(micros, lateness.getHighestTrackableValue()));
+        }
     }
 
     private static void failed(Throwable e) {
@@ -166,8 +196,10 @@
         }
         long[] n = api.endCounts();
         Histogram late = lateness();
-        LOG.info("stopped: {} finished, {} pushed back, {} killed, {} overdue; loop late by us: p50 {} p99 {} p99.9 {} "
-            + "most {}", n[0], n[1], n[2], n[3], late.getValueAtPercentile(50), late.getValueAtPercentile(99),
+        LOG.info(
+            "stopped: {} finished, {} pushed back, {} killed, {} overdue; loop late by us: p50 {} p99 {} p99.9 {} "
+                + "most {}",
+            n[0], n[1], n[2], n[3], late.getValueAtPercentile(50), late.getValueAtPercentile(99),
             late.getValueAtPercentile(99.9), late.getMaxValue());
         close();
     }
--- a/src/main/java/switchgap/server/gateway/JvmWarmup.java
+++ b/src/main/java/switchgap/server/gateway/JvmWarmup.java
@@ -37,7 +37,7 @@
     private static final int ASKS = 600;
     private static final Duration MOST = Duration.ofSeconds(2);
 
-    private JvmWarmup() { }
+    private JvmWarmup() {}
 
     static void run(YamlRouterSettings terms, NetworkTransport net) throws IOException {
         decisions(terms);
@@ -54,35 +54,40 @@
 
             @Override public AttemptOutcome abandon(Attempt run) { return AttemptOutcome.TIMED_OUT; }
 
-            @Override public void requestReplicas(WorkerEntry worker, String function, int copies, WorkerCommand order) {
+            @Override public void requestReplicas(WorkerEntry worker, String function, int copies,
+                WorkerCommand order) {
                 next.add(c -> c.loadCommandEnded(order, AttemptOutcome.SUCCEEDED, copies));
             }
 
-            @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) { }
+            @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {}
 
             @Override public void probe(WorkerEntry worker, WorkerCommand order) {
                 next.add(c -> c.probeEnded(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE));
             }
 
-            @Override public void abandon(WorkerCommand order) { }
+            @Override public void abandon(WorkerCommand order) {}
 
-            @Override public void requestEndpointList() { }
+            @Override public void requestEndpointList() {}
         };
-        RouterCore core = new RouterCore(terms, 1, outside, new CoreLimits(Duration.ofSeconds(1), Duration.ofSeconds(1), 100));
+        RouterCore core = new RouterCore(terms, 1, outside,
+            new CoreLimits(Duration.ofSeconds(1), Duration.ofSeconds(1), 100));
         List<EndpointUpdate> list = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            list.add(new EndpointUpdate("rehearsal-" + i, "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null));
+            list.add(
+                new EndpointUpdate("rehearsal-" + i, "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null));
         }
         next.add(c -> c.endpointListReceived(true, list));
         ResponseListener nobody = new ResponseListener() {
-            @Override public void responded(PendingRequest c, Response a) { }
+            @Override public void responded(PendingRequest c, Response a) {}
 
-            @Override public void deadlineMissed(PendingRequest c, Response late) { }
+            @Override public void deadlineMissed(PendingRequest c, Response late) {}
         };
         long began = System.nanoTime();
         for (int i = 0; i < CALLS && System.nanoTime() - began < MOST.toNanos(); i++) {
             Duration at = Duration.ofMillis(2L * i);
-            PendingRequest call = PendingRequest.builder("rehearsal", "rehearsal-" + i % 20, at.plus(terms.requestTimeout(i % terms.requestClassCount())), nobody).requestClass(i % terms.requestClassCount()).replica(1, 2).build();
+            PendingRequest call = PendingRequest.builder("rehearsal", "rehearsal-" + i % 20,
+                at.plus(terms.requestTimeout(i % terms.requestClassCount())), nobody).requestClass(
+                    i % terms.requestClassCount()).replica(1, 2).build();
             next.add(c -> c.accept(call));
             List<Consumer<RouterCore>> now = List.copyOf(next);
             next.clear();
@@ -91,11 +96,13 @@
     }
 
     private static void sockets(NetworkTransport net) throws IOException {
-        try (HttpServer door = new HttpServer(net, ConnectionLimits.DEFAULT, r -> r.respond(200, Map.of("Content-Type", "text/plain"),
-            r.body))) {
+        try (HttpServer door = new HttpServer(net, ConnectionLimits.DEFAULT,
+            r -> r.respond(200, Map.of("Content-Type", "text/plain"),
+                r.body))) {
             int port = door.listen("127.0.0.1", 0);
             CountDownLatch done = new CountDownLatch(1);
-            new HttpClientConnection.Factory(net, null, 1 << 16).connect(new InetSocketAddress("127.0.0.1", port), MOST,
+            new HttpClientConnection.Factory(net, null, 1 << 16).connect(
+                new InetSocketAddress("127.0.0.1", port), MOST,
                 new HttpClientConnection.ConnectCallback() {
                     @Override public void connected(HttpClientConnection link) { ask(link, ASKS, done); }
 
@@ -108,14 +115,20 @@
     }
 
     private static void ask(HttpClientConnection link, int left, CountDownLatch done) {
-        boolean took = left > 0 && link.send("POST", "/rehearsal", Map.of("Content-Type", "text/plain"), new byte[64],
-            new HttpClientConnection.ResponseHandler() {
-                @Override public void responded(int s, Map<String, String> h, byte[] b, boolean reusable) {
-                    if (reusable) { ask(link, left - 1, done); } else { done.countDown(); }
-                }
-
-                @Override public void connectionLost(String why) { done.countDown(); }
-            });
+        boolean took = left > 0
+            && link.send("POST", "/rehearsal", Map.of("Content-Type", "text/plain"), new byte[64],
+                new HttpClientConnection.ResponseHandler() {
+                    @Override public void responded(int s, Map<String, String> h, byte[] b,
+                        boolean reusable) {
+                        if (reusable) {
+                            ask(link, left - 1, done);
+                        } else {
+                            done.countDown();
+                        }
+                    }
+
+                    @Override public void connectionLost(String why) { done.countDown(); }
+                });
         if (!took) {
             link.close();
             done.countDown();
--- a/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
@@ -24,7 +24,7 @@
     private static final int MOST_WAITING = 1024;
 
     /** An order that waits. */
-    private record HeldLoad(WorkerEntry worker, String function, int copies, WorkerCommand order) { }
+    private record HeldLoad(WorkerEntry worker, String function, int copies, WorkerCommand order) {}
 
     /** Tells the planner; false where it was not told. */
     interface BacklogSender {
@@ -43,7 +43,8 @@
     private boolean due;
     private boolean ticking;
 
-    PlannedWorkerTransport(WorkerTransport inner, YamlRouterSettings terms, Duration patience, Consumer<Consumer<RouterCore>> events) {
+    PlannedWorkerTransport(WorkerTransport inner, YamlRouterSettings terms, Duration patience,
+        Consumer<Consumer<RouterCore>> events) {
         this.inner = inner;
         this.terms = terms;
         this.events = events;
@@ -92,7 +93,8 @@
         now = c.now();
         if (wishes.state() != PendingLoadQueue.State.ALONE) {
             Map<String, Double> worth = held.isEmpty() ? Map.of() : c.queuedWeightByFunction(); // walks all calls held
-            teller.tell(new LoadBacklog(wishes.epoch(), ++seq, wishes.waiting(now, f -> worth.getOrDefault(f, 0.0))));
+            teller.tell(
+                new LoadBacklog(wishes.epoch(), ++seq, wishes.waiting(now, f -> worth.getOrDefault(f, 0.0))));
         }
     }
 
@@ -111,7 +113,8 @@
         if (ticking) { c.schedule(next, () -> tick(c)); }
     }
 
-    @Override public void requestReplicas(WorkerEntry worker, String function, int copies, WorkerCommand order) {
+    @Override public void requestReplicas(WorkerEntry worker, String function, int copies,
+        WorkerCommand order) {
         if (copies == 0) { // a question, no load
             inner.requestReplicas(worker, function, copies, order);
             return;
@@ -143,9 +146,13 @@
 
     @Override public AttemptOutcome abandon(Attempt run) { return inner.abandon(run); }
 
-    @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) { inner.unload(worker, function, order); }
+    @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {
+        inner.unload(worker, function, order);
+    }
 
-    @Override public void stopAccepting(WorkerEntry worker, boolean forGood) { inner.stopAccepting(worker, forGood); }
+    @Override public void stopAccepting(WorkerEntry worker, boolean forGood) {
+        inner.stopAccepting(worker, forGood);
+    }
 
     @Override public void probe(WorkerEntry worker, WorkerCommand order) { inner.probe(worker, order); }
 
--- a/src/main/java/switchgap/server/platform/PlatformRouter.java
+++ b/src/main/java/switchgap/server/platform/PlatformRouter.java
@@ -50,19 +50,26 @@
         PropertyRouterSettings terms = g.terms();
         net = new NetworkTransport(1, "net");
         AtomicReference<RespWorkerTransport> made = new AtomicReference<>();
-        RespWorkerTransport.ConnectionLimits bounds = new RespWorkerTransport.ConnectionLimits(Math.max(1, g.sockets() / WORKER_SHARE), MOST_LINKS, MOST_WAITING, terms.attemptsPerConnection(), terms.connectTimeout(), terms.connectionIdleTimeout().dividedBy(2),
+        RespWorkerTransport.ConnectionLimits bounds = new RespWorkerTransport.ConnectionLimits(
+            Math.max(1, g.sockets() / WORKER_SHARE), MOST_LINKS, MOST_WAITING, terms.attemptsPerConnection(),
+            terms.connectTimeout(), terms.connectionIdleTimeout().dividedBy(2),
             terms.reportsConcurrency());
         loop = new EventLoop(l -> {
-            made.set(new RespWorkerTransport(net, bounds, names(terms), terms.loadCommandTimeout(), terms.connectTimeout(), l::now, l::post));
-            return new RouterCore(terms, g.seed(), made.get(), new CoreLimits(terms.loadCommandTimeout(), terms.connectTimeout(), MOST_FUNCTIONS));
-        }, "loop", late -> { }, this::failed);
+            made.set(new RespWorkerTransport(net, bounds, names(terms), terms.loadCommandTimeout(),
+                terms.connectTimeout(), l::now, l::post));
+            return new RouterCore(terms, g.seed(), made.get(),
+                new CoreLimits(terms.loadCommandTimeout(), terms.connectTimeout(), MOST_FUNCTIONS));
+        }, "loop", late -> {}, this::failed);
         workers = made.get();
         int bytes = (int) Math.min(Integer.MAX_VALUE, Runtime.getRuntime().maxMemory() / BYTE_SHARE);
-        door = new ThriftServer(terms, terms.namedIndices("Lanes"), terms.namedIndices("Tenants"), new ThriftServer.ConnectionLimits(Math.max(1, g.sockets() / CLIENT_SHARE),
-            Math.max(1, g.sockets() / CROWD_SHARE), bytes / 4,
-            bytes, Math.min(terms.maxPendingRequests(), MOST_CALLS), ARRIVAL), loop::now, loop::post, log::line);
+        door = new ThriftServer(terms, terms.namedIndices("Lanes"), terms.namedIndices("Tenants"),
+            new ThriftServer.ConnectionLimits(Math.max(1, g.sockets() / CLIENT_SHARE),
+                Math.max(1, g.sockets() / CROWD_SHARE), bytes / 4,
+                bytes, Math.min(terms.maxPendingRequests(), MOST_CALLS), ARRIVAL),
+            loop::now, loop::post, log::line);
         longest = terms.longestTimeout();
-        feed = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), g.lastEvent(), g.book(), this::list, log::line);
+        feed = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), g.lastEvent(),
+            g.book(), this::list, log::line);
         g.known().forEach(this::list);
         CountDownLatch known = new CountDownLatch(1);
         loop.post(c -> {
@@ -109,7 +116,8 @@
      * half come or unread by the loop, no answer unwritten. Whatever comes meanwhile is answered before SIGKILL can come.
      */
     void stop() throws InterruptedException {
-        Duration by = loop.now().plus(longest.compareTo(LEAST_LONGEST) < 0 ? LEAST_LONGEST : longest).plus(ANSWERED_BY);
+        Duration by = loop.now().plus(longest.compareTo(LEAST_LONGEST) < 0 ? LEAST_LONGEST : longest).plus(
+            ANSWERED_BY);
         door.good(false);
         Thread.sleep(STILL_COME.toMillis());
         for (int quiet = 0; quiet < QUIET && loop.now().compareTo(by) < 0;) {
@@ -123,7 +131,9 @@
     }
 
     /** Connections of clients as the selector knows them: what it has told of them may still wait for the loop. */
-    int connected() { return door.connected(); }
+    int connected() {
+        return door.connected();
+    }
 
     /** Calls held, connections of clients, connections to workers, client connections with anything under way. */
     int[] held() throws InterruptedException {
--- a/src/main/java/switchgap/server/platform/RateLimitedLog.java
+++ b/src/main/java/switchgap/server/platform/RateLimitedLog.java
@@ -17,7 +17,8 @@
             left = 0;
         }
         if (lines++ < MOST) {
-            System.err.println(java.time.Instant.now() + " switchgap: " + (text == null ? "" : text.length() > 300 ? text.substring(0, 300) : text));
+            System.err.println(java.time.Instant.now() + " switchgap: "
+                + (text == null ? "" : text.length() > 300 ? text.substring(0, 300) : text));
         } else {
             left++;
         }
--- a/src/main/java/switchgap/server/platform/ServeCommand.java
+++ b/src/main/java/switchgap/server/platform/ServeCommand.java
@@ -10,7 +10,7 @@
 
     private static final int FAILED = 70;
 
-    private ServeCommand() { }
+    private ServeCommand() {}
 
     /** A process of which a part is dead serves nobody: it ends with a line, and starts again from nothing. */
     static void failed(RateLimitedLog log, String what, Throwable e) {
@@ -22,14 +22,17 @@
     public static int run() {
         RateLimitedLog log = new RateLimitedLog();
         GRIZZLY.setLevel(Level.OFF); // it tells of each connection that a peer broke
-        Thread.setDefaultUncaughtExceptionHandler((t, e) -> failed(log, "thread " + t.getName() + " ended", e));
+        Thread.setDefaultUncaughtExceptionHandler(
+            (t, e) -> failed(log, "thread " + t.getName() + " ended", e));
         try {
             SignalHandlers signals = new SignalHandlers();
-            PlatformRouter p = new PlatformRouter(PlatformConfig.read(System.getenv(), System.currentTimeMillis()), log);
+            PlatformRouter p = new PlatformRouter(
+                PlatformConfig.read(System.getenv(), System.currentTimeMillis()), log);
             signals.hup(() -> {
                 try {
                     var feed = PlatformConfig.feed(System.getenv());
-                    log.line("SIGHUP: the control feed is followed at " + feed.getHostString() + ":" + feed.getPort());
+                    log.line("SIGHUP: the control feed is followed at " + feed.getHostString() + ":"
+                        + feed.getPort());
                     p.follow(feed);
                 } catch (InvalidPlatformConfigException x) {
                     log.line("SIGHUP: the old feed is kept: " + x.getMessage());
--- a/src/main/java/switchgap/server/platform/SignalHandlers.java
+++ b/src/main/java/switchgap/server/platform/SignalHandlers.java
@@ -41,7 +41,9 @@
             return method.getName().equals("hashCode") ? (Object) System.identityHashCode(proxy)
                 : method.getName().equals("equals") ? (Object) (proxy == args[0]) : null;
         };
-        Object h = Proxy.newProxyInstance(SignalHandlers.class.getClassLoader(), new Class<?>[] {handler}, told);
-        signal.getMethod("handle", signal, handler).invoke(null, signal.getConstructor(String.class).newInstance(name), h);
+        Object h = Proxy.newProxyInstance(SignalHandlers.class.getClassLoader(), new Class<?>[] {handler},
+            told);
+        signal.getMethod("handle", signal, handler).invoke(null,
+            signal.getConstructor(String.class).newInstance(name), h);
     }
 }
--- a/src/main/java/switchgap/simulator/SimulatedRouter.java
+++ b/src/main/java/switchgap/simulator/SimulatedRouter.java
@@ -138,7 +138,9 @@
                 case 4 -> {
                     int worker = workers.find(server(at + 3));
                     if (worker >= 0) {
-                        feed.probeEnded(new ProbeResult(worker, end(body.get(at + 9)), new LoadReport(report(at + 14, busyAt), report(at + 14, heldAt), report(at + 14, queuedAt), -1)));
+                        feed.probeEnded(new ProbeResult(worker, end(body.get(at + 9)),
+                            new LoadReport(report(at + 14, busyAt), report(at + 14, heldAt),
+                                report(at + 14, queuedAt), -1)));
                     }
                 }
                 case 6 -> {
@@ -160,11 +162,12 @@
                     int worker = workers.find(server(at + 3));
                     int function = functions.find(body.getLong(at + 14));
                     if (worker >= 0 && function >= 0) {
-                        feed.loadCommandEnded(new LoadCommandResult(worker, function, end(body.get(at + 22)), micros(body.getInt(at + 9) & U32), body.get(at + 13) & 0xff));
+                        feed.loadCommandEnded(new LoadCommandResult(worker, function, end(body.get(at + 22)),
+                            micros(body.getInt(at + 9) & U32), body.get(at + 13) & 0xff));
                     }
                 }
                 case 12 -> job(feed, at);
-                default -> { } // a peer's message: nothing is shared
+                default -> {} // a peer's message: nothing is shared
             }
         }
     }
@@ -177,13 +180,19 @@
         }
         AttemptOutcome end = end(body.get(at + 19));
         boolean told = crowds && (end == AttemptOutcome.SUCCEEDED || end == AttemptOutcome.REJECTED);
-        feed.attemptEnded(new AttemptResult(job, body.getShort(at + 11) & 0xffff, worker, end, micros(body.getInt(at + 20) & U32), body.get(at + 24) != 0, new LoadReport(report(at + 26, busyAt), report(at + 26, heldAt), report(at + 26, queuedAt), told ? (body.get(at + 25) & 0xff) >> 3 : -1)));
+        feed.attemptEnded(new AttemptResult(job, body.getShort(at + 11) & 0xffff, worker, end,
+            micros(body.getInt(at + 20) & U32), body.get(at + 24) != 0,
+            new LoadReport(report(at + 26, busyAt), report(at + 26, heldAt), report(at + 26, queuedAt),
+                told ? (body.get(at + 25) & 0xff) >> 3 : -1)));
     }
 
     private void job(PolicyEvents feed, int at) {
         long mark = body.getLong(at + 16);
         int marks = body.getShort(at + 48);
-        feed.requestArrived(new RequestArrival(jobs.allocate(body.getLong(at + 3)), body.get(at + 11) & 0xff, body.getInt(at + 12), functions.allocate(mark), mark, micros(body.getLong(at + 24) - born), (marks & 1) == 0 ? null : micros(body.getInt(at + 32) & U32), body.getFloat(at + 36), Math.max(1, Math.round(body.getFloat(at + 40)))));
+        feed.requestArrived(new RequestArrival(jobs.allocate(body.getLong(at + 3)), body.get(at + 11) & 0xff,
+            body.getInt(at + 12), functions.allocate(mark), mark, micros(body.getLong(at + 24) - born),
+            (marks & 1) == 0 ? null : micros(body.getInt(at + 32) & U32), body.getFloat(at + 36),
+            Math.max(1, Math.round(body.getFloat(at + 40)))));
     }
 
     private void list(PolicyEvents feed, byte[] bytes, boolean whole) {
@@ -197,7 +206,9 @@
             };
             long started = b.getLong(at + 3);
             long name = (b.getInt(at + 13) & U32) << 16 | b.getShort(at + 17) & 0xffffL;
-            feed.endpointListed(new EndpointEntry(workers.allocate(name), name, standing, b.getShort(at + 1) & 0xffff, b.getShort(at + 11) & 0xffff, b.getShort(at + 19) & 0xffff, b.getFloat(at + 21), started == 0 ? null : micros(started - born)));
+            feed.endpointListed(new EndpointEntry(workers.allocate(name), name, standing,
+                b.getShort(at + 1) & 0xffff, b.getShort(at + 11) & 0xffff, b.getShort(at + 19) & 0xffff,
+                b.getFloat(at + 21), started == 0 ? null : micros(started - born)));
         }
         feed.endpointListEnded();
     }
@@ -210,7 +221,8 @@
 
     @Override public void reject(int job, Duration comeBack) {
         int at = reply.record(2, who);
-        reply.fields().putLong(at + 3, jobs.idOf(job)).putInt(at + 11, comeBack == null ? 0 : (int) micros(comeBack));
+        reply.fields().putLong(at + 3, jobs.idOf(job)).putInt(at + 11,
+            comeBack == null ? 0 : (int) micros(comeBack));
     }
 
     @Override public void fail(int job) {
--- a/src/main/java/switchgap/simulator/SimulatorHost.java
+++ b/src/main/java/switchgap/simulator/SimulatorHost.java
@@ -39,11 +39,13 @@
             long count = Integer.toUnsignedLong(h.getInt(4));
             long length = Integer.toUnsignedLong(h.getInt(8));
             if (length < HEADER + count * RECORD || length > Integer.MAX_VALUE) {
-                throw new MalformedFrameException("length " + length + " at byte 8 does not fit " + count + " records");
+                throw new MalformedFrameException(
+                    "length " + length + " at byte 8 does not fit " + count + " records");
             }
             byte[] body = in.readNBytes((int) length - HEADER);
             if (body.length < length - HEADER) {
-                throw new MalformedFrameException("frame " + number + " ends at byte " + (HEADER + body.length) + " of " + length);
+                throw new MalformedFrameException(
+                    "frame " + number + " ends at byte " + (HEADER + body.length) + " of " + length);
             }
             reply.begin(number);
             round(ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN), (int) count, h.getLong(12));
@@ -63,7 +65,8 @@
                 continue;
             }
             if (code < 1 || code > LAST_CODE) {
-                throw new MalformedFrameException("unknown event code " + code + " in record " + i + " at byte " + (HEADER + at));
+                throw new MalformedFrameException(
+                    "unknown event code " + code + " in record " + i + " at byte " + (HEADER + at));
             }
             int who = body.getShort(at + 1) & 0xffff;
             if (code == KILL) {
@@ -77,13 +80,15 @@
             } else {
                 SimulatedRouter to = instances.get(who);
                 if (to == null) {
-                    throw new MalformedFrameException("record " + i + " is for instance " + who + ", which is not alive");
+                    throw new MalformedFrameException(
+                        "record " + i + " is for instance " + who + ", which is not alive");
                 }
                 byte[] list = null;
                 if (code == UPDATE && body.get(at + 11) != FAILED_LIST) {
                     list = lists.get(body.getInt(at + 3));
                     if (list == null) {
-                        throw new MalformedFrameException("record " + i + " names list " + body.getInt(at + 3) + ", never defined");
+                        throw new MalformedFrameException(
+                            "record " + i + " names list " + body.getInt(at + 3) + ", never defined");
                     }
                 }
                 to.take(at, list);
@@ -95,11 +100,13 @@
         }
     }
 
-    private static byte[] part(ByteBuffer body, int tail, int at, int unit, int record) throws MalformedFrameException {
+    private static byte[] part(ByteBuffer body, int tail, int at, int unit, int record)
+        throws MalformedFrameException {
         long from = tail + Integer.toUnsignedLong(body.getInt(at));
         long size = Integer.toUnsignedLong(body.getInt(at + 4)) * unit;
         if (from + size > body.capacity()) {
-            throw new MalformedFrameException("offset at byte " + (HEADER + at) + " of record " + record + " is outside the tail");
+            throw new MalformedFrameException(
+                "offset at byte " + (HEADER + at) + " of record " + record + " is outside the tail");
         }
         byte[] part = new byte[(int) size];
         body.get((int) from, part);
--- a/src/test/java/switchgap/admission/AdmissionControllerTest.java
+++ b/src/test/java/switchgap/admission/AdmissionControllerTest.java
@@ -22,14 +22,16 @@
     private static AdmissionSettings terms(double least, double best, int customers) {
         double[] share = new double[customers];
         java.util.Arrays.fill(share, 1.0 / customers);
-        return new AdmissionSettings(new double[] {least, best}, new Idempotency[] {Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT}, TARGETS, share,
+        return new AdmissionSettings(new double[] {least, best},
+            new Idempotency[] {Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT}, TARGETS, share,
             new boolean[2], ServiceLevel.HOLD, Duration.ofSeconds(1), 0);
     }
 
     private static Duration at(double seconds) { return Duration.ofNanos((long) (seconds * 1e9)); }
 
     /** So many seconds of calls; what passes beyond the capacity (calls a second) is crowded out. Returns what was cut. */
-    private int[] load(AdmissionController l, double seconds, double rate, double capacity, double busy, double... weights) {
+    private int[] load(AdmissionController l, double seconds, double rate, double capacity, double busy,
+        double... weights) {
         int[] cut = new int[Math.max(1, weights.length)];
         for (double end = second + seconds; second < end; second += 1 / rate) {
             int c = 0;
@@ -51,14 +53,16 @@
 
     private static String trace(AdmissionController l) {
         StringBuilder s = new StringBuilder();
-        l.changes().forEach(c -> s.append(String.format(Locale.ROOT, "%6.1f %s %s to %s: %s%n", c.at().toMillis() / 1000.0,
-            c.tenant() < 0 ? "all" : "customer " + c.tenant(), c.from(), c.to(), c.condition())));
+        l.changes().forEach(
+            c -> s.append(String.format(Locale.ROOT, "%6.1f %s %s to %s: %s%n", c.at().toMillis() / 1000.0,
+                c.tenant() < 0 ? "all" : "customer " + c.tenant(), c.from(), c.to(), c.condition())));
         return s.toString();
     }
 
     private static void same(String name, AdmissionController l) throws IOException {
         try (InputStream in = AdmissionControllerTest.class.getResourceAsStream(name + ".txt")) {
-            assertThat(trace(l)).isEqualTo(in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8));
+            assertThat(trace(l)).isEqualTo(
+                in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8));
         }
     }
 
@@ -79,7 +83,9 @@
 
     @Test void loadThatHoversAtTheMarkDoesNotSwing() {
         AdmissionController l = new AdmissionController(terms(1, 2, 2), 1);
-        for (int i = 0; i < 60; i++) { load(l, 10, 60 * 1.17 * (0.95 + 0.1 * chance.nextDouble()), 60, 0.95, 1, 1); }
+        for (int i = 0; i < 60; i++) {
+            load(l, 10, 60 * 1.17 * (0.95 + 0.1 * chance.nextDouble()), 60, 0.95, 1, 1);
+        }
         assertThat(l.changes().size()).isLessThanOrEqualTo(600 / (4 * 8)); // one change in four shortest stays
     }
 
@@ -115,7 +121,8 @@
     @Test void aShareOfStartTargetsToKeepIsPaidForByLesserWork() {
         int[] pushed = new int[2];
         for (int keep = 0; keep < 2; keep++) {
-            AdmissionSettings t = new AdmissionSettings(new double[] {1, 2}, new Idempotency[] {Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT}, TARGETS,
+            AdmissionSettings t = new AdmissionSettings(new double[] {1, 2},
+                new Idempotency[] {Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT}, TARGETS,
                 new double[] {1}, new boolean[2], ServiceLevel.LEAST, null, keep * 0.97);
             AdmissionController l = new AdmissionController(t, 1);
             for (int i = 0; i < 3000; i++) {
@@ -134,18 +141,29 @@
 
     // Guards against a rung that comes and goes with each wave: it is left, and taken again, only after four stays.
     @Test void aRungThatWasLeftComesBackOnlyAfterFourStaysOfMildPressure() {
-        DegradationController l = new DegradationController(Duration.ofSeconds(8), new SplittableRandom(1), ServiceLevel.FULL, ServiceLevel.LEAST);
+        DegradationController l = new DegradationController(Duration.ofSeconds(8), new SplittableRandom(1),
+            ServiceLevel.FULL, ServiceLevel.LEAST);
         double s = 0;
-        for (; l.rung() == ServiceLevel.FULL; s += 0.1) { l.step(at(s), 0.1, 0.05, true, false, ServiceLevel.HOLD); }
+        for (; l.rung() == ServiceLevel.FULL; s += 0.1) {
+            l.step(at(s), 0.1, 0.05, true, false, ServiceLevel.HOLD);
+        }
         double entered = s;
-        for (; l.rung() == ServiceLevel.LEAST; s += 0.1) { l.step(at(s), 0.1, -0.05, true, false, ServiceLevel.HOLD); }
+        for (; l.rung() == ServiceLevel.LEAST; s += 0.1) {
+            l.step(at(s), 0.1, -0.05, true, false, ServiceLevel.HOLD);
+        }
         assertThat(s - entered).isBetween(31.9, 40.0);
         double out = s;
-        for (; l.rung() == ServiceLevel.FULL; s += 0.1) { l.step(at(s), 0.1, 0.05, true, false, ServiceLevel.HOLD); }
+        for (; l.rung() == ServiceLevel.FULL; s += 0.1) {
+            l.step(at(s), 0.1, 0.05, true, false, ServiceLevel.HOLD);
+        }
         assertThat(s - out).isBetween(31.9, 45.0);
-        for (; l.rung() == ServiceLevel.LEAST; s += 0.1) { l.step(at(s), 0.1, -0.05, true, false, ServiceLevel.HOLD); }
+        for (; l.rung() == ServiceLevel.LEAST; s += 0.1) {
+            l.step(at(s), 0.1, -0.05, true, false, ServiceLevel.HOLD);
+        }
         out = s;
-        for (; l.rung() == ServiceLevel.FULL; s += 0.1) { l.step(at(s), 0.1, 0.05, true, true, ServiceLevel.HOLD); }
+        for (; l.rung() == ServiceLevel.FULL; s += 0.1) {
+            l.step(at(s), 0.1, 0.05, true, true, ServiceLevel.HOLD);
+        }
         assertThat(s - out).isLessThan(10); // hard pressure does not wait
     }
 
@@ -185,7 +203,8 @@
     }
 
     @Test void nothingRestartableMeansTheNextRung() {
-        AdmissionSettings t = new AdmissionSettings(new double[] {1, 2}, new Idempotency[] {Idempotency.NON_IDEMPOTENT, Idempotency.NON_IDEMPOTENT}, TARGETS,
+        AdmissionSettings t = new AdmissionSettings(new double[] {1, 2},
+            new Idempotency[] {Idempotency.NON_IDEMPOTENT, Idempotency.NON_IDEMPOTENT}, TARGETS,
             new double[] {1}, new boolean[2], ServiceLevel.MOST, null, 0);
         AdmissionController l = new AdmissionController(t, 1);
         load(l, 40, 150, 60, 0.97, 1);
@@ -195,7 +214,8 @@
     }
 
     @Test void aSparedWorkloadIsNeverTouchedAndACeilingHolds() {
-        AdmissionSettings t = new AdmissionSettings(new double[] {1, 2}, new Idempotency[] {Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT}, TARGETS,
+        AdmissionSettings t = new AdmissionSettings(new double[] {1, 2},
+            new Idempotency[] {Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT}, TARGETS,
             new double[] {1}, new boolean[] {true, false}, ServiceLevel.LEAST, null, 0);
         AdmissionController l = new AdmissionController(t, 1);
         load(l, 60, 300, 60, 0.99, 1);
--- a/src/test/java/switchgap/admission/SheddingRotationTest.java
+++ b/src/test/java/switchgap/admission/SheddingRotationTest.java
@@ -9,18 +9,23 @@
 /** Turns of being pushed back: the share is that of the depth, and a client that comes back meets the same verdict. */
 class SheddingRotationTest {
     private final SplittableRandom chance = new SplittableRandom(7);
-    private final SheddingRotation turns = new SheddingRotation(Duration.ofSeconds(60), new SplittableRandom(3));
+    private final SheddingRotation turns = new SheddingRotation(Duration.ofSeconds(60),
+        new SplittableRandom(3));
 
     private void load(int seconds, int keys) {
         for (int s = 0; s < seconds; s++) {
-            for (int i = 0; i < 50; i++) { turns.meets(i % 5, chance.nextInt(keys), 1, 0, chance.nextDouble()); }
+            for (int i = 0; i < 50; i++) {
+                turns.meets(i % 5, chance.nextInt(keys), 1, 0, chance.nextDouble());
+            }
             turns.step(1, 0.9);
         }
     }
 
     private double share(int calls, int keys, double width) {
         int met = 0;
-        for (int i = 0; i < calls; i++) { met += turns.meets(i % 5, chance.nextInt(keys), 1, width, chance.nextDouble()) ? 1 : 0; }
+        for (int i = 0; i < calls; i++) {
+            met += turns.meets(i % 5, chance.nextInt(keys), 1, width, chance.nextDouble()) ? 1 : 0;
+        }
         return met / (double) calls;
     }
 
--- a/src/test/java/switchgap/config/YamlDocumentTest.java
+++ b/src/test/java/switchgap/config/YamlDocumentTest.java
@@ -21,8 +21,8 @@
         """;
 
     private static void refused(String page, String message) {
-        assertThatThrownBy(() -> GatewayConfig.read(YamlDocument.read("r.yaml", page))).isInstanceOf(InvalidConfigException.class)
-            .hasMessageStartingWith("r.yaml:").hasMessageContaining(message);
+        assertThatThrownBy(() -> GatewayConfig.read(YamlDocument.read("r.yaml", page))).isInstanceOf(
+            InvalidConfigException.class).hasMessageStartingWith("r.yaml:").hasMessageContaining(message);
     }
 
     @Test void aGoodPage() {
@@ -37,11 +37,14 @@
         refused(GOOD.replace("of: 2", "of: many"), "r.yaml:1: router: of: 'many' is no number");
         refused(GOOD.replace("number: 0", "number: 2"), "r.yaml:1: router: number: '2' must lie from 0 to 1");
         refused(GOOD.replace("tick: 5ms", "tick: 5"), "'5' is no span; write 250ms, 1.5s, 2m or 1h");
-        refused(GOOD.replace("run-once", "sometimes"), "r.yaml:3: w: repeat: 'sometimes' must be one of restartable, fingerprinted, run-once");
+        refused(GOOD.replace("run-once", "sometimes"),
+            "r.yaml:3: w: repeat: 'sometimes' must be one of restartable, fingerprinted, run-once");
         refused(GOOD.replace("run-once", "fingerprinted"), "a fingerprinted workload needs memory_span");
-        refused(GOOD.replace("workload: w, memory: 20", "workload: x, memory: 20"), "r.yaml:6: f1: workload: 'x' must be one of w");
+        refused(GOOD.replace("workload: w, memory: 20", "workload: x, memory: 20"),
+            "r.yaml:6: f1: workload: 'x' must be one of w");
         refused(GOOD.replace("lanes: 1}", "lines: 1}"), "r.yaml:6: f1: key lanes is absent");
-        refused(GOOD.replace("lanes: 1}", "lanes: 1, colour: red}"), "r.yaml:6: f1: unknown key colour; allowed are customer");
+        refused(GOOD.replace("lanes: 1}", "lanes: 1, colour: red}"),
+            "r.yaml:6: f1: unknown key colour; allowed are customer");
         refused(GOOD.replace("time_limit: 1.5s", "time_limit: 100ms"), "must not be under the start target");
         refused(GOOD.replace("list: {port: 9000}", ""), "needs a port to ask, or workers");
         refused(GOOD + "listen: {port: 1}\n", "key listen stands twice in the page, first in line 7");
--- a/src/test/java/switchgap/endpoints/EndpointListLineTest.java
+++ b/src/test/java/switchgap/endpoints/EndpointListLineTest.java
@@ -11,7 +11,8 @@
     private static final String GOOD = "{\"name\":\"w\",\"port\":80,\"state\":\"ready\",\"zone\":\"a\"}";
 
     private static EndpointListLine read(String workers) throws IOException {
-        return EndpointListLine.parse("{\"whole\":true,\"version\":7,\"workers\":[" + workers + "]}", 0, z -> z.equals("a") ? 0 : -1, k -> 0);
+        return EndpointListLine.parse("{\"whole\":true,\"version\":7,\"workers\":[" + workers + "]}", 0,
+            z -> z.equals("a") ? 0 : -1, k -> 0);
     }
 
     private static void refused(String workers, String why) {
@@ -32,7 +33,9 @@
         refused(GOOD.replace("\"a\"", "\"q\""), "worker w: unknown zone \"q\"");
         refused(GOOD.replace("\"w\"", "\"\""), "without a usable name");
         refused(GOOD.replace("}", ",\"size\":-1}"), "worker w: size -1.0");
-        assertThatThrownBy(() -> EndpointListLine.parse("{\"whole\":true,\"workers\":[]}", 0, z -> 0, k -> 0)).hasMessageContaining("version");
-        assertThatThrownBy(() -> EndpointListLine.parse("{\"whole\":tr", 0, z -> 0, k -> 0)).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> EndpointListLine.parse("{\"whole\":true,\"workers\":[]}", 0, z -> 0,
+            k -> 0)).hasMessageContaining("version");
+        assertThatThrownBy(() -> EndpointListLine.parse("{\"whole\":tr", 0, z -> 0, k -> 0)).isInstanceOf(
+            IOException.class);
     }
 }
--- a/src/test/java/switchgap/endpoints/EventStreamClientTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientTest.java
@@ -25,34 +25,46 @@
 
 /** The control feed through all that may befall it. */
 class EventStreamClientTest {
-    private static final EndpointListEvent.NameDirectory BOOK = new EndpointListEvent.NameDirectory(Map.of("east", 0), Map.of("std", 0), 1000);
+    private static final EndpointListEvent.NameDirectory BOOK = new EndpointListEvent.NameDirectory(
+        Map.of("east", 0), Map.of("std", 0), 1000);
 
-    private static String event(long n) { return ControlFeedServer.event(n, false, ControlFeedServer.worker("w" + n, "127.0.0.1:7", "SERVING", 0)); }
+    private static String event(long n) {
+        return ControlFeedServer.event(n, false,
+            ControlFeedServer.worker("w" + n, "127.0.0.1:7", "SERVING", 0));
+    }
 
     @Test void splitAnywhereEventsReadTheSame() {
-        byte[] stream = ": hello\r\nid: 4\r\ndata: a\r\ndata: b\r\n\r\nid:5\ndata:c\n\ndata: cut off".getBytes(StandardCharsets.UTF_8);
+        byte[] stream = ": hello\r\nid: 4\r\ndata: a\r\ndata: b\r\n\r\nid:5\ndata:c\n\ndata: cut off".getBytes(
+            StandardCharsets.UTF_8);
         for (int i = 0; i <= stream.length; i++) {
             ServerSentEventDecoder sse = new ServerSentEventDecoder(100);
             List<String> got = new ArrayList<>();
-            assertThat(sse.take(java.util.Arrays.copyOf(stream, i), (id, d) -> got.add(id + "=" + d))).isTrue();
-            assertThat(sse.take(java.util.Arrays.copyOfRange(stream, i, stream.length), (id, d) -> got.add(id + "=" + d))).isTrue();
+            assertThat(
+                sse.take(java.util.Arrays.copyOf(stream, i), (id, d) -> got.add(id + "=" + d))).isTrue();
+            assertThat(sse.take(java.util.Arrays.copyOfRange(stream, i, stream.length),
+                (id, d) -> got.add(id + "=" + d))).isTrue();
             assertThat(got).as("split at %d", i).containsExactly("4=a\nb", "5=c");
         }
-        assertThat(new ServerSentEventDecoder(10).take("data: more than ten".getBytes(StandardCharsets.UTF_8), (id, d) -> { })).isFalse();
+        assertThat(new ServerSentEventDecoder(10).take("data: more than ten".getBytes(StandardCharsets.UTF_8),
+            (id, d) -> {})).isFalse();
     }
 
     @Test void aLineBecomesAWorker() throws Exception {
-        EndpointListEvent e = EndpointListEvent.parse(ControlFeedServer.event(41, true, ControlFeedServer.worker("s-1", "10.1.0.9:10080", "SERVING", 1500)), BOOK);
+        EndpointListEvent e = EndpointListEvent.parse(ControlFeedServer.event(41, true,
+            ControlFeedServer.worker("s-1", "10.1.0.9:10080", "SERVING", 1500)), BOOK);
         assertThat(e.sequence()).isEqualTo(41);
         assertThat(e.complete()).isTrue();
-        assertThat(e.updates()).containsExactly(new EndpointUpdate("s-1", "10.1.0.9", 10080, WorkerState.READY, 0, 2, 0, 4, Duration.ofMillis(500)));
+        assertThat(e.updates()).containsExactly(new EndpointUpdate("s-1", "10.1.0.9", 10080,
+            WorkerState.READY, 0, 2, 0, 4, Duration.ofMillis(500)));
         assertThat(EndpointListEvent.parse("{\"n\":5,\"news\":{}}", BOOK).updates()).isNull();
     }
 
-    @ParameterizedTest @ValueSource(strings = {"{", "[]", "{}", "{\"n\":1,\"members\":{}}", "{\"n\":1,\"members\":{\"targets\":[3]}}",
+    @ParameterizedTest
+    @ValueSource(strings = {"{", "[]", "{}", "{\"n\":1,\"members\":{}}",
+        "{\"n\":1,\"members\":{\"targets\":[3]}}",
         "{\"n\":1,\"members\":{\"targets\":[{\"uid\":\"a\",\"state\":\"ODD\"}]}}", "{\"n\":1} more",
-        "{\"n\":1,\"members\":{\"targets\":[{\"uid\":\"a\",\"endpoint\":\"nowhere\",\"state\":\"SERVING\"}]}}"})
-    void nonsenseIsRefused(String text) {
+        "{\"n\":1,\"members\":{\"targets\":[{\"uid\":\"a\",\"endpoint\":\"nowhere\",\"state\":\"SERVING\"}]}}"}) void nonsenseIsRefused(
+            String text) {
         assertThatThrownBy(() -> EndpointListEvent.parse(text, BOOK)).isInstanceOf(IOException.class);
     }
 
@@ -80,8 +92,10 @@
             for (long e = last + 1; n > 2 && e <= 6; e++) { ControlFeedServer.say(out, event(e)); }
             return n > 2;
         };
-        try (ControlFeedServer feed = new ControlFeedServer(manner); NetworkTransport net = new NetworkTransport(1, "follow");
-             EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.sequence()), w -> { })) {
+        try (ControlFeedServer feed = new ControlFeedServer(manner);
+            NetworkTransport net = new NetworkTransport(1, "follow");
+            EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16),
+                1, BOOK, e -> got.add(e.sequence()), w -> {})) {
             f.follow(feed.at());
             until(() -> got.size() >= 5);
             assertThat(got).containsExactly(2L, 3L, 4L, 5L, 6L);
@@ -99,8 +113,11 @@
             ControlFeedServer.say(out, event(last + 1));
             return true;
         };
-        try (ControlFeedServer first = new ControlFeedServer(tells); ControlFeedServer second = new ControlFeedServer(later); NetworkTransport net = new NetworkTransport(1, "follow");
-             EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.sequence()), w -> { })) {
+        try (ControlFeedServer first = new ControlFeedServer(tells);
+            ControlFeedServer second = new ControlFeedServer(later);
+            NetworkTransport net = new NetworkTransport(1, "follow");
+            EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16),
+                1, BOOK, e -> got.add(e.sequence()), w -> {})) {
             f.follow(first.at());
             until(() -> got.size() == 1); // on the second connection, as the first was silent
             assertThat(first.asked).containsExactly(1L, 1L);
@@ -133,8 +150,10 @@
             trickles.start();
             return true;
         };
-        try (ControlFeedServer feed = new ControlFeedServer(manner); NetworkTransport net = new NetworkTransport(1, "follow");
-             EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.sequence()), w -> { })) {
+        try (ControlFeedServer feed = new ControlFeedServer(manner);
+            NetworkTransport net = new NetworkTransport(1, "follow");
+            EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16),
+                1, BOOK, e -> got.add(e.sequence()), w -> {})) {
             f.follow(feed.at());
             long began = System.nanoTime();
             until(() -> got.size() == 1);
@@ -164,8 +183,11 @@
             return true;
         };
         ControlFeedServer.Behaviour later = once(speak, 2); // the first of them the old one told, too
-        try (ControlFeedServer old = new ControlFeedServer(beats); ControlFeedServer anew = new ControlFeedServer(later); NetworkTransport net = new NetworkTransport(1, "follow");
-             EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.sequence()), w -> { })) {
+        try (ControlFeedServer old = new ControlFeedServer(beats);
+            ControlFeedServer anew = new ControlFeedServer(later);
+            NetworkTransport net = new NetworkTransport(1, "follow");
+            EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16),
+                1, BOOK, e -> got.add(e.sequence()), w -> {})) {
             f.follow(old.at());
             until(() -> old.asked.size() == 1);
             old.say(event(2));
@@ -192,8 +214,10 @@
             out.write(": beat\n\n".getBytes(StandardCharsets.UTF_8));
             return true;
         });
-        try (ControlFeedServer anew = new ControlFeedServer(later); NetworkTransport net = new NetworkTransport(1, "follow");
-             EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 1, BOOK, e -> got.add(e.sequence()), w -> { })) {
+        try (ControlFeedServer anew = new ControlFeedServer(later);
+            NetworkTransport net = new NetworkTransport(1, "follow");
+            EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16),
+                1, BOOK, e -> got.add(e.sequence()), w -> {})) {
             f.follow(old.at());
             until(() -> old.asked.size() == 1);
             old.say(event(2));
@@ -211,15 +235,21 @@
     @Test void aWholeListUnderTheLastNumberCountsAndAnOlderOneDoesNot() throws Exception {
         List<String> got = new CopyOnWriteArrayList<>();
         ControlFeedServer.Behaviour manner = (n, last, out) -> {
-            ControlFeedServer.say(out, ControlFeedServer.event(last - 1, true, ControlFeedServer.worker("old", "127.0.0.1:7", "SERVING", 0)));
-            ControlFeedServer.say(out, ControlFeedServer.event(last, true, ControlFeedServer.worker("same", "127.0.0.1:7", "DRAINING", 0)));
-            ControlFeedServer.say(out, ControlFeedServer.event(last, false, ControlFeedServer.worker("told", "127.0.0.1:7", "SERVING", 0)));
-            ControlFeedServer.say(out, ControlFeedServer.event(last + 3, true, ControlFeedServer.worker("ahead", "127.0.0.1:7", "SERVING", 0)));
+            ControlFeedServer.say(out, ControlFeedServer.event(last - 1, true,
+                ControlFeedServer.worker("old", "127.0.0.1:7", "SERVING", 0)));
+            ControlFeedServer.say(out, ControlFeedServer.event(last, true,
+                ControlFeedServer.worker("same", "127.0.0.1:7", "DRAINING", 0)));
+            ControlFeedServer.say(out, ControlFeedServer.event(last, false,
+                ControlFeedServer.worker("told", "127.0.0.1:7", "SERVING", 0)));
+            ControlFeedServer.say(out, ControlFeedServer.event(last + 3, true,
+                ControlFeedServer.worker("ahead", "127.0.0.1:7", "SERVING", 0)));
             ControlFeedServer.say(out, event(last + 4));
             return true;
         };
-        try (ControlFeedServer feed = new ControlFeedServer(manner); NetworkTransport net = new NetworkTransport(1, "follow");
-             EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), 5, BOOK, e -> got.add(e.sequence() + e.updates().get(0).name()), w -> { })) {
+        try (ControlFeedServer feed = new ControlFeedServer(manner);
+            NetworkTransport net = new NetworkTransport(1, "follow");
+            EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16),
+                5, BOOK, e -> got.add(e.sequence() + e.updates().get(0).name()), w -> {})) {
             f.follow(feed.at());
             until(() -> got.size() == 3);
             assertThat(got).containsExactly("5same", "8ahead", "9w9");
--- a/src/test/java/switchgap/experiment/EmulatorAgainstSocketsTest.java
+++ b/src/test/java/switchgap/experiment/EmulatorAgainstSocketsTest.java
@@ -23,18 +23,21 @@
 
     private void same(int rate) throws Exception {
         Path f = SmallScenario.write(dir, 8, rate);
-        EmulatedClients sockets = ScenarioRunner.play(f, dir.resolve("run-" + rate), null, new PrintStream(OutputStream.nullOutputStream()));
+        EmulatedClients sockets = ScenarioRunner.play(f, dir.resolve("run-" + rate), null,
+            new PrintStream(OutputStream.nullOutputStream()));
         assertThat(InvariantChecker.read(dir.resolve("run-" + rate)).violations()).isEmpty();
         Scenario day = Scenario.read(f);
         Emulator e = new Emulator(day, day.seed(), Variant.LEVELS, t -> 1);
-        e.play(8, s -> { });
+        e.play(8, s -> {});
         for (var t : e.clients.tallies().entrySet()) {
             EmulatedClients.Tally a = t.getValue();
             EmulatedClients.Tally b = sockets.tallies().get(t.getKey());
             assertThat(b.jobs).isEqualTo(a.jobs); // the same arrivals
             assertThat(b.finished / (double) b.jobs).isCloseTo(a.finished / (double) a.jobs, within(BAND));
-            assertThat((b.finished - b.late) / (double) b.jobs).isCloseTo((a.finished - a.late) / (double) a.jobs, within(BAND));
-            assertThat(b.pushedBack / (double) b.tries).isCloseTo(a.pushedBack / (double) a.tries, within(2 * BAND));
+            assertThat((b.finished - b.late) / (double) b.jobs).isCloseTo(
+                (a.finished - a.late) / (double) a.jobs, within(BAND));
+            assertThat(b.pushedBack / (double) b.tries).isCloseTo(a.pushedBack / (double) a.tries,
+                within(2 * BAND));
         }
         assertThat(sockets.service()).isCloseTo(e.clients.service(), within(BAND));
     }
--- a/src/test/java/switchgap/experiment/EmulatorTest.java
+++ b/src/test/java/switchgap/experiment/EmulatorTest.java
@@ -36,7 +36,8 @@
         Trial none = new Trial(day(), 3, Variant.OFF, flat(2));
         assertThat(full.changes).isPositive();
         assertThat(full.service).isGreaterThan(none.service - 0.005);
-        Trial alone = new Trial(day(), 3, new Variant("alone", Variant.Before.LEVELS, ServiceLevel.LEAST, Map.of()), flat(2));
+        Trial alone = new Trial(day(), 3,
+            new Variant("alone", Variant.Before.LEVELS, ServiceLevel.LEAST, Map.of()), flat(2));
         assertThat(alone.inTarget.get("notice-send")).isGreaterThan(none.inTarget.get("notice-send"));
         assertThat(alone.inTarget.get("status-refresh")).isZero();
     }
--- a/src/test/java/switchgap/net/SelectorThreadsTest.java
+++ b/src/test/java/switchgap/net/SelectorThreadsTest.java
@@ -15,7 +15,7 @@
 
         Planted(boolean error) { this.error = error; }
 
-        @Override public void opened(TcpConnection l) { }
+        @Override public void opened(TcpConnection l) {}
 
         @Override public void received(TcpConnection l, ByteBuffer more) {
             if (more.get() == 'x' && error) { throw new StackOverflowError("planted"); }
@@ -23,14 +23,17 @@
             l.send(new byte[] {'y'});
         }
 
-        @Override public void closed(TcpConnection l, String why) { }
+        @Override public void closed(TcpConnection l, String why) {}
     }
 
-    @ParameterizedTest @ValueSource(booleans = {true, false})
-    void aFaultInReadingOneConnectionLeavesTheOthersServed(boolean error) throws Exception {
-        try (NetworkTransport net = new NetworkTransport(1, "planted"); TcpConnection.Server door = TcpConnection.listen(net, "127.0.0.1", 0, 50, new Planted(error))) {
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false}) void aFaultInReadingOneConnectionLeavesTheOthersServed(
+        boolean error) throws Exception {
+        try (NetworkTransport net = new NetworkTransport(1, "planted");
+            TcpConnection.Server door = TcpConnection.listen(net, "127.0.0.1", 0, 50, new Planted(error))) {
             for (int i = 0; i < 3; i++) {
-                try (Socket bad = new Socket("127.0.0.1", door.port()); Socket good = new Socket("127.0.0.1", door.port())) {
+                try (Socket bad = new Socket("127.0.0.1", door.port());
+                    Socket good = new Socket("127.0.0.1", door.port())) {
                     bad.getOutputStream().write('x');
                     assertThat(answer(bad)).as("the faulty one ends").isNegative();
                     good.getOutputStream().write('g');
--- a/src/test/java/switchgap/planner/PendingLoadQueueTest.java
+++ b/src/test/java/switchgap/planner/PendingLoadQueueTest.java
@@ -34,7 +34,9 @@
 
         @Override public void planRejected(String why) { refusals.add(why); }
 
-        PendingLoad wish(double importance, long load) { return new PendingLoad(wishes.nextId(), "w", "f", 1, load, importance, 0); }
+        PendingLoad wish(double importance, long load) {
+            return new PendingLoad(wishes.nextId(), "w", "f", 1, load, importance, 0);
+        }
 
         void ask() {
             wishes.add(now, wish(0, 1000));
@@ -42,7 +44,9 @@
         }
 
         void tell() {
-            if (wishes.state() != PendingLoadQueue.State.ALONE) { up.add(new LoadBacklog(epoch, ++seq, wishes.waiting(now, f -> 1))); }
+            if (wishes.state() != PendingLoadQueue.State.ALONE) {
+                up.add(new LoadBacklog(epoch, ++seq, wishes.waiting(now, f -> 1)));
+            }
         }
 
         void link() {
@@ -94,7 +98,9 @@
         for (int i = 0; i < depth; i++) { w.step(events[i]); }
         w.now = w.now.plusSeconds(1);
         w.wishes.tick(w.now); // patience over: nothing may be left behind
-        for (long id = 0; id < w.wishes.nextId(); id++) { assertThat(w.out.contains(id) || w.withdrawn.contains(id)).isTrue(); }
+        for (long id = 0; id < w.wishes.nextId(); id++) {
+            assertThat(w.out.contains(id) || w.withdrawn.contains(id)).isTrue();
+        }
         explored++;
         if (depth == events.length) { return; }
         for (int e = 0; e < 10; e++) {
@@ -109,13 +115,16 @@
     }
 
     /** Long orders that chance draws, where the exhaustive ones are short. */
-    @net.jqwik.api.Property(tries = 2000, seed = "7") void inLongOrdersToo(@net.jqwik.api.ForAll
-            @net.jqwik.api.constraints.Size(min = 20, max = 120) List<@net.jqwik.api.constraints.IntRange(min = 0, max = 9) Integer> events) {
+    @net.jqwik.api.Property(tries = 2000, seed = "7") void inLongOrdersToo(
+        @net.jqwik.api.ForAll @net.jqwik.api.constraints.Size(min = 20, max = 120) List<
+            @net.jqwik.api.constraints.IntRange(min = 0, max = 9) Integer> events) {
         World w = new World();
         events.forEach(w::step);
         w.now = w.now.plusSeconds(1);
         w.wishes.tick(w.now);
-        for (long id = 0; id < w.wishes.nextId(); id++) { assertThat(w.out.contains(id) || w.withdrawn.contains(id)).isTrue(); }
+        for (long id = 0; id < w.wishes.nextId(); id++) {
+            assertThat(w.out.contains(id) || w.withdrawn.contains(id)).isTrue();
+        }
         assertThat(w.refusals).allMatch(r -> r.startsWith("a plan for epoch")); // a planner that is right is never told wrong
     }
 
@@ -129,7 +138,10 @@
     @Test void whatTheMostImportanceHangsOnGoesFirst() {
         LoadScheduler s = new LoadScheduler();
         List<PendingLoad> waiting = new ArrayList<>();
-        for (int i = 0; i < 12; i++) { waiting.add(new PendingLoad(i, "w", "f" + i, 1, i == 11 ? 100_000 : 1_000_000, i == 5 ? 50 : 1, 0)); }
+        for (int i = 0; i < 12; i++) {
+            waiting.add(
+                new PendingLoad(i, "w", "f" + i, 1, i == 11 ? 100_000 : 1_000_000, i == 5 ? 50 : 1, 0));
+        }
         LoadPlan p = s.plan(new LoadBacklog(1, 1, waiting));
         assertThat(p.ids()).startsWith(5, 11, 0); // most that waits, then the short one, then the first asked
         assertThat(p.ids()).hasSize(12); // how many are out at a time the edge's module has settled
@@ -138,7 +150,8 @@
 
     @Test void whatHasWaitedLongPassesWhatIsImportant() {
         LoadScheduler s = new LoadScheduler();
-        LoadPlan p = s.plan(new LoadBacklog(1, 1, List.of(new PendingLoad(0, "w", "new", 1, 1000, 5, 0), new PendingLoad(1, "w", "old", 1, 1000, 1, 6_000_000))));
+        LoadPlan p = s.plan(new LoadBacklog(1, 1, List.of(new PendingLoad(0, "w", "new", 1, 1000, 5, 0),
+            new PendingLoad(1, "w", "old", 1, 1000, 1, 6_000_000))));
         assertThat(p.ids()).containsExactly(1, 0);
     }
 
--- a/src/test/java/switchgap/planner/link/PlannerMessageCodecTest.java
+++ b/src/test/java/switchgap/planner/link/PlannerMessageCodecTest.java
@@ -18,14 +18,17 @@
 
     @Test void namesOnTheWireAreThoseOfVersionTwo() throws IOException {
         PendingLoad load = new PendingLoad(7, "w1", "f", 512, 250_000, 1.5, 3000);
-        assertThat(json(new LoadBacklog(3, 4, List.of(load)))).isEqualTo("{\"epoch\":3,\"seq\":4,\"waiting\":[{\"id\":7,"
-            + "\"worker\":\"w1\",\"function\":\"f\",\"memory\":512.0,\"load\":250000,\"importance\":1.5,\"age\":3000}],"
-            + "\"is\":\"told\"}");
-        assertThat(json(new LoadPlan(3, 4, new long[] {7}))).isEqualTo("{\"epoch\":3,\"seq\":4,\"ids\":[7],\"is\":\"plan\"}");
+        assertThat(json(new LoadBacklog(3, 4, List.of(load)))).isEqualTo(
+            "{\"epoch\":3,\"seq\":4,\"waiting\":[{\"id\":7,"
+                + "\"worker\":\"w1\",\"function\":\"f\",\"memory\":512.0,\"load\":250000,\"importance\":1.5,\"age\":3000}],"
+                + "\"is\":\"told\"}");
+        assertThat(json(new LoadPlan(3, 4, new long[] {7}))).isEqualTo(
+            "{\"epoch\":3,\"seq\":4,\"ids\":[7],\"is\":\"plan\"}");
     }
 
     @Test void aMessageIsReadAsItWasWritten() throws IOException {
-        LoadBacklog backlog = new LoadBacklog(3, 4, List.of(new PendingLoad(7, "w1", "f", 512, 250_000, 1.5, 3000)));
+        LoadBacklog backlog = new LoadBacklog(3, 4,
+            List.of(new PendingLoad(7, "w1", "f", 512, 250_000, 1.5, 3000)));
         assertThat(PlannerMessageCodec.decode(PlannerMessageCodec.encode(backlog))).isEqualTo(backlog);
     }
 }
--- a/src/test/java/switchgap/policy/PolicyHarness.java
+++ b/src/test/java/switchgap/policy/PolicyHarness.java
@@ -122,7 +122,7 @@
     private int at;
     int wakes;
     /** Told of each load order: the worker and the function. */
-    BiConsumer<Integer, Integer> onHold = (w, f) -> { };
+    BiConsumer<Integer, Integer> onHold = (w, f) -> {};
     private final Map<Integer, Integer> sent = new HashMap<>();
 
     PolicyHarness(RouterSettings terms) {
@@ -175,7 +175,8 @@
     }
 
     void end(PolicyEvents f, int job, int execution, int worker, AttemptOutcome end, int took, int crowd) {
-        f.attemptEnded(new AttemptResult(job, execution, worker, end, ms(took), end == AttemptOutcome.SUCCEEDED, LoadReport.ofConcurrency(crowd)));
+        f.attemptEnded(new AttemptResult(job, execution, worker, end, ms(took),
+            end == AttemptOutcome.SUCCEEDED, LoadReport.ofConcurrency(crowd)));
     }
 
     /** The copy target of a function. */
@@ -184,18 +185,23 @@
     }
 
     @SuppressWarnings("unchecked") private IndexedTable<Function> functions() {
-        return (IndexedTable<Function>) ReachableObjects.field(ReachableObjects.field(decide, "state"), "functions");
+        return (IndexedTable<Function>) ReachableObjects.field(ReachableObjects.field(decide, "state"),
+            "functions");
     }
 
     /** All that the module holds: elements of its tables. */
-    long held() { return ReachableObjects.by(decide, this); }
+    long held() {
+        return ReachableObjects.by(decide, this);
+    }
 
     String trace() {
         return String.join("\n", lines) + "\n";
     }
 
     /** Executions of a job so far. */
-    int tries(int job) { return (int) lines.stream().filter(l -> l.contains(" send job " + job + " ")).count(); }
+    int tries(int job) {
+        return (int) lines.stream().filter(l -> l.contains(" send job " + job + " ")).count();
+    }
 
     /** Where a job was sent last, -1 if nowhere. */
     int sentTo(int job) { return sent.getOrDefault(job, -1); }
@@ -219,7 +225,9 @@
         say("send job " + job + " to worker " + worker + " for " + allow.toMillis() + " ms");
     }
 
-    @Override public void cancelAttempt(int job, int execution) { say("cancel job " + job + " execution " + execution); }
+    @Override public void cancelAttempt(int job, int execution) {
+        say("cancel job " + job + " execution " + execution);
+    }
 
     @Override public void reject(int job, Duration comeBack) { say("push back job " + job); }
 
@@ -234,7 +242,9 @@
         say("ask function " + function + " at worker " + worker);
     }
 
-    @Override public void unload(int worker, int function) { say("drop function " + function + " at worker " + worker); }
+    @Override public void unload(int worker, int function) {
+        say("drop function " + function + " at worker " + worker);
+    }
 
     @Override public void probe(int worker) { say("probe worker " + worker); }
 
--- a/src/test/java/switchgap/policy/RoutingInvariantsTest.java
+++ b/src/test/java/switchgap/policy/RoutingInvariantsTest.java
@@ -36,8 +36,10 @@
  * may be left: no job, no worker's tally, no order counted as out.
  */
 class RoutingInvariantsTest implements PolicyActions {
-    private static final AttemptOutcome[] ENDS = {AttemptOutcome.SUCCEEDED, AttemptOutcome.SUCCEEDED, AttemptOutcome.SUCCEEDED, AttemptOutcome.FAILED, AttemptOutcome.REJECTED, AttemptOutcome.TIMED_OUT,
-        AttemptOutcome.CONNECT_FAILED, AttemptOutcome.CONNECTION_LOST, AttemptOutcome.NOT_SENT, AttemptOutcome.NOT_LOADED, AttemptOutcome.NOT_LOADED};
+    private static final AttemptOutcome[] ENDS = {AttemptOutcome.SUCCEEDED, AttemptOutcome.SUCCEEDED,
+        AttemptOutcome.SUCCEEDED, AttemptOutcome.FAILED, AttemptOutcome.REJECTED, AttemptOutcome.TIMED_OUT,
+        AttemptOutcome.CONNECT_FAILED, AttemptOutcome.CONNECTION_LOST, AttemptOutcome.NOT_SENT,
+        AttemptOutcome.NOT_LOADED, AttemptOutcome.NOT_LOADED};
     private static final int WORKERS = 6;
 
     private static final class Job {
@@ -50,7 +52,8 @@
     }
 
     private final PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
-    private final IndexAllocator jobs = new IndexAllocator(), workers = new IndexAllocator(), functions = new IndexAllocator();
+    private final IndexAllocator jobs = new IndexAllocator(), workers = new IndexAllocator(),
+        functions = new IndexAllocator();
     private final TreeMap<Duration, List<Consumer<PolicyEvents>>> due = new TreeMap<>();
     private final Map<Integer, Job> open = new HashMap<>();
     private final Map<Long, WorkerState> standing = new HashMap<>();
@@ -82,7 +85,8 @@
         open.put(j, job);
         came.add(now);
         long mark = function.hashCode();
-        f.requestArrived(new RequestArrival(j, 0, 0, functions.allocate(mark), mark, job.limit, null, 100, 2));
+        f.requestArrived(
+            new RequestArrival(j, 0, 0, functions.allocate(mark), mark, job.limit, null, 100, 2));
         if (draw.nextInt(40) == 0) {
             later(draw.nextInt(300), g -> {
                 if (open.get(j) == job && !job.closed) {
@@ -97,7 +101,8 @@
         f.endpointListStarted(whole);
         standing.forEach((name, s) -> {
             if (s == WorkerState.GONE && workers.find(name) < 0) { return; }
-            f.endpointListed(new EndpointEntry(workers.allocate(name), name, s, (int) (name % 2), (int) (name % 3), 0, 1, started.get(name)));
+            f.endpointListed(new EndpointEntry(workers.allocate(name), name, s, (int) (name % 2),
+                (int) (name % 3), 0, 1, started.get(name)));
         });
         f.endpointListEnded();
     }
@@ -106,7 +111,9 @@
         long name = 1000 + draw.nextInt(WORKERS);
         WorkerState s = WorkerState.values()[draw.nextInt(3)];
         standing.put(name, s);
-        if (s == WorkerState.READY && draw.nextBoolean()) { started.put(name, now.minus(ms(draw.nextInt(2000)))); }
+        if (s == WorkerState.READY && draw.nextBoolean()) {
+            started.put(name, now.minus(ms(draw.nextInt(2000))));
+        }
         list(f, draw.nextBoolean());
     }
 
@@ -122,7 +129,9 @@
             String name = "f" + draw.nextInt(functions);
             later(t, f -> job(f, name));
         }
-        for (long t = 3000; t < seconds * 1000L; t += 1 + draw.nextInt(2 * changeMillis)) { later(t, this::change); }
+        for (long t = 3000; t < seconds * 1000L; t += 1 + draw.nextInt(2 * changeMillis)) {
+            later(t, this::change);
+        }
         Duration end = now.plus(ms(seconds * 1000L + 40_000));
         run(end.minus(ms(1000)));
         later(0, f -> {
@@ -136,17 +145,23 @@
         assertThat(open).isEmpty();
         assertThat(jobs.size()).isZero();
         assertThat(functions.size()).isZero();
-        assertThat(ReachableObjects.field(ReachableObjects.field(decide, "loader"), "pendingLoads")).as("orders counted as out").isEqualTo(0);
-        for (Object w : (Iterable<?>) ReachableObjects.field(ReachableObjects.field(decide, "state"), "workers")) {
-            for (String tally : new String[] {"inFlight", "waitingForLoad", "pendingCommands", "queuedAhead"}) {
+        assertThat(ReachableObjects.field(ReachableObjects.field(decide, "loader"), "pendingLoads")).as(
+            "orders counted as out").isEqualTo(0);
+        for (Object w : (Iterable<?>) ReachableObjects.field(ReachableObjects.field(decide, "state"),
+            "workers")) {
+            for (String tally : new String[] {"inFlight", "waitingForLoad", "pendingCommands",
+                "queuedAhead"}) {
                 assertThat(ReachableObjects.field(w, tally)).as(tally).isEqualTo(0);
             }
         }
     }
 
-    @ParameterizedTest @CsvSource({"IDEMPOTENT,ALL,2,false", "IDEMPOTENT,ALL,2,true", "NON_IDEMPOTENT,ALL,2,false", "NON_IDEMPOTENT,ALL,200,true",
-        "IDEMPOTENT_WITH_KEY,ZONE,2,false", "IDEMPOTENT_WITH_KEY,CELL,2,true", "IDEMPOTENT_WITH_KEY,ALL,200,false", "IDEMPOTENT,ALL,200,true"})
-    void theRulesHoldAmidDrawnEvents(Idempotency repeat, DeduplicationScope group, int routers, boolean loads) {
+    @ParameterizedTest
+    @CsvSource({"IDEMPOTENT,ALL,2,false", "IDEMPOTENT,ALL,2,true", "NON_IDEMPOTENT,ALL,2,false",
+        "NON_IDEMPOTENT,ALL,200,true",
+        "IDEMPOTENT_WITH_KEY,ZONE,2,false", "IDEMPOTENT_WITH_KEY,CELL,2,true",
+        "IDEMPOTENT_WITH_KEY,ALL,200,false", "IDEMPOTENT,ALL,200,true"}) void theRulesHoldAmidDrawnEvents(
+            Idempotency repeat, DeduplicationScope group, int routers, boolean loads) {
         said.repeat = repeat;
         said.group = group;
         said.routers = routers;
@@ -183,15 +198,22 @@
     @Override public void startAttempt(int job, int worker, Duration allow) {
         Job j = open.get(job);
         assertThat(j.closed).as("rule 1: sent after the answer").isFalse();
-        assertThat(now.plus(allow)).as("rule 1: two ticks before the limit").isLessThanOrEqualTo(j.limit.minus(ms(10)));
+        assertThat(now.plus(allow)).as("rule 1: two ticks before the limit").isLessThanOrEqualTo(
+            j.limit.minus(ms(10)));
         ready(worker);
         boolean mayHaveRun = j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted());
-        if (said.repeat == Idempotency.NON_IDEMPOTENT) { assertThat(mayHaveRun).as("rule 2: run-once").isFalse(); }
+        if (said.repeat == Idempotency.NON_IDEMPOTENT) {
+            assertThat(mayHaveRun).as("rule 2: run-once").isFalse();
+        }
         if (said.repeat == Idempotency.IDEMPOTENT_WITH_KEY && mayHaveRun) {
             long a = workers.idOf(j.at.get(anchor(j)));
             long b = workers.idOf(worker);
-            if (said.group != DeduplicationScope.ALL) { assertThat(b % 2).as("rule 2: zone").isEqualTo(a % 2); }
-            if (said.group == DeduplicationScope.CELL) { assertThat(b % 3).as("rule 2: cell").isEqualTo(a % 3); }
+            if (said.group != DeduplicationScope.ALL) {
+                assertThat(b % 2).as("rule 2: zone").isEqualTo(a % 2);
+            }
+            if (said.group == DeduplicationScope.CELL) {
+                assertThat(b % 3).as("rule 2: cell").isEqualTo(a % 3);
+            }
             assertThat(now.minus(j.first)).as("rule 2: memory").isLessThan(ms(1000 - 10));
         }
         assertThat(j.out).as("one execution at a time").isZero();
@@ -204,12 +226,14 @@
         j.ends.add(AttemptOutcome.TIMED_OUT); // until it is known better
         j.out++;
         AttemptOutcome end = ENDS[draw.nextInt(ENDS.length)];
-        long took = end == AttemptOutcome.TIMED_OUT ? allow.toMillis() : Math.min(allow.toMillis(), 1 + draw.nextInt(120));
+        long took = end == AttemptOutcome.TIMED_OUT ? allow.toMillis()
+            : Math.min(allow.toMillis(), 1 + draw.nextInt(120));
         later(took, f -> {
             j.ends.set(x, end);
             j.out--;
             if (end == AttemptOutcome.SUCCEEDED && !j.closed) { closed(job, j); }
-            f.attemptEnded(new AttemptResult(job, x, worker, end, ms(took), j.closed, LoadReport.ofConcurrency(draw.nextInt(4) - 1)));
+            f.attemptEnded(new AttemptResult(job, x, worker, end, ms(took), j.closed,
+                LoadReport.ofConcurrency(draw.nextInt(4) - 1)));
         });
     }
 
@@ -244,15 +268,17 @@
         Job j = open.get(job);
         assertThat(j.closed).as("rule 1: answered twice").isFalse();
         boolean mayHaveRun = j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted());
-        assertThat(mayHaveRun && (said.repeat == Idempotency.NON_IDEMPOTENT || said.repeat == Idempotency.IDEMPOTENT_WITH_KEY && said.group != DeduplicationScope.ALL))
-            .as("rule 2: pushed back").isFalse();
+        assertThat(mayHaveRun && (said.repeat == Idempotency.NON_IDEMPOTENT
+            || said.repeat == Idempotency.IDEMPOTENT_WITH_KEY && said.group != DeduplicationScope.ALL)).as(
+                "rule 2: pushed back").isFalse();
         closed(job, j);
     }
 
     @Override public void fail(int job) {
         Job j = open.get(job);
         assertThat(j.closed).as("rule 1: answered twice").isFalse();
-        assertThat(j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted())).as("killed for nothing").isTrue();
+        assertThat(j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted())).as(
+            "killed for nothing").isTrue();
         closed(job, j);
     }
 
@@ -262,27 +288,33 @@
         holds.add(now);
         while (now.minus(holds.peek()).compareTo(said.span) > 0) { holds.poll(); }
         while (!came.isEmpty() && now.minus(came.peek()).compareTo(said.span) > 0) { came.poll(); }
-        assertThat((double) holds.size()).as("rule 5").isLessThanOrEqualTo(said.free + said.share * came.size());
+        assertThat((double) holds.size()).as("rule 5").isLessThanOrEqualTo(
+            said.free + said.share * came.size());
         commandEndsLater(worker, function);
     }
 
     @Override public void queryReplicas(int worker, int function) { commandEndsLater(worker, function); }
 
     private void commandEndsLater(int worker, int function) {
-        AttemptOutcome end = draw.nextInt(3) > 0 ? AttemptOutcome.SUCCEEDED : draw.nextBoolean() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECTION_LOST;
+        AttemptOutcome end = draw.nextInt(3) > 0 ? AttemptOutcome.SUCCEEDED
+            : draw.nextBoolean() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECTION_LOST;
         long took = end == AttemptOutcome.TIMED_OUT ? 10_000 : 5 + draw.nextInt(1500);
-        later(took, f -> f.loadCommandEnded(new LoadCommandResult(worker, function, end, ms(took), end == AttemptOutcome.SUCCEEDED ? 1 : 0)));
+        later(took, f -> f.loadCommandEnded(
+            new LoadCommandResult(worker, function, end, ms(took), end == AttemptOutcome.SUCCEEDED ? 1 : 0)));
     }
 
-    @Override public void cancelAttempt(int job, int execution) { }
+    @Override public void cancelAttempt(int job, int execution) {}
 
-    @Override public void unload(int worker, int function) { }
+    @Override public void unload(int worker, int function) {}
 
     @Override public void probe(int worker) {
         String name = String.valueOf(workers.idOf(worker));
         later(2, f -> {
             int w = workers.find(Long.parseLong(name));
-            if (w >= 0) { f.probeEnded(new ProbeResult(w, AttemptOutcome.SUCCEEDED, new LoadReport(0.3, draw.nextInt(5), 0, -1))); }
+            if (w >= 0) {
+                f.probeEnded(new ProbeResult(w, AttemptOutcome.SUCCEEDED,
+                    new LoadReport(0.3, draw.nextInt(5), 0, -1)));
+            }
         });
     }
 
@@ -291,7 +323,7 @@
         due.computeIfAbsent(now.plus(after), t -> new ArrayList<>()).add(f -> f.wakeUp(token));
     }
 
-    @Override public void subscribeToEndpoints() { }
+    @Override public void subscribeToEndpoints() {}
 
     @Override public void releaseRequest(int job) {
         Job j = open.remove(job);
--- a/src/test/java/switchgap/policy/RoutingPolicyLongRunTest.java
+++ b/src/test/java/switchgap/policy/RoutingPolicyLongRunTest.java
@@ -35,7 +35,8 @@
     }
 
     private void home(PolicyHarness b) {
-        b.at(0, f -> list(f, 3)).at(5, f -> b.job(f, 0, 0)).at(50, f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.SUCCEEDED, 45, 0));
+        b.at(0, f -> list(f, 3)).at(5, f -> b.job(f, 0, 0)).at(50,
+            f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.SUCCEEDED, 45, 0));
     }
 
     /** Each job's arrival stayed until the next order: for days where all copies stand. */
@@ -89,8 +90,8 @@
     }
 
     /** Seen on join+mass: workers that drained before the list said so were given three orders a served job, and each is priced. */
-    @ParameterizedTest @ValueSource(ints = {2, 100})
-    void aWorkerThatRefusedAnOrderIsNotGivenItAtOnceAgain(int routers) {
+    @ParameterizedTest
+    @ValueSource(ints = {2, 100}) void aWorkerThatRefusedAnOrderIsNotGivenItAtOnceAgain(int routers) {
         PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
         said.routers = routers;
         PolicyHarness b = new PolicyHarness(said);
@@ -100,12 +101,16 @@
             refused.add(w);
             all.add(w);
         };
-        b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0)).at(20, f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.NOT_LOADED, 2, 0));
+        b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0)).at(20,
+            f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.NOT_LOADED, 2, 0));
         for (int t = 30; t < 900; t += 10) {
             List<Integer> now = List.copyOf(refused);
             refused.clear();
-            b.at(t, f -> now.forEach(w -> f.loadCommandEnded(new LoadCommandResult(w, 0, AttemptOutcome.REJECTED, ms(2), 0))));
-            if (b.sentTo(0) >= 0 && b.tries(0) == 2) { b.at(t, f -> b.end(f, 0, 1, b.sentTo(0), AttemptOutcome.NOT_LOADED, 2, 0)); }
+            b.at(t, f -> now.forEach(
+                w -> f.loadCommandEnded(new LoadCommandResult(w, 0, AttemptOutcome.REJECTED, ms(2), 0))));
+            if (b.sentTo(0) >= 0 && b.tries(0) == 2) {
+                b.at(t, f -> b.end(f, 0, 1, b.sentTo(0), AttemptOutcome.NOT_LOADED, 2, 0));
+            }
         }
         assertThat(all).isNotEmpty().doesNotHaveDuplicates(); // each worker once a second,
         assertThat(all.size() + b.count("ask")).isGreaterThan(1); // and others are tried; at size they are asked first
@@ -126,16 +131,20 @@
             out.clear();
             int j = t;
             b.at(t, f -> {
-                now.forEach(w -> f.loadCommandEnded(new LoadCommandResult(w, 0, AttemptOutcome.FAILED, ms(2), 0)));
+                now.forEach(
+                    w -> f.loadCommandEnded(new LoadCommandResult(w, 0, AttemptOutcome.FAILED, ms(2), 0)));
                 b.job(f, j, 0);
             });
-            if (b.sentTo(j) >= 0) { b.at(t, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.NOT_LOADED, 2, 0)); }
+            if (b.sentTo(j) >= 0) {
+                b.at(t, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.NOT_LOADED, 2, 0));
+            }
         }
         assertThat(orders[0]).isBetween(3, 2 + 4);
     }
 
     /** Seen on join+mass, 9039 orders of which 8325 ended at once: a copy that stood at a worker still too cold was ordered again and again. */
-    @ParameterizedTest @ValueSource(ints = {7, 10, 24}) // functions whose first worker in order is the warm one
+    @ParameterizedTest
+    @ValueSource(ints = {7, 10, 24}) // functions whose first worker in order is the warm one
     void aCopyThatStandsAtAColdWorkerIsNotOrderedAgain(int function) {
         PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
         said.routers = 100;
@@ -147,7 +156,8 @@
             out.add(w);
             orders[0]++;
         };
-        b.at(1000, f -> list(f, 1)).at(1010, f -> b.job(f, 0, function)).at(1020, f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.SUCCEEDED, 10, 0));
+        b.at(1000, f -> list(f, 1)).at(1010, f -> b.job(f, 0, function)).at(1020,
+            f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.SUCCEEDED, 10, 0));
         b.at(1030, f -> {
             change(f, 1, WorkerState.READY, ms(1030)); // new and cold
             change(f, 2, WorkerState.READY, ms(1030));
@@ -157,7 +167,8 @@
             out.clear();
             int j = t;
             b.at(t, f -> {
-                now.forEach(w -> f.loadCommandEnded(new LoadCommandResult(w, function, AttemptOutcome.SUCCEEDED, ms(2), 1)));
+                now.forEach(w -> f.loadCommandEnded(
+                    new LoadCommandResult(w, function, AttemptOutcome.SUCCEEDED, ms(2), 1)));
                 b.job(f, j, function); // more than the one warm worker takes
             });
         }
@@ -165,13 +176,15 @@
     }
 
     /** Seen on days of a hundred routers: questions cost 0.08 to 0.23 of all worth, and earned 0.01. */
-    @ParameterizedTest @ValueSource(doubles = {0, 0.01, 0.08})
-    void workersAreAskedForTheirLoadWhereItIsWorthItsPrice(double price) {
+    @ParameterizedTest
+    @ValueSource(doubles = {0, 0.01, 0.08}) void workersAreAskedForTheirLoadWhereItIsWorthItsPrice(
+        double price) {
         PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
         said.routers = 200;
         said.probePrice = price;
         PolicyHarness b = new PolicyHarness(said);
-        b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0)).at(90, f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.SUCCEEDED, 80, 8)).until(1100);
+        b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0)).at(90,
+            f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.SUCCEEDED, 80, 8)).until(1100);
         b.at(1200, f -> b.job(f, 1, 0)).until(1300);
         assertThat(b.count("probe") > 0).isEqualTo(price < 0.015);
         assertThat(b.count("send")).isEqualTo(2); // asked or not, the job goes out
@@ -182,7 +195,8 @@
         PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
         said.routers = 200;
         PolicyHarness b = new PolicyHarness(said);
-        b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0)).at(90, f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.SUCCEEDED, 80, 8)).until(1100);
+        b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0)).at(90,
+            f -> b.end(f, 0, 0, b.sentTo(0), AttemptOutcome.SUCCEEDED, 80, 8)).until(1100);
         b.at(1200, f -> b.job(f, 1, 0));
         assertThat(b.count("probe")).isPositive();
         long asked = b.count("probe");
@@ -194,10 +208,13 @@
         for (int i = 0; i < 20; i++) {
             int j = 2 + i;
             b.at(3000 + 6000 * i, f -> b.job(f, j, 0)).until(3100 + 6000 * i);
-            if (b.sentTo(j) >= 0) { b.at(3120 + 6000 * i, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.SUCCEEDED, 80, 8)); }
+            if (b.sentTo(j) >= 0) {
+                b.at(3120 + 6000 * i, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.SUCCEEDED, 80, 8));
+            }
             b.until(8980 + 6000 * i);
         }
-        assertThat(b.count("probe")).as(b.trace().substring(Math.max(0, b.trace().length() - 1500))).isGreaterThan(asked + 1);
+        assertThat(b.count("probe")).as(
+            b.trace().substring(Math.max(0, b.trace().length() - 1500))).isGreaterThan(asked + 1);
     }
 
     /** A wake-up that never came was waited for for good: what waits is looked at only as other events come. */
--- a/src/test/java/switchgap/policy/RoutingPolicyTest.java
+++ b/src/test/java/switchgap/policy/RoutingPolicyTest.java
@@ -66,9 +66,10 @@
     @Test void fingerprintedStaysInItsGroup() throws IOException {
         same("fingerprinted-zone", erring(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE));
         for (int function = 1; function < 8; function++) { // the helper's zones are a worker's number modulo 2
-            assertThat(erring(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, function).trace().lines()
-                .filter(l -> l.contains("send")).map(l -> worker(l) % 2).distinct())
-                .hasSize(1);
+            assertThat(
+                erring(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE,
+                    function).trace().lines().filter(l -> l.contains("send")).map(
+                        l -> worker(l) % 2).distinct()).hasSize(1);
         }
     }
 
@@ -111,10 +112,12 @@
         PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
         b.at(0, f -> list(f, 3)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(12, f -> b.end(f, 0, 0, home, AttemptOutcome.NOT_LOADED, 2, -1))
-            .at(15, f -> f.loadCommandEnded(new LoadCommandResult((home + 1) % 3, 0, AttemptOutcome.SUCCEEDED, ms(3), 0)))
-            .at(300, f -> f.loadCommandEnded(new LoadCommandResult(home, 0, AttemptOutcome.SUCCEEDED, ms(288), 1)))
-            .at(380, f -> b.end(f, 0, 1, home, AttemptOutcome.SUCCEEDED, 80, 0));
+        b.at(12, f -> b.end(f, 0, 0, home, AttemptOutcome.NOT_LOADED, 2, -1)).at(15,
+            f -> f.loadCommandEnded(
+                new LoadCommandResult((home + 1) % 3, 0, AttemptOutcome.SUCCEEDED, ms(3), 0))).at(300,
+                    f -> f.loadCommandEnded(
+                        new LoadCommandResult(home, 0, AttemptOutcome.SUCCEEDED, ms(288), 1))).at(380,
+                            f -> b.end(f, 0, 1, home, AttemptOutcome.SUCCEEDED, 80, 0));
         same("miss", b);
     }
 
@@ -127,8 +130,9 @@
             change(f, home, WorkerState.DRAINING, null);
             b.job(f, 1, 0);
         }).until(1500);
-        assertThat(b.trace().lines().filter(l -> l.endsWith("at worker " + home) || l.contains("worker " + home + " ")))
-            .allMatch(l -> Integer.parseInt(l.split(" ")[0]) < 110);
+        assertThat(b.trace().lines().filter(
+            l -> l.endsWith("at worker " + home) || l.contains("worker " + home + " "))).allMatch(
+                l -> Integer.parseInt(l.split(" ")[0]) < 110);
         assertThat(b.count("send")).isGreaterThan(1);
     }
 
@@ -161,11 +165,13 @@
         for (int i = 0; i < 12; i++) {
             int job = i;
             b.at(10 + 50 * i, f -> b.job(f, job, job));
-            String last = b.trace().lines().filter(l -> l.contains("send job " + job + " ")).findFirst().orElse(null);
+            String last = b.trace().lines().filter(
+                l -> l.contains("send job " + job + " ")).findFirst().orElse(null);
             if (last != null) {
                 int w = worker(last);
                 b.at(15 + 50 * i, f -> b.end(f, job, 0, w, AttemptOutcome.NOT_LOADED, 2, -1));
-                b.at(20 + 50 * i, f -> f.loadCommandEnded(new LoadCommandResult(w, job, AttemptOutcome.SUCCEEDED, ms(5), 1)));
+                b.at(20 + 50 * i, f -> f.loadCommandEnded(
+                    new LoadCommandResult(w, job, AttemptOutcome.SUCCEEDED, ms(5), 1)));
             }
             assertThat((double) b.count("hold")).isLessThanOrEqualTo(2 + 0.25 * (i + 1));
         }
@@ -186,7 +192,8 @@
         }
         b.until(1100);
         int next = held(b);
-        b.at(1300, f -> f.loadCommandEnded(new LoadCommandResult(next, 0, AttemptOutcome.SUCCEEDED, ms(200), 1)));
+        b.at(1300,
+            f -> f.loadCommandEnded(new LoadCommandResult(next, 0, AttemptOutcome.SUCCEEDED, ms(200), 1)));
         b.until(17_500);
         same("target", b);
     }
@@ -203,7 +210,8 @@
             }
         });
         int next = held(b);
-        b.at(300, f -> f.loadCommandEnded(new LoadCommandResult(next, 0, AttemptOutcome.SUCCEEDED, ms(200), 1)));
+        b.at(300,
+            f -> f.loadCommandEnded(new LoadCommandResult(next, 0, AttemptOutcome.SUCCEEDED, ms(200), 1)));
         same("overflow", b);
     }
 
@@ -227,13 +235,15 @@
         b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.SUCCEEDED, 80, 0));
         b.at(100, f -> change(f, home, WorkerState.GONE, null)).until(1100);
         int next = held(b);
-        b.at(1200, f -> f.loadCommandEnded(new LoadCommandResult(next, 0, AttemptOutcome.SUCCEEDED, ms(200), 1))).until(31_000);
+        b.at(1200,
+            f -> f.loadCommandEnded(
+                new LoadCommandResult(next, 0, AttemptOutcome.SUCCEEDED, ms(200), 1))).until(31_000);
         assertThat(b.trace()).contains("forget job 0", "forget worker " + home, "forget function 0");
     }
 
     @Test void sameEventsSameDecisions() {
-        assertThat(erring(Idempotency.IDEMPOTENT, DeduplicationScope.ALL).trace())
-            .isEqualTo(erring(Idempotency.IDEMPOTENT, DeduplicationScope.ALL).trace());
+        assertThat(erring(Idempotency.IDEMPOTENT, DeduplicationScope.ALL).trace()).isEqualTo(
+            erring(Idempotency.IDEMPOTENT, DeduplicationScope.ALL).trace());
     }
 
     /** Clients that give up before the work can be done, and try again, filled every worker for nothing. */
@@ -251,13 +261,16 @@
         for (int i = 0; i < 5; i++) {
             int job = i;
             b.at(10 + 300 * i, f -> b.job(f, job, 0));
-            String sent = b.trace().lines().filter(l -> l.contains("send job " + job)).findFirst().orElseThrow();
+            String sent = b.trace().lines().filter(
+                l -> l.contains("send job " + job)).findFirst().orElseThrow();
             int at = worker(sent);
             boolean errs = at == home(b) && i < 2;
-            b.at(15 + 300 * i, f -> b.end(f, job, 0, at, errs ? AttemptOutcome.FAILED : AttemptOutcome.SUCCEEDED, 5, 0));
+            b.at(15 + 300 * i,
+                f -> b.end(f, job, 0, at, errs ? AttemptOutcome.FAILED : AttemptOutcome.SUCCEEDED, 5, 0));
             b.at(40 + 300 * i, f -> {
                 if (errs) {
-                    int other = Integer.parseInt(b.trace().strip().replaceAll("(?s).*to worker (\\d).*", "$1"));
+                    int other = Integer.parseInt(
+                        b.trace().strip().replaceAll("(?s).*to worker (\\d).*", "$1"));
                     b.end(f, job, 1, other, AttemptOutcome.SUCCEEDED, 20, 0);
                 }
             });
@@ -293,8 +306,8 @@
             int job = i;
             b.at(3000 + 500 * i, f -> b.job(f, job, 0));
         }
-        assertThat(b.trace().lines().filter(l -> l.contains("send")).map(RoutingPolicyTest::worker).distinct().count())
-            .isGreaterThan(1);
+        assertThat(b.trace().lines().filter(l -> l.contains("send")).map(
+            RoutingPolicyTest::worker).distinct().count()).isGreaterThan(1);
     }
 
     /** A failed question had ended all questions at that router, and shunned a worker that was only busy. */
@@ -316,7 +329,8 @@
         PolicyHarness b = new PolicyHarness(said);
         b.at(0, f -> list(f, 4)).at(10, f -> b.job(f, 0, 0));
         int home = home(b);
-        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.SUCCEEDED, 80, 8)).until(1900).at(1950, f -> b.job(f, 1, 0)).until(2100);
+        b.at(90, f -> b.end(f, 0, 0, home, AttemptOutcome.SUCCEEDED, 80, 8)).until(1900).at(1950,
+            f -> b.job(f, 1, 0)).until(2100);
         assertThat(b.count("ask function 0")).isEqualTo(1);
         assertThat(b.count("hold function 0")).isZero();
     }
@@ -324,8 +338,10 @@
     /** After a pause of the router a copy stands, but there is no time left to hear of an execution. */
     @Test void withinTheMarginOfItsLimitAJobIsNotSentAnyMore() {
         PolicyHarness b = new PolicyHarness(new PolicyHarness.TestSettings());
-        b.at(0, f -> list(f, 1)).at(10, f -> b.job(f, 0, 0)).at(12, f -> b.end(f, 0, 0, 0, AttemptOutcome.NOT_LOADED, 2, -1));
-        b.at(2003, f -> f.loadCommandEnded(new LoadCommandResult(0, 0, AttemptOutcome.SUCCEEDED, ms(1990), 1))); // its limit is 2010, the margin two ticks of 5
+        b.at(0, f -> list(f, 1)).at(10, f -> b.job(f, 0, 0)).at(12,
+            f -> b.end(f, 0, 0, 0, AttemptOutcome.NOT_LOADED, 2, -1));
+        b.at(2003,
+            f -> f.loadCommandEnded(new LoadCommandResult(0, 0, AttemptOutcome.SUCCEEDED, ms(1990), 1))); // its limit is 2010, the margin two ticks of 5
         assertThat(b.count("send")).isEqualTo(1);
         assertThat(b.count("push back job 0")).isEqualTo(1);
     }
@@ -358,7 +374,9 @@
             int phase = i < 100 ? 0 : i < 1300 ? 1 : 2; // 4 s crowded, 48 s at 0.2 of a lane, 44 s idle
             int crowd = phase == 0 ? 3 : phase == 1 && i % 4 == 0 ? 1 : 0;
             b.at(t, f -> b.job(f, j, 0));
-            if (b.sentTo(j) >= 0) { b.at(t + 30, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.SUCCEEDED, 30, crowd)); }
+            if (b.sentTo(j) >= 0) {
+                b.at(t + 30, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.SUCCEEDED, 30, crowd));
+            }
             after[phase] = b.target(0);
         }
         assertThat(after).containsExactly(2, 2, 1);
@@ -372,8 +390,11 @@
             for (int i = 0; i < 2000; i++) {
                 int t = 20 + 40 * i;
                 int j = i % 50;
-                b.at(t, f -> f.requestArrived(new RequestArrival(j, 0, 0, 0, 50, ms(t + 2000), null, size, 2)));
-                if (b.sentTo(j) >= 0) { b.at(t + 30, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.SUCCEEDED, 30, 30)); }
+                b.at(t,
+                    f -> f.requestArrived(new RequestArrival(j, 0, 0, 0, 50, ms(t + 2000), null, size, 2)));
+                if (b.sentTo(j) >= 0) {
+                    b.at(t + 30, f -> b.end(f, j, 0, b.sentTo(j), AttemptOutcome.SUCCEEDED, 30, 30));
+                }
             }
             assertThat(b.target(0)).isEqualTo(size == 100 ? 3 : 1); // six workers of 4,000 MB, half of them for copies
         }
@@ -395,7 +416,8 @@
                 f.loadCommandEnded(new LoadCommandResult(o[0], o[1], AttemptOutcome.FAILED, ms(1), 0));
                 f.clientLeft(job);
             });
-            orders.forEach(x -> b.at(15, f -> f.loadCommandEnded(new LoadCommandResult(x[0], x[1], AttemptOutcome.FAILED, ms(1), 0))));
+            orders.forEach(x -> b.at(15,
+                f -> f.loadCommandEnded(new LoadCommandResult(x[0], x[1], AttemptOutcome.FAILED, ms(1), 0))));
             orders.clear();
         }
         for (int i = 0; i < 10; i++) {
@@ -430,7 +452,8 @@
             int job = i;
             b.at(70 + 5 * i, f -> b.job(f, job, 100 + job)).at(72 + 5 * i, f -> {
                 if (b.sentTo(job) != bad) { f.clientLeft(job); }
-                b.end(f, job, 0, b.sentTo(job), b.sentTo(job) == bad ? AttemptOutcome.FAILED : AttemptOutcome.CANCELLED, 2, -1);
+                b.end(f, job, 0, b.sentTo(job),
+                    b.sentTo(job) == bad ? AttemptOutcome.FAILED : AttemptOutcome.CANCELLED, 2, -1);
             });
         }
         b.at(500, f -> {
@@ -456,10 +479,12 @@
             b.at(15 + 20 * i, f -> b.end(f, job, 0, b.sentTo(job), AttemptOutcome.SUCCEEDED, 5, 4));
         }
         assertThat(b.target(0)).isEqualTo(2);
-        b.at(4500, f -> orders.forEach(w -> f.loadCommandEnded(new LoadCommandResult(w, 0, AttemptOutcome.SUCCEEDED, ms(200), 1))));
+        b.at(4500, f -> orders.forEach(
+            w -> f.loadCommandEnded(new LoadCommandResult(w, 0, AttemptOutcome.SUCCEEDED, ms(200), 1))));
         b.at(5000, f -> b.job(f, 300, 0));
         int first = b.sentTo(300);
-        b.at(5010, f -> f.attemptEnded(new AttemptResult(300, 0, first, AttemptOutcome.SUCCEEDED, ms(10), true, new LoadReport(0.9, 50, Double.NaN, 0))));
+        b.at(5010, f -> f.attemptEnded(new AttemptResult(300, 0, first, AttemptOutcome.SUCCEEDED, ms(10),
+            true, new LoadReport(0.9, 50, Double.NaN, 0))));
         b.at(5020, f -> b.job(f, 301, 0));
         assertThat(b.sentTo(301)).isEqualTo(first);
     }
@@ -475,7 +500,10 @@
         for (int t = 1000; t <= 60_000; t += 1000) {
             long held = b.count("hold");
             b.at(t, f -> f.wakeUp(0));
-            if (b.count("hold") > held) { b.at(t + 20, f -> f.loadCommandEnded(new LoadCommandResult(home, 0, AttemptOutcome.SUCCEEDED, ms(20), 1))); }
+            if (b.count("hold") > held) {
+                b.at(t + 20, f -> f.loadCommandEnded(
+                    new LoadCommandResult(home, 0, AttemptOutcome.SUCCEEDED, ms(20), 1)));
+            }
         }
         return b;
     }
@@ -494,7 +522,9 @@
         priced.price = 0.05;
         PolicyHarness.TestSettings many = new PolicyHarness.TestSettings();
         many.routers = 40;
-        for (PolicyHarness.TestSettings said : List.of(rationed, priced, many)) { assertThat(calledTwice(said).count("hold")).isZero(); }
+        for (PolicyHarness.TestSettings said : List.of(rationed, priced, many)) {
+            assertThat(calledTwice(said).count("hold")).isZero();
+        }
         PolicyHarness once = new PolicyHarness(new PolicyHarness.TestSettings());
         once.at(0, f -> list(f, 4)).at(10, f -> once.job(f, 0, 0));
         int home = home(once);
@@ -508,7 +538,8 @@
         assertThat(b.count("send")).isEqualTo(1);
         assertThat(b.count("push back") + b.count("kill") + b.count("cancel")).isZero();
         int at = b.sentTo(0);
-        b.at(5100, f -> f.attemptEnded(new AttemptResult(0, 0, at, AttemptOutcome.CONNECTION_LOST, ms(5090), true, LoadReport.NONE)));
+        b.at(5100, f -> f.attemptEnded(
+            new AttemptResult(0, 0, at, AttemptOutcome.CONNECTION_LOST, ms(5090), true, LoadReport.NONE)));
         assertThat(b.count("send")).isEqualTo(1);
         assertThat(b.count("forget job 0")).isEqualTo(1);
     }
--- a/src/test/java/switchgap/protocol/inference/PendingExchangeTest.java
+++ b/src/test/java/switchgap/protocol/inference/PendingExchangeTest.java
@@ -21,8 +21,12 @@
     /** Given up by the loop between the carrier's look and its write: the link was kept by an exchange that nobody would end. */
     @Test void anExchangeAbandonedJustBeforeItGoesOutFreesItsLink() throws Exception {
         List<String> heard = new CopyOnWriteArrayList<>();
-        try (NetworkTransport net = new NetworkTransport(1, "asked"); HttpTestServer w = new HttpTestServer((q, out) -> q.line().contains("/first") ? HttpTestServer.silent(q, out) : HttpTestServer.well(q, out))) {
-            HttpConnectionPool pool = new HttpConnectionPool(new HttpClientConnection.Factory(net, null, 1024), new InetSocketAddress("127.0.0.1", w.port()), 1, 10, Duration.ofSeconds(1));
+        try (NetworkTransport net = new NetworkTransport(1, "asked");
+            HttpTestServer w = new HttpTestServer((q, out) -> q.line().contains("/first")
+                ? HttpTestServer.silent(q, out) : HttpTestServer.well(q, out))) {
+            HttpConnectionPool pool = new HttpConnectionPool(
+                new HttpClientConnection.Factory(net, null, 1024),
+                new InetSocketAddress("127.0.0.1", w.port()), 1, 10, Duration.ofSeconds(1));
             CompletableFuture<AttemptOutcome> given = new CompletableFuture<>();
             pool.ask(new Told(heard, "/first") {
                 @Override synchronized boolean go(HttpClientConnection to) {
@@ -48,7 +52,9 @@
 
         @Override void unsent(AttemptOutcome end, String why) { heard.add("unsent " + end); }
 
-        @Override void replied(int status, Map<String, String> head, byte[] content) { heard.add("replied " + status); }
+        @Override void replied(int status, Map<String, String> head, byte[] content) {
+            heard.add("replied " + status);
+        }
 
         @Override void lost(String why) { heard.add("lost"); }
     }
--- a/src/test/java/switchgap/protocol/thrift/ThriftMessageTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftMessageTest.java
@@ -26,8 +26,10 @@
 
 /** The client protocol against Apache Thrift's own codec, and against everything that is no message. */
 class ThriftMessageTest {
-    static final Map<String, String> FIELDS = Map.of("service", "again", "ref", "9b1f03aa5c7e2d41", "allow", "900", "project", "shop",
-        "lookup", "7f3a9c21e0b4d655", "effort", "8.2", "extras", "memory_mb:512;lanes:2;colour:3");
+    static final Map<String,
+        String> FIELDS = Map.of("service", "again", "ref", "9b1f03aa5c7e2d41", "allow", "900", "project",
+            "shop",
+            "lookup", "7f3a9c21e0b4d655", "effort", "8.2", "extras", "memory_mb:512;lanes:2;colour:3");
 
     private static byte[] submit(Map<String, String> fields, byte[] body, int number) throws Exception {
         TMemoryBuffer m = new TMemoryBuffer(256);
@@ -81,22 +83,28 @@
         assertThat(p.readString() + p.readString()).isEqualTo("cooldown250");
         TProtocol x = reply(ThriftResponseEncoder.unknownMethod("nothing", 4));
         assertThat(x.readMessageBegin().type).isEqualTo((byte) 3);
-        assertThat(TApplicationException.readFrom(x).getType()).isEqualTo(TApplicationException.UNKNOWN_METHOD);
+        assertThat(TApplicationException.readFrom(x).getType()).isEqualTo(
+            TApplicationException.UNKNOWN_METHOD);
     }
 
     @Test void eachCutAndEachByteMoreIsUnreadable() throws Exception {
         byte[] whole = submit(FIELDS, new byte[40], 1);
         for (int n = 0; n < whole.length; n++) {
             byte[] cut = Arrays.copyOf(whole, n);
-            assertThatThrownBy(() -> ThriftMessage.read(cut)).as("cut at %d", n).isInstanceOf(ThriftMessage.MalformedMessageException.class);
+            assertThatThrownBy(() -> ThriftMessage.read(cut)).as("cut at %d", n).isInstanceOf(
+                ThriftMessage.MalformedMessageException.class);
         }
-        assertThatThrownBy(() -> ThriftMessage.read(Arrays.copyOf(whole, whole.length + 1))).isInstanceOf(ThriftMessage.MalformedMessageException.class);
+        assertThatThrownBy(() -> ThriftMessage.read(Arrays.copyOf(whole, whole.length + 1))).isInstanceOf(
+            ThriftMessage.MalformedMessageException.class);
     }
 
     /** Also every byte of a good message changed: it is read or refused, never anything else. */
-    @Property(tries = 2000, seed = "41") void noBytesDoMoreThanBeUnreadable(@ForAll @Size(max = 200) byte[] noise, @ForAll int at) throws Exception {
+    @Property(tries = 2000, seed = "41") void noBytesDoMoreThanBeUnreadable(
+        @ForAll @Size(max = 200) byte[] noise, @ForAll int at) throws Exception {
         byte[] changed = submit(FIELDS, new byte[4], 1);
-        for (int i = 0; i < noise.length; i++) { changed[Math.floorMod(at + 7 * i, changed.length)] = noise[i]; }
+        for (int i = 0; i < noise.length; i++) {
+            changed[Math.floorMod(at + 7 * i, changed.length)] = noise[i];
+        }
         for (byte[] b : new byte[][] {noise, changed}) {
             try {
                 ThriftMessage m = ThriftMessage.read(b);
@@ -109,9 +117,16 @@
 
     private static PendingRequest call(String field, String value) throws Exception {
         Map<String, String> fields = new HashMap<>(FIELDS);
-        if (value == null) { fields.remove(field); } else { fields.put(field, value); }
-        var book = new SubmitRequestDecoder.NameDirectory(switchgap.server.platform.TestPlatformSettings.terms(), Map.of("again", 0, "once", 1), Map.of("shop", 0));
-        return SubmitRequestDecoder.read(ThriftMessage.read(submit(fields, new byte[0], 1)), book, Duration.ofSeconds(1), null);
+        if (value == null) {
+            fields.remove(field);
+        } else {
+            fields.put(field, value);
+        }
+        var book = new SubmitRequestDecoder.NameDirectory(
+            switchgap.server.platform.TestPlatformSettings.terms(), Map.of("again", 0, "once", 1),
+            Map.of("shop", 0));
+        return SubmitRequestDecoder.read(ThriftMessage.read(submit(fields, new byte[0], 1)), book,
+            Duration.ofSeconds(1), null);
     }
 
     @Test void fieldsBecomeACall() throws Exception {
@@ -123,11 +138,15 @@
         assertThat(call("effort", null).durationHint).isNull();
     }
 
-    @ParameterizedTest @CsvSource(nullValues = "null", value = {"service,null", "service,other", "ref,null", "ref,12", "ref,9b1f03aa5c7e2d4g", "allow,null",
-        "allow,0", "allow,-5", "allow,NaN", "allow,1e300", "allow,2001", "allow,Infinity", "allow,0x1p3", "project,null", "project,nobody",
-        "lookup,null", "lookup,7f3a9c21e0b4d65500", "effort,-1", "effort,many", "effort,1e99", "extras,memory_mb", "extras,lanes:1e9",
-        "extras,memory_mb:-3"})
-    void whatCannotBeUsedIsNamed(String field, String value) {
-        assertThatThrownBy(() -> call(field, value)).isInstanceOf(SubmitRequestDecoder.InvalidRequestException.class).hasMessage(field);
+    @ParameterizedTest
+    @CsvSource(nullValues = "null", value = {"service,null", "service,other", "ref,null", "ref,12",
+        "ref,9b1f03aa5c7e2d4g", "allow,null",
+        "allow,0", "allow,-5", "allow,NaN", "allow,1e300", "allow,2001", "allow,Infinity", "allow,0x1p3",
+        "project,null", "project,nobody",
+        "lookup,null", "lookup,7f3a9c21e0b4d65500", "effort,-1", "effort,many", "effort,1e99",
+        "extras,memory_mb", "extras,lanes:1e9",
+        "extras,memory_mb:-3"}) void whatCannotBeUsedIsNamed(String field, String value) {
+        assertThatThrownBy(() -> call(field, value)).isInstanceOf(
+            SubmitRequestDecoder.InvalidRequestException.class).hasMessage(field);
     }
 }
--- a/src/test/java/switchgap/router/BoundsTest.java
+++ b/src/test/java/switchgap/router/BoundsTest.java
@@ -33,7 +33,8 @@
             e.add(d.reserve());
             e.get(i).responded(null, answer(300));
         }
-        assertThat(e.stream().filter(x -> d.status(d.id(x)) == DeferredResults.Status.ENDED).count()).isEqualTo(3);
+        assertThat(
+            e.stream().filter(x -> d.status(d.id(x)) == DeferredResults.Status.ENDED).count()).isEqualTo(3);
         d.tick(Duration.ofMinutes(6));
         assertThat(d.size()).isZero();
         assertThat(ReachableObjects.field(d, "bytes")).isEqualTo(0L);
@@ -51,7 +52,7 @@
 
     @Test void stoppedTimersDoNotPileUp() {
         TimerQueue t = new TimerQueue();
-        for (int i = 0; i < 1_000_000; i++) { t.cancel(t.schedule(Duration.ofSeconds(10 + i), () -> { })); }
+        for (int i = 0; i < 1_000_000; i++) { t.cancel(t.schedule(Duration.ofSeconds(10 + i), () -> {})); }
         assertThat(ReachableObjects.by(t)).isLessThan(4000);
         assertThat(t.size()).isZero();
         assertThat(t.nextDue()).isNull();
--- a/src/test/java/switchgap/router/RouterCoreLongRunTest.java
+++ b/src/test/java/switchgap/router/RouterCoreLongRunTest.java
@@ -30,7 +30,8 @@
         """;
     private final TreeMap<Duration, List<Consumer<RouterCore>>> due = new TreeMap<>();
     private final SplittableRandom draw = new SplittableRandom(3);
-    private final RouterCore core = new RouterCore(new YamlRouterSettings(YamlDocument.read("t", TERMS)), 1, this, new CoreLimits(Duration.ofSeconds(10), Duration.ofMillis(250), 500));
+    private final RouterCore core = new RouterCore(new YamlRouterSettings(YamlDocument.read("t", TERMS)), 1,
+        this, new CoreLimits(Duration.ofSeconds(10), Duration.ofMillis(250), 500));
     private final List<String> fleet = new ArrayList<>(List.of("w0", "w1", "w2", "w3"));
     private Duration now = Duration.ZERO;
     private int names = 4, taken, answers, overdue, refused, left;
@@ -47,20 +48,26 @@
             if (next == null || next.compareTo(end) > 0) { return; }
             now = next.compareTo(now) < 0 ? now : next;
             List<Consumer<RouterCore>> events = new ArrayList<>();
-            while (!due.isEmpty() && due.firstKey().compareTo(now) <= 0) { events.addAll(due.pollFirstEntry().getValue()); }
+            while (!due.isEmpty() && due.firstKey().compareTo(now) <= 0) {
+                events.addAll(due.pollFirstEntry().getValue());
+            }
             core.tick(now, events);
         }
     }
 
     private void list(RouterCore c) {
         List<EndpointUpdate> lines = new ArrayList<>();
-        for (String n : fleet) { lines.add(new EndpointUpdate(n, "h", 1 + draw.nextInt(3) / 2, WorkerState.READY, 0, 0, 0, 1, null)); }
+        for (String n : fleet) {
+            lines.add(
+                new EndpointUpdate(n, "h", 1 + draw.nextInt(3) / 2, WorkerState.READY, 0, 0, 0, 1, null));
+        }
         c.endpointListReceived(true, lines);
     }
 
     private void call(RouterCore c) {
         String f = draw.nextInt(4) == 0 ? "f-once-" + draw.nextInt(1_000_000) : "f" + draw.nextInt(20);
-        PendingRequest call = PendingRequest.builder("c", f, now.plusMillis(300 + draw.nextInt(1700)), this).requestClass(draw.nextInt(2)).replica(1, 4).build();
+        PendingRequest call = PendingRequest.builder("c", f, now.plusMillis(300 + draw.nextInt(1700)),
+            this).requestClass(draw.nextInt(2)).replica(1, 4).build();
         if (!c.accept(call)) {
             refused++;
             return;
@@ -106,9 +113,11 @@
     // ---- the seam
 
     @Override public void startAttempt(Attempt run, Duration allow) {
-        AttemptOutcome end = draw.nextInt(5) > 0 ? AttemptOutcome.SUCCEEDED : AttemptOutcome.values()[draw.nextInt(AttemptOutcome.values().length)];
+        AttemptOutcome end = draw.nextInt(5) > 0 ? AttemptOutcome.SUCCEEDED
+            : AttemptOutcome.values()[draw.nextInt(AttemptOutcome.values().length)];
         if (end == AttemptOutcome.TIMED_OUT) { return; } // never answers
-        later(1 + draw.nextInt(400), c -> c.attemptEnded(run, end, LoadReport.NONE, Response.succeeded(200, Map.of(), new byte[0])));
+        later(1 + draw.nextInt(400),
+            c -> c.attemptEnded(run, end, LoadReport.NONE, Response.succeeded(200, Map.of(), new byte[0])));
     }
 
     @Override public AttemptOutcome abandon(Attempt run) { return AttemptOutcome.TIMED_OUT; }
@@ -122,11 +131,13 @@
         if (draw.nextBoolean()) { later(5, c -> c.unloadEnded(order)); }
     }
 
-    @Override public void probe(WorkerEntry worker, WorkerCommand order) { later(2, c -> c.probeEnded(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE)); }
+    @Override public void probe(WorkerEntry worker, WorkerCommand order) {
+        later(2, c -> c.probeEnded(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE));
+    }
 
-    @Override public void abandon(WorkerCommand order) { }
+    @Override public void abandon(WorkerCommand order) {}
 
-    @Override public void requestEndpointList() { }
+    @Override public void requestEndpointList() {}
 
     @Override public void responded(PendingRequest c, Response a) { answers++; }
 
--- a/src/test/java/switchgap/router/RouterCoreTest.java
+++ b/src/test/java/switchgap/router/RouterCoreTest.java
@@ -26,7 +26,8 @@
     private final List<Consumer<RouterCore>> next = new ArrayList<>();
     private final List<Attempt> sent = new ArrayList<>();
     private final List<String> said = new ArrayList<>();
-    private final RouterCore core = new RouterCore(new YamlRouterSettings(YamlDocument.read("t", TERMS)), 1, this, new CoreLimits(ms(500), ms(50), 2));
+    private final RouterCore core = new RouterCore(new YamlRouterSettings(YamlDocument.read("t", TERMS)), 1,
+        this, new CoreLimits(ms(500), ms(50), 2));
     private Duration at = Duration.ZERO;
     private AttemptOutcome proves = AttemptOutcome.TIMED_OUT;
 
@@ -48,18 +49,22 @@
 
     private void list(String... names) {
         List<EndpointUpdate> all = new ArrayList<>();
-        for (String n : names) { all.add(new EndpointUpdate(n, "h", 1, WorkerState.READY, 0, 0, 0, 1, null)); }
+        for (String n : names) {
+            all.add(new EndpointUpdate(n, "h", 1, WorkerState.READY, 0, 0, 0, 1, null));
+        }
         next.add(c -> c.endpointListReceived(true, all));
     }
 
     private PendingRequest call(int workload, String function) {
-        PendingRequest c = PendingRequest.builder("c" + said.size(), function, at.plus(ms(900)), this).requestClass(workload).replica(1, 100).build();
+        PendingRequest c = PendingRequest.builder("c" + said.size(), function, at.plus(ms(900)),
+            this).requestClass(workload).replica(1, 100).build();
         next.add(x -> said.add(x.accept(c) ? "taken" : "not taken"));
         return c;
     }
 
     private void finish(Attempt r) {
-        next.add(c -> c.attemptEnded(r, AttemptOutcome.SUCCEEDED, LoadReport.NONE, Response.succeeded(200, Map.of(), new byte[0])));
+        next.add(c -> c.attemptEnded(r, AttemptOutcome.SUCCEEDED, LoadReport.NONE,
+            Response.succeeded(200, Map.of(), new byte[0])));
     }
 
     @Test void aPauseOverALimitEndsInSilenceAndSendsNothing() {
@@ -97,7 +102,8 @@
         at(1);
         until(899);
         assertThat(said.stream().filter("taken"::equals).count()).isEqualTo(10_000);
-        assertThat(said.stream().filter(s -> s.equals("FAILED") || s.equals("REJECTED")).count()).isEqualTo(10_000);
+        assertThat(said.stream().filter(s -> s.equals("FAILED") || s.equals("REJECTED")).count()).isEqualTo(
+            10_000);
         assertThat(core.pendingRequests()).isZero();
         assertThat(core.unsettledRequests()).isZero();
     }
@@ -131,7 +137,8 @@
         next.add(c -> c.attemptEnded(sent.get(0), AttemptOutcome.NOT_LOADED, LoadReport.NONE, null)); // now a load is ordered at a
         at(2);
         next.clear(); // the load does not end
-        next.add(c -> c.endpointListReceived(false, List.of(new EndpointUpdate("a", "h", 1, WorkerState.DRAINING, 0, 0, 0, 1, null))));
+        next.add(c -> c.endpointListReceived(false,
+            List.of(new EndpointUpdate("a", "h", 1, WorkerState.DRAINING, 0, 0, 0, 1, null))));
         at(10);
         until(890);
         assertThat(sent).hasSize(1);
@@ -172,13 +179,13 @@
         next.add(c -> c.loadCommandEnded(o, AttemptOutcome.SUCCEEDED, Math.max(1, copies)));
     }
 
-    @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) { }
+    @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {}
 
-    @Override public void probe(WorkerEntry worker, WorkerCommand order) { }
+    @Override public void probe(WorkerEntry worker, WorkerCommand order) {}
 
-    @Override public void abandon(WorkerCommand order) { }
+    @Override public void abandon(WorkerCommand order) {}
 
-    @Override public void requestEndpointList() { }
+    @Override public void requestEndpointList() {}
 
     @Override public void responded(PendingRequest c, Response a) { said.add(a.kind().name()); }
 
