--- a/src/test/java/switchgap/router/WorkerConnectionsTest.java
+++ b/src/test/java/switchgap/router/WorkerConnectionsTest.java
@@ -50,18 +50,21 @@
     private void links(int most) { links(most, 100); }
 
     private void links(int most, int waiting) {
-        links = new InferenceWorkerTransport(new HttpClientConnection.Factory(net, null, 1 << 16), new InferenceWorkerTransport.ConnectionLimits(most, waiting, Duration.ofMillis(250),
-            Duration.ofSeconds(30)), carriers, events::add, () -> { });
-        PolicyEvents feed = (PolicyEvents) Proxy.newProxyInstance(PolicyEvents.class.getClassLoader(), new Class<?>[] {PolicyEvents.class}, (p, m, a) -> {
-            if (a != null && a[0] instanceof AttemptResult r) {
-                heard.add(r.request() + " " + r.outcome());
-            } else if (a != null && a[0] instanceof ProbeResult r) {
-                heard.add("probed " + r.outcome());
-            } else if (a != null && a[0] instanceof LoadCommandResult r) {
-                heard.add("ordered " + r.outcome());
-            }
-            return null;
-        });
+        links = new InferenceWorkerTransport(new HttpClientConnection.Factory(net, null, 1 << 16),
+            new InferenceWorkerTransport.ConnectionLimits(most, waiting, Duration.ofMillis(250),
+                Duration.ofSeconds(30)),
+            carriers, events::add, () -> {});
+        PolicyEvents feed = (PolicyEvents) Proxy.newProxyInstance(PolicyEvents.class.getClassLoader(),
+            new Class<?>[] {PolicyEvents.class}, (p, m, a) -> {
+                if (a != null && a[0] instanceof AttemptResult r) {
+                    heard.add(r.request() + " " + r.outcome());
+                } else if (a != null && a[0] instanceof ProbeResult r) {
+                    heard.add("probed " + r.outcome());
+                } else if (a != null && a[0] instanceof LoadCommandResult r) {
+                    heard.add("ordered " + r.outcome());
+                }
+                return null;
+            });
         core = new RouterCore(new YamlRouterSettings(YamlDocument.read("t", TERMS)), (now, in, out) -> {
             in.deliverTo(feed);
             List.copyOf(say).forEach(s -> s.accept(out));
@@ -87,12 +90,14 @@
     }
 
     private void list(String host, int port, WorkerState s) {
-        events.add(c -> c.endpointListReceived(true, List.of(new EndpointUpdate("w", host, port, s, 0, 0, 0, 1, null))));
+        events.add(c -> c.endpointListReceived(true,
+            List.of(new EndpointUpdate("w", host, port, s, 0, 0, 0, 1, null))));
         round();
     }
 
     private int job() {
-        PendingRequest c = PendingRequest.builder("c" + jobs, "f", now().plusSeconds(5), this).payload(null, new byte[] {'1'}).replica(1, 1).build();
+        PendingRequest c = PendingRequest.builder("c" + jobs, "f", now().plusSeconds(5), this).payload(null,
+            new byte[] {'1'}).replica(1, 1).build();
         events.add(x -> x.accept(c));
         round();
         int j = jobs++;
@@ -140,7 +145,9 @@
 
     @Test void moreThanTheLinksWaitForAWorkerThatRefusesAndAllAreTold() throws Exception {
         int dead;
-        try (HttpTestServer gone = new HttpTestServer(HttpTestServer::silent)) { dead = gone.port(); }
+        try (HttpTestServer gone = new HttpTestServer(HttpTestServer::silent)) {
+            dead = gone.port();
+        }
         links(2);
         list("127.0.0.1", dead, WorkerState.READY);
         for (int i = 0; i < 6; i++) { job(); }
@@ -168,16 +175,19 @@
         say.add(d -> d.probe(0));
         say.add(d -> d.load(0, 0));
         assertThat(until(300, () -> heard.size() == 3)).as(heard.toString()).isTrue();
-        assertThat(heard).containsExactlyInAnyOrder(j + " CONNECT_FAILED", "probed CONNECT_FAILED", "ordered CONNECT_FAILED");
+        assertThat(heard).containsExactlyInAnyOrder(j + " CONNECT_FAILED", "probed CONNECT_FAILED",
+            "ordered CONNECT_FAILED");
     }
 
     @Test void aDropAtAWorkerThatIsSilentGivesItsLinkBack() throws Exception {
-        try (HttpTestServer w = new HttpTestServer((q, out) -> !q.line().contains("/unload") ? HttpTestServer.well(q, out) : HttpTestServer.silent(q, out))) {
+        try (HttpTestServer w = new HttpTestServer((q, out) -> !q.line().contains("/unload")
+            ? HttpTestServer.well(q, out) : HttpTestServer.silent(q, out))) {
             links(1);
             list("127.0.0.1", w.port(), WorkerState.READY);
             job();
             say.add(d -> d.unload(0, 0));
-            assertThat(until(2000, () -> w.asked.stream().anyMatch(a -> a.line().contains("/unload")))).isTrue();
+            assertThat(
+                until(2000, () -> w.asked.stream().anyMatch(a -> a.line().contains("/unload")))).isTrue();
             assertThat(until(1200, () -> false)).isFalse(); // past the limit of an order
             for (int i = 0; i < 20 && !heard.contains("probed SUCCEEDED"); i++) {
                 say.add(d -> d.probe(0));
@@ -188,7 +198,8 @@
     }
 
     @Test void linksOfAWorkerThatIsGoneOrMovedAreClosedAndForgotten() throws Exception {
-        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); HttpTestServer b = new HttpTestServer(HttpTestServer::well)) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well);
+            HttpTestServer b = new HttpTestServer(HttpTestServer::well)) {
             links(4);
             for (int i = 0; i < 6; i++) { // to and fro, as a name that is handed from process to process
                 HttpTestServer p = i % 2 == 0 ? a : b;
@@ -205,9 +216,9 @@
         }
     }
 
-    @Override public void responded(PendingRequest c, Response a) { }
+    @Override public void responded(PendingRequest c, Response a) {}
 
-    @Override public void deadlineMissed(PendingRequest c, Response late) { }
+    @Override public void deadlineMissed(PendingRequest c, Response late) {}
 
     @AfterEach void over() {
         if (links != null) { links.close(); }
--- a/src/test/java/switchgap/scenario/InvariantCheckerTest.java
+++ b/src/test/java/switchgap/scenario/InvariantCheckerTest.java
@@ -33,12 +33,14 @@
     private final List<String> script = new ArrayList<>();
 
     private static String line(long ms, String what, String rest) {
-        return "{\"t\":" + ms * 1000 + ",\"what\":\"" + what + "\"" + (rest.isEmpty() ? "" : "," + rest) + "}";
+        return "{\"t\":" + ms * 1000 + ",\"what\":\"" + what + "\"" + (rest.isEmpty() ? "" : "," + rest)
+            + "}";
     }
 
     private void call(long ms, String call, int workload) {
-        clients.add(line(ms, "call", "\"call\":\"" + call + "\",\"job\":\"" + call.split("\\.")[0] + "\",\"router\":0,\"workload\":"
-            + workload + ",\"limit\":" + (ms + 1000) * 1000));
+        clients.add(line(ms, "call",
+            "\"call\":\"" + call + "\",\"job\":\"" + call.split("\\.")[0] + "\",\"router\":0,\"workload\":"
+                + workload + ",\"limit\":" + (ms + 1000) * 1000));
     }
 
     private void answer(long ms, String call, String end) {
@@ -46,11 +48,16 @@
     }
 
     private void infer(long ms, String call, String run, boolean ran) {
-        fleet.add(line(ms, "infer", "\"worker\":\"w0\",\"router\":0,\"run\":\"" + run + "\",\"call\":\"" + call + "\",\"work\":100000"));
-        if (ran) { fleet.add(line(ms, "ran", "\"worker\":\"w0\",\"run\":\"" + run + "\",\"call\":\"" + call + "\"")); }
+        fleet.add(line(ms, "infer", "\"worker\":\"w0\",\"router\":0,\"run\":\"" + run + "\",\"call\":\""
+            + call + "\",\"work\":100000"));
+        if (ran) {
+            fleet.add(line(ms, "ran", "\"worker\":\"w0\",\"run\":\"" + run + "\",\"call\":\"" + call + "\""));
+        }
     }
 
-    private void done(long ms, String run) { fleet.add(line(ms, "answer", "\"worker\":\"w0\",\"run\":\"" + run + "\",\"status\":200")); }
+    private void done(long ms, String run) {
+        fleet.add(line(ms, "answer", "\"worker\":\"w0\",\"run\":\"" + run + "\",\"status\":200"));
+    }
 
     private void write(Path at, List<String> lines, boolean end) throws IOException {
         List<String> all = new ArrayList<>(lines);
@@ -166,7 +173,8 @@
         goodCall(100, "j0.1", 0);
         goodCall(200, "j1.1", 0);
         for (int i = 0; i < 3; i++) {
-            fleet.add(line(400 + i, "load", "\"worker\":\"w0\",\"router\":0,\"function\":\"f\",\"copies\":1"));
+            fleet.add(
+                line(400 + i, "load", "\"worker\":\"w0\",\"router\":0,\"function\":\"f\",\"copies\":1"));
         }
         broken(InvariantChecker.Invariant.RATION, "ordered 3 loads where 2.0 are its ration");
     }
@@ -178,9 +186,12 @@
             Path f = dir.resolve(log + ".jsonl");
             byte[] whole = Files.readAllBytes(f);
             Files.write(f, java.util.Arrays.copyOf(whole, whole.length - 5));
-            assertThatThrownBy(() -> InvariantChecker.read(dir)).isInstanceOf(IOException.class).hasMessageContaining(log + ".jsonl:");
-            Files.write(f, java.util.Arrays.copyOf(whole, Math.max(0, new String(whole).lastIndexOf("{\"t\":9000000"))));
-            assertThatThrownBy(() -> InvariantChecker.read(dir)).isInstanceOf(IOException.class).hasMessageContaining("cut off");
+            assertThatThrownBy(() -> InvariantChecker.read(dir)).isInstanceOf(
+                IOException.class).hasMessageContaining(log + ".jsonl:");
+            Files.write(f,
+                java.util.Arrays.copyOf(whole, Math.max(0, new String(whole).lastIndexOf("{\"t\":9000000"))));
+            assertThatThrownBy(() -> InvariantChecker.read(dir)).isInstanceOf(
+                IOException.class).hasMessageContaining("cut off");
             Files.write(f, whole);
         }
     }
--- a/src/test/java/switchgap/scenario/ScenarioRunnerTest.java
+++ b/src/test/java/switchgap/scenario/ScenarioRunnerTest.java
@@ -44,7 +44,8 @@
         assertThat(check.violations()).isEmpty();
         ByteArrayOutputStream table = new ByteArrayOutputStream();
         check.print(new PrintStream(table));
-        assertThat(table.toString()).contains("finished=").containsPattern("[1-9]\\d* drains told")
-            .containsPattern("[1-9]\\d* cold starts").containsPattern("[1-9]\\d* load orders");
+        assertThat(table.toString()).contains("finished=").containsPattern(
+            "[1-9]\\d* drains told").containsPattern("[1-9]\\d* cold starts").containsPattern(
+                "[1-9]\\d* load orders");
     }
 }
--- a/src/test/java/switchgap/server/gateway/EdgeAndPlannerTest.java
+++ b/src/test/java/switchgap/server/gateway/EdgeAndPlannerTest.java
@@ -29,14 +29,16 @@
             return HttpTestServer.well(q, out);
         });
 
-        Loads() throws Exception { }
+        Loads() throws Exception {}
 
         @Override public void close() throws java.io.IOException { peer.close(); }
     }
 
     private static NetworkTransport net() throws Exception { return new NetworkTransport(1, "test-planner"); }
 
-    private static InetSocketAddress at(GatewayFixture s) { return new InetSocketAddress("127.0.0.1", s.gateway.plannerPort()); }
+    private static InetSocketAddress at(GatewayFixture s) {
+        return new InetSocketAddress("127.0.0.1", s.gateway.plannerPort());
+    }
 
     /** The function is loaded at the first miss: calls are pushed back until it stands, each has its answer, then one is finished. */
     private static void answered(GatewayFixture s) throws Exception {
@@ -63,8 +65,9 @@
     }
 
     @Test void aLoadGoesOutAtThePlannersWord() throws Exception {
-        try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer); NetworkTransport net = net();
-             PlannerClient p = new PlannerClient(net, at(s), 0)) {
+        try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer);
+            NetworkTransport net = net();
+            PlannerClient p = new PlannerClient(net, at(s), 0)) {
             GatewayFixture.until(p::linked);
             answered(s);
             GatewayFixture.until(() -> s.gateway.plans()[0] > 0);
@@ -75,7 +78,8 @@
     }
 
     @Test void withNoPlannerOrADeadOneCallsAreAnswered() throws Exception {
-        try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer); NetworkTransport net = net()) {
+        try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer);
+            NetworkTransport net = net()) {
             PlannerClient p = new PlannerClient(net, at(s), 0);
             GatewayFixture.until(p::linked);
             p.close();
@@ -85,20 +89,27 @@
     }
 
     @Test void aSilentPlannerCostsThePatienceAndNoMore() throws Exception {
-        try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer); Socket mute = new Socket("127.0.0.1", s.gateway.plannerPort())) {
+        try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer);
+            Socket mute = new Socket("127.0.0.1", s.gateway.plannerPort())) {
             DataOutputStream out = new DataOutputStream(mute.getOutputStream());
             send(out, new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0));
-            assertThat(read(new DataInputStream(mute.getInputStream()))).isInstanceOf(PlannerMessageCodec.Hello.class);
+            assertThat(read(new DataInputStream(mute.getInputStream()))).isInstanceOf(
+                PlannerMessageCodec.Hello.class);
             answered(s);
             assertThat(s.gateway.plans()[1]).isPositive(); // its time was over
         }
     }
 
     @Test void whoCannotBeAPlannerIsRefusedByName() throws Exception {
-        try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer); NetworkTransport net = net(); PlannerClient p = new PlannerClient(net, at(s), 0)) {
+        try (Loads w = new Loads(); GatewayFixture s = new GatewayFixture(LINK, w.peer);
+            NetworkTransport net = net(); PlannerClient p = new PlannerClient(net, at(s), 0)) {
             GatewayFixture.until(p::linked);
-            Object[] firsts = {new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION + 1, "planner", 0, 0), new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "edge", 0, 0),
-                new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 5, 0), new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0), new PlannerMessageCodec.Heartbeat(1)};
+            Object[] firsts = {
+                new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION + 1, "planner", 0, 0),
+                new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "edge", 0, 0),
+                new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 5, 0),
+                new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0),
+                new PlannerMessageCodec.Heartbeat(1)};
             String[] why = {"version 3", "no planner", "router 5", "linked already", "before the handshake"};
             for (int i = 0; i < firsts.length; i++) {
                 try (Socket c = new Socket("127.0.0.1", s.gateway.plannerPort())) {
@@ -125,12 +136,14 @@
                 out.writeInt(5);
                 out.write(new byte[] {1, 2, 3, 4, 5});
                 out.flush();
-                assertThat(read(new DataInputStream(c.getInputStream()))).isInstanceOf(PlannerMessageCodec.Refused.class);
+                assertThat(read(new DataInputStream(c.getInputStream()))).isInstanceOf(
+                    PlannerMessageCodec.Refused.class);
             }
             try (Socket c = new Socket("127.0.0.1", port)) {
                 DataOutputStream out = new DataOutputStream(c.getOutputStream());
                 send(out, new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0));
-                PlannerMessageCodec.Hello h = (PlannerMessageCodec.Hello) read(new DataInputStream(c.getInputStream()));
+                PlannerMessageCodec.Hello h = (PlannerMessageCodec.Hello) read(
+                    new DataInputStream(c.getInputStream()));
                 send(out, new LoadPlan(h.epoch(), 1, new long[] {99, -4}));
                 send(out, new LoadPlan(h.epoch() + 1, 1, new long[] {0}));
                 GatewayFixture.until(() -> s.gateway.plans()[3] == 3);
--- a/src/test/java/switchgap/server/gateway/EndpointListTest.java
+++ b/src/test/java/switchgap/server/gateway/EndpointListTest.java
@@ -27,11 +27,14 @@
             Thread.sleep(150);
             return HttpTestServer.well(q, out);
         };
-        try (NetworkTransport net = new NetworkTransport(1, "list"); RealTimeScheduler t = new RealTimeScheduler(); EventRecorder log = new EventRecorder(dir.resolve("l"));
-             HttpTestServer a = new HttpTestServer(slow); HttpTestServer b = new HttpTestServer(slow)) {
+        try (NetworkTransport net = new NetworkTransport(1, "list");
+            RealTimeScheduler t = new RealTimeScheduler();
+            EventRecorder log = new EventRecorder(dir.resolve("l"));
+            HttpTestServer a = new HttpTestServer(slow); HttpTestServer b = new HttpTestServer(slow)) {
             EndpointListService list = new EndpointListService(t, net, log, 0);
             t.post(() -> list.put(line("w0", a, "ready")));
-            try (GatewayFixture s = new GatewayFixture("list: {port: " + list.port() + ", ask_again: 50ms}\n")) {
+            try (GatewayFixture s = new GatewayFixture(
+                "list: {port: " + list.port() + ", ask_again: 50ms}\n")) {
                 until(() -> list.lines().size() == 1);
                 Thread.sleep(200);
                 assertThat(end(s.invoke("once-1", "1"))).isEqualTo("finished");
@@ -54,7 +57,8 @@
                 Thread.sleep(200);
                 assertThat(end(s.invoke("once-1", "5"))).isEqualTo("pushed-back");
                 t.post(() -> {
-                    list.put(new EndpointListService.Entry("w0", a.port(), "ready", "zone", 0, "", 1, System.currentTimeMillis()));
+                    list.put(new EndpointListService.Entry("w0", a.port(), "ready", "zone", 0, "", 1,
+                        System.currentTimeMillis()));
                     list.away(false);
                 });
                 until(() -> {
@@ -73,15 +77,19 @@
     /** Half open: the service's machine is gone without a word. It sounded like a fleet in which nothing changes, for ever. */
     @Test void aListServiceThatSaysNothingForLongIsAskedAnew() throws Exception {
         java.util.concurrent.atomic.AtomicInteger asked = new java.util.concurrent.atomic.AtomicInteger();
-        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); HttpTestServer service = new HttpTestServer((q, out) -> {
-            int n = asked.incrementAndGet();
-            String line = "{\"whole\":true,\"version\":" + n + ",\"workers\":[{\"name\":\"w0\",\"port\":" + a.port() + ",\"state\":\""
-                + (n < 3 ? "ready" : "draining") + "\",\"zone\":\"zone\"}]}\n";
-            out.write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n")
-                .getBytes(java.nio.charset.StandardCharsets.US_ASCII));
-            out.flush();
-            return HttpTestServer.silent(q, out);
-        }); GatewayFixture s = new GatewayFixture("list: {port: " + service.port() + ", ask_again: 20ms}\n")) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well);
+            HttpTestServer service = new HttpTestServer((q, out) -> {
+                int n = asked.incrementAndGet();
+                String line = "{\"whole\":true,\"version\":" + n + ",\"workers\":[{\"name\":\"w0\",\"port\":"
+                    + a.port() + ",\"state\":\""
+                    + (n < 3 ? "ready" : "draining") + "\",\"zone\":\"zone\"}]}\n";
+                out.write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                    + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n").getBytes(
+                        java.nio.charset.StandardCharsets.US_ASCII));
+                out.flush();
+                return HttpTestServer.silent(q, out);
+            }); GatewayFixture s = new GatewayFixture(
+                "list: {port: " + service.port() + ", ask_again: 20ms}\n")) {
             until(() -> asked.get() == 1);
             assertThat(end(s.invoke("once-1", "1"))).isEqualTo("finished"); // the last list stays meanwhile
             for (int i = 0; i < 300 && asked.get() < 3; i++) { Thread.sleep(10); }
--- a/src/test/java/switchgap/server/gateway/GatewayFixture.java
+++ b/src/test/java/switchgap/server/gateway/GatewayFixture.java
@@ -28,7 +28,9 @@
 
     GatewayFixture(String more, HttpTestServer... peers) throws IOException { this(TERMS, more, peers); }
 
-    static GatewayFixture with(String terms, String more, HttpTestServer... peers) throws IOException { return new GatewayFixture(terms, more, peers); }
+    static GatewayFixture with(String terms, String more, HttpTestServer... peers) throws IOException {
+        return new GatewayFixture(terms, more, peers);
+    }
 
     private GatewayFixture(String terms, String more, HttpTestServer... peers) throws IOException {
         StringBuilder s = new StringBuilder(terms).append(more);
@@ -51,7 +53,8 @@
     }
 
     CompletableFuture<HttpResponse<String>> later(String function, String body, String... headers) {
-        HttpRequest.Builder b = to("/v1/functions/" + function + "/invoke").POST(HttpRequest.BodyPublishers.ofString(body));
+        HttpRequest.Builder b = to("/v1/functions/" + function + "/invoke").POST(
+            HttpRequest.BodyPublishers.ofString(body));
         if (headers.length > 0) { b.headers(headers); }
         return client.sendAsync(b.build(), HttpResponse.BodyHandlers.ofString());
     }
--- a/src/test/java/switchgap/server/gateway/HttpTestServer.java
+++ b/src/test/java/switchgap/server/gateway/HttpTestServer.java
@@ -14,7 +14,7 @@
 /** A worker on a plain socket that does with each request what a test says, and keeps what came. */
 public final class HttpTestServer implements AutoCloseable {
     /** What came: the request line, the execution's name, the body, and on which connection. */
-    public record ReceivedRequest(String line, String run, String body, int connection) { }
+    public record ReceivedRequest(String line, String run, String body, int connection) {}
 
     /** Answers a request on the raw connection; false closes it. */
     public interface Behaviour {
@@ -44,7 +44,9 @@
     public void manner(Behaviour m) { manner = m; }
 
     /** Executions that came. */
-    public long infers() { return asked.stream().filter(a -> a.line().contains("/infer")).count(); }
+    public long infers() {
+        return asked.stream().filter(a -> a.line().contains("/infer")).count();
+    }
 
     private void accept() {
         while (!listener.isClosed()) {
@@ -71,10 +73,13 @@
                 int length = 0;
                 String run = "";
                 for (String h = line(in); h != null && !h.isEmpty(); h = line(in)) {
-                    if (h.toLowerCase().startsWith("content-length:")) { length = Integer.parseInt(h.substring(15).trim()); }
+                    if (h.toLowerCase().startsWith("content-length:")) {
+                        length = Integer.parseInt(h.substring(15).trim());
+                    }
                     if (h.toLowerCase().startsWith("x-request-id:")) { run = h.substring(13).trim(); }
                 }
-                ReceivedRequest a = new ReceivedRequest(line, run, new String(in.readNBytes(length), StandardCharsets.UTF_8), n);
+                ReceivedRequest a = new ReceivedRequest(line, run,
+                    new String(in.readNBytes(length), StandardCharsets.UTF_8), n);
                 asked.add(a);
                 if (!manner.answer(a, s.getOutputStream())) { return; }
                 s.getOutputStream().flush();
@@ -94,11 +99,13 @@
     }
 
     /** An answer as a well-behaved worker writes it. */
-    public static byte[] ok(ReceivedRequest a, String body) { return http(200, "X-Request-Id: " + a.run() + "\r\n", body); }
+    public static byte[] ok(ReceivedRequest a, String body) {
+        return http(200, "X-Request-Id: " + a.run() + "\r\n", body);
+    }
 
     public static byte[] http(int status, String headers, String body) {
-        return ("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body)
-            .getBytes(StandardCharsets.UTF_8);
+        return ("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n"
+            + body).getBytes(StandardCharsets.UTF_8);
     }
 
     public static boolean well(ReceivedRequest a, OutputStream out) throws IOException {
@@ -112,7 +119,9 @@
     }
 
     /** Connections that are open on the router's side too. */
-    public long connected() { return open.stream().filter(s -> !s.isClosed()).count(); }
+    public long connected() {
+        return open.stream().filter(s -> !s.isClosed()).count();
+    }
 
     /** Closes all connections and goes on listening. */
     public void hangUp() throws IOException {
--- a/src/test/java/switchgap/server/gateway/InvokeApiTest.java
+++ b/src/test/java/switchgap/server/gateway/InvokeApiTest.java
@@ -15,7 +15,8 @@
 /** The invoke API: what is refused and how, deferred calls, and what a bad client can't do to others. */
 class InvokeApiTest {
     @Test void badInputGetsAClearProblem() throws Exception {
-        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); GatewayFixture s = new GatewayFixture("", a)) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well);
+            GatewayFixture s = new GatewayFixture("", a)) {
             String[][] cases = {
                 {"nothing", "", "", "404", "unknown-function"},
                 {"again-1", "Switchgap-Workload", "none", "400", "unknown-workload"},
@@ -30,7 +31,8 @@
                 {"again-1", "Idempotency-Key", "k".repeat(300), "400", "malformed-header"},
             };
             for (String[] c : cases) {
-                HttpResponse<String> r = c[1].isEmpty() ? s.invoke(c[0], "{}") : s.invoke(c[0], "{}", c[1], c[2]);
+                HttpResponse<
+                    String> r = c[1].isEmpty() ? s.invoke(c[0], "{}") : s.invoke(c[0], "{}", c[1], c[2]);
                 assertThat(r.statusCode()).as(c[4]).isEqualTo(Integer.parseInt(c[3]));
                 assertThat(r.headers().firstValue("Content-Type")).hasValue("application/problem+json");
                 assertThat(r.body()).contains("urn:switchgap:problem:" + c[4]);
@@ -39,7 +41,8 @@
             assertThat(s.get("/v1/functions/again-1/invoke").statusCode()).isEqualTo(405);
             assertThat(a.infers()).isZero();
             assertThat(s.gateway.held()).isZero();
-            HttpResponse<String> r = s.invoke("again-1", "7", "Switchgap-Call", "mine", "Switchgap-Customer", "shop");
+            HttpResponse<
+                String> r = s.invoke("again-1", "7", "Switchgap-Call", "mine", "Switchgap-Customer", "shop");
             assertThat(r.body()).isEqualTo("{\"echo\":7}");
             assertThat(r.headers().firstValue("Switchgap-Call")).hasValue("mine");
         }
@@ -47,28 +50,37 @@
 
     // A client of HTTP/2 offers an upgrade with its first request, which the filters then never called whole.
     @Test void aRequestThatOffersAnUpgradeIsAnsweredAsAPlainOne() throws Exception {
-        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); GatewayFixture s = new GatewayFixture("", a)) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well);
+            GatewayFixture s = new GatewayFixture("", a)) {
             var client = java.net.http.HttpClient.newHttpClient();
             var bodies = java.net.http.HttpResponse.BodyHandlers.ofString();
             for (int i = 0; i < 2; i++) {
-                assertThat(client.send(s.to("/healthz").timeout(java.time.Duration.ofSeconds(3)).build(), bodies).body()).isEqualTo("ok\n");
-                assertThat(client.send(s.to("/v1/functions/again-1/invoke").timeout(java.time.Duration.ofSeconds(3))
-                    .POST(java.net.http.HttpRequest.BodyPublishers.ofString("7")).build(), bodies).body()).isEqualTo("{\"echo\":7}");
+                assertThat(client.send(s.to("/healthz").timeout(java.time.Duration.ofSeconds(3)).build(),
+                    bodies).body()).isEqualTo("ok\n");
+                assertThat(
+                    client.send(
+                        s.to("/v1/functions/again-1/invoke").timeout(java.time.Duration.ofSeconds(3)).POST(
+                            java.net.http.HttpRequest.BodyPublishers.ofString("7")).build(),
+                        bodies).body()).isEqualTo("{\"echo\":7}");
             }
         }
     }
 
     @Test void tooMuchIsRefusedAndDisturbsNobody() throws Exception {
         try (HttpTestServer a = new HttpTestServer(HttpTestServer::well);
-             GatewayFixture s = new GatewayFixture("listen: {port: 0, body_bytes: 1000, header_bytes: 2048, connections: 4, arrival: 300ms}\n", a)) {
+            GatewayFixture s = new GatewayFixture(
+                "listen: {port: 0, body_bytes: 1000, header_bytes: 2048, connections: 4, arrival: 300ms}\n",
+                a)) {
             assertThat(s.invoke("again-1", "x".repeat(2000)).statusCode()).isEqualTo(413);
-            assertThat(raw(s, "POST /v1/functions/again-1/invoke HTTP/1.1\r\nHost: x\r\nX: " + "y".repeat(4000) + "\r\n\r\n"))
-                .doesNotContain("200 OK");
+            assertThat(raw(s,
+                "POST /v1/functions/again-1/invoke HTTP/1.1\r\nHost: x\r\nX: " + "y".repeat(4000)
+                    + "\r\n\r\n")).doesNotContain("200 OK");
             assertThat(raw(s, "not http at all\r\n\r\n")).doesNotContain("200 OK");
             long t = System.nanoTime();
             try (Socket slow = new Socket("127.0.0.1", s.gateway.port())) { // half a request, then nothing
-                slow.getOutputStream().write("POST /v1/functions/again-1/invoke HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n{"
-                    .getBytes(StandardCharsets.US_ASCII));
+                slow.getOutputStream().write(
+                    "POST /v1/functions/again-1/invoke HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n{".getBytes(
+                        StandardCharsets.US_ASCII));
                 slow.setSoTimeout(3000);
                 assertThat(slow.getInputStream().read()).isEqualTo(-1);
             }
@@ -140,17 +152,20 @@
             assertThat(s.get(at).statusCode()).isEqualTo(410);
             assertThat(s.get("/v1/calls/other").statusCode()).isEqualTo(404);
             assertThat(s.get(at.replaceAll("d0$", "d99")).statusCode()).isEqualTo(404);
-            String second = s.invoke("once-1", "6", "Prefer", "respond-async").headers().firstValue("Location").orElseThrow();
-            assertThat(s.client.send(s.to(second).DELETE().build(), java.net.http.HttpResponse.BodyHandlers.ofString())
-                .statusCode()).isEqualTo(204);
+            String second = s.invoke("once-1", "6", "Prefer", "respond-async").headers().firstValue(
+                "Location").orElseThrow();
+            assertThat(s.client.send(s.to(second).DELETE().build(),
+                java.net.http.HttpResponse.BodyHandlers.ofString()).statusCode()).isEqualTo(204);
             assertThat(s.get(second).statusCode()).isEqualTo(410);
             until(() -> s.gateway.held() == 0);
         }
     }
 
     @Test void tenThousandDeferredCallsAreAllAnsweredAtTheirLimits() throws Exception {
-        try (HttpTestServer a = new HttpTestServer(HttpTestServer::silent); GatewayFixture s = new GatewayFixture("holds: {calls: 20000, deferred: 20000}\n", a)) {
-            java.util.List<java.util.concurrent.CompletableFuture<HttpResponse<String>>> all = new java.util.ArrayList<>();
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::silent);
+            GatewayFixture s = new GatewayFixture("holds: {calls: 20000, deferred: 20000}\n", a)) {
+            java.util.List<java.util.concurrent.CompletableFuture<
+                HttpResponse<String>>> all = new java.util.ArrayList<>();
             for (int i = 0; i < 10_000; i++) {
                 all.add(s.later(i % 2 == 0 ? "once-1" : "again-1", "1", "Prefer", "respond-async"));
                 if (i % 200 == 199) { all.get(i).get(); }
@@ -185,9 +200,10 @@
     }
 
     @Test void aFingerprintGoesWithTheExecution() throws Exception {
-        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well); GatewayFixture s = new GatewayFixture("", a)) {
-            HttpRequest r = s.to("/v1/functions/known-1/invoke").header("Idempotency-Key", "k1")
-                .POST(HttpRequest.BodyPublishers.ofString("1")).build();
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::well);
+            GatewayFixture s = new GatewayFixture("", a)) {
+            HttpRequest r = s.to("/v1/functions/known-1/invoke").header("Idempotency-Key", "k1").POST(
+                HttpRequest.BodyPublishers.ofString("1")).build();
             assertThat(end(s.client.send(r, HttpResponse.BodyHandlers.ofString()))).isEqualTo("finished");
         }
     }
--- a/src/test/java/switchgap/server/gateway/LostResponsesTest.java
+++ b/src/test/java/switchgap/server/gateway/LostResponsesTest.java
@@ -19,7 +19,9 @@
     private static final String NOT_RUN = "endpoint-load-metrics: TEXT named_metrics.executed=0\r\n";
 
     @Test void aLostAnswerOfARunOnceJobIsKilledInTimeAndNeverExecutedAgain() throws Exception {
-        try (HttpTestServer a = new HttpTestServer(HttpTestServer::silent); HttpTestServer b = new HttpTestServer(HttpTestServer::silent); GatewayFixture s = new GatewayFixture("", a, b)) {
+        try (HttpTestServer a = new HttpTestServer(HttpTestServer::silent);
+            HttpTestServer b = new HttpTestServer(HttpTestServer::silent);
+            GatewayFixture s = new GatewayFixture("", a, b)) {
             long t = System.nanoTime();
             HttpResponse<String> r = s.invoke("once-1", "{}");
             assertThat(end(r)).isEqualTo("killed");
@@ -48,7 +50,8 @@
 
     @Test void halfAnAnswerThenSilenceEndsBeforeTheLimit() throws Exception {
         try (HttpTestServer a = new HttpTestServer((q, out) -> {
-            out.write("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf".getBytes(StandardCharsets.US_ASCII));
+            out.write(
+                "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf".getBytes(StandardCharsets.US_ASCII));
             out.flush();
             return HttpTestServer.silent(q, out);
         }); GatewayFixture s = new GatewayFixture("", a)) {
@@ -81,13 +84,15 @@
 
     @Test void anAnswerLargerThanStatedIsCutAndItsConnectionIsNotUsedAgain() throws Exception {
         try (HttpTestServer a = new HttpTestServer((q, out) -> {
-            out.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}{\"more\":1}".getBytes(StandardCharsets.US_ASCII));
+            out.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}{\"more\":1}".getBytes(
+                StandardCharsets.US_ASCII));
             return true;
         }); GatewayFixture s = new GatewayFixture("", a)) {
             assertThat(s.invoke("again-1", "1").body()).isEqualTo("{}");
             Thread.sleep(50);
             assertThat(s.invoke("again-1", "2").body()).isEqualTo("{}");
-            assertThat(a.asked.stream().map(HttpTestServer.ReceivedRequest::connection).distinct().count()).isEqualTo(2);
+            assertThat(a.asked.stream().map(
+                HttpTestServer.ReceivedRequest::connection).distinct().count()).isEqualTo(2);
         }
     }
 
@@ -103,12 +108,15 @@
     @Test void aMissCountsOnlyWhereTheWorkerSaysThatNothingRan() throws Exception {
         AtomicInteger n = new AtomicInteger();
         try (HttpTestServer a = new HttpTestServer((q, out) -> {
-            if (!q.line().contains("/infer") || n.incrementAndGet() > 1) { return HttpTestServer.well(q, out); }
+            if (!q.line().contains("/infer") || n.incrementAndGet() > 1) {
+                return HttpTestServer.well(q, out);
+            }
             out.write(HttpTestServer.http(404, NOT_RUN, "{}"));
             return true;
         }); GatewayFixture s = new GatewayFixture("", a)) {
             assertThat(end(s.invoke("once-1", "{}"))).isEqualTo("finished"); // ordered, then executed
-            assertThat(a.asked.stream().map(HttpTestServer.ReceivedRequest::line)).anyMatch(l -> l.contains("/v2/repository/models/once-1/load"));
+            assertThat(a.asked.stream().map(HttpTestServer.ReceivedRequest::line)).anyMatch(
+                l -> l.contains("/v2/repository/models/once-1/load"));
         }
         for (int status : new int[] {404, 429, 500, 503}) { // without the proof each may have run
             try (HttpTestServer a = new HttpTestServer((q, out) -> {
@@ -137,10 +145,15 @@
 
     @Test void aWorkerThatCantBeReachedProvesThatNothingRan() throws Exception {
         int dead;
-        try (HttpTestServer gone = new HttpTestServer(HttpTestServer::silent)) { dead = gone.port(); }
-        try (HttpTestServer b = new HttpTestServer(HttpTestServer::well); GatewayFixture s = new GatewayFixture("list:\n  workers:\n    - {name: dead, port: " + dead
-            + "}\n    - {name: well, port: " + b.port() + "}\n")) {
-            for (int i = 0; i < 8; i++) { assertThat(end(s.invoke("once-" + i, "{}"))).isEqualTo("finished"); }
+        try (HttpTestServer gone = new HttpTestServer(HttpTestServer::silent)) {
+            dead = gone.port();
+        }
+        try (HttpTestServer b = new HttpTestServer(HttpTestServer::well);
+            GatewayFixture s = new GatewayFixture("list:\n  workers:\n    - {name: dead, port: " + dead
+                + "}\n    - {name: well, port: " + b.port() + "}\n")) {
+            for (int i = 0; i < 8; i++) {
+                assertThat(end(s.invoke("once-" + i, "{}"))).isEqualTo("finished");
+            }
             assertThat(b.infers()).isEqualTo(8);
         }
     }
@@ -153,8 +166,9 @@
             for (int wait : new int[] {0, 1, 20, 50, 100, 105}) {
                 try (Socket c = new Socket("127.0.0.1", s.gateway.port())) {
                     OutputStream out = c.getOutputStream();
-                    out.write("POST /v1/functions/once-1/invoke HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}"
-                        .getBytes(StandardCharsets.US_ASCII));
+                    out.write(
+                        "POST /v1/functions/once-1/invoke HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}".getBytes(
+                            StandardCharsets.US_ASCII));
                     out.flush();
                     Thread.sleep(wait);
                 }
@@ -168,10 +182,14 @@
         java.util.Random chance = new java.util.Random(5);
         HttpTestServer.Behaviour drops = (q, out) -> {
             boolean lost;
-            synchronized (chance) { lost = chance.nextInt(4) == 0; }
+            synchronized (chance) {
+                lost = chance.nextInt(4) == 0;
+            }
             return !lost && HttpTestServer.well(q, out);
         };
-        try (HttpTestServer a = new HttpTestServer(drops); HttpTestServer b = new HttpTestServer(drops); HttpTestServer c = new HttpTestServer(drops); GatewayFixture s = new GatewayFixture("", a, b, c)) {
+        try (HttpTestServer a = new HttpTestServer(drops); HttpTestServer b = new HttpTestServer(drops);
+            HttpTestServer c = new HttpTestServer(drops);
+            GatewayFixture s = new GatewayFixture("", a, b, c)) {
             List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
             for (int i = 0; i < 200; i++) {
                 all.add(s.later(i % 2 == 0 ? "once-1" : "again-1", "\"n" + i + ".\""));
@@ -183,7 +201,8 @@
                 assertThat(end).isIn("finished", "pushed-back", "killed");
                 finished.addAndGet(end.equals("finished") ? 1 : 0);
                 String body = "n" + i + ".";
-                long runs = List.of(a, b, c).stream().flatMap(p -> p.asked.stream()).filter(q -> q.body().contains(body)).count();
+                long runs = List.of(a, b, c).stream().flatMap(p -> p.asked.stream()).filter(
+                    q -> q.body().contains(body)).count();
                 if (i % 2 == 0) { assertThat(runs).as(body).isLessThanOrEqualTo(1); }
                 if (i % 2 == 0 && end.equals("pushed-back")) { assertThat(runs).as(body).isZero(); }
             }
--- a/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
+++ b/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
@@ -29,9 +29,12 @@
 /** Days of load orders through the edge's part for the planner: none running, one that goes, one that stays. */
 class PlannedWorkerTransportTest implements WorkerTransport {
     private final List<Consumer<RouterCore>> next = new ArrayList<>();
-    private final YamlRouterSettings terms = new YamlRouterSettings(YamlDocument.read("t", GatewayFixture.TERMS));
-    private final PlannedWorkerTransport planned = new PlannedWorkerTransport(this, terms, Duration.ofMillis(60), next::add);
-    private final PolicyEvents nothing = (PolicyEvents) Proxy.newProxyInstance(PolicyEvents.class.getClassLoader(), new Class<?>[] {PolicyEvents.class}, (p, m, a) -> null);
+    private final YamlRouterSettings terms = new YamlRouterSettings(
+        YamlDocument.read("t", GatewayFixture.TERMS));
+    private final PlannedWorkerTransport planned = new PlannedWorkerTransport(this, terms,
+        Duration.ofMillis(60), next::add);
+    private final PolicyEvents nothing = (PolicyEvents) Proxy.newProxyInstance(
+        PolicyEvents.class.getClassLoader(), new Class<?>[] {PolicyEvents.class}, (p, m, a) -> null);
     private int ordered;
     private final RouterCore core = new RouterCore(terms, (now, in, out) -> {
         in.deliverTo(nothing);
@@ -48,7 +51,8 @@
 
     @Test void ordersThatHaveEndedAreNotKept() {
         next.add(c -> {
-            c.endpointListReceived(true, List.of(new EndpointUpdate("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
+            c.endpointListReceived(true,
+                List.of(new EndpointUpdate("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
             c.accept(PendingRequest.builder("c", "again-1", Duration.ofDays(9), null).replica(1, 1).build());
         });
         rounds(1, 0);
@@ -76,7 +80,8 @@
                 LoadPlan p = planner.plan(t);
                 return p != null && next.add(x -> planned.plan(x, p));
             });
-            c.endpointListReceived(true, List.of(new EndpointUpdate("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
+            c.endpointListReceived(true,
+                List.of(new EndpointUpdate("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
             c.accept(PendingRequest.builder("c", "again-1", Duration.ofDays(9), null).replica(1, 1).build());
             planned.linked(c, 1);
         });
@@ -91,19 +96,22 @@
         assertThat(planned.counts()[0]).isEqualTo(1); // it went out at the planner's word
     }
 
-    @Override public void requestReplicas(WorkerEntry worker, String function, int copies, WorkerCommand order) {
+    @Override public void requestReplicas(WorkerEntry worker, String function, int copies,
+        WorkerCommand order) {
         next.add(c -> c.loadCommandEnded(order, AttemptOutcome.SUCCEEDED, 1));
     }
 
-    @Override public void startAttempt(Attempt run, Duration allow) { }
+    @Override public void startAttempt(Attempt run, Duration allow) {}
 
     @Override public AttemptOutcome abandon(Attempt run) { return AttemptOutcome.TIMED_OUT; }
 
-    @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) { }
+    @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {}
 
-    @Override public void probe(WorkerEntry worker, WorkerCommand order) { next.add(c -> c.probeEnded(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE)); }
+    @Override public void probe(WorkerEntry worker, WorkerCommand order) {
+        next.add(c -> c.probeEnded(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE));
+    }
 
-    @Override public void abandon(WorkerCommand order) { }
+    @Override public void abandon(WorkerCommand order) {}
 
-    @Override public void requestEndpointList() { }
+    @Override public void requestEndpointList() {}
 }
--- a/src/test/java/switchgap/server/platform/ControlFeedServer.java
+++ b/src/test/java/switchgap/server/platform/ControlFeedServer.java
@@ -41,14 +41,19 @@
     private void serve(Socket s, int n, Behaviour manner) throws IOException {
         open.add(s);
         try {
-            BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
+            BufferedReader in = new BufferedReader(
+                new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
             long last = -1;
             for (String l = in.readLine(); l != null && !l.isEmpty(); l = in.readLine()) {
-                if (l.toLowerCase(java.util.Locale.ROOT).startsWith("last-event-id:")) { last = Long.parseLong(l.substring(14).trim()); }
+                if (l.toLowerCase(java.util.Locale.ROOT).startsWith("last-event-id:")) {
+                    last = Long.parseLong(l.substring(14).trim());
+                }
             }
             asked.add(last);
             OutputStream out = s.getOutputStream();
-            out.write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            out.write(
+                "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n".getBytes(
+                    StandardCharsets.US_ASCII));
             if (!manner.tell(n, last, out)) { s.close(); }
         } catch (IOException x) {
             s.close(); // the follower left
@@ -61,7 +66,9 @@
     }
 
     /** To the connection opened last. */
-    public void say(String event) throws IOException { say(open.get(open.size() - 1).getOutputStream(), event); }
+    public void say(String event) throws IOException {
+        say(open.get(open.size() - 1).getOutputStream(), event);
+    }
 
     /** Whether the follower has closed the n-th connection; waits for that. */
     public boolean ended(int n) throws IOException {
@@ -70,11 +77,13 @@
     }
 
     public static String event(long n, boolean all, String... workers) {
-        return "{\"n\":" + n + ",\"members\":{\"rev\":7,\"all\":" + all + ",\"targets\":[" + String.join(",", workers) + "]}}";
+        return "{\"n\":" + n + ",\"members\":{\"rev\":7,\"all\":" + all + ",\"targets\":["
+            + String.join(",", workers) + "]}}";
     }
 
     public static String worker(String id, String at, String state, long boot) {
-        return "{\"uid\":\"" + id + "\",\"endpoint\":\"" + at + "\",\"az\":\"east\",\"model\":\"std\",\"pod_group\":2,\"state\":\"" + state
+        return "{\"uid\":\"" + id + "\",\"endpoint\":\"" + at
+            + "\",\"az\":\"east\",\"model\":\"std\",\"pod_group\":2,\"state\":\"" + state
             + "\",\"capacity_hint\":4,\"boot_ms\":" + boot + "}";
     }
 
--- a/src/test/java/switchgap/server/platform/DepartedClientsTest.java
+++ b/src/test/java/switchgap/server/platform/DepartedClientsTest.java
@@ -36,7 +36,8 @@
 
     /** Seen on roll+mass and join+mass: the round that should have given up came 3 ms past the limit, and nothing was said. */
     @Test void aCallWhoseLimitPassedWhileTheRouterStoodStillGetsItsAnswer() throws Exception {
-        RespTestServer w = new RespTestServer((a, out) -> a.word().equals("DO") || RespTestServer.well(a, out));
+        RespTestServer w = new RespTestServer(
+            (a, out) -> a.word().equals("DO") || RespTestServer.well(a, out));
         serve(256, w);
         ThriftTestClient c = client();
         c.ask(1, ThriftTestClient.fields("again", id(), 300, F), "x");
@@ -80,7 +81,9 @@
         CountDownLatch answer = new CountDownLatch(1);
         CountDownLatch answered = new CountDownLatch(1);
         RespTestServer.Behaviour manner = (a, out) -> {
-            if (!a.word().equals("DO") || !a.words().get(3).equals("turned away")) { return RespTestServer.well(a, out); }
+            if (!a.word().equals("DO") || !a.words().get(3).equals("turned away")) {
+                return RespTestServer.well(a, out);
+            }
             answer.await();
             RespTestServer.say(out, a.id(), "full", "-", "");
             answered.countDown();
@@ -114,14 +117,17 @@
     }
 
     private static int usualCalls(RespTestServer one, RespTestServer two, String but) {
-        return (int) java.util.stream.Stream.of(one, two).flatMap(p -> p.came("DO").stream()).filter(a -> !a.id().equals(but)).count();
+        return (int) java.util.stream.Stream.of(one, two).flatMap(p -> p.came("DO").stream()).filter(
+            a -> !a.id().equals(but)).count();
     }
 
     /** Without leave to cancel, too: an execution that waits for its connection went out when that came up, for nobody. */
-    @ParameterizedTest @ValueSource(booleans = {true, false})
-    void whatWaitsForAConnectionDoesNotGoOutOnceItsClientHasLeft(boolean mayCancel) throws Exception {
-        settings = settings.replace("\"Cancel\":true", "\"Cancel\":" + mayCancel).replace("\"DialTimeoutUs\":250000", "\"DialTimeoutUs\":5000000")
-            .replace("\"AimUs\":300000,\"DeadlineUs\":1000000", "\"AimUs\":4000000,\"DeadlineUs\":9000000");
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false}) void whatWaitsForAConnectionDoesNotGoOutOnceItsClientHasLeft(
+        boolean mayCancel) throws Exception {
+        settings = settings.replace("\"Cancel\":true", "\"Cancel\":" + mayCancel).replace(
+            "\"DialTimeoutUs\":250000", "\"DialTimeoutUs\":5000000").replace(
+                "\"AimUs\":300000,\"DeadlineUs\":1000000", "\"AimUs\":4000000,\"DeadlineUs\":9000000");
         ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress()); // takes no connection yet
         open.add(full);
         List<Socket> before = new ArrayList<>();
@@ -150,8 +156,10 @@
                     open.add(s);
                     if (n >= before.size()) {
                         byte[] some = new byte[4096];
-                        for (int k = s.getInputStream().read(some); k > 0; k = s.getInputStream().read(some)) {
-                            heard.append(new String(some, 0, k, java.nio.charset.StandardCharsets.ISO_8859_1));
+                        for (int k = s.getInputStream().read(some); k
+                            > 0; k = s.getInputStream().read(some)) {
+                            heard.append(
+                                new String(some, 0, k, java.nio.charset.StandardCharsets.ISO_8859_1));
                             if (heard.indexOf(kept) >= 0) { came.countDown(); }
                         }
                     }
@@ -176,7 +184,8 @@
 
     /** The client's new connection is read before the end of the old one, which the router itself closed. */
     @Test void aCallSentAgainOnANewConnectionDoesNotMeetItself() throws Exception {
-        RespTestServer w = new RespTestServer((a, out) -> a.word().equals("DO") && a.words().get(3).equals("first") || RespTestServer.well(a, out));
+        RespTestServer w = new RespTestServer((a,
+            out) -> a.word().equals("DO") && a.words().get(3).equals("first") || RespTestServer.well(a, out));
         serve(256, w);
         ThriftTestClient old = client();
         ThriftTestClient anew = client();
@@ -185,7 +194,8 @@
         old.ask(1, ThriftTestClient.fields("again", id, 900, F), "first");
         until(() -> w.came("DO").size() == 1);
         try (AutoCloseable gate = holdLoop()) {
-            old.ask(1, ThriftTestClient.fields("again", id(), 900, F), "under a number that is taken: the router closes");
+            old.ask(1, ThriftTestClient.fields("again", id(), 900, F),
+                "under a number that is taken: the router closes");
             read(old, 2);
             anew.ask(2, ThriftTestClient.fields("again", id, 900, F), "second");
             read(anew, 3);
--- a/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
+++ b/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
@@ -30,7 +30,8 @@
         ThriftTestClient c = client();
         read(c, 1);
         String id = id();
-        byte[] frame = ThriftTestClient.submit(2, ThriftTestClient.fields("again", id, 900, F), "x".getBytes());
+        byte[] frame = ThriftTestClient.submit(2, ThriftTestClient.fields("again", id, 900, F),
+            "x".getBytes());
         c.raw(Arrays.copyOf(frame, 30));
         Thread stopping = stopping();
         Thread.sleep(1400); // calls are taken for 1 s, and the piece may lie for 2 s
@@ -71,7 +72,8 @@
     /** A call that may wait for longer than the system lets a router live is failed, not dropped. */
     @Test void whatCannotBeWaitedForIsFailedInTime() throws Exception {
         settings = settings.replace("\"DeadlineUs\":1000000", "\"DeadlineUs\":2900000");
-        RespTestServer w = new RespTestServer((a, out) -> a.word().equals("DO") || RespTestServer.well(a, out));
+        RespTestServer w = new RespTestServer(
+            (a, out) -> a.word().equals("DO") || RespTestServer.well(a, out));
         serve(256, w);
         ThriftTestClient c = client();
         c.ask(1, ThriftTestClient.fields("again", id(), 5800, F), "x");
--- a/src/test/java/switchgap/server/platform/PlatformFixture.java
+++ b/src/test/java/switchgap/server/platform/PlatformFixture.java
@@ -46,19 +46,26 @@
 
     private String config(int sockets, String... at) {
         List<String> workers = new ArrayList<>();
-        for (int i = 0; i < at.length; i++) { workers.add(ControlFeedServer.worker("w" + i, at[i], "SERVING", 0)); }
-        return "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":64,\"sockets\":" + sockets
-            + "},\"feed\":\"127.0.0.1:" + feed.at().getPort() + "\",\"known\":{\"n\":1,\"events\":[" + ControlFeedServer.event(1, true, workers.toArray(new String[0]))
+        for (int i = 0; i < at.length; i++) {
+            workers.add(ControlFeedServer.worker("w" + i, at[i], "SERVING", 0));
+        }
+        return "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":64,\"sockets\":"
+            + sockets
+            + "},\"feed\":\"127.0.0.1:" + feed.at().getPort() + "\",\"known\":{\"n\":1,\"events\":["
+            + ControlFeedServer.event(1, true, workers.toArray(new String[0]))
             + "]},\"settings\":" + settings + "}";
     }
 
     PlatformRouter serve(int sockets, RespTestServer... peers) throws Exception {
         open.addAll(List.of(peers));
-        return serveAt(sockets, java.util.Arrays.stream(peers).map(RespTestServer::at).toArray(String[]::new));
+        return serveAt(sockets,
+            java.util.Arrays.stream(peers).map(RespTestServer::at).toArray(String[]::new));
     }
 
     PlatformRouter serveAt(int sockets, String... workers) throws Exception {
-        platform = new PlatformRouter(PlatformConfig.read(environment(config(sockets, workers)), System.currentTimeMillis()), new RateLimitedLog());
+        platform = new PlatformRouter(
+            PlatformConfig.read(environment(config(sockets, workers)), System.currentTimeMillis()),
+            new RateLimitedLog());
         open.add(0, platform);
         return platform;
     }
--- a/src/test/java/switchgap/server/platform/PlatformRouterTest.java
+++ b/src/test/java/switchgap/server/platform/PlatformRouterTest.java
@@ -17,7 +17,9 @@
 class PlatformRouterTest extends PlatformFixture {
     @Test void servesInAnyOrderAndPassesOnWhatIsTheirs() throws Exception {
         RespTestServer w = new RespTestServer((a, out) -> {
-            if (!a.word().equals("DO") || !a.words().get(3).equals("slow")) { return RespTestServer.well(a, out); }
+            if (!a.word().equals("DO") || !a.words().get(3).equals("slow")) {
+                return RespTestServer.well(a, out);
+            }
             new Thread(() -> {
                 try {
                     Thread.sleep(150);
@@ -77,17 +79,21 @@
     }
 
     /** Rule 2: what may have run is not run again, what a broken, spoilt or silent connection leaves open neither. */
-    @ParameterizedTest @ValueSource(strings = {"failed", "close", "noise", "silent", "huge"})
-    void aRunOnceJobThatMayHaveRunIsFailedAndNeverSentAgain(String what) throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"failed", "close", "noise", "silent",
+        "huge"}) void aRunOnceJobThatMayHaveRunIsFailedAndNeverSentAgain(String what) throws Exception {
         RespTestServer.Behaviour bad = (a, out) -> {
             if (!a.word().equals("DO")) { return RespTestServer.well(a, out); }
             switch (what) {
                 case "failed" -> RespTestServer.say(out, a.id(), "failed", "-", "");
                 case "noise" -> out.write("?!%\r\n".getBytes(StandardCharsets.US_ASCII));
                 case "huge" -> out.write("*4\r\n$16\r\n".getBytes(StandardCharsets.US_ASCII));
-                default -> { }
+                default -> {}
+            }
+            if (what.equals("huge")) {
+                out.write((a.id() + "\r\n$4\r\ndata\r\n$1\r\n-\r\n$3000000000\r\n").getBytes(
+                    StandardCharsets.US_ASCII));
             }
-            if (what.equals("huge")) { out.write((a.id() + "\r\n$4\r\ndata\r\n$1\r\n-\r\n$3000000000\r\n").getBytes(StandardCharsets.US_ASCII)); }
             return !what.equals("close");
         };
         RespTestServer one = new RespTestServer(bad);
@@ -115,7 +121,8 @@
         assertThat(c.reply().field()).isEqualTo(1);
         List<RespTestServer.Command> came = w.came("DO");
         assertThat(came).hasSizeGreaterThan(1);
-        assertThat(came.stream().map(RespTestServer.Command::connection).distinct().count()).isEqualTo(came.size());
+        assertThat(came.stream().map(RespTestServer.Command::connection).distinct().count()).isEqualTo(
+            came.size());
     }
 
     @Test void whatIsNoUsableRequestIsAnErrorAndHarmsNoOpenOne() throws Exception {
@@ -185,7 +192,8 @@
     }
 
     @Test void revokedAndLeftCallsAreUndoneAndOwedNothing() throws Exception {
-        RespTestServer w = new RespTestServer((a, out) -> a.word().equals("DO") || RespTestServer.well(a, out));
+        RespTestServer w = new RespTestServer(
+            (a, out) -> a.word().equals("DO") || RespTestServer.well(a, out));
         serve(256, w);
         ThriftTestClient c = client();
         ThriftTestClient left = client();
@@ -215,7 +223,8 @@
             assertThat(c.reply().field()).isZero();
         }
         RespTestServer drained = one.came("DO").isEmpty() ? two : one;
-        feed.say(ControlFeedServer.event(2, false, ControlFeedServer.worker(drained == one ? "w0" : "w1", drained.at(), "DRAINING", 0)));
+        feed.say(ControlFeedServer.event(2, false,
+            ControlFeedServer.worker(drained == one ? "w0" : "w1", drained.at(), "DRAINING", 0)));
         Thread.sleep(200);
         long before = drained.asked.stream().filter(a -> !a.word().equals("METER")).count();
         int old = drained.asked.stream().mapToInt(RespTestServer.Command::connection).max().orElseThrow();
@@ -224,13 +233,16 @@
             assertThat(c.reply().field()).isZero();
         }
         assertThat(drained.asked.stream().filter(a -> !a.word().equals("METER")).count()).isEqualTo(before);
-        feed.say(ControlFeedServer.event(3, false, ControlFeedServer.worker(drained == one ? "w0" : "w1", drained.at(), "DELETED", 0), ControlFeedServer.worker("w9", drained.at(), "SERVING", 0)));
+        feed.say(ControlFeedServer.event(3, false,
+            ControlFeedServer.worker(drained == one ? "w0" : "w1", drained.at(), "DELETED", 0),
+            ControlFeedServer.worker("w9", drained.at(), "SERVING", 0)));
         Thread.sleep(200);
         for (int n = 41; n <= 80; n++) {
             c.ask(n, ThriftTestClient.fields("again", id(), 900, String.format("%016x", n)), "x");
             assertThat(c.reply().field()).isZero();
         }
-        assertThat(drained.asked.subList((int) before, drained.asked.size())).isNotEmpty().allMatch(a -> a.connection() > old);
+        assertThat(drained.asked.subList((int) before, drained.asked.size())).isNotEmpty().allMatch(
+            a -> a.connection() > old);
     }
 
     @Test void stopsWithEverythingAnswered() throws Exception {
@@ -265,7 +277,8 @@
                 assertThat(c.reply().field()).isZero();
             }
             if (n % 10 == 0) {
-                feed.say(ControlFeedServer.event(1 + n / 10, false, ControlFeedServer.worker("w" + (n == 10 ? "0" : "n" + (n - 10)), w.at(), "DELETED", 0),
+                feed.say(ControlFeedServer.event(1 + n / 10, false,
+                    ControlFeedServer.worker("w" + (n == 10 ? "0" : "n" + (n - 10)), w.at(), "DELETED", 0),
                     ControlFeedServer.worker("wn" + n, w.at(), "SERVING", 0)));
             }
         }
@@ -276,8 +289,9 @@
         assertThat(held[2]).as("connections to workers").isLessThanOrEqualTo(6);
     }
 
-    @ParameterizedTest @ValueSource(strings = {"settings", "known", "feed", "seed", "limits", "Lanes", "Zones"})
-    void aMissingKeyIsNamed(String key) throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"settings", "known", "feed", "seed", "limits", "Lanes",
+        "Zones"}) void aMissingKeyIsNamed(String key) throws Exception {
         Map<String, String> e = environment(config(256).replace("\"" + key + "\":", "\"not" + key + "\":"));
         assertThatThrownBy(() -> {
             PlatformConfig g = PlatformConfig.read(e, 0);
@@ -287,14 +301,19 @@
 
     @Test void aMissingVariableOrFileIsNamed() throws Exception {
         assertThatThrownBy(() -> PlatformConfig.read(Map.of(), 0)).hasMessageContaining("NODE_CONFIG");
-        assertThatThrownBy(() -> PlatformConfig.read(Map.of("NODE_CONFIG", dir + "/none"), 0)).hasMessageContaining("none: no such file");
-        assertThatThrownBy(() -> PlatformConfig.read(environment("{"), 0)).hasMessageContaining("config.json");
+        assertThatThrownBy(
+            () -> PlatformConfig.read(Map.of("NODE_CONFIG", dir + "/none"), 0)).hasMessageContaining(
+                "none: no such file");
+        assertThatThrownBy(() -> PlatformConfig.read(environment("{"), 0)).hasMessageContaining(
+            "config.json");
     }
 
     /** Another customer's settings: each serves a job from end to end. */
-    @ParameterizedTest @ValueSource(strings = {"no tenants", "tenants left out", "no zones", "one class", "no costs", "no reports", "no advice",
-        "limits of minutes", "limits of a tenth of a second", "nothing cold", "no orders", "a hundred routers"})
-    void otherCustomersSettingsServe(String what) throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"no tenants", "tenants left out", "no zones", "one class", "no costs",
+        "no reports", "no advice",
+        "limits of minutes", "limits of a tenth of a second", "nothing cold", "no orders",
+        "a hundred routers"}) void otherCustomersSettingsServe(String what) throws Exception {
         String workload = "again";
         long allow = 450;
         switch (what) {
@@ -305,16 +324,27 @@
                 settings = settings.replaceAll("(?s)\\{\"Name\":\"again\"[^}]*},", "");
                 workload = "once";
             }
-            case "no costs" -> settings = settings.replaceAll("\"Costs\":\\{[^}]*},", "").replaceAll("\"MemoryPrice\":0,", "");
-            case "no reports" -> settings = settings.replaceAll("(?s),\\s*\"Telemetry\":\\{[^}]*}", "").replace(",\"SaysCompany\":true", "");
-            case "no advice" -> settings = settings.replace("\"RetryAfter\":true,\"MaxRetryAfterUs\":900000,", "\"RetryAfter\":false,");
+            case "no costs" ->
+                settings = settings.replaceAll("\"Costs\":\\{[^}]*},", "").replaceAll("\"MemoryPrice\":0,",
+                    "");
+            case "no reports" ->
+                settings = settings.replaceAll("(?s),\\s*\"Telemetry\":\\{[^}]*}", "").replace(
+                    ",\"SaysCompany\":true", "");
+            case "no advice" -> settings = settings.replace("\"RetryAfter\":true,\"MaxRetryAfterUs\":900000,",
+                "\"RetryAfter\":false,");
             case "limits of minutes" -> {
                 allow = 300_000;
-                settings = settings.replace("\"AimUs\":300000,\"DeadlineUs\":1000000", "\"AimUs\":60000000,\"DeadlineUs\":600000000");
+                settings = settings.replace("\"AimUs\":300000,\"DeadlineUs\":1000000",
+                    "\"AimUs\":60000000,\"DeadlineUs\":600000000");
             }
-            case "limits of a tenth of a second" -> settings = settings.replace("\"AimUs\":300000,\"DeadlineUs\":1000000", "\"AimUs\":40000,\"DeadlineUs\":450000");
-            case "nothing cold" -> settings = settings.replace("\"ColdUs\":2000000,\"FallMultiple\":3,\"OverloadForUs\":1000000", "\"ColdUs\":0,\"FallMultiple\":0,\"OverloadForUs\":0");
-            case "no orders" -> settings = settings.replace("\"IfCold\":\"miss\",\"PlacementCalls\":true", "\"IfCold\":\"load\",\"PlacementCalls\":false");
+            case "limits of a tenth of a second" ->
+                settings = settings.replace("\"AimUs\":300000,\"DeadlineUs\":1000000",
+                    "\"AimUs\":40000,\"DeadlineUs\":450000");
+            case "nothing cold" ->
+                settings = settings.replace("\"ColdUs\":2000000,\"FallMultiple\":3,\"OverloadForUs\":1000000",
+                    "\"ColdUs\":0,\"FallMultiple\":0,\"OverloadForUs\":0");
+            case "no orders" -> settings = settings.replace("\"IfCold\":\"miss\",\"PlacementCalls\":true",
+                "\"IfCold\":\"load\",\"PlacementCalls\":false");
             default -> settings = settings.replace("\"Balancers\":1,\"Me\":0", "\"Balancers\":100,\"Me\":99");
         }
         assertThat(settings).isNotEqualTo(TestPlatformSettings.SETTINGS);
--- a/src/test/java/switchgap/server/platform/RespTestServer.java
+++ b/src/test/java/switchgap/server/platform/RespTestServer.java
@@ -90,10 +90,11 @@
     /** Serves all: a job's body comes back behind its id. */
     static boolean well(Command a, OutputStream out) throws IOException {
         switch (a.word()) {
-            case "DO" -> say(out, a.id(), "data", "report=load_share:0.1;concurrent:1", a.id() + ":" + a.words().get(3));
+            case "DO" -> say(out, a.id(), "data", "report=load_share:0.1;concurrent:1",
+                a.id() + ":" + a.words().get(3));
             case "PIN" -> say(out, a.id(), "data", "count=1", "");
             case "ECHO", "METER" -> say(out, a.id(), "well", "-", "");
-            default -> { }
+            default -> {}
         }
         return true;
     }
--- a/src/test/java/switchgap/server/platform/ServeProcessTest.java
+++ b/src/test/java/switchgap/server/platform/ServeProcessTest.java
@@ -20,16 +20,21 @@
     private Path log;
 
     private static void shell(String command) throws IOException, InterruptedException {
-        assertThat(new ProcessBuilder("sh", "-c", command).inheritIO().start().waitFor()).as(command).isZero();
+        assertThat(new ProcessBuilder("sh", "-c", command).inheritIO().start().waitFor()).as(
+            command).isZero();
     }
 
     private void start(String before, String... options) throws IOException {
         log = dir.resolve("log");
-        List<String> command = new ArrayList<>(List.of("exec", Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1"));
+        List<String> command = new ArrayList<>(List.of("exec",
+            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1"));
         command.addAll(List.of(options));
-        command.addAll(List.of("-cp", "'" + System.getProperty("java.class.path") + "'", "switchgap.cli.Main", "serve"));
-        ProcessBuilder p = new ProcessBuilder("sh", "-c", before + String.join(" ", command)).redirectErrorStream(true).redirectOutput(log.toFile());
-        p.environment().putAll(java.util.Map.of("NODE_NAME", "n1", "NODE_LISTEN", "127.0.0.1:0", "NODE_CONFIG", file.toString()));
+        command.addAll(
+            List.of("-cp", "'" + System.getProperty("java.class.path") + "'", "switchgap.cli.Main", "serve"));
+        ProcessBuilder p = new ProcessBuilder("sh", "-c",
+            before + String.join(" ", command)).redirectErrorStream(true).redirectOutput(log.toFile());
+        p.environment().putAll(java.util.Map.of("NODE_NAME", "n1", "NODE_LISTEN", "127.0.0.1:0",
+            "NODE_CONFIG", file.toString()));
         process = p.start();
         open.add(() -> process.destroyForcibly().waitFor());
     }
@@ -79,11 +84,13 @@
     /** The new configuration and its SIGHUP come while the old one is being read; the signal counted for nothing. */
     @Test void aSighupDuringTheStartCounts() throws Exception {
         pipe();
-        try (RespTestServer w = new RespTestServer(RespTestServer::well); ControlFeedServer anew = new ControlFeedServer((n, last, out) -> true)) {
+        try (RespTestServer w = new RespTestServer(RespTestServer::well);
+            ControlFeedServer anew = new ControlFeedServer((n, last, out) -> true)) {
             String config = config(256, w);
             start("");
             try (OutputStream held = Files.newOutputStream(file)) { // opened: the router reads, and its handlers stand
-                Path next = Files.writeString(dir.resolve("next.json"), config.replace(":" + feed.at().getPort(), ":" + anew.at().getPort()));
+                Path next = Files.writeString(dir.resolve("next.json"),
+                    config.replace(":" + feed.at().getPort(), ":" + anew.at().getPort()));
                 Files.move(next, file, StandardCopyOption.REPLACE_EXISTING);
                 signal("HUP");
                 signal("HUP");
@@ -157,7 +164,8 @@
             try (ControlFeedServer back = new ControlFeedServer(port, (n, last, out) -> true)) {
                 until(() -> !back.asked.isEmpty());
             }
-            assertThat(process.info().totalCpuDuration().orElseThrow().minus(before).toMillis()).isLessThan(1500); // nothing spins
+            assertThat(process.info().totalCpuDuration().orElseThrow().minus(before).toMillis()).isLessThan(
+                1500); // nothing spins
             signal("TERM");
             endsWell();
         }
--- a/src/test/java/switchgap/server/platform/TestPlatformSettings.java
+++ b/src/test/java/switchgap/server/platform/TestPlatformSettings.java
@@ -21,7 +21,7 @@
                   "MachineMb":[4000],"LoadWaitUs":4000000,"SaysCompany":true},
          "Telemetry":{"Fields":["load_share","concurrent"],"How":"piggyback"}}""";
 
-    private TestPlatformSettings() { }
+    private TestPlatformSettings() {}
 
     public static RouterSettings terms() throws IOException {
         Map<String, Object> o = JsonDocument.parseObject(SETTINGS);
--- a/src/test/java/switchgap/server/platform/ThriftTestClient.java
+++ b/src/test/java/switchgap/server/platform/ThriftTestClient.java
@@ -17,7 +17,7 @@
 /** A client on a plain socket, with Apache Thrift's codec. */
 public final class ThriftTestClient implements AutoCloseable {
     /** What came: the message's type and number; of a reply the result's field (0 Answer, 1 Full, 2 Error), fields and body. */
-    record Reply(int type, int number, int field, Map<String, String> fields, byte[] body, boolean good) { }
+    record Reply(int type, int number, int field, Map<String, String> fields, byte[] body, boolean good) {}
 
     final Socket socket;
     private final DataInputStream in;
@@ -37,11 +37,14 @@
     }
 
     static Map<String, String> fields(String service, String ref, long allow, String function) {
-        return new HashMap<>(Map.of("service", service, "ref", ref, "allow", String.valueOf(allow), "project", "shop", "lookup", function,
+        return new HashMap<>(Map.of("service", service, "ref", ref, "allow", String.valueOf(allow), "project",
+            "shop", "lookup", function,
             "extras", "memory_mb:100;lanes:2"));
     }
 
-    static byte[] framed(byte[] frame) { return ByteBuffer.allocate(4 + frame.length).putInt(frame.length).put(frame).array(); }
+    static byte[] framed(byte[] frame) {
+        return ByteBuffer.allocate(4 + frame.length).putInt(frame.length).put(frame).array();
+    }
 
     static byte[] submit(int number, Map<String, String> fields, byte[] body) throws Exception {
         TMemoryBuffer m = new TMemoryBuffer(256);
@@ -52,7 +55,8 @@
     }
 
     /** A submit up to its last argument. */
-    public static void arguments(TBinaryProtocol p, int number, Map<String, String> fields, byte[] body) throws Exception {
+    public static void arguments(TBinaryProtocol p, int number, Map<String, String> fields, byte[] body)
+        throws Exception {
         p.writeMessageBegin(new TMessage("submit", (byte) 1, number));
         p.writeFieldBegin(new TField("fields", TType.MAP, (short) 1));
         p.writeMapBegin(new TMap(TType.STRING, TType.STRING, fields.size()));
@@ -69,7 +73,11 @@
         TBinaryProtocol p = new TBinaryProtocol(m);
         p.writeMessageBegin(new TMessage(method, (byte) type, number));
         p.writeFieldBegin(new TField("x", kind, (short) 1));
-        if (kind == TType.BOOL) { p.writeBool(value != 0); } else { p.writeI32(value); }
+        if (kind == TType.BOOL) {
+            p.writeBool(value != 0);
+        } else {
+            p.writeI32(value);
+        }
         p.writeFieldStop();
         return framed(java.util.Arrays.copyOf(m.getArray(), m.length()));
     }
@@ -79,7 +87,9 @@
         out.flush();
     }
 
-    void ask(int number, Map<String, String> fields, String body) throws Exception { raw(submit(number, fields, body.getBytes())); }
+    void ask(int number, Map<String, String> fields, String body) throws Exception {
+        raw(submit(number, fields, body.getBytes()));
+    }
 
     void revoke(int number, int which) throws Exception { raw(one("revoke", 4, number, TType.I32, which)); }
 
--- a/src/test/java/switchgap/testing/ReachableObjects.java
+++ b/src/test/java/switchgap/testing/ReachableObjects.java
@@ -12,7 +12,7 @@
 
 /** Counts what an object of this program holds: the elements of all collections and arrays that it reaches. */
 public final class ReachableObjects {
-    private ReachableObjects() { }
+    private ReachableObjects() {}
 
     /** All but what is reached through {@code but}. */
     public static long by(Object root, Object... but) {
@@ -39,8 +39,11 @@
             } else if (o.getClass().isArray()) {
                 held += Array.getLength(o);
             } else if (o.getClass().getName().startsWith("switchgap.")) {
-                for (Class<?> c = o.getClass(); c != Object.class && c != Record.class && c != null; c = c.getSuperclass()) {
-                    for (Field f : c.getDeclaredFields()) { if (!Modifier.isStatic(f.getModifiers())) { push(next, get(f, o)); } }
+                for (Class<?> c = o.getClass(); c != Object.class && c != Record.class
+                    && c != null; c = c.getSuperclass()) {
+                    for (Field f : c.getDeclaredFields()) {
+                        if (!Modifier.isStatic(f.getModifiers())) { push(next, get(f, o)); }
+                    }
                 }
             }
         }
