--- a/src/main/java/switchgap/eventloop/EventLoop.java
+++ b/src/main/java/switchgap/eventloop/EventLoop.java
@@ -10,55 +10,76 @@
 import java.util.function.LongConsumer;
 import switchgap.router.RouterCore;
 
-/** The router's one thread: gathers events, runs rounds, sleeps until the next is due. */
+/**
+ * The one thread that owns a router's core: gathers events, runs ticks, sleeps until the next is due. The
+ * queues are not bounded here: whoever posts bounds what it may have in them.
+ */
 public final class EventLoop implements Runnable {
-    private static final int MOST_EVENTS = 512;
-    private final long born = System.nanoTime();
+    /** Events of one tick; the rest waits for the next, so that timers stay on time. */
+    private static final int MAX_EVENTS_PER_TICK = 512;
+    private static final long STOP_TIMEOUT_MILLIS = 5000;
+
+    private final long startedNanos = System.nanoTime();
     private final ConcurrentLinkedQueue<Consumer<RouterCore>> queue = new ConcurrentLinkedQueue<>();
     private final ConcurrentLinkedQueue<Consumer<RouterCore>> urgent = new ConcurrentLinkedQueue<>();
     private final RouterCore core;
     private final Thread thread;
-    private final LongConsumer late;
-    private final Consumer<Throwable> failed;
+    private final LongConsumer latenessListener;
+    private final Consumer<Throwable> failureListener;
     private volatile boolean stopped;
     private volatile boolean asleep;
 
     /**
-     * {@code late} hears the microseconds by which a round came after its due time, {@code failed} of a round that
-     * failed: the loop ends there, as what is half done can't be gone on from.
+     * A loop that is not started yet.
+     *
+     * @param coreFactory       makes the core, which may post to this loop
+     * @param threadName        name of the loop's thread
+     * @param latenessListener  hears the microseconds by which a tick came after its due time
+     * @param failureListener   hears of a tick that failed: the loop ends there, as what is half done can't
+     *     be gone on from
      */
-    public EventLoop(Function<EventLoop, RouterCore> make, String name, LongConsumer late,
-        Consumer<Throwable> failed) {
-        this.late = late;
-        this.failed = failed;
-        core = make.apply(this);
-        thread = new Thread(this, name);
+    public EventLoop(Function<EventLoop, RouterCore> coreFactory, String threadName,
+        LongConsumer latenessListener, Consumer<Throwable> failureListener) {
+        this.latenessListener = latenessListener;
+        this.failureListener = failureListener;
+        core = coreFactory.apply(this);
+        thread = new Thread(this, threadName);
     }
 
+    /** Starts the thread. */
     public void start() {
         thread.start();
     }
 
+    /** Time since the loop was made; any thread. */
     public Duration now() {
-        return Duration.ofNanos(System.nanoTime() - born);
+        return Duration.ofNanos(System.nanoTime() - startedNanos);
     }
 
-    /** Goes before all that waits: news of workers that drain must not stand in line. */
+    /** Goes before all that waits: news of workers that drain must not stand in line. Any thread. */
     public void postUrgent(Consumer<RouterCore> event) {
         urgent.add(event);
-        if (asleep) { LockSupport.unpark(thread); }
+        wakeUp();
     }
 
+    /** Runs an event in the next tick; any thread. */
     public void post(Consumer<RouterCore> event) {
         queue.add(event);
-        if (asleep) { LockSupport.unpark(thread); }
+        wakeUp();
+    }
+
+    private void wakeUp() {
+        if (asleep) {
+            LockSupport.unpark(thread);
+        }
     }
 
+    /** Ends the thread after the tick under way, and waits for that. */
     public void stop() {
         stopped = true;
         LockSupport.unpark(thread);
         try {
-            thread.join(5000);
+            thread.join(STOP_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -68,18 +89,15 @@
         try {
             runTicks();
         } catch (Throwable e) { // errors too: a thread that is gone serves nobody
-            failed.accept(e);
+            failureListener.accept(e);
         }
     }
 
     private void runTicks() {
         List<Consumer<RouterCore>> batch = new ArrayList<>();
-        core.tick(now(), batch); // the module asks for its first wake-up
+        core.tick(now(), batch); // the policy asks for its first wake-up
         while (!stopped) {
-            for (Consumer<RouterCore> e; (e = urgent.poll()) != null;) { batch.add(e); }
-            for (Consumer<RouterCore> e; batch.size() < MOST_EVENTS && (e = queue.poll()) != null;) {
-                batch.add(e);
-            }
+            gather(batch);
             Duration due = core.nextDue();
             Duration now = now();
             boolean isDue = due != null && due.compareTo(now) <= 0;
@@ -87,12 +105,30 @@
                 sleep(due, now);
                 continue;
             }
-            if (isDue) { late.accept(now.minus(due).toNanos() / 1000); }
+            if (isDue) {
+                latenessListener.accept(now.minus(due).toNanos() / 1000);
+            }
             core.tick(now, batch);
             batch.clear();
         }
     }
 
+    /** All urgent events, and others up to the bound of a tick. */
+    private void gather(List<Consumer<RouterCore>> batch) {
+        Consumer<RouterCore> event = urgent.poll();
+        while (event != null) {
+            batch.add(event);
+            event = urgent.poll();
+        }
+        while (batch.size() < MAX_EVENTS_PER_TICK) {
+            event = queue.poll();
+            if (event == null) {
+                return;
+            }
+            batch.add(event);
+        }
+    }
+
     private void sleep(Duration due, Duration now) {
         asleep = true;
         if (queue.isEmpty() && urgent.isEmpty() && !stopped) {
--- a/src/main/java/switchgap/eventloop/package-info.java
+++ b/src/main/java/switchgap/eventloop/package-info.java
@@ -1,2 +1,2 @@
-/** The one thread that runs a router's rounds. */
+/** The one thread that owns a router's state and runs its ticks. */
 package switchgap.eventloop;
--- a/src/main/java/switchgap/policy/api/AttemptOutcome.java
+++ b/src/main/java/switchgap/policy/api/AttemptOutcome.java
@@ -1,6 +1,8 @@
 package switchgap.policy.api;
 
-/** How an attempt, a probe or a load command ended, and whether that proves that the request was not executed. */
+/**
+ * How an attempt, a probe or a load command ended, and whether that proves that the request was not executed.
+ */
 public enum AttemptOutcome {
     /** The worker answered. */
     SUCCEEDED(false),
--- a/src/main/java/switchgap/policy/api/LoadReport.java
+++ b/src/main/java/switchgap/policy/api/LoadReport.java
@@ -17,7 +17,10 @@
         return new LoadReport(Double.NaN, Double.NaN, Double.NaN, concurrency);
     }
 
-    /** The report of a probe: where requests were not reported they are what waits and what this router has there. */
+    /**
+     * The report of a probe: where requests were not reported they are what waits and what this router has
+     * there.
+     */
     public LoadReport withInFlightFromQueue(int ownInFlight) {
         double all = Double.isNaN(inFlight) ? queueLength + ownInFlight : inFlight;
         return new LoadReport(cpuUtilization, all, queueLength, -1);
--- a/src/main/java/switchgap/policy/api/PolicyEvents.java
+++ b/src/main/java/switchgap/policy/api/PolicyEvents.java
@@ -1,9 +1,9 @@
 package switchgap.policy.api;
 
 /**
- * What a policy is told, one call an event, from one thread. Indices are small numbers that the caller assigns and may
- * hand out again once {@link PolicyActions} has released them; times are spans since the router's start. Values that did
- * not come are null, NaN or, for counts, below zero.
+ * What a policy is told, one call an event, from one thread. Indices are small numbers that the caller
+ * assigns and may hand out again once {@link PolicyActions} has released them; times are spans since the
+ * router's start. Values that did not come are null, NaN or, for counts, below zero.
  */
 public interface PolicyEvents {
     /** An endpoint list begins; a complete one replaces what was known. Its entries follow, then its end. */
--- a/src/main/java/switchgap/policy/api/package-info.java
+++ b/src/main/java/switchgap/policy/api/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One router's core: holds calls, feeds the module, carries out what it decides. Free of sockets, threads and
- * clock; everything from outside comes through {@link switchgap.router.Outside} and the events of a round.
+ * What a policy is told, what it decides and the settings it goes by: events in, actions out. Immutable
+ * values; the callers' indices are small numbers.
  */
 package switchgap.policy.api;
--- a/src/main/java/switchgap/policy/state/CandidateSurvey.java
+++ b/src/main/java/switchgap/policy/state/CandidateSurvey.java
@@ -29,7 +29,9 @@
         loading |= replicaLoading;
     }
 
-    /** Notes a target replica that may be taken: it becomes the best where its load is less by a difference. */
+    /**
+     * Notes a target replica that may be taken: it becomes the best where its load is less by a difference.
+     */
     public void candidate(Worker worker, double load, double difference) {
         if (load < leastLoad - (best == null ? 0 : difference)) {
             alternative = best;
--- a/src/main/java/switchgap/policy/state/Durations.java
+++ b/src/main/java/switchgap/policy/state/Durations.java
@@ -2,30 +2,36 @@
 
 import java.time.Duration;
 
-/** Short names for arithmetic on spans of time. */
+/** Arithmetic on durations. */
 public final class Durations {
     /** One second. */
     public static final Duration SECOND = Duration.ofSeconds(1);
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private Durations() {}
 
-    public static boolean isShorter(Duration a, Duration b) {
-        return a.compareTo(b) < 0;
+    /** Whether the first is shorter than the second. */
+    public static boolean isShorter(Duration first, Duration second) {
+        return first.compareTo(second) < 0;
     }
 
-    public static Duration min(Duration a, Duration b) {
-        return isShorter(a, b) ? a : b;
+    /** The shorter of two. */
+    public static Duration min(Duration first, Duration second) {
+        return isShorter(first, second) ? first : second;
     }
 
-    public static Duration max(Duration a, Duration b) {
-        return isShorter(a, b) ? b : a;
+    /** The longer of two. */
+    public static Duration max(Duration first, Duration second) {
+        return isShorter(first, second) ? second : first;
     }
 
-    public static double toSeconds(Duration d) {
-        return d.toNanos() / 1e9;
+    /** A duration in seconds. */
+    public static double toSeconds(Duration duration) {
+        return duration.toNanos() / NANOS_PER_SECOND;
     }
 
-    public static Duration scale(Duration d, double n) {
-        return Duration.ofNanos((long) (d.toNanos() * n));
+    /** A duration times a factor, in whole nanoseconds. */
+    public static Duration scale(Duration duration, double factor) {
+        return Duration.ofNanos((long) (duration.toNanos() * factor));
     }
 }
--- a/src/main/java/switchgap/policy/state/Histogram.java
+++ b/src/main/java/switchgap/policy/state/Histogram.java
@@ -1,6 +1,8 @@
 package switchgap.policy.state;
 
-/** A few coarse bins between edges that the caller gives; halved when the caller says so. */
+import java.util.Arrays;
+
+/** Counts of values in a few coarse bins between edges that the caller gives; it fades as the caller says. */
 public final class Histogram {
     private final double[] edges;
     private final double[] counts;
@@ -11,6 +13,7 @@
         this.counts = new double[edges.length + 1];
     }
 
+    /** Counts a value. */
     public void add(double value) {
         int bin = 0;
         while (bin < edges.length && value >= edges[bin]) {
@@ -19,15 +22,16 @@
         counts[bin]++;
     }
 
+    /** Halves all counts. */
     public void halve() {
         for (int i = 0; i < counts.length; i++) {
             counts[i] /= 2;
         }
     }
 
-    /** Halves all bins once they hold more than so much. */
-    public void halveAbove(double most) {
-        if (total() > most) {
+    /** Halves all counts once there are more than so many. */
+    public void halveAbove(double maxTotal) {
+        if (total() > maxTotal) {
             halve();
         }
     }
@@ -37,19 +41,21 @@
         return (sum() + weight * prior) / (total() + weight);
     }
 
+    /** Drops all counts. */
     public void clear() {
-        java.util.Arrays.fill(counts, 0);
+        Arrays.fill(counts, 0);
     }
 
+    /** The number of values counted. */
     public double total() {
-        double sum = 0;
-        for (double c : counts) {
-            sum += c;
+        double total = 0;
+        for (double count : counts) {
+            total += count;
         }
-        return sum;
+        return total;
     }
 
-    /** What lies in this bin and above. */
+    /** The number of values in a bin and above. */
     public double countFrom(int bin) {
         double sum = 0;
         for (int i = bin; i < counts.length; i++) {
--- a/src/main/java/switchgap/policy/state/IndexAllocator.java
+++ b/src/main/java/switchgap/policy/state/IndexAllocator.java
@@ -4,47 +4,53 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Outside ids to small indices and back; a freed index is handed out again, the lowest freed last first. */
+/** Outside ids to small indices and back; a released index is handed out again, the last released first. */
 public final class IndexAllocator {
+    private static final int INITIAL_CAPACITY = 16;
+    private static final int NONE = -1;
+
     private final Map<Long, Integer> indices = new HashMap<>();
-    private long[] names = new long[16];
-    private int[] free = new int[16];
-    private int freed;
+    private long[] ids = new long[INITIAL_CAPACITY];
+    private int[] released = new int[INITIAL_CAPACITY];
+    private int releasedCount;
     private int used;
 
-    /** The index of a name, or -1. */
-    public int find(long name) {
-        Integer i = indices.get(name);
-        return i == null ? -1 : i;
+    /** The index of an id, or -1. */
+    public int find(long id) {
+        return indices.getOrDefault(id, NONE);
     }
 
-    public int allocate(long name) {
-        Integer known = indices.get(name);
+    /** The index of an id, a new one where it has none. */
+    public int allocate(long id) {
+        Integer known = indices.get(id);
         if (known != null) {
             return known;
         }
-        int i = freed > 0 ? free[--freed] : used++;
-        if (i >= names.length) {
-            names = Arrays.copyOf(names, names.length * 2);
+        int index = releasedCount > 0 ? released[--releasedCount] : used++;
+        if (index >= ids.length) {
+            ids = Arrays.copyOf(ids, ids.length * 2);
         }
-        names[i] = name;
-        indices.put(name, i);
-        return i;
+        ids[index] = id;
+        indices.put(id, index);
+        return index;
     }
 
+    /** The id that has an index. */
     public long idOf(int index) {
-        return names[index];
+        return ids[index];
     }
 
+    /** Frees an index for another id; once is enough. */
     public void release(int index) {
-        if (indices.remove(names[index], index)) {
-            if (freed == free.length) {
-                free = Arrays.copyOf(free, freed * 2);
+        if (indices.remove(ids[index], index)) {
+            if (releasedCount == released.length) {
+                released = Arrays.copyOf(released, releasedCount * 2);
             }
-            free[freed++] = index;
+            released[releasedCount++] = index;
         }
     }
 
+    /** Ids that have an index. */
     public int size() {
         return indices.size();
     }
--- a/src/main/java/switchgap/policy/state/IndexedTable.java
+++ b/src/main/java/switchgap/policy/state/IndexedTable.java
@@ -4,42 +4,47 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** Things by small index; looping passes over the empty places, in the order of the indices. */
+/**
+ * Elements by small index. Iteration passes over empty places, in the order of the indices, and allows
+ * changes on the way.
+ */
 public final class IndexedTable<T> implements Iterable<T> {
-    private final List<T> slots = new ArrayList<>();
+    private final List<T> elements = new ArrayList<>();
 
+    /** The element at an index, or null. */
     public T get(int index) {
-        return index < slots.size() ? slots.get(index) : null;
+        return index < elements.size() ? elements.get(index) : null;
     }
 
-    public T set(int index, T thing) {
-        while (slots.size() <= index) {
-            slots.add(null);
+    /** Sets the element at an index, null to empty the place; returns it. */
+    public T set(int index, T element) {
+        while (elements.size() <= index) {
+            elements.add(null);
         }
-        slots.set(index, thing);
-        return thing;
+        elements.set(index, element);
+        return element;
     }
 
     @Override public Iterator<T> iterator() {
         return new Iterator<>() {
-            private int next = full(0);
+            private int next = occupiedFrom(0);
 
-            private int full(int from) {
-                int i = from;
-                while (i < slots.size() && slots.get(i) == null) {
-                    i++;
+            private int occupiedFrom(int start) {
+                int index = start;
+                while (index < elements.size() && elements.get(index) == null) {
+                    index++;
                 }
-                return i;
+                return index;
             }
 
             @Override public boolean hasNext() {
-                return next < slots.size();
+                return next < elements.size();
             }
 
             @Override public T next() {
-                T each = slots.get(next);
-                next = full(next + 1);
-                return each;
+                T element = elements.get(next);
+                next = occupiedFrom(next + 1);
+                return element;
             }
         };
     }
--- a/src/main/java/switchgap/policy/state/LoadQuotaUsage.java
+++ b/src/main/java/switchgap/policy/state/LoadQuotaUsage.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 
 /**
- * Counts load commands and requests over the quota's window. Commands are counted for a margin longer and requests for a
- * margin shorter, since others may count from another moment. Without a quota nothing is kept.
+ * Counts load commands and requests over the quota's window. Commands are counted for a margin longer and
+ * requests for a margin shorter, since others may count from another moment. Without a quota nothing is kept.
  */
 public final class LoadQuotaUsage {
     private final boolean counts;
--- a/src/main/java/switchgap/policy/state/PolicyState.java
+++ b/src/main/java/switchgap/policy/state/PolicyState.java
@@ -8,8 +8,8 @@
 import switchgap.policy.api.WorkerState;
 
 /**
- * What the parts of one router's policy share: settings, tables, and the time and actions of the tick under way. It keeps
- * account and decides nothing. One thread.
+ * What the parts of one router's policy share: settings, tables, and the time and actions of the tick under
+ * way. It keeps account and decides nothing. One thread.
  */
 public final class PolicyState {
     public final SettingsSnapshot settings;
@@ -162,7 +162,10 @@
         worker.update(entry, memoryMb, comparable ? entry.capacity() : Math.max(1, memoryMb));
     }
 
-    /** The list has come whole: forgets workers that are gone once nothing is out there, and counts the ready ones. */
+    /**
+     * The list has come whole: forgets workers that are gone once nothing is out there, and counts the ready
+     * ones.
+     */
     public void endpointListEnded() {
         readyWorkers = 0;
         readyMemoryMb = 0;
--- a/src/main/java/switchgap/policy/state/RendezvousHash.java
+++ b/src/main/java/switchgap/policy/state/RendezvousHash.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Rendezvous (highest random weight) hashing: ranks workers for a function by a number drawn from both ids, so that all
- * routers rank alike and a worker that joins or leaves moves no other.
+ * Rendezvous (highest random weight) hashing: ranks workers for a function by a number drawn from both ids,
+ * so that all routers rank alike and a worker that joins or leaves moves no other.
  */
 final class RendezvousHash {
     private RendezvousHash() {}
--- a/src/main/java/switchgap/policy/state/Replica.java
+++ b/src/main/java/switchgap/policy/state/Replica.java
@@ -35,7 +35,9 @@
         loadPending = true;
     }
 
-    /** Gives up a replica that this router had loaded; false where it did not, or its worker takes nothing. */
+    /**
+     * Gives up a replica that this router had loaded; false where it did not, or its worker takes nothing.
+     */
     public boolean unloadStarted(boolean workerReady) {
         boolean unloads = workerReady && loadCommandedAt != null;
         if (unloads) {
--- a/src/main/java/switchgap/policy/state/SettingsSnapshot.java
+++ b/src/main/java/switchgap/policy/state/SettingsSnapshot.java
@@ -6,8 +6,8 @@
 import switchgap.policy.api.RouterSettings;
 
 /**
- * The settings as read once at the router's start, since some are parsed at each access. What depends on a permission
- * that is not given is null. The fields are those of {@link RouterSettings}.
+ * The settings as read once at the router's start, since some are parsed at each access. What depends on a
+ * permission that is not given is null. The fields are those of {@link RouterSettings}.
  */
 public final class SettingsSnapshot {
     public final int routerIndex;
--- a/src/main/java/switchgap/policy/state/SlidingWindow.java
+++ b/src/main/java/switchgap/policy/state/SlidingWindow.java
@@ -7,11 +7,12 @@
 public final class SlidingWindow {
     private final ArrayDeque<Duration> times = new ArrayDeque<>();
 
+    /** Notes that it happened. */
     public void add(Duration now) {
         times.add(now);
     }
 
-    /** How often in the span up to now; what is older is dropped for good. */
+    /** How often it happened in the span up to now; what is older is dropped for good. */
     public int countWithin(Duration now, Duration span) {
         while (!times.isEmpty() && span.compareTo(now.minus(times.peekFirst())) < 0) {
             times.pollFirst();
--- a/src/main/java/switchgap/policy/state/Worker.java
+++ b/src/main/java/switchgap/policy/state/Worker.java
@@ -15,7 +15,10 @@
     public final Histogram latencyRatios;
     /** Outcomes there: 0 for a success, 1 for an error. */
     public final Histogram errors;
-    /** Durations there as a ratio to the latency objective; halved each second, so it holds the last one to two. */
+    /**
+     * Durations there as a ratio to the latency objective; halved each second, so it holds the last one to
+     * two.
+     */
     public final Histogram relativeDurations;
     /** Attempts sent while it warms up. */
     public final SlidingWindow sendsWhileCold = new SlidingWindow();
--- a/src/main/java/switchgap/protocol/invoke/InvokeApi.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeApi.java
@@ -260,7 +260,7 @@
     private void look(HttpExchange r, String id, int wait) {
         deferred.tick(now.get());
         switch (deferred.status(id)) {
-            case NEVER -> refuse(r, new ProblemDetails(404, "unknown-call",
+            case UNKNOWN -> refuse(r, new ProblemDetails(404, "unknown-call",
                 "no deferred call is called " + InvokeRequest.brief(id)), null);
             case GONE -> refuse(r,
                 new ProblemDetails(410, "result-gone", "the result of " + id + " is kept no longer"), null);
@@ -301,7 +301,7 @@
             look(r, id, 0);
             return;
         }
-        if (!e.ended() && e.request().state() == PendingRequest.State.PENDING) {
+        if (!e.isEnded() && e.request().state() == PendingRequest.State.PENDING) {
             core.clientLeft(e.request());
             held.decrementAndGet();
         }
--- a/src/main/java/switchgap/router/ActionExecutor.java
+++ b/src/main/java/switchgap/router/ActionExecutor.java
@@ -27,7 +27,10 @@
         transport.startAttempt(attempt, timeout);
     }
 
-    /** Asks what the abandoned exchange proves and ends the attempt in one step: see {@link WorkerTransport#abandon}. */
+    /**
+     * Asks what the abandoned exchange proves and ends the attempt in one step: see {@link
+     * WorkerTransport#abandon}.
+     */
     private void timeOut(Attempt attempt) {
         if (!attempt.ended) {
             core.attemptEnded(attempt, transport.abandon(attempt), LoadReport.NONE, null);
--- a/src/main/java/switchgap/router/AdmissionGate.java
+++ b/src/main/java/switchgap/router/AdmissionGate.java
@@ -1,7 +1,6 @@
 package switchgap.router;
 
 import java.time.Duration;
-import java.util.List;
 import java.util.function.Consumer;
 import switchgap.admission.AdmissionController;
 import switchgap.admission.AdmissionDecision;
@@ -12,95 +11,114 @@
 import switchgap.policy.api.RouterSettings;
 
 /**
- * Where calls are offered: asks the levels, and hands on to the core what passes. What a level pushes back was never
- * executed, so the pushback keeps rules 1 and 2. Runs within the core's rounds.
+ * Where requests are offered: asks the admission controller, and hands on to the core what it admits. What it
+ * rejects was never executed, so the rejection keeps rules 1 and 2. Runs within the core's ticks.
  */
 public final class AdmissionGate {
-    private static final double CROWDED_BY = 1.2; // start targets: a pushback so early found no room
+    /** A rejection within so many latency objectives found no capacity; a later one may have other causes. */
+    private static final double SATURATED_OBJECTIVES = 1.2;
+
     private final RouterCore core;
-    private final RouterSettings terms;
-    private final AdmissionController levels;
-    private final Consumer<ServiceLevelChange> told;
+    private final RouterSettings settings;
+    private final AdmissionController admission; // null: everything is admitted
+    private final Consumer<ServiceLevelChange> changeListener;
 
-    /** Without levels (null) everything passes. Each change of level is told. */
-    public AdmissionGate(RouterCore core, RouterSettings terms, AdmissionController levels,
-        Consumer<ServiceLevelChange> told) {
+    /** Without a controller (null) everything is admitted. Each change of service level is told. */
+    public AdmissionGate(RouterCore core, RouterSettings settings, AdmissionController admission,
+        Consumer<ServiceLevelChange> changeListener) {
         this.core = core;
-        this.terms = terms;
-        this.levels = levels;
-        this.told = told;
-        if (levels != null) {
-            core.observe(new RouterCore.RequestObserver() {
-                @Override public void requestEnded(PendingRequest c, Response a) {
-                    AdmissionGate.this.requestEnded(c, a);
-                }
+        this.settings = settings;
+        this.admission = admission;
+        this.changeListener = changeListener;
+        if (admission != null) {
+            core.observe(new Observer());
+        }
+    }
 
-                @Override public void workerReported(LoadReport l) {
-                    levels.workerReported(l.cpuUtilization());
-                }
-            });
+    /** Tells the controller what became of what it admitted. */
+    private final class Observer implements RouterCore.RequestObserver {
+        @Override public void requestEnded(PendingRequest request, Response response) {
+            admission.requestEnded(core.now(), request.requestClass, outcome(request, response));
+            reportChanges();
+        }
+
+        @Override public void workerReported(LoadReport report) {
+            admission.workerReported(report.cpuUtilization());
         }
     }
 
-    public RouterCore core() { return core; }
+    public RouterCore core() {
+        return core;
+    }
 
-    public AdmissionController admission() { return levels; }
+    /** The controller, or null. */
+    public AdmissionController admission() {
+        return admission;
+    }
 
-    /** Offers a call. False when it was not taken and gets no answer here: no room, or its limit has passed. */
-    public boolean offer(PendingRequest c) {
-        if (levels == null) { return core.accept(c); }
-        AdmissionDecision v = levels.decide(core.now(), c.tenant, c.requestClass, c.function.hashCode());
+    /**
+     * Offers a request. False when it was not accepted and gets no response here: see {@link
+     * RouterCore#accept}.
+     */
+    public boolean offer(PendingRequest request) {
+        if (admission == null) {
+            return core.accept(request);
+        }
+        AdmissionDecision decision = admission.decide(core.now(), request.tenant, request.requestClass,
+            request.function.hashCode());
         reportChanges();
-        if (v.admitted()) { return core.accept(c); }
-        reject(c, v); // deferred ones too: to give up is to answer now
+        if (decision.admitted()) {
+            return core.accept(request);
+        }
+        reject(request, decision); // deferred ones too: to give up is to answer now
         return true;
     }
 
-    private void reject(PendingRequest c, AdmissionDecision v) {
-        if (c.deadline.compareTo(core.now()) <= 0) {
-            c.state = PendingRequest.State.OVERDUE;
-            c.listener.deadlineMissed(c, Response.rejected(v.retryAfter()));
-            return;
+    private void reject(PendingRequest request, AdmissionDecision decision) {
+        Response response = Response.rejected(decision.retryAfter());
+        if (request.deadline.compareTo(core.now()) <= 0) {
+            request.state = PendingRequest.State.OVERDUE;
+            request.listener.deadlineMissed(request, response);
+        } else {
+            request.state = PendingRequest.State.ANSWERED;
+            request.shedBy = decision.level();
+            request.listener.responded(request, response);
         }
-        c.state = PendingRequest.State.ANSWERED;
-        c.shedBy = v.level();
-        c.listener.responded(c, Response.rejected(v.retryAfter()));
     }
 
-    private void requestEnded(PendingRequest c, Response a) {
-        Duration took = core.now().minus(c.acceptedAt);
-        Duration target = terms.latencyObjective(c.requestClass);
-        levels.requestEnded(core.now(), c.requestClass, outcome(c, a, took, target));
-        reportChanges();
-    }
-
-    private static RequestOutcome outcome(PendingRequest c, Response a, Duration took, Duration target) {
-        if (a == null) { return RequestOutcome.OTHER; }
-        return switch (a.kind()) {
-            case SUCCEEDED -> took.compareTo(target) <= 0 ? RequestOutcome.IN_TIME : RequestOutcome.LATE;
-            case REJECTED -> c.attempts.stream().noneMatch(attempt -> attempt.mayHaveExecuted)
-                && took.toNanos() <= target.toNanos() * CROWDED_BY ? RequestOutcome.SATURATED
-                    : RequestOutcome.OTHER;
+    private RequestOutcome outcome(PendingRequest request, Response response) {
+        if (response == null) {
+            return RequestOutcome.OTHER;
+        }
+        Duration took = core.now().minus(request.acceptedAt);
+        Duration objective = settings.latencyObjective(request.requestClass);
+        return switch (response.kind()) {
+            case SUCCEEDED -> took.compareTo(objective) <= 0 ? RequestOutcome.IN_TIME : RequestOutcome.LATE;
+            case REJECTED -> {
+                boolean neverExecuted = request.attempts.stream().noneMatch(
+                    attempt -> attempt.mayHaveExecuted);
+                boolean early = took.toNanos() <= objective.toNanos() * SATURATED_OBJECTIVES;
+                yield neverExecuted && early ? RequestOutcome.SATURATED : RequestOutcome.OTHER;
+            }
             case FAILED -> RequestOutcome.OTHER;
         };
     }
 
-    /** Holds a level for all for a span. */
-    public void pin(ServiceLevel r, Duration span) {
-        levels.pin(core.now(), r, core.now().plus(span));
+    /** Holds a service level for all tenants for a time. */
+    public void pin(ServiceLevel level, Duration duration) {
+        admission.pin(core.now(), level, core.now().plus(duration));
         reportChanges();
     }
 
-    /** Lets time pass for the levels where nothing is offered. */
+    /** Lets time pass for the controller where nothing is offered. */
     public void tick() {
-        if (levels != null) {
-            levels.tick(core.now());
+        if (admission != null) {
+            admission.tick(core.now());
             reportChanges();
         }
     }
 
     private void reportChanges() {
-        List<ServiceLevelChange> fresh = levels.drainChanges();
-        fresh.forEach(told);
+        admission.drainChanges().forEach(changeListener);
     }
 }
--- a/src/main/java/switchgap/router/Attempt.java
+++ b/src/main/java/switchgap/router/Attempt.java
@@ -2,7 +2,10 @@
 
 import java.time.Duration;
 
-/** One attempt of a request at a worker; it ends once, by whichever comes first of its response and its timeout. */
+/**
+ * One attempt of a request at a worker; it ends once, by whichever comes first of its response and its
+ * timeout.
+ */
 public final class Attempt {
     public final PendingRequest request;
     /** Counts the request's attempts from 0. */
--- a/src/main/java/switchgap/router/EndpointTable.java
+++ b/src/main/java/switchgap/router/EndpointTable.java
@@ -11,8 +11,8 @@
 import switchgap.policy.api.WorkerState;
 
 /**
- * The workers of the endpoint list by name and by index. Bounded by the list, which its codec bounds, and by what is in
- * flight at workers that are gone. Belongs to the event loop.
+ * The workers of the endpoint list by name and by index. Bounded by the list, which its codec bounds, and by
+ * what is in flight at workers that are gone. Belongs to the event loop.
  */
 final class EndpointTable {
     private final WorkerTransport transport;
@@ -56,7 +56,9 @@
         policy.endpointListEnded();
     }
 
-    /** A worker with another address is another process: whatever listens at the old one is not this worker. */
+    /**
+     * A worker with another address is another process: whatever listens at the old one is not this worker.
+     */
     private WorkerEntry entryFor(EndpointUpdate update) {
         WorkerEntry known = byName.get(update.name());
         if (known != null && known.port == update.port() && known.host.equals(update.host())) {
--- a/src/main/java/switchgap/router/NameIndex.java
+++ b/src/main/java/switchgap/router/NameIndex.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Names to small indices and back; a released index is handed out again. Not bounded: its owner limits the names. */
+/**
+ * Names to small indices and back; a released index is handed out again. Not bounded: its owner limits the
+ * names.
+ */
 final class NameIndex {
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
--- a/src/main/java/switchgap/router/PendingRequest.java
+++ b/src/main/java/switchgap/router/PendingRequest.java
@@ -7,8 +7,8 @@
 import switchgap.admission.ServiceLevel;
 
 /**
- * A client's request as the router holds it, and how it stands. All times are spans since the router's start. What a
- * client sent is immutable; the rest belongs to the event loop.
+ * A client's request as the router holds it, and how it stands. All times are spans since the router's start.
+ * What a client sent is immutable; the rest belongs to the event loop.
  */
 public final class PendingRequest {
     /** How a request stands. */
@@ -72,7 +72,9 @@
         this.listener = builder.listener;
     }
 
-    /** A request of the first class, without tenant, hint, key and body, until the builder is told otherwise. */
+    /**
+     * A request of the first class, without tenant, hint, key and body, until the builder is told otherwise.
+     */
     public static Builder builder(String id, String function, Duration deadline, ResponseListener listener) {
         return new Builder(id, function, deadline, listener);
     }
@@ -82,11 +84,15 @@
         return Collections.unmodifiableList(attempts);
     }
 
+    /** How it stands. */
     public State state() {
         return state;
     }
 
-    /** Whether anybody still waits for its response: what has not gone out for another one need not go any more. */
+    /**
+     * Whether anybody still waits for its response: what has not gone out for another one need not go any
+     * more.
+     */
     public boolean isAwaited() {
         return state == State.PENDING && !listener.isDisconnected();
     }
@@ -151,6 +157,7 @@
             return this;
         }
 
+        /** The request. */
         public PendingRequest build() {
             return new PendingRequest(this);
         }
--- a/src/main/java/switchgap/router/PendingRequestTable.java
+++ b/src/main/java/switchgap/router/PendingRequestTable.java
@@ -7,7 +7,9 @@
 import java.util.Objects;
 import java.util.function.ToDoubleFunction;
 
-/** Requests that the policy knows, by index. Bounded by whoever accepts requests. Belongs to the event loop. */
+/**
+ * Requests that the policy knows, by index. Bounded by whoever accepts requests. Belongs to the event loop.
+ */
 final class PendingRequestTable {
     private final List<PendingRequest> byIndex = new ArrayList<>();
     private final List<Integer> freeIndices = new ArrayList<>();
--- a/src/main/java/switchgap/router/ResponseListener.java
+++ b/src/main/java/switchgap/router/ResponseListener.java
@@ -6,12 +6,15 @@
     void responded(PendingRequest request, Response response);
 
     /**
-     * The deadline passed before this response could be passed on; whether anything may still be sent is the protocol's
-     * to say.
+     * The deadline passed before this response could be passed on; whether anything may still be sent is the
+     * protocol's to say.
      */
     void deadlineMissed(PendingRequest request, Response late);
 
-    /** Whether the client is known to have gone, though that has yet to be taken in: nothing goes out for it any more. */
+    /**
+     * Whether the client is known to have gone, though that has yet to be taken in: nothing goes out for it
+     * any more.
+     */
     default boolean isDisconnected() {
         return false;
     }
--- a/src/main/java/switchgap/router/RouterCore.java
+++ b/src/main/java/switchgap/router/RouterCore.java
@@ -17,9 +17,10 @@
 import switchgap.policy.api.RouterSettings;
 
 /**
- * One router under one policy. Its owner calls {@link #tick} from one thread with the events since the last one; the
- * event methods below are for those events only. It decides nothing that the policy decides; it keeps what is mechanical
- * about the rules: one response a request, none past its deadline, one end an attempt.
+ * One router under one policy. Its owner calls {@link #tick} from one thread with the events since the last
+ * one; the event methods below are for those events only. It decides nothing that the policy decides; it
+ * keeps what is mechanical about the rules: one response a request, none past its deadline, one end an
+ * attempt.
  */
 public final class RouterCore {
     private final RouterSettings settings;
@@ -98,7 +99,9 @@
         return requests.pending();
     }
 
-    /** What must be none once all is over: requests known to the policy, with or without attempts in flight. */
+    /**
+     * What must be none once all is over: requests known to the policy, with or without attempts in flight.
+     */
     public int unsettledRequests() {
         return requests.unsettled();
     }
@@ -111,8 +114,8 @@
     // ------------------------------------------------------------------ events
 
     /**
-     * A request came. Accepted: it gets one final response. Not accepted (false): its deadline has passed, or too many
-     * functions are known.
+     * A request came. Accepted: it gets one final response. Not accepted (false): its deadline has passed, or
+     * too many functions are known.
      */
     public boolean accept(PendingRequest request) {
         boolean tooManyFunctions = functions.find(request.function) < 0 && functions.size() >= maxFunctions;
@@ -144,8 +147,9 @@
     }
 
     /**
-     * An attempt ended; the first end counts, a later one is a late response and reaches nobody. A response that comes
-     * when the deadline has passed (a pause) is told as such: most protocols send nothing after a deadline.
+     * An attempt ended; the first end counts, a later one is a late response and reaches nobody. A response
+     * that comes when the deadline has passed (a pause) is told as such: most protocols send nothing after a
+     * deadline.
      */
     public void attemptEnded(Attempt attempt, AttemptOutcome outcome, LoadReport report, Response response) {
         if (attempt.ended) {
--- a/src/main/java/switchgap/router/TimerQueue.java
+++ b/src/main/java/switchgap/router/TimerQueue.java
@@ -6,7 +6,10 @@
 
 /** What is due when, in order; equal times in the order they were set. Belongs to the event loop. */
 final class TimerQueue {
-    /** Cancelled timers are cleared out past so many, once they are the larger part: they must not pile up until due. */
+    /**
+     * Cancelled timers are cleared out past so many, once they are the larger part: they must not pile up
+     * until due.
+     */
     private static final int MIN_CANCELLED_TO_CLEAR = 1024;
 
     /** A timer that was set; its task is null once it ran or was cancelled. */
--- a/src/main/java/switchgap/router/WorkerEntry.java
+++ b/src/main/java/switchgap/router/WorkerEntry.java
@@ -8,7 +8,10 @@
     public final String name;
     public final String host;
     public final int port;
-    /** Whether anything new may go out to it: what was decided before it drained may still wait for a connection. */
+    /**
+     * Whether anything new may go out to it: what was decided before it drained may still wait for a
+     * connection.
+     */
     public volatile boolean accepting = true;
     /** State that the transport keeps with it; the core does not read it. */
     public volatile Object attachment;
--- a/src/main/java/switchgap/router/WorkerTransport.java
+++ b/src/main/java/switchgap/router/WorkerTransport.java
@@ -4,22 +4,22 @@
 import switchgap.policy.api.AttemptOutcome;
 
 /**
- * What the core asks of the network. Called on the event loop; none of these methods calls back before it returns: what
- * follows comes as an event.
+ * What the core asks of the network. Called on the event loop; none of these methods calls back before it
+ * returns: what follows comes as an event.
  */
 public interface WorkerTransport {
     /** Starts an attempt; its end is told by {@link RouterCore#attemptEnded}. */
     void startAttempt(Attempt attempt, Duration timeout);
 
     /**
-     * Ends an attempt's exchange: a late response must reach nobody. Tells what that proves: NOT_SENT or CONNECT_FAILED
-     * where no byte of it went out and none will, else TIMED_OUT.
+     * Ends an attempt's exchange: a late response must reach nobody. Tells what that proves: NOT_SENT or
+     * CONNECT_FAILED where no byte of it went out and none will, else TIMED_OUT.
      */
     AttemptOutcome abandon(Attempt attempt);
 
     /**
-     * Commands a worker to load so many replicas of a function, or with 0 asks how many are loaded; the end is told by
-     * {@link RouterCore#loadCommandEnded}.
+     * Commands a worker to load so many replicas of a function, or with 0 asks how many are loaded; the end
+     * is told by {@link RouterCore#loadCommandEnded}.
      */
     void requestReplicas(WorkerEntry worker, String function, int replicas, WorkerCommand command);
 
@@ -33,8 +33,8 @@
     void abandon(WorkerCommand command);
 
     /**
-     * A worker takes nothing new; for good where it is forgotten or has another address. What waits for a connection
-     * to it is told so at once, not at its timeout.
+     * A worker takes nothing new; for good where it is forgotten or has another address. What waits for a
+     * connection to it is told so at once, not at its timeout.
      */
     default void stopAccepting(WorkerEntry worker, boolean forGood) {}
 
