--- a/src/main/java/switchgap/router/AdmissionGate.java
+++ b/src/main/java/switchgap/router/AdmissionGate.java
@@ -47,6 +47,7 @@
         }
     }
 
+    /** The core that admitted requests go to. */
     public RouterCore core() {
         return core;
     }
