--- a/src/test/java/switchgap/policy/PolicyHarness.java
+++ b/src/test/java/switchgap/policy/PolicyHarness.java
@@ -28,21 +28,21 @@
 /** The tests' one helper: terms that a test changes, one router under them, and its decisions as printed lines. */
 final class PolicyHarness implements PolicyActions {
     static class TestSettings implements RouterSettings {
-        Idempotency repeat = Idempotency.IDEMPOTENT;
-        DeduplicationScope group = DeduplicationScope.ALL;
-        boolean loads;
-        int routers = 2;
-        int me;
-        double free = 0;
-        double share = 0;
-        Duration span = Duration.ZERO;
-        double price = 0;
+        Idempotency idempotency = Idempotency.IDEMPOTENT;
+        DeduplicationScope deduplicationScope = DeduplicationScope.ALL;
+        boolean loadsOnDemand;
+        int routerCount = 2;
+        int routerIndex;
+        double loadQuotaBase = 0;
+        double loadQuotaPerRequest = 0;
+        Duration loadQuotaWindow = Duration.ZERO;
+        double idleMemoryPrice = 0;
         double probePrice = 0;
-        int executions = 4;
+        int maxAttempts = 4;
 
-        @Override public int routerIndex() { return me; }
+        @Override public int routerIndex() { return routerIndex; }
 
-        @Override public int routerCount() { return routers; }
+        @Override public int routerCount() { return routerCount; }
 
         @Override public int zone() { return 0; }
 
@@ -50,19 +50,19 @@
 
         @Override public int requestClassCount() { return 1; }
 
-        @Override public Duration latencyObjective(int w) { return ms(400); }
+        @Override public Duration latencyObjective(int worker) { return ms(400); }
 
-        @Override public Duration requestTimeout(int w) { return ms(2000); }
+        @Override public Duration requestTimeout(int worker) { return ms(2000); }
 
-        @Override public double priorityWeight(int w) { return 1; }
+        @Override public double priorityWeight(int worker) { return 1; }
 
-        @Override public double lateValueShare(int w) { return 0.2; }
+        @Override public double lateValueShare(int worker) { return 0.2; }
 
-        @Override public Idempotency idempotency(int w) { return repeat; }
+        @Override public Idempotency idempotency(int worker) { return idempotency; }
 
-        @Override public DeduplicationScope deduplicationScope(int w) { return group; }
+        @Override public DeduplicationScope deduplicationScope(int worker) { return deduplicationScope; }
 
-        @Override public Duration deduplicationWindow(int w) { return ms(1000); }
+        @Override public Duration deduplicationWindow(int worker) { return ms(1000); }
 
         @Override public int tenantCount() { return 0; }
 
@@ -70,7 +70,7 @@
 
         @Override public double overQuotaWeight() { return 0.2; }
 
-        @Override public int maxAttempts() { return executions; }
+        @Override public int maxAttempts() { return maxAttempts; }
 
         @Override public boolean hedgingAllowed() { return false; }
 
@@ -90,19 +90,19 @@
 
         @Override public Duration coldOverloadWindow() { return ms(1000); }
 
-        @Override public boolean loadsOnDemand() { return loads; }
+        @Override public boolean loadsOnDemand() { return loadsOnDemand; }
 
         @Override public boolean loadCommandsAllowed() { return true; }
 
         @Override public Duration replicaIdleTimeout() { return ms(10_000); }
 
-        @Override public double loadQuotaBase() { return free; }
+        @Override public double loadQuotaBase() { return loadQuotaBase; }
 
-        @Override public double loadQuotaPerRequest() { return share; }
+        @Override public double loadQuotaPerRequest() { return loadQuotaPerRequest; }
 
-        @Override public Duration loadQuotaWindow() { return span; }
+        @Override public Duration loadQuotaWindow() { return loadQuotaWindow; }
 
-        @Override public double idleMemoryPrice() { return price; }
+        @Override public double idleMemoryPrice() { return idleMemoryPrice; }
 
         @Override public double[] workerKindMemory() { return new double[] {4000}; }
 
@@ -117,16 +117,16 @@
         @Override public Duration endpointPollInterval() { return ms(10_000); }
     }
 
-    private final RoutingPolicy decide;
+    private final RoutingPolicy policy;
     private final List<String> lines = new ArrayList<>();
     private int at;
     int wakes;
     /** Told of each load order: the worker and the function. */
-    BiConsumer<Integer, Integer> onHold = (w, f) -> {};
+    BiConsumer<Integer, Integer> onLoad = (worker, function) -> {};
     private final Map<Integer, Integer> sent = new HashMap<>();
 
     PolicyHarness(RouterSettings terms) {
-        decide = new RoutingPolicy(terms, 7);
+        policy = new RoutingPolicy(terms, 7);
     }
 
     static Duration ms(long n) {
@@ -136,62 +136,65 @@
     /** A round at this time, with what comes in; no event is a round for the clock alone. */
     PolicyHarness at(int millis, Consumer<PolicyEvents> events) {
         at = millis;
-        decide.tick(ms(millis), events::accept, this);
+        policy.tick(ms(millis), events::accept, this);
         return this;
     }
 
     /** Rounds for the clock alone, each 20 ms. */
     PolicyHarness until(int millis) {
-        for (int t = at + 20; t <= millis; t += 20) {
-            at(t, f -> f.wakeUp(0));
+        for (int time = at + 20; time <= millis; time += 20) {
+            at(time, events -> events.wakeUp(0));
         }
         return this;
     }
 
-    static void list(PolicyEvents f, int workers) {
-        f.endpointListStarted(true);
-        for (int w = 0; w < workers; w++) {
-            worker(f, w, WorkerState.READY, null);
+    static void list(PolicyEvents events, int workers) {
+        events.endpointListStarted(true);
+        for (int worker = 0; worker < workers; worker++) {
+            worker(events, worker, WorkerState.READY, null);
         }
-        f.endpointListEnded();
+        events.endpointListEnded();
     }
 
-    static void change(PolicyEvents f, int worker, WorkerState standing, Duration started) {
-        f.endpointListStarted(false);
-        worker(f, worker, standing, started);
-        f.endpointListEnded();
+    static void change(PolicyEvents events, int worker, WorkerState standing, Duration started) {
+        events.endpointListStarted(false);
+        worker(events, worker, standing, started);
+        events.endpointListEnded();
     }
 
-    private static void worker(PolicyEvents f, int w, WorkerState standing, Duration started) {
-        f.endpointListed(new EndpointEntry(w, 1000 + w, standing, w % 2, w % 2, 0, 1, started));
+    private static void worker(PolicyEvents events, int worker, WorkerState standing, Duration started) {
+        events.endpointListed(
+            new EndpointEntry(worker, 1000 + worker, standing, worker % 2, worker % 2, 0, 1, started));
     }
 
-    void job(PolicyEvents f, int job, int function) {
-        job(f, job, function, 2000);
+    void requestArrives(PolicyEvents events, int job, int function) {
+        requestArrives(events, job, function, 2000);
     }
 
-    void job(PolicyEvents f, int job, int function, int left) {
-        f.requestArrived(new RequestArrival(job, 0, 0, function, 50 + function, ms(at + left), null, 100, 2));
+    void requestArrives(PolicyEvents events, int job, int function, int left) {
+        events.requestArrived(
+            new RequestArrival(job, 0, 0, function, 50 + function, ms(at + left), null, 100, 2));
     }
 
-    void end(PolicyEvents f, int job, int execution, int worker, AttemptOutcome end, int took, int crowd) {
-        f.attemptEnded(new AttemptResult(job, execution, worker, end, ms(took),
+    void attemptEnds(PolicyEvents events, int job, int execution, int worker, AttemptOutcome end, int took,
+        int crowd) {
+        events.attemptEnded(new AttemptResult(job, execution, worker, end, ms(took),
             end == AttemptOutcome.SUCCEEDED, LoadReport.ofConcurrency(crowd)));
     }
 
     /** The copy target of a function. */
-    int target(int function) {
+    int targetReplicas(int function) {
         return functions().get(function).targetReplicas;
     }
 
     @SuppressWarnings("unchecked") private IndexedTable<Function> functions() {
-        return (IndexedTable<Function>) ReachableObjects.field(ReachableObjects.field(decide, "state"),
+        return (IndexedTable<Function>) ReachableObjects.field(ReachableObjects.field(policy, "state"),
             "functions");
     }
 
     /** All that the module holds: elements of its tables. */
-    long held() {
-        return ReachableObjects.by(decide, this);
+    long reachableElements() {
+        return ReachableObjects.by(policy, this);
     }
 
     String trace() {
@@ -199,65 +202,65 @@
     }
 
     /** Executions of a job so far. */
-    int tries(int job) {
-        return (int) lines.stream().filter(l -> l.contains(" send job " + job + " ")).count();
+    int attemptsOf(int job) {
+        return (int) lines.stream().filter(line -> line.contains(" send job " + job + " ")).count();
     }
 
     /** Where a job was sent last, -1 if nowhere. */
     int sentTo(int job) { return sent.getOrDefault(job, -1); }
 
     long count(String start) {
-        return lines.stream().filter(l -> l.contains(" " + start)).count();
+        return lines.stream().filter(line -> line.contains(" " + start)).count();
     }
 
-    static String kept(String name) throws IOException {
+    static String keptTrace(String name) throws IOException {
         try (InputStream in = PolicyHarness.class.getResourceAsStream(name + ".txt")) {
             return in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
-    private void say(String what) {
+    private void record(String what) {
         lines.add(at + " " + what);
     }
 
     @Override public void startAttempt(int job, int worker, Duration allow) {
         sent.put(job, worker);
-        say("send job " + job + " to worker " + worker + " for " + allow.toMillis() + " ms");
+        record("send job " + job + " to worker " + worker + " for " + allow.toMillis() + " ms");
     }
 
     @Override public void cancelAttempt(int job, int execution) {
-        say("cancel job " + job + " execution " + execution);
+        record("cancel job " + job + " execution " + execution);
     }
 
-    @Override public void reject(int job, Duration comeBack) { say("push back job " + job); }
+    @Override public void reject(int job, Duration comeBack) { record("push back job " + job); }
 
-    @Override public void fail(int job) { say("kill job " + job); }
+    @Override public void fail(int job) { record("kill job " + job); }
 
     @Override public void load(int worker, int function) {
-        onHold.accept(worker, function);
-        say("hold function " + function + " at worker " + worker);
+        onLoad.accept(worker, function);
+        record("hold function " + function + " at worker " + worker);
     }
 
     @Override public void queryReplicas(int worker, int function) {
-        say("ask function " + function + " at worker " + worker);
+        record("ask function " + function + " at worker " + worker);
     }
 
     @Override public void unload(int worker, int function) {
-        say("drop function " + function + " at worker " + worker);
+        record("drop function " + function + " at worker " + worker);
     }
 
-    @Override public void probe(int worker) { say("probe worker " + worker); }
+    @Override public void probe(int worker) { record("probe worker " + worker); }
 
     @Override public void scheduleWakeUp(Duration after, long token) { wakes++; }
 
-    @Override public void subscribeToEndpoints() { say("subscribe"); }
+    @Override public void subscribeToEndpoints() { record("subscribe"); }
 
     @Override public void releaseRequest(int job) {
         sent.remove(job);
-        say("forget job " + job);
+        record("forget job " + job);
     }
 
-    @Override public void releaseFunction(int function) { say("forget function " + function); }
+    @Override public void releaseFunction(int function) { record("forget function " + function); }
 
-    @Override public void releaseWorker(int worker) { say("forget worker " + worker); }
+    @Override public void releaseWorker(int worker) { record("forget worker " + worker); }
 }
--- a/src/test/java/switchgap/policy/RoutingInvariantsTest.java
+++ b/src/test/java/switchgap/policy/RoutingInvariantsTest.java
@@ -51,7 +51,7 @@
         Duration first;
     }
 
-    private final PolicyHarness.TestSettings said = new PolicyHarness.TestSettings();
+    private final PolicyHarness.TestSettings settings = new PolicyHarness.TestSettings();
     private final IndexAllocator jobs = new IndexAllocator(), workers = new IndexAllocator(),
         functions = new IndexAllocator();
     private final TreeMap<Duration, List<Consumer<PolicyEvents>>> due = new TreeMap<>();
@@ -62,81 +62,85 @@
     private final ArrayDeque<Duration> holds = new ArrayDeque<>(), came = new ArrayDeque<>();
     private SplittableRandom draw = new SplittableRandom(1);
     private Duration now = Duration.ZERO;
-    private RoutingPolicy decide;
+    private RoutingPolicy policy;
     private int sends, repeats, answers, held, wakes;
     private long next;
 
     private void later(long millis, Consumer<PolicyEvents> event) {
-        due.computeIfAbsent(now.plus(ms(millis)), t -> new ArrayList<>()).add(event);
+        due.computeIfAbsent(now.plus(ms(millis)), time -> new ArrayList<>()).add(event);
     }
 
     private void run(Duration until) {
         while (!due.isEmpty() && due.firstKey().compareTo(until) <= 0) {
             Map.Entry<Duration, List<Consumer<PolicyEvents>>> e = due.pollFirstEntry();
             now = e.getKey();
-            decide.tick(now, f -> e.getValue().forEach(x -> x.accept(f)), this);
+            policy.tick(now, events -> e.getValue().forEach(x -> x.accept(events)), this);
         }
     }
 
-    private void job(PolicyEvents f, String function) {
+    private void job(PolicyEvents events, String function) {
         int j = jobs.allocate(next++);
         Job job = new Job();
         job.limit = now.plus(ms(200 + draw.nextInt(1800)));
         open.put(j, job);
         came.add(now);
         long mark = function.hashCode();
-        f.requestArrived(
+        events.requestArrived(
             new RequestArrival(j, 0, 0, functions.allocate(mark), mark, job.limit, null, 100, 2));
         if (draw.nextInt(40) == 0) {
-            later(draw.nextInt(300), g -> {
+            later(draw.nextInt(300), later -> {
                 if (open.get(j) == job && !job.closed) {
                     job.closed = true;
-                    g.clientLeft(j);
+                    later.clientLeft(j);
                 }
             });
         }
     }
 
-    private void list(PolicyEvents f, boolean whole) {
-        f.endpointListStarted(whole);
-        standing.forEach((name, s) -> {
-            if (s == WorkerState.GONE && workers.find(name) < 0) { return; }
-            f.endpointListed(new EndpointEntry(workers.allocate(name), name, s, (int) (name % 2),
+    private void list(PolicyEvents events, boolean whole) {
+        events.endpointListStarted(whole);
+        standing.forEach((name, state) -> {
+            if (state == WorkerState.GONE && workers.find(name) < 0) { return; }
+            events.endpointListed(new EndpointEntry(workers.allocate(name), name, state, (int) (name % 2),
                 (int) (name % 3), 0, 1, started.get(name)));
         });
-        f.endpointListEnded();
+        events.endpointListEnded();
     }
 
-    private void change(PolicyEvents f) {
+    private void change(PolicyEvents events) {
         long name = 1000 + draw.nextInt(WORKERS);
-        WorkerState s = WorkerState.values()[draw.nextInt(3)];
-        standing.put(name, s);
-        if (s == WorkerState.READY && draw.nextBoolean()) {
+        WorkerState state = WorkerState.values()[draw.nextInt(3)];
+        standing.put(name, state);
+        if (state == WorkerState.READY && draw.nextBoolean()) {
             started.put(name, now.minus(ms(draw.nextInt(2000))));
         }
-        list(f, draw.nextBoolean());
+        list(events, draw.nextBoolean());
     }
 
     /** So many seconds of jobs, each some milliseconds after the last, then quiet until all is over. */
     private void day(int seed, int seconds, int everyMillis, int changeMillis, int functions) {
         draw = new SplittableRandom(seed);
-        if (decide == null) { decide = new RoutingPolicy(said, seed); }
-        later(0, f -> {
-            for (long w = 0; w < WORKERS; w++) { standing.putIfAbsent(1000 + w, WorkerState.READY); }
-            list(f, true);
+        if (policy == null) { policy = new RoutingPolicy(settings, seed); }
+        later(0, events -> {
+            for (long worker = 0; worker < WORKERS; worker++) {
+                standing.putIfAbsent(1000 + worker, WorkerState.READY);
+            }
+            list(events, true);
         });
-        for (long t = 1; t < seconds * 1000L; t += 1 + draw.nextInt(2 * everyMillis)) {
+        for (long time = 1; time < seconds * 1000L; time += 1 + draw.nextInt(2 * everyMillis)) {
             String name = "f" + draw.nextInt(functions);
-            later(t, f -> job(f, name));
+            later(time, events -> job(events, name));
         }
-        for (long t = 3000; t < seconds * 1000L; t += 1 + draw.nextInt(2 * changeMillis)) {
-            later(t, this::change);
+        for (long time = 3000; time < seconds * 1000L; time += 1 + draw.nextInt(2 * changeMillis)) {
+            later(time, this::change);
         }
         Duration end = now.plus(ms(seconds * 1000L + 40_000));
         run(end.minus(ms(1000)));
-        later(0, f -> {
-            for (long w = 0; w < WORKERS; w++) { standing.put(1000 + w, WorkerState.READY); }
-            list(f, true);
+        later(0, events -> {
+            for (long worker = 0; worker < WORKERS; worker++) {
+                standing.put(1000 + worker, WorkerState.READY);
+            }
+            list(events, true);
         });
         run(end);
     }
@@ -145,9 +149,9 @@
         assertThat(open).isEmpty();
         assertThat(jobs.size()).isZero();
         assertThat(functions.size()).isZero();
-        assertThat(ReachableObjects.field(ReachableObjects.field(decide, "loader"), "pendingLoads")).as(
+        assertThat(ReachableObjects.field(ReachableObjects.field(policy, "loader"), "pendingLoads")).as(
             "orders counted as out").isEqualTo(0);
-        for (Object w : (Iterable<?>) ReachableObjects.field(ReachableObjects.field(decide, "state"),
+        for (Object w : (Iterable<?>) ReachableObjects.field(ReachableObjects.field(policy, "state"),
             "workers")) {
             for (String tally : new String[] {"inFlight", "waitingForLoad", "pendingCommands",
                 "queuedAhead"}) {
@@ -162,14 +166,14 @@
         "IDEMPOTENT_WITH_KEY,ZONE,2,false", "IDEMPOTENT_WITH_KEY,CELL,2,true",
         "IDEMPOTENT_WITH_KEY,ALL,200,false", "IDEMPOTENT,ALL,200,true"}) void theRulesHoldAmidDrawnEvents(
             Idempotency repeat, DeduplicationScope group, int routers, boolean loads) {
-        said.repeat = repeat;
-        said.group = group;
-        said.routers = routers;
-        said.loads = loads;
-        said.price = 0.05;
-        said.free = 3;
-        said.share = 0.15;
-        said.span = ms(5000);
+        settings.idempotency = repeat;
+        settings.deduplicationScope = group;
+        settings.routerCount = routers;
+        settings.loadsOnDemand = loads;
+        settings.idleMemoryPrice = 0.05;
+        settings.loadQuotaBase = 3;
+        settings.loadQuotaPerRequest = 0.15;
+        settings.loadQuotaWindow = ms(5000);
         for (int seed = 1; seed <= 6; seed++) {
             day(seed, 60, 15, 3000, 12);
             nothingIsLeft();
@@ -181,14 +185,14 @@
 
     /** What is held after three days of jobs, functions and workers that come and go is what was held after one. */
     @Test void nothingGrowsOverDays() {
-        said.free = 3;
-        said.share = 0.15;
-        said.span = ms(5000);
+        settings.loadQuotaBase = 3;
+        settings.loadQuotaPerRequest = 0.15;
+        settings.loadQuotaWindow = ms(5000);
         long[] after = new long[3];
         for (int d = 0; d < 3; d++) {
             day(d, 24 * 3600, 5000, 60_000, 40 + 40 * d);
             nothingIsLeft();
-            after[d] = ReachableObjects.by(decide, this);
+            after[d] = ReachableObjects.by(policy, this);
         }
         assertThat(after[2]).isLessThan(after[0] + 200);
     }
@@ -196,51 +200,52 @@
     // ---- decisions, each held against the rules
 
     @Override public void startAttempt(int job, int worker, Duration allow) {
-        Job j = open.get(job);
-        assertThat(j.closed).as("rule 1: sent after the answer").isFalse();
+        Job request = open.get(job);
+        assertThat(request.closed).as("rule 1: sent after the answer").isFalse();
         assertThat(now.plus(allow)).as("rule 1: two ticks before the limit").isLessThanOrEqualTo(
-            j.limit.minus(ms(10)));
+            request.limit.minus(ms(10)));
         ready(worker);
-        boolean mayHaveRun = j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted());
-        if (said.repeat == Idempotency.NON_IDEMPOTENT) {
+        boolean mayHaveRun = request.out > 0
+            || request.ends.stream().anyMatch(outcome -> !outcome.neverExecuted());
+        if (settings.idempotency == Idempotency.NON_IDEMPOTENT) {
             assertThat(mayHaveRun).as("rule 2: run-once").isFalse();
         }
-        if (said.repeat == Idempotency.IDEMPOTENT_WITH_KEY && mayHaveRun) {
-            long a = workers.idOf(j.at.get(anchor(j)));
+        if (settings.idempotency == Idempotency.IDEMPOTENT_WITH_KEY && mayHaveRun) {
+            long a = workers.idOf(request.at.get(anchor(request)));
             long b = workers.idOf(worker);
-            if (said.group != DeduplicationScope.ALL) {
+            if (settings.deduplicationScope != DeduplicationScope.ALL) {
                 assertThat(b % 2).as("rule 2: zone").isEqualTo(a % 2);
             }
-            if (said.group == DeduplicationScope.CELL) {
+            if (settings.deduplicationScope == DeduplicationScope.CELL) {
                 assertThat(b % 3).as("rule 2: cell").isEqualTo(a % 3);
             }
-            assertThat(now.minus(j.first)).as("rule 2: memory").isLessThan(ms(1000 - 10));
+            assertThat(now.minus(request.first)).as("rule 2: memory").isLessThan(ms(1000 - 10));
         }
-        assertThat(j.out).as("one execution at a time").isZero();
-        if (!mayHaveRun) { j.first = now; }
+        assertThat(request.out).as("one execution at a time").isZero();
+        if (!mayHaveRun) { request.first = now; }
         cold(worker);
-        int x = j.at.size();
+        int x = request.at.size();
         repeats += x > 0 ? 1 : 0;
         sends++;
-        j.at.add(worker);
-        j.ends.add(AttemptOutcome.TIMED_OUT); // until it is known better
-        j.out++;
+        request.at.add(worker);
+        request.ends.add(AttemptOutcome.TIMED_OUT); // until it is known better
+        request.out++;
         AttemptOutcome end = ENDS[draw.nextInt(ENDS.length)];
         long took = end == AttemptOutcome.TIMED_OUT ? allow.toMillis()
             : Math.min(allow.toMillis(), 1 + draw.nextInt(120));
-        later(took, f -> {
-            j.ends.set(x, end);
-            j.out--;
-            if (end == AttemptOutcome.SUCCEEDED && !j.closed) { closed(job, j); }
-            f.attemptEnded(new AttemptResult(job, x, worker, end, ms(took), j.closed,
+        later(took, events -> {
+            request.ends.set(x, end);
+            request.out--;
+            if (end == AttemptOutcome.SUCCEEDED && !request.closed) { closed(job, request); }
+            events.attemptEnded(new AttemptResult(job, x, worker, end, ms(took), request.closed,
                 LoadReport.ofConcurrency(draw.nextInt(4) - 1)));
         });
     }
 
     /** The first execution that may have run. */
-    private static int anchor(Job j) {
+    private static int anchor(Job request) {
         int i = 0;
-        while (j.ends.get(i).neverExecuted()) { i++; }
+        while (request.ends.get(i).neverExecuted()) { i++; }
         return i;
     }
 
@@ -258,38 +263,42 @@
         assertThat(sent.size()).as("rule 4").isLessThanOrEqualTo(25);
     }
 
-    private void closed(int job, Job j) {
-        j.closed = true;
+    private void closed(int job, Job request) {
+        request.closed = true;
         answers++;
-        assertThat(now).as("rule 1: before the limit").isLessThan(j.limit);
+        assertThat(now).as("rule 1: before the limit").isLessThan(request.limit);
     }
 
     @Override public void reject(int job, Duration comeBack) {
-        Job j = open.get(job);
-        assertThat(j.closed).as("rule 1: answered twice").isFalse();
-        boolean mayHaveRun = j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted());
-        assertThat(mayHaveRun && (said.repeat == Idempotency.NON_IDEMPOTENT
-            || said.repeat == Idempotency.IDEMPOTENT_WITH_KEY && said.group != DeduplicationScope.ALL)).as(
-                "rule 2: pushed back").isFalse();
-        closed(job, j);
+        Job request = open.get(job);
+        assertThat(request.closed).as("rule 1: answered twice").isFalse();
+        boolean mayHaveRun = request.out > 0
+            || request.ends.stream().anyMatch(outcome -> !outcome.neverExecuted());
+        assertThat(mayHaveRun && (settings.idempotency == Idempotency.NON_IDEMPOTENT
+            || settings.idempotency == Idempotency.IDEMPOTENT_WITH_KEY
+                && settings.deduplicationScope != DeduplicationScope.ALL)).as(
+                    "rule 2: pushed back").isFalse();
+        closed(job, request);
     }
 
     @Override public void fail(int job) {
-        Job j = open.get(job);
-        assertThat(j.closed).as("rule 1: answered twice").isFalse();
-        assertThat(j.out > 0 || j.ends.stream().anyMatch(e -> !e.neverExecuted())).as(
+        Job request = open.get(job);
+        assertThat(request.closed).as("rule 1: answered twice").isFalse();
+        assertThat(request.out > 0 || request.ends.stream().anyMatch(outcome -> !outcome.neverExecuted())).as(
             "killed for nothing").isTrue();
-        closed(job, j);
+        closed(job, request);
     }
 
     @Override public void load(int worker, int function) {
         ready(worker);
         held++;
         holds.add(now);
-        while (now.minus(holds.peek()).compareTo(said.span) > 0) { holds.poll(); }
-        while (!came.isEmpty() && now.minus(came.peek()).compareTo(said.span) > 0) { came.poll(); }
+        while (now.minus(holds.peek()).compareTo(settings.loadQuotaWindow) > 0) { holds.poll(); }
+        while (!came.isEmpty() && now.minus(came.peek()).compareTo(settings.loadQuotaWindow) > 0) {
+            came.poll();
+        }
         assertThat((double) holds.size()).as("rule 5").isLessThanOrEqualTo(
-            said.free + said.share * came.size());
+            settings.loadQuotaBase + settings.loadQuotaPerRequest * came.size());
         commandEndsLater(worker, function);
     }
 
@@ -299,7 +308,7 @@
         AttemptOutcome end = draw.nextInt(3) > 0 ? AttemptOutcome.SUCCEEDED
             : draw.nextBoolean() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECTION_LOST;
         long took = end == AttemptOutcome.TIMED_OUT ? 10_000 : 5 + draw.nextInt(1500);
-        later(took, f -> f.loadCommandEnded(
+        later(took, events -> events.loadCommandEnded(
             new LoadCommandResult(worker, function, end, ms(took), end == AttemptOutcome.SUCCEEDED ? 1 : 0)));
     }
 
@@ -309,10 +318,10 @@
 
     @Override public void probe(int worker) {
         String name = String.valueOf(workers.idOf(worker));
-        later(2, f -> {
+        later(2, events -> {
             int w = workers.find(Long.parseLong(name));
             if (w >= 0) {
-                f.probeEnded(new ProbeResult(w, AttemptOutcome.SUCCEEDED,
+                events.probeEnded(new ProbeResult(w, AttemptOutcome.SUCCEEDED,
                     new LoadReport(0.3, draw.nextInt(5), 0, -1)));
             }
         });
@@ -320,15 +329,15 @@
 
     @Override public void scheduleWakeUp(Duration after, long token) {
         wakes++;
-        due.computeIfAbsent(now.plus(after), t -> new ArrayList<>()).add(f -> f.wakeUp(token));
+        due.computeIfAbsent(now.plus(after), time -> new ArrayList<>()).add(events -> events.wakeUp(token));
     }
 
     @Override public void subscribeToEndpoints() {}
 
     @Override public void releaseRequest(int job) {
-        Job j = open.remove(job);
-        assertThat(j.closed).isTrue();
-        assertThat(j.out).isZero();
+        Job request = open.remove(job);
+        assertThat(request.closed).isTrue();
+        assertThat(request.out).isZero();
         jobs.release(job);
     }
 
--- a/src/test/java/switchgap/router/BoundsTest.java
+++ b/src/test/java/switchgap/router/BoundsTest.java
@@ -14,38 +14,40 @@
     private static Response answer(int bytes) { return Response.succeeded(200, Map.of(), new byte[bytes]); }
 
     @Test void deferredResultsMakeRoomOldestFirstAndCallsThatAreHeldNever() {
-        DeferredResults d = new DeferredResults("p", Duration.ofMinutes(5), 3, 1000);
-        List<DeferredResults.Entry> e = new ArrayList<>(List.of(d.reserve(), d.reserve(), d.reserve()));
-        assertThat(d.reserve()).isNull(); // all held
-        e.get(1).responded(null, answer(10));
-        e.get(0).responded(null, answer(10));
-        assertThat(d.reserve()).isNotNull(); // the oldest result went
-        assertThat(d.status(d.id(e.get(1)))).isEqualTo(DeferredResults.Status.GONE);
-        assertThat(d.status(d.id(e.get(0)))).isEqualTo(DeferredResults.Status.ENDED);
-        assertThat(d.status(d.id(e.get(2)))).isEqualTo(DeferredResults.Status.PENDING);
-        assertThat(d.size()).isEqualTo(3);
+        DeferredResults results = new DeferredResults("p", Duration.ofMinutes(5), 3, 1000);
+        List<DeferredResults.Entry> entries = new ArrayList<>(
+            List.of(results.reserve(), results.reserve(), results.reserve()));
+        assertThat(results.reserve()).isNull(); // all held
+        entries.get(1).responded(null, answer(10));
+        entries.get(0).responded(null, answer(10));
+        assertThat(results.reserve()).isNotNull(); // the oldest result went
+        assertThat(results.status(results.id(entries.get(1)))).isEqualTo(DeferredResults.Status.GONE);
+        assertThat(results.status(results.id(entries.get(0)))).isEqualTo(DeferredResults.Status.ENDED);
+        assertThat(results.status(results.id(entries.get(2)))).isEqualTo(DeferredResults.Status.PENDING);
+        assertThat(results.size()).isEqualTo(3);
     }
 
     @Test void deferredBytesAreBoundedAndComeBackToNone() {
-        DeferredResults d = new DeferredResults("p", Duration.ofMinutes(5), 100, 1000);
-        List<DeferredResults.Entry> e = new ArrayList<>();
+        DeferredResults results = new DeferredResults("p", Duration.ofMinutes(5), 100, 1000);
+        List<DeferredResults.Entry> entries = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            e.add(d.reserve());
-            e.get(i).responded(null, answer(300));
+            entries.add(results.reserve());
+            entries.get(i).responded(null, answer(300));
         }
         assertThat(
-            e.stream().filter(x -> d.status(d.id(x)) == DeferredResults.Status.ENDED).count()).isEqualTo(3);
-        d.tick(Duration.ofMinutes(6));
-        assertThat(d.size()).isZero();
-        assertThat(ReachableObjects.field(d, "keptBytes")).isEqualTo(0L);
+            entries.stream().filter(entry -> results.status(results.id(entry))
+                == DeferredResults.Status.ENDED).count()).isEqualTo(3);
+        results.tick(Duration.ofMinutes(6));
+        assertThat(results.size()).isZero();
+        assertThat(ReachableObjects.field(results, "keptBytes")).isEqualTo(0L);
     }
 
     @Test void eightWaitForADeferredCallAndANinthIsAnsweredAtOnce() {
-        DeferredResults d = new DeferredResults("p", Duration.ofMinutes(5), 3, 1000);
-        DeferredResults.Entry e = d.reserve();
+        DeferredResults results = new DeferredResults("p", Duration.ofMinutes(5), 3, 1000);
+        DeferredResults.Entry e = results.reserve();
         int[] told = {0};
-        for (int i = 0; i < 8; i++) { assertThat(d.await(e, x -> told[0]++)).isTrue(); }
-        assertThat(d.await(e, x -> told[0]++)).isFalse();
+        for (int i = 0; i < 8; i++) { assertThat(results.await(e, entry -> told[0]++)).isTrue(); }
+        assertThat(results.await(e, entry -> told[0]++)).isFalse();
         e.responded(null, answer(1));
         assertThat(told[0]).isEqualTo(8);
     }
--- a/src/test/java/switchgap/router/RouterCoreLongRunTest.java
+++ b/src/test/java/switchgap/router/RouterCoreLongRunTest.java
@@ -55,40 +55,40 @@
         }
     }
 
-    private void list(RouterCore c) {
+    private void list(RouterCore core) {
         List<EndpointUpdate> lines = new ArrayList<>();
-        for (String n : fleet) {
+        for (String name : fleet) {
             lines.add(
-                new EndpointUpdate(n, "h", 1 + draw.nextInt(3) / 2, WorkerState.READY, 0, 0, 0, 1, null));
+                new EndpointUpdate(name, "h", 1 + draw.nextInt(3) / 2, WorkerState.READY, 0, 0, 0, 1, null));
         }
-        c.endpointListReceived(true, lines);
+        core.endpointListReceived(true, lines);
     }
 
-    private void call(RouterCore c) {
-        String f = draw.nextInt(4) == 0 ? "f-once-" + draw.nextInt(1_000_000) : "f" + draw.nextInt(20);
-        PendingRequest call = PendingRequest.builder("c", f, now.plusMillis(300 + draw.nextInt(1700)),
+    private void call(RouterCore core) {
+        String function = draw.nextInt(4) == 0 ? "f-once-" + draw.nextInt(1_000_000) : "f" + draw.nextInt(20);
+        PendingRequest call = PendingRequest.builder("c", function, now.plusMillis(300 + draw.nextInt(1700)),
             this).requestClass(draw.nextInt(2)).replica(1, 4).build();
-        if (!c.accept(call)) {
+        if (!core.accept(call)) {
             refused++;
             return;
         }
         taken++;
         if (draw.nextInt(30) == 0) {
-            later(draw.nextInt(200), x -> {
+            later(draw.nextInt(200), router -> {
                 left += call.state() == PendingRequest.State.PENDING ? 1 : 0;
-                x.clientLeft(call);
+                router.clientLeft(call);
             });
         }
     }
 
     private void hours(int n) {
         long span = n * 3_600_000L;
-        for (long t = 1; t < span; t += 1 + draw.nextInt(2000)) { later(t, this::call); }
-        for (long t = 1; t < span; t += 20_000 + draw.nextInt(40_000)) {
-            later(t, c -> {
+        for (long time = 1; time < span; time += 1 + draw.nextInt(2000)) { later(time, this::call); }
+        for (long time = 1; time < span; time += 20_000 + draw.nextInt(40_000)) {
+            later(time, core -> {
                 fleet.remove(draw.nextInt(fleet.size()));
                 fleet.add("w" + names++);
-                list(c);
+                list(core);
             });
         }
         until(now.plusMillis(span + 60_000));
@@ -118,29 +118,31 @@
             : AttemptOutcome.values()[draw.nextInt(AttemptOutcome.values().length)];
         if (end == AttemptOutcome.TIMED_OUT) { return; } // never answers
         later(1 + draw.nextInt(400),
-            c -> c.attemptEnded(run, end, LoadReport.NONE, Response.succeeded(200, Map.of(), new byte[0])));
+            core -> core.attemptEnded(run, end, LoadReport.NONE,
+                Response.succeeded(200, Map.of(), new byte[0])));
     }
 
     @Override public AttemptOutcome abandon(Attempt run) { return AttemptOutcome.TIMED_OUT; }
 
-    @Override public void requestReplicas(WorkerEntry w, String f, int copies, WorkerCommand o) {
+    @Override public void requestReplicas(WorkerEntry worker, String function, int copies,
+        WorkerCommand command) {
         if (draw.nextInt(20) == 0) { return; } // never ends by itself
-        later(1 + draw.nextInt(2000), c -> c.loadCommandEnded(o, AttemptOutcome.SUCCEEDED, 1));
+        later(1 + draw.nextInt(2000), core -> core.loadCommandEnded(command, AttemptOutcome.SUCCEEDED, 1));
     }
 
     @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {
-        if (draw.nextBoolean()) { later(5, c -> c.unloadEnded(order)); }
+        if (draw.nextBoolean()) { later(5, core -> core.unloadEnded(order)); }
     }
 
     @Override public void probe(WorkerEntry worker, WorkerCommand order) {
-        later(2, c -> c.probeEnded(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE));
+        later(2, core -> core.probeEnded(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE));
     }
 
     @Override public void abandon(WorkerCommand order) {}
 
     @Override public void requestEndpointList() {}
 
-    @Override public void responded(PendingRequest c, Response a) { answers++; }
+    @Override public void responded(PendingRequest request, Response response) { answers++; }
 
-    @Override public void deadlineMissed(PendingRequest c, Response late) { overdue++; }
+    @Override public void deadlineMissed(PendingRequest request, Response late) { overdue++; }
 }
--- a/src/test/java/switchgap/router/RouterCoreTest.java
+++ b/src/test/java/switchgap/router/RouterCoreTest.java
@@ -52,31 +52,31 @@
         for (String n : names) {
             all.add(new EndpointUpdate(n, "h", 1, WorkerState.READY, 0, 0, 0, 1, null));
         }
-        next.add(c -> c.endpointListReceived(true, all));
+        next.add(core -> core.endpointListReceived(true, all));
     }
 
     private PendingRequest call(int workload, String function) {
-        PendingRequest c = PendingRequest.builder("c" + said.size(), function, at.plus(ms(900)),
+        PendingRequest request = PendingRequest.builder("c" + said.size(), function, at.plus(ms(900)),
             this).requestClass(workload).replica(1, 100).build();
-        next.add(x -> said.add(x.accept(c) ? "taken" : "not taken"));
-        return c;
+        next.add(router -> said.add(router.accept(request) ? "taken" : "not taken"));
+        return request;
     }
 
-    private void finish(Attempt r) {
-        next.add(c -> c.attemptEnded(r, AttemptOutcome.SUCCEEDED, LoadReport.NONE,
+    private void finish(Attempt attempt) {
+        next.add(core -> core.attemptEnded(attempt, AttemptOutcome.SUCCEEDED, LoadReport.NONE,
             Response.succeeded(200, Map.of(), new byte[0])));
     }
 
     @Test void aPauseOverALimitEndsInSilenceAndSendsNothing() {
         list("a", "b");
-        PendingRequest c = call(1, "f");
+        PendingRequest request = call(1, "f");
         at(0);
         assertThat(sent).hasSize(1);
         PendingRequest waits = call(0, "f");
         finish(sent.get(0)); // came during the pause
         at(2000);
         assertThat(said).contains("overdue").doesNotContain("SUCCEEDED", "FAILED", "REJECTED");
-        assertThat(c.state()).isEqualTo(PendingRequest.State.OVERDUE);
+        assertThat(request.state()).isEqualTo(PendingRequest.State.OVERDUE);
         assertThat(waits.state()).isIn(PendingRequest.State.OVERDUE, PendingRequest.State.NOT_ACCEPTED);
         assertThat(sent).hasSize(1);
         assertThat(core.pendingRequests()).isZero();
@@ -119,9 +119,9 @@
 
     @Test void aClientThatLeftGetsNothingAndItsExecutionIsAbandoned() {
         list("a");
-        PendingRequest c = call(1, "f");
+        PendingRequest request = call(1, "f");
         at(0);
-        next.add(x -> x.clientLeft(c));
+        next.add(router -> router.clientLeft(request));
         at(5);
         at(6);
         assertThat(said).containsExactly("taken", "abandoned");
@@ -134,10 +134,10 @@
         at(0);
         call(1, "f");
         at(1);
-        next.add(c -> c.attemptEnded(sent.get(0), AttemptOutcome.NOT_LOADED, LoadReport.NONE, null)); // now a load is ordered at a
+        next.add(core -> core.attemptEnded(sent.get(0), AttemptOutcome.NOT_LOADED, LoadReport.NONE, null)); // now a load is ordered at a
         at(2);
         next.clear(); // the load does not end
-        next.add(c -> c.endpointListReceived(false,
+        next.add(core -> core.endpointListReceived(false,
             List.of(new EndpointUpdate("a", "h", 1, WorkerState.DRAINING, 0, 0, 0, 1, null))));
         at(10);
         until(890);
@@ -158,8 +158,8 @@
     @Test void aProbeOfAWorkerForgottenMeanwhileTouchesNoOther() {
         list("a");
         at(0);
-        WorkerCommand o = new WorkerCommand(new WorkerEntry("gone", "h", 1, 0), -1, Duration.ZERO);
-        next.add(c -> c.probeEnded(o, AttemptOutcome.SUCCEEDED, new LoadReport(1, 99, 99, -1))); // index 0 is now another worker's
+        WorkerCommand command = new WorkerCommand(new WorkerEntry("gone", "h", 1, 0), -1, Duration.ZERO);
+        next.add(core -> core.probeEnded(command, AttemptOutcome.SUCCEEDED, new LoadReport(1, 99, 99, -1))); // index 0 is now another worker's
         at(1);
         call(0, "f");
         at(2);
@@ -168,15 +168,16 @@
 
     // ---- the seam
 
-    @Override public void startAttempt(Attempt run, Duration allow) { sent.add(run); }
+    @Override public void startAttempt(Attempt attempt, Duration allow) { sent.add(attempt); }
 
-    @Override public AttemptOutcome abandon(Attempt run) {
+    @Override public AttemptOutcome abandon(Attempt attempt) {
         said.add("abandoned");
         return proves;
     }
 
-    @Override public void requestReplicas(WorkerEntry w, String f, int copies, WorkerCommand o) {
-        next.add(c -> c.loadCommandEnded(o, AttemptOutcome.SUCCEEDED, Math.max(1, copies)));
+    @Override public void requestReplicas(WorkerEntry worker, String function, int copies,
+        WorkerCommand command) {
+        next.add(core -> core.loadCommandEnded(command, AttemptOutcome.SUCCEEDED, Math.max(1, copies)));
     }
 
     @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {}
@@ -187,7 +188,9 @@
 
     @Override public void requestEndpointList() {}
 
-    @Override public void responded(PendingRequest c, Response a) { said.add(a.kind().name()); }
+    @Override public void responded(PendingRequest request, Response response) {
+        said.add(response.kind().name());
+    }
 
-    @Override public void deadlineMissed(PendingRequest c, Response late) { said.add("overdue"); }
+    @Override public void deadlineMissed(PendingRequest request, Response late) { said.add("overdue"); }
 }
--- a/src/test/java/switchgap/router/WorkerConnectionsTest.java
+++ b/src/test/java/switchgap/router/WorkerConnectionsTest.java
@@ -67,7 +67,7 @@
             });
         core = new RouterCore(new YamlRouterSettings(YamlDocument.read("t", TERMS)), (now, in, out) -> {
             in.deliverTo(feed);
-            List.copyOf(say).forEach(s -> s.accept(out));
+            List.copyOf(say).forEach(action -> action.accept(out));
             say.clear();
         }, links, new CoreLimits(Duration.ofMillis(1000), Duration.ofMillis(200), 10));
     }
@@ -76,7 +76,7 @@
 
     private void round() {
         List<Consumer<RouterCore>> all = new ArrayList<>();
-        for (Consumer<RouterCore> e; (e = events.poll()) != null;) { all.add(e); }
+        for (Consumer<RouterCore> event; (event = events.poll()) != null;) { all.add(event); }
         core.tick(now(), all);
     }
 
@@ -89,44 +89,45 @@
         return false;
     }
 
-    private void list(String host, int port, WorkerState s) {
-        events.add(c -> c.endpointListReceived(true,
-            List.of(new EndpointUpdate("w", host, port, s, 0, 0, 0, 1, null))));
+    private void list(String host, int port, WorkerState state) {
+        events.add(core -> core.endpointListReceived(true,
+            List.of(new EndpointUpdate("w", host, port, state, 0, 0, 0, 1, null))));
         round();
     }
 
     private int job() {
-        PendingRequest c = PendingRequest.builder("c" + jobs, "f", now().plusSeconds(5), this).payload(null,
+        PendingRequest request = PendingRequest.builder("c" + jobs, "f", now().plusSeconds(5), this).payload(
+            null,
             new byte[] {'1'}).replica(1, 1).build();
-        events.add(x -> x.accept(c));
+        events.add(router -> router.accept(request));
         round();
         int j = jobs++;
-        say.add(d -> d.startAttempt(j, 0, Duration.ofSeconds(4)));
+        say.add(actions -> actions.startAttempt(j, 0, Duration.ofSeconds(4)));
         round();
         return j;
     }
 
     @Test void whatWaitsForALinkIsToldAtOnceWhenItsWorkerDrains() throws Exception {
-        try (HttpTestServer w = new HttpTestServer(HttpTestServer::silent)) {
+        try (HttpTestServer worker = new HttpTestServer(HttpTestServer::silent)) {
             links(1);
-            list("127.0.0.1", w.port(), WorkerState.READY);
+            list("127.0.0.1", worker.port(), WorkerState.READY);
             job();
-            assertThat(until(2000, () -> w.infers() == 1)).isTrue();
+            assertThat(until(2000, () -> worker.infers() == 1)).isTrue();
             int waits = job();
-            list("127.0.0.1", w.port(), WorkerState.DRAINING);
+            list("127.0.0.1", worker.port(), WorkerState.DRAINING);
             assertThat(until(300, () -> heard.contains(waits + " NOT_SENT"))).isTrue();
-            assertThat(w.infers()).isEqualTo(1);
-            list("127.0.0.1", w.port(), WorkerState.READY); // the drain is taken back: the link serves again
-            w.manner(HttpTestServer::well);
-            say.add(d -> d.probe(0));
+            assertThat(worker.infers()).isEqualTo(1);
+            list("127.0.0.1", worker.port(), WorkerState.READY); // the drain is taken back: the link serves again
+            worker.manner(HttpTestServer::well);
+            say.add(actions -> actions.probe(0));
             assertThat(until(1000, () -> heard.contains("probed SUCCEEDED"))).isTrue();
         }
     }
 
     @Test void whatWaitsForALinkDoesNotGoToTheAddressThatTheWorkerHasLeft() throws Exception {
-        try (HttpTestServer old = new HttpTestServer((q, out) -> {
+        try (HttpTestServer old = new HttpTestServer((received, out) -> {
             Thread.sleep(300);
-            return HttpTestServer.well(q, out);
+            return HttpTestServer.well(received, out);
         }); HttpTestServer fresh = new HttpTestServer(HttpTestServer::well)) {
             links(1);
             list("127.0.0.1", old.port(), WorkerState.READY);
@@ -152,15 +153,15 @@
         list("127.0.0.1", dead, WorkerState.READY);
         for (int i = 0; i < 6; i++) { job(); }
         assertThat(until(2000, () -> heard.size() == 6)).as(heard.toString()).isTrue();
-        assertThat(Set.copyOf(heard)).allMatch(h -> h.endsWith("CONNECT_FAILED"));
+        assertThat(Set.copyOf(heard)).allMatch(line -> line.endsWith("CONNECT_FAILED"));
     }
 
     @Test void pastTheBoundOfWhatWaitsForALinkAJobIsToldAtOnce() throws Exception {
-        try (HttpTestServer w = new HttpTestServer(HttpTestServer::silent)) {
+        try (HttpTestServer worker = new HttpTestServer(HttpTestServer::silent)) {
             links(1, 3);
-            list("127.0.0.1", w.port(), WorkerState.READY);
+            list("127.0.0.1", worker.port(), WorkerState.READY);
             job();
-            assertThat(until(2000, () -> w.infers() == 1)).isTrue();
+            assertThat(until(2000, () -> worker.infers() == 1)).isTrue();
             for (int i = 0; i < 3; i++) { job(); }
             assertThat(until(100, () -> !heard.isEmpty())).isFalse();
             int tooMany = job();
@@ -172,25 +173,27 @@
         links(2);
         list("::g", 80, WorkerState.READY);
         int j = job();
-        say.add(d -> d.probe(0));
-        say.add(d -> d.load(0, 0));
+        say.add(actions -> actions.probe(0));
+        say.add(actions -> actions.load(0, 0));
         assertThat(until(300, () -> heard.size() == 3)).as(heard.toString()).isTrue();
         assertThat(heard).containsExactlyInAnyOrder(j + " CONNECT_FAILED", "probed CONNECT_FAILED",
             "ordered CONNECT_FAILED");
     }
 
     @Test void aDropAtAWorkerThatIsSilentGivesItsLinkBack() throws Exception {
-        try (HttpTestServer w = new HttpTestServer((q, out) -> !q.line().contains("/unload")
-            ? HttpTestServer.well(q, out) : HttpTestServer.silent(q, out))) {
+        try (
+            HttpTestServer worker = new HttpTestServer((received, out) -> !received.line().contains("/unload")
+                ? HttpTestServer.well(received, out) : HttpTestServer.silent(received, out))) {
             links(1);
-            list("127.0.0.1", w.port(), WorkerState.READY);
+            list("127.0.0.1", worker.port(), WorkerState.READY);
             job();
-            say.add(d -> d.unload(0, 0));
+            say.add(actions -> actions.unload(0, 0));
             assertThat(
-                until(2000, () -> w.asked.stream().anyMatch(a -> a.line().contains("/unload")))).isTrue();
+                until(2000, () -> worker.asked.stream().anyMatch(
+                    received -> received.line().contains("/unload")))).isTrue();
             assertThat(until(1200, () -> false)).isFalse(); // past the limit of an order
             for (int i = 0; i < 20 && !heard.contains("probed SUCCEEDED"); i++) {
-                say.add(d -> d.probe(0));
+                say.add(actions -> actions.probe(0));
                 until(250, () -> heard.contains("probed SUCCEEDED"));
             }
             assertThat(heard).contains("probed SUCCEEDED");
@@ -209,16 +212,16 @@
             }
             assertThat((Set<?>) ReachableObjects.field(links, "pools")).hasSizeLessThanOrEqualTo(2);
             assertThat(until(1000, () -> a.connected() == 0)).isTrue();
-            say.add(d -> d.releaseWorker(0));
+            say.add(actions -> actions.releaseWorker(0));
             round();
             assertThat((Set<?>) ReachableObjects.field(links, "pools")).isEmpty();
             assertThat(until(1000, () -> b.connected() == 0)).isTrue();
         }
     }
 
-    @Override public void responded(PendingRequest c, Response a) {}
+    @Override public void responded(PendingRequest request, Response response) {}
 
-    @Override public void deadlineMissed(PendingRequest c, Response late) {}
+    @Override public void deadlineMissed(PendingRequest request, Response late) {}
 
     @AfterEach void over() {
         if (links != null) { links.close(); }
