--- a/src/main/java/switchgap/net/ConnectionLimits.java
+++ b/src/main/java/switchgap/net/ConnectionLimits.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 
 /**
- * What one door allows.
+ * Bounds of one {@link HttpServer}.
  *
- * @param headerBytes  a request line with its headers, at the most
- * @param bodyBytes    a body, at the most
- * @param connections  open at a time; further ones are closed at once
- * @param idle         a connection without a request may stay this long
- * @param arrival      a request must have come whole within this span of its first byte
+ * @param maxHeaderBytes  bytes of a request line together with its headers
+ * @param maxBodyBytes    bytes of a request's body
+ * @param maxConnections  connections open at a time; further ones are closed at once
+ * @param idleTimeout     how long a connection may stay open without a request
+ * @param receiveTimeout  how long a request may take from its first byte to its last
  */
 public record ConnectionLimits(int maxHeaderBytes, int maxBodyBytes, int maxConnections, Duration idleTimeout,
     Duration receiveTimeout) {
+    /** The bounds of servers whose configuration states none. */
     public static final ConnectionLimits DEFAULT = new ConnectionLimits(16 << 10, 1 << 20, 20_000,
-        Duration.ofSeconds(75),
-        Duration.ofSeconds(10));
+        Duration.ofSeconds(75), Duration.ofSeconds(10));
 }
--- a/src/main/java/switchgap/net/Connector.java
+++ b/src/main/java/switchgap/net/Connector.java
@@ -2,63 +2,119 @@
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
+import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.glassfish.grizzly.CompletionHandler;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.EmptyCompletionHandler;
 import org.glassfish.grizzly.GrizzlyFuture;
 import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 
-/** Opens connections within a span. One that isn't up by then is given up: a silent machine must not keep descriptors. */
+/**
+ * Opens connections within a timeout. An attempt that takes longer is cancelled: a peer that never replies
+ * must not keep a file descriptor.
+ */
 public final class Connector {
-    /** How opening a connection ended. */
-    public interface ConnectCallback<L> {
-        void connected(L link);
+    /**
+     * Hears how opening a connection ended: exactly one of the two methods is called, once, on a selector
+     * thread or on the {@link TimerThread}.
+     *
+     * @param <C> the connection's type
+     */
+    public interface ConnectCallback<C> {
+        /** The connection is open. */
+        void connected(C connection);
 
-        void failed(String why);
+        /** The connection could not be opened, or not in time. */
+        void failed(String reason);
+    }
+
+    /**
+     * How an open Grizzly connection becomes a connection of this package.
+     *
+     * @param <C>   the connection's type
+     * @param wrap  makes the connection
+     * @param close closes one that opened only after its timeout
+     */
+    @SuppressWarnings("rawtypes") record ConnectionAdapter<C>(Function<Connection, C> wrap,
+        Consumer<C> close) {
     }
 
     private Connector() {}
 
-    @SuppressWarnings("rawtypes") static <L> void connect(TCPNIOConnectorHandler connector,
-        InetSocketAddress to, InetSocketAddress from, Duration within,
-        ConnectCallback<L> then, Function<Connection, L> make, Consumer<L> close) {
-        AtomicReference<ConnectCallback<L>> left = new AtomicReference<>(then);
-        AtomicReference<GrizzlyFuture<Connection>> dialled = new AtomicReference<>();
-        Consumer<String> failed = why -> {
-            ConnectCallback<L> o = left.getAndSet(null);
-            if (o != null) { o.failed(why); }
-        };
-        var late = TimerThread.EXECUTOR.schedule(() -> {
-            failed.accept("no connection within " + within.toMillis() + " ms");
-            GrizzlyFuture<Connection> f = dialled.get();
-            if (f != null) { f.cancel(true); }
-        }, within.toMillis(), TimeUnit.MILLISECONDS);
-        CompletionHandler<Connection> done = new EmptyCompletionHandler<>() {
-            @Override public void completed(Connection c) {
-                late.cancel(false);
-                L link = make.apply(c);
-                ConnectCallback<L> o = left.getAndSet(null);
-                if (o == null) {
-                    close.accept(link);
-                } else {
-                    o.connected(link);
-                }
+    /**
+     * Begins to open a connection and returns at once.
+     *
+     * @param local the local address to connect from, or null for any
+     */
+    @SuppressWarnings("rawtypes") static <C> void connect(TCPNIOConnectorHandler connector,
+        InetSocketAddress remote, InetSocketAddress local, Duration timeout, ConnectCallback<C> callback,
+        ConnectionAdapter<C> adapter) {
+        Attempt<C> attempt = new Attempt<>(timeout, callback, adapter);
+        GrizzlyFuture<Connection> future = connector.connect(remote, local);
+        attempt.started(future);
+        future.addCompletionHandler(attempt);
+    }
+
+    /** One attempt to connect. Whoever takes the callback out of its reference has decided the outcome. */
+    @SuppressWarnings("rawtypes") private static final class Attempt<C>
+        extends EmptyCompletionHandler<Connection> {
+        private final AtomicReference<ConnectCallback<C>> pendingCallback;
+        private final AtomicReference<GrizzlyFuture<Connection>> pendingFuture = new AtomicReference<>();
+        private final ConnectionAdapter<C> adapter;
+        private final Duration timeout;
+        private final ScheduledFuture<?> timer;
+
+        Attempt(Duration timeout, ConnectCallback<C> callback, ConnectionAdapter<C> adapter) {
+            this.pendingCallback = new AtomicReference<>(callback);
+            this.adapter = adapter;
+            this.timeout = timeout;
+            this.timer = TimerThread.EXECUTOR.schedule(this::timedOut, timeout.toMillis(),
+                TimeUnit.MILLISECONDS);
+        }
+
+        void started(GrizzlyFuture<Connection> future) {
+            pendingFuture.set(future);
+            if (pendingCallback.get() == null) { // timed out before there was a future to cancel
+                future.cancel(true);
             }
+        }
 
-            @Override public void failed(Throwable t) {
-                late.cancel(false);
-                failed.accept(String.valueOf(t.getMessage()));
+        private void timedOut() {
+            fail("no connection within " + timeout.toMillis() + " ms");
+            GrizzlyFuture<Connection> future = pendingFuture.get();
+            if (future != null) {
+                future.cancel(true);
             }
+        }
+
+        private void fail(String reason) {
+            ConnectCallback<C> callback = pendingCallback.getAndSet(null);
+            if (callback != null) {
+                callback.failed(reason);
+            }
+        }
+
+        @Override public void completed(Connection opened) {
+            timer.cancel(false);
+            C connection = adapter.wrap().apply(opened);
+            ConnectCallback<C> callback = pendingCallback.getAndSet(null);
+            if (callback == null) {
+                adapter.close().accept(connection);
+            } else {
+                callback.connected(connection);
+            }
+        }
+
+        @Override public void failed(Throwable cause) {
+            timer.cancel(false);
+            fail(String.valueOf(cause.getMessage()));
+        }
 
-            @Override public void cancelled() { failed.accept("cancelled"); }
-        };
-        GrizzlyFuture<Connection> f = connector.connect(to, from);
-        dialled.set(f);
-        if (left.get() == null) { f.cancel(true); } // the span ended before there was anything to cancel
-        f.addCompletionHandler(done);
+        @Override public void cancelled() {
+            fail("cancelled");
+        }
     }
 }
--- a/src/main/java/switchgap/net/FrameDecoder.java
+++ b/src/main/java/switchgap/net/FrameDecoder.java
@@ -1,53 +1,80 @@
 package switchgap.net;
 
 import java.nio.ByteBuffer;
+import java.util.Arrays;
 import java.util.function.Consumer;
 
-/** Frames out of a stream of bytes: four bytes of length, then so many. A length out of bounds is never gathered. */
+/**
+ * Decodes a stream of bytes into frames: a length of four bytes (big-endian), then as many bytes. A length
+ * out of bounds is refused before any of its bytes are gathered. Not thread-safe: one decoder belongs to one
+ * connection.
+ */
 public final class FrameDecoder {
-    private static final int HEAD = 4;
-    private static final int FIRST = 512; // gathered as bytes come, not as a length claims
-    private final int most;
-    private final byte[] head = new byte[HEAD];
-    private int headed;
+    private static final int HEADER_BYTES = Integer.BYTES;
+    /** A frame's array grows with the bytes that arrive, not with the length that a peer claims. */
+    private static final int INITIAL_BUFFER_BYTES = 512;
+
+    private final int maxFrameBytes;
+    private final byte[] header = new byte[HEADER_BYTES];
+    private int headerBytes;
     private byte[] frame;
-    private int size;
-    private int got;
+    private int frameLength;
+    private int frameBytes;
 
-    public FrameDecoder(int most) { this.most = most; }
+    /** A decoder of frames of 1 to {@code maxFrameBytes} bytes. */
+    public FrameDecoder(int maxFrameBytes) {
+        this.maxFrameBytes = maxFrameBytes;
+    }
 
-    /** Whether a part of a frame waits for its rest. */
+    /** Whether the first bytes of a frame have come and its last ones have not. */
     public boolean hasPartialFrame() {
-        return headed > 0;
+        return headerBytes > 0;
     }
 
-    /** Takes bytes; each whole frame is handed on. False, for good, at a length out of bounds. */
-    public boolean decode(ByteBuffer more, Consumer<byte[]> whole) {
-        while (more.hasRemaining()) {
-            if (headed < HEAD) {
-                head[headed++] = more.get();
-                if (headed < HEAD) { continue; }
-                size = ByteBuffer.wrap(head).getInt();
-                if (size <= 0 || size > most) { return false; }
-                frame = new byte[Math.min(size, Math.max(FIRST, more.remaining()))];
-                got = 0;
+    /**
+     * Consumes bytes and hands on each frame that they complete.
+     *
+     * @return false at a length out of bounds: the stream can't be decoded any further, and this decoder must
+     * not be used again
+     */
+    public boolean decode(ByteBuffer input, Consumer<byte[]> frameConsumer) {
+        while (input.hasRemaining()) {
+            if (headerBytes < HEADER_BYTES) {
+                header[headerBytes] = input.get();
+                headerBytes++;
+                if (headerBytes < HEADER_BYTES) {
+                    continue;
+                }
+                frameLength = ByteBuffer.wrap(header).getInt();
+                if (frameLength <= 0 || frameLength > maxFrameBytes) {
+                    return false;
+                }
+                frame = new byte[Math.min(frameLength, Math.max(INITIAL_BUFFER_BYTES, input.remaining()))];
+                frameBytes = 0;
             }
-            int n = Math.min(more.remaining(), size - got);
-            if (got + n > frame.length) {
-                frame = java.util.Arrays.copyOf(frame, Math.min(size, Math.max(got + n, 2 * frame.length)));
-            }
-            more.get(frame, got, n);
-            got += n;
-            if (got == size) {
-                byte[] f = frame;
+            gather(input);
+            if (frameBytes == frameLength) {
+                byte[] complete = frame;
                 frame = null;
-                headed = 0;
-                whole.accept(f);
+                headerBytes = 0;
+                frameConsumer.accept(complete);
             }
         }
         return true;
     }
 
-    /** The length that was refused, for a message. */
-    public int frameLength() { return size; }
+    private void gather(ByteBuffer input) {
+        int count = Math.min(input.remaining(), frameLength - frameBytes);
+        if (frameBytes + count > frame.length) {
+            int capacity = Math.max(frameBytes + count, 2 * frame.length);
+            frame = Arrays.copyOf(frame, Math.min(frameLength, capacity));
+        }
+        input.get(frame, frameBytes, count);
+        frameBytes += count;
+    }
+
+    /** The length in the header that was read last: after a refusal, the one that was refused. */
+    public int frameLength() {
+        return frameLength;
+    }
 }
--- a/src/main/java/switchgap/net/FramedConnection.java
+++ b/src/main/java/switchgap/net/FramedConnection.java
@@ -5,82 +5,111 @@
 import java.nio.ByteBuffer;
 import java.time.Duration;
 
-/** A connection of frames: four bytes of length, then so many bytes. Bounded both ways. */
+/**
+ * A TCP connection that carries frames: a length of four bytes, then as many bytes. The length of received
+ * frames and the number of unsent ones are bounded.
+ */
 public final class FramedConnection {
-    /** Hears of a link; on a selector thread. After closed nothing comes. */
+    /** Hears of connections, on a selector thread. After {@code closed} nothing comes of that connection. */
     public interface Listener {
-        void opened(FramedConnection l);
+        /** The connection is open. */
+        void opened(FramedConnection connection);
 
-        void frame(FramedConnection l, byte[] bytes);
+        /** A whole frame arrived. */
+        void frame(FramedConnection connection, byte[] bytes);
 
-        void closed(FramedConnection l, String why);
+        /** The connection ended, by this side or the other. */
+        void closed(FramedConnection connection, String reason);
     }
 
-    private static final int MOST_UNSENT = 64;
-    private static final Duration OPENS_WITHIN = Duration.ofSeconds(10);
-    private final TcpConnection link;
-    private final FrameDecoder frames;
+    private static final int MAX_UNSENT_FRAMES = 64;
+    private static final int LISTEN_BACKLOG = 16;
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(10);
 
-    private FramedConnection(TcpConnection link, int most) {
-        this.link = link;
-        this.frames = new FrameDecoder(most);
+    private final TcpConnection connection;
+    private final FrameDecoder decoder;
+
+    private FramedConnection(TcpConnection connection, int maxFrameBytes) {
+        this.connection = connection;
+        this.decoder = new FrameDecoder(maxFrameBytes);
     }
 
-    /** Sends a frame; false, and nothing is sent, while too many are unsent: the next one must make up for it. */
+    /**
+     * Sends a frame; any thread.
+     *
+     * @return false when nothing was sent, because the connection is closed or too many frames are unsent: a
+     * later frame must make up for this one
+     */
     public boolean send(byte[] frame) {
-        if (link.unsentWrites() >= MOST_UNSENT) { return false; }
-        byte[] all = new byte[4 + frame.length];
-        ByteBuffer.wrap(all).putInt(frame.length).put(frame);
-        return link.send(all);
+        if (connection.unsentWrites() >= MAX_UNSENT_FRAMES) {
+            return false;
+        }
+        byte[] bytes = new byte[Integer.BYTES + frame.length];
+        ByteBuffer.wrap(bytes).putInt(frame.length).put(frame);
+        return connection.send(bytes);
     }
 
-    public void close(String why) { link.close(why); }
-
-    private static TcpConnection.Listener ear(Listener ear, int most) {
-        return new TcpConnection.Listener() {
-            @Override public void opened(TcpConnection l) {
-                FramedConnection f = new FramedConnection(l, most);
-                l.attachment = f;
-                ear.opened(f);
-            }
-
-            @Override public void received(TcpConnection l, ByteBuffer more) {
-                FramedConnection f = (FramedConnection) l.attachment;
-                if (!f.frames.decode(more, x -> {
-                    if (l.isOpen()) { ear.frame(f, x); }
-                })) {
-                    f.close(
-                        "a frame of " + f.frames.frameLength() + " bytes, at most " + most + " are taken");
-                }
-            }
-
-            @Override public void closed(TcpConnection l, String why) {
-                ear.closed((FramedConnection) l.attachment, why);
-            }
-        };
+    /** Closes the connection; its listener hears of it with this reason. Any thread. */
+    public void close(String reason) {
+        connection.close(reason);
     }
 
-    /** Listens; port 0 takes any. */
-    public static TcpConnection.Server listen(NetworkTransport net, String host, int port, int most,
-        Listener ear) throws IOException {
-        return TcpConnection.listen(net, host, port, 16, ear(ear, most));
+    /**
+     * Begins to accept connections.
+     *
+     * @param port the port to listen on; 0 takes any free one
+     * @throws IOException when the address can't be listened on
+     */
+    public static TcpConnection.Server listen(NetworkTransport transport, String host, int port,
+        int maxFrameBytes, Listener listener) throws IOException {
+        return TcpConnection.listen(transport, host, port, LISTEN_BACKLOG,
+            new FrameListener(listener, maxFrameBytes));
     }
 
-    /** Opens links of one kind, again and again, through one filter chain. */
+    /** Opens any number of connections that share one listener and one filter chain. */
     public static final class Factory {
-        private final TcpConnection.Factory opener;
+        private final TcpConnection.Factory factory;
+
+        /** A factory of connections whose received frames hold {@code maxFrameBytes} at most. */
+        public Factory(NetworkTransport transport, int maxFrameBytes, Listener listener) {
+            factory = new TcpConnection.Factory(transport, new FrameListener(listener, maxFrameBytes));
+        }
+
+        /** Begins to open a connection; {@code onFailure} runs when that can't be done. */
+        public void connect(InetSocketAddress remote, Runnable onFailure) {
+            factory.connect(remote, CONNECT_TIMEOUT, new Connector.ConnectCallback<>() {
+                @Override public void connected(TcpConnection connection) {}
 
-        public Factory(NetworkTransport net, int most, Listener ear) {
-            opener = new TcpConnection.Factory(net, ear(ear, most));
+                @Override public void failed(String reason) {
+                    onFailure.run();
+                }
+            });
         }
+    }
 
-        /** Opens one; {@code failed} runs where that can't be done. */
-        public void connect(InetSocketAddress to, Runnable failed) {
-            opener.connect(to, OPENS_WITHIN, new Connector.ConnectCallback<>() {
-                @Override public void connected(TcpConnection l) {}
+    /** Decodes the bytes of TCP connections for a listener of frames. */
+    private record FrameListener(Listener listener, int maxFrameBytes) implements TcpConnection.Listener {
+        @Override public void opened(TcpConnection connection) {
+            FramedConnection framed = new FramedConnection(connection, maxFrameBytes);
+            connection.attachment = framed;
+            listener.opened(framed);
+        }
 
-                @Override public void failed(String why) { failed.run(); }
+        @Override public void received(TcpConnection connection, ByteBuffer bytes) {
+            FramedConnection framed = (FramedConnection) connection.attachment;
+            boolean valid = framed.decoder.decode(bytes, frame -> {
+                if (connection.isOpen()) {
+                    listener.frame(framed, frame);
+                }
             });
+            if (!valid) {
+                framed.close("a frame of " + framed.decoder.frameLength() + " bytes, at most "
+                    + maxFrameBytes + " are taken");
+            }
+        }
+
+        @Override public void closed(TcpConnection connection, String reason) {
+            listener.closed((FramedConnection) connection.attachment, reason);
         }
     }
 }
--- a/src/main/java/switchgap/net/HttpClientConnection.java
+++ b/src/main/java/switchgap/net/HttpClientConnection.java
@@ -7,15 +7,10 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.Connection;
-import org.glassfish.grizzly.Context;
 import org.glassfish.grizzly.EmptyCompletionHandler;
 import org.glassfish.grizzly.Grizzly;
-import org.glassfish.grizzly.IOEventLifeCycleListener;
 import org.glassfish.grizzly.attributes.Attribute;
-import org.glassfish.grizzly.filterchain.BaseFilter;
 import org.glassfish.grizzly.filterchain.FilterChainBuilder;
-import org.glassfish.grizzly.filterchain.FilterChainContext;
-import org.glassfish.grizzly.filterchain.NextAction;
 import org.glassfish.grizzly.filterchain.TransportFilter;
 import org.glassfish.grizzly.http.HttpClientFilter;
 import org.glassfish.grizzly.http.HttpContent;
@@ -24,280 +19,262 @@
 import org.glassfish.grizzly.memory.Buffers;
 import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 
-/** One connection that asks: one exchange at a time, each answer matched to the exchange that is on it. */
+/**
+ * The client's side of one HTTP/1.1 connection. It carries one exchange at a time; a response goes to the
+ * handler of the exchange that is pending, and to no other.
+ */
 public final class HttpClientConnection {
-    /** What becomes of one exchange: exactly one of answered and broken, unless it was abandoned. */
+    /**
+     * Hears the outcome of one exchange, on a selector thread: {@code responded} or {@code connectionLost} is
+     * called exactly once, or neither when the exchange was abandoned.
+     */
     public interface ResponseHandler {
+        /**
+         * The whole response arrived.
+         *
+         * @param headers  by name in lower case
+         * @param body     the gathered body, without the parts that {@link #bodyPart} took
+         * @param reusable whether the connection can carry a further exchange
+         */
         void responded(int status, Map<String, String> headers, byte[] body, boolean reusable);
 
-        /** The connection ended or spoke no HTTP. */
-        void connectionLost(String why);
+        /** The connection ended first, or what arrived was no HTTP. */
+        void connectionLost(String reason);
 
-        /** A piece of an answer that comes in pieces; true when it was taken, else pieces are gathered. */
+        /** A part of the body arrived. True when the handler took it; otherwise it is gathered. */
         default boolean bodyPart(byte[] bytes) {
             return false;
         }
     }
 
-    /** How opening a connection ended. */
+    /** Hears how opening a connection ended. */
     public interface ConnectCallback extends Connector.ConnectCallback<HttpClientConnection> {}
 
-    /** Opens links of one kind through one filter chain. */
+    /** Opens any number of connections that share one filter chain. */
     public static final class Factory {
-        private final NetworkTransport net;
         private final Attribute<
-            HttpClientConnection> links = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(
-                "switchgap.link." + System.identityHashCode(this));
+            HttpClientConnection> connections = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(
+                "switchgap.http-client-connection." + System.identityHashCode(this));
         private final TCPNIOConnectorHandler connector;
-        private final InetSocketAddress from;
-        private final int bodyBytes;
-
-        /** {@code from} is the local address to ask from, or null for any; answers hold bodyBytes at the most. */
-        public Factory(NetworkTransport net, String from, int bodyBytes) {
-            this.net = net;
-            this.bodyBytes = bodyBytes;
-            this.from = from == null ? null : new InetSocketAddress(from, 0);
-            this.connector = TCPNIOConnectorHandler.builder(net.transport).processor(
-                FilterChainBuilder.stateless().add(new TransportFilter()).add(
-                    new UnsolicitedBytesFilter()).add(new InterimResponseFilter()).add(
-                        new HttpClientFilter()).add(new ResponseFilter()).build()).build();
-        }
-
-        /** Opens a connection; exactly one of the two answers comes, within the span. */
-        public void connect(InetSocketAddress to, Duration within, ConnectCallback then) {
-            Connector.connect(connector, to, from, within, then, c -> {
-                HttpClientConnection link = new HttpClientConnection(c, Factory.this);
-                links.set(c, link);
-                return link;
-            }, HttpClientConnection::close);
-        }
-
-        private HttpClientConnection of(FilterChainContext ctx) {
-            return links.get(ctx.getConnection());
-        }
+        private final InetSocketAddress localAddress;
+        private final int maxBodyBytes;
 
         /**
-         * Guards against bytes that nobody asked for: a second answer to a request must never be read as the
-         * answer to the next one, so a link that speaks while idle ends.
+         * A factory of connections.
+         *
+         * @param localHost    the local address to connect from, or null for any
+         * @param maxBodyBytes bytes that the gathered body of a response may hold
          */
-        private final class UnsolicitedBytesFilter extends BaseFilter {
-            @Override public NextAction handleRead(FilterChainContext ctx) {
-                HttpClientConnection link = of(ctx);
-                if (link == null || link.now.get() == null) {
-                    if (link != null) { link.surplus = true; }
-                    ctx.getConnection().closeSilently();
-                    return ctx.getStopAction();
-                }
-                return ctx.getInvokeAction();
-            }
+        public Factory(NetworkTransport transport, String localHost, int maxBodyBytes) {
+            this.maxBodyBytes = maxBodyBytes;
+            this.localAddress = localHost == null ? null : new InetSocketAddress(localHost, 0);
+            FilterChainBuilder filters = FilterChainBuilder.stateless();
+            filters.add(new TransportFilter());
+            filters.add(new UnsolicitedBytesFilter(connections));
+            filters.add(new InterimResponseFilter(connections));
+            filters.add(new HttpClientFilter());
+            filters.add(new ResponseFilter(connections));
+            this.connector = TCPNIOConnectorHandler.builder(transport.transport).processor(
+                filters.build()).build();
         }
 
-        /** Drops interim answers (1xx): each was read as an answer with a body that never ends, until the time limit. */
-        private final class InterimResponseFilter extends BaseFilter {
-            private static final int HEAD = 16 << 10;
-            private static final int STATUS = 9; // bytes of "HTTP/1.1 "
-
-            @Override public NextAction handleRead(FilterChainContext ctx) {
-                HttpClientConnection link = of(ctx);
-                Buffer b = ctx.getMessage();
-                while (!link.answering) {
-                    if (b.remaining() <= STATUS) { return ctx.getStopAction(b); }
-                    if (b.get(b.position() + STATUS) != '1') {
-                        link.answering = true;
-                        break;
-                    }
-                    int end = end(b);
-                    if (end < 0 && b.remaining() < HEAD) { return ctx.getStopAction(b); }
-                    if (end < 0) {
-                        ctx.getConnection().closeSilently();
-                        return ctx.getStopAction();
-                    }
-                    if (end == b.limit()) { return ctx.getStopAction(); }
-                    b = b.slice(end, b.limit());
-                    ctx.setMessage(b);
-                }
-                return ctx.getInvokeAction();
-            }
-
-            /** Where the head ends, or -1. */
-            private static int end(Buffer b) {
-                for (int i = b.position() + 3; i < b.limit(); i++) {
-                    if (b.get(i) == '\n' && b.get(i - 2) == '\n') { return i + 1; }
-                }
-                return -1;
-            }
+        /** Begins to open a connection; the callback hears once, within the timeout, how that ended. */
+        public void connect(InetSocketAddress remote, Duration timeout, ConnectCallback callback) {
+            Connector.connect(connector, remote, localAddress, timeout, callback,
+                new Connector.ConnectionAdapter<>(this::wrap, HttpClientConnection::close));
         }
 
-        private final class ResponseFilter extends BaseFilter {
-            @Override public NextAction handleRead(FilterChainContext ctx) {
-                HttpClientConnection link = of(ctx);
-                if (link != null && link.hear(ctx.getMessage())) {
-                    ctx.getInternalContext().addLifeCycleListener(new WriteListener(link));
-                }
-                return ctx.getStopAction();
-            }
-
-            @Override public NextAction handleClose(FilterChainContext ctx) {
-                HttpClientConnection link = of(ctx);
-                if (link != null) { link.ended("connection ended"); }
-                return ctx.getInvokeAction();
-            }
-
-            @Override public void exceptionOccurred(FilterChainContext ctx, Throwable e) {
-                HttpClientConnection link = of(ctx);
-                ctx.getConnection().closeSilently();
-                if (link != null) { link.ended("unreadable answer: " + e.getMessage()); }
-            }
+        private HttpClientConnection wrap(Connection<?> opened) {
+            HttpClientConnection connection = new HttpClientConnection(opened, maxBodyBytes);
+            connections.set(opened, connection);
+            return connection;
         }
     }
 
-    /**
-     * Hands an answer over once all that was read with it has been looked at. Guards against a second answer in the
-     * same bytes: the link must not be free for the next exchange before those are seen.
-     */
-    private static final class WriteListener extends IOEventLifeCycleListener.Adapter {
-        private final HttpClientConnection link;
-
-        WriteListener(HttpClientConnection link) { this.link = link; }
-
-        @Override public void onComplete(Context c, Object data) { link.hand(); }
-
-        @Override public void onReregister(Context c) { link.hand(); }
-
-        @Override public void onError(Context c, Object e) { link.hand(); }
-
-        @Override public void onTerminate(Context c) { link.hand(); }
-
-        @Override public void onNotRun(Context c) { link.hand(); }
-
-        @Override public void onLeave(Context c) { link.hand(); }
-    }
+    private static final String PROTOCOL = "HTTP/1.1";
+    private static final String HOST = "switchgap";
 
     private final Connection<?> connection;
-    private final Factory opener;
-    private volatile Runnable whole;
-    private final AtomicReference<ResponseHandler> now = new AtomicReference<>();
-    private ByteArrayOutputStream gathered;
-    private volatile boolean surplus;
-    private volatile boolean answering; // whether the head of the final answer has begun
-    private volatile Runnable onClose = () -> {};
-    /** Nanoseconds of System.nanoTime at which the last exchange ended. */
+    private final int maxBodyBytes;
+    /** The handler of the exchange on the connection, or null; taking it out decides the outcome. */
+    private final AtomicReference<ResponseHandler> pendingHandler = new AtomicReference<>();
+    private ByteArrayOutputStream gatheredBody;
+    /** Hands over a response that is whole, or null. */
+    private volatile Runnable pendingDelivery;
+    private volatile boolean receivedUnsolicitedBytes;
+    private volatile boolean finalResponseStarted;
+    private volatile Runnable closeListener = () -> {};
+    /** The {@link System#nanoTime} at which the last exchange ended or the connection opened. */
     public volatile long idleSince = System.nanoTime();
 
-    private HttpClientConnection(Connection<?> connection, Factory opener) {
+    private HttpClientConnection(Connection<?> connection, int maxBodyBytes) {
         this.connection = connection;
-        this.opener = opener;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
+    /** Whether the connection is open and nothing was received on it that nobody asked for. */
     public boolean isUsable() {
-        return connection.isOpen() && !surplus;
+        return connection.isOpen() && !receivedUnsolicitedBytes;
     }
 
-    public void onClose(Runnable then) {
-        onClose = then;
-        if (!connection.isOpen()) { then.run(); }
+    /** Sets what runs when the connection ends; runs it now, too, when the connection has ended. */
+    public void onClose(Runnable listener) {
+        closeListener = listener;
+        if (!connection.isOpen()) {
+            listener.run();
+        }
     }
 
     /**
-     * Asks. False when the link is not open or busy: then no byte has gone out. True: bytes may have gone out and
-     * the exchange hears of its end once.
+     * Begins an exchange; any thread.
+     *
+     * @return false when the connection is not usable or busy: then no byte went out and the handler hears
+     * nothing. True when bytes may have gone out: then the handler hears the outcome
      */
     public boolean send(String method, String path, Map<String, String> headers, byte[] body,
-        ResponseHandler x) {
-        if (!isUsable() || !now.compareAndSet(null, x)) {
+        ResponseHandler handler) {
+        if (!isUsable() || !pendingHandler.compareAndSet(null, handler)) {
             return false;
         }
-        if (!connection.isOpen()) { // closed between the two looks: its end may have been heard already
-            return !now.compareAndSet(x, null);
+        if (!connection.isOpen()) { // closed between the two checks: the handler may have heard of it
+            return !pendingHandler.compareAndSet(handler, null);
         }
-        gathered = null;
-        answering = false;
-        int q = path.indexOf('?');
-        HttpRequestPacket.Builder head = HttpRequestPacket.builder().method(method).uri(
-            q < 0 ? path : path.substring(0, q)).protocol("HTTP/1.1").header("Host", "switchgap");
-        if (q >= 0) { head.query(path.substring(q + 1)); }
-        headers.forEach(head::header);
-        head.contentLength(body.length);
-        HttpContent packet = HttpContent.builder(head.build()).content(
+        gatheredBody = null;
+        finalResponseStarted = false;
+        HttpRequestPacket head = requestHead(method, path, headers, body.length);
+        HttpContent packet = HttpContent.builder(head).content(
             Buffers.wrap(connection.getMemoryManager(), body)).last(true).build();
-        @SuppressWarnings({"unchecked", "rawtypes"}) Connection<Object> c = (Connection) connection;
-        c.write(packet, new EmptyCompletionHandler<>() {
-            @Override public void failed(Throwable t) {
+        @SuppressWarnings({"unchecked", "rawtypes"}) Connection<Object> output = (Connection) connection;
+        output.write(packet, new EmptyCompletionHandler<>() {
+            @Override public void failed(Throwable cause) {
                 connection.closeSilently();
-                ended("write failed: " + t.getMessage());
+                connectionEnded("write failed: " + cause.getMessage());
             }
         });
         return true;
     }
 
-    /** Forgets the exchange and ends the connection: a late answer reaches nobody. */
-    public void abandon(ResponseHandler x) {
-        if (now.compareAndSet(x, null)) { close(); }
+    private static HttpRequestPacket requestHead(String method, String path, Map<String, String> headers,
+        int contentLength) {
+        int queryStart = path.indexOf('?');
+        HttpRequestPacket.Builder head = HttpRequestPacket.builder();
+        head.method(method);
+        head.uri(queryStart < 0 ? path : path.substring(0, queryStart));
+        head.protocol(PROTOCOL);
+        head.header("Host", HOST);
+        if (queryStart >= 0) {
+            head.query(path.substring(queryStart + 1));
+        }
+        headers.forEach(head::header);
+        head.contentLength(contentLength);
+        return head.build();
     }
 
+    /** Ends the connection if this handler's exchange is pending on it; the handler hears nothing more. */
+    public void abandon(ResponseHandler handler) {
+        if (pendingHandler.compareAndSet(handler, null)) {
+            close();
+        }
+    }
+
+    /** Closes the connection; a pending exchange hears of it. Any thread. */
     public void close() {
         connection.closeSilently();
     }
 
-    private void hand() {
-        Runnable r = whole;
-        whole = null;
-        if (r != null) { r.run(); }
+    boolean hasPendingExchange() {
+        return pendingHandler.get() != null;
     }
 
-    /** Takes a part of an answer in; true when it was the last one. */
-    private boolean hear(HttpContent part) {
-        ResponseHandler x = now.get();
-        if (x == null || whole != null) {
-            surplus = true;
-            close();
+    /** Whether the first bytes of the pending exchange's final response (not a 1xx) have come. */
+    boolean isFinalResponseStarted() {
+        return finalResponseStarted;
+    }
+
+    void startFinalResponse() {
+        finalResponseStarted = true;
+    }
+
+    /** Closes the connection for good: it received bytes that belong to no exchange. */
+    void rejectUnsolicitedBytes() {
+        receivedUnsolicitedBytes = true;
+        close();
+    }
+
+    /**
+     * Takes in a part of a response.
+     *
+     * @return true when it was the last part: the response then waits for {@link #deliverPending}
+     */
+    boolean receive(HttpContent part) {
+        ResponseHandler handler = pendingHandler.get();
+        if (handler == null || pendingDelivery != null) {
+            rejectUnsolicitedBytes();
             return false;
         }
-        Buffer b = part.getContent();
-        int n = b == null ? 0 : b.remaining();
-        if (n > 0) {
-            byte[] bytes = new byte[n];
-            b.get(bytes);
-            if (!x.bodyPart(bytes)) {
-                if (gathered == null) { gathered = new ByteArrayOutputStream(n); }
-                if (gathered.size() + n > opener.bodyBytes) {
-                    close();
-                    ended("answer larger than " + opener.bodyBytes + " bytes");
-                    return false;
-                }
-                gathered.write(bytes, 0, n);
-            }
-        }
-        if (!part.isLast()) {
+        if (!receiveBody(part.getContent(), handler) || !part.isLast()) {
             return false;
         }
         HttpResponsePacket head = (HttpResponsePacket) part.getHttpHeader();
-        boolean keeps = head.getProcessingState().isKeepAlive();
-        Map<String, String> headers = new java.util.HashMap<>();
-        var mime = head.getHeaders();
-        for (int i = 0; i < mime.size(); i++) {
-            headers.put(mime.getName(i).toString().toLowerCase(java.util.Locale.ROOT),
-                mime.getValue(i).toString());
-        }
-        if (head.getContentType() != null) { headers.put("content-type", head.getContentType()); }
-        byte[] body = gathered == null ? new byte[0] : gathered.toByteArray();
-        gathered = null;
-        int status = head.getStatus();
+        byte[] body = gatheredBody == null ? new byte[0] : gatheredBody.toByteArray();
+        gatheredBody = null;
+        HttpResponse response = HttpResponse.of(head, body);
         part.recycle();
-        whole = () -> {
-            if (now.compareAndSet(x, null)) {
-                idleSince = System.nanoTime();
-                if (!keeps) { close(); }
-                x.responded(status, headers, body, keeps && isUsable());
-            }
-        };
+        pendingDelivery = () -> deliver(response, handler);
+        return true;
+    }
+
+    /** False when the body grew too large and the exchange was ended for that. */
+    private boolean receiveBody(Buffer content, ResponseHandler handler) {
+        int length = content == null ? 0 : content.remaining();
+        if (length == 0) {
+            return true;
+        }
+        byte[] bytes = new byte[length];
+        content.get(bytes);
+        if (handler.bodyPart(bytes)) {
+            return true;
+        }
+        if (gatheredBody == null) {
+            gatheredBody = new ByteArrayOutputStream(length);
+        }
+        if (gatheredBody.size() + length > maxBodyBytes) {
+            close();
+            connectionEnded("answer larger than " + maxBodyBytes + " bytes");
+            return false;
+        }
+        gatheredBody.write(bytes, 0, length);
         return true;
     }
 
-    private void ended(String why) {
-        hand(); // an answer that came whole before the end stays one
-        ResponseHandler x = now.getAndSet(null);
-        if (x != null) { x.connectionLost(why); }
-        onClose.run();
+    private void deliver(HttpResponse response, ResponseHandler handler) {
+        if (!pendingHandler.compareAndSet(handler, null)) {
+            return;
+        }
+        idleSince = System.nanoTime();
+        if (!response.keepAlive()) {
+            close();
+        }
+        handler.responded(response.status(), response.headers(), response.body(),
+            response.keepAlive() && isUsable());
+    }
+
+    /** Hands over the response that is whole, if there is one. */
+    void deliverPending() {
+        Runnable delivery = pendingDelivery;
+        pendingDelivery = null;
+        if (delivery != null) {
+            delivery.run();
+        }
+    }
+
+    /** Takes note of the connection's end and tells the pending exchange. */
+    void connectionEnded(String reason) {
+        deliverPending(); // a response that was whole before the end stays one
+        ResponseHandler handler = pendingHandler.getAndSet(null);
+        if (handler != null) {
+            handler.connectionLost(reason);
+        }
+        closeListener.run();
     }
 }
--- a/src/main/java/switchgap/net/HttpExchange.java
+++ b/src/main/java/switchgap/net/HttpExchange.java
@@ -1,135 +1,172 @@
 package switchgap.net;
 
+import java.net.InetSocketAddress;
+import java.net.SocketAddress;
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.Connection;
+import org.glassfish.grizzly.EmptyCompletionHandler;
+import org.glassfish.grizzly.WriteResult;
+import org.glassfish.grizzly.asyncqueue.WritableMessage;
 import org.glassfish.grizzly.http.HttpContent;
 import org.glassfish.grizzly.http.HttpRequestPacket;
 import org.glassfish.grizzly.http.HttpResponsePacket;
 import org.glassfish.grizzly.memory.Buffers;
 
-/** A request that has come whole, and the way to answer it once, from any thread. */
+/**
+ * A request that an {@link HttpServer} received whole, and the means to respond to it once, from any thread.
+ */
 public final class HttpExchange {
     private final Connection<?> connection;
-    private final HttpRequestPacket head;
+    private final HttpRequestPacket request;
     private final HttpResponsePacket response;
-    private final AtomicBoolean answered = new AtomicBoolean();
-    private final Runnable onAnswer;
+    private final AtomicBoolean responded = new AtomicBoolean();
+    private final Runnable responseListener;
+    /** The request's method, such as {@code GET}. */
     public final String method;
+    /** The path without the query. */
     public final String path;
+    /** What follows the path's question mark, undecoded; empty when there is none. */
     public final String query;
+    /** The request's body; empty when there is none. */
     public final byte[] body;
-    /** Whatever the desk wants to find again when the asker leaves. */
+    /** Whatever the request handler keeps to find it again when the client leaves. */
     public volatile Object attachment;
 
-    HttpExchange(Connection<?> connection, HttpRequestPacket head, byte[] body, Runnable onAnswer) {
+    /**
+     * An exchange without a response.
+     *
+     * @param responseListener runs before a whole response is sent, but not when one is streamed: a client
+     *     that leaves a stream is still reported
+     */
+    HttpExchange(Connection<?> connection, HttpRequestPacket request, byte[] body,
+        Runnable responseListener) {
         this.connection = connection;
-        this.head = head;
-        this.response = head.getResponse();
-        this.method = head.getMethod().getMethodString();
-        this.path = head.getRequestURI();
-        this.query = head.getQueryString() == null ? "" : head.getQueryString();
+        this.request = request;
+        this.response = request.getResponse();
+        this.method = request.getMethod().getMethodString();
+        this.path = request.getRequestURI();
+        this.query = request.getQueryString() == null ? "" : request.getQueryString();
         this.body = body;
-        this.onAnswer = onAnswer;
+        this.responseListener = responseListener;
     }
 
-    /** A header's value, or null. */
+    /** The value of a request header, or null. */
     public String header(String name) {
-        return head.getHeader(name);
+        return request.getHeader(name);
     }
 
-    /** The address that the asker's connection comes from. */
+    /** The IP address that the client's connection comes from. */
     public String peerAddress() {
-        return String.valueOf(
-            ((java.net.InetSocketAddress) connection.getPeerAddress()).getAddress().getHostAddress());
+        return String.valueOf(peer().getAddress().getHostAddress());
     }
 
-    /** Distinguishes connections in a log; an address and a port. */
+    /** Tells connections apart in a log: the client's address and port. */
     public String connectionId() {
-        java.net.InetSocketAddress a = (java.net.InetSocketAddress) connection.getPeerAddress();
-        return a.getAddress().getHostAddress() + ":" + a.getPort();
+        InetSocketAddress peer = peer();
+        return peer.getAddress().getHostAddress() + ":" + peer.getPort();
     }
 
-    /** A word of the query, {@code name=value}, or null. */
+    private InetSocketAddress peer() {
+        return (InetSocketAddress) connection.getPeerAddress();
+    }
+
+    /** The undecoded value of the first query parameter {@code name=value}, or null. */
     public String queryParameter(String name) {
-        for (String part : query.split("&")) {
-            if (part.startsWith(name + "=")) {
-                return part.substring(name.length() + 1);
+        for (String parameter : query.split("&")) {
+            if (parameter.startsWith(name + "=")) {
+                return parameter.substring(name.length() + 1);
             }
         }
         return null;
     }
 
-    /** Answers; false when it was answered or dropped before. */
+    /**
+     * Sends a whole response; false, and nothing is sent, when one was begun or the connection was dropped.
+     */
     public boolean respond(int status, Map<String, String> headers, byte[] content) {
-        if (!answered.compareAndSet(false, true)) {
+        if (!responded.compareAndSet(false, true)) {
             return false;
         }
-        onAnswer.run();
-        fill(status, headers);
+        responseListener.run();
+        setHead(status, headers);
         response.setContentLength(content.length);
         write(content, true);
         return true;
     }
 
-    /** Begins an answer of pieces; false when it was answered or dropped before. */
+    /**
+     * Begins a chunked response, whose parts follow by {@link #sendPart}; false when a response was begun
+     * before or the connection was dropped.
+     */
     public boolean beginStreaming(int status, Map<String, String> headers) {
-        if (!answered.compareAndSet(false, true)) {
+        if (!responded.compareAndSet(false, true)) {
             return false;
         }
-        fill(status, headers);
+        setHead(status, headers);
         response.setChunked(true);
         return true;
     }
 
+    /** Sends a part of a streamed response; the first one goes out together with the head. */
     public void sendPart(byte[] content) {
         write(content, false);
     }
 
+    /** Whether the client's connection is open. */
     public boolean isOpen() {
         return connection.isOpen();
     }
 
-    /** Closes the connection without an answer. */
+    /** Closes the connection without a response. */
     public void drop() {
-        answered.set(true);
+        responded.set(true);
         connection.closeSilently();
     }
 
-    /** Sends these bytes as they are, beside HTTP, and closes: for stand-ins that misbehave on purpose. */
+    /**
+     * Sends bytes as they are, past the HTTP filters: for emulators that misbehave on purpose.
+     *
+     * @param close whether the connection is closed once the bytes are written
+     */
     public void sendRaw(byte[] bytes, boolean close) {
-        if (answered.compareAndSet(false, true)) {
-            onAnswer.run();
+        if (responded.compareAndSet(false, true)) {
+            responseListener.run();
         }
-        Connection<?> c = connection;
-        RawBytesFilter.write(c, bytes, close);
+        RawBytesWriter.write(connection, bytes, new EmptyCompletionHandler<>() {
+            @Override public void completed(WriteResult<WritableMessage, SocketAddress> result) {
+                if (close) {
+                    connection.closeSilently();
+                }
+            }
+        });
     }
 
-    private void fill(int status, Map<String, String> headers) {
+    private void setHead(int status, Map<String, String> headers) {
         response.setStatus(status);
-        headers.forEach((k, v) -> {
-            if (k.toLowerCase(Locale.ROOT).equals("content-type")) {
-                response.setContentType(v);
+        headers.forEach((name, value) -> {
+            if (name.toLowerCase(Locale.ROOT).equals("content-type")) {
+                response.setContentType(value);
             } else {
-                response.setHeader(k, v);
+                response.setHeader(name, value);
             }
         });
     }
 
     private void write(byte[] content, boolean last) {
-        Buffer b = Buffers.wrap(connection.getMemoryManager(), content);
-        HttpContent packet = HttpContent.builder(response).content(b).last(last).build();
-        @SuppressWarnings({"unchecked", "rawtypes"}) Connection<Object> c = (Connection) connection;
+        Buffer bytes = Buffers.wrap(connection.getMemoryManager(), content);
+        HttpContent packet = HttpContent.builder(response).content(bytes).last(last).build();
+        @SuppressWarnings({"unchecked", "rawtypes"}) Connection<Object> output = (Connection) connection;
         if (last && !response.getProcessingState().isKeepAlive()) {
-            c.write(packet, new org.glassfish.grizzly.EmptyCompletionHandler<>() {
-                @Override public void completed(org.glassfish.grizzly.WriteResult r) {
+            output.write(packet, new EmptyCompletionHandler<>() {
+                @Override public void completed(WriteResult result) {
                     connection.closeSilently();
                 }
             });
         } else {
-            c.write(packet);
+            output.write(packet);
         }
     }
 }
--- a/src/main/java/switchgap/net/NetworkTransport.java
+++ b/src/main/java/switchgap/net/NetworkTransport.java
@@ -1,42 +1,68 @@
 package switchgap.net;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransportBuilder;
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
+import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 import org.glassfish.grizzly.utils.DelayedExecutor;
+import org.glassfish.grizzly.utils.IdleTimeoutFilter;
 
-/** One Grizzly transport with its selector threads and its timers, shared by the doors and links of a program. */
+/**
+ * One Grizzly transport with its selector threads and its idle timers, shared by the servers and the client
+ * connections of a process. Every callback of a connection runs on its selector thread.
+ */
 public final class NetworkTransport implements AutoCloseable {
+    /** Connections that the system may accept ahead of the process, for a server that states no number. */
+    static final int LISTEN_BACKLOG = 4096;
+    /** Bytes read at a time; Grizzly's default is as large as the socket's own buffer. */
+    private static final int READ_BUFFER_BYTES = 16 << 10;
+
     final TCPNIOTransport transport;
-    private static final int READ_BYTES = 16 << 10; // at a time; by itself it is as large as the socket's own buffer
-    private DelayedExecutor timers;
+    private DelayedExecutor idleTimers;
 
+    /**
+     * Starts the selector threads, as daemons.
+     *
+     * @param selectors number of selector threads
+     * @param name      prefix of the threads' names
+     * @throws IOException when the selectors can't be opened
+     */
     public NetworkTransport(int selectors, String name) throws IOException {
-        var pool = org.glassfish.grizzly.threadpool.ThreadPoolConfig.defaultConfig().copy().setPoolName(
-            name).setCorePoolSize(selectors).setMaxPoolSize(selectors).setDaemon(true);
-        transport = TCPNIOTransportBuilder.newInstance().setIOStrategy(
-            SameThreadIOStrategy.getInstance()).setSelectorThreadPoolConfig(pool).setSelectorRunnersCount(
-                selectors).setTcpNoDelay(true).setKeepAlive(false).setReuseAddress(
-                    true).setServerConnectionBackLog(4096).setReadBufferSize(READ_BYTES).build();
+        ThreadPoolConfig selectorPool = ThreadPoolConfig.defaultConfig().copy();
+        selectorPool.setPoolName(name).setCorePoolSize(selectors).setMaxPoolSize(selectors).setDaemon(true);
+        TCPNIOTransportBuilder builder = TCPNIOTransportBuilder.newInstance();
+        builder.setIOStrategy(SameThreadIOStrategy.getInstance());
+        builder.setSelectorThreadPoolConfig(selectorPool);
+        builder.setSelectorRunnersCount(selectors);
+        builder.setTcpNoDelay(true);
+        builder.setKeepAlive(false);
+        builder.setReuseAddress(true);
+        builder.setServerConnectionBackLog(LISTEN_BACKLOG);
+        builder.setReadBufferSize(READ_BUFFER_BYTES);
+        transport = builder.build();
         transport.start();
     }
 
-    /** The timers of the HTTP doors; their threads are there only where a door needs them. */
-    synchronized DelayedExecutor timers() {
-        if (timers == null) {
-            timers = org.glassfish.grizzly.utils.IdleTimeoutFilter.createDefaultIdleDelayedExecutor();
-            timers.start();
+    /** The idle timers of HTTP servers; their threads start only when a server asks for them. */
+    synchronized DelayedExecutor idleTimers() {
+        if (idleTimers == null) {
+            idleTimers = IdleTimeoutFilter.createDefaultIdleDelayedExecutor();
+            idleTimers.start();
         }
-        return timers;
+        return idleTimers;
     }
 
+    /** Closes all connections and ends the threads. */
     @Override public synchronized void close() {
-        if (timers != null) { timers.destroy(); }
+        if (idleTimers != null) {
+            idleTimers.destroy();
+        }
         try {
             transport.shutdownNow();
         } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e);
+            throw new UncheckedIOException(e);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/switchgap/net/RawBytesWriter.java
@@ -0,0 +1,23 @@
+package switchgap.net;
+
+import java.net.SocketAddress;
+import org.glassfish.grizzly.CompletionHandler;
+import org.glassfish.grizzly.Connection;
+import org.glassfish.grizzly.WriteResult;
+import org.glassfish.grizzly.asyncqueue.WritableMessage;
+import org.glassfish.grizzly.memory.Buffers;
+import org.glassfish.grizzly.nio.NIOConnection;
+import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
+
+/** Writes bytes to a connection's socket past the filters of its chain. */
+final class RawBytesWriter {
+    private RawBytesWriter() {}
+
+    /** Queues a write and returns at once; the array must not be changed from then on. */
+    static void write(Connection<?> connection, byte[] bytes,
+        CompletionHandler<WriteResult<WritableMessage, SocketAddress>> completionHandler) {
+        TCPNIOTransport transport = (TCPNIOTransport) connection.getTransport();
+        transport.getAsyncQueueIO().getWriter().write((NIOConnection) connection,
+            Buffers.wrap(connection.getMemoryManager(), bytes), completionHandler);
+    }
+}
--- /dev/null
+++ b/src/main/java/switchgap/net/RequestStartFilter.java
@@ -0,0 +1,20 @@
+package switchgap.net;
+
+import org.glassfish.grizzly.attributes.Attribute;
+import org.glassfish.grizzly.filterchain.BaseFilter;
+import org.glassfish.grizzly.filterchain.FilterChainContext;
+import org.glassfish.grizzly.filterchain.NextAction;
+
+/** Stands before the HTTP filter, to note when a request begins even if its head never becomes whole. */
+final class RequestStartFilter extends BaseFilter {
+    private final Attribute<ServerConnectionState> states;
+
+    RequestStartFilter(Attribute<ServerConnectionState> states) {
+        this.states = states;
+    }
+
+    @Override public NextAction handleRead(FilterChainContext context) {
+        states.get(context.getConnection()).bytesArrived();
+        return context.getInvokeAction();
+    }
+}
--- /dev/null
+++ b/src/main/java/switchgap/net/ServerConnectionState.java
@@ -0,0 +1,94 @@
+package switchgap.net;
+
+import java.util.Arrays;
+import org.glassfish.grizzly.Buffer;
+
+/**
+ * What an {@link HttpServer} knows of one connection. The body belongs to the connection's selector thread;
+ * the other fields are read by the timer thread and by whoever responds, too.
+ */
+final class ServerConnectionState {
+    private static final byte[] NO_BYTES = new byte[0];
+    /** In place of a time, when no request is being received. */
+    private static final long NONE = 0;
+
+    private final long openedNanos = System.nanoTime();
+    private byte[] body = NO_BYTES;
+    private int bodyBytes;
+    private boolean discardingBody;
+    private volatile long requestStartedNanos = NONE;
+    private volatile boolean usedForRequest;
+    private volatile HttpExchange pendingExchange;
+
+    /** Takes note that bytes arrived: outside an exchange they begin a request. */
+    void bytesArrived() {
+        if (requestStartedNanos == NONE && pendingExchange == null) {
+            requestStartedNanos = System.nanoTime();
+        }
+    }
+
+    /** Whether the request that is being received, or the first one, has taken too long to come. */
+    boolean isOverdue(long nowNanos, ConnectionLimits limits) {
+        long startedNanos = requestStartedNanos;
+        if (startedNanos != NONE) {
+            return nowNanos - startedNanos > limits.receiveTimeout().toNanos();
+        }
+        return !usedForRequest && nowNanos - openedNanos > limits.idleTimeout().toNanos();
+    }
+
+    int bodyBytes() {
+        return bodyBytes;
+    }
+
+    /** Lets the rest of a request be received and ignored. */
+    void discardBody() {
+        discardingBody = true;
+    }
+
+    boolean isDiscardingBody() {
+        return discardingBody;
+    }
+
+    /**
+     * Takes in a part of the body.
+     *
+     * @param content       the part, or null
+     * @param contentLength the length that the request's head states, or one below 1 when it states none
+     */
+    void appendBody(Buffer content, long contentLength) {
+        int length = content == null ? 0 : content.remaining();
+        int total = bodyBytes + length;
+        if (total > body.length) {
+            int expected = contentLength > 0 ? (int) contentLength : 2 * bodyBytes;
+            body = Arrays.copyOf(body, Math.max(total, expected));
+        }
+        if (length > 0) {
+            content.get(body, bodyBytes, length);
+            bodyBytes = total;
+        }
+    }
+
+    /** Takes the received body out. */
+    byte[] takeBody() {
+        byte[] whole = bodyBytes == body.length ? body : Arrays.copyOf(body, bodyBytes);
+        body = NO_BYTES;
+        bodyBytes = 0;
+        return whole;
+    }
+
+    /** Takes note that a request is whole and waits for its response. */
+    void exchangeStarted(HttpExchange exchange) {
+        pendingExchange = exchange;
+        usedForRequest = true;
+        requestStartedNanos = NONE;
+    }
+
+    void exchangeEnded() {
+        pendingExchange = null;
+    }
+
+    /** The exchange that has no response yet, or null. */
+    HttpExchange pendingExchange() {
+        return pendingExchange;
+    }
+}
--- a/src/main/java/switchgap/net/TcpConnection.java
+++ b/src/main/java/switchgap/net/TcpConnection.java
@@ -7,155 +7,151 @@
 import java.time.Duration;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.EmptyCompletionHandler;
-import org.glassfish.grizzly.Grizzly;
 import org.glassfish.grizzly.WriteResult;
 import org.glassfish.grizzly.asyncqueue.WritableMessage;
-import org.glassfish.grizzly.attributes.Attribute;
-import org.glassfish.grizzly.filterchain.BaseFilter;
 import org.glassfish.grizzly.filterchain.FilterChain;
 import org.glassfish.grizzly.filterchain.FilterChainBuilder;
-import org.glassfish.grizzly.filterchain.FilterChainContext;
-import org.glassfish.grizzly.filterchain.NextAction;
 import org.glassfish.grizzly.filterchain.TransportFilter;
-import org.glassfish.grizzly.memory.Buffers;
-import org.glassfish.grizzly.nio.NIOConnection;
 import org.glassfish.grizzly.nio.transport.TCPNIOBindingHandler;
 import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 import org.glassfish.grizzly.nio.transport.TCPNIOServerConnection;
-import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
-/** A connection that carries bytes as they come; it tells how many it has yet to write. */
+/** A TCP connection that hands on bytes as they arrive and counts those that are not written yet. */
 public final class TcpConnection {
-    /** Hears of a link; on a selector thread. After closed nothing comes. */
+    /** Hears of connections, on a selector thread. After {@code closed} nothing comes of that connection. */
     public interface Listener {
-        void opened(TcpConnection l);
+        /** The connection is open. */
+        void opened(TcpConnection connection);
 
-        /** What came, to be read before this returns. */
-        void received(TcpConnection l, ByteBuffer more);
+        /** Bytes arrived; the buffer is valid only until this method returns. */
+        void received(TcpConnection connection, ByteBuffer bytes);
 
-        void closed(TcpConnection l, String why);
+        /** The connection ended, by this side or the other. */
+        void closed(TcpConnection connection, String reason);
     }
 
     private final Connection<?> connection;
-    private final Listener ear;
-    private final AtomicBoolean over = new AtomicBoolean();
-    private final AtomicInteger unsent = new AtomicInteger();
-    private final AtomicInteger writes = new AtomicInteger();
-    /** The ear's own. */
+    private final Listener listener;
+    private final AtomicBoolean closed = new AtomicBoolean();
+    private final AtomicInteger unsentBytes = new AtomicInteger();
+    private final AtomicInteger unsentWrites = new AtomicInteger();
+    /** Whatever the listener keeps for this connection. */
     public volatile Object attachment;
 
-    private TcpConnection(Connection<?> c, Listener ear) {
-        this.connection = c;
-        this.ear = ear;
+    TcpConnection(Connection<?> connection, Listener listener) {
+        this.connection = connection;
+        this.listener = listener;
     }
 
-    public boolean isOpen() { return !over.get() && connection.isOpen(); }
-
-    /** Bytes given to send and not written yet. */
-    public int unsentBytes() { return unsent.get(); }
-
-    /** How many sends are not written yet. */
-    public int unsentWrites() { return writes.get(); }
-
-    /** Writes; false, and no byte goes out, where the link is closed. The bytes are the link's from now on. */
-    public boolean send(byte[] bytes) {
-        if (!isOpen()) { return false; }
-        unsent.addAndGet(bytes.length);
-        writes.incrementAndGet();
-        ((TCPNIOTransport) connection.getTransport()).getAsyncQueueIO().getWriter().write(
-            (NIOConnection) connection,
-            Buffers.wrap(connection.getMemoryManager(), bytes),
-            new EmptyCompletionHandler<WriteResult<WritableMessage, SocketAddress>>() {
-                @Override public void completed(WriteResult<WritableMessage, SocketAddress> r) {
-                    unsent.addAndGet(-bytes.length);
-                    writes.decrementAndGet();
-                }
-
-                @Override public void failed(Throwable e) { close("a write failed"); }
-            });
-        return true;
+    /** Whether neither side has closed the connection. */
+    public boolean isOpen() {
+        return !closed.get() && connection.isOpen();
     }
 
-    public void close(String why) {
-        if (over.compareAndSet(false, true)) {
-            connection.closeSilently();
-            ear.closed(this, why);
-        }
+    /** Whether this side has closed the connection or has taken note of its end. */
+    boolean isClosed() {
+        return closed.get();
     }
 
-    private static final class ConnectionFilter extends BaseFilter {
-        private final Attribute<TcpConnection> links = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(
-            "switchgap.bytes." + System.identityHashCode(this));
-        private final Listener ear;
-
-        ConnectionFilter(Listener ear) { this.ear = ear; }
-
-        private NextAction begin(FilterChainContext x) {
-            TcpConnection l = new TcpConnection(x.getConnection(), ear);
-            links.set(x.getConnection(), l);
-            ear.opened(l);
-            return x.getStopAction();
-        }
-
-        @Override public NextAction handleAccept(FilterChainContext x) { return begin(x); }
+    /** Number of bytes given to {@link #send} and not written yet. */
+    public int unsentBytes() {
+        return unsentBytes.get();
+    }
 
-        @Override public NextAction handleConnect(FilterChainContext x) { return begin(x); }
+    /** Number of calls of {@link #send} whose bytes are not written yet. */
+    public int unsentWrites() {
+        return unsentWrites.get();
+    }
 
-        @Override public NextAction handleRead(FilterChainContext x) {
-            Buffer b = x.getMessage();
-            TcpConnection l = links.get(x.getConnection());
-            if (l != null && !l.over.get()) { ear.received(l, b.toByteBuffer()); }
-            b.tryDispose();
-            return x.getStopAction();
+    /**
+     * Queues bytes to be written; any thread. The array must not be changed from then on.
+     *
+     * @return false, and no byte goes out, when the connection is closed
+     */
+    public boolean send(byte[] bytes) {
+        if (!isOpen()) {
+            return false;
         }
+        unsentBytes.addAndGet(bytes.length);
+        unsentWrites.incrementAndGet();
+        RawBytesWriter.write(connection, bytes, new EmptyCompletionHandler<>() {
+            @Override public void completed(WriteResult<WritableMessage, SocketAddress> result) {
+                unsentBytes.addAndGet(-bytes.length);
+                unsentWrites.decrementAndGet();
+            }
+
+            @Override public void failed(Throwable cause) {
+                close("a write failed");
+            }
+        });
+        return true;
+    }
 
-        @Override public NextAction handleClose(FilterChainContext x) {
-            TcpConnection l = links.get(x.getConnection());
-            if (l != null) { l.close("the other side closed"); }
-            return x.getStopAction();
+    /** Closes the connection, unless it is closed; the listener hears of it with this reason. Any thread. */
+    public void close(String reason) {
+        if (closed.compareAndSet(false, true)) {
+            connection.closeSilently();
+            listener.closed(this, reason);
         }
     }
 
-    private static FilterChain chain(ConnectionFilter r) {
-        return FilterChainBuilder.stateless().add(new TransportFilter()).add(r).build();
+    private static FilterChain filterChain(TcpConnectionFilter filter) {
+        return FilterChainBuilder.stateless().add(new TransportFilter()).add(filter).build();
     }
 
-    /** Listens; port 0 takes any; so many connections may wait to be accepted. */
-    public static Server listen(NetworkTransport net, String host, int port, int backlog, Listener ear)
-        throws IOException {
-        return new Server(TCPNIOBindingHandler.builder(net.transport).processor(
-            chain(new ConnectionFilter(ear))).build().bind(new InetSocketAddress(host, port), backlog));
+    /**
+     * Begins to accept connections.
+     *
+     * @param port    the port to listen on; 0 takes any free one
+     * @param backlog how many connections may wait to be accepted
+     * @throws IOException when the address can't be listened on
+     */
+    public static Server listen(NetworkTransport transport, String host, int port, int backlog,
+        Listener listener) throws IOException {
+        TCPNIOBindingHandler binding = TCPNIOBindingHandler.builder(transport.transport).processor(
+            filterChain(new TcpConnectionFilter(listener))).build();
+        return new Server(binding.bind(new InetSocketAddress(host, port), backlog));
     }
 
-    /** A listener. */
+    /** A listening socket. */
     public static final class Server implements AutoCloseable {
-        private final TCPNIOServerConnection c;
+        private final TCPNIOServerConnection connection;
 
-        private Server(TCPNIOServerConnection c) { this.c = c; }
+        private Server(TCPNIOServerConnection connection) {
+            this.connection = connection;
+        }
 
-        public int port() { return ((InetSocketAddress) c.getLocalAddress()).getPort(); }
+        /** The port that is listened on. */
+        public int port() {
+            return ((InetSocketAddress) connection.getLocalAddress()).getPort();
+        }
 
-        @Override public void close() { c.closeSilently(); }
+        /** Stops accepting connections; open ones stay. */
+        @Override public void close() {
+            connection.closeSilently();
+        }
     }
 
-    /** Opens links of one kind, again and again, through one filter chain. */
+    /** Opens any number of connections that share one listener and one filter chain. */
     public static final class Factory {
-        private final ConnectionFilter reader;
+        private final TcpConnectionFilter filter;
         private final TCPNIOConnectorHandler connector;
 
-        public Factory(NetworkTransport net, Listener ear) {
-            reader = new ConnectionFilter(ear);
-            connector = TCPNIOConnectorHandler.builder(net.transport).processor(chain(reader)).build();
+        /** A factory of connections that this listener hears of. */
+        public Factory(NetworkTransport transport, Listener listener) {
+            filter = new TcpConnectionFilter(listener);
+            connector = TCPNIOConnectorHandler.builder(transport.transport).processor(
+                filterChain(filter)).build();
         }
 
-        /** Opens one; exactly one of the two answers comes, within the span. */
-        public void connect(InetSocketAddress to, Duration within,
-            Connector.ConnectCallback<TcpConnection> then) {
-            Connector.connect(connector, to, null, within, then, c -> reader.links.get(c),
-                l -> l.close("opened too late"));
+        /** Begins to open a connection; the callback hears once, within the timeout, how that ended. */
+        public void connect(InetSocketAddress remote, Duration timeout,
+            Connector.ConnectCallback<TcpConnection> callback) {
+            Connector.connect(connector, remote, null, timeout, callback,
+                new Connector.ConnectionAdapter<>(filter::connectionOf,
+                    connection -> connection.close("opened too late")));
         }
     }
 }
--- /dev/null
+++ b/src/main/java/switchgap/net/TcpConnectionFilter.java
@@ -0,0 +1,58 @@
+package switchgap.net;
+
+import org.glassfish.grizzly.Buffer;
+import org.glassfish.grizzly.Connection;
+import org.glassfish.grizzly.Grizzly;
+import org.glassfish.grizzly.attributes.Attribute;
+import org.glassfish.grizzly.filterchain.BaseFilter;
+import org.glassfish.grizzly.filterchain.FilterChainContext;
+import org.glassfish.grizzly.filterchain.NextAction;
+
+/** The last filter of a chain of plain TCP: turns Grizzly's events into calls of a listener. */
+final class TcpConnectionFilter extends BaseFilter {
+    private final Attribute<TcpConnection> connections = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(
+        "switchgap.tcp-connection." + System.identityHashCode(this));
+    private final TcpConnection.Listener listener;
+
+    TcpConnectionFilter(TcpConnection.Listener listener) {
+        this.listener = listener;
+    }
+
+    /** The connection that was made of a Grizzly connection when it opened. */
+    TcpConnection connectionOf(Connection<?> connection) {
+        return connections.get(connection);
+    }
+
+    @Override public NextAction handleAccept(FilterChainContext context) {
+        return open(context);
+    }
+
+    @Override public NextAction handleConnect(FilterChainContext context) {
+        return open(context);
+    }
+
+    private NextAction open(FilterChainContext context) {
+        TcpConnection connection = new TcpConnection(context.getConnection(), listener);
+        connections.set(context.getConnection(), connection);
+        listener.opened(connection);
+        return context.getStopAction();
+    }
+
+    @Override public NextAction handleRead(FilterChainContext context) {
+        Buffer bytes = context.getMessage();
+        TcpConnection connection = connectionOf(context.getConnection());
+        if (connection != null && !connection.isClosed()) {
+            listener.received(connection, bytes.toByteBuffer());
+        }
+        bytes.tryDispose();
+        return context.getStopAction();
+    }
+
+    @Override public NextAction handleClose(FilterChainContext context) {
+        TcpConnection connection = connectionOf(context.getConnection());
+        if (connection != null) {
+            connection.close("the other side closed");
+        }
+        return context.getStopAction();
+    }
+}
--- a/src/test/java/switchgap/net/SelectorThreadsTest.java
+++ b/src/test/java/switchgap/net/SelectorThreadsTest.java
@@ -2,54 +2,66 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.io.InputStream;
+import java.io.IOException;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.ByteBuffer;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The one selector outlives whatever reading a connection does: else a process is up that serves nobody. */
+/** A selector thread outlives whatever a listener throws: otherwise a process is up that serves nobody. */
 class SelectorThreadsTest {
-    private static final class Planted implements TcpConnection.Listener {
-        private final boolean error;
+    private static final int SOCKET_TIMEOUT_MILLIS = 3000;
+    private static final int END_OF_STREAM = -1;
 
-        Planted(boolean error) { this.error = error; }
+    /** Throws at the byte x and replies y to any other. */
+    private static final class FaultyListener implements TcpConnection.Listener {
+        private final boolean throwsError;
 
-        @Override public void opened(TcpConnection l) {}
+        FaultyListener(boolean throwsError) {
+            this.throwsError = throwsError;
+        }
+
+        @Override public void opened(TcpConnection connection) {}
 
-        @Override public void received(TcpConnection l, ByteBuffer more) {
-            if (more.get() == 'x' && error) { throw new StackOverflowError("planted"); }
-            if (more.get(more.position() - 1) == 'x') { throw new IllegalStateException("planted"); }
-            l.send(new byte[] {'y'});
+        @Override public void received(TcpConnection connection, ByteBuffer bytes) {
+            if (bytes.get() == 'x' && throwsError) {
+                throw new StackOverflowError("injected");
+            }
+            if (bytes.get(bytes.position() - 1) == 'x') {
+                throw new IllegalStateException("injected");
+            }
+            connection.send(new byte[] {'y'});
         }
 
-        @Override public void closed(TcpConnection l, String why) {}
+        @Override public void closed(TcpConnection connection, String reason) {}
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false}) void aFaultInReadingOneConnectionLeavesTheOthersServed(
-        boolean error) throws Exception {
-        try (NetworkTransport net = new NetworkTransport(1, "planted");
-            TcpConnection.Server door = TcpConnection.listen(net, "127.0.0.1", 0, 50, new Planted(error))) {
+        boolean throwsError) throws Exception {
+        try (NetworkTransport transport = new NetworkTransport(1, "faulty");
+            TcpConnection.Server server = TcpConnection.listen(transport, "127.0.0.1", 0, 50,
+                new FaultyListener(throwsError))) {
             for (int i = 0; i < 3; i++) {
-                try (Socket bad = new Socket("127.0.0.1", door.port());
-                    Socket good = new Socket("127.0.0.1", door.port())) {
-                    bad.getOutputStream().write('x');
-                    assertThat(answer(bad)).as("the faulty one ends").isNegative();
-                    good.getOutputStream().write('g');
-                    assertThat(answer(good)).isEqualTo('y');
+                try (Socket faulty = new Socket("127.0.0.1", server.port());
+                    Socket healthy = new Socket("127.0.0.1", server.port())) {
+                    faulty.getOutputStream().write('x');
+                    assertThat(readByte(faulty)).as("the faulty connection ends").isEqualTo(END_OF_STREAM);
+                    healthy.getOutputStream().write('g');
+                    assertThat(readByte(healthy)).isEqualTo('y');
                 }
             }
         }
     }
 
-    private static int answer(Socket s) throws Exception {
-        s.setSoTimeout(3000);
-        InputStream in = s.getInputStream();
+    /** The next byte, or {@link #END_OF_STREAM} when the connection ended or was reset. */
+    private static int readByte(Socket socket) throws IOException {
+        socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
         try {
-            return in.read();
-        } catch (java.net.SocketException x) {
-            return -1; // reset
+            return socket.getInputStream().read();
+        } catch (SocketException e) {
+            return END_OF_STREAM;
         }
     }
 }
