--- a/src/main/java/switchgap/net/HttpClientConnection.java
+++ b/src/main/java/switchgap/net/HttpClientConnection.java
@@ -14,9 +14,7 @@
 import org.glassfish.grizzly.filterchain.TransportFilter;
 import org.glassfish.grizzly.http.HttpClientFilter;
 import org.glassfish.grizzly.http.HttpContent;
-import org.glassfish.grizzly.http.HttpRequestPacket;
 import org.glassfish.grizzly.http.HttpResponsePacket;
-import org.glassfish.grizzly.memory.Buffers;
 import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 
 /**
@@ -91,9 +89,6 @@
         }
     }
 
-    private static final String PROTOCOL = "HTTP/1.1";
-    private static final String HOST = "switchgap";
-
     private final Connection<?> connection;
     private final int maxBodyBytes;
     /** The handler of the exchange on the connection, or null; taking it out decides the outcome. */
@@ -141,9 +136,8 @@
         }
         gatheredBody = null;
         finalResponseStarted = false;
-        HttpRequestPacket head = requestHead(method, path, headers, body.length);
-        HttpContent packet = HttpContent.builder(head).content(
-            Buffers.wrap(connection.getMemoryManager(), body)).last(true).build();
+        HttpContent packet = new HttpRequest(method, path, headers, body).toPacket(
+            connection.getMemoryManager());
         @SuppressWarnings({"unchecked", "rawtypes"}) Connection<Object> output = (Connection) connection;
         output.write(packet, new EmptyCompletionHandler<>() {
             @Override public void failed(Throwable cause) {
@@ -154,22 +148,6 @@
         return true;
     }
 
-    private static HttpRequestPacket requestHead(String method, String path, Map<String, String> headers,
-        int contentLength) {
-        int queryStart = path.indexOf('?');
-        HttpRequestPacket.Builder head = HttpRequestPacket.builder();
-        head.method(method);
-        head.uri(queryStart < 0 ? path : path.substring(0, queryStart));
-        head.protocol(PROTOCOL);
-        head.header("Host", HOST);
-        if (queryStart >= 0) {
-            head.query(path.substring(queryStart + 1));
-        }
-        headers.forEach(head::header);
-        head.contentLength(contentLength);
-        return head.build();
-    }
-
     /** Ends the connection if this handler's exchange is pending on it; the handler hears nothing more. */
     public void abandon(ResponseHandler handler) {
         if (pendingHandler.compareAndSet(handler, null)) {
