--- a/src/main/java/switchgap/planner/LoadBacklog.java
+++ b/src/main/java/switchgap/planner/LoadBacklog.java
@@ -3,9 +3,11 @@
 import java.util.List;
 
 /**
- * What the edge tells its planner: all that waits, whole each time, so that a lost one is made up for by the next.
+ * What the edge reports to its planner: all pending loads, whole each time, so that a lost report is made up
+ * for by the next.
  *
- * @param epoch of the edge and this link; a plan for another is refused
- * @param seq   counts up in an epoch
+ * @param epoch    of the edge's connection to the planner; a plan for another epoch is rejected
+ * @param sequence counts up within an epoch
+ * @param waiting  the pending loads
  */
 public record LoadBacklog(long epoch, long sequence, List<PendingLoad> waiting) {}
--- a/src/main/java/switchgap/planner/LoadPlan.java
+++ b/src/main/java/switchgap/planner/LoadPlan.java
@@ -1,4 +1,10 @@
 package switchgap.planner;
 
-/** What a planner answers: the wishes that may go out now, in this order; for the epoch and what it was told last. */
+/**
+ * A planner's response to a backlog: the loads that may be released now.
+ *
+ * @param epoch    that of the backlog
+ * @param sequence that of the backlog
+ * @param ids      of the loads, in the order in which they are to be released
+ */
 public record LoadPlan(long epoch, long sequence, long[] ids) {}
--- a/src/main/java/switchgap/planner/LoadScheduler.java
+++ b/src/main/java/switchgap/planner/LoadScheduler.java
@@ -1,37 +1,48 @@
 package switchgap.planner;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 
 /**
- * The planner's side: in which order loads go out. First what the most waiting importance hangs on for a second of loading;
- * age counts for importance so that nothing waits for ever. Where copies lie, how many, and how many loads are out at a time
- * is what the edge's module asked for: it alone learns the store's pace.
+ * The planner's side: in which order loads are released. The load with the most waiting priority weight for a
+ * second of loading goes first; waiting adds to the weight, so that no load waits for ever. Where replicas
+ * are placed, how many there are, and how many loads are in flight is what the edge's router asked for: it
+ * alone measures the store's pace. Not thread-safe.
  */
 public final class LoadScheduler {
-    private static final double AGE = 1;      // importance a second of waiting adds
-    private static final long USUAL = 500_000; // microseconds, where a function tells no load time
-    private long lastSeq = -1;
+    /** Priority weight that a second of waiting adds: guards against a load that waits for ever. */
+    private static final double WEIGHT_PER_WAITING_SECOND = 1;
+    /** Load time, microseconds, of a function that has none configured. */
+    private static final long DEFAULT_LOAD_MICROS = 500_000;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final Comparator<PendingLoad> HIGHEST_PRIORITY_FIRST = Comparator.comparingDouble(
+        LoadScheduler::priority).reversed().thenComparingLong(PendingLoad::id);
+
+    private long lastSequence = -1;
     private long epoch = -1;
 
-    /** Answers what the edge told; null where it is older than what was answered before. */
-    public LoadPlan plan(LoadBacklog t) {
-        if (t.epoch() != epoch) {
-            epoch = t.epoch();
-            lastSeq = -1;
+    /** The plan for a backlog; null where the backlog is not newer than the last one of its epoch. */
+    public LoadPlan plan(LoadBacklog backlog) {
+        if (backlog.epoch() != epoch) {
+            epoch = backlog.epoch();
+            lastSequence = -1;
+        }
+        if (backlog.sequence() <= lastSequence) {
+            return null;
         }
-        if (t.sequence() <= lastSeq) { return null; }
-        lastSeq = t.sequence();
-        List<PendingLoad> by = new ArrayList<>(t.waiting());
-        by.sort((a, b) -> {
-            int c = Double.compare(worth(b), worth(a));
-            return c != 0 ? c : Long.compare(a.id(), b.id());
-        });
-        return new LoadPlan(t.epoch(), t.sequence(), by.stream().mapToLong(PendingLoad::id).toArray());
+        lastSequence = backlog.sequence();
+        List<PendingLoad> ordered = new ArrayList<>(backlog.waiting());
+        ordered.sort(HIGHEST_PRIORITY_FIRST);
+        long[] ids = ordered.stream().mapToLong(PendingLoad::id).toArray();
+        return new LoadPlan(backlog.epoch(), backlog.sequence(), ids);
     }
 
-    private static double worth(PendingLoad w) {
-        return (w.priorityWeight() + AGE * w.ageMicros() / 1e6)
-            / Math.max(1, w.loadMicros() > 0 ? w.loadMicros() : USUAL) * 1e6;
+    /** Waiting priority weight for a second of loading. */
+    private static double priority(PendingLoad load) {
+        double weight = load.priorityWeight()
+            + WEIGHT_PER_WAITING_SECOND * load.ageMicros() / MICROS_PER_SECOND;
+        long loadMicros = load.loadMicros() > 0 ? load.loadMicros() : DEFAULT_LOAD_MICROS;
+        return weight / Math.max(1, loadMicros) * MICROS_PER_SECOND;
     }
 }
--- a/src/main/java/switchgap/planner/PendingLoadQueue.java
+++ b/src/main/java/switchgap/planner/PendingLoadQueue.java
@@ -5,143 +5,203 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.ToDoubleFunction;
 
 /**
- * The edge's side: loads that its module asked for wait here for the planner's word, each for a bounded time, and go out
- * once. States: ALONE (no planner: what is asked goes out at once), LED, STALLED (linked, but no plan came in time: as
- * ALONE until one comes). The edge never depends on the planner: what goes out when in doubt is what goes out without one.
+ * The edge's side: loads that its router requested are pending here until a plan names them, each for a
+ * bounded time, and are released once. The edge never depends on the planner: when in doubt a load is
+ * released as it would be without one. Not thread-safe; times are durations since the router's start.
  */
 public final class PendingLoadQueue {
-    public enum State { ALONE, LED, STALLED }
+    /** Whether a planner decides on releases. The names are shown to operators. */
+    public enum State {
+        /** No planner is connected: each load is released at once. */
+        ALONE,
+        /** A planner is connected, and its plans decide. */
+        LED,
+        /** A planner is connected, but no plan came in time: as ALONE until one comes. */
+        STALLED
+    }
 
-    /** Carries out what is decided here. */
+    /** Carries out what is decided here; called within the queue's own methods. */
     public interface Listener {
-        /** The order goes out now; at most once for each id. */
+        /** The load is released now; called at most once for each id. */
         void release(long id);
 
-        /** Something of a plan was refused: who sent it is wrong. */
+        /** A part of a plan was rejected: the planner that sent it is at fault. */
         void planRejected(String why);
     }
 
-    private record Waiting(PendingLoad wish, Duration asked, Duration due) {}
+    private record Entry(PendingLoad load, Duration addedAt, Duration timeoutAt) {}
+
+    /**
+     * Loads timed out in succession, without a plan between them, after which the planner counts as stalled.
+     */
+    private static final int MAX_SUCCESSIVE_TIMEOUTS = 3;
+    private static final int NANOS_PER_MICRO = 1000;
 
-    private static final int STRIKES = 3; // wishes that waited in vain, one after the other
-    private final Duration patience;
-    private final int most;
-    private final Listener carrier;
-    private final Map<Long, Waiting> waiting = new LinkedHashMap<>();
+    private final Duration timeout;
+    private final int capacity;
+    private final Listener listener;
+    private final Map<Long, Entry> entries = new LinkedHashMap<>();
     private State state = State.ALONE;
     private long epoch;
-    private long next;
-    private long lastSeq;
-    private int inVain;
-    private long stale, refused, led, late;
+    private long nextId;
+    private long lastSequence;
+    private int successiveTimeouts;
+    private long plannedCount;
+    private long timedOutCount;
+    private long staleCount;
+    private long rejectedCount;
+
+    /** Each load is pending for {@code timeout} at most, and {@code capacity} loads at most are pending. */
+    public PendingLoadQueue(Duration timeout, int capacity, Listener listener) {
+        this.timeout = timeout;
+        this.capacity = capacity;
+        this.listener = listener;
+    }
+
+    /** Whether a planner decides now. */
+    public State state() {
+        return state;
+    }
 
-    /** Each wish waits at most for {@code patience}, and at most so many wait. */
-    public PendingLoadQueue(Duration patience, int most, Listener carrier) {
-        this.patience = patience;
-        this.most = most;
-        this.carrier = carrier;
+    /** The epoch of the last connection of a planner, 0 before the first. */
+    public long epoch() {
+        return epoch;
     }
 
-    public State state() { return state; }
+    /** The id that the next load must have. */
+    public long nextId() {
+        return nextId;
+    }
 
-    /** A planner is linked; plans must name this epoch, which must be past all before. */
-    public void connected(long epoch) {
-        if (epoch <= this.epoch) {
-            throw new IllegalArgumentException("epoch " + epoch + " after " + this.epoch);
+    /**
+     * A planner is connected; its plans must name this epoch.
+     *
+     * @throws IllegalArgumentException where the epoch is not above all before
+     */
+    public void connected(long newEpoch) {
+        if (newEpoch <= epoch) {
+            throw new IllegalArgumentException("epoch " + newEpoch + " after " + epoch);
         }
-        this.epoch = epoch;
-        lastSeq = 0;
-        inVain = 0;
-        state = State.LED;
+        epoch = newEpoch;
+        follow(0);
     }
 
-    /** The planner is gone: what waits goes out in the order in which it was asked for. */
+    /** The planner is gone: all pending loads are released in the order in which they were added. */
     public void disconnected() {
         state = State.ALONE;
-        List.copyOf(waiting.keySet()).forEach(this::out);
+        releaseAll();
     }
 
-    /** The number that the next wish must bear. */
-    public long nextId() { return next; }
-
-    /** The module asks for a load. */
-    public void add(Duration now, PendingLoad w) {
-        if (w.id() != next) { throw new IllegalArgumentException("wish " + w.id() + " in place of " + next); }
-        next++;
-        waiting.put(w.id(), new Waiting(w, now, now.plus(patience)));
-        if (state != State.LED || waiting.size() > most) { out(w.id()); }
+    /**
+     * The router requests a load.
+     *
+     * @throws IllegalArgumentException where its id is not {@link #nextId}
+     */
+    public void add(Duration now, PendingLoad load) {
+        if (load.id() != nextId) {
+            throw new IllegalArgumentException("load " + load.id() + " in place of " + nextId);
+        }
+        nextId++;
+        entries.put(load.id(), new Entry(load, now, now.plus(timeout)));
+        if (state != State.LED || entries.size() > capacity) {
+            release(load.id());
+        }
     }
 
-    /** The module wants it no more, or its time is over: it must not go out. True when it had not. */
+    /**
+     * The router no longer wants a load, which must not be released. False where it is not pending any more.
+     */
     public boolean withdraw(long id) {
-        return waiting.remove(id) != null;
+        return entries.remove(id) != null;
     }
 
-    /** A plan came. What it names and has gone out already is stale and dropped; what was never asked for is refused. */
-    public void planReceived(LoadPlan p) {
-        if (p.epoch() != epoch || state == State.ALONE) {
-            refuse("a plan for epoch " + p.epoch() + ", this is " + epoch);
+    /**
+     * A plan came. Loads that it names and that are no longer pending are counted as stale; ids that were
+     * never used, and plans for another epoch, are rejected.
+     */
+    public void planReceived(LoadPlan plan) {
+        if (plan.epoch() != epoch || state == State.ALONE) {
+            reject("a plan for epoch " + plan.epoch() + ", this is " + epoch);
             return;
         }
-        if (p.sequence() <= lastSeq) { // one that was overtaken, or came twice
-            stale += p.ids().length;
+        if (plan.sequence() <= lastSequence) { // overtaken by a later one, or received twice
+            staleCount += plan.ids().length;
             return;
         }
-        lastSeq = p.sequence();
-        inVain = 0;
+        follow(plan.sequence());
+        for (long id : plan.ids()) {
+            releasePlanned(id);
+        }
+    }
+
+    /** The planner is heard: its plans decide. */
+    private void follow(long sequence) {
+        lastSequence = sequence;
+        successiveTimeouts = 0;
         state = State.LED;
-        for (long id : p.ids()) {
-            if (id < 0 || id >= next) {
-                refuse("a wish " + id + " that was never asked for");
-            } else if (waiting.containsKey(id)) {
-                led++;
-                out(id);
-            } else {
-                stale++;
-            }
+    }
+
+    private void releasePlanned(long id) {
+        if (id < 0 || id >= nextId) {
+            reject("a load " + id + " that was never asked for");
+        } else if (entries.containsKey(id)) {
+            plannedCount++;
+            release(id);
+        } else {
+            staleCount++;
         }
     }
 
-    /** Lets out what has waited too long. Returns when the next is due, or null. */
+    /** Releases loads that have timed out. Returns when the next times out, or null where none is pending. */
     public Duration tick(Duration now) {
-        for (Waiting w : List.copyOf(waiting.values())) {
-            if (w.due.compareTo(now) > 0) { return w.due; }
-            late++;
-            out(w.wish.id());
-            if (++inVain >= STRIKES && state == State.LED) {
+        for (Entry entry : List.copyOf(entries.values())) {
+            if (entry.timeoutAt.compareTo(now) > 0) {
+                return entry.timeoutAt;
+            }
+            timedOutCount++;
+            release(entry.load.id());
+            successiveTimeouts++;
+            if (successiveTimeouts >= MAX_SUCCESSIVE_TIMEOUTS && state == State.LED) {
                 state = State.STALLED;
-                List.copyOf(waiting.keySet()).forEach(this::out);
+                releaseAll();
                 return null;
             }
         }
         return null;
     }
 
-    private void out(long id) {
-        if (waiting.remove(id) != null) { carrier.release(id); }
+    private void releaseAll() {
+        List.copyOf(entries.keySet()).forEach(this::release);
     }
 
-    private void refuse(String why) {
-        refused++;
-        carrier.planRejected(why);
+    private void release(long id) {
+        if (entries.remove(id) != null) {
+            listener.release(id);
+        }
     }
 
-    public long epoch() { return epoch; }
+    private void reject(String why) {
+        rejectedCount++;
+        listener.planRejected(why);
+    }
 
-    /** What waits, with its age now and the importance that waits for its function. */
-    public List<PendingLoad> waiting(Duration now, java.util.function.ToDoubleFunction<String> importance) {
-        List<PendingLoad> all = new ArrayList<>(waiting.size());
-        waiting.values().forEach(
-            w -> all.add(new PendingLoad(w.wish.id(), w.wish.worker(), w.wish.function(), w.wish.memoryMb(),
-                w.wish.loadMicros(), importance.applyAsDouble(w.wish.function()),
-                now.minus(w.asked).toNanos() / 1000)));
-        return all;
+    /** The pending loads, with their present ages and the priority weight that waits for each function. */
+    public List<PendingLoad> waiting(Duration now, ToDoubleFunction<String> priorityWeight) {
+        List<PendingLoad> loads = new ArrayList<>(entries.size());
+        for (Entry entry : entries.values()) {
+            PendingLoad load = entry.load;
+            loads.add(new PendingLoad(load.id(), load.worker(), load.function(), load.memoryMb(),
+                load.loadMicros(), priorityWeight.applyAsDouble(load.function()),
+                now.minus(entry.addedAt).toNanos() / NANOS_PER_MICRO));
+        }
+        return loads;
     }
 
-    /** Wishes led by a plan, let out as their time was over, stale and refused parts of plans. */
+    /** Loads released by a plan, released by timeout, stale in plans; and rejected parts of plans. */
     public long[] counts() {
-        return new long[] {led, late, stale, refused};
+        return new long[] {plannedCount, timedOutCount, staleCount, rejectedCount};
     }
 }
--- a/src/main/java/switchgap/planner/link/PlannerClient.java
+++ b/src/main/java/switchgap/planner/link/PlannerClient.java
@@ -13,88 +13,128 @@
 import switchgap.planner.LoadPlan;
 import switchgap.planner.LoadScheduler;
 
-/** The planner's end: links to its edge, again and again with back-off, answers each word of what waits with a plan. */
+/**
+ * The planner's end: connects to its edge, again and again with exponential back-off, and responds to each
+ * backlog with a plan. Messages are handled on the connection's selector thread, heartbeats and reconnects on
+ * the timer thread.
+ */
 public final class PlannerClient implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(PlannerClient.class);
-    private static final long BEAT = 200;
-    private static final long LONGEST_WAIT = 2000;
-    private final FramedConnection.Factory opener;
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 200;
+    private static final long MIN_BACKOFF_MILLIS = 50;
+    private static final long MAX_BACKOFF_MILLIS = 2000;
+    private static final int BACKOFF_FACTOR = 2;
+
+    private final FramedConnection.Factory connections;
     private final InetSocketAddress edge;
     private final int router;
-    private final LoadScheduler sequence = new LoadScheduler();
-    private final ScheduledFuture<?> beat;
-    private volatile FramedConnection link;
+    private final LoadScheduler scheduler = new LoadScheduler();
+    private final ScheduledFuture<?> heartbeat;
+    private volatile FramedConnection connection;
     private volatile boolean greeted;
     private volatile boolean closed;
-    private long wait = 50;
-    private long beats;
+    private long backoffMillis = MIN_BACKOFF_MILLIS; // guarded by this
+    private long heartbeatsSent;                     // timer thread only
 
+    /** Connects at once to the edge of the router with this index. */
     public PlannerClient(NetworkTransport net, InetSocketAddress edge, int router) {
-        this.opener = new FramedConnection.Factory(net, PlannerMessageCodec.MOST, new FrameListener());
+        this.connections = new FramedConnection.Factory(net, PlannerMessageCodec.MAX_FRAME_BYTES,
+            new MessageListener());
         this.edge = edge;
         this.router = router;
-        beat = TimerThread.EXECUTOR.scheduleAtFixedRate(() -> {
-            FramedConnection l = link;
-            if (l != null && greeted) {
-                l.send(PlannerMessageCodec.encode(new PlannerMessageCodec.Heartbeat(beats++)));
-            }
-        }, BEAT, BEAT, TimeUnit.MILLISECONDS);
-        open();
+        this.heartbeat = TimerThread.EXECUTOR.scheduleAtFixedRate(this::sendHeartbeat,
+            HEARTBEAT_INTERVAL_MILLIS, HEARTBEAT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        connect();
     }
 
-    public boolean linked() { return greeted; }
+    /** Whether the handshake with the edge is done and the connection stands. */
+    public boolean linked() {
+        return greeted;
+    }
+
+    private void sendHeartbeat() {
+        FramedConnection current = connection;
+        if (current != null && greeted) {
+            current.send(PlannerMessageCodec.encode(new PlannerMessageCodec.Heartbeat(heartbeatsSent)));
+            heartbeatsSent++;
+        }
+    }
 
-    private void open() {
-        if (!closed) { opener.connect(edge, this::again); }
+    private void connect() {
+        if (!closed) {
+            connections.connect(edge, this::reconnectLater);
+        }
     }
 
-    private synchronized void again() {
+    private synchronized void reconnectLater() {
         greeted = false;
-        link = null;
-        if (closed) { return; }
-        TimerThread.EXECUTOR.schedule(this::open, wait, TimeUnit.MILLISECONDS);
-        wait = Math.min(LONGEST_WAIT, wait * 2);
+        connection = null;
+        if (closed) {
+            return;
+        }
+        TimerThread.EXECUTOR.schedule(this::connect, backoffMillis, TimeUnit.MILLISECONDS);
+        backoffMillis = Math.min(MAX_BACKOFF_MILLIS, backoffMillis * BACKOFF_FACTOR);
+    }
+
+    private synchronized void setBackoff(long millis) {
+        backoffMillis = millis;
     }
 
-    private final class FrameListener implements FramedConnection.Listener {
-        @Override public void opened(FramedConnection l) {
-            link = l;
-            l.send(PlannerMessageCodec.encode(
-                new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", router, 0)));
+    private final class MessageListener implements FramedConnection.Listener {
+        @Override public void opened(FramedConnection opened) {
+            connection = opened;
+            opened.send(PlannerMessageCodec.encode(new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION,
+                PlannerMessageCodec.PLANNER_SIDE, router, 0)));
         }
 
-        @Override public void frame(FramedConnection l, byte[] bytes) {
+        @Override public void frame(FramedConnection from, byte[] bytes) {
             try {
-                Object m = PlannerMessageCodec.decode(bytes);
-                if (m instanceof PlannerMessageCodec.Hello h && h.version() == PlannerMessageCodec.VERSION
-                    && h.side().equals("edge")) {
-                    greeted = true;
-                    wait = 50;
-                    LOG.info("planner of router {} linked, epoch {}", router, h.epoch());
-                } else if (m instanceof PlannerMessageCodec.Refused r) {
-                    LOG.error("the edge refuses this planner: {}", r.why());
-                    wait = LONGEST_WAIT;
-                } else if (m instanceof LoadBacklog t && greeted) {
-                    LoadPlan p = sequence.plan(t);
-                    if (p != null) { l.send(PlannerMessageCodec.encode(p)); }
-                } else {
-                    l.close("no message for a planner");
-                }
+                received(from, PlannerMessageCodec.decode(bytes));
             } catch (IOException e) {
-                l.close("unreadable: " + e.getMessage());
+                from.close("unreadable: " + e.getMessage());
             }
         }
 
-        @Override public void closed(FramedConnection l, String why) {
+        private void received(FramedConnection from, Record message) {
+            if (message instanceof PlannerMessageCodec.Hello hello && isFromEdge(hello)) {
+                greeted = true;
+                setBackoff(MIN_BACKOFF_MILLIS);
+                LOG.info("planner of router {} linked, epoch {}", router, hello.epoch());
+            } else if (message instanceof PlannerMessageCodec.Refused refused) {
+                LOG.error("the edge refuses this planner: {}", refused.why());
+                setBackoff(MAX_BACKOFF_MILLIS);
+            } else if (message instanceof LoadBacklog backlog && greeted) {
+                sendPlan(from, backlog);
+            } else {
+                from.close("no message for a planner");
+            }
+        }
+
+        private boolean isFromEdge(PlannerMessageCodec.Hello hello) {
+            return hello.version() == PlannerMessageCodec.VERSION
+                && hello.side().equals(PlannerMessageCodec.EDGE_SIDE);
+        }
+
+        private void sendPlan(FramedConnection to, LoadBacklog backlog) {
+            LoadPlan plan = scheduler.plan(backlog);
+            if (plan != null) {
+                to.send(PlannerMessageCodec.encode(plan));
+            }
+        }
+
+        @Override public void closed(FramedConnection from, String why) {
             LOG.warn("planner of router {} has lost its edge: {}", router, why);
-            again();
+            reconnectLater();
         }
     }
 
+    /** Closes the connection, and does not connect again. */
     @Override public void close() {
         closed = true;
-        beat.cancel(false);
-        FramedConnection l = link;
-        if (l != null) { l.close("the planner stops"); }
+        heartbeat.cancel(false);
+        FramedConnection current = connection;
+        if (current != null) {
+            current.close("the planner stops");
+        }
     }
 }
--- a/src/main/java/switchgap/planner/link/PlannerMessageCodec.java
+++ b/src/main/java/switchgap/planner/link/PlannerMessageCodec.java
@@ -8,42 +8,51 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
 import java.io.IOException;
-import java.util.Map;
 import switchgap.planner.LoadBacklog;
 import switchgap.planner.LoadPlan;
 import switchgap.planner.PendingLoad;
 
-/** Messages as CBOR maps; the member {@code is} says which. What is no message is refused by name. */
+/**
+ * Encodes messages between edge and planner as CBOR maps; the member {@code is} names the type. Names on the
+ * wire are fixed here. Thread-safe.
+ */
 public final class PlannerMessageCodec {
-    /** What this program speaks. */
+    /** Version of the protocol; both sides must speak the same. */
     public static final int VERSION = 2;
     /** The largest message, bytes. */
-    public static final int MOST = 1 << 20;
+    public static final int MAX_FRAME_BYTES = 1 << 20;
 
-    /** The first word of each side: version, which side, which router; the edge names the epoch. */
+    static final String EDGE_SIDE = "edge";
+    static final String PLANNER_SIDE = "planner";
+    private static final String TYPE_MEMBER = "is";
+
+    /**
+     * The first message of each side.
+     *
+     * @param version of the protocol
+     * @param side    "edge" or "planner"
+     * @param router  index of the router that the edge belongs to
+     * @param epoch   of the connection, from the edge; 0 from the planner
+     */
     public record Hello(int version, String side, int router, long epoch) {}
 
-    /** The link is refused, and why. */
+    /** The edge refuses the connection, and closes it. */
     public record Refused(String why) {}
 
-    /** Nothing but a sign of life. */
+    /** Sent by the planner at intervals; the number counts up. */
     public record Heartbeat(long number) {}
 
-    private static final Map<String,
-        Class<?>> KINDS = Map.of("hello", Hello.class, "refused", Refused.class, "beat", Heartbeat.class,
-            "told", LoadBacklog.class, "plan", LoadPlan.class);
-
-    /** Names on the wire of what the planner's types name otherwise. */
+    /** Names on the wire of the members of a plan. */
     private abstract static class LoadPlanNames {
         @JsonProperty("seq") private long sequence;
     }
 
-    /** The same for a backlog. */
+    /** Names on the wire of the members of a backlog. */
     private abstract static class LoadBacklogNames {
         @JsonProperty("seq") private long sequence;
     }
 
-    /** The same for a load. */
+    /** Names on the wire of the members of a pending load. */
     private abstract static class PendingLoadNames {
         @JsonProperty("memory") private double memoryMb;
         @JsonProperty("load") private long loadMicros;
@@ -51,31 +60,50 @@
         @JsonProperty("age") private long ageMicros;
     }
 
-    private static final ObjectMapper CBOR = new CBORMapper().addMixIn(LoadPlan.class,
-        LoadPlanNames.class).addMixIn(LoadBacklog.class, LoadBacklogNames.class).addMixIn(PendingLoad.class,
-            PendingLoadNames.class).configure(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES,
-                true).configure(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES, true);
+    private static final ObjectMapper CBOR = mapper();
 
     private PlannerMessageCodec() {}
 
+    private static ObjectMapper mapper() {
+        ObjectMapper mapper = new CBORMapper();
+        mapper.addMixIn(LoadPlan.class, LoadPlanNames.class);
+        mapper.addMixIn(LoadBacklog.class, LoadBacklogNames.class);
+        mapper.addMixIn(PendingLoad.class, PendingLoadNames.class);
+        mapper.configure(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES, true);
+        mapper.configure(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES, true);
+        return mapper;
+    }
+
+    /**
+     * Encodes a message: one of the records of this class, a {@link LoadBacklog} or a {@link LoadPlan}.
+     *
+     * @throws IllegalArgumentException where the object is no message
+     */
     public static byte[] encode(Object message) {
-        ObjectNode n = CBOR.valueToTree(message);
-        KINDS.forEach((name, kind) -> { if (kind == message.getClass()) { n.put("is", name); } });
+        PlannerMessageType type = PlannerMessageType.of(message);
+        ObjectNode node = CBOR.valueToTree(message);
+        node.put(TYPE_MEMBER, type.wireName());
         try {
-            return CBOR.writeValueAsBytes(n);
+            return CBOR.writeValueAsBytes(node);
         } catch (JsonProcessingException e) {
             throw new IllegalArgumentException(e);
         }
     }
 
-    /** Reads a message; an IOException says what is wrong with the bytes. */
-    public static Object decode(byte[] bytes) throws IOException {
-        JsonNode n = CBOR.readTree(bytes);
-        if (!(n instanceof ObjectNode o) || !o.path("is").isTextual()) {
+    /**
+     * Decodes a message.
+     *
+     * @throws IOException where the bytes are no message; it says what is wrong with them
+     */
+    public static Record decode(byte[] bytes) throws IOException {
+        JsonNode node = CBOR.readTree(bytes);
+        if (!(node instanceof ObjectNode members) || !members.path(TYPE_MEMBER).isTextual()) {
             throw new IOException("no message");
         }
-        Class<?> kind = KINDS.get(o.remove("is").asText());
-        if (kind == null) { throw new IOException("a message of an unknown kind"); }
-        return CBOR.treeToValue(o, kind);
+        PlannerMessageType type = PlannerMessageType.named(members.remove(TYPE_MEMBER).asText());
+        if (type == null) {
+            throw new IOException("a message of an unknown kind");
+        }
+        return CBOR.treeToValue(members, type.messageClass());
     }
 }
--- a/src/main/java/switchgap/planner/link/PlannerServer.java
+++ b/src/main/java/switchgap/planner/link/PlannerServer.java
@@ -8,135 +8,196 @@
 import org.slf4j.LoggerFactory;
 import switchgap.net.FramedConnection;
 import switchgap.net.NetworkTransport;
+import switchgap.net.TcpConnection;
 import switchgap.net.TimerThread;
 import switchgap.planner.LoadBacklog;
 import switchgap.planner.LoadPlan;
 
 /**
- * The edge's end of the link: takes one planner at a time, after a handshake. Whoever speaks another version, is no
- * planner, is for another router, or comes while one is linked is refused by name; calls are undisturbed.
+ * The edge's end: accepts one planner at a time, after a handshake. A client that speaks another version, is
+ * no planner, is for another router, or connects while a planner is connected, is refused with the reason.
+ * Requests to the router are not affected. Thread-safe.
  */
 public final class PlannerServer implements AutoCloseable {
-    /** Hears of the planner; on other threads than the edge's. */
+    /** Notified of the planner, on selector threads. */
     public interface Listener {
+        /** A planner is connected; its plans must name this epoch. */
         void plannerConnected(long epoch);
 
+        /** The planner of this epoch is gone. */
         void plannerDisconnected(long epoch);
 
-        void planReceived(LoadPlan p);
+        /** The planner sent a plan. */
+        void planReceived(LoadPlan plan);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(PlannerServer.class);
-    private static final long SILENCE = 1_000_000_000L;
-
-    /** A link that was greeted. */
-    private static final class PlannerSession {
-        final FramedConnection link;
-        final long epoch;
-        volatile long heard = System.nanoTime();
-
-        PlannerSession(FramedConnection link, long epoch) {
-            this.link = link;
+    /** Without a message for so long a planner is disconnected, without a handshake any client. */
+    private static final long SILENCE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long SILENCE_CHECK_MILLIS = 250;
+    /** Time for a refusal to reach the client before the connection is closed. */
+    private static final long REFUSAL_LINGER_MILLIS = 100;
+    private static final long EPOCHS_PER_MILLISECOND = 1000;
+
+    /** A planner's connection after the handshake. */
+    private static final class Session {
+        private final FramedConnection connection;
+        private final long epoch;
+        private volatile long heardAtNanos = System.nanoTime();
+
+        Session(FramedConnection connection, long epoch) {
+            this.connection = connection;
             this.epoch = epoch;
         }
+
+        boolean isSilent() {
+            return System.nanoTime() - heardAtNanos > SILENCE_TIMEOUT_NANOS;
+        }
     }
 
     private final int router;
-    private final Listener heard;
-    private final AtomicReference<PlannerSession> planner = new AtomicReference<>();
-    private final switchgap.net.TcpConnection.Server door;
-    private final ScheduledFuture<?> watch;
-    private long epochs = System.currentTimeMillis() * 1000; // past those of any process before it
-
-    public PlannerServer(NetworkTransport net, String host, int port, int router, Listener heard)
+    private final Listener listener;
+    private final AtomicReference<Session> session = new AtomicReference<>();
+    private final TcpConnection.Server server;
+    private final ScheduledFuture<?> silenceCheck;
+    /** Guarded by this. Begins past the epochs of any process before this one. */
+    private long lastEpoch = System.currentTimeMillis() * EPOCHS_PER_MILLISECOND;
+
+    /**
+     * Listens for the planner of the router with this index; port 0 takes any.
+     *
+     * @throws IOException where the port can't be listened at
+     */
+    public PlannerServer(NetworkTransport net, String host, int port, int router, Listener listener)
         throws IOException {
         this.router = router;
-        this.heard = heard;
-        door = FramedConnection.listen(net, host, port, PlannerMessageCodec.MOST, new FrameListener());
-        watch = TimerThread.EXECUTOR.scheduleAtFixedRate(() -> {
-            PlannerSession p = planner.get();
-            if (p != null && System.nanoTime() - p.heard > SILENCE) { p.link.close("the planner is silent"); }
-        }, 250, 250, TimeUnit.MILLISECONDS);
+        this.listener = listener;
+        this.server = FramedConnection.listen(net, host, port, PlannerMessageCodec.MAX_FRAME_BYTES,
+            new MessageListener());
+        this.silenceCheck = TimerThread.EXECUTOR.scheduleAtFixedRate(this::closeIfSilent,
+            SILENCE_CHECK_MILLIS, SILENCE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    public int port() { return door.port(); }
+    /** The port that is listened at. */
+    public int port() {
+        return server.port();
+    }
+
+    /**
+     * Sends a backlog to the planner. False where none is connected in its epoch, or it does not keep up; the
+     * next backlog makes up for it.
+     */
+    public boolean send(LoadBacklog backlog) {
+        Session current = session.get();
+        return current != null && current.epoch == backlog.epoch()
+            && current.connection.send(PlannerMessageCodec.encode(backlog));
+    }
+
+    private void closeIfSilent() {
+        Session current = session.get();
+        if (current != null && current.isSilent()) {
+            current.connection.close("the planner is silent");
+        }
+    }
 
-    /** Tells the planner what waits; false where none is linked or it does not keep up: what is told next makes up for it. */
-    public boolean send(LoadBacklog t) {
-        PlannerSession p = planner.get();
-        return p != null && p.epoch == t.epoch() && p.link.send(PlannerMessageCodec.encode(t));
+    /** The session of this connection, or null where it had no handshake. */
+    private Session sessionOf(FramedConnection connection) {
+        Session current = session.get();
+        return current != null && current.connection == connection ? current : null;
     }
 
-    private final class FrameListener implements FramedConnection.Listener {
-        /** Who connects and says nothing is not kept. */
-        @Override public void opened(FramedConnection l) {
+    private final class MessageListener implements FramedConnection.Listener {
+        /** Guards against clients that connect and send nothing. */
+        @Override public void opened(FramedConnection opened) {
             TimerThread.EXECUTOR.schedule(() -> {
-                PlannerSession p = planner.get();
-                if (p == null || p.link != l) { l.close("no handshake within a second"); }
-            }, SILENCE, TimeUnit.NANOSECONDS);
+                if (sessionOf(opened) == null) {
+                    opened.close("no handshake within a second");
+                }
+            }, SILENCE_TIMEOUT_NANOS, TimeUnit.NANOSECONDS);
         }
 
-        @Override public void frame(FramedConnection l, byte[] bytes) {
-            Object m;
+        @Override public void frame(FramedConnection from, byte[] bytes) {
+            Record message;
             try {
-                m = PlannerMessageCodec.decode(bytes);
+                message = PlannerMessageCodec.decode(bytes);
             } catch (IOException e) {
-                refuse(l, "unreadable: " + e.getMessage().lines().findFirst().orElse(""));
+                refuse(from, "unreadable: " + e.getMessage().lines().findFirst().orElse(""));
                 return;
             }
-            PlannerSession p = planner.get();
-            boolean greeted = p != null && p.link == l;
-            if (m instanceof PlannerMessageCodec.Hello h && !greeted) {
-                greet(l, h);
-            } else if (!greeted) {
-                refuse(l, "a message before the handshake");
+            Session current = sessionOf(from);
+            if (current != null) {
+                received(current, message);
+            } else if (message instanceof PlannerMessageCodec.Hello hello) {
+                greet(from, hello);
             } else {
-                p.heard = System.nanoTime();
-                if (m instanceof LoadPlan x) {
-                    heard.planReceived(x);
-                } else if (!(m instanceof PlannerMessageCodec.Heartbeat)) {
-                    refuse(l, "no message for an edge");
-                }
+                refuse(from, "a message before the handshake");
+            }
+        }
+
+        private void received(Session from, Record message) {
+            from.heardAtNanos = System.nanoTime();
+            if (message instanceof LoadPlan plan) {
+                listener.planReceived(plan);
+            } else if (!(message instanceof PlannerMessageCodec.Heartbeat)) {
+                refuse(from.connection, "no message for an edge");
             }
         }
 
-        @Override public void closed(FramedConnection l, String why) {
-            PlannerSession p = planner.get();
-            if (p != null && p.link == l && planner.compareAndSet(p, null)) {
+        @Override public void closed(FramedConnection from, String why) {
+            Session ended = sessionOf(from);
+            if (ended != null && session.compareAndSet(ended, null)) {
                 LOG.warn("router {}: planner gone: {}; orders go out as they come", router, why);
-                heard.plannerDisconnected(p.epoch);
+                listener.plannerDisconnected(ended.epoch);
             }
         }
     }
 
-    private synchronized void greet(FramedConnection l, PlannerMessageCodec.Hello h) {
-        if (h.version() != PlannerMessageCodec.VERSION) {
-            refuse(l, "version " + h.version() + ", this edge speaks " + PlannerMessageCodec.VERSION);
+    private synchronized void greet(FramedConnection client, PlannerMessageCodec.Hello hello) {
+        String fault = fault(hello);
+        if (fault != null) {
+            refuse(client, fault);
             return;
         }
-        if (!h.side().equals("planner")) { refuse(l, "a " + h.side() + ", no planner"); return; }
-        if (h.router() != router) {
-            refuse(l, "a planner for router " + h.router() + ", this is " + router);
+        lastEpoch++;
+        Session opened = new Session(client, lastEpoch);
+        if (!session.compareAndSet(null, opened)) {
+            refuse(client, "a planner is linked already");
             return;
         }
-        PlannerSession mine = new PlannerSession(l, ++epochs);
-        if (!planner.compareAndSet(null, mine)) { refuse(l, "a planner is linked already"); return; }
-        l.send(PlannerMessageCodec.encode(
-            new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "edge", router, mine.epoch)));
-        LOG.info("router {}: planner linked, epoch {}", router, mine.epoch);
-        heard.plannerConnected(mine.epoch);
+        client.send(PlannerMessageCodec.encode(new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION,
+            PlannerMessageCodec.EDGE_SIDE, router, opened.epoch)));
+        LOG.info("router {}: planner linked, epoch {}", router, opened.epoch);
+        listener.plannerConnected(opened.epoch);
     }
 
-    private void refuse(FramedConnection l, String why) {
+    /** Why a client with this handshake can't be this edge's planner, or null. */
+    private String fault(PlannerMessageCodec.Hello hello) {
+        if (hello.version() != PlannerMessageCodec.VERSION) {
+            return "version " + hello.version() + ", this edge speaks " + PlannerMessageCodec.VERSION;
+        }
+        if (!hello.side().equals(PlannerMessageCodec.PLANNER_SIDE)) {
+            return "a " + hello.side() + ", no planner";
+        }
+        if (hello.router() != router) {
+            return "a planner for router " + hello.router() + ", this is " + router;
+        }
+        return null;
+    }
+
+    private void refuse(FramedConnection client, String why) {
         LOG.warn("router {}: planner refused: {}", router, why);
-        l.send(PlannerMessageCodec.encode(new PlannerMessageCodec.Refused(why)));
-        TimerThread.EXECUTOR.schedule(() -> l.close("refused: " + why), 100, TimeUnit.MILLISECONDS);
+        client.send(PlannerMessageCodec.encode(new PlannerMessageCodec.Refused(why)));
+        TimerThread.EXECUTOR.schedule(() -> client.close("refused: " + why), REFUSAL_LINGER_MILLIS,
+            TimeUnit.MILLISECONDS);
     }
 
+    /** Closes the connection to the planner, and the port. */
     @Override public void close() {
-        watch.cancel(false);
-        door.close();
-        PlannerSession p = planner.get();
-        if (p != null) { p.link.close("the edge stops"); }
+        silenceCheck.cancel(false);
+        server.close();
+        Session current = session.get();
+        if (current != null) {
+            current.connection.close("the edge stops");
+        }
     }
 }
--- a/src/main/java/switchgap/planner/link/package-info.java
+++ b/src/main/java/switchgap/planner/link/package-info.java
@@ -1,2 +1,5 @@
-/** How edge and planner speak: messages in CBOR, a handshake, one planner for an edge, heartbeats; docs/split.md. */
+/**
+ * The connection between an edge and its planner: messages in CBOR, a handshake, one planner for an edge,
+ * heartbeats. See docs/split.md.
+ */
 package switchgap.planner.link;
--- a/src/main/java/switchgap/planner/package-info.java
+++ b/src/main/java/switchgap/planner/package-info.java
@@ -1,2 +1,5 @@
-/** What edge and planner decide about load orders: which wish goes out when. A module: no I/O, clock or threads; docs/split.md. */
+/**
+ * What an edge and its planner decide about load commands: which pending load is released when. The package
+ * does no I/O, reads no clock and starts no thread. See docs/split.md.
+ */
 package switchgap.planner;
--- a/src/test/java/switchgap/admission/SheddingRotationTest.java
+++ b/src/test/java/switchgap/admission/SheddingRotationTest.java
@@ -37,8 +37,8 @@
         assertThat(shedShare(1000, 20, 1)).isEqualTo(1);
     }
 
-    // Guards against late retries: with a draw for each request a third attempt was nearly always admitted, and was
-    // worth little.
+    // Guards against late retries: with a draw for each request a third attempt was nearly always admitted,
+    // and was worth little.
     @Test void aRetryMeetsTheSameDecision() {
         offerLoad(30, 20);
         int same = 0;
