--- /dev/null
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnection.java
@@ -0,0 +1,151 @@
+package switchgap.protocol.thrift;
+
+import java.nio.ByteBuffer;
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Consumer;
+import switchgap.net.FrameDecoder;
+import switchgap.net.TcpConnection;
+import switchgap.router.PendingRequest;
+
+/**
+ * One client's connection. The selector thread decodes its frames and counts what it queues; the requests in
+ * flight and the time of the last message belong to the event loop. Fields that both read are volatile or
+ * concurrent.
+ */
+final class ClientConnection {
+    /** Bytes of one message, its length not included. */
+    private static final int MAX_FRAME_BYTES = 32 << 10;
+
+    /** Requests without their response, by sequence id; event loop only. */
+    final Map<Integer, PendingRequest> inFlight = new HashMap<>();
+
+    private final TcpConnection connection;
+    private final int maxUnsentBytes;
+    private final FrameDecoder frames = new FrameDecoder(MAX_FRAME_BYTES);
+    private final AtomicInteger queuedMessages = new AtomicInteger();
+    /**
+     * Sequence ids that the selector thread has read a revoke for and the event loop has not: at most as many
+     * as messages are queued.
+     */
+    private final Set<Integer> revokedSequenceIds = ConcurrentHashMap.newKeySet();
+    private volatile boolean hasPartialMessage;
+    /**
+     * Time of the connect, or of the first byte of a message that has not come whole; null while nothing is
+     * expected.
+     */
+    private volatile Duration receivingSince;
+    private volatile boolean hasSentMessage;
+    private Duration lastHandledAt;
+
+    ClientConnection(TcpConnection connection, Duration now, int maxUnsentBytes) {
+        this.connection = connection;
+        this.maxUnsentBytes = maxUnsentBytes;
+        receivingSince = now;
+        lastHandledAt = now;
+    }
+
+    boolean isOpen() {
+        return connection.isOpen();
+    }
+
+    void close(String reason) {
+        connection.close(reason);
+    }
+
+    /** Sends a reply; closes a connection whose client does not read its replies. Any thread. */
+    void send(byte[] reply) {
+        if (connection.unsentBytes() > maxUnsentBytes) {
+            connection.close("reads no answers");
+        } else {
+            connection.send(reply);
+        }
+    }
+
+    /** Sends what may go out however much is unsent, as the connection is closed behind it. */
+    void sendLast(byte[] reply) {
+        connection.send(reply);
+    }
+
+    // ------------------------------------------------------------------ on the selector thread
+
+    /** Hands on each whole frame; false, for good, at a length that is out of bounds. */
+    boolean receive(ByteBuffer bytes, Consumer<byte[]> frameHandler, Duration now) {
+        boolean isWithinBounds = frames.decode(bytes, frameHandler);
+        hasPartialMessage = frames.hasPartialFrame();
+        if (!hasPartialMessage) {
+            receivingSince = null;
+        } else if (receivingSince == null) {
+            receivingSince = now;
+        }
+        return isWithinBounds;
+    }
+
+    /** A whole message came. */
+    void messageReceived() {
+        hasSentMessage = true;
+        receivingSince = null;
+    }
+
+    /** Counts a message that is about to be queued for the event loop, and returns how many are. */
+    int messageQueued() {
+        return queuedMessages.incrementAndGet();
+    }
+
+    /** A revoke was read: from now on nothing goes out for that request. */
+    void revokeReceived(int sequenceId) {
+        revokedSequenceIds.add(sequenceId);
+    }
+
+    // ------------------------------------------------------------------ on the event loop
+
+    /** A queued message has reached the event loop. */
+    void messageDequeued() {
+        queuedMessages.decrementAndGet();
+    }
+
+    /** The event loop handles a message at this time. */
+    void messageHandledAt(Duration now) {
+        lastHandledAt = now;
+    }
+
+    /** The event loop handles the revoke itself. */
+    void revokeHandled(int sequenceId) {
+        revokedSequenceIds.remove(sequenceId);
+    }
+
+    /** Whether a revoke of the request has been read and not handled yet. */
+    boolean isRevoked(int sequenceId) {
+        return revokedSequenceIds.contains(sequenceId);
+    }
+
+    /** Whether no request is in flight or on its way to the event loop. */
+    boolean isIdle() {
+        return inFlight.isEmpty() && queuedMessages.get() == 0;
+    }
+
+    /** Whether anything is under way: a request, a message in part or queued, a reply that is not written. */
+    boolean isBusy() {
+        return isOpen() && (!isIdle() || hasPartialMessage || connection.unsentBytes() > 0);
+    }
+
+    /** Whether the client has sent no message within the timeout, unlike one that has just connected. */
+    boolean isSilent(Duration now, Duration timeout) {
+        return !hasSentMessage && now.minus(lastHandledAt).compareTo(timeout) > 0;
+    }
+
+    /** Whether a message is due for longer than the timeout. */
+    boolean isReceiveOverdue(Duration now, Duration timeout) {
+        Duration since = receivingSince;
+        return since != null && now.minus(since).compareTo(timeout) > 0;
+    }
+
+    /** When the event loop handled its last message, or the time of the connect. */
+    Duration lastHandledAt() {
+        return lastHandledAt;
+    }
+}
--- /dev/null
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnectionTable.java
@@ -0,0 +1,94 @@
+package switchgap.protocol.thrift;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * The clients' connections as the event loop knows them, bounded: past the bound an idle connection is
+ * evicted for a new one. Event loop only.
+ */
+final class ClientConnectionTable {
+    /** A client that has sent nothing for this part of the receive timeout is evicted before all others. */
+    private static final int SILENT_TIMEOUT_DIVISOR = 4;
+
+    private final Set<ClientConnection> connections = new HashSet<>();
+    private final int maxConnections;
+    private final Duration receiveTimeout;
+    private final Duration silentTimeout;
+
+    ClientConnectionTable(int maxConnections, Duration receiveTimeout) {
+        this.maxConnections = maxConnections;
+        this.receiveTimeout = receiveTimeout;
+        silentTimeout = receiveTimeout.dividedBy(SILENT_TIMEOUT_DIVISOR);
+    }
+
+    /** Takes in a new connection; where there are too many one is closed, the new one if no other is idle. */
+    void add(ClientConnection connection, Duration now) {
+        if (!connection.isOpen()) {
+            return; // closed before the event loop heard of it
+        }
+        connections.add(connection);
+        if (connections.size() > maxConnections) {
+            ClientConnection evicted = evictionCandidate(now);
+            (evicted == null ? connection : evicted).close("the place is needed");
+        }
+    }
+
+    void remove(ClientConnection connection) {
+        connections.remove(connection);
+    }
+
+    int size() {
+        return connections.size();
+    }
+
+    /** Connections on which anything is under way. */
+    int busy() {
+        int busy = 0;
+        for (ClientConnection connection : connections) {
+            if (connection.isBusy()) {
+                busy++;
+            }
+        }
+        return busy;
+    }
+
+    /** The connections of this moment, which may be closed while they are walked through. */
+    List<ClientConnection> snapshot() {
+        return new ArrayList<>(connections);
+    }
+
+    /** Closes connections that take too long for a message. */
+    void closeOverdue(Duration now) {
+        for (ClientConnection connection : snapshot()) {
+            if (connection.isReceiveOverdue(now, receiveTimeout)) {
+                connection.close("no whole message in time");
+            }
+        }
+    }
+
+    /**
+     * The idle connection that is silent, or else has been of no use for longest; null where none is idle.
+     */
+    private ClientConnection evictionCandidate(Duration now) {
+        ClientConnection candidate = null;
+        for (ClientConnection connection : connections) {
+            boolean isEvictable = connection.isOpen() && connection.isIdle();
+            if (isEvictable && (candidate == null || goesBefore(connection, candidate, now))) {
+                candidate = connection;
+            }
+        }
+        return candidate;
+    }
+
+    private boolean goesBefore(ClientConnection first, ClientConnection second, Duration now) {
+        boolean isFirstSilent = first.isSilent(now, silentTimeout);
+        if (isFirstSilent != second.isSilent(now, silentTimeout)) {
+            return isFirstSilent;
+        }
+        return first.lastHandledAt().compareTo(second.lastHandledAt()) < 0;
+    }
+}
--- /dev/null
+++ b/src/main/java/switchgap/protocol/thrift/RequestHandler.java
@@ -0,0 +1,207 @@
+package switchgap.protocol.thrift;
+
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import switchgap.router.PendingRequest;
+import switchgap.router.Response;
+import switchgap.router.ResponseListener;
+import switchgap.router.RouterCore;
+
+/**
+ * Offers submitted requests to the router's core and sends their responses. Bounds requests in flight, their
+ * bytes, and the requests of one connection. Event loop only.
+ */
+final class RequestHandler {
+    /**
+     * Requests in flight on one connection. The protocol says 32, yet usual clients were seen with more than
+     * 200; memory is bounded by the bytes of all requests.
+     */
+    private static final int MAX_REQUESTS_PER_CONNECTION = 1024;
+    private static final long MIN_RETRY_AFTER_MILLIS = 1;
+    private static final String UNUSABLE_PREFIX = "unusable ";
+
+    private final NameDirectory names;
+    private final int maxRequests;
+    private final int maxRequestBytes;
+    private final ClientConnectionTable connections;
+    private final Consumer<String> log;
+    /** The connection of each request in flight, by the request's id. */
+    private final Map<String, ClientConnection> connectionByRequestId = new HashMap<>();
+    private int inFlightBytes;
+
+    RequestHandler(NameDirectory names, ThriftServer.ConnectionLimits limits,
+        ClientConnectionTable connections, Consumer<String> log) {
+        this.names = names;
+        this.maxRequests = limits.maxRequests();
+        this.maxRequestBytes = limits.maxRequestBytes();
+        this.connections = connections;
+        this.log = log;
+    }
+
+    /** Requests without their response. */
+    int requestsInFlight() {
+        return connectionByRequestId.size();
+    }
+
+    /** Handles a submit or a revoke that was received at the stated time. */
+    void messageReceived(RouterCore core, ClientConnection connection, ThriftMessage message,
+        Duration receivedAt) {
+        if (!connection.isOpen()) {
+            return;
+        }
+        connection.messageHandledAt(core.now());
+        if (message.method().equals(WireNames.REVOKE)) {
+            revoke(core, connection, message.firstInteger());
+        } else {
+            submit(core, connection, message, receivedAt);
+        }
+    }
+
+    /** A connection ended: its requests have no client any more. */
+    void connectionClosed(RouterCore core, ClientConnection connection, String reason) {
+        connections.remove(connection);
+        if (!connection.inFlight.isEmpty()) {
+            log.accept("a client's connection ended with " + connection.inFlight.size() + " calls held: "
+                + reason);
+        }
+        abandonAll(core, connection);
+    }
+
+    /** Fails all requests in flight, as none of them can be waited for any more. */
+    void failAll(RouterCore core) {
+        for (ClientConnection connection : connections.snapshot()) {
+            connection.inFlight.keySet().forEach(sequenceId -> sendFailed(connection, sequenceId, Map.of()));
+            abandonAll(core, connection);
+        }
+    }
+
+    private void revoke(RouterCore core, ClientConnection connection, int sequenceId) {
+        connection.revokeHandled(sequenceId);
+        PendingRequest request = connection.inFlight.remove(sequenceId);
+        if (request != null) {
+            abandon(core, request);
+        }
+    }
+
+    private void submit(RouterCore core, ClientConnection connection, ThriftMessage message,
+        Duration receivedAt) {
+        int sequenceId = message.sequenceId();
+        if (connection.isRevoked(sequenceId)) {
+            return; // the revoke is queued behind it: no response is owed
+        }
+        if (connection.inFlight.containsKey(sequenceId)
+            || connection.inFlight.size() >= MAX_REQUESTS_PER_CONNECTION) {
+            // a response could be taken for the other request's
+            connection.close("two requests under one number, or too many open");
+            return;
+        }
+        try {
+            PendingRequest request = SubmitRequestDecoder.decode(message, names, receivedAt,
+                new ResponseSender(connection, sequenceId));
+            ensureIdIsUnused(core, request.id);
+            offer(core, connection, sequenceId, request);
+        } catch (InvalidRequestException e) {
+            sendFailed(connection, sequenceId, Map.of(WireNames.REASON, UNUSABLE_PREFIX + e.getMessage()));
+        }
+    }
+
+    /**
+     * An id may be in flight once. Where its connection has ended the request was sent again on a new one,
+     * which came before the old one's end: that end is handled first.
+     */
+    private void ensureIdIsUnused(RouterCore core, String id) throws InvalidRequestException {
+        ClientConnection owner = connectionByRequestId.get(id);
+        if (owner == null) {
+            return;
+        }
+        if (owner.isOpen()) {
+            throw new InvalidRequestException(WireNames.REF);
+        }
+        connectionClosed(core, owner, "sent again on another one");
+    }
+
+    private void offer(RouterCore core, ClientConnection connection, int sequenceId, PendingRequest request) {
+        boolean hasCapacity = connectionByRequestId.size() < maxRequests
+            && inFlightBytes + request.body.length <= maxRequestBytes;
+        // before it is offered: its response may come at once, and ends it again
+        connectionByRequestId.put(request.id, connection);
+        inFlightBytes += request.body.length;
+        connection.inFlight.put(sequenceId, request);
+        if (!hasCapacity || !core.accept(request)) {
+            finish(connection, sequenceId, request);
+            boolean hasAdvice = names.settings().retryAfterAllowed();
+            sendRejected(connection, sequenceId, hasAdvice ? names.settings().maxRetryAfter() : null);
+        }
+    }
+
+    private void finish(ClientConnection connection, int sequenceId, PendingRequest request) {
+        connection.inFlight.remove(sequenceId);
+        release(request);
+    }
+
+    private void abandonAll(RouterCore core, ClientConnection connection) {
+        for (PendingRequest request : List.copyOf(connection.inFlight.values())) {
+            abandon(core, request);
+        }
+        connection.inFlight.clear();
+    }
+
+    private void abandon(RouterCore core, PendingRequest request) {
+        release(request);
+        core.clientLeft(request);
+    }
+
+    private void release(PendingRequest request) {
+        connectionByRequestId.remove(request.id);
+        inFlightBytes -= request.body.length;
+    }
+
+    private static void sendRejected(ClientConnection connection, int sequenceId, Duration retryAfter) {
+        Map<String, String> fields = Map.of();
+        if (retryAfter != null) {
+            long millis = Math.max(MIN_RETRY_AFTER_MILLIS, retryAfter.toMillis());
+            fields = Map.of(WireNames.COOLDOWN, String.valueOf(millis));
+        }
+        connection.send(ThriftResponseEncoder.declaredException(WireNames.SUBMIT, sequenceId,
+            DeclaredException.FULL, fields));
+    }
+
+    private static void sendFailed(ClientConnection connection, int sequenceId, Map<String, String> fields) {
+        connection.send(ThriftResponseEncoder.declaredException(WireNames.SUBMIT, sequenceId,
+            DeclaredException.ERROR, fields));
+    }
+
+    /** Sends the response of one request to its client. */
+    private final class ResponseSender implements ResponseListener {
+        private final ClientConnection connection;
+        private final int sequenceId;
+
+        ResponseSender(ClientConnection connection, int sequenceId) {
+            this.connection = connection;
+            this.sequenceId = sequenceId;
+        }
+
+        @Override public void responded(PendingRequest request, Response response) {
+            finish(connection, sequenceId, request);
+            switch (response.kind()) {
+                case SUCCEEDED -> connection.send(
+                    ThriftResponseEncoder.response(WireNames.SUBMIT, sequenceId, response.body(), true));
+                case REJECTED -> sendRejected(connection, sequenceId, response.retryAfter());
+                case FAILED -> sendFailed(connection, sequenceId, Map.of());
+                default -> throw new IllegalStateException("response of kind " + response.kind());
+            }
+        }
+
+        /** Sent all the same: within half a second it only earns nothing, while no response is a fault. */
+        @Override public void deadlineMissed(PendingRequest request, Response late) {
+            responded(request, late);
+        }
+
+        @Override public boolean isDisconnected() {
+            return !connection.isOpen() || connection.isRevoked(sequenceId);
+        }
+    }
+}
--- a/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
+++ b/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
@@ -1,97 +1,103 @@
 package switchgap.protocol.thrift;
 
 import java.time.Duration;
-import java.util.Map;
-import switchgap.policy.api.RouterSettings;
 import switchgap.router.PendingRequest;
 import switchgap.router.ResponseListener;
 
-/** What a submitted request says, field by field, as a call; what can't be used is refused with its field's name. */
+/** Decodes a submitted request, field by field; what cannot be used is refused with its field's name. */
 final class SubmitRequestDecoder {
-    /** Names of workloads and customers as the operators state them. */
-    record NameDirectory(RouterSettings terms, Map<String, Integer> workloads,
-        Map<String, Integer> customers) {}
+    private static final int MAX_BODY_BYTES = 16 << 10;
+    /** Hexadecimal digits of a request's and of a function's id. */
+    private static final int ID_DIGITS = 16;
+    /**
+     * No request may wait for longer than so many times the stated timeout of its class: it would only be
+     * kept.
+     */
+    private static final double MAX_TIMEOUTS = 2;
+    private static final double MILLIS_PER_NANO = 1e-6;
+    private static final byte[] NO_BODY = {};
 
-    static final class InvalidRequestException extends Exception {
-        private static final long serialVersionUID = 1;
-
-        InvalidRequestException(String why) { super(why, null, false, false); }
-    }
-
-    static final int MOST_BODY = 16 << 10;
-    private static final int MARK = 16;              // hex digits of an id and of a function
-    private static final double MOST_MEMORY = 1 << 20; // MB
-    private static final double MOST_LANES = 1024;
-    private static final double HOUR = 3_600_000;    // ms
-    private static final byte[] NOTHING = {};
+    // Names of what is at fault where it is no field.
+    private static final String NO_FIELDS = "no fields";
+    private static final String BODY_BYTES = "bytes";
 
     private SubmitRequestDecoder() {}
 
-    static PendingRequest read(ThriftMessage m, NameDirectory book, Duration now, ResponseListener asker)
+    /**
+     * The request that a message submits.
+     *
+     * @param receivedAt  when the message came, since the router's start; its deadline counts from then
+     * @param listener    is told how the request ended
+     */
+    static PendingRequest decode(ThriftMessage message, NameDirectory names, Duration receivedAt,
+        ResponseListener listener) throws InvalidRequestException {
+        if (message.fields() == null) {
+            throw new InvalidRequestException(NO_FIELDS);
+        }
+        byte[] body = message.body() == null ? NO_BODY : message.body();
+        if (body.length > MAX_BODY_BYTES) {
+            throw new InvalidRequestException(BODY_BYTES);
+        }
+        String id = hexId(message, WireNames.REF);
+        int requestClass = requestClass(message, names);
+        int tenant = tenant(message, names);
+        String function = hexId(message, WireNames.LOOKUP);
+        Duration deadline = receivedAt.plus(timeout(message, names, requestClass));
+        Duration durationHint = durationHint(message);
+        ReplicaExtras extras = ReplicaExtras.parse(message.fields().getOrDefault(WireNames.EXTRAS, ""));
+        return PendingRequest.builder(id, function, deadline, listener).requestClass(requestClass).tenant(
+            tenant).durationHint(durationHint).payload(null, body).replica(extras.memoryMb(),
+                extras.slots()).build();
+    }
+
+    private static int requestClass(ThriftMessage message, NameDirectory names)
         throws InvalidRequestException {
-        if (m.fields() == null) { throw new InvalidRequestException("no fields"); }
-        byte[] body = m.body() == null ? NOTHING : m.body();
-        if (body.length > MOST_BODY) { throw new InvalidRequestException("bytes"); }
-        String id = mark(m, "ref");
-        Integer workload = book.workloads.get(m.fields().getOrDefault("service", ""));
-        if (workload == null) { throw new InvalidRequestException("service"); }
-        Integer customer = book.customers.isEmpty() ? Integer.valueOf(-1)
-            : book.customers.get(m.fields().getOrDefault("project", ""));
-        if (customer == null) { throw new InvalidRequestException("project"); }
-        String function = mark(m, "lookup");
-        // Nobody may wait for longer than twice what the operators state: such a call would only be kept.
-        double longest = 2e-6 * book.terms.requestTimeout(workload).toNanos();
-        Duration limit = now.plus(span(number(m.fields().get("allow"), "allow", longest)));
-        String effort = m.fields().get("effort");
-        Duration hint = effort == null ? null : span(number(effort, "effort", HOUR));
-        double memory = 0;
-        int lanes = 1;
-        Duration load = null;
-        String extras = m.fields().getOrDefault("extras", "");
-        for (int at = 0; at < extras.length();) {
-            int end = extras.indexOf(';', at) < 0 ? extras.length() : extras.indexOf(';', at);
-            int colon = extras.indexOf(':', at);
-            if (colon < 0 || colon > end) { throw new InvalidRequestException("extras"); }
-            String value = extras.substring(colon + 1, end);
-            switch (extras.substring(at, colon)) {
-                case "memory_mb" -> memory = number(value, "extras", MOST_MEMORY);
-                case "lanes" -> lanes = (int) Math.max(1, Math.round(number(value, "extras", MOST_LANES)));
-                case "load_ms" -> load = span(number(value, "extras", HOUR));
-                default -> {} // a figure that this router has no use for
-            }
-            at = end + 1;
+        Integer index = names.requestClasses().get(message.fields().getOrDefault(WireNames.SERVICE, ""));
+        if (index == null) {
+            throw new InvalidRequestException(WireNames.SERVICE);
         }
-        return PendingRequest.builder(id, function, limit, asker).requestClass(workload).tenant(
-            customer).durationHint(hint).payload(null, body).replica(memory, lanes).build();
+        return index;
     }
 
-    private static String mark(ThriftMessage m, String field) throws InvalidRequestException {
-        String s = m.fields().get(field);
-        if (s == null || s.length() != MARK) { throw new InvalidRequestException(field); }
-        for (int i = 0; i < MARK; i++) {
-            char c = s.charAt(i);
-            if ((c < '0' || c > '9') && (c < 'a' || c > 'f') && (c < 'A' || c > 'F')) {
-                throw new InvalidRequestException(field);
-            }
+    private static int tenant(ThriftMessage message, NameDirectory names) throws InvalidRequestException {
+        if (names.tenants().isEmpty()) {
+            return PendingRequest.NO_TENANT;
         }
-        return s;
+        Integer index = names.tenants().get(message.fields().getOrDefault(WireNames.PROJECT, ""));
+        if (index == null) {
+            throw new InvalidRequestException(WireNames.PROJECT);
+        }
+        return index;
     }
 
-    /** A plain decimal figure above 0. Java's own words for numbers (NaN, 1f, 0x1p3, blanks) are none. */
-    private static double number(String s, String field, double most) throws InvalidRequestException {
-        if (s == null || s.isEmpty() || s.length() > 24) { throw new InvalidRequestException(field); }
-        for (int i = 0; i < s.length(); i++) {
-            char c = s.charAt(i);
-            if ((c < '0' || c > '9') && "+-.eE".indexOf(c) < 0) { throw new InvalidRequestException(field); }
+    private static Duration timeout(ThriftMessage message, NameDirectory names, int requestClass)
+        throws InvalidRequestException {
+        long statedNanos = names.settings().requestTimeout(requestClass).toNanos();
+        double maxMillis = MAX_TIMEOUTS * MILLIS_PER_NANO * statedNanos;
+        return DecimalFigure.parseMillis(message.fields().get(WireNames.ALLOW), WireNames.ALLOW, maxMillis);
+    }
+
+    private static Duration durationHint(ThriftMessage message) throws InvalidRequestException {
+        String effort = message.fields().get(WireNames.EFFORT);
+        return effort == null ? null
+            : DecimalFigure.parseMillis(effort, WireNames.EFFORT, DecimalFigure.MAX_MILLIS);
+    }
+
+    private static String hexId(ThriftMessage message, String field) throws InvalidRequestException {
+        String text = message.fields().get(field);
+        if (text == null || text.length() != ID_DIGITS) {
+            throw new InvalidRequestException(field);
         }
-        try {
-            double v = Double.parseDouble(s);
-            if (v > 0 && v <= most) { return v; }
-        } catch (NumberFormatException x) {
-            // no figure: told below
+        for (int i = 0; i < ID_DIGITS; i++) {
+            if (!isHexDigit(text.charAt(i))) {
+                throw new InvalidRequestException(field);
+            }
         }
-        throw new InvalidRequestException(field);
+        return text;
     }
 
-    private static Duration span(double millis) { return Duration.ofNanos(Math.round(millis * 1e6)); }
+    private static boolean isHexDigit(char character) {
+        return character >= '0' && character <= '9' || character >= 'a' && character <= 'f'
+            || character >= 'A' && character <= 'F';
+    }
 }
--- a/src/main/java/switchgap/protocol/thrift/ThriftResponseEncoder.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftResponseEncoder.java
@@ -2,87 +2,132 @@
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 import java.util.Map;
 
-/** Messages that answer, each a whole frame with its length before it. */
+/** Encodes replies and application exceptions, each as a whole frame with its length before it. */
 final class ThriftResponseEncoder {
-    private static final byte[] NOTHING = {};
+    private static final byte[] NO_BODY = {};
+    private static final int LENGTH_BYTES = 4;
+    /** The frame's length, the header, the length of the method's name and the sequence id. */
+    private static final int ENVELOPE_BYTES = 16;
+    /** Enough for a response struct without its body. */
+    private static final int RESPONSE_BYTES = 40;
+    /** Enough for an exception struct without its fields or text. */
+    private static final int EXCEPTION_BYTES = 32;
+    /** Lengths of a field's name and of its value. */
+    private static final int FIELD_LENGTHS_BYTES = 8;
+    /** The most that UTF-8 needs for one char of a string. */
+    private static final int MAX_BYTES_PER_CHAR = 3;
+
+    // Codes of application exceptions.
     private static final int UNKNOWN_METHOD = 1;
     private static final int PROTOCOL_ERROR = 7;
 
+    // Fields of a result struct, of a response, of a declared and of an application exception.
+    private static final int RESULT_SUCCESS = 0;
+    private static final int RESPONSE_BODY = 1;
+    private static final int RESPONSE_FIELDS = 2;
+    private static final int RESPONSE_GOOD = 3;
+    private static final int DECLARED_FIELDS = 1;
+    private static final int APPLICATION_MESSAGE = 1;
+    private static final int APPLICATION_CODE = 2;
+
     private ThriftResponseEncoder() {}
 
-    /** {@code Response}: the result's field 0. */
-    static byte[] answer(String method, int number, byte[] body, boolean good) {
-        ByteBuffer b = begin(ThriftMessage.REPLY, method, number, 40 + body.length);
-        field(b, ThriftMessage.STRUCT, 0);
-        field(b, ThriftMessage.STRING, 1);
-        b.putInt(body.length).put(body);
-        fields(b, 2, Map.of());
-        field(b, ThriftMessage.BOOL, 3);
-        b.put((byte) (good ? 1 : 0));
-        return end(b.put(ThriftMessage.STOP).put(ThriftMessage.STOP));
+    /** A {@code Response} struct as the result. */
+    static byte[] response(String method, int sequenceId, byte[] body, boolean good) {
+        ByteBuffer buffer = begin(MessageType.REPLY, method, sequenceId, RESPONSE_BYTES + body.length);
+        putFieldHeader(buffer, ThriftType.STRUCT, RESULT_SUCCESS);
+        putFieldHeader(buffer, ThriftType.STRING, RESPONSE_BODY);
+        putBytes(buffer, body);
+        putFields(buffer, RESPONSE_FIELDS, Map.of());
+        putFieldHeader(buffer, ThriftType.BOOL, RESPONSE_GOOD);
+        buffer.put((byte) (good ? 1 : 0));
+        return endStructs(buffer);
     }
 
-    static byte[] heartbeat(String method, int number, boolean good) {
-        return answer(method, number, NOTHING, good);
+    /** The reply to a heartbeat. */
+    static byte[] heartbeat(String method, int sequenceId, boolean good) {
+        return response(method, sequenceId, NO_BODY, good);
     }
 
-    /** One of the two declared exceptions: 1 {@code Full}, 2 {@code Error}. */
-    static byte[] declared(String method, int number, int which, Map<String, String> fields) {
-        int size = 32;
-        for (Map.Entry<String, String> e : fields.entrySet()) {
-            size += 8 + 3 * (e.getKey().length() + e.getValue().length());
+    /** A declared exception as the result. */
+    static byte[] declaredException(String method, int sequenceId, DeclaredException exception,
+        Map<String, String> fields) {
+        int size = EXCEPTION_BYTES;
+        for (Map.Entry<String, String> field : fields.entrySet()) {
+            size += FIELD_LENGTHS_BYTES
+                + MAX_BYTES_PER_CHAR * (field.getKey().length() + field.getValue().length());
         }
-        ByteBuffer b = begin(ThriftMessage.REPLY, method, number, size);
-        field(b, ThriftMessage.STRUCT, which);
-        fields(b, 1, fields);
-        return end(b.put(ThriftMessage.STOP).put(ThriftMessage.STOP));
+        ByteBuffer buffer = begin(MessageType.REPLY, method, sequenceId, size);
+        putFieldHeader(buffer, ThriftType.STRUCT, exception.fieldId());
+        putFields(buffer, DECLARED_FIELDS, fields);
+        return endStructs(buffer);
     }
 
-    /** An application exception. */
-    static byte[] unknownMethod(String method, int number) {
-        return exception(method, number, UNKNOWN_METHOD, "no such method");
+    /** An application exception: the service has no such method. */
+    static byte[] unknownMethod(String method, int sequenceId) {
+        return applicationException(method, sequenceId, UNKNOWN_METHOD, "no such method");
     }
 
-    static byte[] unreadable(String method, int number, String why) {
-        return exception(method, number, PROTOCOL_ERROR, why);
+    /** An application exception: the message could not be read behind its header. */
+    static byte[] protocolError(String method, int sequenceId, String reason) {
+        return applicationException(method, sequenceId, PROTOCOL_ERROR, reason);
     }
 
-    private static byte[] exception(String method, int number, int type, String why) {
-        byte[] text = why.getBytes(StandardCharsets.UTF_8);
-        ByteBuffer b = begin(ThriftMessage.EXCEPTION, method, number, 32 + text.length);
-        field(b, ThriftMessage.STRING, 1);
-        b.putInt(text.length).put(text);
-        field(b, ThriftMessage.I32, 2);
-        return end(b.putInt(type).put(ThriftMessage.STOP));
+    private static byte[] applicationException(String method, int sequenceId, int code, String message) {
+        byte[] text = message.getBytes(StandardCharsets.UTF_8);
+        ByteBuffer buffer = begin(MessageType.EXCEPTION, method, sequenceId, EXCEPTION_BYTES + text.length);
+        putFieldHeader(buffer, ThriftType.STRING, APPLICATION_MESSAGE);
+        putBytes(buffer, text);
+        putFieldHeader(buffer, ThriftType.I32, APPLICATION_CODE);
+        buffer.putInt(code);
+        buffer.put(ThriftType.STOP);
+        return finish(buffer);
     }
 
-    private static ByteBuffer begin(int type, String method, int number, int room) {
+    private static ByteBuffer begin(MessageType type, String method, int sequenceId, int maxContentBytes) {
         byte[] name = method.getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.allocate(16 + name.length + room).putInt(0).putInt(
-            ThriftMessage.STRICT | type).putInt(name.length).put(name).putInt(number);
+        ByteBuffer buffer = ByteBuffer.allocate(ENVELOPE_BYTES + name.length + maxContentBytes);
+        buffer.putInt(0); // the frame's length, known at the end
+        buffer.putInt(ThriftMessageDecoder.STRICT_VERSION | type.code());
+        putBytes(buffer, name);
+        buffer.putInt(sequenceId);
+        return buffer;
     }
 
-    private static byte[] end(ByteBuffer b) {
-        int size = b.position();
-        b.putInt(0, size - 4);
-        return size == b.capacity() ? b.array() : java.util.Arrays.copyOf(b.array(), size);
+    /** Ends the inner struct and the result struct around it. */
+    private static byte[] endStructs(ByteBuffer buffer) {
+        buffer.put(ThriftType.STOP);
+        buffer.put(ThriftType.STOP);
+        return finish(buffer);
     }
 
-    private static void field(ByteBuffer b, byte type, int id) { b.put(type).putShort((short) id); }
+    private static byte[] finish(ByteBuffer buffer) {
+        int size = buffer.position();
+        buffer.putInt(0, size - LENGTH_BYTES);
+        return size == buffer.capacity() ? buffer.array() : Arrays.copyOf(buffer.array(), size);
+    }
+
+    private static void putFieldHeader(ByteBuffer buffer, byte type, int fieldId) {
+        buffer.put(type);
+        buffer.putShort((short) fieldId);
+    }
 
-    private static void fields(ByteBuffer b, int id, Map<String, String> fields) {
-        field(b, ThriftMessage.MAP, id);
-        b.put(ThriftMessage.STRING).put(ThriftMessage.STRING).putInt(fields.size());
-        fields.forEach((k, v) -> {
-            text(b, k);
-            text(b, v);
+    private static void putFields(ByteBuffer buffer, int fieldId, Map<String, String> fields) {
+        putFieldHeader(buffer, ThriftType.MAP, fieldId);
+        buffer.put(ThriftType.STRING);
+        buffer.put(ThriftType.STRING);
+        buffer.putInt(fields.size());
+        fields.forEach((name, value) -> {
+            putBytes(buffer, name.getBytes(StandardCharsets.UTF_8));
+            putBytes(buffer, value.getBytes(StandardCharsets.UTF_8));
         });
     }
 
-    private static void text(ByteBuffer b, String s) {
-        byte[] t = s.getBytes(StandardCharsets.UTF_8);
-        b.putInt(t.length).put(t);
+    private static void putBytes(ByteBuffer buffer, byte[] bytes) {
+        buffer.putInt(bytes.length);
+        buffer.put(bytes);
     }
 }
