--- a/src/main/java/switchgap/simulator/ReplyFrame.java
+++ b/src/main/java/switchgap/simulator/ReplyFrame.java
@@ -5,60 +5,80 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** One reply frame in the making: records of 24 bytes, then the tail. */
+/**
+ * A reply frame in the making: a header, action records, and a tail of their texts. Reused for each frame.
+ */
 final class ReplyFrame {
-    static final int RECORD = 24;
-    private static final int HEADER = 12;
-    private byte[] bytes = new byte[1 << 14];
-    private ByteBuffer records = wrap();
-    private byte[] tail = new byte[256];
-    private int tailed;
-    private int count;
+    private static final int RECORD_BYTES = 24;
+    private static final int HEADER_BYTES = 12;
+    private static final int INITIAL_BYTES = 1 << 14;
+    private static final int INITIAL_TAIL_BYTES = 256;
 
-    private ByteBuffer wrap() {
-        return ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
+    // Offsets in bytes from the frame's start.
+    private static final int NUMBER = 0;
+    private static final int RECORD_COUNT = 4;
+    private static final int FRAME_BYTES = 8;
+    // Offsets in bytes from a record's start.
+    private static final int CODE = 0;
+    private static final int ROUTER_ID = 1;
+    /** Of a reference to the tail: its offset there, then its size. */
+    private static final int REFERENCE_SIZE = 4;
+
+    private byte[] bytes = new byte[INITIAL_BYTES];
+    private ByteBuffer buffer = littleEndian(bytes);
+    private byte[] tail = new byte[INITIAL_TAIL_BYTES];
+    private int tailBytes;
+    private int recordCount;
+
+    private static ByteBuffer littleEndian(byte[] array) {
+        return ByteBuffer.wrap(array).order(ByteOrder.LITTLE_ENDIAN);
     }
 
+    /** Begins the reply to the frame of that number. */
     void begin(int number) {
-        count = 0;
-        tailed = 0;
-        records.putInt(0, number);
+        recordCount = 0;
+        tailBytes = 0;
+        buffer.putInt(NUMBER, number);
     }
 
-    /** A cleared record with its code and instance; the fields go to the place returned plus 3. */
-    int record(int code, int who) {
-        int at = HEADER + RECORD * count++;
-        if (at + RECORD > bytes.length) {
+    /** Adds a record of zeros with its code and router, and returns its offset in {@link #buffer}. */
+    int addRecord(int code, int routerId) {
+        int at = HEADER_BYTES + RECORD_BYTES * recordCount;
+        recordCount++;
+        if (at + RECORD_BYTES > bytes.length) {
             bytes = Arrays.copyOf(bytes, bytes.length * 2);
-            records = wrap();
+            buffer = littleEndian(bytes);
         }
-        Arrays.fill(bytes, at, at + RECORD, (byte) 0);
-        bytes[at] = (byte) code;
-        records.putShort(at + 1, (short) who);
+        Arrays.fill(bytes, at, at + RECORD_BYTES, (byte) 0);
+        bytes[at + CODE] = (byte) code;
+        buffer.putShort(at + ROUTER_ID, (short) routerId);
         return at;
     }
 
-    ByteBuffer fields() {
-        return records;
+    /** The records; another buffer after {@link #addRecord}. */
+    ByteBuffer buffer() {
+        return buffer;
     }
 
-    void text(int at, String text) {
-        byte[] t = text.getBytes(StandardCharsets.UTF_8);
-        if (tailed + t.length > tail.length) {
-            tail = Arrays.copyOf(tail, Math.max(tail.length * 2, tailed + t.length));
+    /** Adds a text to the tail and writes a reference to it. */
+    void putText(int at, String text) {
+        byte[] encoded = text.getBytes(StandardCharsets.UTF_8);
+        if (tailBytes + encoded.length > tail.length) {
+            tail = Arrays.copyOf(tail, Math.max(tail.length * 2, tailBytes + encoded.length));
         }
-        System.arraycopy(t, 0, tail, tailed, t.length);
-        records.putInt(at, tailed);
-        records.putInt(at + 4, t.length);
-        tailed += t.length;
+        System.arraycopy(encoded, 0, tail, tailBytes, encoded.length);
+        buffer.putInt(at, tailBytes);
+        buffer.putInt(at + REFERENCE_SIZE, encoded.length);
+        tailBytes += encoded.length;
     }
 
+    /** The whole frame. */
     byte[] finish() {
-        int end = HEADER + RECORD * count;
-        records.putInt(4, count);
-        records.putInt(8, end + tailed);
-        byte[] all = Arrays.copyOf(bytes, end + tailed);
-        System.arraycopy(tail, 0, all, end, tailed);
-        return all;
+        int tailStart = HEADER_BYTES + RECORD_BYTES * recordCount;
+        buffer.putInt(RECORD_COUNT, recordCount);
+        buffer.putInt(FRAME_BYTES, tailStart + tailBytes);
+        byte[] frame = Arrays.copyOf(bytes, tailStart + tailBytes);
+        System.arraycopy(tail, 0, frame, tailStart, tailBytes);
+        return frame;
     }
 }
