--- a/src/main/java/switchgap/protocol/sse/package-info.java
+++ b/src/main/java/switchgap/protocol/sse/package-info.java
@@ -1,2 +1,2 @@
-/** Server-sent events: a pure decoder, bounded. */
+/** Server-sent events: a bounded decoder, free of sockets and clock. */
 package switchgap.protocol.sse;
