--- a/src/main/java/switchgap/protocol/thrift/ThriftServer.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -151,8 +151,7 @@
     }
 
     private void enqueue(ClientConnection connection, ThriftMessage message, int messageBytes, Duration now) {
-        if (connection.messageQueued() > MAX_QUEUED_MESSAGES
-            || queuedBytes.addAndGet(messageBytes) > limits.maxRequestBytes) {
+        if (connection.messageQueued() > MAX_QUEUED_MESSAGES || !reserveQueuedBytes(messageBytes)) {
             connection.close("more messages than the router keeps up with");
             return;
         }
@@ -166,6 +165,15 @@
         });
     }
 
+    /** Takes a message's bytes out of the queue's budget; a message that does not fit takes nothing. */
+    private boolean reserveQueuedBytes(int messageBytes) {
+        if (queuedBytes.addAndGet(messageBytes) <= limits.maxRequestBytes) {
+            return true;
+        }
+        queuedBytes.addAndGet(-messageBytes); // or each flood would leave less for everybody, until a restart
+        return false;
+    }
+
     // ------------------------------------------------------------------ on the event loop
 
     /**
--- /dev/null
+++ b/src/test/java/switchgap/protocol/thrift/ThriftServerFloodTest.java
@@ -0,0 +1,72 @@
+package switchgap.protocol.thrift;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.DataInputStream;
+import java.io.DataOutputStream;
+import java.io.IOException;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.Map;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.Test;
+import switchgap.net.NetworkTransport;
+import switchgap.router.RouterCore;
+import switchgap.server.platform.TestPlatformSettings;
+
+/** Messages that come faster than the event loop takes them. */
+class ThriftServerFloodTest {
+    private static final int QUEUE_BYTES = 1000;
+    private static final int STRICT_CALL = 0x80010001;
+    private static final int STRING_TYPE = 11;
+
+    /** A submit call with a body of so many bytes and no fields. */
+    private static void submit(Socket socket, int sequenceId, int bodyBytes) throws IOException {
+        byte[] method = "submit".getBytes(StandardCharsets.US_ASCII);
+        DataOutputStream out = new DataOutputStream(socket.getOutputStream());
+        out.writeInt(4 + 4 + method.length + 4 + 1 + 2 + 4 + bodyBytes + 1);
+        out.writeInt(STRICT_CALL);
+        out.writeInt(method.length);
+        out.write(method);
+        out.writeInt(sequenceId);
+        out.writeByte(STRING_TYPE);
+        out.writeShort(2);
+        out.writeInt(bodyBytes);
+        out.write(new byte[bodyBytes]);
+        out.writeByte(0);
+        out.flush();
+    }
+
+    /** Whether the server closes the connection within a second. */
+    private static boolean isClosed(Socket socket) throws IOException {
+        socket.setSoTimeout(1000);
+        try {
+            return new DataInputStream(socket.getInputStream()).read() < 0;
+        } catch (java.net.SocketTimeoutException e) {
+            return false;
+        }
+    }
+
+    /** The event loop stands still: one message is queued, the next does not fit, and one of another client does. */
+    @Test void aMessageThatWasRefusedTakesNothingOfTheQueuesBytes() throws Exception {
+        ConcurrentLinkedQueue<Consumer<RouterCore>> events = new ConcurrentLinkedQueue<>();
+        ThriftServer.ConnectionLimits limits = new ThriftServer.ConnectionLimits(10, 10, 1 << 16, QUEUE_BYTES,
+            10,
+            Duration.ofSeconds(10));
+        try (NetworkTransport net = new NetworkTransport(1, "flood-test");
+            ThriftServer server = new ThriftServer(TestPlatformSettings.terms(), Map.of(), Map.of(), limits,
+                () -> Duration.ZERO, events::add, line -> {})) {
+            server.listen(net, "127.0.0.1", 0);
+            try (Socket flooding = new Socket("127.0.0.1", server.port());
+                Socket usual = new Socket("127.0.0.1", server.port())) {
+                submit(flooding, 1, 600);
+                submit(flooding, 2, 600);
+                assertThat(isClosed(flooding)).isTrue();
+                submit(usual, 1, 300);
+                assertThat(isClosed(usual)).isFalse();
+            }
+        }
+    }
+}
