--- a/src/main/java/switchgap/protocol/resp/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/resp/PendingExchange.java
@@ -6,52 +6,127 @@
 import switchgap.router.WorkerEntry;
 
 /**
- * One exchange with a worker: an execution, an order or a probe. WAITING: no byte has gone out; OUT on a link; OVER.
- * All of it belongs to the router's loop.
+ * One exchange with a worker: an attempt, a load command or a probe.
+ *
+ * <p>It shares no code with the exchange of the inference protocol: this one belongs to the event loop alone
+ * and shares its connection with others, that one is guarded by its lock as writer threads send it, and has
+ * its connection to itself.
  */
 final class PendingExchange {
-    enum State { WAITING, OUT, OVER }
+    /** How an exchange stands; it only ever goes forward. */
+    enum State {
+        /** It has no connection; no byte of it has gone out. */
+        WAITING,
+        /** It was sent and its reply may come. */
+        IN_FLIGHT,
+        /** It was completed or abandoned. */
+        ENDED;
 
-    /** Hears once how it ended, with the reply where there was one. */
+        boolean mayBecome(State next) {
+            return ordinal() < next.ordinal();
+        }
+    }
+
+    /** Is told once how an exchange ended, unless it was abandoned. */
     interface CompletionListener {
-        void ended(RouterCore c, AttemptOutcome end, WorkerReply reply);
+        /** It ended; {@code reply} is null where none came. On the event loop. */
+        void exchangeEnded(RouterCore core, AttemptOutcome outcome, WorkerReply reply);
     }
 
     final WorkerEntry worker;
-    /** What its answer will bear; null where none comes. */
+    /** The id or tag that its reply will bear; null where the command has no reply. */
     final String id;
-    /** The call of an execution, else null. */
-    final PendingRequest call;
+    /** The request of an attempt, else null. */
+    final PendingRequest request;
+    /** The encoded command. */
     final byte[] command;
-    private final boolean harmless;
-    private final CompletionListener ended;
-    State state = State.WAITING;
-    RespConnection link;
-    /** Nanoseconds of the loop: when it went out, and when it is given up. */
-    long sent;
-    final long until;
-
-    /** {@code harmless}: a worker that takes nothing new may still have it. */
-    PendingExchange(WorkerEntry worker, String id, PendingRequest call, boolean harmless, byte[] command,
-        long until, CompletionListener ended) {
+    /** Nanoseconds of the loop's clock at which it times out. */
+    final long timeoutNanos;
+    private final boolean allowedWhileDraining;
+    private final CompletionListener listener;
+    private State state = State.WAITING;
+    private RespConnection connection;
+    private long sentNanos;
+
+    private PendingExchange(WorkerEntry worker, String id, PendingRequest request,
+        boolean allowedWhileDraining, byte[] command, long timeoutNanos, CompletionListener listener) {
         this.worker = worker;
         this.id = id;
-        this.call = call;
-        this.harmless = harmless;
+        this.request = request;
+        this.allowedWhileDraining = allowedWhileDraining;
         this.command = command;
-        this.until = until;
-        this.ended = ended;
+        this.timeoutNanos = timeoutNanos;
+        this.listener = listener;
+    }
+
+    /** The exchange of an attempt of a request, whose id the reply will bear. */
+    static PendingExchange ofAttempt(WorkerEntry worker, PendingRequest request, byte[] command,
+        long timeoutNanos, CompletionListener listener) {
+        return new PendingExchange(worker, request.id, request, false, command, timeoutNanos, listener);
+    }
+
+    /**
+     * The exchange of a command.
+     *
+     * @param tag                   what the reply will bear, or null for a command without a reply
+     * @param allowedWhileDraining  whether a worker that takes nothing new may still get it
+     * @param timeoutNanos          nanoseconds of the loop's clock at which it times out
+     */
+    static PendingExchange ofCommand(WorkerEntry worker, String tag, boolean allowedWhileDraining,
+        byte[] command, long timeoutNanos, CompletionListener listener) {
+        return new PendingExchange(worker, tag, null, allowedWhileDraining, command, timeoutNanos, listener);
+    }
+
+    /**
+     * Whether it may go out now. Asked right before it is sent, not when it was decided: its worker may start
+     * to drain and its client may leave in between.
+     */
+    boolean maySend() {
+        return state == State.WAITING && (allowedWhileDraining || worker.accepting)
+            && (request == null || request.isAwaited());
+    }
+
+    State state() {
+        return state;
+    }
+
+    /** Its connection, null while it waits. */
+    RespConnection connection() {
+        return connection;
+    }
+
+    /** Nanoseconds of the loop's clock at which it was sent, 0 while it waits. */
+    long sentNanos() {
+        return sentNanos;
+    }
+
+    /** It was sent on a connection. */
+    void sent(RespConnection usedConnection, long nowNanos) {
+        if (transition(State.IN_FLIGHT)) {
+            connection = usedConnection;
+            sentNanos = nowNanos;
+        }
+    }
+
+    /** Ends it and tells its listener, unless it has ended before. */
+    void complete(RouterCore core, AttemptOutcome outcome, WorkerReply reply) {
+        if (transition(State.ENDED)) {
+            listener.exchangeEnded(core, outcome, reply);
+        }
     }
 
-    /** Asked as it is about to go out, not when it was decided: its worker may drain and its client leave in between. */
-    boolean mayGo() {
-        return state == State.WAITING && (harmless || worker.accepting) && (call == null || call.isAwaited());
+    /** Ends it without telling its listener; returns how it stood. */
+    State abandon() {
+        State before = state;
+        transition(State.ENDED);
+        return before;
     }
 
-    void end(RouterCore c, AttemptOutcome end, WorkerReply reply) {
-        if (state != State.OVER) {
-            state = State.OVER;
-            ended.ended(c, end, reply);
+    private boolean transition(State next) {
+        boolean allowed = state.mayBecome(next);
+        if (allowed) {
+            state = next;
         }
+        return allowed;
     }
 }
--- /dev/null
+++ b/src/main/java/switchgap/protocol/resp/ReplyReader.java
@@ -0,0 +1,49 @@
+package switchgap.protocol.resp;
+
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import switchgap.net.TcpConnection;
+import switchgap.router.RouterCore;
+
+/** Decodes what workers send, on selector threads, and hands the replies to the event loop. */
+final class ReplyReader implements TcpConnection.Listener {
+    private static final int EXPECTED_REPLIES = 2;
+
+    private final Consumer<Consumer<RouterCore>> events;
+
+    /** A reader that posts to this event loop. */
+    ReplyReader(Consumer<Consumer<RouterCore>> events) {
+        this.events = events;
+    }
+
+    @Override public void opened(TcpConnection tcp) {}
+
+    @Override public void received(TcpConnection tcp, ByteBuffer bytes) {
+        if (!(tcp.attachment instanceof RespConnection connection)) {
+            tcp.close("bytes before the first command");
+            return;
+        }
+        List<WorkerReply> replies = new ArrayList<>(EXPECTED_REPLIES);
+        String malformed = null;
+        try {
+            connection.decoder.decode(bytes, parts -> replies.add(WorkerReply.parse(parts)));
+        } catch (RespDecoder.MalformedReplyException e) {
+            malformed = e.getMessage();
+        }
+        if (!replies.isEmpty()) { // those before a malformed one still count
+            events.accept(
+                core -> replies.forEach(reply -> connection.pool.replyReceived(core, connection, reply)));
+        }
+        if (malformed != null) { // where the next reply would begin is not known: nothing more can be read
+            tcp.close(malformed);
+        }
+    }
+
+    @Override public void closed(TcpConnection tcp, String why) {
+        if (tcp.attachment instanceof RespConnection connection) {
+            events.accept(core -> connection.pool.connectionClosed(core, connection));
+        }
+    }
+}
--- a/src/main/java/switchgap/protocol/resp/RespCommandEncoder.java
+++ b/src/main/java/switchgap/protocol/resp/RespCommandEncoder.java
@@ -3,24 +3,39 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Commands as arrays of bulk strings. */
+/** Encodes commands as RESP arrays of bulk strings. */
 final class RespCommandEncoder {
+    private static final String LINE_END = "\r\n";
+    private static final int HEAD_CAPACITY = 96;
+
     private RespCommandEncoder() {}
 
-    static byte[] of(String... words) { return with(null, words); }
+    /** A command of words alone, each of ISO 8859-1 characters. */
+    static byte[] encode(String... words) {
+        return toBytes(encodeHead(words.length, words));
+    }
+
+    /** A command whose last part is the body. */
+    static byte[] encodeWithBody(byte[] body, String... words) {
+        StringBuilder head = encodeHead(words.length + 1, words);
+        head.append('$').append(body.length).append(LINE_END);
+        ByteArrayOutputStream command = new ByteArrayOutputStream(
+            head.length() + body.length + LINE_END.length());
+        command.writeBytes(toBytes(head));
+        command.writeBytes(body);
+        command.writeBytes(LINE_END.getBytes(StandardCharsets.ISO_8859_1));
+        return command.toByteArray();
+    }
+
+    private static StringBuilder encodeHead(int parts, String... words) {
+        StringBuilder head = new StringBuilder(HEAD_CAPACITY).append('*').append(parts).append(LINE_END);
+        for (String word : words) {
+            head.append('$').append(word.length()).append(LINE_END).append(word).append(LINE_END);
+        }
+        return head;
+    }
 
-    /** The words, and last the body where there is one. */
-    static byte[] with(byte[] body, String... words) {
-        StringBuilder s = new StringBuilder(96).append('*').append(
-            words.length + (body == null ? 0 : 1)).append("\r\n");
-        for (String w : words) { s.append('$').append(w.length()).append("\r\n").append(w).append("\r\n"); }
-        if (body == null) { return s.toString().getBytes(StandardCharsets.ISO_8859_1); }
-        s.append('$').append(body.length).append("\r\n");
-        ByteArrayOutputStream all = new ByteArrayOutputStream(s.length() + body.length + 2);
-        all.writeBytes(s.toString().getBytes(StandardCharsets.ISO_8859_1));
-        all.writeBytes(body);
-        all.write('\r');
-        all.write('\n');
-        return all.toByteArray();
+    private static byte[] toBytes(StringBuilder text) {
+        return text.toString().getBytes(StandardCharsets.ISO_8859_1);
     }
 }
--- a/src/main/java/switchgap/protocol/resp/RespConnection.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnection.java
@@ -4,23 +4,32 @@
 import java.util.Map;
 import switchgap.net.TcpConnection;
 
-/** One connection to a worker with what is out on it. Its reader belongs to a selector thread, the rest to the loop. */
+/**
+ * One connection to a worker with the exchanges that are in flight on it. Its decoder belongs to a selector
+ * thread, everything else to the event loop.
+ */
 final class RespConnection {
-    final TcpConnection bytes;
+    final TcpConnection tcp;
     final RespConnectionPool pool;
-    final RespDecoder reader;
-    final Map<String, PendingExchange> out = new HashMap<>();
-    /** An answer stayed out, and it has said nothing since. */
-    boolean mute;
-    /** Nanoseconds of the loop at which it was last of use, and last said something. */
-    long used;
-    long heard;
+    final RespDecoder decoder;
+    /** Exchanges that wait for their reply, by the id or tag that it will bear. */
+    final Map<String, PendingExchange> inFlight = new HashMap<>();
+    /** A reply stayed out until its timeout, and nothing has come since. */
+    boolean unresponsive;
+    /** Nanoseconds of the loop's clock at which it last began or completed an exchange. */
+    long lastUsedNanos;
+    /** Nanoseconds of the loop's clock at which a reply last came. */
+    long lastReplyNanos;
 
-    RespConnection(TcpConnection bytes, RespConnectionPool pool, RespDecoder reader, long now) {
-        this.bytes = bytes;
+    RespConnection(TcpConnection tcp, RespConnectionPool pool, RespDecoder decoder, long nowNanos) {
+        this.tcp = tcp;
         this.pool = pool;
-        this.reader = reader;
-        used = now;
-        heard = now;
+        this.decoder = decoder;
+        lastUsedNanos = nowNanos;
+        lastReplyNanos = nowNanos;
+    }
+
+    boolean isIdle() {
+        return inFlight.isEmpty();
     }
 }
--- a/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
@@ -9,200 +9,252 @@
 import switchgap.router.RouterCore;
 
 /**
- * Connections to one worker, few and shared, each with as little out as can be: an answer that can't be read takes all
- * of its connection with it. Nothing is ever sent again by itself. Exchanges wait only while a connection is being
- * opened. All of it belongs to the router's loop.
+ * The connections to one worker: few, shared, and each with as few exchanges in flight as can be, since a
+ * reply that can't be read loses everything on its connection. Nothing is ever sent a second time. Exchanges
+ * wait only while a connection is being opened, up to a limit.
+ *
+ * <p>It shares no code with the pool of the inference protocol: this one belongs to the event loop alone and
+ * multiplexes exchanges over a connection, that one is guarded by its lock as writer threads use it, and has
+ * one exchange at a time on a connection.
  */
 final class RespConnectionPool {
-    private final RespWorkerTransport workers;
+    private final RespConnectionManager manager;
     private final InetSocketAddress address;
-    private final List<RespConnection> links = new ArrayList<>();
+    private final List<RespConnection> connections = new ArrayList<>();
     private final ArrayDeque<PendingExchange> waiting = new ArrayDeque<>();
     private int opening;
     private boolean retired;
 
-    RespConnectionPool(RespWorkerTransport workers, InetSocketAddress address) {
-        this.workers = workers;
+    RespConnectionPool(RespConnectionManager manager, InetSocketAddress address) {
+        this.manager = manager;
         this.address = address;
     }
 
-    void ask(PendingExchange e) {
-        RespConnection l = e.mayGo() && !retired ? least(e) : null;
-        if (e.mayGo() && !retired && (l == null || !l.out.isEmpty()) && mayOpen()) {
+    /** Sends an exchange, has it wait for a connection that is being opened, or ends it as not sent. */
+    void submit(PendingExchange exchange) {
+        boolean maySend = exchange.maySend() && !retired;
+        RespConnection connection = maySend ? leastLoaded(exchange) : null;
+        if (maySend && (connection == null || !connection.isIdle()) && mayConnect()) {
             opening++;
-            workers.dial(this, address);
+            manager.connect(this, address);
         }
-        if (l != null) {
-            put(e, l);
-        } else if (e.mayGo() && opening > 0 && waiting.size() < workers.bounds.waiting()) {
-            waiting.add(e);
+        if (connection != null) {
+            send(exchange, connection);
+        } else if (exchange.maySend() && opening > 0 && waiting.size() < manager.limits().waiting()) {
+            waiting.add(exchange);
         } else {
-            workers.soon(c -> e.end(c, AttemptOutcome.NOT_SENT, null));
+            endLater(exchange, AttemptOutcome.NOT_SENT);
         }
     }
 
-    /** Mute links count for nothing: each is replaced, and closed once nothing is out on it. */
-    private boolean mayOpen() {
-        int live = opening;
-        for (RespConnection l : links) { live += l.mute ? 0 : 1; }
-        int most = workers.perWorker();
-        return live < most && links.size() + opening < 2 * most && workers.room();
+    private void endLater(PendingExchange exchange, AttemptOutcome outcome) {
+        manager.post(core -> exchange.complete(core, outcome, null));
     }
 
-    /** The idle link that was of use the longest ago: of this worker's and {@code of}. */
-    RespConnection leastUsed(RespConnection of) {
-        RespConnection least = of;
-        for (RespConnection l : links) {
-            if (l.out.isEmpty() && l.bytes.isOpen() && (least == null || l.used < least.used)) { least = l; }
+    /**
+     * Whether one more connection may be opened. Unresponsive connections do not count: each is replaced, and
+     * closed once nothing is in flight on it.
+     */
+    private boolean mayConnect() {
+        int responsive = opening;
+        for (RespConnection connection : connections) {
+            responsive += connection.unresponsive ? 0 : 1;
         }
-        return least;
+        int max = manager.maxConnectionsPerWorker();
+        return responsive < max && connections.size() + opening < 2 * max && manager.makeRoom();
     }
 
     /**
-     * The usable link with the least out, or null. One with bytes to write is passed over: what waits behind them would go
-     * out after its worker drained or its client left.
+     * The idle connection that was least recently used, of this pool's and {@code other}, which may be null.
      */
-    private RespConnection least(PendingExchange e) {
-        RespConnection least = null;
-        for (RespConnection l : links) {
-            boolean usable = !l.mute && l.bytes.isOpen() && l.out.size() < workers.bounds.multiplex()
-                && l.bytes.unsentBytes() == 0 && !met(e, l);
-            if (usable && (least == null || l.out.size() < least.out.size())) { least = l; }
+    RespConnection leastRecentlyUsed(RespConnection other) {
+        RespConnection oldest = other;
+        for (RespConnection connection : connections) {
+            if (connection.isIdle() && connection.tcp.isOpen()
+                && (oldest == null || connection.lastUsedNanos < oldest.lastUsedNanos)) {
+                oldest = connection;
+            }
         }
-        return least;
+        return oldest;
     }
 
-    /** Whether an earlier execution of the job went out there: both bear its id, and a late answer would be the wrong one's. */
-    private static boolean met(PendingExchange e, RespConnection l) {
-        if (e.call == null) { return false; }
-        for (Attempt r : e.call.attempts()) {
-            if (r.attachment instanceof PendingExchange o && o != e && o.link == l) { return true; }
+    /** The connection with the fewest exchanges in flight of those that may take this one, or null. */
+    private RespConnection leastLoaded(PendingExchange exchange) {
+        RespConnection best = null;
+        for (RespConnection connection : connections) {
+            if (mayTake(connection, exchange)
+                && (best == null || connection.inFlight.size() < best.inFlight.size())) {
+                best = connection;
+            }
+        }
+        return best;
+    }
+
+    /**
+     * Whether a connection may take an exchange. One with unwritten bytes may not: what waits behind them
+     * would go out after its worker began to drain or its client left.
+     */
+    private boolean mayTake(RespConnection connection, PendingExchange exchange) {
+        return !connection.unresponsive && connection.tcp.isOpen()
+            && connection.inFlight.size() < manager.limits().multiplex()
+            && connection.tcp.unsentBytes() == 0 && !carriedEarlierAttempt(connection, exchange);
+    }
+
+    /**
+     * Whether an earlier attempt of the same request was sent on this connection: both bear the request's id,
+     * so a late reply to the earlier one would be taken for the later one's.
+     */
+    private static boolean carriedEarlierAttempt(RespConnection connection, PendingExchange exchange) {
+        if (exchange.request == null) {
+            return false;
+        }
+        for (Attempt attempt : exchange.request.attempts()) {
+            if (attempt.attachment instanceof PendingExchange other && other != exchange
+                && other.connection() == connection) {
+                return true;
+            }
         }
         return false;
     }
 
-    private void put(PendingExchange e, RespConnection l) {
-        if (!e.mayGo() || !l.bytes.send(e.command)) { // no byte of it went out
-            workers.soon(c -> e.end(c, AttemptOutcome.NOT_SENT, null));
+    private void send(PendingExchange exchange, RespConnection connection) {
+        if (!exchange.maySend() || !connection.tcp.send(exchange.command)) { // no byte of it went out
+            endLater(exchange, AttemptOutcome.NOT_SENT);
             return;
         }
-        e.state = PendingExchange.State.OUT;
-        e.link = l;
-        e.sent = workers.nanos();
-        l.used = e.sent;
-        if (e.id != null) {
-            l.out.put(e.id, e);
+        exchange.sent(connection, manager.nowNanos());
+        connection.lastUsedNanos = exchange.sentNanos();
+        if (exchange.id != null) {
+            connection.inFlight.put(exchange.id, exchange);
         } else {
-            workers.soon(c -> e.end(c, AttemptOutcome.SUCCEEDED, null));
+            endLater(exchange, AttemptOutcome.SUCCEEDED);
         }
     }
 
-    /** A connection is up. */
-    void opened(RouterCore c, RespConnection l) {
+    /** A connection was opened; it may have been closed since. */
+    void connectionOpened(RouterCore core, RespConnection connection) {
         opening--;
-        if (retired || !l.bytes.isOpen()) {
-            l.bytes.close("its worker is gone");
-            workers.ended();
+        if (retired || !connection.tcp.isOpen()) {
+            connection.tcp.close("worker is gone");
+            manager.connectionEnded();
         } else {
-            links.add(l);
+            connections.add(connection);
         }
-        settle(c, AttemptOutcome.NOT_SENT);
+        placeWaiting(core, AttemptOutcome.NOT_SENT);
     }
 
-    void failed(RouterCore c) {
+    /** A connection could not be opened. */
+    void connectFailed(RouterCore core) {
         opening--;
-        workers.ended();
-        settle(c, AttemptOutcome.CONNECT_FAILED);
-    }
-
-    /** Places what waits; with no connection under way the rest is told at once that it never went out. */
-    private void settle(RouterCore c, AttemptOutcome none) {
-        for (int n = waiting.size(); n > 0; n--) {
-            PendingExchange e = waiting.poll();
-            if (e.state != PendingExchange.State.WAITING) { continue; }
-            RespConnection to = least(e);
-            if (to != null) {
-                put(e, to);
+        manager.connectionEnded();
+        placeWaiting(core, AttemptOutcome.CONNECT_FAILED);
+    }
+
+    /**
+     * Sends what waits as far as connections allow. With no further connection being opened the rest ends at
+     * once.
+     */
+    private void placeWaiting(RouterCore core, AttemptOutcome outcomeWithoutConnection) {
+        for (int i = waiting.size(); i > 0; i--) {
+            PendingExchange exchange = waiting.poll();
+            if (exchange.state() != PendingExchange.State.WAITING) {
+                continue;
+            }
+            RespConnection connection = leastLoaded(exchange);
+            if (connection != null) {
+                send(exchange, connection);
             } else if (opening > 0) {
-                waiting.add(e);
+                waiting.add(exchange);
             } else {
-                e.end(c, links.isEmpty() ? none : AttemptOutcome.NOT_SENT, null);
+                exchange.complete(core,
+                    connections.isEmpty() ? outcomeWithoutConnection : AttemptOutcome.NOT_SENT, null);
             }
         }
     }
 
-    /** A connection ended; what was out on it may have run. */
-    void closed(RouterCore c, RespConnection l) {
-        if (links.remove(l)) { workers.ended(); }
-        List<PendingExchange> all = List.copyOf(l.out.values());
-        l.out.clear();
-        all.forEach(e -> e.end(c, AttemptOutcome.CONNECTION_LOST, null));
+    /** A connection was closed; what was in flight on it may have been executed. */
+    void connectionClosed(RouterCore core, RespConnection connection) {
+        if (connections.remove(connection)) {
+            manager.connectionEnded();
+        }
+        List<PendingExchange> lost = List.copyOf(connection.inFlight.values());
+        connection.inFlight.clear();
+        lost.forEach(exchange -> exchange.complete(core, AttemptOutcome.CONNECTION_LOST, null));
     }
 
-    /** An answer; one for an id that is not out on this very connection is passed over. */
-    void answered(RouterCore c, RespConnection l, WorkerReply r) {
-        l.mute = false;
-        l.heard = workers.nanos();
-        PendingExchange e = l.out.get(r.id());
-        if (e == null) { return; }
-        AttemptOutcome end = r.end();
-        if (end == null) {
-            l.bytes.close("an answer of no known word");
+    /** A reply came; one whose id is not in flight on this very connection is ignored. */
+    void replyReceived(RouterCore core, RespConnection connection, WorkerReply reply) {
+        connection.unresponsive = false;
+        connection.lastReplyNanos = manager.nowNanos();
+        PendingExchange exchange = connection.inFlight.get(reply.id());
+        if (exchange == null) {
             return;
         }
-        l.out.remove(r.id());
-        l.used = l.heard;
-        e.end(c, end, r);
-    }
-
-    /** Ends an exchange whose answer is not wanted any more; tells what that proves. */
-    AttemptOutcome abandon(PendingExchange e) {
-        PendingExchange.State was = e.state;
-        e.state = PendingExchange.State.OVER;
-        if (was == PendingExchange.State.WAITING) {
-            waiting.remove(e);
-            return links.isEmpty() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT;
-        }
-        RespConnection l = e.link;
-        if (was == PendingExchange.State.OUT && l.out.remove(e.id, e)) {
-            l.mute |= workers.nanos() >= e.until && l.heard < e.sent;
-            if (l.mute && l.out.isEmpty()) {
-                l.bytes.close("it says nothing"); // which gives up all that was open on it
-            } else if (e.call != null) {
-                l.bytes.send(RespCommandEncoder.of("UNDO", e.id));
-            }
+        AttemptOutcome outcome = reply.outcome();
+        if (outcome == null) {
+            connection.tcp.close("reply with an unknown status");
+            return;
+        }
+        connection.inFlight.remove(reply.id());
+        connection.lastUsedNanos = connection.lastReplyNanos;
+        exchange.complete(core, outcome, reply);
+    }
+
+    /** Ends an exchange whose reply is not wanted any more; tells what that proves. */
+    AttemptOutcome abandon(PendingExchange exchange) {
+        PendingExchange.State before = exchange.abandon();
+        if (before == PendingExchange.State.WAITING) {
+            waiting.remove(exchange);
+            return connections.isEmpty() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT;
+        }
+        RespConnection connection = exchange.connection();
+        if (before == PendingExchange.State.IN_FLIGHT
+            && connection.inFlight.remove(exchange.id, exchange)) {
+            abandonInFlight(exchange, connection);
         }
         return AttemptOutcome.TIMED_OUT;
     }
 
-    /** Its worker takes nothing new: what waits is told at once, what is out goes on. */
-    void refuse() {
-        for (int n = waiting.size(); n > 0; n--) {
-            PendingExchange e = waiting.poll();
-            if (e.mayGo()) {
-                waiting.add(e);
+    private void abandonInFlight(PendingExchange exchange, RespConnection connection) {
+        boolean timedOut = manager.nowNanos() >= exchange.timeoutNanos;
+        connection.unresponsive |= timedOut && connection.lastReplyNanos < exchange.sentNanos();
+        if (connection.unresponsive && connection.isIdle()) {
+            connection.tcp.close("worker does not reply"); // which cancels everything that was sent on it
+        } else if (exchange.request != null) {
+            connection.tcp.send(RespCommand.cancel(exchange.id));
+        }
+    }
+
+    /**
+     * The worker takes nothing new: what may not go there any more ends at once, what is in flight goes on.
+     */
+    void rejectWaiting() {
+        for (int i = waiting.size(); i > 0; i--) {
+            PendingExchange exchange = waiting.poll();
+            if (exchange.maySend()) {
+                waiting.add(exchange);
             } else {
-                workers.soon(c -> e.end(c, AttemptOutcome.NOT_SENT, null));
+                endLater(exchange, AttemptOutcome.NOT_SENT);
             }
         }
     }
 
-    /** Its worker is gone for good: links close as they fall idle. */
+    /** The worker is gone for good: what waits ends at once, connections are closed as they fall idle. */
     void retire() {
         retired = true;
-        for (PendingExchange e; (e = waiting.poll()) != null;) {
-            PendingExchange x = e;
-            workers.soon(c -> x.end(c, AttemptOutcome.NOT_SENT, null));
-        }
+        waiting.forEach(exchange -> endLater(exchange, AttemptOutcome.NOT_SENT));
+        waiting.clear();
         sweep(0);
     }
 
-    /** Closes links that were of no use for so long; true where the pool can be forgotten. */
-    boolean sweep(long idle) {
-        long now = workers.nanos();
-        for (RespConnection l : links) {
-            if (l.out.isEmpty() && (retired || now - l.used >= idle)) { l.bytes.close("idle"); }
+    /** Closes connections that were idle for so many nanoseconds; true where the pool can be forgotten. */
+    boolean sweep(long idleNanos) {
+        long now = manager.nowNanos();
+        for (RespConnection connection : connections) {
+            if (connection.isIdle() && (retired || now - connection.lastUsedNanos >= idleNanos)) {
+                connection.tcp.close("idle");
+            }
         }
-        return retired && links.isEmpty() && opening == 0;
+        return retired && connections.isEmpty() && opening == 0;
     }
 }
--- a/src/main/java/switchgap/protocol/resp/RespDecoder.java
+++ b/src/main/java/switchgap/protocol/resp/RespDecoder.java
@@ -4,107 +4,165 @@
 import java.util.Arrays;
 
 /**
- * Arrays of bulk strings out of a stream of bytes, split anywhere. Each length is checked before it is gathered, and
- * bytes are kept as they come, not as a length claims.
+ * Decodes RESP arrays of bulk strings out of a stream of bytes that may be split anywhere. Each length is
+ * checked before it is used, and memory grows with the bytes that came, not with what a length claims. One
+ * decoder serves one connection, on its selector thread; after an exception it must not be used again.
  */
 final class RespDecoder {
-    /** What is no such array, or is longer than allowed. */
+    /** The stream holds something other than such an array, or a longer one than allowed. */
     static final class MalformedReplyException extends Exception {
         private static final long serialVersionUID = 1;
 
-        MalformedReplyException(String why) { super(why, null, false, false); }
+        /** Without a stack trace: peers can cause it at any rate. */
+        MalformedReplyException(String message) {
+            super(message, null, false, false);
+        }
     }
 
-    /** Takes an array; it may find that what it says can't be read. */
+    /** Takes each array as it is complete. */
     interface ArrayHandler {
-        void array(byte[][] parts) throws MalformedReplyException;
+        /**
+         * An array is complete.
+         *
+         * @throws MalformedReplyException where its parts make no message
+         */
+        void arrayDecoded(byte[][] parts) throws MalformedReplyException;
+    }
+
+    /** What the next byte is. */
+    private enum State {
+        /** The first of an array or a string: {@code *} or {@code $}. */
+        TYPE,
+        /** A digit of the length, or the carriage return after it. */
+        LENGTH,
+        /** The line feed after the length. */
+        LENGTH_LINE_FEED,
+        /** Content of a string. */
+        CONTENT,
+        /** The carriage return after the content. */
+        CONTENT_CARRIAGE_RETURN,
+        /** The line feed after the content. */
+        CONTENT_LINE_FEED
+    }
+
+    private static final int MAX_PARTS = 8;
+    private static final int MAX_LENGTH_DIGITS = 8;
+    private static final int INITIAL_CONTENT_CAPACITY = 256;
+    private static final int DECIMAL_BASE = 10;
+
+    private final int maxStringBytes;
+    private State state = State.TYPE;
+    /** Parts of the array that is being read, null between two arrays. */
+    private byte[][] parts;
+    private int completeParts;
+    /** Content of the string that is being read; its capacity may be less than its length. */
+    private byte[] content;
+    private int contentLength;
+    private int contentRead;
+    private int length;
+    private int lengthDigits;
+
+    /** A decoder of strings of at most so many bytes. */
+    RespDecoder(int maxStringBytes) {
+        this.maxStringBytes = maxStringBytes;
     }
 
-    private static final int MOST_PARTS = 8;
-    private static final int MOST_DIGITS = 8;
-    private static final int FIRST = 256;
-    private final int most;
-    private byte[][] parts;     // of the array under way, null between two
-    private int filled;
-    private byte[] part;        // of the string under way, null while a line is read
-    private int size;
-    private int got;            // bytes of the string, then its end of line
-    private int sign;           // of the line under way: '*', '$', or 0 before it
-    private int number;
-    private int digits;
-    private boolean returned;   // the line's carriage return came
-
-    /** No string may be longer than {@code most} bytes. */
-    RespDecoder(int most) { this.most = most; }
-
-    void take(ByteBuffer more, ArrayHandler whole) throws MalformedReplyException {
-        while (more.hasRemaining()) {
-            if (part != null) {
-                string(more, whole);
-            } else {
-                line(more.get(), whole);
+    /** Reads all bytes and hands over each array that they complete. */
+    void decode(ByteBuffer bytes, ArrayHandler handler) throws MalformedReplyException {
+        while (bytes.hasRemaining()) {
+            switch (state) {
+                case TYPE -> readType(bytes.get());
+                case LENGTH -> readLength(bytes.get());
+                case LENGTH_LINE_FEED -> {
+                    expect('\n', bytes.get());
+                    lengthRead();
+                }
+                case CONTENT -> readContent(bytes);
+                case CONTENT_CARRIAGE_RETURN -> {
+                    expect('\r', bytes.get());
+                    state = State.CONTENT_LINE_FEED;
+                }
+                case CONTENT_LINE_FEED -> {
+                    expect('\n', bytes.get());
+                    stringRead(handler);
+                }
+                default -> throw new IllegalStateException(state.name());
             }
         }
     }
 
-    private void line(byte b, ArrayHandler whole) throws MalformedReplyException {
-        if (sign == 0) {
-            if (b != (parts == null ? '*' : '$')) {
-                throw new MalformedReplyException("byte " + b + " where an array or a string begins");
-            }
-            sign = b;
-            number = 0;
-            digits = 0;
-        } else if (returned) {
-            if (b != '\n') { throw new MalformedReplyException("a line that does not end"); }
-            returned = false;
-            begin(whole);
-        } else if (b == '\r' && digits > 0) {
-            returned = true;
-        } else if (b >= '0' && b <= '9' && digits < MOST_DIGITS) {
-            number = number * 10 + b - '0';
-            digits++;
+    private static void expect(char expected, byte found) throws MalformedReplyException {
+        if (found != expected) {
+            throw new MalformedReplyException("byte " + found + " where byte " + (int) expected + " is due");
+        }
+    }
+
+    private void readType(byte type) throws MalformedReplyException {
+        expect(parts == null ? '*' : '$', type);
+        length = 0;
+        lengthDigits = 0;
+        state = State.LENGTH;
+    }
+
+    private void readLength(byte next) throws MalformedReplyException {
+        if (next == '\r' && lengthDigits > 0) {
+            state = State.LENGTH_LINE_FEED;
+        } else if (next >= '0' && next <= '9' && lengthDigits < MAX_LENGTH_DIGITS) {
+            length = length * DECIMAL_BASE + next - '0';
+            lengthDigits++;
         } else {
-            throw new MalformedReplyException("no length");
+            throw new MalformedReplyException("byte " + next + " in a length");
         }
     }
 
-    private void begin(ArrayHandler whole) throws MalformedReplyException {
-        if (sign == '*') {
-            if (number == 0 || number > MOST_PARTS) {
-                throw new MalformedReplyException("an array of " + number);
-            }
-            parts = new byte[number][];
-            filled = 0;
+    private void lengthRead() throws MalformedReplyException {
+        if (parts == null) {
+            beginArray();
         } else {
-            if (number > most) { throw new MalformedReplyException("a string of " + number + " bytes"); }
-            size = number;
-            got = 0;
-            part = new byte[Math.min(size, FIRST)];
+            beginString();
         }
-        sign = 0;
     }
 
-    private void string(ByteBuffer more, ArrayHandler whole) throws MalformedReplyException {
-        if (got < size) {
-            int n = Math.min(more.remaining(), size - got);
-            if (got + n > part.length) {
-                part = Arrays.copyOf(part, Math.min(size, Math.max(got + n, 2 * part.length)));
-            }
-            more.get(part, got, n);
-            got += n;
-            return;
+    private void beginArray() throws MalformedReplyException {
+        if (length == 0 || length > MAX_PARTS) {
+            throw new MalformedReplyException("array of " + length + " parts");
         }
-        if (more.get() != (got == size ? '\r' : '\n')) {
-            throw new MalformedReplyException("a string longer than its length");
+        parts = new byte[length][];
+        completeParts = 0;
+        state = State.TYPE;
+    }
+
+    private void beginString() throws MalformedReplyException {
+        if (length > maxStringBytes) {
+            throw new MalformedReplyException("string of " + length + " bytes");
         }
-        if (got++ == size) { return; }
-        parts[filled++] = part;
-        part = null;
-        if (filled == parts.length) {
-            byte[][] all = parts;
+        contentLength = length;
+        contentRead = 0;
+        content = new byte[Math.min(contentLength, INITIAL_CONTENT_CAPACITY)];
+        state = contentLength == 0 ? State.CONTENT_CARRIAGE_RETURN : State.CONTENT;
+    }
+
+    private void readContent(ByteBuffer bytes) {
+        int count = Math.min(bytes.remaining(), contentLength - contentRead);
+        int needed = contentRead + count;
+        if (needed > content.length) {
+            content = Arrays.copyOf(content, Math.min(contentLength, Math.max(needed, 2 * content.length)));
+        }
+        bytes.get(content, contentRead, count);
+        contentRead = needed;
+        if (contentRead == contentLength) {
+            state = State.CONTENT_CARRIAGE_RETURN;
+        }
+    }
+
+    private void stringRead(ArrayHandler handler) throws MalformedReplyException {
+        parts[completeParts++] = content;
+        content = null;
+        state = State.TYPE;
+        if (completeParts == parts.length) {
+            byte[][] array = parts;
             parts = null;
-            whole.array(all);
+            handler.arrayDecoded(array);
         }
     }
 }
