--- a/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
+++ b/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
@@ -4,182 +4,220 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
+import java.util.Set;
+import java.util.WeakHashMap;
 import switchgap.net.HttpClientConnection;
 import switchgap.policy.api.AttemptOutcome;
 
 /**
- * Kept connections to one worker: opened as needed up to a cap, the last used first, closed when idle. Nothing is
- * ever sent again by itself: an exchange whose link took bytes and broke is lost, and only one that saw no byte go
- * out is tried on a further link.
+ * Persistent connections to one worker: opened as needed up to a limit, the most recently used first, closed
+ * when idle. Nothing is ever sent a second time by itself: an exchange whose connection took bytes and was
+ * lost is lost, and only one of which no byte went out is tried on a further connection.
+ *
+ * <p>It shares no code with the pool of the RESP protocol: that one belongs to the event loop alone and
+ * multiplexes exchanges over a connection, this one is guarded by its lock as writer threads use it, and has
+ * one exchange at a time on a connection. Callbacks are called without the lock.
  */
 final class HttpConnectionPool {
-    private final HttpClientConnection.Factory opener;
+    private final HttpClientConnection.Factory connectionFactory;
     private final InetSocketAddress address;
-    private final int most;
-    private final int mostWaiting;
-    private final Duration connectWithin;
+    private final InferenceWorkerTransport.ConnectionLimits limits;
+    /** The most recently used first. */
     private final ArrayDeque<HttpClientConnection> idle = new ArrayDeque<>();
     private final ArrayDeque<PendingExchange> waiting = new ArrayDeque<>();
+    /** Closed connections that have been counted: a connection may report its end more than once. */
+    private final Set<HttpClientConnection> closed = Collections.newSetFromMap(new WeakHashMap<>());
     private int open;
     private int opening;
     private boolean retired;
 
-    HttpConnectionPool(HttpClientConnection.Factory opener, InetSocketAddress address, int most,
-        int mostWaiting, Duration connectWithin) {
-        this.opener = opener;
+    HttpConnectionPool(HttpClientConnection.Factory connectionFactory, InetSocketAddress address,
+        InferenceWorkerTransport.ConnectionLimits limits) {
+        this.connectionFactory = connectionFactory;
         this.address = address;
-        this.most = most;
-        this.mostWaiting = mostWaiting;
-        this.connectWithin = connectWithin;
+        this.limits = limits;
     }
 
-    synchronized int open() {
+    synchronized int openConnections() {
         return open;
     }
 
-    void ask(PendingExchange a) {
-        a.pool = this;
-        HttpClientConnection link = null;
+    /** Sends an exchange, has it wait for a connection, or ends it as not sent. */
+    void submit(PendingExchange exchange) {
+        exchange.submittedTo(this);
+        HttpClientConnection connection = null;
+        boolean waits = false;
         synchronized (this) {
-            if (a.wanted()) {
-                link = takeIdle();
-                if (link == null && waiting.size() >= mostWaiting) {
-                    waiting.removeIf(w -> !w.unsent());
-                }
-                if (link == null && waiting.size() < mostWaiting) {
-                    waiting.add(a);
-                    a = null;
-                }
+            if (exchange.maySend()) {
+                connection = takeIdle();
+                waits = connection == null && enqueue(exchange);
             }
         }
-        if (link != null) {
-            put(a, link);
-        } else if (a == null || !a.endUnsent(AttemptOutcome.NOT_SENT,
-            "too many wait for a connection, or its worker takes nothing new")) {
-            openMore();
+        if (connection != null) {
+            send(exchange, connection);
+        } else if (waits || !exchange.endNotSent(AttemptOutcome.NOT_SENT)) {
+            openConnectionsForWaiting();
         }
     }
 
+    /** Needs the lock. */
     private HttpClientConnection takeIdle() {
-        HttpClientConnection l = idle.pollFirst();
-        while (l != null && !l.isUsable()) { l = idle.pollFirst(); }
-        return l;
+        HttpClientConnection connection = idle.pollFirst();
+        while (connection != null && !connection.isUsable()) {
+            connection = idle.pollFirst();
+        }
+        return connection;
     }
 
-    /** Puts an exchange on a link; a link that took nothing is no loss, the next one is tried. */
-    private void put(PendingExchange a, HttpClientConnection link) {
-        if (!a.go(link)) { // told at once: what is known not to have run can still be placed elsewhere
-            a.endUnsent(AttemptOutcome.NOT_SENT, "its worker takes nothing new, or its time is over");
-            back(link);
-        } else if (!link.send(a.method, a.path, a.headers, a.body, a)) {
-            if (a.back()) { ask(a); }
-        } else if (a.isOver()) {
-            link.abandon(a); // abandoned just before it went out: nobody would ever end it, nor free its link
+    /** Has an exchange wait, unless too many do. Needs the lock. */
+    private boolean enqueue(PendingExchange exchange) {
+        if (waiting.size() >= limits.waiting()) {
+            removeEnded();
         }
+        return waiting.size() < limits.waiting() && waiting.add(exchange);
     }
 
-    private void openMore() {
-        int more;
-        synchronized (this) {
-            waiting.removeIf(w -> !w.unsent());
-            more = Math.min(waiting.size() - opening, most - open - opening);
-            more = Math.max(0, more);
-            opening += more;
-        }
-        for (int i = 0; i < more; i++) {
-            opener.connect(address, connectWithin, new HttpClientConnection.ConnectCallback() {
-                @Override public void connected(HttpClientConnection link) {
-                    synchronized (HttpConnectionPool.this) {
-                        opening--;
-                        open++;
-                    }
-                    link.onClose(() -> closed(link));
-                    back(link);
-                }
-
-                @Override public void failed(String why) {
-                    PendingExchange a;
-                    synchronized (HttpConnectionPool.this) {
-                        opening--;
-                        a = waiting.size() > opening ? next() : null;
-                    }
-                    if (a != null) { a.endUnsent(AttemptOutcome.CONNECT_FAILED, why); }
-                    openMore(); // more may wait than links may be open: each is tried, and told, in its turn
-                }
-            });
-        }
-    }
-
-    private final java.util.Set<
-        HttpClientConnection> gone = java.util.Collections.newSetFromMap(new java.util.WeakHashMap<>());
-
-    private void closed(HttpClientConnection link) {
-        boolean more;
+    private void removeEnded() {
+        waiting.removeIf(exchange -> !exchange.isWaiting());
+    }
+
+    /** The next exchange that waits, or null. Needs the lock. */
+    private PendingExchange pollWaiting() {
+        PendingExchange exchange = waiting.pollFirst();
+        while (exchange != null && !exchange.isWaiting()) {
+            exchange = waiting.pollFirst();
+        }
+        return exchange;
+    }
+
+    /** Sends an exchange on a connection; where that takes no byte, on the next one. */
+    private void send(PendingExchange exchange, HttpClientConnection connection) {
+        InferenceRequest request = exchange.request;
+        if (!exchange.assign(connection)) {
+            // Told at once: what is known not to have been executed can still go to another worker.
+            exchange.endNotSent(AttemptOutcome.NOT_SENT);
+            release(connection);
+        } else if (!connection.send(request.method(), request.path(), request.headers(), request.body(),
+            exchange)) {
+            if (exchange.unassign()) {
+                submit(exchange);
+            }
+        } else if (exchange.isEnded()) {
+            // Abandoned just before it was sent: nobody else would end it and free its connection.
+            connection.abandon(exchange);
+        }
+    }
+
+    private void openConnectionsForWaiting() {
+        int needed;
         synchronized (this) {
-            if (!gone.add(link)) { return; }
-            open--;
-            idle.remove(link);
-            more = !waiting.isEmpty();
+            removeEnded();
+            int allowed = limits.connections() - open - opening;
+            needed = Math.max(0, Math.min(waiting.size() - opening, allowed));
+            opening += needed;
+        }
+        for (int i = 0; i < needed; i++) {
+            connectionFactory.connect(address, limits.connectWithin(), new ConnectListener());
+        }
+    }
+
+    private final class ConnectListener implements HttpClientConnection.ConnectCallback {
+        @Override public void connected(HttpClientConnection connection) {
+            synchronized (HttpConnectionPool.this) {
+                opening--;
+                open++;
+            }
+            connection.onClose(() -> connectionClosed(connection));
+            release(connection);
+        }
+
+        @Override public void failed(String why) {
+            PendingExchange exchange;
+            synchronized (HttpConnectionPool.this) {
+                opening--;
+                exchange = waiting.size() > opening ? pollWaiting() : null;
+            }
+            if (exchange != null) {
+                exchange.endNotSent(AttemptOutcome.CONNECT_FAILED);
+            }
+            // More may wait than connections may be open: each is tried, and told, in its turn.
+            openConnectionsForWaiting();
         }
-        if (more) { openMore(); }
     }
 
-    private PendingExchange next() {
-        PendingExchange a = waiting.pollFirst();
-        while (a != null && !a.unsent()) { a = waiting.pollFirst(); }
-        return a;
+    private void connectionClosed(HttpClientConnection connection) {
+        boolean othersWait;
+        synchronized (this) {
+            if (!closed.add(connection)) {
+                return;
+            }
+            open--;
+            idle.remove(connection);
+            othersWait = !waiting.isEmpty();
+        }
+        if (othersWait) {
+            openConnectionsForWaiting();
+        }
     }
 
-    /** A link is free: the next one waiting takes it. */
-    void back(HttpClientConnection link) {
-        PendingExchange a;
+    /** A connection is free: the next exchange that waits takes it. */
+    void release(HttpClientConnection connection) {
+        PendingExchange next;
+        boolean unneeded;
         synchronized (this) {
-            a = next();
-            if (a == null && link.isUsable() && !retired) { idle.addFirst(link); }
+            next = pollWaiting();
+            unneeded = next == null && retired;
+            if (next == null && !retired && connection.isUsable()) {
+                idle.addFirst(connection);
+            }
+        }
+        if (next != null) {
+            send(next, connection);
+        } else if (unneeded) {
+            connection.close();
         }
-        if (a != null) {
-            put(a, link);
-        } else if (retired) { link.close(); }
     }
 
-    /** Its worker takes nothing new: what waits is told at once, what is out goes on. */
-    void refuse() {
-        List<PendingExchange> all;
+    /** The worker takes nothing new: what waits ends at once, what is in flight goes on. */
+    void rejectWaiting() {
+        List<PendingExchange> rejected;
         synchronized (this) {
-            all = List.copyOf(waiting);
+            rejected = List.copyOf(waiting);
             waiting.clear();
         }
-        all.forEach(a -> a.endUnsent(AttemptOutcome.NOT_SENT, "its worker takes nothing new"));
+        rejected.forEach(exchange -> exchange.endNotSent(AttemptOutcome.NOT_SENT));
     }
 
-    /** Its worker is gone for good: links close as they fall idle. */
+    /** The worker is gone for good: what waits ends at once, connections are closed as they fall idle. */
     void retire() {
         synchronized (this) {
             retired = true;
         }
-        refuse();
-        close();
+        rejectWaiting();
+        closeIdle();
     }
 
-    /** Closes links idle for longer than this. */
-    void sweep(Duration idleFor) {
-        List<HttpClientConnection> old = new ArrayList<>();
+    /** Closes connections that have been idle for longer than this. */
+    void sweep(Duration idleTimeout) {
+        List<HttpClientConnection> expired = new ArrayList<>();
         long now = System.nanoTime();
         synchronized (this) {
-            while (!idle.isEmpty() && now - idle.peekLast().idleSince > idleFor.toNanos()) {
-                old.add(idle.pollLast());
+            while (!idle.isEmpty() && now - idle.peekLast().idleSince > idleTimeout.toNanos()) {
+                expired.add(idle.pollLast());
             }
         }
-        old.forEach(HttpClientConnection::close);
+        expired.forEach(HttpClientConnection::close);
     }
 
-    void close() {
-        List<HttpClientConnection> all;
+    /** Closes all idle connections. */
+    void closeIdle() {
+        List<HttpClientConnection> unused;
         synchronized (this) {
-            all = List.copyOf(idle);
+            unused = List.copyOf(idle);
             idle.clear();
         }
-        all.forEach(HttpClientConnection::close);
+        unused.forEach(HttpClientConnection::close);
     }
 }
--- a/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
@@ -1,226 +1,170 @@
 package switchgap.protocol.inference;
 
 import java.net.InetSocketAddress;
-import java.net.URLEncoder;
-import java.nio.charset.StandardCharsets;
 import java.time.Duration;
-import java.util.HashMap;
-import java.util.Map;
+import java.util.List;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 import switchgap.net.HttpClientConnection;
 import switchgap.net.KeyedWriters;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.policy.api.LoadReport;
 import switchgap.router.Attempt;
-import switchgap.router.Response;
 import switchgap.router.RouterCore;
 import switchgap.router.WorkerCommand;
 import switchgap.router.WorkerEntry;
 import switchgap.router.WorkerTransport;
 
 /**
- * Executions, orders and probes by the Open Inference Protocol (version 2, HTTP) with its model repository
- * extension and load reports as response headers. What a reply proves, for rule 2: a miss is a 404, a full one a
- * 429 or 503, each only with {@code named_metrics.executed=0} in its load report; any other reply that is no 2xx may
- * have run. Docs: docs/router.md.
+ * Carries attempts, load commands and probes to workers by the Open Inference Protocol (version 2, HTTP) with
+ * its model repository extension and load reports as response headers.
+ *
+ * <p>What a response proves: a function that is not loaded is a 404, a worker without capacity a 429 or 503,
+ * each only with {@code named_metrics.executed=0} in its load report; after any other response that is no 2xx
+ * the request may have been executed. See docs/router.md.
  */
 public final class InferenceWorkerTransport implements WorkerTransport {
-    /** Bounds of the links: connections and exchanges waiting for one, each a worker; spans of connect and idling. */
+    /**
+     * Bounds of the connections of one pool; each worker has one for attempts and one for commands.
+     *
+     * @param connections    connections that are open or being opened
+     * @param waiting        exchanges that wait for a connection
+     * @param connectWithin  timeout of opening a connection
+     * @param idle           how long a connection may be idle
+     */
     public record ConnectionLimits(int connections, int waiting, Duration connectWithin, Duration idle) {}
 
-    private static final Set<
-        String> OWN = Set.of("content-length", "transfer-encoding", "connection", "keep-alive",
-            "date", "server", OrcaLoadReport.HEADER, "x-request-id");
-    private static final byte[] NOTHING = {};
-    private final HttpClientConnection.Factory opener;
-    private final ConnectionLimits bounds;
-    private final KeyedWriters carriers;
+    /**
+     * A worker's connections. A load command keeps its connection for as long as loading takes, so commands
+     * have connections of their own.
+     */
+    private record WorkerPools(HttpConnectionPool attempts, HttpConnectionPool commands) {
+        List<HttpConnectionPool> all() {
+            return List.of(attempts, commands);
+        }
+    }
+
+    private final HttpClientConnection.Factory connectionFactory;
+    private final ConnectionLimits limits;
+    private final KeyedWriters writers;
     private final Consumer<Consumer<RouterCore>> events;
-    private final Runnable askList;
+    private final Runnable endpointListRequester;
     private final Set<HttpConnectionPool> pools = ConcurrentHashMap.newKeySet();
 
-    public InferenceWorkerTransport(HttpClientConnection.Factory opener, ConnectionLimits bounds,
-        KeyedWriters carriers, Consumer<Consumer<RouterCore>> events,
-        Runnable askList) {
-        this.opener = opener;
-        this.bounds = bounds;
-        this.carriers = carriers;
+    /**
+     * A transport without connections.
+     *
+     * @param connectionFactory      opens connections
+     * @param limits                 bounds of each pool of connections
+     * @param writers                threads that encode and send attempts
+     * @param events                 posts to the router's event loop
+     * @param endpointListRequester  asks for the endpoint list
+     */
+    public InferenceWorkerTransport(HttpClientConnection.Factory connectionFactory, ConnectionLimits limits,
+        KeyedWriters writers, Consumer<Consumer<RouterCore>> events, Runnable endpointListRequester) {
+        this.connectionFactory = connectionFactory;
+        this.limits = limits;
+        this.writers = writers;
         this.events = events;
-        this.askList = askList;
+        this.endpointListRequester = endpointListRequester;
     }
 
-    /** A worker's links: an order holds its link for as long as a load takes, so orders have links of their own. */
-    private record WorkerPools(HttpConnectionPool jobs, HttpConnectionPool orders) {}
-
-    private WorkerPools both(WorkerEntry w) {
-        WorkerPools b = (WorkerPools) w.attachment;
-        if (b == null) {
-            b = new WorkerPools(pool(w), pool(w));
-            w.attachment = b;
-            pools.add(b.jobs);
-            pools.add(b.orders);
+    private WorkerPools poolsOf(WorkerEntry worker) {
+        WorkerPools known = (WorkerPools) worker.attachment;
+        if (known != null) {
+            return known;
         }
-        return b;
+        WorkerPools created = new WorkerPools(newPool(worker), newPool(worker));
+        worker.attachment = created;
+        pools.addAll(created.all());
+        return created;
     }
 
-    private HttpConnectionPool pool(WorkerEntry w) {
-        return new HttpConnectionPool(opener, new InetSocketAddress(w.host, w.port), bounds.connections(),
-            bounds.waiting(),
-            bounds.connectWithin());
+    private HttpConnectionPool newPool(WorkerEntry worker) {
+        return new HttpConnectionPool(connectionFactory, new InetSocketAddress(worker.host, worker.port),
+            limits);
     }
 
-    /** Closes idle links; called now and then. */
+    /** Closes connections that have been idle for too long; to be called regularly, on any thread. */
     public void sweep() {
-        pools.forEach(p -> p.sweep(bounds.idle()));
+        pools.forEach(pool -> pool.sweep(limits.idle()));
+    }
+
+    /** Closes all idle connections; on any thread. */
+    public void close() {
+        pools.forEach(HttpConnectionPool::closeIdle);
     }
 
     @Override public void stopAccepting(WorkerEntry worker, boolean forGood) {
-        if (!(worker.attachment instanceof WorkerPools b)) { return; }
-        for (HttpConnectionPool p : new HttpConnectionPool[] {b.jobs, b.orders}) {
+        if (!(worker.attachment instanceof WorkerPools known)) {
+            return;
+        }
+        for (HttpConnectionPool pool : known.all()) {
             if (forGood) {
-                pools.remove(p);
-                p.retire();
+                pools.remove(pool);
+                pool.retire();
             } else {
-                p.refuse();
+                pool.rejectWaiting();
             }
         }
     }
 
-    public void close() {
-        pools.forEach(HttpConnectionPool::close);
-    }
-
-    private static String model(String function) {
-        return "/v2/models/" + URLEncoder.encode(function, StandardCharsets.UTF_8);
+    @Override public void startAttempt(Attempt attempt, Duration timeout) {
+        AttemptExchange exchange = new AttemptExchange(attempt, System.nanoTime() + timeout.toNanos(),
+            events);
+        attempt.attachment = exchange;
+        HttpConnectionPool pool = poolsOf(attempt.worker).attempts();
+        writers.execute(attempt.worker.port, () -> pool.submit(exchange));
     }
 
-    private static String repository(String function, String what) {
-        return "/v2/repository/models/" + URLEncoder.encode(function, StandardCharsets.UTF_8) + "/" + what;
+    @Override public AttemptOutcome abandon(Attempt attempt) {
+        return attempt.attachment instanceof PendingExchange exchange ? exchange.abandon()
+            : AttemptOutcome.TIMED_OUT;
     }
 
-    @Override public void startAttempt(Attempt run, Duration allow) {
-        Map<String, String> headers = new HashMap<>();
-        headers.put("X-Request-Id", run.attemptId());
-        if (run.request.contentType != null) { headers.put("Content-Type", run.request.contentType); }
-        if (run.request.idempotencyKey != null) {
-            headers.put("Idempotency-Key", run.request.idempotencyKey);
+    @Override public void abandon(WorkerCommand command) {
+        if (command.attachment instanceof PendingExchange exchange) {
+            exchange.abandon();
         }
-        PendingExchange a = new PendingExchange(run.worker, "POST", model(run.request.function) + "/infer",
-            headers, run.request.body) {
-            @Override void unsent(AttemptOutcome end, String why) {
-                events.accept(c -> c.attemptEnded(run, end, LoadReport.NONE, null));
-            }
-
-            @Override void replied(int status, Map<String, String> head, byte[] content) {
-                String echo = head.get("x-request-id");
-                if (echo != null && !echo.equals(run.attemptId())) { // the answer to another request: ours may have run
-                    lost("answer to " + echo);
-                    return;
-                }
-                OrcaLoadReport orca = OrcaLoadReport.read(head);
-                AttemptOutcome end = proof(status, orca);
-                Response answer = end == AttemptOutcome.SUCCEEDED
-                    ? Response.succeeded(status, passedOn(head), content) : null;
-                events.accept(c -> c.attemptEnded(run, end, orca.loads(), answer));
-            }
-
-            @Override void lost(String why) {
-                events.accept(
-                    c -> c.attemptEnded(run, AttemptOutcome.CONNECTION_LOST, LoadReport.NONE, null));
-            }
-        };
-        run.attachment = a;
-        a.expiresAt(System.nanoTime() + allow.toNanos());
-        HttpConnectionPool p = both(run.worker).jobs();
-        carriers.execute(run.worker.port, () -> p.ask(a));
     }
 
-    /** What a reply to an execution means and proves. */
-    static AttemptOutcome proof(int status, OrcaLoadReport orca) {
-        boolean notRun = orca.named("executed") == 0;
-        if (status >= 200 && status < 300) { return AttemptOutcome.SUCCEEDED; }
-        if (notRun && status == 404) { return AttemptOutcome.NOT_LOADED; }
-        return notRun && (status == 503 || status == 429) ? AttemptOutcome.REJECTED : AttemptOutcome.FAILED;
+    private void submit(WorkerEntry worker, WorkerCommand command, InferenceRequest request,
+        CommandExchange.CompletionListener listener) {
+        CommandExchange exchange = new CommandExchange(worker, request, listener);
+        command.attachment = exchange;
+        poolsOf(worker).commands().submit(exchange);
     }
 
-    private static Map<String, String> passedOn(Map<String, String> head) {
-        Map<String, String> on = new HashMap<>();
-        head.forEach((k, v) -> {
-            if (!OWN.contains(k)) { on.put(k, v); }
+    @Override public void requestReplicas(WorkerEntry worker, String function, int replicas,
+        WorkerCommand command) {
+        InferenceRequest request = replicas == 0 ? InferenceRequest.functionReady(function)
+            : InferenceRequest.load(function, replicas);
+        submit(worker, command, request, (outcome, report) -> {
+            int loaded = loadedReplicas(outcome, report);
+            events.accept(core -> core.loadCommandEnded(command, outcome, loaded));
         });
-        return on;
     }
 
-    @Override public AttemptOutcome abandon(Attempt run) {
-        return run.attachment instanceof PendingExchange a ? a.abandon() : AttemptOutcome.TIMED_OUT;
-    }
-
-    @Override public void abandon(WorkerCommand order) {
-        if (order.attachment instanceof PendingExchange a) { a.abandon(); }
-    }
-
-    /** An exchange of an order or a probe: its end by what came of it. */
-    private abstract class CommandExchange extends PendingExchange {
-        CommandExchange(WorkerEntry worker, String method, String path, byte[] content) {
-            super(worker, method, path,
-                content.length == 0 ? Map.of() : Map.of("Content-Type", "application/json"), content);
-        }
-
-        abstract void end(AttemptOutcome end, OrcaLoadReport orca);
-
-        @Override void unsent(AttemptOutcome end, String why) { end(end, OrcaLoadReport.read(Map.of())); }
-
-        @Override void replied(int status, Map<String, String> head, byte[] content) {
-            end(status >= 200 && status < 300 ? AttemptOutcome.SUCCEEDED
-                : status == 503 || status == 429 ? AttemptOutcome.REJECTED : AttemptOutcome.FAILED,
-                OrcaLoadReport.read(head));
+    /** A worker that reports no number and succeeds has one replica. */
+    private static int loadedReplicas(AttemptOutcome outcome, OrcaLoadReport report) {
+        double reported = report.namedMetric(OrcaLoadReport.REPLICAS);
+        if (Double.isNaN(reported)) {
+            return outcome == AttemptOutcome.SUCCEEDED ? 1 : 0;
         }
-
-        @Override void lost(String why) {
-            end(AttemptOutcome.CONNECTION_LOST, OrcaLoadReport.read(Map.of()));
-        }
-    }
-
-    private void go(WorkerEntry worker, WorkerCommand order, PendingExchange a) {
-        order.attachment = a;
-        both(worker).orders().ask(a);
+        return (int) reported;
     }
 
-    @Override public void requestReplicas(WorkerEntry worker, String function, int copies,
-        WorkerCommand order) {
-        byte[] content = copies == 0 ? NOTHING
-            : ("{\"parameters\":{\"copies\":" + copies + "}}").getBytes(StandardCharsets.UTF_8);
-        PendingExchange a = new CommandExchange(worker, copies == 0 ? "GET" : "POST",
-            copies == 0 ? model(function) + "/ready" : repository(function, "load"), content) {
-            @Override void end(AttemptOutcome end, OrcaLoadReport orca) {
-                double told = orca.named("copies"); // a worker that tells no count: ready means one
-                int standing = Double.isNaN(told) ? end == AttemptOutcome.SUCCEEDED ? 1 : 0 : (int) told;
-                events.accept(c -> c.loadCommandEnded(order, end, standing));
-            }
-        };
-        go(worker, order, a);
+    @Override public void unload(WorkerEntry worker, String function, WorkerCommand command) {
+        submit(worker, command, InferenceRequest.unload(function),
+            (outcome, report) -> events.accept(core -> core.unloadEnded(command)));
     }
 
-    @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {
-        PendingExchange a = new CommandExchange(worker, "POST", repository(function, "unload"),
-            "{\"parameters\":{\"idle_only\":true}}".getBytes(StandardCharsets.UTF_8)) {
-            @Override void end(AttemptOutcome end, OrcaLoadReport orca) {
-                events.accept(c -> c.unloadEnded(order));
-            }
-        };
-        go(worker, order, a);
+    @Override public void probe(WorkerEntry worker, WorkerCommand command) {
+        submit(worker, command, InferenceRequest.health(), (outcome, report) -> events.accept(
+            core -> core.probeEnded(command, outcome, report.toLoadReport())));
     }
 
-    @Override public void probe(WorkerEntry worker, WorkerCommand order) {
-        PendingExchange a = new CommandExchange(worker, "GET", "/v2/health/ready", NOTHING) {
-            @Override void end(AttemptOutcome end, OrcaLoadReport orca) {
-                events.accept(c -> c.probeEnded(order, end, orca.loads()));
-            }
-        };
-        go(worker, order, a);
+    @Override public void requestEndpointList() {
+        endpointListRequester.run();
     }
-
-    @Override public void requestEndpointList() { askList.run(); }
 }
--- a/src/main/java/switchgap/protocol/inference/OrcaLoadReport.java
+++ b/src/main/java/switchgap/protocol/inference/OrcaLoadReport.java
@@ -8,65 +8,102 @@
 import switchgap.policy.api.LoadReport;
 
 /**
- * Load reports in the response header {@code endpoint-load-metrics} of the Open Request Cost Aggregation format, in
- * its TEXT and JSON forms. A value that can't be read is left out; a report never fails a reply.
+ * A load report in a response header, of the Open Request Cost Aggregation format in its TEXT and JSON forms.
+ * A value that can't be read is left out; a report never fails a response. Immutable once parsed.
  */
 final class OrcaLoadReport {
+    /** Name of the header. */
     static final String HEADER = "endpoint-load-metrics";
-    private static final int MOST = 4096;
+    /** Named metric: 0 where the request was not executed. */
+    static final String EXECUTED = "executed";
+    /** Named metric: replicas of the function that are loaded. */
+    static final String REPLICAS = "copies";
+    /** The report of a response that has none. */
+    static final OrcaLoadReport EMPTY = new OrcaLoadReport();
+
+    private static final String IN_FLIGHT = "inflight";
+    private static final String QUEUE_LENGTH = "queue";
+    private static final String CONCURRENCY = "crowd";
+    private static final String CPU_UTILIZATION = "cpu_utilization";
+    private static final String NAMED_METRICS_PREFIX = "named_metrics.";
+    private static final String TEXT_FORM = "TEXT";
+    private static final String JSON_FORM = "JSON";
+    private static final int MAX_HEADER_CHARS = 4096;
     private static final ObjectMapper JSON = new ObjectMapper();
-    private final Map<String, Double> values = new HashMap<>();
+
+    private final Map<String, Double> metrics = new HashMap<>();
 
     private OrcaLoadReport() {}
 
-    static OrcaLoadReport read(Map<String, String> headers) {
-        OrcaLoadReport o = new OrcaLoadReport();
-        String h = headers.get(HEADER);
-        if (h == null || h.length() > MOST) { return o; }
-        if (h.startsWith("JSON")) {
-            try {
-                o.json("", JSON.readTree(h.substring(4)));
-            } catch (IOException e) {
-                o.values.clear();
-            }
+    /** The report in a response's headers, by names in lower case; empty where there is none. */
+    static OrcaLoadReport parse(Map<String, String> headers) {
+        String header = headers.get(HEADER);
+        if (header == null || header.length() > MAX_HEADER_CHARS) {
+            return EMPTY;
+        }
+        OrcaLoadReport report = new OrcaLoadReport();
+        if (header.startsWith(JSON_FORM)) {
+            report.parseJson(header.substring(JSON_FORM.length()));
         } else {
-            for (String part : (h.startsWith("TEXT") ? h.substring(4) : h).split(",")) {
-                int eq = part.indexOf('=');
-                if (eq > 0) { o.put(part.substring(0, eq).trim(), part.substring(eq + 1).trim()); }
-            }
+            report.parseText(header.startsWith(TEXT_FORM) ? header.substring(TEXT_FORM.length()) : header);
+        }
+        return report;
+    }
+
+    private void parseJson(String text) {
+        try {
+            addObject("", JSON.readTree(text));
+        } catch (IOException e) { // unreadable: as if nothing had been reported
+            metrics.clear();
         }
-        return o;
     }
 
-    private void json(String under, JsonNode n) {
-        n.properties().forEach(e -> {
-            if (e.getValue().isObject()) {
-                json(under + e.getKey() + ".", e.getValue());
-            } else if (e.getValue().isNumber()) {
-                values.put(under + e.getKey(), e.getValue().asDouble());
+    private void addObject(String prefix, JsonNode object) {
+        object.properties().forEach(property -> {
+            String name = prefix + property.getKey();
+            if (property.getValue().isObject()) {
+                addObject(name + ".", property.getValue());
+            } else if (property.getValue().isNumber()) {
+                metrics.put(name, property.getValue().asDouble());
             }
         });
     }
 
-    private void put(String name, String text) {
+    private void parseText(String text) {
+        for (String metric : text.split(",")) {
+            int separator = metric.indexOf('=');
+            if (separator > 0) {
+                addText(metric.substring(0, separator).trim(), metric.substring(separator + 1).trim());
+            }
+        }
+    }
+
+    private void addText(String name, String text) {
         try {
-            double v = Double.parseDouble(text);
-            if (Double.isFinite(v) && v >= 0) { values.put(name, v); }
-        } catch (NumberFormatException e) {
-            values.remove(name);
+            double value = Double.parseDouble(text);
+            if (Double.isFinite(value) && value >= 0) {
+                metrics.put(name, value);
+            }
+        } catch (NumberFormatException e) { // voids an earlier value of the same name too
+            metrics.remove(name);
         }
     }
 
-    /** A named metric, or NaN. */
-    double named(String name) {
-        return values.getOrDefault("named_metrics." + name, Double.NaN);
+    /** A named metric, NaN where it was not reported. */
+    double namedMetric(String name) {
+        return metrics.getOrDefault(NAMED_METRICS_PREFIX + name, Double.NaN);
+    }
+
+    /** Whether the worker says that it did not execute the request. */
+    boolean provesNotExecuted() {
+        return namedMetric(EXECUTED) == 0;
     }
 
-    /** The part of the report that the module uses. */
-    LoadReport loads() {
-        double crowd = named("crowd");
-        return new LoadReport(values.getOrDefault("cpu_utilization", Double.NaN), named("inflight"),
-            named("queue"),
-            Double.isNaN(crowd) ? -1 : (int) Math.min(crowd, Integer.MAX_VALUE));
+    /** The part of the report that the policy uses. */
+    LoadReport toLoadReport() {
+        double concurrency = namedMetric(CONCURRENCY);
+        return new LoadReport(metrics.getOrDefault(CPU_UTILIZATION, Double.NaN), namedMetric(IN_FLIGHT),
+            namedMetric(QUEUE_LENGTH), Double.isNaN(concurrency) ? LoadReport.NONE.concurrency()
+                : (int) Math.min(concurrency, Integer.MAX_VALUE));
     }
 }
--- a/src/main/java/switchgap/protocol/inference/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/inference/PendingExchange.java
@@ -6,112 +6,159 @@
 import switchgap.router.WorkerEntry;
 
 /**
- * One exchange with a worker. Its states: WAITING for a connection (no byte has gone out), OUT on a link, OVER. The
- * pool's lock guards the state.
+ * One exchange with a worker. It ends once: with exactly one call of {@link #notSent}, {@link #replied} and
+ * {@link #lost}, or with none where it was abandoned. Its lock guards its state, since the event loop, writer
+ * threads and selector threads all change it.
+ *
+ * <p>It shares no code with the exchange of the RESP protocol: that one belongs to the event loop alone,
+ * needs no lock, and shares its connection with others; this one has its connection to itself.
  */
 abstract class PendingExchange implements HttpClientConnection.ResponseHandler {
-    private enum State { WAITING, OUT, OVER }
+    /** Of an exchange that waits for as long as it takes. */
+    static final long NO_DEADLINE = Long.MAX_VALUE;
+
+    private enum State {
+        /** It has no connection; no byte of it has gone out. */
+        WAITING,
+        /** It has a connection, and bytes of it may have gone out. */
+        IN_FLIGHT,
+        /** It was completed or abandoned. */
+        ENDED;
+
+        /** In flight it goes back to waiting only where its connection took no byte. */
+        boolean mayBecome(State next) {
+            return switch (this) {
+                case WAITING -> next == IN_FLIGHT || next == ENDED;
+                case IN_FLIGHT -> next == WAITING || next == ENDED;
+                case ENDED -> false;
+            };
+        }
+    }
 
-    final String method;
-    final String path;
-    final Map<String, String> headers;
-    final byte[] body;
-    private State state = State.WAITING;
-    private HttpClientConnection link;
-    private long expires = Long.MAX_VALUE;
+    final InferenceRequest request;
     private final WorkerEntry worker;
-    HttpConnectionPool pool;
+    /** The System.nanoTime after which it is not sent any more, or {@link #NO_DEADLINE}. */
+    private final long deadlineNanos;
+    private State state = State.WAITING;
+    private HttpClientConnection connection;
+    private HttpConnectionPool pool;
 
-    PendingExchange(WorkerEntry worker, String method, String path, Map<String, String> headers,
-        byte[] body) {
+    /**
+     * An exchange that waits.
+     *
+     * @param deadlineNanos  System.nanoTime after which it is not sent any more, or {@link #NO_DEADLINE};
+     *     guards against a pause, in which it may have waited past its timeout
+     */
+    PendingExchange(WorkerEntry worker, InferenceRequest request, long deadlineNanos) {
         this.worker = worker;
-        this.method = method;
-        this.path = path;
-        this.headers = headers;
-        this.body = body;
+        this.request = request;
+        this.deadlineNanos = deadlineNanos;
     }
 
-    /** Ended without a byte sent. */
-    abstract void unsent(AttemptOutcome end, String why);
+    /** It ended and no byte of it was sent. */
+    abstract void notSent(AttemptOutcome outcome);
 
-    abstract void replied(int status, Map<String, String> head, byte[] content);
+    /** The worker replied; header names are in lower case. */
+    abstract void replied(int status, Map<String, String> headers, byte[] body);
 
-    /** Ended after bytes may have been sent. */
-    abstract void lost(String why);
+    /** Its connection was lost after bytes of it may have been sent. */
+    abstract void lost();
 
-    /** Guards against a pause: what waited past this System.nanoTime is not sent any more. */
-    final synchronized void expiresAt(long nanos) {
-        expires = nanos;
+    /** The pool that it was given to, before any other step. */
+    final void submittedTo(HttpConnectionPool to) {
+        pool = to;
+    }
+
+    private synchronized boolean transition(State next) {
+        boolean allowed = state.mayBecome(next);
+        if (allowed) {
+            state = next;
+        }
+        return allowed;
     }
 
     /**
-     * Takes a link, unless it is too late. Guards rule 3: what waited here while its worker began to drain does not go.
+     * Takes a connection, unless it is too late: what waited here while its worker began to drain must not go
+     * out.
      */
-    synchronized boolean go(HttpClientConnection to) {
-        if (state != State.WAITING || !wanted()) { return false; }
-        state = State.OUT;
-        link = to;
+    synchronized boolean assign(HttpClientConnection to) {
+        if (!maySend() || !transition(State.IN_FLIGHT)) {
+            return false;
+        }
+        connection = to;
         return true;
     }
 
-    /** Whether it may still go out: its worker takes what is new, and there is time. */
-    final synchronized boolean wanted() {
-        return worker.accepting && (expires == Long.MAX_VALUE || System.nanoTime() - expires < 0);
+    /** Whether it may still go out: its worker takes what is new, and its deadline has not passed. */
+    final synchronized boolean maySend() {
+        return worker.accepting
+            && (deadlineNanos == NO_DEADLINE || System.nanoTime() - deadlineNanos < 0);
     }
 
-    /** The link took nothing: back to waiting, unless it was abandoned meanwhile. */
-    final synchronized boolean back() {
-        if (state != State.OUT) { return false; }
-        state = State.WAITING;
-        link = null;
+    /** Its connection took no byte: it waits again; false where it was abandoned meanwhile. */
+    final synchronized boolean unassign() {
+        if (!transition(State.WAITING)) {
+            return false;
+        }
+        connection = null;
         return true;
     }
 
-    final synchronized boolean over() {
-        boolean was = state != State.OVER;
-        state = State.OVER;
-        return was;
+    final synchronized boolean isWaiting() {
+        return state == State.WAITING;
     }
 
-    /** Ends it as never sent; false where it was over already. */
-    final boolean endUnsent(AttemptOutcome end, String why) {
-        boolean was = over();
-        if (was) { unsent(end, why); }
-        return was;
+    final synchronized boolean isEnded() {
+        return state == State.ENDED;
     }
 
-    final synchronized boolean isOver() { return state == State.OVER; }
-
-    final synchronized boolean unsent() {
-        return state == State.WAITING;
+    /** Ends it as not sent; false where it had ended before. */
+    final boolean endNotSent(AttemptOutcome outcome) {
+        boolean ends = transition(State.ENDED);
+        if (ends) {
+            notSent(outcome);
+        }
+        return ends;
     }
 
     /**
-     * Ends it. Asking whether it was sent and ending it are one step: between two, a carrier could send it and a job
-     * that may have run would count as never sent (rule 2; seen on a day of crowded links).
+     * Ends it without telling anybody; returns what that proves. Asking whether it was sent and ending it are
+     * one step: between two, a writer thread could send it, and a request that may have been executed would
+     * count as not sent (seen in a scenario with few connections).
      */
     final AttemptOutcome abandon() {
-        HttpClientConnection l;
-        State was;
+        State before;
+        HttpClientConnection used;
         synchronized (this) {
-            was = state;
-            state = State.OVER;
-            l = link;
+            before = state;
+            used = connection;
+            transition(State.ENDED);
         }
-        if (was == State.OUT && l != null) { l.abandon(this); }
-        if (was != State.WAITING) { return AttemptOutcome.TIMED_OUT; }
-        return pool != null && pool.open() > 0 ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED; // all links taken, or none had
+        if (before == State.IN_FLIGHT && used != null) {
+            used.abandon(this);
+        }
+        if (before != State.WAITING) {
+            return AttemptOutcome.TIMED_OUT;
+        }
+        boolean allConnectionsBusy = pool != null && pool.openConnections() > 0;
+        return allConnectionsBusy ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED;
     }
 
-    @Override public final void responded(int status, Map<String, String> head, byte[] content,
+    @Override public final void responded(int status, Map<String, String> headers, byte[] body,
         boolean reusable) {
-        HttpClientConnection l = link;
-        boolean was = over();
-        if (reusable) { pool.back(l); }
-        if (was) { replied(status, head, content); }
+        HttpClientConnection used = connection; // set before it was sent, which comes before its response
+        boolean ends = transition(State.ENDED);
+        if (reusable) {
+            pool.release(used);
+        }
+        if (ends) {
+            replied(status, headers, body);
+        }
     }
 
     @Override public final void connectionLost(String why) {
-        if (over()) { lost(why); }
+        if (transition(State.ENDED)) {
+            lost();
+        }
     }
 }
--- a/src/main/java/switchgap/protocol/inference/package-info.java
+++ b/src/main/java/switchgap/protocol/inference/package-info.java
@@ -1,2 +1,5 @@
-/** The worker side: the inference protocol on kept connections, and what a reply proves. */
+/**
+ * Exchanges with workers that speak the Open Inference Protocol (version 2 over HTTP): persistent
+ * connections, and what a response proves about the execution of a request.
+ */
 package switchgap.protocol.inference;
--- a/src/test/java/switchgap/protocol/inference/PendingExchangeTest.java
+++ b/src/test/java/switchgap/protocol/inference/PendingExchangeTest.java
@@ -18,44 +18,67 @@
 
 /** Steps of an exchange that two threads can take at once, taken one after the other in the worst order. */
 class PendingExchangeTest {
-    /** Given up by the loop between the carrier's look and its write: the link was kept by an exchange that nobody would end. */
-    @Test void anExchangeAbandonedJustBeforeItGoesOutFreesItsLink() throws Exception {
-        List<String> heard = new CopyOnWriteArrayList<>();
-        try (NetworkTransport net = new NetworkTransport(1, "asked");
-            HttpTestServer w = new HttpTestServer((q, out) -> q.line().contains("/first")
-                ? HttpTestServer.silent(q, out) : HttpTestServer.well(q, out))) {
-            HttpConnectionPool pool = new HttpConnectionPool(
-                new HttpClientConnection.Factory(net, null, 1024),
-                new InetSocketAddress("127.0.0.1", w.port()), 1, 10, Duration.ofSeconds(1));
-            CompletableFuture<AttemptOutcome> given = new CompletableFuture<>();
-            pool.ask(new Told(heard, "/first") {
-                @Override synchronized boolean go(HttpClientConnection to) {
-                    boolean goes = super.go(to);
-                    given.complete(abandon());
-                    return goes;
+    private static final int MAX_BODY_BYTES = 1024;
+    private static final InferenceWorkerTransport.ConnectionLimits ONE_CONNECTION = new InferenceWorkerTransport.ConnectionLimits(
+        1, 10, Duration.ofSeconds(1), Duration.ofSeconds(30));
+
+    private static HttpConnectionPool pool(NetworkTransport net, HttpTestServer worker) {
+        return new HttpConnectionPool(new HttpClientConnection.Factory(net, null, MAX_BODY_BYTES),
+            new InetSocketAddress("127.0.0.1", worker.port()), ONE_CONNECTION);
+    }
+
+    private static void awaitAny(List<String> outcomes) throws InterruptedException {
+        for (int i = 0; i < 100 && outcomes.isEmpty(); i++) {
+            Thread.sleep(10);
+        }
+    }
+
+    /**
+     * Abandoned by the event loop between the writer thread's check and its write: the connection was kept by
+     * an exchange that nobody would end.
+     */
+    @Test void anExchangeAbandonedJustBeforeItIsSentFreesItsConnection() throws Exception {
+        List<String> outcomes = new CopyOnWriteArrayList<>();
+        try (NetworkTransport net = new NetworkTransport(1, "exchange-test");
+            HttpTestServer worker = new HttpTestServer(
+                (request, out) -> request.line().contains("/first") ? HttpTestServer.silent(request, out)
+                    : HttpTestServer.well(request, out))) {
+            HttpConnectionPool pool = pool(net, worker);
+            CompletableFuture<AttemptOutcome> abandoned = new CompletableFuture<>();
+            pool.submit(new RecordingExchange(outcomes, "/first") {
+                @Override synchronized boolean assign(HttpClientConnection to) {
+                    boolean assigned = super.assign(to);
+                    abandoned.complete(abandon());
+                    return assigned;
                 }
             });
-            assertThat(given.get(2, TimeUnit.SECONDS)).isEqualTo(AttemptOutcome.TIMED_OUT); // it may have gone out, and counts so
-            pool.ask(new Told(heard, "/second"));
-            for (int i = 0; i < 100 && heard.isEmpty(); i++) { Thread.sleep(10); }
-            assertThat(heard).containsExactly("replied 200");
+            // It may have been sent, and counts so.
+            assertThat(abandoned.get(2, TimeUnit.SECONDS)).isEqualTo(AttemptOutcome.TIMED_OUT);
+            pool.submit(new RecordingExchange(outcomes, "/second"));
+            awaitAny(outcomes);
+            assertThat(outcomes).containsExactly("replied 200");
         }
     }
 
-    private static class Told extends PendingExchange {
-        private final List<String> heard;
+    private static class RecordingExchange extends PendingExchange {
+        private final List<String> outcomes;
 
-        Told(List<String> heard, String path) {
-            super(new WorkerEntry("w", "127.0.0.1", 1, 0), "GET", path, Map.of(), new byte[0]);
-            this.heard = heard;
+        RecordingExchange(List<String> outcomes, String path) {
+            super(new WorkerEntry("w", "127.0.0.1", 1, 0),
+                new InferenceRequest("GET", path, Map.of(), new byte[0]), NO_DEADLINE);
+            this.outcomes = outcomes;
         }
 
-        @Override void unsent(AttemptOutcome end, String why) { heard.add("unsent " + end); }
+        @Override void notSent(AttemptOutcome outcome) {
+            outcomes.add("not sent " + outcome);
+        }
 
-        @Override void replied(int status, Map<String, String> head, byte[] content) {
-            heard.add("replied " + status);
+        @Override void replied(int status, Map<String, String> headers, byte[] body) {
+            outcomes.add("replied " + status);
         }
 
-        @Override void lost(String why) { heard.add("lost"); }
+        @Override void lost() {
+            outcomes.add("lost");
+        }
     }
 }
