--- a/src/main/java/switchgap/protocol/inference/OrcaLoadReport.java
+++ b/src/main/java/switchgap/protocol/inference/OrcaLoadReport.java
@@ -29,6 +29,8 @@
     private static final String TEXT_FORM = "TEXT";
     private static final String JSON_FORM = "JSON";
     private static final int MAX_HEADER_CHARS = 4096;
+    /** Figures are below this, as those of the RESP protocol are. */
+    private static final double FIGURE_BOUND = 1e6;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final Map<String, Double> metrics = new HashMap<>();
@@ -64,7 +66,7 @@
             if (property.getValue().isObject()) {
                 addObject(name + ".", property.getValue());
             } else if (property.getValue().isNumber()) {
-                metrics.put(name, property.getValue().asDouble());
+                add(name, property.getValue().asDouble());
             }
         });
     }
@@ -80,15 +82,19 @@
 
     private void addText(String name, String text) {
         try {
-            double value = Double.parseDouble(text);
-            if (Double.isFinite(value) && value >= 0) {
-                metrics.put(name, value);
-            }
+            add(name, Double.parseDouble(text));
         } catch (NumberFormatException e) { // voids an earlier value of the same name too
             metrics.remove(name);
         }
     }
 
+    /** Adds a figure within reason: a peer's nonsense must not reach the policy. */
+    private void add(String name, double value) {
+        if (value >= 0 && value < FIGURE_BOUND) {
+            metrics.put(name, value);
+        }
+    }
+
     /** A named metric, NaN where it was not reported. */
     double namedMetric(String name) {
         return metrics.getOrDefault(NAMED_METRICS_PREFIX + name, Double.NaN);
@@ -104,6 +110,6 @@
         double concurrency = namedMetric(CONCURRENCY);
         return new LoadReport(metrics.getOrDefault(CPU_UTILIZATION, Double.NaN), namedMetric(IN_FLIGHT),
             namedMetric(QUEUE_LENGTH), Double.isNaN(concurrency) ? LoadReport.NONE.concurrency()
-                : (int) Math.min(concurrency, Integer.MAX_VALUE));
+                : (int) concurrency);
     }
 }
