--- a/src/main/java/switchgap/protocol/inference/AttemptExchange.java
+++ b/src/main/java/switchgap/protocol/inference/AttemptExchange.java
@@ -20,8 +20,9 @@
     private final Consumer<Consumer<RouterCore>> events;
 
     /** An exchange that is not sent after {@code deadlineNanos} of System.nanoTime. */
-    AttemptExchange(Attempt attempt, long deadlineNanos, Consumer<Consumer<RouterCore>> events) {
-        super(attempt.worker, InferenceRequest.infer(attempt), deadlineNanos);
+    AttemptExchange(Attempt attempt, HttpConnectionPool pool, long deadlineNanos,
+        Consumer<Consumer<RouterCore>> events) {
+        super(attempt.worker, pool, InferenceRequest.infer(attempt), deadlineNanos);
         this.attempt = attempt;
         this.events = events;
     }
--- a/src/main/java/switchgap/protocol/inference/CommandExchange.java
+++ b/src/main/java/switchgap/protocol/inference/CommandExchange.java
@@ -15,8 +15,9 @@
     private final CompletionListener listener;
 
     /** An exchange without a deadline of its own: the core abandons it. */
-    CommandExchange(WorkerEntry worker, InferenceRequest request, CompletionListener listener) {
-        super(worker, request, NO_DEADLINE);
+    CommandExchange(WorkerEntry worker, HttpConnectionPool pool, InferenceRequest request,
+        CompletionListener listener) {
+        super(worker, pool, request, NO_DEADLINE);
         this.listener = listener;
     }
 
--- a/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
+++ b/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
@@ -44,9 +44,8 @@
         return open;
     }
 
-    /** Sends an exchange, has it wait for a connection, or ends it as not sent. */
+    /** Sends an exchange of this pool, has it wait for a connection, or ends it as not sent. */
     void submit(PendingExchange exchange) {
-        exchange.submittedTo(this);
         HttpClientConnection connection = null;
         boolean waits = false;
         synchronized (this) {
--- a/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
@@ -110,11 +110,10 @@
     }
 
     @Override public void startAttempt(Attempt attempt, Duration timeout) {
-        AttemptExchange exchange = new AttemptExchange(attempt, System.nanoTime() + timeout.toNanos(),
-            events);
+        AttemptExchange exchange = new AttemptExchange(attempt, poolsOf(attempt.worker).attempts(),
+            System.nanoTime() + timeout.toNanos(), events);
         attempt.attachment = exchange;
-        HttpConnectionPool pool = poolsOf(attempt.worker).attempts();
-        writers.execute(attempt.worker.port, () -> pool.submit(exchange));
+        writers.execute(attempt.worker.port, exchange::submit);
     }
 
     @Override public AttemptOutcome abandon(Attempt attempt) {
@@ -130,9 +129,10 @@
 
     private void submit(WorkerEntry worker, WorkerCommand command, InferenceRequest request,
         CommandExchange.CompletionListener listener) {
-        CommandExchange exchange = new CommandExchange(worker, request, listener);
+        CommandExchange exchange = new CommandExchange(worker, poolsOf(worker).commands(), request,
+            listener);
         command.attachment = exchange;
-        poolsOf(worker).commands().submit(exchange);
+        exchange.submit();
     }
 
     @Override public void requestReplicas(WorkerEntry worker, String function, int replicas,
--- a/src/main/java/switchgap/protocol/inference/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/inference/PendingExchange.java
@@ -37,20 +37,23 @@
 
     final InferenceRequest request;
     private final WorkerEntry worker;
+    private final HttpConnectionPool pool;
     /** The System.nanoTime after which it is not sent any more, or {@link #NO_DEADLINE}. */
     private final long deadlineNanos;
     private State state = State.WAITING;
     private HttpClientConnection connection;
-    private HttpConnectionPool pool;
 
     /**
-     * An exchange that waits.
+     * An exchange that waits. Its pool is known before it is submitted, since it may be abandoned before
+     * that.
      *
      * @param deadlineNanos  System.nanoTime after which it is not sent any more, or {@link #NO_DEADLINE};
      *     guards against a pause, in which it may have waited past its timeout
      */
-    PendingExchange(WorkerEntry worker, InferenceRequest request, long deadlineNanos) {
+    PendingExchange(WorkerEntry worker, HttpConnectionPool pool, InferenceRequest request,
+        long deadlineNanos) {
         this.worker = worker;
+        this.pool = pool;
         this.request = request;
         this.deadlineNanos = deadlineNanos;
     }
@@ -64,9 +67,9 @@
     /** Its connection was lost after bytes of it may have been sent. */
     abstract void lost();
 
-    /** The pool that it was given to, before any other step. */
-    final void submittedTo(HttpConnectionPool to) {
-        pool = to;
+    /** Gives it to its pool; on the event loop or a writer thread. */
+    final void submit() {
+        pool.submit(this);
     }
 
     private synchronized boolean transition(State next) {
@@ -140,7 +143,7 @@
         if (before != State.WAITING) {
             return AttemptOutcome.TIMED_OUT;
         }
-        boolean allConnectionsBusy = pool != null && pool.openConnections() > 0;
+        boolean allConnectionsBusy = pool.openConnections() > 0;
         return allConnectionsBusy ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED;
     }
 
--- a/src/test/java/switchgap/protocol/inference/PendingExchangeTest.java
+++ b/src/test/java/switchgap/protocol/inference/PendingExchangeTest.java
@@ -45,26 +45,44 @@
                     : HttpTestServer.well(request, out))) {
             HttpConnectionPool pool = pool(net, worker);
             CompletableFuture<AttemptOutcome> abandoned = new CompletableFuture<>();
-            pool.submit(new RecordingExchange(outcomes, "/first") {
+            PendingExchange first = new RecordingExchange(pool, outcomes, "/first") {
                 @Override synchronized boolean assign(HttpClientConnection to) {
                     boolean assigned = super.assign(to);
                     abandoned.complete(abandon());
                     return assigned;
                 }
-            });
+            };
+            first.submit();
             // It may have been sent, and counts so.
             assertThat(abandoned.get(2, TimeUnit.SECONDS)).isEqualTo(AttemptOutcome.TIMED_OUT);
-            pool.submit(new RecordingExchange(outcomes, "/second"));
+            new RecordingExchange(pool, outcomes, "/second").submit();
             awaitAny(outcomes);
             assertThat(outcomes).containsExactly("replied 200");
         }
     }
 
+    /**
+     * Abandoned while it still waits for a writer thread: a worker with an open connection counted as one
+     * that can't be connected to.
+     */
+    @Test void anExchangeAbandonedBeforeItsWriterComesIsNotAConnectFailure() throws Exception {
+        List<String> outcomes = new CopyOnWriteArrayList<>();
+        try (NetworkTransport net = new NetworkTransport(1, "exchange-test");
+            HttpTestServer worker = new HttpTestServer(HttpTestServer::well)) {
+            HttpConnectionPool pool = pool(net, worker);
+            new RecordingExchange(pool, outcomes, "/first").submit();
+            awaitAny(outcomes);
+            assertThat(pool.openConnections()).isEqualTo(1);
+            PendingExchange second = new RecordingExchange(pool, outcomes, "/second");
+            assertThat(second.abandon()).isEqualTo(AttemptOutcome.NOT_SENT);
+        }
+    }
+
     private static class RecordingExchange extends PendingExchange {
         private final List<String> outcomes;
 
-        RecordingExchange(List<String> outcomes, String path) {
-            super(new WorkerEntry("w", "127.0.0.1", 1, 0),
+        RecordingExchange(HttpConnectionPool pool, List<String> outcomes, String path) {
+            super(new WorkerEntry("w", "127.0.0.1", 1, 0), pool,
                 new InferenceRequest("GET", path, Map.of(), new byte[0]), NO_DEADLINE);
             this.outcomes = outcomes;
         }
