--- a/src/main/java/switchgap/protocol/resp/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/resp/PendingExchange.java
@@ -79,11 +79,11 @@
 
     /**
      * Whether it may go out now. Asked right before it is sent, not when it was decided: its worker may start
-     * to drain and its client may leave in between.
+     * to drain and its client may leave in between, and in a pause an attempt's timeout may pass.
      */
-    boolean maySend() {
+    boolean maySend(long nowNanos) {
         return state == State.WAITING && (allowedWhileDraining || worker.accepting)
-            && (request == null || request.isAwaited());
+            && (request == null || request.isAwaited() && nowNanos < timeoutNanos);
     }
 
     State state() {
--- a/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
@@ -32,7 +32,7 @@
 
     /** Sends an exchange, has it wait for a connection that is being opened, or ends it as not sent. */
     void submit(PendingExchange exchange) {
-        boolean maySend = exchange.maySend() && !retired;
+        boolean maySend = maySend(exchange) && !retired;
         RespConnection connection = maySend ? leastLoaded(exchange) : null;
         if (maySend && (connection == null || !connection.isIdle()) && mayConnect()) {
             opening++;
@@ -40,13 +40,17 @@
         }
         if (connection != null) {
             send(exchange, connection);
-        } else if (exchange.maySend() && opening > 0 && waiting.size() < manager.limits().waiting()) {
+        } else if (maySend(exchange) && opening > 0 && waiting.size() < manager.limits().waiting()) {
             waiting.add(exchange);
         } else {
             endLater(exchange, AttemptOutcome.NOT_SENT);
         }
     }
 
+    private boolean maySend(PendingExchange exchange) {
+        return exchange.maySend(manager.nowNanos());
+    }
+
     private void endLater(PendingExchange exchange, AttemptOutcome outcome) {
         manager.post(core -> exchange.complete(core, outcome, null));
     }
@@ -118,7 +122,7 @@
     }
 
     private void send(PendingExchange exchange, RespConnection connection) {
-        if (!exchange.maySend() || !connection.tcp.send(exchange.command)) { // no byte of it went out
+        if (!maySend(exchange) || !connection.tcp.send(exchange.command)) { // no byte of it went out
             endLater(exchange, AttemptOutcome.NOT_SENT);
             return;
         }
@@ -231,7 +235,7 @@
     void rejectWaiting() {
         for (int i = waiting.size(); i > 0; i--) {
             PendingExchange exchange = waiting.poll();
-            if (exchange.maySend()) {
+            if (maySend(exchange)) {
                 waiting.add(exchange);
             } else {
                 endLater(exchange, AttemptOutcome.NOT_SENT);
--- /dev/null
+++ b/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
@@ -0,0 +1,146 @@
+package switchgap.protocol.resp;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.net.SocketTimeoutException;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import switchgap.net.NetworkTransport;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.router.PendingRequest;
+import switchgap.router.Response;
+import switchgap.router.ResponseListener;
+import switchgap.router.RouterCore;
+import switchgap.router.WorkerEntry;
+
+/** A pool on real sockets, with the events of the loop taken one by one and a clock that the test sets. */
+class RespConnectionPoolTest implements ResponseListener {
+    private static final RespWorkerTransport.ConnectionLimits LIMITS = new RespWorkerTransport.ConnectionLimits(
+        4, 2, 10, 2, Duration.ofSeconds(5), Duration.ofSeconds(30),
+        false);
+    private static final Duration TIMEOUT = Duration.ofMillis(100);
+    private static final int EVENT_SECONDS = 5;
+    private static final int SILENCE_MILLIS = 200;
+
+    private final LinkedBlockingQueue<Consumer<RouterCore>> events = new LinkedBlockingQueue<>();
+    private final List<AttemptOutcome> outcomes = new ArrayList<>();
+    private final NetworkTransport net;
+    private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    private final WorkerEntry worker = new WorkerEntry("w", "127.0.0.1", server.getLocalPort(), 0);
+    private volatile Duration now = Duration.ZERO;
+    private final RespConnectionPool pool;
+
+    RespConnectionPoolTest() throws IOException {
+        net = new NetworkTransport(1, "pool-test");
+        pool = new RespConnectionManager(net, LIMITS, () -> now, events::add).poolFor(worker);
+    }
+
+    private PendingExchange exchange(String id) {
+        PendingRequest request = PendingRequest.builder(id, "f", Duration.ofMinutes(1), this).build();
+        return PendingExchange.ofAttempt(worker, request,
+            RespCommand.execute(id, "batch", "f", TIMEOUT.toMillis(), new byte[0]),
+            now.plus(TIMEOUT).toNanos(), (core, outcome, reply) -> outcomes.add(outcome));
+    }
+
+    private void runNextEvent() throws InterruptedException {
+        Consumer<RouterCore> event = events.poll(EVENT_SECONDS, TimeUnit.SECONDS);
+        assertThat(event).as("an event within %d s", EVENT_SECONDS).isNotNull();
+        event.accept(null);
+    }
+
+    private static String read(Socket socket, int bytes) throws IOException {
+        return new String(socket.getInputStream().readNBytes(bytes), StandardCharsets.ISO_8859_1);
+    }
+
+    private static void assertSilent(Socket socket) throws IOException {
+        socket.setSoTimeout(SILENCE_MILLIS);
+        assertThatThrownBy(() -> socket.getInputStream().read()).isInstanceOf(SocketTimeoutException.class);
+    }
+
+    private static String text(byte[] bytes) {
+        return new String(bytes, StandardCharsets.ISO_8859_1);
+    }
+
+    @Test void anExchangeWaitsForItsConnectionAndEndsWithItsReply() throws Exception {
+        PendingExchange exchange = exchange("1");
+        pool.submit(exchange);
+        assertThat(exchange.state()).isEqualTo(PendingExchange.State.WAITING);
+        try (Socket socket = server.accept()) {
+            runNextEvent();
+            assertThat(exchange.state()).isEqualTo(PendingExchange.State.IN_FLIGHT);
+            assertThat(read(socket, exchange.command.length)).isEqualTo(text(exchange.command));
+            socket.getOutputStream().write(RespCommandEncoder.encode("1", "full", "-", ""));
+            runNextEvent();
+            assertThat(outcomes).containsExactly(AttemptOutcome.REJECTED);
+        }
+    }
+
+    @Test void anAttemptAbandonedInFlightIsCancelledAtItsWorker() throws Exception {
+        PendingExchange exchange = exchange("1");
+        pool.submit(exchange);
+        try (Socket socket = server.accept()) {
+            runNextEvent();
+            assertThat(pool.abandon(exchange)).isEqualTo(AttemptOutcome.TIMED_OUT);
+            assertThat(read(socket, exchange.command.length)).isEqualTo(text(exchange.command));
+            byte[] cancel = RespCommand.cancel("1");
+            assertThat(read(socket, cancel.length)).isEqualTo(text(cancel));
+        }
+        assertThat(outcomes).isEmpty();
+    }
+
+    @Test void aLostConnectionEndsWhatWasInFlightOnIt() throws Exception {
+        PendingExchange exchange = exchange("1");
+        pool.submit(exchange);
+        try (Socket socket = server.accept()) {
+            runNextEvent();
+            read(socket, exchange.command.length);
+        }
+        runNextEvent();
+        assertThat(outcomes).containsExactly(AttemptOutcome.CONNECTION_LOST);
+    }
+
+    @Test void whatWaitsForAWorkerThatRefusesConnectionsEndsAsConnectFailed() throws Exception {
+        server.close();
+        pool.submit(exchange("1"));
+        runNextEvent();
+        assertThat(outcomes).containsExactly(AttemptOutcome.CONNECT_FAILED);
+    }
+
+    /**
+     * A pause while its connection was opened: it was sent after its timeout, and so counted as possibly
+     * executed.
+     */
+    @Test void anExchangeThatWaitedPastItsTimeoutIsNotSent() throws Exception {
+        PendingExchange exchange = exchange("1");
+        pool.submit(exchange);
+        try (Socket socket = server.accept()) {
+            now = now.plus(TIMEOUT);
+            runNextEvent();
+            assertThat(exchange.state()).isEqualTo(PendingExchange.State.WAITING);
+            assertSilent(socket);
+            runNextEvent();
+            assertThat(outcomes).containsExactly(AttemptOutcome.NOT_SENT);
+        }
+    }
+
+    @Override public void responded(PendingRequest request, Response response) {}
+
+    @Override public void deadlineMissed(PendingRequest request, Response late) {}
+
+    @AfterEach void close() throws IOException {
+        server.close();
+        net.close();
+    }
+}
