--- a/src/main/java/switchgap/protocol/inference/CommandExchange.java
+++ b/src/main/java/switchgap/protocol/inference/CommandExchange.java
@@ -6,7 +6,7 @@
 
 /** The exchange of a load command, a query, an unload or a probe. */
 final class CommandExchange extends PendingExchange {
-    /** Is told once how an exchange ended, unless it was abandoned. */
+    /** Is notified once how an exchange ended, unless it was abandoned. */
     interface CompletionListener {
         /** It ended; the report is empty where there was none. On any thread. */
         void exchangeEnded(AttemptOutcome outcome, OrcaLoadReport report);
--- a/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
+++ b/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
@@ -95,7 +95,7 @@
     private void send(PendingExchange exchange, HttpClientConnection connection) {
         InferenceRequest request = exchange.request;
         if (!exchange.assign(connection)) {
-            // Told at once: what is known not to have been executed can still go to another worker.
+            // Ended at once: what is known not to have been executed can still go to another worker.
             exchange.endNotSent(AttemptOutcome.NOT_SENT);
             release(connection);
         } else if (!connection.send(request.method(), request.path(), request.headers(), request.body(),
@@ -141,7 +141,7 @@
             if (exchange != null) {
                 exchange.endNotSent(AttemptOutcome.CONNECT_FAILED);
             }
-            // More may wait than connections may be open: each is tried, and told, in its turn.
+            // More may wait than connections may be open: each is tried, and notified, in its turn.
             openConnectionsForWaiting();
         }
     }
--- a/src/main/java/switchgap/protocol/inference/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/inference/PendingExchange.java
@@ -125,9 +125,9 @@
     }
 
     /**
-     * Ends it without telling anybody; returns what that proves. Asking whether it was sent and ending it are
-     * one step: between two, a writer thread could send it, and a request that may have been executed would
-     * count as not sent (seen in a scenario with few connections).
+     * Ends it without notifying anybody; returns what that proves. Asking whether it was sent and ending it
+     * are one step: between two, a writer thread could send it, and a request that may have been executed
+     * would count as not sent (seen in a scenario with few connections).
      */
     final AttemptOutcome abandon() {
         State before;
--- a/src/main/java/switchgap/protocol/resp/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/resp/PendingExchange.java
@@ -27,7 +27,7 @@
         }
     }
 
-    /** Is told once how an exchange ended, unless it was abandoned. */
+    /** Is notified once how an exchange ended, unless it was abandoned. */
     interface CompletionListener {
         /** It ended; {@code reply} is null where none came. On the event loop. */
         void exchangeEnded(RouterCore core, AttemptOutcome outcome, WorkerReply reply);
@@ -108,14 +108,14 @@
         }
     }
 
-    /** Ends it and tells its listener, unless it has ended before. */
+    /** Ends it and notifies its listener, unless it has ended before. */
     void complete(RouterCore core, AttemptOutcome outcome, WorkerReply reply) {
         if (transition(State.ENDED)) {
             listener.exchangeEnded(core, outcome, reply);
         }
     }
 
-    /** Ends it without telling its listener; returns how it stood. */
+    /** Ends it without notifying its listener; returns how it stood. */
     State abandon() {
         State before = state;
         transition(State.ENDED);
--- a/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
@@ -93,7 +93,7 @@
         return true;
     }
 
-    /** Opens a connection for a pool, which is told how that ended. */
+    /** Opens a connection for a pool, which is notified how that ended. */
     void connect(RespConnectionPool pool, InetSocketAddress address) {
         connectionCount++;
         connectionFactory.connect(address, limits.connectWithin(), new Connector.ConnectCallback<>() {
--- a/src/test/java/switchgap/protocol/inference/OrcaLoadReportTest.java
+++ b/src/test/java/switchgap/protocol/inference/OrcaLoadReportTest.java
@@ -14,14 +14,15 @@
         return OrcaLoadReport.parse(Map.of(OrcaLoadReport.HEADER, header));
     }
 
-    @ParameterizedTest
-    @ValueSource(strings = {
-        "TEXT cpu_utilization=0.5, named_metrics.inflight=3,named_metrics.queue=1,named_metrics.crowd=2",
-        "cpu_utilization=0.5,named_metrics.inflight=3,named_metrics.queue=1,named_metrics.crowd=2",
-        "JSON {\"cpu_utilization\":0.5,\"named_metrics\":{\"inflight\":3,\"queue\":1,\"crowd\":2}}"}) void bothFormsAreReadAlike(
-            String header) {
-        assertThat(parse(header).toLoadReport()).isEqualTo(new LoadReport(0.5, 3, 1, 2));
-        assertThat(parse(header).provesNotExecuted()).isFalse();
+    @Test void bothFormsAreReadAlike() {
+        String metrics = "cpu_utilization=0.5, named_metrics.inflight=3,named_metrics.queue=1"
+            + ",named_metrics.crowd=2";
+        String named = "{\"inflight\":3,\"queue\":1,\"crowd\":2}";
+        String json = "{\"cpu_utilization\":0.5,\"named_metrics\":" + named + "}";
+        for (String header : new String[] {"TEXT " + metrics, metrics, "JSON " + json}) {
+            assertThat(parse(header).toLoadReport()).as(header).isEqualTo(new LoadReport(0.5, 3, 1, 2));
+            assertThat(parse(header).provesNotExecuted()).as(header).isFalse();
+        }
     }
 
     @ParameterizedTest
--- a/src/test/java/switchgap/protocol/inference/PendingExchangeTest.java
+++ b/src/test/java/switchgap/protocol/inference/PendingExchangeTest.java
@@ -13,13 +13,14 @@
 import switchgap.net.HttpClientConnection;
 import switchgap.net.NetworkTransport;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.protocol.inference.InferenceWorkerTransport.ConnectionLimits;
 import switchgap.router.WorkerEntry;
 import switchgap.server.gateway.HttpTestServer;
 
 /** Steps of an exchange that two threads can take at once, taken one after the other in the worst order. */
 class PendingExchangeTest {
     private static final int MAX_BODY_BYTES = 1024;
-    private static final InferenceWorkerTransport.ConnectionLimits ONE_CONNECTION = new InferenceWorkerTransport.ConnectionLimits(
+    private static final ConnectionLimits ONE_CONNECTION = new ConnectionLimits(
         1, 10, Duration.ofSeconds(1), Duration.ofSeconds(30));
 
     private static HttpConnectionPool pool(NetworkTransport net, HttpTestServer worker) {
--- a/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
+++ b/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
@@ -19,6 +19,7 @@
 import org.junit.jupiter.api.Test;
 import switchgap.net.NetworkTransport;
 import switchgap.policy.api.AttemptOutcome;
+import switchgap.protocol.resp.RespWorkerTransport.ConnectionLimits;
 import switchgap.router.PendingRequest;
 import switchgap.router.Response;
 import switchgap.router.ResponseListener;
@@ -27,7 +28,7 @@
 
 /** A pool on real sockets, with the events of the loop taken one by one and a clock that the test sets. */
 class RespConnectionPoolTest implements ResponseListener {
-    private static final RespWorkerTransport.ConnectionLimits LIMITS = new RespWorkerTransport.ConnectionLimits(
+    private static final ConnectionLimits LIMITS = new ConnectionLimits(
         4, 2, 10, 2, Duration.ofSeconds(5), Duration.ofSeconds(30),
         false);
     private static final Duration TIMEOUT = Duration.ofMillis(100);
