--- a/src/test/java/switchgap/protocol/inference/OrcaLoadReportTest.java
+++ b/src/test/java/switchgap/protocol/inference/OrcaLoadReportTest.java
@@ -27,7 +27,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"TEXT named_metrics.executed=0",
-        "JSON {\"named_metrics\":{\"executed\":0}}"}) void onlyAReportedZeroProvesThatTheRequestWasNotExecuted(
+        "JSON {\"named_metrics\":{\"executed\":0}}"}) void onlyAReportedZeroProvesNotExecuted(
             String header) {
         assertThat(parse(header).provesNotExecuted()).isTrue();
         assertThat(parse(header.replace('0', '1')).provesNotExecuted()).isFalse();
