--- a/src/main/java/switchgap/config/JsonDocument.java
+++ b/src/main/java/switchgap/config/JsonDocument.java
@@ -5,79 +5,103 @@
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
-/** Reads a JSON text as maps, lists, strings, numbers, booleans and null; its depth is bounded. */
+/**
+ * Reads a JSON text as maps, lists, strings, numbers, booleans and null; its depth is bounded. It stands on
+ * the streaming parser alone, as a router on the platform must not load Jackson's object mapper at its start.
+ */
 public final class JsonDocument {
-    private static final int DEPTH = 32;
+    private static final int MAX_DEPTH = 32;
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private JsonDocument() {}
 
-    /** An object; anything else, or anything after it, is refused with its place. */
+    /**
+     * Reads a text that is one object.
+     *
+     * @return its members in their order
+     * @throws IOException if the text is no object, or something stands behind it; names the place
+     */
     public static Map<String, Object> parseObject(String text) throws IOException {
-        try (JsonParser p = FACTORY.createParser(text)) {
-            if (p.nextToken() != JsonToken.START_OBJECT) { throw new IOException("no object at its start"); }
-            Map<String, Object> o = object(p, 0);
-            if (p.nextToken() != null) {
-                throw new IOException("more behind the object at " + p.currentLocation().offsetDescription());
+        try (JsonParser parser = FACTORY.createParser(text)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
+                throw new IOException("no object at its start");
             }
-            return o;
+            Map<String, Object> members = readObject(parser, 0);
+            if (parser.nextToken() != null) {
+                throw new IOException(
+                    "more behind the object at " + parser.currentLocation().offsetDescription());
+            }
+            return members;
         }
     }
 
-    private static Map<String, Object> object(JsonParser p, int depth) throws IOException {
-        Map<String, Object> o = new LinkedHashMap<>();
-        while (p.nextToken() != JsonToken.END_OBJECT) {
-            String name = p.currentName();
-            p.nextToken();
-            o.put(name, value(p, depth + 1));
+    private static Map<String, Object> readObject(JsonParser parser, int depth) throws IOException {
+        Map<String, Object> members = new LinkedHashMap<>();
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            parser.nextToken();
+            members.put(name, readValue(parser, depth + 1));
         }
-        return o;
+        return members;
+    }
+
+    private static List<Object> readArray(JsonParser parser, int depth) throws IOException {
+        List<Object> elements = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) { elements.add(readValue(parser, depth + 1)); }
+        return elements;
     }
 
-    private static Object value(JsonParser p, int depth) throws IOException {
-        if (depth > DEPTH) { throw new IOException("nested deeper than " + DEPTH); }
-        switch (p.currentToken()) {
+    private static Object readValue(JsonParser parser, int depth) throws IOException {
+        if (depth > MAX_DEPTH) { throw new IOException("nested deeper than " + MAX_DEPTH); }
+        switch (parser.currentToken()) {
             case START_OBJECT :
-                return object(p, depth);
+                return readObject(parser, depth);
             case START_ARRAY :
-                List<Object> all = new ArrayList<>();
-                while (p.nextToken() != JsonToken.END_ARRAY) { all.add(value(p, depth + 1)); }
-                return all;
+                return readArray(parser, depth);
             case VALUE_NUMBER_INT :
             case VALUE_NUMBER_FLOAT :
-                return p.getNumberValue();
+                return parser.getNumberValue();
             case VALUE_TRUE :
             case VALUE_FALSE :
-                return p.getBooleanValue();
+                return parser.getBooleanValue();
             case VALUE_NULL :
                 return null;
             default :
-                return p.getText();
+                return parser.getText();
         }
     }
 
-    /** Values by path: plain lists joined by commas, lists of objects as {@code .count}, {@code .0} and so on. */
-    public static Map<String, String> flatten(Map<String, Object> o) {
-        Map<String, String> all = new java.util.HashMap<>();
-        o.forEach((k, v) -> put(all, k, v));
-        return all;
+    /**
+     * The values of an object by path: members joined by dots, lists of plain values joined by commas, other
+     * lists as {@code path.count}, {@code path.0}, {@code path.1} and so on; null is left out.
+     */
+    public static Map<String, String> flatten(Map<String, Object> members) {
+        Map<String, String> valuesByPath = new HashMap<>();
+        members.forEach((name, value) -> flatten(valuesByPath, name, value));
+        return valuesByPath;
+    }
+
+    private static void flatten(Map<String, String> valuesByPath, String path, Object value) {
+        if (value instanceof Map<?, ?> members) {
+            members.forEach((name, member) -> flatten(valuesByPath, path + "." + name, member));
+        } else if (value instanceof List<?> elements) {
+            flattenList(valuesByPath, path, elements);
+        } else if (value != null) {
+            valuesByPath.put(path, value.toString());
+        }
     }
 
-    private static void put(Map<String, String> all, String path, Object v) {
-        if (v instanceof Map<?, ?> m) {
-            m.forEach((k, x) -> put(all, path + "." + k, x));
-        } else if (v instanceof List<?> l
-            && l.stream().anyMatch(x -> x instanceof Map || x instanceof List)) {
-            all.put(path + ".count", String.valueOf(l.size()));
-            for (int i = 0; i < l.size(); i++) { put(all, path + "." + i, l.get(i)); }
-        } else if (v instanceof List<?> l) {
-            all.put(path, String.join(",", l.stream().map(String::valueOf).toList()));
-        } else if (v != null) {
-            all.put(path, v.toString());
+    private static void flattenList(Map<String, String> valuesByPath, String path, List<?> elements) {
+        if (elements.stream().noneMatch(element -> element instanceof Map || element instanceof List)) {
+            valuesByPath.put(path, String.join(",", elements.stream().map(String::valueOf).toList()));
+            return;
         }
+        valuesByPath.put(path + ".count", String.valueOf(elements.size()));
+        for (int i = 0; i < elements.size(); i++) { flatten(valuesByPath, path + "." + i, elements.get(i)); }
     }
 }
--- a/src/main/java/switchgap/config/PropertyRouterSettings.java
+++ b/src/main/java/switchgap/config/PropertyRouterSettings.java
@@ -8,230 +8,312 @@
 import switchgap.policy.api.Idempotency;
 import switchgap.policy.api.RouterSettings;
 
-/** What a router is told at its start, path by path, read as terms; unknown paths are ignored, a needed one must be there. */
+/**
+ * Router settings of values by path, as the platform's JSON and the simulator's lines state them. A path that
+ * is not read is ignored; a needed one that is absent or can't be read is an {@link IllegalArgumentException}
+ * that names it, thrown as it is read. Numbers of time are in microseconds.
+ */
 public final class PropertyRouterSettings implements RouterSettings {
-    private final Map<String, String> lines;
-
-    /** Of values by path: lists of plain values joined by commas, lists of objects as {@code .count}, {@code .0} and so on. */
-    public PropertyRouterSettings(Map<String, String> lines) {
-        this.lines = lines;
+    private static final String ROUTER_INDEX = "Me";
+    private static final String ROUTER_COUNT = "Balancers";
+    private static final String ZONE = "MyZone";
+    private static final String TICK_INTERVAL = "TickUs";
+    private static final String OVER_QUOTA_WEIGHT = "OverShareWorth";
+    private static final String CAPACITY_REPORTS = "Weights";
+    private static final String ENDPOINT_DISCOVERY = "Discovery";
+
+    private static final String REQUEST_CLASSES = "Lanes";
+    private static final String LATENCY_OBJECTIVE = "AimUs";
+    private static final String REQUEST_TIMEOUT = "DeadlineUs";
+    private static final String PRIORITY_WEIGHT = "Worth";
+    private static final String LATE_VALUE_SHARE = "LateValue";
+    private static final String IDEMPOTENCY = "Effect";
+    private static final String DEDUPLICATION_SCOPE = "Group";
+    private static final String DEDUPLICATION_WINDOW = "MemorySpanUs";
+
+    private static final String TENANTS = "Tenants";
+    private static final String TENANT_QUOTA = "QuotaPerS";
+
+    private static final String CONNECT_TIMEOUT = "Limits.DialTimeoutUs";
+    private static final String CONNECTION_IDLE_TIMEOUT = "Limits.ConnIdleUs";
+    private static final String ATTEMPTS_PER_CONNECTION = "Limits.Multiplex";
+    private static final String MAX_PENDING_REQUESTS = "Limits.MaxOpen";
+    private static final String MAX_ATTEMPTS = "Limits.MaxAttempts";
+    private static final String HEDGING_ALLOWED = "Limits.SecondCopies";
+    private static final String PROBES_ALLOWED = "Limits.Probes";
+    private static final String CANCELLATION_ALLOWED = "Limits.Cancel";
+    private static final String RETRY_AFTER_ALLOWED = "Limits.RetryAfter";
+    private static final String MAX_RETRY_AFTER = "Limits.MaxRetryAfterUs";
+
+    private static final String COLD_CAPACITY_SHARE = "Guarantees.ColdFrom";
+    private static final String WARM_UP_DURATION = "Guarantees.ColdUs";
+    private static final String COLD_OVERLOAD_MULTIPLE = "Guarantees.FallMultiple";
+    private static final String COLD_OVERLOAD_WINDOW = "Guarantees.OverloadForUs";
+    private static final String ENDPOINT_POLL_INTERVAL = "Guarantees.AskWithinUs";
+
+    private static final String LOAD_COMMAND_TIMEOUT = "Extra.LoadWaitUs";
+    private static final String LOADS_ON_DEMAND = "Extra.IfCold";
+    private static final String LOAD_COMMANDS_ALLOWED = "Extra.PlacementCalls";
+    private static final String REPLICA_IDLE_TIMEOUT = "Extra.IdleLifeUs";
+    private static final String LOAD_QUOTA_BASE = "Extra.LoadFree";
+    private static final String LOAD_QUOTA_PER_REQUEST = "Extra.LoadRatio";
+    private static final String LOAD_QUOTA_WINDOW = "Extra.LoadSpanUs";
+    private static final String IDLE_MEMORY_PRICE = "Extra.MemoryPrice";
+    private static final String WORKER_KIND_MEMORY = "Extra.MachineMb";
+    private static final String CONCURRENCY_REPORTED = "Extra.SaysCompany";
+
+    private static final String PROBE_PRICE = "Costs.Probe";
+    private static final String CROSS_ZONE_PRICE = "Costs.CrossZone";
+    private static final String LOAD_REPORT_FIELDS = "Telemetry.Fields";
+
+    private static final String COUNT = ".count";
+    private static final String NAME = "Name";
+    private static final int NANOS_PER_MICRO = 1000;
+
+    private static final Map<String, Idempotency> IDEMPOTENCY_WORDS = Map.of("retryable",
+        Idempotency.IDEMPOTENT, "dedup", Idempotency.IDEMPOTENT_WITH_KEY, "fragile",
+        Idempotency.NON_IDEMPOTENT);
+    private static final Map<String, DeduplicationScope> DEDUPLICATION_SCOPE_WORDS = Map.of("all",
+        DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.CELL);
+    private static final Map<String, Boolean> LOADS_ON_DEMAND_WORDS = Map.of("load", true, "miss", false);
+    /** Only capacities that stay as they are count as reported. */
+    private static final Map<String, Boolean> CAPACITY_REPORT_WORDS = Map.of("silent", false, "nominal", true,
+        "rough", true, "live", false);
+    private static final Map<String, Boolean> ENDPOINT_DISCOVERY_WORDS = Map.of("subscribe", true,
+        "automatic", false);
+
+    private final Map<String, String> valuesByPath;
+
+    /**
+     * Settings of values by path.
+     *
+     * @param valuesByPath  lists of plain values joined by commas, lists of objects as {@code .count}, {@code
+     *     .0} and so on, as {@link JsonDocument#flatten} makes them; not copied
+     */
+    public PropertyRouterSettings(Map<String, String> valuesByPath) {
+        this.valuesByPath = valuesByPath;
     }
 
-    /** Of the simulator's path=value lines. */
-    public static PropertyRouterSettings parse(String info) {
-        Map<String, String> lines = new HashMap<>();
-        for (String line : info.split("\n")) {
-            int eq = line.indexOf('=');
-            if (eq > 0) {
-                lines.put(line.substring(0, eq).trim(), line.substring(eq + 1).trim());
+    /** Reads lines of the form path=value; lines of another form are ignored. */
+    public static PropertyRouterSettings parse(String text) {
+        Map<String, String> valuesByPath = new HashMap<>();
+        for (String line : text.split("\n")) {
+            int equalsSign = line.indexOf('=');
+            if (equalsSign > 0) {
+                valuesByPath.put(line.substring(0, equalsSign).trim(), line.substring(equalsSign + 1).trim());
             }
         }
-        return new PropertyRouterSettings(lines);
+        return new PropertyRouterSettings(valuesByPath);
     }
 
     private String text(String path) {
-        String v = lines.get(path);
-        if (v == null) {
+        String value = valuesByPath.get(path);
+        if (value == null) {
             throw new IllegalArgumentException("setting " + path + " is absent");
         }
-        return v;
+        return value;
     }
 
-    private double real(String path) {
-        String v = text(path);
+    private double number(String path) {
+        String value = text(path);
         try {
-            return Double.parseDouble(v);
+            return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("setting " + path + " is no number: " + v, e);
+            throw new IllegalArgumentException("setting " + path + " is no number: " + value, e);
         }
     }
 
-    /** What is not stated costs nothing. */
-    private double cost(String path) {
-        return lines.containsKey(path) ? real(path) : 0;
+    /** A price that is not stated is zero. */
+    private double price(String path) {
+        return valuesByPath.containsKey(path) ? number(path) : 0;
+    }
+
+    private int integer(String path) {
+        return (int) number(path);
     }
 
-    private int whole(String path) {
-        return (int) real(path);
+    /** The length of a list of objects; one that is not stated is empty. */
+    private int count(String path) {
+        return valuesByPath.containsKey(path + COUNT) ? integer(path + COUNT) : 0;
     }
 
-    private Duration span(String path) {
-        return Duration.ofNanos(Math.round(real(path) * 1000));
+    private Duration duration(String path) {
+        return Duration.ofNanos(Math.round(number(path) * NANOS_PER_MICRO));
     }
 
     private boolean flag(String path) {
-        String v = text(path);
-        if (!v.equals("true") && !v.equals("false")) {
-            throw new IllegalArgumentException("setting " + path + " is neither true nor false: " + v);
+        String value = text(path);
+        if (!value.equals("true") && !value.equals("false")) {
+            throw new IllegalArgumentException("setting " + path + " is neither true nor false: " + value);
         }
-        return v.equals("true");
+        return value.equals("true");
     }
 
-    /** One of the wire's words for a choice, each standing for the value at its place. */
-    private <T> T choice(String path, String[] words, T[] values) {
-        String v = text(path);
-        for (int i = 0; i < words.length; i++) {
-            if (words[i].equals(v)) {
-                return values[i];
-            }
+    private <T> T choice(String path, Map<String, T> valuesByWord) {
+        String word = text(path);
+        T value = valuesByWord.get(word);
+        if (value == null) {
+            throw new IllegalArgumentException("setting " + path + " has an unknown word: " + word);
         }
-        throw new IllegalArgumentException("setting " + path + " has an unknown word: " + v);
+        return value;
     }
 
-    private static String lane(int workload, String name) {
-        return "Lanes." + workload + "." + name;
+    private static String classPath(int requestClass, String name) {
+        return REQUEST_CLASSES + "." + requestClass + "." + name;
     }
 
     /** The place of a load report's field, or -1. */
     public int reportFieldIndex(String word) {
-        String all = lines.get("Telemetry.Fields");
-        String[] words = all == null ? new String[0] : all.split(",");
-        for (int i = 0; i < words.length; i++) {
-            if (words[i].equals(word)) {
-                return i;
-            }
-        }
-        return -1;
+        String fields = valuesByPath.get(LOAD_REPORT_FIELDS);
+        return fields == null ? -1 : Arrays.asList(fields.split(",")).indexOf(word);
     }
 
+    /** Whether load reports say how many attempts a worker serves at the time. */
     public boolean reportsConcurrency() {
-        return lines.getOrDefault("Extra.SaysCompany", "false").equals("true");
+        return valuesByPath.getOrDefault(CONCURRENCY_REPORTED, "false").equals("true");
     }
 
-    /** The place of a name among {@code path.0.Name}, {@code path.1.Name} ..., for workloads (Lanes) and customers (Tenants). */
+    /**
+     * The place of each name among {@code path.0.Name}, {@code path.1.Name} and so on, for request classes
+     * (Lanes) and tenants (Tenants).
+     */
     public Map<String, Integer> namedIndices(String path) {
-        Map<String, Integer> at = new HashMap<>();
-        int count = lines.containsKey(path + ".count") ? whole(path + ".count") : 0;
-        for (int i = 0; i < count; i++) { at.put(text(path + "." + i + ".Name"), i); }
-        return at;
+        Map<String, Integer> indices = new HashMap<>();
+        int count = count(path);
+        for (int i = 0; i < count; i++) { indices.put(text(path + "." + i + "." + NAME), i); }
+        return indices;
     }
 
-    /** The place of a name in a list of plain values: zones, kinds of worker. */
+    /** The place of each name in a list of plain values: zones, kinds of worker. */
     public Map<String, Integer> listIndices(String path) {
-        Map<String, Integer> at = new HashMap<>();
-        for (String word : text(path).split(",")) { at.put(word, at.size()); }
-        return at;
+        Map<String, Integer> indices = new HashMap<>();
+        for (String word : text(path).split(",")) { indices.put(word, indices.size()); }
+        return indices;
     }
 
-    /** How long an order to load may go unanswered. */
+    /** Time after which a load command that has no response is given up. */
     public Duration loadCommandTimeout() {
-        return span("Extra.LoadWaitUs");
+        return duration(LOAD_COMMAND_TIMEOUT);
     }
 
-    /** How long opening a connection to a worker may take. */
+    /** Time that opening a connection to a worker may take. */
     public Duration connectTimeout() {
-        return span("Limits.DialTimeoutUs");
+        return duration(CONNECT_TIMEOUT);
     }
 
-    /** After so long workers close a connection that lies idle. */
+    /** Time after which workers close an idle connection. */
     public Duration connectionIdleTimeout() {
-        return span("Limits.ConnIdleUs");
+        return duration(CONNECTION_IDLE_TIMEOUT);
     }
 
-    /** Executions that one connection carries at a time. */
+    /** Attempts that one connection carries at a time. */
     public int attemptsPerConnection() {
-        return whole("Limits.Multiplex");
+        return integer(ATTEMPTS_PER_CONNECTION);
     }
 
-    /** Calls that may be held at a time. */
+    /** Requests that may be pending at a time. */
     public int maxPendingRequests() {
-        return whole("Limits.MaxOpen");
+        return integer(MAX_PENDING_REQUESTS);
     }
 
-    @Override public int routerIndex() { return whole("Me"); }
+    @Override public int routerIndex() { return integer(ROUTER_INDEX); }
 
-    @Override public int routerCount() { return whole("Balancers"); }
+    @Override public int routerCount() { return integer(ROUTER_COUNT); }
 
-    @Override public int zone() { return whole("MyZone"); }
+    @Override public int zone() { return integer(ZONE); }
 
-    @Override public Duration tickInterval() { return span("TickUs"); }
+    @Override public Duration tickInterval() { return duration(TICK_INTERVAL); }
 
-    @Override public int requestClassCount() { return whole("Lanes.count"); }
+    @Override public int requestClassCount() { return integer(REQUEST_CLASSES + COUNT); }
 
-    @Override public Duration latencyObjective(int w) { return span(lane(w, "AimUs")); }
-
-    @Override public Duration requestTimeout(int w) { return span(lane(w, "DeadlineUs")); }
+    @Override public Duration latencyObjective(int requestClass) {
+        return duration(classPath(requestClass, LATENCY_OBJECTIVE));
+    }
 
-    @Override public double priorityWeight(int w) { return real(lane(w, "Worth")); }
+    @Override public Duration requestTimeout(int requestClass) {
+        return duration(classPath(requestClass, REQUEST_TIMEOUT));
+    }
 
-    @Override public double lateValueShare(int w) { return real(lane(w, "LateValue")); }
+    @Override public double priorityWeight(int requestClass) {
+        return number(classPath(requestClass, PRIORITY_WEIGHT));
+    }
 
-    @Override public Idempotency idempotency(int w) {
-        return choice(lane(w, "Effect"), new String[] {"retryable", "dedup", "fragile"},
-            Idempotency.values());
+    @Override public double lateValueShare(int requestClass) {
+        return number(classPath(requestClass, LATE_VALUE_SHARE));
     }
 
-    @Override public DeduplicationScope deduplicationScope(int w) {
-        return choice(lane(w, "Group"), new String[] {"all", "zone", "cell"}, DeduplicationScope.values());
+    @Override public Idempotency idempotency(int requestClass) {
+        return choice(classPath(requestClass, IDEMPOTENCY), IDEMPOTENCY_WORDS);
     }
 
-    @Override public Duration deduplicationWindow(int w) { return span(lane(w, "MemorySpanUs")); }
+    @Override public DeduplicationScope deduplicationScope(int requestClass) {
+        return choice(classPath(requestClass, DEDUPLICATION_SCOPE), DEDUPLICATION_SCOPE_WORDS);
+    }
 
-    @Override public int tenantCount() {
-        return lines.containsKey("Tenants.count") ? whole("Tenants.count") : 0;
+    @Override public Duration deduplicationWindow(int requestClass) {
+        return duration(classPath(requestClass, DEDUPLICATION_WINDOW));
     }
 
-    @Override public double tenantQuota(int c) { return real("Tenants." + c + ".QuotaPerS"); }
+    @Override public int tenantCount() { return count(TENANTS); }
 
-    @Override public double overQuotaWeight() { return real("OverShareWorth"); }
+    @Override public double tenantQuota(int tenant) {
+        return number(TENANTS + "." + tenant + "." + TENANT_QUOTA);
+    }
 
-    @Override public int maxAttempts() { return whole("Limits.MaxAttempts"); }
+    @Override public double overQuotaWeight() { return number(OVER_QUOTA_WEIGHT); }
 
-    @Override public boolean hedgingAllowed() { return flag("Limits.SecondCopies"); }
+    @Override public int maxAttempts() { return integer(MAX_ATTEMPTS); }
 
-    @Override public boolean probesAllowed() { return flag("Limits.Probes"); }
+    @Override public boolean hedgingAllowed() { return flag(HEDGING_ALLOWED); }
 
-    @Override public boolean cancellationAllowed() { return flag("Limits.Cancel"); }
+    @Override public boolean probesAllowed() { return flag(PROBES_ALLOWED); }
 
-    @Override public boolean retryAfterAllowed() { return flag("Limits.RetryAfter"); }
+    @Override public boolean cancellationAllowed() { return flag(CANCELLATION_ALLOWED); }
 
-    @Override public Duration maxRetryAfter() { return span("Limits.MaxRetryAfterUs"); }
+    @Override public boolean retryAfterAllowed() { return flag(RETRY_AFTER_ALLOWED); }
 
-    @Override public double coldCapacityShare() { return real("Guarantees.ColdFrom"); }
+    @Override public Duration maxRetryAfter() { return duration(MAX_RETRY_AFTER); }
 
-    @Override public Duration warmUpDuration() { return span("Guarantees.ColdUs"); }
+    @Override public double coldCapacityShare() { return number(COLD_CAPACITY_SHARE); }
 
-    @Override public double coldOverloadMultiple() { return real("Guarantees.FallMultiple"); }
+    @Override public Duration warmUpDuration() { return duration(WARM_UP_DURATION); }
 
-    @Override public Duration coldOverloadWindow() { return span("Guarantees.OverloadForUs"); }
+    @Override public double coldOverloadMultiple() { return number(COLD_OVERLOAD_MULTIPLE); }
 
-    @Override public boolean loadsOnDemand() {
-        return choice("Extra.IfCold", new String[] {"load", "miss"}, new Boolean[] {true, false});
-    }
+    @Override public Duration coldOverloadWindow() { return duration(COLD_OVERLOAD_WINDOW); }
+
+    @Override public boolean loadsOnDemand() { return choice(LOADS_ON_DEMAND, LOADS_ON_DEMAND_WORDS); }
 
-    @Override public boolean loadCommandsAllowed() { return flag("Extra.PlacementCalls"); }
+    @Override public boolean loadCommandsAllowed() { return flag(LOAD_COMMANDS_ALLOWED); }
 
-    @Override public Duration replicaIdleTimeout() { return span("Extra.IdleLifeUs"); }
+    @Override public Duration replicaIdleTimeout() { return duration(REPLICA_IDLE_TIMEOUT); }
 
-    @Override public double loadQuotaBase() { return real("Extra.LoadFree"); }
+    @Override public double loadQuotaBase() { return number(LOAD_QUOTA_BASE); }
 
-    @Override public double loadQuotaPerRequest() { return real("Extra.LoadRatio"); }
+    @Override public double loadQuotaPerRequest() { return number(LOAD_QUOTA_PER_REQUEST); }
 
-    @Override public Duration loadQuotaWindow() { return span("Extra.LoadSpanUs"); }
+    @Override public Duration loadQuotaWindow() { return duration(LOAD_QUOTA_WINDOW); }
 
-    @Override public double idleMemoryPrice() { return cost("Extra.MemoryPrice"); }
+    @Override public double idleMemoryPrice() { return price(IDLE_MEMORY_PRICE); }
 
     @Override public double[] workerKindMemory() {
         try {
-            return Arrays.stream(text("Extra.MachineMb").split(",")).mapToDouble(
+            return Arrays.stream(text(WORKER_KIND_MEMORY).split(",")).mapToDouble(
                 Double::parseDouble).toArray();
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("setting Extra.MachineMb is no list of numbers", e);
+            throw new IllegalArgumentException("setting " + WORKER_KIND_MEMORY + " is no list of numbers", e);
         }
     }
 
-    @Override public double probePrice() { return cost("Costs.Probe"); }
+    @Override public double probePrice() { return price(PROBE_PRICE); }
 
-    @Override public boolean capacityReported() {
-        return choice("Weights", new String[] {"silent", "nominal", "rough", "live"},
-            new Boolean[] {false, true, true, false});
-    }
+    @Override public boolean capacityReported() { return choice(CAPACITY_REPORTS, CAPACITY_REPORT_WORDS); }
 
-    @Override public double crossZonePrice() { return cost("Costs.CrossZone"); }
+    @Override public double crossZonePrice() { return price(CROSS_ZONE_PRICE); }
 
     @Override public boolean pollsEndpointList() {
-        return choice("Discovery", new String[] {"subscribe", "automatic"}, new Boolean[] {true, false});
+        return choice(ENDPOINT_DISCOVERY, ENDPOINT_DISCOVERY_WORDS);
     }
 
-    @Override public Duration endpointPollInterval() { return span("Guarantees.AskWithinUs"); }
+    @Override public Duration endpointPollInterval() { return duration(ENDPOINT_POLL_INTERVAL); }
 }
