--- a/src/main/java/switchgap/endpoints/EndpointListWatcher.java
+++ b/src/main/java/switchgap/endpoints/EndpointListWatcher.java
@@ -17,151 +17,185 @@
 import switchgap.router.RouterCore;
 
 /**
- * Follows the list service by a held request that answers in lines. While the service is away, or tells nonsense,
- * the last good list stays. States: ASKING, FOLLOWING, AWAY (asks again after a pause). A service that says nothing for
- * long is asked anew on a further connection: a connection that is half open sounds like a fleet in which nothing changes.
+ * Follows the gateway's list service by one request whose response goes on in lines. While the service is
+ * away, or its lines can't be used, the last good list stays in force. A service that is silent for long is
+ * asked again on a further connection: a connection that is half open sounds like a fleet in which nothing
+ * changes.
+ *
+ * <p>It differs from {@link EventStreamClient}: the list service sends no heartbeats and can give its whole
+ * list at any time, so a fixed retry delay and a switch to the newest connection as soon as it is up are
+ * enough here.
+ *
+ * <p>Thread-safe; events are handed on by the threads of the connections.
  */
 public final class EndpointListWatcher {
-    private enum State { ASKING, FOLLOWING, AWAY, CLOSED }
-
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListWatcher.class);
-    private static final int MOST_LINE = 16 << 20;
-    private static final int SILENCE = 20; // pauses without a byte, then it is asked anew
-    private final HttpClientConnection.Factory opener;
+    private static final int MAX_LINE_BYTES = 16 << 20;
+    /** Retry delays without a byte after which the service counts as dead. */
+    private static final int SILENCE_TIMEOUT_RETRY_DELAYS = 20;
+    /** Retry delays that opening a connection may take. */
+    private static final int CONNECT_TIMEOUT_RETRY_DELAYS = 4;
+    /** A version that nothing follows: the service answers it with the whole list. */
+    private static final long NO_VERSION = -1;
+
+    private final HttpClientConnection.Factory connections;
     private final InetSocketAddress service;
-    private final int router;
-    private final long born;
-    private final Duration again;
-    private final ToIntFunction<String> zones;
-    private final ToIntFunction<String> kinds;
+    private final int routerIndex;
+    private final Duration retryDelay;
+    private final EndpointListLine.NameDirectory directory;
     private final Consumer<Consumer<RouterCore>> events;
-    private State state = State.AWAY;
-    private long version = -1;
-    private volatile HttpClientConnection link;
-    private volatile long heard = System.nanoTime();
-    private final ScheduledFuture<?> look;
-
-    /** {@code again}: the pause before asking anew. */
-    public EndpointListWatcher(HttpClientConnection.Factory opener, InetSocketAddress service, int router,
-        long born, Duration again,
-        ToIntFunction<String> zones, ToIntFunction<String> kinds, Consumer<Consumer<RouterCore>> events) {
-        this.opener = opener;
+    private final ScheduledFuture<?> silenceCheck;
+    private SubscriptionState state = SubscriptionState.DISCONNECTED;
+    private volatile long version = NO_VERSION;
+    private volatile HttpClientConnection connection;
+    private volatile long lastByteNanos = System.nanoTime();
+
+    /** A watcher of names given one by one; see the other constructor. */
+    public EndpointListWatcher(HttpClientConnection.Factory connections, InetSocketAddress service,
+        int routerIndex, long startedAtMillis, Duration retryDelay, ToIntFunction<String> zones,
+        ToIntFunction<String> kinds, Consumer<Consumer<RouterCore>> events) {
+        this(connections, service, routerIndex, retryDelay,
+            new EndpointListLine.NameDirectory(zones, kinds, startedAtMillis), events);
+    }
+
+    /**
+     * A watcher that does nothing until {@link #follow()}.
+     *
+     * @param connections  opens connections to the service
+     * @param routerIndex  by which the service knows this router
+     * @param retryDelay   time between the loss of a connection and the next try
+     * @param events       hands events to the router's loop
+     */
+    public EndpointListWatcher(HttpClientConnection.Factory connections, InetSocketAddress service,
+        int routerIndex, Duration retryDelay, EndpointListLine.NameDirectory directory,
+        Consumer<Consumer<RouterCore>> events) {
+        this.connections = connections;
         this.service = service;
-        this.router = router;
-        this.born = born;
-        this.again = again;
-        this.zones = zones;
-        this.kinds = kinds;
+        this.routerIndex = routerIndex;
+        this.retryDelay = retryDelay;
+        this.directory = directory;
         this.events = events;
-        look = TimerThread.EXECUTOR.scheduleAtFixedRate(this::look, again.toMillis(), again.toMillis(),
-            TimeUnit.MILLISECONDS);
+        silenceCheck = TimerThread.EXECUTOR.scheduleAtFixedRate(this::checkSilence, retryDelay.toMillis(),
+            retryDelay.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private synchronized void look() {
-        if (state == State.AWAY || state == State.CLOSED
-            || System.nanoTime() - heard < SILENCE * again.toNanos()) {
+    private synchronized void checkSilence() {
+        long silentNanos = System.nanoTime() - lastByteNanos;
+        if (!state.awaitsData() || silentNanos < SILENCE_TIMEOUT_RETRY_DELAYS * retryDelay.toNanos()) {
             return;
         }
-        state = State.AWAY;
+        state = state.onDisconnect();
         follow(); // the old connection is closed once there is a new one
     }
 
+    /** Opens a connection unless there is one or it is being opened. */
     public synchronized void follow() {
-        if (state != State.AWAY) { return; }
-        state = State.ASKING;
-        heard = System.nanoTime();
-        opener.connect(service, again.multipliedBy(4), new HttpClientConnection.ConnectCallback() {
-            @Override public void connected(HttpClientConnection l) {
-                HttpClientConnection old;
-                synchronized (EndpointListWatcher.this) {
-                    if (state == State.CLOSED) {
-                        l.close();
-                        return;
-                    }
-                    old = link;
-                    link = l;
-                }
-                if (old != null) { old.close(); }
-                l.send("GET", "/v1/workers?watch=1&router=" + router + "&from=" + version, Map.of(),
-                    new byte[0],
-                    new LineHandler(l));
-            }
-
-            @Override public void failed(String why) { away(why); }
+        if (state != SubscriptionState.DISCONNECTED) { return; }
+        state = state.onConnect();
+        lastByteNanos = System.nanoTime();
+        Duration connectTimeout = retryDelay.multipliedBy(CONNECT_TIMEOUT_RETRY_DELAYS);
+        connections.connect(service, connectTimeout, new HttpClientConnection.ConnectCallback() {
+            @Override public void connected(HttpClientConnection opened) { requestList(opened); }
+
+            @Override public void failed(String reason) { disconnected(reason); }
         });
     }
 
-    private synchronized void away(String why) {
-        if (state == State.CLOSED) { return; }
-        if (state != State.AWAY) { LOG.warn("list service away, the last list stays: {}", why); }
-        state = State.AWAY;
+    private void requestList(HttpClientConnection opened) {
+        HttpClientConnection previous;
+        synchronized (this) {
+            if (state == SubscriptionState.CLOSED) {
+                opened.close();
+                return;
+            }
+            previous = connection;
+            connection = opened;
+        }
+        if (previous != null) { previous.close(); }
+        opened.send("GET", "/v1/workers?watch=1&router=" + routerIndex + "&from=" + version, Map.of(),
+            new byte[0], new LineHandler(opened));
+    }
+
+    private synchronized void disconnected(String reason) {
+        if (state == SubscriptionState.CLOSED) { return; }
+        if (state != SubscriptionState.DISCONNECTED) {
+            LOG.warn("list service away, the last list stays: {}", reason);
+        }
+        state = state.onDisconnect();
         events.accept(RouterCore::endpointListFailed);
-        TimerThread.EXECUTOR.schedule(this::follow, again.toMillis(), TimeUnit.MILLISECONDS);
+        TimerThread.EXECUTOR.schedule(this::follow, retryDelay.toMillis(), TimeUnit.MILLISECONDS);
     }
 
+    private synchronized void delivered() { state = state.onDelivery(); }
+
+    /** Closes the connection and opens no further one. */
     public synchronized void close() {
-        state = State.CLOSED;
-        look.cancel(false);
-        if (link != null) { link.close(); }
+        state = SubscriptionState.CLOSED;
+        silenceCheck.cancel(false);
+        if (connection != null) { connection.close(); }
     }
 
+    /** Takes the lines of one connection; the selector's thread alone calls it. */
     private final class LineHandler implements HttpClientConnection.ResponseHandler {
-        private final HttpClientConnection on;
+        private final HttpClientConnection source;
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-        LineHandler(HttpClientConnection on) { this.on = on; }
+        LineHandler(HttpClientConnection source) { this.source = source; }
 
         @Override public boolean bodyPart(byte[] bytes) {
-            heard = System.nanoTime();
-            for (byte b : bytes) {
-                if (b == '\n') {
-                    take(line.toString(StandardCharsets.UTF_8));
+            lastByteNanos = System.nanoTime();
+            for (byte next : bytes) {
+                if (next == '\n') {
+                    lineReceived(line.toString(StandardCharsets.UTF_8));
                     line.reset();
-                } else if (line.size() < MOST_LINE) {
-                    line.write(b);
+                } else if (line.size() < MAX_LINE_BYTES) {
+                    line.write(next);
                 } else {
-                    LOG.warn("a list line over {} bytes is refused", MOST_LINE);
-                    on.close();
+                    LOG.warn("a list line over {} bytes is refused", MAX_LINE_BYTES);
+                    source.close();
                     return true;
                 }
             }
             return true;
         }
 
-        private void take(String text) {
-            if (text.isBlank() || on != link) { return; }
-            EndpointListLine l;
+        private void lineReceived(String text) {
+            if (text.isBlank() || source != connection) { return; }
+            EndpointListLine list;
             try {
-                l = EndpointListLine.parse(text, born, zones, kinds);
+                list = EndpointListLine.parse(text, directory);
             } catch (IOException e) {
                 LOG.warn("a list was refused, the last one stays: {}", e.getMessage());
-                version = -1; // ask for a whole one
-                on.close();
+                requestWholeList();
                 return;
             }
-            if (!l.complete() && l.version() != version + 1) {
-                LOG.warn("list version {} follows {}: the whole list is asked for", l.version(), version);
-                version = -1;
-                on.close();
+            if (!list.complete() && list.version() != version + 1) {
+                LOG.warn("list version {} follows {}: the whole list is asked for", list.version(), version);
+                requestWholeList();
                 return;
             }
-            synchronized (EndpointListWatcher.this) {
-                if (state == State.ASKING) { state = State.FOLLOWING; }
-            }
-            version = l.version();
-            events.accept(c -> c.endpointListReceived(l.complete(), l.updates()));
+            delivered();
+            version = list.version();
+            events.accept(core -> core.endpointListReceived(list.complete(), list.updates()));
+        }
+
+        /** The next connection asks for it. */
+        private void requestWholeList() {
+            version = NO_VERSION;
+            source.close();
         }
 
         @Override public void responded(int status, Map<String, String> headers, byte[] body,
             boolean reusable) {
-            on.close();
+            source.close();
             ended("the service ended its answer with status " + status);
         }
 
         @Override public void connectionLost(String why) { ended(why); }
 
-        private void ended(String why) {
-            if (on == link) { away(why); } // else a further connection has taken its place
+        private void ended(String reason) {
+            boolean replaced = source != connection;
+            if (!replaced) { disconnected(reason); }
         }
     }
 }
--- a/src/main/java/switchgap/endpoints/EventStreamClient.java
+++ b/src/main/java/switchgap/endpoints/EventStreamClient.java
@@ -12,184 +12,217 @@
 import switchgap.protocol.sse.ServerSentEventDecoder;
 
 /**
- * Follows the control feed from a number on. Events are handed on once each and in order; whatever befalls the feed, the
- * last list stays in force. States: ASKING, FOLLOWING, AWAY (asks again after a pause), CLOSED. A feed that says nothing
- * for longer than two of its comments is asked anew on a further connection: one that is half open sounds like a fleet in
- * which nothing changes. The connection that told last goes on telling until its successor does.
+ * Follows the platform's control feed from a sequence number on. Events are handed on once each and in order;
+ * whatever happens to the feed, the last list stays in force. A feed that is silent for longer than two of
+ * its heartbeat comments is asked again on a further connection: one that is half open sounds like a fleet in
+ * which nothing changes. The connection that delivered last goes on delivering until its successor does.
+ *
+ * <p>It differs from {@link EndpointListWatcher}: the feed has heartbeats and numbers that resume it, and the
+ * platform moves routers from one feed to another, so two connections may count at a time here and retries
+ * back off.
+ *
+ * <p>Thread-safe; events are handed on by the threads of the connections, under the client's lock.
  */
 public final class EventStreamClient implements AutoCloseable {
-    private enum State { ASKING, FOLLOWING, AWAY, CLOSED }
-
-    private static final int MOST_EVENT = 1 << 20;
-    private static final Duration SILENCE = Duration.ofMillis(2300); // two comments, one each second, and a little
-    private static final Duration LOOK = Duration.ofMillis(200);
-    private static final Duration CONNECT = Duration.ofMillis(1000);
-    private static final Duration PAUSE = Duration.ofMillis(100);    // doubled with each try, up to the silence
-    private static final Duration LASTS = Duration.ofMillis(500);    // following for so long, it is well again
-    private final HttpClientConnection.Factory opener;
-    private final EndpointListEvent.NameDirectory book;
+    private static final int MAX_EVENT_BYTES = 1 << 20;
+    /** Two heartbeat comments, one each second, and a little. */
+    private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(2300);
+    private static final Duration SILENCE_CHECK_INTERVAL = Duration.ofMillis(200);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(1000);
+    /** Delay before the second retry, the first is immediate; doubled with each further one, to 1.6 s. */
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
+    private static final int MAX_BACKOFF_DOUBLINGS = 4;
+    /** A connection that delivers for so long is well: the next retry is immediate again. */
+    private static final Duration STABLE_AFTER = Duration.ofMillis(500);
+    private static final long NO_ATTEMPT = 0;
+
+    private final HttpClientConnection.Factory connections;
+    private final EndpointListEvent.NameDirectory directory;
     private final Consumer<EndpointListEvent> events;
     private final Consumer<String> log;
-    private final ScheduledFuture<?> look;
+    private final ScheduledFuture<?> silenceCheck;
     private InetSocketAddress feed;
-    private State state = State.AWAY;
-    private long last;
-    private long gap;      // the number that a gap was met at: met again, it is all that there is
-    private int tries;
-    private long turn;     // of the connection asked for last
-    private long telling;  // of the one that told last, until a later one does: what others say counts for nothing
-    private HttpClientConnection link; // the one asked last
-    private HttpClientConnection teller;
-    private long heard;
-
-    /** {@code last}: the number of the last event known already. */
-    public EventStreamClient(HttpClientConnection.Factory opener, long last,
-        EndpointListEvent.NameDirectory book, Consumer<EndpointListEvent> events, Consumer<String> log) {
-        this.opener = opener;
-        this.last = last;
-        this.book = book;
+    private SubscriptionState state = SubscriptionState.DISCONNECTED;
+    private long lastSequence;
+    /** The number at which a gap was met: met again, nothing stands between. */
+    private long gapSequence;
+    private int failedAttempts;
+    private long lastDataNanos;
+    /** Number of the connection attempt made last. */
+    private long latestAttempt;
+    private HttpClientConnection latestConnection;
+    /** The attempt that delivered last: it counts until a later one delivers, and none before it does. */
+    private long activeAttempt = NO_ATTEMPT;
+    private HttpClientConnection activeConnection;
+
+    /**
+     * A client that does nothing until {@link #follow}.
+     *
+     * @param lastSequence  number of the last event that is known already
+     * @param events        hears of each event that has a list
+     * @param log           hears of trouble with the feed, a line each
+     */
+    public EventStreamClient(HttpClientConnection.Factory connections, long lastSequence,
+        EndpointListEvent.NameDirectory directory, Consumer<EndpointListEvent> events, Consumer<String> log) {
+        this.connections = connections;
+        this.lastSequence = lastSequence;
+        this.directory = directory;
         this.events = events;
         this.log = log;
-        look = TimerThread.EXECUTOR.scheduleAtFixedRate(this::look, LOOK.toMillis(), LOOK.toMillis(),
-            TimeUnit.MILLISECONDS);
+        silenceCheck = TimerThread.EXECUTOR.scheduleAtFixedRate(this::checkSilence,
+            SILENCE_CHECK_INTERVAL.toMillis(), SILENCE_CHECK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /** Begins, or goes over to another address from the last number on. */
-    public synchronized void follow(InetSocketAddress to) {
-        if (state == State.CLOSED) { return; }
-        feed = to;
-        tries = 0;
-        ask();
+    public synchronized void follow(InetSocketAddress address) {
+        if (state == SubscriptionState.CLOSED) { return; }
+        feed = address;
+        failedAttempts = 0;
+        connect();
     }
 
-    private void look() {
+    private void checkSilence() {
         try {
-            lookFor();
+            reconnectIfSilent();
         } catch (RuntimeException e) { // a timer's task that throws never runs again
             log.accept("control feed: " + e);
         }
     }
 
-    private synchronized void lookFor() {
-        boolean silent = (state == State.ASKING || state == State.FOLLOWING)
-            && System.nanoTime() - heard > SILENCE.toNanos();
-        if (silent) {
+    private synchronized void reconnectIfSilent() {
+        if (state.awaitsData() && System.nanoTime() - lastDataNanos > SILENCE_TIMEOUT.toNanos()) {
             log.accept("control feed silent, it is asked anew");
-            ask();
+            connect();
         }
     }
 
-    private synchronized void ask() {
-        if (state == State.CLOSED) { return; }
-        state = State.ASKING;
-        heard = System.nanoTime();
-        long mine = ++turn;
-        opener.connect(feed, CONNECT, new HttpClientConnection.ConnectCallback() {
-            @Override public void connected(HttpClientConnection l) { asked(mine, l); }
+    private synchronized void connect() {
+        if (state == SubscriptionState.CLOSED) { return; }
+        state = state.onConnect();
+        lastDataNanos = System.nanoTime();
+        latestAttempt++;
+        long attempt = latestAttempt;
+        connections.connect(feed, CONNECT_TIMEOUT, new HttpClientConnection.ConnectCallback() {
+            @Override public void connected(HttpClientConnection opened) { requestEvents(attempt, opened); }
 
-            @Override public void failed(String why) { away(mine, why); }
+            @Override public void failed(String reason) { disconnected(attempt, reason); }
         });
     }
 
-    private synchronized void asked(long mine, HttpClientConnection l) {
-        if (mine != turn || state == State.CLOSED) {
-            l.close();
+    private synchronized void requestEvents(long attempt, HttpClientConnection opened) {
+        if (attempt != latestAttempt || state == SubscriptionState.CLOSED) {
+            opened.close();
             return;
         }
-        if (link != null && link != teller) { link.close(); }
-        link = l;
-        l.send("GET", "/v1/events",
-            Map.of("Last-Event-ID", String.valueOf(last), "Accept", "text/event-stream"), new byte[0],
-            new StreamHandler(mine));
+        if (latestConnection != null && latestConnection != activeConnection) { latestConnection.close(); }
+        latestConnection = opened;
+        Map<String, String> headers = Map.of("Last-Event-ID", String.valueOf(lastSequence), "Accept",
+            "text/event-stream");
+        opened.send("GET", "/v1/events", headers, new byte[0], new StreamHandler(attempt));
     }
 
-    private synchronized void away(long mine, String why) {
-        if (state == State.CLOSED) { return; }
-        if (mine == telling) {
-            telling = 0;
-            teller.close();
-            teller = null;
+    private synchronized void disconnected(long attempt, String reason) {
+        if (state == SubscriptionState.CLOSED) { return; }
+        if (attempt == activeAttempt) {
+            activeAttempt = NO_ATTEMPT;
+            activeConnection.close();
+            activeConnection = null;
         }
-        if (mine != turn) { return; }
-        if (tries == 0) { log.accept("control feed away, the last list stays: " + why); }
-        Duration pause = tries == 0 ? Duration.ZERO : PAUSE.multipliedBy(1L << Math.min(tries - 1, 4));
-        tries++;
-        state = State.AWAY;
-        long then = ++turn;
-        HttpClientConnection old = link;
-        link = null;
-        if (old != null && old != teller) { old.close(); }
-        TimerThread.EXECUTOR.schedule(() -> again(then), pause.toMillis(), TimeUnit.MILLISECONDS);
+        if (attempt != latestAttempt) { return; }
+        if (failedAttempts == 0) { log.accept("control feed away, the last list stays: " + reason); }
+        Duration backoff = backoff();
+        failedAttempts++;
+        state = state.onDisconnect();
+        latestAttempt++; // what the lost attempt still reports counts for nothing
+        long waitingAttempt = latestAttempt;
+        HttpClientConnection lost = latestConnection;
+        latestConnection = null;
+        if (lost != null && lost != activeConnection) { lost.close(); }
+        TimerThread.EXECUTOR.schedule(() -> reconnect(waitingAttempt), backoff.toMillis(),
+            TimeUnit.MILLISECONDS);
+    }
+
+    private Duration backoff() {
+        if (failedAttempts == 0) { return Duration.ZERO; }
+        int doublings = Math.min(failedAttempts - 1, MAX_BACKOFF_DOUBLINGS);
+        return INITIAL_BACKOFF.multipliedBy(1L << doublings);
     }
 
-    private synchronized void again(long mine) {
-        if (mine == turn && state == State.AWAY) { ask(); }
+    private synchronized void reconnect(long waitingAttempt) {
+        if (waitingAttempt == latestAttempt && state == SubscriptionState.DISCONNECTED) { connect(); }
     }
 
-    /** Whether this connection is the one asked last, or still the only one that tells. */
-    private boolean counts(long mine) {
-        return state != State.CLOSED && (mine == turn || mine == telling);
+    /** Whether this attempt is the latest, or still the only one that delivers. */
+    private synchronized boolean isCurrent(long attempt) {
+        return state != SubscriptionState.CLOSED && (attempt == latestAttempt || attempt == activeAttempt);
     }
 
-    private synchronized void event(long mine, String text) {
-        if (!counts(mine)) { return; }
+    private synchronized void eventReceived(long attempt, String text) {
+        if (!isCurrent(attempt)) { return; }
         try {
-            EndpointListEvent e = EndpointListEvent.parse(text, book);
-            if (e.sequence() < last || e.sequence() == last && !e.complete()) { return; } // told before
-            if (e.sequence() > last + 1 && !e.complete() && gap != e.sequence()) {
-                gap = e.sequence();
-                away(mine, "event " + e.sequence() + " follows " + last);
-                return;
-            }
-            last = e.sequence();
-            if (e.updates() != null) { events.accept(e); }
-        } catch (IOException | RuntimeException x) {
-            away(mine, x.getMessage()); // the next connection tells it whole
+            deliver(attempt, EndpointListEvent.parse(text, directory));
+        } catch (IOException | RuntimeException e) {
+            disconnected(attempt, e.getMessage()); // the next connection delivers it whole
+        }
+    }
+
+    private void deliver(long attempt, EndpointListEvent event) {
+        long sequence = event.sequence();
+        boolean deliveredBefore = sequence < lastSequence || sequence == lastSequence && !event.complete();
+        if (deliveredBefore) { return; }
+        boolean gap = sequence > lastSequence + 1 && !event.complete();
+        if (gap && gapSequence != sequence) {
+            gapSequence = sequence;
+            disconnected(attempt, "event " + sequence + " follows " + lastSequence);
+            return;
         }
+        lastSequence = sequence;
+        if (event.updates() != null) { events.accept(event); }
+    }
+
+    /** Complete lines came: an event, a part of one or a heartbeat. */
+    private synchronized void dataReceived(long attempt, long requestedAtNanos) {
+        if (attempt != latestAttempt) { return; }
+        lastDataNanos = System.nanoTime();
+        state = state.onDelivery();
+        // one that breaks off at once is not asked at full speed
+        if (lastDataNanos - requestedAtNanos > STABLE_AFTER.toNanos()) { failedAttempts = 0; }
+        if (activeAttempt == attempt) { return; }
+        if (activeConnection != null) { activeConnection.close(); }
+        activeConnection = latestConnection;
+        activeAttempt = attempt;
     }
 
     @Override public synchronized void close() {
-        state = State.CLOSED;
-        look.cancel(false);
-        if (link != null) { link.close(); }
-        if (teller != null) { teller.close(); }
+        state = SubscriptionState.CLOSED;
+        silenceCheck.cancel(false);
+        if (latestConnection != null) { latestConnection.close(); }
+        if (activeConnection != null) { activeConnection.close(); }
     }
 
+    /** Takes the stream of one attempt; the selector's thread alone calls it. */
     private final class StreamHandler implements HttpClientConnection.ResponseHandler {
-        private final long mine;
-        private final ServerSentEventDecoder sse = new ServerSentEventDecoder(MOST_EVENT);
-        private final long began = System.nanoTime();
+        private final long attempt;
+        private final ServerSentEventDecoder decoder = new ServerSentEventDecoder(MAX_EVENT_BYTES);
+        private final long requestedAtNanos = System.nanoTime();
 
-        StreamHandler(long mine) { this.mine = mine; }
+        StreamHandler(long attempt) { this.attempt = attempt; }
 
         @Override public boolean bodyPart(byte[] bytes) {
-            synchronized (EventStreamClient.this) {
-                if (!counts(mine)) { return true; }
-            }
-            long lines = sse.lines();
-            boolean fits = sse.take(bytes, (id, data) -> event(mine, data));
-            synchronized (EventStreamClient.this) {
-                if (mine == turn && sse.lines() > lines) { told(); } // bytes of a line that never ends are silence
-            }
-            if (!fits) { away(mine, "an event over " + MOST_EVENT + " bytes"); }
+            if (!isCurrent(attempt)) { return true; }
+            long linesBefore = decoder.lines();
+            boolean fits = decoder.take(bytes, (id, data) -> eventReceived(attempt, data));
+            // bytes of a line that never ends are silence
+            if (decoder.lines() > linesBefore) { dataReceived(attempt, requestedAtNanos); }
+            if (!fits) { disconnected(attempt, "an event over " + MAX_EVENT_BYTES + " bytes"); }
             return true;
         }
 
-        private void told() {
-            heard = System.nanoTime();
-            state = State.FOLLOWING;
-            if (heard - began > LASTS.toNanos()) { tries = 0; } // one that breaks off at once is not asked at full speed
-            if (telling == mine) { return; }
-            if (teller != null) { teller.close(); }
-            teller = link;
-            telling = mine;
-        }
-
         @Override public void responded(int status, Map<String, String> headers, byte[] body,
             boolean reusable) {
-            away(mine, "it ended with status " + status);
+            disconnected(attempt, "it ended with status " + status);
         }
 
-        @Override public void connectionLost(String why) { away(mine, why); }
+        @Override public void connectionLost(String why) { disconnected(attempt, why); }
     }
 }
--- a/src/test/java/switchgap/endpoints/EventStreamClientTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientTest.java
@@ -23,218 +23,234 @@
 import switchgap.router.EndpointUpdate;
 import switchgap.server.platform.ControlFeedServer;
 
-/** The control feed through all that may befall it. */
+/** The control feed through breaks, repeats, gaps, silence and a change of its address. */
 class EventStreamClientTest {
-    private static final EndpointListEvent.NameDirectory BOOK = new EndpointListEvent.NameDirectory(
+    private static final EndpointListEvent.NameDirectory DIRECTORY = new EndpointListEvent.NameDirectory(
         Map.of("east", 0), Map.of("std", 0), 1000);
 
-    private static String event(long n) {
-        return ControlFeedServer.event(n, false,
-            ControlFeedServer.worker("w" + n, "127.0.0.1:7", "SERVING", 0));
+    private static String event(long sequence) {
+        return ControlFeedServer.event(sequence, false,
+            ControlFeedServer.worker("w" + sequence, "127.0.0.1:7", "SERVING", 0));
     }
 
-    @Test void splitAnywhereEventsReadTheSame() {
+    @Test void decodesTheSameEventsWhereverTheStreamIsSplit() {
         byte[] stream = ": hello\r\nid: 4\r\ndata: a\r\ndata: b\r\n\r\nid:5\ndata:c\n\ndata: cut off".getBytes(
             StandardCharsets.UTF_8);
         for (int i = 0; i <= stream.length; i++) {
             ServerSentEventDecoder sse = new ServerSentEventDecoder(100);
-            List<String> got = new ArrayList<>();
+            List<String> received = new ArrayList<>();
             assertThat(
-                sse.take(java.util.Arrays.copyOf(stream, i), (id, d) -> got.add(id + "=" + d))).isTrue();
+                sse.take(java.util.Arrays.copyOf(stream, i),
+                    (id, data) -> received.add(id + "=" + data))).isTrue();
             assertThat(sse.take(java.util.Arrays.copyOfRange(stream, i, stream.length),
-                (id, d) -> got.add(id + "=" + d))).isTrue();
-            assertThat(got).as("split at %d", i).containsExactly("4=a\nb", "5=c");
+                (id, data) -> received.add(id + "=" + data))).isTrue();
+            assertThat(received).as("split at %d", i).containsExactly("4=a\nb", "5=c");
         }
         assertThat(new ServerSentEventDecoder(10).take("data: more than ten".getBytes(StandardCharsets.UTF_8),
-            (id, d) -> {})).isFalse();
+            (id, data) -> {})).isFalse();
     }
 
-    @Test void aLineBecomesAWorker() throws Exception {
-        EndpointListEvent e = EndpointListEvent.parse(ControlFeedServer.event(41, true,
-            ControlFeedServer.worker("s-1", "10.1.0.9:10080", "SERVING", 1500)), BOOK);
-        assertThat(e.sequence()).isEqualTo(41);
-        assertThat(e.complete()).isTrue();
-        assertThat(e.updates()).containsExactly(new EndpointUpdate("s-1", "10.1.0.9", 10080,
+    @Test void readsAWorkerOfAnEvent() throws Exception {
+        EndpointListEvent event = EndpointListEvent.parse(ControlFeedServer.event(41, true,
+            ControlFeedServer.worker("s-1", "10.1.0.9:10080", "SERVING", 1500)), DIRECTORY);
+        assertThat(event.sequence()).isEqualTo(41);
+        assertThat(event.complete()).isTrue();
+        assertThat(event.updates()).containsExactly(new EndpointUpdate("s-1", "10.1.0.9", 10080,
             WorkerState.READY, 0, 2, 0, 4, Duration.ofMillis(500)));
-        assertThat(EndpointListEvent.parse("{\"n\":5,\"news\":{}}", BOOK).updates()).isNull();
+        assertThat(EndpointListEvent.parse("{\"n\":5,\"news\":{}}", DIRECTORY).updates()).isNull();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"{", "[]", "{}", "{\"n\":1,\"members\":{}}",
         "{\"n\":1,\"members\":{\"targets\":[3]}}",
         "{\"n\":1,\"members\":{\"targets\":[{\"uid\":\"a\",\"state\":\"ODD\"}]}}", "{\"n\":1} more",
-        "{\"n\":1,\"members\":{\"targets\":[{\"uid\":\"a\",\"endpoint\":\"nowhere\",\"state\":\"SERVING\"}]}}"}) void nonsenseIsRefused(
+        "{\"n\":1,\"members\":{\"targets\":[{\"uid\":\"a\",\"endpoint\":\"nowhere\",\"state\":\"SERVING\"}]}}"}) void rejectsEventsThatCannotBeUsed(
             String text) {
-        assertThatThrownBy(() -> EndpointListEvent.parse(text, BOOK)).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> EndpointListEvent.parse(text, DIRECTORY)).isInstanceOf(IOException.class);
     }
 
-    private static void until(java.util.function.BooleanSupplier so) throws InterruptedException {
-        for (int i = 0; i < 600 && !so.getAsBoolean(); i++) { Thread.sleep(10); }
-        assertThat(so.getAsBoolean()).isTrue();
+    private static void await(java.util.function.BooleanSupplier condition) throws InterruptedException {
+        for (int i = 0; i < 600 && !condition.getAsBoolean(); i++) { Thread.sleep(10); }
+        assertThat(condition.getAsBoolean()).isTrue();
     }
 
-    @Test void eachNumberOnceAndInOrderThroughBreaksRepeatsAndGaps() throws Exception {
-        List<Long> got = new CopyOnWriteArrayList<>();
-        ControlFeedServer.Behaviour manner = (n, last, out) -> {
-            if (n == 0) { // cut in the middle of an event
+    @Test void deliversEachEventOnceAndInOrderThroughBreaksRepeatsAndGaps() throws Exception {
+        List<Long> received = new CopyOnWriteArrayList<>();
+        ControlFeedServer.Behaviour behaviour = (connection, last, out) -> {
+            if (connection == 0) { // cut in the middle of an event
                 ControlFeedServer.say(out, event(last + 1));
                 out.write(("data: " + event(last + 2).substring(0, 20)).getBytes(StandardCharsets.UTF_8));
                 return false;
             }
-            if (n == 1) { // twice, and then one that is missing before it
+            if (connection == 1) { // one event twice, and then one after a gap
                 ControlFeedServer.say(out, event(last));
                 ControlFeedServer.say(out, event(last + 1));
                 ControlFeedServer.say(out, event(last + 1));
                 ControlFeedServer.say(out, event(last + 3));
                 return true;
             }
-            if (n == 2) { ControlFeedServer.say(out, "{\"n\":\"nonsense\"}"); }
-            for (long e = last + 1; n > 2 && e <= 6; e++) { ControlFeedServer.say(out, event(e)); }
-            return n > 2;
+            if (connection == 2) { ControlFeedServer.say(out, "{\"n\":\"nonsense\"}"); }
+            for (long sequence = last + 1; connection > 2 && sequence <= 6; sequence++) {
+                ControlFeedServer.say(out, event(sequence));
+            }
+            return connection > 2;
         };
-        try (ControlFeedServer feed = new ControlFeedServer(manner);
-            NetworkTransport net = new NetworkTransport(1, "follow");
-            EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16),
-                1, BOOK, e -> got.add(e.sequence()), w -> {})) {
-            f.follow(feed.at());
-            until(() -> got.size() >= 5);
-            assertThat(got).containsExactly(2L, 3L, 4L, 5L, 6L);
+        try (ControlFeedServer feed = new ControlFeedServer(behaviour);
+            NetworkTransport network = new NetworkTransport(1, "follow");
+            EventStreamClient client = new EventStreamClient(
+                new HttpClientConnection.Factory(network, null, 1 << 16),
+                1, DIRECTORY, event -> received.add(event.sequence()), line -> {})) {
+            client.follow(feed.at());
+            await(() -> received.size() >= 5);
+            assertThat(received).containsExactly(2L, 3L, 4L, 5L, 6L);
             assertThat(feed.asked).startsWith(1L, 2L, 3L, 3L);
         }
     }
 
-    @Test void aSilentFeedIsAskedAnewAndAnotherAddressFollowedFromTheLastNumber() throws Exception {
-        List<Long> got = new CopyOnWriteArrayList<>();
-        ControlFeedServer.Behaviour tells = (n, last, out) -> {
-            if (n == 1) { ControlFeedServer.say(out, event(last + 1)); }
+    @Test void reconnectsToASilentFeedAndResumesAtAnotherAddress() throws Exception {
+        List<Long> received = new CopyOnWriteArrayList<>();
+        ControlFeedServer.Behaviour silentAtFirst = (connection, last, out) -> {
+            if (connection == 1) { ControlFeedServer.say(out, event(last + 1)); }
             return true; // and then says nothing
         };
-        ControlFeedServer.Behaviour later = (n, last, out) -> {
+        ControlFeedServer.Behaviour deliversOne = (connection, last, out) -> {
             ControlFeedServer.say(out, event(last + 1));
             return true;
         };
-        try (ControlFeedServer first = new ControlFeedServer(tells);
-            ControlFeedServer second = new ControlFeedServer(later);
-            NetworkTransport net = new NetworkTransport(1, "follow");
-            EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16),
-                1, BOOK, e -> got.add(e.sequence()), w -> {})) {
-            f.follow(first.at());
-            until(() -> got.size() == 1); // on the second connection, as the first was silent
-            assertThat(first.asked).containsExactly(1L, 1L);
-            f.follow(second.at());
-            until(() -> got.size() == 2);
-            assertThat(second.asked).containsExactly(2L);
+        try (ControlFeedServer firstFeed = new ControlFeedServer(silentAtFirst);
+            ControlFeedServer secondFeed = new ControlFeedServer(deliversOne);
+            NetworkTransport network = new NetworkTransport(1, "follow");
+            EventStreamClient client = new EventStreamClient(
+                new HttpClientConnection.Factory(network, null, 1 << 16),
+                1, DIRECTORY, event -> received.add(event.sequence()), line -> {})) {
+            client.follow(firstFeed.at());
+            await(() -> received.size() == 1); // on the second connection, as the first was silent
+            assertThat(firstFeed.asked).containsExactly(1L, 1L);
+            client.follow(secondFeed.at());
+            await(() -> received.size() == 2);
+            assertThat(secondFeed.asked).containsExactly(2L);
         }
     }
 
-    /** Bytes of an event that never ends are no sign of life: what the feed tells elsewhere counts as told. */
-    @Test void aFeedWhoseEventNeverEndsIsSilent() throws Exception {
-        List<Long> got = new CopyOnWriteArrayList<>();
-        ControlFeedServer.Behaviour manner = (n, last, out) -> {
-            if (n > 0) {
+    /**
+     * Bytes of an event that never ends are no sign of life: the next connection's events count.
+     */
+    @Test void treatsAFeedWhoseEventNeverEndsAsSilent() throws Exception {
+        List<Long> received = new CopyOnWriteArrayList<>();
+        ControlFeedServer.Behaviour behaviour = (connection, last, out) -> {
+            if (connection > 0) {
                 ControlFeedServer.say(out, event(last + 1));
                 return true;
             }
-            Thread trickles = new Thread(() -> {
+            Thread trickler = new Thread(() -> {
                 try {
                     out.write("data: ".getBytes(StandardCharsets.UTF_8));
                     for (int i = 0; i < 100; i++) {
                         out.write('x');
                         Thread.sleep(50);
                     }
-                } catch (IOException | InterruptedException x) {
-                    return; // it was left
+                } catch (IOException | InterruptedException e) {
+                    return; // the client closed the connection
                 }
             });
-            trickles.setDaemon(true);
-            trickles.start();
+            trickler.setDaemon(true);
+            trickler.start();
             return true;
         };
-        try (ControlFeedServer feed = new ControlFeedServer(manner);
-            NetworkTransport net = new NetworkTransport(1, "follow");
-            EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16),
-                1, BOOK, e -> got.add(e.sequence()), w -> {})) {
-            f.follow(feed.at());
-            long began = System.nanoTime();
-            until(() -> got.size() == 1);
-            assertThat((System.nanoTime() - began) / 1_000_000).isLessThan(4000); // its events count as told by then
+        try (ControlFeedServer feed = new ControlFeedServer(behaviour);
+            NetworkTransport network = new NetworkTransport(1, "follow");
+            EventStreamClient client = new EventStreamClient(
+                new HttpClientConnection.Factory(network, null, 1 << 16),
+                1, DIRECTORY, event -> received.add(event.sequence()), line -> {})) {
+            client.follow(feed.at());
+            long startedNanos = System.nanoTime();
+            await(() -> received.size() == 1);
+            assertThat((System.nanoTime() - startedNanos) / 1_000_000).isLessThan(4000); // from the second connection
         }
     }
 
-    /** Tells so many further events, once it may. */
-    private static ControlFeedServer.Behaviour once(CountDownLatch may, int events) {
-        return (n, last, out) -> {
+    /** Delivers so many further events, once it is released. */
+    private static ControlFeedServer.Behaviour afterRelease(CountDownLatch release, int events) {
+        return (connection, last, out) -> {
             try {
-                may.await();
-            } catch (InterruptedException x) {
+                release.await();
+            } catch (InterruptedException e) {
                 return false;
             }
-            for (int e = 1; e <= events; e++) { ControlFeedServer.say(out, event(last + e)); }
+            for (int i = 1; i <= events; i++) { ControlFeedServer.say(out, event(last + i)); }
             return true;
         };
     }
 
-    /** Moved by a new configuration to an address that has yet to speak: the old one's last words are heard. */
-    @Test void theOldAddressIsHeardUntilTheNewOneSpeaks() throws Exception {
-        List<Long> got = new CopyOnWriteArrayList<>();
-        CountDownLatch speak = new CountDownLatch(1);
-        ControlFeedServer.Behaviour beats = (n, last, out) -> {
+    /**
+     * Moved by a new configuration to an address that has yet to deliver: the old one's events count.
+     */
+    @Test void deliversFromTheOldAddressUntilTheNewOneDelivers() throws Exception {
+        List<Long> received = new CopyOnWriteArrayList<>();
+        CountDownLatch release = new CountDownLatch(1);
+        ControlFeedServer.Behaviour heartbeatOnly = (connection, last, out) -> {
             out.write(": beat\n\n".getBytes(StandardCharsets.UTF_8));
             return true;
         };
-        ControlFeedServer.Behaviour later = once(speak, 2); // the first of them the old one told, too
-        try (ControlFeedServer old = new ControlFeedServer(beats);
-            ControlFeedServer anew = new ControlFeedServer(later);
-            NetworkTransport net = new NetworkTransport(1, "follow");
-            EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16),
-                1, BOOK, e -> got.add(e.sequence()), w -> {})) {
-            f.follow(old.at());
-            until(() -> old.asked.size() == 1);
-            old.say(event(2));
-            until(() -> got.size() == 1);
-            f.follow(anew.at());
-            until(() -> anew.asked.size() == 1);
-            old.say(event(3));
-            until(() -> got.size() == 2);
-            speak.countDown();
-            until(() -> got.size() == 3);
-            assertThat(got).containsExactly(2L, 3L, 4L);
-            assertThat(old.ended(0)).isTrue();
-            assertThat(old.asked).hasSize(1);
-            assertThat(anew.asked).containsExactly(2L);
+        ControlFeedServer.Behaviour deliversTwo = afterRelease(release, 2); // the old one delivers the first of them, too
+        try (ControlFeedServer oldFeed = new ControlFeedServer(heartbeatOnly);
+            ControlFeedServer newFeed = new ControlFeedServer(deliversTwo);
+            NetworkTransport network = new NetworkTransport(1, "follow");
+            EventStreamClient client = new EventStreamClient(
+                new HttpClientConnection.Factory(network, null, 1 << 16),
+                1, DIRECTORY, event -> received.add(event.sequence()), line -> {})) {
+            client.follow(oldFeed.at());
+            await(() -> oldFeed.asked.size() == 1);
+            oldFeed.say(event(2));
+            await(() -> received.size() == 1);
+            client.follow(newFeed.at());
+            await(() -> newFeed.asked.size() == 1);
+            oldFeed.say(event(3));
+            await(() -> received.size() == 2);
+            release.countDown();
+            await(() -> received.size() == 3);
+            assertThat(received).containsExactly(2L, 3L, 4L);
+            assertThat(oldFeed.ended(0)).isTrue();
+            assertThat(oldFeed.asked).hasSize(1);
+            assertThat(newFeed.asked).containsExactly(2L);
         }
     }
 
-    /** The old address breaks off before the new one has spoken: it is not asked again, and the new one only once. */
-    @Test void theOldAddressMayEndBeforeTheNewOneSpeaks() throws Exception {
-        List<Long> got = new CopyOnWriteArrayList<>();
-        CountDownLatch speak = new CountDownLatch(1);
-        ControlFeedServer.Behaviour later = once(speak, 1);
-        ControlFeedServer old = new ControlFeedServer((n, last, out) -> {
+    /**
+     * The old address breaks off before the new one delivers: it is not asked again, the new one only once.
+     */
+    @Test void survivesTheEndOfTheOldAddressBeforeTheNewOneDelivers() throws Exception {
+        List<Long> received = new CopyOnWriteArrayList<>();
+        CountDownLatch release = new CountDownLatch(1);
+        ControlFeedServer.Behaviour deliversOne = afterRelease(release, 1);
+        ControlFeedServer oldFeed = new ControlFeedServer((connection, last, out) -> {
             out.write(": beat\n\n".getBytes(StandardCharsets.UTF_8));
             return true;
         });
-        try (ControlFeedServer anew = new ControlFeedServer(later);
-            NetworkTransport net = new NetworkTransport(1, "follow");
-            EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16),
-                1, BOOK, e -> got.add(e.sequence()), w -> {})) {
-            f.follow(old.at());
-            until(() -> old.asked.size() == 1);
-            old.say(event(2));
-            until(() -> got.size() == 1);
-            f.follow(anew.at());
-            until(() -> anew.asked.size() == 1);
-            old.close();
-            speak.countDown();
-            until(() -> got.size() == 2);
-            assertThat(anew.asked).containsExactly(2L);
+        try (ControlFeedServer newFeed = new ControlFeedServer(deliversOne);
+            NetworkTransport network = new NetworkTransport(1, "follow");
+            EventStreamClient client = new EventStreamClient(
+                new HttpClientConnection.Factory(network, null, 1 << 16),
+                1, DIRECTORY, event -> received.add(event.sequence()), line -> {})) {
+            client.follow(oldFeed.at());
+            await(() -> oldFeed.asked.size() == 1);
+            oldFeed.say(event(2));
+            await(() -> received.size() == 1);
+            client.follow(newFeed.at());
+            await(() -> newFeed.asked.size() == 1);
+            oldFeed.close();
+            release.countDown();
+            await(() -> received.size() == 2);
+            assertThat(newFeed.asked).containsExactly(2L);
         }
     }
 
-    /** A list that comes whole under the number of the last event says how things stand; an older one does not. */
-    @Test void aWholeListUnderTheLastNumberCountsAndAnOlderOneDoesNot() throws Exception {
-        List<String> got = new CopyOnWriteArrayList<>();
-        ControlFeedServer.Behaviour manner = (n, last, out) -> {
+    /**
+     * A complete list under the number of the last event is the current one; an older one is not.
+     */
+    @Test void acceptsACompleteListUnderTheLastNumberAndNoOlderOne() throws Exception {
+        List<String> received = new CopyOnWriteArrayList<>();
+        ControlFeedServer.Behaviour behaviour = (connection, last, out) -> {
             ControlFeedServer.say(out, ControlFeedServer.event(last - 1, true,
                 ControlFeedServer.worker("old", "127.0.0.1:7", "SERVING", 0)));
             ControlFeedServer.say(out, ControlFeedServer.event(last, true,
@@ -246,13 +262,15 @@
             ControlFeedServer.say(out, event(last + 4));
             return true;
         };
-        try (ControlFeedServer feed = new ControlFeedServer(manner);
-            NetworkTransport net = new NetworkTransport(1, "follow");
-            EventStreamClient f = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16),
-                5, BOOK, e -> got.add(e.sequence() + e.updates().get(0).name()), w -> {})) {
-            f.follow(feed.at());
-            until(() -> got.size() == 3);
-            assertThat(got).containsExactly("5same", "8ahead", "9w9");
+        try (ControlFeedServer feed = new ControlFeedServer(behaviour);
+            NetworkTransport network = new NetworkTransport(1, "follow");
+            EventStreamClient client = new EventStreamClient(
+                new HttpClientConnection.Factory(network, null, 1 << 16),
+                5, DIRECTORY, event -> received.add(event.sequence() + event.updates().get(0).name()),
+                line -> {})) {
+            client.follow(feed.at());
+            await(() -> received.size() == 3);
+            assertThat(received).containsExactly("5same", "8ahead", "9w9");
             assertThat(feed.asked).containsExactly(5L); // a gap before a whole list is none
         }
     }
