--- a/src/main/java/switchgap/server/platform/PlatformRouter.java
+++ b/src/main/java/switchgap/server/platform/PlatformRouter.java
@@ -17,150 +17,195 @@
 import switchgap.router.CoreLimits;
 import switchgap.router.RouterCore;
 
-/** A running router on the platform: one more way in and out of the core, under the module and nothing else. */
+/**
+ * A running router on the platform: Thrift to its clients, RESP to its workers, the control feed, and the
+ * core between them on its own loop. Its methods are for any thread but the loop's.
+ */
 final class PlatformRouter implements AutoCloseable {
-    // Of the descriptors, one in so many. A quarter is nobody's: files, selectors, the listener and the control feed.
-    private static final int CLIENT_SHARE = 3;
-    private static final int CROWD_SHARE = 12;      // clients that came while the loop had no time to make room
-    private static final int WORKER_SHARE = 3;
-    private static final int MOST_LINKS = 6;        // to one worker, descriptors allowing
-    private static final int MOST_FUNCTIONS = 4096; // known at a time
-    private static final int MOST_CALLS = 4096;     // held at a time
-    private static final int MOST_WAITING = 256;    // exchanges at one worker while a connection to it is opened
-    private static final int BYTE_SHARE = 16;       // of the heap, for what clients sent and for unread answers
-    private static final Duration ARRIVAL = Duration.ofMillis(2000);    // for a message to come whole
-    private static final Duration SWEEP = Duration.ofMillis(200);
-    // After SIGTERM new connections come for 0.4 s and calls for 0.2 s more; SIGKILL comes no sooner than the longest time
-    // limit, or 3 s where it is shorter, and 0.7 s more.
-    private static final Duration STILL_COME = Duration.ofMillis(1000);
-    private static final Duration LEAST_LONGEST = Duration.ofMillis(3000);
-    private static final Duration ANSWERED_BY = Duration.ofMillis(500); // past the longest: all is answered
-    private static final Duration LOOK = Duration.ofMillis(20);
-    private static final int QUIET = 3; // looks one after the other that find nothing under way
+    // Descriptors, one in so many. A quarter is nobody's: files, selectors, the listener and the control feed.
+    private static final int CLIENT_CONNECTION_SHARE = 3;
+    /** Clients that came while the loop had no time to make room. */
+    private static final int EXCESS_CONNECTION_SHARE = 12;
+    private static final int WORKER_CONNECTION_SHARE = 3;
+    /** Connections to one worker, descriptors allowing. */
+    private static final int MAX_CONNECTIONS_PER_WORKER = 6;
+    /** Exchanges that wait at one worker while a connection to it is opened. */
+    private static final int MAX_WAITING_EXCHANGES = 256;
+    /** Functions known at a time. */
+    private static final int MAX_FUNCTIONS = 4096;
+    private static final int MAX_PENDING_REQUESTS = 4096;
+    /** Of the heap, one in so many, for what clients sent and for unread responses. */
+    private static final int BUFFER_HEAP_SHARE = 16;
+    /** Of those bytes, one in so many for one connection's unread responses. */
+    private static final int UNREAD_RESPONSE_SHARE = 4;
+    private static final int MAX_FEED_BODY_BYTES = 1 << 16;
+    private static final int SELECTOR_THREADS = 1;
+    /** Time for a message to come whole. */
+    private static final Duration MESSAGE_TIMEOUT = Duration.ofMillis(2000);
+    private static final Duration SWEEP_INTERVAL = Duration.ofMillis(200);
+
     private final RateLimitedLog log;
-    private final NetworkTransport net;
+    private final PropertyRouterSettings settings;
+    private final NetworkTransport network;
     private final EventLoop loop;
     private final RespWorkerTransport workers;
-    private final ThriftServer door;
+    private final ThriftServer clients;
     private final EventStreamClient feed;
-    private final Duration longest;
+    private final Duration longestTimeout;
 
-    PlatformRouter(PlatformConfig g, RateLimitedLog log) throws IOException {
+    /**
+     * Starts a router; it serves once this returns.
+     *
+     * @throws IOException  if its address can't be listened at
+     */
+    PlatformRouter(PlatformConfig config, RateLimitedLog log) throws IOException {
         this.log = log;
-        PropertyRouterSettings terms = g.terms();
-        net = new NetworkTransport(1, "net");
-        AtomicReference<RespWorkerTransport> made = new AtomicReference<>();
-        RespWorkerTransport.ConnectionLimits bounds = new RespWorkerTransport.ConnectionLimits(
-            Math.max(1, g.sockets() / WORKER_SHARE), MOST_LINKS, MOST_WAITING, terms.attemptsPerConnection(),
-            terms.connectTimeout(), terms.connectionIdleTimeout().dividedBy(2),
-            terms.reportsConcurrency());
-        loop = new EventLoop(l -> {
-            made.set(new RespWorkerTransport(net, bounds, names(terms), terms.loadCommandTimeout(),
-                terms.connectTimeout(), l::now, l::post));
-            return new RouterCore(terms, g.seed(), made.get(),
-                new CoreLimits(terms.loadCommandTimeout(), terms.connectTimeout(), MOST_FUNCTIONS));
-        }, "loop", late -> {}, this::failed);
-        workers = made.get();
-        int bytes = (int) Math.min(Integer.MAX_VALUE, Runtime.getRuntime().maxMemory() / BYTE_SHARE);
-        door = new ThriftServer(terms, terms.namedIndices("Lanes"), terms.namedIndices("Tenants"),
-            new ThriftServer.ConnectionLimits(Math.max(1, g.sockets() / CLIENT_SHARE),
-                Math.max(1, g.sockets() / CROWD_SHARE), bytes / 4,
-                bytes, Math.min(terms.maxPendingRequests(), MOST_CALLS), ARRIVAL),
-            loop::now, loop::post, log::line);
-        longest = terms.longestTimeout();
-        feed = new EventStreamClient(new HttpClientConnection.Factory(net, null, 1 << 16), g.lastEvent(),
-            g.book(), this::list, log::line);
-        g.known().forEach(this::list);
-        CountDownLatch known = new CountDownLatch(1);
-        loop.post(c -> {
-            sweep(c);
-            known.countDown();
-        });
+        settings = config.settings();
+        network = new NetworkTransport(SELECTOR_THREADS, "net");
+        Consumer<String> logLines = log::line;
+        AtomicReference<RespWorkerTransport> transport = new AtomicReference<>();
+        loop = new EventLoop(eventLoop -> {
+            transport.set(workerTransport(eventLoop, config.maxSockets()));
+            return routerCore(transport.get(), config.seed());
+        }, "loop", late -> {}, this::tickFailed);
+        workers = transport.get();
+        clients = new ThriftServer(settings, settings.namedIndices("Lanes"), settings.namedIndices("Tenants"),
+            clientLimits(config.maxSockets()), loop::now, loop::post, logLines);
+        longestTimeout = settings.longestTimeout();
+        feed = new EventStreamClient(new HttpClientConnection.Factory(network, null, MAX_FEED_BODY_BYTES),
+            config.lastSequence(), config.directory(), this::eventReceived, logLines);
+        startLoop(config);
+        serve(config);
+    }
+
+    private RespWorkerTransport workerTransport(EventLoop eventLoop, int maxSockets) {
+        Duration idleTimeout = settings.connectionIdleTimeout().dividedBy(2); // before the worker closes it
+        RespWorkerTransport.ConnectionLimits limits = new RespWorkerTransport.ConnectionLimits(
+            share(maxSockets, WORKER_CONNECTION_SHARE), MAX_CONNECTIONS_PER_WORKER, MAX_WAITING_EXCHANGES,
+            settings.attemptsPerConnection(), settings.connectTimeout(),
+            idleTimeout, settings.reportsConcurrency());
+        return new RespWorkerTransport(network, limits, requestClassNames(), settings.loadCommandTimeout(),
+            settings.connectTimeout(), eventLoop::now, eventLoop::post);
+    }
+
+    private RouterCore routerCore(RespWorkerTransport transport, long seed) {
+        CoreLimits limits = new CoreLimits(settings.loadCommandTimeout(), settings.connectTimeout(),
+            MAX_FUNCTIONS);
+        return new RouterCore(settings, seed, transport, limits);
+    }
+
+    private ThriftServer.ConnectionLimits clientLimits(int maxSockets) {
+        long heapBytes = Runtime.getRuntime().maxMemory();
+        int bufferBytes = (int) Math.min(Integer.MAX_VALUE, heapBytes / BUFFER_HEAP_SHARE);
+        return new ThriftServer.ConnectionLimits(share(maxSockets, CLIENT_CONNECTION_SHARE),
+            share(maxSockets, EXCESS_CONNECTION_SHARE), bufferBytes / UNREAD_RESPONSE_SHARE, bufferBytes,
+            Math.min(settings.maxPendingRequests(), MAX_PENDING_REQUESTS), MESSAGE_TIMEOUT);
+    }
+
+    private static int share(int total, int share) { return Math.max(1, total / share); }
+
+    private String[] requestClassNames() {
+        String[] names = new String[settings.requestClassCount()];
+        settings.namedIndices("Lanes").forEach((name, at) -> names[at] = name);
+        return names;
+    }
+
+    /**
+     * Starts the loop and waits until the core knows the list so far: the first request must find its
+     * workers.
+     */
+    private void startLoop(PlatformConfig config) {
+        config.knownEvents().forEach(this::eventReceived);
+        CountDownLatch swept = post(this::sweep);
         loop.start();
         try {
-            known.await();
-        } catch (InterruptedException x) {
+            swept.await();
+        } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        door.listen(net, g.listen().getHostString(), g.listen().getPort());
-        feed.follow(g.feed());
-        door.good(true);
-        log.line("router " + g.name() + " serves at " + g.listen().getHostString() + ":" + door.port());
     }
 
-    private static String[] names(PropertyRouterSettings terms) {
-        String[] names = new String[terms.requestClassCount()];
-        terms.namedIndices("Lanes").forEach((name, at) -> names[at] = name);
-        return names;
+    private void serve(PlatformConfig config) throws IOException {
+        String host = config.listenAddress().getHostString();
+        clients.listen(network, host, config.listenAddress().getPort());
+        feed.follow(config.feed());
+        reportHealthy(true);
+        log.line("router " + config.name() + " serves at " + host + ":" + clients.port());
     }
 
-    int port() { return door.port(); }
+    /** The port that clients connect to. */
+    int port() { return clients.port(); }
 
     /** Goes on with the feed at another address. */
-    void follow(InetSocketAddress to) { feed.follow(to); }
+    void follow(InetSocketAddress address) {
+        feed.follow(address);
+    }
 
-    private void list(EndpointListEvent e) {
-        if (e.updates() != null) { loop.postUrgent(c -> c.endpointListReceived(e.complete(), e.updates())); }
+    private void eventReceived(EndpointListEvent event) {
+        if (event.updates() == null) { return; }
+        loop.postUrgent(core -> core.endpointListReceived(event.complete(), event.updates()));
     }
 
-    private void sweep(RouterCore c) {
-        door.sweep(c.now());
+    private void sweep(RouterCore core) {
+        clients.sweep(core.now());
         workers.sweep();
-        c.schedule(c.now().plus(SWEEP), () -> sweep(c));
+        core.schedule(core.now().plus(SWEEP_INTERVAL), () -> sweep(core));
     }
 
-    private void failed(Throwable e) { ServeCommand.failed(log, "a round failed", e); }
+    private void tickFailed(Throwable error) { ServeCommand.failed(log, "a tick failed", error); }
 
-    /**
-     * Is no longer good, goes on taking what may still come, and ends once nothing is under way: no call held, no message
-     * half come or unread by the loop, no answer unwritten. Whatever comes meanwhile is answered before SIGKILL can come.
-     */
+    /** Shuts down gracefully; blocks until all is closed. */
     void stop() throws InterruptedException {
-        Duration by = loop.now().plus(longest.compareTo(LEAST_LONGEST) < 0 ? LEAST_LONGEST : longest).plus(
-            ANSWERED_BY);
-        door.good(false);
-        Thread.sleep(STILL_COME.toMillis());
-        for (int quiet = 0; quiet < QUIET && loop.now().compareTo(by) < 0;) {
-            Thread.sleep(LOOK.toMillis());
-            quiet = held()[3] > 0 ? 0 : quiet + 1;
-        }
-        log.line("stopped, " + held()[0] + " calls held");
-        onLoop(c -> door.endAll(c));
-        Thread.sleep(LOOK.toMillis()); // for the last of them to be written
+        new GracefulShutdown(this, longestTimeout, log).run();
         close();
     }
 
-    /** Connections of clients as the selector knows them: what it has told of them may still wait for the loop. */
+    /** Time since the router's start. */
+    Duration now() { return loop.now(); }
+
+    /** What heartbeats of clients are answered from now on. */
+    void reportHealthy(boolean healthy) {
+        clients.good(healthy);
+    }
+
+    /** Fails all requests that are pending. */
+    void failPending() throws InterruptedException {
+        onLoop(clients::endAll);
+    }
+
+    /** Connections of clients as the selector knows them: the loop may not have seen some changes yet. */
     int connected() {
-        return door.connected();
+        return clients.connected();
     }
 
-    /** Calls held, connections of clients, connections to workers, client connections with anything under way. */
-    int[] held() throws InterruptedException {
-        int[] held = new int[4];
-        onLoop(c -> {
-            held[0] = door.held();
-            held[1] = door.connections();
-            held[2] = workers.connections();
-            held[3] = door.busy();
-        });
-        return held;
+    /** What the router holds now, as its loop knows it. */
+    ResourceUsage resourceUsage() throws InterruptedException {
+        AtomicReference<ResourceUsage> usage = new AtomicReference<>();
+        onLoop(core -> usage.set(new ResourceUsage(clients.held(), clients.connections(),
+            workers.connections(), clients.busy())));
+        return usage.get();
     }
 
-    /** Runs it in a round, and waits for that. */
+    /** Runs an event on the loop, and waits for that. */
     void onLoop(Consumer<RouterCore> event) throws InterruptedException {
+        post(event).await();
+    }
+
+    /** Posts an event to the loop; the latch opens once it has run. */
+    private CountDownLatch post(Consumer<RouterCore> event) {
         CountDownLatch done = new CountDownLatch(1);
-        loop.post(c -> {
-            event.accept(c);
+        loop.post(core -> {
+            event.accept(core);
             done.countDown();
         });
-        done.await();
+        return done;
     }
 
+    /** Closes at once; requests that are pending get no response. */
     @Override public void close() {
         feed.close();
-        door.close();
+        clients.close();
         loop.stop();
-        net.close();
+        network.close();
     }
 }
--- a/src/main/java/switchgap/server/platform/RateLimitedLog.java
+++ b/src/main/java/switchgap/server/platform/RateLimitedLog.java
@@ -1,26 +1,41 @@
 package switchgap.server.platform;
 
-/** Lines on standard error, so many a span at the most: what others send must not fill the log. */
+import java.time.Instant;
+
+/**
+ * Lines on standard error, a bounded number in each window: what others send must not fill the log. Any
+ * thread.
+ */
 final class RateLimitedLog {
-    private static final int MOST = 30;
-    private static final long SPAN = 10_000_000_000L;
-    private long began = System.nanoTime();
+    private static final int MAX_LINES_PER_WINDOW = 30;
+    private static final long WINDOW_NANOS = 10_000_000_000L;
+    private static final int MAX_LINE_LENGTH = 300;
+
+    private long windowStartNanos = System.nanoTime();
     private int lines;
-    private long left;
+    private long droppedLines;
 
+    /** Writes a line, cut to its bound, with the time; drops it when the window has had its number. */
     synchronized void line(String text) {
         long now = System.nanoTime();
-        if (now - began >= SPAN) {
-            if (left > 0) { System.err.println("switchgap: " + left + " lines were left out"); }
-            began = now;
-            lines = 0;
-            left = 0;
-        }
-        if (lines++ < MOST) {
-            System.err.println(java.time.Instant.now() + " switchgap: "
-                + (text == null ? "" : text.length() > 300 ? text.substring(0, 300) : text));
+        if (now - windowStartNanos >= WINDOW_NANOS) { startWindow(now); }
+        if (lines < MAX_LINES_PER_WINDOW) {
+            System.err.println(Instant.now() + " switchgap: " + bounded(text));
         } else {
-            left++;
+            droppedLines++;
         }
+        lines++;
+    }
+
+    private void startWindow(long now) {
+        if (droppedLines > 0) { System.err.println("switchgap: " + droppedLines + " lines were left out"); }
+        windowStartNanos = now;
+        lines = 0;
+        droppedLines = 0;
+    }
+
+    private static String bounded(String text) {
+        if (text == null) { return ""; }
+        return text.length() > MAX_LINE_LENGTH ? text.substring(0, MAX_LINE_LENGTH) : text;
     }
 }
--- /dev/null
+++ b/src/main/java/switchgap/server/platform/ResourceUsage.java
@@ -0,0 +1,12 @@
+package switchgap.server.platform;
+
+/**
+ * What a router holds at a time.
+ *
+ * @param pendingRequests        requests that have no response yet
+ * @param clientConnections      connections of clients, as the loop knows them
+ * @param workerConnections      connections to workers, up or being opened
+ * @param busyClientConnections  connections of clients with a request, a message or a response under way
+ */
+record ResourceUsage(int pendingRequests, int clientConnections, int workerConnections,
+    int busyClientConnections) {}
--- a/src/main/java/switchgap/server/platform/ServeCommand.java
+++ b/src/main/java/switchgap/server/platform/ServeCommand.java
@@ -1,54 +1,71 @@
 package switchgap.server.platform;
 
 import java.io.IOException;
+import java.net.InetSocketAddress;
 import java.util.logging.Level;
 import java.util.logging.Logger;
+import switchgap.config.InvalidConfigException;
 
-/** The command {@code serve}: a router on the platform until SIGTERM. Exit codes: 0 stopped, 1 failed, 2 unusable input, 70 a fault of its own. */
+/**
+ * The command {@code serve}: a router on the platform until SIGTERM. Exit codes: 0 stopped, 1 failed, 2
+ * unusable input, 70 an internal error.
+ */
 public final class ServeCommand {
-    private static final Logger GRIZZLY = Logger.getLogger("org.glassfish.grizzly"); // held, or its level is lost
-
-    private static final int FAILED = 70;
+    private static final int EXIT_STOPPED = 0;
+    private static final int EXIT_FAILED = 1;
+    private static final int EXIT_UNUSABLE_INPUT = 2;
+    private static final int EXIT_INTERNAL_ERROR = 70;
+    /** Referenced for good: a logger that nobody references is collected, and its level is lost. */
+    private static final Logger GRIZZLY = Logger.getLogger("org.glassfish.grizzly");
 
     private ServeCommand() {}
 
-    /** A process of which a part is dead serves nobody: it ends with a line, and starts again from nothing. */
-    static void failed(RateLimitedLog log, String what, Throwable e) {
-        StackTraceElement[] at = e.getStackTrace();
-        log.line(what + ", the router stops: " + e + (at.length > 0 ? " at " + at[0] : ""));
-        Runtime.getRuntime().halt(FAILED);
+    /** Ends a process of which a part is dead: it would serve nobody, and starts again from nothing. */
+    static void failed(RateLimitedLog log, String what, Throwable error) {
+        StackTraceElement[] stack = error.getStackTrace();
+        String place = stack.length > 0 ? " at " + stack[0] : "";
+        log.line(what + ", the router stops: " + error + place);
+        Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR);
     }
 
+    /** Serves until SIGTERM; returns the exit code. */
     public static int run() {
         RateLimitedLog log = new RateLimitedLog();
-        GRIZZLY.setLevel(Level.OFF); // it tells of each connection that a peer broke
+        GRIZZLY.setLevel(Level.OFF); // it reports each connection that a peer broke
         Thread.setDefaultUncaughtExceptionHandler(
-            (t, e) -> failed(log, "thread " + t.getName() + " ended", e));
+            (thread, error) -> failed(log, "thread " + thread.getName() + " ended", error));
+        try {
+            serve(log);
+            return EXIT_STOPPED;
+        } catch (InvalidConfigException e) {
+            System.err.println("switchgap: " + e.getMessage());
+            return EXIT_UNUSABLE_INPUT;
+        } catch (IOException | ReflectiveOperationException e) {
+            System.err.println("switchgap: " + e.getMessage());
+            return EXIT_FAILED;
+        } catch (InterruptedException e) {
+            return EXIT_FAILED;
+        }
+    }
+
+    private static void serve(RateLimitedLog log)
+        throws IOException, ReflectiveOperationException, InterruptedException {
+        SignalHandlers signals = new SignalHandlers();
+        PlatformConfig config = PlatformConfig.read(System.getenv(), System.currentTimeMillis());
+        PlatformRouter router = new PlatformRouter(config, log);
+        signals.onHangup(() -> followConfiguredFeed(router, log));
+        signals.awaitTermination();
+        router.stop();
+    }
+
+    private static void followConfiguredFeed(PlatformRouter router, RateLimitedLog log) {
         try {
-            SignalHandlers signals = new SignalHandlers();
-            PlatformRouter p = new PlatformRouter(
-                PlatformConfig.read(System.getenv(), System.currentTimeMillis()), log);
-            signals.hup(() -> {
-                try {
-                    var feed = PlatformConfig.feed(System.getenv());
-                    log.line("SIGHUP: the control feed is followed at " + feed.getHostString() + ":"
-                        + feed.getPort());
-                    p.follow(feed);
-                } catch (InvalidPlatformConfigException x) {
-                    log.line("SIGHUP: the old feed is kept: " + x.getMessage());
-                }
-            });
-            signals.awaitTerm();
-            p.stop();
-            return 0;
-        } catch (InvalidPlatformConfigException x) {
-            System.err.println("switchgap: " + x.getMessage());
-            return 2;
-        } catch (IOException | ReflectiveOperationException x) {
-            System.err.println("switchgap: " + x.getMessage());
-            return 1;
-        } catch (InterruptedException x) {
-            return 1;
+            InetSocketAddress feed = PlatformConfig.readFeed(System.getenv());
+            log.line(
+                "SIGHUP: the control feed is followed at " + feed.getHostString() + ":" + feed.getPort());
+            router.follow(feed);
+        } catch (InvalidConfigException e) {
+            log.line("SIGHUP: the old feed is kept: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/switchgap/server/platform/SignalHandlers.java
+++ b/src/main/java/switchgap/server/platform/SignalHandlers.java
@@ -1,49 +1,67 @@
 package switchgap.server.platform;
 
 import java.lang.reflect.InvocationHandler;
+import java.lang.reflect.Method;
 import java.lang.reflect.Proxy;
 import java.util.concurrent.CountDownLatch;
 
 /**
- * HUP and TERM. A HUP before anybody listens must not end the process, so the handlers are there before anything else;
- * it is kept until somebody does. The compiler knows the JDK's handler type only with a warning, hence by name.
+ * Handlers of SIGHUP, SIGTERM and SIGINT. A SIGHUP before anybody listens must not end the process, so the
+ * handlers are installed before anything else; it is kept until somebody does. The JDK's handler type is used
+ * by name, as the compiler knows it only with a warning.
  */
 final class SignalHandlers {
-    private Runnable hup;
-    private boolean missed;
-    private final CountDownLatch term = new CountDownLatch(1);
+    private static final String SIGNAL_TYPE = "sun.misc.Signal";
+    private static final String HANDLER_TYPE = "sun.misc.SignalHandler";
 
+    private final CountDownLatch termination = new CountDownLatch(1);
+    private Runnable hangupListener;
+    private boolean hangupMissed;
+
+    /** Installs the handlers. */
     SignalHandlers() throws ReflectiveOperationException {
-        on("HUP", this::hup);
-        on("TERM", term::countDown);
-        on("INT", term::countDown);
+        install("HUP", this::hangup);
+        install("TERM", termination::countDown);
+        install("INT", termination::countDown);
     }
 
     /** One at a time, so that the one which began last has read the newest file. */
-    private synchronized void hup() {
-        missed = hup == null;
-        if (hup != null) { hup.run(); }
+    private synchronized void hangup() {
+        hangupMissed = hangupListener == null;
+        if (hangupListener != null) { hangupListener.run(); }
+    }
+
+    /** Runs the listener at each SIGHUP from now on, and now where one came before. */
+    synchronized void onHangup(Runnable listener) {
+        hangupListener = listener;
+        if (hangupMissed) { hangup(); }
+    }
+
+    /** Waits for SIGTERM or SIGINT. */
+    void awaitTermination() throws InterruptedException {
+        termination.await();
     }
 
-    /** Runs at each HUP from now on, and now where one came before. */
-    synchronized void hup(Runnable then) {
-        hup = then;
-        if (missed) { hup(); }
+    private static void install(String signalName, Runnable action) throws ReflectiveOperationException {
+        Class<?> signalType = Class.forName(SIGNAL_TYPE);
+        Class<?> handlerType = Class.forName(HANDLER_TYPE);
+        InvocationHandler invocations = (proxy, method, arguments) -> invoke(proxy, method, arguments,
+            action);
+        Object handler = Proxy.newProxyInstance(SignalHandlers.class.getClassLoader(),
+            new Class<?>[] {handlerType}, invocations);
+        Object signal = signalType.getConstructor(String.class).newInstance(signalName);
+        signalType.getMethod("handle", signalType, handlerType).invoke(null, signal, handler);
     }
 
-    void awaitTerm() throws InterruptedException { term.await(); }
-
-    private static void on(String name, Runnable then) throws ReflectiveOperationException {
-        Class<?> signal = Class.forName("sun.misc.Signal");
-        Class<?> handler = Class.forName("sun.misc.SignalHandler");
-        InvocationHandler told = (proxy, method, args) -> {
-            if (method.getName().equals("handle")) { then.run(); }
-            return method.getName().equals("hashCode") ? (Object) System.identityHashCode(proxy)
-                : method.getName().equals("equals") ? (Object) (proxy == args[0]) : null;
-        };
-        Object h = Proxy.newProxyInstance(SignalHandlers.class.getClassLoader(), new Class<?>[] {handler},
-            told);
-        signal.getMethod("handle", signal, handler).invoke(null,
-            signal.getConstructor(String.class).newInstance(name), h);
+    /** A method of the handler, or one of those that every object has. */
+    private static Object invoke(Object proxy, Method method, Object[] arguments, Runnable action) {
+        String name = method.getName();
+        if (name.equals("handle")) {
+            action.run();
+            return null;
+        }
+        if (name.equals("hashCode")) { return System.identityHashCode(proxy); }
+        if (name.equals("equals")) { return proxy == arguments[0]; }
+        return null;
     }
 }
--- a/src/test/java/switchgap/server/platform/DepartedClientsTest.java
+++ b/src/test/java/switchgap/server/platform/DepartedClientsTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that close, withdraw or come again between two steps of the router; the crossing is forced by holding its loop. */
+/**
+ * Clients that close, withdraw or come again between two steps of the router; the crossing is forced by
+ * holding its loop.
+ */
 class DepartedClientsTest extends PlatformFixture {
     private ThriftTestClient served(ThriftTestClient c, RespTestServer w, int number) throws Exception {
         String id = id();
@@ -22,19 +25,25 @@
         return c;
     }
 
-    /** Seen on roll+mass: a call pushed back as it came was counted as held until its connection ended, also at a stop. */
+    /**
+     * Seen on roll+mass: a call pushed back as it came was counted as held until its connection ended, also
+     * at a stop.
+     */
     @Test void aCallAnsweredAsItComesIsNotHeld() throws Exception {
         serve(256, new RespTestServer(RespTestServer::well));
         ThriftTestClient c = client();
         String id = id();
         c.ask(1, ThriftTestClient.fields("again", id, 60, F), "hopeless");
         assertThat(c.reply().field()).isEqualTo(1);
-        assertThat(platform.held()[0]).isZero();
+        assertThat(platform.resourceUsage().pendingRequests()).isZero();
         c.ask(2, ThriftTestClient.fields("again", id, 900, F), "again");
         assertThat(text(c.reply())).isEqualTo(id + ":again");
     }
 
-    /** Seen on roll+mass and join+mass: the round that should have given up came 3 ms past the limit, and nothing was said. */
+    /**
+     * Seen on roll+mass and join+mass: the round that should have given up came 3 ms past the limit, and
+     * nothing was said.
+     */
     @Test void aCallWhoseLimitPassedWhileTheRouterStoodStillGetsItsAnswer() throws Exception {
         RespTestServer w = new RespTestServer(
             (a, out) -> a.word().equals("DO") || RespTestServer.well(a, out));
@@ -50,7 +59,7 @@
         }
         assertThat(List.of(c.reply().number(), c.reply().number())).containsExactlyInAnyOrder(1, 2);
         assertThat(late.reply().field()).isEqualTo(1);
-        assertThat(platform.held()[0]).isZero();
+        assertThat(platform.resourceUsage().pendingRequests()).isZero();
     }
 
     @Test void whatIsWithdrawnBehindItInTheQueueNeverGoesOut() throws Exception {
@@ -73,10 +82,13 @@
         }
         served(c, w, 4);
         assertThat(w.asked).noneMatch(a -> a.id().equals(withdrawn) || a.id().equals(closed));
-        assertThat(platform.held()[0]).isZero();
+        assertThat(platform.resourceUsage().pendingRequests()).isZero();
     }
 
-    /** The answer that lets a second execution begin, and the end of the client, taken in one round in this order. */
+    /**
+     * The answer that lets a second execution begin, and the end of the client, taken in one round in this
+     * order.
+     */
     @Test void noFurtherExecutionBeginsInTheRoundInWhichTheClientsEndIsWaiting() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         CountDownLatch answered = new CountDownLatch(1);
@@ -121,7 +133,10 @@
             a -> !a.id().equals(but)).count();
     }
 
-    /** Without leave to cancel, too: an execution that waits for its connection went out when that came up, for nobody. */
+    /**
+     * Without leave to cancel, too: an execution that waits for its connection went out when that came up,
+     * for nobody.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false}) void whatWaitsForAConnectionDoesNotGoOutOnceItsClientHasLeft(
         boolean mayCancel) throws Exception {
@@ -142,11 +157,11 @@
         String left = id();
         String kept = id();
         leaves.ask(1, ThriftTestClient.fields("again", left, 8000, F), "x");
-        until(() -> held(0) == 1 && held(2) > 0);
+        until(() -> usage().pendingRequests() == 1 && usage().workerConnections() > 0);
         stays.ask(1, ThriftTestClient.fields("again", kept, 8000, F), "x");
-        until(() -> held(0) == 2);
+        until(() -> usage().pendingRequests() == 2);
         leaves.close();
-        until(() -> held(0) == 1);
+        until(() -> usage().pendingRequests() == 1);
         CountDownLatch came = new CountDownLatch(1);
         StringBuilder heard = new StringBuilder();
         Thread accepts = new Thread(() -> {
@@ -174,11 +189,11 @@
         assertThat(heard.toString()).contains(kept).doesNotContain(left);
     }
 
-    private int held(int what) {
+    private ResourceUsage usage() {
         try {
-            return platform.held()[what];
-        } catch (InterruptedException x) {
-            throw new IllegalStateException(x);
+            return platform.resourceUsage();
+        } catch (InterruptedException e) {
+            throw new IllegalStateException(e);
         }
     }
 
@@ -204,7 +219,10 @@
         assertThat(old.reply()).isNull();
     }
 
-    /** With each place taken by connections that wait for an answer, the one that has just come goes, not one of them. */
+    /**
+     * With each place taken by connections that wait for an answer, the one that has just come goes, not one
+     * of them.
+     */
     @Test void aConnectionWithACallIsNeverTheOneThatMakesRoom() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         RespTestServer w = new RespTestServer((a, out) -> {
@@ -218,7 +236,7 @@
             c.ask(1, ThriftTestClient.fields("again", id(), 900, F), "x");
             all.add(c);
         }
-        until(() -> held(0) == 10);
+        until(() -> usage().pendingRequests() == 10);
         try (AutoCloseable gate = holdLoop()) {
             ThriftTestClient newest = client();
             newest.ask(1, ThriftTestClient.fields("again", id(), 900, F), "x"); // it is busy, too
--- a/src/test/java/switchgap/server/platform/DescriptorLimitTest.java
+++ b/src/test/java/switchgap/server/platform/DescriptorLimitTest.java
@@ -47,7 +47,7 @@
         for (int n = 1; n <= 400; n++) {
             c.ask(n, ThriftTestClient.fields("again", id(), 900, String.format("%016x", n)), "x");
             assertThat(c.reply().field()).as("call %d", n).isZero();
-            most = Math.max(most, platform.held()[2]);
+            most = Math.max(most, platform.resourceUsage().workerConnections());
         }
         assertThat(peers.stream().filter(p -> !p.came("DO").isEmpty()).count()).isGreaterThan(SOCKETS / 2);
         assertThat(most).isBetween(SOCKETS / 4, SOCKETS / 3 + 2); // one that makes room is closed as the next is opened
--- a/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
+++ b/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
@@ -53,7 +53,8 @@
         ThriftTestClient c = new ThriftTestClient(platform.port(), 4096); // its system takes little of what it does not read
         open.add(c);
         int calls = 0;
-        while (platform.held()[3] == 0 || platform.held()[0] > 0) { // until answered ones wait to be written
+        while (platform.resourceUsage().busyClientConnections() == 0
+            || platform.resourceUsage().pendingRequests() > 0) { // until answered ones wait to be written
             assertThat(++calls).isLessThan(2000);
             int asked = calls;
             c.ask(asked, ThriftTestClient.fields("again", id(), 900, F), "x");
--- a/src/test/java/switchgap/server/platform/PlatformFixture.java
+++ b/src/test/java/switchgap/server/platform/PlatformFixture.java
@@ -14,7 +14,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A router on the platform between scripted clients, workers and a feed; what is judged is what these saw. */
+/**
+ * A router on the platform between scripted clients, workers and a feed; what is judged is what these saw.
+ */
 abstract class PlatformFixture {
     static final String F = "00000000000000f1";
     @TempDir Path dir;
@@ -125,7 +127,10 @@
         };
     }
 
-    /** All that this client sent so far has been read: the answer to a heartbeat does not pass through the loop. */
+    /**
+     * All that this client sent so far has been read: the answer to a heartbeat does not pass through the
+     * loop.
+     */
     static void read(ThriftTestClient c, int number) throws Exception {
         c.heartbeat(number);
         assertThat(c.reply().number()).isEqualTo(number);
--- a/src/test/java/switchgap/server/platform/PlatformRouterTest.java
+++ b/src/test/java/switchgap/server/platform/PlatformRouterTest.java
@@ -78,7 +78,10 @@
         assertThat(c.reply().number()).isEqualTo(9); // and nothing stands before it
     }
 
-    /** Rule 2: what may have run is not run again, what a broken, spoilt or silent connection leaves open neither. */
+    /**
+     * Rule 2: what may have run is not run again, what a broken, spoilt or silent connection leaves open
+     * neither.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"failed", "close", "noise", "silent",
         "huge"}) void aRunOnceJobThatMayHaveRunIsFailedAndNeverSentAgain(String what) throws Exception {
@@ -211,7 +214,10 @@
         assertThat(c.reply().number()).isEqualTo(3);
     }
 
-    /** Rule 3, and a new worker at the address of one that has gone: nothing goes to it on the old connections. */
+    /**
+     * Rule 3, and a new worker at the address of one that has gone: nothing goes to it on the old
+     * connections.
+     */
     @Test void nothingNewToADrainingWorkerAndANewIdIsANewWorker() throws Exception {
         RespTestServer one = new RespTestServer(RespTestServer::well);
         RespTestServer two = new RespTestServer(RespTestServer::well);
@@ -283,10 +289,10 @@
             }
         }
         Thread.sleep(500);
-        int[] held = platform.held();
-        assertThat(held[0]).as("calls").isZero();
-        assertThat(held[1]).as("connections of clients").isLessThanOrEqualTo(1);
-        assertThat(held[2]).as("connections to workers").isLessThanOrEqualTo(6);
+        ResourceUsage usage = platform.resourceUsage();
+        assertThat(usage.pendingRequests()).as("pending requests").isZero();
+        assertThat(usage.clientConnections()).as("connections of clients").isLessThanOrEqualTo(1);
+        assertThat(usage.workerConnections()).as("connections to workers").isLessThanOrEqualTo(6);
     }
 
     @ParameterizedTest
--- a/src/test/java/switchgap/server/platform/ServeProcessTest.java
+++ b/src/test/java/switchgap/server/platform/ServeProcessTest.java
@@ -13,7 +13,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The router as a process, with signals as signals. Its configuration is a pipe where its start has to be held. */
+/**
+ * The router as a process, with signals as signals. Its configuration is a pipe where its start has to be
+ * held.
+ */
 class ServeProcessTest extends PlatformFixture {
     private Path file;
     private Process process;
@@ -49,7 +52,10 @@
 
     private void signal(String name) throws Exception { shell("kill -" + name + " " + process.pid()); }
 
-    /** A connection that has its answer; one that came while the router made room was closed, and is opened again as clients do. */
+    /**
+     * A connection that has its answer; one that came while the router made room was closed, and is opened
+     * again as clients do.
+     */
     private ThriftTestClient answered(int port) throws Exception {
         for (int i = 0; i < 50; i++) {
             ThriftTestClient c = new ThriftTestClient(port);
@@ -81,7 +87,10 @@
         shell("mkfifo " + file);
     }
 
-    /** The new configuration and its SIGHUP come while the old one is being read; the signal counted for nothing. */
+    /**
+     * The new configuration and its SIGHUP come while the old one is being read; the signal counted for
+     * nothing.
+     */
     @Test void aSighupDuringTheStartCounts() throws Exception {
         pipe();
         try (RespTestServer w = new RespTestServer(RespTestServer::well);
@@ -145,7 +154,10 @@
         }
     }
 
-    /** With its descriptors taken by idle clients as far as it lets them, the feed comes back and jobs are served. */
+    /**
+     * With its descriptors taken by idle clients as far as it lets them, the feed comes back and jobs are
+     * served.
+     */
     @Test void idleClientsLeaveRoomForTheFeedAndTheWorkers() throws Exception {
         file = dir.resolve("config.json");
         try (RespTestServer w = new RespTestServer(RespTestServer::well)) {
--- a/src/test/java/switchgap/server/platform/ThriftTestClient.java
+++ b/src/test/java/switchgap/server/platform/ThriftTestClient.java
@@ -16,7 +16,10 @@
 
 /** A client on a plain socket, with Apache Thrift's codec. */
 public final class ThriftTestClient implements AutoCloseable {
-    /** What came: the message's type and number; of a reply the result's field (0 Answer, 1 Full, 2 Error), fields and body. */
+    /**
+     * What came: the message's type and number; of a reply the result's field (0 Answer, 1 Full, 2 Error),
+     * fields and body.
+     */
     record Reply(int type, int number, int field, Map<String, String> fields, byte[] body, boolean good) {}
 
     final Socket socket;
