--- a/src/test/java/switchgap/server/platform/ControlFeedServer.java
+++ b/src/test/java/switchgap/server/platform/ControlFeedServer.java
@@ -14,49 +14,49 @@
 
 /** A scripted control feed on a plain socket. */
 public final class ControlFeedServer implements AutoCloseable {
-    /** Tells on the n-th connection, from 0; false closes it. */
+    /** Delivers on a connection, counted from 0; false closes it. */
     public interface Behaviour {
-        boolean tell(int n, long last, OutputStream out) throws IOException;
+        boolean tell(int connection, long last, OutputStream out) throws IOException;
     }
 
     public final List<Long> asked = new CopyOnWriteArrayList<>();
     private final List<Socket> open = new CopyOnWriteArrayList<>();
     private final ServerSocket listener;
 
-    public ControlFeedServer(Behaviour manner) throws IOException { this(0, manner); }
+    public ControlFeedServer(Behaviour behaviour) throws IOException { this(0, behaviour); }
 
-    public ControlFeedServer(int port, Behaviour manner) throws IOException {
+    public ControlFeedServer(int port, Behaviour behaviour) throws IOException {
         listener = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-        Thread t = new Thread(() -> {
+        Thread thread = new Thread(() -> {
             try {
-                for (int n = 0;; n++) { serve(listener.accept(), n, manner); }
-            } catch (IOException x) {
-                return; // closed
+                for (int connection = 0;; connection++) { serve(listener.accept(), connection, behaviour); }
+            } catch (IOException e) {
+                return; // the server was closed
             }
         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
-    private void serve(Socket s, int n, Behaviour manner) throws IOException {
-        open.add(s);
+    private void serve(Socket socket, int connection, Behaviour behaviour) throws IOException {
+        open.add(socket);
         try {
             BufferedReader in = new BufferedReader(
-                new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
+                new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
             long last = -1;
-            for (String l = in.readLine(); l != null && !l.isEmpty(); l = in.readLine()) {
-                if (l.toLowerCase(java.util.Locale.ROOT).startsWith("last-event-id:")) {
-                    last = Long.parseLong(l.substring(14).trim());
+            for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
+                if (line.toLowerCase(java.util.Locale.ROOT).startsWith("last-event-id:")) {
+                    last = Long.parseLong(line.substring(14).trim());
                 }
             }
             asked.add(last);
-            OutputStream out = s.getOutputStream();
+            OutputStream out = socket.getOutputStream();
             out.write(
                 "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n".getBytes(
                     StandardCharsets.US_ASCII));
-            if (!manner.tell(n, last, out)) { s.close(); }
-        } catch (IOException x) {
-            s.close(); // the follower left
+            if (!behaviour.tell(connection, last, out)) { socket.close(); }
+        } catch (IOException e) {
+            socket.close(); // the client closed the connection
         }
     }
 
@@ -70,14 +70,14 @@
         say(open.get(open.size() - 1).getOutputStream(), event);
     }
 
-    /** Whether the follower has closed the n-th connection; waits for that. */
-    public boolean ended(int n) throws IOException {
-        open.get(n).setSoTimeout(5000);
-        return open.get(n).getInputStream().read() < 0;
+    /** Whether the client has closed a connection, counted from 0; waits for that. */
+    public boolean ended(int connection) throws IOException {
+        open.get(connection).setSoTimeout(5000);
+        return open.get(connection).getInputStream().read() < 0;
     }
 
-    public static String event(long n, boolean all, String... workers) {
-        return "{\"n\":" + n + ",\"members\":{\"rev\":7,\"all\":" + all + ",\"targets\":["
+    public static String event(long sequence, boolean all, String... workers) {
+        return "{\"n\":" + sequence + ",\"members\":{\"rev\":7,\"all\":" + all + ",\"targets\":["
             + String.join(",", workers) + "]}}";
     }
 
@@ -91,6 +91,6 @@
 
     @Override public void close() throws IOException {
         listener.close();
-        for (Socket s : open) { s.close(); }
+        for (Socket socket : open) { socket.close(); }
     }
 }
--- a/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
+++ b/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
@@ -7,14 +7,14 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** A planned restart with something under way in each place that a request or an answer can be. */
+/** A graceful shutdown with something under way in each place that a request or a response can be. */
 class GracefulShutdownTest extends PlatformFixture {
     private Thread stopping() throws Exception {
-        Thread t = stop();
-        try (ThriftTestClient c = new ThriftTestClient(platform.port())) {
-            for (int n = 1;; n++) { // it is told by a heartbeat
-                c.heartbeat(n);
-                if (!c.reply().good()) { return t; }
+        Thread thread = stop();
+        try (ThriftTestClient client = new ThriftTestClient(platform.port())) {
+            for (int number = 1;; number++) { // it is told by a heartbeat
+                client.heartbeat(number);
+                if (!client.reply().good()) { return thread; }
             }
         }
     }
@@ -25,100 +25,100 @@
     }
 
     /** The rest of a request that came in pieces comes later than the last new one may. */
-    @Test void aRequestHalfComeIsWaitedFor() throws Exception {
-        serve(256, new RespTestServer(RespTestServer::well));
-        ThriftTestClient c = client();
-        read(c, 1);
+    @Test void waitsForTheRestOfAPartialRequest() throws Exception {
+        serve(256, new RespTestServer(RespTestServer::serveAll));
+        ThriftTestClient client = client();
+        read(client, 1);
         String id = id();
-        byte[] frame = ThriftTestClient.submit(2, ThriftTestClient.fields("again", id, 900, F),
+        byte[] frame = ThriftTestClient.submit(2, ThriftTestClient.fields("again", id, 900, FUNCTION),
             "x".getBytes());
-        c.raw(Arrays.copyOf(frame, 30));
+        client.raw(Arrays.copyOf(frame, 30));
         Thread stopping = stopping();
-        Thread.sleep(1400); // calls are taken for 1 s, and the piece may lie for 2 s
-        c.raw(Arrays.copyOfRange(frame, 30, frame.length));
-        assertThat(text(c.reply())).isEqualTo(id + ":x");
+        Thread.sleep(1400); // requests are taken for 1 s, and a message may take 2 s
+        client.raw(Arrays.copyOfRange(frame, 30, frame.length));
+        assertThat(text(client.reply())).isEqualTo(id + ":x");
         ended(stopping);
     }
 
-    /** Answers that their client reads slowly are written whole before the end. */
-    @Test void answersAreWrittenToTheirEnd() throws Exception {
-        RespTestServer w = new RespTestServer((a, out) -> {
-            if (a.word().equals("DO")) {
-                RespTestServer.say(out, a.id(), "data", "-", "y".repeat(16000));
+    /** Responses that their client reads slowly are written whole before the end. */
+    @Test void writesResponsesToTheirEnd() throws Exception {
+        RespTestServer worker = new RespTestServer((command, out) -> {
+            if (command.word().equals("DO")) {
+                RespTestServer.say(out, command.id(), "data", "-", "y".repeat(16000));
                 return true;
             }
-            return RespTestServer.well(a, out);
+            return RespTestServer.serveAll(command, out);
         });
-        serve(256, w);
-        ThriftTestClient c = new ThriftTestClient(platform.port(), 4096); // its system takes little of what it does not read
-        open.add(c);
+        serve(256, worker);
+        ThriftTestClient client = new ThriftTestClient(platform.port(), 4096); // its system takes little of what it does not read
+        resources.add(client);
         int calls = 0;
         while (platform.resourceUsage().busyClientConnections() == 0
-            || platform.resourceUsage().pendingRequests() > 0) { // until answered ones wait to be written
+            || platform.resourceUsage().pendingRequests() > 0) { // until responses wait to be written
             assertThat(++calls).isLessThan(2000);
             int asked = calls;
-            c.ask(asked, ThriftTestClient.fields("again", id(), 900, F), "x");
-            until(() -> w.came("DO").size() == asked);
+            client.ask(asked, ThriftTestClient.fields("again", id(), 900, FUNCTION), "x");
+            await(() -> worker.commands("DO").size() == asked);
         }
         Thread stopping = stopping();
-        Thread.sleep(1300); // past the time in which calls are taken
-        for (int n = 1; n <= calls; n++) {
-            ThriftTestClient.Reply r = c.reply();
-            assertThat(r).as("answer %d", n).isNotNull();
-            assertThat(r.body()).hasSize(16000);
+        Thread.sleep(1300); // past the time in which requests are taken
+        for (int number = 1; number <= calls; number++) {
+            ThriftTestClient.Reply reply = client.reply();
+            assertThat(reply).as("answer %d", number).isNotNull();
+            assertThat(reply.body()).hasSize(16000);
         }
         ended(stopping);
     }
 
-    /** A call that may wait for longer than the system lets a router live is failed, not dropped. */
-    @Test void whatCannotBeWaitedForIsFailedInTime() throws Exception {
+    /** A request that may wait for longer than the platform lets a router live is failed, not dropped. */
+    @Test void failsInTimeWhatCannotBeWaitedFor() throws Exception {
         settings = settings.replace("\"DeadlineUs\":1000000", "\"DeadlineUs\":2900000");
-        RespTestServer w = new RespTestServer(
-            (a, out) -> a.word().equals("DO") || RespTestServer.well(a, out));
-        serve(256, w);
-        ThriftTestClient c = client();
-        c.ask(1, ThriftTestClient.fields("again", id(), 5800, F), "x");
-        until(() -> w.came("DO").size() == 1);
-        long began = System.nanoTime();
+        RespTestServer worker = new RespTestServer(
+            (command, out) -> command.word().equals("DO") || RespTestServer.serveAll(command, out));
+        serve(256, worker);
+        ThriftTestClient client = client();
+        client.ask(1, ThriftTestClient.fields("again", id(), 5800, FUNCTION), "x");
+        await(() -> worker.commands("DO").size() == 1);
+        long startedNanos = System.nanoTime();
         Thread.sleep(100);
         Thread stopping = stopping();
         Thread.sleep(500);
         ThriftTestClient late = client();
-        late.ask(1, ThriftTestClient.fields("again", id(), 5800, F), "x"); // beyond its end: answered by then
-        assertThat(c.reply().field()).isPositive();
+        late.ask(1, ThriftTestClient.fields("again", id(), 5800, FUNCTION), "x"); // beyond its end: answered by then
+        assertThat(client.reply().field()).isPositive();
         assertThat(late.reply().field()).isPositive();
         ended(stopping);
-        assertThat((System.nanoTime() - began) / 1_000_000).isLessThan(3700 + 100); // SIGKILL may come then
+        assertThat((System.nanoTime() - startedNanos) / 1_000_000).isLessThan(3700 + 100); // SIGKILL may come then
     }
 
     /** With nothing under way nothing is waited for; a connection that idles does not count. */
-    @Test void idleConnectionsKeepNobody() throws Exception {
-        serve(256, new RespTestServer(RespTestServer::well));
-        ThriftTestClient c = client();
-        c.ask(1, ThriftTestClient.fields("again", id(), 60, F), "pushed back as it comes");
-        assertThat(c.reply().field()).isEqualTo(1);
-        long began = System.nanoTime();
+    @Test void doesNotWaitForIdleConnections() throws Exception {
+        serve(256, new RespTestServer(RespTestServer::serveAll));
+        ThriftTestClient client = client();
+        client.ask(1, ThriftTestClient.fields("again", id(), 60, FUNCTION), "pushed back as it comes");
+        assertThat(client.reply().field()).isEqualTo(1);
+        long startedNanos = System.nanoTime();
         ended(stopping());
-        assertThat((System.nanoTime() - began) / 1_000_000).isLessThan(2000);
-        assertThat(c.reply()).isNull();
+        assertThat((System.nanoTime() - startedNanos) / 1_000_000).isLessThan(2000);
+        assertThat(client.reply()).isNull();
     }
 
-    /** Read by the selector and not yet taken by the loop as the stop looks. */
-    @Test void whatWaitsForTheLoopIsTaken() throws Exception {
+    /** Read by the selector and not yet taken by the loop as the shutdown checks. */
+    @Test void handlesWhatWaitsForTheLoop() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        RespTestServer w = new RespTestServer((a, out) -> {
-            if (a.word().equals("DO")) { answer.await(); }
-            return RespTestServer.well(a, out);
+        RespTestServer worker = new RespTestServer((command, out) -> {
+            if (command.word().equals("DO")) { answer.await(); }
+            return RespTestServer.serveAll(command, out);
         });
-        serve(256, w);
+        serve(256, worker);
         ThriftTestClient one = client();
         ThriftTestClient two = client();
         read(two, 1);
-        one.ask(1, ThriftTestClient.fields("again", id(), 900, F), "x");
-        until(() -> w.came("DO").size() == 1);
+        one.ask(1, ThriftTestClient.fields("again", id(), 900, FUNCTION), "x");
+        await(() -> worker.commands("DO").size() == 1);
         Thread stopping = stopping();
         try (AutoCloseable gate = holdLoop()) {
-            two.ask(2, ThriftTestClient.fields("again", id(), 900, F), "y");
+            two.ask(2, ThriftTestClient.fields("again", id(), 900, FUNCTION), "y");
             read(two, 3);
         }
         answer.countDown();
--- a/src/test/java/switchgap/server/platform/PlatformFixture.java
+++ b/src/test/java/switchgap/server/platform/PlatformFixture.java
@@ -15,27 +15,28 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A router on the platform between scripted clients, workers and a feed; what is judged is what these saw.
+ * A router on the platform between scripted clients, workers and a feed; what is checked is what these
+ * received.
  */
 abstract class PlatformFixture {
-    static final String F = "00000000000000f1";
+    static final String FUNCTION = "00000000000000f1";
     @TempDir Path dir;
-    final List<AutoCloseable> open = new ArrayList<>();
+    final List<AutoCloseable> resources = new ArrayList<>();
     ControlFeedServer feed;
     PlatformRouter platform;
     String settings = TestPlatformSettings.SETTINGS;
-    private int ids;
+    private int lastId;
 
     @BeforeEach void feed() throws Exception {
-        feed = new ControlFeedServer((n, last, out) -> true);
-        open.add(feed);
+        feed = new ControlFeedServer((connection, last, out) -> true);
+        resources.add(feed);
     }
 
     @AfterEach void close() throws Exception {
-        for (AutoCloseable c : open) { c.close(); }
+        for (AutoCloseable resource : resources) { resource.close(); }
     }
 
-    String id() { return String.format("%016x", ++ids); }
+    String id() { return String.format("%016x", ++lastId); }
 
     Map<String, String> environment(String config) throws IOException {
         Path file = Files.writeString(dir.resolve("config.json"), config);
@@ -46,10 +47,10 @@
         return config(sockets, java.util.Arrays.stream(peers).map(RespTestServer::at).toArray(String[]::new));
     }
 
-    private String config(int sockets, String... at) {
+    private String config(int sockets, String... addresses) {
         List<String> workers = new ArrayList<>();
-        for (int i = 0; i < at.length; i++) {
-            workers.add(ControlFeedServer.worker("w" + i, at[i], "SERVING", 0));
+        for (int i = 0; i < addresses.length; i++) {
+            workers.add(ControlFeedServer.worker("w" + i, addresses[i], "SERVING", 0));
         }
         return "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":64,\"sockets\":"
             + sockets
@@ -59,7 +60,7 @@
     }
 
     PlatformRouter serve(int sockets, RespTestServer... peers) throws Exception {
-        open.addAll(List.of(peers));
+        resources.addAll(List.of(peers));
         return serveAt(sockets,
             java.util.Arrays.stream(peers).map(RespTestServer::at).toArray(String[]::new));
     }
@@ -68,62 +69,66 @@
         platform = new PlatformRouter(
             PlatformConfig.read(environment(config(sockets, workers)), System.currentTimeMillis()),
             new RateLimitedLog());
-        open.add(0, platform);
+        resources.add(0, platform);
         return platform;
     }
 
     ThriftTestClient client() throws Exception {
-        ThriftTestClient c = new ThriftTestClient(platform.port());
-        open.add(c);
-        return c;
+        ThriftTestClient client = new ThriftTestClient(platform.port());
+        resources.add(client);
+        return client;
     }
 
-    static void until(java.util.function.BooleanSupplier so) throws InterruptedException {
+    static void await(java.util.function.BooleanSupplier condition) throws InterruptedException {
         for (int i = 0; i < 5000; i++) {
-            if (so.getAsBoolean()) { return; } // once is enough: it may change again
+            if (condition.getAsBoolean()) { return; } // once is enough: it may change again
             Thread.sleep(1);
         }
-        assertThat(so.getAsBoolean()).isTrue();
+        assertThat(condition.getAsBoolean()).isTrue();
     }
 
-    static String text(ThriftTestClient.Reply r) { return new String(r.body(), StandardCharsets.ISO_8859_1); }
+    static String text(ThriftTestClient.Reply reply) {
+        return new String(reply.body(), StandardCharsets.ISO_8859_1);
+    }
 
-    /** Begins the router's stop; the thread ends with it. */
+    /** Begins the router's shutdown; the thread ends with it. */
     Thread stop() {
-        Thread t = new Thread(() -> {
+        Thread thread = new Thread(() -> {
             try {
                 platform.stop();
-            } catch (InterruptedException x) {
-                throw new IllegalStateException(x);
+            } catch (InterruptedException e) {
+                throw new IllegalStateException(e);
             }
         });
-        t.start();
-        return t;
+        thread.start();
+        return thread;
     }
 
-    /** Holds the router's loop until the returned gate is closed: what comes meanwhile is read, and waits. */
+    /**
+     * Blocks the router's loop until the returned gate is closed: what comes meanwhile is read, and waits.
+     */
     AutoCloseable holdLoop() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        Thread t = new Thread(() -> {
+        CountDownLatch release = new CountDownLatch(1);
+        Thread thread = new Thread(() -> {
             try {
-                platform.onLoop(c -> {
+                platform.onLoop(core -> {
                     held.countDown();
                     try {
-                        go.await();
-                    } catch (InterruptedException x) {
-                        throw new IllegalStateException(x);
+                        release.await();
+                    } catch (InterruptedException e) {
+                        throw new IllegalStateException(e);
                     }
                 });
-            } catch (InterruptedException x) {
-                throw new IllegalStateException(x);
+            } catch (InterruptedException e) {
+                throw new IllegalStateException(e);
             }
         });
-        t.start();
+        thread.start();
         held.await();
         return () -> {
-            go.countDown();
-            t.join();
+            release.countDown();
+            thread.join();
         };
     }
 
@@ -131,8 +136,8 @@
      * All that this client sent so far has been read: the answer to a heartbeat does not pass through the
      * loop.
      */
-    static void read(ThriftTestClient c, int number) throws Exception {
-        c.heartbeat(number);
-        assertThat(c.reply().number()).isEqualTo(number);
+    static void read(ThriftTestClient client, int number) throws Exception {
+        client.heartbeat(number);
+        assertThat(client.reply().number()).isEqualTo(number);
     }
 }
--- a/src/test/java/switchgap/server/platform/RespTestServer.java
+++ b/src/test/java/switchgap/server/platform/RespTestServer.java
@@ -23,88 +23,92 @@
 
     /** Answers on the raw connection, or not at all; false closes it. */
     interface Behaviour {
-        boolean answer(Command a, OutputStream out) throws IOException, InterruptedException;
+        boolean answer(Command command, OutputStream out) throws IOException, InterruptedException;
     }
 
-    final List<Command> asked = new CopyOnWriteArrayList<>();
+    final List<Command> received = new CopyOnWriteArrayList<>();
     private final List<Socket> open = new CopyOnWriteArrayList<>();
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     volatile Behaviour manner;
 
-    RespTestServer(Behaviour manner) throws IOException {
-        this.manner = manner;
-        Thread t = new Thread(() -> {
+    RespTestServer(Behaviour behaviour) throws IOException {
+        this.manner = behaviour;
+        Thread thread = new Thread(() -> {
             try {
-                for (int n = 0;; n++) {
-                    Socket s = listener.accept();
-                    int number = n;
-                    s.setTcpNoDelay(true);
-                    open.add(s);
-                    Thread each = new Thread(() -> serve(s, number));
+                for (int connection = 0;; connection++) {
+                    Socket socket = listener.accept();
+                    int number = connection;
+                    socket.setTcpNoDelay(true);
+                    open.add(socket);
+                    Thread each = new Thread(() -> serve(socket, number));
                     each.setDaemon(true);
                     each.start();
                 }
-            } catch (IOException x) {
+            } catch (IOException e) {
                 return; // closed
             }
         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
-    private void serve(Socket s, int n) {
-        try (s) {
-            InputStream in = new BufferedInputStream(s.getInputStream());
+    private void serve(Socket socket, int connection) {
+        try (socket) {
+            InputStream in = new BufferedInputStream(socket.getInputStream());
             while (true) {
                 String[] words = new String[(int) number(in, '*')];
                 for (int i = 0; i < words.length; i++) {
                     words[i] = new String(in.readNBytes((int) number(in, '$')), StandardCharsets.ISO_8859_1);
                     in.skipNBytes(2);
                 }
-                Command a = new Command(n, List.of(words));
-                asked.add(a);
-                if (!manner.answer(a, s.getOutputStream())) { return; }
+                Command command = new Command(connection, List.of(words));
+                received.add(command);
+                if (!manner.answer(command, socket.getOutputStream())) { return; }
             }
-        } catch (IOException | InterruptedException x) {
-            return; // the router left
+        } catch (IOException | InterruptedException e) {
+            return; // the router closed the connection
         }
     }
 
     private static long number(InputStream in, char sign) throws IOException {
-        int c = in.read();
-        if (c < 0) { throw new EOFException(); }
-        if (c != sign) { throw new IOException("no " + sign); }
-        long n = 0;
-        for (c = in.read(); c != '\r'; c = in.read()) { n = n * 10 + c - '0'; }
+        int next = in.read();
+        if (next < 0) { throw new EOFException(); }
+        if (next != sign) { throw new IOException("no " + sign); }
+        long number = 0;
+        for (next = in.read(); next != '\r'; next = in.read()) { number = number * 10 + next - '0'; }
         in.read();
-        return n;
+        return number;
     }
 
     static void say(OutputStream out, String... parts) throws IOException {
-        StringBuilder s = new StringBuilder("*" + parts.length + "\r\n");
-        for (String p : parts) { s.append('$').append(p.length()).append("\r\n").append(p).append("\r\n"); }
-        out.write(s.toString().getBytes(StandardCharsets.ISO_8859_1));
+        StringBuilder reply = new StringBuilder("*" + parts.length + "\r\n");
+        for (String part : parts) {
+            reply.append('$').append(part.length()).append("\r\n").append(part).append("\r\n");
+        }
+        out.write(reply.toString().getBytes(StandardCharsets.ISO_8859_1));
         out.flush();
     }
 
-    /** Serves all: a job's body comes back behind its id. */
-    static boolean well(Command a, OutputStream out) throws IOException {
-        switch (a.word()) {
-            case "DO" -> say(out, a.id(), "data", "report=load_share:0.1;concurrent:1",
-                a.id() + ":" + a.words().get(3));
-            case "PIN" -> say(out, a.id(), "data", "count=1", "");
-            case "ECHO", "METER" -> say(out, a.id(), "well", "-", "");
+    /** Serves all: a request's body comes back behind its id. */
+    static boolean serveAll(Command command, OutputStream out) throws IOException {
+        switch (command.word()) {
+            case "DO" -> say(out, command.id(), "data", "report=load_share:0.1;concurrent:1",
+                command.id() + ":" + command.words().get(3));
+            case "PIN" -> say(out, command.id(), "data", "count=1", "");
+            case "ECHO", "METER" -> say(out, command.id(), "well", "-", "");
             default -> {}
         }
         return true;
     }
 
-    List<Command> came(String word) { return asked.stream().filter(a -> a.word().equals(word)).toList(); }
+    List<Command> commands(String word) {
+        return received.stream().filter(command -> command.word().equals(word)).toList();
+    }
 
     String at() { return "127.0.0.1:" + listener.getLocalPort(); }
 
     @Override public void close() throws IOException {
         listener.close();
-        for (Socket s : open) { s.close(); }
+        for (Socket socket : open) { socket.close(); }
     }
 }
--- a/src/test/java/switchgap/server/platform/ServeProcessTest.java
+++ b/src/test/java/switchgap/server/platform/ServeProcessTest.java
@@ -34,18 +34,18 @@
         command.addAll(List.of(options));
         command.addAll(
             List.of("-cp", "'" + System.getProperty("java.class.path") + "'", "switchgap.cli.Main", "serve"));
-        ProcessBuilder p = new ProcessBuilder("sh", "-c",
+        ProcessBuilder builder = new ProcessBuilder("sh", "-c",
             before + String.join(" ", command)).redirectErrorStream(true).redirectOutput(log.toFile());
-        p.environment().putAll(java.util.Map.of("NODE_NAME", "n1", "NODE_LISTEN", "127.0.0.1:0",
+        builder.environment().putAll(java.util.Map.of("NODE_NAME", "n1", "NODE_LISTEN", "127.0.0.1:0",
             "NODE_CONFIG", file.toString()));
-        process = p.start();
-        open.add(() -> process.destroyForcibly().waitFor());
+        process = builder.start();
+        resources.add(() -> process.destroyForcibly().waitFor());
     }
 
     private String log() {
         try {
             return Files.readString(log);
-        } catch (IOException x) {
+        } catch (IOException e) {
             return ""; // not begun
         }
     }
@@ -58,12 +58,12 @@
      */
     private ThriftTestClient answered(int port) throws Exception {
         for (int i = 0; i < 50; i++) {
-            ThriftTestClient c = new ThriftTestClient(port);
-            open.add(c);
+            ThriftTestClient client = new ThriftTestClient(port);
+            resources.add(client);
             try {
-                c.heartbeat(1);
-                if (c.reply() != null) { return c; }
-            } catch (IOException x) {
+                client.heartbeat(1);
+                if (client.reply() != null) { return client; }
+            } catch (IOException e) {
                 Thread.sleep(20); // it was reset
             }
         }
@@ -71,10 +71,10 @@
     }
 
     private int serves() throws Exception {
-        until(() -> log().contains(" serves at ") || !process.isAlive());
+        await(() -> log().contains(" serves at ") || !process.isAlive());
         assertThat(process.isAlive()).as(log()).isTrue();
-        String at = log().substring(log().indexOf(" serves at ") + 11);
-        return Integer.parseInt(at.substring(at.indexOf(':') + 1, at.indexOf('\n')).trim());
+        String address = log().substring(log().indexOf(" serves at ") + 11);
+        return Integer.parseInt(address.substring(address.indexOf(':') + 1, address.indexOf('\n')).trim());
     }
 
     private void endsWell() throws Exception {
@@ -93,24 +93,24 @@
      */
     @Test void aSighupDuringTheStartCounts() throws Exception {
         pipe();
-        try (RespTestServer w = new RespTestServer(RespTestServer::well);
-            ControlFeedServer anew = new ControlFeedServer((n, last, out) -> true)) {
-            String config = config(256, w);
+        try (RespTestServer worker = new RespTestServer(RespTestServer::serveAll);
+            ControlFeedServer newFeed = new ControlFeedServer((number, last, out) -> true)) {
+            String config = config(256, worker);
             start("");
             try (OutputStream held = Files.newOutputStream(file)) { // opened: the router reads, and its handlers stand
                 Path next = Files.writeString(dir.resolve("next.json"),
-                    config.replace(":" + feed.at().getPort(), ":" + anew.at().getPort()));
+                    config.replace(":" + feed.at().getPort(), ":" + newFeed.at().getPort()));
                 Files.move(next, file, StandardCopyOption.REPLACE_EXISTING);
                 signal("HUP");
                 signal("HUP");
-                until(() -> log().contains("SIGHUP") || process.isAlive());
+                await(() -> log().contains("SIGHUP") || process.isAlive());
                 held.write(config.getBytes(StandardCharsets.UTF_8));
             }
             serves();
-            until(() -> !anew.asked.isEmpty());
+            await(() -> !newFeed.asked.isEmpty());
             Files.writeString(file, "{"); // and one that is of no use keeps what there is
             signal("HUP");
-            until(() -> log().contains("the old feed is kept"));
+            await(() -> log().contains("the old feed is kept"));
             signal("TERM");
             endsWell();
         }
@@ -118,8 +118,8 @@
 
     @Test void aSigtermDuringTheStartEndsItWell() throws Exception {
         pipe();
-        try (RespTestServer w = new RespTestServer(RespTestServer::well)) {
-            String config = config(256, w);
+        try (RespTestServer worker = new RespTestServer(RespTestServer::serveAll)) {
+            String config = config(256, worker);
             start("");
             try (OutputStream held = Files.newOutputStream(file)) {
                 signal("TERM");
@@ -132,24 +132,24 @@
     @Test void aSecondSigtermAndASighupDuringTheStopHarmNobody() throws Exception {
         file = dir.resolve("config.json");
         java.util.concurrent.CountDownLatch answer = new java.util.concurrent.CountDownLatch(1);
-        try (RespTestServer w = new RespTestServer((a, out) -> {
-            if (a.word().equals("DO")) { answer.await(); }
-            return RespTestServer.well(a, out);
+        try (RespTestServer worker = new RespTestServer((command, out) -> {
+            if (command.word().equals("DO")) { answer.await(); }
+            return RespTestServer.serveAll(command, out);
         })) {
-            Files.writeString(file, config(256, w));
+            Files.writeString(file, config(256, worker));
             start("");
-            ThriftTestClient c = new ThriftTestClient(serves());
-            open.add(c);
-            c.ask(1, ThriftTestClient.fields("again", id(), 900, F), "x");
-            until(() -> w.came("DO").size() == 1);
+            ThriftTestClient client = new ThriftTestClient(serves());
+            resources.add(client);
+            client.ask(1, ThriftTestClient.fields("again", id(), 900, FUNCTION), "x");
+            await(() -> worker.commands("DO").size() == 1);
             signal("TERM");
-            int n = 1;
-            do { c.heartbeat(++n); } while (c.reply().good());
+            int number = 1;
+            do { client.heartbeat(++number); } while (client.reply().good());
             signal("HUP");
             signal("TERM");
-            until(() -> log().contains("SIGHUP"));
+            await(() -> log().contains("SIGHUP"));
             answer.countDown();
-            assertThat(c.reply().field()).isZero();
+            assertThat(client.reply().field()).isZero();
             endsWell();
         }
     }
@@ -160,21 +160,21 @@
      */
     @Test void idleClientsLeaveRoomForTheFeedAndTheWorkers() throws Exception {
         file = dir.resolve("config.json");
-        try (RespTestServer w = new RespTestServer(RespTestServer::well)) {
+        try (RespTestServer worker = new RespTestServer(RespTestServer::serveAll)) {
             int port = feed.at().getPort();
-            Files.writeString(file, config(120, w));
+            Files.writeString(file, config(120, worker));
             feed.close(); // discovery is down
             start("ulimit -n 120; ");
-            int at = serves();
-            for (int i = 0; i < 300; i++) { open.add(new ThriftTestClient(at)); }
+            int servedPort = serves();
+            for (int i = 0; i < 300; i++) { resources.add(new ThriftTestClient(servedPort)); }
             java.time.Duration before = process.info().totalCpuDuration().orElseThrow();
-            ThriftTestClient usual = answered(at);
-            for (int n = 2; n <= 6; n++) {
-                usual.ask(n, ThriftTestClient.fields("again", id(), 900, F), "x");
+            ThriftTestClient usual = answered(servedPort);
+            for (int number = 2; number <= 6; number++) {
+                usual.ask(number, ThriftTestClient.fields("again", id(), 900, FUNCTION), "x");
                 assertThat(usual.reply().field()).as(log()).isZero();
             }
-            try (ControlFeedServer back = new ControlFeedServer(port, (n, last, out) -> true)) {
-                until(() -> !back.asked.isEmpty());
+            try (ControlFeedServer back = new ControlFeedServer(port, (number, last, out) -> true)) {
+                await(() -> !back.asked.isEmpty());
             }
             assertThat(process.info().totalCpuDuration().orElseThrow().minus(before).toMillis()).isLessThan(
                 1500); // nothing spins
--- a/src/test/java/switchgap/server/platform/TestPlatformSettings.java
+++ b/src/test/java/switchgap/server/platform/TestPlatformSettings.java
@@ -6,7 +6,7 @@
 import switchgap.config.PropertyRouterSettings;
 import switchgap.policy.api.RouterSettings;
 
-/** The terms that the platform's tests state, in the platform's words. */
+/** The settings that the platform's tests state, in the platform's words. */
 public final class TestPlatformSettings {
     static final String SETTINGS = """
         {"Balancers":1,"Me":0,"MyZone":0,"TickUs":1000,"OverShareWorth":0.2,"Weights":"rough","Discovery":"automatic",
@@ -24,7 +24,7 @@
     private TestPlatformSettings() {}
 
     public static RouterSettings terms() throws IOException {
-        Map<String, Object> o = JsonDocument.parseObject(SETTINGS);
-        return new PropertyRouterSettings(JsonDocument.flatten(o));
+        Map<String, Object> members = JsonDocument.parseObject(SETTINGS);
+        return new PropertyRouterSettings(JsonDocument.flatten(members));
     }
 }
--- a/src/test/java/switchgap/server/platform/ThriftTestClient.java
+++ b/src/test/java/switchgap/server/platform/ThriftTestClient.java
@@ -50,39 +50,40 @@
     }
 
     static byte[] submit(int number, Map<String, String> fields, byte[] body) throws Exception {
-        TMemoryBuffer m = new TMemoryBuffer(256);
-        TBinaryProtocol p = new TBinaryProtocol(m);
-        arguments(p, number, fields, body);
-        p.writeFieldStop();
-        return framed(java.util.Arrays.copyOf(m.getArray(), m.length()));
+        TMemoryBuffer buffer = new TMemoryBuffer(256);
+        TBinaryProtocol protocol = new TBinaryProtocol(buffer);
+        arguments(protocol, number, fields, body);
+        protocol.writeFieldStop();
+        return framed(java.util.Arrays.copyOf(buffer.getArray(), buffer.length()));
     }
 
     /** A submit up to its last argument. */
-    public static void arguments(TBinaryProtocol p, int number, Map<String, String> fields, byte[] body)
+    public static void arguments(TBinaryProtocol protocol, int number, Map<String, String> fields,
+        byte[] body)
         throws Exception {
-        p.writeMessageBegin(new TMessage("submit", (byte) 1, number));
-        p.writeFieldBegin(new TField("fields", TType.MAP, (short) 1));
-        p.writeMapBegin(new TMap(TType.STRING, TType.STRING, fields.size()));
-        for (Map.Entry<String, String> e : fields.entrySet()) {
-            p.writeString(e.getKey());
-            p.writeString(e.getValue());
+        protocol.writeMessageBegin(new TMessage("submit", (byte) 1, number));
+        protocol.writeFieldBegin(new TField("fields", TType.MAP, (short) 1));
+        protocol.writeMapBegin(new TMap(TType.STRING, TType.STRING, fields.size()));
+        for (Map.Entry<String, String> field : fields.entrySet()) {
+            protocol.writeString(field.getKey());
+            protocol.writeString(field.getValue());
         }
-        p.writeFieldBegin(new TField("body", TType.STRING, (short) 2));
-        p.writeBinary(ByteBuffer.wrap(body));
+        protocol.writeFieldBegin(new TField("body", TType.STRING, (short) 2));
+        protocol.writeBinary(ByteBuffer.wrap(body));
     }
 
     private static byte[] one(String method, int type, int number, byte kind, int value) throws Exception {
-        TMemoryBuffer m = new TMemoryBuffer(64);
-        TBinaryProtocol p = new TBinaryProtocol(m);
-        p.writeMessageBegin(new TMessage(method, (byte) type, number));
-        p.writeFieldBegin(new TField("x", kind, (short) 1));
+        TMemoryBuffer buffer = new TMemoryBuffer(64);
+        TBinaryProtocol protocol = new TBinaryProtocol(buffer);
+        protocol.writeMessageBegin(new TMessage(method, (byte) type, number));
+        protocol.writeFieldBegin(new TField("x", kind, (short) 1));
         if (kind == TType.BOOL) {
-            p.writeBool(value != 0);
+            protocol.writeBool(value != 0);
         } else {
-            p.writeI32(value);
+            protocol.writeI32(value);
         }
-        p.writeFieldStop();
-        return framed(java.util.Arrays.copyOf(m.getArray(), m.length()));
+        protocol.writeFieldStop();
+        return framed(java.util.Arrays.copyOf(buffer.getArray(), buffer.length()));
     }
 
     void raw(byte[] bytes) throws IOException {
@@ -106,28 +107,29 @@
         try {
             frame = new byte[in.readInt()];
             in.readFully(frame);
-        } catch (java.io.EOFException | java.net.SocketException x) {
+        } catch (java.io.EOFException | java.net.SocketException e) {
             return null;
         }
-        TMemoryBuffer m = new TMemoryBuffer(frame.length);
-        m.write(frame);
-        TBinaryProtocol p = new TBinaryProtocol(m, true, true);
-        TMessage head = p.readMessageBegin();
+        TMemoryBuffer buffer = new TMemoryBuffer(frame.length);
+        buffer.write(frame);
+        TBinaryProtocol protocol = new TBinaryProtocol(buffer, true, true);
+        TMessage head = protocol.readMessageBegin();
         if (head.type == 3) { return new Reply(3, head.seqid, -1, Map.of(), new byte[0], false); }
-        int field = p.readFieldBegin().id;
+        int field = protocol.readFieldBegin().id;
         Map<String, String> fields = new HashMap<>();
         byte[] body = new byte[0];
         boolean good = false;
-        for (TField f = p.readFieldBegin(); f.type != TType.STOP; f = p.readFieldBegin()) {
-            if (f.type == TType.STRING) {
-                ByteBuffer b = p.readBinary();
-                body = new byte[b.remaining()];
-                b.get(body);
-            } else if (f.type == TType.BOOL) {
-                good = p.readBool();
+        for (TField resultField = protocol.readFieldBegin(); resultField.type
+            != TType.STOP; resultField = protocol.readFieldBegin()) {
+            if (resultField.type == TType.STRING) {
+                ByteBuffer bytes = protocol.readBinary();
+                body = new byte[bytes.remaining()];
+                bytes.get(body);
+            } else if (resultField.type == TType.BOOL) {
+                good = protocol.readBool();
             } else {
-                int n = p.readMapBegin().size;
-                for (int i = 0; i < n; i++) { fields.put(p.readString(), p.readString()); }
+                int length = protocol.readMapBegin().size;
+                for (int i = 0; i < length; i++) { fields.put(protocol.readString(), protocol.readString()); }
             }
         }
         return new Reply(head.type, head.seqid, field, fields, body, good);
