--- a/src/main/java/switchgap/protocol/invoke/InvokeRequest.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeRequest.java
@@ -2,106 +2,128 @@
 
 import java.time.Duration;
 import switchgap.config.YamlRouterSettings;
+import switchgap.config.YamlRouterSettings.FunctionSettings;
+import switchgap.config.YamlRouterSettings.RequestClassSettings;
 import switchgap.net.HttpExchange;
 import switchgap.policy.api.Idempotency;
+import switchgap.router.PendingRequest;
+import switchgap.router.ResponseListener;
 
 /**
- * What an invoke request asks for, checked against the terms. Headers: {@code Switchgap-Workload},
- * {@code Switchgap-Customer}, {@code Switchgap-Time-Limit} and {@code Switchgap-Cost-Hint} in milliseconds,
- * {@code Switchgap-Deadline} in milliseconds of wall time, {@code Switchgap-Call}, {@code Switchgap-Repeat}, {@code Idempotency-Key}, {@code Prefer: respond-async}.
+ * An invoke request, validated against the settings. Headers: {@code Switchgap-Workload}, {@code
+ * Switchgap-Customer}, {@code Switchgap-Time-Limit} and {@code Switchgap-Cost-Hint} in milliseconds, {@code
+ * Switchgap-Deadline} in milliseconds of wall time, {@code Switchgap-Call}, {@code Idempotency-Key}, {@code
+ * Prefer: respond-async}. {@code Switchgap-Repeat} is allowed and has no effect.
+ *
+ * @param requestClass    index in the settings
+ * @param tenant          index in the settings, below zero for none
+ * @param durationHint    the client's estimate of the duration, or null
+ * @param idempotencyKey  or null
+ * @param clientRequestId the client's own id of the request, which responses echo, or null
  */
-record InvokeRequest(String function, YamlRouterSettings.FunctionSettings entry, int workload, int customer,
-    Duration limit, Duration hint,
-    String fingerprint, String call, boolean repeat, boolean deferred) {
-    /** Not a request that can be taken; the problem says why. */
-    static final class InvalidRequestException extends Exception {
-        private static final long serialVersionUID = 1;
-        final transient ProblemDetails problem;
+record InvokeRequest(String function, FunctionSettings functionSettings, int requestClass, int tenant,
+    Duration timeout, Duration durationHint, String idempotencyKey, String clientRequestId,
+    boolean deferred) {
 
-        InvalidRequestException(ProblemDetails problem) {
-            super(problem.detail(), null, false, false);
-            this.problem = problem;
+    static InvokeRequest read(String function, HttpExchange exchange, YamlRouterSettings settings)
+        throws InvalidRequestException {
+        RequestHeaders headers = new RequestHeaders(exchange);
+        FunctionSettings functionSettings = readFunction(function, settings);
+        int requestClass = readRequestClass(headers, functionSettings, settings);
+        int tenant = readTenant(headers, functionSettings, settings);
+        RequestClassSettings classSettings = settings.requestClass(requestClass);
+        Duration timeout = readTimeout(headers, classSettings);
+        Duration durationHint = headers.millis("Switchgap-Cost-Hint", null);
+        String idempotencyKey = readIdempotencyKey(headers, classSettings);
+        return new InvokeRequest(function, functionSettings, requestClass, tenant, timeout, durationHint,
+            idempotencyKey, headers.boundedText("Switchgap-Call"), headers.prefersDeferred());
+    }
+
+    private static FunctionSettings readFunction(String function, YamlRouterSettings settings)
+        throws InvalidRequestException {
+        FunctionSettings found = function.length() > RequestHeaders.MAX_VALUE_LENGTH ? null
+            : settings.function(function);
+        if (found == null) {
+            throw new InvalidRequestException(ProblemType.UNKNOWN_FUNCTION,
+                "no function is called " + RequestHeaders.quoted(function));
         }
+        return found;
     }
 
-    private static final int MOST_KEY = 256;
+    private static int readRequestClass(RequestHeaders headers, FunctionSettings functionSettings,
+        YamlRouterSettings settings) throws InvalidRequestException {
+        String name = headers.text("Switchgap-Workload");
+        int index = name == null ? functionSettings.requestClass() : settings.requestClassIndex(name);
+        if (index < 0) {
+            throw new InvalidRequestException(ProblemType.UNKNOWN_REQUEST_CLASS,
+                "no workload is called " + RequestHeaders.quoted(name));
+        }
+        return index;
+    }
 
-    static InvokeRequest read(String function, HttpExchange r, YamlRouterSettings terms)
-        throws InvalidRequestException {
-        YamlRouterSettings.FunctionSettings entry = function.length() > MOST_KEY ? null
-            : terms.function(function);
-        if (entry == null) { throw no(404, "unknown-function", "no function is called " + brief(function)); }
-        String asked = r.header("Switchgap-Workload");
-        int workload = asked == null ? entry.requestClass() : terms.requestClassIndex(asked);
-        if (workload < 0) { throw no(400, "unknown-workload", "no workload is called " + brief(asked)); }
-        String named = r.header("Switchgap-Customer");
-        int customer = named == null ? entry.tenant() : terms.tenantIndex(named);
-        if (named != null && customer < 0) {
-            throw no(400, "unknown-customer", "no customer is called " + brief(named));
+    private static int readTenant(RequestHeaders headers, FunctionSettings functionSettings,
+        YamlRouterSettings settings) throws InvalidRequestException {
+        String name = headers.text("Switchgap-Customer");
+        if (name == null) {
+            return functionSettings.tenant();
         }
-        YamlRouterSettings.RequestClassSettings kind = terms.requestClass(workload);
-        Duration limit = millis(r, "Switchgap-Time-Limit", kind.timeout());
-        if (limit.isZero()) { throw no(400, "limit-past", "the time limit has passed already"); }
-        if (limit.compareTo(kind.timeout()) > 0) { limit = kind.timeout(); }
-        limit = least(limit, r);
-        Duration hint = millis(r, "Switchgap-Cost-Hint", null);
-        String key = brief(r, "Idempotency-Key");
-        if (kind.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && key == null) {
-            throw no(400, "fingerprint-missing", "workload " + kind.name() + " needs an Idempotency-Key");
+        int index = settings.tenantIndex(name);
+        if (index < 0) {
+            throw new InvalidRequestException(ProblemType.UNKNOWN_TENANT,
+                "no customer is called " + RequestHeaders.quoted(name));
         }
-        String prefer = r.header("Prefer");
-        return new InvokeRequest(function, entry, workload, customer, limit, hint, key,
-            brief(r, "Switchgap-Call"),
-            "true".equals(r.header("Switchgap-Repeat")), prefer != null && prefer.contains("respond-async"));
+        return index;
     }
 
-    /**
-     * Guards against a request that lay in the socket while the router was paused: a span alone would begin anew
-     * when it is read. The wall clock may only shorten the limit.
-     */
-    private static Duration least(Duration limit, HttpExchange r) throws InvalidRequestException {
-        String v = r.header("Switchgap-Deadline");
-        if (v == null) { return limit; }
-        try {
-            Duration left = Duration.ofMillis(Long.parseLong(v) - System.currentTimeMillis());
-            if (left.isNegative() || left.isZero()) {
-                throw no(400, "limit-past", "the deadline has passed already");
-            }
-            return left.compareTo(limit) < 0 ? left : limit;
-        } catch (NumberFormatException e) {
-            throw no(400, "malformed-header", "Switchgap-Deadline is no time in milliseconds: " + brief(v));
+    /** The client may shorten the timeout of the request class, never extend it. */
+    private static Duration readTimeout(RequestHeaders headers, RequestClassSettings classSettings)
+        throws InvalidRequestException {
+        Duration timeout = headers.millis("Switchgap-Time-Limit", classSettings.timeout());
+        if (timeout.isZero()) {
+            throw new InvalidRequestException(ProblemType.DEADLINE_EXCEEDED,
+                "the time limit has passed already");
         }
+        return shortenToDeadline(min(timeout, classSettings.timeout()), headers);
     }
 
-    private static String brief(HttpExchange r, String header) throws InvalidRequestException {
-        String v = r.header(header);
-        if (v != null && v.length() > MOST_KEY) {
-            throw no(400, "malformed-header", header + " is longer than " + MOST_KEY + " characters");
+    /**
+     * Guards against a request that lay in the socket while the router was paused: a duration alone would
+     * begin anew when it is read. The wall clock may only shorten the timeout.
+     */
+    private static Duration shortenToDeadline(Duration timeout, RequestHeaders headers)
+        throws InvalidRequestException {
+        Long deadlineMillis = headers.epochMillis("Switchgap-Deadline");
+        if (deadlineMillis == null) {
+            return timeout;
+        }
+        Duration remaining = Duration.ofMillis(deadlineMillis - System.currentTimeMillis());
+        if (remaining.isNegative() || remaining.isZero()) {
+            throw new InvalidRequestException(ProblemType.DEADLINE_EXCEEDED,
+                "the deadline has passed already");
         }
-        return v;
+        return min(remaining, timeout);
     }
 
-    private static Duration millis(HttpExchange r, String header, Duration otherwise)
+    private static String readIdempotencyKey(RequestHeaders headers, RequestClassSettings classSettings)
         throws InvalidRequestException {
-        String v = r.header(header);
-        if (v == null) { return otherwise; }
-        try {
-            double ms = Double.parseDouble(v);
-            if (ms <= 0) { return Duration.ZERO; }
-            if (ms <= 1e10) { return Duration.ofNanos((long) (ms * 1e6)); }
-        } catch (NumberFormatException e) {
-            throw no(400, "malformed-header", header + " is no number of milliseconds: " + brief(v));
+        String key = headers.boundedText("Idempotency-Key");
+        if (key == null && classSettings.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
+            throw new InvalidRequestException(ProblemType.IDEMPOTENCY_KEY_MISSING,
+                "workload " + classSettings.name() + " needs an Idempotency-Key");
         }
-        throw no(400, "malformed-header", header + " is out of range: " + brief(v));
+        return key;
     }
 
-    /** Bad input is told back in short, without what could break a line. */
-    static String brief(String v) {
-        String s = v.length() > 60 ? v.substring(0, 60) + "..." : v;
-        return "'" + s.replaceAll("\\p{Cntrl}", "?") + "'";
+    private static Duration min(Duration first, Duration second) {
+        return first.compareTo(second) < 0 ? first : second;
     }
 
-    static InvalidRequestException no(int status, String kind, String detail) {
-        return new InvalidRequestException(new ProblemDetails(status, kind, detail));
+    /** The request as the router's core holds it; the exchange has its body. */
+    PendingRequest toPendingRequest(String id, Duration deadline, HttpExchange exchange,
+        ResponseListener listener) {
+        return PendingRequest.builder(id, function, deadline, listener).requestClass(requestClass).tenant(
+            tenant).durationHint(durationHint).idempotencyKey(idempotencyKey).payload(
+                exchange.header("Content-Type"), exchange.body).replica(functionSettings.memoryMb(),
+                    functionSettings.slots()).build();
     }
 }
--- a/src/main/java/switchgap/protocol/invoke/ProblemDetails.java
+++ b/src/main/java/switchgap/protocol/invoke/ProblemDetails.java
@@ -5,24 +5,43 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A problem by RFC 9457: {@code type} names the kind, further members what a program may act on. */
-record ProblemDetails(int status, String kind, String detail, Map<String, Object> members) {
-    static final String TYPE = "application/problem+json";
+/**
+ * Problem details by RFC 9457.
+ *
+ * @param detail     the explanation for a reader
+ * @param extensions further members, which a program may act on
+ */
+record ProblemDetails(ProblemType type, String detail, Map<String, Object> extensions) {
+    static final String MEDIA_TYPE = "application/problem+json";
+    static final String END_MEMBER = "end";
+    static final String RETRY_HARMLESS_MEMBER = "repeat_harmless";
+    private static final String TYPE_PREFIX = "urn:switchgap:problem:";
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    ProblemDetails(int status, String kind, String detail) {
-        this(status, kind, detail, Map.of());
+    ProblemDetails(ProblemType type, String detail) {
+        this(type, detail, Map.of());
     }
 
-    byte[] bytes() {
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("type", "urn:switchgap:problem:" + kind);
-        all.put("title", kind.replace('-', ' '));
-        all.put("status", status);
-        all.put("detail", detail);
-        all.putAll(members);
+    /** The problem of a request that was not accepted: never executed, so a retry is harmless. */
+    static ProblemDetails notAccepted(String detail) {
+        return new ProblemDetails(ProblemType.NOT_ACCEPTED, detail,
+            Map.of(END_MEMBER, ProblemType.REJECTED.word(), RETRY_HARMLESS_MEMBER, true));
+    }
+
+    int status() {
+        return type.status();
+    }
+
+    /** The body of the response, JSON in UTF-8. */
+    byte[] toJson() {
+        Map<String, Object> members = new LinkedHashMap<>();
+        members.put("type", TYPE_PREFIX + type.word());
+        members.put("title", type.word().replace('-', ' '));
+        members.put("status", status());
+        members.put("detail", detail);
+        members.putAll(extensions);
         try {
-            return JSON.writeValueAsBytes(all);
+            return JSON.writeValueAsBytes(members);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
--- /dev/null
+++ b/src/main/java/switchgap/server/gateway/CoreFactory.java
@@ -0,0 +1,60 @@
+package switchgap.server.gateway;
+
+import java.util.function.Function;
+import switchgap.eventloop.EventLoop;
+import switchgap.net.HttpClientConnection;
+import switchgap.net.KeyedWriters;
+import switchgap.protocol.inference.InferenceWorkerTransport;
+import switchgap.router.CoreLimits;
+import switchgap.router.RouterCore;
+import switchgap.router.WorkerTransport;
+
+/**
+ * Makes a router's core with the transports through which it reaches the workers. Used once, by the
+ * constructor of the event loop.
+ */
+final class CoreFactory implements Function<EventLoop, RouterCore> {
+    private final GatewayConfig config;
+    private final RouterCore.Policy policy;
+    private final HttpClientConnection.Factory connections;
+    private final KeyedWriters writers;
+    private volatile Runnable endpointListRequest = () -> {};
+    private InferenceWorkerTransport workers;
+    private PlannedWorkerTransport planned;
+
+    CoreFactory(GatewayConfig config, RouterCore.Policy policy, HttpClientConnection.Factory connections,
+        KeyedWriters writers) {
+        this.config = config;
+        this.policy = policy;
+        this.connections = connections;
+        this.writers = writers;
+    }
+
+    @Override public RouterCore apply(EventLoop loop) {
+        workers = new InferenceWorkerTransport(connections, config.workers().limits(), writers, loop::post,
+            () -> endpointListRequest.run());
+        if (config.plannerLink() != null) {
+            planned = new PlannedWorkerTransport(workers, config.terms(), config.plannerLink().patience(),
+                loop::post);
+        }
+        WorkerTransport transport = planned == null ? workers : planned;
+        return new RouterCore(config.terms(), policy, transport,
+            new CoreLimits(config.workers().commandTimeout(), config.workers().probeTimeout(),
+                config.requestLimits().maxFunctions()));
+    }
+
+    /** Sets what follows when the core asks for the endpoint list; without it nothing does. */
+    void onEndpointListRequest(Runnable action) {
+        endpointListRequest = action;
+    }
+
+    /** The transport to the workers. */
+    InferenceWorkerTransport workers() {
+        return workers;
+    }
+
+    /** The transport in which load commands wait for a planner, or null where none is configured. */
+    PlannedWorkerTransport planned() {
+        return planned;
+    }
+}
--- a/src/main/java/switchgap/server/gateway/GatewayConfig.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfig.java
@@ -1,92 +1,96 @@
 package switchgap.server.gateway;
 
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.time.Duration;
-import java.util.ArrayList;
 import java.util.List;
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
 import switchgap.net.ConnectionLimits;
-import switchgap.policy.api.WorkerState;
 import switchgap.protocol.inference.InferenceWorkerTransport;
 import switchgap.router.EndpointUpdate;
 
-/** All that a router's page states: its terms, where it listens, whom it asks for the list, and its bounds. */
-public record GatewayConfig(YamlRouterSettings terms, long seed, String host, int port,
-    ConnectionLimits bounds, int mostHeld, int mostWait,
-    int mostFunctions, Duration kept, int mostDeferred, long mostDeferredBytes,
-    InferenceWorkerTransport.ConnectionLimits links, String from, int answerBytes, int selectors,
-    Duration orderLimit,
-    Duration probeLimit, InetSocketAddress list, Duration listAgain, List<EndpointUpdate> fixed,
-    InetSocketAddress planner,
-    Duration patience) {
-    public static GatewayConfig read(Path file) throws java.io.IOException {
+/**
+ * The configuration of a router, one record for each section of its YAML document.
+ *
+ * @param terms          the settings of the router's policy
+ * @param seed           of the policy's random draws
+ * @param listener       the section {@code listen}
+ * @param requestLimits  the section {@code holds}
+ * @param workers        the section {@code links}
+ * @param endpoints      the section {@code list}
+ * @param plannerLink    the section {@code planner}, or null
+ */
+public record GatewayConfig(YamlRouterSettings terms, long seed, Listener listener,
+    RequestLimits requestLimits, WorkerConnections workers, EndpointList endpoints,
+    PlannerLink plannerLink) {
+
+    /**
+     * Where and how the router accepts client connections.
+     *
+     * @param port            0 for any free one
+     * @param selectorThreads threads that read requests; as many write responses
+     */
+    public record Listener(String host, int port, ConnectionLimits limits, int selectorThreads) {}
+
+    /**
+     * Bounds of what the router holds.
+     *
+     * @param maxPending       requests pending at a time
+     * @param maxFunctions     functions known at a time
+     * @param resultRetention  for how long the result of a deferred request is kept
+     * @param maxDeferred      deferred requests, pending ones and results
+     * @param maxDeferredBytes bytes of the results kept
+     * @param maxPollSeconds   longest time for which a poll is kept open
+     */
+    public record RequestLimits(int maxPending, int maxFunctions, Duration resultRetention, int maxDeferred,
+        long maxDeferredBytes, int maxPollSeconds) {}
+
+    /**
+     * Connections to the workers.
+     *
+     * @param sourceAddress    local address to connect from, or null for any
+     * @param maxResponseBytes largest body of a response
+     * @param commandTimeout   of load commands
+     * @param probeTimeout     of probes
+     */
+    public record WorkerConnections(InferenceWorkerTransport.ConnectionLimits limits, String sourceAddress,
+        int maxResponseBytes, Duration commandTimeout, Duration probeTimeout) {}
+
+    /**
+     * Where the list of workers comes from: a service, or the configuration itself.
+     *
+     * @param service       the endpoint list service, or null
+     * @param retryInterval pause before the service is asked again
+     * @param staticWorkers workers that the configuration names
+     */
+    public record EndpointList(InetSocketAddress service, Duration retryInterval,
+        List<EndpointUpdate> staticWorkers) {}
+
+    /**
+     * The planner that sequences load commands.
+     *
+     * @param address  where the router listens for it
+     * @param patience for how long a load command waits for a plan
+     */
+    public record PlannerLink(InetSocketAddress address, Duration patience) {}
+
+    /** Reads a YAML file; see {@link #read(YamlDocument)}. */
+    public static GatewayConfig read(Path file) throws IOException {
         return read(YamlDocument.read(file));
     }
 
-    /** Reads a page whole; a mistake is a {@link switchgap.config.InvalidConfigException} that names file, line and key. */
-    public static GatewayConfig read(YamlDocument p) {
-        YamlRouterSettings terms = new YamlRouterSettings(p);
-        YamlDocument l = p.section("listen");
-        String host = l.text("host", "127.0.0.1");
-        int port = l.integer("port", 0, 65535);
-        ConnectionLimits bounds = new ConnectionLimits(l.integer("header_bytes", 1024, 1 << 20, 16 << 10),
-            l.integer("body_bytes", 1, 1 << 28, 1 << 20), l.integer("connections", 1, 1_000_000, 20_000),
-            l.duration("idle", Duration.ofSeconds(75)), l.duration("arrival", Duration.ofSeconds(10)));
-        int selectors = l.integer("selectors", 1, 64, 2);
-        l.rejectUnknownKeys();
-        YamlDocument h = p.optionalSection("holds");
-        int mostHeld = h.integer("calls", 1, 1_000_000, 20_000);
-        int mostFunctions = h.integer("functions", 1, 1_000_000, 20_000);
-        Duration kept = h.duration("results_kept", Duration.ofMinutes(5));
-        int mostDeferred = h.integer("deferred", 1, 1_000_000, 10_000);
-        int mb = h.integer("deferred_mb", 1, 1 << 20, 64);
-        int mostWait = h.integer("poll_seconds", 0, 3600, 60);
-        h.rejectUnknownKeys();
-        YamlDocument k = p.optionalSection("links");
-        InferenceWorkerTransport.ConnectionLimits links = new InferenceWorkerTransport.ConnectionLimits(
-            k.integer("connections", 1, 100_000, 64),
-            k.integer("waiting", 1, 1_000_000, 1024), k.duration("connect_within", Duration.ofMillis(250)),
-            k.duration("idle", Duration.ofSeconds(30)));
-        String from = k.text("from", null);
-        int answerBytes = k.integer("answer_bytes", 1, 1 << 28, 4 << 20);
-        Duration orderLimit = k.duration("order_within", Duration.ofSeconds(10));
-        Duration probeLimit = k.duration("probe_within", Duration.ofMillis(250));
-        k.rejectUnknownKeys();
-        YamlDocument s = p.optionalSection("list");
-        InetSocketAddress list = s.has("port")
-            ? new InetSocketAddress(s.text("host", "127.0.0.1"), s.integer("port", 1, 65535)) : null;
-        Duration again = s.duration("ask_again", Duration.ofMillis(500));
-        List<EndpointUpdate> fixed = new ArrayList<>();
-        for (YamlDocument w : s.sections("workers")) {
-            int zone = terms.zoneIndex(w.text("zone", terms.zoneName(0)));
-            if (zone < 0) { throw w.invalid("zone", "'" + w.text("zone") + "' is not among zones"); }
-            fixed.add(
-                new EndpointUpdate(w.text("name"), w.text("host", "127.0.0.1"), w.integer("port", 1, 65535),
-                    WorkerState.READY, zone, w.integer("cell", 0, 100_000, 0),
-                    terms.workerKindIndex(w.text("kind", "")),
-                    w.number("size", 0, 1e9, 1), null));
-            w.rejectUnknownKeys();
-        }
-        s.rejectUnknownKeys();
-        if (list == null && fixed.isEmpty()) { throw p.invalid("list", "needs a port to ask, or workers"); }
-        InetSocketAddress planner = null;
-        Duration patience = Duration.ZERO;
-        if (p.has("planner")) {
-            YamlDocument q = p.section("planner");
-            planner = new InetSocketAddress(q.text("host", "127.0.0.1"), q.integer("port", 0, 65535));
-            patience = q.duration("patience", Duration.ofMillis(60));
-            q.rejectUnknownKeys();
-            if (!terms.loadQuotaWindow().isZero()) { // an order that waits would be counted in another span than it goes out in
-                throw p.invalid("planner", "is not used where load orders are rationed");
-            }
-        }
-        long seed = (long) p.number("seed", 0, 1L << 52, terms.routerIndex() + 1);
-        p.rejectUnknownKeys();
-        return new GatewayConfig(terms, seed, host, port, bounds, mostHeld, mostWait, mostFunctions, kept,
-            mostDeferred,
-            (long) mb << 20, links, from, answerBytes, selectors, orderLimit, probeLimit, list, again, fixed,
-            planner, patience);
+    /**
+     * Reads a whole document; a mistake is a {@link switchgap.config.InvalidConfigException} that names file,
+     * line and key.
+     */
+    public static GatewayConfig read(YamlDocument document) {
+        return new GatewayConfigReader(document).read();
+    }
+
+    /** Where the router listens for its planner, or null. */
+    public InetSocketAddress planner() {
+        return plannerLink == null ? null : plannerLink.address();
     }
 }
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -1,7 +1,7 @@
 package switchgap.server.gateway;
 
 import java.io.IOException;
-import java.time.Duration;
+import java.util.Locale;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
@@ -22,197 +22,279 @@
 import switchgap.planner.LoadPlan;
 import switchgap.planner.link.PlannerServer;
 import switchgap.policy.RoutingPolicy;
-import switchgap.protocol.inference.InferenceWorkerTransport;
 import switchgap.protocol.invoke.InvokeApi;
+import switchgap.protocol.invoke.InvokeLimits;
+import switchgap.protocol.invoke.RequestCounts;
+import switchgap.protocol.invoke.RouterContext;
 import switchgap.router.AdmissionGate;
-import switchgap.router.CoreLimits;
 import switchgap.router.DeferredResults;
 import switchgap.router.RouterCore;
 
-/** A running router. States: STARTING, SERVING, STOPPING (answers what it holds), STOPPED. */
+/**
+ * A running router: serves from the end of its constructor until {@link #stop} or {@link #close}. Its public
+ * methods are safe from any thread.
+ */
 public final class GatewayRouter implements AutoCloseable {
-    private enum State { STARTING, SERVING, STOPPING, STOPPED }
+    private enum State {
+        STARTING, SERVING,
+        /** Accepts nothing more; pending requests get their responses. */
+        STOPPING, STOPPED
+    }
+
+    /** Carries what the planner does to the event loop. */
+    private final class PlannerListener implements PlannerServer.Listener {
+        @Override public void plannerConnected(long epoch) {
+            loop.post(core -> planned.plannerConnected(core, epoch));
+        }
+
+        @Override public void plannerDisconnected(long epoch) {
+            loop.post(core -> planned.plannerDisconnected(core, epoch));
+        }
+
+        @Override public void planReceived(LoadPlan plan) {
+            loop.post(core -> planned.planReceived(core, plan));
+        }
+    }
 
     private static final Logger LOG = LoggerFactory.getLogger(GatewayRouter.class);
+    private static final int EXIT_CODE_TICK_FAILED = 70;
+    private static final long SWEEP_INTERVAL_SECONDS = 1;
+    private static final long STOP_POLL_MILLIS = 5;
+    private static final int ID_RADIX = 36;
+
+    private final GatewayConfig config;
+    private final YamlRouterSettings settings;
+    private final long startedAtMillis; // wall time
     private final AtomicReference<State> state = new AtomicReference<>(State.STARTING);
-    private final NetworkTransport net;
-    private final KeyedWriters carriers;
+    private final LatenessRecorder lateness = new LatenessRecorder();
+    private final AtomicReference<AdmissionGate> gate = new AtomicReference<>(); // set in the first tick
+    private final NetworkTransport network;
+    private final KeyedWriters writers;
+    private final HttpClientConnection.Factory connections;
+    private final CoreFactory transports;
     private final EventLoop loop;
-    private final Histogram lateness = new Histogram(60_000_000, 2); // microseconds; read by others through lateness()
+    private final PlannedWorkerTransport planned; // null: load commands go out without a plan
+    private final AdmissionController admission; // null: admission control is off
     private final InvokeApi api;
-    private final HttpServer door;
-    private final EndpointListWatcher watch;
-    private final Duration longest;
+    private final HttpServer server;
+    private final EndpointListWatcher watcher; // null: the configuration names all workers
     private final ScheduledFuture<?> sweeper;
-    private final InferenceWorkerTransport workers;
-    private final PlannedWorkerTransport planned; // null: one program, orders go straight out
-    private final PlannerServer planners;
+    private final PlannerServer planners; // null where planned is
     private final int port;
 
-    public GatewayRouter(GatewayConfig page) throws IOException {
-        this(page, new RoutingPolicy(page.terms(), page.seed())::tick);
-    }
-
-    /** A router under another decider: for measurements of the module beside a baseline. */
-    public GatewayRouter(GatewayConfig page, RouterCore.Policy decide) throws IOException {
-        YamlRouterSettings terms = page.terms();
-        net = new NetworkTransport(page.selectors(), "router-" + terms.routerIndex());
-        JvmWarmup.run(terms, net);
-        long bornWall = System.currentTimeMillis();
-        carriers = new KeyedWriters(page.selectors(), "carrier-" + terms.routerIndex());
-        HttpClientConnection.Factory opener = new HttpClientConnection.Factory(net, page.from(),
-            page.answerBytes());
-        AtomicReference<Runnable> listening = new AtomicReference<>(() -> {});
-        AtomicReference<InferenceWorkerTransport> made = new AtomicReference<>();
-        AtomicReference<PlannedWorkerTransport> behind = new AtomicReference<>();
-        loop = new EventLoop(l -> {
-            made.set(new InferenceWorkerTransport(opener, page.links(), carriers, l::post,
-                () -> listening.get().run()));
-            if (page.planner() != null) {
-                behind.set(new PlannedWorkerTransport(made.get(), terms, page.patience(), l::post));
-            }
-            return new RouterCore(terms, decide, behind.get() == null ? made.get() : behind.get(),
-                new CoreLimits(page.orderLimit(), page.probeLimit(), page.mostFunctions()));
-        }, "loop-" + terms.routerIndex(), this::late, GatewayRouter::failed);
-        workers = made.get();
-        planned = behind.get();
-        AdmissionController levels = terms.admissionControlEnabled()
-            ? new AdmissionController(terms.admissionSettings(), page.seed() * 31 + bornWall) : null;
-        AtomicReference<AdmissionGate> gate = new AtomicReference<>();
-        loop.post(c -> {
-            gate.set(new AdmissionGate(c, terms, levels, x -> told(terms, x)));
-            if (levels != null && terms.pinnedLevel() != null) {
-                gate.get().pin(terms.pinnedLevel(), terms.pinDuration());
-            }
-        });
-        String start = "r" + terms.routerIndex() + "-" + Long.toString(bornWall, 36) + "-";
-        DeferredResults deferred = new DeferredResults(start + "d", page.kept(), page.mostDeferred(),
-            page.mostDeferredBytes());
-        api = new InvokeApi(terms, loop::now, loop::post, carriers, deferred, gate::get, start,
-            page.mostHeld(), page.mostWait());
-        api.statusPage(c -> RouterStatus.show(terms.routerIndex(), c, api.pendingRequests(), api.endCounts(),
-            levels, planned));
-        door = new HttpServer(net, page.bounds(), api);
-        watch = page.list() == null ? null
-            : new EndpointListWatcher(opener, page.list(), terms.routerIndex(), bornWall, page.listAgain(),
-                terms::zoneIndex, terms::workerKindIndex, loop::postUrgent);
-        if (!page.fixed().isEmpty()) { loop.post(c -> c.endpointListReceived(true, page.fixed())); }
-        if (watch != null) {
-            listening.set(watch::follow);
-            watch.follow();
-        }
-        longest = terms.longestTimeout();
-        sweeper = TimerThread.EXECUTOR.scheduleAtFixedRate(() -> {
-            workers.sweep();
-            loop.post(c -> gate.get().tick());
-        }, 1, 1, TimeUnit.SECONDS);
+    /** Starts a router with the routing policy; fails where it can't listen. */
+    public GatewayRouter(GatewayConfig config) throws IOException {
+        this(config, new RoutingPolicy(config.terms(), config.seed())::tick);
+    }
+
+    /** Starts a router with any policy: to measure the routing policy against a baseline. */
+    public GatewayRouter(GatewayConfig config, RouterCore.Policy policy) throws IOException {
+        this.config = config;
+        settings = config.terms();
+        int index = settings.routerIndex();
+        int threads = config.listener().selectorThreads();
+        network = new NetworkTransport(threads, "router-" + index);
+        JvmWarmup.run(settings, network);
+        startedAtMillis = System.currentTimeMillis();
+        writers = new KeyedWriters(threads, "carrier-" + index);
+        connections = new HttpClientConnection.Factory(network, config.workers().sourceAddress(),
+            config.workers().maxResponseBytes());
+        transports = new CoreFactory(config, policy, connections, writers);
+        loop = new EventLoop(transports, "loop-" + index, lateness::record, GatewayRouter::tickFailed);
+        planned = transports.planned();
+        admission = createAdmissionController();
+        loop.post(this::createAdmissionGate);
+        api = createApi();
+        api.setStatusSource(new RouterStatus(index, api, admission, planned)::toJson);
+        server = new HttpServer(network, config.listener().limits(), api);
+        watcher = createWatcher();
+        followEndpointList();
+        sweeper = TimerThread.EXECUTOR.scheduleAtFixedRate(this::sweep, SWEEP_INTERVAL_SECONDS,
+            SWEEP_INTERVAL_SECONDS, TimeUnit.SECONDS);
         loop.start();
-        planners = planned == null ? null
-            : new PlannerServer(net, page.planner().getHostString(), page.planner().getPort(),
-                terms.routerIndex(),
-                new PlannerServer.Listener() {
-                    @Override public void plannerConnected(
-                        long epoch) { loop.post(c -> planned.linked(c, epoch)); }
-
-                    @Override public void plannerDisconnected(long epoch) {
-                        loop.post(c -> planned.unlinked(c, epoch));
-                    }
-
-                    @Override public void planReceived(LoadPlan p) { loop.post(c -> planned.plan(c, p)); }
-                });
-        if (planners != null) { loop.post(c -> planned.teller(planners::send)); }
+        planners = openPlannerServer();
+        if (planners != null) {
+            loop.post(core -> planned.setBacklogSender(planners::send));
+        }
+        port = listen();
+        state.set(State.SERVING);
+        LOG.info("router {} of {} serves at {}:{}", index, settings.routerCount(), config.listener().host(),
+            port);
+    }
+
+    // ------------------------------------------------------------------ start, in the order of use
+
+    private AdmissionController createAdmissionController() {
+        if (!settings.admissionControlEnabled()) {
+            return null;
+        }
+        return new AdmissionController(settings.admissionSettings(), config.seed() * 31 + startedAtMillis);
+    }
+
+    private void createAdmissionGate(RouterCore core) {
+        AdmissionGate created = new AdmissionGate(core, settings, admission, this::logLevelChange);
+        gate.set(created);
+        if (admission != null && settings.pinnedLevel() != null) {
+            created.pin(settings.pinnedLevel(), settings.pinDuration());
+        }
+    }
+
+    private InvokeApi createApi() {
+        GatewayConfig.RequestLimits limits = config.requestLimits();
+        String idPrefix = "r" + settings.routerIndex() + "-" + Long.toString(startedAtMillis, ID_RADIX) + "-";
+        DeferredResults deferred = new DeferredResults(idPrefix + "d", limits.resultRetention(),
+            limits.maxDeferred(), limits.maxDeferredBytes());
+        return new InvokeApi(settings, new RouterContext(loop::now, loop::post, gate::get), writers, deferred,
+            idPrefix, new InvokeLimits(limits.maxPending(), limits.maxPollSeconds()));
+    }
+
+    private EndpointListWatcher createWatcher() {
+        GatewayConfig.EndpointList endpoints = config.endpoints();
+        if (endpoints.service() == null) {
+            return null;
+        }
+        return new EndpointListWatcher(connections, endpoints.service(), settings.routerIndex(),
+            startedAtMillis, endpoints.retryInterval(), settings::zoneIndex, settings::workerKindIndex,
+            loop::postUrgent);
+    }
+
+    private void followEndpointList() {
+        GatewayConfig.EndpointList endpoints = config.endpoints();
+        if (!endpoints.staticWorkers().isEmpty()) {
+            loop.post(core -> core.endpointListReceived(true, endpoints.staticWorkers()));
+        }
+        if (watcher != null) {
+            transports.onEndpointListRequest(watcher::follow);
+            watcher.follow();
+        }
+    }
+
+    private void sweep() {
+        transports.workers().sweep();
+        loop.post(core -> gate.get().tick());
+    }
+
+    private PlannerServer openPlannerServer() throws IOException {
+        if (planned == null) {
+            return null;
+        }
+        return new PlannerServer(network, config.planner().getHostString(), config.planner().getPort(),
+            settings.routerIndex(), new PlannerListener());
+    }
+
+    private int listen() throws IOException {
+        GatewayConfig.Listener listener = config.listener();
         try {
-            port = door.listen(page.host(), page.port());
+            return server.listen(listener.host(), listener.port());
         } catch (IOException e) {
             close();
             throw new IOException(
-                "can't listen at " + page.host() + ":" + page.port() + ": " + e.getMessage(), e);
+                "can't listen at " + listener.host() + ":" + listener.port() + ": " + e.getMessage(), e);
         }
-        state.set(State.SERVING);
-        LOG.info("router {} of {} serves at {}:{}", terms.routerIndex(), terms.routerCount(), page.host(),
-            port);
     }
 
+    // ------------------------------------------------------------------ while it runs
+
     /** A change of level is what an operator acts on: one line, with the figures that met the condition. */
-    private static void told(YamlRouterSettings terms, ServiceLevelChange c) {
-        LOG.warn("level {} to {} for {}: {} (pressure {}, evidence {} calls)", YamlDocument.word(c.from()),
-            YamlDocument.word(c.to()),
-            c.tenant() < 0 ? "all" : terms.tenantName(c.tenant()), c.condition(),
-            String.format(java.util.Locale.ROOT, "%.3f", c.pressure()), Math.round(c.samples()));
+    private void logLevelChange(ServiceLevelChange change) {
+        LOG.warn("level {} to {} for {}: {} (pressure {}, evidence {} calls)",
+            YamlDocument.word(change.from()), YamlDocument.word(change.to()),
+            change.tenant() < 0 ? "all" : settings.tenantName(change.tenant()), change.condition(),
+            String.format(Locale.ROOT, "%.3f", change.pressure()), Math.round(change.samples()));
     }
 
-    public int port() { return port; }
+    private static void tickFailed(Throwable failure) {
+        LOG.error("a tick failed; the router stops, its clients may retry", failure);
+        Runtime.getRuntime().halt(EXIT_CODE_TICK_FAILED);
+    }
+
+    /** The port at which it serves. */
+    public int port() {
+        return port;
+    }
 
     /** The port at which the planner is expected, 0 where none is. */
     public int plannerPort() {
         return planners == null ? 0 : planners.port();
     }
 
-    /** Loads led by a plan, let out as their time was over, stale and refused parts of plans; null where none is expected. */
-    public long[] plans() {
+    /** Load commands and plans so far; null where no planner is expected. */
+    public LoadPlanCounts loadPlanCounts() {
         return planned == null ? null : planned.counts();
     }
 
-    /** Calls held now. */
-    public int held() { return api.pendingRequests(); }
-
-    /** Calls ended: finished, pushed back, killed, overdue. */
-    public long[] ends() {
-        return api.endCounts();
+    /** Requests that are pending now. */
+    public int held() {
+        return api.pendingRequests();
     }
 
-    /** Microseconds by which the loop came late. */
-    public Histogram lateness() {
-        synchronized (lateness) {
-            return lateness.copy();
-        }
+    /** Requests that have ended so far. */
+    public RequestCounts requestCounts() {
+        return api.requestCounts();
     }
 
-    private void late(long micros) {
-        synchronized (lateness) {
-            lateness.recordValue(Math.min(micros, lateness.getHighestTrackableValue()));
-        }
+    /** A copy of the event loop's lateness, microseconds. */
+    public Histogram lateness() {
+        return lateness.snapshot();
     }
 
-    private static void failed(Throwable e) {
-        LOG.error("a round failed; the router stops, its clients may retry", e);
-        Runtime.getRuntime().halt(70);
-    }
+    // ------------------------------------------------------------------ stop
 
-    /** Takes nothing more, waits until all that is held has its answer, then closes. */
+    /**
+     * Accepts nothing more, waits until all pending requests have their responses, at most for the longest
+     * timeout of a request, then closes. Does nothing unless the router serves.
+     */
     public void stop() {
-        if (!state.compareAndSet(State.SERVING, State.STOPPING)) { return; }
+        if (!state.compareAndSet(State.SERVING, State.STOPPING)) {
+            return;
+        }
         api.stopAccepting();
-        door.stopListening();
-        LOG.info("stopping: {} calls are held", api.pendingRequests());
-        long end = System.nanoTime() + longest.toNanos();
-        while (api.pendingRequests() > 0 && System.nanoTime() < end) {
+        server.stopListening();
+        LOG.info("stopping: {} requests are pending", api.pendingRequests());
+        awaitPendingRequests();
+        logTotals();
+        close();
+    }
+
+    private void awaitPendingRequests() {
+        long deadline = System.nanoTime() + settings.longestTimeout().toNanos();
+        while (api.pendingRequests() > 0 && System.nanoTime() - deadline < 0) {
             try {
-                Thread.sleep(5);
+                Thread.sleep(STOP_POLL_MILLIS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                break;
+                return;
             }
         }
-        long[] n = api.endCounts();
+    }
+
+    private void logTotals() {
+        RequestCounts counts = api.requestCounts();
         Histogram late = lateness();
         LOG.info(
-            "stopped: {} finished, {} pushed back, {} killed, {} overdue; loop late by us: p50 {} p99 {} p99.9 {} "
-                + "most {}",
-            n[0], n[1], n[2], n[3], late.getValueAtPercentile(50), late.getValueAtPercentile(99),
-            late.getValueAtPercentile(99.9), late.getMaxValue());
-        close();
+            "stopped: {} succeeded, {} rejected, {} failed, {} overdue; loop lateness in us: p50 {} p99 {} "
+                + "p99.9 {} max {}",
+            counts.succeeded(), counts.rejected(), counts.failed(), counts.overdue(),
+            late.getValueAtPercentile(50), late.getValueAtPercentile(99), late.getValueAtPercentile(99.9),
+            late.getMaxValue());
     }
 
+    /** Closes at once: pending requests get no response. */
     @Override public void close() {
-        if (state.getAndSet(State.STOPPED) == State.STOPPED) { return; }
+        if (state.getAndSet(State.STOPPED) == State.STOPPED) {
+            return;
+        }
         sweeper.cancel(false);
-        if (watch != null) { watch.close(); }
-        door.close();
-        if (planners != null) { planners.close(); }
+        if (watcher != null) {
+            watcher.close();
+        }
+        server.close();
+        if (planners != null) {
+            planners.close();
+        }
         loop.stop();
-        workers.close();
-        carriers.close();
-        net.close();
+        transports.workers().close();
+        writers.close();
+        network.close();
     }
 }
--- a/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
@@ -18,143 +18,205 @@
 import switchgap.router.WorkerEntry;
 import switchgap.router.WorkerTransport;
 
-/** Load orders wait for the planner's word before they go out; all else goes straight to the workers. On the loop's thread. */
+/**
+ * Load commands wait here for the planner's plan before they are sent; all else goes straight to the workers.
+ * Belongs to the event loop.
+ */
 final class PlannedWorkerTransport implements WorkerTransport {
     private static final Logger LOG = LoggerFactory.getLogger(PlannedWorkerTransport.class);
-    private static final int MOST_WAITING = 1024;
+    private static final int MAX_PENDING_LOADS = 1024;
+    private static final long NANOS_PER_MICRO = 1000;
 
-    /** An order that waits. */
-    private record HeldLoad(WorkerEntry worker, String function, int copies, WorkerCommand order) {}
+    /** The arguments of a load command that waits. */
+    private record DelayedLoad(WorkerEntry worker, String function, int replicas, WorkerCommand command) {}
 
-    /** Tells the planner; false where it was not told. */
+    /** Sends the backlog to the planner. */
     interface BacklogSender {
-        boolean tell(LoadBacklog t);
+        /** False where it was not sent. */
+        boolean send(LoadBacklog backlog);
     }
 
-    private final WorkerTransport inner;
-    private final YamlRouterSettings terms;
+    /** Carries out what the queue decides. */
+    private final class QueueListener implements PendingLoadQueue.Listener {
+        @Override public void release(long id) {
+            sendDelayed(id);
+        }
+
+        @Override public void planRejected(String why) {
+            LOG.warn("the planner is wrong: {}", why);
+        }
+    }
+
+    private final WorkerTransport delegate;
+    private final YamlRouterSettings settings;
     private final Consumer<Consumer<RouterCore>> events;
-    private final PendingLoadQueue wishes;
-    private final Map<Long, HeldLoad> held = new HashMap<>();
-    private final Map<WorkerCommand, Long> ids = new HashMap<>();
-    private BacklogSender teller = t -> false;
+    private final PendingLoadQueue queue;
+    private final Map<Long, DelayedLoad> delayed = new HashMap<>();
+    private final Map<WorkerCommand, Long> idsByCommand = new HashMap<>();
+    private BacklogSender backlogSender = backlog -> false;
     private Duration now = Duration.ZERO;
-    private long seq;
-    private boolean due;
+    private long lastSequence;
+    private boolean backlogScheduled;
     private boolean ticking;
 
-    PlannedWorkerTransport(WorkerTransport inner, YamlRouterSettings terms, Duration patience,
+    /**
+     * Creates the transport; it is not connected to a planner yet, so load commands go out at once.
+     *
+     * @param patience for how long a load command waits for a plan
+     * @param events   runs an event on the event loop
+     */
+    PlannedWorkerTransport(WorkerTransport delegate, YamlRouterSettings settings, Duration patience,
         Consumer<Consumer<RouterCore>> events) {
-        this.inner = inner;
-        this.terms = terms;
+        this.delegate = delegate;
+        this.settings = settings;
         this.events = events;
-        this.wishes = new PendingLoadQueue(patience, MOST_WAITING, new PendingLoadQueue.Listener() {
-            @Override public void release(long id) { PlannedWorkerTransport.this.release(id); }
-
-            @Override public void planRejected(String why) { LOG.warn("the planner is wrong: {}", why); }
-        });
+        this.queue = new PendingLoadQueue(patience, MAX_PENDING_LOADS, new QueueListener());
     }
 
-    void teller(BacklogSender t) { teller = t; }
+    // ------------------------------------------------------------------ the planner's side
 
-    void linked(RouterCore c, long epoch) {
-        now = c.now();
-        seq = 0;
-        wishes.connected(epoch);
-        tell(c);
+    void setBacklogSender(BacklogSender sender) {
+        backlogSender = sender;
     }
 
-    void unlinked(RouterCore c, long epoch) {
-        now = c.now();
-        if (wishes.epoch() == epoch) { wishes.disconnected(); }
+    /** A planner is connected; plans must name this epoch. */
+    void plannerConnected(RouterCore core, long epoch) {
+        now = core.now();
+        lastSequence = 0;
+        queue.connected(epoch);
+        sendBacklog(core);
     }
 
-    void plan(RouterCore c, LoadPlan p) {
-        now = c.now();
-        wishes.planReceived(p); // no word back: what a plan left waiting is told with what is asked for next, or goes out in time
+    /** The planner of this epoch is gone; that of a later one may be connected already. */
+    void plannerDisconnected(RouterCore core, long epoch) {
+        now = core.now();
+        if (queue.epoch() == epoch) {
+            queue.disconnected();
+        }
     }
 
-    PendingLoadQueue.State state() { return wishes.state(); }
+    /**
+     * Takes in a plan. No backlog is sent in response: what a plan left waiting is reported with the next
+     * load command, or is sent when its patience is over.
+     */
+    void planReceived(RouterCore core, LoadPlan plan) {
+        now = core.now();
+        queue.planReceived(plan);
+    }
 
-    long epoch() { return wishes.epoch(); }
+    PendingLoadQueue.State state() {
+        return queue.state();
+    }
 
-    int waiting() { return held.size(); }
+    long epoch() {
+        return queue.epoch();
+    }
 
-    long[] counts() { return wishes.counts(); }
+    /** Load commands that wait now. */
+    int pendingLoads() {
+        return delayed.size();
+    }
 
-    private void release(long id) {
-        HeldLoad h = held.remove(id);
-        ids.remove(h.order);
-        inner.requestReplicas(h.worker, h.function, h.copies, h.order); // refuses by itself what drains since it was asked
+    LoadPlanCounts counts() {
+        long[] counts = queue.counts();
+        return new LoadPlanCounts(counts[0], counts[1], counts[2], counts[3]);
     }
 
-    private void tell(RouterCore c) {
-        due = false;
-        now = c.now();
-        if (wishes.state() != PendingLoadQueue.State.ALONE) {
-            Map<String, Double> worth = held.isEmpty() ? Map.of() : c.queuedWeightByFunction(); // walks all calls held
-            teller.tell(
-                new LoadBacklog(wishes.epoch(), ++seq, wishes.waiting(now, f -> worth.getOrDefault(f, 0.0))));
+    private void sendBacklog(RouterCore core) {
+        backlogScheduled = false;
+        now = core.now();
+        if (queue.state() == PendingLoadQueue.State.ALONE) {
+            return;
         }
+        Map<String, Double> weights = delayed.isEmpty() ? Map.of() : core.queuedWeightByFunction(); // costly
+        lastSequence++;
+        backlogSender.send(new LoadBacklog(queue.epoch(), lastSequence,
+            queue.waiting(now, function -> weights.getOrDefault(function, 0.0))));
     }
 
-    /** Once after what happens now. */
-    private void soon() {
-        if (!due && wishes.state() != PendingLoadQueue.State.ALONE) {
-            due = true;
-            events.accept(this::tell);
+    /** Sends one backlog for all that happens in this tick. */
+    private void scheduleBacklog() {
+        if (!backlogScheduled && queue.state() != PendingLoadQueue.State.ALONE) {
+            backlogScheduled = true;
+            events.accept(this::sendBacklog);
         }
     }
 
-    private void tick(RouterCore c) {
-        now = c.now();
-        Duration next = wishes.tick(now);
+    /** Lets the queue send what has waited too long, as often as something waits. */
+    private void tick(RouterCore core) {
+        now = core.now();
+        Duration next = queue.tick(now);
         ticking = next != null;
-        if (ticking) { c.schedule(next, () -> tick(c)); }
+        if (ticking) {
+            core.schedule(next, () -> tick(core));
+        }
     }
 
-    @Override public void requestReplicas(WorkerEntry worker, String function, int copies,
-        WorkerCommand order) {
-        if (copies == 0) { // a question, no load
-            inner.requestReplicas(worker, function, copies, order);
+    // ------------------------------------------------------------------ the core's side
+
+    @Override public void requestReplicas(WorkerEntry worker, String function, int replicas,
+        WorkerCommand command) {
+        if (replicas == 0) { // a query, no load
+            delegate.requestReplicas(worker, function, replicas, command);
             return;
         }
-        YamlRouterSettings.FunctionSettings e = terms.function(function);
-        long load = e == null || e.loadTime() == null ? 0 : e.loadTime().toNanos() / 1000;
-        long id = wishes.nextId();
-        held.put(id, new HeldLoad(worker, function, copies, order));
-        ids.put(order, id);
-        now = order.sentAt();
-        wishes.add(now, new PendingLoad(id, worker.name, function, e == null ? 0 : e.memoryMb(), load, 0, 0));
-        soon();
-        if (!ticking && held.containsKey(id)) {
+        long id = queue.nextId();
+        delayed.put(id, new DelayedLoad(worker, function, replicas, command));
+        idsByCommand.put(command, id);
+        now = command.sentAt();
+        queue.add(now, pendingLoad(id, worker, function));
+        scheduleBacklog();
+        if (!ticking && delayed.containsKey(id)) {
             ticking = true;
             events.accept(this::tick);
         }
     }
 
-    @Override public void abandon(WorkerCommand order) {
-        Long id = ids.remove(order);
-        if (id != null && wishes.withdraw(id)) {
-            held.remove(id);
+    private PendingLoad pendingLoad(long id, WorkerEntry worker, String function) {
+        YamlRouterSettings.FunctionSettings known = settings.function(function);
+        double memoryMb = known == null ? 0 : known.memoryMb();
+        long loadMicros = known == null || known.loadTime() == null ? 0
+            : known.loadTime().toNanos() / NANOS_PER_MICRO;
+        return new PendingLoad(id, worker.name, function, memoryMb, loadMicros, 0, 0);
+    }
+
+    /** The delegate itself refuses a worker that has begun to drain meanwhile. */
+    private void sendDelayed(long id) {
+        DelayedLoad load = delayed.remove(id);
+        idsByCommand.remove(load.command);
+        delegate.requestReplicas(load.worker, load.function, load.replicas, load.command);
+    }
+
+    @Override public void abandon(WorkerCommand command) {
+        Long id = idsByCommand.remove(command);
+        if (id != null && queue.withdraw(id)) {
+            delayed.remove(id);
         } else {
-            inner.abandon(order);
+            delegate.abandon(command);
         }
     }
 
-    @Override public void startAttempt(Attempt run, Duration allow) { inner.startAttempt(run, allow); }
+    @Override public void startAttempt(Attempt attempt, Duration timeout) {
+        delegate.startAttempt(attempt, timeout);
+    }
 
-    @Override public AttemptOutcome abandon(Attempt run) { return inner.abandon(run); }
+    @Override public AttemptOutcome abandon(Attempt attempt) {
+        return delegate.abandon(attempt);
+    }
 
-    @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {
-        inner.unload(worker, function, order);
+    @Override public void unload(WorkerEntry worker, String function, WorkerCommand command) {
+        delegate.unload(worker, function, command);
     }
 
     @Override public void stopAccepting(WorkerEntry worker, boolean forGood) {
-        inner.stopAccepting(worker, forGood);
+        delegate.stopAccepting(worker, forGood);
     }
 
-    @Override public void probe(WorkerEntry worker, WorkerCommand order) { inner.probe(worker, order); }
+    @Override public void probe(WorkerEntry worker, WorkerCommand command) {
+        delegate.probe(worker, command);
+    }
 
-    @Override public void requestEndpointList() { inner.requestEndpointList(); }
+    @Override public void requestEndpointList() {
+        delegate.requestEndpointList();
+    }
 }
--- a/src/main/java/switchgap/server/gateway/RouterStatus.java
+++ b/src/main/java/switchgap/server/gateway/RouterStatus.java
@@ -5,29 +5,63 @@
 import java.nio.charset.StandardCharsets;
 import switchgap.admission.AdmissionController;
 import switchgap.config.YamlDocument;
+import switchgap.protocol.invoke.InvokeApi;
+import switchgap.protocol.invoke.RequestCounts;
 import switchgap.router.RouterCore;
 
-/** How a router stands, for operators: calls, level, and its planner where it has one. */
+/** The status of a router for operators: requests, service level, and its planner where it has one. */
 final class RouterStatus {
     private static final ObjectMapper JSON = new ObjectMapper();
+    private static final double MILLIS_PER_SECOND = 1000.0;
 
-    private RouterStatus() {}
+    private final int routerIndex;
+    private final InvokeApi api;
+    private final AdmissionController admission;
+    private final PlannedWorkerTransport planned;
 
-    static byte[] show(int router, RouterCore c, int held, long[] ends, AdmissionController levels,
+    /**
+     * {@code admission} is null where admission control is off, {@code planned} where there is no planner.
+     */
+    RouterStatus(int routerIndex, InvokeApi api, AdmissionController admission,
         PlannedWorkerTransport planned) {
-        ObjectNode n = JSON.createObjectNode();
-        n.put("router", router).put("up_s", c.now().toMillis() / 1000.0);
-        n.putObject("calls").put("held", held).put("finished", ends[0]).put("pushed_back", ends[1]).put(
-            "killed", ends[2]).put("overdue", ends[3]);
-        n.put("level", levels == null ? "none" : YamlDocument.word(levels.level()));
+        this.routerIndex = routerIndex;
+        this.api = api;
+        this.admission = admission;
+        this.planned = planned;
+    }
+
+    /** The status now, as JSON in UTF-8; on the event loop. */
+    byte[] toJson(RouterCore core) {
+        ObjectNode root = JSON.createObjectNode();
+        root.put("router", routerIndex);
+        root.put("up_s", core.now().toMillis() / MILLIS_PER_SECOND);
+        addRequests(root.putObject("calls"));
+        root.put("level", admission == null ? "none" : YamlDocument.word(admission.level()));
         if (planned == null) {
-            n.put("planner", "none: one program");
+            root.put("planner", "none: one program");
         } else {
-            long[] p = planned.counts();
-            n.putObject("planner").put("state", YamlDocument.word(planned.state())).put("epoch",
-                planned.epoch()).put("orders_waiting", planned.waiting()).put("led", p[0]).put(
-                    "patience_over", p[1]).put("stale", p[2]).put("refused", p[3]);
+            addPlanner(root.putObject("planner"));
         }
-        return n.toPrettyString().concat("\n").getBytes(StandardCharsets.UTF_8);
+        return root.toPrettyString().concat("\n").getBytes(StandardCharsets.UTF_8);
+    }
+
+    private void addRequests(ObjectNode node) {
+        RequestCounts counts = api.requestCounts();
+        node.put("held", api.pendingRequests());
+        node.put("finished", counts.succeeded());
+        node.put("pushed_back", counts.rejected());
+        node.put("killed", counts.failed());
+        node.put("overdue", counts.overdue());
+    }
+
+    private void addPlanner(ObjectNode node) {
+        LoadPlanCounts counts = planned.counts();
+        node.put("state", YamlDocument.word(planned.state()));
+        node.put("epoch", planned.epoch());
+        node.put("orders_waiting", planned.pendingLoads());
+        node.put("led", counts.planned());
+        node.put("patience_over", counts.timedOut());
+        node.put("stale", counts.stale());
+        node.put("refused", counts.refused());
     }
 }
--- a/src/test/java/switchgap/server/gateway/EdgeAndPlannerTest.java
+++ b/src/test/java/switchgap/server/gateway/EdgeAndPlannerTest.java
@@ -70,9 +70,9 @@
             PlannerClient p = new PlannerClient(net, at(s), 0)) {
             GatewayFixture.until(p::linked);
             answered(s);
-            GatewayFixture.until(() -> s.gateway.plans()[0] > 0);
+            GatewayFixture.until(() -> s.gateway.loadPlanCounts().planned() > 0);
             assertThat(w.loads.get()).isEqualTo(1);
-            assertThat(s.gateway.plans()[3]).isZero();
+            assertThat(s.gateway.loadPlanCounts().refused()).isZero();
             assertThat(s.get("/v1/status").body()).contains("\"state\" : \"led\"").contains("\"led\" : 1");
         }
     }
@@ -96,7 +96,7 @@
             assertThat(read(new DataInputStream(mute.getInputStream()))).isInstanceOf(
                 PlannerMessageCodec.Hello.class);
             answered(s);
-            assertThat(s.gateway.plans()[1]).isPositive(); // its time was over
+            assertThat(s.gateway.loadPlanCounts().timedOut()).isPositive(); // its time was over
         }
     }
 
@@ -146,7 +146,7 @@
                     new DataInputStream(c.getInputStream()));
                 send(out, new LoadPlan(h.epoch(), 1, new long[] {99, -4}));
                 send(out, new LoadPlan(h.epoch() + 1, 1, new long[] {0}));
-                GatewayFixture.until(() -> s.gateway.plans()[3] == 3);
+                GatewayFixture.until(() -> s.gateway.loadPlanCounts().refused() == 3);
                 out.writeInt(400); // half a frame, then the end
                 out.write(new byte[17]);
             }
--- a/src/test/java/switchgap/server/gateway/InvokeApiTest.java
+++ b/src/test/java/switchgap/server/gateway/InvokeApiTest.java
@@ -11,6 +11,7 @@
 import java.net.http.HttpResponse;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
+import switchgap.protocol.invoke.RequestCounts;
 
 /** The invoke API: what is refused and how, deferred calls, and what a bad client can't do to others. */
 class InvokeApiTest {
@@ -177,9 +178,9 @@
             }
             assertThat(s.get(last, "Prefer", "wait=5").statusCode()).isIn(503, 504);
             until(() -> s.gateway.held() == 0);
-            long[] ends = s.gateway.ends();
-            assertThat(ends[1] + ends[2] + ends[3]).isEqualTo(10_000);
-            assertThat(ends[3]).isLessThan(500); // a machine that stops for longer than an answer's margin leaves some overdue
+            RequestCounts counts = s.gateway.requestCounts();
+            assertThat(counts.rejected() + counts.failed() + counts.overdue()).isEqualTo(10_000);
+            assertThat(counts.overdue()).isLessThan(500); // a machine that stops for longer than an answer's margin leaves some overdue
         }
     }
 
--- a/src/test/java/switchgap/server/gateway/LostResponsesTest.java
+++ b/src/test/java/switchgap/server/gateway/LostResponsesTest.java
@@ -207,8 +207,7 @@
                 if (i % 2 == 0 && end.equals("pushed-back")) { assertThat(runs).as(body).isZero(); }
             }
             assertThat(finished.get()).isGreaterThan(100);
-            long[] ends = s.gateway.ends();
-            assertThat(ends[0] + ends[1] + ends[2] + ends[3]).isEqualTo(200);
+            assertThat(s.gateway.requestCounts().total()).isEqualTo(200);
         }
     }
 }
--- a/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
+++ b/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
@@ -60,14 +60,14 @@
         ordered = 1;
         rounds(20_000, 1); // no planner
         assertThat(ReachableObjects.by(planned)).isLessThan(before + 100);
-        next.add(c -> planned.linked(c, 1));
+        next.add(c -> planned.plannerConnected(c, 1));
         rounds(20_000, 30_000); // one that is silent
-        next.add(c -> planned.unlinked(c, 1));
+        next.add(c -> planned.plannerDisconnected(c, 1));
         rounds(20_000, 60_000);
         ordered = 0;
         rounds(100, 90_000);
         assertThat(ReachableObjects.by(planned)).isLessThan(before + 100);
-        assertThat(planned.waiting()).isZero();
+        assertThat(planned.pendingLoads()).isZero();
     }
 
     /** Each plan was answered by a further word of what waits, and each word by a plan: an idle pair took most of a core. */
@@ -75,15 +75,15 @@
         int[] told = {0};
         LoadScheduler planner = new LoadScheduler();
         next.add(c -> {
-            planned.teller(t -> {
+            planned.setBacklogSender(t -> {
                 told[0]++;
                 LoadPlan p = planner.plan(t);
-                return p != null && next.add(x -> planned.plan(x, p));
+                return p != null && next.add(x -> planned.planReceived(x, p));
             });
             c.endpointListReceived(true,
                 List.of(new EndpointUpdate("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
             c.accept(PendingRequest.builder("c", "again-1", Duration.ofDays(9), null).replica(1, 1).build());
-            planned.linked(c, 1);
+            planned.plannerConnected(c, 1);
         });
         rounds(1000, 0);
         assertThat(told[0]).isLessThanOrEqualTo(2);
@@ -92,8 +92,8 @@
         ordered = 0;
         rounds(1000, 1001);
         assertThat(told[0]).isBetween(2, 5);
-        assertThat(planned.waiting()).isZero();
-        assertThat(planned.counts()[0]).isEqualTo(1); // it went out at the planner's word
+        assertThat(planned.pendingLoads()).isZero();
+        assertThat(planned.counts().planned()).isEqualTo(1); // it went out at the planner's word
     }
 
     @Override public void requestReplicas(WorkerEntry worker, String function, int copies,
