--- a/src/test/java/switchgap/server/gateway/GatewayFixture.java
+++ b/src/test/java/switchgap/server/gateway/GatewayFixture.java
@@ -1,5 +1,7 @@
 package switchgap.server.gateway;
 
+import static org.assertj.core.api.Assertions.assertThat;
+
 import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -9,9 +11,9 @@
 import java.util.function.BooleanSupplier;
 import switchgap.config.YamlDocument;
 
-/** A router over peers, and a client for it. */
+/** A router whose workers are test servers, and a client of it. */
 final class GatewayFixture implements AutoCloseable {
-    static final String TERMS = """
+    static final String SETTINGS = """
         router: {number: 0, of: 1, tick: 20ms, executions: 3, most_come_back: 900ms}
         workloads:
           again: {start_target: 300ms, time_limit: 900ms, repeat: restartable}
@@ -26,22 +28,26 @@
     final GatewayRouter gateway;
     final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-    GatewayFixture(String more, HttpTestServer... peers) throws IOException { this(TERMS, more, peers); }
+    GatewayFixture(String sections, HttpTestServer... workers) throws IOException {
+        this(SETTINGS, sections, workers);
+    }
 
-    static GatewayFixture with(String terms, String more, HttpTestServer... peers) throws IOException {
-        return new GatewayFixture(terms, more, peers);
+    static GatewayFixture with(String settings, String sections, HttpTestServer... workers)
+        throws IOException {
+        return new GatewayFixture(settings, sections, workers);
     }
 
-    private GatewayFixture(String terms, String more, HttpTestServer... peers) throws IOException {
-        StringBuilder s = new StringBuilder(terms).append(more);
-        if (!more.contains("listen:")) { s.append("listen: {port: 0}\n"); }
-        if (!more.contains("list:")) {
-            s.append("list:\n  workers:\n");
-            for (int i = 0; i < peers.length; i++) {
-                s.append("    - {name: w").append(i).append(", port: ").append(peers[i].port()).append("}\n");
+    private GatewayFixture(String settings, String sections, HttpTestServer... workers) throws IOException {
+        StringBuilder text = new StringBuilder(settings).append(sections);
+        if (!sections.contains("listen:")) { text.append("listen: {port: 0}\n"); }
+        if (!sections.contains("list:")) {
+            text.append("list:\n  workers:\n");
+            for (int i = 0; i < workers.length; i++) {
+                text.append("    - {name: w").append(i).append(", port: ").append(workers[i].port()).append(
+                    "}\n");
             }
         }
-        gateway = new GatewayRouter(GatewayConfig.read(YamlDocument.read("test.yaml", s.toString())));
+        gateway = new GatewayRouter(GatewayConfig.read(YamlDocument.read("test.yaml", text.toString())));
     }
 
     HttpRequest.Builder to(String path) {
@@ -53,23 +59,25 @@
     }
 
     CompletableFuture<HttpResponse<String>> later(String function, String body, String... headers) {
-        HttpRequest.Builder b = to("/v1/functions/" + function + "/invoke").POST(
+        HttpRequest.Builder builder = to("/v1/functions/" + function + "/invoke").POST(
             HttpRequest.BodyPublishers.ofString(body));
-        if (headers.length > 0) { b.headers(headers); }
-        return client.sendAsync(b.build(), HttpResponse.BodyHandlers.ofString());
+        if (headers.length > 0) { builder.headers(headers); }
+        return client.sendAsync(builder.build(), HttpResponse.BodyHandlers.ofString());
     }
 
     HttpResponse<String> get(String path, String... headers) throws Exception {
-        HttpRequest.Builder b = to(path).GET();
-        if (headers.length > 0) { b.headers(headers); }
-        return client.send(b.build(), HttpResponse.BodyHandlers.ofString());
+        HttpRequest.Builder builder = to(path).GET();
+        if (headers.length > 0) { builder.headers(headers); }
+        return client.send(builder.build(), HttpResponse.BodyHandlers.ofString());
     }
 
-    static String end(HttpResponse<?> r) { return r.headers().firstValue("Switchgap-End").orElse("none"); }
+    static String end(HttpResponse<?> response) {
+        return response.headers().firstValue("Switchgap-End").orElse("none");
+    }
 
-    static void until(BooleanSupplier holds) throws InterruptedException {
-        for (int i = 0; i < 100 && !holds.getAsBoolean(); i++) { Thread.sleep(10); }
-        org.assertj.core.api.Assertions.assertThat(holds.getAsBoolean()).isTrue();
+    static void until(BooleanSupplier condition) throws InterruptedException {
+        for (int i = 0; i < 100 && !condition.getAsBoolean(); i++) { Thread.sleep(10); }
+        assertThat(condition.getAsBoolean()).isTrue();
     }
 
     @Override public void close() { gateway.close(); }
--- a/src/test/java/switchgap/server/gateway/HttpTestServer.java
+++ b/src/test/java/switchgap/server/gateway/HttpTestServer.java
@@ -11,14 +11,14 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A worker on a plain socket that does with each request what a test says, and keeps what came. */
+/** A worker on a plain socket that handles each request as a test says, and records what it received. */
 public final class HttpTestServer implements AutoCloseable {
-    /** What came: the request line, the execution's name, the body, and on which connection. */
+    /** A request: its line, the id of its attempt, its body, and the number of its connection. */
     public record ReceivedRequest(String line, String run, String body, int connection) {}
 
-    /** Answers a request on the raw connection; false closes it. */
+    /** Responds to a request on the raw connection; false closes it. */
     public interface Behaviour {
-        boolean answer(ReceivedRequest a, OutputStream out) throws IOException, InterruptedException;
+        boolean answer(ReceivedRequest request, OutputStream out) throws IOException, InterruptedException;
     }
 
     public final List<ReceivedRequest> asked = new CopyOnWriteArrayList<>();
@@ -34,55 +34,57 @@
         listener = new ServerSocket();
         listener.setReuseAddress(true);
         listener.bind(new java.net.InetSocketAddress("127.0.0.1", port));
-        Thread t = new Thread(this::accept);
-        t.setDaemon(true);
-        t.start();
+        Thread thread = new Thread(this::accept, "test-server-accept");
+        thread.setDaemon(true);
+        thread.start();
     }
 
     public int port() { return listener.getLocalPort(); }
 
-    public void manner(Behaviour m) { manner = m; }
+    public void manner(Behaviour next) { manner = next; }
 
-    /** Executions that came. */
+    /** Inference requests received so far. */
     public long infers() {
-        return asked.stream().filter(a -> a.line().contains("/infer")).count();
+        return asked.stream().filter(request -> request.line().contains("/infer")).count();
     }
 
     private void accept() {
         while (!listener.isClosed()) {
             try {
-                Socket s = listener.accept();
-                s.setTcpNoDelay(true);
-                open.add(s);
-                int n = connections.incrementAndGet();
-                Thread t = new Thread(() -> serve(s, n));
-                t.setDaemon(true);
-                t.start();
+                Socket socket = listener.accept();
+                socket.setTcpNoDelay(true);
+                open.add(socket);
+                int number = connections.incrementAndGet();
+                Thread thread = new Thread(() -> serve(socket, number), "test-server-" + number);
+                thread.setDaemon(true);
+                thread.start();
             } catch (IOException e) {
                 return;
             }
         }
     }
 
-    private void serve(Socket s, int n) {
-        try (s) {
-            InputStream in = new BufferedInputStream(s.getInputStream());
+    private void serve(Socket socket, int number) {
+        try (socket) {
+            InputStream in = new BufferedInputStream(socket.getInputStream());
             while (true) {
                 String line = line(in);
                 if (line == null) { return; }
                 int length = 0;
                 String run = "";
-                for (String h = line(in); h != null && !h.isEmpty(); h = line(in)) {
-                    if (h.toLowerCase().startsWith("content-length:")) {
-                        length = Integer.parseInt(h.substring(15).trim());
+                for (String header = line(in); header != null && !header.isEmpty(); header = line(in)) {
+                    if (header.toLowerCase().startsWith("content-length:")) {
+                        length = Integer.parseInt(header.substring(15).trim());
+                    }
+                    if (header.toLowerCase().startsWith("x-request-id:")) {
+                        run = header.substring(13).trim();
                     }
-                    if (h.toLowerCase().startsWith("x-request-id:")) { run = h.substring(13).trim(); }
                 }
-                ReceivedRequest a = new ReceivedRequest(line, run,
-                    new String(in.readNBytes(length), StandardCharsets.UTF_8), n);
-                asked.add(a);
-                if (!manner.answer(a, s.getOutputStream())) { return; }
-                s.getOutputStream().flush();
+                ReceivedRequest request = new ReceivedRequest(line, run,
+                    new String(in.readNBytes(length), StandardCharsets.UTF_8), number);
+                asked.add(request);
+                if (!manner.answer(request, socket.getOutputStream())) { return; }
+                socket.getOutputStream().flush();
             }
         } catch (IOException | InterruptedException e) {
             // the router closed its side
@@ -90,17 +92,17 @@
     }
 
     private static String line(InputStream in) throws IOException {
-        StringBuilder s = new StringBuilder();
-        for (int c = in.read(); c != '\n'; c = in.read()) {
-            if (c < 0) { return null; }
-            if (c != '\r') { s.append((char) c); }
+        StringBuilder text = new StringBuilder();
+        for (int character = in.read(); character != '\n'; character = in.read()) {
+            if (character < 0) { return null; }
+            if (character != '\r') { text.append((char) character); }
         }
-        return s.toString();
+        return text.toString();
     }
 
-    /** An answer as a well-behaved worker writes it. */
-    public static byte[] ok(ReceivedRequest a, String body) {
-        return http(200, "X-Request-Id: " + a.run() + "\r\n", body);
+    /** A response as a correct worker writes it. */
+    public static byte[] ok(ReceivedRequest request, String body) {
+        return http(200, "X-Request-Id: " + request.run() + "\r\n", body);
     }
 
     public static byte[] http(int status, String headers, String body) {
@@ -108,28 +110,28 @@
             + body).getBytes(StandardCharsets.UTF_8);
     }
 
-    public static boolean well(ReceivedRequest a, OutputStream out) throws IOException {
-        out.write(ok(a, "{\"echo\":" + (a.body().isEmpty() ? "0" : a.body()) + "}"));
+    public static boolean well(ReceivedRequest request, OutputStream out) throws IOException {
+        out.write(ok(request, "{\"echo\":" + (request.body().isEmpty() ? "0" : request.body()) + "}"));
         return true;
     }
 
-    public static boolean silent(ReceivedRequest a, OutputStream out) throws InterruptedException {
+    public static boolean silent(ReceivedRequest request, OutputStream out) throws InterruptedException {
         Thread.sleep(20_000);
         return false;
     }
 
     /** Connections that are open on the router's side too. */
     public long connected() {
-        return open.stream().filter(s -> !s.isClosed()).count();
+        return open.stream().filter(socket -> !socket.isClosed()).count();
     }
 
     /** Closes all connections and goes on listening. */
     public void hangUp() throws IOException {
-        for (Socket s : open) { s.close(); }
+        for (Socket socket : open) { socket.close(); }
     }
 
     @Override public void close() throws IOException {
         listener.close();
-        for (Socket s : open) { s.close(); }
+        for (Socket socket : open) { socket.close(); }
     }
 }
