--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -218,7 +218,10 @@
         return planners == null ? 0 : planners.port();
     }
 
-    /** Load commands and plans so far; null where no planner is expected. */
+    /**
+     * Load commands and plans so far; null where no planner is expected. The event loop counts without
+     * synchronization, so another thread may see counts of a moment ago.
+     */
     public LoadPlanCounts loadPlanCounts() {
         return planned == null ? null : planned.counts();
     }
--- a/src/main/java/switchgap/server/gateway/JvmWarmup.java
+++ b/src/main/java/switchgap/server/gateway/JvmWarmup.java
@@ -31,7 +31,7 @@
 
     private JvmWarmup() {}
 
-    /** Warms up the routing of requests and the sockets; returns after four seconds at the latest. */
+    /** Warms up the routing of requests and the sockets; takes about four seconds at most. */
     static void run(YamlRouterSettings settings, NetworkTransport network) throws IOException {
         new RoutingWarmup(settings).run();
         warmUpSockets(network);
