--- a/src/main/java/switchgap/endpoints/EndpointListWatcher.java
+++ b/src/main/java/switchgap/endpoints/EndpointListWatcher.java
@@ -9,7 +9,6 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import java.util.function.ToIntFunction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import switchgap.net.HttpClientConnection;
@@ -50,14 +49,6 @@
     private volatile HttpClientConnection connection;
     private volatile long lastByteNanos = System.nanoTime();
 
-    /** A watcher of names given one by one; see the other constructor. */
-    public EndpointListWatcher(HttpClientConnection.Factory connections, InetSocketAddress service,
-        int routerIndex, long startedAtMillis, Duration retryDelay, ToIntFunction<String> zones,
-        ToIntFunction<String> kinds, Consumer<Consumer<RouterCore>> events) {
-        this(connections, service, routerIndex, retryDelay,
-            new EndpointListLine.NameDirectory(zones, kinds, startedAtMillis), events);
-    }
-
     /**
      * A watcher that does nothing until {@link #follow()}.
      *
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -12,6 +12,7 @@
 import switchgap.admission.ServiceLevelChange;
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
+import switchgap.endpoints.EndpointListLine;
 import switchgap.endpoints.EndpointListWatcher;
 import switchgap.eventloop.EventLoop;
 import switchgap.net.HttpClientConnection;
@@ -153,9 +154,10 @@
         if (endpoints.service() == null) {
             return null;
         }
+        EndpointListLine.NameDirectory directory = new EndpointListLine.NameDirectory(settings::zoneIndex,
+            settings::workerKindIndex, startedAtMillis);
         return new EndpointListWatcher(connections, endpoints.service(), settings.routerIndex(),
-            startedAtMillis, endpoints.retryInterval(), settings::zoneIndex, settings::workerKindIndex,
-            loop::postUrgent);
+            endpoints.retryInterval(), directory, loop::postUrgent);
     }
 
     private void followEndpointList() {
