--- a/src/main/java/switchgap/emulator/EmulatedClients.java
+++ b/src/main/java/switchgap/emulator/EmulatedClients.java
@@ -3,301 +3,229 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.TreeMap;
+import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import java.util.function.LongToDoubleFunction;
 
 /**
- * Clients with open-loop arrivals: they do not wait for answers before they ask again. They give up at their limit,
- * retry what their workload allows, and keep count of what came of it. On the ticker's thread.
+ * Clients with open-loop arrivals: they do not wait for responses before they send the next request. They
+ * time out, retry what their request class allows, and count what became of it. On the scheduler's thread.
  */
 public final class EmulatedClients {
-    /** Spans in microseconds. {@code worth}: importance, {@code late}: share that a late answer earns. */
+    private static final double MIN_CURVE_FACTOR = 1e-3;
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    /**
+     * A request class as its clients see it. Times in microseconds.
+     *
+     * @param workload   name of the request class
+     * @param target     latency objective
+     * @param limit      longest timeout
+     * @param worth      priority weight of one request
+     * @param late       share of the weight that a response past the objective earns
+     * @param retriesAll whether any failure but a refusal may be retried
+     * @param idempotent whether requests carry an idempotency key
+     */
     public record RequestClassProfile(String workload, long target, long limit, double worth, double late,
-        boolean retriesAll,
-        boolean fingerprinted) {}
-
-    /** How clients behave: retries at the most, share of the limit waited, pause, and how many heed come-back times. */
-    public record RetryBehaviour(int retries, double leastShare, long backoff, double honour) {}
-
-    /** What came of one workload's jobs; worth in units of importance. */
+        boolean retriesAll, boolean idempotent) {}
+
+    /**
+     * How clients time out and retry.
+     *
+     * @param retries         retries at most
+     * @param minTimeoutShare least share of the request class's timeout that a client waits
+     * @param backoff         pause before the first retry in microseconds; doubles with each
+     * @param honourShare     share of clients that honour a retry-after time
+     */
+    public record RetryBehaviour(int retries, double minTimeoutShare, long backoff, double honourShare) {}
+
+    /** What became of one request class's requests; weights in units of priority weight. */
     public static final class Tally {
-        public long jobs, tries, finished, late, pushedBack, killed, gaveUp, unreachable, refused;
-        public double asked, earned;
-    }
-
-    /** Hears of each job's end: when it began, how long it took in all its tries (microseconds), and how the last one ended. */
+        /** Requests that arrived. */
+        public long jobs;
+        /** Attempts sent. */
+        public long tries;
+        /** Requests answered with success. */
+        public long finished;
+        /** Of these, requests answered past their latency objective. */
+        public long late;
+        /** Attempts rejected by a router, to be retried later. */
+        public long pushedBack;
+        /** Attempts that a router ended as failed. */
+        public long failed;
+        /** Attempts without a response before their deadline. */
+        public long timedOut;
+        /** Attempts that reached no router, or ended in any other way. */
+        public long unreachable;
+        /** Attempts that a router refused as invalid or over its bounds. */
+        public long refused;
+        /** Weight requested. */
+        public double asked;
+        /** Weight earned. */
+        public double earned;
+    }
+
+    /**
+     * {@link #onRequestEnded} with the parts of the result as parameters, for callers not yet moved to it.
+     */
     public interface ResultListener {
-        void job(String workload, String customer, int router, long began, long took, int tries, String end,
-            double earned);
-    }
-
-    private static final class ClientRequest {
-        final String id;
-        final FunctionModel model;
-        final String customer;
-        final int router;
-        final long began;
-        final RequestClassProfile wish;
-        final int hammers;
-        /** Its own, so that how answers come moves no other job: the same seed brings the same arrivals, whatever becomes of them. */
-        final SplittableRandom chance;
-        int tries;
-
-        ClientRequest(String id, FunctionModel model, String customer, int router, long began,
-            RequestClassProfile wish, int hammers,
-            SplittableRandom chance) {
-            this.id = id;
-            this.model = model;
-            this.customer = customer;
-            this.router = router;
-            this.began = began;
-            this.wish = wish;
-            this.hammers = hammers;
-            this.chance = chance;
-        }
-    }
-
-    private final Scheduler ticker;
-    private final ClientTransport way;
+        /**
+         * Called on the scheduler's thread.
+         *
+         * @param workload name of the request class
+         * @param customer name of the tenant
+         * @param router   index of the router
+         * @param began    time of arrival, microseconds
+         * @param took     time over all attempts, microseconds
+         * @param tries    attempts made
+         * @param end      word of how the last attempt ended, see {@link ClientOutcome}
+         * @param earned   weight earned
+         */
+        void requestEnded(String workload, String customer, int router, long began, long took, int tries,
+            String end, double earned);
+    }
+
+    private final Scheduler scheduler;
     private final FunctionCatalogue catalogue;
-    private final RequestClassProfile[] wishes;
-    private final RetryBehaviour manner;
-    private final double[] routerShare;
-    private final Map<String, Double> customers;
-    private final SplittableRandom chance;
-    private final String[] zones;
-    private final Map<String, Tally> tallies = new TreeMap<>();
-    private final Map<Long, double[]> windows = new TreeMap<>();
-    private final Map<String, double[]> byCustomer = new TreeMap<>();
-    private final Map<String, Double> burst = new HashMap<>();
-    private final boolean[] moved;
-    private final Map<String, Integer> hammering = new HashMap<>();
-    private ResultListener heard = (w, c, r, b, t, n, e, x) -> {};
-    private LongConsumer sent = late -> {};
-    private double rate;
-    private double times = 1;
-    private LongToDoubleFunction curve = t -> 1;
-    private long until;
-    private long began;
-    private long due;
-    private long next;
-    private long open;
-
-    /** {@code rate} jobs a second in all; shares of routers and customers sum to one. */
-    public EmulatedClients(Scheduler ticker, ClientTransport way, FunctionCatalogue catalogue,
-        RequestClassProfile[] wishes, RetryBehaviour manner, double rate,
-        double[] routerShare, Map<String, Double> customers, long seed) {
-        this.ticker = ticker;
-        this.way = way;
+    private final ClientSettings settings;
+    private final SplittableRandom random;
+    private final TrafficMix mix;
+    private final ServiceTally tally;
+    private final ClientRetries retries;
+    private final Map<String, Integer> hammeringRetries = new HashMap<>();
+    private LongConsumer sendDelayListener = delay -> {};
+    private double burstFactor = 1;
+    private LongToDoubleFunction curve = elapsed -> 1;
+    private long startedAt;
+    private long endsAt;
+    private long nextArrival;
+    private long nextId;
+
+    /** Clients that send nothing before {@link #start}. */
+    public EmulatedClients(Scheduler scheduler, ClientTransport transport, FunctionCatalogue catalogue,
+        ClientSettings settings) {
+        this.scheduler = scheduler;
         this.catalogue = catalogue;
-        this.wishes = wishes;
-        this.manner = manner;
-        this.rate = rate;
-        this.routerShare = routerShare.clone();
-        this.customers = customers;
-        this.chance = new SplittableRandom(seed);
-        this.zones = new String[routerShare.length];
-        this.moved = new boolean[routerShare.length];
-        for (RequestClassProfile w : wishes) { tallies.put(w.workload, new Tally()); }
+        this.settings = settings;
+        this.random = new SplittableRandom(settings.seed());
+        this.mix = new TrafficMix(settings.routerShares(), settings.tenantShares());
+        this.tally = new ServiceTally(settings.requestClasses());
+        this.retries = new ClientRetries(scheduler, transport, settings.retries(), tally);
     }
 
-    /** The zone of a router, for traffic that moves. */
+    /** Sets the zone of a router, for traffic that moves between zones. */
     public void zone(int router, String zone) {
-        zones[router] = zone;
+        mix.setZone(router, zone);
     }
 
-    /** Who hears of each job's end. */
-    public void heard(ResultListener h) { heard = h; }
+    /** Sets who is notified of each request's end. */
+    public void onRequestEnded(Consumer<RequestResult> listener) {
+        retries.setListener(listener);
+    }
 
-    /** Who hears for each job by how many microseconds it is sent after it was due. */
-    public void sent(LongConsumer s) {
-        sent = s;
+    /** Like {@link #onRequestEnded}. */
+    public void heard(ResultListener listener) {
+        onRequestEnded(result -> listener.requestEnded(result.requestClass(), result.tenant(),
+            result.router(), result.arrivedAt(), result.duration(), result.attempts(), result.end(),
+            result.earned()));
     }
 
-    /** The load over time: a factor on the rate, by microseconds since the start. */
-    public void curve(LongToDoubleFunction c) {
-        curve = c;
+    /** Sets who is notified, for each request, by how many microseconds it is sent after it was due. */
+    public void sent(LongConsumer listener) {
+        sendDelayListener = listener;
     }
 
-    public void burst(double factor) { times = factor; }
+    /** Sets the load over time: a factor on the rate, by microseconds since the start. */
+    public void curve(LongToDoubleFunction factorByElapsedMicros) {
+        curve = factorByElapsedMicros;
+    }
+
+    /** Multiplies the rate of all tenants; 1 ends it. */
+    public void burst(double factor) {
+        burstFactor = factor;
+    }
 
-    /** One customer's rate times this; 1 ends it. */
+    /** Multiplies one tenant's rate; 1 ends it. */
     public void burst(String customer, double factor) {
-        if (factor == 1) {
-            burst.remove(customer);
-        } else {
-            burst.put(customer, factor);
-        }
+        mix.setTenantBurst(customer, factor);
     }
 
-    /** One customer's clients give up at a short equal time and retry at once, so many times; 0 ends it. */
-    public void hammer(String customer, int retries) {
-        if (retries == 0) {
-            hammering.remove(customer);
+    /** Makes one tenant's clients time out early and retry at once, so many times; 0 ends it. */
+    public void hammer(String customer, int maxRetries) {
+        if (maxRetries == 0) {
+            hammeringRetries.remove(customer);
         } else {
-            hammering.put(customer, retries);
+            hammeringRetries.put(customer, maxRetries);
         }
     }
 
-    /** Traffic goes to the routers of one zone only; null ends it. */
+    /** Sends all traffic to the routers of one zone; null ends it. */
     public void moveTo(String zone) {
-        for (int i = 0; i < moved.length; i++) { moved[i] = zone != null && !zone.equals(zones[i]); }
+        mix.moveTo(zone);
     }
 
-    /** Jobs come until this time. */
+    /** Starts arrivals; they end at this time, microseconds of the scheduler's clock. */
     public void start(long end) {
-        began = ticker.now();
-        until = end;
-        due = began;
+        startedAt = scheduler.now();
+        endsAt = end;
+        nextArrival = startedAt;
+        tally.begin(startedAt, end);
         arrive();
     }
 
-    /** Tries still out. */
-    public long open() { return open; }
-
-    public Map<String, Tally> tallies() { return tallies; }
-
-    /** Worth earned over worth asked for, over all workloads. */
-    public double service() {
-        double asked = tallies.values().stream().mapToDouble(t -> t.asked).sum();
-        return tallies.values().stream().mapToDouble(t -> t.earned).sum() / Math.max(asked, 1e-9);
+    /** Number of attempts in flight. */
+    public long open() {
+        return retries.inFlight();
     }
 
-    /** Worth earned over worth asked for in the worst window of so many seconds. */
-    public double worst(int seconds) {
-        double worst = 1;
-        int whole = (int) ((until - began) / 1_000_000);
-        if (whole < seconds) { return worst(Math.max(1, whole)); }
-        for (long w : windows.keySet()) {
-            double asked = 0;
-            double earned = 0;
-            for (long i = w; i < w + seconds; i++) {
-                double[] v = windows.getOrDefault(i, new double[2]);
-                asked += v[0];
-                earned += v[1];
-            }
-            if (w + seconds <= whole && asked > 0) { worst = Math.min(worst, earned / asked); }
-        }
-        return worst;
+    /** Counts by name of the request class. */
+    public Map<String, Tally> tallies() {
+        return tally.byRequestClass();
     }
 
-    private void arrive() {
-        long now = due; // not when it came to be sent: a sender that falls behind must not thin out the load
-        if (now >= until) { return; }
-        double more = 1;
-        for (var b : burst.entrySet()) { more += customers.get(b.getKey()) * (b.getValue() - 1); }
-        due += (long) (-Math.log(1 - chance.nextDouble()) / (rate * times * more
-            * Math.max(1e-3, curve.applyAsDouble(now - began))) * 1e6);
-        ticker.after(due - ticker.now(), this::arrive);
-        FunctionModel m = catalogue.draw(chance);
-        String customer = customer(more);
-        int r = router();
-        RequestClassProfile w = wishes[m.workload()];
-        ClientRequest j = new ClientRequest("j" + next++, m, customer, r, now, w,
-            hammering.getOrDefault(customer, 0), chance.split());
-        Tally t = tallies.get(w.workload);
-        t.jobs++;
-        t.asked += w.worth;
-        window(j)[0] += w.worth;
-        customer(customer)[0] += w.worth;
-        sent.accept(ticker.now() - now);
-        attempt(j);
+    /** Weight earned over weight requested, over all request classes. */
+    public double service() {
+        return tally.service();
     }
 
-    private String customer(double total) {
-        double u = chance.nextDouble() * total;
-        String last = "";
-        for (var c : customers.entrySet()) {
-            last = c.getKey();
-            u -= c.getValue() * burst.getOrDefault(last, 1.0);
-            if (u < 0) { break; }
-        }
-        return last;
+    /** Weight earned over weight requested in the worst window of so many seconds. */
+    public double worst(int seconds) {
+        return tally.worstWindow(seconds);
     }
 
-    private int router() {
-        double sum = 0;
-        for (int i = 0; i < routerShare.length; i++) { sum += moved[i] ? 0 : routerShare[i]; }
-        double u = chance.nextDouble() * sum;
-        int last = 0;
-        for (int i = 0; i < routerShare.length; i++) {
-            if (moved[i]) { continue; }
-            last = i;
-            u -= routerShare[i];
-            if (u < 0) { break; }
-        }
-        return last;
+    /** Weight requested and weight earned by tenant. */
+    public Map<String, double[]> customers() {
+        return tally.byTenant();
     }
 
-    private void attempt(ClientRequest j) {
-        j.tries++;
-        open++;
-        tallies.get(j.wish.workload).tries++;
-        double share = j.hammers > 0 ? 0.3
-            : manner.leastShare + (1 - manner.leastShare) * j.chance.nextDouble();
-        long limit = ticker.now() + (long) (j.wish.limit * share);
-        way.send(
-            new ClientTransport.ClientAttempt(j.id + "." + j.tries, j.id, j.model, j.customer, j.router,
-                limit,
-                j.wish.fingerprinted ? j.id : null),
-            (end, status, comeBack) -> over(j, end, status, comeBack));
+    /** Weight requested and weight earned of the requests that arrived in each second since the start. */
+    public Map<Long, double[]> seconds() {
+        return tally.bySecond();
     }
 
-    private void over(ClientRequest j, String end, int status, long comeBack) {
-        open--;
-        Tally t = tallies.get(j.wish.workload);
-        boolean pushed = end.equals("pushed-back");
-        if (end.equals("finished") && status < 300) {
-            long took = ticker.now() - j.began;
-            boolean late = took > j.wish.target;
-            double worth = late ? j.wish.worth * j.wish.late : j.wish.worth;
-            t.finished++;
-            t.late += late ? 1 : 0;
-            t.earned += worth;
-            window(j)[1] += worth;
-            customer(j.customer)[1] += worth;
-            ended(j, end, worth);
-            return;
-        }
-        switch (end) {
-            case "pushed-back" -> t.pushedBack++;
-            case "killed" -> t.killed++;
-            case "gave-up" -> t.gaveUp++;
-            case "refused" -> t.refused++;
-            default -> t.unreachable++;
-        }
-        boolean may = pushed || end.equals("unreachable") || j.wish.retriesAll && !end.equals("refused");
-        int most = j.hammers > 0 ? j.hammers : manner.retries;
-        if (!may || j.tries > most) {
-            ended(j, end, 0);
+    /**
+     * The order of its random draws is part of a seed's meaning: interval, function, tenant, router, split.
+     */
+    private void arrive() {
+        // Not the time of sending: a sender that falls behind must not thin out the load.
+        long at = nextArrival;
+        if (at >= endsAt) {
             return;
         }
-        long pause = j.hammers > 0 ? 0 : manner.backoff << Math.min(4, j.tries - 1);
-        if (j.hammers == 0 && comeBack >= 0 && j.chance.nextDouble() < manner.honour) {
-            pause = Math.max(pause, comeBack * 1000);
-        }
-        ticker.after(pause, () -> attempt(j));
-    }
-
-    private void ended(ClientRequest j, String end, double worth) {
-        heard.job(j.wish.workload, j.customer, j.router, j.began, ticker.now() - j.began, j.tries, end,
-            worth);
-    }
-
-    private double[] window(ClientRequest j) {
-        return windows.computeIfAbsent((j.began - began) / 1_000_000, k -> new double[2]);
-    }
-
-    private double[] customer(String name) { return byCustomer.computeIfAbsent(name, k -> new double[2]); }
-
-    /** Worth asked for and earned by each customer. */
-    public Map<String, double[]> customers() {
-        return byCustomer;
-    }
-
-    /** Worth asked for and earned of the jobs that began in each second. */
-    public Map<Long, double[]> seconds() {
-        return windows;
+        double totalWeight = mix.totalWeight();
+        double rate = settings.rate() * burstFactor * totalWeight
+            * Math.max(MIN_CURVE_FACTOR, curve.applyAsDouble(at - startedAt));
+        nextArrival += (long) (-Math.log(1 - random.nextDouble()) / rate * MICROS_PER_SECOND);
+        scheduler.after(nextArrival - scheduler.now(), this::arrive);
+        FunctionModel model = catalogue.draw(random);
+        String tenant = mix.drawTenant(random, totalWeight);
+        int router = mix.drawRouter(random);
+        ClientRequest request = new ClientRequest(
+            new ClientRequest.Arrival("j" + nextId++, model, tenant, router, at),
+            settings.requestClasses().get(model.workload()), hammeringRetries.getOrDefault(tenant, 0),
+            random.split());
+        tally.arrived(request);
+        sendDelayListener.accept(scheduler.now() - at);
+        retries.attempt(request);
     }
 }
--- a/src/main/java/switchgap/emulator/EmulatedStore.java
+++ b/src/main/java/switchgap/emulator/EmulatedStore.java
@@ -3,57 +3,78 @@
 import java.util.function.Consumer;
 
 /**
- * The one store that all loads fetch from. A fetch alone takes its own time; beyond {@code takes} in hand all slow
- * down in proportion, beyond four times that it refuses, and pushed past three times for three seconds it stops.
+ * The store that all loads fetch from. A fetch alone takes its own time; beyond its capacity of concurrent
+ * fetches all slow down in proportion, at a multiple of it the store refuses, and under sustained overload it
+ * stops for a while. On the scheduler's thread.
  */
 public final class EmulatedStore implements FunctionFetcher {
-    private static final double REFUSES = 4;
-    private static final double STOPS = 3;
-    private static final long PUSHED = 3_000_000;
-    private final Scheduler ticker;
-    private final EventRecorder record;
-    private final double takes;
-    private final long down;
-    private double slow = 1;
-    private int inHand;
-    private long pushedSince = -1;
+    private static final double REFUSAL_MULTIPLE = 4;
+    private static final double OVERLOAD_MULTIPLE = 3;
+    private static final long MAX_OVERLOAD_MICROS = 3_000_000;
+    private static final long REFUSAL_DELAY_MICROS = 2_000;
+    private static final long NOT_OVERLOADED = -1;
+    private final Scheduler scheduler;
+    private final EventRecorder recorder;
+    private final double capacity;
+    private final long outage;
+    private double slowdown = 1;
+    private int inFlight;
+    private long overloadedSince = NOT_OVERLOADED;
     private long stoppedUntil;
     private long fetches;
 
-    /** {@code down}: microseconds that it stops for when pushed over. */
-    public EmulatedStore(Scheduler ticker, EventRecorder record, double takes, long down) {
-        this.ticker = ticker;
-        this.record = record;
-        this.takes = takes;
-        this.down = down;
+    /**
+     * A store that runs.
+     *
+     * @param scheduler clock and thread
+     * @param recorder  log of its fetches
+     * @param capacity  concurrent fetches that it serves at full speed
+     * @param outage    microseconds that it stops for after sustained overload
+     */
+    public EmulatedStore(Scheduler scheduler, EventRecorder recorder, double capacity, long outage) {
+        this.scheduler = scheduler;
+        this.recorder = recorder;
+        this.capacity = capacity;
+        this.outage = outage;
     }
 
-    public void slow(double times) { slow = times; }
+    /** Makes all later fetches take this many times as long; 1 ends it. */
+    public void slow(double factor) {
+        slowdown = factor;
+    }
 
-    public long fetches() { return fetches; }
+    /** Number of fetches asked for, refused ones included. */
+    public long fetches() {
+        return fetches;
+    }
 
-    @Override public void fetch(String worker, String function, long micros, Consumer<Boolean> then) {
-        long now = ticker.now();
+    @Override public void fetch(String worker, String function, long micros, Consumer<Boolean> callback) {
+        long now = scheduler.now();
         fetches++;
-        if (now < stoppedUntil || inHand >= REFUSES * takes) {
-            record.line(now, "fetch-refused", "worker", worker, "function", function, "in_hand", inHand);
-            ticker.after(2_000, () -> then.accept(false));
+        if (now < stoppedUntil || inFlight >= REFUSAL_MULTIPLE * capacity) {
+            recorder.record(now, "fetch-refused", "worker", worker, "function", function, "in_hand",
+                inFlight);
+            scheduler.after(REFUSAL_DELAY_MICROS, () -> callback.accept(false));
             return;
         }
-        inHand++;
-        if (inHand <= STOPS * takes) {
-            pushedSince = -1;
-        } else if (pushedSince < 0) {
-            pushedSince = now;
-        } else if (now - pushedSince > PUSHED) {
-            stoppedUntil = now + down;
-            pushedSince = -1;
-            record.line(now, "store-stopped", "in_hand", inHand);
-        }
-        record.line(now, "fetch", "worker", worker, "function", function, "in_hand", inHand);
-        ticker.after((long) (micros * slow * Math.max(1, inHand / takes)), () -> {
-            inHand--;
-            then.accept(ticker.now() >= stoppedUntil);
+        inFlight++;
+        watchOverload(now);
+        recorder.record(now, "fetch", "worker", worker, "function", function, "in_hand", inFlight);
+        scheduler.after((long) (micros * slowdown * Math.max(1, inFlight / capacity)), () -> {
+            inFlight--;
+            callback.accept(scheduler.now() >= stoppedUntil);
         });
     }
+
+    private void watchOverload(long now) {
+        if (inFlight <= OVERLOAD_MULTIPLE * capacity) {
+            overloadedSince = NOT_OVERLOADED;
+        } else if (overloadedSince < 0) {
+            overloadedSince = now;
+        } else if (now - overloadedSince > MAX_OVERLOAD_MICROS) {
+            stoppedUntil = now + outage;
+            overloadedSince = NOT_OVERLOADED;
+            recorder.record(now, "store-stopped", "in_hand", inFlight);
+        }
+    }
 }
--- a/src/main/java/switchgap/emulator/EmulatedWorker.java
+++ b/src/main/java/switchgap/emulator/EmulatedWorker.java
@@ -1,394 +1,317 @@
 package switchgap.emulator;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
 
 /**
- * One worker's process without its sockets: cores shared by the jobs that run, copies with lanes, loads, memory,
- * idle unload, a cold start, and falling over when pushed while cold. All on the ticker's thread.
+ * One worker's process without its sockets: queues executions for the slots of replicas and lets them share
+ * the cores. On the scheduler's thread.
  */
 public final class EmulatedWorker {
-    /** How a request to the machine ended. DROPPED: a repeat known by its fingerprint, answered without running. */
+    /** How a command to the worker ended. */
     public enum Outcome {
-        OK, DROPPED, MISS, FULL, FAILED
+        /** Done. */
+        OK,
+        /** A repeat known by its idempotency key, answered without running. */
+        DROPPED,
+        /** The function is not loaded. */
+        MISS,
+        /** No room in the queue or in memory. */
+        FULL,
+        /** It failed. */
+        FAILED
     }
 
     /**
-     * What a machine is. Memory in MB; slots: jobs in work at a time; queue: waiting beyond; spans in microseconds.
-     * The rules' figures: capacity share when it starts, span until warm, multiple and span of falling over.
+     * What a worker is. Times in microseconds.
+     *
+     * @param cores            number of cores
+     * @param speed            speed of a core
+     * @param slots            executions that run at a time
+     * @param queue            executions that wait beyond these
+     * @param memoryMb         memory for replicas in MB
+     * @param concurrentLoads  loads at a time
+     * @param keepAlive        time after which an idle function is unloaded
+     * @param loadsOnMiss      whether a request for a function that is not loaded loads it
+     * @param eagerLoads       whether a request that finds all slots busy loads one replica more
+     * @param coldShare        share of the capacity at a cold start
+     * @param coldSpan         time from a cold start to full capacity
+     * @param fallMultiple     multiple of its capacity at which a cold worker crashes
+     * @param fallSpan         window over which that is measured
+     * @param fetchShare       share of a load's time that is spent on fetching
+     * @param loadFailureShare share of the loads that fail
      */
-    public record Hardware(int cores, double speed, int slots, int queue, double memory, int loadsAtOnce,
-        long keep,
-        boolean loadsOnMiss, boolean eager, double coldShare, long coldSpan, double fallMultiple,
-        long fallSpan, double fetchShare, double loadFails) {}
-
-    /** A job in the machine. */
-    public final class Execution {
-        private final FunctionModel model;
-        private final LoadedFunction held;
-        private final Runnable began;
-        private final BiConsumer<Outcome, Integer> then;
-        private final int crowd;
-        private double left;
-        private boolean waits;
-
-        Execution(FunctionModel model, LoadedFunction held, Runnable began,
-            BiConsumer<Outcome, Integer> then) {
-            this.model = model;
-            this.held = held;
-            this.began = began;
-            this.then = then;
-            this.crowd = held.inHand;
+    public record Hardware(int cores, double speed, int slots, int queue, double memoryMb,
+        int concurrentLoads, long keepAlive, boolean loadsOnMiss, boolean eagerLoads, double coldShare,
+        long coldSpan, double fallMultiple, long fallSpan, double fetchShare, double loadFailureShare) {}
+
+    /** A request that waits or runs on the worker. */
+    public static final class Execution {
+        private final LoadedFunction function;
+        private final Runnable startHandler;
+        private final BiConsumer<Outcome, Integer> callback;
+        private final int concurrency;
+        private boolean queued;
+        /** Microseconds of work on a core of speed 1. */
+        double remainingWork;
+
+        Execution(LoadedFunction function, Runnable startHandler, BiConsumer<Outcome, Integer> callback) {
+            this.function = function;
+            this.startHandler = startHandler;
+            this.callback = callback;
+            this.concurrency = function.inFlight;
         }
-    }
-
-    /** The copies of one function. */
-    private static final class LoadedFunction {
-        final FunctionModel model;
-        int standing, loading, busy, inHand;
-        long used;
-        final ArrayDeque<Execution> waiting = new ArrayDeque<>();
-        final List<LoadWaiter> orders = new ArrayList<>();
 
-        LoadedFunction(FunctionModel model) { this.model = model; }
-
-        boolean idle() { return busy == 0 && waiting.isEmpty(); }
+        private void end(Outcome outcome) {
+            callback.accept(outcome, concurrency);
+        }
     }
 
-    private record LoadWaiter(int copies, BiConsumer<Outcome, Integer> then) {}
-
-    private record ColdArrival(long t, double work) {}
-
-    final Hardware make;
-    private final Scheduler ticker;
-    private final FunctionFetcher store;
+    private final Hardware hardware;
+    private final Scheduler scheduler;
     private final String name;
-    private final SplittableRandom chance;
-    private final Runnable fell;
-    private final Map<String, LoadedFunction> all = new HashMap<>();
-    private final List<Execution> running = new ArrayList<>();
-    private final ArrayDeque<Runnable> loadQueue = new ArrayDeque<>();
-    private final ArrayDeque<ColdArrival> came = new ArrayDeque<>();
-    private final long started;
-    private final boolean cold;
-    private double cameWork;
-    private double slow = 1;
-    private double memory;
-    private int inHand;
-    private int doingIo;
-    private int loads;
-    private long advanced;
-    private long number;
+    private final SplittableRandom random;
+    private final Runnable crashHandler;
+    private final ColdStart coldStart;
+    private final ProcessorSharing processors;
+    private final ReplicaManager replicas;
+    private int inFlight;
+    private int waitingForIo;
     private boolean dead;
 
-    /** A machine that starts now; cold unless it is held to have run for long. */
-    public EmulatedWorker(Hardware make, Scheduler ticker, FunctionFetcher store, String name, long seed,
-        boolean cold, Runnable fell) {
-        this.make = make;
-        this.ticker = ticker;
-        this.store = store;
+    /**
+     * A worker that starts now.
+     *
+     * @param hardware     what it is
+     * @param scheduler    clock and thread
+     * @param store        where it fetches functions from
+     * @param name         its name
+     * @param seed         seed of its random draws
+     * @param cold         whether it has to warm up; false for one that has run for long
+     * @param crashHandler called when it crashes from overload while cold
+     */
+    public EmulatedWorker(Hardware hardware, Scheduler scheduler, FunctionFetcher store, String name,
+        long seed, boolean cold, Runnable crashHandler) {
+        this.hardware = hardware;
+        this.scheduler = scheduler;
         this.name = name;
-        this.chance = new SplittableRandom(seed);
-        this.cold = cold;
-        this.fell = fell;
-        this.started = ticker.now();
-        this.advanced = started;
-        tidy();
+        this.random = new SplittableRandom(seed);
+        this.crashHandler = crashHandler;
+        this.coldStart = new ColdStart(hardware, scheduler.now(), cold);
+        this.processors = new ProcessorSharing(hardware, scheduler, coldStart, this::completed);
+        this.replicas = new ReplicaManager(hardware, scheduler, store, name, random,
+            new ReplicaManager.Listener() {
+                @Override public void functionUnavailable(LoadedFunction function) {
+                    failQueued(function);
+                }
+
+                @Override public void loadEnded(LoadedFunction function) {
+                    startQueued(function);
+                }
+            });
     }
 
-    public void slow(double times) {
-        advance();
-        slow = times;
-        next();
+    /** Makes executions and loads take this many times as long; 1 ends it. */
+    public void slow(double factor) {
+        replicas.setSlowdown(factor);
+        processors.setSlowdown(factor);
     }
 
-    public void die() { dead = true; }
-
-    public boolean dead() { return dead; }
-
-    public boolean cold() { return cold; }
+    /** Ends the process at once: nothing that is in flight is answered. */
+    public void die() {
+        dead = true;
+        processors.stop();
+        replicas.stop();
+    }
 
-    public String name() { return name; }
+    /** Whether the process has ended. */
+    public boolean dead() {
+        return dead;
+    }
 
-    public long started() { return started; }
+    /** Whether it had to warm up when it started. */
+    public boolean cold() {
+        return coldStart.cold();
+    }
 
-    /** Share of full capacity at a time. */
-    public double warmth(long now) {
-        return !cold ? 1
-            : Math.min(1, make.coldShare + (1 - make.coldShare) * (now - started) / (double) make.coldSpan);
+    /** Its name. */
+    public String name() {
+        return name;
     }
 
-    public int inHand() { return inHand; }
+    /** When it started, microseconds of the scheduler's clock. */
+    public long started() {
+        return coldStart.startedAt();
+    }
 
-    public int waiting() { return inHand - running.size() - doingIo; }
+    /** Number of executions queued or running. */
+    public int inHand() {
+        return inFlight;
+    }
 
-    public double busy() { return Math.min(1, running.size() / (double) make.cores); }
+    /** Number of executions queued. */
+    public int waiting() {
+        return inFlight - runningOrWaitingForIo();
+    }
 
-    public int standing(String function) {
-        LoadedFunction h = all.get(function);
-        return h == null ? 0 : h.standing;
+    /** Share of the cores that compute. */
+    public double busy() {
+        return processors.utilization();
     }
 
-    Map<String, Integer> copies() {
-        Map<String, Integer> n = new java.util.TreeMap<>();
-        all.forEach((f, h) -> { if (h.standing > 0) { n.put(f, h.standing); } });
-        return n;
+    /** Number of loaded replicas of a function. */
+    public int standing(String function) {
+        return replicas.replicas(function);
     }
 
-    /** A copy that stands from the beginning, while there is room. */
-    public void seed(FunctionModel m) {
-        if (memory + m.memory() <= make.memory * 0.6) {
-            LoadedFunction h = all.computeIfAbsent(m.name(), x -> new LoadedFunction(m));
-            h.standing++;
-            h.used = ticker.now();
-            memory += m.memory();
-        }
+    /** Number of loaded replicas by function, sorted by name. */
+    Map<String, Integer> loadedReplicas() {
+        return replicas.replicas();
     }
 
-    /** Copies made void: idle ones go, as after a new release of the function. */
-    public void flush(String function) {
-        LoadedFunction h = all.get(function);
-        if (h != null) { unload(h); }
+    /** Adds a replica that needs no load, while there is room. */
+    public void seed(FunctionModel model) {
+        replicas.seed(model);
     }
 
-    /** Runs a job; the outcome comes with the jobs of the function met. Null when answered at once, else for leave(). */
-    public Execution infer(FunctionModel m, Runnable began, BiConsumer<Outcome, Integer> then) {
-        weigh(m.work());
-        if (dead) { return null; }
-        LoadedFunction h = all.computeIfAbsent(m.name(), x -> new LoadedFunction(m));
-        if (inHand >= make.slots + make.queue) {
-            then.accept(Outcome.FULL, h.inHand);
-            return null;
+    /**
+     * Runs a request.
+     *
+     * @param model        the function
+     * @param startHandler called when it starts to run
+     * @param callback     called once with the outcome and the concurrency of the function that it met,
+     *     unless the worker dies
+     * @return the execution for {@link #leave}, null when the outcome is known at once
+     */
+    public Execution infer(FunctionModel model, Runnable startHandler,
+        BiConsumer<Outcome, Integer> callback) {
+        if (coldStart.overloadedBy(model.work(), scheduler.now()) && !dead) {
+            die();
+            crashHandler.run();
         }
-        if (h.standing + h.loading == 0 && !(make.loadsOnMiss && load(h))) {
-            then.accept(make.loadsOnMiss ? Outcome.FULL : Outcome.MISS, h.inHand);
+        if (dead) {
             return null;
         }
-        Execution w = new Execution(m, h, began, then);
-        w.left = m.work() * Math.exp(m.spread() * gauss() - m.spread() * m.spread() / 2);
-        h.inHand++;
-        inHand++;
-        h.used = ticker.now();
-        h.waiting.add(w);
-        w.waits = true;
-        if (h.busy >= h.standing * m.lanes() && h.loading == 0 && make.eager) { load(h); }
-        startWaiting(h);
-        return w;
-    }
-
-    /** The asker left: what waits is dropped, what runs goes on. */
-    public void leave(Execution w) {
-        if (w.waits && w.held.waiting.remove(w)) {
-            w.waits = false;
-            w.held.inHand--;
-            inHand--;
+        LoadedFunction function = replicas.entry(model);
+        if (inFlight >= hardware.slots() + hardware.queue()) {
+            callback.accept(Outcome.FULL, function.inFlight);
+            return null;
         }
-    }
-
-    /** Holds at least so many copies; tells how many stand. */
-    public void hold(FunctionModel m, int copies, BiConsumer<Outcome, Integer> then) {
-        if (dead) { return; }
-        LoadedFunction h = all.computeIfAbsent(m.name(), x -> new LoadedFunction(m));
-        h.used = ticker.now();
-        for (int need = copies - h.standing - h.loading; need > 0; need--) {
-            if (!load(h)) {
-                then.accept(Outcome.FULL, h.standing);
-                return;
-            }
+        if (function.isAbsent() && !(hardware.loadsOnMiss() && replicas.load(function))) {
+            callback.accept(hardware.loadsOnMiss() ? Outcome.FULL : Outcome.MISS, function.inFlight);
+            return null;
         }
-        if (h.standing >= copies) {
-            then.accept(Outcome.OK, h.standing);
-        } else {
-            h.orders.add(new LoadWaiter(copies, then));
+        Execution execution = new Execution(function, startHandler, callback);
+        execution.remainingWork = model.work() * workFactor(model);
+        function.inFlight++;
+        inFlight++;
+        function.lastUsedAt = scheduler.now();
+        function.queue.add(execution);
+        execution.queued = true;
+        if (!function.hasFreeSlot() && function.loading == 0 && hardware.eagerLoads()) {
+            replicas.load(function);
         }
+        startQueued(function);
+        return execution;
     }
 
-    public void drop(String function) { flush(function); }
-
-    private double gauss() {
-        return Math.sqrt(-2 * Math.log(1 - chance.nextDouble()))
-            * Math.cos(2 * Math.PI * chance.nextDouble());
+    /** A lognormal factor of mean 1. */
+    private double workFactor(FunctionModel model) {
+        double sigma = model.workSigma();
+        return Math.exp(sigma * Distributions.gaussian(random) - sigma * sigma / 2);
     }
 
-    // ------------------------------------------------------------------ running
-
-    private void startWaiting(LoadedFunction h) {
-        while (!h.waiting.isEmpty() && h.busy < h.standing * h.model.lanes()
-            && running.size() + doingIo < make.slots) {
-            advance();
-            Execution w = h.waiting.poll();
-            w.waits = false;
-            h.busy++;
-            w.began.run();
-            if (w.model.io() > 0) {
-                doingIo++;
-                ticker.after((long) w.model.io(), () -> {
-                    advance();
-                    doingIo--;
-                    running.add(w);
-                    next();
-                });
-            } else {
-                running.add(w);
-            }
+    /** Cancels an execution whose client left: it is removed from the queue, but goes on when it runs. */
+    public void leave(Execution execution) {
+        LoadedFunction function = execution.function;
+        if (execution.queued && function.queue.remove(execution)) {
+            execution.queued = false;
+            function.inFlight--;
+            inFlight--;
         }
-        next();
-    }
-
-    private double pace(long now) {
-        return running.isEmpty() ? 0
-            : make.speed * warmth(now) * Math.min(1, make.cores / (double) running.size()) / slow;
     }
 
-    private void advance() {
-        long now = ticker.now();
-        double did = (now - advanced) * pace(now);
-        for (Execution w : running) { w.left -= did; }
-        advanced = now;
-    }
-
-    /** Sets the next look at what runs; a later change makes this one void. */
-    private void next() {
-        long mine = ++number;
-        if (running.isEmpty() || dead) { return; }
-        double least = Double.MAX_VALUE;
-        for (Execution w : running) { least = Math.min(least, w.left); }
-        long in = (long) Math.ceil(Math.max(0, least) / pace(ticker.now()));
-        ticker.after(Math.min(in, 100_000), () -> {
-            if (mine == number && !dead) {
-                advance();
-                finish();
-            }
-        });
-    }
-
-    private void finish() {
-        List<Execution> done = new ArrayList<>();
-        for (Iterator<Execution> i = running.iterator(); i.hasNext();) {
-            Execution w = i.next();
-            if (w.left <= 1) {
-                i.remove();
-                done.add(w);
-            }
-        }
-        for (Execution w : done) {
-            LoadedFunction h = w.held;
-            h.busy--;
-            h.inHand--;
-            inHand--;
-            h.used = ticker.now();
-            w.then.accept(Outcome.OK, w.crowd);
-            startWaiting(h);
+    /** Loads up to so many replicas; the callback is told how many are loaded. */
+    public void hold(FunctionModel model, int copies, BiConsumer<Outcome, Integer> callback) {
+        if (dead) {
+            return;
         }
-        if (!done.isEmpty()) {
-            for (LoadedFunction h : List.copyOf(all.values())) {
-                if (!h.waiting.isEmpty()) { startWaiting(h); }
+        LoadedFunction function = replicas.entry(model);
+        function.lastUsedAt = scheduler.now();
+        for (int missing = copies - function.replicas - function.loading; missing > 0; missing--) {
+            if (!replicas.load(function)) {
+                callback.accept(Outcome.FULL, function.replicas);
+                return;
             }
         }
-        next();
-    }
-
-    // ------------------------------------------------------------------ loads and memory
-
-    private boolean load(LoadedFunction h) {
-        if (loads >= make.loadsAtOnce && loadQueue.size() >= 2 * make.loadsAtOnce
-            || !room(h.model.memory())) {
-            return false;
-        }
-        memory += h.model.memory();
-        h.loading++;
-        if (loads < make.loadsAtOnce) {
-            begin(h);
+        if (function.replicas >= copies) {
+            callback.accept(Outcome.OK, function.replicas);
         } else {
-            loadQueue.add(() -> begin(h));
+            function.loadWaiters.add(new LoadedFunction.LoadWaiter(copies, callback));
         }
-        return true;
     }
 
-    private boolean room(double mb) {
-        while (memory + mb > make.memory) {
-            LoadedFunction oldest = null;
-            for (LoadedFunction h : all.values()) {
-                if (h.standing > 0 && h.idle() && (oldest == null || h.used < oldest.used)) { oldest = h; }
-            }
-            if (oldest == null) { return false; }
-            unload(oldest);
-        }
-        return true;
+    /** Unloads the idle replicas of a function. */
+    public void drop(String function) {
+        replicas.unload(function);
     }
 
-    private void unload(LoadedFunction h) {
-        int idle = h.waiting.isEmpty() ? h.standing - (h.busy + h.model.lanes() - 1) / h.model.lanes() : 0;
-        h.standing -= idle;
-        memory -= idle * h.model.memory();
+    private int runningOrWaitingForIo() {
+        return processors.running() + waitingForIo;
     }
 
-    private void begin(LoadedFunction h) {
-        loads++;
-        long fetch = (long) (h.model.load() * make.fetchShare);
-        store.fetch(name, h.model.name(), fetch, got -> {
-            if (dead) { return; }
-            boolean ok = got && chance.nextDouble() >= make.loadFails;
-            ticker.after(got ? (long) ((h.model.load() - fetch) * slow) : 0, () -> loaded(h, ok));
-        });
+    private void startQueued(LoadedFunction function) {
+        while (!function.queue.isEmpty() && function.hasFreeSlot()
+            && runningOrWaitingForIo() < hardware.slots()) {
+            start(function.queue.poll());
+        }
+        processors.scheduleUpdate();
     }
 
-    private void loaded(LoadedFunction h, boolean ok) {
-        if (dead) { return; }
-        loads--;
-        h.loading--;
-        h.used = ticker.now();
-        if (ok) {
-            h.standing++;
+    private void start(Execution execution) {
+        processors.advance();
+        execution.queued = false;
+        execution.function.busySlots++;
+        execution.startHandler.run();
+        double ioTime = execution.function.model.ioTime();
+        if (ioTime > 0) {
+            waitingForIo++;
+            scheduler.after((long) ioTime, () -> {
+                processors.advance();
+                waitingForIo--;
+                processors.add(execution);
+                processors.scheduleUpdate();
+            });
         } else {
-            memory -= h.model.memory();
+            processors.add(execution);
         }
-        for (LoadWaiter w : List.copyOf(h.orders)) {
-            if (h.standing >= w.copies || h.loading == 0) {
-                h.orders.remove(w);
-                w.then.accept(h.standing >= w.copies ? Outcome.OK : Outcome.FAILED, h.standing);
-            }
-        }
-        if (h.standing == 0 && h.loading == 0) { // those who waited for the load are told that it failed
-            for (Execution w : List.copyOf(h.waiting)) {
-                leave(w);
-                w.then.accept(Outcome.MISS, w.crowd);
-            }
-        }
-        if (!loadQueue.isEmpty()) { loadQueue.poll().run(); }
-        startWaiting(h);
     }
 
-    private void tidy() {
-        if (dead) { return; }
-        long now = ticker.now();
-        for (Iterator<LoadedFunction> i = all.values().iterator(); i.hasNext();) {
-            LoadedFunction h = i.next();
-            if (now - h.used > make.keep && h.idle()) { unload(h); }
-            if (h.standing + h.loading + h.inHand == 0 && h.orders.isEmpty()) { i.remove(); }
+    private void completed(List<Execution> executions) {
+        for (Execution execution : executions) {
+            LoadedFunction function = execution.function;
+            function.busySlots--;
+            function.inFlight--;
+            inFlight--;
+            function.lastUsedAt = scheduler.now();
+            execution.end(Outcome.OK);
+            startQueued(function);
+        }
+        if (!executions.isEmpty()) {
+            for (LoadedFunction function : replicas.entries()) {
+                if (!function.queue.isEmpty()) {
+                    startQueued(function);
+                }
+            }
         }
-        ticker.after(250_000, this::tidy);
     }
 
-    // ------------------------------------------------------------------ the cold start
-
-    /** Counts work that comes while cold; more than the multiple of what it can do in a span, and it falls over. */
-    private void weigh(double work) {
-        long now = ticker.now();
-        if (!cold || now - started > make.coldSpan) { return; }
-        came.add(new ColdArrival(now, work));
-        cameWork += work;
-        while (now - came.peek().t > make.fallSpan) { cameWork -= came.poll().work; }
-        double can = make.cores * make.speed * warmth(now) * make.fallSpan * make.fallMultiple;
-        if (cameWork > can && !dead) {
-            dead = true;
-            fell.run();
+    private void failQueued(LoadedFunction function) {
+        for (Execution execution : List.copyOf(function.queue)) {
+            leave(execution);
+            execution.end(Outcome.MISS);
         }
     }
 }
--- a/src/main/java/switchgap/emulator/EndpointListService.java
+++ b/src/main/java/switchgap/emulator/EndpointListService.java
@@ -12,116 +12,154 @@
 import switchgap.net.HttpServer;
 import switchgap.net.NetworkTransport;
 
-/** Pushes the list of workers over held requests: the whole list first, then each change, late by a stated span. */
+/**
+ * Streams the endpoint list to watching routers: the whole list first, then each change, delayed by a lag. On
+ * the scheduler's thread.
+ */
 public final class EndpointListService implements HttpServer.RequestHandler {
-    /** One line of the list; {@code started} in milliseconds of wall time, 0 where long past. */
+    private static final long MICROS_PER_MILLI = 1000;
+
+    /**
+     * One line of the list.
+     *
+     * @param name    name of the worker
+     * @param port    its port on the loopback address
+     * @param state   ready, draining or gone
+     * @param zone    its zone
+     * @param cell    its cell
+     * @param kind    its worker kind
+     * @param size    its compute capacity in cores of speed 1
+     * @param started when it started, milliseconds of wall time; 0 where long past
+     */
     public record Entry(String name, int port, String state, String zone, int cell, String kind, double size,
         long started) {
+        /** The same line with another state. */
+        public Entry withState(String newState) {
+            return new Entry(name, port, newState, zone, cell, kind, size, started);
+        }
+
         String json() {
             return "{\"name\":\"" + name + "\",\"host\":\"127.0.0.1\",\"port\":" + port + ",\"state\":\""
-                + state
-                + "\",\"zone\":\"" + zone + "\",\"cell\":" + cell + ",\"kind\":\"" + kind + "\",\"size\":"
-                + size
-                + (started == 0 ? "" : ",\"started\":" + started) + "}";
+                + state + "\",\"zone\":\"" + zone + "\",\"cell\":" + cell + ",\"kind\":\"" + kind
+                + "\",\"size\":" + size + (started == 0 ? "" : ",\"started\":" + started) + "}";
         }
     }
 
+    /** A router's open stream. */
     private static final class Watcher {
-        final HttpExchange request;
+        final HttpExchange stream;
         final int router;
-        final ArrayDeque<Entry> due = new ArrayDeque<>();
+        final ArrayDeque<Entry> pendingChanges = new ArrayDeque<>();
         long version;
-        long busyUntil;
+        long lastDeliveryAt;
 
-        Watcher(HttpExchange request, int router) {
-            this.request = request;
+        Watcher(HttpExchange stream, int router) {
+            this.stream = stream;
             this.router = router;
         }
     }
 
-    private final Scheduler ticker;
-    private final EventRecorder record;
-    private final Map<String, Entry> lines = new LinkedHashMap<>();
+    private final Scheduler scheduler;
+    private final EventRecorder recorder;
+    private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final Map<HttpExchange, Watcher> watchers = new LinkedHashMap<>();
-    private final HttpServer door;
+    private final HttpServer server;
     private final int port;
     private long lag;
-    private boolean away;
+    private boolean unavailable;
 
-    /** Changes reach each router after {@code lag} microseconds. */
-    public EndpointListService(Scheduler ticker, NetworkTransport net, EventRecorder record, long lag)
+    /**
+     * Listens at a free port of the loopback address; changes reach each router after a lag in microseconds.
+     */
+    public EndpointListService(Scheduler scheduler, NetworkTransport net, EventRecorder recorder, long lag)
         throws IOException {
-        this.ticker = ticker;
-        this.record = record;
+        this.scheduler = scheduler;
+        this.recorder = recorder;
         this.lag = lag;
-        door = new HttpServer(net, ConnectionLimits.DEFAULT, this);
-        port = door.listen("127.0.0.1", 0);
+        server = new HttpServer(net, ConnectionLimits.DEFAULT, this);
+        port = server.listen("127.0.0.1", 0);
     }
 
-    public int port() { return port; }
+    /** The port that it listens at. */
+    public int port() {
+        return port;
+    }
 
-    public void lag(long micros) { lag = micros; }
+    /** Sets the lag of later changes, microseconds. */
+    public void lag(long micros) {
+        lag = micros;
+    }
 
-    public Collection<Entry> lines() { return List.copyOf(lines.values()); }
+    /** The list as it stands. */
+    public Collection<Entry> lines() {
+        return List.copyOf(entries.values());
+    }
 
-    /** Away: held requests end, new ones are cut. */
-    public void away(boolean is) {
-        away = is;
-        if (is) {
+    /** Makes the service unavailable: open streams end and new ones are cut; false ends it. */
+    public void away(boolean isUnavailable) {
+        unavailable = isUnavailable;
+        if (isUnavailable) {
             List.copyOf(watchers.keySet()).forEach(HttpExchange::drop);
             watchers.clear();
         }
     }
 
-    /** Changes one line; those who watch hear of it after the lag, in order. */
-    public void put(Entry line) {
-        lines.put(line.name(), line);
-        record.line(ticker.now(), "changed", "worker", line.name(), "state", line.state());
-        long now = ticker.now();
-        for (Watcher w : watchers.values()) {
-            w.due.add(line);
-            w.busyUntil = Math.max(w.busyUntil, now + lag);
-            ticker.after(w.busyUntil - now, () -> tell(w));
+    /** Sets one line; watching routers are notified after the lag, in order. */
+    public void put(Entry entry) {
+        entries.put(entry.name(), entry);
+        recorder.record(scheduler.now(), "changed", "worker", entry.name(), "state", entry.state());
+        long now = scheduler.now();
+        for (Watcher watcher : watchers.values()) {
+            watcher.pendingChanges.add(entry);
+            watcher.lastDeliveryAt = Math.max(watcher.lastDeliveryAt, now + lag);
+            scheduler.after(watcher.lastDeliveryAt - now, () -> deliverNext(watcher));
         }
     }
 
-    private void tell(Watcher w) {
-        Entry l = w.due.poll();
-        if (l == null || away || !watchers.containsKey(w.request)) { return; }
-        say(w, false, List.of(l));
+    private void deliverNext(Watcher watcher) {
+        Entry entry = watcher.pendingChanges.poll();
+        if (entry == null || unavailable || !watchers.containsKey(watcher.stream)) {
+            return;
+        }
+        send(watcher, false, List.of(entry));
     }
 
-    private void say(Watcher w, boolean whole, Collection<Entry> these) {
-        StringBuilder s = new StringBuilder("{\"whole\":").append(whole).append(",\"version\":").append(
-            w.version++).append(",\"workers\":[");
-        String comma = "";
-        for (Entry l : these) {
-            s.append(comma).append(l.json());
-            comma = ",";
+    private void send(Watcher watcher, boolean whole, Collection<Entry> changes) {
+        StringBuilder json = new StringBuilder("{\"whole\":").append(whole).append(",\"version\":").append(
+            watcher.version++).append(",\"workers\":[");
+        String separator = "";
+        for (Entry entry : changes) {
+            json.append(separator).append(entry.json());
+            separator = ",";
         }
-        w.request.sendPart(s.append("]}\n").toString().getBytes(StandardCharsets.UTF_8));
-        long now = ticker.now();
-        for (Entry l : these) { // what was said at this time was learned at this time, or a little later
-            record.line(now, "told", "router", w.router, "worker", l.name(), "state", l.state(), "started",
-                l.started() * 1000);
+        watcher.stream.sendPart(json.append("]}\n").toString().getBytes(StandardCharsets.UTF_8));
+        long now = scheduler.now();
+        for (Entry entry : changes) { // a router learns what is sent now at this time, or a little later
+            recorder.record(now, "told", "router", watcher.router, "worker", entry.name(), "state",
+                entry.state(), "started", entry.started() * MICROS_PER_MILLI);
         }
     }
 
-    @Override public void handle(HttpExchange r) {
-        ticker.post(() -> {
-            String router = r.queryParameter("router");
-            if (away || router == null || !r.path.equals("/v1/workers")) {
-                r.drop();
-                return;
-            }
-            Watcher w = new Watcher(r, Integer.parseInt(router));
-            watchers.put(r, w);
-            r.beginStreaming(200, Map.of("Content-Type", "application/x-ndjson"));
-            record.line(ticker.now(), "watch", "router", w.router);
-            say(w, true, lines.values());
-            watchers.keySet().removeIf(x -> !x.isOpen());
-        });
+    @Override public void handle(HttpExchange exchange) {
+        scheduler.post(() -> watch(exchange));
     }
 
-    public void close() { door.close(); }
+    private void watch(HttpExchange exchange) {
+        String router = exchange.queryParameter("router");
+        if (unavailable || router == null || !exchange.path.equals("/v1/workers")) {
+            exchange.drop();
+            return;
+        }
+        Watcher watcher = new Watcher(exchange, Integer.parseInt(router));
+        watchers.put(exchange, watcher);
+        exchange.beginStreaming(200, Map.of("Content-Type", "application/x-ndjson"));
+        recorder.record(scheduler.now(), "watch", "router", watcher.router);
+        send(watcher, true, entries.values());
+        watchers.keySet().removeIf(stream -> !stream.isOpen());
+    }
+
+    /** Stops listening and ends all streams. */
+    public void close() {
+        server.close();
+    }
 }
--- a/src/main/java/switchgap/emulator/EventRecorder.java
+++ b/src/main/java/switchgap/emulator/EventRecorder.java
@@ -2,46 +2,51 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import java.io.BufferedWriter;
+import com.fasterxml.jackson.core.io.SerializedString;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** A log of JSON lines, one a message; every line begins with its time in microseconds and what it is. */
+/**
+ * A log of JSON lines, one for each event; every line begins with its time in microseconds and its kind. Safe
+ * for use by several threads.
+ */
 public final class EventRecorder implements AutoCloseable {
     private final JsonGenerator json;
 
+    /** Records to a file, which is replaced. */
     public EventRecorder(Path file) throws IOException {
-        BufferedWriter w = Files.newBufferedWriter(file);
-        json = new JsonFactory().createGenerator(w);
-        json.setRootValueSeparator(new com.fasterxml.jackson.core.io.SerializedString("\n"));
+        json = new JsonFactory().createGenerator(Files.newBufferedWriter(file));
+        json.setRootValueSeparator(new SerializedString("\n"));
     }
 
-    private EventRecorder() { json = null; }
+    private EventRecorder() {
+        json = null;
+    }
 
-    /** Takes lines and keeps none. */
-    public static EventRecorder none() { return new EventRecorder(); }
+    /** A recorder that keeps nothing. */
+    public static EventRecorder none() {
+        return new EventRecorder();
+    }
 
-    /** Fields come in pairs of name and value: text, whole or real number, truth. */
-    public synchronized void line(long t, String what, Object... fields) {
-        if (json == null || json.isClosed()) { return; }
+    /**
+     * Records one event.
+     *
+     * @param at     time in microseconds
+     * @param what   kind of the event
+     * @param fields names and values in turn; a value is text, a number or a boolean, and null is left out
+     */
+    public synchronized void record(long at, String what, Object... fields) {
+        if (json == null || json.isClosed()) {
+            return;
+        }
         try {
             json.writeStartObject();
-            json.writeNumberField("t", t);
+            json.writeNumberField("t", at);
             json.writeStringField("what", what);
             for (int i = 0; i < fields.length; i += 2) {
-                String name = (String) fields[i];
-                Object v = fields[i + 1];
-                if (v instanceof Integer || v instanceof Long) {
-                    json.writeNumberField(name, ((Number) v).longValue());
-                } else if (v instanceof Double d) {
-                    json.writeNumberField(name, d);
-                } else if (v instanceof Boolean b) {
-                    json.writeBooleanField(name, b);
-                } else if (v != null) {
-                    json.writeStringField(name, v.toString());
-                }
+                write((String) fields[i], fields[i + 1]);
             }
             json.writeEndObject();
         } catch (IOException e) {
@@ -49,14 +54,28 @@
         }
     }
 
-    /** The last line says that the log is whole. */
-    public synchronized void end(long t) throws IOException {
+    private void write(String name, Object value) throws IOException {
+        if (value instanceof Integer || value instanceof Long) {
+            json.writeNumberField(name, ((Number) value).longValue());
+        } else if (value instanceof Double real) {
+            json.writeNumberField(name, real);
+        } else if (value instanceof Boolean flag) {
+            json.writeBooleanField(name, flag);
+        } else if (value != null) {
+            json.writeStringField(name, value.toString());
+        }
+    }
+
+    /** Writes the last line, which proves that the log is whole, and closes the file. */
+    public synchronized void end(long at) throws IOException {
         if (!json.isClosed()) {
-            line(t, "end");
+            record(at, "end");
             json.writeRaw("\n");
             json.close();
         }
     }
 
-    @Override public synchronized void close() throws IOException { json.close(); }
+    @Override public synchronized void close() throws IOException {
+        json.close();
+    }
 }
--- a/src/main/java/switchgap/emulator/FunctionCatalogue.java
+++ b/src/main/java/switchgap/emulator/FunctionCatalogue.java
@@ -1,105 +1,153 @@
 package switchgap.emulator;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** All functions of a day, by workload, with their popularity; hot and one-off ones come when asked for. */
+/**
+ * All functions of a scenario, by request class, with their popularity; hot and one-off functions are created
+ * on demand. Safe for use by several threads.
+ */
 public final class FunctionCatalogue {
-    /** What a workload's functions are like, on average; spans in microseconds, memory in MB. */
-    public record FunctionGroup(String workload, double share, double memory, int lanes, long load,
-        double work, double io,
-        double spread, long knownFor) {}
+    private static final double ZIPF_OFFSET = 1.5;
+    private static final double SIZE_SIGMA = 0.4;
+    private static final double SIZE_MEAN_CORRECTION = 0.08;
+    private static final double WORK_SIGMA = 0.35;
+    private static final double WORK_MEAN_CORRECTION = 0.06;
+    private static final int SEED_HASH_FACTOR = 31;
 
-    private final List<FunctionGroup> likes;
-    private final List<List<FunctionModel>> popular = new ArrayList<>();
-    private final Map<String, FunctionModel> all = new HashMap<>();
-    private final double[] zipf;
-    private final SplittableRandom chance;
-    private int hot;
+    /**
+     * What a request class's functions are like on average. Times in microseconds.
+     *
+     * @param workload          name of the request class
+     * @param share             share of all requests
+     * @param memoryMb          memory of a replica in MB
+     * @param slots             requests that a replica runs at a time
+     * @param loadTime          time to load a replica
+     * @param work              compute time on a core of speed 1
+     * @param ioTime            time that a request waits for I/O
+     * @param workSigma         sigma of the lognormal spread of the compute time
+     * @param idempotencyWindow time for which an idempotency key is remembered, 0 for never
+     */
+    public record FunctionGroup(String workload, double share, double memoryMb, int slots, long loadTime,
+        double work, double ioTime, double workSigma, long idempotencyWindow) {}
+
+    private final List<FunctionGroup> groups;
+    private final List<List<FunctionModel>> popularFunctions = new ArrayList<>();
+    private final Map<String, FunctionModel> functionsByName = new HashMap<>();
+    private final double[] cumulativePopularity;
+    private final SplittableRandom random;
+    private int hotGeneration;
     private double hotShare;
-    private double onceShare;
-    private int once;
+    private int hotCount = 1;
+    private double oneOffShare;
+    private int nextOneOff;
 
-    public FunctionCatalogue(List<FunctionGroup> likes, int functions, double zipf, long seed) {
-        this.likes = likes;
-        this.chance = new SplittableRandom(seed);
-        this.zipf = new double[functions];
+    /**
+     * Creates the functions.
+     *
+     * @param groups    what the functions of each request class are like
+     * @param functions number of functions of each request class
+     * @param zipf      exponent of their popularity
+     * @param seed      seed of their sizes
+     */
+    public FunctionCatalogue(List<FunctionGroup> groups, int functions, double zipf, long seed) {
+        this.groups = groups;
+        this.random = new SplittableRandom(seed);
+        this.cumulativePopularity = new double[functions];
         double sum = 0;
         for (int i = 0; i < functions; i++) {
-            sum += 1 / Math.pow(i + 1.5, zipf);
-            this.zipf[i] = sum;
+            sum += 1 / Math.pow(i + ZIPF_OFFSET, zipf);
+            cumulativePopularity[i] = sum;
         }
-        for (int w = 0; w < likes.size(); w++) {
-            List<FunctionModel> of = new ArrayList<>();
-            for (int i = 0; i < functions; i++) { of.add(make(likes.get(w).workload() + "-" + i, w)); }
-            popular.add(of);
+        for (int requestClass = 0; requestClass < groups.size(); requestClass++) {
+            List<FunctionModel> popular = new ArrayList<>();
+            for (int i = 0; i < functions; i++) {
+                popular.add(create(groups.get(requestClass).workload() + "-" + i, requestClass));
+            }
+            popularFunctions.add(popular);
         }
     }
 
-    private FunctionModel make(String name, int w) {
-        FunctionGroup l = likes.get(w);
-        double size = Math.exp(0.4 * gauss() - 0.08);
-        double slow = Math.exp(0.35 * gauss() - 0.06);
-        FunctionModel m = new FunctionModel(name, w, l.memory() * size, l.lanes(), (long) (l.load() * size),
-            l.work() * slow, l.io(),
-            l.spread(), l.knownFor());
-        all.put(name, m);
-        return m;
+    private FunctionModel create(String name, int requestClass) {
+        FunctionGroup group = groups.get(requestClass);
+        double size = Math.exp(SIZE_SIGMA * Distributions.gaussian(random) - SIZE_MEAN_CORRECTION);
+        double work = Math.exp(WORK_SIGMA * Distributions.gaussian(random) - WORK_MEAN_CORRECTION);
+        FunctionModel model = new FunctionModel(name, requestClass, group.memoryMb() * size, group.slots(),
+            (long) (group.loadTime() * size), group.work() * work, group.ioTime(), group.workSigma(),
+            group.idempotencyWindow());
+        functionsByName.put(name, model);
+        return model;
     }
 
-    private double gauss() {
-        return Math.sqrt(-2 * Math.log(1 - chance.nextDouble()))
-            * Math.cos(2 * Math.PI * chance.nextDouble());
+    /** The function of a name, null for none. */
+    public synchronized FunctionModel find(String name) {
+        return functionsByName.get(name);
     }
 
-    public List<FunctionGroup> likes() { return likes; }
-
-    public synchronized FunctionModel find(String name) { return all.get(name); }
-
-    public synchronized List<FunctionModel> known() { return new ArrayList<>(all.values()); }
+    /** All functions created so far. */
+    public synchronized List<FunctionModel> known() {
+        return new ArrayList<>(functionsByName.values());
+    }
 
-    /** What a fleet held lately: each function at one machine, while there is room. */
+    /** Loads each function at one worker, while there is room, as if the fleet had served it lately. */
     public void seed(List<EmulatedWorker> fleet) {
-        for (FunctionModel m : known()) {
-            fleet.get(Math.floorMod(m.name().hashCode() * 31, fleet.size())).seed(m);
+        for (FunctionModel model : known()) {
+            int worker = Math.floorMod(model.name().hashCode() * SEED_HASH_FACTOR, fleet.size());
+            fleet.get(worker).seed(model);
         }
     }
 
-    /** So many functions of each workload that were not seen before draw this share of all jobs; 0 ends it. */
+    /** Makes so many new functions of each request class receive a share of all requests; share 0 ends it. */
     public synchronized void hot(double share, int functions) {
         hotShare = share;
-        hot++;
-        for (int w = 0; share > 0 && w < likes.size(); w++) {
-            for (int i = 0; i < functions; i++) {
-                make("hot-" + likes.get(w).workload() + "-" + hot + "-" + i, w);
+        hotGeneration++;
+        if (share > 0) {
+            for (int requestClass = 0; requestClass < groups.size(); requestClass++) {
+                for (int i = 0; i < functions; i++) {
+                    create(hotName(requestClass, i), requestClass);
+                }
             }
         }
-        hotMany = functions;
+        hotCount = functions;
     }
 
-    private int hotMany = 1;
+    private String hotName(int requestClass, int number) {
+        return "hot-" + groups.get(requestClass).workload() + "-" + hotGeneration + "-" + number;
+    }
 
-    /** A share of the jobs is for functions asked for once only. */
+    /** Makes a share of the requests ask for functions that are asked for only once; 0 ends it. */
     public synchronized void once(double share) {
-        onceShare = share;
+        oneOffShare = share;
     }
 
-    /** The function of the next job. */
-    public synchronized FunctionModel draw(SplittableRandom r) {
-        double u = r.nextDouble();
-        int w = 0;
-        while (w < likes.size() - 1 && u >= likes.get(w).share()) { u -= likes.get(w++).share(); }
-        double kind = r.nextDouble();
-        double place = r.nextDouble();
+    /** Draws the function of the next request; three draws: request class, kind of function, popularity. */
+    public synchronized FunctionModel draw(SplittableRandom arrivals) {
+        int requestClass = drawRequestClass(arrivals.nextDouble());
+        double kind = arrivals.nextDouble();
+        double place = arrivals.nextDouble();
         if (kind < hotShare) {
-            return all.get("hot-" + likes.get(w).workload() + "-" + hot + "-" + (int) (place * hotMany));
+            return functionsByName.get(hotName(requestClass, (int) (place * hotCount)));
+        }
+        if (kind < hotShare + oneOffShare) {
+            return create("once-" + groups.get(requestClass).workload() + "-" + nextOneOff++, requestClass);
+        }
+        int last = cumulativePopularity.length - 1;
+        int index = Arrays.binarySearch(cumulativePopularity, place * cumulativePopularity[last]);
+        int rank = index < 0 ? -index - 1 : index;
+        return popularFunctions.get(requestClass).get(Math.min(last, rank));
+    }
+
+    private int drawRequestClass(double draw) {
+        double remaining = draw;
+        int requestClass = 0;
+        while (requestClass < groups.size() - 1 && remaining >= groups.get(requestClass).share()) {
+            remaining -= groups.get(requestClass).share();
+            requestClass++;
         }
-        if (kind < hotShare + onceShare) { return make("once-" + likes.get(w).workload() + "-" + once++, w); }
-        double at = place * zipf[zipf.length - 1];
-        int i = java.util.Arrays.binarySearch(zipf, at);
-        return popular.get(w).get(Math.min(zipf.length - 1, i < 0 ? -i - 1 : i));
+        return requestClass;
     }
 }
--- a/src/main/java/switchgap/emulator/FunctionFetcher.java
+++ b/src/main/java/switchgap/emulator/FunctionFetcher.java
@@ -2,8 +2,15 @@
 
 import java.util.function.Consumer;
 
-/** From where a worker fetches a function: tells true when it has it, false when refused, stopped or cut off. */
+/** From where a worker fetches the files of a function. */
 public interface FunctionFetcher {
-    /** {@code micros}: how long the fetch takes alone. */
-    void fetch(String worker, String function, long micros, Consumer<Boolean> then);
+    /**
+     * Fetches a function.
+     *
+     * @param worker   name of the worker
+     * @param function name of the function
+     * @param micros   time that the fetch takes alone, microseconds
+     * @param callback called once with true when fetched, false when refused or interrupted
+     */
+    void fetch(String worker, String function, long micros, Consumer<Boolean> callback);
 }
--- a/src/main/java/switchgap/emulator/FunctionModel.java
+++ b/src/main/java/switchgap/emulator/FunctionModel.java
@@ -1,10 +1,17 @@
 package switchgap.emulator;
 
 /**
- * What a stand-in knows of a function: memory of a copy in MB, jobs a copy runs at a time, microseconds of a load,
- * mean microseconds of work on a core of speed 1 and of waiting, spread of the work (of a lognormal), and whether
- * its repeats are dropped: microseconds for which a fingerprint is known, 0 for none.
+ * What the emulator knows of a function. Times in microseconds.
+ *
+ * @param name              name of the function
+ * @param workload          index of its request class
+ * @param memoryMb          memory of a replica in MB
+ * @param slots             requests that a replica runs at a time
+ * @param loadTime          time to load a replica, fetch included
+ * @param work              mean compute time on a core of speed 1
+ * @param ioTime            time that a request waits for I/O before it computes
+ * @param workSigma         sigma of the lognormal spread of the compute time
+ * @param idempotencyWindow time for which an idempotency key is remembered, 0 where repeats are run again
  */
-public record FunctionModel(String name, int workload, double memory, int lanes, long load, double work,
-    double io,
-    double spread, long knownFor) {}
+public record FunctionModel(String name, int workload, double memoryMb, int slots, long loadTime, double work,
+    double ioTime, double workSigma, long idempotencyWindow) {}
--- a/src/main/java/switchgap/emulator/RealTimeScheduler.java
+++ b/src/main/java/switchgap/emulator/RealTimeScheduler.java
@@ -2,34 +2,48 @@
 
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
+import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Real time on one thread; wall time is read once and goes on monotonically. */
+/** Real time on one thread; wall time is read once and then advances monotonically. */
 public final class RealTimeScheduler implements Scheduler, AutoCloseable {
-    private final long wall = System.currentTimeMillis() * 1000;
-    private final long nano = System.nanoTime();
-    private final ScheduledThreadPoolExecutor thread = new ScheduledThreadPoolExecutor(1, r -> {
-        Thread t = new Thread(r, "standins");
-        t.setDaemon(true);
-        t.setPriority(Thread.MAX_PRIORITY);
-        return t;
-    });
-
-    @Override public long now() { return wall + (System.nanoTime() - nano) / 1000; }
-
-    @Override public void after(long micros, Runnable then) {
-        thread.schedule(() -> safe(then), Math.max(0, micros), TimeUnit.MICROSECONDS);
+    private static final Logger LOG = LoggerFactory.getLogger(RealTimeScheduler.class);
+    private static final long NANOS_PER_MICRO = 1000;
+    private static final long MICROS_PER_MILLI = 1000;
+    private final long startWallMicros = System.currentTimeMillis() * MICROS_PER_MILLI;
+    private final long startNanos = System.nanoTime();
+    private final ScheduledThreadPoolExecutor executor = new ScheduledThreadPoolExecutor(1,
+        RealTimeScheduler::newThread);
+
+    private static Thread newThread(Runnable task) {
+        Thread thread = new Thread(task, "emulator");
+        thread.setDaemon(true);
+        thread.setPriority(Thread.MAX_PRIORITY);
+        return thread;
+    }
+
+    @Override public long now() {
+        return startWallMicros + (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
     }
 
-    @Override public void post(Runnable then) { thread.execute(() -> safe(then)); }
+    @Override public void after(long micros, Runnable task) {
+        executor.schedule(() -> runLogged(task), Math.max(0, micros), TimeUnit.MICROSECONDS);
+    }
 
-    private static void safe(Runnable then) {
+    @Override public void post(Runnable task) {
+        executor.execute(() -> runLogged(task));
+    }
+
+    /** An executor would swallow the exception of a task without a trace. */
+    private static void runLogged(Runnable task) {
         try {
-            then.run();
+            task.run();
         } catch (RuntimeException e) {
-            LoggerFactory.getLogger(RealTimeScheduler.class).error("a stand-in failed", e);
+            LOG.error("a task of the emulator failed", e);
         }
     }
 
-    @Override public void close() { thread.shutdownNow(); }
+    @Override public void close() {
+        executor.shutdownNow();
+    }
 }
--- a/src/main/java/switchgap/emulator/Scheduler.java
+++ b/src/main/java/switchgap/emulator/Scheduler.java
@@ -1,10 +1,13 @@
 package switchgap.emulator;
 
-/** The stand-ins' clock and their one thread: microseconds of wall time, and what runs when. */
+/** The emulator's clock and its single thread. */
 public interface Scheduler {
+    /** The time in microseconds of wall time. */
     long now();
 
-    void after(long micros, Runnable then);
+    /** Runs a task after a delay in microseconds; a negative delay counts as none. */
+    void after(long micros, Runnable task);
 
-    void post(Runnable then);
+    /** Runs a task as soon as the thread is free. May be called from any thread. */
+    void post(Runnable task);
 }
--- a/src/main/java/switchgap/emulator/SocketClientTransport.java
+++ b/src/main/java/switchgap/emulator/SocketClientTransport.java
@@ -3,126 +3,138 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
-import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
 import switchgap.net.HttpClientConnection;
 import switchgap.net.NetworkTransport;
 
-/** Tries over sockets. After its limit a client listens on for a while, so that a late answer is seen and logged. */
+/**
+ * Client attempts over sockets. A client that timed out keeps reading for a while, so that a late response is
+ * seen and recorded. On the scheduler's thread.
+ */
 public final class SocketClientTransport implements ClientTransport {
-    private static final long LISTENS_ON = 300_000;
-    private static final Duration CONNECT = Duration.ofMillis(500);
+    private static final long LATE_RESPONSE_WINDOW_MICROS = 300_000;
+    private static final long MICROS_PER_MILLI = 1000;
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    private static final int NO_STATUS = 0;
+    private static final long NO_RETRY_AFTER = -1;
+    private final Scheduler scheduler;
+    private final EventRecorder recorder;
+    private final HttpClientConnection.Factory factory;
+    private final ConnectionPool[] routers;
 
-    private static final class ClientConnection {
-        final ArrayDeque<HttpClientConnection> idle = new ArrayDeque<>();
-        InetSocketAddress at;
+    /** A transport to so many routers, whose addresses are set by {@link #router}. */
+    public SocketClientTransport(Scheduler scheduler, NetworkTransport net, EventRecorder recorder,
+        int routers) {
+        this.scheduler = scheduler;
+        this.recorder = recorder;
+        this.factory = new HttpClientConnection.Factory(net, null, MAX_BODY_BYTES);
+        this.routers = new ConnectionPool[routers];
     }
 
-    private final Scheduler ticker;
-    private final EventRecorder record;
-    private final HttpClientConnection.Factory opener;
-    private final ClientConnection[] lines;
-
-    public SocketClientTransport(Scheduler ticker, NetworkTransport net, EventRecorder record, int routers) {
-        this.ticker = ticker;
-        this.record = record;
-        this.opener = new HttpClientConnection.Factory(net, null, 1 << 20);
-        this.lines = new ClientConnection[routers];
-        for (int i = 0; i < routers; i++) { lines[i] = new ClientConnection(); }
-    }
-
-    /** Where a router listens. */
+    /** Sets the address of a router. */
     public void router(int number, InetSocketAddress at) {
-        lines[number].at = at;
+        routers[number] = new ConnectionPool(scheduler, factory, at, CONNECT_TIMEOUT);
     }
 
-    /** The same on the loopback address. */
+    /** Sets the port of a router on the loopback address. */
     public void router(int number, int port) {
         router(number, new InetSocketAddress("127.0.0.1", port));
     }
 
-    @Override public void send(ClientAttempt t, ResultHandler then) {
-        ClientConnection line = lines[t.router()];
-        PendingTry out = new PendingTry(t, line, then);
-        HttpClientConnection l = line.idle.pollFirst();
-        while (l != null && !l.isUsable()) { l = line.idle.pollFirst(); }
-        if (l != null) {
-            out.ask(l);
-            return;
-        }
-        opener.connect(line.at, CONNECT, new HttpClientConnection.ConnectCallback() {
-            @Override public void connected(HttpClientConnection link) { ticker.post(() -> out.ask(link)); }
-
-            @Override public void failed(String why) { ticker.post(() -> out.over("unreachable", 0, -1)); }
-        });
+    @Override public void send(ClientAttempt attempt, ResultHandler handler) {
+        PendingAttempt pending = new PendingAttempt(attempt, routers[attempt.router()], handler);
+        pending.connections.acquire(pending::send, () -> pending.finish(ClientOutcome.UNREACHABLE));
     }
 
-    private final class PendingTry implements HttpClientConnection.ResponseHandler {
-        private final ClientAttempt t;
-        private final ClientConnection line;
-        private final ResultHandler then;
-        private HttpClientConnection link;
-        private boolean over;
+    /** An attempt from its connection to its end, and on to a late response. */
+    private final class PendingAttempt implements HttpClientConnection.ResponseHandler {
+        private final ClientAttempt attempt;
+        private final ConnectionPool connections;
+        private final ResultHandler handler;
+        private HttpClientConnection connection;
+        private boolean ended;
 
-        PendingTry(ClientAttempt t, ClientConnection line, ResultHandler then) {
-            this.t = t;
-            this.line = line;
-            this.then = then;
+        PendingAttempt(ClientAttempt attempt, ConnectionPool connections, ResultHandler handler) {
+            this.attempt = attempt;
+            this.connections = connections;
+            this.handler = handler;
         }
 
-        void ask(HttpClientConnection l) {
-            link = l;
-            long now = ticker.now();
-            Map<String, String> h = new HashMap<>();
-            h.put("Content-Type", "application/json");
-            h.put("Switchgap-Call", t.call());
-            h.put("Switchgap-Customer", t.customer());
-            h.put("Switchgap-Time-Limit", String.valueOf((t.limit() - now) / 1000.0));
-            h.put("Switchgap-Deadline", String.valueOf(t.limit() / 1000));
-            h.put("Switchgap-Cost-Hint", String.valueOf(t.model().work() / 1000));
-            if (t.key() != null) { h.put("Idempotency-Key", t.key()); }
-            byte[] body = ("{\"id\":\"" + t.call() + "\",\"inputs\":[]}").getBytes(StandardCharsets.UTF_8);
-            record.line(now, "call", "call", t.call(), "job", t.job(), "router", t.router(), "workload",
-                t.model().workload(),
-                "function", t.model().name(), "customer", t.customer(), "limit", t.limit());
-            if (!l.send("POST", "/v1/functions/" + t.model().name() + "/invoke", h, body, this)) {
-                over("unreachable", 0, -1);
+        void send(HttpClientConnection acquired) {
+            connection = acquired;
+            long now = scheduler.now();
+            Map<String, String> headers = headers(now);
+            byte[] body = ("{\"id\":\"" + attempt.call() + "\",\"inputs\":[]}").getBytes(
+                StandardCharsets.UTF_8);
+            recorder.record(now, "call", "call", attempt.call(), "job", attempt.request(), "router",
+                attempt.router(), "workload", attempt.model().workload(), "function", attempt.model().name(),
+                "customer", attempt.customer(), "limit", attempt.limit());
+            String path = "/v1/functions/" + attempt.model().name() + "/invoke";
+            if (!connection.send("POST", path, headers, body, this)) {
+                finish(ClientOutcome.UNREACHABLE);
                 return;
             }
-            ticker.after(t.limit() - now, () -> {
-                if (!over) {
-                    over("gave-up", 0, -1);
-                    ticker.after(LISTENS_ON, () -> link.abandon(this));
-                }
-            });
+            scheduler.after(attempt.limit() - now, this::deadlinePassed);
         }
 
-        @Override public void responded(int status, Map<String, String> head, byte[] body, boolean reusable) {
-            long at = ticker.now();
-            ticker.post(() -> {
-                if (reusable) { line.idle.addFirst(link); }
-                String end = head.getOrDefault("switchgap-end", "refused");
-                if (over) {
-                    record.line(at, "late-answer", "call", t.call(), "status", status, "end", end);
+        private Map<String, String> headers(long now) {
+            Map<String, String> headers = new HashMap<>();
+            headers.put("Content-Type", "application/json");
+            headers.put("Switchgap-Call", attempt.call());
+            headers.put("Switchgap-Customer", attempt.customer());
+            headers.put("Switchgap-Time-Limit",
+                String.valueOf((attempt.limit() - now) / (double) MICROS_PER_MILLI));
+            headers.put("Switchgap-Deadline", String.valueOf(attempt.limit() / MICROS_PER_MILLI));
+            headers.put("Switchgap-Cost-Hint", String.valueOf(attempt.model().work() / MICROS_PER_MILLI));
+            if (attempt.key() != null) {
+                headers.put("Idempotency-Key", attempt.key());
+            }
+            return headers;
+        }
+
+        private void deadlinePassed() {
+            if (!ended) {
+                finish(ClientOutcome.TIMED_OUT);
+                scheduler.after(LATE_RESPONSE_WINDOW_MICROS, () -> connection.abandon(this));
+            }
+        }
+
+        @Override public void responded(int status, Map<String, String> headers, byte[] body,
+            boolean reusable) {
+            long at = scheduler.now();
+            scheduler.post(() -> {
+                if (reusable) {
+                    connections.release(connection);
+                }
+                String end = headers.getOrDefault("switchgap-end", ClientOutcome.REFUSED.word());
+                if (ended) {
+                    recorder.record(at, "late-answer", "call", attempt.call(), "status", status, "end", end);
                 } else {
-                    over(end, status, Long.parseLong(head.getOrDefault("switchgap-come-back", "-1")));
+                    finish(end, status, Long.parseLong(
+                        headers.getOrDefault("switchgap-come-back", String.valueOf(NO_RETRY_AFTER))));
                 }
             });
         }
 
-        @Override public void connectionLost(String why) {
-            ticker.post(() -> {
-                if (!over) { over("broken", 0, -1); }
+        @Override public void connectionLost(String reason) {
+            scheduler.post(() -> {
+                if (!ended) {
+                    finish(ClientOutcome.CONNECTION_LOST);
+                }
             });
         }
 
-        private void over(String end, int status, long comeBack) {
-            over = true;
-            record.line(ticker.now(), "answer", "call", t.call(), "job", t.job(), "router", t.router(), "end",
-                end,
-                "status", status);
-            then.ended(end, status, comeBack);
+        private void finish(ClientOutcome outcome) {
+            finish(outcome.word(), NO_STATUS, NO_RETRY_AFTER);
+        }
+
+        private void finish(String end, int status, long retryAfterMillis) {
+            ended = true;
+            recorder.record(scheduler.now(), "answer", "call", attempt.call(), "job", attempt.request(),
+                "router", attempt.router(), "end", end, "status", status);
+            handler.ended(end, status, retryAfterMillis);
         }
     }
 }
--- a/src/main/java/switchgap/emulator/WorkerFaults.java
+++ b/src/main/java/switchgap/emulator/WorkerFaults.java
@@ -1,33 +1,61 @@
 package switchgap.emulator;
 
 import java.util.EnumMap;
+import java.util.Locale;
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** What a model server does wrong just now, each with the share of requests that it hits. */
+/**
+ * The faults that a model server injects at present, each with the share of requests that it hits.
+ * Thread-safe.
+ */
 public final class WorkerFaults {
-    /** Each is one way to fail on the socket; the page docs/router.md tells them apart. */
+    /** One way to fail on the socket; docs/router.md tells how a router tells them apart. */
     public enum Kind {
-        ERROR, LOST, RESET, HALF, LATE, TWICE, OVERSIZED, CLOSED_AT_REQUEST, SLOW_CONNECT
+        /** Answers with status 500. */
+        ERROR,
+        /** Runs the request and never answers. */
+        LOST,
+        /** Resets the connection amid the response. */
+        RESET,
+        /** Stops amid the response and keeps the connection open. */
+        HALF,
+        /** Answers seconds late. */
+        LATE,
+        /** Sends the response twice. */
+        TWICE,
+        /** Sends more bytes than the response's length says. */
+        OVERSIZED,
+        /** Closes the connection when the request arrives. */
+        CLOSED_AT_REQUEST,
+        /** Serves the request after a delay, as over a slow connection. */
+        SLOW_CONNECT;
+
+        /** The word for it in logs. */
+        String word() {
+            return name().toLowerCase(Locale.ROOT);
+        }
     }
 
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final Map<Kind, Double> shares = new EnumMap<>(Kind.class);
 
+    /** No faults as yet. */
     public WorkerFaults(long seed) {
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
     }
 
-    public synchronized void set(Kind k, double share) {
+    /** Sets the share of requests that a fault hits; 0 ends it. */
+    public synchronized void set(Kind kind, double share) {
         if (share <= 0) {
-            shares.remove(k);
+            shares.remove(kind);
         } else {
-            shares.put(k, share);
+            shares.put(kind, share);
         }
     }
 
-    /** Whether this fault hits now; one draw a question, whether it is set or not. */
-    public synchronized boolean hits(Kind k) {
-        return chance.nextDouble() < shares.getOrDefault(k, 0.0);
+    /** Whether this fault hits now; one draw for each question, whether the fault is set or not. */
+    public synchronized boolean hits(Kind kind) {
+        return random.nextDouble() < shares.getOrDefault(kind, 0.0);
     }
 }
--- a/src/main/java/switchgap/emulator/package-info.java
+++ b/src/main/java/switchgap/emulator/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Stand-ins for what a router meets: model servers, the one store, the list service, clients. They misbehave by
- * script and log each message on their sockets. Simulated servers: their figures say nothing of real ones.
+ * Emulated counterparts of a router: model servers, the store that functions are fetched from, the endpoint
+ * list service, and clients. They inject the faults of a fault script and record every message they see on
+ * their sockets. Their timing is simulated: figures measured against them say nothing about real servers.
  */
 package switchgap.emulator;
--- a/src/main/java/switchgap/scenario/DemoScenario.java
+++ b/src/main/java/switchgap/scenario/DemoScenario.java
@@ -3,37 +3,51 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** A small day inside one process, from the page that comes with the program. */
+/** A small scenario inside one process, from the document that comes with the program. */
 public final class DemoScenario {
+    private static final String DOCUMENT = "demo.yaml";
+
     private DemoScenario() {}
 
-    /** Plays it, prints what came of it and whether the rules were kept; 0 when they were. */
+    /**
+     * Plays it and prints what became of it and whether the invariants held.
+     *
+     * @param seconds length of the scenario
+     * @param keep    whether to keep running until interrupted, without an end or a check
+     * @param out     receives the figures
+     * @return exit code: 0 where the invariants held, else 1
+     */
     public static int run(int seconds, boolean keep, PrintStream out)
         throws IOException, InterruptedException {
-        Path dir = Files.createTempDirectory("switchgap-demo");
-        Path file = dir.resolve("demo.yaml");
-        try (InputStream in = DemoScenario.class.getResourceAsStream("demo.yaml")) {
-            Files.writeString(file,
-                new String(in.readAllBytes(), java.nio.charset.StandardCharsets.UTF_8).replace("SECONDS",
-                    seconds + "s"));
+        Path directory = Files.createTempDirectory("switchgap-demo");
+        Path file = directory.resolve(DOCUMENT);
+        try (InputStream in = DemoScenario.class.getResourceAsStream(DOCUMENT)) {
+            String template = new String(in.readAllBytes(), StandardCharsets.UTF_8);
+            Files.writeString(file, template.replace("SECONDS", seconds + "s"));
         }
-        out.println("a router and its stand-ins on loopback ports; logs in " + dir);
+        out.println("a router and its stand-ins on loopback ports; logs in " + directory);
         if (keep) {
-            try (TestBed rig = new TestBed(Scenario.read(file), dir, null)) {
-                rig.ticker.post(() -> rig.clients.start(Long.MAX_VALUE));
-                for (int i = 0; i < rig.routers.size(); i++) {
-                    out.println("router " + i + ": switchgap call status-refresh-0 --router http://127.0.0.1:"
-                        + rig.port(i));
-                }
-                Thread.currentThread().join();
+            keepRunning(file, directory, out);
+        }
+        ScenarioRunner.play(file, directory, null, out);
+        InvariantChecker checker = InvariantChecker.read(directory);
+        checker.print(out);
+        return checker.violations().isEmpty() ? 0 : 1;
+    }
+
+    private static void keepRunning(Path file, Path directory, PrintStream out)
+        throws IOException, InterruptedException {
+        try (TestBed testBed = new TestBed(Scenario.read(file), directory, null)) {
+            testBed.scheduler.post(() -> testBed.clients.start(Long.MAX_VALUE));
+            for (int i = 0; i < testBed.routers.size(); i++) {
+                out.println("router " + i + ": switchgap call status-refresh-0 --router http://127.0.0.1:"
+                    + testBed.routers.port(i));
             }
+            Thread.currentThread().join();
         }
-        ScenarioRunner.play(file, dir, null, out);
-        InvariantChecker check = InvariantChecker.read(dir);
-        check.print(out);
-        return check.violations().isEmpty() ? 0 : 1;
     }
 }
--- /dev/null
+++ b/src/main/java/switchgap/scenario/FaultInjector.java
@@ -0,0 +1,7 @@
+package switchgap.scenario;
+
+/** Injects some types of faults. */
+interface FaultInjector {
+    /** Injects a fault and schedules its end; false where the fault is of another type. */
+    boolean inject(Scenario.Fault fault);
+}
--- a/src/main/java/switchgap/scenario/InProcessRouter.java
+++ b/src/main/java/switchgap/scenario/InProcessRouter.java
@@ -5,27 +5,37 @@
 import switchgap.server.gateway.GatewayConfig;
 import switchgap.server.gateway.GatewayRouter;
 
-/** A router inside this process. */
+/** A router inside this process; it can't be paused. */
 final class InProcessRouter implements RouterHost {
-    private final Path page;
+    private final Path config;
     private GatewayRouter gateway;
 
-    InProcessRouter(Path page) { this.page = page; }
+    InProcessRouter(Path config) {
+        this.config = config;
+    }
 
     @Override public void start() throws IOException {
-        gateway = new GatewayRouter(GatewayConfig.read(page));
+        gateway = new GatewayRouter(GatewayConfig.read(config));
     }
 
-    @Override public boolean runs() { return gateway != null; }
+    @Override public boolean runs() {
+        return gateway != null;
+    }
 
     @Override public void kill() {
-        if (gateway != null) { gateway.close(); }
+        if (gateway != null) {
+            gateway.close();
+        }
         gateway = null;
     }
 
-    @Override public boolean pause(boolean is) { return false; }
+    @Override public boolean pause(boolean paused) {
+        return false;
+    }
 
     @Override public void stop() {
-        if (gateway != null) { gateway.stop(); }
+        if (gateway != null) {
+            gateway.stop();
+        }
     }
 }
--- a/src/main/java/switchgap/scenario/LoadFaults.java
+++ b/src/main/java/switchgap/scenario/LoadFaults.java
@@ -8,63 +8,60 @@
 import switchgap.emulator.FunctionCatalogue;
 import switchgap.emulator.Scheduler;
 
-/** The troubles that clients, functions and the store bring: the same over sockets and in simulated time. */
+/** Injects the faults of clients, functions and the store: the same over sockets and in virtual time. */
 public final class LoadFaults {
-    private static final int HAMMERED = 12;
-    private final Scheduler ticker;
+    private static final int HAMMERING_RETRIES = 12;
+    private final Scheduler scheduler;
     private final EmulatedClients clients;
     private final FunctionCatalogue catalogue;
     private final EmulatedStore store;
-    private final Map<String, Double> customers;
+    private final Map<String, Double> tenants;
 
-    public LoadFaults(Scheduler ticker, EmulatedClients clients, FunctionCatalogue catalogue,
+    /** {@code customers}: share of the requests by tenant; a fault that names none hits the first. */
+    public LoadFaults(Scheduler scheduler, EmulatedClients clients, FunctionCatalogue catalogue,
         EmulatedStore store, Map<String, Double> customers) {
-        this.ticker = ticker;
+        this.scheduler = scheduler;
         this.clients = clients;
         this.catalogue = catalogue;
         this.store = store;
-        this.customers = customers;
+        this.tenants = customers;
     }
 
-    /** A share of all by chance, one at the least; takes from the list given. */
-    public static <T> List<T> some(List<T> all, double part, SplittableRandom chance) {
-        int n = Math.max(1, (int) Math.round(part * all.size()));
-        while (all.size() > n) { all.remove(chance.nextInt(all.size())); }
-        return all;
+    /**
+     * Draws a share of a list, one element at the least; elements not drawn are removed from the list given.
+     */
+    public static <T> List<T> some(List<T> candidates, double part, SplittableRandom random) {
+        int count = Math.max(1, (int) Math.round(part * candidates.size()));
+        while (candidates.size() > count) {
+            candidates.remove(random.nextInt(candidates.size()));
+        }
+        return candidates;
     }
 
-    /** Brings a trouble and ends it after its span; false where it is none of these. */
-    public boolean bring(Scenario.Fault t) {
-        String customer = t.of() == null ? customers.keySet().iterator().next() : t.of();
-        switch (t.verb()) {
-            case BURST -> {
-                clients.burst(t.size());
-                ticker.after(t.lasts(), () -> clients.burst(1));
-            }
-            case CUSTOMER_BURST -> {
-                clients.burst(customer, t.size());
-                ticker.after(t.lasts(), () -> clients.burst(customer, 1));
-            }
-            case HAMMERING -> {
-                clients.hammer(customer, HAMMERED);
-                ticker.after(t.lasts(), () -> clients.hammer(customer, 0));
-            }
-            case HOT_FUNCTIONS -> {
-                catalogue.hot(t.part(), (int) Math.max(1, t.size()));
-                ticker.after(t.lasts(), () -> catalogue.hot(0, 1));
-            }
-            case ONE_OFF_FUNCTIONS -> {
-                catalogue.once(t.part());
-                ticker.after(t.lasts(), () -> catalogue.once(0));
-            }
-            case STORE_SLOW -> {
-                store.slow(t.size());
-                ticker.after(t.lasts(), () -> store.slow(1));
-            }
+    /** Injects a fault and schedules its end; false where the fault is of another type. */
+    public boolean bring(Scenario.Fault fault) {
+        String tenant = fault.target() == null ? tenants.keySet().iterator().next() : fault.target();
+        switch (fault.verb()) {
+            case BURST -> during(fault, () -> clients.burst(fault.size()), () -> clients.burst(1));
+            case CUSTOMER_BURST -> during(fault, () -> clients.burst(tenant, fault.size()),
+                () -> clients.burst(tenant, 1));
+            case HAMMERING -> during(fault, () -> clients.hammer(tenant, HAMMERING_RETRIES),
+                () -> clients.hammer(tenant, 0));
+            case HOT_FUNCTIONS -> during(fault,
+                () -> catalogue.hot(fault.part(), (int) Math.max(1, fault.size())),
+                () -> catalogue.hot(0, 1));
+            case ONE_OFF_FUNCTIONS -> during(fault, () -> catalogue.once(fault.part()),
+                () -> catalogue.once(0));
+            case STORE_SLOW -> during(fault, () -> store.slow(fault.size()), () -> store.slow(1));
             default -> {
                 return false;
             }
         }
         return true;
     }
+
+    private void during(Scenario.Fault fault, Runnable begin, Runnable end) {
+        begin.run();
+        scheduler.after(fault.lasts(), end);
+    }
 }
--- a/src/main/java/switchgap/scenario/LoopbackPorts.java
+++ b/src/main/java/switchgap/scenario/LoopbackPorts.java
@@ -6,36 +6,52 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Loopback ports for programs that a rig starts. */
+/** Loopback ports for the programs that a test bed starts. */
 public final class LoopbackPorts {
-    private static final long MOST_WAIT = 15_000_000_000L;
+    private static final long LISTEN_TIMEOUT_NANOS = 15_000_000_000L;
+    private static final long POLL_PERIOD_MILLIS = 20;
 
     private LoopbackPorts() {}
 
-    /** So many free ports, held together until all are known: asked for one by one they may all be the same. */
-    public static int[] free(int n) throws IOException {
-        List<ServerSocket> open = new ArrayList<>();
+    /** Finds free ports, all bound until all are known: found one by one they may all be the same. */
+    public static int[] free(int count) throws IOException {
+        List<ServerSocket> sockets = new ArrayList<>();
         try {
-            for (int i = 0; i < n; i++) { open.add(new ServerSocket(0)); }
-            return open.stream().mapToInt(ServerSocket::getLocalPort).toArray();
+            for (int i = 0; i < count; i++) {
+                sockets.add(new ServerSocket(0));
+            }
+            return sockets.stream().mapToInt(ServerSocket::getLocalPort).toArray();
         } finally {
-            for (ServerSocket o : open) { o.close(); }
+            for (ServerSocket socket : sockets) {
+                socket.close();
+            }
         }
     }
 
-    /** Waits until somebody listens there. */
+    /**
+     * Waits until a program listens at a port.
+     *
+     * @throws IOException when none does in time
+     */
     public static void await(int port) throws IOException {
-        for (long end = System.nanoTime() + MOST_WAIT;;) {
-            try (Socket s = new Socket("127.0.0.1", port)) {
+        long deadline = System.nanoTime() + LISTEN_TIMEOUT_NANOS;
+        while (true) {
+            try (Socket socket = new Socket("127.0.0.1", port)) {
                 return;
             } catch (IOException e) {
-                if (System.nanoTime() > end) { throw new IOException("nothing listens at " + port, e); }
-                try {
-                    Thread.sleep(20);
-                } catch (InterruptedException x) {
-                    Thread.currentThread().interrupt();
+                if (System.nanoTime() > deadline) {
+                    throw new IOException("nothing listens at " + port, e);
                 }
+                pause();
             }
         }
     }
+
+    private static void pause() {
+        try {
+            Thread.sleep(POLL_PERIOD_MILLIS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
 }
--- a/src/main/java/switchgap/scenario/RouterHost.java
+++ b/src/main/java/switchgap/scenario/RouterHost.java
@@ -2,30 +2,33 @@
 
 import java.io.IOException;
 
-/** Runs one router of a day: a process of its own, or one among several in this process that share nothing. */
+/** Runs one router of a scenario: in a process of its own, or with others in this process. */
 interface RouterHost {
-    /** Starts it; it must listen at the port that its page states. */
+    /** Starts it; it listens at the port that its configuration states. */
     void start() throws IOException;
 
+    /** Whether it runs. */
     boolean runs();
 
-    /** The process dies at once. */
+    /** Ends it at once. */
     void kill();
 
-    /** Stopped by a signal for a while; false where that can't be done. */
-    boolean pause(boolean is);
+    /** Stops it by a signal, or lets it go on; false where that is impossible. */
+    boolean pause(boolean paused);
 
-    /** Its planner dies at once; false where it has none. */
-    default boolean killPlanner() { return false; }
+    /** Ends its planner at once; false where it has none. */
+    default boolean killPlanner() {
+        return false;
+    }
 
     /** Starts its planner, where it has one that does not run. */
     default void startPlanner() throws IOException {}
 
-    /** Its planner is stopped by a signal for a while; false where that can't be done. */
-    default boolean pausePlanner(boolean is) {
+    /** Stops its planner by a signal, or lets it go on; false where that is impossible. */
+    default boolean pausePlanner(boolean paused) {
         return false;
     }
 
-    /** Asked to stop in good order; waits for its end. */
+    /** Asks it to stop in good order and waits for its end. */
     void stop();
 }
--- a/src/main/java/switchgap/scenario/package-info.java
+++ b/src/main/java/switchgap/scenario/package-info.java
@@ -1,2 +1,4 @@
-/** Scripted days: their page, the rig that plays them over sockets, and the check of the rules from the logs. */
+/**
+ * Scenarios: their YAML documents, the test bed that plays them over sockets, and the checks of their logs.
+ */
 package switchgap.scenario;
