--- a/src/main/java/switchgap/emulator/ClientRetries.java
+++ b/src/main/java/switchgap/emulator/ClientRetries.java
@@ -42,7 +42,7 @@
         double timeoutShare = request.isHammering() ? HAMMERING_TIMEOUT_SHARE
             : behaviour.minTimeoutShare()
                 + (1 - behaviour.minTimeoutShare()) * request.random.nextDouble();
-        long deadline = scheduler.now() + (long) (request.profile.limit() * timeoutShare);
+        long deadline = scheduler.now() + (long) (request.profile.timeout() * timeoutShare);
         transport.send(
             new ClientTransport.ClientAttempt(request.id + "." + request.attempts, request.id, request.model,
                 request.tenant, request.router, deadline,
@@ -67,8 +67,8 @@
 
     private boolean mayRetry(ClientRequest request, ClientOutcome outcome) {
         boolean retryable = outcome == ClientOutcome.REJECTED || outcome == ClientOutcome.UNREACHABLE
-            || request.profile.retriesAll() && outcome != ClientOutcome.REFUSED;
-        int maxRetries = request.isHammering() ? request.hammeringRetries : behaviour.retries();
+            || request.profile.retryable() && outcome != ClientOutcome.REFUSED;
+        int maxRetries = request.isHammering() ? request.hammeringRetries : behaviour.maxRetries();
         return retryable && request.attempts <= maxRetries;
     }
 
@@ -86,7 +86,7 @@
 
     private void report(ClientRequest request, String end, double earned) {
         listener.accept(
-            new RequestResult(request.profile.workload(), request.tenant, request.router, request.arrivedAt,
+            new RequestResult(request.profile.name(), request.tenant, request.router, request.arrivedAt,
                 scheduler.now() - request.arrivedAt, request.attempts, end, earned));
     }
 }
--- a/src/main/java/switchgap/emulator/ColdStart.java
+++ b/src/main/java/switchgap/emulator/ColdStart.java
@@ -34,22 +34,22 @@
         if (!cold) {
             return 1;
         }
-        double initial = hardware.coldShare();
-        return Math.min(1, initial + (1 - initial) * (now - startedAt) / (double) hardware.coldSpan());
+        double initial = hardware.initialCapacityShare();
+        return Math.min(1, initial + (1 - initial) * (now - startedAt) / (double) hardware.warmUpTime());
     }
 
     /** Counts work that arrives; true when it is more than the cold worker bears. */
     boolean overloadedBy(double work, long now) {
-        if (!cold || now - startedAt > hardware.coldSpan()) {
+        if (!cold || now - startedAt > hardware.warmUpTime()) {
             return false;
         }
         window.add(new Arrival(now, work));
         workInWindow += work;
-        while (now - window.peek().at > hardware.fallSpan()) {
+        while (now - window.peek().at > hardware.crashWindow()) {
             workInWindow -= window.poll().work;
         }
-        double bearable = hardware.cores() * hardware.speed() * capacityShare(now) * hardware.fallSpan()
-            * hardware.fallMultiple();
+        double bearable = hardware.cores() * hardware.speed() * capacityShare(now) * hardware.crashWindow()
+            * hardware.crashMultiple();
         return workInWindow > bearable;
     }
 }
--- a/src/main/java/switchgap/emulator/EmulatedClients.java
+++ b/src/main/java/switchgap/emulator/EmulatedClients.java
@@ -18,26 +18,27 @@
     /**
      * A request class as its clients see it. Times in microseconds.
      *
-     * @param workload   name of the request class
-     * @param target     latency objective
-     * @param limit      longest timeout
-     * @param worth      priority weight of one request
-     * @param late       share of the weight that a response past the objective earns
-     * @param retriesAll whether any failure but a refusal may be retried
-     * @param idempotent whether requests carry an idempotency key
+     * @param name             name of the request class
+     * @param latencyObjective latency objective
+     * @param timeout          longest timeout
+     * @param priorityWeight   priority weight of one request
+     * @param lateShare        share of the weight that a response past the objective earns
+     * @param retryable        whether any failure but a refusal may be retried
+     * @param idempotent       whether requests carry an idempotency key
      */
-    public record RequestClassProfile(String workload, long target, long limit, double worth, double late,
-        boolean retriesAll, boolean idempotent) {}
+    public record RequestClassProfile(String name, long latencyObjective, long timeout, double priorityWeight,
+        double lateShare,
+        boolean retryable, boolean idempotent) {}
 
     /**
      * How clients time out and retry.
      *
-     * @param retries         retries at most
+     * @param maxRetries      retries at most
      * @param minTimeoutShare least share of the request class's timeout that a client waits
      * @param backoff         pause before the first retry in microseconds; doubles with each
      * @param honourShare     share of clients that honour a retry-after time
      */
-    public record RetryBehaviour(int retries, double minTimeoutShare, long backoff, double honourShare) {}
+    public record RetryBehaviour(int maxRetries, double minTimeoutShare, long backoff, double honourShare) {}
 
     /** What became of one request class's requests; weights in units of priority weight. */
     public static final class Tally {
--- a/src/main/java/switchgap/emulator/EmulatedWorker.java
+++ b/src/main/java/switchgap/emulator/EmulatedWorker.java
@@ -27,25 +27,27 @@
     /**
      * What a worker is. Times in microseconds.
      *
-     * @param cores            number of cores
-     * @param speed            speed of a core
-     * @param slots            executions that run at a time
-     * @param queue            executions that wait beyond these
-     * @param memoryMb         memory for replicas in MB
-     * @param concurrentLoads  loads at a time
-     * @param keepAlive        time after which an idle function is unloaded
-     * @param loadsOnMiss      whether a request for a function that is not loaded loads it
-     * @param eagerLoads       whether a request that finds all slots busy loads one replica more
-     * @param coldShare        share of the capacity at a cold start
-     * @param coldSpan         time from a cold start to full capacity
-     * @param fallMultiple     multiple of its capacity at which a cold worker crashes
-     * @param fallSpan         window over which that is measured
-     * @param fetchShare       share of a load's time that is spent on fetching
-     * @param loadFailureShare share of the loads that fail
+     * @param cores                number of cores
+     * @param speed                speed of a core
+     * @param slots                executions that run at a time
+     * @param queueLimit           executions that wait beyond these
+     * @param memoryMb             memory for replicas in MB
+     * @param concurrentLoads      loads at a time
+     * @param keepAlive            time after which an idle function is unloaded
+     * @param loadsOnMiss          whether a request for a function that is not loaded loads it
+     * @param eagerLoads           whether a request that finds all slots busy loads one replica more
+     * @param initialCapacityShare share of the capacity at a cold start
+     * @param warmUpTime           time from a cold start to full capacity
+     * @param crashMultiple        multiple of its capacity at which a cold worker crashes
+     * @param crashWindow          window over which that is measured
+     * @param fetchShare           share of a load's time that is spent on fetching
+     * @param loadFailureShare     share of the loads that fail
      */
-    public record Hardware(int cores, double speed, int slots, int queue, double memoryMb,
-        int concurrentLoads, long keepAlive, boolean loadsOnMiss, boolean eagerLoads, double coldShare,
-        long coldSpan, double fallMultiple, long fallSpan, double fetchShare, double loadFailureShare) {}
+    public record Hardware(int cores, double speed, int slots, int queueLimit, double memoryMb,
+        int concurrentLoads, long keepAlive, boolean loadsOnMiss, boolean eagerLoads,
+        double initialCapacityShare,
+        long warmUpTime, double crashMultiple, long crashWindow, double fetchShare,
+        double loadFailureShare) {}
 
     /** A request that waits or runs on the worker. */
     public static final class Execution {
@@ -195,7 +197,7 @@
             return null;
         }
         LoadedFunction function = replicas.entry(model);
-        if (inFlight >= hardware.slots() + hardware.queue()) {
+        if (inFlight >= hardware.slots() + hardware.queueLimit()) {
             callback.accept(Outcome.FULL, function.inFlight);
             return null;
         }
--- a/src/main/java/switchgap/emulator/FunctionCatalogue.java
+++ b/src/main/java/switchgap/emulator/FunctionCatalogue.java
@@ -22,7 +22,7 @@
     /**
      * What a request class's functions are like on average. Times in microseconds.
      *
-     * @param workload          name of the request class
+     * @param requestClass      name of the request class
      * @param share             share of all requests
      * @param memoryMb          memory of a replica in MB
      * @param slots             requests that a replica runs at a time
@@ -32,7 +32,7 @@
      * @param workSigma         sigma of the lognormal spread of the compute time
      * @param idempotencyWindow time for which an idempotency key is remembered, 0 for never
      */
-    public record FunctionGroup(String workload, double share, double memoryMb, int slots, long loadTime,
+    public record FunctionGroup(String requestClass, double share, double memoryMb, int slots, long loadTime,
         double work, double ioTime, double workSigma, long idempotencyWindow) {}
 
     private final List<FunctionGroup> groups;
@@ -66,7 +66,7 @@
         for (int requestClass = 0; requestClass < groups.size(); requestClass++) {
             List<FunctionModel> popular = new ArrayList<>();
             for (int i = 0; i < functions; i++) {
-                popular.add(create(groups.get(requestClass).workload() + "-" + i, requestClass));
+                popular.add(create(groups.get(requestClass).requestClass() + "-" + i, requestClass));
             }
             popularFunctions.add(popular);
         }
@@ -89,20 +89,20 @@
     }
 
     /** All functions created so far. */
-    public synchronized List<FunctionModel> known() {
+    public synchronized List<FunctionModel> functions() {
         return new ArrayList<>(functionsByName.values());
     }
 
     /** Loads each function at one worker, while there is room, as if the fleet had served it lately. */
     public void seed(List<EmulatedWorker> fleet) {
-        for (FunctionModel model : known()) {
+        for (FunctionModel model : functions()) {
             int worker = Math.floorMod(model.name().hashCode() * SEED_HASH_FACTOR, fleet.size());
             fleet.get(worker).seed(model);
         }
     }
 
     /** Makes so many new functions of each request class receive a share of all requests; share 0 ends it. */
-    public synchronized void hot(double share, int functions) {
+    public synchronized void setHotFunctions(double share, int functions) {
         hotShare = share;
         hotGeneration++;
         if (share > 0) {
@@ -116,11 +116,11 @@
     }
 
     private String hotName(int requestClass, int number) {
-        return "hot-" + groups.get(requestClass).workload() + "-" + hotGeneration + "-" + number;
+        return "hot-" + groups.get(requestClass).requestClass() + "-" + hotGeneration + "-" + number;
     }
 
     /** Makes a share of the requests ask for functions that are asked for only once; 0 ends it. */
-    public synchronized void once(double share) {
+    public synchronized void setOneOffShare(double share) {
         oneOffShare = share;
     }
 
@@ -133,7 +133,8 @@
             return functionsByName.get(hotName(requestClass, (int) (place * hotCount)));
         }
         if (kind < hotShare + oneOffShare) {
-            return create("once-" + groups.get(requestClass).workload() + "-" + nextOneOff++, requestClass);
+            return create("once-" + groups.get(requestClass).requestClass() + "-" + nextOneOff++,
+                requestClass);
         }
         int last = cumulativePopularity.length - 1;
         int index = Arrays.binarySearch(cumulativePopularity, place * cumulativePopularity[last]);
--- a/src/main/java/switchgap/emulator/ServiceTally.java
+++ b/src/main/java/switchgap/emulator/ServiceTally.java
@@ -17,7 +17,7 @@
 
     ServiceTally(Iterable<EmulatedClients.RequestClassProfile> requestClasses) {
         for (EmulatedClients.RequestClassProfile requestClass : requestClasses) {
-            byRequestClass.put(requestClass.workload(), new EmulatedClients.Tally());
+            byRequestClass.put(requestClass.name(), new EmulatedClients.Tally());
         }
     }
 
@@ -40,11 +40,11 @@
     }
 
     EmulatedClients.Tally of(ClientRequest request) {
-        return byRequestClass.get(request.profile.workload());
+        return byRequestClass.get(request.profile.name());
     }
 
     void arrived(ClientRequest request) {
-        double weight = request.profile.worth();
+        double weight = request.profile.priorityWeight();
         EmulatedClients.Tally tally = of(request);
         tally.jobs++;
         tally.asked += weight;
@@ -55,8 +55,8 @@
     /** Counts a success and returns the weight that it earned. */
     double finished(ClientRequest request, long now) {
         EmulatedClients.RequestClassProfile profile = request.profile;
-        boolean late = now - request.arrivedAt > profile.target();
-        double earned = late ? profile.worth() * profile.late() : profile.worth();
+        boolean late = now - request.arrivedAt > profile.latencyObjective();
+        double earned = late ? profile.priorityWeight() * profile.lateShare() : profile.priorityWeight();
         EmulatedClients.Tally tally = of(request);
         tally.finished++;
         tally.late += late ? 1 : 0;
--- a/src/main/java/switchgap/scenario/ColdWorkersRule.java
+++ b/src/main/java/switchgap/scenario/ColdWorkersRule.java
@@ -61,7 +61,7 @@
             return;
         }
         long age = line.at() - worker.startedAt;
-        if (age > limits.coldSpan()) {
+        if (age > limits.warmUpTime()) {
             coldWorkers.remove(name);
             return;
         }
@@ -71,7 +71,8 @@
         while (line.at() - worker.window.peek().at > limits.crashWindow()) {
             worker.workInWindow -= worker.window.poll().work;
         }
-        double capacityShare = limits.coldShare() + (1 - limits.coldShare()) * age / limits.coldSpan();
+        double capacityShare = limits.initialCapacityShare()
+            + (1 - limits.initialCapacityShare()) * age / limits.warmUpTime();
         double budget = worker.fullCapacity * Math.min(1, capacityShare) * limits.crashWindow()
             * limits.crashMultiple();
         double budgetShare = worker.workInWindow / budget;
--- a/src/main/java/switchgap/scenario/LoadFaults.java
+++ b/src/main/java/switchgap/scenario/LoadFaults.java
@@ -48,10 +48,10 @@
             case HAMMERING -> during(fault, () -> clients.hammer(tenant, HAMMERING_RETRIES),
                 () -> clients.hammer(tenant, 0));
             case HOT_FUNCTIONS -> during(fault,
-                () -> catalogue.hot(fault.part(), (int) Math.max(1, fault.size())),
-                () -> catalogue.hot(0, 1));
-            case ONE_OFF_FUNCTIONS -> during(fault, () -> catalogue.once(fault.part()),
-                () -> catalogue.once(0));
+                () -> catalogue.setHotFunctions(fault.part(), (int) Math.max(1, fault.size())),
+                () -> catalogue.setHotFunctions(0, 1));
+            case ONE_OFF_FUNCTIONS -> during(fault, () -> catalogue.setOneOffShare(fault.part()),
+                () -> catalogue.setOneOffShare(0));
             case STORE_SLOW -> during(fault, () -> store.slow(fault.size()), () -> store.slow(1));
             default -> {
                 return false;
--- a/src/main/java/switchgap/scenario/RouterConfigWriter.java
+++ b/src/main/java/switchgap/scenario/RouterConfigWriter.java
@@ -98,14 +98,14 @@
 
     private Map<String, Object> functions(FunctionCatalogue catalogue) {
         Map<String, Object> functions = new LinkedHashMap<>();
-        catalogue.known().stream().sorted(Comparator.comparing(FunctionModel::name)).forEach(
+        catalogue.functions().stream().sorted(Comparator.comparing(FunctionModel::name)).forEach(
             model -> functions.put(model.name(),
                 function(model.workload(), model.memoryMb(), model.slots(), model.loadTime())));
         List<FunctionCatalogue.FunctionGroup> groups = settings.functionGroups();
         for (int requestClass = 0; requestClass < groups.size(); requestClass++) {
             FunctionCatalogue.FunctionGroup group = groups.get(requestClass);
             for (String prefix : List.of("hot-", "once-")) {
-                functions.put(prefix + group.workload() + "-*",
+                functions.put(prefix + group.requestClass() + "-*",
                     function(requestClass, group.memoryMb(), group.slots(), group.loadTime()));
             }
         }
@@ -114,7 +114,7 @@
 
     private Map<String, Object> function(int requestClass, double memoryMb, int slots, long loadTime) {
         Map<String, Object> function = new LinkedHashMap<>();
-        function.put("workload", settings.profiles().get(requestClass).workload());
+        function.put("workload", settings.profiles().get(requestClass).name());
         function.put("memory", Math.round(memoryMb));
         function.put("lanes", slots);
         function.put("load_time", millis(loadTime));
--- a/src/main/java/switchgap/scenario/Scenario.java
+++ b/src/main/java/switchgap/scenario/Scenario.java
@@ -151,8 +151,8 @@
         ScenarioSettings.InvariantLimits rules = settings.limits();
         return new EmulatedWorker.Hardware(kind.cores(), kind.speed(), limits.slotsPerCore() * kind.cores(),
             limits.queuePerCore() * kind.cores(), kind.memoryMb(), limits.concurrentLoads(),
-            limits.keepAlive(), settings.loadsOnMiss(), limits.eagerLoads(), rules.coldShare(),
-            rules.coldSpan(), rules.crashMultiple(), rules.crashWindow(), limits.fetchShare(),
+            limits.keepAlive(), settings.loadsOnMiss(), limits.eagerLoads(), rules.initialCapacityShare(),
+            rules.warmUpTime(), rules.crashMultiple(), rules.crashWindow(), limits.fetchShare(),
             limits.loadFailureShare());
     }
 
@@ -220,7 +220,7 @@
     /** The longest timeout of a request class, microseconds. */
     public long longestLimit() {
         return settings.profiles().stream().mapToLong(
-            EmulatedClients.RequestClassProfile::limit).max().orElse(
+            EmulatedClients.RequestClassProfile::timeout).max().orElse(
                 0);
     }
 
@@ -232,7 +232,7 @@
         List<double[]> kinds = new ArrayList<>();
         for (ScenarioSettings.RequestClass requestClass : settings.requestClasses()) {
             FunctionCatalogue.FunctionGroup functions = requestClass.functions();
-            kinds.add(new double[] {functions.share(), requestClass.profile().worth(),
+            kinds.add(new double[] {functions.share(), requestClass.profile().priorityWeight(),
                 functions.work() / MICROS_PER_SECOND / meanWork()});
         }
         return kinds;
--- a/src/main/java/switchgap/scenario/ScenarioSettings.java
+++ b/src/main/java/switchgap/scenario/ScenarioSettings.java
@@ -57,7 +57,8 @@
         FunctionCatalogue.FunctionGroup functions) {}
 
     /** Bounds of the invariants: drain grace, cold start and load ration. */
-    record InvariantLimits(long drainGrace, double coldShare, long coldSpan, double crashMultiple,
+    record InvariantLimits(long drainGrace, double initialCapacityShare, long warmUpTime,
+        double crashMultiple,
         long crashWindow, double freeLoads, double loadsPerRequest, long loadWindow) {}
 
     List<EmulatedClients.RequestClassProfile> profiles() {
--- a/src/main/java/switchgap/scenario/WorkerFaultInjector.java
+++ b/src/main/java/switchgap/scenario/WorkerFaultInjector.java
@@ -52,7 +52,7 @@
     }
 
     private void unloadFunctions(Scenario.Fault fault) {
-        for (FunctionModel function : testBed.catalogue.known()) {
+        for (FunctionModel function : testBed.catalogue.functions()) {
             if (testBed.random.nextDouble() < fault.part()) {
                 testBed.fleet.servers().forEach(server -> server.worker().drop(function.name()));
             }
--- a/src/test/java/switchgap/scenario/ScenarioRunnerTest.java
+++ b/src/test/java/switchgap/scenario/ScenarioRunnerTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A short bad day over real sockets in this process: troubles overlap and the rules hold. */
+/** A short scenario over real sockets in this process: faults overlap and the invariants hold. */
 class ScenarioRunnerTest {
-    @TempDir Path dir;
+    @TempDir Path directory;
 
-    @Test void aShortBadDayKeepsTheRules() throws Exception {
-        Path file = dir.resolve("short.yaml");
+    @Test void keepsTheInvariantsWhileFaultsOverlap() throws Exception {
+        Path file = directory.resolve("short.yaml");
         Files.writeString(file, """
             day: {length: 6s, seed: 5, slack: 60ms, tick: 20ms}
             zones: [a, b]
@@ -39,12 +39,12 @@
               - {at: 4s, trouble: workers-killed, part: 0.2, lasts: 500ms}
             """);
         PrintStream out = new PrintStream(new ByteArrayOutputStream());
-        ScenarioRunner.play(file, dir.resolve("out"), null, out);
-        InvariantChecker check = InvariantChecker.read(dir.resolve("out"));
-        assertThat(check.violations()).isEmpty();
-        ByteArrayOutputStream table = new ByteArrayOutputStream();
-        check.print(new PrintStream(table));
-        assertThat(table.toString()).contains("finished=").containsPattern(
+        ScenarioRunner.play(file, directory.resolve("out"), null, out);
+        InvariantChecker checker = InvariantChecker.read(directory.resolve("out"));
+        assertThat(checker.violations()).isEmpty();
+        ByteArrayOutputStream report = new ByteArrayOutputStream();
+        checker.print(new PrintStream(report));
+        assertThat(report.toString()).contains("finished=").containsPattern(
             "[1-9]\\d* drains told").containsPattern("[1-9]\\d* cold starts").containsPattern(
                 "[1-9]\\d* load orders");
     }
