--- a/src/main/java/switchgap/emulator/EmulatedClients.java
+++ b/src/main/java/switchgap/emulator/EmulatedClients.java
@@ -66,26 +66,6 @@
         public double earned;
     }
 
-    /**
-     * {@link #onRequestEnded} with the parts of the result as parameters, for callers not yet moved to it.
-     */
-    public interface ResultListener {
-        /**
-         * Called on the scheduler's thread.
-         *
-         * @param workload name of the request class
-         * @param customer name of the tenant
-         * @param router   index of the router
-         * @param began    time of arrival, microseconds
-         * @param took     time over all attempts, microseconds
-         * @param tries    attempts made
-         * @param end      word of how the last attempt ended, see {@link ClientOutcome}
-         * @param earned   weight earned
-         */
-        void requestEnded(String workload, String customer, int router, long began, long took, int tries,
-            String end, double earned);
-    }
-
     private final Scheduler scheduler;
     private final FunctionCatalogue catalogue;
     private final ClientSettings settings;
@@ -124,13 +104,6 @@
         retries.setListener(listener);
     }
 
-    /** Like {@link #onRequestEnded}. */
-    public void heard(ResultListener listener) {
-        onRequestEnded(result -> listener.requestEnded(result.requestClass(), result.tenant(),
-            result.router(), result.arrivedAt(), result.duration(), result.attempts(), result.end(),
-            result.earned()));
-    }
-
     /** Sets who is notified, for each request, by how many microseconds it is sent after it was due. */
     public void sent(LongConsumer listener) {
         sendDelayListener = listener;
--- a/src/main/java/switchgap/experiment/LoadRun.java
+++ b/src/main/java/switchgap/experiment/LoadRun.java
@@ -118,14 +118,17 @@
 
     private void hear(EmulatedClients clients, Scheduler ticker) {
         began = ticker.now();
-        clients.heard((workload, customer, router, at, micros, tries, end, earned) -> {
-            ends.computeIfAbsent(workload, k -> new TreeMap<>()).merge(end, 1L, Long::sum);
-            if (end.equals("finished")) {
-                took.computeIfAbsent(workload, k -> new Histogram(LONGEST, 3)).recordValue(
-                    Math.min(LONGEST, Math.max(0, micros)));
+        clients.onRequestEnded(result -> {
+            ends.computeIfAbsent(result.requestClass(), name -> new TreeMap<>()).merge(result.end(), 1L,
+                Long::sum);
+            if (result.end().equals("finished")) {
+                took.computeIfAbsent(result.requestClass(), name -> new Histogram(LONGEST, 3)).recordValue(
+                    Math.min(LONGEST, Math.max(0, result.duration())));
             }
             try {
-                jobs.row((at - began) / 1e3, workload, customer, router, micros / 1e3, tries, end, earned);
+                jobs.row((result.arrivedAt() - began) / 1e3, result.requestClass(), result.tenant(),
+                    result.router(),
+                    result.duration() / 1e3, result.attempts(), result.end(), result.earned());
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
--- a/src/main/java/switchgap/server/platform/PlatformRouter.java
+++ b/src/main/java/switchgap/server/platform/PlatformRouter.java
@@ -22,7 +22,7 @@
  * core between them on its own loop. Its methods are for any thread but the loop's.
  */
 final class PlatformRouter implements AutoCloseable {
-    // Descriptors, one in so many. A quarter is nobody's: files, selectors, the listener and the control feed.
+    // Descriptors, one in so many. A quarter is left for files, selectors, the listener and the event stream.
     private static final int CLIENT_CONNECTION_SHARE = 3;
     /** Clients that came while the loop had no time to make room. */
     private static final int EXCESS_CONNECTION_SHARE = 12;
