--- a/src/main/java/switchgap/cli/LevelsCommand.java
+++ b/src/main/java/switchgap/cli/LevelsCommand.java
@@ -1,5 +1,6 @@
 package switchgap.cli;
 
+import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
@@ -8,22 +9,33 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Shows a router's levels, or pins one. */
-@Command(name = "levels", description = "Shows a router's service levels and their last changes, or pins one for a time.", mixinStandardHelpOptions = true) final class LevelsCommand
-    implements Callable<Integer> {
-    @Option(names = "--router", defaultValue = "http://127.0.0.1:8080", description = "default: ${DEFAULT-VALUE}") String router;
+/** Prints a router's service levels, or pins one. */
+@Command(name = "levels", mixinStandardHelpOptions = true, //
+    description = "Shows a router's service levels and their last changes, or pins one for a time.") //
+final class LevelsCommand implements Callable<Integer> {
+    private static final int HTTP_OK = 200;
 
-    @Option(names = "--pin", description = "full, least, most or hold") String pin;
+    @Option(names = "--router", paramLabel = "<router>", defaultValue = "http://127.0.0.1:8080", //
+        description = "default: ${DEFAULT-VALUE}") //
+    private String routerUrl;
 
-    @Option(names = "--seconds", defaultValue = "600", description = "how long a pin holds (default: ${DEFAULT-VALUE})") long seconds;
+    @Option(names = "--pin", paramLabel = "<pin>", //
+        description = "full, least, most or hold") //
+    private String pinnedLevel;
 
-    @Override public Integer call() throws Exception {
-        HttpRequest.Builder b = HttpRequest.newBuilder(URI.create(router + "/v1/levels"
-            + (pin == null ? "" : "?pin=" + pin + "&seconds=" + seconds)));
-        if (pin != null) { b.POST(HttpRequest.BodyPublishers.noBody()); }
-        HttpResponse<
-            String> r = HttpClient.newHttpClient().send(b.build(), HttpResponse.BodyHandlers.ofString());
-        System.out.print(r.body());
-        return r.statusCode() == 200 ? 0 : 2;
+    @Option(names = "--seconds", paramLabel = "<seconds>", defaultValue = "600", //
+        description = "how long a pin holds (default: ${DEFAULT-VALUE})") //
+    private long pinSeconds;
+
+    @Override public Integer call() throws IOException, InterruptedException {
+        String query = pinnedLevel == null ? "" : "?pin=" + pinnedLevel + "&seconds=" + pinSeconds;
+        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create(routerUrl + "/v1/levels" + query));
+        if (pinnedLevel != null) {
+            request.POST(HttpRequest.BodyPublishers.noBody());
+        }
+        HttpResponse<String> response = HttpClient.newHttpClient().send(request.build(),
+            HttpResponse.BodyHandlers.ofString());
+        System.out.print(response.body());
+        return response.statusCode() == HTTP_OK ? ExitCode.OK : ExitCode.UNUSABLE_INPUT;
     }
 }
--- a/src/main/java/switchgap/cli/LoadCommand.java
+++ b/src/main/java/switchgap/cli/LoadCommand.java
@@ -1,45 +1,65 @@
 package switchgap.cli;
 
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URI;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
+import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
+import picocli.CommandLine.Spec;
 import switchgap.experiment.LoadRun;
 
-/** A load with a curve. */
-@Command(name = "load", mixinStandardHelpOptions = true, description = "Sends an open-loop load by a curve to routers, or to the emulator where none is named.") final class LoadCommand
-    implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", description = "YAML: load {name, day, seed} and curve") Path file;
+/** Sends an open-loop load that follows a curve to routers, or to the emulator where none is named. */
+@Command(name = "load", mixinStandardHelpOptions = true, //
+    description = "Sends an open-loop load by a curve to routers, or to the emulator where none is named.") //
+final class LoadCommand implements Callable<Integer> {
+    private static final double MAX_TIME_SHARE = 100;
+    private static final int DEFAULT_HTTP_PORT = 80;
 
-    @Option(names = "--router", paramLabel = "URL", split = ",", description = "each router of the day, in order") List<
-        String> routers = List.of();
+    @Parameters(paramLabel = "FILE", //
+        description = "YAML: load {name, day, seed} and curve") //
+    private Path loadFile;
 
-    @Option(names = "--results", paramLabel = "DIR", required = true, description = "jobs and seconds as CSV and Arrow, latencies as histograms") Path results;
+    @Option(names = "--router", paramLabel = "URL", split = ",", //
+        description = "each router of the day, in order") //
+    private List<
+        String> routerUrls = List.of();
 
-    @Option(names = "--within", paramLabel = "SHARE", defaultValue = "1", description = "play the curve in this share of its time") double within;
+    @Option(names = "--results", paramLabel = "DIR", required = true, //
+        description = "jobs and seconds as CSV and Arrow, latencies as histograms") //
+    private Path resultDirectory;
 
-    @CommandLine.Spec CommandLine.Model.CommandSpec spec;
+    @Option(names = "--within", paramLabel = "SHARE", defaultValue = "1", //
+        description = "play the curve in this share of its time") //
+    private double timeShare;
 
-    @Override public Integer call() throws Exception {
-        if (!(within > 0 && within <= 100)) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "--within: must lie from 0 to 100");
+    @Spec private CommandSpec spec;
+
+    @Override public Integer call() throws IOException, InterruptedException {
+        boolean validShare = timeShare > 0 && timeShare <= MAX_TIME_SHARE;
+        if (!validShare) {
+            throw new ParameterException(spec.commandLine(), "--within: must lie from 0 to 100");
+        }
+        List<InetSocketAddress> routers = new ArrayList<>();
+        for (String url : routerUrls) {
+            routers.add(address(url));
         }
-        List<InetSocketAddress> at = new ArrayList<>();
-        for (String r : routers) {
-            URI u = URI.create(r);
-            if (u.getHost() == null) {
-                throw new CommandLine.ParameterException(spec.commandLine(),
-                    "--router: '" + r + "' is no URL of a router");
-            }
-            at.add(new InetSocketAddress(u.getHost(), u.getPort() < 0 ? 80 : u.getPort()));
+        LoadRun.run(loadFile, timeShare, routers, resultDirectory, System.out);
+        return ExitCode.OK;
+    }
+
+    private InetSocketAddress address(String url) {
+        URI uri = URI.create(url);
+        if (uri.getHost() == null) {
+            throw new ParameterException(spec.commandLine(),
+                "--router: '" + url + "' is no URL of a router");
         }
-        LoadRun.run(file, within, at, results, System.out);
-        return 0;
+        return new InetSocketAddress(uri.getHost(), uri.getPort() < 0 ? DEFAULT_HTTP_PORT : uri.getPort());
     }
 }
--- a/src/main/java/switchgap/cli/StatusCommand.java
+++ b/src/main/java/switchgap/cli/StatusCommand.java
@@ -1,5 +1,6 @@
 package switchgap.cli;
 
+import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
@@ -10,29 +11,37 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Shows how routers and their planners stand. */
-@Command(name = "status", description = "Shows how routers stand: calls, level, planner. 0 when all answer.", mixinStandardHelpOptions = true) final class StatusCommand
-    implements Callable<Integer> {
-    private static final Duration LONGEST = Duration.ofSeconds(3);
+/** Prints the status of routers and their planners. */
+@Command(name = "status", mixinStandardHelpOptions = true, //
+    description = "Shows how routers stand: calls, level, planner. 0 when all answer.") //
+final class StatusCommand implements Callable<Integer> {
+    private static final Duration TIMEOUT = Duration.ofSeconds(3);
+    private static final int HTTP_OK = 200;
 
-    @Parameters(paramLabel = "URL", arity = "1..*") List<String> routers;
+    @Parameters(paramLabel = "URL", arity = "1..*") private List<String> routerUrls;
 
-    @Override public Integer call() throws Exception {
-        HttpClient client = HttpClient.newBuilder().connectTimeout(LONGEST).build();
-        int bad = 0;
-        for (String r : routers) {
-            try {
-                HttpResponse<String> a = client.send(
-                    HttpRequest.newBuilder(URI.create(r + "/v1/status")).timeout(LONGEST).build(),
-                    HttpResponse.BodyHandlers.ofString());
-                System.out.println(
-                    r + " " + (a.statusCode() == 200 ? a.body() : "answers " + a.statusCode()));
-                bad += a.statusCode() == 200 ? 0 : 1;
-            } catch (java.io.IOException | IllegalArgumentException e) {
-                System.out.println(r + " does not answer: " + e);
-                bad++;
-            }
+    @Override public Integer call() throws InterruptedException {
+        HttpClient client = HttpClient.newBuilder().connectTimeout(TIMEOUT).build();
+        boolean allHealthy = true;
+        for (String url : routerUrls) {
+            allHealthy &= printStatus(client, url);
+        }
+        return allHealthy ? ExitCode.OK : ExitCode.FAILURE;
+    }
+
+    /** Prints one router's status; false where it does not respond with one. */
+    private static boolean printStatus(HttpClient client, String url) throws InterruptedException {
+        try {
+            HttpRequest request = HttpRequest.newBuilder(URI.create(url + "/v1/status")).timeout(
+                TIMEOUT).build();
+            HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
+            boolean healthy = response.statusCode() == HTTP_OK;
+            System.out.println(
+                url + " " + (healthy ? response.body() : "answers " + response.statusCode()));
+            return healthy;
+        } catch (IOException | IllegalArgumentException e) {
+            System.out.println(url + " does not answer: " + e);
+            return false;
         }
-        return bad == 0 ? 0 : 1;
     }
 }
