--- a/src/main/java/switchgap/experiment/BareRelay.java
+++ b/src/main/java/switchgap/experiment/BareRelay.java
@@ -32,32 +32,36 @@
         new HttpServer(net, ConnectionLimits.DEFAULT, new BareRelay(net, workers)).listen("127.0.0.1", port);
     }
 
-    @Override public void handle(HttpExchange r) {
-        int w = Math.floorMod(turn.getAndIncrement(), workers.length);
-        HttpClientConnection l = idle[w].poll();
-        if (l != null && l.isUsable()) {
-            pass(r, l, w);
+    @Override public void handle(HttpExchange exchange) {
+        int workerIndex = Math.floorMod(turn.getAndIncrement(), workers.length);
+        HttpClientConnection idleConnection = idle[workerIndex].poll();
+        if (idleConnection != null && idleConnection.isUsable()) {
+            pass(exchange, idleConnection, workerIndex);
             return;
         }
-        opener.connect(workers[w], Duration.ofSeconds(1), new HttpClientConnection.ConnectCallback() {
-            @Override public void connected(HttpClientConnection link) { pass(r, link, w); }
+        opener.connect(workers[workerIndex], Duration.ofSeconds(1),
+            new HttpClientConnection.ConnectCallback() {
+                @Override public void connected(HttpClientConnection connection) {
+                    pass(exchange, connection, workerIndex);
+                }
 
-            @Override public void failed(String why) { r.drop(); }
-        });
+                @Override public void failed(String why) { exchange.drop(); }
+            });
     }
 
-    private void pass(HttpExchange r, HttpClientConnection l, int w) {
-        boolean took = l.send("POST", "/v2/models/f/infer", Map.of("Content-Type", "application/json"),
-            r.body,
+    private void pass(HttpExchange exchange, HttpClientConnection connection, int workerIndex) {
+        boolean sent = connection.send("POST", "/v2/models/f/infer",
+            Map.of("Content-Type", "application/json"),
+            exchange.body,
             new HttpClientConnection.ResponseHandler() {
-                @Override public void responded(int status, Map<String, String> h, byte[] body,
+                @Override public void responded(int status, Map<String, String> headers, byte[] body,
                     boolean reusable) {
-                    if (reusable) { idle[w].push(l); }
-                    r.respond(status, Map.of("Content-Type", "application/json"), body);
+                    if (reusable) { idle[workerIndex].push(connection); }
+                    exchange.respond(status, Map.of("Content-Type", "application/json"), body);
                 }
 
-                @Override public void connectionLost(String why) { r.drop(); }
+                @Override public void connectionLost(String why) { exchange.drop(); }
             });
-        if (!took) { r.drop(); }
+        if (!sent) { exchange.drop(); }
     }
 }
--- a/src/main/java/switchgap/experiment/BaselinePolicy.java
+++ b/src/main/java/switchgap/experiment/BaselinePolicy.java
@@ -25,176 +25,184 @@
  * loaded there and the job waits for it; what may run again does, elsewhere; the rest is given up as the rules ask.
  */
 final class BaselinePolicy implements RouterCore.Policy, PolicyEvents {
-    private static final class HeldRequest {
-        final int job;
-        final int workload;
+    private static final class PendingRequest {
+        final int requestIndex;
+        final int requestClass;
         final int function;
-        final Duration limit;
-        int executions, out, mayHaveRun;
+        final Duration deadline;
+        int attempts, inFlight, possiblyExecuted;
         boolean closed;
 
-        HeldRequest(int job, int workload, int function, Duration limit) {
-            this.job = job;
-            this.workload = workload;
+        PendingRequest(int requestIndex, int workload, int function, Duration limit) {
+            this.requestIndex = requestIndex;
+            this.requestClass = workload;
             this.function = function;
-            this.limit = limit;
+            this.deadline = limit;
         }
     }
 
-    private final RouterSettings terms;
-    private final boolean turns;
-    private final SplittableRandom chance;
+    private final RouterSettings settings;
+    private final boolean roundRobin;
+    private final SplittableRandom random;
     private final Duration margin;
     private final List<Integer> ready = new ArrayList<>();
-    private final Map<Integer, WorkerState> standing = new HashMap<>();
-    private final Map<Integer, HeldRequest> held = new HashMap<>();
-    private final Map<Long, List<HeldRequest>> loading = new HashMap<>();
-    private final Map<Integer, Integer> flying = new HashMap<>();
+    private final Map<Integer, WorkerState> workerStates = new HashMap<>();
+    private final Map<Integer, PendingRequest> pending = new HashMap<>();
+    private final Map<Long, List<PendingRequest>> loading = new HashMap<>();
+    private final Map<Integer, Integer> attemptsByWorker = new HashMap<>();
     private Duration now = Duration.ZERO;
-    private PolicyActions out;
-    private int turn;
-    private boolean wakes;
-
-    BaselinePolicy(RouterSettings terms, boolean turns, long seed) {
-        this.terms = terms;
-        this.turns = turns;
-        this.chance = new SplittableRandom(seed);
-        this.margin = terms.tickInterval().multipliedBy(2);
+    private PolicyActions actions;
+    private int nextWorker;
+    private boolean wakeUpScheduled;
+
+    BaselinePolicy(RouterSettings settings, boolean roundRobin, long seed) {
+        this.settings = settings;
+        this.roundRobin = roundRobin;
+        this.random = new SplittableRandom(seed);
+        this.margin = settings.tickInterval().multipliedBy(2);
     }
 
     @Override public void tick(Duration at, EventBatch in, PolicyActions to) {
         now = at;
-        out = to;
+        actions = to;
         in.deliverTo(this);
         List<Integer> due = new ArrayList<>();
-        held.forEach((j, h) -> {
-            if (!h.closed && h.out == 0 && now.plus(margin.multipliedBy(2)).compareTo(h.limit) >= 0) {
-                due.add(j);
+        pending.forEach((requestIndex, request) -> {
+            if (!request.closed && request.inFlight == 0
+                && now.plus(margin.multipliedBy(2)).compareTo(request.deadline) >= 0) {
+                due.add(requestIndex);
             }
         });
-        due.forEach(j -> giveUp(j, held.get(j)));
-        if (!wakes) {
-            wakes = true;
-            out.scheduleWakeUp(margin, 0);
+        due.forEach(requestIndex -> giveUp(requestIndex, pending.get(requestIndex)));
+        if (!wakeUpScheduled) {
+            wakeUpScheduled = true;
+            actions.scheduleWakeUp(margin, 0);
         }
     }
 
-    private void place(int job, HeldRequest h) {
-        if (h.closed) { return; }
-        if (ready.isEmpty() || h.executions >= terms.maxAttempts()
-            || now.plus(margin).compareTo(h.limit) >= 0) {
-            giveUp(job, h);
+    private void place(int requestIndex, PendingRequest request) {
+        if (request.closed) { return; }
+        if (ready.isEmpty() || request.attempts >= settings.maxAttempts()
+            || now.plus(margin).compareTo(request.deadline) >= 0) {
+            giveUp(requestIndex, request);
             return;
         }
-        send(job, h, ready.get(turns ? turn++ % ready.size() : chance.nextInt(ready.size())));
+        send(requestIndex, request,
+            ready.get(roundRobin ? nextWorker++ % ready.size() : random.nextInt(ready.size())));
     }
 
-    private void send(int job, HeldRequest h, int worker) {
-        h.executions++;
-        h.out++;
-        flying.merge(worker, 1, Integer::sum);
-        out.startAttempt(job, worker, h.limit.minus(now).minus(margin));
+    private void send(int requestIndex, PendingRequest request, int worker) {
+        request.attempts++;
+        request.inFlight++;
+        attemptsByWorker.merge(worker, 1, Integer::sum);
+        actions.startAttempt(requestIndex, worker, request.deadline.minus(now).minus(margin));
     }
 
-    private void giveUp(int job, HeldRequest h) {
-        if (h.closed) { return; }
-        h.closed = true;
-        if (terms.idempotency(h.workload) == Idempotency.IDEMPOTENT || h.mayHaveRun + h.out == 0) {
-            out.reject(job, null);
+    private void giveUp(int requestIndex, PendingRequest request) {
+        if (request.closed) { return; }
+        request.closed = true;
+        if (settings.idempotency(request.requestClass) == Idempotency.IDEMPOTENT
+            || request.possiblyExecuted + request.inFlight == 0) {
+            actions.reject(requestIndex, null);
         } else {
-            out.fail(job);
+            actions.fail(requestIndex);
         }
-        settle(job, h);
+        settle(requestIndex, request);
     }
 
-    private void settle(int job, HeldRequest h) {
-        if (h.closed && h.out == 0 && held.remove(job) != null) { out.releaseRequest(job); }
+    private void settle(int requestIndex, PendingRequest request) {
+        if (request.closed && request.inFlight == 0 && pending.remove(requestIndex) != null) {
+            actions.releaseRequest(requestIndex);
+        }
     }
 
     @Override public void endpointListStarted(boolean whole) {
-        if (whole) { standing.replaceAll((w, s) -> WorkerState.GONE); }
+        if (whole) { workerStates.replaceAll((worker, state) -> WorkerState.GONE); }
     }
 
     @Override public void endpointListed(EndpointEntry entry) {
-        standing.put(entry.worker(), entry.state());
+        workerStates.put(entry.worker(), entry.state());
     }
 
     @Override public void endpointListEnded() {
         ready.clear();
-        standing.forEach((w, s) -> { if (s == WorkerState.READY) { ready.add(w); } });
+        workerStates.forEach((worker, state) -> { if (state == WorkerState.READY) { ready.add(worker); } });
         List<Integer> gone = new ArrayList<>();
-        standing.forEach((w, s) -> {
-            if (s == WorkerState.GONE && flying.getOrDefault(w, 0) == 0
-                && loading.keySet().stream().noneMatch(k -> (int) (k >> 32) == w)) {
-                gone.add(w);
+        workerStates.forEach((worker, state) -> {
+            if (state == WorkerState.GONE && attemptsByWorker.getOrDefault(worker, 0) == 0
+                && loading.keySet().stream().noneMatch(key -> (int) (key >> 32) == worker)) {
+                gone.add(worker);
             }
         });
-        gone.forEach(w -> {
-            standing.remove(w);
-            out.releaseWorker(w);
+        gone.forEach(worker -> {
+            workerStates.remove(worker);
+            actions.releaseWorker(worker);
         });
     }
 
     @Override public void endpointListFailed() {}
 
     @Override public void requestArrived(RequestArrival arrival) {
-        HeldRequest h = new HeldRequest(arrival.request(), arrival.requestClass(), arrival.function(),
+        PendingRequest request = new PendingRequest(arrival.request(), arrival.requestClass(),
+            arrival.function(),
             arrival.deadline());
-        held.put(h.job, h);
-        place(h.job, h);
+        pending.put(request.requestIndex, request);
+        place(request.requestIndex, request);
     }
 
     @Override public void attemptEnded(AttemptResult result) {
-        int job = result.request();
+        int requestIndex = result.request();
         int worker = result.worker();
         AttemptOutcome end = result.outcome();
-        HeldRequest h = held.get(job);
-        h.out--;
-        flying.merge(worker, -1, Integer::sum);
-        h.mayHaveRun += end.neverExecuted() ? 0 : 1;
-        h.closed |= result.requestClosed();
-        if (!h.closed && end == AttemptOutcome.NOT_LOADED && standing.get(worker) == WorkerState.READY) {
-            long key = (long) worker << 32 | h.function;
-            List<HeldRequest> wait = loading.get(key);
-            if (wait == null) {
-                loading.put(key, wait = new ArrayList<>());
-                out.load(worker, h.function);
+        PendingRequest request = pending.get(requestIndex);
+        request.inFlight--;
+        attemptsByWorker.merge(worker, -1, Integer::sum);
+        request.possiblyExecuted += end.neverExecuted() ? 0 : 1;
+        request.closed |= result.requestClosed();
+        if (!request.closed && end == AttemptOutcome.NOT_LOADED
+            && workerStates.get(worker) == WorkerState.READY) {
+            long key = (long) worker << 32 | request.function;
+            List<PendingRequest> waiting = loading.get(key);
+            if (waiting == null) {
+                loading.put(key, waiting = new ArrayList<>());
+                actions.load(worker, request.function);
             }
-            wait.add(h);
-        } else if (!h.closed) {
-            if (h.mayHaveRun == 0 || terms.idempotency(h.workload) == Idempotency.IDEMPOTENT) {
-                place(job, h);
+            waiting.add(request);
+        } else if (!request.closed) {
+            if (request.possiblyExecuted == 0
+                || settings.idempotency(request.requestClass) == Idempotency.IDEMPOTENT) {
+                place(requestIndex, request);
             } else {
-                giveUp(job, h);
+                giveUp(requestIndex, request);
             }
         }
-        settle(job, h);
+        settle(requestIndex, request);
     }
 
     @Override public void loadCommandEnded(LoadCommandResult result) {
         int worker = result.worker();
-        List<HeldRequest> wait = loading.remove((long) worker << 32 | result.function());
-        if (wait == null) { return; }
-        for (HeldRequest h : wait) { // a job given up meanwhile may have left its index to another
-            int job = h.job;
-            if (held.get(job) != h || h.closed || h.out > 0) { continue; }
-            if (result.loadedReplicas() > 0 && standing.get(worker) == WorkerState.READY
-                && h.executions < terms.maxAttempts()
-                && now.plus(margin).compareTo(h.limit) < 0) {
-                send(job, h, worker);
+        List<PendingRequest> waiting = loading.remove((long) worker << 32 | result.function());
+        if (waiting == null) { return; }
+        for (PendingRequest request : waiting) { // a job given up meanwhile may have left its index to another
+            int requestIndex = request.requestIndex;
+            if (pending.get(requestIndex) != request || request.closed || request.inFlight > 0) { continue; }
+            if (result.loadedReplicas() > 0 && workerStates.get(worker) == WorkerState.READY
+                && request.attempts < settings.maxAttempts()
+                && now.plus(margin).compareTo(request.deadline) < 0) {
+                send(requestIndex, request, worker);
             } else {
-                place(job, h);
+                place(requestIndex, request);
             }
         }
     }
 
-    @Override public void clientLeft(int job) {
-        HeldRequest h = held.get(job);
-        h.closed = true;
-        settle(job, h);
+    @Override public void clientLeft(int requestIndex) {
+        PendingRequest request = pending.get(requestIndex);
+        request.closed = true;
+        settle(requestIndex, request);
     }
 
-    @Override public void wakeUp(long token) { wakes = false; }
+    @Override public void wakeUp(long token) { wakeUpScheduled = false; }
 
     @Override public void probeEnded(ProbeResult result) {}
 }
--- a/src/main/java/switchgap/experiment/BaselineRouter.java
+++ b/src/main/java/switchgap/experiment/BaselineRouter.java
@@ -11,7 +11,8 @@
 
     /** Serves as the page says; {@code choice} is random or turns. */
     public static GatewayRouter start(Path page, String choice) throws IOException {
-        GatewayConfig p = GatewayConfig.read(page);
-        return new GatewayRouter(p, new BaselinePolicy(p.terms(), choice.equals("turns"), p.seed()));
+        GatewayConfig config = GatewayConfig.read(page);
+        return new GatewayRouter(config,
+            new BaselinePolicy(config.terms(), choice.equals("turns"), config.seed()));
     }
 }
--- a/src/main/java/switchgap/experiment/EmulatedRouter.java
+++ b/src/main/java/switchgap/experiment/EmulatedRouter.java
@@ -20,127 +20,139 @@
 /** The program's own core and gate in simulated time: its outside is the emulator's machines, a hop away. */
 final class EmulatedRouter implements WorkerTransport {
     private static final byte[] NOTHING = {};
-    private final Emulator world;
-    private final long born;
+    private final Emulator emulator;
+    private final long startedAt;
     private final List<Consumer<RouterCore>> events = new ArrayList<>();
     private AdmissionGate gate;
-    private boolean due;
-    private long wake = Long.MAX_VALUE;
-    private boolean dead;
+    private boolean tickScheduled;
+    private long wakeUpAt = Long.MAX_VALUE;
+    private boolean stopped;
 
-    EmulatedRouter(Emulator world) {
-        this.world = world;
-        this.born = world.ticker.now();
+    EmulatedRouter(Emulator emulator) {
+        this.emulator = emulator;
+        this.startedAt = emulator.scheduler.now();
     }
 
-    void gate(AdmissionGate g) {
-        gate = g;
-        post(c -> {});
+    void gate(AdmissionGate admissionGate) {
+        gate = admissionGate;
+        post(core -> {});
     }
 
     AdmissionGate gate() { return gate; }
 
     /** The process dies: what it held is lost. */
-    void kill() { dead = true; }
+    void stop() { stopped = true; }
 
-    Duration now() { return Duration.ofNanos((world.ticker.now() - born) * 1000); }
+    Duration now() { return Duration.ofNanos((emulator.scheduler.now() - startedAt) * 1000); }
 
-    void post(Consumer<RouterCore> e) {
-        if (dead) { return; }
-        events.add(e);
-        if (!due) {
-            due = true;
-            world.ticker.after(world.quantum, this::round);
+    void post(Consumer<RouterCore> event) {
+        if (stopped) { return; }
+        events.add(event);
+        if (!tickScheduled) {
+            tickScheduled = true;
+            emulator.scheduler.after(emulator.tickMicros, this::tick);
         }
     }
 
-    private void round() {
-        due = false;
-        if (dead) { return; }
-        List<Consumer<RouterCore>> now = new ArrayList<>(events);
+    private void tick() {
+        tickScheduled = false;
+        if (stopped) { return; }
+        List<Consumer<RouterCore>> batch = new ArrayList<>(events);
         events.clear();
-        gate.core().tick(now(), now);
-        Duration next = gate.core().nextDue();
-        long at = next == null ? Long.MAX_VALUE : born + next.toNanos() / 1000 + 1;
-        if (at < wake || wake <= world.ticker.now()) {
-            wake = at;
-            world.ticker.after(at - world.ticker.now(), () -> {
-                if (wake == at && !due && !dead) {
-                    wake = Long.MAX_VALUE;
-                    round();
+        gate.core().tick(now(), batch);
+        Duration nextDue = gate.core().nextDue();
+        long at = nextDue == null ? Long.MAX_VALUE : startedAt + nextDue.toNanos() / 1000 + 1;
+        if (at < wakeUpAt || wakeUpAt <= emulator.scheduler.now()) {
+            wakeUpAt = at;
+            emulator.scheduler.after(at - emulator.scheduler.now(), () -> {
+                if (wakeUpAt == at && !tickScheduled && !stopped) {
+                    wakeUpAt = Long.MAX_VALUE;
+                    tick();
                 }
             });
         }
     }
 
-    private LoadReport loads(EmulatedWorker m, int crowd) {
-        return world.day.tellsLoad() ? new LoadReport(m.busy(), m.inHand(), m.waiting(), crowd)
-            : new LoadReport(Double.NaN, Double.NaN, Double.NaN, crowd);
+    private LoadReport loadReport(EmulatedWorker emulatedWorker, int concurrency) {
+        return emulator.scenario.tellsLoad()
+            ? new LoadReport(emulatedWorker.busy(), emulatedWorker.inHand(), emulatedWorker.waiting(),
+                concurrency)
+            : new LoadReport(Double.NaN, Double.NaN, Double.NaN, concurrency);
     }
 
-    @Override public void startAttempt(Attempt run, Duration allow) {
-        EmulatedWorker m = world.machine(run.worker.name);
-        FunctionModel model = world.catalogue.find(run.request.function);
-        world.ticker.after(world.hop, () -> {
-            if (dead || m == null || m.dead()) {
-                world.ticker.after(world.hop, () -> post(
-                    c -> c.attemptEnded(run, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE, null)));
+    @Override public void startAttempt(Attempt attempt, Duration timeout) {
+        EmulatedWorker emulatedWorker = emulator.worker(attempt.worker.name);
+        FunctionModel model = emulator.catalogue.find(attempt.request.function);
+        emulator.scheduler.after(emulator.networkDelayMicros, () -> {
+            if (stopped || emulatedWorker == null || emulatedWorker.dead()) {
+                emulator.scheduler.after(emulator.networkDelayMicros, () -> post(
+                    core -> core.attemptEnded(attempt, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE,
+                        null)));
                 return;
             }
-            run.attachment = m.infer(model, () -> {},
-                (o, crowd) -> world.ticker.after(world.hop, () -> post(c -> c.attemptEnded(run, switch (o) {
-                    case OK, DROPPED -> AttemptOutcome.SUCCEEDED;
-                    case MISS -> AttemptOutcome.NOT_LOADED;
-                    case FULL -> AttemptOutcome.REJECTED;
-                    default -> AttemptOutcome.FAILED;
-                }, loads(m, crowd), Response.succeeded(200, Map.of(), NOTHING)))));
+            attempt.attachment = emulatedWorker.infer(model, () -> {},
+                (outcome, crowd) -> emulator.scheduler.after(emulator.networkDelayMicros,
+                    () -> post(core -> core.attemptEnded(attempt, switch (outcome) {
+                        case OK, DROPPED -> AttemptOutcome.SUCCEEDED;
+                        case MISS -> AttemptOutcome.NOT_LOADED;
+                        case FULL -> AttemptOutcome.REJECTED;
+                        default -> AttemptOutcome.FAILED;
+                    }, loadReport(emulatedWorker, crowd), Response.succeeded(200, Map.of(), NOTHING)))));
         });
     }
 
-    @Override public AttemptOutcome abandon(Attempt run) {
-        EmulatedWorker m = world.machine(run.worker.name);
-        world.ticker.after(world.hop, () -> {
-            if (m != null && run.attachment instanceof EmulatedWorker.Execution w) { m.leave(w); }
+    @Override public AttemptOutcome abandon(Attempt attempt) {
+        EmulatedWorker emulatedWorker = emulator.worker(attempt.worker.name);
+        emulator.scheduler.after(emulator.networkDelayMicros, () -> {
+            if (emulatedWorker != null && attempt.attachment instanceof EmulatedWorker.Execution execution) {
+                emulatedWorker.leave(execution);
+            }
         });
         return AttemptOutcome.TIMED_OUT;
     }
 
-    @Override public void requestReplicas(WorkerEntry worker, String function, int copies,
-        WorkerCommand order) {
-        EmulatedWorker m = world.machine(worker.name);
-        world.ticker.after(world.hop, () -> {
-            if (m == null || m.dead()) {
-                post(c -> c.loadCommandEnded(order, AttemptOutcome.CONNECT_FAILED, 0));
-            } else if (copies == 0) {
-                int n = m.standing(function);
-                world.ticker.after(world.hop,
-                    () -> post(c -> c.loadCommandEnded(order, AttemptOutcome.SUCCEEDED, n)));
+    @Override public void requestReplicas(WorkerEntry worker, String function, int replicas,
+        WorkerCommand command) {
+        EmulatedWorker emulatedWorker = emulator.worker(worker.name);
+        emulator.scheduler.after(emulator.networkDelayMicros, () -> {
+            if (emulatedWorker == null || emulatedWorker.dead()) {
+                post(core -> core.loadCommandEnded(command, AttemptOutcome.CONNECT_FAILED, 0));
+            } else if (replicas == 0) {
+                int loadedReplicas = emulatedWorker.standing(function);
+                emulator.scheduler.after(emulator.networkDelayMicros,
+                    () -> post(
+                        core -> core.loadCommandEnded(command, AttemptOutcome.SUCCEEDED, loadedReplicas)));
             } else {
-                m.hold(world.catalogue.find(function), copies,
-                    (o, n) -> world.ticker.after(world.hop,
-                        () -> post(c -> c.loadCommandEnded(order,
-                            o == EmulatedWorker.Outcome.OK ? AttemptOutcome.SUCCEEDED
-                                : o == EmulatedWorker.Outcome.FULL ? AttemptOutcome.REJECTED
+                emulatedWorker.hold(emulator.catalogue.find(function), replicas,
+                    (outcome, n) -> emulator.scheduler.after(emulator.networkDelayMicros,
+                        () -> post(core -> core.loadCommandEnded(command,
+                            outcome == EmulatedWorker.Outcome.OK ? AttemptOutcome.SUCCEEDED
+                                : outcome == EmulatedWorker.Outcome.FULL ? AttemptOutcome.REJECTED
                                     : AttemptOutcome.FAILED,
                             n))));
             }
         });
     }
 
-    @Override public void unload(WorkerEntry worker, String function, WorkerCommand order) {
-        EmulatedWorker m = world.machine(worker.name);
-        if (m != null) { world.ticker.after(world.hop, () -> m.drop(function)); }
-        world.ticker.after(2 * world.hop, () -> post(c -> c.unloadEnded(order)));
+    @Override public void unload(WorkerEntry worker, String function, WorkerCommand command) {
+        EmulatedWorker emulatedWorker = emulator.worker(worker.name);
+        if (emulatedWorker != null) {
+            emulator.scheduler.after(emulator.networkDelayMicros, () -> emulatedWorker.drop(function));
+        }
+        emulator.scheduler.after(2 * emulator.networkDelayMicros,
+            () -> post(core -> core.unloadEnded(command)));
     }
 
-    @Override public void probe(WorkerEntry worker, WorkerCommand order) {
-        EmulatedWorker m = world.machine(worker.name);
-        world.ticker.after(2 * world.hop,
-            () -> post(c -> c.probeEnded(order, m == null || m.dead() ? AttemptOutcome.CONNECT_FAILED
-                : AttemptOutcome.SUCCEEDED, m == null ? LoadReport.NONE : loads(m, -1))));
+    @Override public void probe(WorkerEntry worker, WorkerCommand command) {
+        EmulatedWorker emulatedWorker = emulator.worker(worker.name);
+        emulator.scheduler.after(2 * emulator.networkDelayMicros,
+            () -> post(core -> core.probeEnded(command,
+                emulatedWorker == null || emulatedWorker.dead() ? AttemptOutcome.CONNECT_FAILED
+                    : AttemptOutcome.SUCCEEDED,
+                emulatedWorker == null ? LoadReport.NONE : loadReport(emulatedWorker, -1))));
     }
 
-    @Override public void abandon(WorkerCommand order) {}
+    @Override public void abandon(WorkerCommand command) {}
 
     @Override public void requestEndpointList() {}
 }
--- a/src/main/java/switchgap/experiment/Emulator.java
+++ b/src/main/java/switchgap/experiment/Emulator.java
@@ -37,197 +37,217 @@
     /** A change of level at a router. */
     record RouterLevelChange(int router, ServiceLevelChange change) {}
 
-    final Scenario day;
-    final VirtualTimeScheduler ticker = new VirtualTimeScheduler();
+    final Scenario scenario;
+    final VirtualTimeScheduler scheduler = new VirtualTimeScheduler();
     final FunctionCatalogue catalogue;
     final EmulatedClients clients;
-    final long quantum;
-    final long hop;
+    final long tickMicros;
+    final long networkDelayMicros;
     final List<RouterLevelChange> changes = new ArrayList<>();
     final List<EmulatedRouter> routers = new ArrayList<>();
     private final Variant variant;
-    private final Map<String, EmulatedWorker> machines = new LinkedHashMap<>();
+    private final Map<String, EmulatedWorker> workers = new LinkedHashMap<>();
     private final Map<String, Boolean> ready = new LinkedHashMap<>();
-    private final List<YamlRouterSettings> terms = new ArrayList<>();
+    private final List<YamlRouterSettings> settings = new ArrayList<>();
     private final EmulatedStore store;
-    private final LoadFaults loads;
-    private final SplittableRandom chance;
+    private final LoadFaults loadFaults;
+    private final SplittableRandom random;
     private final long seed;
-    private int next;
+    private int nextWorkerIndex;
 
-    Emulator(Scenario day, long seed, Variant variant, LongToDoubleFunction curve) {
-        this.day = day;
+    Emulator(Scenario scenario, long seed, Variant variant, LongToDoubleFunction curve) {
+        this.scenario = scenario;
         this.seed = seed;
         this.variant = variant;
-        this.quantum = 1000;
-        this.hop = 300;
-        this.chance = new SplittableRandom(seed);
+        this.tickMicros = 1000;
+        this.networkDelayMicros = 300;
+        this.random = new SplittableRandom(seed);
         switchgap.emulator.EventRecorder nothing = switchgap.emulator.EventRecorder.none();
-        catalogue = day.catalogue(seed);
-        store = new EmulatedStore(ticker, nothing, day.storeTakes(), day.storeDown());
-        clients = day.clients(ticker, this::send, catalogue, seed + 1);
+        catalogue = scenario.catalogue(seed);
+        store = new EmulatedStore(scheduler, nothing, scenario.storeTakes(), scenario.storeDown());
+        clients = scenario.clients(scheduler, this::send, catalogue, seed + 1);
         clients.curve(curve);
-        loads = new LoadFaults(ticker, clients, catalogue, store, day.customers());
-        for (int i = 0; i < day.workers(); i++) { start(false); }
-        catalogue.seed(List.copyOf(machines.values()));
-        for (int i = 0; i < day.routers(); i++) {
-            terms.add(new YamlRouterSettings(
-                YamlDocument.read("router " + i, day.routerPage(i, 1, 1, catalogue, variant.terms()))));
-            clients.zone(i, day.zone(i));
+        loadFaults = new LoadFaults(scheduler, clients, catalogue, store, scenario.customers());
+        for (int i = 0; i < scenario.workers(); i++) { startWorker(false); }
+        catalogue.seed(List.copyOf(workers.values()));
+        for (int i = 0; i < scenario.routers(); i++) {
+            settings.add(new YamlRouterSettings(
+                YamlDocument.read("router " + i, scenario.routerPage(i, 1, 1, catalogue, variant.terms()))));
+            clients.zone(i, scenario.zone(i));
             routers.add(null);
-            router(i);
+            startRouter(i);
         }
     }
 
     /** Starts a router with nothing but the list. */
-    void router(int i) {
-        if (routers.get(i) != null) { routers.get(i).kill(); }
-        EmulatedRouter r = new EmulatedRouter(this);
-        routers.set(i, r);
-        YamlRouterSettings t = terms.get(i);
-        long own = seed * 31 + i * 7919L + ticker.now();
-        RouterCore core = new RouterCore(t, new RoutingPolicy(t, own)::tick, r,
+    void startRouter(int routerIndex) {
+        if (routers.get(routerIndex) != null) { routers.get(routerIndex).stop(); }
+        EmulatedRouter router = new EmulatedRouter(this);
+        routers.set(routerIndex, router);
+        YamlRouterSettings routerSettings = settings.get(routerIndex);
+        long coreSeed = seed * 31 + routerIndex * 7919L + scheduler.now();
+        RouterCore core = new RouterCore(routerSettings, new RoutingPolicy(routerSettings, coreSeed)::tick,
+            router,
             new CoreLimits(Duration.ofSeconds(10), Duration.ofMillis(250), 20_000));
         AdmissionController levels = variant.before() == Variant.Before.LEVELS
-            ? new AdmissionController(t.admissionSettings(), own + 1) : null;
+            ? new AdmissionController(routerSettings.admissionSettings(), coreSeed + 1) : null;
         if (levels != null && variant.pinned() != null) {
-            levels.pin(r.now(), variant.pinned(), Duration.ofDays(1000));
+            levels.pin(router.now(), variant.pinned(), Duration.ofDays(1000));
         }
-        r.gate(new AdmissionGate(core, t, levels, c -> changes.add(new RouterLevelChange(i, c))));
+        router.gate(new AdmissionGate(core, routerSettings, levels,
+            change -> changes.add(new RouterLevelChange(routerIndex, change))));
         List<EndpointUpdate> list = new ArrayList<>();
-        machines.keySet().forEach(n -> { if (ready.get(n)) { list.add(line(n, WorkerState.READY, r)); } });
-        r.post(c -> c.endpointListReceived(true, list));
+        workers.keySet().forEach(workerName -> {
+            if (ready.get(workerName)) { list.add(endpointUpdate(workerName, WorkerState.READY, router)); }
+        });
+        router.post(routerCore -> routerCore.endpointListReceived(true, list));
     }
 
-    private EndpointUpdate line(String name, WorkerState s, EmulatedRouter r) {
-        int n = Integer.parseInt(name.substring(1));
-        EmulatedWorker m = machines.get(name);
-        return new EndpointUpdate(name, "emulated", 1, s, day.zoneOf(n), n / day.cellSize(),
-            terms.isEmpty() ? 0
-                : terms.get(0).workerKindIndex(day.kindName(n)),
-            day.sizeOf(n),
-            m.cold() ? r.now().minus(Duration.ofNanos((ticker.now() - m.started()) * 1000)) : null);
+    private EndpointUpdate endpointUpdate(String name, WorkerState state, EmulatedRouter router) {
+        int workerIndex = Integer.parseInt(name.substring(1));
+        EmulatedWorker worker = workers.get(name);
+        return new EndpointUpdate(name, "emulated", 1, state, scenario.zoneOf(workerIndex),
+            workerIndex / scenario.cellSize(),
+            settings.isEmpty() ? 0
+                : settings.get(0).workerKindIndex(scenario.kindName(workerIndex)),
+            scenario.sizeOf(workerIndex),
+            worker.cold() ? router.now().minus(Duration.ofNanos((scheduler.now() - worker.started()) * 1000))
+                : null);
     }
 
-    private void start(boolean cold) {
-        int n = next++;
-        String name = "w" + n;
-        machines.put(name,
-            new EmulatedWorker(day.makeOf(n), ticker, store, name, seed + 1000 + n, cold, () -> {}));
+    private void startWorker(boolean cold) {
+        int workerIndex = nextWorkerIndex++;
+        String name = "w" + workerIndex;
+        workers.put(name,
+            new EmulatedWorker(scenario.makeOf(workerIndex), scheduler, store, name,
+                seed + 1000 + workerIndex, cold, () -> {}));
         ready.put(name, true);
-        if (cold) { tell(name, WorkerState.READY); }
+        if (cold) { reportState(name, WorkerState.READY); }
     }
 
     /** Mean share of cores at work, over the workers that run. */
-    double busy() {
-        return machines.values().stream().filter(m -> !m.dead()).mapToDouble(
+    double meanUtilization() {
+        return workers.values().stream().filter(worker -> !worker.dead()).mapToDouble(
             EmulatedWorker::busy).average().orElse(0);
     }
 
-    EmulatedWorker machine(String name) { return machines.get(name); }
+    EmulatedWorker worker(String name) { return workers.get(name); }
 
-    private void tell(String name, WorkerState s) {
-        ready.put(name, s == WorkerState.READY);
-        ticker.after(day.listLag(), () -> routers.forEach(r -> {
-            EndpointUpdate l = line(name, s, r);
-            r.post(c -> c.endpointListReceived(false, List.of(l)));
+    private void reportState(String name, WorkerState state) {
+        ready.put(name, state == WorkerState.READY);
+        scheduler.after(scenario.listLag(), () -> routers.forEach(router -> {
+            EndpointUpdate update = endpointUpdate(name, state, router);
+            router.post(routerCore -> routerCore.endpointListReceived(false, List.of(update)));
         }));
     }
 
-    private void send(ClientTransport.ClientAttempt t, ClientTransport.ResultHandler then) {
-        EmulatedRouter r = routers.get(t.router());
-        YamlRouterSettings own = terms.get(t.router());
-        YamlRouterSettings.FunctionSettings e = own.function(t.model().name());
-        long began = ticker.now();
-        boolean[] over = {false};
-        PendingRequest[] call = new PendingRequest[1];
-        ResponseListener asker = new ResponseListener() {
-            @Override public void responded(PendingRequest c, Response a) {
-                ticker.after(hop, () -> over(over, then, switch (a.kind()) {
+    private void send(ClientTransport.ClientAttempt attempt, ClientTransport.ResultHandler then) {
+        EmulatedRouter router = routers.get(attempt.router());
+        YamlRouterSettings routerSettings = settings.get(attempt.router());
+        YamlRouterSettings.FunctionSettings functionSettings = routerSettings.function(
+            attempt.model().name());
+        long began = scheduler.now();
+        boolean[] completed = {false};
+        PendingRequest[] pending = new PendingRequest[1];
+        ResponseListener listener = new ResponseListener() {
+            @Override public void responded(PendingRequest request, Response response) {
+                scheduler.after(networkDelayMicros, () -> complete(completed, then, switch (response.kind()) {
                     case SUCCEEDED -> "finished";
                     case REJECTED -> "pushed-back";
                     case FAILED -> "killed";
-                }, a.kind() == Response.Kind.SUCCEEDED ? 200 : 503,
-                    a.retryAfter() == null ? -1 : a.retryAfter().toMillis()));
+                }, response.kind() == Response.Kind.SUCCEEDED ? 200 : 503,
+                    response.retryAfter() == null ? -1 : response.retryAfter().toMillis()));
             }
 
-            @Override public void deadlineMissed(PendingRequest c, Response late) {}
+            @Override public void deadlineMissed(PendingRequest request, Response late) {}
         };
-        ticker.after(hop, () -> r.post(c -> {
-            call[0] = PendingRequest.builder(t.call(), t.model().name(),
-                r.now().plus(Duration.ofNanos((t.limit() - ticker.now()) * 1000)), asker).requestClass(
-                    t.model().workload()).tenant(own.tenantIndex(t.customer())).durationHint(
-                        Duration.ofNanos((long) (t.model().work() * 1000))).idempotencyKey(t.key()).replica(
-                            e.memoryMb(), e.slots()).build();
-            if (variant.before() == Variant.Before.STATIC && cutOff(r, t.model().workload(), own)) {
-                asker.responded(call[0], Response.rejected(Duration.ofMillis(500)));
-            } else if (!r.gate().offer(call[0])) {
-                ticker.after(hop, () -> over(over, then, "refused", 503, -1));
+        scheduler.after(networkDelayMicros, () -> router.post(routerCore -> {
+            pending[0] = PendingRequest.builder(attempt.call(), attempt.model().name(),
+                router.now().plus(Duration.ofNanos((attempt.limit() - scheduler.now()) * 1000)),
+                listener).requestClass(
+                    attempt.model().workload()).tenant(
+                        routerSettings.tenantIndex(attempt.customer())).durationHint(
+                            Duration.ofNanos((long) (attempt.model().work() * 1000))).idempotencyKey(
+                                attempt.key()).replica(
+                                    functionSettings.memoryMb(), functionSettings.slots()).build();
+            if (variant.before() == Variant.Before.STATIC
+                && rejectedByStaticThreshold(router, attempt.model().workload(), routerSettings)) {
+                listener.responded(pending[0], Response.rejected(Duration.ofMillis(500)));
+            } else if (!router.gate().offer(pending[0])) {
+                scheduler.after(networkDelayMicros, () -> complete(completed, then, "refused", 503, -1));
             }
         }));
-        ticker.after(t.limit() - began, () -> {
-            if (!over[0]) {
-                over(over, then, "gave-up", 0, -1);
-                if (call[0] != null) { r.post(c -> c.clientLeft(call[0])); }
+        scheduler.after(attempt.limit() - began, () -> {
+            if (!completed[0]) {
+                complete(completed, then, "gave-up", 0, -1);
+                if (pending[0] != null) { router.post(routerCore -> routerCore.clientLeft(pending[0])); }
             }
         });
     }
 
     /** The baseline of a static cut-off: so many held at a router, and what is less important is turned away. */
-    private boolean cutOff(EmulatedRouter r, int workload, RouterSettings t) {
-        double most = 0;
-        for (int w = 0; w < t.requestClassCount(); w++) { most = Math.max(most, t.priorityWeight(w)); }
-        return t.priorityWeight(workload) < most && r.gate().core().pendingRequests() >= day.staticHeld();
+    private boolean rejectedByStaticThreshold(EmulatedRouter router, int requestClass,
+        RouterSettings routerSettings) {
+        double maxWeight = 0;
+        for (int w = 0; w < routerSettings.requestClassCount(); w++) {
+            maxWeight = Math.max(maxWeight, routerSettings.priorityWeight(w));
+        }
+        return routerSettings.priorityWeight(requestClass) < maxWeight
+            && router.gate().core().pendingRequests() >= scenario.staticHeld();
     }
 
-    private static void over(boolean[] over, ClientTransport.ResultHandler then, String end, int status,
-        long comeBack) {
-        if (!over[0]) {
-            over[0] = true;
-            then.ended(end, status, comeBack);
+    private static void complete(boolean[] completed, ClientTransport.ResultHandler then, String outcome,
+        int status,
+        long retryAfterMillis) {
+        if (!completed[0]) {
+            completed[0] = true;
+            then.ended(outcome, status, retryAfterMillis);
         }
     }
 
     /** Plays so many seconds, and what is still out to its end; {@code each} is called once a second. */
-    void play(long seconds, java.util.function.LongConsumer each) {
-        long from = ticker.now();
-        long end = from + seconds * 1_000_000;
+    void play(long seconds, java.util.function.LongConsumer everySecond) {
+        long startedAt = scheduler.now();
+        long end = startedAt + seconds * 1_000_000;
         clients.start(end);
-        day.script().forEach(t -> ticker.after(t.at(), () -> bring(t)));
+        scenario.script().forEach(fault -> scheduler.after(fault.at(), () -> inject(fault)));
         for (long s = 0; s < seconds; s++) {
-            ticker.run(from + (s + 1) * 1_000_000);
-            each.accept(s);
+            scheduler.run(startedAt + (s + 1) * 1_000_000);
+            everySecond.accept(s);
         }
-        ticker.run(end + 10_000_000);
+        scheduler.run(end + 10_000_000);
     }
 
-    private void bring(Scenario.Fault t) {
-        if (loads.bring(t)) { return; }
-        switch (t.verb()) {
+    private void inject(Scenario.Fault fault) {
+        if (loadFaults.bring(fault)) { return; }
+        switch (fault.verb()) {
             case SLOW -> {
-                List<EmulatedWorker> some = some(t.part());
-                some.forEach(m -> m.slow(t.size()));
-                ticker.after(t.lasts(), () -> some.forEach(m -> m.slow(1)));
+                List<EmulatedWorker> selected = selectWorkers(fault.part());
+                selected.forEach(worker -> worker.slow(fault.size()));
+                scheduler.after(fault.lasts(), () -> selected.forEach(worker -> worker.slow(1)));
             }
-            case WORKERS_KILLED -> some(t.part()).forEach(m -> {
-                m.die();
-                ticker.after(t.lasts(), () -> {
-                    tell(m.name(), WorkerState.GONE);
-                    start(true);
+            case WORKERS_KILLED -> selectWorkers(fault.part()).forEach(worker -> {
+                worker.die();
+                scheduler.after(fault.lasts(), () -> {
+                    reportState(worker.name(), WorkerState.GONE);
+                    startWorker(true);
                 });
             });
             case ROUTERS_RESTARTED -> {
-                for (int i = 0; i < Math.max(1, Math.round(t.part() * day.routers())); i++) { router(i); }
+                for (int i = 0; i < Math.max(1, Math.round(fault.part() * scenario.routers())); i++) {
+                    startRouter(i);
+                }
             }
             default -> throw new IllegalArgumentException(
-                "the emulator does not bring " + YamlDocument.word(t.verb())
+                "the emulator does not bring " + YamlDocument.word(fault.verb())
                     + "; it brings what needs no socket");
         }
     }
 
-    private List<EmulatedWorker> some(double part) {
+    private List<EmulatedWorker> selectWorkers(double part) {
         List<EmulatedWorker> all = new ArrayList<>();
-        machines.forEach((n, m) -> { if (ready.get(n) && !m.dead()) { all.add(m); } });
-        return LoadFaults.some(all, part, chance);
+        workers.forEach(
+            (workerName, worker) -> { if (ready.get(workerName) && !worker.dead()) { all.add(worker); } });
+        return LoadFaults.some(all, part, random);
     }
 }
--- a/src/main/java/switchgap/experiment/LoadCurve.java
+++ b/src/main/java/switchgap/experiment/LoadCurve.java
@@ -18,70 +18,76 @@
  * bursts on top, and spells in which one customer brings more or hammers.
  */
 final class LoadCurve {
-    private static final int MOST_POINTS = 100_000;
+    private static final int MAX_POINTS = 100_000;
 
     /** From {@code at} for {@code lasts} microseconds a customer's rate (all load where {@code of} is null) times {@code times}. */
-    private record Spell(long at, long lasts, String of, double times, int hammers) {}
+    private record Spell(long at, long durationMicros, String tenant, double factor, int retries) {}
 
     final String name;
     private final List<double[]> points = new ArrayList<>();
     private final List<Spell> spells = new ArrayList<>();
-    private double every = 1;
-    private double by;
+    private double wavePeriodMicros = 1;
+    private double waveAmplitude;
 
     private LoadCurve(String name) { this.name = name; }
 
     /** Reads {@code {points: [{at: SPAN, load: SHARE}] or csv: FILE, waves: {every, by}, bursts, customers}}; files beside the page. */
-    static LoadCurve read(String name, YamlDocument p, Path beside) throws IOException {
-        LoadCurve c = new LoadCurve(name);
-        if (p.has("csv")) { c.csv(beside.resolveSibling(p.text("csv"))); }
-        for (YamlDocument q : p.sections("points")) {
-            double at = micros(q, "at");
-            if (!c.points.isEmpty() && at < c.points.get(c.points.size() - 1)[0]) {
-                throw q.invalid("at", "must not go back in time");
+    static LoadCurve read(String name, YamlDocument document, Path beside) throws IOException {
+        LoadCurve curve = new LoadCurve(name);
+        if (document.has("csv")) { curve.readCsv(beside.resolveSibling(document.text("csv"))); }
+        for (YamlDocument point : document.sections("points")) {
+            double at = micros(point, "at");
+            if (!curve.points.isEmpty() && at < curve.points.get(curve.points.size() - 1)[0]) {
+                throw point.invalid("at", "must not go back in time");
             }
-            c.points.add(new double[] {at, q.number("load", 0, 100)});
-            q.rejectUnknownKeys();
+            curve.points.add(new double[] {at, point.number("load", 0, 100)});
+            point.rejectUnknownKeys();
         }
-        if (c.points.size() < 2) { throw p.invalid("points", "needs two points or more, or a csv file"); }
-        if (p.has("waves")) {
-            YamlDocument w = p.section("waves");
-            c.every = Math.max(1000, micros(w, "every"));
-            c.by = w.number("by", 0, 100);
-            w.rejectUnknownKeys();
+        if (curve.points.size() < 2) {
+            throw document.invalid("points", "needs two points or more, or a csv file");
         }
-        for (YamlDocument b : p.sections("bursts")) {
-            c.spells.add(new Spell(micros(b, "at"), micros(b, "lasts"), null, b.number("times", 0, 100), 0));
-            b.rejectUnknownKeys();
+        if (document.has("waves")) {
+            YamlDocument wave = document.section("waves");
+            curve.wavePeriodMicros = Math.max(1000, micros(wave, "every"));
+            curve.waveAmplitude = wave.number("by", 0, 100);
+            wave.rejectUnknownKeys();
         }
-        for (YamlDocument b : p.sections("customers")) {
-            c.spells.add(
-                new Spell(micros(b, "at"), micros(b, "lasts"), b.text("of"), b.number("times", 0, 1000, 1),
-                    b.integer("hammers", 0, 100, 0)));
-            b.rejectUnknownKeys();
+        for (YamlDocument burst : document.sections("bursts")) {
+            curve.spells.add(new Spell(micros(burst, "at"), micros(burst, "lasts"), null,
+                burst.number("times", 0, 100), 0));
+            burst.rejectUnknownKeys();
         }
-        p.rejectUnknownKeys();
-        return c;
+        for (YamlDocument burst : document.sections("customers")) {
+            curve.spells.add(
+                new Spell(micros(burst, "at"), micros(burst, "lasts"), burst.text("of"),
+                    burst.number("times", 0, 1000, 1),
+                    burst.integer("hammers", 0, 100, 0)));
+            burst.rejectUnknownKeys();
+        }
+        document.rejectUnknownKeys();
+        return curve;
     }
 
     /** A load that stays the same. */
     static LoadCurve flat(double load, long seconds) {
-        LoadCurve c = new LoadCurve("flat " + load);
-        c.points.add(new double[] {0, load});
-        c.points.add(new double[] {seconds * 1e6, load});
-        return c;
+        LoadCurve curve = new LoadCurve("flat " + load);
+        curve.points.add(new double[] {0, load});
+        curve.points.add(new double[] {seconds * 1e6, load});
+        return curve;
     }
 
-    private static long micros(YamlDocument p, String key) { return p.duration(key).toNanos() / 1000; }
+    private static long micros(YamlDocument document, String key) {
+        return document.duration(key).toNanos() / 1000;
+    }
 
     /** Lines of seconds and load under a head that names them. */
-    private void csv(Path file) throws IOException {
-        try (Reader r = Files.newBufferedReader(file)) {
-            for (CSVRecord l : CSVFormat.DEFAULT.builder().setHeader().setSkipHeaderRecord(true).setTrim(
-                true).get().parse(r)) {
-                int line = (int) l.getRecordNumber() + 1;
-                double at = number(file, line, l, "seconds") * 1e6;
-                double load = number(file, line, l, "load");
+    private void readCsv(Path file) throws IOException {
+        try (Reader reader = Files.newBufferedReader(file)) {
+            for (CSVRecord row : CSVFormat.DEFAULT.builder().setHeader().setSkipHeaderRecord(true).setTrim(
+                true).get().parse(reader)) {
+                int line = (int) row.getRecordNumber() + 1;
+                double at = number(file, line, row, "seconds") * 1e6;
+                double load = number(file, line, row, "load");
                 if (load < 0 || load > 100) {
                     throw new InvalidConfigException(file.toString(), line,
                         "load: " + load + " must lie from 0 to 100");
@@ -90,49 +96,51 @@
                     throw new InvalidConfigException(file.toString(), line,
                         "seconds: must not go back in time");
                 }
-                if (points.size() == MOST_POINTS) {
+                if (points.size() == MAX_POINTS) {
                     throw new InvalidConfigException(file.toString(), line,
-                        "more than " + MOST_POINTS + " points");
+                        "more than " + MAX_POINTS + " points");
                 }
                 points.add(new double[] {at, load});
             }
         }
     }
 
-    private static double number(Path file, int line, CSVRecord l, String column) {
-        if (!l.isMapped(column)) {
+    private static double number(Path file, int line, CSVRecord row, String column) {
+        if (!row.isMapped(column)) {
             throw new InvalidConfigException(file.toString(), 1, "has no column " + column);
         }
         try {
-            double v = Double.parseDouble(l.get(column));
-            if (Double.isFinite(v)) { return v; }
+            double value = Double.parseDouble(row.get(column));
+            if (Double.isFinite(value)) { return value; }
         } catch (IllegalArgumentException e) {
             throw new InvalidConfigException(file.toString(), line,
-                column + ": " + (l.isSet(column) ? "'" + l.get(column) + "' is no number" : "absent"));
+                column + ": " + (row.isSet(column) ? "'" + row.get(column) + "' is no number" : "absent"));
         }
         throw new InvalidConfigException(file.toString(), line, column + ": must be a number");
     }
 
     /** The same curve over a share of the time. */
     LoadCurve within(double share) {
-        LoadCurve c = new LoadCurve(name);
-        points.forEach(p -> c.points.add(new double[] {p[0] * share, p[1]}));
-        spells.forEach(s -> c.spells.add(
-            new Spell((long) (s.at * share), (long) (s.lasts * share), s.of, s.times, s.hammers)));
-        c.every = every;
-        c.by = by;
-        return c;
+        LoadCurve curve = new LoadCurve(name);
+        points.forEach(point -> curve.points.add(new double[] {point[0] * share, point[1]}));
+        spells.forEach(spell -> curve.spells.add(
+            new Spell((long) (spell.at * share), (long) (spell.durationMicros * share), spell.tenant,
+                spell.factor, spell.retries)));
+        curve.wavePeriodMicros = wavePeriodMicros;
+        curve.waveAmplitude = waveAmplitude;
+        return curve;
     }
 
     long seconds() { return (long) (points.get(points.size() - 1)[0] / 1e6); }
 
     /** The load at a time, without what spells add. */
     double at(long micros) {
-        double wave = by == 0 ? 0 : by * Math.sin(2 * Math.PI * micros / every);
-        return Math.max(0, line(micros) + wave);
+        double wave = waveAmplitude == 0 ? 0
+            : waveAmplitude * Math.sin(2 * Math.PI * micros / wavePeriodMicros);
+        return Math.max(0, interpolate(micros) + wave);
     }
 
-    private double line(long micros) {
+    private double interpolate(long micros) {
         int low = 0; // the first point at or past the time: asked for each job, and there may be many points
         int high = points.size();
         while (low < high) {
@@ -144,26 +152,26 @@
             }
         }
         if (low == points.size()) { return points.get(low - 1)[1]; }
-        double[] p = points.get(low);
+        double[] next = points.get(low);
         double[] before = points.get(Math.max(0, low - 1));
-        double span = p[0] - before[0];
-        return span <= 0 ? p[1] : before[1] + (p[1] - before[1]) * (micros - before[0]) / span;
+        double span = next[0] - before[0];
+        return span <= 0 ? next[1] : before[1] + (next[1] - before[1]) * (micros - before[0]) / span;
     }
 
     /** Sets the spells at the clients. */
-    void bring(Scheduler ticker, EmulatedClients clients) {
-        for (Spell s : spells) {
-            ticker.after(s.at, () -> set(clients, s, s.times, s.hammers));
-            ticker.after(s.at + s.lasts, () -> set(clients, s, 1, 0));
+    void schedule(Scheduler scheduler, EmulatedClients clients) {
+        for (Spell spell : spells) {
+            scheduler.after(spell.at, () -> set(clients, spell, spell.factor, spell.retries));
+            scheduler.after(spell.at + spell.durationMicros, () -> set(clients, spell, 1, 0));
         }
     }
 
-    private static void set(EmulatedClients clients, Spell s, double times, int hammers) {
-        if (s.of == null) {
+    private static void set(EmulatedClients clients, Spell spell, double times, int hammers) {
+        if (spell.tenant == null) {
             clients.burst(times);
             return;
         }
-        clients.burst(s.of, times);
-        clients.hammer(s.of, hammers);
+        clients.burst(spell.tenant, times);
+        clients.hammer(spell.tenant, hammers);
     }
 }
--- a/src/main/java/switchgap/experiment/LoadRun.java
+++ b/src/main/java/switchgap/experiment/LoadRun.java
@@ -27,119 +27,124 @@
  * of those before, and times count from then, so that a stalled router or a sender that falls behind hides nothing.
  */
 public final class LoadRun {
-    private static final long LONGEST = 3_600_000_000L; // microseconds
-    private static final long CLOSING = 2_000_000;
+    private static final long MAX_LATENCY_MICROS = 3_600_000_000L; // microseconds
+    private static final long CLOSING_MICROS = 2_000_000;
     private final String name;
-    private final Scenario day;
+    private final Scenario scenario;
     private final LoadCurve curve;
     private final long seed;
-    private final Map<String, Histogram> took = new TreeMap<>();
-    private final Map<String, Map<String, Long>> ends = new TreeMap<>();
-    private final Histogram lag = new Histogram(LONGEST, 3);
-    private ResultTable jobs;
-    private long began;
+    private final Map<String, Histogram> latencies = new TreeMap<>();
+    private final Map<String, Map<String, Long>> outcomes = new TreeMap<>();
+    private final Histogram sendDelay = new Histogram(MAX_LATENCY_MICROS, 3);
+    private ResultTable requestTable;
+    private long startedAt;
 
     private LoadRun(Path file, double within) throws IOException {
-        YamlDocument p = YamlDocument.read(file);
-        YamlDocument l = p.section("load");
-        name = l.text("name");
-        day = Scenario.read(file.resolveSibling(l.text("day")).normalize());
-        seed = (long) l.number("seed", 0, 1L << 50, day.seed());
-        l.rejectUnknownKeys();
-        curve = LoadCurve.read("curve", p.section("curve"), file).within(within);
-        p.rejectUnknownKeys();
+        YamlDocument document = YamlDocument.read(file);
+        YamlDocument loadSection = document.section("load");
+        name = loadSection.text("name");
+        scenario = Scenario.read(file.resolveSibling(loadSection.text("day")).normalize());
+        seed = (long) loadSection.number("seed", 0, 1L << 50, scenario.seed());
+        loadSection.rejectUnknownKeys();
+        curve = LoadCurve.read("curve", document.section("curve"), file).within(within);
+        document.rejectUnknownKeys();
     }
 
     /** Plays a load file within a share of its time; with no routers named, against the emulator. Results go to the folder. */
     public static void run(Path file, double within, List<InetSocketAddress> routers, Path dir,
         PrintStream out)
         throws IOException, InterruptedException {
-        LoadRun r = new LoadRun(file, within);
-        if (!routers.isEmpty() && routers.size() != r.day.routers()) {
+        LoadRun loadRun = new LoadRun(file, within);
+        if (!routers.isEmpty() && routers.size() != loadRun.scenario.routers()) {
             throw new switchgap.config.InvalidConfigException(file.toString(), 1,
-                "its day has " + r.day.routers() + " routers, "
+                "its day has " + loadRun.scenario.routers() + " routers, "
                     + routers.size() + " were named");
         }
-        LinkedHashMap<String, Class<?>> kinds = new LinkedHashMap<>();
-        kinds.put("at_ms", Double.class);
-        kinds.put("workload", String.class);
-        kinds.put("customer", String.class);
-        kinds.put("router", Long.class);
-        kinds.put("took_ms", Double.class);
-        kinds.put("tries", Long.class);
-        kinds.put("end", String.class);
-        kinds.put("earned", Double.class);
-        try (ResultTable c = new ResultTable(Files.createDirectories(dir).resolve("jobs"), kinds)) {
-            r.jobs = c;
-            EmulatedClients clients = routers.isEmpty() ? r.emulated() : r.sockets(routers);
-            r.seconds(clients, dir);
-            r.print(clients, routers.isEmpty(), out);
+        LinkedHashMap<String, Class<?>> columns = new LinkedHashMap<>();
+        columns.put("at_ms", Double.class);
+        columns.put("workload", String.class);
+        columns.put("customer", String.class);
+        columns.put("router", Long.class);
+        columns.put("took_ms", Double.class);
+        columns.put("tries", Long.class);
+        columns.put("end", String.class);
+        columns.put("earned", Double.class);
+        try (ResultTable table = new ResultTable(Files.createDirectories(dir).resolve("jobs"), columns)) {
+            loadRun.requestTable = table;
+            EmulatedClients clients = routers.isEmpty() ? loadRun.emulated() : loadRun.sockets(routers);
+            loadRun.writeSeconds(clients, dir);
+            loadRun.print(clients, routers.isEmpty(), out);
         }
-        for (var h : r.took.entrySet()) {
-            try (PrintStream s = new PrintStream(Files.newOutputStream(dir.resolve(h.getKey() + ".hgrm")))) {
-                h.getValue().outputPercentileDistribution(s, 1000.0);
+        for (var entry : loadRun.latencies.entrySet()) {
+            try (PrintStream output = new PrintStream(
+                Files.newOutputStream(dir.resolve(entry.getKey() + ".hgrm")))) {
+                entry.getValue().outputPercentileDistribution(output, 1000.0);
             }
         }
     }
 
-    private double full() { return day.capacity() / day.meanWork() / day.rate(); }
+    private double fullRateFactor() { return scenario.capacity() / scenario.meanWork() / scenario.rate(); }
 
     private EmulatedClients emulated() {
-        Emulator e = new Emulator(day, seed, Variant.LEVELS, t -> curve.at(t) * full());
-        hear(e.clients, e.ticker);
-        curve.bring(e.ticker, e.clients);
-        e.play(curve.seconds(), s -> {});
-        return e.clients;
+        Emulator emulator = new Emulator(scenario, seed, Variant.LEVELS,
+            micros -> curve.at(micros) * fullRateFactor());
+        observe(emulator.clients, emulator.scheduler);
+        curve.schedule(emulator.scheduler, emulator.clients);
+        emulator.play(curve.seconds(), second -> {});
+        return emulator.clients;
     }
 
     private EmulatedClients sockets(List<InetSocketAddress> routers)
         throws IOException, InterruptedException {
-        FunctionCatalogue catalogue = day.catalogue(day.seed()); // as the stand-ins of the day have it
-        try (RealTimeScheduler ticker = new RealTimeScheduler();
-            NetworkTransport net = new NetworkTransport(2, "load")) {
-            SocketClientTransport way = new SocketClientTransport(ticker, net, EventRecorder.none(),
+        FunctionCatalogue catalogue = scenario.catalogue(scenario.seed()); // as the stand-ins of the day have it
+        try (RealTimeScheduler scheduler = new RealTimeScheduler();
+            NetworkTransport network = new NetworkTransport(2, "load")) {
+            SocketClientTransport transport = new SocketClientTransport(scheduler, network,
+                EventRecorder.none(),
                 routers.size());
-            for (int i = 0; i < routers.size(); i++) { way.router(i, routers.get(i)); }
-            EmulatedClients clients = day.clients(ticker, way, catalogue, seed + 1);
-            clients.curve(t -> curve.at(t) * full());
-            for (int i = 0; i < routers.size(); i++) { clients.zone(i, day.zone(i)); }
-            long end = ticker.now() + curve.seconds() * 1_000_000;
-            ticker.post(() -> {
-                hear(clients, ticker);
-                curve.bring(ticker, clients);
+            for (int i = 0; i < routers.size(); i++) { transport.router(i, routers.get(i)); }
+            EmulatedClients clients = scenario.clients(scheduler, transport, catalogue, seed + 1);
+            clients.curve(micros -> curve.at(micros) * fullRateFactor());
+            for (int i = 0; i < routers.size(); i++) { clients.zone(i, scenario.zone(i)); }
+            long end = scheduler.now() + curve.seconds() * 1_000_000;
+            scheduler.post(() -> {
+                observe(clients, scheduler);
+                curve.schedule(scheduler, clients);
                 clients.start(end);
             });
-            while (ticker.now() < end) { Thread.sleep(50); }
-            long most = end + day.longestLimit() * 2 + CLOSING;
-            while (clients.open() > 0 && ticker.now() < most) { Thread.sleep(20); }
+            while (scheduler.now() < end) { Thread.sleep(50); }
+            long deadline = end + scenario.longestLimit() * 2 + CLOSING_MICROS;
+            while (clients.open() > 0 && scheduler.now() < deadline) { Thread.sleep(20); }
             return clients;
         }
     }
 
-    private void hear(EmulatedClients clients, Scheduler ticker) {
-        began = ticker.now();
+    private void observe(EmulatedClients clients, Scheduler scheduler) {
+        startedAt = scheduler.now();
         clients.heard((workload, customer, router, at, micros, tries, end, earned) -> {
-            ends.computeIfAbsent(workload, k -> new TreeMap<>()).merge(end, 1L, Long::sum);
+            outcomes.computeIfAbsent(workload, key -> new TreeMap<>()).merge(end, 1L, Long::sum);
             if (end.equals("finished")) {
-                took.computeIfAbsent(workload, k -> new Histogram(LONGEST, 3)).recordValue(
-                    Math.min(LONGEST, Math.max(0, micros)));
+                latencies.computeIfAbsent(workload, key -> new Histogram(MAX_LATENCY_MICROS, 3)).recordValue(
+                    Math.min(MAX_LATENCY_MICROS, Math.max(0, micros)));
             }
             try {
-                jobs.row((at - began) / 1e3, workload, customer, router, micros / 1e3, tries, end, earned);
+                requestTable.row((at - startedAt) / 1e3, workload, customer, router, micros / 1e3, tries, end,
+                    earned);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         });
-        clients.sent(late -> lag.recordValue(Math.min(LONGEST, late)));
+        clients.sent(late -> sendDelay.recordValue(Math.min(MAX_LATENCY_MICROS, late)));
     }
 
-    private void seconds(EmulatedClients clients, Path dir) throws IOException {
-        LinkedHashMap<String, Class<?>> kinds = new LinkedHashMap<>();
-        kinds.put("second", Long.class);
-        List.of("load", "asked", "earned").forEach(n -> kinds.put(n, Double.class));
-        try (ResultTable c = new ResultTable(dir.resolve("seconds"), kinds)) {
-            for (var s : clients.seconds().entrySet()) {
-                c.row(s.getKey(), curve.at(s.getKey() * 1_000_000), s.getValue()[0], s.getValue()[1]);
+    private void writeSeconds(EmulatedClients clients, Path dir) throws IOException {
+        LinkedHashMap<String, Class<?>> columns = new LinkedHashMap<>();
+        columns.put("second", Long.class);
+        List.of("load", "asked", "earned").forEach(column -> columns.put(column, Double.class));
+        try (ResultTable table = new ResultTable(dir.resolve("seconds"), columns)) {
+            for (var entry : clients.seconds().entrySet()) {
+                table.row(entry.getKey(), curve.at(entry.getKey() * 1_000_000), entry.getValue()[0],
+                    entry.getValue()[1]);
             }
         }
     }
@@ -148,16 +153,17 @@
         out.printf("%s: %d s%s, service %.3f, jobs sent late by p99 %.2f ms, most %.2f ms%n", name,
             curve.seconds(),
             emulated ? " of simulated time" : " on sockets", clients.service(),
-            lag.getValueAtPercentile(99) / 1e3, lag.getMaxValue() / 1e3);
+            sendDelay.getValueAtPercentile(99) / 1e3, sendDelay.getMaxValue() / 1e3);
         out.printf("%-16s %8s %10s %10s %10s %10s  %s%n", "workload", "jobs", "in target", "p50 ms", "p99 ms",
             "most ms", "ends");
-        for (var t : clients.tallies().entrySet()) {
-            EmulatedClients.Tally v = t.getValue();
-            Histogram h = took.getOrDefault(t.getKey(), new Histogram(3));
-            out.printf("%-16s %8d %10.3f %10.1f %10.1f %10.1f  %s%n", t.getKey(), v.jobs,
-                (v.finished - v.late) / (double) Math.max(1, v.jobs),
-                h.getValueAtPercentile(50) / 1e3, h.getValueAtPercentile(99) / 1e3, h.getMaxValue() / 1e3,
-                new ArrayList<>(ends.getOrDefault(t.getKey(), Map.of()).entrySet()));
+        for (var entry : clients.tallies().entrySet()) {
+            EmulatedClients.Tally tally = entry.getValue();
+            Histogram histogram = latencies.getOrDefault(entry.getKey(), new Histogram(3));
+            out.printf("%-16s %8d %10.3f %10.1f %10.1f %10.1f  %s%n", entry.getKey(), tally.jobs,
+                (tally.finished - tally.late) / (double) Math.max(1, tally.jobs),
+                histogram.getValueAtPercentile(50) / 1e3, histogram.getValueAtPercentile(99) / 1e3,
+                histogram.getMaxValue() / 1e3,
+                new ArrayList<>(outcomes.getOrDefault(entry.getKey(), Map.of()).entrySet()));
         }
     }
 }
--- a/src/main/java/switchgap/experiment/MemoryMeasurement.java
+++ b/src/main/java/switchgap/experiment/MemoryMeasurement.java
@@ -27,45 +27,46 @@
     public static void run(int calls, PrintStream out) throws IOException, InterruptedException {
         try (NetworkTransport net = new NetworkTransport(2, "lab")) {
             boolean[] silent = {false};
-            int port = new HttpServer(net, ConnectionLimits.DEFAULT, r -> {
+            int port = new HttpServer(net, ConnectionLimits.DEFAULT, exchange -> {
                 if (!silent[0]) {
-                    r.respond(200, java.util.Map.of("Content-Type", "application/json"), new byte[2]);
+                    exchange.respond(200, java.util.Map.of("Content-Type", "application/json"), new byte[2]);
                 }
             }).listen("127.0.0.1", 0);
             HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
             long before = used();
-            try (GatewayRouter g = new GatewayRouter(
+            try (GatewayRouter router = new GatewayRouter(
                 GatewayConfig.read(YamlDocument.read("memory", page(port))))) {
-                send(client, g, FUNCTIONS, true);
+                send(client, router, FUNCTIONS, true);
                 Thread.sleep(1500);
                 long known = used();
                 silent[0] = true;
-                send(client, g, calls, true);
+                send(client, router, calls, true);
                 long held = used();
-                int n = g.held();
+                int pendingRequests = router.held();
                 out.printf("%d workers and %d functions known: %.1f MB over the process before the router%n",
                     WORKERS,
                     FUNCTIONS, (known - before) / 1e6);
-                out.printf("%d calls held: %.0f bytes each%n", n, (held - known) / (double) Math.max(1, n));
+                out.printf("%d calls held: %.0f bytes each%n", pendingRequests,
+                    (held - known) / (double) Math.max(1, pendingRequests));
             }
         }
     }
 
-    private static void send(HttpClient client, GatewayRouter g, int n, boolean deferred) {
-        List<CompletableFuture<HttpResponse<Void>>> out = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            HttpRequest.Builder b = HttpRequest.newBuilder(
-                URI.create("http://127.0.0.1:" + g.port() + "/v1/functions/f"
+    private static void send(HttpClient client, GatewayRouter router, int requests, boolean deferred) {
+        List<CompletableFuture<HttpResponse<Void>>> responses = new ArrayList<>();
+        for (int i = 0; i < requests; i++) {
+            HttpRequest.Builder request = HttpRequest.newBuilder(
+                URI.create("http://127.0.0.1:" + router.port() + "/v1/functions/f"
                     + i % FUNCTIONS + "/invoke")).POST(
                         HttpRequest.BodyPublishers.ofString("{\"inputs\":[]}"));
-            if (deferred) { b.header("Prefer", "respond-async"); }
-            out.add(client.sendAsync(b.build(), HttpResponse.BodyHandlers.discarding()));
+            if (deferred) { request.header("Prefer", "respond-async"); }
+            responses.add(client.sendAsync(request.build(), HttpResponse.BodyHandlers.discarding()));
             if (i % 100 == 99) {
-                out.forEach(CompletableFuture::join);
-                out.clear();
+                responses.forEach(CompletableFuture::join);
+                responses.clear();
             }
         }
-        out.forEach(CompletableFuture::join);
+        responses.forEach(CompletableFuture::join);
     }
 
     private static long used() throws InterruptedException {
@@ -73,19 +74,19 @@
             System.gc();
             Thread.sleep(100);
         }
-        Runtime r = Runtime.getRuntime();
-        return r.totalMemory() - r.freeMemory();
+        Runtime runtime = Runtime.getRuntime();
+        return runtime.totalMemory() - runtime.freeMemory();
     }
 
     private static String page(int port) {
-        StringBuilder s = new StringBuilder("router: {number: 0, of: 1, tick: 10ms}\n"
+        StringBuilder yaml = new StringBuilder("router: {number: 0, of: 1, tick: 10ms}\n"
             + "workloads: {w: {start_target: 60s, time_limit: 120s, repeat: restartable}}\n"
             + "functions: {\"f*\": {workload: w, memory: 1, lanes: 100}}\nkinds: {k: {memory: 1000000}}\n"
             + "holds: {calls: 100000, deferred: 100000}\nlinks: {connections: 2, waiting: 100000}\n"
             + "listen: {port: 0}\nlist:\n  workers:\n");
         for (int i = 0; i < WORKERS; i++) {
-            s.append("    - {name: w").append(i).append(", port: ").append(port).append(", kind: k}\n");
+            yaml.append("    - {name: w").append(i).append(", port: ").append(port).append(", kind: k}\n");
         }
-        return s.toString();
+        return yaml.toString();
     }
 }
--- a/src/main/java/switchgap/experiment/ResultTable.java
+++ b/src/main/java/switchgap/experiment/ResultTable.java
@@ -33,57 +33,59 @@
  */
 final class ResultTable implements AutoCloseable {
     private static final int BATCH = 8192;
-    private static final long MOST_BYTES = 256L << 20;
-    private final Map<String, Class<?>> kinds;
+    private static final long MAX_BUFFER_BYTES = 256L << 20;
+    private final Map<String, Class<?>> columns;
     private final CSVPrinter csv;
     private final OutputStream file;
-    private final BufferAllocator memory = new RootAllocator(MOST_BYTES);
+    private final BufferAllocator memory = new RootAllocator(MAX_BUFFER_BYTES);
     private final VectorSchemaRoot root;
     private final ArrowFileWriter arrow;
     private int row;
 
-    ResultTable(Path stem, LinkedHashMap<String, Class<?>> kinds) throws IOException {
-        this.kinds = kinds;
-        csv = new CSVPrinter(Files.newBufferedWriter(beside(stem, ".csv")),
+    ResultTable(Path stem, LinkedHashMap<String, Class<?>> columns) throws IOException {
+        this.columns = columns;
+        csv = new CSVPrinter(Files.newBufferedWriter(withSuffix(stem, ".csv")),
             CSVFormat.DEFAULT.builder().setRecordSeparator('\n').setHeader(
-                kinds.keySet().toArray(new String[0])).get());
+                columns.keySet().toArray(new String[0])).get());
         List<Field> fields = new ArrayList<>();
-        kinds.forEach((n, k) -> fields.add(new Field(n, FieldType.notNullable(type(k)), null)));
+        columns.forEach((column,
+            columnType) -> fields.add(new Field(column, FieldType.notNullable(arrowType(columnType)), null)));
         root = VectorSchemaRoot.create(new Schema(fields), memory);
-        file = new BufferedOutputStream(Files.newOutputStream(beside(stem, ".arrow")));
+        file = new BufferedOutputStream(Files.newOutputStream(withSuffix(stem, ".arrow")));
         arrow = new ArrowFileWriter(root, null, Channels.newChannel(file));
         arrow.start();
     }
 
-    private static Path beside(Path stem, String suffix) {
+    private static Path withSuffix(Path stem, String suffix) {
         return stem.resolveSibling(stem.getFileName() + suffix);
     }
 
-    private static ArrowType type(Class<?> k) {
-        return k == String.class ? ArrowType.Utf8.INSTANCE : k == Long.class ? new ArrowType.Int(64, true)
-            : new ArrowType.FloatingPoint(FloatingPointPrecision.DOUBLE);
+    private static ArrowType arrowType(Class<?> columnType) {
+        return columnType == String.class ? ArrowType.Utf8.INSTANCE
+            : columnType == Long.class ? new ArrowType.Int(64, true)
+                : new ArrowType.FloatingPoint(FloatingPointPrecision.DOUBLE);
     }
 
     /** One row, a value for each column. */
     void row(Object... values) throws IOException {
-        if (values.length != kinds.size()) {
-            throw new IllegalArgumentException(values.length + " values for " + kinds.size() + " columns");
+        if (values.length != columns.size()) {
+            throw new IllegalArgumentException(values.length + " values for " + columns.size() + " columns");
         }
         csv.printRecord(values);
         for (int i = 0; i < values.length; i++) {
-            FieldVector v = root.getVector(i);
-            if (v instanceof VarCharVector t) {
-                t.setSafe(row, ((String) values[i]).getBytes(StandardCharsets.UTF_8));
-            } else if (v instanceof BigIntVector n) {
-                n.setSafe(row, ((Number) values[i]).longValue());
+            FieldVector vector = root.getVector(i);
+            if (vector instanceof VarCharVector textVector) {
+                textVector.setSafe(row, ((String) values[i]).getBytes(StandardCharsets.UTF_8));
+            } else if (vector instanceof BigIntVector integerVector) {
+                integerVector.setSafe(row, ((Number) values[i]).longValue());
             } else {
-                ((Float8Vector) v).setSafe(row, ((Number) values[i]).doubleValue());
+                ((Float8Vector) vector).setSafe(row, ((Number) values[i]).doubleValue());
             }
         }
-        if (++row == BATCH) { batch(); }
+        if (++row == BATCH) { writeBatch(); }
     }
 
-    private void batch() throws IOException {
+    private void writeBatch() throws IOException {
         root.setRowCount(row);
         arrow.writeBatch();
         root.clear();
@@ -93,7 +95,7 @@
 
     @Override public void close() throws IOException {
         try (csv; memory; root; file; arrow) {
-            if (row > 0) { batch(); }
+            if (row > 0) { writeBatch(); }
             arrow.end();
         }
     }
--- a/src/main/java/switchgap/experiment/SmallRequestLoad.java
+++ b/src/main/java/switchgap/experiment/SmallRequestLoad.java
@@ -19,7 +19,7 @@
 final class SmallRequestLoad {
     /** Calls answered well and otherwise, a second, and microseconds from the time a call was due. */
     record Result(long good, long bad, double perSecond, Histogram micros) {
-        double quantile(double q) { return micros.getValueAtPercentile(q) / 1000.0; }
+        double quantile(double percentile) { return micros.getValueAtPercentile(percentile) / 1000.0; }
     }
 
     private static final byte[] BODY = "{\"id\":\"x\",\"inputs\":[{\"name\":\"a\",\"shape\":[4],\"datatype\":\"FP32\",\"data\":[1,2,3,4]}]}".getBytes(
@@ -46,9 +46,9 @@
         for (int i = 0; i < connections; i++) {
             opener.connect(to[i % to.length], Duration.ofSeconds(2),
                 new HttpClientConnection.ConnectCallback() {
-                    @Override public void connected(HttpClientConnection link) {
+                    @Override public void connected(HttpClientConnection connection) {
                         open.countDown();
-                        again(link);
+                        again(connection);
                     }
 
                     @Override public void failed(String why) { open.countDown(); }
@@ -63,38 +63,40 @@
         good.set(0);
         bad.set(0);
         measuring = true;
-        long t = System.nanoTime();
+        long startedAt = System.nanoTime();
         Thread.sleep(span.toMillis());
         measuring = false;
-        double seconds = (System.nanoTime() - t) / 1e9;
-        Result r = new Result(good.get(), bad.get(), (good.get() + bad.get()) / seconds, micros.copy());
+        double seconds = (System.nanoTime() - startedAt) / 1e9;
+        Result result = new Result(good.get(), bad.get(), (good.get() + bad.get()) / seconds, micros.copy());
         over = true;
-        return r;
+        return result;
     }
 
-    private void again(HttpClientConnection link) {
+    private void again(HttpClientConnection connection) {
         if (over) {
-            link.close();
+            connection.close();
             return;
         }
-        ask(link, System.nanoTime(), () -> again(link));
+        ask(connection, System.nanoTime(), () -> again(connection));
     }
 
-    private void ask(HttpClientConnection link, long due, Runnable then) {
-        boolean took = link.send("POST", path.apply((int) number.getAndIncrement()),
+    private void ask(HttpClientConnection connection, long due, Runnable then) {
+        boolean sent = connection.send("POST", path.apply((int) number.getAndIncrement()),
             Map.of("Content-Type", "application/json"),
             BODY, new HttpClientConnection.ResponseHandler() {
-                @Override public void responded(int status, Map<String, String> h, byte[] body,
+                @Override public void responded(int status, Map<String, String> headers, byte[] body,
                     boolean reusable) {
                     (status == 200 ? good : bad).incrementAndGet();
-                    if (measuring) { micros.recordValue(
-                        Math.min(59_000_000, (System.nanoTime() - due) / 1000)); }
+                    if (measuring) {
+                        micros.recordValue(
+                            Math.min(59_000_000, (System.nanoTime() - due) / 1000));
+                    }
                     if (reusable) { then.run(); }
                 }
 
                 @Override public void connectionLost(String why) { bad.incrementAndGet(); }
             });
-        if (!took) { bad.incrementAndGet(); }
+        if (!sent) { bad.incrementAndGet(); }
     }
 
     /** So many calls a second at even distances; latency counts from when a call was due. */
@@ -106,15 +108,15 @@
                 due += 1_000_000_000L / rate;
                 long wait = due - System.nanoTime();
                 if (wait > 0) { LockSupport.parkNanos(wait); }
-                long mine = due;
-                HttpClientConnection l = idle.poll();
-                if (l != null && l.isUsable()) {
-                    ask(l, mine, () -> idle.push(l));
+                long dueAt = due;
+                HttpClientConnection idleConnection = idle.poll();
+                if (idleConnection != null && idleConnection.isUsable()) {
+                    ask(idleConnection, dueAt, () -> idle.push(idleConnection));
                 } else {
                     opener.connect(to[i % to.length], Duration.ofSeconds(2),
                         new HttpClientConnection.ConnectCallback() {
-                            @Override public void connected(HttpClientConnection link) {
-                                ask(link, mine, () -> idle.push(link));
+                            @Override public void connected(HttpClientConnection connection) {
+                                ask(connection, dueAt, () -> idle.push(connection));
                             }
 
                             @Override public void failed(String why) { bad.incrementAndGet(); }
--- a/src/main/java/switchgap/experiment/SpeedMeasurement.java
+++ b/src/main/java/switchgap/experiment/SpeedMeasurement.java
@@ -31,8 +31,10 @@
 
     /** Runs the relay in this process; for the child that is measured. */
     public static void relay(int port, List<Integer> workers) throws IOException {
-        BareRelay.serve(port, workers.stream().map(p -> new InetSocketAddress("127.0.0.1", p)).toArray(
-            InetSocketAddress[]::new), 3);
+        BareRelay.serve(port,
+            workers.stream().map(workerPort -> new InetSocketAddress("127.0.0.1", workerPort)).toArray(
+                InetSocketAddress[]::new),
+            3);
     }
 
     /** Measures and prints. */
@@ -62,7 +64,8 @@
             IntFunction<String> invoke = i -> "/v1/functions/f" + i % FUNCTIONS + "/invoke";
             IntFunction<String> infer = i -> "/v2/models/f" + i % FUNCTIONS + "/infer";
             InetSocketAddress[] direct = java.util.Arrays.stream(ports).mapToObj(
-                p -> new InetSocketAddress("127.0.0.1", p)).toArray(InetSocketAddress[]::new);
+                workerPort -> new InetSocketAddress("127.0.0.1", workerPort)).toArray(
+                    InetSocketAddress[]::new);
             InetSocketAddress[] relay = {new InetSocketAddress("127.0.0.1", relayPort)};
             InetSocketAddress[] router = {new InetSocketAddress("127.0.0.1", routerPort)};
             Duration warm = Duration.ofSeconds(4);
@@ -80,27 +83,32 @@
             row(out, "router", new SmallRequestLoad(net, router, invoke).closed(connections, warm, span),
                 base);
             out.printf("open load, %d calls a second%n", rate);
-            SmallRequestLoad.Result d = new SmallRequestLoad(net, direct, infer).open(rate, warm, span);
-            row(out, "direct", d, d);
-            SmallRequestLoad.Result y = new SmallRequestLoad(net, relay, invoke).open(rate, warm, span);
-            row(out, "relay", y, y);
-            SmallRequestLoad.Result r = new SmallRequestLoad(net, router, invoke).open(rate, warm, span);
-            row(out, "router", r, y);
+            SmallRequestLoad.Result directResult = new SmallRequestLoad(net, direct, infer).open(rate, warm,
+                span);
+            row(out, "direct", directResult, directResult);
+            SmallRequestLoad.Result relayResult = new SmallRequestLoad(net, relay, invoke).open(rate, warm,
+                span);
+            row(out, "relay", relayResult, relayResult);
+            SmallRequestLoad.Result routerResult = new SmallRequestLoad(net, router, invoke).open(rate, warm,
+                span);
+            row(out, "router", routerResult, relayResult);
             out.printf(
                 "the router adds %.3f ms at p50 and %.3f ms at p99 over a direct call (relay %.3f and %.3f)%n",
-                r.quantile(50) - d.quantile(50), r.quantile(99) - d.quantile(99),
-                y.quantile(50) - d.quantile(50),
-                y.quantile(99) - d.quantile(99));
+                routerResult.quantile(50) - directResult.quantile(50),
+                routerResult.quantile(99) - directResult.quantile(99),
+                relayResult.quantile(50) - directResult.quantile(50),
+                relayResult.quantile(99) - directResult.quantile(99));
         } finally {
             children.forEach(Process::destroyForcibly);
         }
     }
 
-    private static void row(PrintStream out, String way, SmallRequestLoad.Result r,
+    private static void row(PrintStream out, String way, SmallRequestLoad.Result result,
         SmallRequestLoad.Result base) {
-        out.printf("%-8s %10.0f %8.3f %8.3f %8d %8.2f%n", way, r.perSecond(), r.quantile(50), r.quantile(99),
-            r.bad(),
-            r.perSecond() / base.perSecond());
+        out.printf("%-8s %10.0f %8.3f %8.3f %8d %8.2f%n", way, result.perSecond(), result.quantile(50),
+            result.quantile(99),
+            result.bad(),
+            result.perSecond() / base.perSecond());
     }
 
     private static final byte[] OUTPUT = "{\"id\":\"x\",\"outputs\":[]}".getBytes(StandardCharsets.US_ASCII);
@@ -108,20 +116,21 @@
         String> HEAD = Map.of("Content-Type", "application/json", "endpoint-load-metrics",
             "TEXT cpu_utilization=0.1,named_metrics.inflight=1,named_metrics.crowd=0,named_metrics.copies=1");
 
-    private static void worker(HttpExchange r) {
-        r.respond(200, HEAD, OUTPUT);
+    private static void worker(HttpExchange exchange) {
+        exchange.respond(200, HEAD, OUTPUT);
     }
 
     private static String page(int port, int[] workers) {
-        StringBuilder s = new StringBuilder("router: {number: 0, of: 1, tick: 5ms, executions: 3}\n"
+        StringBuilder yaml = new StringBuilder("router: {number: 0, of: 1, tick: 5ms, executions: 3}\n"
             + "workloads:\n  w: {start_target: 400ms, time_limit: 2500ms, repeat: restartable}\n"
             + "functions:\n  f*: {workload: w, memory: 1, lanes: 1000}\n"
             + "kinds: {k: {memory: 100000}}\n"
             + "holds: {calls: 50000}\nlinks: {connections: 256}\n"
             + "listen: {port: " + port + ", selectors: 3}\nlist:\n  workers:\n");
         for (int i = 0; i < workers.length; i++) {
-            s.append("    - {name: w").append(i).append(", port: ").append(workers[i]).append(", kind: k}\n");
+            yaml.append("    - {name: w").append(i).append(", port: ").append(workers[i]).append(
+                ", kind: k}\n");
         }
-        return s.toString();
+        return yaml.toString();
     }
 }
--- a/src/main/java/switchgap/experiment/Variant.java
+++ b/src/main/java/switchgap/experiment/Variant.java
@@ -25,19 +25,21 @@
     /** Reads {@code - {name: off, before: nothing, pin: least, terms: {levels.keep: 0.985}}} and its like. */
     static List<Variant> read(YamlDocument under) {
         List<Variant> all = new ArrayList<>();
-        for (YamlDocument p : under.sections("variants")) {
+        for (YamlDocument document : under.sections("variants")) {
             Map<String, String> terms = new LinkedHashMap<>();
-            if (p.has("terms")) {
-                YamlDocument t = p.section("terms");
-                for (String k : t.keys()) {
-                    if (k.split("\\.").length != 2) { throw t.invalid(k, "must be written part.key"); }
-                    terms.put(k, t.text(k));
+            if (document.has("terms")) {
+                YamlDocument section = document.section("terms");
+                for (String key : section.keys()) {
+                    if (key.split("\\.").length != 2) {
+                        throw section.invalid(key, "must be written part.key");
+                    }
+                    terms.put(key, section.text(key));
                 }
             }
-            all.add(new Variant(p.text("name"), p.choice("before", Before.class, Before.LEVELS),
-                p.choice("pin", ServiceLevel.class, null),
+            all.add(new Variant(document.text("name"), document.choice("before", Before.class, Before.LEVELS),
+                document.choice("pin", ServiceLevel.class, null),
                 Map.copyOf(terms)));
-            p.rejectUnknownKeys();
+            document.rejectUnknownKeys();
         }
         if (all.isEmpty()) { throw under.invalid("variants", "needs one or more"); }
         return all;
--- a/src/main/java/switchgap/experiment/package-info.java
+++ b/src/main/java/switchgap/experiment/package-info.java
@@ -1,2 +1,6 @@
-/** The laboratory: measurements of the router beside a relay of the same filter chains, side by side in one run. */
+/**
+ * Experiments and measurements: variants of the router over scenarios in simulated time, open-loop loads on
+ * sockets, and the router's latency, throughput and memory beside a bare relay. Only the command line depends
+ * on this package.
+ */
 package switchgap.experiment;
--- a/src/test/java/switchgap/experiment/EmulatorTest.java
+++ b/src/test/java/switchgap/experiment/EmulatorTest.java
@@ -21,24 +21,25 @@
         Trial a = new Trial(day(), 3, Variant.LEVELS, flat(1.5));
         Trial b = new Trial(day(), 3, Variant.LEVELS, flat(1.5));
         assertThat(b.service).isEqualTo(a.service);
-        assertThat(b.events).isEqualTo(a.events);
-        assertThat(b.inTarget).isEqualTo(a.inTarget);
+        assertThat(b.eventCount).isEqualTo(a.eventCount);
+        assertThat(b.objectiveMetShare).isEqualTo(a.objectiveMetShare);
         Trial other = new Trial(day(), 4, Variant.LEVELS, flat(1.5));
-        assertThat(other.events).isNotEqualTo(a.events);
+        assertThat(other.eventCount).isNotEqualTo(a.eventCount);
     }
 
     @Test void levelsKeepOutOfAQuietDayAndSpareTheImportantInOverload() throws Exception {
         Trial quiet = new Trial(day(), 3, Variant.LEVELS, flat(0.4));
         Trial off = new Trial(day(), 3, Variant.OFF, flat(0.4));
-        assertThat(quiet.changes).isZero();
+        assertThat(quiet.changeCount).isZero();
         assertThat(quiet.service).isEqualTo(off.service);
         Trial full = new Trial(day(), 3, Variant.LEVELS, flat(2));
         Trial none = new Trial(day(), 3, Variant.OFF, flat(2));
-        assertThat(full.changes).isPositive();
+        assertThat(full.changeCount).isPositive();
         assertThat(full.service).isGreaterThan(none.service - 0.005);
         Trial alone = new Trial(day(), 3,
             new Variant("alone", Variant.Before.LEVELS, ServiceLevel.LEAST, Map.of()), flat(2));
-        assertThat(alone.inTarget.get("notice-send")).isGreaterThan(none.inTarget.get("notice-send"));
-        assertThat(alone.inTarget.get("status-refresh")).isZero();
+        assertThat(alone.objectiveMetShare.get("notice-send")).isGreaterThan(
+            none.objectiveMetShare.get("notice-send"));
+        assertThat(alone.objectiveMetShare.get("status-refresh")).isZero();
     }
 }
