--- a/src/main/java/switchgap/emulator/ColdStart.java
+++ b/src/main/java/switchgap/emulator/ColdStart.java
@@ -31,7 +31,7 @@
 
     /** Share of the full capacity at a time. */
     double capacityShare(long now) {
-        if (!cold) {
+        if (!cold || now - startedAt >= hardware.warmUpTime()) { // also where no warm-up is stated
             return 1;
         }
         double initial = hardware.initialCapacityShare();
--- a/src/main/java/switchgap/emulator/EmulatedClients.java
+++ b/src/main/java/switchgap/emulator/EmulatedClients.java
@@ -147,6 +147,16 @@
         arrive();
     }
 
+    /**
+     * Starts arrivals for a time in microseconds from now, and returns when they end. To be called on the
+     * scheduler's thread, so that the time on the way there is not taken from them.
+     */
+    public long startFor(long duration) {
+        long end = scheduler.now() + duration;
+        start(end);
+        return end;
+    }
+
     /** Number of attempts in flight. */
     public long open() {
         return retries.inFlight();
--- a/src/main/java/switchgap/scenario/ScenarioRunner.java
+++ b/src/main/java/switchgap/scenario/ScenarioRunner.java
@@ -5,6 +5,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
+import java.util.concurrent.CompletableFuture;
 import switchgap.emulator.EmulatedClients;
 
 /**
@@ -37,12 +38,12 @@
         Files.copy(file, directory.resolve(EventLog.SCENARIO), StandardCopyOption.REPLACE_EXISTING);
         try (TestBed testBed = new TestBed(scenario, directory, baseline)) {
             Thread.sleep(SETTLE_MILLIS);
-            long end = testBed.scheduler.now() + scenario.settings().timing().length();
             testBed.recordFault("began", "day", scenario.name());
-            testBed.scheduler.post(() -> {
-                testBed.clients.start(end);
+            long end = CompletableFuture.supplyAsync(() -> {
+                long arrivalsEnd = testBed.clients.startFor(scenario.settings().timing().length());
                 new FaultScript(testBed).start();
-            });
+                return arrivalsEnd;
+            }, testBed.scheduler::post).join();
             awaitEnd(testBed, end);
             testBed.finish();
             report(testBed, out);
