--- a/src/main/java/switchgap/experiment/BareRelay.java
+++ b/src/main/java/switchgap/experiment/BareRelay.java
@@ -12,15 +12,18 @@
 import switchgap.net.HttpServer;
 import switchgap.net.NetworkTransport;
 
-/** The baseline: passes each request on to one of the workers in turn, through the same filter chains, deciding nothing. */
+/**
+ * The baseline: forwards each request to one of the workers in turn, through the same filter chains, without
+ * decisions.
+ */
 final class BareRelay implements HttpServer.RequestHandler {
-    private final HttpClientConnection.Factory opener;
+    private final HttpClientConnection.Factory factory;
     private final InetSocketAddress[] workers;
     private final ConcurrentLinkedDeque<HttpClientConnection>[] idle;
     private final AtomicInteger turn = new AtomicInteger();
 
     @SuppressWarnings({"unchecked"}) private BareRelay(NetworkTransport net, InetSocketAddress[] workers) {
-        this.opener = new HttpClientConnection.Factory(net, null, 4 << 20);
+        this.factory = new HttpClientConnection.Factory(net, null, 4 << 20);
         this.workers = workers;
         this.idle = new ConcurrentLinkedDeque[workers.length];
         for (int i = 0; i < idle.length; i++) { idle[i] = new ConcurrentLinkedDeque<>(); }
@@ -39,7 +42,7 @@
             pass(exchange, idleConnection, workerIndex);
             return;
         }
-        opener.connect(workers[workerIndex], Duration.ofSeconds(1),
+        factory.connect(workers[workerIndex], Duration.ofSeconds(1),
             new HttpClientConnection.ConnectCallback() {
                 @Override public void connected(HttpClientConnection connection) {
                     pass(exchange, connection, workerIndex);
--- a/src/main/java/switchgap/experiment/BaselinePolicy.java
+++ b/src/main/java/switchgap/experiment/BaselinePolicy.java
@@ -21,8 +21,9 @@
 import switchgap.router.RouterCore;
 
 /**
- * Textbook choices to measure the module against: any ready worker by chance, or each in turn. A miss has the copy
- * loaded there and the job waits for it; what may run again does, elsewhere; the rest is given up as the rules ask.
+ * Textbook choices to measure the routing policy against: any ready worker by chance, or each in turn. Where
+ * no replica is loaded one is, and the request waits for it; what may be retried is, elsewhere; the rest is
+ * given up as the rules ask.
  */
 final class BaselinePolicy implements RouterCore.Policy, PolicyEvents {
     private static final class PendingRequest {
@@ -30,14 +31,16 @@
         final int requestClass;
         final int function;
         final Duration deadline;
-        int attempts, inFlight, possiblyExecuted;
+        int attempts;
+        int inFlight;
+        int possiblyExecuted;
         boolean closed;
 
-        PendingRequest(int requestIndex, int workload, int function, Duration limit) {
+        PendingRequest(int requestIndex, int requestClass, int function, Duration deadline) {
             this.requestIndex = requestIndex;
-            this.requestClass = workload;
+            this.requestClass = requestClass;
             this.function = function;
-            this.deadline = limit;
+            this.deadline = deadline;
         }
     }
 
@@ -116,8 +119,8 @@
         }
     }
 
-    @Override public void endpointListStarted(boolean whole) {
-        if (whole) { workerStates.replaceAll((worker, state) -> WorkerState.GONE); }
+    @Override public void endpointListStarted(boolean complete) {
+        if (complete) { workerStates.replaceAll((worker, state) -> WorkerState.GONE); }
     }
 
     @Override public void endpointListed(EndpointEntry entry) {
@@ -144,8 +147,7 @@
 
     @Override public void requestArrived(RequestArrival arrival) {
         PendingRequest request = new PendingRequest(arrival.request(), arrival.requestClass(),
-            arrival.function(),
-            arrival.deadline());
+            arrival.function(), arrival.deadline());
         pending.put(request.requestIndex, request);
         place(request.requestIndex, request);
     }
@@ -183,7 +185,7 @@
         int worker = result.worker();
         List<PendingRequest> waiting = loading.remove((long) worker << 32 | result.function());
         if (waiting == null) { return; }
-        for (PendingRequest request : waiting) { // a job given up meanwhile may have left its index to another
+        for (PendingRequest request : waiting) { // one given up meanwhile may have left its index to another
             int requestIndex = request.requestIndex;
             if (pending.get(requestIndex) != request || request.closed || request.inFlight > 0) { continue; }
             if (result.loadedReplicas() > 0 && workerStates.get(worker) == WorkerState.READY
--- a/src/main/java/switchgap/experiment/BaselineRouter.java
+++ b/src/main/java/switchgap/experiment/BaselineRouter.java
@@ -5,11 +5,11 @@
 import switchgap.server.gateway.GatewayConfig;
 import switchgap.server.gateway.GatewayRouter;
 
-/** A router under a textbook choice in place of the module. */
+/** A router under a textbook choice in place of the routing policy. */
 public final class BaselineRouter {
     private BaselineRouter() {}
 
-    /** Serves as the page says; {@code choice} is random or turns. */
+    /** Serves as the configuration says; {@code choice} is random or turns. */
     public static GatewayRouter start(Path page, String choice) throws IOException {
         GatewayConfig config = GatewayConfig.read(page);
         return new GatewayRouter(config,
--- a/src/main/java/switchgap/experiment/EmulatedRouter.java
+++ b/src/main/java/switchgap/experiment/EmulatedRouter.java
@@ -17,7 +17,10 @@
 import switchgap.router.WorkerEntry;
 import switchgap.router.WorkerTransport;
 
-/** The program's own core and gate in simulated time: its outside is the emulator's machines, a hop away. */
+/**
+ * The program's own core and admission gate in simulated time; its transport reaches the emulated workers
+ * after a network delay.
+ */
 final class EmulatedRouter implements WorkerTransport {
     private static final byte[] NOTHING = {};
     private final Emulator emulator;
@@ -40,7 +43,7 @@
 
     AdmissionGate gate() { return gate; }
 
-    /** The process dies: what it held is lost. */
+    /** The process dies: what it had in flight is lost. */
     void stop() { stopped = true; }
 
     Duration now() { return Duration.ofNanos((emulator.scheduler.now() - startedAt) * 1000); }
@@ -77,7 +80,7 @@
         return emulator.scenario.tellsLoad()
             ? new LoadReport(emulatedWorker.busy(), emulatedWorker.inHand(), emulatedWorker.waiting(),
                 concurrency)
-            : new LoadReport(Double.NaN, Double.NaN, Double.NaN, concurrency);
+            : LoadReport.ofConcurrency(concurrency);
     }
 
     @Override public void startAttempt(Attempt attempt, Duration timeout) {
@@ -91,13 +94,14 @@
                 return;
             }
             attempt.attachment = emulatedWorker.infer(model, () -> {},
-                (outcome, crowd) -> emulator.scheduler.after(emulator.networkDelayMicros,
+                (outcome, concurrency) -> emulator.scheduler.after(emulator.networkDelayMicros,
                     () -> post(core -> core.attemptEnded(attempt, switch (outcome) {
                         case OK, DROPPED -> AttemptOutcome.SUCCEEDED;
                         case MISS -> AttemptOutcome.NOT_LOADED;
                         case FULL -> AttemptOutcome.REJECTED;
                         default -> AttemptOutcome.FAILED;
-                    }, loadReport(emulatedWorker, crowd), Response.succeeded(200, Map.of(), NOTHING)))));
+                    }, loadReport(emulatedWorker, concurrency),
+                        Response.succeeded(200, Map.of(), NOTHING)))));
         });
     }
 
@@ -124,12 +128,12 @@
                         core -> core.loadCommandEnded(command, AttemptOutcome.SUCCEEDED, loadedReplicas)));
             } else {
                 emulatedWorker.hold(emulator.catalogue.find(function), replicas,
-                    (outcome, n) -> emulator.scheduler.after(emulator.networkDelayMicros,
+                    (outcome, loaded) -> emulator.scheduler.after(emulator.networkDelayMicros,
                         () -> post(core -> core.loadCommandEnded(command,
                             outcome == EmulatedWorker.Outcome.OK ? AttemptOutcome.SUCCEEDED
                                 : outcome == EmulatedWorker.Outcome.FULL ? AttemptOutcome.REJECTED
                                     : AttemptOutcome.FAILED,
-                            n))));
+                            loaded))));
             }
         });
     }
--- a/src/main/java/switchgap/experiment/Emulator.java
+++ b/src/main/java/switchgap/experiment/Emulator.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import java.util.function.LongConsumer;
 import java.util.function.LongToDoubleFunction;
 import switchgap.admission.AdmissionController;
 import switchgap.admission.ServiceLevelChange;
@@ -15,7 +16,9 @@
 import switchgap.emulator.EmulatedClients;
 import switchgap.emulator.EmulatedStore;
 import switchgap.emulator.EmulatedWorker;
+import switchgap.emulator.EventRecorder;
 import switchgap.emulator.FunctionCatalogue;
+import switchgap.emulator.FunctionModel;
 import switchgap.policy.RoutingPolicy;
 import switchgap.policy.api.RouterSettings;
 import switchgap.policy.api.WorkerState;
@@ -30,12 +33,24 @@
 import switchgap.scenario.Scenario;
 
 /**
- * A day in simulated time: the stand-ins' machines, store and clients, and the program's own core, gate, levels and
- * module, without sockets. The same seed brings the same arrivals whatever the variant.
+ * A scenario in simulated time: emulated workers, store and clients, and the program's own core, admission
+ * control and policy, without sockets. The same seed brings the same arrivals whatever the variant. One
+ * thread.
  */
 final class Emulator {
     /** A change of level at a router. */
-    record RouterLevelChange(int router, ServiceLevelChange change) {}
+    record RouterLevelChange(int router, ServiceLevelChange change) {
+        /** Whether it concerns all tenants. */
+        boolean isCommon() {
+            return change.tenant() < 0;
+        }
+    }
+
+    private static final long NANOS_PER_MICRO = 1000;
+    private static final long NO_RETRY_AFTER = -1;
+    private static final int HTTP_OK = 200;
+    private static final int HTTP_UNAVAILABLE = 503;
+    private static final Duration STATIC_RETRY_AFTER = Duration.ofMillis(500);
 
     final Scenario scenario;
     final VirtualTimeScheduler scheduler = new VirtualTimeScheduler();
@@ -62,9 +77,9 @@
         this.tickMicros = 1000;
         this.networkDelayMicros = 300;
         this.random = new SplittableRandom(seed);
-        switchgap.emulator.EventRecorder nothing = switchgap.emulator.EventRecorder.none();
+        EventRecorder noRecord = EventRecorder.none();
         catalogue = scenario.catalogue(seed);
-        store = new EmulatedStore(scheduler, nothing, scenario.storeTakes(), scenario.storeDown());
+        store = new EmulatedStore(scheduler, noRecord, scenario.storeTakes(), scenario.storeDown());
         clients = scenario.clients(scheduler, this::send, catalogue, seed + 1);
         clients.curve(curve);
         loadFaults = new LoadFaults(scheduler, clients, catalogue, store, scenario.customers());
@@ -79,7 +94,7 @@
         }
     }
 
-    /** Starts a router with nothing but the list. */
+    /** Starts a router that knows nothing but the endpoint list. */
     void startRouter(int routerIndex) {
         if (routers.get(routerIndex) != null) { routers.get(routerIndex).stop(); }
         EmulatedRouter router = new EmulatedRouter(this);
@@ -141,79 +156,104 @@
         }));
     }
 
-    private void send(ClientTransport.ClientAttempt attempt, ClientTransport.ResultHandler then) {
-        EmulatedRouter router = routers.get(attempt.router());
-        YamlRouterSettings routerSettings = settings.get(attempt.router());
-        YamlRouterSettings.FunctionSettings functionSettings = routerSettings.function(
-            attempt.model().name());
-        long began = scheduler.now();
-        boolean[] completed = {false};
-        PendingRequest[] pending = new PendingRequest[1];
-        ResponseListener listener = new ResponseListener() {
-            @Override public void responded(PendingRequest request, Response response) {
-                scheduler.after(networkDelayMicros, () -> complete(completed, then, switch (response.kind()) {
-                    case SUCCEEDED -> "finished";
-                    case REJECTED -> "pushed-back";
-                    case FAILED -> "killed";
-                }, response.kind() == Response.Kind.SUCCEEDED ? 200 : 503,
-                    response.retryAfter() == null ? -1 : response.retryAfter().toMillis()));
-            }
+    private void send(ClientTransport.ClientAttempt attempt, ClientTransport.ResultHandler handler) {
+        new EmulatedExchange(attempt, handler).start();
+    }
+
+    /** One attempt of a client at a router, a network delay away; it ends once. */
+    private final class EmulatedExchange implements ResponseListener {
+        private final ClientTransport.ClientAttempt attempt;
+        private final ClientTransport.ResultHandler handler;
+        private final EmulatedRouter router;
+        private final YamlRouterSettings routerSettings;
+        private PendingRequest request;
+        private boolean ended;
 
-            @Override public void deadlineMissed(PendingRequest request, Response late) {}
-        };
-        scheduler.after(networkDelayMicros, () -> router.post(routerCore -> {
-            pending[0] = PendingRequest.builder(attempt.call(), attempt.model().name(),
-                router.now().plus(Duration.ofNanos((attempt.limit() - scheduler.now()) * 1000)),
-                listener).requestClass(
-                    attempt.model().workload()).tenant(
-                        routerSettings.tenantIndex(attempt.customer())).durationHint(
-                            Duration.ofNanos((long) (attempt.model().work() * 1000))).idempotencyKey(
-                                attempt.key()).replica(
-                                    functionSettings.memoryMb(), functionSettings.slots()).build();
+        EmulatedExchange(ClientTransport.ClientAttempt attempt, ClientTransport.ResultHandler handler) {
+            this.attempt = attempt;
+            this.handler = handler;
+            router = routers.get(attempt.router());
+            routerSettings = settings.get(attempt.router());
+        }
+
+        void start() {
+            scheduler.after(networkDelayMicros, () -> router.post(core -> arrive()));
+            scheduler.after(attempt.limit() - scheduler.now(), this::timeOut);
+        }
+
+        private void arrive() {
+            FunctionModel model = attempt.model();
+            YamlRouterSettings.FunctionSettings function = routerSettings.function(model.name());
+            Duration timeLeft = Duration.ofNanos((attempt.limit() - scheduler.now()) * NANOS_PER_MICRO);
+            request = PendingRequest.builder(attempt.call(), model.name(), router.now().plus(timeLeft),
+                this).requestClass(model.workload()).tenant(
+                    routerSettings.tenantIndex(attempt.customer())).durationHint(
+                        Duration.ofNanos((long) (model.work() * NANOS_PER_MICRO))).idempotencyKey(
+                            attempt.key()).replica(function.memoryMb(), function.slots()).build();
             if (variant.before() == Variant.Before.STATIC
-                && rejectedByStaticThreshold(router, attempt.model().workload(), routerSettings)) {
-                listener.responded(pending[0], Response.rejected(Duration.ofMillis(500)));
-            } else if (!router.gate().offer(pending[0])) {
-                scheduler.after(networkDelayMicros, () -> complete(completed, then, "refused", 503, -1));
+                && rejectedByStaticThreshold(router, model.workload(), routerSettings)) {
+                responded(request, Response.rejected(STATIC_RETRY_AFTER));
+            } else if (!router.gate().offer(request)) {
+                scheduler.after(networkDelayMicros, () -> end("refused", HTTP_UNAVAILABLE, NO_RETRY_AFTER));
             }
-        }));
-        scheduler.after(attempt.limit() - began, () -> {
-            if (!completed[0]) {
-                complete(completed, then, "gave-up", 0, -1);
-                if (pending[0] != null) { router.post(routerCore -> routerCore.clientLeft(pending[0])); }
+        }
+
+        private void timeOut() {
+            if (ended) {
+                return;
             }
-        });
+            end("gave-up", 0, NO_RETRY_AFTER);
+            if (request != null) {
+                router.post(core -> core.clientLeft(request));
+            }
+        }
+
+        @Override public void responded(PendingRequest answered, Response response) {
+            long retryAfter = response.retryAfter() == null ? NO_RETRY_AFTER
+                : response.retryAfter().toMillis();
+            String outcome = switch (response.kind()) {
+                case SUCCEEDED -> "finished";
+                case REJECTED -> "pushed-back";
+                case FAILED -> "killed";
+            };
+            int status = response.kind() == Response.Kind.SUCCEEDED ? HTTP_OK : HTTP_UNAVAILABLE;
+            scheduler.after(networkDelayMicros, () -> end(outcome, status, retryAfter));
+        }
+
+        @Override public void deadlineMissed(PendingRequest overdue, Response late) {}
+
+        private void end(String outcome, int status, long retryAfterMillis) {
+            if (!ended) {
+                ended = true;
+                handler.ended(outcome, status, retryAfterMillis);
+            }
+        }
     }
 
-    /** The baseline of a static cut-off: so many held at a router, and what is less important is turned away. */
+    /**
+     * The baseline of a static limit: past so many pending requests at a router, lesser classes are rejected.
+     */
     private boolean rejectedByStaticThreshold(EmulatedRouter router, int requestClass,
         RouterSettings routerSettings) {
         double maxWeight = 0;
-        for (int w = 0; w < routerSettings.requestClassCount(); w++) {
-            maxWeight = Math.max(maxWeight, routerSettings.priorityWeight(w));
+        for (int i = 0; i < routerSettings.requestClassCount(); i++) {
+            maxWeight = Math.max(maxWeight, routerSettings.priorityWeight(i));
         }
         return routerSettings.priorityWeight(requestClass) < maxWeight
             && router.gate().core().pendingRequests() >= scenario.staticHeld();
     }
 
-    private static void complete(boolean[] completed, ClientTransport.ResultHandler then, String outcome,
-        int status,
-        long retryAfterMillis) {
-        if (!completed[0]) {
-            completed[0] = true;
-            then.ended(outcome, status, retryAfterMillis);
-        }
-    }
-
-    /** Plays so many seconds, and what is still out to its end; {@code each} is called once a second. */
-    void play(long seconds, java.util.function.LongConsumer everySecond) {
+    /**
+     * Plays so many seconds, and what is still in flight to its end; the listener is called once a second.
+     */
+    void play(long seconds, LongConsumer everySecond) {
         long startedAt = scheduler.now();
         long end = startedAt + seconds * 1_000_000;
         clients.start(end);
         scenario.script().forEach(fault -> scheduler.after(fault.at(), () -> inject(fault)));
-        for (long s = 0; s < seconds; s++) {
-            scheduler.run(startedAt + (s + 1) * 1_000_000);
-            everySecond.accept(s);
+        for (long second = 0; second < seconds; second++) {
+            scheduler.run(startedAt + (second + 1) * 1_000_000);
+            everySecond.accept(second);
         }
         scheduler.run(end + 10_000_000);
     }
--- a/src/main/java/switchgap/experiment/ExperimentReport.java
+++ b/src/main/java/switchgap/experiment/ExperimentReport.java
@@ -7,6 +7,7 @@
 import java.util.Base64;
 import java.util.List;
 import java.util.Locale;
+import java.util.function.ToDoubleFunction;
 import org.knowm.xchart.BitmapEncoder;
 import org.knowm.xchart.CategoryChart;
 import org.knowm.xchart.CategoryChartBuilder;
@@ -18,25 +19,27 @@
 import switchgap.admission.ServiceLevel;
 import switchgap.config.YamlDocument;
 
-/** An experiment as one page with its plots inside. */
+/** An experiment as one HTML page with its plots inside. */
 final class ExperimentReport {
     private ExperimentReport() {}
 
     static void write(Path file, Experiment experiment) throws IOException {
         StringBuilder html = new StringBuilder("<!doctype html><meta charset=utf-8><title>" + experiment.name
             + "</title>"
-            + "<style>body{font:15px sans-serif;max-width:1100px;margin:2em auto;padding:0 1em}table{border-collapse:collapse}"
-            + "td,th{padding:3px 8px;border-bottom:1px solid #ccc;text-align:right}td:first-child,th:first-child{text-align:left}"
+            + "<style>body{font:15px sans-serif;max-width:1100px;margin:2em auto;padding:0 1em}"
+            + "table{border-collapse:collapse}"
+            + "td,th{padding:3px 8px;border-bottom:1px solid #ccc;text-align:right}"
+            + "td:first-child,th:first-child{text-align:left}"
             + "img{max-width:100%}</style><h1>" + experiment.name
             + "</h1><p>Simulated servers: the figures compare variants and say "
-            + "nothing of real machines. The same seed brings the same arrivals to each variant; differences are taken seed by seed, "
-            + "with the standard deviation over " + experiment.seeds
+            + "nothing of real machines. The same seed brings the same arrivals to each variant; differences "
+            + "are taken seed by seed, with the standard deviation over " + experiment.seeds
             + " seeds. Service is weighted by importance.</p>");
-        for (Experiment.Case experimentCase : experiment.cases) { section(html, experiment, experimentCase); }
+        for (ExperimentCase experimentCase : experiment.cases) { section(html, experiment, experimentCase); }
         Files.writeString(file, html);
     }
 
-    private static void section(StringBuilder html, Experiment experiment, Experiment.Case experimentCase)
+    private static void section(StringBuilder html, Experiment experiment, ExperimentCase experimentCase)
         throws IOException {
         html.append(String.format(Locale.ROOT,
             "<h2>%s</h2><p>%d workers, %d routers, %d s of simulated time; bound from capacity %.3f.</p>"
@@ -49,36 +52,43 @@
         html.append(
             "<th>changes a router<th>most in four stays<th>back at full after<th>customers' own changes");
         for (Variant variant : experiment.variants) {
-            var service = experimentCase.spread(variant, trial -> trial.service);
-            var paired = experimentCase.against(variant, experiment.variants.get(0), trial -> trial.service);
-            html.append(
-                String.format(Locale.ROOT, "<tr><td>%s<td>%.3f ± %.3f<td>%+.3f ± %.3f", variant.name(),
-                    service.mean(),
-                    service.deviation(), paired.mean(), paired.deviation()));
-            for (String requestClass : experimentCase.trials().get(0).objectiveMetShare.keySet()) {
-                html.append(String.format(Locale.ROOT, "<td>%.3f", experimentCase.spread(variant,
-                    trial -> trial.objectiveMetShare.get(requestClass)).mean()));
-            }
-            long back = experimentCase.of(variant).stream().mapToLong(
-                trial -> trial.recoverySeconds).max().orElse(-1);
-            boolean levels = variant.before() == Variant.Before.LEVELS;
-            html.append(String.format(Locale.ROOT, "<td>%.1f<td>%d<td>%s<td>%s",
-                experimentCase.spread(variant,
-                    trial -> trial.changeCount / (double) experimentCase.scenario().routers()).mean(),
-                experimentCase.of(variant).stream().mapToInt(
-                    trial -> trial.maxChangesInFourStays).max().orElse(0),
-                !levels ? "" : back < 0 ? "not within it" : back + " s",
-                !levels ? ""
-                    : experimentCase.of(variant).stream().map(
-                        trial -> trial.tenantLevelChanges.toString()).distinct().reduce(
-                            (left, right) -> left + " " + right).orElse("")));
+            row(html, experimentCase, variant, experiment.variants.get(0));
         }
         html.append("</table>");
         long seed = experimentCase.trials().get(0).seed;
         List<Trial> one = experimentCase.trials().stream().filter(trial -> trial.seed == seed).toList();
-        html.append(img(course(one))).append(img(levels(one))).append(
-            img(bars("Start targets met, by workload", one, true))).append(
-                img(bars("Service by customer", one, false))).append(img(times(one)));
+        html.append(img(course(one)));
+        html.append(img(levels(one)));
+        html.append(img(bars("Start targets met, by workload", one, true)));
+        html.append(img(bars("Service by customer", one, false)));
+        html.append(img(times(one)));
+    }
+
+    private static void row(StringBuilder html, ExperimentCase experimentCase, Variant variant,
+        Variant reference) {
+        Spread service = experimentCase.spread(variant, trial -> trial.service);
+        Spread paired = experimentCase.against(variant, reference, trial -> trial.service);
+        html.append(String.format(Locale.ROOT, "<tr><td>%s<td>%.3f ± %.3f<td>%+.3f ± %.3f", variant.name(),
+            service.mean(), service.deviation(), paired.mean(), paired.deviation()));
+        for (String requestClass : experimentCase.trials().get(0).objectiveMetShare.keySet()) {
+            Spread met = experimentCase.spread(variant, trial -> trial.objectiveMetShare.get(requestClass));
+            html.append(String.format(Locale.ROOT, "<td>%.3f", met.mean()));
+        }
+        boolean hasLevels = variant.before() == Variant.Before.LEVELS;
+        html.append(String.format(Locale.ROOT, "<td>%.1f<td>%d<td>%s<td>%s",
+            experimentCase.meanChangesPerRouter(variant),
+            experimentCase.maxChangesInFourStays(variant),
+            hasLevels ? recovery(experimentCase.maxRecoverySeconds(variant)) : "",
+            hasLevels ? tenantChanges(experimentCase.of(variant)) : ""));
+    }
+
+    private static String recovery(long seconds) {
+        return seconds < 0 ? "not within it" : seconds + " s";
+    }
+
+    private static String tenantChanges(List<Trial> trials) {
+        return trials.stream().map(trial -> trial.tenantLevelChanges.toString()).distinct().reduce(
+            (left, right) -> left + " " + right).orElse("");
     }
 
     private static String img(Chart<?, ?> chart) throws IOException {
@@ -92,14 +102,14 @@
             + "\">";
     }
 
-    /** A column of the course, smoothed over ten seconds. */
-    private static double[] column(Trial trial, int column) {
+    /** A figure of each second, smoothed over ten. */
+    private static double[] smoothed(Trial trial, ToDoubleFunction<SecondSample> figure) {
         double[] values = new double[trial.samples.size()];
         for (int i = 0; i < values.length; i++) {
             double sum = 0;
             int count = 0;
             for (int k = Math.max(0, i - 5); k < Math.min(values.length, i + 5); k++, count++) {
-                sum += trial.samples.get(k)[column];
+                sum += figure.applyAsDouble(trial.samples.get(k));
             }
             values[i] = sum / count;
         }
@@ -125,9 +135,10 @@
 
     private static XYChart course(List<Trial> one) {
         XYChart chart = lines("Load (share of capacity) and importance-weighted service", "load, service");
-        line(chart, "load", seconds(one.get(0)), column(one.get(0), 0));
+        line(chart, "load", seconds(one.get(0)), smoothed(one.get(0), SecondSample::load));
         one.forEach(
-            trial -> line(chart, "service, " + trial.variant.name(), seconds(trial), column(trial, 1)));
+            trial -> line(chart, "service, " + trial.variant.name(), seconds(trial),
+                smoothed(trial, SecondSample::service)));
         return chart;
     }
 
@@ -138,9 +149,10 @@
         one.stream().filter(
             trial -> trial.variant.before() == Variant.Before.LEVELS
                 && trial.variant.pinned() == null).forEach(trial -> {
-                    line(chart, "mean level, " + trial.variant.name(), seconds(trial), column(trial, 2));
+                    line(chart, "mean level, " + trial.variant.name(), seconds(trial),
+                        smoothed(trial, SecondSample::meanLevel));
                     line(chart, "routers below full, " + trial.variant.name(), seconds(trial),
-                        column(trial, 3));
+                        smoothed(trial, SecondSample::belowFullShare));
                 });
         if (chart.getSeriesMap().isEmpty()) {
             line(chart, "no levels", new double[] {0, 1}, new double[] {0, 0});
--- a/src/main/java/switchgap/experiment/LoadCurve.java
+++ b/src/main/java/switchgap/experiment/LoadCurve.java
@@ -14,33 +14,43 @@
 import switchgap.emulator.Scheduler;
 
 /**
- * A load over time: straight lines between points of time (microseconds) and load (share of capacity), with waves and
- * bursts on top, and spells in which one customer brings more or hammers.
+ * A load over time: straight lines between points of time (microseconds) and load (share of capacity), with
+ * waves and bursts on top, and spells in which one tenant sends more or retries without backoff.
  */
 final class LoadCurve {
     private static final int MAX_POINTS = 100_000;
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    /** From {@code at} for {@code lasts} microseconds a customer's rate (all load where {@code of} is null) times {@code times}. */
+    /** Load from a time on, microseconds, up to the next point. */
+    private record Point(double at, double load) {}
+
+    /**
+     * For a time, a tenant's rate (all load where it is null) times a factor, with so many retries without
+     * backoff.
+     */
     private record Spell(long at, long durationMicros, String tenant, double factor, int retries) {}
 
     final String name;
-    private final List<double[]> points = new ArrayList<>();
+    private final List<Point> points = new ArrayList<>();
     private final List<Spell> spells = new ArrayList<>();
     private double wavePeriodMicros = 1;
     private double waveAmplitude;
 
     private LoadCurve(String name) { this.name = name; }
 
-    /** Reads {@code {points: [{at: SPAN, load: SHARE}] or csv: FILE, waves: {every, by}, bursts, customers}}; files beside the page. */
+    /**
+     * Reads {@code {points: [{at: SPAN, load: SHARE}] or csv: FILE, waves: {every, by}, bursts, customers}};
+     * files lie beside the document.
+     */
     static LoadCurve read(String name, YamlDocument document, Path beside) throws IOException {
         LoadCurve curve = new LoadCurve(name);
         if (document.has("csv")) { curve.readCsv(beside.resolveSibling(document.text("csv"))); }
         for (YamlDocument point : document.sections("points")) {
             double at = micros(point, "at");
-            if (!curve.points.isEmpty() && at < curve.points.get(curve.points.size() - 1)[0]) {
+            if (!curve.points.isEmpty() && at < curve.points.get(curve.points.size() - 1).at) {
                 throw point.invalid("at", "must not go back in time");
             }
-            curve.points.add(new double[] {at, point.number("load", 0, 100)});
+            curve.points.add(new Point(at, point.number("load", 0, 100)));
             point.rejectUnknownKeys();
         }
         if (curve.points.size() < 2) {
@@ -71,8 +81,8 @@
     /** A load that stays the same. */
     static LoadCurve flat(double load, long seconds) {
         LoadCurve curve = new LoadCurve("flat " + load);
-        curve.points.add(new double[] {0, load});
-        curve.points.add(new double[] {seconds * 1e6, load});
+        curve.points.add(new Point(0, load));
+        curve.points.add(new Point(seconds * MICROS_PER_SECOND, load));
         return curve;
     }
 
@@ -86,13 +96,13 @@
             for (CSVRecord row : CSVFormat.DEFAULT.builder().setHeader().setSkipHeaderRecord(true).setTrim(
                 true).get().parse(reader)) {
                 int line = (int) row.getRecordNumber() + 1;
-                double at = number(file, line, row, "seconds") * 1e6;
+                double at = number(file, line, row, "seconds") * MICROS_PER_SECOND;
                 double load = number(file, line, row, "load");
                 if (load < 0 || load > 100) {
                     throw new InvalidConfigException(file.toString(), line,
                         "load: " + load + " must lie from 0 to 100");
                 }
-                if (!points.isEmpty() && at < points.get(points.size() - 1)[0]) {
+                if (!points.isEmpty() && at < points.get(points.size() - 1).at) {
                     throw new InvalidConfigException(file.toString(), line,
                         "seconds: must not go back in time");
                 }
@@ -100,7 +110,7 @@
                     throw new InvalidConfigException(file.toString(), line,
                         "more than " + MAX_POINTS + " points");
                 }
-                points.add(new double[] {at, load});
+                points.add(new Point(at, load));
             }
         }
     }
@@ -122,7 +132,7 @@
     /** The same curve over a share of the time. */
     LoadCurve within(double share) {
         LoadCurve curve = new LoadCurve(name);
-        points.forEach(point -> curve.points.add(new double[] {point[0] * share, point[1]}));
+        points.forEach(point -> curve.points.add(new Point(point.at * share, point.load)));
         spells.forEach(spell -> curve.spells.add(
             new Spell((long) (spell.at * share), (long) (spell.durationMicros * share), spell.tenant,
                 spell.factor, spell.retries)));
@@ -131,7 +141,7 @@
         return curve;
     }
 
-    long seconds() { return (long) (points.get(points.size() - 1)[0] / 1e6); }
+    long seconds() { return (long) (points.get(points.size() - 1).at / MICROS_PER_SECOND); }
 
     /** The load at a time, without what spells add. */
     double at(long micros) {
@@ -145,17 +155,18 @@
         int high = points.size();
         while (low < high) {
             int middle = (low + high) >>> 1;
-            if (points.get(middle)[0] >= micros) {
+            if (points.get(middle).at >= micros) {
                 high = middle;
             } else {
                 low = middle + 1;
             }
         }
-        if (low == points.size()) { return points.get(low - 1)[1]; }
-        double[] next = points.get(low);
-        double[] before = points.get(Math.max(0, low - 1));
-        double span = next[0] - before[0];
-        return span <= 0 ? next[1] : before[1] + (next[1] - before[1]) * (micros - before[0]) / span;
+        if (low == points.size()) { return points.get(low - 1).load; }
+        Point next = points.get(low);
+        Point before = points.get(Math.max(0, low - 1));
+        double distance = next.at - before.at;
+        return distance <= 0 ? next.load
+            : before.load + (next.load - before.load) * (micros - before.at) / distance;
     }
 
     /** Sets the spells at the clients. */
@@ -166,12 +177,12 @@
         }
     }
 
-    private static void set(EmulatedClients clients, Spell spell, double times, int hammers) {
+    private static void set(EmulatedClients clients, Spell spell, double factor, int retries) {
         if (spell.tenant == null) {
-            clients.burst(times);
+            clients.burst(factor);
             return;
         }
-        clients.burst(spell.tenant, times);
-        clients.hammer(spell.tenant, hammers);
+        clients.burst(spell.tenant, factor);
+        clients.hammer(spell.tenant, retries);
     }
 }
--- a/src/main/java/switchgap/experiment/LoadRun.java
+++ b/src/main/java/switchgap/experiment/LoadRun.java
@@ -13,6 +13,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import org.HdrHistogram.Histogram;
+import switchgap.config.InvalidConfigException;
 import switchgap.config.YamlDocument;
 import switchgap.emulator.EmulatedClients;
 import switchgap.emulator.EventRecorder;
@@ -24,11 +25,12 @@
 import switchgap.scenario.Scenario;
 
 /**
- * An open-loop load with a curve, against routers on sockets or the emulator: jobs come when they are due, whatever became
- * of those before, and times count from then, so that a stalled router or a sender that falls behind hides nothing.
+ * An open-loop load with a curve, against routers on sockets or the emulator: requests are sent when they are
+ * due, whatever became of those before, and latencies count from then, so that a stalled router or a sender
+ * that falls behind hides nothing.
  */
 public final class LoadRun {
-    private static final long MAX_LATENCY_MICROS = 3_600_000_000L; // microseconds
+    private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
     private static final long CLOSING_MICROS = 2_000_000;
     private final String name;
     private final Scenario scenario;
@@ -51,13 +53,16 @@
         document.rejectUnknownKeys();
     }
 
-    /** Plays a load file within a share of its time; with no routers named, against the emulator. Results go to the folder. */
+    /**
+     * Plays a load file within a share of its time; with no routers named, against the emulator. Results go
+     * to the directory.
+     */
     public static void run(Path file, double within, List<InetSocketAddress> routers, Path dir,
         PrintStream out)
         throws IOException, InterruptedException {
         LoadRun loadRun = new LoadRun(file, within);
         if (!routers.isEmpty() && routers.size() != loadRun.scenario.routers()) {
-            throw new switchgap.config.InvalidConfigException(file.toString(), 1,
+            throw new InvalidConfigException(file.toString(), 1,
                 "its day has " + loadRun.scenario.routers() + " routers, "
                     + routers.size() + " were named");
         }
@@ -97,7 +102,7 @@
 
     private EmulatedClients sockets(List<InetSocketAddress> routers)
         throws IOException, InterruptedException {
-        FunctionCatalogue catalogue = scenario.catalogue(scenario.seed()); // as the stand-ins of the day have it
+        FunctionCatalogue catalogue = scenario.catalogue(scenario.seed()); // as the emulated workers have it
         try (RealTimeScheduler scheduler = new RealTimeScheduler();
             NetworkTransport network = new NetworkTransport(2, "load")) {
             SocketClientTransport transport = new SocketClientTransport(scheduler, network,
--- a/src/main/java/switchgap/experiment/MemoryMeasurement.java
+++ b/src/main/java/switchgap/experiment/MemoryMeasurement.java
@@ -16,14 +16,17 @@
 import switchgap.server.gateway.GatewayConfig;
 import switchgap.server.gateway.GatewayRouter;
 
-/** Heap of a router that knows 81 workers and 2,000 functions, and of each call that it holds. */
+/** Heap of a router that knows 81 workers and 2,000 functions, and of each pending request. */
 public final class MemoryMeasurement {
     private static final int WORKERS = 81;
     private static final int FUNCTIONS = 2000;
 
     private MemoryMeasurement() {}
 
-    /** Measures in this process and prints; calls are deferred ones of a small body, held by workers that are silent. */
+    /**
+     * Measures in this process and prints; requests are deferred, with a small body, at workers that are
+     * silent.
+     */
     public static void run(int calls, PrintStream out) throws IOException, InterruptedException {
         try (NetworkTransport net = new NetworkTransport(2, "lab")) {
             boolean[] silent = {false};
--- a/src/main/java/switchgap/experiment/ResultTable.java
+++ b/src/main/java/switchgap/experiment/ResultTable.java
@@ -28,8 +28,8 @@
 import org.apache.commons.csv.CSVPrinter;
 
 /**
- * A table of results, written as it grows: {@code STEM.csv}, and {@code STEM.arrow} in the Arrow file format, in batches of
- * {@value #BATCH} rows. Columns are text, whole numbers or reals, by the class given.
+ * A table of results, written as it grows: {@code STEM.csv}, and {@code STEM.arrow} in the Arrow file format,
+ * in batches of {@value #BATCH} rows. Columns are text, whole numbers or reals, by the class given.
  */
 final class ResultTable implements AutoCloseable {
     private static final int BATCH = 8192;
@@ -48,8 +48,8 @@
             CSVFormat.DEFAULT.builder().setRecordSeparator('\n').setHeader(
                 columns.keySet().toArray(new String[0])).get());
         List<Field> fields = new ArrayList<>();
-        columns.forEach((column,
-            columnType) -> fields.add(new Field(column, FieldType.notNullable(arrowType(columnType)), null)));
+        columns.forEach((column, type) -> fields.add(
+            new Field(column, FieldType.notNullable(arrowType(type)), null)));
         root = VectorSchemaRoot.create(new Schema(fields), memory);
         file = new BufferedOutputStream(Files.newOutputStream(withSuffix(stem, ".arrow")));
         arrow = new ArrowFileWriter(root, null, Channels.newChannel(file));
@@ -61,9 +61,11 @@
     }
 
     private static ArrowType arrowType(Class<?> columnType) {
-        return columnType == String.class ? ArrowType.Utf8.INSTANCE
-            : columnType == Long.class ? new ArrowType.Int(64, true)
-                : new ArrowType.FloatingPoint(FloatingPointPrecision.DOUBLE);
+        if (columnType == String.class) {
+            return ArrowType.Utf8.INSTANCE;
+        }
+        return columnType == Long.class ? new ArrowType.Int(Long.SIZE, true)
+            : new ArrowType.FloatingPoint(FloatingPointPrecision.DOUBLE);
     }
 
     /** One row, a value for each column. */
--- a/src/main/java/switchgap/experiment/SmallRequestLoad.java
+++ b/src/main/java/switchgap/experiment/SmallRequestLoad.java
@@ -15,16 +15,19 @@
 import switchgap.net.HttpClientConnection;
 import switchgap.net.NetworkTransport;
 
-/** A load of small calls: closed (so many connections, each asks again at once) or open (so many calls a second). */
+/**
+ * A load of small requests: closed (so many connections, each sends again at once) or open (so many requests
+ * a second).
+ */
 final class SmallRequestLoad {
-    /** Calls answered well and otherwise, a second, and microseconds from the time a call was due. */
+    /** Requests answered well and otherwise, a second, and microseconds from the time a request was due. */
     record Result(long good, long bad, double perSecond, Histogram micros) {
         double quantile(double percentile) { return micros.getValueAtPercentile(percentile) / 1000.0; }
     }
 
-    private static final byte[] BODY = "{\"id\":\"x\",\"inputs\":[{\"name\":\"a\",\"shape\":[4],\"datatype\":\"FP32\",\"data\":[1,2,3,4]}]}".getBytes(
-        StandardCharsets.US_ASCII);
-    private final HttpClientConnection.Factory opener;
+    private static final byte[] BODY = ("{\"id\":\"x\",\"inputs\":[{\"name\":\"a\",\"shape\":[4],"
+        + "\"datatype\":\"FP32\",\"data\":[1,2,3,4]}]}").getBytes(StandardCharsets.US_ASCII);
+    private final HttpClientConnection.Factory factory;
     private final InetSocketAddress[] to;
     private final IntFunction<String> path;
     private final AtomicLong good = new AtomicLong();
@@ -35,7 +38,7 @@
     private volatile boolean over;
 
     SmallRequestLoad(NetworkTransport net, InetSocketAddress[] to, IntFunction<String> path) {
-        this.opener = new HttpClientConnection.Factory(net, null, 1 << 20);
+        this.factory = new HttpClientConnection.Factory(net, null, 1 << 20);
         this.to = to;
         this.path = path;
     }
@@ -44,7 +47,7 @@
     Result closed(int connections, Duration warm, Duration span) throws InterruptedException {
         CountDownLatch open = new CountDownLatch(connections);
         for (int i = 0; i < connections; i++) {
-            opener.connect(to[i % to.length], Duration.ofSeconds(2),
+            factory.connect(to[i % to.length], Duration.ofSeconds(2),
                 new HttpClientConnection.ConnectCallback() {
                     @Override public void connected(HttpClientConnection connection) {
                         open.countDown();
@@ -99,7 +102,7 @@
         if (!sent) { bad.incrementAndGet(); }
     }
 
-    /** So many calls a second at even distances; latency counts from when a call was due. */
+    /** So many requests a second at even distances; latency counts from when a request was due. */
     Result open(int rate, Duration warm, Duration span) throws InterruptedException {
         ConcurrentLinkedDeque<HttpClientConnection> idle = new ConcurrentLinkedDeque<>();
         Thread pacer = new Thread(() -> {
@@ -113,7 +116,7 @@
                 if (idleConnection != null && idleConnection.isUsable()) {
                     ask(idleConnection, dueAt, () -> idle.push(idleConnection));
                 } else {
-                    opener.connect(to[i % to.length], Duration.ofSeconds(2),
+                    factory.connect(to[i % to.length], Duration.ofSeconds(2),
                         new HttpClientConnection.ConnectCallback() {
                             @Override public void connected(HttpClientConnection connection) {
                                 ask(connection, dueAt, () -> idle.push(connection));
--- a/src/main/java/switchgap/experiment/Trial.java
+++ b/src/main/java/switchgap/experiment/Trial.java
@@ -3,7 +3,6 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -12,27 +11,42 @@
 import switchgap.emulator.EmulatedClients;
 import switchgap.scenario.Scenario;
 
-/** One variant over one curve with one seed, and what came of it. */
+/**
+ * One variant over one curve with one seed, and what came of it. Plays when it is made; immutable afterwards.
+ */
 final class Trial {
+    /** Recovery was not reached, or nothing had to be recovered from. */
+    static final long NO_RECOVERY = -1;
     private static final double CALM_LOAD = 0.7; // of capacity: nothing more is too much
+    private static final int STAYS = 4;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final double MIN_REQUESTED = 1e-9; // avoids a division by zero
+
     final Variant variant;
     final long seed;
     final long seconds;
+    /** Share of the requested weight that was earned. */
     final double service;
+    /** The most that capacity alone allows. */
     final double bound;
-    /** Start targets met, by workload. */
+    /** Share of the requests that met their latency objective, by request class. */
     final Map<String, Double> objectiveMetShare = new TreeMap<>();
     final Map<String, Double> serviceByTenant = new TreeMap<>();
-    /** For each second: load, worth earned over asked, mean depth of the common ladder (rung + depth), share of routers below full. */
-    final List<double[]> samples = new ArrayList<>();
+    /** One for each second. */
+    final List<SecondSample> samples = new ArrayList<>();
+    /** Mean over the routers. */
     final Map<ServiceLevel, Double> secondsAtLevel = new TreeMap<>();
     final List<Emulator.RouterLevelChange> levelChanges;
+    /** Changes of the routers' common levels. */
     final int changeCount;
-    /** Changes of customers' own ladders. */
+    /** Changes of tenants' own levels. */
     final Map<String, Integer> tenantLevelChanges = new TreeMap<>();
     /** The most changes that one router made within four of its shortest stays. */
     final int maxChangesInFourStays;
-    /** Seconds from the first second after which load stays under 0.7 until all routers stay at full service; -1 never. */
+    /**
+     * Seconds from the first one after which load stays under 0.7 until all routers stay at full service, or
+     * {@link #NO_RECOVERY}.
+     */
     final long recoverySeconds;
     final long eventCount;
     /** Mean share of the fleet's cores at work. */
@@ -42,63 +56,75 @@
         this.variant = variant;
         this.seed = seed;
         this.seconds = curve.seconds();
-        double full = scenario.capacity() / scenario.meanWork() / scenario.rate();
-        Emulator emulator = new Emulator(scenario, seed, variant, micros -> curve.at(micros) * full);
+        double fullRateFactor = scenario.capacity() / scenario.meanWork() / scenario.rate();
+        Emulator emulator = new Emulator(scenario, seed, variant,
+            micros -> curve.at(micros) * fullRateFactor);
         curve.schedule(emulator.scheduler, emulator.clients);
-        double[] busySum = new double[1];
+        double[] utilizationSum = new double[1];
         emulator.play(seconds, second -> {
-            busySum[0] += emulator.meanUtilization();
-            double levelSum = 0;
-            int below = 0;
-            for (EmulatedRouter router : emulator.routers) {
-                AdmissionController admission = router.gate().admission();
-                if (admission != null) {
-                    admission.tick(router.now());
-                    levelSum += admission.level().ordinal() == 0 ? 0
-                        : admission.level().ordinal() - 2 + admission.shedFraction();
-                    below += admission.level() == ServiceLevel.FULL ? 0 : 1;
-                }
-            }
-            samples.add(new double[] {curve.at(second * 1_000_000), 0, levelSum / emulator.routers.size(),
-                below / (double) emulator.routers.size()});
+            utilizationSum[0] += emulator.meanUtilization();
+            samples.add(sample(emulator, curve.at(second * MICROS_PER_SECOND)));
         });
-        for (var entry : emulator.clients.tallies().entrySet()) {
-            EmulatedClients.Tally tally = entry.getValue();
-            objectiveMetShare.put(entry.getKey(),
-                (tally.finished - tally.late) / (double) Math.max(1, tally.jobs));
-        }
         service = emulator.clients.service();
-        emulator.clients.customers().forEach(
-            (tenant, worth) -> serviceByTenant.put(tenant, worth[1] / Math.max(worth[0], 1e-9)));
-        emulator.clients.seconds().forEach((second, worth) -> {
-            if (second < samples.size()) {
-                samples.get(second.intValue())[1] = worth[1] / Math.max(worth[0], 1e-9);
-            }
-        });
-        bound = capacityBound(scenario, curve);
-        int[] each = new int[emulator.routers.size()];
-        for (Emulator.RouterLevelChange change : emulator.changes) {
-            if (change.change().tenant() < 0) {
-                each[change.router()]++;
-            } else {
-                tenantLevelChanges.merge(tenantName(scenario, change.change().tenant()), 1, Integer::sum);
-            }
-        }
+        bound = CapacityBound.of(scenario, curve);
+        recordService(emulator.clients);
         levelChanges = emulator.changes;
-        changeCount = Arrays.stream(each).sum();
+        changeCount = (int) levelChanges.stream().filter(Emulator.RouterLevelChange::isCommon).count();
+        levelChanges.stream().filter(change -> !change.isCommon()).forEach(change -> tenantLevelChanges.merge(
+            tenantName(scenario, change.change().tenant()), 1, Integer::sum));
         maxChangesInFourStays = maxChangesInFourStays(emulator);
+        recordTimeAtLevels(emulator.routers);
+        recoverySeconds = recoverySeconds();
+        eventCount = emulator.scheduler.events();
+        meanUtilization = utilizationSum[0] / Math.max(1, seconds);
+    }
+
+    /** The routers' levels now; the service of the second is known later. */
+    private static SecondSample sample(Emulator emulator, double load) {
+        double levelSum = 0;
+        int belowFull = 0;
         for (EmulatedRouter router : emulator.routers) {
-            if (router.gate().admission() != null) {
-                for (ServiceLevel level : ServiceLevel.values()) {
-                    secondsAtLevel.merge(level,
-                        router.gate().admission().timeAt(level).toMillis() / 1000.0 / emulator.routers.size(),
-                        Double::sum);
-                }
+            AdmissionController admission = router.gate().admission();
+            if (admission != null) {
+                admission.tick(router.now());
+                levelSum += reduction(admission);
+                belowFull += admission.level() == ServiceLevel.FULL ? 0 : 1;
+            }
+        }
+        int routers = emulator.routers.size();
+        return new SecondSample(load, 0, levelSum / routers, belowFull / (double) routers);
+    }
+
+    /** How far a router's service is reduced: the tenants' own level does not count. */
+    private static double reduction(AdmissionController admission) {
+        int rank = admission.level().ordinal();
+        return rank == 0 ? 0 : rank - 2 + admission.shedFraction();
+    }
+
+    private void recordService(EmulatedClients clients) {
+        clients.tallies().forEach((requestClass, tally) -> objectiveMetShare.put(requestClass,
+            (tally.finished - tally.late) / (double) Math.max(1, tally.jobs)));
+        clients.customers().forEach((tenant, weights) -> serviceByTenant.put(tenant, earnedShare(weights)));
+        clients.seconds().forEach((second, weights) -> {
+            if (second < samples.size()) {
+                int index = second.intValue();
+                samples.set(index, samples.get(index).withService(earnedShare(weights)));
+            }
+        });
+    }
+
+    private static double earnedShare(double[] requestedAndEarned) {
+        return requestedAndEarned[1] / Math.max(requestedAndEarned[0], MIN_REQUESTED);
+    }
+
+    private void recordTimeAtLevels(List<EmulatedRouter> routers) {
+        for (EmulatedRouter router : routers) {
+            AdmissionController admission = router.gate().admission();
+            for (ServiceLevel level : admission == null ? new ServiceLevel[0] : ServiceLevel.values()) {
+                secondsAtLevel.merge(level, admission.timeAt(level).toMillis() / 1000.0 / routers.size(),
+                    Double::sum);
             }
         }
-        recoverySeconds = recoverySeconds();
-        eventCount = emulator.scheduler.events();
-        meanUtilization = busySum[0] / Math.max(1, seconds);
     }
 
     static String tenantName(Scenario scenario, int index) {
@@ -107,16 +133,27 @@
 
     private static int maxChangesInFourStays(Emulator emulator) {
         int maxChanges = 0;
-        for (int r = 0; r < emulator.routers.size(); r++) {
-            if (emulator.routers.get(r).gate().admission() == null) { continue; }
-            Duration window = emulator.routers.get(r).gate().admission().minStay().multipliedBy(4);
-            ArrayDeque<Duration> within = new ArrayDeque<>();
-            for (Emulator.RouterLevelChange change : emulator.changes) {
-                if (change.router() != r || change.change().tenant() >= 0) { continue; }
-                while (!within.isEmpty() && change.change().at().minus(within.peek()).compareTo(window) > 0) {
+        for (int i = 0; i < emulator.routers.size(); i++) {
+            AdmissionController admission = emulator.routers.get(i).gate().admission();
+            if (admission != null) {
+                Duration window = admission.minStay().multipliedBy(STAYS);
+                maxChanges = Math.max(maxChanges, maxChangesWithin(window, i, emulator.changes));
+            }
+        }
+        return maxChanges;
+    }
+
+    private static int maxChangesWithin(Duration window, int router,
+        List<Emulator.RouterLevelChange> changes) {
+        int maxChanges = 0;
+        ArrayDeque<Duration> within = new ArrayDeque<>();
+        for (Emulator.RouterLevelChange change : changes) {
+            if (change.router() == router && change.isCommon()) {
+                Duration at = change.change().at();
+                while (!within.isEmpty() && at.minus(within.peek()).compareTo(window) > 0) {
                     within.poll();
                 }
-                within.add(change.change().at());
+                within.add(at);
                 maxChanges = Math.max(maxChanges, within.size());
             }
         }
@@ -124,31 +161,17 @@
     }
 
     private long recoverySeconds() {
-        if (samples.stream().noneMatch(sample -> sample[0] > 1)) { return -1; }
-        int fell = samples.size();
-        while (fell > 0 && samples.get(fell - 1)[0] < CALM_LOAD) { fell--; }
-        int back = samples.size();
-        while (back > 0 && samples.get(back - 1)[3] == 0) { back--; }
-        return back >= samples.size() ? -1 : Math.max(0, back - fell);
-    }
-
-    /** Worth that capacity alone allows: each second the most worth for work first. */
-    private static double capacityBound(Scenario scenario, LoadCurve curve) {
-        double asked = 0;
-        double earned = 0;
-        List<double[]> kinds = scenario.kindsOfWork();
-        kinds.sort((first, second) -> Double.compare(second[1] / second[2], first[1] / first[2]));
-        for (long s = 0; s < curve.seconds(); s++) {
-            double load = curve.at(s * 1_000_000);
-            double left = 1;
-            for (double[] kind : kinds) { // share of jobs, importance, work over the mean
-                double work = load * kind[0] * kind[2];
-                double did = Math.min(left, work);
-                left -= did;
-                asked += load * kind[0] * kind[1];
-                earned += load * kind[0] * kind[1] * (work == 0 ? 1 : did / work);
-            }
+        if (samples.stream().noneMatch(sample -> sample.load() > 1)) {
+            return NO_RECOVERY;
+        }
+        int calmFrom = samples.size();
+        while (calmFrom > 0 && samples.get(calmFrom - 1).load() < CALM_LOAD) {
+            calmFrom--;
+        }
+        int fullFrom = samples.size();
+        while (fullFrom > 0 && samples.get(fullFrom - 1).belowFullShare() == 0) {
+            fullFrom--;
         }
-        return earned / asked;
+        return fullFrom >= samples.size() ? NO_RECOVERY : Math.max(0, fullFrom - calmFrom);
     }
 }
--- a/src/main/java/switchgap/experiment/Variant.java
+++ b/src/main/java/switchgap/experiment/Variant.java
@@ -11,12 +11,12 @@
  * One way to run the routers of an experiment.
  *
  * @param name   in tables and plots
- * @param before what stands before the module
+ * @param before what stands before the policy
  * @param pinned a level held the whole time, or null
- * @param terms  values put into the routers' pages, by {@code part.key}
+ * @param terms  values put into the routers' documents, by {@code section.key}
  */
 record Variant(String name, Before before, ServiceLevel pinned, Map<String, String> terms) {
-    /** What stands before the module. */
+    /** What stands before the policy; words of experiment files. */
     enum Before { NOTHING, STATIC, LEVELS }
 
     static final Variant OFF = new Variant("off", Before.NOTHING, null, Map.of());
--- a/src/main/java/switchgap/scenario/Scenario.java
+++ b/src/main/java/switchgap/scenario/Scenario.java
@@ -225,17 +225,23 @@
     }
 
     /**
-     * For each request class: its share of the requests, its priority weight, and its work over that of a
-     * mean request.
+     * One request class's part of the traffic.
+     *
+     * @param share        of all requests
+     * @param weight       what a response in time earns
+     * @param relativeWork work of a request, as a ratio to the mean over all classes
      */
-    public List<double[]> kindsOfWork() {
-        List<double[]> kinds = new ArrayList<>();
+    public record TrafficShare(double share, double weight, double relativeWork) {}
+
+    /** Parts of the traffic, in the order of the request classes. */
+    public List<TrafficShare> trafficShares() {
+        List<TrafficShare> shares = new ArrayList<>();
         for (ScenarioSettings.RequestClass requestClass : settings.requestClasses()) {
             FunctionCatalogue.FunctionGroup functions = requestClass.functions();
-            kinds.add(new double[] {functions.share(), requestClass.profile().priorityWeight(),
-                functions.work() / MICROS_PER_SECOND / meanWork()});
+            shares.add(new TrafficShare(functions.share(), requestClass.profile().priorityWeight(),
+                functions.work() / MICROS_PER_SECOND / meanWork()));
         }
-        return kinds;
+        return shares;
     }
 
     /**
