--- a/src/main/java/switchgap/experiment/Experiment.java
+++ b/src/main/java/switchgap/experiment/Experiment.java
@@ -103,8 +103,8 @@
             Spread paired = experimentCase.against(variant, variants.get(0), trial -> trial.service);
             out.printf("%-10s %.3f ±%.3f   %+.3f ±%.3f   %-40s %8.1f %7d %5d %5.2f %s%n", variant.name(),
                 service.mean(), service.deviation(), paired.mean(), paired.deviation(),
-                objectivesMet(experimentCase, variant), of.meanChangesPerRouter(variant),
-                of.maxChangesInFourStays(variant), of.maxRecoverySeconds(variant),
+                objectivesMet(experimentCase, variant), experimentCase.meanChangesPerRouter(variant),
+                experimentCase.maxChangesInFourStays(variant), experimentCase.maxRecoverySeconds(variant),
                 experimentCase.spread(variant, trial -> trial.meanUtilization).mean(),
                 levels(experimentCase.of(variant)));
         }
