--- a/src/main/java/switchgap/admission/AdmissionController.java
+++ b/src/main/java/switchgap/admission/AdmissionController.java
@@ -7,252 +7,285 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides which offered requests are admitted to the router. One degradation controller acts on all requests
- * and one on each tenant. Conditions are ratios to the settings and to what this router measures; names of
- * tenants or request classes play no part. The router's own rejections, bounds and choice of workers are not
- * touched: the controllers only see requests that found no capacity, as pressure. Not thread-safe; times are
- * durations since the router's start, and one before the last tick lets no time pass.
+ * Decides which offered requests are admitted to the router. One degradation controller acts on all
+ * requests and one on each tenant. Conditions are ratios to the settings and to what this router
+ * measures; names of tenants or request classes play no part. The router's own rejections, bounds
+ * and choice of workers are not touched: the controllers only see requests that found no capacity,
+ * as pressure. Not thread-safe; times are durations since the router's start, and one before the
+ * last tick lets no time pass.
  */
 public final class AdmissionController {
-    /** Index of no tenant: for changes that apply to all requests. */
-    private static final int ALL_TENANTS = -1;
-    /** Shortest stay on a level, in longest latency objectives: guards against levels that oscillate. */
-    private static final double MIN_STAY_OBJECTIVES = 10;
-    /** Range of the factor on the shortest stay: guards against routers that change in step. */
-    private static final double MIN_STAY_JITTER = 0.8;
-    private static final double STAY_JITTER_RANGE = 0.4;
-    /**
-     * Period of the shedding rotations, in longest latency objectives. Guards against a retry within its
-     * objective that finds another decision, and against a key that is shed for ever.
-     */
-    private static final double ROTATION_OBJECTIVES = 80;
-    /** Pressure from which HOLD, which admits nothing, may be taken: guards against it in a mild overload. */
-    private static final double HOLD_PRESSURE = 0.5;
-    /**
-     * Share of the pressure which the excess of tenants must be to count against these alone: guards against
-     * reducing the service of all for the load of a few.
-     */
-    private static final double TENANT_PRESSURE_FRACTION = 0.5;
-    /** Ticks closer than this are skipped: guards against the cost of an update for each request. */
-    private static final double MIN_TICK_SECONDS = 0.1;
-    /** Time that a tick counts at most: guards against a clock that jumps. */
-    private static final double MAX_TICK_SECONDS = 1;
-
-    private final AdmissionSettings settings;
-    private final SplittableRandom random;
-    private final ServiceLevel[] rejectingLevels;
-    private final Duration minStay;
-    private final SheddingRotation rotation;
-    private final DegradationController common;
-    private final TenantControllers tenants;
-    private final PressureMonitor monitor;
-    private final RetryAfterPolicy retryAfter;
-    private final ServiceLevelHistory history;
-    private Duration tickedAt = Duration.ZERO;
-
-    /** Equal seeds make equal decisions. The order of draws from the generator is part of that. */
-    public AdmissionController(AdmissionSettings settings, long seed) {
-        this.settings = settings;
-        this.random = new SplittableRandom(seed);
-        this.rejectingLevels = rejectingLevels(settings);
-        double objectiveSeconds = settings.longestObjective().toNanos() / 1e9;
-        double stayJitter = MIN_STAY_JITTER + STAY_JITTER_RANGE * random.nextDouble();
-        this.minStay = ofSeconds(objectiveSeconds * MIN_STAY_OBJECTIVES * stayJitter);
-        Duration rotationPeriod = ofSeconds(objectiveSeconds * ROTATION_OBJECTIVES);
-        this.rotation = new SheddingRotation(rotationPeriod, random.split());
-        this.common = new DegradationController(minStay, random.split(), effectiveLevels(rejectingLevels));
-        this.tenants = new TenantControllers(settings, minStay, rotationPeriod, random);
-        this.monitor = new PressureMonitor(settings);
-        this.retryAfter = new RetryAfterPolicy(settings.maxRetryAfter());
-        this.history = new ServiceLevelHistory(settings.priorityWeights().length);
-    }
+  /** Index of no tenant: for changes that apply to all requests. */
+  private static final int ALL_TENANTS = -1;
 
-    private static Duration ofSeconds(double seconds) {
-        return Duration.ofNanos((long) (seconds * 1e9));
-    }
+  /**
+   * Shortest stay on a level, in longest latency objectives: guards against levels that oscillate.
+   */
+  private static final double MIN_STAY_OBJECTIVES = 10;
 
-    /** For each request class the first level that may reject it, null where it is exempt. */
-    private static ServiceLevel[] rejectingLevels(AdmissionSettings settings) {
-        ServiceLevel[] levels = new ServiceLevel[settings.priorityWeights().length];
-        for (int i = 0; i < levels.length; i++) {
-            if (settings.exempt()[i]) {
-                levels[i] = null;
-            } else if (settings.isTopPriority(i)) {
-                levels[i] = ServiceLevel.HOLD;
-            } else {
-                levels[i] = settings.isIdempotent(i) ? ServiceLevel.LEAST : ServiceLevel.MOST;
-            }
-        }
-        return levels;
-    }
+  /** Range of the factor on the shortest stay: guards against routers that change in step. */
+  private static final double MIN_STAY_JITTER = 0.8;
+
+  private static final double STAY_JITTER_RANGE = 0.4;
+
+  /**
+   * Period of the shedding rotations, in longest latency objectives. Guards against a retry within
+   * its objective that finds another decision, and against a key that is shed for ever.
+   */
+  private static final double ROTATION_OBJECTIVES = 80;
+
+  /**
+   * Pressure from which HOLD, which admits nothing, may be taken: guards against it in a mild
+   * overload.
+   */
+  private static final double HOLD_PRESSURE = 0.5;
+
+  /**
+   * Share of the pressure which the excess of tenants must be to count against these alone: guards
+   * against reducing the service of all for the load of a few.
+   */
+  private static final double TENANT_PRESSURE_FRACTION = 0.5;
+
+  /** Ticks closer than this are skipped: guards against the cost of an update for each request. */
+  private static final double MIN_TICK_SECONDS = 0.1;
+
+  /** Time that a tick counts at most: guards against a clock that jumps. */
+  private static final double MAX_TICK_SECONDS = 1;
 
-    /** The levels that reject anything under these settings, FULL before them. */
-    private static ServiceLevel[] effectiveLevels(ServiceLevel[] rejectingLevels) {
-        Set<ServiceLevel> levels = EnumSet.of(ServiceLevel.FULL, ServiceLevel.HOLD);
-        for (ServiceLevel level : rejectingLevels) {
-            if (level != null) {
-                levels.add(level);
-            }
-        }
-        return levels.toArray(new ServiceLevel[0]);
+  private final AdmissionSettings settings;
+  private final SplittableRandom random;
+  private final ServiceLevel[] rejectingLevels;
+  private final Duration minStay;
+  private final SheddingRotation rotation;
+  private final DegradationController common;
+  private final TenantControllers tenants;
+  private final PressureMonitor monitor;
+  private final RetryAfterPolicy retryAfter;
+  private final ServiceLevelHistory history;
+  private Duration tickedAt = Duration.ZERO;
+
+  /** Equal seeds make equal decisions. The order of draws from the generator is part of that. */
+  public AdmissionController(AdmissionSettings settings, long seed) {
+    this.settings = settings;
+    this.random = new SplittableRandom(seed);
+    this.rejectingLevels = rejectingLevels(settings);
+    double objectiveSeconds = settings.longestObjective().toNanos() / 1e9;
+    double stayJitter = MIN_STAY_JITTER + STAY_JITTER_RANGE * random.nextDouble();
+    this.minStay = ofSeconds(objectiveSeconds * MIN_STAY_OBJECTIVES * stayJitter);
+    Duration rotationPeriod = ofSeconds(objectiveSeconds * ROTATION_OBJECTIVES);
+    this.rotation = new SheddingRotation(rotationPeriod, random.split());
+    this.common =
+        new DegradationController(minStay, random.split(), effectiveLevels(rejectingLevels));
+    this.tenants = new TenantControllers(settings, minStay, rotationPeriod, random);
+    this.monitor = new PressureMonitor(settings);
+    this.retryAfter = new RetryAfterPolicy(settings.maxRetryAfter());
+    this.history = new ServiceLevelHistory(settings.priorityWeights().length);
+  }
+
+  private static Duration ofSeconds(double seconds) {
+    return Duration.ofNanos((long) (seconds * 1e9));
+  }
+
+  /** For each request class the first level that may reject it, null where it is exempt. */
+  private static ServiceLevel[] rejectingLevels(AdmissionSettings settings) {
+    ServiceLevel[] levels = new ServiceLevel[settings.priorityWeights().length];
+    for (int i = 0; i < levels.length; i++) {
+      if (settings.exempt()[i]) {
+        levels[i] = null;
+      } else if (settings.isTopPriority(i)) {
+        levels[i] = ServiceLevel.HOLD;
+      } else {
+        levels[i] = settings.isIdempotent(i) ? ServiceLevel.LEAST : ServiceLevel.MOST;
+      }
     }
+    return levels;
+  }
 
-    /** A worker's response reported its CPU utilization, 0 to 1; NaN where it reported none. */
-    public void workerReported(double utilization) {
-        monitor.workerReported(utilization);
+  /** The levels that reject anything under these settings, FULL before them. */
+  private static ServiceLevel[] effectiveLevels(ServiceLevel[] rejectingLevels) {
+    Set<ServiceLevel> levels = EnumSet.of(ServiceLevel.FULL, ServiceLevel.HOLD);
+    for (ServiceLevel level : rejectingLevels) {
+      if (level != null) {
+        levels.add(level);
+      }
     }
+    return levels.toArray(new ServiceLevel[0]);
+  }
+
+  /** A worker's response reported its CPU utilization, 0 to 1; NaN where it reported none. */
+  public void workerReported(double utilization) {
+    monitor.workerReported(utilization);
+  }
 
-    /**
-     * Decides on an offered request. What is rejected here was never executed.
-     *
-     * @param tenant       its index; below 0 for none
-     * @param requestClass its index
-     * @param key          equal for requests for the same function, so that a retry meets the same decision
-     */
-    public AdmissionDecision decide(Duration now, int tenant, int requestClass, long key) {
-        tick(now);
-        if (tenant >= 0) {
-            tenants.offered(tenant, settings.priorityWeights()[requestClass]);
-        }
-        ServiceLevel level = rejectingLevel(tenant, requestClass, key);
-        if (level == null) {
-            return AdmissionDecision.ADMITTED;
-        }
-        history.countRejection(level, requestClass);
-        // Drawn also where no delay is told, so that the order of draws does not depend on that setting.
-        double draw = random.nextDouble();
-        return new AdmissionDecision(false, level, retryAfter.retryAfter(level, draw));
+  /**
+   * Decides on an offered request. What is rejected here was never executed.
+   *
+   * @param tenant its index; below 0 for none
+   * @param requestClass its index
+   * @param key equal for requests for the same function, so that a retry meets the same decision
+   */
+  public AdmissionDecision decide(Duration now, int tenant, int requestClass, long key) {
+    tick(now);
+    if (tenant >= 0) {
+      tenants.offered(tenant, settings.priorityWeights()[requestClass]);
     }
+    ServiceLevel level = rejectingLevel(tenant, requestClass, key);
+    if (level == null) {
+      return AdmissionDecision.ADMITTED;
+    }
+    history.countRejection(level, requestClass);
+    // Drawn also where no delay is told, so that the order of draws does not depend on that
+    // setting.
+    double draw = random.nextDouble();
+    return new AdmissionDecision(false, level, retryAfter.retryAfter(level, draw));
+  }
 
-    /** The level that rejects this request, or null where it is admitted. */
-    private ServiceLevel rejectingLevel(int tenant, int requestClass, long key) {
-        ServiceLevel first = rejectingLevels[requestClass];
-        if (first == null) {
-            return null;
-        }
-        ServiceLevel current = common.level();
-        if (current.compareTo(first) > 0) {
-            return first;
-        }
-        double weight = settings.priorityWeights()[requestClass];
-        if (current == first
-            && rotation.sheds(tenant, key, weight, common.shedFraction(), random.nextDouble())) {
-            return first;
-        }
-        boolean tenantSheds = tenant >= 0 && settings.isIdempotent(requestClass)
+  /** The level that rejects this request, or null where it is admitted. */
+  private ServiceLevel rejectingLevel(int tenant, int requestClass, long key) {
+    ServiceLevel first = rejectingLevels[requestClass];
+    if (first == null) {
+      return null;
+    }
+    ServiceLevel current = common.level();
+    if (current.compareTo(first) > 0) {
+      return first;
+    }
+    double weight = settings.priorityWeights()[requestClass];
+    if (current == first
+        && rotation.sheds(tenant, key, weight, common.shedFraction(), random.nextDouble())) {
+      return first;
+    }
+    boolean tenantSheds =
+        tenant >= 0
+            && settings.isIdempotent(requestClass)
             && tenants.level(tenant) == ServiceLevel.SHARE
             && tenants.sheds(tenant, key, weight, random.nextDouble());
-        return tenantSheds ? ServiceLevel.SHARE : null;
-    }
+    return tenantSheds ? ServiceLevel.SHARE : null;
+  }
 
-    /** An admitted request has ended. */
-    public void requestEnded(Duration now, int requestClass, RequestOutcome outcome) {
-        tick(now);
-        monitor.requestEnded(settings.priorityWeights()[requestClass], outcome);
-    }
+  /** An admitted request has ended. */
+  public void requestEnded(Duration now, int requestClass, RequestOutcome outcome) {
+    tick(now);
+    monitor.requestEnded(settings.priorityWeights()[requestClass], outcome);
+  }
 
-    /** Lets time pass; a tick counts a second at most, so that a clock that jumps changes nothing at once. */
-    public void tick(Duration now) {
-        double elapsed = (now.toNanos() - tickedAt.toNanos()) / 1e9;
-        if (elapsed < MIN_TICK_SECONDS) {
-            return;
-        }
-        history.addTime(common.level(), now.minus(tickedAt));
-        tickedAt = now;
-        double seconds = Math.min(MAX_TICK_SECONDS, elapsed);
-        tenants.updateLoads();
-        double rotationRetained = monitor.retainedAtMost(seconds);
-        rotation.advance(seconds, rotationRetained);
-        ControlSignal signal = monitor.measure();
-        double tenantExcess = tenants.update(now, seconds, rotationRetained, signal, settings.lowestLevel(),
-            this::record);
-        updateCommon(now, seconds, signal, tenantExcess);
-        double retained = monitor.retained(seconds);
-        monitor.decay(retained);
-        tenants.decay(retained);
+  /**
+   * Lets time pass; a tick counts a second at most, so that a clock that jumps changes nothing at
+   * once.
+   */
+  public void tick(Duration now) {
+    double elapsed = (now.toNanos() - tickedAt.toNanos()) / 1e9;
+    if (elapsed < MIN_TICK_SECONDS) {
+      return;
     }
+    history.addTime(common.level(), now.minus(tickedAt));
+    tickedAt = now;
+    double seconds = Math.min(MAX_TICK_SECONDS, elapsed);
+    tenants.updateLoads();
+    double rotationRetained = monitor.retainedAtMost(seconds);
+    rotation.advance(seconds, rotationRetained);
+    ControlSignal signal = monitor.measure();
+    double tenantExcess =
+        tenants.update(
+            now, seconds, rotationRetained, signal, settings.lowestLevel(), this::record);
+    updateCommon(now, seconds, signal, tenantExcess);
+    double retained = monitor.retained(seconds);
+    monitor.decay(retained);
+    tenants.decay(retained);
+  }
 
-    private void updateCommon(Duration now, double seconds, ControlSignal signal, double tenantExcess) {
-        LevelTransition expired = common.expirePin(now);
-        if (expired != null) {
-            record(now, ALL_TENANTS, expired);
-        }
-        // What tenants send beyond their share counts against their own controllers, while these can shed
-        // more.
-        boolean fromTenants = signal.shedRate() > 0 && tenantExcess > TENANT_PRESSURE_FRACTION * pressure();
-        LevelTransition change = common.update(now, seconds, fromTenants ? signal.withShedRate(0) : signal,
-            lowestLevelNow());
-        if (change != null && !common.isPinned()) {
-            record(now, ALL_TENANTS, change);
-        }
+  private void updateCommon(
+      Duration now, double seconds, ControlSignal signal, double tenantExcess) {
+    LevelTransition expired = common.expirePin(now);
+    if (expired != null) {
+      record(now, ALL_TENANTS, expired);
     }
-
-    private ServiceLevel lowestLevelNow() {
-        boolean holdAllowed = settings.lowestLevel() == ServiceLevel.HOLD;
-        return holdAllowed && pressure() < HOLD_PRESSURE ? ServiceLevel.MOST : settings.lowestLevel();
+    // What tenants send beyond their share counts against their own controllers, while these can
+    // shed
+    // more.
+    boolean fromTenants =
+        signal.shedRate() > 0 && tenantExcess > TENANT_PRESSURE_FRACTION * pressure();
+    LevelTransition change =
+        common.update(
+            now, seconds, fromTenants ? signal.withShedRate(0) : signal, lowestLevelNow());
+    if (change != null && !common.isPinned()) {
+      record(now, ALL_TENANTS, change);
     }
+  }
 
-    private void record(Duration now, int tenant, LevelTransition transition) {
-        history.add(new ServiceLevelChange(now, tenant, transition.from(), transition.to(),
-            transition.condition().text(), monitor.pressure(), monitor.samples()));
-    }
+  private ServiceLevel lowestLevelNow() {
+    boolean holdAllowed = settings.lowestLevel() == ServiceLevel.HOLD;
+    return holdAllowed && pressure() < HOLD_PRESSURE ? ServiceLevel.MOST : settings.lowestLevel();
+  }
 
-    /** Share of the admitted priority weight that found no capacity. */
-    public double pressure() {
-        return monitor.pressure();
-    }
+  private void record(Duration now, int tenant, LevelTransition transition) {
+    history.add(
+        new ServiceLevelChange(
+            now,
+            tenant,
+            transition.from(),
+            transition.to(),
+            transition.condition().text(),
+            monitor.pressure(),
+            monitor.samples()));
+  }
 
-    /** Pins a level for all requests until a time, whatever the pressure. */
-    public void pin(Duration now, ServiceLevel level, Duration until) {
-        record(now, ALL_TENANTS, common.pin(level, until));
-    }
+  /** Share of the admitted priority weight that found no capacity. */
+  public double pressure() {
+    return monitor.pressure();
+  }
 
-    public boolean isPinned() {
-        return common.isPinned();
-    }
+  /** Pins a level for all requests until a time, whatever the pressure. */
+  public void pin(Duration now, ServiceLevel level, Duration until) {
+    record(now, ALL_TENANTS, common.pin(level, until));
+  }
 
-    /** The level for all requests. */
-    public ServiceLevel level() {
-        return common.level();
-    }
+  public boolean isPinned() {
+    return common.isPinned();
+  }
 
-    /** Share rejected of what the level for all requests may reject, 0 to 1. */
-    public double shedFraction() {
-        return common.shedFraction();
-    }
+  /** The level for all requests. */
+  public ServiceLevel level() {
+    return common.level();
+  }
 
-    /** The level of a tenant: FULL or SHARE. */
-    public ServiceLevel level(int tenant) {
-        return tenants.level(tenant);
-    }
+  /** Share rejected of what the level for all requests may reject, 0 to 1. */
+  public double shedFraction() {
+    return common.shedFraction();
+  }
 
-    /** Share rejected of a tenant's load in excess of its share, 0 to 1. */
-    public double shedFraction(int tenant) {
-        return tenants.shedFraction(tenant);
-    }
+  /** The level of a tenant: FULL or SHARE. */
+  public ServiceLevel level(int tenant) {
+    return tenants.level(tenant);
+  }
 
-    /** The last changes, oldest first; 64 at most. */
-    public List<ServiceLevelChange> changes() {
-        return history.changes();
-    }
+  /** Share rejected of a tenant's load in excess of its share, 0 to 1. */
+  public double shedFraction(int tenant) {
+    return tenants.shedFraction(tenant);
+  }
 
-    /** The changes since the last call of this method, oldest first; the last 64 at most. */
-    public List<ServiceLevelChange> drainChanges() {
-        return history.drain();
-    }
+  /** The last changes, oldest first; 64 at most. */
+  public List<ServiceLevelChange> changes() {
+    return history.changes();
+  }
 
-    /** The shortest stay on a level. */
-    public Duration minStay() {
-        return minStay;
-    }
+  /** The changes since the last call of this method, oldest first; the last 64 at most. */
+  public List<ServiceLevelChange> drainChanges() {
+    return history.drain();
+  }
 
-    /** Time spent at a level for all requests. */
-    public Duration timeAt(ServiceLevel level) {
-        return history.timeAt(level);
-    }
+  /** The shortest stay on a level. */
+  public Duration minStay() {
+    return minStay;
+  }
 
-    /** Number of requests of a class that a level rejected. */
-    public long rejections(ServiceLevel level, int requestClass) {
-        return history.rejections(level, requestClass);
-    }
+  /** Time spent at a level for all requests. */
+  public Duration timeAt(ServiceLevel level) {
+    return history.timeAt(level);
+  }
+
+  /** Number of requests of a class that a level rejected. */
+  public long rejections(ServiceLevel level, int requestClass) {
+    return history.rejections(level, requestClass);
+  }
 }
--- a/src/main/java/switchgap/cli/DemoCommand.java
+++ b/src/main/java/switchgap/cli/DemoCommand.java
@@ -7,16 +7,23 @@
 import switchgap.scenario.DemoScenario;
 
 /** Runs a router, emulated workers and a short load in one process. */
-@Command(name = "demo", mixinStandardHelpOptions = true, //
+@Command(
+    name = "demo",
+    mixinStandardHelpOptions = true, //
     description = "A router with stand-ins in one process, a short load, and what came of it.") //
 final class DemoCommand implements Callable<Integer> {
-    @Option(names = "--keep", description = "leave it up until interrupted") private boolean keepRunning;
+  @Option(names = "--keep", description = "leave it up until interrupted")
+  private boolean keepRunning;
 
-    @Option(names = "--seconds", paramLabel = "<seconds>", defaultValue = "8", //
-        description = "of load (default: ${DEFAULT-VALUE})") //
-    private int seconds;
+  @Option(
+      names = "--seconds",
+      paramLabel = "<seconds>",
+      defaultValue = "8", //
+      description = "of load (default: ${DEFAULT-VALUE})") //
+  private int seconds;
 
-    @Override public Integer call() throws IOException, InterruptedException {
-        return DemoScenario.run(seconds, keepRunning, System.out);
-    }
+  @Override
+  public Integer call() throws IOException, InterruptedException {
+    return DemoScenario.run(seconds, keepRunning, System.out);
+  }
 }
--- a/src/main/java/switchgap/cli/EmulatorCommand.java
+++ b/src/main/java/switchgap/cli/EmulatorCommand.java
@@ -8,20 +8,30 @@
 import picocli.CommandLine.Parameters;
 import switchgap.scenario.EmulatorHost;
 
-/** Runs a scenario's emulated workers, store and endpoint list service without routers or clients. */
-@Command(name = "standin", mixinStandardHelpOptions = true, //
+/**
+ * Runs a scenario's emulated workers, store and endpoint list service without routers or clients.
+ */
+@Command(
+    name = "standin",
+    mixinStandardHelpOptions = true, //
     description = "Runs a day's stand-ins alone: model servers, store, list service.") //
 final class EmulatorCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "DAY") private Path scenarioFile;
+  @Parameters(paramLabel = "DAY")
+  private Path scenarioFile;
 
-    @Option(names = "--record", paramLabel = "DIR", required = true, //
-        description = "where logs and router pages go") //
-    private Path logDirectory;
+  @Option(
+      names = "--record",
+      paramLabel = "DIR",
+      required = true, //
+      description = "where logs and router pages go") //
+  private Path logDirectory;
 
-    @Option(names = "--script", description = "bring the day's troubles too") private boolean faultScript;
+  @Option(names = "--script", description = "bring the day's troubles too")
+  private boolean faultScript;
 
-    @Override public Integer call() throws IOException, InterruptedException {
-        EmulatorHost.run(scenarioFile, logDirectory, faultScript, System.out);
-        return ExitCode.OK;
-    }
+  @Override
+  public Integer call() throws IOException, InterruptedException {
+    EmulatorHost.run(scenarioFile, logDirectory, faultScript, System.out);
+    return ExitCode.OK;
+  }
 }
--- a/src/main/java/switchgap/cli/LabMemoryCommand.java
+++ b/src/main/java/switchgap/cli/LabMemoryCommand.java
@@ -7,13 +7,17 @@
 import switchgap.experiment.MemoryMeasurement;
 
 /** Measures the heap of a router at size and of each pending request. */
-@Command(name = "memory", mixinStandardHelpOptions = true, //
+@Command(
+    name = "memory",
+    mixinStandardHelpOptions = true, //
     description = "Heap of a router at size and of each call held.") //
 final class LabMemoryCommand implements Callable<Integer> {
-    @Option(names = "--calls", paramLabel = "<calls>", defaultValue = "10000") private int requests;
+  @Option(names = "--calls", paramLabel = "<calls>", defaultValue = "10000")
+  private int requests;
 
-    @Override public Integer call() throws IOException, InterruptedException {
-        MemoryMeasurement.run(requests, System.out);
-        return ExitCode.OK;
-    }
+  @Override
+  public Integer call() throws IOException, InterruptedException {
+    MemoryMeasurement.run(requests, System.out);
+    return ExitCode.OK;
+  }
 }
--- a/src/main/java/switchgap/cli/LabRelayCommand.java
+++ b/src/main/java/switchgap/cli/LabRelayCommand.java
@@ -8,17 +8,21 @@
 import switchgap.experiment.SpeedMeasurement;
 
 /** Runs the bare relay that the speed measurement compares with, until the process is killed. */
-@Command(name = "relay", hidden = true, //
+@Command(
+    name = "relay",
+    hidden = true, //
     description = "The baseline, for lab speed.") //
 final class LabRelayCommand implements Callable<Integer> {
-    @Option(names = "--port", paramLabel = "<port>", required = true) private int port;
+  @Option(names = "--port", paramLabel = "<port>", required = true)
+  private int port;
 
-    @Option(names = "--workers", paramLabel = "<workers>", required = true, split = ",") private List<
-        Integer> workerPorts;
+  @Option(names = "--workers", paramLabel = "<workers>", required = true, split = ",")
+  private List<Integer> workerPorts;
 
-    @Override public Integer call() throws IOException, InterruptedException {
-        SpeedMeasurement.relay(port, workerPorts);
-        Thread.currentThread().join();
-        return ExitCode.OK;
-    }
+  @Override
+  public Integer call() throws IOException, InterruptedException {
+    SpeedMeasurement.relay(port, workerPorts);
+    Thread.currentThread().join();
+    return ExitCode.OK;
+  }
 }
--- a/src/main/java/switchgap/cli/LabSpeedCommand.java
+++ b/src/main/java/switchgap/cli/LabSpeedCommand.java
@@ -8,18 +8,23 @@
 import switchgap.experiment.SpeedMeasurement;
 
 /** Measures latency and throughput of a router beside a bare relay. */
-@Command(name = "speed", mixinStandardHelpOptions = true, //
+@Command(
+    name = "speed",
+    mixinStandardHelpOptions = true, //
     description = "Latency and calls a second beside a relay of the same filter chains.") //
 final class LabSpeedCommand implements Callable<Integer> {
-    @Option(names = "--seconds", paramLabel = "<seconds>", defaultValue = "6") private int seconds;
+  @Option(names = "--seconds", paramLabel = "<seconds>", defaultValue = "6")
+  private int seconds;
 
-    @Option(names = "--connections", paramLabel = "<connections>", defaultValue = "64") //
-    private int connections;
+  @Option(names = "--connections", paramLabel = "<connections>", defaultValue = "64") //
+  private int connections;
 
-    @Option(names = "--rate", paramLabel = "<rate>", defaultValue = "1000") private int rate;
+  @Option(names = "--rate", paramLabel = "<rate>", defaultValue = "1000")
+  private int rate;
 
-    @Override public Integer call() throws IOException, InterruptedException {
-        SpeedMeasurement.run(Duration.ofSeconds(seconds), connections, rate, System.out);
-        return ExitCode.OK;
-    }
+  @Override
+  public Integer call() throws IOException, InterruptedException {
+    SpeedMeasurement.run(Duration.ofSeconds(seconds), connections, rate, System.out);
+    return ExitCode.OK;
+  }
 }
--- a/src/main/java/switchgap/cli/LoadCommand.java
+++ b/src/main/java/switchgap/cli/LoadCommand.java
@@ -15,51 +15,67 @@
 import picocli.CommandLine.Spec;
 import switchgap.experiment.LoadRun;
 
-/** Sends an open-loop load that follows a curve to routers, or to the emulator where none is named. */
-@Command(name = "load", mixinStandardHelpOptions = true, //
-    description = "Sends an open-loop load by a curve to routers, or to the emulator where none is named.") //
+/**
+ * Sends an open-loop load that follows a curve to routers, or to the emulator where none is named.
+ */
+@Command(
+    name = "load",
+    mixinStandardHelpOptions = true, //
+    description =
+        "Sends an open-loop load by a curve to routers, or to the emulator where none is named.") //
 final class LoadCommand implements Callable<Integer> {
-    private static final double MAX_TIME_SHARE = 100;
-    private static final int DEFAULT_HTTP_PORT = 80;
+  private static final double MAX_TIME_SHARE = 100;
+  private static final int DEFAULT_HTTP_PORT = 80;
 
-    @Parameters(paramLabel = "FILE", //
-        description = "YAML: load {name, day, seed} and curve") //
-    private Path loadFile;
+  @Parameters(
+      paramLabel = "FILE", //
+      description = "YAML: load {name, day, seed} and curve") //
+  private Path loadFile;
 
-    @Option(names = "--router", paramLabel = "URL", split = ",", //
-        description = "each router of the day, in order") //
-    private List<
-        String> routerUrls = List.of();
+  @Option(
+      names = "--router",
+      paramLabel = "URL",
+      split = ",", //
+      description = "each router of the day, in order") //
+  private List<String> routerUrls = List.of();
 
-    @Option(names = "--results", paramLabel = "DIR", required = true, //
-        description = "jobs and seconds as CSV and Arrow, latencies as histograms") //
-    private Path resultDirectory;
+  @Option(
+      names = "--results",
+      paramLabel = "DIR",
+      required = true, //
+      description = "jobs and seconds as CSV and Arrow, latencies as histograms") //
+  private Path resultDirectory;
 
-    @Option(names = "--within", paramLabel = "SHARE", defaultValue = "1", //
-        description = "play the curve in this share of its time") //
-    private double timeShare;
+  @Option(
+      names = "--within",
+      paramLabel = "SHARE",
+      defaultValue = "1", //
+      description = "play the curve in this share of its time") //
+  private double timeShare;
 
-    @Spec private CommandSpec spec;
+  @Spec private CommandSpec spec;
 
-    @Override public Integer call() throws IOException, InterruptedException {
-        boolean validShare = timeShare > 0 && timeShare <= MAX_TIME_SHARE;
-        if (!validShare) {
-            throw new ParameterException(spec.commandLine(), "--within: must lie from 0 to 100");
-        }
-        List<InetSocketAddress> routers = new ArrayList<>();
-        for (String url : routerUrls) {
-            routers.add(address(url));
-        }
-        LoadRun.run(loadFile, timeShare, routers, resultDirectory, System.out);
-        return ExitCode.OK;
+  @Override
+  public Integer call() throws IOException, InterruptedException {
+    boolean validShare = timeShare > 0 && timeShare <= MAX_TIME_SHARE;
+    if (!validShare) {
+      throw new ParameterException(spec.commandLine(), "--within: must lie from 0 to 100");
     }
+    List<InetSocketAddress> routers = new ArrayList<>();
+    for (String url : routerUrls) {
+      routers.add(address(url));
+    }
+    LoadRun.run(loadFile, timeShare, routers, resultDirectory, System.out);
+    return ExitCode.OK;
+  }
 
-    private InetSocketAddress address(String url) {
-        URI uri = URI.create(url);
-        if (uri.getHost() == null) {
-            throw new ParameterException(spec.commandLine(),
-                "--router: '" + url + "' is no URL of a router");
-        }
-        return new InetSocketAddress(uri.getHost(), uri.getPort() < 0 ? DEFAULT_HTTP_PORT : uri.getPort());
+  private InetSocketAddress address(String url) {
+    URI uri = URI.create(url);
+    if (uri.getHost() == null) {
+      throw new ParameterException(
+          spec.commandLine(), "--router: '" + url + "' is no URL of a router");
     }
+    return new InetSocketAddress(
+        uri.getHost(), uri.getPort() < 0 ? DEFAULT_HTTP_PORT : uri.getPort());
+  }
 }
--- a/src/main/java/switchgap/cli/Main.java
+++ b/src/main/java/switchgap/cli/Main.java
@@ -9,38 +9,41 @@
 import switchgap.simulator.SimulatorHost;
 
 /**
- * The program's entry point. The simulator's host and the platform's router start before libraries that they
- * don't need.
+ * The program's entry point. The simulator's host and the platform's router start before libraries
+ * that they don't need.
  */
 public final class Main {
-    private static final int INPUT_BUFFER_BYTES = 1 << 16;
+  private static final int INPUT_BUFFER_BYTES = 1 << 16;
 
-    private Main() {}
+  private Main() {}
 
-    /** Runs the command that the arguments name and ends the process with its exit code. */
-    public static void main(String[] args) {
-        if (args.length == 1 && args[0].equals("simhost")) {
-            System.exit(runSimulatorHost());
-        }
-        if (args.length == 1 && args[0].equals("serve")) {
-            // every request has its response by now: no shutdown hook is needed
-            Runtime.getRuntime().halt(switchgap.server.platform.ServeCommand.run());
-        }
-        System.exit(RootCommand.run(args));
+  /** Runs the command that the arguments name and ends the process with its exit code. */
+  public static void main(String[] args) {
+    if (args.length == 1 && args[0].equals("simhost")) {
+      System.exit(runSimulatorHost());
     }
+    if (args.length == 1 && args[0].equals("serve")) {
+      // every request has its response by now: no shutdown hook is needed
+      Runtime.getRuntime().halt(switchgap.server.platform.ServeCommand.run());
+    }
+    System.exit(RootCommand.run(args));
+  }
 
-    /** Serves the simulator on standard input and output until the input ends; returns the exit code. */
-    static int runSimulatorHost() {
-        try (var input = new BufferedInputStream(new FileInputStream(FileDescriptor.in), INPUT_BUFFER_BYTES);
-            var output = new FileOutputStream(FileDescriptor.out)) {
-            new SimulatorHost().serve(input, output);
-            return ExitCode.OK;
-        } catch (MalformedFrameException e) {
-            System.err.println("switchgap: bad frame: " + e.getMessage());
-            return ExitCode.FAILURE;
-        } catch (IOException e) {
-            System.err.println("switchgap: " + e.getMessage());
-            return ExitCode.FAILURE;
-        }
+  /**
+   * Serves the simulator on standard input and output until the input ends; returns the exit code.
+   */
+  static int runSimulatorHost() {
+    try (var input =
+            new BufferedInputStream(new FileInputStream(FileDescriptor.in), INPUT_BUFFER_BYTES);
+        var output = new FileOutputStream(FileDescriptor.out)) {
+      new SimulatorHost().serve(input, output);
+      return ExitCode.OK;
+    } catch (MalformedFrameException e) {
+      System.err.println("switchgap: bad frame: " + e.getMessage());
+      return ExitCode.FAILURE;
+    } catch (IOException e) {
+      System.err.println("switchgap: " + e.getMessage());
+      return ExitCode.FAILURE;
     }
+  }
 }
--- a/src/main/java/switchgap/cli/PlannerCommand.java
+++ b/src/main/java/switchgap/cli/PlannerCommand.java
@@ -11,32 +11,36 @@
 import switchgap.server.gateway.GatewayConfig;
 
 /** Runs the planner of one router: it decides order and time of the router's load commands. */
-@Command(name = "planner", mixinStandardHelpOptions = true, //
+@Command(
+    name = "planner",
+    mixinStandardHelpOptions = true, //
     description = "Plans the load orders of the edge whose page this is.") //
 final class PlannerCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "PAGE", //
-        description = "the page of the edge, with the part planner") //
-    private Path configFile;
+  @Parameters(
+      paramLabel = "PAGE", //
+      description = "the page of the edge, with the part planner") //
+  private Path configFile;
 
-    @Override public Integer call() throws IOException, InterruptedException {
-        GatewayConfig config = requirePlannerPort(configFile, GatewayConfig.read(configFile));
-        int routerIndex = config.terms().routerIndex();
-        NetworkTransport transport = new NetworkTransport(1, "planner-" + routerIndex);
-        PlannerClient client = new PlannerClient(transport, config.planner(), routerIndex);
-        Runtime.getRuntime().addShutdownHook(new Thread(client::close, "planner-shutdown"));
-        Thread.currentThread().join();
-        return ExitCode.OK;
-    }
+  @Override
+  public Integer call() throws IOException, InterruptedException {
+    GatewayConfig config = requirePlannerPort(configFile, GatewayConfig.read(configFile));
+    int routerIndex = config.terms().routerIndex();
+    NetworkTransport transport = new NetworkTransport(1, "planner-" + routerIndex);
+    PlannerClient client = new PlannerClient(transport, config.planner(), routerIndex);
+    Runtime.getRuntime().addShutdownHook(new Thread(client::close, "planner-shutdown"));
+    Thread.currentThread().join();
+    return ExitCode.OK;
+  }
 
-    /**
-     * Returns the config where it states the port at which the planner reaches its router.
-     *
-     * @throws InvalidConfigException where it does not
-     */
-    static GatewayConfig requirePlannerPort(Path file, GatewayConfig config) {
-        if (config.planner() == null || config.planner().getPort() == 0) {
-            throw new InvalidConfigException(file.toString(), 1, "needs the part planner with its port");
-        }
-        return config;
+  /**
+   * Returns the config where it states the port at which the planner reaches its router.
+   *
+   * @throws InvalidConfigException where it does not
+   */
+  static GatewayConfig requirePlannerPort(Path file, GatewayConfig config) {
+    if (config.planner() == null || config.planner().getPort() == 0) {
+      throw new InvalidConfigException(file.toString(), 1, "needs the part planner with its port");
     }
+    return config;
+  }
 }
--- a/src/main/java/switchgap/cli/RootCommand.java
+++ b/src/main/java/switchgap/cli/RootCommand.java
@@ -4,28 +4,43 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The program's command line: the parent of all commands. Exit codes are those of {@link ExitCode}. */
-@Command(name = "switchgap", mixinStandardHelpOptions = true, versionProvider = VersionProvider.class, //
+/**
+ * The program's command line: the parent of all commands. Exit codes are those of {@link ExitCode}.
+ */
+@Command(
+    name = "switchgap",
+    mixinStandardHelpOptions = true,
+    versionProvider = VersionProvider.class, //
     description = "A gateway for functions that workers load on demand.", //
     subcommands = {
-        RouterCommand.class, PlannerCommand.class, StatusCommand.class, InvokeCommand.class,
-        LevelsCommand.class, EmulatorCommand.class, ScenarioCommand.class, DemoCommand.class,
-        SoakCommand.class,
-        LabCommand.class, LoadCommand.class, ExperimentCommand.class, ServeCommand.class,
-        SimulatorHostCommand.class}) //
+      RouterCommand.class,
+      PlannerCommand.class,
+      StatusCommand.class,
+      InvokeCommand.class,
+      LevelsCommand.class,
+      EmulatorCommand.class,
+      ScenarioCommand.class,
+      DemoCommand.class,
+      SoakCommand.class,
+      LabCommand.class,
+      LoadCommand.class,
+      ExperimentCommand.class,
+      ServeCommand.class,
+      SimulatorHostCommand.class
+    }) //
 final class RootCommand {
-    private RootCommand() {}
+  private RootCommand() {}
 
-    /** Parses the arguments and runs the command they name; returns the exit code. */
-    static int run(String[] arguments) {
-        SLF4JBridgeHandler.removeHandlersForRootLogger();
-        SLF4JBridgeHandler.install();
-        CommandLine commandLine = new CommandLine(new RootCommand());
-        commandLine.setExecutionExceptionHandler(new CommandErrorHandler());
-        int code = commandLine.execute(arguments);
-        if (arguments.length == 0) {
-            commandLine.usage(System.out);
-        }
-        return code;
+  /** Parses the arguments and runs the command they name; returns the exit code. */
+  static int run(String[] arguments) {
+    SLF4JBridgeHandler.removeHandlersForRootLogger();
+    SLF4JBridgeHandler.install();
+    CommandLine commandLine = new CommandLine(new RootCommand());
+    commandLine.setExecutionExceptionHandler(new CommandErrorHandler());
+    int code = commandLine.execute(arguments);
+    if (arguments.length == 0) {
+      commandLine.usage(System.out);
     }
+    return code;
+  }
 }
--- a/src/main/java/switchgap/cli/RouterCommand.java
+++ b/src/main/java/switchgap/cli/RouterCommand.java
@@ -12,54 +12,67 @@
 import switchgap.server.gateway.GatewayRouter;
 
 /** Runs a router until SIGTERM. */
-@Command(name = "router", aliases = "edge", mixinStandardHelpOptions = true, //
+@Command(
+    name = "router",
+    aliases = "edge",
+    mixinStandardHelpOptions = true, //
     description = "Runs a router by its page until SIGTERM.") //
 final class RouterCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "PAGE", //
-        description = "YAML: terms, functions, where to listen, whom to ask for the list") //
-    private Path configFile;
+  @Parameters(
+      paramLabel = "PAGE", //
+      description = "YAML: terms, functions, where to listen, whom to ask for the list") //
+  private Path configFile;
 
-    @Option(names = "--check", //
-        description = "read the page, say what is wrong, start nothing") //
-    private boolean checkOnly;
+  @Option(
+      names = "--check", //
+      description = "read the page, say what is wrong, start nothing") //
+  private boolean checkOnly;
 
-    @Option(names = "--baseline", hidden = true, paramLabel = "<baseline>", //
-        description = "random or turns, in place of the module: to measure") //
-    private String baseline;
+  @Option(
+      names = "--baseline",
+      hidden = true,
+      paramLabel = "<baseline>", //
+      description = "random or turns, in place of the module: to measure") //
+  private String baseline;
 
-    @Option(names = "--split", //
-        description = "plan load orders in a program of its own, started again when it dies") //
-    private boolean separatePlanner;
+  @Option(
+      names = "--split", //
+      description = "plan load orders in a program of its own, started again when it dies") //
+  private boolean separatePlanner;
 
-    @Override public Integer call() throws IOException, InterruptedException {
-        GatewayConfig config = GatewayConfig.read(configFile);
-        if (separatePlanner) {
-            PlannerCommand.requirePlannerPort(configFile, config);
-        }
-        if (checkOnly) {
-            System.out.println(configFile + ": good");
-            return ExitCode.OK;
-        }
-        GatewayRouter router = baseline == null
-            ? new GatewayRouter(config)
-            : BaselineRouter.start(configFile, baseline);
-        PlannerSupervisor planner = separatePlanner ? new PlannerSupervisor(configFile) : null;
-        awaitShutdown(router, planner);
-        return ExitCode.OK;
+  @Override
+  public Integer call() throws IOException, InterruptedException {
+    GatewayConfig config = GatewayConfig.read(configFile);
+    if (separatePlanner) {
+      PlannerCommand.requirePlannerPort(configFile, config);
     }
-
-    private static void awaitShutdown(GatewayRouter router, PlannerSupervisor planner)
-        throws InterruptedException {
-        CountDownLatch stopped = new CountDownLatch(1);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            if (planner != null) {
-                planner.close();
-            }
-            router.stop();
-            stopped.countDown();
-            // exit code 0: what was pending has its response
-            Runtime.getRuntime().halt(ExitCode.OK);
-        }, "router-shutdown"));
-        stopped.await();
+    if (checkOnly) {
+      System.out.println(configFile + ": good");
+      return ExitCode.OK;
     }
+    GatewayRouter router =
+        baseline == null ? new GatewayRouter(config) : BaselineRouter.start(configFile, baseline);
+    PlannerSupervisor planner = separatePlanner ? new PlannerSupervisor(configFile) : null;
+    awaitShutdown(router, planner);
+    return ExitCode.OK;
+  }
+
+  private static void awaitShutdown(GatewayRouter router, PlannerSupervisor planner)
+      throws InterruptedException {
+    CountDownLatch stopped = new CountDownLatch(1);
+    Runtime.getRuntime()
+        .addShutdownHook(
+            new Thread(
+                () -> {
+                  if (planner != null) {
+                    planner.close();
+                  }
+                  router.stop();
+                  stopped.countDown();
+                  // exit code 0: what was pending has its response
+                  Runtime.getRuntime().halt(ExitCode.OK);
+                },
+                "router-shutdown"));
+    stopped.await();
+  }
 }
--- a/src/main/java/switchgap/cli/ScenarioCheckCommand.java
+++ b/src/main/java/switchgap/cli/ScenarioCheckCommand.java
@@ -9,19 +9,24 @@
 import switchgap.scenario.InvariantChecker;
 
 /** Checks the invariants from a scenario's logs. */
-@Command(name = "check", mixinStandardHelpOptions = true, //
-    description = "Judges the five rules from a played day's logs: 0 kept, 1 broken, 2 unusable.") //
+@Command(
+    name = "check",
+    mixinStandardHelpOptions = true, //
+    description =
+        "Judges the five rules from a played day's logs: 0 kept, 1 broken, 2 unusable.") //
 final class ScenarioCheckCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "DIR") private Path logDirectory;
+  @Parameters(paramLabel = "DIR")
+  private Path logDirectory;
 
-    @Override public Integer call() {
-        try {
-            InvariantChecker checker = InvariantChecker.read(logDirectory);
-            checker.print(System.out);
-            return checker.violations().isEmpty() ? ExitCode.OK : ExitCode.FAILURE;
-        } catch (IOException | InvalidConfigException e) {
-            System.err.println("switchgap: unusable: " + e.getMessage());
-            return ExitCode.UNUSABLE_INPUT;
-        }
+  @Override
+  public Integer call() {
+    try {
+      InvariantChecker checker = InvariantChecker.read(logDirectory);
+      checker.print(System.out);
+      return checker.violations().isEmpty() ? ExitCode.OK : ExitCode.FAILURE;
+    } catch (IOException | InvalidConfigException e) {
+      System.err.println("switchgap: unusable: " + e.getMessage());
+      return ExitCode.UNUSABLE_INPUT;
     }
+  }
 }
--- a/src/main/java/switchgap/cli/ScenarioRunCommand.java
+++ b/src/main/java/switchgap/cli/ScenarioRunCommand.java
@@ -9,21 +9,30 @@
 import switchgap.scenario.ScenarioRunner;
 
 /** Runs a scenario over loopback sockets and leaves its logs. */
-@Command(name = "run", mixinStandardHelpOptions = true, //
+@Command(
+    name = "run",
+    mixinStandardHelpOptions = true, //
     description = "Plays a day and leaves its logs.") //
 final class ScenarioRunCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE") private Path scenarioFile;
+  @Parameters(paramLabel = "FILE")
+  private Path scenarioFile;
 
-    @Option(names = "--record", paramLabel = "DIR", required = true, //
-        description = "where the logs go") //
-    private Path logDirectory;
+  @Option(
+      names = "--record",
+      paramLabel = "DIR",
+      required = true, //
+      description = "where the logs go") //
+  private Path logDirectory;
 
-    @Option(names = "--baseline", paramLabel = "<baseline>", //
-        description = "random or turns in place of the module, to measure against") //
-    private String baseline;
+  @Option(
+      names = "--baseline",
+      paramLabel = "<baseline>", //
+      description = "random or turns in place of the module, to measure against") //
+  private String baseline;
 
-    @Override public Integer call() throws IOException, InterruptedException {
-        ScenarioRunner.play(scenarioFile, logDirectory, baseline, System.out);
-        return ExitCode.OK;
-    }
+  @Override
+  public Integer call() throws IOException, InterruptedException {
+    ScenarioRunner.play(scenarioFile, logDirectory, baseline, System.out);
+    return ExitCode.OK;
+  }
 }
--- a/src/main/java/switchgap/cli/ServeCommand.java
+++ b/src/main/java/switchgap/cli/ServeCommand.java
@@ -4,11 +4,15 @@
 import picocli.CommandLine.Command;
 
 /** Runs a router on the platform until SIGTERM. */
-@Command(name = "serve", mixinStandardHelpOptions = true, //
-    description = "Runs a router on the platform until SIGTERM, by NODE_NAME, "
-        + "NODE_LISTEN and NODE_CONFIG.") //
+@Command(
+    name = "serve",
+    mixinStandardHelpOptions = true, //
+    description =
+        "Runs a router on the platform until SIGTERM, by NODE_NAME, "
+            + "NODE_LISTEN and NODE_CONFIG.") //
 final class ServeCommand implements Callable<Integer> {
-    @Override public Integer call() {
-        return switchgap.server.platform.ServeCommand.run();
-    }
+  @Override
+  public Integer call() {
+    return switchgap.server.platform.ServeCommand.run();
+  }
 }
--- a/src/main/java/switchgap/cli/SoakCommand.java
+++ b/src/main/java/switchgap/cli/SoakCommand.java
@@ -13,40 +13,69 @@
 import switchgap.soak.Soak;
 
 /** Plays real router processes on loopback under faults that a seed draws. */
-@Command(name = "soak", mixinStandardHelpOptions = true, //
-    description = "Router processes under faults from a seed, judged by what clients and workers saw.") //
+@Command(
+    name = "soak",
+    mixinStandardHelpOptions = true, //
+    description =
+        "Router processes under faults from a seed, judged by what clients and workers saw.") //
 final class SoakCommand implements Callable<Integer> {
-    @Option(names = "--seed", defaultValue = "1", //
-        description = "of the faults (default: ${DEFAULT-VALUE})") //
-    private long seed;
-
-    @Option(names = "--routers", defaultValue = "24", //
-        description = "processes (default: ${DEFAULT-VALUE})") //
-    private int routers;
-
-    @Option(names = "--seconds", defaultValue = "20", description = "of load (default: ${DEFAULT-VALUE})") //
-    private int seconds;
-
-    @Option(names = "--without", split = ",", paramLabel = "<fault>", //
-        description = "faults to leave out of the replay of a seed: ${COMPLETION-CANDIDATES}") //
-    private List<FaultKind> leftOut = List.of();
-
-    @Option(names = "--deploy", defaultValue = "deploy/balancer.toml", paramLabel = "<file>", //
-        description = "whose line run starts a router (default: ${DEFAULT-VALUE})") //
-    private Path deployFile;
-
-    @Option(names = "--logs", paramLabel = "<directory>", description = "keeps the routers' logs there") //
-    private Path logs;
-
-    @Override public Integer call() throws IOException, InterruptedException {
-        Path directory = logs == null ? Files.createTempDirectory("soak") : Files.createDirectories(logs);
-        Set<FaultKind> without = EnumSet.noneOf(FaultKind.class);
-        without.addAll(leftOut);
-        boolean kept = Soak.run(new Soak.Options(seed, routers, seconds, without,
-            Soak.runCommand(deployFile), directory.toAbsolutePath()), System.out);
-        if (!kept) {
-            System.out.println("logs in " + directory);
-        }
-        return kept ? ExitCode.OK : ExitCode.FAILURE;
+  @Option(
+      names = "--seed",
+      defaultValue = "1", //
+      description = "of the faults (default: ${DEFAULT-VALUE})") //
+  private long seed;
+
+  @Option(
+      names = "--routers",
+      defaultValue = "24", //
+      description = "processes (default: ${DEFAULT-VALUE})") //
+  private int routers;
+
+  @Option(
+      names = "--seconds",
+      defaultValue = "20",
+      description = "of load (default: ${DEFAULT-VALUE})") //
+  private int seconds;
+
+  @Option(
+      names = "--without",
+      split = ",",
+      paramLabel = "<fault>", //
+      description = "faults to leave out of the replay of a seed: ${COMPLETION-CANDIDATES}") //
+  private List<FaultKind> leftOut = List.of();
+
+  @Option(
+      names = "--deploy",
+      defaultValue = "deploy/balancer.toml",
+      paramLabel = "<file>", //
+      description = "whose line run starts a router (default: ${DEFAULT-VALUE})") //
+  private Path deployFile;
+
+  @Option(
+      names = "--logs",
+      paramLabel = "<directory>",
+      description = "keeps the routers' logs there") //
+  private Path logs;
+
+  @Override
+  public Integer call() throws IOException, InterruptedException {
+    Path directory =
+        logs == null ? Files.createTempDirectory("soak") : Files.createDirectories(logs);
+    Set<FaultKind> without = EnumSet.noneOf(FaultKind.class);
+    without.addAll(leftOut);
+    boolean kept =
+        Soak.run(
+            new Soak.Options(
+                seed,
+                routers,
+                seconds,
+                without,
+                Soak.runCommand(deployFile),
+                directory.toAbsolutePath()),
+            System.out);
+    if (!kept) {
+      System.out.println("logs in " + directory);
     }
+    return kept ? ExitCode.OK : ExitCode.FAILURE;
+  }
 }
--- a/src/main/java/switchgap/cli/StatusCommand.java
+++ b/src/main/java/switchgap/cli/StatusCommand.java
@@ -12,36 +12,40 @@
 import picocli.CommandLine.Parameters;
 
 /** Prints the status of routers and their planners. */
-@Command(name = "status", mixinStandardHelpOptions = true, //
+@Command(
+    name = "status",
+    mixinStandardHelpOptions = true, //
     description = "Shows how routers stand: calls, level, planner. 0 when all answer.") //
 final class StatusCommand implements Callable<Integer> {
-    private static final Duration TIMEOUT = Duration.ofSeconds(3);
-    private static final int HTTP_OK = 200;
+  private static final Duration TIMEOUT = Duration.ofSeconds(3);
+  private static final int HTTP_OK = 200;
 
-    @Parameters(paramLabel = "URL", arity = "1..*") private List<String> routerUrls;
+  @Parameters(paramLabel = "URL", arity = "1..*")
+  private List<String> routerUrls;
 
-    @Override public Integer call() throws InterruptedException {
-        HttpClient client = HttpClient.newBuilder().connectTimeout(TIMEOUT).build();
-        boolean allHealthy = true;
-        for (String url : routerUrls) {
-            allHealthy &= printStatus(client, url);
-        }
-        return allHealthy ? ExitCode.OK : ExitCode.FAILURE;
+  @Override
+  public Integer call() throws InterruptedException {
+    HttpClient client = HttpClient.newBuilder().connectTimeout(TIMEOUT).build();
+    boolean allHealthy = true;
+    for (String url : routerUrls) {
+      allHealthy &= printStatus(client, url);
     }
+    return allHealthy ? ExitCode.OK : ExitCode.FAILURE;
+  }
 
-    /** Prints one router's status; false where it does not respond with one. */
-    private static boolean printStatus(HttpClient client, String url) throws InterruptedException {
-        try {
-            HttpRequest request = HttpRequest.newBuilder(URI.create(url + "/v1/status")).timeout(
-                TIMEOUT).build();
-            HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
-            boolean healthy = response.statusCode() == HTTP_OK;
-            System.out.println(
-                url + " " + (healthy ? response.body() : "answers " + response.statusCode()));
-            return healthy;
-        } catch (IOException | IllegalArgumentException e) {
-            System.out.println(url + " does not answer: " + e);
-            return false;
-        }
+  /** Prints one router's status; false where it does not respond with one. */
+  private static boolean printStatus(HttpClient client, String url) throws InterruptedException {
+    try {
+      HttpRequest request =
+          HttpRequest.newBuilder(URI.create(url + "/v1/status")).timeout(TIMEOUT).build();
+      HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
+      boolean healthy = response.statusCode() == HTTP_OK;
+      System.out.println(
+          url + " " + (healthy ? response.body() : "answers " + response.statusCode()));
+      return healthy;
+    } catch (IOException | IllegalArgumentException e) {
+      System.out.println(url + " does not answer: " + e);
+      return false;
     }
+  }
 }
--- a/src/main/java/switchgap/cli/VersionProvider.java
+++ b/src/main/java/switchgap/cli/VersionProvider.java
@@ -4,8 +4,9 @@
 
 /** The version of the packaged jar. */
 final class VersionProvider implements IVersionProvider {
-    @Override public String[] getVersion() {
-        String version = VersionProvider.class.getPackage().getImplementationVersion();
-        return new String[] {"switchgap " + (version == null ? "(not packaged)" : version)};
-    }
+  @Override
+  public String[] getVersion() {
+    String version = VersionProvider.class.getPackage().getImplementationVersion();
+    return new String[] {"switchgap " + (version == null ? "(not packaged)" : version)};
+  }
 }
--- a/src/main/java/switchgap/config/InvalidConfigException.java
+++ b/src/main/java/switchgap/config/InvalidConfigException.java
@@ -1,30 +1,31 @@
 package switchgap.config;
 
 /**
- * Input of an operator or of the platform that can't be used. The message is one line: the place (file and
- * line of a YAML document; file and key of a JSON file; an environment variable) and the reason.
+ * Input of an operator or of the platform that can't be used. The message is one line: the place
+ * (file and line of a YAML document; file and key of a JSON file; an environment variable) and the
+ * reason.
  */
 public final class InvalidConfigException extends RuntimeException {
-    private static final long serialVersionUID = 1;
+  private static final long serialVersionUID = 1;
 
-    /**
-     * A mistake in a file that is read by lines.
-     *
-     * @param file    the file as the operator named it
-     * @param line    the line, from 1
-     * @param reason  the section, the key, what is wrong, and what is allowed
-     */
-    public InvalidConfigException(String file, int line, String reason) {
-        this(file + ":" + line, reason);
-    }
+  /**
+   * A mistake in a file that is read by lines.
+   *
+   * @param file the file as the operator named it
+   * @param line the line, from 1
+   * @param reason the section, the key, what is wrong, and what is allowed
+   */
+  public InvalidConfigException(String file, int line, String reason) {
+    this(file + ":" + line, reason);
+  }
 
-    /**
-     * A mistake at a place that is no line.
-     *
-     * @param place   a file, a file and the path of a key in it, or an environment variable
-     * @param reason  what is wrong
-     */
-    public InvalidConfigException(String place, String reason) {
-        super(place + ": " + reason);
-    }
+  /**
+   * A mistake at a place that is no line.
+   *
+   * @param place a file, a file and the path of a key in it, or an environment variable
+   * @param reason what is wrong
+   */
+  public InvalidConfigException(String place, String reason) {
+    super(place + ": " + reason);
+  }
 }
--- a/src/main/java/switchgap/config/PricesSection.java
+++ b/src/main/java/switchgap/config/PricesSection.java
@@ -1,18 +1,19 @@
 package switchgap.config;
 
 /**
- * The section {@code prices}: what resources and requests beyond a quota count; a price not stated is zero.
+ * The section {@code prices}: what resources and requests beyond a quota count; a price not stated
+ * is zero.
  */
 record PricesSection(double idleMemory, double crossZone, double probe, double overQuotaWeight) {
-    private static final double MAX_PRICE = 1e3;
-    private static final double DEFAULT_OVER_QUOTA_WEIGHT = 0.2;
+  private static final double MAX_PRICE = 1e3;
+  private static final double DEFAULT_OVER_QUOTA_WEIGHT = 0.2;
 
-    static PricesSection read(YamlDocument section) {
-        double idleMemory = section.number("memory", 0, MAX_PRICE, 0);
-        double crossZone = section.number("crossing", 0, MAX_PRICE, 0);
-        double probe = section.number("probe", 0, MAX_PRICE, 0);
-        double overQuotaWeight = section.number("over_share_worth", 0, 1, DEFAULT_OVER_QUOTA_WEIGHT);
-        section.rejectUnknownKeys();
-        return new PricesSection(idleMemory, crossZone, probe, overQuotaWeight);
-    }
+  static PricesSection read(YamlDocument section) {
+    double idleMemory = section.number("memory", 0, MAX_PRICE, 0);
+    double crossZone = section.number("crossing", 0, MAX_PRICE, 0);
+    double probe = section.number("probe", 0, MAX_PRICE, 0);
+    double overQuotaWeight = section.number("over_share_worth", 0, 1, DEFAULT_OVER_QUOTA_WEIGHT);
+    section.rejectUnknownKeys();
+    return new PricesSection(idleMemory, crossZone, probe, overQuotaWeight);
+  }
 }
--- a/src/main/java/switchgap/config/RequestClassesSection.java
+++ b/src/main/java/switchgap/config/RequestClassesSection.java
@@ -9,55 +9,80 @@
 import switchgap.policy.api.DeduplicationScope;
 import switchgap.policy.api.Idempotency;
 
-/** The section {@code workloads}: the request classes in the order of the document, one at the least. */
+/**
+ * The section {@code workloads}: the request classes in the order of the document, one at the
+ * least.
+ */
 record RequestClassesSection(List<RequestClassSettings> classes) {
-    private static final double MAX_PRIORITY_WEIGHT = 1e6;
-    /** The words of the key {@code repeat}, in the order in which an error lists them. */
-    private static final Map<String, Idempotency> IDEMPOTENCY_WORDS = new LinkedHashMap<>();
-
-    static {
-        IDEMPOTENCY_WORDS.put("restartable", Idempotency.IDEMPOTENT);
-        IDEMPOTENCY_WORDS.put("fingerprinted", Idempotency.IDEMPOTENT_WITH_KEY);
-        IDEMPOTENCY_WORDS.put("run-once", Idempotency.NON_IDEMPOTENT);
-    }
+  private static final double MAX_PRIORITY_WEIGHT = 1e6;
+
+  /** The words of the key {@code repeat}, in the order in which an error lists them. */
+  private static final Map<String, Idempotency> IDEMPOTENCY_WORDS = new LinkedHashMap<>();
+
+  static {
+    IDEMPOTENCY_WORDS.put("restartable", Idempotency.IDEMPOTENT);
+    IDEMPOTENCY_WORDS.put("fingerprinted", Idempotency.IDEMPOTENT_WITH_KEY);
+    IDEMPOTENCY_WORDS.put("run-once", Idempotency.NON_IDEMPOTENT);
+  }
 
-    static RequestClassesSection read(YamlDocument document) {
-        YamlDocument section = document.section("workloads");
-        List<RequestClassSettings> classes = new ArrayList<>();
-        for (String name : section.keys()) { classes.add(readClass(name, section.section(name))); }
-        if (classes.isEmpty()) { throw document.invalid("workloads", "names none"); }
-        return new RequestClassesSection(classes);
+  static RequestClassesSection read(YamlDocument document) {
+    YamlDocument section = document.section("workloads");
+    List<RequestClassSettings> classes = new ArrayList<>();
+    for (String name : section.keys()) {
+      classes.add(readClass(name, section.section(name)));
     }
+    if (classes.isEmpty()) {
+      throw document.invalid("workloads", "names none");
+    }
+    return new RequestClassesSection(classes);
+  }
 
-    private static RequestClassSettings readClass(String name, YamlDocument section) {
-        Duration latencyObjective = section.duration("start_target");
-        Duration timeout = section.duration("time_limit");
-        if (latencyObjective.isZero()) { throw section.invalid("start_target", "must be above 0"); }
-        if (timeout.compareTo(latencyObjective) < 0) {
-            throw section.invalid("time_limit", "must not be under the start target");
-        }
-        Idempotency idempotency = section.choice("repeat", IDEMPOTENCY_WORDS);
-        if (idempotency == null) { section.text("repeat"); } // absent: fails with the key's name
-        Duration deduplicationWindow = section.duration("memory_span", Duration.ZERO);
-        if (idempotency == Idempotency.IDEMPOTENT_WITH_KEY && deduplicationWindow.isZero()) {
-            throw section.invalid("repeat",
-                "a fingerprinted workload needs memory_span, the span for which repeats are known");
-        }
-        double priorityWeight = section.number("importance", 0, MAX_PRIORITY_WEIGHT, 1);
-        double lateValueShare = section.number("late_share", 0, 1, 0);
-        DeduplicationScope scope = section.choice("group", DeduplicationScope.class, DeduplicationScope.ALL);
-        section.rejectUnknownKeys();
-        return new RequestClassSettings(name, latencyObjective, timeout, priorityWeight, lateValueShare,
-            idempotency, scope, deduplicationWindow);
+  private static RequestClassSettings readClass(String name, YamlDocument section) {
+    Duration latencyObjective = section.duration("start_target");
+    Duration timeout = section.duration("time_limit");
+    if (latencyObjective.isZero()) {
+      throw section.invalid("start_target", "must be above 0");
+    }
+    if (timeout.compareTo(latencyObjective) < 0) {
+      throw section.invalid("time_limit", "must not be under the start target");
+    }
+    Idempotency idempotency = section.choice("repeat", IDEMPOTENCY_WORDS);
+    if (idempotency == null) {
+      section.text("repeat");
+    } // absent: fails with the key's name
+    Duration deduplicationWindow = section.duration("memory_span", Duration.ZERO);
+    if (idempotency == Idempotency.IDEMPOTENT_WITH_KEY && deduplicationWindow.isZero()) {
+      throw section.invalid(
+          "repeat",
+          "a fingerprinted workload needs memory_span, the span for which repeats are known");
     }
+    double priorityWeight = section.number("importance", 0, MAX_PRIORITY_WEIGHT, 1);
+    double lateValueShare = section.number("late_share", 0, 1, 0);
+    DeduplicationScope scope =
+        section.choice("group", DeduplicationScope.class, DeduplicationScope.ALL);
+    section.rejectUnknownKeys();
+    return new RequestClassSettings(
+        name,
+        latencyObjective,
+        timeout,
+        priorityWeight,
+        lateValueShare,
+        idempotency,
+        scope,
+        deduplicationWindow);
+  }
 
-    /** The index of a request class, or -1. */
-    int index(String name) {
-        for (int i = 0; i < classes.size(); i++) {
-            if (classes.get(i).name().equals(name)) { return i; }
-        }
-        return -1;
+  /** The index of a request class, or -1. */
+  int index(String name) {
+    for (int i = 0; i < classes.size(); i++) {
+      if (classes.get(i).name().equals(name)) {
+        return i;
+      }
     }
+    return -1;
+  }
 
-    List<String> names() { return classes.stream().map(RequestClassSettings::name).toList(); }
+  List<String> names() {
+    return classes.stream().map(RequestClassSettings::name).toList();
+  }
 }
--- a/src/main/java/switchgap/config/RulesSection.java
+++ b/src/main/java/switchgap/config/RulesSection.java
@@ -2,46 +2,52 @@
 
 import java.time.Duration;
 
-/** The section {@code rules}: what workers bear while they warm up, and the quota of load commands. */
+/**
+ * The section {@code rules}: what workers bear while they warm up, and the quota of load commands.
+ */
 record RulesSection(WarmUp warmUp, LoadQuota loadQuota) {
-    private static final double MAX_MULTIPLE = 1e6;
-    private static final double MAX_LOADS = 1e6;
+  private static final double MAX_MULTIPLE = 1e6;
+  private static final double MAX_LOADS = 1e6;
 
-    /** The capacity of a worker that has just started, and the overload at which it falls over. */
-    record WarmUp(double capacityShare, Duration duration, double overloadMultiple, Duration overloadWindow) {
-        /** So short that a worker is warm from its first moment. */
-        private static final Duration DEFAULT_DURATION = Duration.ofMillis(1);
-        private static final double DEFAULT_OVERLOAD_MULTIPLE = 3;
-        private static final Duration DEFAULT_OVERLOAD_WINDOW = Duration.ofSeconds(1);
+  /** The capacity of a worker that has just started, and the overload at which it falls over. */
+  record WarmUp(
+      double capacityShare, Duration duration, double overloadMultiple, Duration overloadWindow) {
+    /** So short that a worker is warm from its first moment. */
+    private static final Duration DEFAULT_DURATION = Duration.ofMillis(1);
 
-        static WarmUp read(YamlDocument section) {
-            double capacityShare = section.number("cold_share", 0, 1, 1);
-            Duration duration = section.duration("cold_span", DEFAULT_DURATION);
-            if (duration.isZero()) {
-                throw section.invalid("cold_span", "must be above 0; leave it out where nothing is cold");
-            }
-            double overloadMultiple = section.number("fall_multiple", 0, MAX_MULTIPLE,
-                DEFAULT_OVERLOAD_MULTIPLE);
-            Duration overloadWindow = section.duration("fall_span", DEFAULT_OVERLOAD_WINDOW);
-            if (overloadWindow.isZero()) { throw section.invalid("fall_span", "must be above 0"); }
-            return new WarmUp(capacityShare, duration, overloadMultiple, overloadWindow);
-        }
-    }
+    private static final double DEFAULT_OVERLOAD_MULTIPLE = 3;
+    private static final Duration DEFAULT_OVERLOAD_WINDOW = Duration.ofSeconds(1);
 
-    /** Load commands allowed in a window; a window of zero stands for no quota. */
-    record LoadQuota(double base, double perRequest, Duration window) {
-        static LoadQuota read(YamlDocument section) {
-            double base = section.number("loads_free", 0, MAX_LOADS, 0);
-            double perRequest = section.number("loads_share", 0, MAX_LOADS, 0);
-            Duration window = section.duration("loads_span", Duration.ZERO);
-            return new LoadQuota(base, perRequest, window);
-        }
+    static WarmUp read(YamlDocument section) {
+      double capacityShare = section.number("cold_share", 0, 1, 1);
+      Duration duration = section.duration("cold_span", DEFAULT_DURATION);
+      if (duration.isZero()) {
+        throw section.invalid("cold_span", "must be above 0; leave it out where nothing is cold");
+      }
+      double overloadMultiple =
+          section.number("fall_multiple", 0, MAX_MULTIPLE, DEFAULT_OVERLOAD_MULTIPLE);
+      Duration overloadWindow = section.duration("fall_span", DEFAULT_OVERLOAD_WINDOW);
+      if (overloadWindow.isZero()) {
+        throw section.invalid("fall_span", "must be above 0");
+      }
+      return new WarmUp(capacityShare, duration, overloadMultiple, overloadWindow);
     }
+  }
 
-    static RulesSection read(YamlDocument section) {
-        WarmUp warmUp = WarmUp.read(section);
-        LoadQuota loadQuota = LoadQuota.read(section);
-        section.rejectUnknownKeys();
-        return new RulesSection(warmUp, loadQuota);
+  /** Load commands allowed in a window; a window of zero stands for no quota. */
+  record LoadQuota(double base, double perRequest, Duration window) {
+    static LoadQuota read(YamlDocument section) {
+      double base = section.number("loads_free", 0, MAX_LOADS, 0);
+      double perRequest = section.number("loads_share", 0, MAX_LOADS, 0);
+      Duration window = section.duration("loads_span", Duration.ZERO);
+      return new LoadQuota(base, perRequest, window);
     }
+  }
+
+  static RulesSection read(YamlDocument section) {
+    WarmUp warmUp = WarmUp.read(section);
+    LoadQuota loadQuota = LoadQuota.read(section);
+    section.rejectUnknownKeys();
+    return new RulesSection(warmUp, loadQuota);
+  }
 }
--- a/src/main/java/switchgap/emulator/ClientRequest.java
+++ b/src/main/java/switchgap/emulator/ClientRequest.java
@@ -4,37 +4,43 @@
 
 /** A client's request through all its attempts. Belongs to the scheduler's thread. */
 final class ClientRequest {
-    final String id;
-    final FunctionModel model;
-    final String tenant;
-    final int router;
-    final long arrivedAt;
-    final EmulatedClients.RequestClassProfile profile;
-    /** Retries of a hammering client, 0 for a client that behaves. */
-    final int hammeringRetries;
-    /**
-     * A generator of its own, so that how responses come affects no other request: the same seed brings the
-     * same arrivals whatever becomes of them.
-     */
-    final SplittableRandom random;
-    int attempts;
-
-    ClientRequest(Arrival arrival, EmulatedClients.RequestClassProfile profile, int hammeringRetries,
-        SplittableRandom random) {
-        this.id = arrival.id;
-        this.model = arrival.model;
-        this.tenant = arrival.tenant;
-        this.router = arrival.router;
-        this.arrivedAt = arrival.at;
-        this.profile = profile;
-        this.hammeringRetries = hammeringRetries;
-        this.random = random;
-    }
-
-    /** What is drawn when a request arrives; {@code at} in microseconds. */
-    record Arrival(String id, FunctionModel model, String tenant, int router, long at) {}
-
-    boolean isHammering() {
-        return hammeringRetries > 0;
-    }
+  final String id;
+  final FunctionModel model;
+  final String tenant;
+  final int router;
+  final long arrivedAt;
+  final EmulatedClients.RequestClassProfile profile;
+
+  /** Retries of a hammering client, 0 for a client that behaves. */
+  final int hammeringRetries;
+
+  /**
+   * A generator of its own, so that how responses come affects no other request: the same seed
+   * brings the same arrivals whatever becomes of them.
+   */
+  final SplittableRandom random;
+
+  int attempts;
+
+  ClientRequest(
+      Arrival arrival,
+      EmulatedClients.RequestClassProfile profile,
+      int hammeringRetries,
+      SplittableRandom random) {
+    this.id = arrival.id;
+    this.model = arrival.model;
+    this.tenant = arrival.tenant;
+    this.router = arrival.router;
+    this.arrivedAt = arrival.at;
+    this.profile = profile;
+    this.hammeringRetries = hammeringRetries;
+    this.random = random;
+  }
+
+  /** What is drawn when a request arrives; {@code at} in microseconds. */
+  record Arrival(String id, FunctionModel model, String tenant, int router, long at) {}
+
+  boolean isHammering() {
+    return hammeringRetries > 0;
+  }
 }
--- a/src/main/java/switchgap/emulator/ClientRetries.java
+++ b/src/main/java/switchgap/emulator/ClientRetries.java
@@ -3,90 +3,111 @@
 import java.util.function.Consumer;
 
 /**
- * Sends the attempts of requests, decides on retries, and reports how requests ended. On the scheduler's
- * thread.
+ * Sends the attempts of requests, decides on retries, and reports how requests ended. On the
+ * scheduler's thread.
  */
 final class ClientRetries {
-    private static final double HAMMERING_TIMEOUT_SHARE = 0.3;
-    private static final int MAX_BACKOFF_DOUBLINGS = 4;
-    private static final int FIRST_ERROR_STATUS = 300;
-    private static final long MICROS_PER_MILLI = 1000;
-    private final Scheduler scheduler;
-    private final ClientTransport transport;
-    private final EmulatedClients.RetryBehaviour behaviour;
-    private final ServiceTally tally;
-    private Consumer<RequestResult> listener = result -> {};
-    private long inFlight;
+  private static final double HAMMERING_TIMEOUT_SHARE = 0.3;
+  private static final int MAX_BACKOFF_DOUBLINGS = 4;
+  private static final int FIRST_ERROR_STATUS = 300;
+  private static final long MICROS_PER_MILLI = 1000;
+  private final Scheduler scheduler;
+  private final ClientTransport transport;
+  private final EmulatedClients.RetryBehaviour behaviour;
+  private final ServiceTally tally;
+  private Consumer<RequestResult> listener = result -> {};
+  private long inFlight;
 
-    ClientRetries(Scheduler scheduler, ClientTransport transport, EmulatedClients.RetryBehaviour behaviour,
-        ServiceTally tally) {
-        this.scheduler = scheduler;
-        this.transport = transport;
-        this.behaviour = behaviour;
-        this.tally = tally;
-    }
+  ClientRetries(
+      Scheduler scheduler,
+      ClientTransport transport,
+      EmulatedClients.RetryBehaviour behaviour,
+      ServiceTally tally) {
+    this.scheduler = scheduler;
+    this.transport = transport;
+    this.behaviour = behaviour;
+    this.tally = tally;
+  }
 
-    void setListener(Consumer<RequestResult> resultListener) {
-        listener = resultListener;
-    }
+  void setListener(Consumer<RequestResult> resultListener) {
+    listener = resultListener;
+  }
 
-    /** Attempts sent and not ended. */
-    long inFlight() {
-        return inFlight;
-    }
+  /** Attempts sent and not ended. */
+  long inFlight() {
+    return inFlight;
+  }
 
-    void attempt(ClientRequest request) {
-        request.attempts++;
-        inFlight++;
-        tally.of(request).tries++;
-        double timeoutShare = request.isHammering() ? HAMMERING_TIMEOUT_SHARE
+  void attempt(ClientRequest request) {
+    request.attempts++;
+    inFlight++;
+    tally.of(request).tries++;
+    double timeoutShare =
+        request.isHammering()
+            ? HAMMERING_TIMEOUT_SHARE
             : behaviour.minTimeoutShare()
                 + (1 - behaviour.minTimeoutShare()) * request.random.nextDouble();
-        long deadline = scheduler.now() + (long) (request.profile.timeout() * timeoutShare);
-        transport.send(
-            new ClientTransport.ClientAttempt(request.id + "." + request.attempts, request.id, request.model,
-                request.tenant, request.router, deadline,
-                request.profile.idempotent() ? request.id : null),
-            (end, status, retryAfter) -> attemptEnded(request, end, status, retryAfter));
-    }
+    long deadline = scheduler.now() + (long) (request.profile.timeout() * timeoutShare);
+    transport.send(
+        new ClientTransport.ClientAttempt(
+            request.id + "." + request.attempts,
+            request.id,
+            request.model,
+            request.tenant,
+            request.router,
+            deadline,
+            request.profile.idempotent() ? request.id : null),
+        (end, status, retryAfter) -> attemptEnded(request, end, status, retryAfter));
+  }
 
-    private void attemptEnded(ClientRequest request, String end, int status, long retryAfterMillis) {
-        inFlight--;
-        ClientOutcome outcome = ClientOutcome.of(end);
-        if (outcome == ClientOutcome.FINISHED && status < FIRST_ERROR_STATUS) {
-            report(request, end, tally.finished(request, scheduler.now()));
-            return;
-        }
-        tally.attemptFailed(request, outcome);
-        if (!mayRetry(request, outcome)) {
-            report(request, end, 0);
-            return;
-        }
-        scheduler.after(backoff(request, retryAfterMillis), () -> attempt(request));
+  private void attemptEnded(ClientRequest request, String end, int status, long retryAfterMillis) {
+    inFlight--;
+    ClientOutcome outcome = ClientOutcome.of(end);
+    if (outcome == ClientOutcome.FINISHED && status < FIRST_ERROR_STATUS) {
+      report(request, end, tally.finished(request, scheduler.now()));
+      return;
     }
+    tally.attemptFailed(request, outcome);
+    if (!mayRetry(request, outcome)) {
+      report(request, end, 0);
+      return;
+    }
+    scheduler.after(backoff(request, retryAfterMillis), () -> attempt(request));
+  }
 
-    private boolean mayRetry(ClientRequest request, ClientOutcome outcome) {
-        boolean retryable = outcome == ClientOutcome.REJECTED || outcome == ClientOutcome.UNREACHABLE
+  private boolean mayRetry(ClientRequest request, ClientOutcome outcome) {
+    boolean retryable =
+        outcome == ClientOutcome.REJECTED
+            || outcome == ClientOutcome.UNREACHABLE
             || request.profile.retryable() && outcome != ClientOutcome.REFUSED;
-        int maxRetries = request.isHammering() ? request.hammeringRetries : behaviour.maxRetries();
-        return retryable && request.attempts <= maxRetries;
-    }
+    int maxRetries = request.isHammering() ? request.hammeringRetries : behaviour.maxRetries();
+    return retryable && request.attempts <= maxRetries;
+  }
 
-    /** Pause before the next attempt in microseconds; draws whether a retry-after time is honoured. */
-    private long backoff(ClientRequest request, long retryAfterMillis) {
-        if (request.isHammering()) {
-            return 0;
-        }
-        long pause = behaviour.backoff() << Math.min(MAX_BACKOFF_DOUBLINGS, request.attempts - 1);
-        if (retryAfterMillis >= 0 && request.random.nextDouble() < behaviour.honourShare()) {
-            return Math.max(pause, retryAfterMillis * MICROS_PER_MILLI);
-        }
-        return pause;
+  /**
+   * Pause before the next attempt in microseconds; draws whether a retry-after time is honoured.
+   */
+  private long backoff(ClientRequest request, long retryAfterMillis) {
+    if (request.isHammering()) {
+      return 0;
     }
-
-    private void report(ClientRequest request, String end, double earned) {
-        listener.accept(
-            new RequestResult(request.profile.name(), request.tenant, request.router, request.arrivedAt,
-                scheduler.now() - request.arrivedAt, request.attempts, end, earned));
+    long pause = behaviour.backoff() << Math.min(MAX_BACKOFF_DOUBLINGS, request.attempts - 1);
+    if (retryAfterMillis >= 0 && request.random.nextDouble() < behaviour.honourShare()) {
+      return Math.max(pause, retryAfterMillis * MICROS_PER_MILLI);
     }
+    return pause;
+  }
+
+  private void report(ClientRequest request, String end, double earned) {
+    listener.accept(
+        new RequestResult(
+            request.profile.name(),
+            request.tenant,
+            request.router,
+            request.arrivedAt,
+            scheduler.now() - request.arrivedAt,
+            request.attempts,
+            end,
+            earned));
+  }
 }
--- a/src/main/java/switchgap/emulator/ConnectionPool.java
+++ b/src/main/java/switchgap/emulator/ConnectionPool.java
@@ -6,45 +6,57 @@
 import java.util.function.Consumer;
 import switchgap.net.HttpClientConnection;
 
-/** Kept connections to one server: each carries one exchange at a time. On the scheduler's thread. */
+/**
+ * Kept connections to one server: each carries one exchange at a time. On the scheduler's thread.
+ */
 final class ConnectionPool {
-    private final Scheduler scheduler;
-    private final HttpClientConnection.Factory factory;
-    private final InetSocketAddress server;
-    private final Duration connectTimeout;
-    private final ArrayDeque<HttpClientConnection> idle = new ArrayDeque<>();
+  private final Scheduler scheduler;
+  private final HttpClientConnection.Factory factory;
+  private final InetSocketAddress server;
+  private final Duration connectTimeout;
+  private final ArrayDeque<HttpClientConnection> idle = new ArrayDeque<>();
 
-    ConnectionPool(Scheduler scheduler, HttpClientConnection.Factory factory, InetSocketAddress server,
-        Duration connectTimeout) {
-        this.scheduler = scheduler;
-        this.factory = factory;
-        this.server = server;
-        this.connectTimeout = connectTimeout;
-    }
+  ConnectionPool(
+      Scheduler scheduler,
+      HttpClientConnection.Factory factory,
+      InetSocketAddress server,
+      Duration connectTimeout) {
+    this.scheduler = scheduler;
+    this.factory = factory;
+    this.server = server;
+    this.connectTimeout = connectTimeout;
+  }
 
-    /** Hands over an idle connection at once, else a new one; one of the callbacks is called, once. */
-    void acquire(Consumer<HttpClientConnection> onReady, Runnable onFailure) {
-        HttpClientConnection connection = idle.pollFirst();
-        while (connection != null && !connection.isUsable()) {
-            connection = idle.pollFirst();
-        }
-        if (connection != null) {
-            onReady.accept(connection);
-            return;
-        }
-        factory.connect(server, connectTimeout, new HttpClientConnection.ConnectCallback() {
-            @Override public void connected(HttpClientConnection opened) {
-                scheduler.post(() -> onReady.accept(opened));
-            }
+  /**
+   * Hands over an idle connection at once, else a new one; one of the callbacks is called, once.
+   */
+  void acquire(Consumer<HttpClientConnection> onReady, Runnable onFailure) {
+    HttpClientConnection connection = idle.pollFirst();
+    while (connection != null && !connection.isUsable()) {
+      connection = idle.pollFirst();
+    }
+    if (connection != null) {
+      onReady.accept(connection);
+      return;
+    }
+    factory.connect(
+        server,
+        connectTimeout,
+        new HttpClientConnection.ConnectCallback() {
+          @Override
+          public void connected(HttpClientConnection opened) {
+            scheduler.post(() -> onReady.accept(opened));
+          }
 
-            @Override public void failed(String reason) {
-                scheduler.post(onFailure);
-            }
+          @Override
+          public void failed(String reason) {
+            scheduler.post(onFailure);
+          }
         });
-    }
+  }
 
-    /** Gives a connection back for reuse. */
-    void release(HttpClientConnection connection) {
-        idle.addFirst(connection);
-    }
+  /** Gives a connection back for reuse. */
+  void release(HttpClientConnection connection) {
+    idle.addFirst(connection);
+  }
 }
--- a/src/main/java/switchgap/emulator/EmulatedClients.java
+++ b/src/main/java/switchgap/emulator/EmulatedClients.java
@@ -8,208 +8,238 @@
 import java.util.function.LongToDoubleFunction;
 
 /**
- * Clients with open-loop arrivals: they do not wait for responses before they send the next request. They
- * time out, retry what their request class allows, and count what became of it. On the scheduler's thread.
+ * Clients with open-loop arrivals: they do not wait for responses before they send the next
+ * request. They time out, retry what their request class allows, and count what became of it. On
+ * the scheduler's thread.
  */
 public final class EmulatedClients {
-    private static final double MIN_CURVE_FACTOR = 1e-3;
-    private static final double MICROS_PER_SECOND = 1e6;
-
-    /**
-     * A request class as its clients see it. Times in microseconds.
-     *
-     * @param name             name of the request class
-     * @param latencyObjective latency objective
-     * @param timeout          longest timeout
-     * @param priorityWeight   priority weight of one request
-     * @param lateShare        share of the weight that a response past the objective earns
-     * @param retryable        whether any failure but a refusal may be retried
-     * @param idempotent       whether requests carry an idempotency key
-     */
-    public record RequestClassProfile(String name, long latencyObjective, long timeout, double priorityWeight,
-        double lateShare,
-        boolean retryable, boolean idempotent) {}
-
-    /**
-     * How clients time out and retry.
-     *
-     * @param maxRetries      retries at most
-     * @param minTimeoutShare least share of the request class's timeout that a client waits
-     * @param backoff         pause before the first retry in microseconds; doubles with each
-     * @param honourShare     share of clients that honour a retry-after time
-     */
-    public record RetryBehaviour(int maxRetries, double minTimeoutShare, long backoff, double honourShare) {}
-
-    /** What became of one request class's requests; weights in units of priority weight. */
-    public static final class Tally {
-        /** Requests that arrived. */
-        public long jobs;
-        /** Attempts sent. */
-        public long tries;
-        /** Requests answered with success. */
-        public long finished;
-        /** Of these, requests answered past their latency objective. */
-        public long late;
-        /** Attempts rejected by a router, to be retried later. */
-        public long pushedBack;
-        /** Attempts that a router ended as failed. */
-        public long failed;
-        /** Attempts without a response before their deadline. */
-        public long timedOut;
-        /** Attempts that reached no router, or ended in any other way. */
-        public long unreachable;
-        /** Attempts that a router refused as invalid or over its bounds. */
-        public long refused;
-        /** Weight requested. */
-        public double asked;
-        /** Weight earned. */
-        public double earned;
-    }
-
-    private final Scheduler scheduler;
-    private final FunctionCatalogue catalogue;
-    private final ClientSettings settings;
-    private final SplittableRandom random;
-    private final TrafficMix mix;
-    private final ServiceTally tally;
-    private final ClientRetries retries;
-    private final Map<String, Integer> hammeringRetries = new HashMap<>();
-    private LongConsumer sendDelayListener = delay -> {};
-    private double burstFactor = 1;
-    private LongToDoubleFunction curve = elapsed -> 1;
-    private long startedAt;
-    private long endsAt;
-    private long nextArrival;
-    private long nextId;
-
-    /** Clients that send nothing before {@link #start}. */
-    public EmulatedClients(Scheduler scheduler, ClientTransport transport, FunctionCatalogue catalogue,
-        ClientSettings settings) {
-        this.scheduler = scheduler;
-        this.catalogue = catalogue;
-        this.settings = settings;
-        this.random = new SplittableRandom(settings.seed());
-        this.mix = new TrafficMix(settings.routerShares(), settings.tenantShares());
-        this.tally = new ServiceTally(settings.requestClasses());
-        this.retries = new ClientRetries(scheduler, transport, settings.retries(), tally);
-    }
-
-    /** Sets the zone of a router, for traffic that moves between zones. */
-    public void zone(int router, String zone) {
-        mix.setZone(router, zone);
-    }
-
-    /** Sets who is notified of each request's end. */
-    public void onRequestEnded(Consumer<RequestResult> listener) {
-        retries.setListener(listener);
-    }
-
-    /** Sets who is notified, for each request, by how many microseconds it is sent after it was due. */
-    public void sent(LongConsumer listener) {
-        sendDelayListener = listener;
-    }
-
-    /** Sets the load over time: a factor on the rate, by microseconds since the start. */
-    public void curve(LongToDoubleFunction factorByElapsedMicros) {
-        curve = factorByElapsedMicros;
-    }
-
-    /** Multiplies the rate of all tenants; 1 ends it. */
-    public void burst(double factor) {
-        burstFactor = factor;
-    }
-
-    /** Multiplies one tenant's rate; 1 ends it. */
-    public void burst(String customer, double factor) {
-        mix.setTenantBurst(customer, factor);
-    }
-
-    /** Makes one tenant's clients time out early and retry at once, so many times; 0 ends it. */
-    public void hammer(String customer, int maxRetries) {
-        if (maxRetries == 0) {
-            hammeringRetries.remove(customer);
-        } else {
-            hammeringRetries.put(customer, maxRetries);
-        }
-    }
-
-    /** Sends all traffic to the routers of one zone; null ends it. */
-    public void moveTo(String zone) {
-        mix.moveTo(zone);
-    }
-
-    /** Starts arrivals; they end at this time, microseconds of the scheduler's clock. */
-    public void start(long end) {
-        startedAt = scheduler.now();
-        endsAt = end;
-        nextArrival = startedAt;
-        tally.begin(startedAt, end);
-        arrive();
-    }
-
-    /**
-     * Starts arrivals for a time in microseconds from now, and returns when they end. To be called on the
-     * scheduler's thread, so that the time on the way there is not taken from them.
-     */
-    public long startFor(long duration) {
-        long end = scheduler.now() + duration;
-        start(end);
-        return end;
-    }
-
-    /** Number of attempts in flight. */
-    public long open() {
-        return retries.inFlight();
-    }
-
-    /** Counts by name of the request class. */
-    public Map<String, Tally> tallies() {
-        return tally.byRequestClass();
-    }
-
-    /** Weight earned over weight requested, over all request classes. */
-    public double service() {
-        return tally.service();
-    }
-
-    /** Weight earned over weight requested in the worst window of so many seconds. */
-    public double worst(int seconds) {
-        return tally.worstWindow(seconds);
-    }
-
-    /** Weight requested and weight earned by tenant. */
-    public Map<String, double[]> customers() {
-        return tally.byTenant();
-    }
-
-    /** Weight requested and weight earned of the requests that arrived in each second since the start. */
-    public Map<Long, double[]> seconds() {
-        return tally.bySecond();
-    }
-
-    /**
-     * The order of its random draws is part of a seed's meaning: interval, function, tenant, router, split.
-     */
-    private void arrive() {
-        // Not the time of sending: a sender that falls behind must not thin out the load.
-        long at = nextArrival;
-        if (at >= endsAt) {
-            return;
-        }
-        double totalWeight = mix.totalWeight();
-        double rate = settings.rate() * burstFactor * totalWeight
+  private static final double MIN_CURVE_FACTOR = 1e-3;
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  /**
+   * A request class as its clients see it. Times in microseconds.
+   *
+   * @param name name of the request class
+   * @param latencyObjective latency objective
+   * @param timeout longest timeout
+   * @param priorityWeight priority weight of one request
+   * @param lateShare share of the weight that a response past the objective earns
+   * @param retryable whether any failure but a refusal may be retried
+   * @param idempotent whether requests carry an idempotency key
+   */
+  public record RequestClassProfile(
+      String name,
+      long latencyObjective,
+      long timeout,
+      double priorityWeight,
+      double lateShare,
+      boolean retryable,
+      boolean idempotent) {}
+
+  /**
+   * How clients time out and retry.
+   *
+   * @param maxRetries retries at most
+   * @param minTimeoutShare least share of the request class's timeout that a client waits
+   * @param backoff pause before the first retry in microseconds; doubles with each
+   * @param honourShare share of clients that honour a retry-after time
+   */
+  public record RetryBehaviour(
+      int maxRetries, double minTimeoutShare, long backoff, double honourShare) {}
+
+  /** What became of one request class's requests; weights in units of priority weight. */
+  public static final class Tally {
+    /** Requests that arrived. */
+    public long jobs;
+
+    /** Attempts sent. */
+    public long tries;
+
+    /** Requests answered with success. */
+    public long finished;
+
+    /** Of these, requests answered past their latency objective. */
+    public long late;
+
+    /** Attempts rejected by a router, to be retried later. */
+    public long pushedBack;
+
+    /** Attempts that a router ended as failed. */
+    public long failed;
+
+    /** Attempts without a response before their deadline. */
+    public long timedOut;
+
+    /** Attempts that reached no router, or ended in any other way. */
+    public long unreachable;
+
+    /** Attempts that a router refused as invalid or over its bounds. */
+    public long refused;
+
+    /** Weight requested. */
+    public double asked;
+
+    /** Weight earned. */
+    public double earned;
+  }
+
+  private final Scheduler scheduler;
+  private final FunctionCatalogue catalogue;
+  private final ClientSettings settings;
+  private final SplittableRandom random;
+  private final TrafficMix mix;
+  private final ServiceTally tally;
+  private final ClientRetries retries;
+  private final Map<String, Integer> hammeringRetries = new HashMap<>();
+  private LongConsumer sendDelayListener = delay -> {};
+  private double burstFactor = 1;
+  private LongToDoubleFunction curve = elapsed -> 1;
+  private long startedAt;
+  private long endsAt;
+  private long nextArrival;
+  private long nextId;
+
+  /** Clients that send nothing before {@link #start}. */
+  public EmulatedClients(
+      Scheduler scheduler,
+      ClientTransport transport,
+      FunctionCatalogue catalogue,
+      ClientSettings settings) {
+    this.scheduler = scheduler;
+    this.catalogue = catalogue;
+    this.settings = settings;
+    this.random = new SplittableRandom(settings.seed());
+    this.mix = new TrafficMix(settings.routerShares(), settings.tenantShares());
+    this.tally = new ServiceTally(settings.requestClasses());
+    this.retries = new ClientRetries(scheduler, transport, settings.retries(), tally);
+  }
+
+  /** Sets the zone of a router, for traffic that moves between zones. */
+  public void zone(int router, String zone) {
+    mix.setZone(router, zone);
+  }
+
+  /** Sets who is notified of each request's end. */
+  public void onRequestEnded(Consumer<RequestResult> listener) {
+    retries.setListener(listener);
+  }
+
+  /**
+   * Sets who is notified, for each request, by how many microseconds it is sent after it was due.
+   */
+  public void sent(LongConsumer listener) {
+    sendDelayListener = listener;
+  }
+
+  /** Sets the load over time: a factor on the rate, by microseconds since the start. */
+  public void curve(LongToDoubleFunction factorByElapsedMicros) {
+    curve = factorByElapsedMicros;
+  }
+
+  /** Multiplies the rate of all tenants; 1 ends it. */
+  public void burst(double factor) {
+    burstFactor = factor;
+  }
+
+  /** Multiplies one tenant's rate; 1 ends it. */
+  public void burst(String customer, double factor) {
+    mix.setTenantBurst(customer, factor);
+  }
+
+  /** Makes one tenant's clients time out early and retry at once, so many times; 0 ends it. */
+  public void hammer(String customer, int maxRetries) {
+    if (maxRetries == 0) {
+      hammeringRetries.remove(customer);
+    } else {
+      hammeringRetries.put(customer, maxRetries);
+    }
+  }
+
+  /** Sends all traffic to the routers of one zone; null ends it. */
+  public void moveTo(String zone) {
+    mix.moveTo(zone);
+  }
+
+  /** Starts arrivals; they end at this time, microseconds of the scheduler's clock. */
+  public void start(long end) {
+    startedAt = scheduler.now();
+    endsAt = end;
+    nextArrival = startedAt;
+    tally.begin(startedAt, end);
+    arrive();
+  }
+
+  /**
+   * Starts arrivals for a time in microseconds from now, and returns when they end. To be called on
+   * the scheduler's thread, so that the time on the way there is not taken from them.
+   */
+  public long startFor(long duration) {
+    long end = scheduler.now() + duration;
+    start(end);
+    return end;
+  }
+
+  /** Number of attempts in flight. */
+  public long open() {
+    return retries.inFlight();
+  }
+
+  /** Counts by name of the request class. */
+  public Map<String, Tally> tallies() {
+    return tally.byRequestClass();
+  }
+
+  /** Weight earned over weight requested, over all request classes. */
+  public double service() {
+    return tally.service();
+  }
+
+  /** Weight earned over weight requested in the worst window of so many seconds. */
+  public double worst(int seconds) {
+    return tally.worstWindow(seconds);
+  }
+
+  /** Weight requested and weight earned by tenant. */
+  public Map<String, double[]> customers() {
+    return tally.byTenant();
+  }
+
+  /**
+   * Weight requested and weight earned of the requests that arrived in each second since the start.
+   */
+  public Map<Long, double[]> seconds() {
+    return tally.bySecond();
+  }
+
+  /**
+   * The order of its random draws is part of a seed's meaning: interval, function, tenant, router,
+   * split.
+   */
+  private void arrive() {
+    // Not the time of sending: a sender that falls behind must not thin out the load.
+    long at = nextArrival;
+    if (at >= endsAt) {
+      return;
+    }
+    double totalWeight = mix.totalWeight();
+    double rate =
+        settings.rate()
+            * burstFactor
+            * totalWeight
             * Math.max(MIN_CURVE_FACTOR, curve.applyAsDouble(at - startedAt));
-        nextArrival += (long) (-Math.log(1 - random.nextDouble()) / rate * MICROS_PER_SECOND);
-        scheduler.after(nextArrival - scheduler.now(), this::arrive);
-        FunctionModel model = catalogue.draw(random);
-        String tenant = mix.drawTenant(random, totalWeight);
-        int router = mix.drawRouter(random);
-        ClientRequest request = new ClientRequest(
+    nextArrival += (long) (-Math.log(1 - random.nextDouble()) / rate * MICROS_PER_SECOND);
+    scheduler.after(nextArrival - scheduler.now(), this::arrive);
+    FunctionModel model = catalogue.draw(random);
+    String tenant = mix.drawTenant(random, totalWeight);
+    int router = mix.drawRouter(random);
+    ClientRequest request =
+        new ClientRequest(
             new ClientRequest.Arrival("j" + nextId++, model, tenant, router, at),
-            settings.requestClasses().get(model.workload()), hammeringRetries.getOrDefault(tenant, 0),
+            settings.requestClasses().get(model.workload()),
+            hammeringRetries.getOrDefault(tenant, 0),
             random.split());
-        tally.arrived(request);
-        sendDelayListener.accept(scheduler.now() - at);
-        retries.attempt(request);
-    }
+    tally.arrived(request);
+    sendDelayListener.accept(scheduler.now() - at);
+    retries.attempt(request);
+  }
 }
--- a/src/main/java/switchgap/emulator/EventRecorder.java
+++ b/src/main/java/switchgap/emulator/EventRecorder.java
@@ -9,73 +9,75 @@
 import java.nio.file.Path;
 
 /**
- * A log of JSON lines, one for each event; every line begins with its time in microseconds and its kind. Safe
- * for use by several threads.
+ * A log of JSON lines, one for each event; every line begins with its time in microseconds and its
+ * kind. Safe for use by several threads.
  */
 public final class EventRecorder implements AutoCloseable {
-    private final JsonGenerator json;
+  private final JsonGenerator json;
 
-    /** Records to a file, which is replaced. */
-    public EventRecorder(Path file) throws IOException {
-        json = new JsonFactory().createGenerator(Files.newBufferedWriter(file));
-        json.setRootValueSeparator(new SerializedString("\n"));
-    }
+  /** Records to a file, which is replaced. */
+  public EventRecorder(Path file) throws IOException {
+    json = new JsonFactory().createGenerator(Files.newBufferedWriter(file));
+    json.setRootValueSeparator(new SerializedString("\n"));
+  }
 
-    private EventRecorder() {
-        json = null;
-    }
+  private EventRecorder() {
+    json = null;
+  }
 
-    /** A recorder that keeps nothing. */
-    public static EventRecorder none() {
-        return new EventRecorder();
-    }
+  /** A recorder that keeps nothing. */
+  public static EventRecorder none() {
+    return new EventRecorder();
+  }
 
-    /**
-     * Records one event.
-     *
-     * @param at     time in microseconds
-     * @param what   kind of the event
-     * @param fields names and values in turn; a value is text, a number or a boolean, and null is left out
-     */
-    public synchronized void record(long at, String what, Object... fields) {
-        if (json == null || json.isClosed()) {
-            return;
-        }
-        try {
-            json.writeStartObject();
-            json.writeNumberField("t", at);
-            json.writeStringField("what", what);
-            for (int i = 0; i < fields.length; i += 2) {
-                write((String) fields[i], fields[i + 1]);
-            }
-            json.writeEndObject();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+  /**
+   * Records one event.
+   *
+   * @param at time in microseconds
+   * @param what kind of the event
+   * @param fields names and values in turn; a value is text, a number or a boolean, and null is
+   *     left out
+   */
+  public synchronized void record(long at, String what, Object... fields) {
+    if (json == null || json.isClosed()) {
+      return;
     }
-
-    private void write(String name, Object value) throws IOException {
-        if (value instanceof Integer || value instanceof Long) {
-            json.writeNumberField(name, ((Number) value).longValue());
-        } else if (value instanceof Double real) {
-            json.writeNumberField(name, real);
-        } else if (value instanceof Boolean flag) {
-            json.writeBooleanField(name, flag);
-        } else if (value != null) {
-            json.writeStringField(name, value.toString());
-        }
+    try {
+      json.writeStartObject();
+      json.writeNumberField("t", at);
+      json.writeStringField("what", what);
+      for (int i = 0; i < fields.length; i += 2) {
+        write((String) fields[i], fields[i + 1]);
+      }
+      json.writeEndObject();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
 
-    /** Writes the last line, which proves that the log is whole, and closes the file. */
-    public synchronized void end(long at) throws IOException {
-        if (!json.isClosed()) {
-            record(at, "end");
-            json.writeRaw("\n");
-            json.close();
-        }
+  private void write(String name, Object value) throws IOException {
+    if (value instanceof Integer || value instanceof Long) {
+      json.writeNumberField(name, ((Number) value).longValue());
+    } else if (value instanceof Double real) {
+      json.writeNumberField(name, real);
+    } else if (value instanceof Boolean flag) {
+      json.writeBooleanField(name, flag);
+    } else if (value != null) {
+      json.writeStringField(name, value.toString());
     }
+  }
 
-    @Override public synchronized void close() throws IOException {
-        json.close();
+  /** Writes the last line, which proves that the log is whole, and closes the file. */
+  public synchronized void end(long at) throws IOException {
+    if (!json.isClosed()) {
+      record(at, "end");
+      json.writeRaw("\n");
+      json.close();
     }
+  }
+
+  @Override
+  public synchronized void close() throws IOException {
+    json.close();
+  }
 }
--- a/src/main/java/switchgap/emulator/LoadReportHeaders.java
+++ b/src/main/java/switchgap/emulator/LoadReportHeaders.java
@@ -5,47 +5,55 @@
 
 /** Builds the response headers that carry a worker's load report. */
 final class LoadReportHeaders {
-    /** A figure that is left out of the report. */
-    static final int ABSENT = -1;
-    private final boolean reportsUtilization;
-
-    LoadReportHeaders(boolean reportsUtilization) {
-        this.reportsUtilization = reportsUtilization;
-    }
-
-    /** Headers without figures of a request or a function. */
-    Map<String, String> plain(EmulatedWorker worker) {
-        return build(worker, ABSENT, ABSENT, ABSENT);
-    }
-
-    /** Headers with the number of replicas of a function. */
-    Map<String, String> withReplicas(EmulatedWorker worker, int replicas) {
-        return build(worker, ABSENT, ABSENT, replicas);
+  /** A figure that is left out of the report. */
+  static final int ABSENT = -1;
+
+  private final boolean reportsUtilization;
+
+  LoadReportHeaders(boolean reportsUtilization) {
+    this.reportsUtilization = reportsUtilization;
+  }
+
+  /** Headers without figures of a request or a function. */
+  Map<String, String> plain(EmulatedWorker worker) {
+    return build(worker, ABSENT, ABSENT, ABSENT);
+  }
+
+  /** Headers with the number of replicas of a function. */
+  Map<String, String> withReplicas(EmulatedWorker worker, int replicas) {
+    return build(worker, ABSENT, ABSENT, replicas);
+  }
+
+  /** Headers with the concurrency that a request met and whether it was executed, 1 or 0. */
+  Map<String, String> withExecution(EmulatedWorker worker, int concurrency, int executed) {
+    return build(worker, concurrency, executed, ABSENT);
+  }
+
+  private Map<String, String> build(
+      EmulatedWorker worker, int concurrency, int executed, int replicas) {
+    StringBuilder report = new StringBuilder("TEXT ");
+    if (reportsUtilization) {
+      report
+          .append("cpu_utilization=")
+          .append(worker.busy())
+          .append(",named_metrics.inflight=")
+          .append(worker.inHand())
+          .append(",named_metrics.queue=")
+          .append(worker.waiting())
+          .append(',');
     }
-
-    /** Headers with the concurrency that a request met and whether it was executed, 1 or 0. */
-    Map<String, String> withExecution(EmulatedWorker worker, int concurrency, int executed) {
-        return build(worker, concurrency, executed, ABSENT);
-    }
-
-    private Map<String, String> build(EmulatedWorker worker, int concurrency, int executed, int replicas) {
-        StringBuilder report = new StringBuilder("TEXT ");
-        if (reportsUtilization) {
-            report.append("cpu_utilization=").append(worker.busy()).append(",named_metrics.inflight=").append(
-                worker.inHand()).append(",named_metrics.queue=").append(worker.waiting()).append(',');
-        }
-        append(report, "crowd", concurrency);
-        append(report, "executed", executed);
-        append(report, "copies", replicas);
-        Map<String, String> headers = new HashMap<>();
-        headers.put("endpoint-load-metrics", report.substring(0, report.length() - 1));
-        headers.put("Content-Type", "application/json");
-        return headers;
-    }
-
-    private static void append(StringBuilder report, String metric, int value) {
-        if (value >= 0) {
-            report.append("named_metrics.").append(metric).append('=').append(value).append(',');
-        }
+    append(report, "crowd", concurrency);
+    append(report, "executed", executed);
+    append(report, "copies", replicas);
+    Map<String, String> headers = new HashMap<>();
+    headers.put("endpoint-load-metrics", report.substring(0, report.length() - 1));
+    headers.put("Content-Type", "application/json");
+    return headers;
+  }
+
+  private static void append(StringBuilder report, String metric, int value) {
+    if (value >= 0) {
+      report.append("named_metrics.").append(metric).append('=').append(value).append(',');
     }
+  }
 }
--- a/src/main/java/switchgap/emulator/RepositoryHandler.java
+++ b/src/main/java/switchgap/emulator/RepositoryHandler.java
@@ -3,74 +3,124 @@
 import java.nio.charset.StandardCharsets;
 import switchgap.net.HttpExchange;
 
-/** Serves health probes and the commands of the model repository extension. On the scheduler's thread. */
+/**
+ * Serves health probes and the commands of the model repository extension. On the scheduler's
+ * thread.
+ */
 final class RepositoryHandler {
-    private final String server;
-    private final ModelServerContext context;
-    private final EmulatedWorker worker;
-    private final LoadReportHeaders headers;
+  private final String server;
+  private final ModelServerContext context;
+  private final EmulatedWorker worker;
+  private final LoadReportHeaders headers;
 
-    RepositoryHandler(String server, ModelServerContext context, EmulatedWorker worker) {
-        this.server = server;
-        this.context = context;
-        this.worker = worker;
-        this.headers = new LoadReportHeaders(context.reportsUtilization());
-    }
+  RepositoryHandler(String server, ModelServerContext context, EmulatedWorker worker) {
+    this.server = server;
+    this.context = context;
+    this.worker = worker;
+    this.headers = new LoadReportHeaders(context.reportsUtilization());
+  }
 
-    void probe(HttpExchange exchange, long receivedAt) {
-        context.recorder().record(receivedAt, "probe", "worker", server, "router", context.routerOf(exchange),
-            "conn", exchange.connectionId());
-        exchange.respond(200, headers.plain(worker), ModelServerResponses.EMPTY);
-    }
+  void probe(HttpExchange exchange, long receivedAt) {
+    context
+        .recorder()
+        .record(
+            receivedAt,
+            "probe",
+            "worker",
+            server,
+            "router",
+            context.routerOf(exchange),
+            "conn",
+            exchange.connectionId());
+    exchange.respond(200, headers.plain(worker), ModelServerResponses.EMPTY);
+  }
 
-    void modelReady(HttpExchange exchange, long receivedAt, String function) {
-        int replicas = worker.standing(function);
-        context.recorder().record(receivedAt, "asked", "worker", server, "router", context.routerOf(exchange),
-            "function", function);
-        exchange.respond(replicas > 0 ? 200 : 404, headers.withReplicas(worker, replicas),
-            ModelServerResponses.EMPTY);
-    }
+  void modelReady(HttpExchange exchange, long receivedAt, String function) {
+    int replicas = worker.standing(function);
+    context
+        .recorder()
+        .record(
+            receivedAt,
+            "asked",
+            "worker",
+            server,
+            "router",
+            context.routerOf(exchange),
+            "function",
+            function);
+    exchange.respond(
+        replicas > 0 ? 200 : 404,
+        headers.withReplicas(worker, replicas),
+        ModelServerResponses.EMPTY);
+  }
 
-    void load(HttpExchange exchange, long receivedAt, String function) {
-        FunctionModel model = context.functions().apply(function);
-        int replicas = ModelServerResponses.requestedReplicas(exchange.body);
-        context.recorder().record(receivedAt, "load", "worker", server, "router", context.routerOf(exchange),
-            "function", function, "copies", replicas);
-        if (model == null) {
-            exchange.respond(404, headers.withReplicas(worker, 0),
-                ModelServerResponses.error("unknown model"));
-            return;
-        }
-        worker.hold(model, replicas, (outcome, loaded) -> exchange.respond(status(outcome),
-            headers.withReplicas(worker, loaded), ModelServerResponses.EMPTY));
+  void load(HttpExchange exchange, long receivedAt, String function) {
+    FunctionModel model = context.functions().apply(function);
+    int replicas = ModelServerResponses.requestedReplicas(exchange.body);
+    context
+        .recorder()
+        .record(
+            receivedAt,
+            "load",
+            "worker",
+            server,
+            "router",
+            context.routerOf(exchange),
+            "function",
+            function,
+            "copies",
+            replicas);
+    if (model == null) {
+      exchange.respond(
+          404, headers.withReplicas(worker, 0), ModelServerResponses.error("unknown model"));
+      return;
     }
+    worker.hold(
+        model,
+        replicas,
+        (outcome, loaded) ->
+            exchange.respond(
+                status(outcome), headers.withReplicas(worker, loaded), ModelServerResponses.EMPTY));
+  }
 
-    private static int status(EmulatedWorker.Outcome outcome) {
-        return switch (outcome) {
-            case OK -> 200;
-            case FULL -> 503;
-            default -> 500;
-        };
-    }
+  private static int status(EmulatedWorker.Outcome outcome) {
+    return switch (outcome) {
+      case OK -> 200;
+      case FULL -> 503;
+      default -> 500;
+    };
+  }
 
-    void unload(HttpExchange exchange, long receivedAt, String function) {
-        context.recorder().record(receivedAt, "unload", "worker", server, "router",
-            context.routerOf(exchange), "function", function);
-        worker.drop(function);
-        exchange.respond(200, headers.plain(worker), ModelServerResponses.EMPTY);
-    }
+  void unload(HttpExchange exchange, long receivedAt, String function) {
+    context
+        .recorder()
+        .record(
+            receivedAt,
+            "unload",
+            "worker",
+            server,
+            "router",
+            context.routerOf(exchange),
+            "function",
+            function);
+    worker.drop(function);
+    exchange.respond(200, headers.plain(worker), ModelServerResponses.EMPTY);
+  }
 
-    void index(HttpExchange exchange) {
-        StringBuilder index = new StringBuilder("[");
-        for (String function : worker.loadedReplicas().keySet()) {
-            index.append(index.length() > 1 ? "," : "").append("{\"name\":\"").append(function).append(
-                "\",\"state\":\"READY\",\"reason\":\"\"}");
-        }
-        exchange.respond(200, headers.plain(worker),
-            index.append("]").toString().getBytes(StandardCharsets.UTF_8));
+  void index(HttpExchange exchange) {
+    StringBuilder index = new StringBuilder("[");
+    for (String function : worker.loadedReplicas().keySet()) {
+      index
+          .append(index.length() > 1 ? "," : "")
+          .append("{\"name\":\"")
+          .append(function)
+          .append("\",\"state\":\"READY\",\"reason\":\"\"}");
     }
+    exchange.respond(
+        200, headers.plain(worker), index.append("]").toString().getBytes(StandardCharsets.UTF_8));
+  }
 
-    void notFound(HttpExchange exchange) {
-        exchange.respond(404, headers.plain(worker), ModelServerResponses.error("no such path"));
-    }
+  void notFound(HttpExchange exchange) {
+    exchange.respond(404, headers.plain(worker), ModelServerResponses.error("no such path"));
+  }
 }
--- a/src/main/java/switchgap/emulator/RequestResult.java
+++ b/src/main/java/switchgap/emulator/RequestResult.java
@@ -4,13 +4,20 @@
  * What became of a client's request. Times in microseconds.
  *
  * @param requestClass name of the request class
- * @param tenant       name of the tenant
- * @param router       index of the router
- * @param arrivedAt    time of arrival
- * @param duration     time over all attempts
- * @param attempts     attempts made
- * @param end          word of how the last attempt ended, see {@link ClientOutcome}
- * @param earned       weight earned
+ * @param tenant name of the tenant
+ * @param router index of the router
+ * @param arrivedAt time of arrival
+ * @param duration time over all attempts
+ * @param attempts attempts made
+ * @param end word of how the last attempt ended, see {@link ClientOutcome}
+ * @param earned weight earned
  */
-public record RequestResult(String requestClass, String tenant, int router, long arrivedAt, long duration,
-    int attempts, String end, double earned) {}
+public record RequestResult(
+    String requestClass,
+    String tenant,
+    int router,
+    long arrivedAt,
+    long duration,
+    int attempts,
+    String end,
+    double earned) {}
--- a/src/main/java/switchgap/emulator/StoreClient.java
+++ b/src/main/java/switchgap/emulator/StoreClient.java
@@ -8,47 +8,61 @@
 import switchgap.net.NetworkTransport;
 
 /**
- * A worker's client of the store: one kept connection for each fetch in flight. On the scheduler's thread.
+ * A worker's client of the store: one kept connection for each fetch in flight. On the scheduler's
+ * thread.
  */
 public final class StoreClient implements FunctionFetcher {
-    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
-    private static final int MAX_BODY_BYTES = 1 << 20;
-    private static final int OK = 200;
-    private final Scheduler scheduler;
-    private final ConnectionPool connections;
+  private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
+  private static final int MAX_BODY_BYTES = 1 << 20;
+  private static final int OK = 200;
+  private final Scheduler scheduler;
+  private final ConnectionPool connections;
 
-    /** A client of the store that listens at a port of the loopback address. */
-    public StoreClient(Scheduler scheduler, NetworkTransport net, int port) {
-        this.scheduler = scheduler;
-        this.connections = new ConnectionPool(scheduler,
+  /** A client of the store that listens at a port of the loopback address. */
+  public StoreClient(Scheduler scheduler, NetworkTransport net, int port) {
+    this.scheduler = scheduler;
+    this.connections =
+        new ConnectionPool(
+            scheduler,
             new HttpClientConnection.Factory(net, null, MAX_BODY_BYTES),
-            new InetSocketAddress("127.0.0.1", port), CONNECT_TIMEOUT);
-    }
+            new InetSocketAddress("127.0.0.1", port),
+            CONNECT_TIMEOUT);
+  }
 
-    @Override public void fetch(String worker, String function, long micros, Consumer<Boolean> callback) {
-        String path = "/v1/functions/" + function + "?worker=" + worker + "&micros=" + micros;
-        connections.acquire(connection -> send(connection, path, callback), () -> callback.accept(false));
-    }
+  @Override
+  public void fetch(String worker, String function, long micros, Consumer<Boolean> callback) {
+    String path = "/v1/functions/" + function + "?worker=" + worker + "&micros=" + micros;
+    connections.acquire(
+        connection -> send(connection, path, callback), () -> callback.accept(false));
+  }
 
-    private void send(HttpClientConnection connection, String path, Consumer<Boolean> callback) {
-        boolean sent = connection.send("GET", path, Map.of(), new byte[0],
+  private void send(HttpClientConnection connection, String path, Consumer<Boolean> callback) {
+    boolean sent =
+        connection.send(
+            "GET",
+            path,
+            Map.of(),
+            new byte[0],
             new HttpClientConnection.ResponseHandler() {
-                @Override public void responded(int status, Map<String, String> headers, byte[] body,
-                    boolean reusable) {
-                    scheduler.post(() -> {
-                        if (reusable) {
-                            connections.release(connection);
-                        }
-                        callback.accept(status == OK);
+              @Override
+              public void responded(
+                  int status, Map<String, String> headers, byte[] body, boolean reusable) {
+                scheduler.post(
+                    () -> {
+                      if (reusable) {
+                        connections.release(connection);
+                      }
+                      callback.accept(status == OK);
                     });
-                }
+              }
 
-                @Override public void connectionLost(String reason) {
-                    scheduler.post(() -> callback.accept(false));
-                }
+              @Override
+              public void connectionLost(String reason) {
+                scheduler.post(() -> callback.accept(false));
+              }
             });
-        if (!sent) {
-            callback.accept(false);
-        }
+    if (!sent) {
+      callback.accept(false);
     }
+  }
 }
--- a/src/main/java/switchgap/endpoints/EndpointListEvent.java
+++ b/src/main/java/switchgap/endpoints/EndpointListEvent.java
@@ -11,133 +11,139 @@
 import switchgap.router.EndpointUpdate;
 
 /**
- * One numbered event of the platform's control feed: a version of the endpoint list, whole or its changes. It
- * is read apart from {@link EndpointListLine} since the platform's keys, words and bounds are its own, and
- * since a router there must not load Jackson's object mapper.
+ * One numbered event of the platform's control feed: a version of the endpoint list, whole or its
+ * changes. It is read apart from {@link EndpointListLine} since the platform's keys, words and
+ * bounds are its own, and since a router there must not load Jackson's object mapper.
  *
- * @param sequence  number of the event in the feed
- * @param complete  whether the updates are the whole list rather than its changes
- * @param updates   null for an event of another kind
+ * @param sequence number of the event in the feed
+ * @param complete whether the updates are the whole list rather than its changes
+ * @param updates null for an event of another kind
  */
 public record EndpointListEvent(long sequence, boolean complete, List<EndpointUpdate> updates) {
-    /**
-     * What is needed to read names and times.
-     *
-     * @param zones            indices of zones by their names in the settings
-     * @param kinds            indices of kinds of worker by their names in the settings
-     * @param startedAtMillis  start of the router, in milliseconds of Unix time
-     */
-    public record NameDirectory(Map<String, Integer> zones, Map<String, Integer> kinds,
-        long startedAtMillis) {}
+  /**
+   * What is needed to read names and times.
+   *
+   * @param zones indices of zones by their names in the settings
+   * @param kinds indices of kinds of worker by their names in the settings
+   * @param startedAtMillis start of the router, in milliseconds of Unix time
+   */
+  public record NameDirectory(
+      Map<String, Integer> zones, Map<String, Integer> kinds, long startedAtMillis) {}
 
-    private static final int MAX_WORKERS = 4096;
-    private static final int MAX_PORT = 0xffff;
+  private static final int MAX_WORKERS = 4096;
+  private static final int MAX_PORT = 0xffff;
 
-    private static final String SEQUENCE = "n";
-    private static final String MEMBERS = "members";
-    private static final String COMPLETE = "all";
-    private static final String TARGETS = "targets";
-    private static final String TARGETS_PATH = MEMBERS + "." + TARGETS;
+  private static final String SEQUENCE = "n";
+  private static final String MEMBERS = "members";
+  private static final String COMPLETE = "all";
+  private static final String TARGETS = "targets";
+  private static final String TARGETS_PATH = MEMBERS + "." + TARGETS;
 
-    private static final String NAME = "uid";
-    private static final String STATE = "state";
-    private static final String ENDPOINT = "endpoint";
-    private static final String ZONE = "az";
-    private static final String CELL = "pod_group";
-    private static final String KIND = "model";
-    private static final String CAPACITY = "capacity_hint";
-    private static final String STARTED_AT_MILLIS = "boot_ms";
+  private static final String NAME = "uid";
+  private static final String STATE = "state";
+  private static final String ENDPOINT = "endpoint";
+  private static final String ZONE = "az";
+  private static final String CELL = "pod_group";
+  private static final String KIND = "model";
+  private static final String CAPACITY = "capacity_hint";
+  private static final String STARTED_AT_MILLIS = "boot_ms";
 
-    /** Reads the text of an event; a mistake is an {@link IOException} that names its key. */
-    static EndpointListEvent parse(String text, NameDirectory directory) throws IOException {
-        try {
-            return fromJson(JsonDocument.parseObject(text), directory);
-        } catch (IOException e) {
-            throw new IOException("event: " + e.getMessage(), e);
-        }
+  /** Reads the text of an event; a mistake is an {@link IOException} that names its key. */
+  static EndpointListEvent parse(String text, NameDirectory directory) throws IOException {
+    try {
+      return fromJson(JsonDocument.parseObject(text), directory);
+    } catch (IOException e) {
+      throw new IOException("event: " + e.getMessage(), e);
     }
+  }
 
-    /**
-     * Reads an event that is decoded already.
-     *
-     * @throws IOException               if it can't be used; names the key
-     * @throws IllegalArgumentException  if a worker's endpoint is no address at all
-     */
-    public static EndpointListEvent fromJson(Map<?, ?> event, NameDirectory directory) throws IOException {
-        long sequence = (long) number(event, SEQUENCE);
-        if (!(event.get(MEMBERS) instanceof Map<?, ?> members)) {
-            return new EndpointListEvent(sequence, false, null);
-        }
-        if (!(members.get(TARGETS) instanceof List<?> targets) || targets.size() > MAX_WORKERS) {
-            throw new IOException(TARGETS_PATH + ": no list, or too long");
-        }
-        List<EndpointUpdate> updates = new ArrayList<>(targets.size());
-        for (Object target : targets) {
-            if (!(target instanceof Map<?, ?> worker)) {
-                throw new IOException(TARGETS_PATH + ": no object");
-            }
-            updates.add(readWorker(worker, directory));
-        }
-        return new EndpointListEvent(sequence, Boolean.TRUE.equals(members.get(COMPLETE)), updates);
+  /**
+   * Reads an event that is decoded already.
+   *
+   * @throws IOException if it can't be used; names the key
+   * @throws IllegalArgumentException if a worker's endpoint is no address at all
+   */
+  public static EndpointListEvent fromJson(Map<?, ?> event, NameDirectory directory)
+      throws IOException {
+    long sequence = (long) number(event, SEQUENCE);
+    if (!(event.get(MEMBERS) instanceof Map<?, ?> members)) {
+      return new EndpointListEvent(sequence, false, null);
     }
-
-    private static EndpointUpdate readWorker(Map<?, ?> worker, NameDirectory directory) throws IOException {
-        WorkerState state = readState(worker);
-        String name = text(worker, NAME);
-        boolean addressNeeded = state != WorkerState.GONE || worker.get(ENDPOINT) != null;
-        URI address = addressNeeded ? readAddress(worker) : null;
-        String host = address == null ? "" : address.getHost();
-        int port = address == null ? 0 : address.getPort();
-        Duration startedAt = readStart(worker, directory);
-        int zone = index(directory.zones, worker.get(ZONE));
-        int cell = (int) optionalNumber(worker, CELL);
-        int kind = index(directory.kinds, worker.get(KIND));
-        double capacity = optionalNumber(worker, CAPACITY);
-        return new EndpointUpdate(name, host, port, state, zone, cell, kind, capacity, startedAt);
+    if (!(members.get(TARGETS) instanceof List<?> targets) || targets.size() > MAX_WORKERS) {
+      throw new IOException(TARGETS_PATH + ": no list, or too long");
     }
-
-    private static WorkerState readState(Map<?, ?> worker) throws IOException {
-        return switch (text(worker, STATE)) {
-            case "SERVING" -> WorkerState.READY;
-            case "DRAINING" -> WorkerState.DRAINING;
-            case "DELETED" -> WorkerState.GONE;
-            default -> throw new IOException(STATE + ": unknown word " + worker.get(STATE));
-        };
+    List<EndpointUpdate> updates = new ArrayList<>(targets.size());
+    for (Object target : targets) {
+      if (!(target instanceof Map<?, ?> worker)) {
+        throw new IOException(TARGETS_PATH + ": no object");
+      }
+      updates.add(readWorker(worker, directory));
     }
+    return new EndpointListEvent(sequence, Boolean.TRUE.equals(members.get(COMPLETE)), updates);
+  }
 
-    private static URI readAddress(Map<?, ?> worker) throws IOException {
-        URI address = URI.create("tcp://" + text(worker, ENDPOINT).replace(' ', '_'));
-        if (address.getHost() == null || address.getPort() <= 0 || address.getPort() > MAX_PORT) {
-            throw new IOException(ENDPOINT + ": " + worker.get(ENDPOINT));
-        }
-        return address;
-    }
+  private static EndpointUpdate readWorker(Map<?, ?> worker, NameDirectory directory)
+      throws IOException {
+    WorkerState state = readState(worker);
+    String name = text(worker, NAME);
+    boolean addressNeeded = state != WorkerState.GONE || worker.get(ENDPOINT) != null;
+    URI address = addressNeeded ? readAddress(worker) : null;
+    String host = address == null ? "" : address.getHost();
+    int port = address == null ? 0 : address.getPort();
+    Duration startedAt = readStart(worker, directory);
+    int zone = index(directory.zones, worker.get(ZONE));
+    int cell = (int) optionalNumber(worker, CELL);
+    int kind = index(directory.kinds, worker.get(KIND));
+    double capacity = optionalNumber(worker, CAPACITY);
+    return new EndpointUpdate(name, host, port, state, zone, cell, kind, capacity, startedAt);
+  }
 
-    /** The worker's start since the router's, or null where it is not stated or zero. */
-    private static Duration readStart(Map<?, ?> worker, NameDirectory directory) throws IOException {
-        double startedAtMillis = optionalNumber(worker, STARTED_AT_MILLIS);
-        if (startedAtMillis == 0) { return null; }
-        return Duration.ofMillis((long) startedAtMillis - directory.startedAtMillis);
-    }
+  private static WorkerState readState(Map<?, ?> worker) throws IOException {
+    return switch (text(worker, STATE)) {
+      case "SERVING" -> WorkerState.READY;
+      case "DRAINING" -> WorkerState.DRAINING;
+      case "DELETED" -> WorkerState.GONE;
+      default -> throw new IOException(STATE + ": unknown word " + worker.get(STATE));
+    };
+  }
 
-    /** The index of a name; one past all known ones where the settings do not have it. */
-    private static int index(Map<String, Integer> indices, Object name) {
-        return indices.getOrDefault(String.valueOf(name), indices.size());
+  private static URI readAddress(Map<?, ?> worker) throws IOException {
+    URI address = URI.create("tcp://" + text(worker, ENDPOINT).replace(' ', '_'));
+    if (address.getHost() == null || address.getPort() <= 0 || address.getPort() > MAX_PORT) {
+      throw new IOException(ENDPOINT + ": " + worker.get(ENDPOINT));
     }
+    return address;
+  }
 
-    private static String text(Map<?, ?> object, String key) throws IOException {
-        if (object.get(key) instanceof String text && !text.isEmpty()) { return text; }
-        throw new IOException(key + ": no text");
+  /** The worker's start since the router's, or null where it is not stated or zero. */
+  private static Duration readStart(Map<?, ?> worker, NameDirectory directory) throws IOException {
+    double startedAtMillis = optionalNumber(worker, STARTED_AT_MILLIS);
+    if (startedAtMillis == 0) {
+      return null;
     }
+    return Duration.ofMillis((long) startedAtMillis - directory.startedAtMillis);
+  }
+
+  /** The index of a name; one past all known ones where the settings do not have it. */
+  private static int index(Map<String, Integer> indices, Object name) {
+    return indices.getOrDefault(String.valueOf(name), indices.size());
+  }
 
-    private static double number(Map<?, ?> object, String key) throws IOException {
-        if (object.get(key) instanceof Number number && Double.isFinite(number.doubleValue())) {
-            return number.doubleValue();
-        }
-        throw new IOException(key + ": no number");
+  private static String text(Map<?, ?> object, String key) throws IOException {
+    if (object.get(key) instanceof String text && !text.isEmpty()) {
+      return text;
     }
+    throw new IOException(key + ": no text");
+  }
 
-    private static double optionalNumber(Map<?, ?> object, String key) throws IOException {
-        return object.get(key) == null ? 0 : number(object, key);
+  private static double number(Map<?, ?> object, String key) throws IOException {
+    if (object.get(key) instanceof Number number && Double.isFinite(number.doubleValue())) {
+      return number.doubleValue();
     }
+    throw new IOException(key + ": no number");
+  }
+
+  private static double optionalNumber(Map<?, ?> object, String key) throws IOException {
+    return object.get(key) == null ? 0 : number(object, key);
+  }
 }
--- a/src/main/java/switchgap/experiment/BaselineRouter.java
+++ b/src/main/java/switchgap/experiment/BaselineRouter.java
@@ -7,12 +7,12 @@
 
 /** A router under a textbook choice in place of the routing policy. */
 public final class BaselineRouter {
-    private BaselineRouter() {}
+  private BaselineRouter() {}
 
-    /** Serves as the configuration says; {@code choice} is random or turns. */
-    public static GatewayRouter start(Path page, String choice) throws IOException {
-        GatewayConfig config = GatewayConfig.read(page);
-        return new GatewayRouter(config,
-            new BaselinePolicy(config.terms(), choice.equals("turns"), config.seed()));
-    }
+  /** Serves as the configuration says; {@code choice} is random or turns. */
+  public static GatewayRouter start(Path page, String choice) throws IOException {
+    GatewayConfig config = GatewayConfig.read(page);
+    return new GatewayRouter(
+        config, new BaselinePolicy(config.terms(), choice.equals("turns"), config.seed()));
+  }
 }
--- a/src/main/java/switchgap/experiment/EmulatedRouter.java
+++ b/src/main/java/switchgap/experiment/EmulatedRouter.java
@@ -18,145 +18,208 @@
 import switchgap.router.WorkerTransport;
 
 /**
- * The program's own core and admission gate in simulated time; its transport reaches the emulated workers
- * after a network delay.
+ * The program's own core and admission gate in simulated time; its transport reaches the emulated
+ * workers after a network delay.
  */
 final class EmulatedRouter implements WorkerTransport {
-    private static final byte[] NOTHING = {};
-    private final Emulator emulator;
-    private final long startedAt;
-    private final List<Consumer<RouterCore>> events = new ArrayList<>();
-    private AdmissionGate gate;
-    private boolean tickScheduled;
-    private long wakeUpAt = Long.MAX_VALUE;
-    private boolean stopped;
-
-    EmulatedRouter(Emulator emulator) {
-        this.emulator = emulator;
-        this.startedAt = emulator.scheduler.now();
+  private static final byte[] NOTHING = {};
+  private final Emulator emulator;
+  private final long startedAt;
+  private final List<Consumer<RouterCore>> events = new ArrayList<>();
+  private AdmissionGate gate;
+  private boolean tickScheduled;
+  private long wakeUpAt = Long.MAX_VALUE;
+  private boolean stopped;
+
+  EmulatedRouter(Emulator emulator) {
+    this.emulator = emulator;
+    this.startedAt = emulator.scheduler.now();
+  }
+
+  void gate(AdmissionGate admissionGate) {
+    gate = admissionGate;
+    post(core -> {});
+  }
+
+  AdmissionGate gate() {
+    return gate;
+  }
+
+  /** The process dies: what it had in flight is lost. */
+  void stop() {
+    stopped = true;
+  }
+
+  Duration now() {
+    return Duration.ofNanos((emulator.scheduler.now() - startedAt) * 1000);
+  }
+
+  void post(Consumer<RouterCore> event) {
+    if (stopped) {
+      return;
     }
-
-    void gate(AdmissionGate admissionGate) {
-        gate = admissionGate;
-        post(core -> {});
-    }
-
-    AdmissionGate gate() { return gate; }
-
-    /** The process dies: what it had in flight is lost. */
-    void stop() { stopped = true; }
-
-    Duration now() { return Duration.ofNanos((emulator.scheduler.now() - startedAt) * 1000); }
-
-    void post(Consumer<RouterCore> event) {
-        if (stopped) { return; }
-        events.add(event);
-        if (!tickScheduled) {
-            tickScheduled = true;
-            emulator.scheduler.after(emulator.tickMicros, this::tick);
-        }
+    events.add(event);
+    if (!tickScheduled) {
+      tickScheduled = true;
+      emulator.scheduler.after(emulator.tickMicros, this::tick);
     }
+  }
 
-    private void tick() {
-        tickScheduled = false;
-        if (stopped) { return; }
-        List<Consumer<RouterCore>> batch = new ArrayList<>(events);
-        events.clear();
-        gate.core().tick(now(), batch);
-        Duration nextDue = gate.core().nextDue();
-        long at = nextDue == null ? Long.MAX_VALUE : startedAt + nextDue.toNanos() / 1000 + 1;
-        if (at < wakeUpAt || wakeUpAt <= emulator.scheduler.now()) {
-            wakeUpAt = at;
-            emulator.scheduler.after(at - emulator.scheduler.now(), () -> {
-                if (wakeUpAt == at && !tickScheduled && !stopped) {
-                    wakeUpAt = Long.MAX_VALUE;
-                    tick();
-                }
-            });
-        }
+  private void tick() {
+    tickScheduled = false;
+    if (stopped) {
+      return;
     }
-
-    private LoadReport loadReport(EmulatedWorker emulatedWorker, int concurrency) {
-        return emulator.scenario.tellsLoad()
-            ? new LoadReport(emulatedWorker.busy(), emulatedWorker.inHand(), emulatedWorker.waiting(),
-                concurrency)
-            : LoadReport.ofConcurrency(concurrency);
-    }
-
-    @Override public void startAttempt(Attempt attempt, Duration timeout) {
-        EmulatedWorker emulatedWorker = emulator.worker(attempt.worker.name);
-        FunctionModel model = emulator.catalogue.find(attempt.request.function);
-        emulator.scheduler.after(emulator.networkDelayMicros, () -> {
-            if (stopped || emulatedWorker == null || emulatedWorker.dead()) {
-                emulator.scheduler.after(emulator.networkDelayMicros, () -> post(
-                    core -> core.attemptEnded(attempt, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE,
-                        null)));
-                return;
+    List<Consumer<RouterCore>> batch = new ArrayList<>(events);
+    events.clear();
+    gate.core().tick(now(), batch);
+    Duration nextDue = gate.core().nextDue();
+    long at = nextDue == null ? Long.MAX_VALUE : startedAt + nextDue.toNanos() / 1000 + 1;
+    if (at < wakeUpAt || wakeUpAt <= emulator.scheduler.now()) {
+      wakeUpAt = at;
+      emulator.scheduler.after(
+          at - emulator.scheduler.now(),
+          () -> {
+            if (wakeUpAt == at && !tickScheduled && !stopped) {
+              wakeUpAt = Long.MAX_VALUE;
+              tick();
             }
-            attempt.attachment = emulatedWorker.infer(model, () -> {},
-                (outcome, concurrency) -> emulator.scheduler.after(emulator.networkDelayMicros,
-                    () -> post(core -> core.attemptEnded(attempt, switch (outcome) {
-                        case OK, DROPPED -> AttemptOutcome.SUCCEEDED;
-                        case MISS -> AttemptOutcome.NOT_LOADED;
-                        case FULL -> AttemptOutcome.REJECTED;
-                        default -> AttemptOutcome.FAILED;
-                    }, loadReport(emulatedWorker, concurrency),
-                        Response.succeeded(200, Map.of(), NOTHING)))));
-        });
+          });
     }
-
-    @Override public AttemptOutcome abandon(Attempt attempt) {
-        EmulatedWorker emulatedWorker = emulator.worker(attempt.worker.name);
-        emulator.scheduler.after(emulator.networkDelayMicros, () -> {
-            if (emulatedWorker != null && attempt.attachment instanceof EmulatedWorker.Execution execution) {
-                emulatedWorker.leave(execution);
-            }
+  }
+
+  private LoadReport loadReport(EmulatedWorker emulatedWorker, int concurrency) {
+    return emulator.scenario.tellsLoad()
+        ? new LoadReport(
+            emulatedWorker.busy(), emulatedWorker.inHand(), emulatedWorker.waiting(), concurrency)
+        : LoadReport.ofConcurrency(concurrency);
+  }
+
+  @Override
+  public void startAttempt(Attempt attempt, Duration timeout) {
+    EmulatedWorker emulatedWorker = emulator.worker(attempt.worker.name);
+    FunctionModel model = emulator.catalogue.find(attempt.request.function);
+    emulator.scheduler.after(
+        emulator.networkDelayMicros,
+        () -> {
+          if (stopped || emulatedWorker == null || emulatedWorker.dead()) {
+            emulator.scheduler.after(
+                emulator.networkDelayMicros,
+                () ->
+                    post(
+                        core ->
+                            core.attemptEnded(
+                                attempt, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE, null)));
+            return;
+          }
+          attempt.attachment =
+              emulatedWorker.infer(
+                  model,
+                  () -> {},
+                  (outcome, concurrency) ->
+                      emulator.scheduler.after(
+                          emulator.networkDelayMicros,
+                          () ->
+                              post(
+                                  core ->
+                                      core.attemptEnded(
+                                          attempt,
+                                          switch (outcome) {
+                                            case OK, DROPPED -> AttemptOutcome.SUCCEEDED;
+                                            case MISS -> AttemptOutcome.NOT_LOADED;
+                                            case FULL -> AttemptOutcome.REJECTED;
+                                            default -> AttemptOutcome.FAILED;
+                                          },
+                                          loadReport(emulatedWorker, concurrency),
+                                          Response.succeeded(200, Map.of(), NOTHING)))));
         });
-        return AttemptOutcome.TIMED_OUT;
-    }
-
-    @Override public void requestReplicas(WorkerEntry worker, String function, int replicas,
-        WorkerCommand command) {
-        EmulatedWorker emulatedWorker = emulator.worker(worker.name);
-        emulator.scheduler.after(emulator.networkDelayMicros, () -> {
-            if (emulatedWorker == null || emulatedWorker.dead()) {
-                post(core -> core.loadCommandEnded(command, AttemptOutcome.CONNECT_FAILED, 0));
-            } else if (replicas == 0) {
-                int loadedReplicas = emulatedWorker.standing(function);
-                emulator.scheduler.after(emulator.networkDelayMicros,
-                    () -> post(
-                        core -> core.loadCommandEnded(command, AttemptOutcome.SUCCEEDED, loadedReplicas)));
-            } else {
-                emulatedWorker.hold(emulator.catalogue.find(function), replicas,
-                    (outcome, loaded) -> emulator.scheduler.after(emulator.networkDelayMicros,
-                        () -> post(core -> core.loadCommandEnded(command,
-                            outcome == EmulatedWorker.Outcome.OK ? AttemptOutcome.SUCCEEDED
-                                : outcome == EmulatedWorker.Outcome.FULL ? AttemptOutcome.REJECTED
-                                    : AttemptOutcome.FAILED,
-                            loaded))));
-            }
+  }
+
+  @Override
+  public AttemptOutcome abandon(Attempt attempt) {
+    EmulatedWorker emulatedWorker = emulator.worker(attempt.worker.name);
+    emulator.scheduler.after(
+        emulator.networkDelayMicros,
+        () -> {
+          if (emulatedWorker != null
+              && attempt.attachment instanceof EmulatedWorker.Execution execution) {
+            emulatedWorker.leave(execution);
+          }
         });
-    }
-
-    @Override public void unload(WorkerEntry worker, String function, WorkerCommand command) {
-        EmulatedWorker emulatedWorker = emulator.worker(worker.name);
-        if (emulatedWorker != null) {
-            emulator.scheduler.after(emulator.networkDelayMicros, () -> emulatedWorker.drop(function));
-        }
-        emulator.scheduler.after(2 * emulator.networkDelayMicros,
-            () -> post(core -> core.unloadEnded(command)));
-    }
+    return AttemptOutcome.TIMED_OUT;
+  }
+
+  @Override
+  public void requestReplicas(
+      WorkerEntry worker, String function, int replicas, WorkerCommand command) {
+    EmulatedWorker emulatedWorker = emulator.worker(worker.name);
+    emulator.scheduler.after(
+        emulator.networkDelayMicros,
+        () -> {
+          if (emulatedWorker == null || emulatedWorker.dead()) {
+            post(core -> core.loadCommandEnded(command, AttemptOutcome.CONNECT_FAILED, 0));
+          } else if (replicas == 0) {
+            int loadedReplicas = emulatedWorker.standing(function);
+            emulator.scheduler.after(
+                emulator.networkDelayMicros,
+                () ->
+                    post(
+                        core ->
+                            core.loadCommandEnded(
+                                command, AttemptOutcome.SUCCEEDED, loadedReplicas)));
+          } else {
+            emulatedWorker.hold(
+                emulator.catalogue.find(function),
+                replicas,
+                (outcome, loaded) ->
+                    emulator.scheduler.after(
+                        emulator.networkDelayMicros,
+                        () ->
+                            post(
+                                core ->
+                                    core.loadCommandEnded(
+                                        command,
+                                        outcome == EmulatedWorker.Outcome.OK
+                                            ? AttemptOutcome.SUCCEEDED
+                                            : outcome == EmulatedWorker.Outcome.FULL
+                                                ? AttemptOutcome.REJECTED
+                                                : AttemptOutcome.FAILED,
+                                        loaded))));
+          }
+        });
+  }
 
-    @Override public void probe(WorkerEntry worker, WorkerCommand command) {
-        EmulatedWorker emulatedWorker = emulator.worker(worker.name);
-        emulator.scheduler.after(2 * emulator.networkDelayMicros,
-            () -> post(core -> core.probeEnded(command,
-                emulatedWorker == null || emulatedWorker.dead() ? AttemptOutcome.CONNECT_FAILED
-                    : AttemptOutcome.SUCCEEDED,
-                emulatedWorker == null ? LoadReport.NONE : loadReport(emulatedWorker, -1))));
+  @Override
+  public void unload(WorkerEntry worker, String function, WorkerCommand command) {
+    EmulatedWorker emulatedWorker = emulator.worker(worker.name);
+    if (emulatedWorker != null) {
+      emulator.scheduler.after(emulator.networkDelayMicros, () -> emulatedWorker.drop(function));
     }
-
-    @Override public void abandon(WorkerCommand command) {}
-
-    @Override public void requestEndpointList() {}
+    emulator.scheduler.after(
+        2 * emulator.networkDelayMicros, () -> post(core -> core.unloadEnded(command)));
+  }
+
+  @Override
+  public void probe(WorkerEntry worker, WorkerCommand command) {
+    EmulatedWorker emulatedWorker = emulator.worker(worker.name);
+    emulator.scheduler.after(
+        2 * emulator.networkDelayMicros,
+        () ->
+            post(
+                core ->
+                    core.probeEnded(
+                        command,
+                        emulatedWorker == null || emulatedWorker.dead()
+                            ? AttemptOutcome.CONNECT_FAILED
+                            : AttemptOutcome.SUCCEEDED,
+                        emulatedWorker == null
+                            ? LoadReport.NONE
+                            : loadReport(emulatedWorker, -1))));
+  }
+
+  @Override
+  public void abandon(WorkerCommand command) {}
+
+  @Override
+  public void requestEndpointList() {}
 }
--- a/src/main/java/switchgap/experiment/ResultTable.java
+++ b/src/main/java/switchgap/experiment/ResultTable.java
@@ -28,77 +28,95 @@
 import org.apache.commons.csv.CSVPrinter;
 
 /**
- * A table of results, written as it grows: {@code STEM.csv}, and {@code STEM.arrow} in the Arrow file format,
- * in batches of {@value #BATCH} rows. Columns are text, whole numbers or reals, by the class given.
+ * A table of results, written as it grows: {@code STEM.csv}, and {@code STEM.arrow} in the Arrow
+ * file format, in batches of {@value #BATCH} rows. Columns are text, whole numbers or reals, by the
+ * class given.
  */
 final class ResultTable implements AutoCloseable {
-    private static final int BATCH = 8192;
-    private static final long MAX_BUFFER_BYTES = 256L << 20;
-    private final Map<String, Class<?>> columns;
-    private final CSVPrinter csv;
-    private final OutputStream file;
-    private final BufferAllocator memory = new RootAllocator(MAX_BUFFER_BYTES);
-    private final VectorSchemaRoot root;
-    private final ArrowFileWriter arrow;
-    private int row;
+  private static final int BATCH = 8192;
+  private static final long MAX_BUFFER_BYTES = 256L << 20;
+  private final Map<String, Class<?>> columns;
+  private final CSVPrinter csv;
+  private final OutputStream file;
+  private final BufferAllocator memory = new RootAllocator(MAX_BUFFER_BYTES);
+  private final VectorSchemaRoot root;
+  private final ArrowFileWriter arrow;
+  private int row;
 
-    ResultTable(Path stem, LinkedHashMap<String, Class<?>> columns) throws IOException {
-        this.columns = columns;
-        csv = new CSVPrinter(Files.newBufferedWriter(withSuffix(stem, ".csv")),
-            CSVFormat.DEFAULT.builder().setRecordSeparator('\n').setHeader(
-                columns.keySet().toArray(new String[0])).get());
-        List<Field> fields = new ArrayList<>();
-        columns.forEach((column, type) -> fields.add(
-            new Field(column, FieldType.notNullable(arrowType(type)), null)));
-        root = VectorSchemaRoot.create(new Schema(fields), memory);
-        file = new BufferedOutputStream(Files.newOutputStream(withSuffix(stem, ".arrow")));
-        arrow = new ArrowFileWriter(root, null, Channels.newChannel(file));
-        arrow.start();
-    }
+  ResultTable(Path stem, LinkedHashMap<String, Class<?>> columns) throws IOException {
+    this.columns = columns;
+    csv =
+        new CSVPrinter(
+            Files.newBufferedWriter(withSuffix(stem, ".csv")),
+            CSVFormat.DEFAULT
+                .builder()
+                .setRecordSeparator('\n')
+                .setHeader(columns.keySet().toArray(new String[0]))
+                .get());
+    List<Field> fields = new ArrayList<>();
+    columns.forEach(
+        (column, type) ->
+            fields.add(new Field(column, FieldType.notNullable(arrowType(type)), null)));
+    root = VectorSchemaRoot.create(new Schema(fields), memory);
+    file = new BufferedOutputStream(Files.newOutputStream(withSuffix(stem, ".arrow")));
+    arrow = new ArrowFileWriter(root, null, Channels.newChannel(file));
+    arrow.start();
+  }
 
-    private static Path withSuffix(Path stem, String suffix) {
-        return stem.resolveSibling(stem.getFileName() + suffix);
-    }
+  private static Path withSuffix(Path stem, String suffix) {
+    return stem.resolveSibling(stem.getFileName() + suffix);
+  }
 
-    private static ArrowType arrowType(Class<?> columnType) {
-        if (columnType == String.class) {
-            return ArrowType.Utf8.INSTANCE;
-        }
-        return columnType == Long.class ? new ArrowType.Int(Long.SIZE, true)
-            : new ArrowType.FloatingPoint(FloatingPointPrecision.DOUBLE);
+  private static ArrowType arrowType(Class<?> columnType) {
+    if (columnType == String.class) {
+      return ArrowType.Utf8.INSTANCE;
     }
+    return columnType == Long.class
+        ? new ArrowType.Int(Long.SIZE, true)
+        : new ArrowType.FloatingPoint(FloatingPointPrecision.DOUBLE);
+  }
 
-    /** One row, a value for each column. */
-    void row(Object... values) throws IOException {
-        if (values.length != columns.size()) {
-            throw new IllegalArgumentException(values.length + " values for " + columns.size() + " columns");
-        }
-        csv.printRecord(values);
-        for (int i = 0; i < values.length; i++) {
-            FieldVector vector = root.getVector(i);
-            if (vector instanceof VarCharVector textVector) {
-                textVector.setSafe(row, ((String) values[i]).getBytes(StandardCharsets.UTF_8));
-            } else if (vector instanceof BigIntVector integerVector) {
-                integerVector.setSafe(row, ((Number) values[i]).longValue());
-            } else {
-                ((Float8Vector) vector).setSafe(row, ((Number) values[i]).doubleValue());
-            }
-        }
-        if (++row == BATCH) { writeBatch(); }
+  /** One row, a value for each column. */
+  void row(Object... values) throws IOException {
+    if (values.length != columns.size()) {
+      throw new IllegalArgumentException(
+          values.length + " values for " + columns.size() + " columns");
     }
-
-    private void writeBatch() throws IOException {
-        root.setRowCount(row);
-        arrow.writeBatch();
-        root.clear();
-        root.allocateNew();
-        row = 0;
+    csv.printRecord(values);
+    for (int i = 0; i < values.length; i++) {
+      FieldVector vector = root.getVector(i);
+      if (vector instanceof VarCharVector textVector) {
+        textVector.setSafe(row, ((String) values[i]).getBytes(StandardCharsets.UTF_8));
+      } else if (vector instanceof BigIntVector integerVector) {
+        integerVector.setSafe(row, ((Number) values[i]).longValue());
+      } else {
+        ((Float8Vector) vector).setSafe(row, ((Number) values[i]).doubleValue());
+      }
     }
+    if (++row == BATCH) {
+      writeBatch();
+    }
+  }
+
+  private void writeBatch() throws IOException {
+    root.setRowCount(row);
+    arrow.writeBatch();
+    root.clear();
+    root.allocateNew();
+    row = 0;
+  }
 
-    @Override public void close() throws IOException {
-        try (csv; memory; root; file; arrow) {
-            if (row > 0) { writeBatch(); }
-            arrow.end();
-        }
+  @Override
+  public void close() throws IOException {
+    try (csv;
+        memory;
+        root;
+        file;
+        arrow) {
+      if (row > 0) {
+        writeBatch();
+      }
+      arrow.end();
     }
+  }
 }
--- a/src/main/java/switchgap/experiment/VirtualTimeScheduler.java
+++ b/src/main/java/switchgap/experiment/VirtualTimeScheduler.java
@@ -5,31 +5,43 @@
 
 /** Simulated time: events in order of time, equal ones in the order they were set. */
 final class VirtualTimeScheduler implements Scheduler {
-    private record Event(long at, long number, Runnable action) {}
-
-    private final PriorityQueue<Event> queue = new PriorityQueue<>(
-        (left, right) -> left.at != right.at ? Long.compare(left.at, right.at)
-            : Long.compare(left.number, right.number));
-    private long now = 1_000_000_000_000L;
-    private long count;
-
-    @Override public long now() { return now; }
-
-    @Override public void after(long micros, Runnable action) {
-        queue.add(new Event(now + Math.max(0, micros), count++, action));
-    }
-
-    @Override public void post(Runnable action) { after(0, action); }
-
-    /** Runs everything up to a time. */
-    void run(long until) {
-        while (!queue.isEmpty() && queue.peek().at <= until) {
-            Event event = queue.poll();
-            now = event.at;
-            event.action.run();
-        }
-        now = Math.max(now, until);
+  private record Event(long at, long number, Runnable action) {}
+
+  private final PriorityQueue<Event> queue =
+      new PriorityQueue<>(
+          (left, right) ->
+              left.at != right.at
+                  ? Long.compare(left.at, right.at)
+                  : Long.compare(left.number, right.number));
+  private long now = 1_000_000_000_000L;
+  private long count;
+
+  @Override
+  public long now() {
+    return now;
+  }
+
+  @Override
+  public void after(long micros, Runnable action) {
+    queue.add(new Event(now + Math.max(0, micros), count++, action));
+  }
+
+  @Override
+  public void post(Runnable action) {
+    after(0, action);
+  }
+
+  /** Runs everything up to a time. */
+  void run(long until) {
+    while (!queue.isEmpty() && queue.peek().at <= until) {
+      Event event = queue.poll();
+      now = event.at;
+      event.action.run();
     }
+    now = Math.max(now, until);
+  }
 
-    long events() { return count; }
+  long events() {
+    return count;
+  }
 }
--- a/src/main/java/switchgap/net/AcceptHoldUp.java
+++ b/src/main/java/switchgap/net/AcceptHoldUp.java
@@ -6,88 +6,90 @@
 import org.glassfish.grizzly.attributes.Attribute;
 
 /**
- * How long clients of a listener may have waited in the system's backlog, as nothing was accepted: accepts
- * failed, or were paused. What such a client sent meanwhile is as old. Thread-safe.
+ * How long clients of a listener may have waited in the system's backlog, as nothing was accepted:
+ * accepts failed, or were paused. What such a client sent meanwhile is as old. Thread-safe.
  */
 final class AcceptHoldUp {
-    private static final Attribute<
-        AcceptHoldUp> OF_LISTENER = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(
-            "switchgap.accept-hold-up", AcceptHoldUp::new);
-    /** Time in which a full backlog is accepted. */
-    private static final long CATCH_UP_NANOS = PauseDetector.THRESHOLD.toNanos();
-    private static final long NONE = Long.MIN_VALUE;
+  private static final Attribute<AcceptHoldUp> OF_LISTENER =
+      Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(
+          "switchgap.accept-hold-up", AcceptHoldUp::new);
 
-    private long heldUpSinceNanos = NONE;
-    private long resumedNanos = NONE;
-    private boolean failing;
-    private boolean paused;
+  /** Time in which a full backlog is accepted. */
+  private static final long CATCH_UP_NANOS = PauseDetector.THRESHOLD.toNanos();
 
-    /** That of a listener. */
-    static AcceptHoldUp of(Connection<?> listener) {
-        return OF_LISTENER.get(listener);
-    }
+  private static final long NONE = Long.MIN_VALUE;
 
-    /** An accept failed; others will. */
-    synchronized void failed() {
-        hold();
-        failing = true;
-    }
+  private long heldUpSinceNanos = NONE;
+  private long resumedNanos = NONE;
+  private boolean failing;
+  private boolean paused;
 
-    /** An accept did not fail. */
-    synchronized void accepted() {
-        failing = false;
-        release();
-    }
+  /** That of a listener. */
+  static AcceptHoldUp of(Connection<?> listener) {
+    return OF_LISTENER.get(listener);
+  }
 
-    /** Nothing is accepted from now on, on purpose. */
-    synchronized void paused() {
-        hold();
-        paused = true;
-    }
+  /** An accept failed; others will. */
+  synchronized void failed() {
+    hold();
+    failing = true;
+  }
 
-    /** What was paused goes on. */
-    synchronized void resumed() {
-        paused = false;
-        release();
-    }
+  /** An accept did not fail. */
+  synchronized void accepted() {
+    failing = false;
+    release();
+  }
 
-    /** Whether nothing is to be accepted. */
-    synchronized boolean isPaused() {
-        return paused;
-    }
+  /** Nothing is accepted from now on, on purpose. */
+  synchronized void paused() {
+    hold();
+    paused = true;
+  }
+
+  /** What was paused goes on. */
+  synchronized void resumed() {
+    paused = false;
+    release();
+  }
 
-    private void hold() {
-        if (possibleDelay().isZero()) {
-            heldUpSinceNanos = System.nanoTime();
-        }
-        resumedNanos = NONE;
+  /** Whether nothing is to be accepted. */
+  synchronized boolean isPaused() {
+    return paused;
+  }
+
+  private void hold() {
+    if (possibleDelay().isZero()) {
+      heldUpSinceNanos = System.nanoTime();
     }
+    resumedNanos = NONE;
+  }
 
-    private void release() {
-        if (!failing && !paused && heldUpSinceNanos != NONE && resumedNanos == NONE) {
-            resumedNanos = System.nanoTime();
-        }
+  private void release() {
+    if (!failing && !paused && heldUpSinceNanos != NONE && resumedNanos == NONE) {
+      resumedNanos = System.nanoTime();
     }
+  }
 
-    /** The selector looks again after it was held up for so long; zero where it was not. */
-    synchronized void selectorHeldUp(Duration delay) {
-        if (!delay.isZero() && possibleDelay().compareTo(delay) < 0) {
-            heldUpSinceNanos = System.nanoTime() - delay.toNanos();
-            resumedNanos = System.nanoTime();
-        }
+  /** The selector looks again after it was held up for so long; zero where it was not. */
+  synchronized void selectorHeldUp(Duration delay) {
+    if (!delay.isZero() && possibleDelay().compareTo(delay) < 0) {
+      heldUpSinceNanos = System.nanoTime() - delay.toNanos();
+      resumedNanos = System.nanoTime();
     }
+  }
 
-    /** How long a client that is accepted now may have waited; zero as a rule. */
-    synchronized Duration possibleDelay() {
-        if (heldUpSinceNanos == NONE) {
-            return Duration.ZERO;
-        }
-        long now = System.nanoTime();
-        if (resumedNanos != NONE && now - resumedNanos > CATCH_UP_NANOS) {
-            heldUpSinceNanos = NONE;
-            resumedNanos = NONE;
-            return Duration.ZERO;
-        }
-        return Duration.ofNanos(now - heldUpSinceNanos);
+  /** How long a client that is accepted now may have waited; zero as a rule. */
+  synchronized Duration possibleDelay() {
+    if (heldUpSinceNanos == NONE) {
+      return Duration.ZERO;
+    }
+    long now = System.nanoTime();
+    if (resumedNanos != NONE && now - resumedNanos > CATCH_UP_NANOS) {
+      heldUpSinceNanos = NONE;
+      resumedNanos = NONE;
+      return Duration.ZERO;
     }
+    return Duration.ofNanos(now - heldUpSinceNanos);
+  }
 }
--- a/src/main/java/switchgap/net/Connector.java
+++ b/src/main/java/switchgap/net/Connector.java
@@ -13,123 +13,136 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 
 /**
- * Opens connections within a timeout. An attempt that takes longer is cancelled: a peer that never replies
- * must not keep a file descriptor.
+ * Opens connections within a timeout. An attempt that takes longer is cancelled: a peer that never
+ * replies must not keep a file descriptor.
  */
 public final class Connector {
-    /**
-     * Hears how opening a connection ended: exactly one of the two methods is called, once, on a selector
-     * thread or on the {@link TimerThread}.
-     *
-     * @param <C> the connection's type
-     */
-    public interface ConnectCallback<C> {
-        /** The connection is open. */
-        void connected(C connection);
-
-        /** The connection could not be opened, or not in time. */
-        void failed(String reason);
+  /**
+   * Hears how opening a connection ended: exactly one of the two methods is called, once, on a
+   * selector thread or on the {@link TimerThread}.
+   *
+   * @param <C> the connection's type
+   */
+  public interface ConnectCallback<C> {
+    /** The connection is open. */
+    void connected(C connection);
+
+    /** The connection could not be opened, or not in time. */
+    void failed(String reason);
+  }
+
+  /**
+   * How an open Grizzly connection becomes a connection of this package.
+   *
+   * @param <C> the connection's type
+   * @param wrap makes the connection
+   * @param close closes one that opened only after its timeout
+   */
+  @SuppressWarnings("rawtypes")
+  record ConnectionAdapter<C>(Function<Connection, C> wrap, Consumer<C> close) {}
+
+  /** Time in which a selector sees what came in a pause of the process. */
+  private static final Duration READ_AFTER_PAUSE = Duration.ofMillis(50);
+
+  private Connector() {}
+
+  /**
+   * Begins to open a connection and returns at once.
+   *
+   * @param local the local address to connect from, or null for any
+   */
+  @SuppressWarnings("rawtypes")
+  static <C> void connect(
+      TCPNIOConnectorHandler connector,
+      InetSocketAddress remote,
+      InetSocketAddress local,
+      Duration timeout,
+      ConnectCallback<C> callback,
+      ConnectionAdapter<C> adapter) {
+    Attempt<C> attempt = new Attempt<>(timeout, callback, adapter);
+    GrizzlyFuture<Connection> future = connector.connect(remote, local);
+    attempt.started(future);
+    future.addCompletionHandler(attempt);
+  }
+
+  /**
+   * One attempt to connect. Whoever takes the callback out of its reference has decided the
+   * outcome.
+   */
+  @SuppressWarnings("rawtypes")
+  private static final class Attempt<C> extends EmptyCompletionHandler<Connection> {
+    private final AtomicReference<ConnectCallback<C>> pendingCallback;
+    private final AtomicReference<GrizzlyFuture<Connection>> pendingFuture =
+        new AtomicReference<>();
+    private final ConnectionAdapter<C> adapter;
+    private final Duration timeout;
+    private final long dueNanos;
+    private volatile ScheduledFuture<?> timer;
+
+    Attempt(Duration timeout, ConnectCallback<C> callback, ConnectionAdapter<C> adapter) {
+      this.pendingCallback = new AtomicReference<>(callback);
+      this.adapter = adapter;
+      this.timeout = timeout;
+      this.dueNanos = System.nanoTime() + timeout.toNanos();
+      this.timer =
+          TimerThread.EXECUTOR.schedule(this::due, timeout.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /**
-     * How an open Grizzly connection becomes a connection of this package.
-     *
-     * @param <C>   the connection's type
-     * @param wrap  makes the connection
-     * @param close closes one that opened only after its timeout
-     */
-    @SuppressWarnings("rawtypes") record ConnectionAdapter<C>(Function<Connection, C> wrap,
-        Consumer<C> close) {
+    void started(GrizzlyFuture<Connection> future) {
+      pendingFuture.set(future);
+      if (pendingCallback.get() == null) { // timed out before there was a future to cancel
+        future.cancel(true);
+      }
     }
 
-    /** Time in which a selector sees what came in a pause of the process. */
-    private static final Duration READ_AFTER_PAUSE = Duration.ofMillis(50);
-
-    private Connector() {}
-
-    /**
-     * Begins to open a connection and returns at once.
-     *
-     * @param local the local address to connect from, or null for any
-     */
-    @SuppressWarnings("rawtypes") static <C> void connect(TCPNIOConnectorHandler connector,
-        InetSocketAddress remote, InetSocketAddress local, Duration timeout, ConnectCallback<C> callback,
-        ConnectionAdapter<C> adapter) {
-        Attempt<C> attempt = new Attempt<>(timeout, callback, adapter);
-        GrizzlyFuture<Connection> future = connector.connect(remote, local);
-        attempt.started(future);
-        future.addCompletionHandler(attempt);
+    /** Held up with the process, a timer must not go before what the selector has not seen yet. */
+    private void due() {
+      long lateNanos = System.nanoTime() - dueNanos;
+      if (lateNanos < PauseDetector.THRESHOLD.toNanos()) {
+        timedOut();
+      } else if (pendingCallback.get() != null) {
+        timer =
+            TimerThread.EXECUTOR.schedule(
+                this::timedOut, READ_AFTER_PAUSE.toMillis(), TimeUnit.MILLISECONDS);
+      }
     }
 
-    /** One attempt to connect. Whoever takes the callback out of its reference has decided the outcome. */
-    @SuppressWarnings("rawtypes") private static final class Attempt<C>
-        extends EmptyCompletionHandler<Connection> {
-        private final AtomicReference<ConnectCallback<C>> pendingCallback;
-        private final AtomicReference<GrizzlyFuture<Connection>> pendingFuture = new AtomicReference<>();
-        private final ConnectionAdapter<C> adapter;
-        private final Duration timeout;
-        private final long dueNanos;
-        private volatile ScheduledFuture<?> timer;
-
-        Attempt(Duration timeout, ConnectCallback<C> callback, ConnectionAdapter<C> adapter) {
-            this.pendingCallback = new AtomicReference<>(callback);
-            this.adapter = adapter;
-            this.timeout = timeout;
-            this.dueNanos = System.nanoTime() + timeout.toNanos();
-            this.timer = TimerThread.EXECUTOR.schedule(this::due, timeout.toMillis(), TimeUnit.MILLISECONDS);
-        }
-
-        void started(GrizzlyFuture<Connection> future) {
-            pendingFuture.set(future);
-            if (pendingCallback.get() == null) { // timed out before there was a future to cancel
-                future.cancel(true);
-            }
-        }
-
-        /** Held up with the process, a timer must not go before what the selector has not seen yet. */
-        private void due() {
-            long lateNanos = System.nanoTime() - dueNanos;
-            if (lateNanos < PauseDetector.THRESHOLD.toNanos()) {
-                timedOut();
-            } else if (pendingCallback.get() != null) {
-                timer = TimerThread.EXECUTOR.schedule(this::timedOut, READ_AFTER_PAUSE.toMillis(),
-                    TimeUnit.MILLISECONDS);
-            }
-        }
-
-        private void timedOut() {
-            fail("no connection within " + timeout.toMillis() + " ms");
-            GrizzlyFuture<Connection> future = pendingFuture.get();
-            if (future != null) {
-                future.cancel(true);
-            }
-        }
-
-        private void fail(String reason) {
-            ConnectCallback<C> callback = pendingCallback.getAndSet(null);
-            if (callback != null) {
-                callback.failed(reason);
-            }
-        }
-
-        @Override public void completed(Connection opened) {
-            timer.cancel(false);
-            C connection = adapter.wrap().apply(opened);
-            ConnectCallback<C> callback = pendingCallback.getAndSet(null);
-            if (callback == null) {
-                adapter.close().accept(connection);
-            } else {
-                callback.connected(connection);
-            }
-        }
-
-        @Override public void failed(Throwable cause) {
-            timer.cancel(false);
-            fail(String.valueOf(cause.getMessage()));
-        }
-
-        @Override public void cancelled() {
-            fail("cancelled");
-        }
+    private void timedOut() {
+      fail("no connection within " + timeout.toMillis() + " ms");
+      GrizzlyFuture<Connection> future = pendingFuture.get();
+      if (future != null) {
+        future.cancel(true);
+      }
     }
+
+    private void fail(String reason) {
+      ConnectCallback<C> callback = pendingCallback.getAndSet(null);
+      if (callback != null) {
+        callback.failed(reason);
+      }
+    }
+
+    @Override
+    public void completed(Connection opened) {
+      timer.cancel(false);
+      C connection = adapter.wrap().apply(opened);
+      ConnectCallback<C> callback = pendingCallback.getAndSet(null);
+      if (callback == null) {
+        adapter.close().accept(connection);
+      } else {
+        callback.connected(connection);
+      }
+    }
+
+    @Override
+    public void failed(Throwable cause) {
+      timer.cancel(false);
+      fail(String.valueOf(cause.getMessage()));
+    }
+
+    @Override
+    public void cancelled() {
+      fail("cancelled");
+    }
+  }
 }
--- a/src/main/java/switchgap/net/FrameDecoder.java
+++ b/src/main/java/switchgap/net/FrameDecoder.java
@@ -5,76 +5,77 @@
 import java.util.function.Consumer;
 
 /**
- * Decodes a stream of bytes into frames: a length of four bytes (big-endian), then as many bytes. A length
- * out of bounds is refused before any of its bytes are gathered. Not thread-safe: one decoder belongs to one
- * connection.
+ * Decodes a stream of bytes into frames: a length of four bytes (big-endian), then as many bytes. A
+ * length out of bounds is refused before any of its bytes are gathered. Not thread-safe: one
+ * decoder belongs to one connection.
  */
 public final class FrameDecoder {
-    private static final int HEADER_BYTES = Integer.BYTES;
-    /** A frame's array grows with the bytes that arrive, not with the length that a peer claims. */
-    private static final int INITIAL_BUFFER_BYTES = 512;
+  private static final int HEADER_BYTES = Integer.BYTES;
 
-    private final int maxFrameBytes;
-    private final byte[] header = new byte[HEADER_BYTES];
-    private int headerBytes;
-    private byte[] frame;
-    private int frameLength;
-    private int frameBytes;
+  /** A frame's array grows with the bytes that arrive, not with the length that a peer claims. */
+  private static final int INITIAL_BUFFER_BYTES = 512;
 
-    /** A decoder of frames of 1 to {@code maxFrameBytes} bytes. */
-    public FrameDecoder(int maxFrameBytes) {
-        this.maxFrameBytes = maxFrameBytes;
-    }
+  private final int maxFrameBytes;
+  private final byte[] header = new byte[HEADER_BYTES];
+  private int headerBytes;
+  private byte[] frame;
+  private int frameLength;
+  private int frameBytes;
 
-    /** Whether the first bytes of a frame have come and its last ones have not. */
-    public boolean hasPartialFrame() {
-        return headerBytes > 0;
-    }
+  /** A decoder of frames of 1 to {@code maxFrameBytes} bytes. */
+  public FrameDecoder(int maxFrameBytes) {
+    this.maxFrameBytes = maxFrameBytes;
+  }
 
-    /**
-     * Consumes bytes and hands on each frame that they complete.
-     *
-     * @return false at a length out of bounds: the stream can't be decoded any further, and this decoder must
-     * not be used again
-     */
-    public boolean decode(ByteBuffer input, Consumer<byte[]> frameConsumer) {
-        while (input.hasRemaining()) {
-            if (headerBytes < HEADER_BYTES) {
-                header[headerBytes] = input.get();
-                headerBytes++;
-                if (headerBytes < HEADER_BYTES) {
-                    continue;
-                }
-                frameLength = ByteBuffer.wrap(header).getInt();
-                if (frameLength <= 0 || frameLength > maxFrameBytes) {
-                    return false;
-                }
-                frame = new byte[Math.min(frameLength, Math.max(INITIAL_BUFFER_BYTES, input.remaining()))];
-                frameBytes = 0;
-            }
-            gather(input);
-            if (frameBytes == frameLength) {
-                byte[] complete = frame;
-                frame = null;
-                headerBytes = 0;
-                frameConsumer.accept(complete);
-            }
-        }
-        return true;
-    }
+  /** Whether the first bytes of a frame have come and its last ones have not. */
+  public boolean hasPartialFrame() {
+    return headerBytes > 0;
+  }
 
-    private void gather(ByteBuffer input) {
-        int count = Math.min(input.remaining(), frameLength - frameBytes);
-        if (frameBytes + count > frame.length) {
-            int capacity = Math.max(frameBytes + count, 2 * frame.length);
-            frame = Arrays.copyOf(frame, Math.min(frameLength, capacity));
+  /**
+   * Consumes bytes and hands on each frame that they complete.
+   *
+   * @return false at a length out of bounds: the stream can't be decoded any further, and this
+   *     decoder must not be used again
+   */
+  public boolean decode(ByteBuffer input, Consumer<byte[]> frameConsumer) {
+    while (input.hasRemaining()) {
+      if (headerBytes < HEADER_BYTES) {
+        header[headerBytes] = input.get();
+        headerBytes++;
+        if (headerBytes < HEADER_BYTES) {
+          continue;
+        }
+        frameLength = ByteBuffer.wrap(header).getInt();
+        if (frameLength <= 0 || frameLength > maxFrameBytes) {
+          return false;
         }
-        input.get(frame, frameBytes, count);
-        frameBytes += count;
+        frame = new byte[Math.min(frameLength, Math.max(INITIAL_BUFFER_BYTES, input.remaining()))];
+        frameBytes = 0;
+      }
+      gather(input);
+      if (frameBytes == frameLength) {
+        byte[] complete = frame;
+        frame = null;
+        headerBytes = 0;
+        frameConsumer.accept(complete);
+      }
     }
+    return true;
+  }
 
-    /** The length in the header that was read last: after a refusal, the one that was refused. */
-    public int frameLength() {
-        return frameLength;
+  private void gather(ByteBuffer input) {
+    int count = Math.min(input.remaining(), frameLength - frameBytes);
+    if (frameBytes + count > frame.length) {
+      int capacity = Math.max(frameBytes + count, 2 * frame.length);
+      frame = Arrays.copyOf(frame, Math.min(frameLength, capacity));
     }
+    input.get(frame, frameBytes, count);
+    frameBytes += count;
+  }
+
+  /** The length in the header that was read last: after a refusal, the one that was refused. */
+  public int frameLength() {
+    return frameLength;
+  }
 }
--- a/src/main/java/switchgap/net/FramedConnection.java
+++ b/src/main/java/switchgap/net/FramedConnection.java
@@ -6,110 +6,130 @@
 import java.time.Duration;
 
 /**
- * A TCP connection that carries frames: a length of four bytes, then as many bytes. The length of received
- * frames and the number of unsent ones are bounded.
+ * A TCP connection that carries frames: a length of four bytes, then as many bytes. The length of
+ * received frames and the number of unsent ones are bounded.
  */
 public final class FramedConnection {
-    /** Hears of connections, on a selector thread. After {@code closed} nothing comes of that connection. */
-    public interface Listener {
-        /** The connection is open. */
-        void opened(FramedConnection connection);
-
-        /** A whole frame arrived. */
-        void frame(FramedConnection connection, byte[] bytes);
-
-        /** The connection ended, by this side or the other. */
-        void closed(FramedConnection connection, String reason);
+  /**
+   * Hears of connections, on a selector thread. After {@code closed} nothing comes of that
+   * connection.
+   */
+  public interface Listener {
+    /** The connection is open. */
+    void opened(FramedConnection connection);
+
+    /** A whole frame arrived. */
+    void frame(FramedConnection connection, byte[] bytes);
+
+    /** The connection ended, by this side or the other. */
+    void closed(FramedConnection connection, String reason);
+  }
+
+  private static final int MAX_UNSENT_FRAMES = 64;
+  private static final int LISTEN_BACKLOG = 16;
+  private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(10);
+
+  private final TcpConnection connection;
+  private final FrameDecoder decoder;
+
+  private FramedConnection(TcpConnection connection, int maxFrameBytes) {
+    this.connection = connection;
+    this.decoder = new FrameDecoder(maxFrameBytes);
+  }
+
+  /**
+   * Sends a frame; any thread.
+   *
+   * @return false when nothing was sent, because the connection is closed or too many frames are
+   *     unsent: a later frame must make up for this one
+   */
+  public boolean send(byte[] frame) {
+    if (connection.unsentWrites() >= MAX_UNSENT_FRAMES) {
+      return false;
     }
-
-    private static final int MAX_UNSENT_FRAMES = 64;
-    private static final int LISTEN_BACKLOG = 16;
-    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(10);
-
-    private final TcpConnection connection;
-    private final FrameDecoder decoder;
-
-    private FramedConnection(TcpConnection connection, int maxFrameBytes) {
-        this.connection = connection;
-        this.decoder = new FrameDecoder(maxFrameBytes);
-    }
-
-    /**
-     * Sends a frame; any thread.
-     *
-     * @return false when nothing was sent, because the connection is closed or too many frames are unsent: a
-     * later frame must make up for this one
-     */
-    public boolean send(byte[] frame) {
-        if (connection.unsentWrites() >= MAX_UNSENT_FRAMES) {
-            return false;
-        }
-        byte[] bytes = new byte[Integer.BYTES + frame.length];
-        ByteBuffer.wrap(bytes).putInt(frame.length).put(frame);
-        return connection.send(bytes);
-    }
-
-    /** Closes the connection; its listener hears of it with this reason. Any thread. */
-    public void close(String reason) {
-        connection.close(reason);
+    byte[] bytes = new byte[Integer.BYTES + frame.length];
+    ByteBuffer.wrap(bytes).putInt(frame.length).put(frame);
+    return connection.send(bytes);
+  }
+
+  /** Closes the connection; its listener hears of it with this reason. Any thread. */
+  public void close(String reason) {
+    connection.close(reason);
+  }
+
+  /**
+   * Begins to accept connections.
+   *
+   * @param port the port to listen on; 0 takes any free one
+   * @throws IOException when the address can't be listened on
+   */
+  public static TcpConnection.Server listen(
+      NetworkTransport transport, String host, int port, int maxFrameBytes, Listener listener)
+      throws IOException {
+    return TcpConnection.listen(
+        transport, host, port, LISTEN_BACKLOG, new FrameListener(listener, maxFrameBytes));
+  }
+
+  /** Opens any number of connections that share one listener and one filter chain. */
+  public static final class Factory {
+    private final TcpConnection.Factory factory;
+
+    /** A factory of connections whose received frames hold {@code maxFrameBytes} at most. */
+    public Factory(NetworkTransport transport, int maxFrameBytes, Listener listener) {
+      factory = new TcpConnection.Factory(transport, new FrameListener(listener, maxFrameBytes));
     }
 
-    /**
-     * Begins to accept connections.
-     *
-     * @param port the port to listen on; 0 takes any free one
-     * @throws IOException when the address can't be listened on
-     */
-    public static TcpConnection.Server listen(NetworkTransport transport, String host, int port,
-        int maxFrameBytes, Listener listener) throws IOException {
-        return TcpConnection.listen(transport, host, port, LISTEN_BACKLOG,
-            new FrameListener(listener, maxFrameBytes));
+    /** Begins to open a connection; {@code onFailure} runs when that can't be done. */
+    public void connect(InetSocketAddress remote, Runnable onFailure) {
+      factory.connect(
+          remote,
+          CONNECT_TIMEOUT,
+          new Connector.ConnectCallback<>() {
+            @Override
+            public void connected(TcpConnection connection) {}
+
+            @Override
+            public void failed(String reason) {
+              onFailure.run();
+            }
+          });
     }
-
-    /** Opens any number of connections that share one listener and one filter chain. */
-    public static final class Factory {
-        private final TcpConnection.Factory factory;
-
-        /** A factory of connections whose received frames hold {@code maxFrameBytes} at most. */
-        public Factory(NetworkTransport transport, int maxFrameBytes, Listener listener) {
-            factory = new TcpConnection.Factory(transport, new FrameListener(listener, maxFrameBytes));
-        }
-
-        /** Begins to open a connection; {@code onFailure} runs when that can't be done. */
-        public void connect(InetSocketAddress remote, Runnable onFailure) {
-            factory.connect(remote, CONNECT_TIMEOUT, new Connector.ConnectCallback<>() {
-                @Override public void connected(TcpConnection connection) {}
-
-                @Override public void failed(String reason) {
-                    onFailure.run();
-                }
-            });
-        }
+  }
+
+  /** Decodes the bytes of TCP connections for a listener of frames. */
+  private record FrameListener(Listener listener, int maxFrameBytes)
+      implements TcpConnection.Listener {
+    @Override
+    public void opened(TcpConnection connection) {
+      FramedConnection framed = new FramedConnection(connection, maxFrameBytes);
+      connection.attachment = framed;
+      listener.opened(framed);
     }
 
-    /** Decodes the bytes of TCP connections for a listener of frames. */
-    private record FrameListener(Listener listener, int maxFrameBytes) implements TcpConnection.Listener {
-        @Override public void opened(TcpConnection connection) {
-            FramedConnection framed = new FramedConnection(connection, maxFrameBytes);
-            connection.attachment = framed;
-            listener.opened(framed);
-        }
-
-        @Override public void received(TcpConnection connection, ByteBuffer bytes) {
-            FramedConnection framed = (FramedConnection) connection.attachment;
-            boolean valid = framed.decoder.decode(bytes, frame -> {
+    @Override
+    public void received(TcpConnection connection, ByteBuffer bytes) {
+      FramedConnection framed = (FramedConnection) connection.attachment;
+      boolean valid =
+          framed.decoder.decode(
+              bytes,
+              frame -> {
                 if (connection.isOpen()) {
-                    listener.frame(framed, frame);
+                  listener.frame(framed, frame);
                 }
-            });
-            if (!valid) {
-                framed.close("a frame of " + framed.decoder.frameLength() + " bytes, at most "
-                    + maxFrameBytes + " are taken");
-            }
-        }
+              });
+      if (!valid) {
+        framed.close(
+            "a frame of "
+                + framed.decoder.frameLength()
+                + " bytes, at most "
+                + maxFrameBytes
+                + " are taken");
+      }
+    }
 
-        @Override public void closed(TcpConnection connection, String reason) {
-            listener.closed((FramedConnection) connection.attachment, reason);
-        }
+    @Override
+    public void closed(TcpConnection connection, String reason) {
+      listener.closed((FramedConnection) connection.attachment, reason);
     }
+  }
 }
--- a/src/main/java/switchgap/net/HttpResponse.java
+++ b/src/main/java/switchgap/net/HttpResponse.java
@@ -9,21 +9,22 @@
 /**
  * A whole response.
  *
- * @param headers   by name in lower case
+ * @param headers by name in lower case
  * @param keepAlive whether the server keeps the connection open
  */
 record HttpResponse(int status, Map<String, String> headers, byte[] body, boolean keepAlive) {
-    /** Copies the values out of a response's head, which Grizzly reuses afterwards. */
-    static HttpResponse of(HttpResponsePacket head, byte[] body) {
-        Map<String, String> headers = new HashMap<>();
-        MimeHeaders fields = head.getHeaders();
-        for (int i = 0; i < fields.size(); i++) {
-            headers.put(fields.getName(i).toString().toLowerCase(Locale.ROOT),
-                fields.getValue(i).toString());
-        }
-        if (head.getContentType() != null) { // Grizzly keeps this one apart from the others
-            headers.put("content-type", head.getContentType());
-        }
-        return new HttpResponse(head.getStatus(), headers, body, head.getProcessingState().isKeepAlive());
+  /** Copies the values out of a response's head, which Grizzly reuses afterwards. */
+  static HttpResponse of(HttpResponsePacket head, byte[] body) {
+    Map<String, String> headers = new HashMap<>();
+    MimeHeaders fields = head.getHeaders();
+    for (int i = 0; i < fields.size(); i++) {
+      headers.put(
+          fields.getName(i).toString().toLowerCase(Locale.ROOT), fields.getValue(i).toString());
     }
+    if (head.getContentType() != null) { // Grizzly keeps this one apart from the others
+      headers.put("content-type", head.getContentType());
+    }
+    return new HttpResponse(
+        head.getStatus(), headers, body, head.getProcessingState().isKeepAlive());
+  }
 }
