--- a/src/main/java/switchgap/net/HttpServer.java
+++ b/src/main/java/switchgap/net/HttpServer.java
@@ -18,116 +18,135 @@
 import org.glassfish.grizzly.utils.DelayedExecutor;
 
 /**
- * An HTTP/1.1 server that receives requests whole, within {@link ConnectionLimits}, and hands each to a
- * request handler on a selector thread. Requests are not pipelined: a further one before the response ends
- * its connection.
+ * An HTTP/1.1 server that receives requests whole, within {@link ConnectionLimits}, and hands each
+ * to a request handler on a selector thread. Requests are not pipelined: a further one before the
+ * response ends its connection.
  */
 public final class HttpServer implements AutoCloseable {
-    /** Handles requests on a selector thread, which it must not block. */
-    public interface RequestHandler {
-        /** A request was received; the response may come later and from any thread. */
-        void handle(HttpExchange exchange);
+  /** Handles requests on a selector thread, which it must not block. */
+  public interface RequestHandler {
+    /** A request was received; the response may come later and from any thread. */
+    void handle(HttpExchange exchange);
 
-        /** The client's connection ended before its request was responded to. */
-        default void clientLeft(HttpExchange exchange) {}
-    }
+    /** The client's connection ended before its request was responded to. */
+    default void clientLeft(HttpExchange exchange) {}
+  }
 
-    /**
-     * Grizzly measures idle connections by the wall clock (DelayedExecutor), so they are swept here
-     * instead.
-     */
-    private static final DelayedExecutor NO_IDLE_TIMERS = null;
-    private static final String DEFAULT_CONTENT_TYPE = "text/plain";
-    private static final int UNLIMITED_REQUESTS = -1;
-    private static final int MAX_REQUEST_HEADERS = 100;
-    private static final int MAX_RESPONSE_HEADERS = 100;
-    private static final int SWEEPS_PER_RECEIVE_TIMEOUT = 4;
-    private static final long MIN_SWEEP_INTERVAL_MILLIS = 10;
+  /**
+   * Grizzly measures idle connections by the wall clock (DelayedExecutor), so they are swept here
+   * instead.
+   */
+  private static final DelayedExecutor NO_IDLE_TIMERS = null;
 
-    private final Attribute<ServerConnectionState> states = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(
-        "switchgap.http-server-connection." + System.identityHashCode(this), ServerConnectionState::new);
-    private final NetworkTransport transport;
-    private final ConnectionLimits limits;
-    private final RequestHandler handler;
-    private final Set<Connection<?>> openConnections = ConcurrentHashMap.newKeySet();
-    /** The timer thread alone uses it. */
-    private final PauseHistory pauses = new PauseHistory();
-    private TCPNIOServerConnection listener;
-    private ScheduledFuture<?> sweeper;
+  private static final String DEFAULT_CONTENT_TYPE = "text/plain";
+  private static final int UNLIMITED_REQUESTS = -1;
+  private static final int MAX_REQUEST_HEADERS = 100;
+  private static final int MAX_RESPONSE_HEADERS = 100;
+  private static final int SWEEPS_PER_RECEIVE_TIMEOUT = 4;
+  private static final long MIN_SWEEP_INTERVAL_MILLIS = 10;
 
-    /** A server that does not listen yet. */
-    public HttpServer(NetworkTransport transport, ConnectionLimits limits, RequestHandler handler) {
-        this.transport = transport;
-        this.limits = limits;
-        this.handler = handler;
-    }
+  private final Attribute<ServerConnectionState> states =
+      Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(
+          "switchgap.http-server-connection." + System.identityHashCode(this),
+          ServerConnectionState::new);
+  private final NetworkTransport transport;
+  private final ConnectionLimits limits;
+  private final RequestHandler handler;
+  private final Set<Connection<?>> openConnections = ConcurrentHashMap.newKeySet();
+
+  /** The timer thread alone uses it. */
+  private final PauseHistory pauses = new PauseHistory();
+
+  private TCPNIOServerConnection listener;
+  private ScheduledFuture<?> sweeper;
+
+  /** A server that does not listen yet. */
+  public HttpServer(NetworkTransport transport, ConnectionLimits limits, RequestHandler handler) {
+    this.transport = transport;
+    this.limits = limits;
+    this.handler = handler;
+  }
 
-    /**
-     * Begins to accept connections.
-     *
-     * @param port the port to listen on; 0 takes any free one
-     * @return the port that is listened on
-     * @throws IOException when the address can't be listened on
-     */
-    public int listen(String host, int port) throws IOException {
-        FilterChainBuilder filters = FilterChainBuilder.stateless();
-        filters.add(new SocketFilter());
-        filters.add(new RequestStartFilter(states));
-        filters.add(httpFilter(limits));
-        filters.add(new RequestAssemblyFilter(states, openConnections, limits, handler));
-        TCPNIOBindingHandler binding = TCPNIOBindingHandler.builder(transport.transport).processor(
-            filters.build()).build();
-        listener = binding.bind(new InetSocketAddress(host, port), NetworkTransport.LISTEN_BACKLOG);
-        long interval = Math.max(MIN_SWEEP_INTERVAL_MILLIS,
+  /**
+   * Begins to accept connections.
+   *
+   * @param port the port to listen on; 0 takes any free one
+   * @return the port that is listened on
+   * @throws IOException when the address can't be listened on
+   */
+  public int listen(String host, int port) throws IOException {
+    FilterChainBuilder filters = FilterChainBuilder.stateless();
+    filters.add(new SocketFilter());
+    filters.add(new RequestStartFilter(states));
+    filters.add(httpFilter(limits));
+    filters.add(new RequestAssemblyFilter(states, openConnections, limits, handler));
+    TCPNIOBindingHandler binding =
+        TCPNIOBindingHandler.builder(transport.transport).processor(filters.build()).build();
+    listener = binding.bind(new InetSocketAddress(host, port), NetworkTransport.LISTEN_BACKLOG);
+    long interval =
+        Math.max(
+            MIN_SWEEP_INTERVAL_MILLIS,
             limits.receiveTimeout().toMillis() / SWEEPS_PER_RECEIVE_TIMEOUT);
-        PauseDetector pauseDetector = new PauseDetector(Duration.ofMillis(interval),
-            Duration.ofNanos(System.nanoTime()));
-        sweeper = TimerThread.EXECUTOR.scheduleAtFixedRate(() -> closeOverdueConnections(pauseDetector),
-            interval, interval, TimeUnit.MILLISECONDS);
-        return ((InetSocketAddress) listener.getLocalAddress()).getPort();
-    }
+    PauseDetector pauseDetector =
+        new PauseDetector(Duration.ofMillis(interval), Duration.ofNanos(System.nanoTime()));
+    sweeper =
+        TimerThread.EXECUTOR.scheduleAtFixedRate(
+            () -> closeOverdueConnections(pauseDetector),
+            interval,
+            interval,
+            TimeUnit.MILLISECONDS);
+    return ((InetSocketAddress) listener.getLocalAddress()).getPort();
+  }
 
-    @SuppressWarnings("deprecation") // the constructors with bounds have no successor in this version
-    private static HttpServerFilter httpFilter(ConnectionLimits limits) {
-        KeepAlive keepAlive = new KeepAlive();
-        keepAlive.setMaxRequestsCount(UNLIMITED_REQUESTS);
-        return new HttpServerFilter(false, limits.maxHeaderBytes(), DEFAULT_CONTENT_TYPE, keepAlive,
-            NO_IDLE_TIMERS, MAX_REQUEST_HEADERS, MAX_RESPONSE_HEADERS);
-    }
+  @SuppressWarnings("deprecation") // the constructors with bounds have no successor in this version
+  private static HttpServerFilter httpFilter(ConnectionLimits limits) {
+    KeepAlive keepAlive = new KeepAlive();
+    keepAlive.setMaxRequestsCount(UNLIMITED_REQUESTS);
+    return new HttpServerFilter(
+        false,
+        limits.maxHeaderBytes(),
+        DEFAULT_CONTENT_TYPE,
+        keepAlive,
+        NO_IDLE_TIMERS,
+        MAX_REQUEST_HEADERS,
+        MAX_RESPONSE_HEADERS);
+  }
 
-    /** Stops accepting connections; open ones stay. */
-    public void stopListening() {
-        if (listener != null) {
-            listener.closeSilently();
-            listener = null;
-        }
+  /** Stops accepting connections; open ones stay. */
+  public void stopListening() {
+    if (listener != null) {
+      listener.closeSilently();
+      listener = null;
     }
+  }
 
-    /**
-     * Guards against clients that never complete a request: one byte a minute, half a head and then silence,
-     * or a connection on which nothing comes at all. Each kept its place for good, until all were taken.
-     * Pauses of the process do not count.
-     */
-    private void closeOverdueConnections(PauseDetector pauseDetector) {
-        Duration now = Duration.ofNanos(System.nanoTime());
-        Duration pause = pauseDetector.heldUp(now);
-        pauses.add(now, pause);
-        if (!pause.isZero()) {
-            transport.awaitPendingReads(); // requests may have come meanwhile
-        }
-        openConnections.forEach(connection -> {
-            if (states.get(connection).isOverdue(now, limits, pauses)) {
-                ConnectionCloser.close(connection);
-            }
-        });
+  /**
+   * Guards against clients that never complete a request: one byte a minute, half a head and then
+   * silence, or a connection on which nothing comes at all. Each kept its place for good, until all
+   * were taken. Pauses of the process do not count.
+   */
+  private void closeOverdueConnections(PauseDetector pauseDetector) {
+    Duration now = Duration.ofNanos(System.nanoTime());
+    Duration pause = pauseDetector.heldUp(now);
+    pauses.add(now, pause);
+    if (!pause.isZero()) {
+      transport.awaitPendingReads(); // requests may have come meanwhile
     }
+    openConnections.forEach(
+        connection -> {
+          if (states.get(connection).isOverdue(now, limits, pauses)) {
+            ConnectionCloser.close(connection);
+          }
+        });
+  }
 
-    /** Stops accepting connections and closes the open ones. */
-    @Override public void close() {
-        stopListening();
-        if (sweeper != null) {
-            sweeper.cancel(false);
-        }
-        openConnections.forEach(ConnectionCloser::close);
+  /** Stops accepting connections and closes the open ones. */
+  @Override
+  public void close() {
+    stopListening();
+    if (sweeper != null) {
+      sweeper.cancel(false);
     }
+    openConnections.forEach(ConnectionCloser::close);
+  }
 }
--- a/src/main/java/switchgap/net/InterimResponseFilter.java
+++ b/src/main/java/switchgap/net/InterimResponseFilter.java
@@ -7,54 +7,55 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Drops interim responses (1xx). Guards against reading one as a response with a body that never ends, which
- * kept the exchange until its timeout.
+ * Drops interim responses (1xx). Guards against reading one as a response with a body that never
+ * ends, which kept the exchange until its timeout.
  */
 final class InterimResponseFilter extends BaseFilter {
-    private static final int MAX_HEAD_BYTES = 16 << 10;
-    private static final int STATUS_OFFSET = "HTTP/1.1 ".length();
+  private static final int MAX_HEAD_BYTES = 16 << 10;
+  private static final int STATUS_OFFSET = "HTTP/1.1 ".length();
 
-    private final Attribute<HttpClientConnection> connections;
+  private final Attribute<HttpClientConnection> connections;
 
-    InterimResponseFilter(Attribute<HttpClientConnection> connections) {
-        this.connections = connections;
-    }
+  InterimResponseFilter(Attribute<HttpClientConnection> connections) {
+    this.connections = connections;
+  }
 
-    @Override public NextAction handleRead(FilterChainContext context) {
-        HttpClientConnection connection = connections.get(context.getConnection());
-        Buffer input = context.getMessage();
-        while (!connection.isFinalResponseStarted()) {
-            if (input.remaining() <= STATUS_OFFSET) {
-                return context.getStopAction(input);
-            }
-            if (input.get(input.position() + STATUS_OFFSET) != '1') {
-                connection.startFinalResponse();
-                break;
-            }
-            int end = endOfHead(input);
-            if (end < 0 && input.remaining() < MAX_HEAD_BYTES) {
-                return context.getStopAction(input);
-            }
-            if (end < 0) {
-                context.getConnection().closeSilently();
-                return context.getStopAction();
-            }
-            if (end == input.limit()) {
-                return context.getStopAction();
-            }
-            input = input.slice(end, input.limit());
-            context.setMessage(input);
-        }
-        return context.getInvokeAction();
+  @Override
+  public NextAction handleRead(FilterChainContext context) {
+    HttpClientConnection connection = connections.get(context.getConnection());
+    Buffer input = context.getMessage();
+    while (!connection.isFinalResponseStarted()) {
+      if (input.remaining() <= STATUS_OFFSET) {
+        return context.getStopAction(input);
+      }
+      if (input.get(input.position() + STATUS_OFFSET) != '1') {
+        connection.startFinalResponse();
+        break;
+      }
+      int end = endOfHead(input);
+      if (end < 0 && input.remaining() < MAX_HEAD_BYTES) {
+        return context.getStopAction(input);
+      }
+      if (end < 0) {
+        context.getConnection().closeSilently();
+        return context.getStopAction();
+      }
+      if (end == input.limit()) {
+        return context.getStopAction();
+      }
+      input = input.slice(end, input.limit());
+      context.setMessage(input);
     }
+    return context.getInvokeAction();
+  }
 
-    /** The position behind the empty line that ends the head, or -1 when that has not come. */
-    private static int endOfHead(Buffer input) {
-        for (int i = input.position() + 3; i < input.limit(); i++) {
-            if (input.get(i) == '\n' && input.get(i - 2) == '\n') {
-                return i + 1;
-            }
-        }
-        return -1;
+  /** The position behind the empty line that ends the head, or -1 when that has not come. */
+  private static int endOfHead(Buffer input) {
+    for (int i = input.position() + 3; i < input.limit(); i++) {
+      if (input.get(i) == '\n' && input.get(i - 2) == '\n') {
+        return i + 1;
+      }
     }
+    return -1;
+  }
 }
--- a/src/main/java/switchgap/net/KeyedWriters.java
+++ b/src/main/java/switchgap/net/KeyedWriters.java
@@ -6,86 +6,91 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A fixed number of threads that carry out the writes which one event loop decided on: encoding and writing
- * are most of what a request costs, and the loop is a single thread. Tasks of the same key run in the order
- * in which they were given. The queues are not bounded here: whoever adds tasks bounds how many are pending.
+ * A fixed number of threads that carry out the writes which one event loop decided on: encoding and
+ * writing are most of what a request costs, and the loop is a single thread. Tasks of the same key
+ * run in the order in which they were given. The queues are not bounded here: whoever adds tasks
+ * bounds how many are pending.
  */
 public final class KeyedWriters implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(KeyedWriters.class);
+  private static final Logger LOG = LoggerFactory.getLogger(KeyedWriters.class);
 
-    private final Writer[] writers;
+  private final Writer[] writers;
 
-    /** Starts daemon threads named {@code name-0}, {@code name-1} and so on. */
-    public KeyedWriters(int threads, String name) {
-        writers = new Writer[threads];
-        for (int i = 0; i < threads; i++) {
-            writers[i] = new Writer(name + "-" + i);
-            writers[i].thread.start();
-        }
+  /** Starts daemon threads named {@code name-0}, {@code name-1} and so on. */
+  public KeyedWriters(int threads, String name) {
+    writers = new Writer[threads];
+    for (int i = 0; i < threads; i++) {
+      writers[i] = new Writer(name + "-" + i);
+      writers[i].thread.start();
     }
+  }
 
-    /** Adds a task behind the earlier ones of its key; any thread. A task that throws is logged. */
-    public void execute(int key, Runnable task) {
-        writers[Math.floorMod(key, writers.length)].add(task);
-    }
+  /** Adds a task behind the earlier ones of its key; any thread. A task that throws is logged. */
+  public void execute(int key, Runnable task) {
+    writers[Math.floorMod(key, writers.length)].add(task);
+  }
 
-    /** Asks the threads to end; pending tasks may stay undone. */
-    @Override public void close() {
-        for (Writer writer : writers) {
-            writer.stop();
-        }
+  /** Asks the threads to end; pending tasks may stay undone. */
+  @Override
+  public void close() {
+    for (Writer writer : writers) {
+      writer.stop();
     }
+  }
 
-    /** One thread and the queue that it works off. */
-    private static final class Writer implements Runnable {
-        private final ConcurrentLinkedQueue<Runnable> queue = new ConcurrentLinkedQueue<>();
-        private final Thread thread;
-        private volatile boolean asleep;
-        private volatile boolean stopped;
+  /** One thread and the queue that it works off. */
+  private static final class Writer implements Runnable {
+    private final ConcurrentLinkedQueue<Runnable> queue = new ConcurrentLinkedQueue<>();
+    private final Thread thread;
+    private volatile boolean asleep;
+    private volatile boolean stopped;
 
-        Writer(String threadName) {
-            thread = new Thread(this, threadName);
-            thread.setDaemon(true);
-        }
+    Writer(String threadName) {
+      thread = new Thread(this, threadName);
+      thread.setDaemon(true);
+    }
 
-        void add(Runnable task) {
-            queue.add(task);
-            if (asleep) {
-                LockSupport.unpark(thread);
-            }
-        }
+    void add(Runnable task) {
+      queue.add(task);
+      if (asleep) {
+        LockSupport.unpark(thread);
+      }
+    }
 
-        void stop() {
-            stopped = true;
-            LockSupport.unpark(thread);
-        }
+    void stop() {
+      stopped = true;
+      LockSupport.unpark(thread);
+    }
 
-        @Override public void run() {
-            while (!stopped) {
-                Runnable task = queue.poll();
-                if (task == null) {
-                    sleep();
-                } else {
-                    runLogged(task);
-                }
-            }
+    @Override
+    public void run() {
+      while (!stopped) {
+        Runnable task = queue.poll();
+        if (task == null) {
+          sleep();
+        } else {
+          runLogged(task);
         }
+      }
+    }
 
-        /** Flags the sleep before it looks at the queue again, so that a task added meanwhile wakes it. */
-        private void sleep() {
-            asleep = true;
-            if (queue.isEmpty() && !stopped) {
-                LockSupport.park(this);
-            }
-            asleep = false;
-        }
+    /**
+     * Flags the sleep before it looks at the queue again, so that a task added meanwhile wakes it.
+     */
+    private void sleep() {
+      asleep = true;
+      if (queue.isEmpty() && !stopped) {
+        LockSupport.park(this);
+      }
+      asleep = false;
+    }
 
-        private static void runLogged(Runnable task) {
-            try {
-                task.run();
-            } catch (RuntimeException e) {
-                LOG.error("a write failed", e);
-            }
-        }
+    private static void runLogged(Runnable task) {
+      try {
+        task.run();
+      } catch (RuntimeException e) {
+        LOG.error("a write failed", e);
+      }
     }
+  }
 }
--- a/src/main/java/switchgap/net/NetworkTransport.java
+++ b/src/main/java/switchgap/net/NetworkTransport.java
@@ -8,63 +8,74 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * One Grizzly transport with its selector threads, shared by the servers and the client
- * connections of a process. Every callback of a connection runs on its selector thread.
+ * One Grizzly transport with its selector threads, shared by the servers and the client connections
+ * of a process. Every callback of a connection runs on its selector thread.
  */
 public final class NetworkTransport implements AutoCloseable {
-    /** Connections that the system may accept ahead of the process, for a server that states no number. */
-    static final int LISTEN_BACKLOG = 4096;
-    /** Bytes read at a time; Grizzly's default is as large as the socket's own buffer. */
-    static final int READ_BUFFER_BYTES = 16 << 10;
+  /**
+   * Connections that the system may accept ahead of the process, for a server that states no
+   * number.
+   */
+  static final int LISTEN_BACKLOG = 4096;
 
-    /** Time for which a thread waits for reads after a pause; selectors that are alive need far less. */
-    private static final Duration MAX_READ_WAIT = Duration.ofMillis(200);
+  /** Bytes read at a time; Grizzly's default is as large as the socket's own buffer. */
+  static final int READ_BUFFER_BYTES = 16 << 10;
 
-    final TCPNIOTransport transport;
-    private final SelectorRounds rounds = new SelectorRounds();
+  /**
+   * Time for which a thread waits for reads after a pause; selectors that are alive need far less.
+   */
+  private static final Duration MAX_READ_WAIT = Duration.ofMillis(200);
 
-    /**
-     * Starts the selector threads, as daemons.
-     *
-     * @param selectors number of selector threads
-     * @param name      prefix of the threads' names
-     * @throws IOException when the selectors can't be opened
-     */
-    public NetworkTransport(int selectors, String name) throws IOException {
-        ThreadPoolConfig selectorPool = ThreadPoolConfig.defaultConfig().copy();
-        selectorPool.setPoolName(name).setCorePoolSize(selectors).setMaxPoolSize(selectors).setDaemon(true);
-        TCPNIOTransportBuilder builder = TCPNIOTransportBuilder.newInstance();
-        builder.setIOStrategy(new SelectorThreadStrategy());
-        builder.setSelectorThreadPoolConfig(selectorPool);
-        builder.setSelectorRunnersCount(selectors);
-        builder.setTcpNoDelay(true);
-        builder.setKeepAlive(false);
-        builder.setReuseAddress(true);
-        builder.setServerConnectionBackLog(LISTEN_BACKLOG);
-        builder.setReadBufferSize(READ_BUFFER_BYTES);
-        transport = builder.build();
-        transport.setSelectorHandler(rounds);
-        transport.start();
-    }
+  final TCPNIOTransport transport;
+  private final SelectorRounds rounds = new SelectorRounds();
+
+  /**
+   * Starts the selector threads, as daemons.
+   *
+   * @param selectors number of selector threads
+   * @param name prefix of the threads' names
+   * @throws IOException when the selectors can't be opened
+   */
+  public NetworkTransport(int selectors, String name) throws IOException {
+    ThreadPoolConfig selectorPool = ThreadPoolConfig.defaultConfig().copy();
+    selectorPool
+        .setPoolName(name)
+        .setCorePoolSize(selectors)
+        .setMaxPoolSize(selectors)
+        .setDaemon(true);
+    TCPNIOTransportBuilder builder = TCPNIOTransportBuilder.newInstance();
+    builder.setIOStrategy(new SelectorThreadStrategy());
+    builder.setSelectorThreadPoolConfig(selectorPool);
+    builder.setSelectorRunnersCount(selectors);
+    builder.setTcpNoDelay(true);
+    builder.setKeepAlive(false);
+    builder.setReuseAddress(true);
+    builder.setServerConnectionBackLog(LISTEN_BACKLOG);
+    builder.setReadBufferSize(READ_BUFFER_BYTES);
+    transport = builder.build();
+    transport.setSelectorHandler(rounds);
+    transport.start();
+  }
 
-    /**
-     * Waits until what stands in the sockets now has been read, for a bounded time: after a pause of the
-     * process nobody is judged silent or overdue before. Not for selector threads.
-     */
-    public void awaitPendingReads() {
-        try {
-            rounds.awaitPendingReads(MAX_READ_WAIT);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+  /**
+   * Waits until what stands in the sockets now has been read, for a bounded time: after a pause of
+   * the process nobody is judged silent or overdue before. Not for selector threads.
+   */
+  public void awaitPendingReads() {
+    try {
+      rounds.awaitPendingReads(MAX_READ_WAIT);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+  }
 
-    /** Closes all connections and ends the threads. */
-    @Override public synchronized void close() {
-        try {
-            transport.shutdownNow();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+  /** Closes all connections and ends the threads. */
+  @Override
+  public synchronized void close() {
+    try {
+      transport.shutdownNow();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
 }
--- a/src/main/java/switchgap/net/RawBytesWriter.java
+++ b/src/main/java/switchgap/net/RawBytesWriter.java
@@ -10,13 +10,20 @@
 
 /** Writes bytes to a connection's socket past the filters of its chain. */
 final class RawBytesWriter {
-    private RawBytesWriter() {}
+  private RawBytesWriter() {}
 
-    /** Queues a write and returns at once; the array must not be changed from then on. */
-    static void write(Connection<?> connection, byte[] bytes,
-        CompletionHandler<WriteResult<WritableMessage, SocketAddress>> completionHandler) {
-        TCPNIOTransport transport = (TCPNIOTransport) connection.getTransport();
-        transport.getAsyncQueueIO().getWriter().write((NIOConnection) connection,
-            new SocketFilter.Message(connection, bytes), completionHandler);
-    }
+  /** Queues a write and returns at once; the array must not be changed from then on. */
+  static void write(
+      Connection<?> connection,
+      byte[] bytes,
+      CompletionHandler<WriteResult<WritableMessage, SocketAddress>> completionHandler) {
+    TCPNIOTransport transport = (TCPNIOTransport) connection.getTransport();
+    transport
+        .getAsyncQueueIO()
+        .getWriter()
+        .write(
+            (NIOConnection) connection,
+            new SocketFilter.Message(connection, bytes),
+            completionHandler);
+  }
 }
--- a/src/main/java/switchgap/net/RequestAssemblyFilter.java
+++ b/src/main/java/switchgap/net/RequestAssemblyFilter.java
@@ -13,105 +13,118 @@
 import org.glassfish.grizzly.http.HttpRequestPacket;
 
 /**
- * The last filter of a server's chain: bounds the open connections, gathers bodies, hands whole requests to
- * the request handler and reports clients that leave.
+ * The last filter of a server's chain: bounds the open connections, gathers bodies, hands whole
+ * requests to the request handler and reports clients that leave.
  */
 final class RequestAssemblyFilter extends BaseFilter {
-    private static final int PAYLOAD_TOO_LARGE = 413;
-    private static final byte[] NO_BODY = new byte[0];
+  private static final int PAYLOAD_TOO_LARGE = 413;
+  private static final byte[] NO_BODY = new byte[0];
 
-    private final Attribute<ServerConnectionState> states;
-    private final Set<Connection<?>> openConnections;
-    private final ConnectionLimits limits;
-    private final HttpServer.RequestHandler handler;
+  private final Attribute<ServerConnectionState> states;
+  private final Set<Connection<?>> openConnections;
+  private final ConnectionLimits limits;
+  private final HttpServer.RequestHandler handler;
 
-    RequestAssemblyFilter(Attribute<ServerConnectionState> states, Set<Connection<?>> openConnections,
-        ConnectionLimits limits, HttpServer.RequestHandler handler) {
-        this.states = states;
-        this.openConnections = openConnections;
-        this.limits = limits;
-        this.handler = handler;
-    }
+  RequestAssemblyFilter(
+      Attribute<ServerConnectionState> states,
+      Set<Connection<?>> openConnections,
+      ConnectionLimits limits,
+      HttpServer.RequestHandler handler) {
+    this.states = states;
+    this.openConnections = openConnections;
+    this.limits = limits;
+    this.handler = handler;
+  }
 
-    @Override public NextAction handleAccept(FilterChainContext context) {
-        if (openConnections.size() >= limits.maxConnections()) {
-            context.getConnection().closeSilently();
-        } else {
-            openConnections.add(context.getConnection());
-        }
-        return context.getInvokeAction();
+  @Override
+  public NextAction handleAccept(FilterChainContext context) {
+    if (openConnections.size() >= limits.maxConnections()) {
+      context.getConnection().closeSilently();
+    } else {
+      openConnections.add(context.getConnection());
     }
+    return context.getInvokeAction();
+  }
 
-    @Override public NextAction handleClose(FilterChainContext context) {
-        openConnections.remove(context.getConnection());
-        ServerConnectionState state = states.peek(context.getConnection());
-        HttpExchange exchange = state == null ? null : state.pendingExchange();
-        if (exchange != null) {
-            state.exchangeEnded();
-            handler.clientLeft(exchange);
-        }
-        return context.getInvokeAction();
+  @Override
+  public NextAction handleClose(FilterChainContext context) {
+    openConnections.remove(context.getConnection());
+    ServerConnectionState state = states.peek(context.getConnection());
+    HttpExchange exchange = state == null ? null : state.pendingExchange();
+    if (exchange != null) {
+      state.exchangeEnded();
+      handler.clientLeft(exchange);
     }
+    return context.getInvokeAction();
+  }
 
-    @Override public NextAction handleRead(FilterChainContext context) {
-        HttpContent part = context.getMessage();
-        Connection<?> connection = context.getConnection();
-        ServerConnectionState state = states.get(connection);
-        if (state.pendingExchange() != null) { // a further request: pipelining is not supported
-            ConnectionCloser.close(connection);
-            return context.getStopAction();
-        }
-        HttpRequestPacket request = (HttpRequestPacket) part.getHttpHeader();
-        if (isBodyTooLarge(part, request, state)) {
-            state.discardBody(); // rejected at the first sign of its size, and the connection ends
-            rejectTooLarge(connection, request);
-            return context.getStopAction();
-        }
-        state.appendBody(part.getContent(), request.getContentLength());
-        boolean wholeUpgradeRequest = endsUpgradeRequest(request, state);
-        boolean last = part.isLast() || wholeUpgradeRequest;
-        part.recycle();
-        if (last && !state.isDiscardingBody()) {
-            startExchange(connection, request, state);
-        }
-        return context.getStopAction();
+  @Override
+  public NextAction handleRead(FilterChainContext context) {
+    HttpContent part = context.getMessage();
+    Connection<?> connection = context.getConnection();
+    ServerConnectionState state = states.get(connection);
+    if (state.pendingExchange() != null) { // a further request: pipelining is not supported
+      ConnectionCloser.close(connection);
+      return context.getStopAction();
     }
-
-    private boolean isBodyTooLarge(HttpContent part, HttpRequestPacket request,
-        ServerConnectionState state) {
-        Buffer content = part.getContent();
-        int length = content == null ? 0 : content.remaining();
-        return state.bodyBytes() + length > limits.maxBodyBytes()
-            || request.getContentLength() > limits.maxBodyBytes();
+    HttpRequestPacket request = (HttpRequestPacket) part.getHttpHeader();
+    if (isBodyTooLarge(part, request, state)) {
+      state.discardBody(); // rejected at the first sign of its size, and the connection ends
+      rejectTooLarge(connection, request);
+      return context.getStopAction();
     }
-
-    /**
-     * Whether a request that also offers an upgrade is whole: Grizzly never gives such a request a last part.
-     * It is handled as the plain request that it is, and its connection ends with the response, since what
-     * follows on it is no request to the filters.
-     */
-    private static boolean endsUpgradeRequest(HttpRequestPacket request, ServerConnectionState state) {
-        boolean complete = request.isUpgrade() && state.bodyBytes() >= request.getContentLength();
-        if (complete) {
-            request.getProcessingState().setKeepAlive(false);
-        }
-        return complete;
+    state.appendBody(part.getContent(), request.getContentLength());
+    boolean wholeUpgradeRequest = endsUpgradeRequest(request, state);
+    boolean last = part.isLast() || wholeUpgradeRequest;
+    part.recycle();
+    if (last && !state.isDiscardingBody()) {
+      startExchange(connection, request, state);
     }
+    return context.getStopAction();
+  }
 
-    private void startExchange(Connection<?> connection, HttpRequestPacket request,
-        ServerConnectionState state) {
-        HttpExchange exchange = new HttpExchange(connection, request, state.takeBody(),
-            state::exchangeEnded);
-        state.exchangeStarted(exchange);
-        handler.handle(exchange);
+  private boolean isBodyTooLarge(
+      HttpContent part, HttpRequestPacket request, ServerConnectionState state) {
+    Buffer content = part.getContent();
+    int length = content == null ? 0 : content.remaining();
+    return state.bodyBytes() + length > limits.maxBodyBytes()
+        || request.getContentLength() > limits.maxBodyBytes();
+  }
+
+  /**
+   * Whether a request that also offers an upgrade is whole: Grizzly never gives such a request a
+   * last part. It is handled as the plain request that it is, and its connection ends with the
+   * response, since what follows on it is no request to the filters.
+   */
+  private static boolean endsUpgradeRequest(
+      HttpRequestPacket request, ServerConnectionState state) {
+    boolean complete = request.isUpgrade() && state.bodyBytes() >= request.getContentLength();
+    if (complete) {
+      request.getProcessingState().setKeepAlive(false);
     }
+    return complete;
+  }
+
+  private void startExchange(
+      Connection<?> connection, HttpRequestPacket request, ServerConnectionState state) {
+    HttpExchange exchange =
+        new HttpExchange(connection, request, state.takeBody(), state::exchangeEnded);
+    state.exchangeStarted(exchange);
+    handler.handle(exchange);
+  }
 
-    private void rejectTooLarge(Connection<?> connection, HttpRequestPacket request) {
-        request.getProcessingState().setKeepAlive(false);
-        String problem = "{\"title\":\"refused\",\"status\":" + PAYLOAD_TOO_LARGE
-            + ",\"detail\":\"body larger than " + limits.maxBodyBytes() + " bytes\"}";
-        new HttpExchange(connection, request, NO_BODY, () -> {}).respond(PAYLOAD_TOO_LARGE,
+  private void rejectTooLarge(Connection<?> connection, HttpRequestPacket request) {
+    request.getProcessingState().setKeepAlive(false);
+    String problem =
+        "{\"title\":\"refused\",\"status\":"
+            + PAYLOAD_TOO_LARGE
+            + ",\"detail\":\"body larger than "
+            + limits.maxBodyBytes()
+            + " bytes\"}";
+    new HttpExchange(connection, request, NO_BODY, () -> {})
+        .respond(
+            PAYLOAD_TOO_LARGE,
             Map.of("Content-Type", "application/problem+json", "Connection", "close"),
             problem.getBytes(StandardCharsets.UTF_8));
-    }
+  }
 }
--- a/src/main/java/switchgap/net/RequestStartFilter.java
+++ b/src/main/java/switchgap/net/RequestStartFilter.java
@@ -5,16 +5,20 @@
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
 
-/** Stands before the HTTP filter, to note when a request begins even if its head never becomes whole. */
+/**
+ * Stands before the HTTP filter, to note when a request begins even if its head never becomes
+ * whole.
+ */
 final class RequestStartFilter extends BaseFilter {
-    private final Attribute<ServerConnectionState> states;
+  private final Attribute<ServerConnectionState> states;
 
-    RequestStartFilter(Attribute<ServerConnectionState> states) {
-        this.states = states;
-    }
+  RequestStartFilter(Attribute<ServerConnectionState> states) {
+    this.states = states;
+  }
 
-    @Override public NextAction handleRead(FilterChainContext context) {
-        states.get(context.getConnection()).bytesArrived();
-        return context.getInvokeAction();
-    }
+  @Override
+  public NextAction handleRead(FilterChainContext context) {
+    states.get(context.getConnection()).bytesArrived();
+    return context.getInvokeAction();
+  }
 }
--- a/src/main/java/switchgap/net/ResponseFilter.java
+++ b/src/main/java/switchgap/net/ResponseFilter.java
@@ -7,72 +7,84 @@
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
 
-/** The last filter of a client's chain: hands parsed responses and the connection's end to the connection. */
+/**
+ * The last filter of a client's chain: hands parsed responses and the connection's end to the
+ * connection.
+ */
 final class ResponseFilter extends BaseFilter {
-    private final Attribute<HttpClientConnection> connections;
+  private final Attribute<HttpClientConnection> connections;
 
-    ResponseFilter(Attribute<HttpClientConnection> connections) {
-        this.connections = connections;
-    }
+  ResponseFilter(Attribute<HttpClientConnection> connections) {
+    this.connections = connections;
+  }
 
-    @Override public NextAction handleRead(FilterChainContext context) {
-        HttpClientConnection connection = connections.get(context.getConnection());
-        if (connection != null && connection.receive(context.getMessage())) {
-            context.getInternalContext().addLifeCycleListener(new DeliveryListener(connection));
-        }
-        return context.getStopAction();
+  @Override
+  public NextAction handleRead(FilterChainContext context) {
+    HttpClientConnection connection = connections.get(context.getConnection());
+    if (connection != null && connection.receive(context.getMessage())) {
+      context.getInternalContext().addLifeCycleListener(new DeliveryListener(connection));
     }
+    return context.getStopAction();
+  }
 
-    @Override public NextAction handleClose(FilterChainContext context) {
-        HttpClientConnection connection = connections.get(context.getConnection());
-        if (connection != null) {
-            connection.connectionEnded("connection ended");
-        }
-        return context.getInvokeAction();
+  @Override
+  public NextAction handleClose(FilterChainContext context) {
+    HttpClientConnection connection = connections.get(context.getConnection());
+    if (connection != null) {
+      connection.connectionEnded("connection ended");
     }
+    return context.getInvokeAction();
+  }
 
-    @Override public void exceptionOccurred(FilterChainContext context, Throwable error) {
-        HttpClientConnection connection = connections.get(context.getConnection());
-        context.getConnection().closeSilently();
-        if (connection != null) {
-            connection.connectionEnded("unreadable answer: " + error.getMessage());
-        }
+  @Override
+  public void exceptionOccurred(FilterChainContext context, Throwable error) {
+    HttpClientConnection connection = connections.get(context.getConnection());
+    context.getConnection().closeSilently();
+    if (connection != null) {
+      connection.connectionEnded("unreadable answer: " + error.getMessage());
     }
+  }
 
-    /**
-     * Delivers a response once all bytes that were read together with it have been looked at. Guards against
-     * a second response among them: the connection must not be free for the next exchange before those are
-     * seen.
-     */
-    private static final class DeliveryListener extends IOEventLifeCycleListener.Adapter {
-        private final HttpClientConnection connection;
+  /**
+   * Delivers a response once all bytes that were read together with it have been looked at. Guards
+   * against a second response among them: the connection must not be free for the next exchange
+   * before those are seen.
+   */
+  private static final class DeliveryListener extends IOEventLifeCycleListener.Adapter {
+    private final HttpClientConnection connection;
 
-        DeliveryListener(HttpClientConnection connection) {
-            this.connection = connection;
-        }
+    DeliveryListener(HttpClientConnection connection) {
+      this.connection = connection;
+    }
 
-        @Override public void onComplete(Context context, Object data) {
-            connection.deliverPending();
-        }
+    @Override
+    public void onComplete(Context context, Object data) {
+      connection.deliverPending();
+    }
 
-        @Override public void onReregister(Context context) {
-            connection.deliverPending();
-        }
+    @Override
+    public void onReregister(Context context) {
+      connection.deliverPending();
+    }
 
-        @Override public void onError(Context context, Object description) {
-            connection.deliverPending();
-        }
+    @Override
+    public void onError(Context context, Object description) {
+      connection.deliverPending();
+    }
 
-        @Override public void onTerminate(Context context) {
-            connection.deliverPending();
-        }
+    @Override
+    public void onTerminate(Context context) {
+      connection.deliverPending();
+    }
 
-        @Override public void onNotRun(Context context) {
-            connection.deliverPending();
-        }
+    @Override
+    public void onNotRun(Context context) {
+      connection.deliverPending();
+    }
 
-        @Override public void onLeave(Context context) {
-            connection.deliverPending();
-        }
+    @Override
+    public void onLeave(Context context) {
+      connection.deliverPending();
     }
+  }
 }
--- a/src/main/java/switchgap/net/SelectorThreadStrategy.java
+++ b/src/main/java/switchgap/net/SelectorThreadStrategy.java
@@ -13,67 +13,75 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * Handles each event on its selector thread. An accept that fails is tried again after a delay: Grizzly 4.0.2
- * ({@code TCPNIOTransport.fireIOEvent}, {@code SERVER_ACCEPT}) drops the failure and leaves the event
- * ready, so that the selector would spin for as long as descriptors or memory are short.
+ * Handles each event on its selector thread. An accept that fails is tried again after a delay:
+ * Grizzly 4.0.2 ({@code TCPNIOTransport.fireIOEvent}, {@code SERVER_ACCEPT}) drops the failure and
+ * leaves the event ready, so that the selector would spin for as long as descriptors or memory are
+ * short.
  */
-@SuppressWarnings("rawtypes") final class SelectorThreadStrategy implements IOStrategy {
-    private static final long ACCEPT_RETRY_DELAY_MILLIS = 20;
-    /** One at a time, clients that came together would wait for as many rounds of the selector. */
-    private static final int MAX_ACCEPTS_AT_ONCE = 8;
+@SuppressWarnings("rawtypes")
+final class SelectorThreadStrategy implements IOStrategy {
+  private static final long ACCEPT_RETRY_DELAY_MILLIS = 20;
 
-    /** How long the client that a selector thread accepts just now may have waited. */
-    private static final ThreadLocal<Duration> ACCEPT_DELAY = ThreadLocal.withInitial(() -> Duration.ZERO);
+  /** One at a time, clients that came together would wait for as many rounds of the selector. */
+  private static final int MAX_ACCEPTS_AT_ONCE = 8;
 
-    private final IOStrategy sameThread = SameThreadIOStrategy.getInstance();
+  /** How long the client that a selector thread accepts just now may have waited. */
+  private static final ThreadLocal<Duration> ACCEPT_DELAY =
+      ThreadLocal.withInitial(() -> Duration.ZERO);
 
-    @Override public boolean executeIoEvent(Connection connection, IOEvent event) throws IOException {
-        return executeIoEvent(connection, event, true);
-    }
+  private final IOStrategy sameThread = SameThreadIOStrategy.getInstance();
 
-    @Override public boolean executeIoEvent(Connection connection, IOEvent event, boolean enabled)
-        throws IOException {
-        if (event != IOEvent.SERVER_ACCEPT) {
-            return sameThread.executeIoEvent(connection, event, enabled);
-        }
-        accept((TCPNIOServerConnection) connection);
-        return true;
-    }
+  @Override
+  public boolean executeIoEvent(Connection connection, IOEvent event) throws IOException {
+    return executeIoEvent(connection, event, true);
+  }
 
-    private static void accept(TCPNIOServerConnection listener) throws IOException {
-        AcceptHoldUp holdUp = AcceptHoldUp.of(listener);
-        try {
-            holdUp.selectorHeldUp(SelectorRounds.possibleDelay());
-            for (int accepts = 0; accepts < MAX_ACCEPTS_AT_ONCE && !holdUp.isPaused(); accepts++) {
-                ACCEPT_DELAY.set(holdUp.possibleDelay());
-                listener.onAccept(); // takes none up where none waits
-                holdUp.accepted();
-            }
-        } catch (IOException e) {
-            if (listener.isOpen()) {
-                holdUp.failed();
-                listener.disableIOEvent(IOEvent.SERVER_ACCEPT);
-                TimerThread.EXECUTOR.schedule(() -> acceptAgain(listener), ACCEPT_RETRY_DELAY_MILLIS,
-                    TimeUnit.MILLISECONDS);
-            }
-        }
+  @Override
+  public boolean executeIoEvent(Connection connection, IOEvent event, boolean enabled)
+      throws IOException {
+    if (event != IOEvent.SERVER_ACCEPT) {
+      return sameThread.executeIoEvent(connection, event, enabled);
     }
+    accept((TCPNIOServerConnection) connection);
+    return true;
+  }
 
-    /** How long the client that this thread accepts may have waited for that. */
-    static Duration acceptDelay() {
-        return ACCEPT_DELAY.get();
+  private static void accept(TCPNIOServerConnection listener) throws IOException {
+    AcceptHoldUp holdUp = AcceptHoldUp.of(listener);
+    try {
+      holdUp.selectorHeldUp(SelectorRounds.possibleDelay());
+      for (int accepts = 0; accepts < MAX_ACCEPTS_AT_ONCE && !holdUp.isPaused(); accepts++) {
+        ACCEPT_DELAY.set(holdUp.possibleDelay());
+        listener.onAccept(); // takes none up where none waits
+        holdUp.accepted();
+      }
+    } catch (IOException e) {
+      if (listener.isOpen()) {
+        holdUp.failed();
+        listener.disableIOEvent(IOEvent.SERVER_ACCEPT);
+        TimerThread.EXECUTOR.schedule(
+            () -> acceptAgain(listener), ACCEPT_RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+      }
     }
+  }
 
-    private static Void acceptAgain(TCPNIOServerConnection listener) throws IOException {
-        listener.enableIOEvent(IOEvent.SERVER_ACCEPT);
-        return null;
-    }
+  /** How long the client that this thread accepts may have waited for that. */
+  static Duration acceptDelay() {
+    return ACCEPT_DELAY.get();
+  }
 
-    @Override public Executor getThreadPoolFor(Connection connection, IOEvent event) {
-        return null;
-    }
+  private static Void acceptAgain(TCPNIOServerConnection listener) throws IOException {
+    listener.enableIOEvent(IOEvent.SERVER_ACCEPT);
+    return null;
+  }
 
-    @Override public ThreadPoolConfig createDefaultWorkerPoolConfig(Transport transport) {
-        return null;
-    }
+  @Override
+  public Executor getThreadPoolFor(Connection connection, IOEvent event) {
+    return null;
+  }
+
+  @Override
+  public ThreadPoolConfig createDefaultWorkerPoolConfig(Transport transport) {
+    return null;
+  }
 }
--- a/src/main/java/switchgap/net/TcpConnectionFilter.java
+++ b/src/main/java/switchgap/net/TcpConnectionFilter.java
@@ -11,49 +11,54 @@
 
 /** The last filter of a chain of plain TCP: turns Grizzly's events into calls of a listener. */
 final class TcpConnectionFilter extends BaseFilter {
-    private final Attribute<TcpConnection> connections = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(
-        "switchgap.tcp-connection." + System.identityHashCode(this));
-    private final TcpConnection.Listener listener;
+  private final Attribute<TcpConnection> connections =
+      Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(
+          "switchgap.tcp-connection." + System.identityHashCode(this));
+  private final TcpConnection.Listener listener;
 
-    TcpConnectionFilter(TcpConnection.Listener listener) {
-        this.listener = listener;
-    }
+  TcpConnectionFilter(TcpConnection.Listener listener) {
+    this.listener = listener;
+  }
 
-    /** The connection that was made of a Grizzly connection when it opened. */
-    TcpConnection connectionOf(Connection<?> connection) {
-        return connections.get(connection);
-    }
+  /** The connection that was made of a Grizzly connection when it opened. */
+  TcpConnection connectionOf(Connection<?> connection) {
+    return connections.get(connection);
+  }
 
-    @Override public NextAction handleAccept(FilterChainContext context) {
-        return open(context, SelectorThreadStrategy.acceptDelay());
-    }
+  @Override
+  public NextAction handleAccept(FilterChainContext context) {
+    return open(context, SelectorThreadStrategy.acceptDelay());
+  }
 
-    @Override public NextAction handleConnect(FilterChainContext context) {
-        return open(context, Duration.ZERO);
-    }
+  @Override
+  public NextAction handleConnect(FilterChainContext context) {
+    return open(context, Duration.ZERO);
+  }
 
-    private NextAction open(FilterChainContext context, Duration acceptDelay) {
-        TcpConnection connection = new TcpConnection(context.getConnection(), listener, acceptDelay);
-        connections.set(context.getConnection(), connection);
-        listener.opened(connection);
-        return context.getStopAction();
-    }
+  private NextAction open(FilterChainContext context, Duration acceptDelay) {
+    TcpConnection connection = new TcpConnection(context.getConnection(), listener, acceptDelay);
+    connections.set(context.getConnection(), connection);
+    listener.opened(connection);
+    return context.getStopAction();
+  }
 
-    @Override public NextAction handleRead(FilterChainContext context) {
-        Buffer bytes = context.getMessage();
-        TcpConnection connection = connectionOf(context.getConnection());
-        if (connection != null && !connection.isClosed()) {
-            connection.received(bytes.toByteBuffer());
-        }
-        bytes.tryDispose();
-        return context.getStopAction();
+  @Override
+  public NextAction handleRead(FilterChainContext context) {
+    Buffer bytes = context.getMessage();
+    TcpConnection connection = connectionOf(context.getConnection());
+    if (connection != null && !connection.isClosed()) {
+      connection.received(bytes.toByteBuffer());
     }
+    bytes.tryDispose();
+    return context.getStopAction();
+  }
 
-    @Override public NextAction handleClose(FilterChainContext context) {
-        TcpConnection connection = connectionOf(context.getConnection());
-        if (connection != null) {
-            connection.close("the other side closed");
-        }
-        return context.getStopAction();
+  @Override
+  public NextAction handleClose(FilterChainContext context) {
+    TcpConnection connection = connectionOf(context.getConnection());
+    if (connection != null) {
+      connection.close("the other side closed");
     }
+    return context.getStopAction();
+  }
 }
--- a/src/main/java/switchgap/net/UnsolicitedBytesFilter.java
+++ b/src/main/java/switchgap/net/UnsolicitedBytesFilter.java
@@ -6,26 +6,27 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Guards against bytes that nobody asked for: a second response to a request must never be read as the
- * response to the next one, so a connection that receives anything while idle ends.
+ * Guards against bytes that nobody asked for: a second response to a request must never be read as
+ * the response to the next one, so a connection that receives anything while idle ends.
  */
 final class UnsolicitedBytesFilter extends BaseFilter {
-    private final Attribute<HttpClientConnection> connections;
+  private final Attribute<HttpClientConnection> connections;
 
-    UnsolicitedBytesFilter(Attribute<HttpClientConnection> connections) {
-        this.connections = connections;
-    }
+  UnsolicitedBytesFilter(Attribute<HttpClientConnection> connections) {
+    this.connections = connections;
+  }
 
-    @Override public NextAction handleRead(FilterChainContext context) {
-        HttpClientConnection connection = connections.get(context.getConnection());
-        if (connection == null) {
-            context.getConnection().closeSilently();
-            return context.getStopAction();
-        }
-        if (!connection.hasPendingExchange()) {
-            connection.rejectUnsolicitedBytes();
-            return context.getStopAction();
-        }
-        return context.getInvokeAction();
+  @Override
+  public NextAction handleRead(FilterChainContext context) {
+    HttpClientConnection connection = connections.get(context.getConnection());
+    if (connection == null) {
+      context.getConnection().closeSilently();
+      return context.getStopAction();
+    }
+    if (!connection.hasPendingExchange()) {
+      connection.rejectUnsolicitedBytes();
+      return context.getStopAction();
     }
+    return context.getInvokeAction();
+  }
 }
--- a/src/main/java/switchgap/planner/LoadScheduler.java
+++ b/src/main/java/switchgap/planner/LoadScheduler.java
@@ -5,44 +5,48 @@
 import java.util.List;
 
 /**
- * The planner's side: in which order loads are released. The load with the most waiting priority weight for a
- * second of loading goes first; waiting adds to the weight, so that no load waits for ever. Where replicas
- * are placed, how many there are, and how many loads are in flight is what the edge's router asked for: it
- * alone measures the store's pace. Not thread-safe.
+ * The planner's side: in which order loads are released. The load with the most waiting priority
+ * weight for a second of loading goes first; waiting adds to the weight, so that no load waits for
+ * ever. Where replicas are placed, how many there are, and how many loads are in flight is what the
+ * edge's router asked for: it alone measures the store's pace. Not thread-safe.
  */
 public final class LoadScheduler {
-    /** Priority weight that a second of waiting adds: guards against a load that waits for ever. */
-    private static final double WEIGHT_PER_WAITING_SECOND = 1;
-    /** Load time, microseconds, of a function that has none configured. */
-    private static final long DEFAULT_LOAD_MICROS = 500_000;
-    private static final double MICROS_PER_SECOND = 1e6;
-    private static final Comparator<PendingLoad> HIGHEST_PRIORITY_FIRST = Comparator.comparingDouble(
-        LoadScheduler::priority).reversed().thenComparingLong(PendingLoad::id);
+  /** Priority weight that a second of waiting adds: guards against a load that waits for ever. */
+  private static final double WEIGHT_PER_WAITING_SECOND = 1;
 
-    private long lastSequence = -1;
-    private long epoch = -1;
+  /** Load time, microseconds, of a function that has none configured. */
+  private static final long DEFAULT_LOAD_MICROS = 500_000;
 
-    /** The plan for a backlog; null where the backlog is not newer than the last one of its epoch. */
-    public LoadPlan plan(LoadBacklog backlog) {
-        if (backlog.epoch() != epoch) {
-            epoch = backlog.epoch();
-            lastSequence = -1;
-        }
-        if (backlog.sequence() <= lastSequence) {
-            return null;
-        }
-        lastSequence = backlog.sequence();
-        List<PendingLoad> ordered = new ArrayList<>(backlog.waiting());
-        ordered.sort(HIGHEST_PRIORITY_FIRST);
-        long[] ids = ordered.stream().mapToLong(PendingLoad::id).toArray();
-        return new LoadPlan(backlog.epoch(), backlog.sequence(), ids);
-    }
+  private static final double MICROS_PER_SECOND = 1e6;
+  private static final Comparator<PendingLoad> HIGHEST_PRIORITY_FIRST =
+      Comparator.comparingDouble(LoadScheduler::priority)
+          .reversed()
+          .thenComparingLong(PendingLoad::id);
+
+  private long lastSequence = -1;
+  private long epoch = -1;
 
-    /** Waiting priority weight for a second of loading. */
-    private static double priority(PendingLoad load) {
-        double weight = load.priorityWeight()
-            + WEIGHT_PER_WAITING_SECOND * load.ageMicros() / MICROS_PER_SECOND;
-        long loadMicros = load.loadMicros() > 0 ? load.loadMicros() : DEFAULT_LOAD_MICROS;
-        return weight / Math.max(1, loadMicros) * MICROS_PER_SECOND;
+  /** The plan for a backlog; null where the backlog is not newer than the last one of its epoch. */
+  public LoadPlan plan(LoadBacklog backlog) {
+    if (backlog.epoch() != epoch) {
+      epoch = backlog.epoch();
+      lastSequence = -1;
     }
+    if (backlog.sequence() <= lastSequence) {
+      return null;
+    }
+    lastSequence = backlog.sequence();
+    List<PendingLoad> ordered = new ArrayList<>(backlog.waiting());
+    ordered.sort(HIGHEST_PRIORITY_FIRST);
+    long[] ids = ordered.stream().mapToLong(PendingLoad::id).toArray();
+    return new LoadPlan(backlog.epoch(), backlog.sequence(), ids);
+  }
+
+  /** Waiting priority weight for a second of loading. */
+  private static double priority(PendingLoad load) {
+    double weight =
+        load.priorityWeight() + WEIGHT_PER_WAITING_SECOND * load.ageMicros() / MICROS_PER_SECOND;
+    long loadMicros = load.loadMicros() > 0 ? load.loadMicros() : DEFAULT_LOAD_MICROS;
+    return weight / Math.max(1, loadMicros) * MICROS_PER_SECOND;
+  }
 }
--- a/src/main/java/switchgap/planner/link/PlannerClient.java
+++ b/src/main/java/switchgap/planner/link/PlannerClient.java
@@ -14,127 +14,138 @@
 import switchgap.planner.LoadScheduler;
 
 /**
- * The planner's end: connects to its edge, again and again with exponential back-off, and responds to each
- * backlog with a plan. Messages are handled on the connection's selector thread, heartbeats and reconnects on
- * the timer thread.
+ * The planner's end: connects to its edge, again and again with exponential back-off, and responds
+ * to each backlog with a plan. Messages are handled on the connection's selector thread, heartbeats
+ * and reconnects on the timer thread.
  */
 public final class PlannerClient implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(PlannerClient.class);
-    private static final long HEARTBEAT_INTERVAL_MILLIS = 200;
-    private static final long MIN_BACKOFF_MILLIS = 50;
-    private static final long MAX_BACKOFF_MILLIS = 2000;
-    private static final int BACKOFF_FACTOR = 2;
-
-    private final FramedConnection.Factory connections;
-    private final InetSocketAddress edge;
-    private final int router;
-    private final LoadScheduler scheduler = new LoadScheduler();
-    private final ScheduledFuture<?> heartbeat;
-    private volatile FramedConnection connection;
-    private volatile boolean greeted;
-    private volatile boolean closed;
-    private long backoffMillis = MIN_BACKOFF_MILLIS; // guarded by this
-    private long heartbeatsSent;                     // timer thread only
-
-    /** Connects at once to the edge of the router with this index. */
-    public PlannerClient(NetworkTransport net, InetSocketAddress edge, int router) {
-        this.connections = new FramedConnection.Factory(net, PlannerMessageCodec.MAX_FRAME_BYTES,
-            new MessageListener());
-        this.edge = edge;
-        this.router = router;
-        this.heartbeat = TimerThread.EXECUTOR.scheduleAtFixedRate(this::sendHeartbeat,
-            HEARTBEAT_INTERVAL_MILLIS, HEARTBEAT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
-        connect();
+  private static final Logger LOG = LoggerFactory.getLogger(PlannerClient.class);
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 200;
+  private static final long MIN_BACKOFF_MILLIS = 50;
+  private static final long MAX_BACKOFF_MILLIS = 2000;
+  private static final int BACKOFF_FACTOR = 2;
+
+  private final FramedConnection.Factory connections;
+  private final InetSocketAddress edge;
+  private final int router;
+  private final LoadScheduler scheduler = new LoadScheduler();
+  private final ScheduledFuture<?> heartbeat;
+  private volatile FramedConnection connection;
+  private volatile boolean greeted;
+  private volatile boolean closed;
+  private long backoffMillis = MIN_BACKOFF_MILLIS; // guarded by this
+  private long heartbeatsSent; // timer thread only
+
+  /** Connects at once to the edge of the router with this index. */
+  public PlannerClient(NetworkTransport net, InetSocketAddress edge, int router) {
+    this.connections =
+        new FramedConnection.Factory(
+            net, PlannerMessageCodec.MAX_FRAME_BYTES, new MessageListener());
+    this.edge = edge;
+    this.router = router;
+    this.heartbeat =
+        TimerThread.EXECUTOR.scheduleAtFixedRate(
+            this::sendHeartbeat,
+            HEARTBEAT_INTERVAL_MILLIS,
+            HEARTBEAT_INTERVAL_MILLIS,
+            TimeUnit.MILLISECONDS);
+    connect();
+  }
+
+  /** Whether the handshake with the edge is done and the connection stands. */
+  public boolean linked() {
+    return greeted;
+  }
+
+  private void sendHeartbeat() {
+    FramedConnection current = connection;
+    if (current != null && greeted) {
+      current.send(PlannerMessageCodec.encode(new PlannerMessageCodec.Heartbeat(heartbeatsSent)));
+      heartbeatsSent++;
     }
+  }
 
-    /** Whether the handshake with the edge is done and the connection stands. */
-    public boolean linked() {
-        return greeted;
+  private void connect() {
+    if (!closed) {
+      connections.connect(edge, this::reconnectLater);
     }
+  }
 
-    private void sendHeartbeat() {
-        FramedConnection current = connection;
-        if (current != null && greeted) {
-            current.send(PlannerMessageCodec.encode(new PlannerMessageCodec.Heartbeat(heartbeatsSent)));
-            heartbeatsSent++;
-        }
+  private synchronized void reconnectLater() {
+    greeted = false;
+    connection = null;
+    if (closed) {
+      return;
+    }
+    TimerThread.EXECUTOR.schedule(this::connect, backoffMillis, TimeUnit.MILLISECONDS);
+    backoffMillis = Math.min(MAX_BACKOFF_MILLIS, backoffMillis * BACKOFF_FACTOR);
+  }
+
+  private synchronized void setBackoff(long millis) {
+    backoffMillis = millis;
+  }
+
+  private final class MessageListener implements FramedConnection.Listener {
+    @Override
+    public void opened(FramedConnection opened) {
+      connection = opened;
+      opened.send(
+          PlannerMessageCodec.encode(
+              new PlannerMessageCodec.Hello(
+                  PlannerMessageCodec.VERSION, PlannerMessageCodec.PLANNER_SIDE, router, 0)));
     }
 
-    private void connect() {
-        if (!closed) {
-            connections.connect(edge, this::reconnectLater);
-        }
+    @Override
+    public void frame(FramedConnection from, byte[] bytes) {
+      try {
+        received(from, PlannerMessageCodec.decode(bytes));
+      } catch (IOException e) {
+        from.close("unreadable: " + e.getMessage());
+      }
     }
 
-    private synchronized void reconnectLater() {
-        greeted = false;
-        connection = null;
-        if (closed) {
-            return;
-        }
-        TimerThread.EXECUTOR.schedule(this::connect, backoffMillis, TimeUnit.MILLISECONDS);
-        backoffMillis = Math.min(MAX_BACKOFF_MILLIS, backoffMillis * BACKOFF_FACTOR);
+    private void received(FramedConnection from, Record message) {
+      if (message instanceof PlannerMessageCodec.Hello hello && isFromEdge(hello)) {
+        greeted = true;
+        setBackoff(MIN_BACKOFF_MILLIS);
+        LOG.info("planner of router {} linked, epoch {}", router, hello.epoch());
+      } else if (message instanceof PlannerMessageCodec.Refused refused) {
+        LOG.error("the edge refuses this planner: {}", refused.why());
+        setBackoff(MAX_BACKOFF_MILLIS);
+      } else if (message instanceof LoadBacklog backlog && greeted) {
+        sendPlan(from, backlog);
+      } else {
+        from.close("no message for a planner");
+      }
     }
 
-    private synchronized void setBackoff(long millis) {
-        backoffMillis = millis;
+    private boolean isFromEdge(PlannerMessageCodec.Hello hello) {
+      return hello.version() == PlannerMessageCodec.VERSION
+          && hello.side().equals(PlannerMessageCodec.EDGE_SIDE);
     }
 
-    private final class MessageListener implements FramedConnection.Listener {
-        @Override public void opened(FramedConnection opened) {
-            connection = opened;
-            opened.send(PlannerMessageCodec.encode(new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION,
-                PlannerMessageCodec.PLANNER_SIDE, router, 0)));
-        }
-
-        @Override public void frame(FramedConnection from, byte[] bytes) {
-            try {
-                received(from, PlannerMessageCodec.decode(bytes));
-            } catch (IOException e) {
-                from.close("unreadable: " + e.getMessage());
-            }
-        }
-
-        private void received(FramedConnection from, Record message) {
-            if (message instanceof PlannerMessageCodec.Hello hello && isFromEdge(hello)) {
-                greeted = true;
-                setBackoff(MIN_BACKOFF_MILLIS);
-                LOG.info("planner of router {} linked, epoch {}", router, hello.epoch());
-            } else if (message instanceof PlannerMessageCodec.Refused refused) {
-                LOG.error("the edge refuses this planner: {}", refused.why());
-                setBackoff(MAX_BACKOFF_MILLIS);
-            } else if (message instanceof LoadBacklog backlog && greeted) {
-                sendPlan(from, backlog);
-            } else {
-                from.close("no message for a planner");
-            }
-        }
-
-        private boolean isFromEdge(PlannerMessageCodec.Hello hello) {
-            return hello.version() == PlannerMessageCodec.VERSION
-                && hello.side().equals(PlannerMessageCodec.EDGE_SIDE);
-        }
-
-        private void sendPlan(FramedConnection to, LoadBacklog backlog) {
-            LoadPlan plan = scheduler.plan(backlog);
-            if (plan != null) {
-                to.send(PlannerMessageCodec.encode(plan));
-            }
-        }
-
-        @Override public void closed(FramedConnection from, String why) {
-            LOG.warn("planner of router {} has lost its edge: {}", router, why);
-            reconnectLater();
-        }
+    private void sendPlan(FramedConnection to, LoadBacklog backlog) {
+      LoadPlan plan = scheduler.plan(backlog);
+      if (plan != null) {
+        to.send(PlannerMessageCodec.encode(plan));
+      }
     }
 
-    /** Closes the connection, and does not connect again. */
-    @Override public void close() {
-        closed = true;
-        heartbeat.cancel(false);
-        FramedConnection current = connection;
-        if (current != null) {
-            current.close("the planner stops");
-        }
+    @Override
+    public void closed(FramedConnection from, String why) {
+      LOG.warn("planner of router {} has lost its edge: {}", router, why);
+      reconnectLater();
+    }
+  }
+
+  /** Closes the connection, and does not connect again. */
+  @Override
+  public void close() {
+    closed = true;
+    heartbeat.cancel(false);
+    FramedConnection current = connection;
+    if (current != null) {
+      current.close("the planner stops");
     }
+  }
 }
--- a/src/main/java/switchgap/planner/link/PlannerMessageCodec.java
+++ b/src/main/java/switchgap/planner/link/PlannerMessageCodec.java
@@ -13,97 +13,108 @@
 import switchgap.planner.PendingLoad;
 
 /**
- * Encodes messages between edge and planner as CBOR maps; the member {@code is} names the type. Names on the
- * wire are fixed here. Thread-safe.
+ * Encodes messages between edge and planner as CBOR maps; the member {@code is} names the type.
+ * Names on the wire are fixed here. Thread-safe.
  */
 public final class PlannerMessageCodec {
-    /** Version of the protocol; both sides must speak the same. */
-    public static final int VERSION = 2;
-    /** The largest message, bytes. */
-    public static final int MAX_FRAME_BYTES = 1 << 20;
-
-    static final String EDGE_SIDE = "edge";
-    static final String PLANNER_SIDE = "planner";
-    private static final String TYPE_MEMBER = "is";
-
-    /**
-     * The first message of each side.
-     *
-     * @param version of the protocol
-     * @param side    "edge" or "planner"
-     * @param router  index of the router that the edge belongs to
-     * @param epoch   of the connection, from the edge; 0 from the planner
-     */
-    public record Hello(int version, String side, int router, long epoch) {}
-
-    /** The edge refuses the connection, and closes it. */
-    public record Refused(String why) {}
-
-    /** Sent by the planner at intervals; the number counts up. */
-    public record Heartbeat(long number) {}
-
-    /** Names on the wire of the members of a plan. */
-    private abstract static class LoadPlanNames {
-        @JsonProperty("seq") private long sequence;
-    }
+  /** Version of the protocol; both sides must speak the same. */
+  public static final int VERSION = 2;
 
-    /** Names on the wire of the members of a backlog. */
-    private abstract static class LoadBacklogNames {
-        @JsonProperty("seq") private long sequence;
-    }
+  /** The largest message, bytes. */
+  public static final int MAX_FRAME_BYTES = 1 << 20;
 
-    /** Names on the wire of the members of a pending load. */
-    private abstract static class PendingLoadNames {
-        @JsonProperty("memory") private double memoryMb;
-        @JsonProperty("load") private long loadMicros;
-        @JsonProperty("importance") private double priorityWeight;
-        @JsonProperty("age") private long ageMicros;
-    }
+  static final String EDGE_SIDE = "edge";
+  static final String PLANNER_SIDE = "planner";
+  private static final String TYPE_MEMBER = "is";
 
-    private static final ObjectMapper CBOR = mapper();
+  /**
+   * The first message of each side.
+   *
+   * @param version of the protocol
+   * @param side "edge" or "planner"
+   * @param router index of the router that the edge belongs to
+   * @param epoch of the connection, from the edge; 0 from the planner
+   */
+  public record Hello(int version, String side, int router, long epoch) {}
 
-    private PlannerMessageCodec() {}
+  /** The edge refuses the connection, and closes it. */
+  public record Refused(String why) {}
 
-    private static ObjectMapper mapper() {
-        ObjectMapper mapper = new CBORMapper();
-        mapper.addMixIn(LoadPlan.class, LoadPlanNames.class);
-        mapper.addMixIn(LoadBacklog.class, LoadBacklogNames.class);
-        mapper.addMixIn(PendingLoad.class, PendingLoadNames.class);
-        mapper.configure(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES, true);
-        mapper.configure(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES, true);
-        return mapper;
-    }
+  /** Sent by the planner at intervals; the number counts up. */
+  public record Heartbeat(long number) {}
+
+  /** Names on the wire of the members of a plan. */
+  private abstract static class LoadPlanNames {
+    @JsonProperty("seq")
+    private long sequence;
+  }
+
+  /** Names on the wire of the members of a backlog. */
+  private abstract static class LoadBacklogNames {
+    @JsonProperty("seq")
+    private long sequence;
+  }
+
+  /** Names on the wire of the members of a pending load. */
+  private abstract static class PendingLoadNames {
+    @JsonProperty("memory")
+    private double memoryMb;
 
-    /**
-     * Encodes a message: one of the records of this class, a {@link LoadBacklog} or a {@link LoadPlan}.
-     *
-     * @throws IllegalArgumentException where the object is no message
-     */
-    public static byte[] encode(Object message) {
-        PlannerMessageType type = PlannerMessageType.of(message);
-        ObjectNode node = CBOR.valueToTree(message);
-        node.put(TYPE_MEMBER, type.wireName());
-        try {
-            return CBOR.writeValueAsBytes(node);
-        } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException(e);
-        }
+    @JsonProperty("load")
+    private long loadMicros;
+
+    @JsonProperty("importance")
+    private double priorityWeight;
+
+    @JsonProperty("age")
+    private long ageMicros;
+  }
+
+  private static final ObjectMapper CBOR = mapper();
+
+  private PlannerMessageCodec() {}
+
+  private static ObjectMapper mapper() {
+    ObjectMapper mapper = new CBORMapper();
+    mapper.addMixIn(LoadPlan.class, LoadPlanNames.class);
+    mapper.addMixIn(LoadBacklog.class, LoadBacklogNames.class);
+    mapper.addMixIn(PendingLoad.class, PendingLoadNames.class);
+    mapper.configure(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES, true);
+    mapper.configure(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES, true);
+    return mapper;
+  }
+
+  /**
+   * Encodes a message: one of the records of this class, a {@link LoadBacklog} or a {@link
+   * LoadPlan}.
+   *
+   * @throws IllegalArgumentException where the object is no message
+   */
+  public static byte[] encode(Object message) {
+    PlannerMessageType type = PlannerMessageType.of(message);
+    ObjectNode node = CBOR.valueToTree(message);
+    node.put(TYPE_MEMBER, type.wireName());
+    try {
+      return CBOR.writeValueAsBytes(node);
+    } catch (JsonProcessingException e) {
+      throw new IllegalArgumentException(e);
     }
+  }
 
-    /**
-     * Decodes a message.
-     *
-     * @throws IOException where the bytes are no message; it says what is wrong with them
-     */
-    public static Record decode(byte[] bytes) throws IOException {
-        JsonNode node = CBOR.readTree(bytes);
-        if (!(node instanceof ObjectNode members) || !members.path(TYPE_MEMBER).isTextual()) {
-            throw new IOException("no message");
-        }
-        PlannerMessageType type = PlannerMessageType.named(members.remove(TYPE_MEMBER).asText());
-        if (type == null) {
-            throw new IOException("a message of an unknown kind");
-        }
-        return CBOR.treeToValue(members, type.messageClass());
+  /**
+   * Decodes a message.
+   *
+   * @throws IOException where the bytes are no message; it says what is wrong with them
+   */
+  public static Record decode(byte[] bytes) throws IOException {
+    JsonNode node = CBOR.readTree(bytes);
+    if (!(node instanceof ObjectNode members) || !members.path(TYPE_MEMBER).isTextual()) {
+      throw new IOException("no message");
+    }
+    PlannerMessageType type = PlannerMessageType.named(members.remove(TYPE_MEMBER).asText());
+    if (type == null) {
+      throw new IOException("a message of an unknown kind");
     }
+    return CBOR.treeToValue(members, type.messageClass());
+  }
 }
--- a/src/main/java/switchgap/policy/api/DeduplicationScope.java
+++ b/src/main/java/switchgap/policy/api/DeduplicationScope.java
@@ -2,10 +2,10 @@
 
 /** The workers among which the repeat of a request with an idempotency key is dropped. */
 public enum DeduplicationScope {
-    /** All workers. */
-    ALL,
-    /** The workers of one zone. */
-    ZONE,
-    /** The workers of one cell of a zone. */
-    CELL
+  /** All workers. */
+  ALL,
+  /** The workers of one zone. */
+  ZONE,
+  /** The workers of one cell of a zone. */
+  CELL
 }
--- a/src/main/java/switchgap/policy/state/Histogram.java
+++ b/src/main/java/switchgap/policy/state/Histogram.java
@@ -2,90 +2,93 @@
 
 import java.util.Arrays;
 
-/** Counts of values in a few coarse bins between edges that the caller gives; it fades as the caller says. */
+/**
+ * Counts of values in a few coarse bins between edges that the caller gives; it fades as the caller
+ * says.
+ */
 public final class Histogram {
-    private final double[] edges;
-    private final double[] counts;
+  private final double[] edges;
+  private final double[] counts;
 
-    /** Bins: below the first edge, between each two, and from the last on. */
-    public Histogram(double[] edges) {
-        this.edges = edges;
-        this.counts = new double[edges.length + 1];
-    }
+  /** Bins: below the first edge, between each two, and from the last on. */
+  public Histogram(double[] edges) {
+    this.edges = edges;
+    this.counts = new double[edges.length + 1];
+  }
 
-    /** Counts a value. */
-    public void add(double value) {
-        int bin = 0;
-        while (bin < edges.length && value >= edges[bin]) {
-            bin++;
-        }
-        counts[bin]++;
+  /** Counts a value. */
+  public void add(double value) {
+    int bin = 0;
+    while (bin < edges.length && value >= edges[bin]) {
+      bin++;
     }
+    counts[bin]++;
+  }
 
-    /** Halves all counts. */
-    public void halve() {
-        for (int i = 0; i < counts.length; i++) {
-            counts[i] /= 2;
-        }
+  /** Halves all counts. */
+  public void halve() {
+    for (int i = 0; i < counts.length; i++) {
+      counts[i] /= 2;
     }
+  }
 
-    /** Halves all counts once there are more than so many. */
-    public void halveAbove(double maxTotal) {
-        if (total() > maxTotal) {
-            halve();
-        }
+  /** Halves all counts once there are more than so many. */
+  public void halveAbove(double maxTotal) {
+    if (total() > maxTotal) {
+      halve();
     }
+  }
 
-    /** The mean value, with a prior that weighs as much as so many values. */
-    public double meanWithPrior(double prior, double weight) {
-        return (sum() + weight * prior) / (total() + weight);
-    }
+  /** The mean value, with a prior that weighs as much as so many values. */
+  public double meanWithPrior(double prior, double weight) {
+    return (sum() + weight * prior) / (total() + weight);
+  }
 
-    /** Drops all counts. */
-    public void clear() {
-        Arrays.fill(counts, 0);
-    }
+  /** Drops all counts. */
+  public void clear() {
+    Arrays.fill(counts, 0);
+  }
 
-    /** The number of values counted. */
-    public double total() {
-        double total = 0;
-        for (double count : counts) {
-            total += count;
-        }
-        return total;
+  /** The number of values counted. */
+  public double total() {
+    double total = 0;
+    for (double count : counts) {
+      total += count;
     }
+    return total;
+  }
 
-    /** The number of values in a bin and above. */
-    public double countFrom(int bin) {
-        double sum = 0;
-        for (int i = bin; i < counts.length; i++) {
-            sum += counts[i];
-        }
-        return sum;
+  /** The number of values in a bin and above. */
+  public double countFrom(int bin) {
+    double sum = 0;
+    for (int i = bin; i < counts.length; i++) {
+      sum += counts[i];
     }
+    return sum;
+  }
 
-    /** The sum of all values, each taken at the middle of its bin. */
-    public double sum() {
-        double sum = counts[0] * edges[0] / 2 + counts[edges.length] * edges[edges.length - 1];
-        for (int i = 1; i < edges.length; i++) {
-            sum += counts[i] * (edges[i - 1] + edges[i]) / 2;
-        }
-        return sum;
+  /** The sum of all values, each taken at the middle of its bin. */
+  public double sum() {
+    double sum = counts[0] * edges[0] / 2 + counts[edges.length] * edges[edges.length - 1];
+    for (int i = 1; i < edges.length; i++) {
+      sum += counts[i] * (edges[i - 1] + edges[i]) / 2;
     }
+    return sum;
+  }
 
-    /** The value under which this share lies, straight between a bin's edges; NaN when empty. */
-    public double quantile(double share) {
-        double left = total() * share;
-        if (left <= 0) {
-            return Double.NaN;
-        }
-        for (int i = 0; i < edges.length; i++) {
-            if (left <= counts[i]) {
-                double low = i == 0 ? 0 : edges[i - 1];
-                return low + (edges[i] - low) * left / counts[i];
-            }
-            left -= counts[i];
-        }
-        return edges[edges.length - 1];
+  /** The value under which this share lies, straight between a bin's edges; NaN when empty. */
+  public double quantile(double share) {
+    double left = total() * share;
+    if (left <= 0) {
+      return Double.NaN;
+    }
+    for (int i = 0; i < edges.length; i++) {
+      if (left <= counts[i]) {
+        double low = i == 0 ? 0 : edges[i - 1];
+        return low + (edges[i] - low) * left / counts[i];
+      }
+      left -= counts[i];
     }
+    return edges[edges.length - 1];
+  }
 }
--- a/src/main/java/switchgap/policy/state/IndexAllocator.java
+++ b/src/main/java/switchgap/policy/state/IndexAllocator.java
@@ -4,54 +4,57 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Outside ids to small indices and back; a released index is handed out again, the last released first. */
+/**
+ * Outside ids to small indices and back; a released index is handed out again, the last released
+ * first.
+ */
 public final class IndexAllocator {
-    private static final int INITIAL_CAPACITY = 16;
-    private static final int NONE = -1;
-
-    private final Map<Long, Integer> indices = new HashMap<>();
-    private long[] ids = new long[INITIAL_CAPACITY];
-    private int[] released = new int[INITIAL_CAPACITY];
-    private int releasedCount;
-    private int used;
-
-    /** The index of an id, or -1. */
-    public int find(long id) {
-        return indices.getOrDefault(id, NONE);
+  private static final int INITIAL_CAPACITY = 16;
+  private static final int NONE = -1;
+
+  private final Map<Long, Integer> indices = new HashMap<>();
+  private long[] ids = new long[INITIAL_CAPACITY];
+  private int[] released = new int[INITIAL_CAPACITY];
+  private int releasedCount;
+  private int used;
+
+  /** The index of an id, or -1. */
+  public int find(long id) {
+    return indices.getOrDefault(id, NONE);
+  }
+
+  /** The index of an id, a new one where it has none. */
+  public int allocate(long id) {
+    Integer known = indices.get(id);
+    if (known != null) {
+      return known;
     }
-
-    /** The index of an id, a new one where it has none. */
-    public int allocate(long id) {
-        Integer known = indices.get(id);
-        if (known != null) {
-            return known;
-        }
-        int index = releasedCount > 0 ? released[--releasedCount] : used++;
-        if (index >= ids.length) {
-            ids = Arrays.copyOf(ids, ids.length * 2);
-        }
-        ids[index] = id;
-        indices.put(id, index);
-        return index;
+    int index = releasedCount > 0 ? released[--releasedCount] : used++;
+    if (index >= ids.length) {
+      ids = Arrays.copyOf(ids, ids.length * 2);
     }
-
-    /** The id that has an index. */
-    public long idOf(int index) {
-        return ids[index];
+    ids[index] = id;
+    indices.put(id, index);
+    return index;
+  }
+
+  /** The id that has an index. */
+  public long idOf(int index) {
+    return ids[index];
+  }
+
+  /** Frees an index for another id; once is enough. */
+  public void release(int index) {
+    if (indices.remove(ids[index], index)) {
+      if (releasedCount == released.length) {
+        released = Arrays.copyOf(released, releasedCount * 2);
+      }
+      released[releasedCount++] = index;
     }
+  }
 
-    /** Frees an index for another id; once is enough. */
-    public void release(int index) {
-        if (indices.remove(ids[index], index)) {
-            if (releasedCount == released.length) {
-                released = Arrays.copyOf(released, releasedCount * 2);
-            }
-            released[releasedCount++] = index;
-        }
-    }
-
-    /** Ids that have an index. */
-    public int size() {
-        return indices.size();
-    }
+  /** Ids that have an index. */
+  public int size() {
+    return indices.size();
+  }
 }
--- a/src/main/java/switchgap/policy/state/IndexedTable.java
+++ b/src/main/java/switchgap/policy/state/IndexedTable.java
@@ -5,47 +5,50 @@
 import java.util.List;
 
 /**
- * Elements by small index. Iteration passes over empty places, in the order of the indices, and allows
- * changes on the way.
+ * Elements by small index. Iteration passes over empty places, in the order of the indices, and
+ * allows changes on the way.
  */
 public final class IndexedTable<T> implements Iterable<T> {
-    private final List<T> elements = new ArrayList<>();
+  private final List<T> elements = new ArrayList<>();
 
-    /** The element at an index, or null. */
-    public T get(int index) {
-        return index < elements.size() ? elements.get(index) : null;
-    }
+  /** The element at an index, or null. */
+  public T get(int index) {
+    return index < elements.size() ? elements.get(index) : null;
+  }
 
-    /** Sets the element at an index, null to empty the place; returns it. */
-    public T set(int index, T element) {
-        while (elements.size() <= index) {
-            elements.add(null);
+  /** Sets the element at an index, null to empty the place; returns it. */
+  public T set(int index, T element) {
+    while (elements.size() <= index) {
+      elements.add(null);
+    }
+    elements.set(index, element);
+    return element;
+  }
+
+  @Override
+  public Iterator<T> iterator() {
+    return new Iterator<>() {
+      private int next = occupiedFrom(0);
+
+      private int occupiedFrom(int start) {
+        int index = start;
+        while (index < elements.size() && elements.get(index) == null) {
+          index++;
         }
-        elements.set(index, element);
+        return index;
+      }
+
+      @Override
+      public boolean hasNext() {
+        return next < elements.size();
+      }
+
+      @Override
+      public T next() {
+        T element = elements.get(next);
+        next = occupiedFrom(next + 1);
         return element;
-    }
-
-    @Override public Iterator<T> iterator() {
-        return new Iterator<>() {
-            private int next = occupiedFrom(0);
-
-            private int occupiedFrom(int start) {
-                int index = start;
-                while (index < elements.size() && elements.get(index) == null) {
-                    index++;
-                }
-                return index;
-            }
-
-            @Override public boolean hasNext() {
-                return next < elements.size();
-            }
-
-            @Override public T next() {
-                T element = elements.get(next);
-                next = occupiedFrom(next + 1);
-                return element;
-            }
-        };
-    }
+      }
+    };
+  }
 }
--- a/src/main/java/switchgap/policy/state/RequestClass.java
+++ b/src/main/java/switchgap/policy/state/RequestClass.java
@@ -7,39 +7,41 @@
 
 /** A request class as stated, and what its attempts at loaded replicas usually meet. */
 public final class RequestClass {
-    public final Duration latencyObjective;
-    public final Duration deduplicationWindow;
-    public final double priorityWeight;
-    public final double lateValueShare;
-    public final Idempotency idempotency;
-    public final DeduplicationScope deduplicationScope;
-    /** Durations as a ratio to the latency objective. */
-    public final Histogram relativeDurations;
-    /** Other routers' requests at the workers, one for each duration. */
-    public final Histogram foreignLoads;
+  public final Duration latencyObjective;
+  public final Duration deduplicationWindow;
+  public final double priorityWeight;
+  public final double lateValueShare;
+  public final Idempotency idempotency;
+  public final DeduplicationScope deduplicationScope;
 
-    RequestClass(RouterSettings settings, int index, HistogramEdges edges) {
-        latencyObjective = settings.latencyObjective(index);
-        deduplicationWindow = settings.deduplicationWindow(index);
-        priorityWeight = settings.priorityWeight(index);
-        lateValueShare = settings.lateValueShare(index);
-        idempotency = settings.idempotency(index);
-        deduplicationScope = settings.deduplicationScope(index);
-        relativeDurations = new Histogram(edges.relativeDurations());
-        foreignLoads = new Histogram(edges.foreignLoads());
-    }
+  /** Durations as a ratio to the latency objective. */
+  public final Histogram relativeDurations;
 
-    /** Counts a response of a loaded replica. */
-    public void responded(double relativeDuration, double foreignLoad) {
-        relativeDurations.add(relativeDuration);
-        foreignLoads.add(foreignLoad);
-    }
+  /** Other routers' requests at the workers, one for each duration. */
+  public final Histogram foreignLoads;
+
+  RequestClass(RouterSettings settings, int index, HistogramEdges edges) {
+    latencyObjective = settings.latencyObjective(index);
+    deduplicationWindow = settings.deduplicationWindow(index);
+    priorityWeight = settings.priorityWeight(index);
+    lateValueShare = settings.lateValueShare(index);
+    idempotency = settings.idempotency(index);
+    deduplicationScope = settings.deduplicationScope(index);
+    relativeDurations = new Histogram(edges.relativeDurations());
+    foreignLoads = new Histogram(edges.foreignLoads());
+  }
+
+  /** Counts a response of a loaded replica. */
+  public void responded(double relativeDuration, double foreignLoad) {
+    relativeDurations.add(relativeDuration);
+    foreignLoads.add(foreignLoad);
+  }
 
-    /** Halves what was counted once there is more than so much. */
-    public void halveAbove(double maxSamples) {
-        if (relativeDurations.total() > maxSamples) {
-            relativeDurations.halve();
-            foreignLoads.halve();
-        }
+  /** Halves what was counted once there is more than so much. */
+  public void halveAbove(double maxSamples) {
+    if (relativeDurations.total() > maxSamples) {
+      relativeDurations.halve();
+      foreignLoads.halve();
     }
+  }
 }
--- a/src/main/java/switchgap/policy/state/SettingsSnapshot.java
+++ b/src/main/java/switchgap/policy/state/SettingsSnapshot.java
@@ -6,84 +6,97 @@
 import switchgap.policy.api.RouterSettings;
 
 /**
- * The settings as read once at the router's start, since some are parsed at each access. What depends on a
- * permission that is not given is null. The fields are those of {@link RouterSettings}.
+ * The settings as read once at the router's start, since some are parsed at each access. What
+ * depends on a permission that is not given is null. The fields are those of {@link
+ * RouterSettings}.
  */
 public final class SettingsSnapshot {
-    public final int routerIndex;
-    public final int routerCount;
-    public final int zone;
-    public final Duration tickInterval;
-    public final RequestClass[] requestClasses;
-    /** The highest weight of all request classes. */
-    public final double maxPriorityWeight;
-    /** The shortest latency objective of all request classes. */
-    public final Duration shortestObjective;
-    /** Quota of each tenant. */
-    public final double[] tenantQuotas;
-    public final double overQuotaWeight;
-    public final int maxAttempts;
-    public final boolean hedgingAllowed;
-    public final boolean probesAllowed;
-    public final boolean cancellationAllowed;
-    /** Null where a rejection may not say when to retry. */
-    public final Duration maxRetryAfter;
-    public final double coldCapacityShare;
-    public final Duration warmUpDuration;
-    public final double coldOverloadMultiple;
-    public final Duration coldOverloadWindow;
-    public final boolean loadsOnDemand;
-    public final boolean loadCommandsAllowed;
-    public final Duration replicaIdleTimeout;
-    public final double loadQuotaBase;
-    public final double loadQuotaPerRequest;
-    public final Duration loadQuotaWindow;
-    /** Whether load commands are counted over a window. */
-    public final boolean hasLoadQuota;
-    public final double idleMemoryPrice;
-    public final double[] workerKindMemory;
-    public final double crossZonePrice;
-    public final double probePrice;
-    public final boolean capacityReported;
-    /** The longest time between two polls of the endpoint list, null where it is not polled. */
-    public final Duration endpointPollInterval;
+  public final int routerIndex;
+  public final int routerCount;
+  public final int zone;
+  public final Duration tickInterval;
+  public final RequestClass[] requestClasses;
 
-    /** Reads the settings; the edges are those of the histograms that each request class keeps. */
-    public SettingsSnapshot(RouterSettings settings, HistogramEdges edges) {
-        routerIndex = settings.routerIndex();
-        routerCount = Math.max(1, settings.routerCount());
-        zone = settings.zone();
-        tickInterval = settings.tickInterval();
-        requestClasses = new RequestClass[settings.requestClassCount()];
-        Arrays.setAll(requestClasses, index -> new RequestClass(settings, index, edges));
-        maxPriorityWeight = Arrays.stream(requestClasses).mapToDouble(
-            each -> each.priorityWeight).max().orElse(1);
-        shortestObjective = Arrays.stream(requestClasses).map(each -> each.latencyObjective).min(
-            Comparator.naturalOrder()).orElseThrow();
-        tenantQuotas = new double[settings.tenantCount()];
-        Arrays.setAll(tenantQuotas, settings::tenantQuota);
-        overQuotaWeight = settings.overQuotaWeight();
-        maxAttempts = settings.maxAttempts();
-        hedgingAllowed = settings.hedgingAllowed();
-        probesAllowed = settings.probesAllowed();
-        cancellationAllowed = settings.cancellationAllowed();
-        maxRetryAfter = settings.retryAfterAllowed() ? settings.maxRetryAfter() : null;
-        coldCapacityShare = settings.coldCapacityShare();
-        warmUpDuration = settings.warmUpDuration();
-        coldOverloadMultiple = settings.coldOverloadMultiple();
-        coldOverloadWindow = settings.coldOverloadWindow();
-        loadsOnDemand = settings.loadsOnDemand();
-        loadCommandsAllowed = settings.loadCommandsAllowed();
-        replicaIdleTimeout = settings.replicaIdleTimeout();
-        loadQuotaBase = settings.loadQuotaBase();
-        loadQuotaPerRequest = settings.loadQuotaPerRequest();
-        loadQuotaWindow = settings.loadQuotaWindow();
-        hasLoadQuota = !loadQuotaWindow.isZero();
-        idleMemoryPrice = settings.idleMemoryPrice();
-        workerKindMemory = settings.workerKindMemory();
-        crossZonePrice = settings.crossZonePrice();
-        probePrice = settings.probePrice();
-        capacityReported = settings.capacityReported();
-        endpointPollInterval = settings.pollsEndpointList() ? settings.endpointPollInterval() : null;
-    }
+  /** The highest weight of all request classes. */
+  public final double maxPriorityWeight;
+
+  /** The shortest latency objective of all request classes. */
+  public final Duration shortestObjective;
+
+  /** Quota of each tenant. */
+  public final double[] tenantQuotas;
+
+  public final double overQuotaWeight;
+  public final int maxAttempts;
+  public final boolean hedgingAllowed;
+  public final boolean probesAllowed;
+  public final boolean cancellationAllowed;
+
+  /** Null where a rejection may not say when to retry. */
+  public final Duration maxRetryAfter;
+
+  public final double coldCapacityShare;
+  public final Duration warmUpDuration;
+  public final double coldOverloadMultiple;
+  public final Duration coldOverloadWindow;
+  public final boolean loadsOnDemand;
+  public final boolean loadCommandsAllowed;
+  public final Duration replicaIdleTimeout;
+  public final double loadQuotaBase;
+  public final double loadQuotaPerRequest;
+  public final Duration loadQuotaWindow;
+
+  /** Whether load commands are counted over a window. */
+  public final boolean hasLoadQuota;
+
+  public final double idleMemoryPrice;
+  public final double[] workerKindMemory;
+  public final double crossZonePrice;
+  public final double probePrice;
+  public final boolean capacityReported;
+
+  /** The longest time between two polls of the endpoint list, null where it is not polled. */
+  public final Duration endpointPollInterval;
+
+  /** Reads the settings; the edges are those of the histograms that each request class keeps. */
+  public SettingsSnapshot(RouterSettings settings, HistogramEdges edges) {
+    routerIndex = settings.routerIndex();
+    routerCount = Math.max(1, settings.routerCount());
+    zone = settings.zone();
+    tickInterval = settings.tickInterval();
+    requestClasses = new RequestClass[settings.requestClassCount()];
+    Arrays.setAll(requestClasses, index -> new RequestClass(settings, index, edges));
+    maxPriorityWeight =
+        Arrays.stream(requestClasses).mapToDouble(each -> each.priorityWeight).max().orElse(1);
+    shortestObjective =
+        Arrays.stream(requestClasses)
+            .map(each -> each.latencyObjective)
+            .min(Comparator.naturalOrder())
+            .orElseThrow();
+    tenantQuotas = new double[settings.tenantCount()];
+    Arrays.setAll(tenantQuotas, settings::tenantQuota);
+    overQuotaWeight = settings.overQuotaWeight();
+    maxAttempts = settings.maxAttempts();
+    hedgingAllowed = settings.hedgingAllowed();
+    probesAllowed = settings.probesAllowed();
+    cancellationAllowed = settings.cancellationAllowed();
+    maxRetryAfter = settings.retryAfterAllowed() ? settings.maxRetryAfter() : null;
+    coldCapacityShare = settings.coldCapacityShare();
+    warmUpDuration = settings.warmUpDuration();
+    coldOverloadMultiple = settings.coldOverloadMultiple();
+    coldOverloadWindow = settings.coldOverloadWindow();
+    loadsOnDemand = settings.loadsOnDemand();
+    loadCommandsAllowed = settings.loadCommandsAllowed();
+    replicaIdleTimeout = settings.replicaIdleTimeout();
+    loadQuotaBase = settings.loadQuotaBase();
+    loadQuotaPerRequest = settings.loadQuotaPerRequest();
+    loadQuotaWindow = settings.loadQuotaWindow();
+    hasLoadQuota = !loadQuotaWindow.isZero();
+    idleMemoryPrice = settings.idleMemoryPrice();
+    workerKindMemory = settings.workerKindMemory();
+    crossZonePrice = settings.crossZonePrice();
+    probePrice = settings.probePrice();
+    capacityReported = settings.capacityReported();
+    endpointPollInterval = settings.pollsEndpointList() ? settings.endpointPollInterval() : null;
+  }
 }
--- a/src/main/java/switchgap/protocol/inference/AttemptExchange.java
+++ b/src/main/java/switchgap/protocol/inference/AttemptExchange.java
@@ -12,64 +12,84 @@
 
 /** The exchange of an attempt; its end is posted to the event loop. */
 final class AttemptExchange extends PendingExchange {
-    /** Headers that concern the worker's connection or this router, and are not passed on to the client. */
-    private static final Set<String> HOP_HEADERS = Set.of("content-length", "transfer-encoding", "connection",
-        "keep-alive", "date", "server", OrcaLoadReport.HEADER, InferenceRequest.REQUEST_ID_HEADER);
+  /**
+   * Headers that concern the worker's connection or this router, and are not passed on to the
+   * client.
+   */
+  private static final Set<String> HOP_HEADERS =
+      Set.of(
+          "content-length",
+          "transfer-encoding",
+          "connection",
+          "keep-alive",
+          "date",
+          "server",
+          OrcaLoadReport.HEADER,
+          InferenceRequest.REQUEST_ID_HEADER);
 
-    private final Attempt attempt;
-    private final Consumer<Consumer<RouterCore>> events;
+  private final Attempt attempt;
+  private final Consumer<Consumer<RouterCore>> events;
 
-    /** An exchange that is not sent after {@code deadlineNanos} of System.nanoTime. */
-    AttemptExchange(Attempt attempt, HttpConnectionPool pool, long deadlineNanos,
-        Consumer<Consumer<RouterCore>> events) {
-        super(attempt.worker, pool, InferenceRequest.infer(attempt), deadlineNanos);
-        this.attempt = attempt;
-        this.events = events;
-    }
+  /** An exchange that is not sent after {@code deadlineNanos} of System.nanoTime. */
+  AttemptExchange(
+      Attempt attempt,
+      HttpConnectionPool pool,
+      long deadlineNanos,
+      Consumer<Consumer<RouterCore>> events) {
+    super(attempt.worker, pool, InferenceRequest.infer(attempt), deadlineNanos);
+    this.attempt = attempt;
+    this.events = events;
+  }
 
-    @Override void notSent(AttemptOutcome outcome) {
-        events.accept(core -> core.attemptEnded(attempt, outcome, LoadReport.NONE, null));
-    }
+  @Override
+  void notSent(AttemptOutcome outcome) {
+    events.accept(core -> core.attemptEnded(attempt, outcome, LoadReport.NONE, null));
+  }
 
-    @Override void replied(int status, Map<String, String> headers, byte[] body) {
-        String echoedId = headers.get(InferenceRequest.REQUEST_ID_HEADER);
-        if (echoedId != null && !echoedId.equals(attempt.attemptId())) {
-            lost(); // a response to another request: this one may have been executed
-            return;
-        }
-        OrcaLoadReport report = OrcaLoadReport.parse(headers);
-        AttemptOutcome outcome = outcome(status, report);
-        Response response = outcome == AttemptOutcome.SUCCEEDED
-            ? Response.succeeded(status, forwardedHeaders(headers), body) : null;
-        events.accept(core -> core.attemptEnded(attempt, outcome, report.toLoadReport(), response));
+  @Override
+  void replied(int status, Map<String, String> headers, byte[] body) {
+    String echoedId = headers.get(InferenceRequest.REQUEST_ID_HEADER);
+    if (echoedId != null && !echoedId.equals(attempt.attemptId())) {
+      lost(); // a response to another request: this one may have been executed
+      return;
     }
+    OrcaLoadReport report = OrcaLoadReport.parse(headers);
+    AttemptOutcome outcome = outcome(status, report);
+    Response response =
+        outcome == AttemptOutcome.SUCCEEDED
+            ? Response.succeeded(status, forwardedHeaders(headers), body)
+            : null;
+    events.accept(core -> core.attemptEnded(attempt, outcome, report.toLoadReport(), response));
+  }
 
-    @Override void lost() {
-        events.accept(
-            core -> core.attemptEnded(attempt, AttemptOutcome.CONNECTION_LOST, LoadReport.NONE, null));
-    }
+  @Override
+  void lost() {
+    events.accept(
+        core -> core.attemptEnded(attempt, AttemptOutcome.CONNECTION_LOST, LoadReport.NONE, null));
+  }
 
-    /** What a response to an attempt means and proves. */
-    private static AttemptOutcome outcome(int status, OrcaLoadReport report) {
-        if (HttpStatus.isSuccess(status)) {
-            return AttemptOutcome.SUCCEEDED;
-        }
-        if (report.provesNotExecuted() && HttpStatus.isNotFound(status)) {
-            return AttemptOutcome.NOT_LOADED;
-        }
-        if (report.provesNotExecuted() && HttpStatus.isOverloaded(status)) {
-            return AttemptOutcome.REJECTED;
-        }
-        return AttemptOutcome.FAILED;
+  /** What a response to an attempt means and proves. */
+  private static AttemptOutcome outcome(int status, OrcaLoadReport report) {
+    if (HttpStatus.isSuccess(status)) {
+      return AttemptOutcome.SUCCEEDED;
     }
+    if (report.provesNotExecuted() && HttpStatus.isNotFound(status)) {
+      return AttemptOutcome.NOT_LOADED;
+    }
+    if (report.provesNotExecuted() && HttpStatus.isOverloaded(status)) {
+      return AttemptOutcome.REJECTED;
+    }
+    return AttemptOutcome.FAILED;
+  }
 
-    private static Map<String, String> forwardedHeaders(Map<String, String> headers) {
-        Map<String, String> forwarded = new HashMap<>();
-        headers.forEach((name, value) -> {
-            if (!HOP_HEADERS.contains(name)) {
-                forwarded.put(name, value);
-            }
+  private static Map<String, String> forwardedHeaders(Map<String, String> headers) {
+    Map<String, String> forwarded = new HashMap<>();
+    headers.forEach(
+        (name, value) -> {
+          if (!HOP_HEADERS.contains(name)) {
+            forwarded.put(name, value);
+          }
         });
-        return forwarded;
-    }
+    return forwarded;
+  }
 }
--- a/src/main/java/switchgap/protocol/inference/CommandExchange.java
+++ b/src/main/java/switchgap/protocol/inference/CommandExchange.java
@@ -6,37 +6,43 @@
 
 /** The exchange of a load command, a query, an unload or a probe. */
 final class CommandExchange extends PendingExchange {
-    /** Is notified once how an exchange ended, unless it was abandoned. */
-    interface CompletionListener {
-        /** It ended; the report is empty where there was none. On any thread. */
-        void exchangeEnded(AttemptOutcome outcome, OrcaLoadReport report);
-    }
-
-    private final CompletionListener listener;
-
-    /** An exchange without a deadline of its own: the core abandons it. */
-    CommandExchange(WorkerEntry worker, HttpConnectionPool pool, InferenceRequest request,
-        CompletionListener listener) {
-        super(worker, pool, request, NO_DEADLINE);
-        this.listener = listener;
-    }
-
-    @Override void notSent(AttemptOutcome outcome) {
-        listener.exchangeEnded(outcome, OrcaLoadReport.EMPTY);
-    }
-
-    @Override void replied(int status, Map<String, String> headers, byte[] body) {
-        listener.exchangeEnded(outcome(status), OrcaLoadReport.parse(headers));
-    }
-
-    @Override void lost() {
-        listener.exchangeEnded(AttemptOutcome.CONNECTION_LOST, OrcaLoadReport.EMPTY);
-    }
-
-    private static AttemptOutcome outcome(int status) {
-        if (HttpStatus.isSuccess(status)) {
-            return AttemptOutcome.SUCCEEDED;
-        }
-        return HttpStatus.isOverloaded(status) ? AttemptOutcome.REJECTED : AttemptOutcome.FAILED;
+  /** Is notified once how an exchange ended, unless it was abandoned. */
+  interface CompletionListener {
+    /** It ended; the report is empty where there was none. On any thread. */
+    void exchangeEnded(AttemptOutcome outcome, OrcaLoadReport report);
+  }
+
+  private final CompletionListener listener;
+
+  /** An exchange without a deadline of its own: the core abandons it. */
+  CommandExchange(
+      WorkerEntry worker,
+      HttpConnectionPool pool,
+      InferenceRequest request,
+      CompletionListener listener) {
+    super(worker, pool, request, NO_DEADLINE);
+    this.listener = listener;
+  }
+
+  @Override
+  void notSent(AttemptOutcome outcome) {
+    listener.exchangeEnded(outcome, OrcaLoadReport.EMPTY);
+  }
+
+  @Override
+  void replied(int status, Map<String, String> headers, byte[] body) {
+    listener.exchangeEnded(outcome(status), OrcaLoadReport.parse(headers));
+  }
+
+  @Override
+  void lost() {
+    listener.exchangeEnded(AttemptOutcome.CONNECTION_LOST, OrcaLoadReport.EMPTY);
+  }
+
+  private static AttemptOutcome outcome(int status) {
+    if (HttpStatus.isSuccess(status)) {
+      return AttemptOutcome.SUCCEEDED;
     }
+    return HttpStatus.isOverloaded(status) ? AttemptOutcome.REJECTED : AttemptOutcome.FAILED;
+  }
 }
--- a/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
+++ b/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
@@ -12,211 +12,222 @@
 import switchgap.policy.api.AttemptOutcome;
 
 /**
- * Persistent connections to one worker: opened as needed up to a limit, the most recently used first, closed
- * when idle. Nothing is ever sent a second time by itself: an exchange whose connection took bytes and was
- * lost is lost, and only one of which no byte went out is tried on a further connection.
+ * Persistent connections to one worker: opened as needed up to a limit, the most recently used
+ * first, closed when idle. Nothing is ever sent a second time by itself: an exchange whose
+ * connection took bytes and was lost is lost, and only one of which no byte went out is tried on a
+ * further connection.
  *
- * <p>It shares no code with the pool of the RESP protocol: that one belongs to the event loop alone and
- * multiplexes exchanges over a connection, this one is guarded by its lock as writer threads use it, and has
- * one exchange at a time on a connection. Callbacks are called without the lock.
+ * <p>It shares no code with the pool of the RESP protocol: that one belongs to the event loop alone
+ * and multiplexes exchanges over a connection, this one is guarded by its lock as writer threads
+ * use it, and has one exchange at a time on a connection. Callbacks are called without the lock.
  */
 final class HttpConnectionPool {
-    private final HttpClientConnection.Factory connectionFactory;
-    private final InetSocketAddress address;
-    private final InferenceWorkerTransport.ConnectionLimits limits;
-    /** The most recently used first. */
-    private final ArrayDeque<HttpClientConnection> idle = new ArrayDeque<>();
-    private final ArrayDeque<PendingExchange> waiting = new ArrayDeque<>();
-    /** Closed connections that have been counted: a connection may report its end more than once. */
-    private final Set<HttpClientConnection> closed = Collections.newSetFromMap(new WeakHashMap<>());
-    private int open;
-    private int opening;
-    private boolean retired;
-
-    HttpConnectionPool(HttpClientConnection.Factory connectionFactory, InetSocketAddress address,
-        InferenceWorkerTransport.ConnectionLimits limits) {
-        this.connectionFactory = connectionFactory;
-        this.address = address;
-        this.limits = limits;
-    }
-
-    synchronized int openConnections() {
-        return open;
-    }
-
-    /** Sends an exchange of this pool, has it wait for a connection, or ends it as not sent. */
-    void submit(PendingExchange exchange) {
-        HttpClientConnection connection = null;
-        boolean waits = false;
-        synchronized (this) {
-            if (exchange.maySend()) {
-                connection = takeIdle();
-                waits = connection == null && enqueue(exchange);
-            }
-        }
-        if (connection != null) {
-            send(exchange, connection);
-        } else if (waits || !exchange.endNotSent(AttemptOutcome.NOT_SENT)) {
-            openConnectionsForWaiting();
-        }
-    }
-
-    /** Needs the lock. */
-    private HttpClientConnection takeIdle() {
-        HttpClientConnection connection = idle.pollFirst();
-        while (connection != null && !connection.isUsable()) {
-            connection = idle.pollFirst();
-        }
-        return connection;
-    }
-
-    /** Has an exchange wait, unless too many do. Needs the lock. */
-    private boolean enqueue(PendingExchange exchange) {
-        if (waiting.size() >= limits.waiting()) {
-            removeEnded();
-        }
-        return waiting.size() < limits.waiting() && waiting.add(exchange);
-    }
-
-    private void removeEnded() {
-        waiting.removeIf(exchange -> !exchange.isWaiting());
-    }
-
-    /** The next exchange that waits, or null. Needs the lock. */
-    private PendingExchange pollWaiting() {
-        PendingExchange exchange = waiting.pollFirst();
-        while (exchange != null && !exchange.isWaiting()) {
-            exchange = waiting.pollFirst();
-        }
-        return exchange;
-    }
-
-    /** Sends an exchange on a connection; where that takes no byte, on the next one. */
-    private void send(PendingExchange exchange, HttpClientConnection connection) {
-        InferenceRequest request = exchange.request;
-        if (!exchange.assign(connection)) {
-            // Ended at once: what is known not to have been executed can still go to another worker.
-            exchange.endNotSent(AttemptOutcome.NOT_SENT);
-            release(connection);
-        } else if (!connection.send(request.method(), request.path(), request.headers(), request.body(),
-            exchange)) {
-            if (exchange.unassign()) {
-                submit(exchange);
-            }
-        } else if (exchange.isEnded()) {
-            // Abandoned just before it was sent: nobody else would end it and free its connection.
-            connection.abandon(exchange);
-        }
-    }
-
-    private void openConnectionsForWaiting() {
-        int needed;
-        synchronized (this) {
-            removeEnded();
-            int allowed = limits.connections() - open - opening;
-            needed = Math.max(0, Math.min(waiting.size() - opening, allowed));
-            opening += needed;
-        }
-        for (int i = 0; i < needed; i++) {
-            connectionFactory.connect(address, limits.connectWithin(), new ConnectListener());
-        }
-    }
-
-    private final class ConnectListener implements HttpClientConnection.ConnectCallback {
-        @Override public void connected(HttpClientConnection connection) {
-            synchronized (HttpConnectionPool.this) {
-                opening--;
-                open++;
-            }
-            connection.onClose(() -> connectionClosed(connection));
-            release(connection);
-        }
-
-        @Override public void failed(String why) {
-            PendingExchange exchange;
-            synchronized (HttpConnectionPool.this) {
-                opening--;
-                exchange = waiting.size() > opening ? pollWaiting() : null;
-            }
-            if (exchange != null) {
-                exchange.endNotSent(AttemptOutcome.CONNECT_FAILED);
-            }
-            // More may wait than connections may be open: each is tried, and notified, in its turn.
-            openConnectionsForWaiting();
-        }
-    }
-
-    private void connectionClosed(HttpClientConnection connection) {
-        boolean othersWait;
-        synchronized (this) {
-            if (!closed.add(connection)) {
-                return;
-            }
-            open--;
-            idle.remove(connection);
-            othersWait = !waiting.isEmpty();
-        }
-        if (othersWait) {
-            openConnectionsForWaiting();
-        }
-    }
-
-    /** A connection is free: the next exchange that waits takes it. */
-    void release(HttpClientConnection connection) {
-        PendingExchange next;
-        boolean unneeded;
-        synchronized (this) {
-            next = pollWaiting();
-            unneeded = next == null && retired;
-            if (next == null && !retired && connection.isUsable()) {
-                idle.addFirst(connection);
-            }
-        }
-        if (next != null) {
-            send(next, connection);
-        } else if (unneeded) {
-            connection.close();
-        }
-    }
-
-    /** The worker takes nothing new: what waits ends at once, what is in flight goes on. */
-    void rejectWaiting() {
-        List<PendingExchange> rejected;
-        synchronized (this) {
-            rejected = List.copyOf(waiting);
-            waiting.clear();
-        }
-        rejected.forEach(exchange -> exchange.endNotSent(AttemptOutcome.NOT_SENT));
-    }
-
-    /** The worker is gone for good: what waits ends at once, connections are closed as they fall idle. */
-    void retire() {
-        synchronized (this) {
-            retired = true;
-        }
-        rejectWaiting();
-        closeIdle();
-    }
-
-    /** Closes connections that have been idle for longer than this. */
-    void sweep(Duration idleTimeout) {
-        List<HttpClientConnection> expired = new ArrayList<>();
-        long now = System.nanoTime();
-        synchronized (this) {
-            while (!idle.isEmpty() && now - idle.peekLast().idleSince > idleTimeout.toNanos()) {
-                expired.add(idle.pollLast());
-            }
-        }
-        expired.forEach(HttpClientConnection::close);
-    }
-
-    /** Closes all idle connections. */
-    void closeIdle() {
-        List<HttpClientConnection> unused;
-        synchronized (this) {
-            unused = List.copyOf(idle);
-            idle.clear();
-        }
-        unused.forEach(HttpClientConnection::close);
-    }
+  private final HttpClientConnection.Factory connectionFactory;
+  private final InetSocketAddress address;
+  private final InferenceWorkerTransport.ConnectionLimits limits;
+
+  /** The most recently used first. */
+  private final ArrayDeque<HttpClientConnection> idle = new ArrayDeque<>();
+
+  private final ArrayDeque<PendingExchange> waiting = new ArrayDeque<>();
+
+  /** Closed connections that have been counted: a connection may report its end more than once. */
+  private final Set<HttpClientConnection> closed = Collections.newSetFromMap(new WeakHashMap<>());
+
+  private int open;
+  private int opening;
+  private boolean retired;
+
+  HttpConnectionPool(
+      HttpClientConnection.Factory connectionFactory,
+      InetSocketAddress address,
+      InferenceWorkerTransport.ConnectionLimits limits) {
+    this.connectionFactory = connectionFactory;
+    this.address = address;
+    this.limits = limits;
+  }
+
+  synchronized int openConnections() {
+    return open;
+  }
+
+  /** Sends an exchange of this pool, has it wait for a connection, or ends it as not sent. */
+  void submit(PendingExchange exchange) {
+    HttpClientConnection connection = null;
+    boolean waits = false;
+    synchronized (this) {
+      if (exchange.maySend()) {
+        connection = takeIdle();
+        waits = connection == null && enqueue(exchange);
+      }
+    }
+    if (connection != null) {
+      send(exchange, connection);
+    } else if (waits || !exchange.endNotSent(AttemptOutcome.NOT_SENT)) {
+      openConnectionsForWaiting();
+    }
+  }
+
+  /** Needs the lock. */
+  private HttpClientConnection takeIdle() {
+    HttpClientConnection connection = idle.pollFirst();
+    while (connection != null && !connection.isUsable()) {
+      connection = idle.pollFirst();
+    }
+    return connection;
+  }
+
+  /** Has an exchange wait, unless too many do. Needs the lock. */
+  private boolean enqueue(PendingExchange exchange) {
+    if (waiting.size() >= limits.waiting()) {
+      removeEnded();
+    }
+    return waiting.size() < limits.waiting() && waiting.add(exchange);
+  }
+
+  private void removeEnded() {
+    waiting.removeIf(exchange -> !exchange.isWaiting());
+  }
+
+  /** The next exchange that waits, or null. Needs the lock. */
+  private PendingExchange pollWaiting() {
+    PendingExchange exchange = waiting.pollFirst();
+    while (exchange != null && !exchange.isWaiting()) {
+      exchange = waiting.pollFirst();
+    }
+    return exchange;
+  }
+
+  /** Sends an exchange on a connection; where that takes no byte, on the next one. */
+  private void send(PendingExchange exchange, HttpClientConnection connection) {
+    InferenceRequest request = exchange.request;
+    if (!exchange.assign(connection)) {
+      // Ended at once: what is known not to have been executed can still go to another worker.
+      exchange.endNotSent(AttemptOutcome.NOT_SENT);
+      release(connection);
+    } else if (!connection.send(
+        request.method(), request.path(), request.headers(), request.body(), exchange)) {
+      if (exchange.unassign()) {
+        submit(exchange);
+      }
+    } else if (exchange.isEnded()) {
+      // Abandoned just before it was sent: nobody else would end it and free its connection.
+      connection.abandon(exchange);
+    }
+  }
+
+  private void openConnectionsForWaiting() {
+    int needed;
+    synchronized (this) {
+      removeEnded();
+      int allowed = limits.connections() - open - opening;
+      needed = Math.max(0, Math.min(waiting.size() - opening, allowed));
+      opening += needed;
+    }
+    for (int i = 0; i < needed; i++) {
+      connectionFactory.connect(address, limits.connectWithin(), new ConnectListener());
+    }
+  }
+
+  private final class ConnectListener implements HttpClientConnection.ConnectCallback {
+    @Override
+    public void connected(HttpClientConnection connection) {
+      synchronized (HttpConnectionPool.this) {
+        opening--;
+        open++;
+      }
+      connection.onClose(() -> connectionClosed(connection));
+      release(connection);
+    }
+
+    @Override
+    public void failed(String why) {
+      PendingExchange exchange;
+      synchronized (HttpConnectionPool.this) {
+        opening--;
+        exchange = waiting.size() > opening ? pollWaiting() : null;
+      }
+      if (exchange != null) {
+        exchange.endNotSent(AttemptOutcome.CONNECT_FAILED);
+      }
+      // More may wait than connections may be open: each is tried, and notified, in its turn.
+      openConnectionsForWaiting();
+    }
+  }
+
+  private void connectionClosed(HttpClientConnection connection) {
+    boolean othersWait;
+    synchronized (this) {
+      if (!closed.add(connection)) {
+        return;
+      }
+      open--;
+      idle.remove(connection);
+      othersWait = !waiting.isEmpty();
+    }
+    if (othersWait) {
+      openConnectionsForWaiting();
+    }
+  }
+
+  /** A connection is free: the next exchange that waits takes it. */
+  void release(HttpClientConnection connection) {
+    PendingExchange next;
+    boolean unneeded;
+    synchronized (this) {
+      next = pollWaiting();
+      unneeded = next == null && retired;
+      if (next == null && !retired && connection.isUsable()) {
+        idle.addFirst(connection);
+      }
+    }
+    if (next != null) {
+      send(next, connection);
+    } else if (unneeded) {
+      connection.close();
+    }
+  }
+
+  /** The worker takes nothing new: what waits ends at once, what is in flight goes on. */
+  void rejectWaiting() {
+    List<PendingExchange> rejected;
+    synchronized (this) {
+      rejected = List.copyOf(waiting);
+      waiting.clear();
+    }
+    rejected.forEach(exchange -> exchange.endNotSent(AttemptOutcome.NOT_SENT));
+  }
+
+  /**
+   * The worker is gone for good: what waits ends at once, connections are closed as they fall idle.
+   */
+  void retire() {
+    synchronized (this) {
+      retired = true;
+    }
+    rejectWaiting();
+    closeIdle();
+  }
+
+  /** Closes connections that have been idle for longer than this. */
+  void sweep(Duration idleTimeout) {
+    List<HttpClientConnection> expired = new ArrayList<>();
+    long now = System.nanoTime();
+    synchronized (this) {
+      while (!idle.isEmpty() && now - idle.peekLast().idleSince > idleTimeout.toNanos()) {
+        expired.add(idle.pollLast());
+      }
+    }
+    expired.forEach(HttpClientConnection::close);
+  }
+
+  /** Closes all idle connections. */
+  void closeIdle() {
+    List<HttpClientConnection> unused;
+    synchronized (this) {
+      unused = List.copyOf(idle);
+      idle.clear();
+    }
+    unused.forEach(HttpClientConnection::close);
+  }
 }
--- a/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
@@ -16,155 +16,189 @@
 import switchgap.router.WorkerTransport;
 
 /**
- * Carries attempts, load commands and probes to workers by the Open Inference Protocol (version 2, HTTP) with
- * its model repository extension and load reports as response headers.
+ * Carries attempts, load commands and probes to workers by the Open Inference Protocol (version 2,
+ * HTTP) with its model repository extension and load reports as response headers.
  *
- * <p>What a response proves: a function that is not loaded is a 404, a worker without capacity a 429 or 503,
- * each only with {@code named_metrics.executed=0} in its load report; after any other response that is no 2xx
- * the request may have been executed. See docs/router.md.
+ * <p>What a response proves: a function that is not loaded is a 404, a worker without capacity a
+ * 429 or 503, each only with {@code named_metrics.executed=0} in its load report; after any other
+ * response that is no 2xx the request may have been executed. See docs/router.md.
  */
 public final class InferenceWorkerTransport implements WorkerTransport {
-    /**
-     * Bounds of the connections of one pool; each worker has one for attempts and one for commands.
-     *
-     * @param connections    connections that are open or being opened
-     * @param waiting        exchanges that wait for a connection
-     * @param connectWithin  timeout of opening a connection
-     * @param idle           how long a connection may be idle
-     */
-    public record ConnectionLimits(int connections, int waiting, Duration connectWithin, Duration idle) {}
-
-    /**
-     * A worker's connections. A load command keeps its connection for as long as loading takes, so commands
-     * have connections of their own.
-     */
-    private record WorkerPools(HttpConnectionPool attempts, HttpConnectionPool commands) {
-        List<HttpConnectionPool> all() {
-            return List.of(attempts, commands);
-        }
-    }
-
-    private final HttpClientConnection.Factory connectionFactory;
-    private final ConnectionLimits limits;
-    private final KeyedWriters writers;
-    private final Consumer<Consumer<RouterCore>> events;
-    private final Runnable endpointListRequester;
-    private final Set<HttpConnectionPool> pools = ConcurrentHashMap.newKeySet();
-
-    /**
-     * A transport without connections.
-     *
-     * @param connectionFactory      opens connections
-     * @param limits                 bounds of each pool of connections
-     * @param writers                threads that encode and send attempts
-     * @param events                 posts to the router's event loop
-     * @param endpointListRequester  asks for the endpoint list
-     */
-    public InferenceWorkerTransport(HttpClientConnection.Factory connectionFactory, ConnectionLimits limits,
-        KeyedWriters writers, Consumer<Consumer<RouterCore>> events, Runnable endpointListRequester) {
-        this.connectionFactory = connectionFactory;
-        this.limits = limits;
-        this.writers = writers;
-        this.events = events;
-        this.endpointListRequester = endpointListRequester;
-    }
-
-    private WorkerPools poolsOf(WorkerEntry worker) {
-        WorkerPools known = (WorkerPools) worker.attachment;
-        if (known != null) {
-            return known;
-        }
-        WorkerPools created = new WorkerPools(newPool(worker), newPool(worker));
-        worker.attachment = created;
-        pools.addAll(created.all());
-        return created;
-    }
-
-    private HttpConnectionPool newPool(WorkerEntry worker) {
-        return new HttpConnectionPool(connectionFactory, new InetSocketAddress(worker.host, worker.port),
-            limits);
-    }
-
-    /** Closes connections that have been idle for too long; to be called regularly, on any thread. */
-    public void sweep() {
-        pools.forEach(pool -> pool.sweep(limits.idle()));
-    }
-
-    /** Closes all idle connections; on any thread. */
-    public void close() {
-        pools.forEach(HttpConnectionPool::closeIdle);
-    }
-
-    @Override public void stopAccepting(WorkerEntry worker, boolean forGood) {
-        if (!(worker.attachment instanceof WorkerPools known)) {
-            return;
-        }
-        for (HttpConnectionPool pool : known.all()) {
-            if (forGood) {
-                pools.remove(pool);
-                pool.retire();
-            } else {
-                pool.rejectWaiting();
-            }
-        }
-    }
-
-    @Override public void startAttempt(Attempt attempt, Duration timeout) {
-        AttemptExchange exchange = new AttemptExchange(attempt, poolsOf(attempt.worker).attempts(),
-            System.nanoTime() + timeout.toNanos(), events);
-        attempt.attachment = exchange;
-        writers.execute(attempt.worker.port, exchange::submit);
-    }
-
-    @Override public AttemptOutcome abandon(Attempt attempt) {
-        return attempt.attachment instanceof PendingExchange exchange ? exchange.abandon()
-            : AttemptOutcome.TIMED_OUT;
-    }
-
-    @Override public void abandon(WorkerCommand command) {
-        if (command.attachment instanceof PendingExchange exchange) {
-            exchange.abandon();
-        }
-    }
-
-    private void submit(WorkerEntry worker, WorkerCommand command, InferenceRequest request,
-        CommandExchange.CompletionListener listener) {
-        CommandExchange exchange = new CommandExchange(worker, poolsOf(worker).commands(), request,
-            listener);
-        command.attachment = exchange;
-        exchange.submit();
-    }
-
-    @Override public void requestReplicas(WorkerEntry worker, String function, int replicas,
-        WorkerCommand command) {
-        InferenceRequest request = replicas == 0 ? InferenceRequest.functionReady(function)
+  /**
+   * Bounds of the connections of one pool; each worker has one for attempts and one for commands.
+   *
+   * @param connections connections that are open or being opened
+   * @param waiting exchanges that wait for a connection
+   * @param connectWithin timeout of opening a connection
+   * @param idle how long a connection may be idle
+   */
+  public record ConnectionLimits(
+      int connections, int waiting, Duration connectWithin, Duration idle) {}
+
+  /**
+   * A worker's connections. A load command keeps its connection for as long as loading takes, so
+   * commands have connections of their own.
+   */
+  private record WorkerPools(HttpConnectionPool attempts, HttpConnectionPool commands) {
+    List<HttpConnectionPool> all() {
+      return List.of(attempts, commands);
+    }
+  }
+
+  private final HttpClientConnection.Factory connectionFactory;
+  private final ConnectionLimits limits;
+  private final KeyedWriters writers;
+  private final Consumer<Consumer<RouterCore>> events;
+  private final Runnable endpointListRequester;
+  private final Set<HttpConnectionPool> pools = ConcurrentHashMap.newKeySet();
+
+  /**
+   * A transport without connections.
+   *
+   * @param connectionFactory opens connections
+   * @param limits bounds of each pool of connections
+   * @param writers threads that encode and send attempts
+   * @param events posts to the router's event loop
+   * @param endpointListRequester asks for the endpoint list
+   */
+  public InferenceWorkerTransport(
+      HttpClientConnection.Factory connectionFactory,
+      ConnectionLimits limits,
+      KeyedWriters writers,
+      Consumer<Consumer<RouterCore>> events,
+      Runnable endpointListRequester) {
+    this.connectionFactory = connectionFactory;
+    this.limits = limits;
+    this.writers = writers;
+    this.events = events;
+    this.endpointListRequester = endpointListRequester;
+  }
+
+  private WorkerPools poolsOf(WorkerEntry worker) {
+    WorkerPools known = (WorkerPools) worker.attachment;
+    if (known != null) {
+      return known;
+    }
+    WorkerPools created = new WorkerPools(newPool(worker), newPool(worker));
+    worker.attachment = created;
+    pools.addAll(created.all());
+    return created;
+  }
+
+  private HttpConnectionPool newPool(WorkerEntry worker) {
+    return new HttpConnectionPool(
+        connectionFactory, new InetSocketAddress(worker.host, worker.port), limits);
+  }
+
+  /** Closes connections that have been idle for too long; to be called regularly, on any thread. */
+  public void sweep() {
+    pools.forEach(pool -> pool.sweep(limits.idle()));
+  }
+
+  /** Closes all idle connections; on any thread. */
+  public void close() {
+    pools.forEach(HttpConnectionPool::closeIdle);
+  }
+
+  @Override
+  public void stopAccepting(WorkerEntry worker, boolean forGood) {
+    if (!(worker.attachment instanceof WorkerPools known)) {
+      return;
+    }
+    for (HttpConnectionPool pool : known.all()) {
+      if (forGood) {
+        pools.remove(pool);
+        pool.retire();
+      } else {
+        pool.rejectWaiting();
+      }
+    }
+  }
+
+  @Override
+  public void startAttempt(Attempt attempt, Duration timeout) {
+    AttemptExchange exchange =
+        new AttemptExchange(
+            attempt,
+            poolsOf(attempt.worker).attempts(),
+            System.nanoTime() + timeout.toNanos(),
+            events);
+    attempt.attachment = exchange;
+    writers.execute(attempt.worker.port, exchange::submit);
+  }
+
+  @Override
+  public AttemptOutcome abandon(Attempt attempt) {
+    return attempt.attachment instanceof PendingExchange exchange
+        ? exchange.abandon()
+        : AttemptOutcome.TIMED_OUT;
+  }
+
+  @Override
+  public void abandon(WorkerCommand command) {
+    if (command.attachment instanceof PendingExchange exchange) {
+      exchange.abandon();
+    }
+  }
+
+  private void submit(
+      WorkerEntry worker,
+      WorkerCommand command,
+      InferenceRequest request,
+      CommandExchange.CompletionListener listener) {
+    CommandExchange exchange =
+        new CommandExchange(worker, poolsOf(worker).commands(), request, listener);
+    command.attachment = exchange;
+    exchange.submit();
+  }
+
+  @Override
+  public void requestReplicas(
+      WorkerEntry worker, String function, int replicas, WorkerCommand command) {
+    InferenceRequest request =
+        replicas == 0
+            ? InferenceRequest.functionReady(function)
             : InferenceRequest.load(function, replicas);
-        submit(worker, command, request, (outcome, report) -> {
-            int loaded = loadedReplicas(outcome, report);
-            events.accept(core -> core.loadCommandEnded(command, outcome, loaded));
+    submit(
+        worker,
+        command,
+        request,
+        (outcome, report) -> {
+          int loaded = loadedReplicas(outcome, report);
+          events.accept(core -> core.loadCommandEnded(command, outcome, loaded));
         });
-    }
-
-    /** A worker that reports no number and succeeds has one replica. */
-    private static int loadedReplicas(AttemptOutcome outcome, OrcaLoadReport report) {
-        double reported = report.namedMetric(OrcaLoadReport.REPLICAS);
-        if (Double.isNaN(reported)) {
-            return outcome == AttemptOutcome.SUCCEEDED ? 1 : 0;
-        }
-        return (int) reported;
-    }
-
-    @Override public void unload(WorkerEntry worker, String function, WorkerCommand command) {
-        submit(worker, command, InferenceRequest.unload(function),
-            (outcome, report) -> events.accept(core -> core.unloadEnded(command)));
-    }
-
-    @Override public void probe(WorkerEntry worker, WorkerCommand command) {
-        submit(worker, command, InferenceRequest.health(), (outcome, report) -> events.accept(
-            core -> core.probeEnded(command, outcome, report.toLoadReport())));
-    }
-
-    @Override public void requestEndpointList() {
-        endpointListRequester.run();
-    }
+  }
+
+  /** A worker that reports no number and succeeds has one replica. */
+  private static int loadedReplicas(AttemptOutcome outcome, OrcaLoadReport report) {
+    double reported = report.namedMetric(OrcaLoadReport.REPLICAS);
+    if (Double.isNaN(reported)) {
+      return outcome == AttemptOutcome.SUCCEEDED ? 1 : 0;
+    }
+    return (int) reported;
+  }
+
+  @Override
+  public void unload(WorkerEntry worker, String function, WorkerCommand command) {
+    submit(
+        worker,
+        command,
+        InferenceRequest.unload(function),
+        (outcome, report) -> events.accept(core -> core.unloadEnded(command)));
+  }
+
+  @Override
+  public void probe(WorkerEntry worker, WorkerCommand command) {
+    submit(
+        worker,
+        command,
+        InferenceRequest.health(),
+        (outcome, report) ->
+            events.accept(core -> core.probeEnded(command, outcome, report.toLoadReport())));
+  }
+
+  @Override
+  public void requestEndpointList() {
+    endpointListRequester.run();
+  }
 }
--- a/src/main/java/switchgap/protocol/invoke/DeferredRequestHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/DeferredRequestHandler.java
@@ -12,112 +12,130 @@
 import switchgap.router.RouterCore;
 
 /**
- * Requests whose responses are kept, to be asked for by id. All methods run on the event loop, which owns the
- * results.
+ * Requests whose responses are kept, to be asked for by id. All methods run on the event loop,
+ * which owns the results.
  */
 final class DeferredRequestHandler {
-    private final RouterContext router;
-    private final RequestTracker tracker;
-    private final DeferredResults results;
+  private final RouterContext router;
+  private final RequestTracker tracker;
+  private final DeferredResults results;
 
-    DeferredRequestHandler(RouterContext router, RequestTracker tracker, DeferredResults results) {
-        this.router = router;
-        this.tracker = tracker;
-        this.results = results;
-    }
+  DeferredRequestHandler(RouterContext router, RequestTracker tracker, DeferredResults results) {
+    this.router = router;
+    this.tracker = tracker;
+    this.results = results;
+  }
 
-    /** Submits a request for which the tracker has given a place. */
-    void submit(HttpExchange exchange, InvokeRequest request, Duration deadline) {
-        results.tick(router.now());
-        DeferredResults.Entry entry = results.reserve();
-        if (entry == null) {
-            reject(exchange, request, "no room for a further deferred call");
-            return;
-        }
-        PendingRequest pending = request.toPendingRequest(results.id(entry), deadline, exchange,
-            new ResultRecorder(entry));
-        results.accepted(entry, pending);
-        if (!router.gate().offer(pending)) {
-            results.notAccepted(entry);
-            reject(exchange, request, "no room for a further function");
-            return;
-        }
-        ResponseWriter.writeAccepted(exchange, pending.id, request.clientRequestId());
+  /** Submits a request for which the tracker has given a place. */
+  void submit(HttpExchange exchange, InvokeRequest request, Duration deadline) {
+    results.tick(router.now());
+    DeferredResults.Entry entry = results.reserve();
+    if (entry == null) {
+      reject(exchange, request, "no room for a further deferred call");
+      return;
     }
-
-    private void reject(HttpExchange exchange, InvokeRequest request, String detail) {
-        tracker.release();
-        ResponseWriter.writeProblem(exchange, ProblemDetails.notAccepted(detail), request.clientRequestId());
+    PendingRequest pending =
+        request.toPendingRequest(results.id(entry), deadline, exchange, new ResultRecorder(entry));
+    results.accepted(entry, pending);
+    if (!router.gate().offer(pending)) {
+      results.notAccepted(entry);
+      reject(exchange, request, "no room for a further function");
+      return;
     }
+    ResponseWriter.writeAccepted(exchange, pending.id, request.clientRequestId());
+  }
 
-    /** Responds with the result, at the latest after so many seconds with that it is still pending. */
-    void poll(HttpExchange exchange, String id, int waitSeconds) {
-        results.tick(router.now());
-        switch (results.status(id)) {
-            case UNKNOWN -> ResponseWriter.writeProblem(exchange,
-                new ProblemDetails(ProblemType.UNKNOWN_REQUEST,
-                    "no deferred call is called " + RequestHeaders.quoted(id)));
-            case GONE -> ResponseWriter.writeProblem(exchange,
-                new ProblemDetails(ProblemType.RESULT_GONE, "the result of " + id + " is kept no longer"));
-            case ENDED -> writeResult(exchange, results.find(id));
-            default -> await(exchange, id, waitSeconds);
-        }
-    }
+  private void reject(HttpExchange exchange, InvokeRequest request, String detail) {
+    tracker.release();
+    ResponseWriter.writeProblem(
+        exchange, ProblemDetails.notAccepted(detail), request.clientRequestId());
+  }
 
-    private void await(HttpExchange exchange, String id, int waitSeconds) {
-        DeferredResults.Entry entry = results.find(id);
-        Consumer<DeferredResults.Entry> waiter = ended -> writeResult(exchange, ended);
-        if (waitSeconds == 0 || !results.await(entry, waiter)) {
-            ResponseWriter.writePending(exchange, id);
-            return;
-        }
-        exchange.attachment = (DisconnectListener) core -> results.stopAwaiting(entry, waiter);
-        TimerThread.EXECUTOR.schedule(() -> router.post(core -> {
-            results.stopAwaiting(entry, waiter);
-            ResponseWriter.writePending(exchange, id);
-        }), waitSeconds, TimeUnit.SECONDS);
+  /**
+   * Responds with the result, at the latest after so many seconds with that it is still pending.
+   */
+  void poll(HttpExchange exchange, String id, int waitSeconds) {
+    results.tick(router.now());
+    switch (results.status(id)) {
+      case UNKNOWN ->
+          ResponseWriter.writeProblem(
+              exchange,
+              new ProblemDetails(
+                  ProblemType.UNKNOWN_REQUEST,
+                  "no deferred call is called " + RequestHeaders.quoted(id)));
+      case GONE ->
+          ResponseWriter.writeProblem(
+              exchange,
+              new ProblemDetails(
+                  ProblemType.RESULT_GONE, "the result of " + id + " is kept no longer"));
+      case ENDED -> writeResult(exchange, results.find(id));
+      default -> await(exchange, id, waitSeconds);
     }
+  }
 
-    /** An ended request without a response missed its deadline: nothing is promised about its effect. */
-    private void writeResult(HttpExchange exchange, DeferredResults.Entry entry) {
-        Response response = entry.response() == null ? Response.failed() : entry.response();
-        PendingRequest request = entry.request();
-        ResponseWriter.writeFinal(exchange, response, results.id(entry), null,
-            request == null ? null : request.shedBy);
+  private void await(HttpExchange exchange, String id, int waitSeconds) {
+    DeferredResults.Entry entry = results.find(id);
+    Consumer<DeferredResults.Entry> waiter = ended -> writeResult(exchange, ended);
+    if (waitSeconds == 0 || !results.await(entry, waiter)) {
+      ResponseWriter.writePending(exchange, id);
+      return;
     }
+    exchange.attachment = (DisconnectListener) core -> results.stopAwaiting(entry, waiter);
+    TimerThread.EXECUTOR.schedule(
+        () ->
+            router.post(
+                core -> {
+                  results.stopAwaiting(entry, waiter);
+                  ResponseWriter.writePending(exchange, id);
+                }),
+        waitSeconds,
+        TimeUnit.SECONDS);
+  }
+
+  /**
+   * An ended request without a response missed its deadline: nothing is promised about its effect.
+   */
+  private void writeResult(HttpExchange exchange, DeferredResults.Entry entry) {
+    Response response = entry.response() == null ? Response.failed() : entry.response();
+    PendingRequest request = entry.request();
+    ResponseWriter.writeFinal(
+        exchange, response, results.id(entry), null, request == null ? null : request.shedBy);
+  }
 
-    /** Gives a request up: cancels it while it is pending, and forgets its result. */
-    void delete(HttpExchange exchange, String id, RouterCore core) {
-        results.tick(router.now());
-        DeferredResults.Entry entry = results.find(id);
-        if (entry == null) {
-            poll(exchange, id, 0);
-            return;
-        }
-        if (!entry.isEnded() && entry.request().state() == PendingRequest.State.PENDING) {
-            core.clientLeft(entry.request());
-            tracker.release();
-        }
-        results.forget(entry);
-        ResponseWriter.writeDeleted(exchange, id);
+  /** Gives a request up: cancels it while it is pending, and forgets its result. */
+  void delete(HttpExchange exchange, String id, RouterCore core) {
+    results.tick(router.now());
+    DeferredResults.Entry entry = results.find(id);
+    if (entry == null) {
+      poll(exchange, id, 0);
+      return;
     }
+    if (!entry.isEnded() && entry.request().state() == PendingRequest.State.PENDING) {
+      core.clientLeft(entry.request());
+      tracker.release();
+    }
+    results.forget(entry);
+    ResponseWriter.writeDeleted(exchange, id);
+  }
 
-    /** Counts how a request ended and keeps its response. */
-    private final class ResultRecorder implements ResponseListener {
-        private final DeferredResults.Entry entry;
+  /** Counts how a request ended and keeps its response. */
+  private final class ResultRecorder implements ResponseListener {
+    private final DeferredResults.Entry entry;
 
-        ResultRecorder(DeferredResults.Entry entry) {
-            this.entry = entry;
-        }
+    ResultRecorder(DeferredResults.Entry entry) {
+      this.entry = entry;
+    }
 
-        @Override public void responded(PendingRequest request, Response response) {
-            tracker.responded(response);
-            entry.responded(request, response);
-        }
+    @Override
+    public void responded(PendingRequest request, Response response) {
+      tracker.responded(response);
+      entry.responded(request, response);
+    }
 
-        @Override public void deadlineMissed(PendingRequest request, Response late) {
-            tracker.deadlineMissed();
-            entry.deadlineMissed(request, late);
-        }
+    @Override
+    public void deadlineMissed(PendingRequest request, Response late) {
+      tracker.deadlineMissed();
+      entry.deadlineMissed(request, late);
     }
+  }
 }
--- a/src/main/java/switchgap/protocol/invoke/DisconnectListener.java
+++ b/src/main/java/switchgap/protocol/invoke/DisconnectListener.java
@@ -4,6 +4,6 @@
 
 /** Attached to an exchange whose client waits for a response. */
 interface DisconnectListener {
-    /** The client closed its connection before the response; on the event loop. */
-    void clientDisconnected(RouterCore core);
+  /** The client closed its connection before the response; on the event loop. */
+  void clientDisconnected(RouterCore core);
 }
--- a/src/main/java/switchgap/protocol/invoke/RequestTracker.java
+++ b/src/main/java/switchgap/protocol/invoke/RequestTracker.java
@@ -4,64 +4,68 @@
 import java.util.concurrent.atomic.AtomicLong;
 import switchgap.router.Response;
 
-/** Bounds the requests that are pending at a time and counts how requests ended. Safe from any thread. */
+/**
+ * Bounds the requests that are pending at a time and counts how requests ended. Safe from any
+ * thread.
+ */
 final class RequestTracker {
-    private final int maxPending;
-    private final AtomicInteger pending = new AtomicInteger();
-    private final AtomicLong succeeded = new AtomicLong();
-    private final AtomicLong rejected = new AtomicLong();
-    private final AtomicLong failed = new AtomicLong();
-    private final AtomicLong overdue = new AtomicLong();
+  private final int maxPending;
+  private final AtomicInteger pending = new AtomicInteger();
+  private final AtomicLong succeeded = new AtomicLong();
+  private final AtomicLong rejected = new AtomicLong();
+  private final AtomicLong failed = new AtomicLong();
+  private final AtomicLong overdue = new AtomicLong();
 
-    RequestTracker(int maxPending) {
-        this.maxPending = maxPending;
-    }
+  RequestTracker(int maxPending) {
+    this.maxPending = maxPending;
+  }
 
-    /** Takes a place for one more request; false where all are taken. */
-    boolean tryAcquire() {
-        if (pending.incrementAndGet() > maxPending) {
-            pending.decrementAndGet();
-            return false;
-        }
-        return true;
+  /** Takes a place for one more request; false where all are taken. */
+  boolean tryAcquire() {
+    if (pending.incrementAndGet() > maxPending) {
+      pending.decrementAndGet();
+      return false;
     }
+    return true;
+  }
 
-    /** Gives the place back of a request that was not accepted, or whose client has gone. */
-    void release() {
-        pending.decrementAndGet();
-    }
+  /** Gives the place back of a request that was not accepted, or whose client has gone. */
+  void release() {
+    pending.decrementAndGet();
+  }
 
-    /** A pending request has its response. */
-    void responded(Response response) {
-        release();
-        AtomicLong counter = switch (response.kind()) {
-            case SUCCEEDED -> succeeded;
-            case REJECTED -> rejected;
-            case FAILED -> failed;
+  /** A pending request has its response. */
+  void responded(Response response) {
+    release();
+    AtomicLong counter =
+        switch (response.kind()) {
+          case SUCCEEDED -> succeeded;
+          case REJECTED -> rejected;
+          case FAILED -> failed;
         };
-        counter.incrementAndGet();
-    }
+    counter.incrementAndGet();
+  }
 
-    /** The deadline of a pending request passed without a response. */
-    void deadlineMissed() {
-        release();
-        overdue.incrementAndGet();
-    }
+  /** The deadline of a pending request passed without a response. */
+  void deadlineMissed() {
+    release();
+    overdue.incrementAndGet();
+  }
 
-    /** A response that was counted already came too late to be written. */
-    void responseSuppressed() {
-        overdue.incrementAndGet();
-    }
+  /** A response that was counted already came too late to be written. */
+  void responseSuppressed() {
+    overdue.incrementAndGet();
+  }
 
-    int pending() {
-        return pending.get();
-    }
+  int pending() {
+    return pending.get();
+  }
 
-    int maxPending() {
-        return maxPending;
-    }
+  int maxPending() {
+    return maxPending;
+  }
 
-    RequestCounts counts() {
-        return new RequestCounts(succeeded.get(), rejected.get(), failed.get(), overdue.get());
-    }
+  RequestCounts counts() {
+    return new RequestCounts(succeeded.get(), rejected.get(), failed.get(), overdue.get());
+  }
 }
--- a/src/main/java/switchgap/protocol/invoke/ResponseWriter.java
+++ b/src/main/java/switchgap/protocol/invoke/ResponseWriter.java
@@ -10,134 +10,154 @@
 import switchgap.net.HttpExchange;
 import switchgap.router.Response;
 
-/** Writes the router's responses as HTTP. Safe from any thread; an exchange takes its first response only. */
+/**
+ * Writes the router's responses as HTTP. Safe from any thread; an exchange takes its first response
+ * only.
+ */
 final class ResponseWriter {
-    static final String JSON = "application/json";
-    static final String CONTENT_TYPE = "Content-Type";
-    private static final String END_HEADER = "Switchgap-End";
-    private static final String SUCCEEDED_WORD = "finished";
-    private static final int STATUS_ACCEPTED = 202;
-    private static final int STATUS_NO_CONTENT = 204;
-    private static final int MILLIS_PER_SECOND = 1000;
-    private static final byte[] NO_BODY = {};
-
-    private ResponseWriter() {}
-
-    /**
-     * Writes the final response of a request.
-     *
-     * @param id              the router's id of the request
-     * @param clientRequestId the client's id of it, or null
-     * @param shedBy          the service level that rejected it, or null
-     */
-    static void writeFinal(HttpExchange exchange, Response response, String id, String clientRequestId,
-        ServiceLevel shedBy) {
-        Map<String, String> headers = requestHeaders(id, clientRequestId);
-        if (shedBy != null) {
-            headers.put("Switchgap-Level", YamlDocument.word(shedBy));
-        }
-        switch (response.kind()) {
-            case SUCCEEDED -> writeSuccess(exchange, response, headers);
-            case REJECTED -> writeRejection(exchange, response.retryAfter(), headers, shedBy);
-            default -> writeFailure(exchange, headers);
-        }
+  static final String JSON = "application/json";
+  static final String CONTENT_TYPE = "Content-Type";
+  private static final String END_HEADER = "Switchgap-End";
+  private static final String SUCCEEDED_WORD = "finished";
+  private static final int STATUS_ACCEPTED = 202;
+  private static final int STATUS_NO_CONTENT = 204;
+  private static final int MILLIS_PER_SECOND = 1000;
+  private static final byte[] NO_BODY = {};
+
+  private ResponseWriter() {}
+
+  /**
+   * Writes the final response of a request.
+   *
+   * @param id the router's id of the request
+   * @param clientRequestId the client's id of it, or null
+   * @param shedBy the service level that rejected it, or null
+   */
+  static void writeFinal(
+      HttpExchange exchange,
+      Response response,
+      String id,
+      String clientRequestId,
+      ServiceLevel shedBy) {
+    Map<String, String> headers = requestHeaders(id, clientRequestId);
+    if (shedBy != null) {
+      headers.put("Switchgap-Level", YamlDocument.word(shedBy));
     }
-
-    private static void writeSuccess(HttpExchange exchange, Response response, Map<String, String> headers) {
-        headers.putAll(response.headers());
-        headers.put(END_HEADER, SUCCEEDED_WORD);
-        exchange.respond(response.status(), headers, response.body());
-    }
-
-    private static void writeRejection(HttpExchange exchange, Duration retryAfter,
-        Map<String, String> headers, ServiceLevel shedBy) {
-        Map<String, Object> members = new LinkedHashMap<>();
-        members.put(ProblemDetails.END_MEMBER, ProblemType.REJECTED.word());
-        members.put(ProblemDetails.RETRY_HARMLESS_MEMBER, true);
-        if (shedBy != null) {
-            members.put("level", YamlDocument.word(shedBy));
-        }
-        if (retryAfter != null) {
-            long millis = retryAfter.toMillis();
-            long seconds = (millis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND; // rounded up
-            members.put("come_back_ms", millis);
-            headers.put("Retry-After", String.valueOf(seconds));
-            headers.put("Switchgap-Come-Back", String.valueOf(millis));
-        }
-        writeEnd(exchange, headers,
-            new ProblemDetails(ProblemType.REJECTED, "not done; trying again is harmless", members));
-    }
-
-    private static void writeFailure(HttpExchange exchange, Map<String, String> headers) {
-        Map<String, Object> members = Map.of(ProblemDetails.END_MEMBER, ProblemType.FAILED.word(),
-            ProblemDetails.RETRY_HARMLESS_MEMBER, false);
-        writeEnd(exchange, headers,
-            new ProblemDetails(ProblemType.FAILED, "no promise is made about its effect", members));
-    }
-
-    private static void writeEnd(HttpExchange exchange, Map<String, String> headers, ProblemDetails problem) {
-        headers.put(END_HEADER, problem.type().word());
-        writeProblem(exchange, headers, problem);
-    }
-
-    /** Writes the problem of a request that was never accepted, or of a path that is no request. */
-    static void writeProblem(HttpExchange exchange, ProblemDetails problem) {
-        writeProblem(exchange, problem, null);
-    }
-
-    /** The same with the client's id of the request, which may be null. */
-    static void writeProblem(HttpExchange exchange, ProblemDetails problem, String clientRequestId) {
-        Map<String, String> headers = requestHeaders(null, clientRequestId);
-        Object end = problem.extensions().get(ProblemDetails.END_MEMBER);
-        if (end != null) {
-            headers.put(END_HEADER, String.valueOf(end));
-        }
-        writeProblem(exchange, headers, problem);
-    }
-
-    private static void writeProblem(HttpExchange exchange, Map<String, String> headers,
-        ProblemDetails problem) {
-        headers.put(CONTENT_TYPE, ProblemDetails.MEDIA_TYPE);
-        exchange.respond(problem.status(), headers, problem.toJson());
-    }
-
-    /** A deferred request was accepted; its response is to be asked for by its id. */
-    static void writeAccepted(HttpExchange exchange, String id, String clientRequestId) {
-        Map<String, String> headers = locationHeaders(id, clientRequestId);
-        headers.put("Preference-Applied", "respond-async");
-        writePending(exchange, id, headers);
+    switch (response.kind()) {
+      case SUCCEEDED -> writeSuccess(exchange, response, headers);
+      case REJECTED -> writeRejection(exchange, response.retryAfter(), headers, shedBy);
+      default -> writeFailure(exchange, headers);
     }
-
-    /** A deferred request has no response yet. */
-    static void writePending(HttpExchange exchange, String id) {
-        writePending(exchange, id, locationHeaders(id, null));
+  }
+
+  private static void writeSuccess(
+      HttpExchange exchange, Response response, Map<String, String> headers) {
+    headers.putAll(response.headers());
+    headers.put(END_HEADER, SUCCEEDED_WORD);
+    exchange.respond(response.status(), headers, response.body());
+  }
+
+  private static void writeRejection(
+      HttpExchange exchange,
+      Duration retryAfter,
+      Map<String, String> headers,
+      ServiceLevel shedBy) {
+    Map<String, Object> members = new LinkedHashMap<>();
+    members.put(ProblemDetails.END_MEMBER, ProblemType.REJECTED.word());
+    members.put(ProblemDetails.RETRY_HARMLESS_MEMBER, true);
+    if (shedBy != null) {
+      members.put("level", YamlDocument.word(shedBy));
     }
-
-    private static void writePending(HttpExchange exchange, String id, Map<String, String> headers) {
-        headers.put(CONTENT_TYPE, JSON);
-        String state = "{\"call\":\"" + id + "\",\"state\":\"held\"}";
-        exchange.respond(STATUS_ACCEPTED, headers, state.getBytes(StandardCharsets.UTF_8));
+    if (retryAfter != null) {
+      long millis = retryAfter.toMillis();
+      long seconds = (millis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND; // rounded up
+      members.put("come_back_ms", millis);
+      headers.put("Retry-After", String.valueOf(seconds));
+      headers.put("Switchgap-Come-Back", String.valueOf(millis));
     }
-
-    /** A deferred request was given up by its client. */
-    static void writeDeleted(HttpExchange exchange, String id) {
-        exchange.respond(STATUS_NO_CONTENT, requestHeaders(id, null), NO_BODY);
+    writeEnd(
+        exchange,
+        headers,
+        new ProblemDetails(ProblemType.REJECTED, "not done; trying again is harmless", members));
+  }
+
+  private static void writeFailure(HttpExchange exchange, Map<String, String> headers) {
+    Map<String, Object> members =
+        Map.of(
+            ProblemDetails.END_MEMBER,
+            ProblemType.FAILED.word(),
+            ProblemDetails.RETRY_HARMLESS_MEMBER,
+            false);
+    writeEnd(
+        exchange,
+        headers,
+        new ProblemDetails(ProblemType.FAILED, "no promise is made about its effect", members));
+  }
+
+  private static void writeEnd(
+      HttpExchange exchange, Map<String, String> headers, ProblemDetails problem) {
+    headers.put(END_HEADER, problem.type().word());
+    writeProblem(exchange, headers, problem);
+  }
+
+  /** Writes the problem of a request that was never accepted, or of a path that is no request. */
+  static void writeProblem(HttpExchange exchange, ProblemDetails problem) {
+    writeProblem(exchange, problem, null);
+  }
+
+  /** The same with the client's id of the request, which may be null. */
+  static void writeProblem(HttpExchange exchange, ProblemDetails problem, String clientRequestId) {
+    Map<String, String> headers = requestHeaders(null, clientRequestId);
+    Object end = problem.extensions().get(ProblemDetails.END_MEMBER);
+    if (end != null) {
+      headers.put(END_HEADER, String.valueOf(end));
     }
-
-    private static Map<String, String> locationHeaders(String id, String clientRequestId) {
-        Map<String, String> headers = requestHeaders(id, clientRequestId);
-        headers.put("Location", "/v1/calls/" + id);
-        return headers;
+    writeProblem(exchange, headers, problem);
+  }
+
+  private static void writeProblem(
+      HttpExchange exchange, Map<String, String> headers, ProblemDetails problem) {
+    headers.put(CONTENT_TYPE, ProblemDetails.MEDIA_TYPE);
+    exchange.respond(problem.status(), headers, problem.toJson());
+  }
+
+  /** A deferred request was accepted; its response is to be asked for by its id. */
+  static void writeAccepted(HttpExchange exchange, String id, String clientRequestId) {
+    Map<String, String> headers = locationHeaders(id, clientRequestId);
+    headers.put("Preference-Applied", "respond-async");
+    writePending(exchange, id, headers);
+  }
+
+  /** A deferred request has no response yet. */
+  static void writePending(HttpExchange exchange, String id) {
+    writePending(exchange, id, locationHeaders(id, null));
+  }
+
+  private static void writePending(HttpExchange exchange, String id, Map<String, String> headers) {
+    headers.put(CONTENT_TYPE, JSON);
+    String state = "{\"call\":\"" + id + "\",\"state\":\"held\"}";
+    exchange.respond(STATUS_ACCEPTED, headers, state.getBytes(StandardCharsets.UTF_8));
+  }
+
+  /** A deferred request was given up by its client. */
+  static void writeDeleted(HttpExchange exchange, String id) {
+    exchange.respond(STATUS_NO_CONTENT, requestHeaders(id, null), NO_BODY);
+  }
+
+  private static Map<String, String> locationHeaders(String id, String clientRequestId) {
+    Map<String, String> headers = requestHeaders(id, clientRequestId);
+    headers.put("Location", "/v1/calls/" + id);
+    return headers;
+  }
+
+  private static Map<String, String> requestHeaders(String id, String clientRequestId) {
+    Map<String, String> headers = new HashMap<>();
+    if (id != null) {
+      headers.put("Switchgap-Id", id);
     }
-
-    private static Map<String, String> requestHeaders(String id, String clientRequestId) {
-        Map<String, String> headers = new HashMap<>();
-        if (id != null) {
-            headers.put("Switchgap-Id", id);
-        }
-        if (clientRequestId != null) {
-            headers.put("Switchgap-Call", clientRequestId);
-        }
-        return headers;
+    if (clientRequestId != null) {
+      headers.put("Switchgap-Call", clientRequestId);
     }
+    return headers;
+  }
 }
--- a/src/main/java/switchgap/protocol/resp/ReplyStatus.java
+++ b/src/main/java/switchgap/protocol/resp/ReplyStatus.java
@@ -3,45 +3,45 @@
 import switchgap.policy.api.AttemptOutcome;
 
 /**
- * The status word of a worker's reply. What a status proves, namely whether the request may have been
- * executed ({@link AttemptOutcome#neverExecuted}), is decided here and nowhere else.
+ * The status word of a worker's reply. What a status proves, namely whether the request may have
+ * been executed ({@link AttemptOutcome#neverExecuted}), is decided here and nowhere else.
  */
 enum ReplyStatus {
-    /** The request was executed; the body is its result. */
-    DATA("data", AttemptOutcome.SUCCEEDED),
-    /** A load command or a load query succeeded. */
-    WELL("well", AttemptOutcome.SUCCEEDED),
-    /** The function is not loaded; the request was not executed. */
-    ABSENT("absent", AttemptOutcome.NOT_LOADED),
-    /** The worker has no capacity; the request was not executed. */
-    FULL("full", AttemptOutcome.REJECTED),
-    /** The request was cancelled before it arrived; it was not executed. */
-    MOOT("moot", AttemptOutcome.NOT_SENT),
-    /** The request failed; it may have been executed. */
-    FAILED("failed", AttemptOutcome.FAILED),
-    /** A load command or a load query failed. */
-    ILL("ill", AttemptOutcome.FAILED);
+  /** The request was executed; the body is its result. */
+  DATA("data", AttemptOutcome.SUCCEEDED),
+  /** A load command or a load query succeeded. */
+  WELL("well", AttemptOutcome.SUCCEEDED),
+  /** The function is not loaded; the request was not executed. */
+  ABSENT("absent", AttemptOutcome.NOT_LOADED),
+  /** The worker has no capacity; the request was not executed. */
+  FULL("full", AttemptOutcome.REJECTED),
+  /** The request was cancelled before it arrived; it was not executed. */
+  MOOT("moot", AttemptOutcome.NOT_SENT),
+  /** The request failed; it may have been executed. */
+  FAILED("failed", AttemptOutcome.FAILED),
+  /** A load command or a load query failed. */
+  ILL("ill", AttemptOutcome.FAILED);
 
-    private final String word;
-    private final AttemptOutcome outcome;
+  private final String word;
+  private final AttemptOutcome outcome;
 
-    ReplyStatus(String word, AttemptOutcome outcome) {
-        this.word = word;
-        this.outcome = outcome;
-    }
+  ReplyStatus(String word, AttemptOutcome outcome) {
+    this.word = word;
+    this.outcome = outcome;
+  }
 
-    /** What the status means and proves. */
-    AttemptOutcome outcome() {
-        return outcome;
-    }
+  /** What the status means and proves. */
+  AttemptOutcome outcome() {
+    return outcome;
+  }
 
-    /** The status of this word on the wire, or null for a word that the protocol does not have. */
-    static ReplyStatus ofWord(String word) {
-        for (ReplyStatus status : values()) {
-            if (status.word.equals(word)) {
-                return status;
-            }
-        }
-        return null;
+  /** The status of this word on the wire, or null for a word that the protocol does not have. */
+  static ReplyStatus ofWord(String word) {
+    for (ReplyStatus status : values()) {
+      if (status.word.equals(word)) {
+        return status;
+      }
     }
+    return null;
+  }
 }
--- a/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
@@ -14,123 +14,136 @@
 import switchgap.router.WorkerEntry;
 
 /**
- * The connection pools of all workers, and the number of connections that they share. All methods belong to
- * the event loop, but for {@link #nowNanos} and {@link #post}, which any thread may call.
+ * The connection pools of all workers, and the number of connections that they share. All methods
+ * belong to the event loop, but for {@link #nowNanos} and {@link #post}, which any thread may call.
  */
 final class RespConnectionManager {
-    private static final int MIN_CONNECTIONS_PER_WORKER = 2;
-    /** The longest string of a reply, which is its body. */
-    private static final int MAX_STRING_BYTES = 16 << 10;
-
-    private final RespWorkerTransport.ConnectionLimits limits;
-    private final Supplier<Duration> clock;
-    private final Consumer<Consumer<RouterCore>> events;
-    private final TcpConnection.Factory connectionFactory;
-    private final RuleChecker rules;
-    private final Set<RespConnectionPool> pools = new HashSet<>();
-    /** Connections that are open or being opened. */
-    private int connectionCount;
-
-    /**
-     * A manager without connections.
-     *
-     * @param clock   the router's clock
-     * @param events  posts to the router's event loop
-     * @param rules   passes each send
-     */
-    RespConnectionManager(NetworkTransport net, RespWorkerTransport.ConnectionLimits limits,
-        Supplier<Duration> clock, Consumer<Consumer<RouterCore>> events, RuleChecker rules) {
-        this.limits = limits;
-        this.clock = clock;
-        this.events = events;
-        this.rules = rules;
-        this.connectionFactory = new TcpConnection.Factory(net, new ReplyReader(events, rules.events()));
+  private static final int MIN_CONNECTIONS_PER_WORKER = 2;
+
+  /** The longest string of a reply, which is its body. */
+  private static final int MAX_STRING_BYTES = 16 << 10;
+
+  private final RespWorkerTransport.ConnectionLimits limits;
+  private final Supplier<Duration> clock;
+  private final Consumer<Consumer<RouterCore>> events;
+  private final TcpConnection.Factory connectionFactory;
+  private final RuleChecker rules;
+  private final Set<RespConnectionPool> pools = new HashSet<>();
+
+  /** Connections that are open or being opened. */
+  private int connectionCount;
+
+  /**
+   * A manager without connections.
+   *
+   * @param clock the router's clock
+   * @param events posts to the router's event loop
+   * @param rules passes each send
+   */
+  RespConnectionManager(
+      NetworkTransport net,
+      RespWorkerTransport.ConnectionLimits limits,
+      Supplier<Duration> clock,
+      Consumer<Consumer<RouterCore>> events,
+      RuleChecker rules) {
+    this.limits = limits;
+    this.clock = clock;
+    this.events = events;
+    this.rules = rules;
+    this.connectionFactory =
+        new TcpConnection.Factory(net, new ReplyReader(events, rules.events()));
+  }
+
+  RespWorkerTransport.ConnectionLimits limits() {
+    return limits;
+  }
+
+  /** Passes each send. */
+  RuleChecker rules() {
+    return rules;
+  }
+
+  /** Nanoseconds of the router's clock. */
+  long nowNanos() {
+    return clock.get().toNanos();
+  }
+
+  /** Posts an event: what the core asks is never answered before the call returns. */
+  void post(Consumer<RouterCore> event) {
+    events.accept(event);
+  }
+
+  /** The pool of a worker, made where it has none yet. */
+  RespConnectionPool poolFor(WorkerEntry worker) {
+    if (worker.attachment == null) {
+      RespConnectionPool pool =
+          new RespConnectionPool(this, new InetSocketAddress(worker.host, worker.port));
+      worker.attachment = pool;
+      pools.add(pool);
     }
-
-    RespWorkerTransport.ConnectionLimits limits() {
-        return limits;
-    }
-
-    /** Passes each send. */
-    RuleChecker rules() {
-        return rules;
-    }
-
-    /** Nanoseconds of the router's clock. */
-    long nowNanos() {
-        return clock.get().toNanos();
+    return (RespConnectionPool) worker.attachment;
+  }
+
+  /** Connections that one worker may have when all that are in use share the limit. */
+  int maxConnectionsPerWorker() {
+    int share = limits.connections() / Math.max(1, pools.size());
+    return Math.max(MIN_CONNECTIONS_PER_WORKER, Math.min(limits.links(), share));
+  }
+
+  /**
+   * Whether one more connection may be opened. At the limit the idle connection that was least
+   * recently used is closed for it, so this must be asked last.
+   */
+  boolean makeRoom() {
+    if (connectionCount < limits.connections()) {
+      return true;
     }
-
-    /** Posts an event: what the core asks is never answered before the call returns. */
-    void post(Consumer<RouterCore> event) {
-        events.accept(event);
+    RespConnection evicted = null;
+    for (RespConnectionPool pool : pools) {
+      evicted = pool.leastRecentlyUsed(evicted);
     }
-
-    /** The pool of a worker, made where it has none yet. */
-    RespConnectionPool poolFor(WorkerEntry worker) {
-        if (worker.attachment == null) {
-            RespConnectionPool pool = new RespConnectionPool(this,
-                new InetSocketAddress(worker.host, worker.port));
-            worker.attachment = pool;
-            pools.add(pool);
-        }
-        return (RespConnectionPool) worker.attachment;
+    if (evicted == null) {
+      return false;
     }
-
-    /** Connections that one worker may have when all that are in use share the limit. */
-    int maxConnectionsPerWorker() {
-        int share = limits.connections() / Math.max(1, pools.size());
-        return Math.max(MIN_CONNECTIONS_PER_WORKER, Math.min(limits.links(), share));
-    }
-
-    /**
-     * Whether one more connection may be opened. At the limit the idle connection that was least recently
-     * used is closed for it, so this must be asked last.
-     */
-    boolean makeRoom() {
-        if (connectionCount < limits.connections()) {
-            return true;
-        }
-        RespConnection evicted = null;
-        for (RespConnectionPool pool : pools) {
-            evicted = pool.leastRecentlyUsed(evicted);
-        }
-        if (evicted == null) {
-            return false;
-        }
-        evicted.tcp.close("evicted for another connection");
-        return true;
-    }
-
-    /** Opens a connection for a pool, which is notified how that ended. */
-    void connect(RespConnectionPool pool, InetSocketAddress address) {
-        connectionCount++;
-        connectionFactory.connect(address, limits.connectWithin(), new Connector.ConnectCallback<>() {
-            @Override public void connected(TcpConnection tcp) {
-                RespConnection connection = new RespConnection(tcp, pool, new RespDecoder(MAX_STRING_BYTES),
-                    nowNanos());
-                tcp.attachment = connection;
-                events.accept(core -> pool.connectionOpened(core, connection)); // it may have closed by then
-            }
-
-            @Override public void failed(String why) {
-                events.accept(pool::connectFailed);
-            }
+    evicted.tcp.close("evicted for another connection");
+    return true;
+  }
+
+  /** Opens a connection for a pool, which is notified how that ended. */
+  void connect(RespConnectionPool pool, InetSocketAddress address) {
+    connectionCount++;
+    connectionFactory.connect(
+        address,
+        limits.connectWithin(),
+        new Connector.ConnectCallback<>() {
+          @Override
+          public void connected(TcpConnection tcp) {
+            RespConnection connection =
+                new RespConnection(tcp, pool, new RespDecoder(MAX_STRING_BYTES), nowNanos());
+            tcp.attachment = connection;
+            events.accept(
+                core -> pool.connectionOpened(core, connection)); // it may have closed by then
+          }
+
+          @Override
+          public void failed(String why) {
+            events.accept(pool::connectFailed);
+          }
         });
-    }
-
-    /** A connection was closed, or could not be opened. */
-    void connectionEnded() {
-        connectionCount--;
-    }
-
-    /** Closes idle connections and forgets the pools of workers that are gone. */
-    void sweep() {
-        pools.removeIf(pool -> pool.sweep(limits.idle().toNanos()));
-    }
-
-    /** Connections that are open or being opened. */
-    int connectionCount() {
-        return connectionCount;
-    }
+  }
+
+  /** A connection was closed, or could not be opened. */
+  void connectionEnded() {
+    connectionCount--;
+  }
+
+  /** Closes idle connections and forgets the pools of workers that are gone. */
+  void sweep() {
+    pools.removeIf(pool -> pool.sweep(limits.idle().toNanos()));
+  }
+
+  /** Connections that are open or being opened. */
+  int connectionCount() {
+    return connectionCount;
+  }
 }
--- a/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -18,137 +18,189 @@
 import switchgap.router.WorkerTransport;
 
 /**
- * Carries attempts, load commands and probes to workers as RESP commands. Selector threads read and decode;
- * every method here belongs to the event loop.
+ * Carries attempts, load commands and probes to workers as RESP commands. Selector threads read and
+ * decode; every method here belongs to the event loop.
  */
 public final class RespWorkerTransport implements WorkerTransport {
-    /**
-     * Bounds of the connections to workers.
-     *
-     * @param connections    connections to all workers together
-     * @param links          connections to one worker
-     * @param waiting        exchanges that wait for a connection to one worker
-     * @param multiplex      exchanges in flight on one connection
-     * @param connectWithin  timeout of opening a connection
-     * @param idle           how long a connection may be idle
-     * @param crowds         whether replies to executions report the worker's concurrency
-     */
-    public record ConnectionLimits(int connections, int links, int waiting, int multiplex,
-        Duration connectWithin, Duration idle, boolean crowds) {}
-
-    /** Tags begin with a letter that is no hexadecimal digit, so that none equals a request's id. */
-    private static final String TAG_PREFIX = "t";
-
-    private final RespConnectionManager connections;
-    private final String[] requestClassNames;
-    private final Duration loadCommandTimeout;
-    private final Duration probeTimeout;
-    private final boolean reportsConcurrency;
-    private long lastTag;
-
-    /**
-     * A transport without connections. The core ends commands and probes after their timeouts.
-     *
-     * @param limits              bounds of the connections
-     * @param requestClassNames   names of the request classes by index
-     * @param coreLimits          timeouts of load commands and probes
-     * @param clock               the router's clock
-     * @param events              posts to the router's event loop
-     * @param rules               passes each send
-     */
-    public RespWorkerTransport(NetworkTransport net, ConnectionLimits limits, String[] requestClassNames,
-        CoreLimits coreLimits, Supplier<Duration> clock, Consumer<Consumer<RouterCore>> events,
-        RuleChecker rules) {
-        this.connections = new RespConnectionManager(net, limits, clock, events, rules);
-        this.requestClassNames = requestClassNames;
-        this.loadCommandTimeout = coreLimits.commandTimeout();
-        this.probeTimeout = coreLimits.probeTimeout();
-        this.reportsConcurrency = limits.crowds();
-    }
-
-    /** Closes idle connections and forgets workers that are gone; to be called regularly. */
-    public void sweep() {
-        connections.sweep();
-    }
-
-    /** Connections to workers that are open or being opened. */
-    public int connections() {
-        return connections.connectionCount();
-    }
-
-    @Override public void startAttempt(Attempt attempt, Duration timeout) {
-        PendingRequest request = attempt.request;
-        long timeoutNanos = Math.min(deadlineNanos(timeout), request.deadline.toNanos());
-        PendingExchange exchange = PendingExchange.ofAttempt(attempt,
-            remaining -> RespCommand.execute(request.id, requestClassNames[request.requestClass],
-                request.function, Math.max(1, remaining.toMillis()), request.body),
+  /**
+   * Bounds of the connections to workers.
+   *
+   * @param connections connections to all workers together
+   * @param links connections to one worker
+   * @param waiting exchanges that wait for a connection to one worker
+   * @param multiplex exchanges in flight on one connection
+   * @param connectWithin timeout of opening a connection
+   * @param idle how long a connection may be idle
+   * @param crowds whether replies to executions report the worker's concurrency
+   */
+  public record ConnectionLimits(
+      int connections,
+      int links,
+      int waiting,
+      int multiplex,
+      Duration connectWithin,
+      Duration idle,
+      boolean crowds) {}
+
+  /** Tags begin with a letter that is no hexadecimal digit, so that none equals a request's id. */
+  private static final String TAG_PREFIX = "t";
+
+  private final RespConnectionManager connections;
+  private final String[] requestClassNames;
+  private final Duration loadCommandTimeout;
+  private final Duration probeTimeout;
+  private final boolean reportsConcurrency;
+  private long lastTag;
+
+  /**
+   * A transport without connections. The core ends commands and probes after their timeouts.
+   *
+   * @param limits bounds of the connections
+   * @param requestClassNames names of the request classes by index
+   * @param coreLimits timeouts of load commands and probes
+   * @param clock the router's clock
+   * @param events posts to the router's event loop
+   * @param rules passes each send
+   */
+  public RespWorkerTransport(
+      NetworkTransport net,
+      ConnectionLimits limits,
+      String[] requestClassNames,
+      CoreLimits coreLimits,
+      Supplier<Duration> clock,
+      Consumer<Consumer<RouterCore>> events,
+      RuleChecker rules) {
+    this.connections = new RespConnectionManager(net, limits, clock, events, rules);
+    this.requestClassNames = requestClassNames;
+    this.loadCommandTimeout = coreLimits.commandTimeout();
+    this.probeTimeout = coreLimits.probeTimeout();
+    this.reportsConcurrency = limits.crowds();
+  }
+
+  /** Closes idle connections and forgets workers that are gone; to be called regularly. */
+  public void sweep() {
+    connections.sweep();
+  }
+
+  /** Connections to workers that are open or being opened. */
+  public int connections() {
+    return connections.connectionCount();
+  }
+
+  @Override
+  public void startAttempt(Attempt attempt, Duration timeout) {
+    PendingRequest request = attempt.request;
+    long timeoutNanos = Math.min(deadlineNanos(timeout), request.deadline.toNanos());
+    PendingExchange exchange =
+        PendingExchange.ofAttempt(
+            attempt,
+            remaining ->
+                RespCommand.execute(
+                    request.id,
+                    requestClassNames[request.requestClass],
+                    request.function,
+                    Math.max(1, remaining.toMillis()),
+                    request.body),
             timeoutNanos,
-            (core, outcome, reply) -> core.attemptEnded(attempt, outcome,
-                reply == null ? LoadReport.NONE : reply.loadReport(reportsConcurrency),
-                outcome == AttemptOutcome.SUCCEEDED ? Response.succeeded(0, Map.of(), reply.body()) : null));
-        attempt.attachment = exchange;
-        connections.poolFor(attempt.worker).submit(exchange);
-    }
-
-    @Override public AttemptOutcome abandon(Attempt attempt) {
-        return attempt.attachment instanceof PendingExchange exchange
-            ? connections.poolFor(attempt.worker).abandon(exchange) : AttemptOutcome.TIMED_OUT;
-    }
-
-    @Override public void requestReplicas(WorkerEntry worker, String function, int replicas,
-        WorkerCommand command) {
-        String tag = nextTag();
-        boolean isQuery = replicas == 0;
-        submit(command, PendingExchange.ofCommand(worker, tag, isQuery,
-            RespCommand.load(tag, function, replicas), deadlineNanos(loadCommandTimeout),
-            (core, outcome, reply) -> core.loadCommandEnded(command, outcome,
-                reply == null ? 0 : reply.replicas())));
-    }
-
-    @Override public void unload(WorkerEntry worker, String function, WorkerCommand command) {
-        submit(command, PendingExchange.ofCommand(worker, null, true, RespCommand.unload(function),
-            deadlineNanos(loadCommandTimeout), (core, outcome, reply) -> core.unloadEnded(command)));
-    }
-
-    @Override public void probe(WorkerEntry worker, WorkerCommand command) {
-        String tag = nextTag();
-        submit(command, PendingExchange.ofCommand(worker, tag, true, RespCommand.reportLoad(tag),
+            (core, outcome, reply) ->
+                core.attemptEnded(
+                    attempt,
+                    outcome,
+                    reply == null ? LoadReport.NONE : reply.loadReport(reportsConcurrency),
+                    outcome == AttemptOutcome.SUCCEEDED
+                        ? Response.succeeded(0, Map.of(), reply.body())
+                        : null));
+    attempt.attachment = exchange;
+    connections.poolFor(attempt.worker).submit(exchange);
+  }
+
+  @Override
+  public AttemptOutcome abandon(Attempt attempt) {
+    return attempt.attachment instanceof PendingExchange exchange
+        ? connections.poolFor(attempt.worker).abandon(exchange)
+        : AttemptOutcome.TIMED_OUT;
+  }
+
+  @Override
+  public void requestReplicas(
+      WorkerEntry worker, String function, int replicas, WorkerCommand command) {
+    String tag = nextTag();
+    boolean isQuery = replicas == 0;
+    submit(
+        command,
+        PendingExchange.ofCommand(
+            worker,
+            tag,
+            isQuery,
+            RespCommand.load(tag, function, replicas),
+            deadlineNanos(loadCommandTimeout),
+            (core, outcome, reply) ->
+                core.loadCommandEnded(command, outcome, reply == null ? 0 : reply.replicas())));
+  }
+
+  @Override
+  public void unload(WorkerEntry worker, String function, WorkerCommand command) {
+    submit(
+        command,
+        PendingExchange.ofCommand(
+            worker,
+            null,
+            true,
+            RespCommand.unload(function),
+            deadlineNanos(loadCommandTimeout),
+            (core, outcome, reply) -> core.unloadEnded(command)));
+  }
+
+  @Override
+  public void probe(WorkerEntry worker, WorkerCommand command) {
+    String tag = nextTag();
+    submit(
+        command,
+        PendingExchange.ofCommand(
+            worker,
+            tag,
+            true,
+            RespCommand.reportLoad(tag),
             deadlineNanos(probeTimeout),
-            (core, outcome, reply) -> core.probeEnded(command, outcome,
-                reply == null ? LoadReport.NONE : reply.loadReport(false))));
+            (core, outcome, reply) ->
+                core.probeEnded(
+                    command, outcome, reply == null ? LoadReport.NONE : reply.loadReport(false))));
+  }
+
+  private void submit(WorkerCommand command, PendingExchange exchange) {
+    command.attachment = exchange;
+    connections.poolFor(exchange.worker).submit(exchange);
+  }
+
+  @Override
+  public void abandon(WorkerCommand command) {
+    if (command.attachment instanceof PendingExchange exchange) {
+      connections.poolFor(exchange.worker).abandon(exchange);
     }
+  }
 
-    private void submit(WorkerCommand command, PendingExchange exchange) {
-        command.attachment = exchange;
-        connections.poolFor(exchange.worker).submit(exchange);
-    }
+  private long deadlineNanos(Duration timeout) {
+    return connections.nowNanos() + timeout.toNanos();
+  }
 
-    @Override public void abandon(WorkerCommand command) {
-        if (command.attachment instanceof PendingExchange exchange) {
-            connections.poolFor(exchange.worker).abandon(exchange);
-        }
-    }
-
-    private long deadlineNanos(Duration timeout) {
-        return connections.nowNanos() + timeout.toNanos();
-    }
+  private String nextTag() {
+    lastTag++;
+    return TAG_PREFIX + Long.toString(lastTag, Character.MAX_RADIX);
+  }
 
-    private String nextTag() {
-        lastTag++;
-        return TAG_PREFIX + Long.toString(lastTag, Character.MAX_RADIX);
+  @Override
+  public void stopAccepting(WorkerEntry worker, boolean forGood) {
+    if (!(worker.attachment instanceof RespConnectionPool pool)) {
+      return;
     }
-
-    @Override public void stopAccepting(WorkerEntry worker, boolean forGood) {
-        if (!(worker.attachment instanceof RespConnectionPool pool)) {
-            return;
-        }
-        if (forGood) {
-            pool.retire();
-        } else {
-            pool.rejectWaiting();
-        }
+    if (forGood) {
+      pool.retire();
+    } else {
+      pool.rejectWaiting();
     }
+  }
 
-    /** Does nothing: the control feed sends the list by itself. */
-    @Override public void requestEndpointList() {}
+  /** Does nothing: the control feed sends the list by itself. */
+  @Override
+  public void requestEndpointList() {}
 }
--- a/src/main/java/switchgap/protocol/thrift/InvalidRequestException.java
+++ b/src/main/java/switchgap/protocol/thrift/InvalidRequestException.java
@@ -2,9 +2,9 @@
 
 /** A readable request that cannot be used; the message names the field at fault. */
 final class InvalidRequestException extends ThriftProtocolException {
-    private static final long serialVersionUID = 1;
+  private static final long serialVersionUID = 1;
 
-    InvalidRequestException(String field) {
-        super(field);
-    }
+  InvalidRequestException(String field) {
+    super(field);
+  }
 }
--- a/src/main/java/switchgap/protocol/thrift/MalformedMessageException.java
+++ b/src/main/java/switchgap/protocol/thrift/MalformedMessageException.java
@@ -2,24 +2,24 @@
 
 /** A frame that is no readable message. */
 final class MalformedMessageException extends ThriftProtocolException {
-    private static final long serialVersionUID = 1;
+  private static final long serialVersionUID = 1;
 
-    private final String method;
-    private final int sequenceId;
+  private final String method;
+  private final int sequenceId;
 
-    MalformedMessageException(String message, String method, int sequenceId) {
-        super(message);
-        this.method = method;
-        this.sequenceId = sequenceId;
-    }
+  MalformedMessageException(String message, String method, int sequenceId) {
+    super(message);
+    this.method = method;
+    this.sequenceId = sequenceId;
+  }
 
-    /** The method, or null where the header could not be read. */
-    String method() {
-        return method;
-    }
+  /** The method, or null where the header could not be read. */
+  String method() {
+    return method;
+  }
 
-    /** The sequence id; meaningless where the header could not be read. */
-    int sequenceId() {
-        return sequenceId;
-    }
+  /** The sequence id; meaningless where the header could not be read. */
+  int sequenceId() {
+    return sequenceId;
+  }
 }
--- a/src/main/java/switchgap/protocol/thrift/NameDirectory.java
+++ b/src/main/java/switchgap/protocol/thrift/NameDirectory.java
@@ -6,9 +6,9 @@
 /**
  * What the operators' settings say of the names in a request.
  *
- * @param settings        the router's settings
- * @param requestClasses  index of each request class by its name
- * @param tenants         index of each tenant by its name; empty where requests have no tenant
+ * @param settings the router's settings
+ * @param requestClasses index of each request class by its name
+ * @param tenants index of each tenant by its name; empty where requests have no tenant
  */
-record NameDirectory(RouterSettings settings, Map<String, Integer> requestClasses,
-    Map<String, Integer> tenants) {}
+record NameDirectory(
+    RouterSettings settings, Map<String, Integer> requestClasses, Map<String, Integer> tenants) {}
