--- a/src/main/java/switchgap/protocol/thrift/RequestHandler.java
+++ b/src/main/java/switchgap/protocol/thrift/RequestHandler.java
@@ -13,277 +13,308 @@
 import switchgap.router.RuleChecker;
 
 /**
- * Offers submitted requests to the router's core and sends their responses. Bounds requests in flight, their
- * bytes, and the requests of one connection. Event loop only.
+ * Offers submitted requests to the router's core and sends their responses. Bounds requests in
+ * flight, their bytes, and the requests of one connection. Event loop only.
  */
 final class RequestHandler {
-    /**
-     * Requests in flight on one connection. The protocol says 32, yet usual clients were seen with more than
-     * 200; memory is bounded by the bytes of all requests.
-     */
-    private static final int MAX_REQUESTS_PER_CONNECTION = 1024;
-    private static final long MIN_RETRY_AFTER_MILLIS = 1;
-    /** A client counts its time from its send, the router from its read: so much apart at the most. */
-    private static final Duration DEADLINE_SLACK = Duration.ofMillis(150);
-    private static final String UNUSABLE_PREFIX = "unusable ";
-
-    // Reasons of answers that the policy has not given, and of requests that are given up.
-    private static final String SUBMITTED = "SUBMITTED";
-    private static final String SHUTDOWN = "SHUTDOWN";
-    private static final String REVOKED = "REVOKED";
-    private static final String REVOKED_LATE = "REVOKED_LATE";
-    private static final String NOT_ACCEPTED = "NOT_ACCEPTED";
-    private static final String NO_CAPACITY = "NO_CAPACITY";
-    private static final String TOO_MANY_OPEN = "TOO_MANY_OPEN";
-    private static final String QUEUE_FULL = "QUEUE_FULL";
-    private static final String UNUSABLE = "UNUSABLE";
-
-    private final NameDirectory names;
-    private final int maxRequests;
-    private final int maxRequestBytes;
-    private final ClientConnectionTable connections;
-    private final RuleChecker rules;
-    private final RouterEvents events;
-    /** The connection of each request in flight, by the request's id. */
-    private final Map<String, ClientConnection> connectionByRequestId = new HashMap<>();
-    private int inFlightBytes;
-
-    RequestHandler(NameDirectory names, ThriftServer.ConnectionLimits limits,
-        ClientConnectionTable connections, RuleChecker rules) {
-        this.names = names;
-        this.maxRequests = limits.maxRequests();
-        this.maxRequestBytes = limits.maxRequestBytes();
-        this.connections = connections;
-        this.rules = rules;
-        this.events = rules.events();
-    }
+  /**
+   * Requests in flight on one connection. The protocol says 32, yet usual clients were seen with
+   * more than 200; memory is bounded by the bytes of all requests.
+   */
+  private static final int MAX_REQUESTS_PER_CONNECTION = 1024;
 
-    /** Requests without their response. */
-    int requestsInFlight() {
-        return connectionByRequestId.size();
-    }
+  private static final long MIN_RETRY_AFTER_MILLIS = 1;
 
-    /** Handles a submit or a revoke that was received at the stated time. */
-    void messageReceived(RouterCore core, ClientConnection connection, ThriftMessage message,
-        Duration receivedAt) {
-        if (!connection.isOpen()) {
-            return;
-        }
-        connection.messageHandledAt(core.now());
-        if (message.method().equals(WireNames.REVOKE)) {
-            revoke(core, connection, message.firstInteger(), receivedAt);
-        } else {
-            submit(core, connection, message, receivedAt);
-        }
-    }
+  /**
+   * A client counts its time from its send, the router from its read: so much apart at the most.
+   */
+  private static final Duration DEADLINE_SLACK = Duration.ofMillis(150);
+
+  private static final String UNUSABLE_PREFIX = "unusable ";
+
+  // Reasons of answers that the policy has not given, and of requests that are given up.
+  private static final String SUBMITTED = "SUBMITTED";
+  private static final String SHUTDOWN = "SHUTDOWN";
+  private static final String REVOKED = "REVOKED";
+  private static final String REVOKED_LATE = "REVOKED_LATE";
+  private static final String NOT_ACCEPTED = "NOT_ACCEPTED";
+  private static final String NO_CAPACITY = "NO_CAPACITY";
+  private static final String TOO_MANY_OPEN = "TOO_MANY_OPEN";
+  private static final String QUEUE_FULL = "QUEUE_FULL";
+  private static final String UNUSABLE = "UNUSABLE";
+
+  private final NameDirectory names;
+  private final int maxRequests;
+  private final int maxRequestBytes;
+  private final ClientConnectionTable connections;
+  private final RuleChecker rules;
+  private final RouterEvents events;
+
+  /** The connection of each request in flight, by the request's id. */
+  private final Map<String, ClientConnection> connectionByRequestId = new HashMap<>();
 
-    /** A connection ended: its requests have no client any more. */
-    void connectionClosed(RouterCore core, ClientConnection connection, String reason) {
-        connections.remove(connection);
-        ClientCloseReason typed = ClientCloseReason.of(reason);
-        int unanswered = connection.inFlight.size();
-        rules.closed(reason, typed.isClientsOwn(), unanswered + connection.queuedMessages(), core.now());
-        events.record(Kind.CLIENT_CLOSED, typed.name(), connection.id(), unanswered);
-        if (unanswered > 0) {
-            events.line("a client's connection ended with " + unanswered + " calls held: " + reason);
-        }
-        abandonAll(core, connection, typed.name());
+  private int inFlightBytes;
+
+  RequestHandler(
+      NameDirectory names,
+      ThriftServer.ConnectionLimits limits,
+      ClientConnectionTable connections,
+      RuleChecker rules) {
+    this.names = names;
+    this.maxRequests = limits.maxRequests();
+    this.maxRequestBytes = limits.maxRequestBytes();
+    this.connections = connections;
+    this.rules = rules;
+    this.events = rules.events();
+  }
+
+  /** Requests without their response. */
+  int requestsInFlight() {
+    return connectionByRequestId.size();
+  }
+
+  /** Handles a submit or a revoke that was received at the stated time. */
+  void messageReceived(
+      RouterCore core, ClientConnection connection, ThriftMessage message, Duration receivedAt) {
+    if (!connection.isOpen()) {
+      return;
     }
+    connection.messageHandledAt(core.now());
+    if (message.method().equals(WireNames.REVOKE)) {
+      revoke(core, connection, message.firstInteger(), receivedAt);
+    } else {
+      submit(core, connection, message, receivedAt);
+    }
+  }
 
-    /** Fails all requests in flight, as none of them can be waited for any more. */
-    void failAll(RouterCore core) {
-        for (ClientConnection connection : connections.snapshot()) {
-            connection.inFlight.forEach((sequenceId, request) -> {
-                rules.answered(request, SHUTDOWN, core.now());
-                sendFailed(connection, sequenceId, Map.of());
-            });
-            abandonAll(core, connection, SHUTDOWN);
-        }
+  /** A connection ended: its requests have no client any more. */
+  void connectionClosed(RouterCore core, ClientConnection connection, String reason) {
+    connections.remove(connection);
+    ClientCloseReason typed = ClientCloseReason.of(reason);
+    int unanswered = connection.inFlight.size();
+    rules.closed(
+        reason, typed.isClientsOwn(), unanswered + connection.queuedMessages(), core.now());
+    events.record(Kind.CLIENT_CLOSED, typed.name(), connection.id(), unanswered);
+    if (unanswered > 0) {
+      events.line("a client's connection ended with " + unanswered + " calls held: " + reason);
     }
+    abandonAll(core, connection, typed.name());
+  }
 
-    private void revoke(RouterCore core, ClientConnection connection, int sequenceId, Duration revokedAt) {
-        connection.revokeHandled(sequenceId);
-        PendingRequest request = connection.inFlight.remove(sequenceId);
-        if (request == null) {
-            return;
-        }
-        abandon(core, request, REVOKED);
-        if (wasDue(request, revokedAt)) {
-            rules.answered(request, REVOKED_LATE, core.now());
-            if (request.attempts().isEmpty()) {
-                sendRejected(connection, sequenceId);
-            } else {
-                sendFailed(connection, sequenceId, Map.of());
-            }
-        }
+  /** Fails all requests in flight, as none of them can be waited for any more. */
+  void failAll(RouterCore core) {
+    for (ClientConnection connection : connections.snapshot()) {
+      connection.inFlight.forEach(
+          (sequenceId, request) -> {
+            rules.answered(request, SHUTDOWN, core.now());
+            sendFailed(connection, sequenceId, Map.of());
+          });
+      abandonAll(core, connection, SHUTDOWN);
     }
+  }
 
-    /**
-     * Whether a request's answer was due when its revoke was read. A client that gives up early is owed
-     * none; one whose time has run out sends a revoke, too, and the answer that it did not get is still
-     * owed: up to half a second late it only earns nothing.
-     */
-    private static boolean wasDue(PendingRequest request, Duration revokedAt) {
-        return revokedAt.compareTo(request.deadline.minus(DEADLINE_SLACK)) >= 0;
+  private void revoke(
+      RouterCore core, ClientConnection connection, int sequenceId, Duration revokedAt) {
+    connection.revokeHandled(sequenceId);
+    PendingRequest request = connection.inFlight.remove(sequenceId);
+    if (request == null) {
+      return;
+    }
+    abandon(core, request, REVOKED);
+    if (wasDue(request, revokedAt)) {
+      rules.answered(request, REVOKED_LATE, core.now());
+      if (request.attempts().isEmpty()) {
+        sendRejected(connection, sequenceId);
+      } else {
+        sendFailed(connection, sequenceId, Map.of());
+      }
     }
+  }
+
+  /**
+   * Whether a request's answer was due when its revoke was read. A client that gives up early is
+   * owed none; one whose time has run out sends a revoke, too, and the answer that it did not get
+   * is still owed: up to half a second late it only earns nothing.
+   */
+  private static boolean wasDue(PendingRequest request, Duration revokedAt) {
+    return revokedAt.compareTo(request.deadline.minus(DEADLINE_SLACK)) >= 0;
+  }
 
-    /** A submit whose revoke is queued behind it; nothing goes out for it. */
-    private void submitRevoked(ClientConnection connection, ThriftMessage message, Duration receivedAt) {
-        int sequenceId = message.sequenceId();
-        try {
-            PendingRequest request = SubmitRequestDecoder.decode(message, names, receivedAt,
-                new ResponseSender(connection, sequenceId));
-            Duration revokedAt = connection.revokedAt(sequenceId);
-            if (revokedAt != null && wasDue(request, revokedAt)) {
-                events.record(Kind.REQUEST_ANSWERED, REVOKED_LATE, request.id, connection.id());
-                sendRejected(connection, sequenceId);
-            }
-        } catch (InvalidRequestException e) {
-            return; // withdrawn, whatever it was
-        }
+  /** A submit whose revoke is queued behind it; nothing goes out for it. */
+  private void submitRevoked(
+      ClientConnection connection, ThriftMessage message, Duration receivedAt) {
+    int sequenceId = message.sequenceId();
+    try {
+      PendingRequest request =
+          SubmitRequestDecoder.decode(
+              message, names, receivedAt, new ResponseSender(connection, sequenceId));
+      Duration revokedAt = connection.revokedAt(sequenceId);
+      if (revokedAt != null && wasDue(request, revokedAt)) {
+        events.record(Kind.REQUEST_ANSWERED, REVOKED_LATE, request.id, connection.id());
+        sendRejected(connection, sequenceId);
+      }
+    } catch (InvalidRequestException e) {
+      return; // withdrawn, whatever it was
     }
+  }
 
-    private void submit(RouterCore core, ClientConnection connection, ThriftMessage message,
-        Duration receivedAt) {
-        int sequenceId = message.sequenceId();
-        if (connection.isRevoked(sequenceId)) {
-            submitRevoked(connection, message, receivedAt);
-            return;
-        }
-        if (connection.inFlight.containsKey(sequenceId)) {
-            connection.close(ClientCloseReason.DUPLICATE_SEQUENCE_ID);
-            return;
-        }
-        if (connection.inFlight.size() >= MAX_REQUESTS_PER_CONNECTION) {
-            events.record(Kind.REQUEST_ANSWERED, TOO_MANY_OPEN, connection.id(), sequenceId);
-            sendRejected(connection, sequenceId);
-            return;
-        }
-        try {
-            PendingRequest request = SubmitRequestDecoder.decode(message, names, receivedAt,
-                new ResponseSender(connection, sequenceId));
-            events.record(Kind.REQUEST_RECEIVED, SUBMITTED, request.id, connection.id());
-            ensureIdIsUnused(core, request.id);
-            offer(core, connection, sequenceId, request);
-        } catch (InvalidRequestException e) {
-            events.record(Kind.REQUEST_ANSWERED, UNUSABLE, connection.id(), e.getMessage());
-            sendFailed(connection, sequenceId, Map.of(WireNames.REASON, UNUSABLE_PREFIX + e.getMessage()));
-        }
+  private void submit(
+      RouterCore core, ClientConnection connection, ThriftMessage message, Duration receivedAt) {
+    int sequenceId = message.sequenceId();
+    if (connection.isRevoked(sequenceId)) {
+      submitRevoked(connection, message, receivedAt);
+      return;
+    }
+    if (connection.inFlight.containsKey(sequenceId)) {
+      connection.close(ClientCloseReason.DUPLICATE_SEQUENCE_ID);
+      return;
+    }
+    if (connection.inFlight.size() >= MAX_REQUESTS_PER_CONNECTION) {
+      events.record(Kind.REQUEST_ANSWERED, TOO_MANY_OPEN, connection.id(), sequenceId);
+      sendRejected(connection, sequenceId);
+      return;
     }
+    try {
+      PendingRequest request =
+          SubmitRequestDecoder.decode(
+              message, names, receivedAt, new ResponseSender(connection, sequenceId));
+      events.record(Kind.REQUEST_RECEIVED, SUBMITTED, request.id, connection.id());
+      ensureIdIsUnused(core, request.id);
+      offer(core, connection, sequenceId, request);
+    } catch (InvalidRequestException e) {
+      events.record(Kind.REQUEST_ANSWERED, UNUSABLE, connection.id(), e.getMessage());
+      sendFailed(
+          connection, sequenceId, Map.of(WireNames.REASON, UNUSABLE_PREFIX + e.getMessage()));
+    }
+  }
 
-    /**
-     * An id may be in flight once. Where its connection has ended the request was sent again on a new one,
-     * which came before the old one's end: that end is handled first.
-     */
-    private void ensureIdIsUnused(RouterCore core, String id) throws InvalidRequestException {
-        ClientConnection owner = connectionByRequestId.get(id);
-        if (owner == null) {
-            return;
-        }
-        if (owner.isOpen()) {
-            throw new InvalidRequestException(WireNames.REF);
-        }
-        connectionClosed(core, owner, ClientCloseReason.SENT_AGAIN.text());
+  /**
+   * An id may be in flight once. Where its connection has ended the request was sent again on a new
+   * one, which came before the old one's end: that end is handled first.
+   */
+  private void ensureIdIsUnused(RouterCore core, String id) throws InvalidRequestException {
+    ClientConnection owner = connectionByRequestId.get(id);
+    if (owner == null) {
+      return;
+    }
+    if (owner.isOpen()) {
+      throw new InvalidRequestException(WireNames.REF);
     }
+    connectionClosed(core, owner, ClientCloseReason.SENT_AGAIN.text());
+  }
 
-    private void offer(RouterCore core, ClientConnection connection, int sequenceId, PendingRequest request) {
-        boolean hasCapacity = connectionByRequestId.size() < maxRequests
+  private void offer(
+      RouterCore core, ClientConnection connection, int sequenceId, PendingRequest request) {
+    boolean hasCapacity =
+        connectionByRequestId.size() < maxRequests
             && inFlightBytes + request.body.length <= maxRequestBytes;
-        // before it is offered: its response may come at once, and ends it again
-        connectionByRequestId.put(request.id, connection);
-        inFlightBytes += request.body.length;
-        connection.inFlight.put(sequenceId, request);
-        if (!hasCapacity || !core.accept(request)) {
-            finish(connection, sequenceId, request);
-            rules.answered(request, hasCapacity ? NOT_ACCEPTED : NO_CAPACITY, core.now());
-            sendRejected(connection, sequenceId);
-        }
+    // before it is offered: its response may come at once, and ends it again
+    connectionByRequestId.put(request.id, connection);
+    inFlightBytes += request.body.length;
+    connection.inFlight.put(sequenceId, request);
+    if (!hasCapacity || !core.accept(request)) {
+      finish(connection, sequenceId, request);
+      rules.answered(request, hasCapacity ? NOT_ACCEPTED : NO_CAPACITY, core.now());
+      sendRejected(connection, sequenceId);
     }
+  }
 
-    /** Refuses a request that does not fit into the event loop's queue; any thread. */
-    void refuseUnseen(ClientConnection connection, int sequenceId) {
-        events.record(Kind.REQUEST_ANSWERED, QUEUE_FULL, connection.id(), sequenceId);
-        sendRejected(connection, sequenceId);
-    }
+  /** Refuses a request that does not fit into the event loop's queue; any thread. */
+  void refuseUnseen(ClientConnection connection, int sequenceId) {
+    events.record(Kind.REQUEST_ANSWERED, QUEUE_FULL, connection.id(), sequenceId);
+    sendRejected(connection, sequenceId);
+  }
 
-    /** Rejects a request that the policy has not judged, with the stated time to stay away. */
-    private void sendRejected(ClientConnection connection, int sequenceId) {
-        boolean hasAdvice = names.settings().retryAfterAllowed();
-        sendRejected(connection, sequenceId, hasAdvice ? names.settings().maxRetryAfter() : null);
-    }
+  /** Rejects a request that the policy has not judged, with the stated time to stay away. */
+  private void sendRejected(ClientConnection connection, int sequenceId) {
+    boolean hasAdvice = names.settings().retryAfterAllowed();
+    sendRejected(connection, sequenceId, hasAdvice ? names.settings().maxRetryAfter() : null);
+  }
+
+  private void finish(ClientConnection connection, int sequenceId, PendingRequest request) {
+    connection.inFlight.remove(sequenceId);
+    release(request);
+  }
 
-    private void finish(ClientConnection connection, int sequenceId, PendingRequest request) {
-        connection.inFlight.remove(sequenceId);
-        release(request);
+  private void abandonAll(RouterCore core, ClientConnection connection, String why) {
+    for (PendingRequest request : List.copyOf(connection.inFlight.values())) {
+      abandon(core, request, why);
     }
+    connection.inFlight.clear();
+  }
+
+  private void abandon(RouterCore core, PendingRequest request, String why) {
+    events.record(Kind.REQUEST_ABANDONED, why, request.id, "");
+    release(request);
+    core.clientLeft(request);
+  }
+
+  private void release(PendingRequest request) {
+    connectionByRequestId.remove(request.id);
+    inFlightBytes -= request.body.length;
+  }
 
-    private void abandonAll(RouterCore core, ClientConnection connection, String why) {
-        for (PendingRequest request : List.copyOf(connection.inFlight.values())) {
-            abandon(core, request, why);
-        }
-        connection.inFlight.clear();
+  private static void sendRejected(
+      ClientConnection connection, int sequenceId, Duration retryAfter) {
+    Map<String, String> fields = Map.of();
+    if (retryAfter != null) {
+      long millis = Math.max(MIN_RETRY_AFTER_MILLIS, retryAfter.toMillis());
+      fields = Map.of(WireNames.COOLDOWN, String.valueOf(millis));
     }
+    connection.send(
+        ThriftResponseEncoder.declaredException(
+            WireNames.SUBMIT, sequenceId, DeclaredException.FULL, fields));
+  }
 
-    private void abandon(RouterCore core, PendingRequest request, String why) {
-        events.record(Kind.REQUEST_ABANDONED, why, request.id, "");
-        release(request);
-        core.clientLeft(request);
+  private static void sendFailed(
+      ClientConnection connection, int sequenceId, Map<String, String> fields) {
+    connection.send(
+        ThriftResponseEncoder.declaredException(
+            WireNames.SUBMIT, sequenceId, DeclaredException.ERROR, fields));
+  }
+
+  /** Sends the response of one request to its client. */
+  private final class ResponseSender implements ResponseListener {
+    private final ClientConnection connection;
+    private final int sequenceId;
+
+    ResponseSender(ClientConnection connection, int sequenceId) {
+      this.connection = connection;
+      this.sequenceId = sequenceId;
     }
 
-    private void release(PendingRequest request) {
-        connectionByRequestId.remove(request.id);
-        inFlightBytes -= request.body.length;
+    @Override
+    public void responded(PendingRequest request, Response response) {
+      finish(connection, sequenceId, request);
+      rules.answered(request, response.kind().name(), request.deadline);
+      switch (response.kind()) {
+        case SUCCEEDED ->
+            connection.send(
+                ThriftResponseEncoder.response(
+                    WireNames.SUBMIT, sequenceId, response.body(), true));
+        case REJECTED -> sendRejected(connection, sequenceId, response.retryAfter());
+        case FAILED -> sendFailed(connection, sequenceId, Map.of());
+        default -> throw new IllegalStateException("response of kind " + response.kind());
+      }
     }
 
-    private static void sendRejected(ClientConnection connection, int sequenceId, Duration retryAfter) {
-        Map<String, String> fields = Map.of();
-        if (retryAfter != null) {
-            long millis = Math.max(MIN_RETRY_AFTER_MILLIS, retryAfter.toMillis());
-            fields = Map.of(WireNames.COOLDOWN, String.valueOf(millis));
-        }
-        connection.send(ThriftResponseEncoder.declaredException(WireNames.SUBMIT, sequenceId,
-            DeclaredException.FULL, fields));
+    /**
+     * Sent all the same: within half a second it only earns nothing, while no response is a fault.
+     */
+    @Override
+    public void deadlineMissed(PendingRequest request, Response late) {
+      responded(request, late);
     }
 
-    private static void sendFailed(ClientConnection connection, int sequenceId, Map<String, String> fields) {
-        connection.send(ThriftResponseEncoder.declaredException(WireNames.SUBMIT, sequenceId,
-            DeclaredException.ERROR, fields));
+    @Override
+    public Duration disconnectedAt() {
+      Duration revokedAt = connection.revokedAt(sequenceId);
+      return revokedAt == null ? connection.closedAt() : revokedAt;
     }
 
-    /** Sends the response of one request to its client. */
-    private final class ResponseSender implements ResponseListener {
-        private final ClientConnection connection;
-        private final int sequenceId;
-
-        ResponseSender(ClientConnection connection, int sequenceId) {
-            this.connection = connection;
-            this.sequenceId = sequenceId;
-        }
-
-        @Override public void responded(PendingRequest request, Response response) {
-            finish(connection, sequenceId, request);
-            rules.answered(request, response.kind().name(), request.deadline);
-            switch (response.kind()) {
-                case SUCCEEDED -> connection.send(
-                    ThriftResponseEncoder.response(WireNames.SUBMIT, sequenceId, response.body(), true));
-                case REJECTED -> sendRejected(connection, sequenceId, response.retryAfter());
-                case FAILED -> sendFailed(connection, sequenceId, Map.of());
-                default -> throw new IllegalStateException("response of kind " + response.kind());
-            }
-        }
-
-        /** Sent all the same: within half a second it only earns nothing, while no response is a fault. */
-        @Override public void deadlineMissed(PendingRequest request, Response late) {
-            responded(request, late);
-        }
-
-        @Override public Duration disconnectedAt() {
-            Duration revokedAt = connection.revokedAt(sequenceId);
-            return revokedAt == null ? connection.closedAt() : revokedAt;
-        }
-
-        @Override public boolean isDisconnected() {
-            return !connection.isOpen() || connection.isRevoked(sequenceId);
-        }
+    @Override
+    public boolean isDisconnected() {
+      return !connection.isOpen() || connection.isRevoked(sequenceId);
     }
+  }
 }
--- a/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
+++ b/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
@@ -4,105 +4,122 @@
 import switchgap.router.PendingRequest;
 import switchgap.router.ResponseListener;
 
-/** Decodes a submitted request, field by field; what cannot be used is refused with its field's name. */
+/**
+ * Decodes a submitted request, field by field; what cannot be used is refused with its field's
+ * name.
+ */
 final class SubmitRequestDecoder {
-    private static final int MAX_BODY_BYTES = 16 << 10;
-    /** Hexadecimal digits of a request's and of a function's id. */
-    private static final int ID_DIGITS = 16;
-    /**
-     * No request may wait for longer than so many times the stated timeout of its class: it would only be
-     * kept.
-     */
-    private static final double MAX_TIMEOUTS = 2;
-    private static final double MILLIS_PER_NANO = 1e-6;
-    private static final byte[] NO_BODY = {};
+  private static final int MAX_BODY_BYTES = 16 << 10;
 
-    // Names of what is at fault where it is no field.
-    private static final String NO_FIELDS = "no fields";
-    private static final String BODY_BYTES = "bytes";
+  /** Hexadecimal digits of a request's and of a function's id. */
+  private static final int ID_DIGITS = 16;
 
-    private SubmitRequestDecoder() {}
+  /**
+   * No request may wait for longer than so many times the stated timeout of its class: it would
+   * only be kept.
+   */
+  private static final double MAX_TIMEOUTS = 2;
 
-    /**
-     * The request that a message submits.
-     *
-     * @param receivedAt  when the message came, since the router's start; its deadline counts from then
-     * @param listener    is told how the request ended
-     */
-    static PendingRequest decode(ThriftMessage message, NameDirectory names, Duration receivedAt,
-        ResponseListener listener) throws InvalidRequestException {
-        if (message.fields() == null) {
-            throw new InvalidRequestException(NO_FIELDS);
-        }
-        byte[] body = message.body() == null ? NO_BODY : message.body();
-        if (body.length > MAX_BODY_BYTES) {
-            throw new InvalidRequestException(BODY_BYTES);
-        }
-        String id = hexId(message, WireNames.REF);
-        int requestClass = requestClass(message, names);
-        int tenant = tenant(message, names);
-        String function = hexId(message, WireNames.LOOKUP);
-        Duration deadline = receivedAt.plus(timeout(message, names, requestClass));
-        Duration durationHint = durationHint(message);
-        ReplicaExtras extras = ReplicaExtras.parse(message.fields().getOrDefault(WireNames.EXTRAS, ""));
-        return PendingRequest.builder(id, function, deadline, listener).requestClass(requestClass).tenant(
-            tenant).durationHint(durationHint).payload(null, body).replica(extras.memoryMb(),
-                extras.slots()).build();
-    }
+  private static final double MILLIS_PER_NANO = 1e-6;
+  private static final byte[] NO_BODY = {};
 
-    private static int requestClass(ThriftMessage message, NameDirectory names)
-        throws InvalidRequestException {
-        Integer index = names.requestClasses().get(message.fields().getOrDefault(WireNames.SERVICE, ""));
-        if (index == null) {
-            throw new InvalidRequestException(WireNames.SERVICE);
-        }
-        return index;
-    }
+  // Names of what is at fault where it is no field.
+  private static final String NO_FIELDS = "no fields";
+  private static final String BODY_BYTES = "bytes";
 
-    private static int tenant(ThriftMessage message, NameDirectory names) throws InvalidRequestException {
-        if (names.tenants().isEmpty()) {
-            return PendingRequest.NO_TENANT;
-        }
-        Integer index = names.tenants().get(message.fields().getOrDefault(WireNames.PROJECT, ""));
-        if (index == null) {
-            throw new InvalidRequestException(WireNames.PROJECT);
-        }
-        return index;
+  private SubmitRequestDecoder() {}
+
+  /**
+   * The request that a message submits.
+   *
+   * @param receivedAt when the message came, since the router's start; its deadline counts from
+   *     then
+   * @param listener is told how the request ended
+   */
+  static PendingRequest decode(
+      ThriftMessage message, NameDirectory names, Duration receivedAt, ResponseListener listener)
+      throws InvalidRequestException {
+    if (message.fields() == null) {
+      throw new InvalidRequestException(NO_FIELDS);
+    }
+    byte[] body = message.body() == null ? NO_BODY : message.body();
+    if (body.length > MAX_BODY_BYTES) {
+      throw new InvalidRequestException(BODY_BYTES);
     }
+    String id = hexId(message, WireNames.REF);
+    int requestClass = requestClass(message, names);
+    int tenant = tenant(message, names);
+    String function = hexId(message, WireNames.LOOKUP);
+    Duration deadline = receivedAt.plus(timeout(message, names, requestClass));
+    Duration durationHint = durationHint(message);
+    ReplicaExtras extras = ReplicaExtras.parse(message.fields().getOrDefault(WireNames.EXTRAS, ""));
+    return PendingRequest.builder(id, function, deadline, listener)
+        .requestClass(requestClass)
+        .tenant(tenant)
+        .durationHint(durationHint)
+        .payload(null, body)
+        .replica(extras.memoryMb(), extras.slots())
+        .build();
+  }
 
-    private static Duration timeout(ThriftMessage message, NameDirectory names, int requestClass)
-        throws InvalidRequestException {
-        long statedNanos = names.settings().requestTimeout(requestClass).toNanos();
-        double maxMillis = MAX_TIMEOUTS * MILLIS_PER_NANO * statedNanos;
-        Duration timeout = DecimalFigure.parseMillis(message.fields().get(WireNames.ALLOW), WireNames.ALLOW,
-            maxMillis);
-        if (timeout.isZero()) {
-            throw new InvalidRequestException(WireNames.ALLOW);
-        }
-        return timeout;
+  private static int requestClass(ThriftMessage message, NameDirectory names)
+      throws InvalidRequestException {
+    Integer index =
+        names.requestClasses().get(message.fields().getOrDefault(WireNames.SERVICE, ""));
+    if (index == null) {
+      throw new InvalidRequestException(WireNames.SERVICE);
     }
+    return index;
+  }
 
-    private static Duration durationHint(ThriftMessage message) throws InvalidRequestException {
-        String effort = message.fields().get(WireNames.EFFORT);
-        return effort == null ? null
-            : DecimalFigure.parseMillis(effort, WireNames.EFFORT, DecimalFigure.MAX_MILLIS);
+  private static int tenant(ThriftMessage message, NameDirectory names)
+      throws InvalidRequestException {
+    if (names.tenants().isEmpty()) {
+      return PendingRequest.NO_TENANT;
     }
+    Integer index = names.tenants().get(message.fields().getOrDefault(WireNames.PROJECT, ""));
+    if (index == null) {
+      throw new InvalidRequestException(WireNames.PROJECT);
+    }
+    return index;
+  }
 
-    private static String hexId(ThriftMessage message, String field) throws InvalidRequestException {
-        String text = message.fields().get(field);
-        if (text == null || text.length() != ID_DIGITS) {
-            throw new InvalidRequestException(field);
-        }
-        for (int i = 0; i < ID_DIGITS; i++) {
-            if (!isHexDigit(text.charAt(i))) {
-                throw new InvalidRequestException(field);
-            }
-        }
-        return text;
+  private static Duration timeout(ThriftMessage message, NameDirectory names, int requestClass)
+      throws InvalidRequestException {
+    long statedNanos = names.settings().requestTimeout(requestClass).toNanos();
+    double maxMillis = MAX_TIMEOUTS * MILLIS_PER_NANO * statedNanos;
+    Duration timeout =
+        DecimalFigure.parseMillis(
+            message.fields().get(WireNames.ALLOW), WireNames.ALLOW, maxMillis);
+    if (timeout.isZero()) {
+      throw new InvalidRequestException(WireNames.ALLOW);
     }
+    return timeout;
+  }
+
+  private static Duration durationHint(ThriftMessage message) throws InvalidRequestException {
+    String effort = message.fields().get(WireNames.EFFORT);
+    return effort == null
+        ? null
+        : DecimalFigure.parseMillis(effort, WireNames.EFFORT, DecimalFigure.MAX_MILLIS);
+  }
 
-    private static boolean isHexDigit(char character) {
-        return character >= '0' && character <= '9' || character >= 'a' && character <= 'f'
-            || character >= 'A' && character <= 'F';
+  private static String hexId(ThriftMessage message, String field) throws InvalidRequestException {
+    String text = message.fields().get(field);
+    if (text == null || text.length() != ID_DIGITS) {
+      throw new InvalidRequestException(field);
     }
+    for (int i = 0; i < ID_DIGITS; i++) {
+      if (!isHexDigit(text.charAt(i))) {
+        throw new InvalidRequestException(field);
+      }
+    }
+    return text;
+  }
+
+  private static boolean isHexDigit(char character) {
+    return character >= '0' && character <= '9'
+        || character >= 'a' && character <= 'f'
+        || character >= 'A' && character <= 'F';
+  }
 }
--- a/src/main/java/switchgap/protocol/thrift/ThriftServer.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -16,256 +16,292 @@
 import switchgap.router.RuleChecker;
 
 /**
- * Listens for clients. Selector threads read and decode messages and answer heartbeats; what is known of
- * connections and requests belongs to the router's event loop, where messages are handled in order. Whatever
- * a client can make grow is bounded.
+ * Listens for clients. Selector threads read and decode messages and answer heartbeats; what is
+ * known of connections and requests belongs to the router's event loop, where messages are handled
+ * in order. Whatever a client can make grow is bounded.
  */
 public final class ThriftServer implements TcpConnection.Listener, AutoCloseable {
-    /**
-     * Bounds of what clients may take.
-     *
-     * @param maxConnections        connections at a time
-     * @param maxExcessConnections  further ones until the event loop has evicted others
-     * @param maxUnsentBytes        bytes of one connection's replies that its client has not read
-     * @param maxRequestBytes       bytes of all messages that wait for the event loop, and of the bodies of
-     *     all requests in flight
-     * @param maxRequests           requests in flight
-     * @param receiveTimeout        for a connection's first message, and for the rest of any message
-     * @param sweepInterval         of the calls of {@link ThriftServer#sweep}
-     */
-    public record ConnectionLimits(int maxConnections, int maxExcessConnections, int maxUnsentBytes,
-        int maxRequestBytes, int maxRequests, Duration receiveTimeout, Duration sweepInterval) {}
-
-    /** Messages of one connection that wait for the event loop. */
-    private static final int MAX_QUEUED_MESSAGES = 256;
-    /** Connections that wait to be accepted. */
-    private static final int ACCEPT_BACKLOG = 512;
-    /** Between looks for connections that may be evicted, while there are too many. */
-    private static final Duration EVICTION_INTERVAL = Duration.ofMillis(10);
-
-    private final ConnectionLimits limits;
-    private final Supplier<Duration> clock;
-    private final Consumer<Consumer<RouterCore>> eventLoop;
-    private final ClientConnectionTable connections;
-    private final RequestHandler requests;
-    private final AtomicInteger openConnections = new AtomicInteger();
-    private final AtomicInteger queuedBytes = new AtomicInteger();
-    private final Object acceptLock = new Object();
-    /** Guarded by the lock, as connections open and close on several threads. */
-    private boolean acceptPaused;
-    /** Whether a further look for connections to evict is scheduled; event loop only. */
-    private boolean evictionScheduled;
-    private volatile boolean isHealthy;
-    private final RuleChecker rules;
-    private final PauseDetector pauseDetector;
-    private volatile TcpConnection.Server listener;
-
-    /**
-     * A server that does not listen yet.
-     *
-     * @param settings        the router's settings
-     * @param requestClasses  index of each request class by its name
-     * @param tenants         index of each tenant by its name; empty where requests have no tenant
-     * @param limits          bounds of what clients may take
-     * @param clock           time since the router's start
-     * @param eventLoop       runs an event on the router's event loop
-     * @param rules           passes each answer and close; its events hear of requests and connections
-     */
-    public ThriftServer(RouterSettings settings, Map<String, Integer> requestClasses,
-        Map<String, Integer> tenants, ConnectionLimits limits, Supplier<Duration> clock,
-        Consumer<Consumer<RouterCore>> eventLoop, RuleChecker rules) {
-        this.limits = limits;
-        this.clock = clock;
-        this.eventLoop = eventLoop;
-        this.rules = rules;
-        pauseDetector = new PauseDetector(limits.sweepInterval, clock.get());
-        connections = new ClientConnectionTable(limits.maxConnections, limits.receiveTimeout);
-        requests = new RequestHandler(new NameDirectory(settings, requestClasses, tenants), limits,
-            connections, rules);
-    }
+  /**
+   * Bounds of what clients may take.
+   *
+   * @param maxConnections connections at a time
+   * @param maxExcessConnections further ones until the event loop has evicted others
+   * @param maxUnsentBytes bytes of one connection's replies that its client has not read
+   * @param maxRequestBytes bytes of all messages that wait for the event loop, and of the bodies of
+   *     all requests in flight
+   * @param maxRequests requests in flight
+   * @param receiveTimeout for a connection's first message, and for the rest of any message
+   * @param sweepInterval of the calls of {@link ThriftServer#sweep}
+   */
+  public record ConnectionLimits(
+      int maxConnections,
+      int maxExcessConnections,
+      int maxUnsentBytes,
+      int maxRequestBytes,
+      int maxRequests,
+      Duration receiveTimeout,
+      Duration sweepInterval) {}
 
-    /** Listens; port 0 takes any. */
-    public void listen(NetworkTransport net, String host, int port) throws IOException {
-        listener = TcpConnection.listen(net, host, port, ACCEPT_BACKLOG, this);
-    }
+  /** Messages of one connection that wait for the event loop. */
+  private static final int MAX_QUEUED_MESSAGES = 256;
 
-    /** The port it listens at. */
-    public int port() {
-        return listener.port();
-    }
+  /** Connections that wait to be accepted. */
+  private static final int ACCEPT_BACKLOG = 512;
 
-    /** What heartbeats are answered from now on; any thread. */
-    public void good(boolean good) {
-        isHealthy = good;
-    }
+  /** Between looks for connections that may be evicted, while there are too many. */
+  private static final Duration EVICTION_INTERVAL = Duration.ofMillis(10);
 
-    /** Accepts no further connection; those that are open stay. */
-    @Override public void close() {
-        listener.close();
-    }
+  private final ConnectionLimits limits;
+  private final Supplier<Duration> clock;
+  private final Consumer<Consumer<RouterCore>> eventLoop;
+  private final ClientConnectionTable connections;
+  private final RequestHandler requests;
+  private final AtomicInteger openConnections = new AtomicInteger();
+  private final AtomicInteger queuedBytes = new AtomicInteger();
+  private final Object acceptLock = new Object();
 
-    // ------------------------------------------------------------------ on a selector thread
+  /** Guarded by the lock, as connections open and close on several threads. */
+  private boolean acceptPaused;
 
-    @Override public void opened(TcpConnection tcp) {
-        ClientConnection connection = new ClientConnection(tcp, clock, limits.maxUnsentBytes);
-        tcp.attachment = connection;
-        openConnections.incrementAndGet();
-        rules.events().record(Kind.CLIENT_CONNECTED, "accepted", tcp.id(), "");
-        updateAccepting();
-        eventLoop.accept(core -> {
-            connections.add(connection);
-            scheduleEviction(core);
-        });
-    }
+  /** Whether a further look for connections to evict is scheduled; event loop only. */
+  private boolean evictionScheduled;
 
-    @Override public void received(TcpConnection tcp, ByteBuffer bytes) {
-        ClientConnection connection = connectionOf(tcp);
-        Duration now = clock.get().minus(tcp.possibleDelay());
-        if (!connection.receive(bytes, frame -> frameReceived(connection, frame, now), now)) {
-            connection.close(ClientCloseReason.FRAME_OUT_OF_BOUNDS);
-        }
-    }
+  private volatile boolean isHealthy;
+  private final RuleChecker rules;
+  private final PauseDetector pauseDetector;
+  private volatile TcpConnection.Server listener;
 
-    @Override public void closed(TcpConnection tcp, String reason) {
-        openConnections.decrementAndGet();
-        updateAccepting();
-        ClientConnection connection = connectionOf(tcp);
-        connection.closed();
-        eventLoop.accept(core -> requests.connectionClosed(core, connection, reason));
-    }
+  /**
+   * A server that does not listen yet.
+   *
+   * @param settings the router's settings
+   * @param requestClasses index of each request class by its name
+   * @param tenants index of each tenant by its name; empty where requests have no tenant
+   * @param limits bounds of what clients may take
+   * @param clock time since the router's start
+   * @param eventLoop runs an event on the router's event loop
+   * @param rules passes each answer and close; its events hear of requests and connections
+   */
+  public ThriftServer(
+      RouterSettings settings,
+      Map<String, Integer> requestClasses,
+      Map<String, Integer> tenants,
+      ConnectionLimits limits,
+      Supplier<Duration> clock,
+      Consumer<Consumer<RouterCore>> eventLoop,
+      RuleChecker rules) {
+    this.limits = limits;
+    this.clock = clock;
+    this.eventLoop = eventLoop;
+    this.rules = rules;
+    pauseDetector = new PauseDetector(limits.sweepInterval, clock.get());
+    connections = new ClientConnectionTable(limits.maxConnections, limits.receiveTimeout);
+    requests =
+        new RequestHandler(
+            new NameDirectory(settings, requestClasses, tenants), limits, connections, rules);
+  }
 
-    /**
-     * Accepts while there is room. A client past the bound waits in the system's backlog: a connection that
-     * is accepted and closed again may hold a request already.
-     */
-    private void updateAccepting() {
-        synchronized (acceptLock) {
-            boolean hasRoom = openConnections.get() < limits.maxConnections + limits.maxExcessConnections;
-            if (hasRoom == acceptPaused && listener != null) {
-                acceptPaused = !hasRoom;
-                if (hasRoom) {
-                    listener.resume();
-                } else {
-                    listener.pause();
-                }
-            }
-        }
-    }
+  /** Listens; port 0 takes any. */
+  public void listen(NetworkTransport net, String host, int port) throws IOException {
+    listener = TcpConnection.listen(net, host, port, ACCEPT_BACKLOG, this);
+  }
 
-    private static ClientConnection connectionOf(TcpConnection tcp) {
-        return (ClientConnection) tcp.attachment;
-    }
+  /** The port it listens at. */
+  public int port() {
+    return listener.port();
+  }
 
-    private void frameReceived(ClientConnection connection, byte[] frame, Duration now) {
-        if (!connection.isOpen()) {
-            return; // closed by an earlier frame of the same read
-        }
-        connection.messageReceived();
-        try {
-            messageReceived(connection, ThriftMessageDecoder.decode(frame), frame.length, now);
-        } catch (MalformedMessageException e) {
-            if (e.method() != null) {
-                connection.sendLast(
-                    ThriftResponseEncoder.protocolError(e.method(), e.sequenceId(), e.getMessage()));
-            }
-            connection.close(ClientCloseReason.UNREADABLE_MESSAGE);
-        }
-    }
+  /** What heartbeats are answered from now on; any thread. */
+  public void good(boolean good) {
+    isHealthy = good;
+  }
 
-    private void messageReceived(ClientConnection connection, ThriftMessage message, int messageBytes,
-        Duration now) {
-        if (!message.type().isRequest()) {
-            connection.close(ClientCloseReason.REPLY_FROM_CLIENT);
-            return;
-        }
-        String method = message.method();
-        switch (method) {
-            case WireNames.HEARTBEAT -> connection.send(
-                ThriftResponseEncoder.heartbeat(method, message.sequenceId(), isHealthy));
-            case WireNames.SUBMIT, WireNames.REVOKE -> enqueue(connection, message, messageBytes, now);
-            default -> connection.send(ThriftResponseEncoder.unknownMethod(method, message.sequenceId()));
-        }
-    }
+  /** Accepts no further connection; those that are open stay. */
+  @Override
+  public void close() {
+    listener.close();
+  }
 
-    private void enqueue(ClientConnection connection, ThriftMessage message, int messageBytes, Duration now) {
-        boolean isRevoke = message.method().equals(WireNames.REVOKE);
-        boolean fits = connection.messageQueued() <= MAX_QUEUED_MESSAGES && !connection.isEvicting();
-        if (!fits && isRevoke) {
-            connection.close(ClientCloseReason.QUEUE_OVERFLOW); // it has no reply that could refuse it
-            return;
-        }
-        // a revoke is small, and bounded by the messages of its connection
-        if (!fits || !isRevoke && !reserveQueuedBytes(messageBytes)) {
-            connection.messageDequeued();
-            requests.refuseUnseen(connection, message.sequenceId());
-            return;
-        }
-        if (isRevoke) {
-            connection.revokeReceived(message.firstInteger(), now);
-        }
-        eventLoop.accept(core -> {
-            connection.messageDequeued();
-            queuedBytes.addAndGet(isRevoke ? 0 : -messageBytes);
-            requests.messageReceived(core, connection, message, now);
+  // ------------------------------------------------------------------ on a selector thread
+
+  @Override
+  public void opened(TcpConnection tcp) {
+    ClientConnection connection = new ClientConnection(tcp, clock, limits.maxUnsentBytes);
+    tcp.attachment = connection;
+    openConnections.incrementAndGet();
+    rules.events().record(Kind.CLIENT_CONNECTED, "accepted", tcp.id(), "");
+    updateAccepting();
+    eventLoop.accept(
+        core -> {
+          connections.add(connection);
+          scheduleEviction(core);
         });
-    }
+  }
 
-    /** Takes a message's bytes out of the queue's budget; a message that does not fit takes nothing. */
-    private boolean reserveQueuedBytes(int messageBytes) {
-        if (queuedBytes.addAndGet(messageBytes) <= limits.maxRequestBytes) {
-            return true;
-        }
-        queuedBytes.addAndGet(-messageBytes); // or each flood would leave less for everybody, until a restart
-        return false;
+  @Override
+  public void received(TcpConnection tcp, ByteBuffer bytes) {
+    ClientConnection connection = connectionOf(tcp);
+    Duration now = clock.get().minus(tcp.possibleDelay());
+    if (!connection.receive(bytes, frame -> frameReceived(connection, frame, now), now)) {
+      connection.close(ClientCloseReason.FRAME_OUT_OF_BOUNDS);
     }
+  }
 
-    // ------------------------------------------------------------------ on the event loop
-
-    /** While there are too many connections, evicts what may go each interval: one look serves many. */
-    private void scheduleEviction(RouterCore core) {
-        if (!evictionScheduled && connections.size() > limits.maxConnections) {
-            evictionScheduled = true;
-            core.schedule(core.now().plus(EVICTION_INTERVAL), () -> {
-                evictionScheduled = false;
-                connections.evictExcess(core.now());
-                scheduleEviction(core);
-            });
+  @Override
+  public void closed(TcpConnection tcp, String reason) {
+    openConnections.decrementAndGet();
+    updateAccepting();
+    ClientConnection connection = connectionOf(tcp);
+    connection.closed();
+    eventLoop.accept(core -> requests.connectionClosed(core, connection, reason));
+  }
+
+  /**
+   * Accepts while there is room. A client past the bound waits in the system's backlog: a
+   * connection that is accepted and closed again may hold a request already.
+   */
+  private void updateAccepting() {
+    synchronized (acceptLock) {
+      boolean hasRoom = openConnections.get() < limits.maxConnections + limits.maxExcessConnections;
+      if (hasRoom == acceptPaused && listener != null) {
+        acceptPaused = !hasRoom;
+        if (hasRoom) {
+          listener.resume();
+        } else {
+          listener.pause();
         }
+      }
     }
+  }
 
-    /**
-     * Connections on which anything is under way: a request, a message in part or queued, a reply that is not
-     * written; those that the event loop has not heard of yet count too, and clients that could not be
-     * accepted as one.
-     */
-    public int busy() {
-        int unaccepted = listener.isHeldUp() ? 1 : 0;
-        return Math.max(0, openConnections.get() - connections.size()) + connections.busy() + unaccepted;
-    }
+  private static ClientConnection connectionOf(TcpConnection tcp) {
+    return (ClientConnection) tcp.attachment;
+  }
 
-    /** Fails all requests in flight, as none of them can be waited for any more. */
-    public void endAll(RouterCore core) {
-        requests.failAll(core);
+  private void frameReceived(ClientConnection connection, byte[] frame, Duration now) {
+    if (!connection.isOpen()) {
+      return; // closed by an earlier frame of the same read
+    }
+    connection.messageReceived();
+    try {
+      messageReceived(connection, ThriftMessageDecoder.decode(frame), frame.length, now);
+    } catch (MalformedMessageException e) {
+      if (e.method() != null) {
+        connection.sendLast(
+            ThriftResponseEncoder.protocolError(e.method(), e.sequenceId(), e.getMessage()));
+      }
+      connection.close(ClientCloseReason.UNREADABLE_MESSAGE);
     }
+  }
 
-    /** Requests in flight. */
-    public int held() {
-        return requests.requestsInFlight();
+  private void messageReceived(
+      ClientConnection connection, ThriftMessage message, int messageBytes, Duration now) {
+    if (!message.type().isRequest()) {
+      connection.close(ClientCloseReason.REPLY_FROM_CLIENT);
+      return;
     }
+    String method = message.method();
+    switch (method) {
+      case WireNames.HEARTBEAT ->
+          connection.send(ThriftResponseEncoder.heartbeat(method, message.sequenceId(), isHealthy));
+      case WireNames.SUBMIT, WireNames.REVOKE -> enqueue(connection, message, messageBytes, now);
+      default -> connection.send(ThriftResponseEncoder.unknownMethod(method, message.sequenceId()));
+    }
+  }
 
-    /** Connections that the event loop knows. */
-    public int connections() {
-        return connections.size();
+  private void enqueue(
+      ClientConnection connection, ThriftMessage message, int messageBytes, Duration now) {
+    boolean isRevoke = message.method().equals(WireNames.REVOKE);
+    boolean fits = connection.messageQueued() <= MAX_QUEUED_MESSAGES && !connection.isEvicting();
+    if (!fits && isRevoke) {
+      connection.close(ClientCloseReason.QUEUE_OVERFLOW); // it has no reply that could refuse it
+      return;
+    }
+    // a revoke is small, and bounded by the messages of its connection
+    if (!fits || !isRevoke && !reserveQueuedBytes(messageBytes)) {
+      connection.messageDequeued();
+      requests.refuseUnseen(connection, message.sequenceId());
+      return;
     }
+    if (isRevoke) {
+      connection.revokeReceived(message.firstInteger(), now);
+    }
+    eventLoop.accept(
+        core -> {
+          connection.messageDequeued();
+          queuedBytes.addAndGet(isRevoke ? 0 : -messageBytes);
+          requests.messageReceived(core, connection, message, now);
+        });
+  }
 
-    /** Connections that the selector threads know; any thread. */
-    public int connected() {
-        return openConnections.get();
+  /**
+   * Takes a message's bytes out of the queue's budget; a message that does not fit takes nothing.
+   */
+  private boolean reserveQueuedBytes(int messageBytes) {
+    if (queuedBytes.addAndGet(messageBytes) <= limits.maxRequestBytes) {
+      return true;
     }
+    queuedBytes.addAndGet(
+        -messageBytes); // or each flood would leave less for everybody, until a restart
+    return false;
+  }
+
+  // ------------------------------------------------------------------ on the event loop
 
-    /** Closes connections that take too long for a message; to be called at the interval of the limits. */
-    public void sweep(Duration now) {
-        connections.pauseEnded(now, pauseDetector.heldUp(now));
-        connections.closeOverdue(now);
+  /**
+   * While there are too many connections, evicts what may go each interval: one look serves many.
+   */
+  private void scheduleEviction(RouterCore core) {
+    if (!evictionScheduled && connections.size() > limits.maxConnections) {
+      evictionScheduled = true;
+      core.schedule(
+          core.now().plus(EVICTION_INTERVAL),
+          () -> {
+            evictionScheduled = false;
+            connections.evictExcess(core.now());
+            scheduleEviction(core);
+          });
     }
+  }
+
+  /**
+   * Connections on which anything is under way: a request, a message in part or queued, a reply
+   * that is not written; those that the event loop has not heard of yet count too, and clients that
+   * could not be accepted as one.
+   */
+  public int busy() {
+    int unaccepted = listener.isHeldUp() ? 1 : 0;
+    return Math.max(0, openConnections.get() - connections.size())
+        + connections.busy()
+        + unaccepted;
+  }
+
+  /** Fails all requests in flight, as none of them can be waited for any more. */
+  public void endAll(RouterCore core) {
+    requests.failAll(core);
+  }
+
+  /** Requests in flight. */
+  public int held() {
+    return requests.requestsInFlight();
+  }
+
+  /** Connections that the event loop knows. */
+  public int connections() {
+    return connections.size();
+  }
+
+  /** Connections that the selector threads know; any thread. */
+  public int connected() {
+    return openConnections.get();
+  }
+
+  /**
+   * Closes connections that take too long for a message; to be called at the interval of the
+   * limits.
+   */
+  public void sweep(Duration now) {
+    connections.pauseEnded(now, pauseDetector.heldUp(now));
+    connections.closeOverdue(now);
+  }
 }
--- a/src/main/java/switchgap/protocol/thrift/ThriftType.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftType.java
@@ -2,20 +2,23 @@
 
 /** Type codes of the Thrift binary protocol, as they precede fields and elements of containers. */
 final class ThriftType {
-    /** Ends a struct; takes the place of a field's type. */
-    static final byte STOP = 0;
-    static final byte BOOL = 2;
-    static final byte BYTE = 3;
-    static final byte DOUBLE = 4;
-    static final byte I16 = 6;
-    static final byte I32 = 8;
-    static final byte I64 = 10;
-    /** Text and binary alike. */
-    static final byte STRING = 11;
-    static final byte STRUCT = 12;
-    static final byte MAP = 13;
-    static final byte SET = 14;
-    static final byte LIST = 15;
+  /** Ends a struct; takes the place of a field's type. */
+  static final byte STOP = 0;
 
-    private ThriftType() {}
+  static final byte BOOL = 2;
+  static final byte BYTE = 3;
+  static final byte DOUBLE = 4;
+  static final byte I16 = 6;
+  static final byte I32 = 8;
+  static final byte I64 = 10;
+
+  /** Text and binary alike. */
+  static final byte STRING = 11;
+
+  static final byte STRUCT = 12;
+  static final byte MAP = 13;
+  static final byte SET = 14;
+  static final byte LIST = 15;
+
+  private ThriftType() {}
 }
--- a/src/main/java/switchgap/protocol/thrift/package-info.java
+++ b/src/main/java/switchgap/protocol/thrift/package-info.java
@@ -1,8 +1,9 @@
 /**
  * The client side of the platform: framed Apache Thrift, strict binary protocol. The codec ({@link
- * switchgap.protocol.thrift.ThriftMessageDecoder}, {@link switchgap.protocol.thrift.ThriftResponseEncoder})
- * is free of sockets and clock; {@link switchgap.protocol.thrift.ThriftServer} reads connections on selector
- * threads, and {@link switchgap.protocol.thrift.RequestHandler} handles messages on the router's event loop.
- * No routing decision is made here.
+ * switchgap.protocol.thrift.ThriftMessageDecoder}, {@link
+ * switchgap.protocol.thrift.ThriftResponseEncoder}) is free of sockets and clock; {@link
+ * switchgap.protocol.thrift.ThriftServer} reads connections on selector threads, and {@link
+ * switchgap.protocol.thrift.RequestHandler} handles messages on the router's event loop. No routing
+ * decision is made here.
  */
 package switchgap.protocol.thrift;
--- a/src/main/java/switchgap/router/NameIndex.java
+++ b/src/main/java/switchgap/router/NameIndex.java
@@ -6,62 +6,62 @@
 import java.util.Map;
 
 /**
- * Names to small indices and back; a released index is handed out again. Not bounded: its owner limits the
- * names.
+ * Names to small indices and back; a released index is handed out again. Not bounded: its owner
+ * limits the names.
  */
 final class NameIndex {
-    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
-    private static final long FNV_PRIME = 0x100000001b3L;
-    private static final long MIX_MULTIPLIER = 0xff51afd7ed558ccdL; // of MurmurHash3's finalizer
-    private static final long HASH_BITS = 0xffffffffffL;
+  private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+  private static final long FNV_PRIME = 0x100000001b3L;
+  private static final long MIX_MULTIPLIER = 0xff51afd7ed558ccdL; // of MurmurHash3's finalizer
+  private static final long HASH_BITS = 0xffffffffffL;
 
-    private final Map<String, Integer> indices = new HashMap<>();
-    private final List<String> names = new ArrayList<>();
-    private final List<Integer> freeIndices = new ArrayList<>();
+  private final Map<String, Integer> indices = new HashMap<>();
+  private final List<String> names = new ArrayList<>();
+  private final List<Integer> freeIndices = new ArrayList<>();
 
-    /** The index of a name, or -1. */
-    int find(String name) {
-        return indices.getOrDefault(name, -1);
-    }
+  /** The index of a name, or -1. */
+  int find(String name) {
+    return indices.getOrDefault(name, -1);
+  }
 
-    /** The index of a name, a new one where it has none. */
-    int allocate(String name) {
-        Integer known = indices.get(name);
-        if (known != null) {
-            return known;
-        }
-        int index = freeIndices.isEmpty() ? names.size() : freeIndices.remove(freeIndices.size() - 1);
-        if (index == names.size()) {
-            names.add(name);
-        } else {
-            names.set(index, name);
-        }
-        indices.put(name, index);
-        return index;
+  /** The index of a name, a new one where it has none. */
+  int allocate(String name) {
+    Integer known = indices.get(name);
+    if (known != null) {
+      return known;
     }
-
-    String nameOf(int index) {
-        return names.get(index);
+    int index = freeIndices.isEmpty() ? names.size() : freeIndices.remove(freeIndices.size() - 1);
+    if (index == names.size()) {
+      names.add(name);
+    } else {
+      names.set(index, name);
     }
+    indices.put(name, index);
+    return index;
+  }
 
-    /** Frees an index for another name. */
-    void release(int index) {
-        if (indices.remove(names.get(index), index)) {
-            freeIndices.add(index);
-        }
-    }
+  String nameOf(int index) {
+    return names.get(index);
+  }
 
-    int size() {
-        return indices.size();
+  /** Frees an index for another name. */
+  void release(int index) {
+    if (indices.remove(names.get(index), index)) {
+      freeIndices.add(index);
     }
+  }
+
+  int size() {
+    return indices.size();
+  }
 
-    /** The same number at every router for the same name: FNV-1a, then mixed, 40 bits. */
-    static long hash(String name) {
-        long hash = FNV_OFFSET_BASIS;
-        for (int i = 0; i < name.length(); i++) {
-            hash = (hash ^ name.charAt(i)) * FNV_PRIME;
-        }
-        hash = (hash ^ (hash >>> 33)) * MIX_MULTIPLIER;
-        return (hash ^ (hash >>> 33)) & HASH_BITS;
+  /** The same number at every router for the same name: FNV-1a, then mixed, 40 bits. */
+  static long hash(String name) {
+    long hash = FNV_OFFSET_BASIS;
+    for (int i = 0; i < name.length(); i++) {
+      hash = (hash ^ name.charAt(i)) * FNV_PRIME;
     }
+    hash = (hash ^ (hash >>> 33)) * MIX_MULTIPLIER;
+    return (hash ^ (hash >>> 33)) & HASH_BITS;
+  }
 }
--- a/src/main/java/switchgap/router/PendingRequestTable.java
+++ b/src/main/java/switchgap/router/PendingRequestTable.java
@@ -8,61 +8,65 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Requests that the policy knows, by index. Bounded by whoever accepts requests. Belongs to the event loop.
+ * Requests that the policy knows, by index. Bounded by whoever accepts requests. Belongs to the
+ * event loop.
  */
 final class PendingRequestTable {
-    private final List<PendingRequest> byIndex = new ArrayList<>();
-    private final List<Integer> freeIndices = new ArrayList<>();
-    private int pending;
+  private final List<PendingRequest> byIndex = new ArrayList<>();
+  private final List<Integer> freeIndices = new ArrayList<>();
+  private int pending;
 
-    PendingRequest get(int index) {
-        return byIndex.get(index);
-    }
+  PendingRequest get(int index) {
+    return byIndex.get(index);
+  }
 
-    void add(PendingRequest request) {
-        if (freeIndices.isEmpty()) {
-            request.index = byIndex.size();
-            byIndex.add(request);
-        } else {
-            request.index = freeIndices.remove(freeIndices.size() - 1);
-            byIndex.set(request.index, request);
-        }
-        pending++;
+  void add(PendingRequest request) {
+    if (freeIndices.isEmpty()) {
+      request.index = byIndex.size();
+      byIndex.add(request);
+    } else {
+      request.index = freeIndices.remove(freeIndices.size() - 1);
+      byIndex.set(request.index, request);
     }
+    pending++;
+  }
 
-    /** A request that was added gets its final state. */
-    void end(PendingRequest request, PendingRequest.State state) {
-        request.state = state;
-        pending--;
-    }
+  /** A request that was added gets its final state. */
+  void end(PendingRequest request, PendingRequest.State state) {
+    request.state = state;
+    pending--;
+  }
 
-    /** Forgets a request that nothing refers to any more. */
-    void release(int index) {
-        byIndex.get(index).index = PendingRequest.NO_INDEX;
-        byIndex.set(index, null);
-        freeIndices.add(index);
-    }
+  /** Forgets a request that nothing refers to any more. */
+  void release(int index) {
+    byIndex.get(index).index = PendingRequest.NO_INDEX;
+    byIndex.set(index, null);
+    freeIndices.add(index);
+  }
 
-    /** Requests without their final state. */
-    int pending() {
-        return pending;
-    }
+  /** Requests without their final state. */
+  int pending() {
+    return pending;
+  }
 
-    /** Requests that the policy knows: also those with attempts in flight after their end. */
-    int unsettled() {
-        return byIndex.size() - freeIndices.size();
-    }
+  /** Requests that the policy knows: also those with attempts in flight after their end. */
+  int unsettled() {
+    return byIndex.size() - freeIndices.size();
+  }
 
-    /** Sum of the weights of pending requests without an attempt in flight, by function. */
-    Map<String, Double> queuedWeightByFunction(ToDoubleFunction<PendingRequest> weight) {
-        Map<String, Double> weights = new HashMap<>();
-        byIndex.stream().filter(Objects::nonNull).filter(PendingRequestTable::isQueued).forEach(
+  /** Sum of the weights of pending requests without an attempt in flight, by function. */
+  Map<String, Double> queuedWeightByFunction(ToDoubleFunction<PendingRequest> weight) {
+    Map<String, Double> weights = new HashMap<>();
+    byIndex.stream()
+        .filter(Objects::nonNull)
+        .filter(PendingRequestTable::isQueued)
+        .forEach(
             request -> weights.merge(request.function, weight.applyAsDouble(request), Double::sum));
-        return weights;
-    }
+    return weights;
+  }
 
-    private static boolean isQueued(PendingRequest request) {
-        return request.state == PendingRequest.State.PENDING
-            && request.attempts.stream().allMatch(attempt -> attempt.ended);
-    }
+  private static boolean isQueued(PendingRequest request) {
+    return request.state == PendingRequest.State.PENDING
+        && request.attempts.stream().allMatch(attempt -> attempt.ended);
+  }
 }
--- a/src/main/java/switchgap/scenario/AnswersRule.java
+++ b/src/main/java/switchgap/scenario/AnswersRule.java
@@ -7,70 +7,91 @@
  * afterwards.
  */
 final class AnswersRule extends InvariantRule {
-    private int attempts;
-    private int dueWhilePaused;
+  private int attempts;
+  private int dueWhilePaused;
 
-    AnswersRule(ScenarioLog log) {
-        super(InvariantChecker.Invariant.ANSWERS, log);
-    }
+  AnswersRule(ScenarioLog log) {
+    super(InvariantChecker.Invariant.ANSWERS, log);
+  }
 
-    @Override void check() {
-        for (ScenarioLog.LateResponse response : log.lateResponses()) {
-            violated(response.call() + " got an answer " + response.lateBy() / MICROS_PER_MILLI
-                + " ms after its limit, " + clientLine(response.line()));
-        }
-        for (ObservedAttempt attempt : log.attempts()) {
-            attempts++;
-            checkResponses(attempt);
-            checkExecutions(attempt);
-        }
+  @Override
+  void check() {
+    for (ScenarioLog.LateResponse response : log.lateResponses()) {
+      violated(
+          response.call()
+              + " got an answer "
+              + response.lateBy() / MICROS_PER_MILLI
+              + " ms after its limit, "
+              + clientLine(response.line()));
+    }
+    for (ObservedAttempt attempt : log.attempts()) {
+      attempts++;
+      checkResponses(attempt);
+      checkExecutions(attempt);
     }
+  }
 
-    private void checkResponses(ObservedAttempt attempt) {
-        if (attempt.finalResponses == 0 && !mayBeUnanswered(attempt)) {
-            violated(attempt.call + " got no final answer (" + attempt.end + "), "
-                + clientLine(attempt.sentLine));
-        }
-        if (attempt.finalResponses > 1) {
-            violated(attempt.call + " got " + attempt.finalResponses + " final answers, "
-                + clientLine(attempt.answeredLine));
-        }
+  private void checkResponses(ObservedAttempt attempt) {
+    if (attempt.finalResponses == 0 && !mayBeUnanswered(attempt)) {
+      violated(
+          attempt.call
+              + " got no final answer ("
+              + attempt.end
+              + "), "
+              + clientLine(attempt.sentLine));
     }
+    if (attempt.finalResponses > 1) {
+      violated(
+          attempt.call
+              + " got "
+              + attempt.finalResponses
+              + " final answers, "
+              + clientLine(attempt.answeredLine));
+    }
+  }
 
-    /**
-     * A router that is paused can't answer what falls due meanwhile: silence is right then, a late answer is
-     * not.
-     */
-    private boolean mayBeUnanswered(ObservedAttempt attempt) {
-        if (attempt.endedAs(ClientOutcome.UNREACHABLE)
-            || log.outages().wasDead(attempt.router, attempt.sentAt, attempt.deadline)) {
-            return true;
-        }
-        boolean paused = log.outages().wasPaused(attempt.router, attempt.deadline);
-        dueWhilePaused += paused ? 1 : 0;
-        return paused;
+  /**
+   * A router that is paused can't answer what falls due meanwhile: silence is right then, a late
+   * answer is not.
+   */
+  private boolean mayBeUnanswered(ObservedAttempt attempt) {
+    if (attempt.endedAs(ClientOutcome.UNREACHABLE)
+        || log.outages().wasDead(attempt.router, attempt.sentAt, attempt.deadline)) {
+      return true;
     }
+    boolean paused = log.outages().wasPaused(attempt.router, attempt.deadline);
+    dueWhilePaused += paused ? 1 : 0;
+    return paused;
+  }
 
-    private void checkExecutions(ObservedAttempt attempt) {
-        long end = attempt.finalResponses > 0 ? attempt.answeredAt : attempt.deadline;
-        for (ObservedExecution execution : attempt.executions) {
-            if (execution.arrivedAt > end + log.slack()) {
-                violated(attempt.call + " was sent " + (execution.arrivedAt - end) / MICROS_PER_MILLI
-                    + " ms after its end, " + fleetLine(execution.line));
-            }
-        }
+  private void checkExecutions(ObservedAttempt attempt) {
+    long end = attempt.finalResponses > 0 ? attempt.answeredAt : attempt.deadline;
+    for (ObservedExecution execution : attempt.executions) {
+      if (execution.arrivedAt > end + log.slack()) {
+        violated(
+            attempt.call
+                + " was sent "
+                + (execution.arrivedAt - end) / MICROS_PER_MILLI
+                + " ms after its end, "
+                + fleetLine(execution.line));
+      }
     }
+  }
 
-    @Override String summary() {
-        String summary = attempts + " calls; " + log.endCounts();
-        if (log.responsesWithinSlack() > 0) {
-            summary += "; " + log.responsesWithinSlack()
-                + " answers were seen past the limit, within the slack of "
-                + log.slack() / MICROS_PER_MILLI + " ms";
-        }
-        if (dueWhilePaused > 0) {
-            summary += "; " + dueWhilePaused + " fell due while their router was stopped";
-        }
-        return summary;
+  @Override
+  String summary() {
+    String summary = attempts + " calls; " + log.endCounts();
+    if (log.responsesWithinSlack() > 0) {
+      summary +=
+          "; "
+              + log.responsesWithinSlack()
+              + " answers were seen past the limit, within the slack of "
+              + log.slack() / MICROS_PER_MILLI
+              + " ms";
+    }
+    if (dueWhilePaused > 0) {
+      summary += "; " + dueWhilePaused + " fell due while their router was stopped";
     }
+    return summary;
+  }
 }
--- a/src/main/java/switchgap/scenario/EmulatorHost.java
+++ b/src/main/java/switchgap/scenario/EmulatorHost.java
@@ -6,44 +6,50 @@
 
 /** The emulator of a scenario alone, for routers that are started by hand. */
 public final class EmulatorHost {
-    private EmulatorHost() {}
+  private EmulatorHost() {}
 
-    /**
-     * Runs until interrupted: model servers, store and endpoint list.
-     *
-     * @param file      the scenario
-     * @param directory receives the routers' configurations and the logs
-     * @param script    whether the fault script is played
-     * @param out       receives the addresses
-     */
-    public static void run(Path file, Path directory, boolean script, PrintStream out)
-        throws IOException, InterruptedException {
-        Scenario scenario = Scenario.read(file);
-        try (TestBed testBed = new TestBed(scenario, directory, null, false)) {
-            printAddresses(testBed, directory, out);
-            if (script) {
-                testBed.scheduler.post(() -> new FaultScript(testBed).start());
-            }
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> finish(testBed, out), "emulator-shutdown"));
-            Thread.currentThread().join();
-        }
+  /**
+   * Runs until interrupted: model servers, store and endpoint list.
+   *
+   * @param file the scenario
+   * @param directory receives the routers' configurations and the logs
+   * @param script whether the fault script is played
+   * @param out receives the addresses
+   */
+  public static void run(Path file, Path directory, boolean script, PrintStream out)
+      throws IOException, InterruptedException {
+    Scenario scenario = Scenario.read(file);
+    try (TestBed testBed = new TestBed(scenario, directory, null, false)) {
+      printAddresses(testBed, directory, out);
+      if (script) {
+        testBed.scheduler.post(() -> new FaultScript(testBed).start());
+      }
+      Runtime.getRuntime()
+          .addShutdownHook(new Thread(() -> finish(testBed, out), "emulator-shutdown"));
+      Thread.currentThread().join();
     }
+  }
 
-    private static void printAddresses(TestBed testBed, Path directory, PrintStream out) {
-        out.println("list service at 127.0.0.1:" + testBed.endpointList.port());
-        testBed.fleet.servers().forEach(
-            server -> out.println(server.name() + " at 127.0.0.1:" + server.port()));
-        for (int i = 0; i < testBed.scenario.routers(); i++) {
-            out.println("./switchgap router " + directory.resolve("router-" + i + ".yaml")
-                + "   # will listen at 127.0.0.1:" + testBed.routers.port(i));
-        }
+  private static void printAddresses(TestBed testBed, Path directory, PrintStream out) {
+    out.println("list service at 127.0.0.1:" + testBed.endpointList.port());
+    testBed
+        .fleet
+        .servers()
+        .forEach(server -> out.println(server.name() + " at 127.0.0.1:" + server.port()));
+    for (int i = 0; i < testBed.scenario.routers(); i++) {
+      out.println(
+          "./switchgap router "
+              + directory.resolve("router-" + i + ".yaml")
+              + "   # will listen at 127.0.0.1:"
+              + testBed.routers.port(i));
     }
+  }
 
-    private static void finish(TestBed testBed, PrintStream out) {
-        try {
-            testBed.finish();
-        } catch (IOException e) {
-            out.println("the logs are not whole: " + e.getMessage());
-        }
+  private static void finish(TestBed testBed, PrintStream out) {
+    try {
+      testBed.finish();
+    } catch (IOException e) {
+      out.println("the logs are not whole: " + e.getMessage());
     }
+  }
 }
--- a/src/main/java/switchgap/scenario/EventLog.java
+++ b/src/main/java/switchgap/scenario/EventLog.java
@@ -11,44 +11,45 @@
 
 /** Reads the logs of a played scenario; one that does not end with its last line is refused. */
 final class EventLog {
-    static final String SCENARIO = "day.yaml";
-    static final String FLEET = "fleet.jsonl";
-    static final String CLIENTS = "clients.jsonl";
-    static final String LIST = "list.jsonl";
-    static final String SCRIPT = "script.jsonl";
-    private static final ObjectMapper JSON = new ObjectMapper();
+  static final String SCENARIO = "day.yaml";
+  static final String FLEET = "fleet.jsonl";
+  static final String CLIENTS = "clients.jsonl";
+  static final String LIST = "list.jsonl";
+  static final String SCRIPT = "script.jsonl";
+  private static final ObjectMapper JSON = new ObjectMapper();
 
-    private EventLog() {}
+  private EventLog() {}
 
-    /**
-     * All lines of a log.
-     *
-     * @throws IOException when the log is missing, cut off or unreadable
-     */
-    static List<LogLine> read(Path file) throws IOException {
-        List<LogLine> lines = new ArrayList<>();
-        try (BufferedReader reader = Files.newBufferedReader(file)) {
-            for (String text = reader.readLine(); text != null; text = reader.readLine()) {
-                lines.add(parse(file, lines.size() + 1, text));
-            }
-        }
-        if (lines.isEmpty() || !lines.get(lines.size() - 1).is("end")) {
-            throw new IOException(
-                file + ":" + lines.size() + ": the log is cut off: its last line is not the end");
-        }
-        return lines;
+  /**
+   * All lines of a log.
+   *
+   * @throws IOException when the log is missing, cut off or unreadable
+   */
+  static List<LogLine> read(Path file) throws IOException {
+    List<LogLine> lines = new ArrayList<>();
+    try (BufferedReader reader = Files.newBufferedReader(file)) {
+      for (String text = reader.readLine(); text != null; text = reader.readLine()) {
+        lines.add(parse(file, lines.size() + 1, text));
+      }
     }
+    if (lines.isEmpty() || !lines.get(lines.size() - 1).is("end")) {
+      throw new IOException(
+          file + ":" + lines.size() + ": the log is cut off: its last line is not the end");
+    }
+    return lines;
+  }
 
-    private static LogLine parse(Path file, int number, String text) throws IOException {
-        try {
-            JsonNode fields = JSON.readTree(text);
-            if (fields == null || !fields.path(LogLine.TIME).isNumber()
-                || !fields.path(LogLine.KIND).isTextual()) {
-                throw new IOException("no time or kind");
-            }
-            return new LogLine(number, fields);
-        } catch (IOException e) {
-            throw new IOException(file + ":" + number + ": unusable line: " + e.getMessage(), e);
-        }
+  private static LogLine parse(Path file, int number, String text) throws IOException {
+    try {
+      JsonNode fields = JSON.readTree(text);
+      if (fields == null
+          || !fields.path(LogLine.TIME).isNumber()
+          || !fields.path(LogLine.KIND).isTextual()) {
+        throw new IOException("no time or kind");
+      }
+      return new LogLine(number, fields);
+    } catch (IOException e) {
+      throw new IOException(file + ":" + number + ": unusable line: " + e.getMessage(), e);
     }
+  }
 }
--- a/src/main/java/switchgap/scenario/FaultInjector.java
+++ b/src/main/java/switchgap/scenario/FaultInjector.java
@@ -2,6 +2,6 @@
 
 /** Injects some types of faults. */
 interface FaultInjector {
-    /** Injects a fault and schedules its end; false where the fault is of another type. */
-    boolean inject(Scenario.Fault fault);
+  /** Injects a fault and schedules its end; false where the fault is of another type. */
+  boolean inject(Scenario.Fault fault);
 }
--- a/src/main/java/switchgap/scenario/FaultScript.java
+++ b/src/main/java/switchgap/scenario/FaultScript.java
@@ -4,32 +4,49 @@
 
 /** Injects the faults of a scenario at their times. On the scheduler's thread. */
 final class FaultScript {
-    private final TestBed testBed;
-    private final List<FaultInjector> injectors;
+  private final TestBed testBed;
+  private final List<FaultInjector> injectors;
 
-    FaultScript(TestBed testBed) {
-        this.testBed = testBed;
-        LoadFaults loadFaults = new LoadFaults(testBed.scheduler, testBed.clients, testBed.catalogue,
-            testBed.store, testBed.scenario.customers());
-        this.injectors = List.of(loadFaults::bring, new WorkerFaultInjector(testBed),
-            new WorkerReplacementInjector(testBed), new ListFaultInjector(testBed),
+  FaultScript(TestBed testBed) {
+    this.testBed = testBed;
+    LoadFaults loadFaults =
+        new LoadFaults(
+            testBed.scheduler,
+            testBed.clients,
+            testBed.catalogue,
+            testBed.store,
+            testBed.scenario.customers());
+    this.injectors =
+        List.of(
+            loadFaults::bring,
+            new WorkerFaultInjector(testBed),
+            new WorkerReplacementInjector(testBed),
+            new ListFaultInjector(testBed),
             new RouterFaultInjector(testBed));
-    }
+  }
 
-    void start() {
-        for (Scenario.Fault fault : testBed.scenario.script()) {
-            testBed.scheduler.after(fault.at(), () -> inject(fault));
-        }
+  void start() {
+    for (Scenario.Fault fault : testBed.scenario.script()) {
+      testBed.scheduler.after(fault.at(), () -> inject(fault));
     }
+  }
 
-    private void inject(Scenario.Fault fault) {
-        testBed.recordFault("trouble", "verb", fault.verb().name(), "lasts", fault.lasts(), "part",
-            fault.part(), "size", fault.size());
-        for (FaultInjector injector : injectors) {
-            if (injector.inject(fault)) {
-                return;
-            }
-        }
-        throw new IllegalStateException("no injector for faults of type " + fault.verb());
+  private void inject(Scenario.Fault fault) {
+    testBed.recordFault(
+        "trouble",
+        "verb",
+        fault.verb().name(),
+        "lasts",
+        fault.lasts(),
+        "part",
+        fault.part(),
+        "size",
+        fault.size());
+    for (FaultInjector injector : injectors) {
+      if (injector.inject(fault)) {
+        return;
+      }
     }
+    throw new IllegalStateException("no injector for faults of type " + fault.verb());
+  }
 }
--- a/src/main/java/switchgap/scenario/InProcessRouter.java
+++ b/src/main/java/switchgap/scenario/InProcessRouter.java
@@ -7,35 +7,40 @@
 
 /** A router inside this process; it can't be paused. */
 final class InProcessRouter implements RouterHost {
-    private final Path config;
-    private GatewayRouter gateway;
-
-    InProcessRouter(Path config) {
-        this.config = config;
-    }
-
-    @Override public void start() throws IOException {
-        gateway = new GatewayRouter(GatewayConfig.read(config));
-    }
-
-    @Override public boolean runs() {
-        return gateway != null;
+  private final Path config;
+  private GatewayRouter gateway;
+
+  InProcessRouter(Path config) {
+    this.config = config;
+  }
+
+  @Override
+  public void start() throws IOException {
+    gateway = new GatewayRouter(GatewayConfig.read(config));
+  }
+
+  @Override
+  public boolean runs() {
+    return gateway != null;
+  }
+
+  @Override
+  public void kill() {
+    if (gateway != null) {
+      gateway.close();
     }
-
-    @Override public void kill() {
-        if (gateway != null) {
-            gateway.close();
-        }
-        gateway = null;
-    }
-
-    @Override public boolean pause(boolean paused) {
-        return false;
-    }
-
-    @Override public void stop() {
-        if (gateway != null) {
-            gateway.stop();
-        }
+    gateway = null;
+  }
+
+  @Override
+  public boolean pause(boolean paused) {
+    return false;
+  }
+
+  @Override
+  public void stop() {
+    if (gateway != null) {
+      gateway.stop();
     }
+  }
 }
--- a/src/main/java/switchgap/scenario/ListFaultInjector.java
+++ b/src/main/java/switchgap/scenario/ListFaultInjector.java
@@ -2,32 +2,33 @@
 
 /** Injects faults of the endpoint list and of the zones that traffic goes to. */
 final class ListFaultInjector implements FaultInjector {
-    private static final double MICROS_PER_SECOND = 1e6;
-    private final TestBed testBed;
+  private static final double MICROS_PER_SECOND = 1e6;
+  private final TestBed testBed;
 
-    ListFaultInjector(TestBed testBed) {
-        this.testBed = testBed;
-    }
+  ListFaultInjector(TestBed testBed) {
+    this.testBed = testBed;
+  }
 
-    @Override public boolean inject(Scenario.Fault fault) {
-        switch (fault.verb()) {
-            case TRAFFIC_MOVED -> {
-                testBed.clients.moveTo(fault.target() == null ? testBed.scenario.zone(0) : fault.target());
-                testBed.scheduler.after(fault.lasts(), () -> testBed.clients.moveTo(null));
-            }
-            case LIST_LATE -> {
-                long usualLag = testBed.scenario.listLag();
-                testBed.endpointList.lag(usualLag + (long) (fault.size() * MICROS_PER_SECOND));
-                testBed.scheduler.after(fault.lasts(), () -> testBed.endpointList.lag(usualLag));
-            }
-            case LIST_AWAY -> {
-                testBed.endpointList.away(true);
-                testBed.scheduler.after(fault.lasts(), () -> testBed.endpointList.away(false));
-            }
-            default -> {
-                return false;
-            }
-        }
-        return true;
+  @Override
+  public boolean inject(Scenario.Fault fault) {
+    switch (fault.verb()) {
+      case TRAFFIC_MOVED -> {
+        testBed.clients.moveTo(fault.target() == null ? testBed.scenario.zone(0) : fault.target());
+        testBed.scheduler.after(fault.lasts(), () -> testBed.clients.moveTo(null));
+      }
+      case LIST_LATE -> {
+        long usualLag = testBed.scenario.listLag();
+        testBed.endpointList.lag(usualLag + (long) (fault.size() * MICROS_PER_SECOND));
+        testBed.scheduler.after(fault.lasts(), () -> testBed.endpointList.lag(usualLag));
+      }
+      case LIST_AWAY -> {
+        testBed.endpointList.away(true);
+        testBed.scheduler.after(fault.lasts(), () -> testBed.endpointList.away(false));
+      }
+      default -> {
+        return false;
+      }
     }
+    return true;
+  }
 }
--- a/src/main/java/switchgap/scenario/LogLine.java
+++ b/src/main/java/switchgap/scenario/LogLine.java
@@ -4,44 +4,44 @@
 
 /** One line of an event log; {@code number} counts from 1. */
 record LogLine(int number, JsonNode fields) {
-    static final String TIME = "t";
-    static final String KIND = "what";
-
-    /** Time in microseconds. */
-    long at() {
-        return fields.get(TIME).asLong();
-    }
-
-    String kind() {
-        return text(KIND);
-    }
-
-    boolean is(String kind) {
-        return kind().equals(kind);
-    }
-
-    /** A text, empty where it is absent. */
-    String text(String name) {
-        return fields.path(name).asText("");
-    }
-
-    /** A whole number, -1 where it is absent. */
-    int integer(String name) {
-        return fields.path(name).asInt(-1);
-    }
-
-    /** A whole number that every line of its kind has. */
-    long requiredLong(String name) {
-        return fields.get(name).asLong();
-    }
-
-    /** A number that every line of its kind has. */
-    double requiredDouble(String name) {
-        return fields.get(name).asDouble();
-    }
-
-    /** A truth value, false where it is absent. */
-    boolean flag(String name) {
-        return fields.path(name).asBoolean();
-    }
+  static final String TIME = "t";
+  static final String KIND = "what";
+
+  /** Time in microseconds. */
+  long at() {
+    return fields.get(TIME).asLong();
+  }
+
+  String kind() {
+    return text(KIND);
+  }
+
+  boolean is(String kind) {
+    return kind().equals(kind);
+  }
+
+  /** A text, empty where it is absent. */
+  String text(String name) {
+    return fields.path(name).asText("");
+  }
+
+  /** A whole number, -1 where it is absent. */
+  int integer(String name) {
+    return fields.path(name).asInt(-1);
+  }
+
+  /** A whole number that every line of its kind has. */
+  long requiredLong(String name) {
+    return fields.get(name).asLong();
+  }
+
+  /** A number that every line of its kind has. */
+  double requiredDouble(String name) {
+    return fields.get(name).asDouble();
+  }
+
+  /** A truth value, false where it is absent. */
+  boolean flag(String name) {
+    return fields.path(name).asBoolean();
+  }
 }
--- a/src/main/java/switchgap/scenario/LoopbackPorts.java
+++ b/src/main/java/switchgap/scenario/LoopbackPorts.java
@@ -8,50 +8,50 @@
 
 /** Loopback ports for the programs that a test bed starts. */
 public final class LoopbackPorts {
-    private static final long LISTEN_TIMEOUT_NANOS = 15_000_000_000L;
-    private static final long POLL_PERIOD_MILLIS = 20;
+  private static final long LISTEN_TIMEOUT_NANOS = 15_000_000_000L;
+  private static final long POLL_PERIOD_MILLIS = 20;
 
-    private LoopbackPorts() {}
+  private LoopbackPorts() {}
 
-    /** Finds free ports, all bound until all are known: found one by one they may all be the same. */
-    public static int[] free(int count) throws IOException {
-        List<ServerSocket> sockets = new ArrayList<>();
-        try {
-            for (int i = 0; i < count; i++) {
-                sockets.add(new ServerSocket(0));
-            }
-            return sockets.stream().mapToInt(ServerSocket::getLocalPort).toArray();
-        } finally {
-            for (ServerSocket socket : sockets) {
-                socket.close();
-            }
-        }
+  /** Finds free ports, all bound until all are known: found one by one they may all be the same. */
+  public static int[] free(int count) throws IOException {
+    List<ServerSocket> sockets = new ArrayList<>();
+    try {
+      for (int i = 0; i < count; i++) {
+        sockets.add(new ServerSocket(0));
+      }
+      return sockets.stream().mapToInt(ServerSocket::getLocalPort).toArray();
+    } finally {
+      for (ServerSocket socket : sockets) {
+        socket.close();
+      }
     }
+  }
 
-    /**
-     * Waits until a program listens at a port.
-     *
-     * @throws IOException when none does in time
-     */
-    public static void await(int port) throws IOException {
-        long deadline = System.nanoTime() + LISTEN_TIMEOUT_NANOS;
-        while (true) {
-            try (Socket socket = new Socket("127.0.0.1", port)) {
-                return;
-            } catch (IOException e) {
-                if (System.nanoTime() > deadline) {
-                    throw new IOException("nothing listens at " + port, e);
-                }
-                pause();
-            }
+  /**
+   * Waits until a program listens at a port.
+   *
+   * @throws IOException when none does in time
+   */
+  public static void await(int port) throws IOException {
+    long deadline = System.nanoTime() + LISTEN_TIMEOUT_NANOS;
+    while (true) {
+      try (Socket socket = new Socket("127.0.0.1", port)) {
+        return;
+      } catch (IOException e) {
+        if (System.nanoTime() > deadline) {
+          throw new IOException("nothing listens at " + port, e);
         }
+        pause();
+      }
     }
+  }
 
-    private static void pause() {
-        try {
-            Thread.sleep(POLL_PERIOD_MILLIS);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+  private static void pause() {
+    try {
+      Thread.sleep(POLL_PERIOD_MILLIS);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+  }
 }
--- a/src/main/java/switchgap/scenario/RouterAddress.java
+++ b/src/main/java/switchgap/scenario/RouterAddress.java
@@ -1,26 +1,27 @@
 package switchgap.scenario;
 
 /**
- * The loopback address from which each router connects to its workers: it tells the logs who sent a request.
+ * The loopback address from which each router connects to its workers: it tells the logs who sent a
+ * request.
  */
 final class RouterAddress {
-    private static final int ROUTERS_PER_SUBNET = 250;
-    private static final int ADDRESS_PARTS = 4;
-    private static final int UNKNOWN = -1;
+  private static final int ROUTERS_PER_SUBNET = 250;
+  private static final int ADDRESS_PARTS = 4;
+  private static final int UNKNOWN = -1;
 
-    private RouterAddress() {}
+  private RouterAddress() {}
 
-    /** The address of a router. */
-    static String of(int router) {
-        return "127.1." + (router / ROUTERS_PER_SUBNET) + "." + (router % ROUTERS_PER_SUBNET + 1);
-    }
+  /** The address of a router. */
+  static String of(int router) {
+    return "127.1." + (router / ROUTERS_PER_SUBNET) + "." + (router % ROUTERS_PER_SUBNET + 1);
+  }
 
-    /** The router of an address, -1 for another address. */
-    static int routerOf(String address) {
-        String[] parts = address.split("\\.");
-        if (parts.length != ADDRESS_PARTS || !parts[1].equals("1")) {
-            return UNKNOWN;
-        }
-        return Integer.parseInt(parts[2]) * ROUTERS_PER_SUBNET + Integer.parseInt(parts[3]) - 1;
+  /** The router of an address, -1 for another address. */
+  static int routerOf(String address) {
+    String[] parts = address.split("\\.");
+    if (parts.length != ADDRESS_PARTS || !parts[1].equals("1")) {
+      return UNKNOWN;
     }
+    return Integer.parseInt(parts[2]) * ROUTERS_PER_SUBNET + Integer.parseInt(parts[3]) - 1;
+  }
 }
--- a/src/main/java/switchgap/scenario/RouterConfigWriter.java
+++ b/src/main/java/switchgap/scenario/RouterConfigWriter.java
@@ -12,148 +12,164 @@
 
 /** Writes the configuration of a scenario's routers, as YAML. */
 final class RouterConfigWriter {
-    private static final long MICROS_PER_MILLI = 1000;
-    /** Keys of a request class that only the emulator reads. */
-    private static final List<String> EMULATOR_KEYS = List.of("share", "memory", "lanes", "load", "work",
-        "io", "spread");
-    /** Sections that are copied as they stand. */
-    private static final List<String> COPIED_SECTIONS = List.of("workers", "rules", "prices", "holds",
-        "links", "levels");
-    private final ScenarioSettings settings;
-    private final Map<String, Object> document;
-
-    /** The document is the scenario's, as plain maps and lists. */
-    RouterConfigWriter(ScenarioSettings settings, Map<String, Object> document) {
-        this.settings = settings;
-        this.document = document;
-    }
+  private static final long MICROS_PER_MILLI = 1000;
 
-    /**
-     * The configuration of one router.
-     *
-     * @param number    index of the router
-     * @param port      port that it listens at
-     * @param listPort  port of the endpoint list service
-     * @param catalogue functions of the scenario
-     * @param overrides values in place of the scenario's, as YAML, by {@code section.key}
-     */
-    String write(int number, int port, int listPort, FunctionCatalogue catalogue,
-        Map<String, String> overrides) {
-        Map<String, Object> config = new LinkedHashMap<>();
-        config.put("router", router(number));
-        config.put("seed", settings.timing().seed() + number);
-        config.put("zones", settings.zones());
-        config.put("kinds", kinds());
-        config.put("workloads", requestClasses());
-        config.put("customers", tenants());
-        config.put("functions", functions(catalogue));
-        copySections(config);
-        section(config, "links").put("from", RouterAddress.of(number));
-        section(config, "workers").put("keep_alive",
-            millis(settings.fleet().limits().keepAlive()));
-        config.put("listen", Map.of("port", port));
-        config.put("list", Map.of("port", listPort));
-        overrides.forEach((path, value) -> override(config, path, value));
-        return new Yaml().dump(config);
-    }
+  /** Keys of a request class that only the emulator reads. */
+  private static final List<String> EMULATOR_KEYS =
+      List.of("share", "memory", "lanes", "load", "work", "io", "spread");
 
-    private Map<String, Object> router(int number) {
-        Map<String, Object> stated = child(document, "routers");
-        Map<String, Object> router = new LinkedHashMap<>();
-        router.put("number", number);
-        router.put("of", settings.routers().count());
-        router.put("zone", settings.zones().get(settings.zoneIndex(number)));
-        router.put("tick", settings.timing().tick());
-        router.put("executions", settings.routers().maxAttempts());
-        router.put("most_come_back", stated.getOrDefault("most_come_back", "1s"));
-        router.put("second_executions", stated.getOrDefault("second_executions", false));
-        return router;
-    }
+  /** Sections that are copied as they stand. */
+  private static final List<String> COPIED_SECTIONS =
+      List.of("workers", "rules", "prices", "holds", "links", "levels");
 
-    private Map<String, Object> kinds() {
-        Map<String, Object> kinds = new LinkedHashMap<>();
-        settings.fleet().kinds().forEach(kind -> kinds.put(kind.name(), Map.of("memory", kind.memoryMb())));
-        return kinds;
-    }
+  private final ScenarioSettings settings;
+  private final Map<String, Object> document;
 
-    private Map<String, Object> requestClasses() {
-        Map<String, Object> stated = child(document, "workloads");
-        Map<String, Object> requestClasses = new LinkedHashMap<>();
-        for (String name : stated.keySet()) {
-            Map<String, Object> requestClass = new LinkedHashMap<>(child(stated, name));
-            EMULATOR_KEYS.forEach(requestClass::remove);
-            requestClasses.put(name, requestClass);
-        }
-        return requestClasses;
-    }
+  /** The document is the scenario's, as plain maps and lists. */
+  RouterConfigWriter(ScenarioSettings settings, Map<String, Object> document) {
+    this.settings = settings;
+    this.document = document;
+  }
 
-    private Map<String, Object> tenants() {
-        Map<String, Object> stated = child(document, "customers");
-        Map<String, Object> tenants = new LinkedHashMap<>();
-        for (String name : stated.keySet()) {
-            tenants.put(name, Map.of("rate", child(stated, name).get("rate")));
-        }
-        return tenants;
-    }
+  /**
+   * The configuration of one router.
+   *
+   * @param number index of the router
+   * @param port port that it listens at
+   * @param listPort port of the endpoint list service
+   * @param catalogue functions of the scenario
+   * @param overrides values in place of the scenario's, as YAML, by {@code section.key}
+   */
+  String write(
+      int number,
+      int port,
+      int listPort,
+      FunctionCatalogue catalogue,
+      Map<String, String> overrides) {
+    Map<String, Object> config = new LinkedHashMap<>();
+    config.put("router", router(number));
+    config.put("seed", settings.timing().seed() + number);
+    config.put("zones", settings.zones());
+    config.put("kinds", kinds());
+    config.put("workloads", requestClasses());
+    config.put("customers", tenants());
+    config.put("functions", functions(catalogue));
+    copySections(config);
+    section(config, "links").put("from", RouterAddress.of(number));
+    section(config, "workers").put("keep_alive", millis(settings.fleet().limits().keepAlive()));
+    config.put("listen", Map.of("port", port));
+    config.put("list", Map.of("port", listPort));
+    overrides.forEach((path, value) -> override(config, path, value));
+    return new Yaml().dump(config);
+  }
 
-    private Map<String, Object> functions(FunctionCatalogue catalogue) {
-        Map<String, Object> functions = new LinkedHashMap<>();
-        catalogue.functions().stream().sorted(Comparator.comparing(FunctionModel::name)).forEach(
-            model -> functions.put(model.name(),
-                function(model.workload(), model.memoryMb(), model.slots(), model.loadTime())));
-        List<FunctionCatalogue.FunctionGroup> groups = settings.functionGroups();
-        for (int requestClass = 0; requestClass < groups.size(); requestClass++) {
-            FunctionCatalogue.FunctionGroup group = groups.get(requestClass);
-            for (String prefix : List.of("hot-", "once-")) {
-                functions.put(prefix + group.requestClass() + "-*",
-                    function(requestClass, group.memoryMb(), group.slots(), group.loadTime()));
-            }
-        }
-        return functions;
-    }
+  private Map<String, Object> router(int number) {
+    Map<String, Object> stated = child(document, "routers");
+    Map<String, Object> router = new LinkedHashMap<>();
+    router.put("number", number);
+    router.put("of", settings.routers().count());
+    router.put("zone", settings.zones().get(settings.zoneIndex(number)));
+    router.put("tick", settings.timing().tick());
+    router.put("executions", settings.routers().maxAttempts());
+    router.put("most_come_back", stated.getOrDefault("most_come_back", "1s"));
+    router.put("second_executions", stated.getOrDefault("second_executions", false));
+    return router;
+  }
 
-    private Map<String, Object> function(int requestClass, double memoryMb, int slots, long loadTime) {
-        Map<String, Object> function = new LinkedHashMap<>();
-        function.put("workload", settings.profiles().get(requestClass).name());
-        function.put("memory", Math.round(memoryMb));
-        function.put("lanes", slots);
-        function.put("load_time", millis(loadTime));
-        return function;
-    }
+  private Map<String, Object> kinds() {
+    Map<String, Object> kinds = new LinkedHashMap<>();
+    settings
+        .fleet()
+        .kinds()
+        .forEach(kind -> kinds.put(kind.name(), Map.of("memory", kind.memoryMb())));
+    return kinds;
+  }
 
-    private void copySections(Map<String, Object> config) {
-        for (String name : COPIED_SECTIONS) {
-            if (document.containsKey(name)) {
-                config.put(name, new LinkedHashMap<>(child(document, name)));
-            }
-        }
-        if (config.containsKey("rules")) {
-            section(config, "rules").remove("drain_grace"); // the invariant checker's; a router stops at once
-        }
+  private Map<String, Object> requestClasses() {
+    Map<String, Object> stated = child(document, "workloads");
+    Map<String, Object> requestClasses = new LinkedHashMap<>();
+    for (String name : stated.keySet()) {
+      Map<String, Object> requestClass = new LinkedHashMap<>(child(stated, name));
+      EMULATOR_KEYS.forEach(requestClass::remove);
+      requestClasses.put(name, requestClass);
     }
+    return requestClasses;
+  }
 
-    private static void override(Map<String, Object> config, String path, String value) {
-        String[] parts = path.split("\\.", 2);
-        Map<String, Object> section = new LinkedHashMap<>();
-        if (config.containsKey(parts[0])) {
-            section.putAll(child(config, parts[0]));
-        }
-        section.put(parts[1], new Yaml(new SafeConstructor(new LoaderOptions())).load(value));
-        config.put(parts[0], section);
+  private Map<String, Object> tenants() {
+    Map<String, Object> stated = child(document, "customers");
+    Map<String, Object> tenants = new LinkedHashMap<>();
+    for (String name : stated.keySet()) {
+      tenants.put(name, Map.of("rate", child(stated, name).get("rate")));
     }
+    return tenants;
+  }
 
-    private static Map<String, Object> section(Map<String, Object> config, String name) {
-        config.computeIfAbsent(name, key -> new LinkedHashMap<>());
-        return child(config, name);
+  private Map<String, Object> functions(FunctionCatalogue catalogue) {
+    Map<String, Object> functions = new LinkedHashMap<>();
+    catalogue.functions().stream()
+        .sorted(Comparator.comparing(FunctionModel::name))
+        .forEach(
+            model ->
+                functions.put(
+                    model.name(),
+                    function(model.workload(), model.memoryMb(), model.slots(), model.loadTime())));
+    List<FunctionCatalogue.FunctionGroup> groups = settings.functionGroups();
+    for (int requestClass = 0; requestClass < groups.size(); requestClass++) {
+      FunctionCatalogue.FunctionGroup group = groups.get(requestClass);
+      for (String prefix : List.of("hot-", "once-")) {
+        functions.put(
+            prefix + group.requestClass() + "-*",
+            function(requestClass, group.memoryMb(), group.slots(), group.loadTime()));
+      }
     }
+    return functions;
+  }
+
+  private Map<String, Object> function(
+      int requestClass, double memoryMb, int slots, long loadTime) {
+    Map<String, Object> function = new LinkedHashMap<>();
+    function.put("workload", settings.profiles().get(requestClass).name());
+    function.put("memory", Math.round(memoryMb));
+    function.put("lanes", slots);
+    function.put("load_time", millis(loadTime));
+    return function;
+  }
 
-    /** A mapping within a document; the scenario's document was checked when it was read. */
-    @SuppressWarnings("unchecked") private static Map<String, Object> child(Map<String, Object> parent,
-        String name) {
-        return (Map<String, Object>) parent.get(name);
+  private void copySections(Map<String, Object> config) {
+    for (String name : COPIED_SECTIONS) {
+      if (document.containsKey(name)) {
+        config.put(name, new LinkedHashMap<>(child(document, name)));
+      }
+    }
+    if (config.containsKey("rules")) {
+      section(config, "rules")
+          .remove("drain_grace"); // the invariant checker's; a router stops at once
     }
+  }
 
-    private static String millis(long micros) {
-        return micros / MICROS_PER_MILLI + "ms";
+  private static void override(Map<String, Object> config, String path, String value) {
+    String[] parts = path.split("\\.", 2);
+    Map<String, Object> section = new LinkedHashMap<>();
+    if (config.containsKey(parts[0])) {
+      section.putAll(child(config, parts[0]));
     }
+    section.put(parts[1], new Yaml(new SafeConstructor(new LoaderOptions())).load(value));
+    config.put(parts[0], section);
+  }
+
+  private static Map<String, Object> section(Map<String, Object> config, String name) {
+    config.computeIfAbsent(name, key -> new LinkedHashMap<>());
+    return child(config, name);
+  }
+
+  /** A mapping within a document; the scenario's document was checked when it was read. */
+  @SuppressWarnings("unchecked")
+  private static Map<String, Object> child(Map<String, Object> parent, String name) {
+    return (Map<String, Object>) parent.get(name);
+  }
+
+  private static String millis(long micros) {
+    return micros / MICROS_PER_MILLI + "ms";
+  }
 }
--- a/src/main/java/switchgap/scenario/RouterFaultInjector.java
+++ b/src/main/java/switchgap/scenario/RouterFaultInjector.java
@@ -2,76 +2,84 @@
 
 /** Injects faults of routers and their planners. */
 final class RouterFaultInjector implements FaultInjector {
-    private static final long RESTART_OUTAGE_MICROS = 1_000_000;
-    private final TestBed testBed;
-    private final RouterGroup routers;
+  private static final long RESTART_OUTAGE_MICROS = 1_000_000;
+  private final TestBed testBed;
+  private final RouterGroup routers;
 
-    RouterFaultInjector(TestBed testBed) {
-        this.testBed = testBed;
-        this.routers = testBed.routers;
-    }
+  RouterFaultInjector(TestBed testBed) {
+    this.testBed = testBed;
+    this.routers = testBed.routers;
+  }
 
-    @Override public boolean inject(Scenario.Fault fault) {
-        switch (fault.verb()) {
-            case ROUTER_KILLED -> restart(router(fault), fault.lasts());
-            case ROUTERS_RESTARTED -> restartInTurn(fault);
-            case ROUTER_PAUSED -> pause(router(fault), fault.lasts());
-            case PLANNERS_KILLED -> killPlanners(fault.lasts());
-            case PLANNERS_PAUSED -> pausePlanners(fault.lasts());
-            default -> {
-                return false;
-            }
-        }
-        return true;
+  @Override
+  public boolean inject(Scenario.Fault fault) {
+    switch (fault.verb()) {
+      case ROUTER_KILLED -> restart(router(fault), fault.lasts());
+      case ROUTERS_RESTARTED -> restartInTurn(fault);
+      case ROUTER_PAUSED -> pause(router(fault), fault.lasts());
+      case PLANNERS_KILLED -> killPlanners(fault.lasts());
+      case PLANNERS_PAUSED -> pausePlanners(fault.lasts());
+      default -> {
+        return false;
+      }
     }
+    return true;
+  }
 
-    private int router(Scenario.Fault fault) {
-        return (int) fault.size() % routers.size();
-    }
+  private int router(Scenario.Fault fault) {
+    return (int) fault.size() % routers.size();
+  }
 
-    private void restartInTurn(Scenario.Fault fault) {
-        int count = (int) Math.max(1, Math.round(fault.part() * routers.size()));
-        for (int i = 0; i < count; i++) {
-            int router = i;
-            testBed.scheduler.after(fault.lasts() * i / count, () -> restart(router, RESTART_OUTAGE_MICROS));
-        }
+  private void restartInTurn(Scenario.Fault fault) {
+    int count = (int) Math.max(1, Math.round(fault.part() * routers.size()));
+    for (int i = 0; i < count; i++) {
+      int router = i;
+      testBed.scheduler.after(
+          fault.lasts() * i / count, () -> restart(router, RESTART_OUTAGE_MICROS));
     }
+  }
 
-    private void restart(int router, long outageMicros) {
-        testBed.recordFault("router-killed", "router", router);
-        routers.host(router).kill();
-        testBed.scheduler.after(outageMicros, () -> {
-            if (routers.start(router)) {
-                testBed.recordFault("router-started", "router", router);
-            }
+  private void restart(int router, long outageMicros) {
+    testBed.recordFault("router-killed", "router", router);
+    routers.host(router).kill();
+    testBed.scheduler.after(
+        outageMicros,
+        () -> {
+          if (routers.start(router)) {
+            testBed.recordFault("router-started", "router", router);
+          }
         });
-    }
+  }
 
-    private void killPlanners(long outageMicros) {
-        for (RouterHost host : routers.hosts()) {
-            long at = testBed.scheduler.now();
-            testBed.recordFaultAt(at, "planner-killed", "done", host.killPlanner());
-        }
-        testBed.scheduler.after(outageMicros, routers::startPlanners);
+  private void killPlanners(long outageMicros) {
+    for (RouterHost host : routers.hosts()) {
+      long at = testBed.scheduler.now();
+      testBed.recordFaultAt(at, "planner-killed", "done", host.killPlanner());
     }
+    testBed.scheduler.after(outageMicros, routers::startPlanners);
+  }
 
-    private void pausePlanners(long durationMicros) {
-        for (RouterHost host : routers.hosts()) {
-            long at = testBed.scheduler.now();
-            testBed.recordFaultAt(at, "planner-paused", "done", host.pausePlanner(true));
-        }
-        testBed.scheduler.after(durationMicros,
-            () -> routers.hosts().forEach(host -> host.pausePlanner(false)));
+  private void pausePlanners(long durationMicros) {
+    for (RouterHost host : routers.hosts()) {
+      long at = testBed.scheduler.now();
+      testBed.recordFaultAt(at, "planner-paused", "done", host.pausePlanner(true));
     }
+    testBed.scheduler.after(
+        durationMicros, () -> routers.hosts().forEach(host -> host.pausePlanner(false)));
+  }
 
-    /** Records the time before the signal: the router may have stopped by the time that it was sent. */
-    private void pause(int router, long durationMicros) {
-        long at = testBed.scheduler.now();
-        boolean done = routers.host(router).pause(true);
-        testBed.recordFaultAt(at, "router-paused", "router", router, "done", done);
-        testBed.scheduler.after(durationMicros, () -> {
-            routers.host(router).pause(false);
-            testBed.recordFault("router-resumed", "router", router);
+  /**
+   * Records the time before the signal: the router may have stopped by the time that it was sent.
+   */
+  private void pause(int router, long durationMicros) {
+    long at = testBed.scheduler.now();
+    boolean done = routers.host(router).pause(true);
+    testBed.recordFaultAt(at, "router-paused", "router", router, "done", done);
+    testBed.scheduler.after(
+        durationMicros,
+        () -> {
+          routers.host(router).pause(false);
+          testBed.recordFault("router-resumed", "router", router);
         });
-    }
+  }
 }
--- a/src/main/java/switchgap/scenario/RouterGroup.java
+++ b/src/main/java/switchgap/scenario/RouterGroup.java
@@ -13,108 +13,111 @@
 
 /** The routers of a test bed: their configurations, ports and processes. */
 final class RouterGroup {
-    private static final Logger LOG = LoggerFactory.getLogger(RouterGroup.class);
-    private static final long STOP_TIMEOUT_MILLIS = 9000;
-    private final Scenario scenario;
-    private final Path directory;
-    private final int[] ports;
-    private final int[] plannerPorts;
-    private final List<RouterHost> hosts = new ArrayList<>();
+  private static final Logger LOG = LoggerFactory.getLogger(RouterGroup.class);
+  private static final long STOP_TIMEOUT_MILLIS = 9000;
+  private final Scenario scenario;
+  private final Path directory;
+  private final int[] ports;
+  private final int[] plannerPorts;
+  private final List<RouterHost> hosts = new ArrayList<>();
 
-    RouterGroup(Scenario scenario, Path directory) throws IOException {
-        this.scenario = scenario;
-        this.directory = directory;
-        boolean ownPlanners = scenario.settings().routers().ownPlanners();
-        int count = scenario.routers();
-        // All at once: two searches in turn have returned the same port, and a router ended at its start.
-        int[] free = LoopbackPorts.free(ownPlanners ? 2 * count : count);
-        ports = Arrays.copyOf(free, count);
-        plannerPorts = Arrays.copyOfRange(free, count, free.length);
-    }
+  RouterGroup(Scenario scenario, Path directory) throws IOException {
+    this.scenario = scenario;
+    this.directory = directory;
+    boolean ownPlanners = scenario.settings().routers().ownPlanners();
+    int count = scenario.routers();
+    // All at once: two searches in turn have returned the same port, and a router ended at its
+    // start.
+    int[] free = LoopbackPorts.free(ownPlanners ? 2 * count : count);
+    ports = Arrays.copyOf(free, count);
+    plannerPorts = Arrays.copyOfRange(free, count, free.length);
+  }
 
-    /** Writes a router's configuration to the directory and prepares its host. */
-    void add(int listPort, FunctionCatalogue catalogue, String baseline) throws IOException {
-        int number = hosts.size();
-        Path config = directory.resolve("router-" + number + ".yaml");
-        Path log = directory.resolve("router-" + number + ".log");
-        Files.deleteIfExists(log);
-        boolean ownPlanner = plannerPorts.length > 0;
-        Map<String, String> overrides = ownPlanner
-            ? Map.of("planner.port", String.valueOf(plannerPorts[number])) : Map.of();
-        Files.writeString(config,
-            scenario.routerPage(number, ports[number], listPort, catalogue, overrides));
-        hosts.add(scenario.settings().routers().ownProcesses()
-            ? new RouterProcess(config, log, baseline, ownPlanner) : new InProcessRouter(config));
-    }
+  /** Writes a router's configuration to the directory and prepares its host. */
+  void add(int listPort, FunctionCatalogue catalogue, String baseline) throws IOException {
+    int number = hosts.size();
+    Path config = directory.resolve("router-" + number + ".yaml");
+    Path log = directory.resolve("router-" + number + ".log");
+    Files.deleteIfExists(log);
+    boolean ownPlanner = plannerPorts.length > 0;
+    Map<String, String> overrides =
+        ownPlanner ? Map.of("planner.port", String.valueOf(plannerPorts[number])) : Map.of();
+    Files.writeString(
+        config, scenario.routerPage(number, ports[number], listPort, catalogue, overrides));
+    hosts.add(
+        scenario.settings().routers().ownProcesses()
+            ? new RouterProcess(config, log, baseline, ownPlanner)
+            : new InProcessRouter(config));
+  }
 
-    int size() {
-        return hosts.size();
-    }
+  int size() {
+    return hosts.size();
+  }
 
-    List<RouterHost> hosts() {
-        return hosts;
-    }
+  List<RouterHost> hosts() {
+    return hosts;
+  }
 
-    RouterHost host(int router) {
-        return hosts.get(router);
-    }
+  RouterHost host(int router) {
+    return hosts.get(router);
+  }
 
-    int port(int router) {
-        return ports[router];
-    }
+  int port(int router) {
+    return ports[router];
+  }
 
-    /** Waits until all routers listen. */
-    void awaitListening() throws IOException {
-        for (int i = 0; i < ports.length; i++) {
-            LoopbackPorts.await(ports[i]);
-            if (!hosts.get(i).runs()) {
-                throw new IOException("router " + i + " has ended, see its log in " + directory);
-            }
-        }
+  /** Waits until all routers listen. */
+  void awaitListening() throws IOException {
+    for (int i = 0; i < ports.length; i++) {
+      LoopbackPorts.await(ports[i]);
+      if (!hosts.get(i).runs()) {
+        throw new IOException("router " + i + " has ended, see its log in " + directory);
+      }
     }
+  }
 
-    /** Starts a router again; false where that failed. */
-    boolean start(int router) {
-        try {
-            hosts.get(router).start();
-            return true;
-        } catch (IOException e) {
-            LOG.error("router {} can't be started again", router, e);
-            return false;
-        }
+  /** Starts a router again; false where that failed. */
+  boolean start(int router) {
+    try {
+      hosts.get(router).start();
+      return true;
+    } catch (IOException e) {
+      LOG.error("router {} can't be started again", router, e);
+      return false;
     }
+  }
 
-    void startPlanners() {
-        for (RouterHost host : hosts) {
-            try {
-                host.startPlanner();
-            } catch (IOException e) {
-                LOG.error("a planner can't be started again", e);
-            }
-        }
+  void startPlanners() {
+    for (RouterHost host : hosts) {
+      try {
+        host.startPlanner();
+      } catch (IOException e) {
+        LOG.error("a planner can't be started again", e);
+      }
     }
+  }
 
-    /** Asks all routers to stop in good order and waits for their end. */
-    void stop() {
-        List<Thread> threads = new ArrayList<>();
-        for (int i = 0; i < hosts.size(); i++) {
-            Thread thread = new Thread(hosts.get(i)::stop, "stop-router-" + i);
-            thread.start();
-            threads.add(thread);
-        }
-        for (Thread thread : threads) {
-            try {
-                thread.join(STOP_TIMEOUT_MILLIS);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }
+  /** Asks all routers to stop in good order and waits for their end. */
+  void stop() {
+    List<Thread> threads = new ArrayList<>();
+    for (int i = 0; i < hosts.size(); i++) {
+      Thread thread = new Thread(hosts.get(i)::stop, "stop-router-" + i);
+      thread.start();
+      threads.add(thread);
+    }
+    for (Thread thread : threads) {
+      try {
+        thread.join(STOP_TIMEOUT_MILLIS);
+      } catch (InterruptedException e) {
+        Thread.currentThread().interrupt();
+      }
     }
+  }
 
-    void kill() {
-        for (RouterHost host : hosts) {
-            host.kill();
-            host.killPlanner();
-        }
+  void kill() {
+    for (RouterHost host : hosts) {
+      host.kill();
+      host.killPlanner();
     }
+  }
 }
--- a/src/main/java/switchgap/scenario/RouterOutages.java
+++ b/src/main/java/switchgap/scenario/RouterOutages.java
@@ -5,49 +5,49 @@
 
 /** When routers were dead or paused, as the fault script's log tells. Times in microseconds. */
 final class RouterOutages {
-    private static final long NEVER = Long.MAX_VALUE / 2; // durations are added to it
+  private static final long NEVER = Long.MAX_VALUE / 2; // durations are added to it
 
-    private record Interval(long from, long to) {
-        boolean overlaps(long start, long end, long slack) {
-            return from - slack <= end && to + slack >= start;
-        }
+  private record Interval(long from, long to) {
+    boolean overlaps(long start, long end, long slack) {
+      return from - slack <= end && to + slack >= start;
     }
+  }
 
-    private final long slack;
-    private final List<List<Interval>> dead = new ArrayList<>();
-    private final List<List<Interval>> paused = new ArrayList<>();
-
-    RouterOutages(int routers, long slack, List<LogLine> script) {
-        this.slack = slack;
-        for (int i = 0; i < routers; i++) {
-            dead.add(new ArrayList<>());
-            paused.add(new ArrayList<>());
-        }
-        for (LogLine line : script) {
-            int router = line.integer("router");
-            switch (line.kind()) {
-                case "router-killed" -> dead.get(router).add(new Interval(line.at(), NEVER));
-                case "router-started" -> close(dead.get(router), line.at());
-                case "router-paused" -> paused.get(router).add(new Interval(line.at(), NEVER));
-                case "router-resumed" -> close(paused.get(router), line.at());
-                default -> { // other faults stop no router
-                }
-            }
-        }
-    }
+  private final long slack;
+  private final List<List<Interval>> dead = new ArrayList<>();
+  private final List<List<Interval>> paused = new ArrayList<>();
 
-    private static void close(List<Interval> intervals, long to) {
-        int last = intervals.size() - 1;
-        intervals.set(last, new Interval(intervals.get(last).from, to));
+  RouterOutages(int routers, long slack, List<LogLine> script) {
+    this.slack = slack;
+    for (int i = 0; i < routers; i++) {
+      dead.add(new ArrayList<>());
+      paused.add(new ArrayList<>());
     }
-
-    /** Whether a router was dead at any time of an interval. */
-    boolean wasDead(int router, long from, long to) {
-        return dead.get(router).stream().anyMatch(interval -> interval.overlaps(from, to, slack));
-    }
-
-    /** Whether a router was paused at a time. */
-    boolean wasPaused(int router, long at) {
-        return paused.get(router).stream().anyMatch(interval -> interval.overlaps(at, at, slack));
+    for (LogLine line : script) {
+      int router = line.integer("router");
+      switch (line.kind()) {
+        case "router-killed" -> dead.get(router).add(new Interval(line.at(), NEVER));
+        case "router-started" -> close(dead.get(router), line.at());
+        case "router-paused" -> paused.get(router).add(new Interval(line.at(), NEVER));
+        case "router-resumed" -> close(paused.get(router), line.at());
+        default -> { // other faults stop no router
+        }
+      }
     }
+  }
+
+  private static void close(List<Interval> intervals, long to) {
+    int last = intervals.size() - 1;
+    intervals.set(last, new Interval(intervals.get(last).from, to));
+  }
+
+  /** Whether a router was dead at any time of an interval. */
+  boolean wasDead(int router, long from, long to) {
+    return dead.get(router).stream().anyMatch(interval -> interval.overlaps(from, to, slack));
+  }
+
+  /** Whether a router was paused at a time. */
+  boolean wasPaused(int router, long at) {
+    return paused.get(router).stream().anyMatch(interval -> interval.overlaps(at, at, slack));
+  }
 }
--- a/src/main/java/switchgap/scenario/ScenarioReader.java
+++ b/src/main/java/switchgap/scenario/ScenarioReader.java
@@ -12,186 +12,247 @@
 
 /** Reads the settings of a scenario from its document; a mistake names file, line and key. */
 final class ScenarioReader {
-    private static final List<String> SECTIONS = List.of("day", "zones", "fleet", "store", "list", "routers",
-        "load", "workloads", "customers", "workers", "rules", "prices", "holds", "links", "levels", "script");
-    private static final long MAX_SEED = 1L << 50;
-    private static final double MAX_FACTOR = 1e6;
-    private static final int NANOS_PER_MICRO = 1000;
-    private final YamlDocument document;
-    private final Path file;
-
-    private ScenarioReader(YamlDocument document, Path file) {
-        this.document = document;
-        this.file = file;
-    }
+  private static final List<String> SECTIONS =
+      List.of(
+          "day",
+          "zones",
+          "fleet",
+          "store",
+          "list",
+          "routers",
+          "load",
+          "workloads",
+          "customers",
+          "workers",
+          "rules",
+          "prices",
+          "holds",
+          "links",
+          "levels",
+          "script");
+  private static final long MAX_SEED = 1L << 50;
+  private static final double MAX_FACTOR = 1e6;
+  private static final int NANOS_PER_MICRO = 1000;
+  private final YamlDocument document;
+  private final Path file;
 
-    static ScenarioSettings read(YamlDocument document, Path file) {
-        return new ScenarioReader(document, file).read();
-    }
+  private ScenarioReader(YamlDocument document, Path file) {
+    this.document = document;
+    this.file = file;
+  }
 
-    /** Sections are read in this order: of several mistakes the first is reported. */
-    private ScenarioSettings read() {
-        ScenarioSettings.Timing timing = timing(document.section("day"));
-        List<String> zones = document.has("zones") ? document.textList("zones") : List.of("zone");
-        ScenarioSettings.Fleet fleet = fleet(document.section("fleet"));
-        ScenarioSettings.Store store = store(document.optionalSection("store"));
-        long listLag = listLag(document.optionalSection("list"));
-        ScenarioSettings.Routers routers = routers(document.section("routers"));
-        ScenarioSettings.Load load = load(document.section("load"));
-        List<ScenarioSettings.RequestClass> requestClasses = requestClasses(document.section("workloads"));
-        Map<String, Double> tenantShares = tenantShares(document.section("customers"));
-        boolean loadsOnMiss = document.optionalSection("workers").text("miss", "answers").equals("loads");
-        ScenarioSettings.InvariantLimits limits = invariantLimits(document.optionalSection("rules"));
-        List<Scenario.Fault> faults = new ArrayList<>();
-        for (YamlDocument entry : document.sections("script")) {
-            faults.add(fault(entry));
-        }
-        for (String key : document.keys()) {
-            if (!SECTIONS.contains(key)) {
-                throw document.invalid(key, "is no part of a day");
-            }
-        }
-        return new ScenarioSettings(timing, zones, fleet, store, listLag, routers, load, requestClasses,
-            tenantShares, loadsOnMiss, limits, faults);
-    }
+  static ScenarioSettings read(YamlDocument document, Path file) {
+    return new ScenarioReader(document, file).read();
+  }
 
-    private ScenarioSettings.Timing timing(YamlDocument section) {
-        String fileName = file.getFileName().toString().replaceAll("\\.ya?ml$", "");
-        ScenarioSettings.Timing timing = new ScenarioSettings.Timing(section.text("name", fileName),
-            micros(section.duration("length")), (long) section.number("seed", 0, MAX_SEED),
-            micros(section.duration("slack", Duration.ofMillis(25))), section.text("tick", "5ms"));
-        section.rejectUnknownKeys();
-        return timing;
+  /** Sections are read in this order: of several mistakes the first is reported. */
+  private ScenarioSettings read() {
+    ScenarioSettings.Timing timing = timing(document.section("day"));
+    List<String> zones = document.has("zones") ? document.textList("zones") : List.of("zone");
+    ScenarioSettings.Fleet fleet = fleet(document.section("fleet"));
+    ScenarioSettings.Store store = store(document.optionalSection("store"));
+    long listLag = listLag(document.optionalSection("list"));
+    ScenarioSettings.Routers routers = routers(document.section("routers"));
+    ScenarioSettings.Load load = load(document.section("load"));
+    List<ScenarioSettings.RequestClass> requestClasses =
+        requestClasses(document.section("workloads"));
+    Map<String, Double> tenantShares = tenantShares(document.section("customers"));
+    boolean loadsOnMiss =
+        document.optionalSection("workers").text("miss", "answers").equals("loads");
+    ScenarioSettings.InvariantLimits limits = invariantLimits(document.optionalSection("rules"));
+    List<Scenario.Fault> faults = new ArrayList<>();
+    for (YamlDocument entry : document.sections("script")) {
+      faults.add(fault(entry));
     }
+    for (String key : document.keys()) {
+      if (!SECTIONS.contains(key)) {
+        throw document.invalid(key, "is no part of a day");
+      }
+    }
+    return new ScenarioSettings(
+        timing,
+        zones,
+        fleet,
+        store,
+        listLag,
+        routers,
+        load,
+        requestClasses,
+        tenantShares,
+        loadsOnMiss,
+        limits,
+        faults);
+  }
+
+  private ScenarioSettings.Timing timing(YamlDocument section) {
+    String fileName = file.getFileName().toString().replaceAll("\\.ya?ml$", "");
+    ScenarioSettings.Timing timing =
+        new ScenarioSettings.Timing(
+            section.text("name", fileName),
+            micros(section.duration("length")),
+            (long) section.number("seed", 0, MAX_SEED),
+            micros(section.duration("slack", Duration.ofMillis(25))),
+            section.text("tick", "5ms"));
+    section.rejectUnknownKeys();
+    return timing;
+  }
 
-    private static ScenarioSettings.Fleet fleet(YamlDocument section) {
-        int workers = section.integer("workers", 1, 500);
-        int cellSize = section.integer("cell_size", 1, 500, 4);
-        ScenarioSettings.WorkerLimits limits = new ScenarioSettings.WorkerLimits(
-            section.integer("slots_per_core", 1, 100, 3), section.integer("queue_per_core", 0, 1000, 6),
+  private static ScenarioSettings.Fleet fleet(YamlDocument section) {
+    int workers = section.integer("workers", 1, 500);
+    int cellSize = section.integer("cell_size", 1, 500, 4);
+    ScenarioSettings.WorkerLimits limits =
+        new ScenarioSettings.WorkerLimits(
+            section.integer("slots_per_core", 1, 100, 3),
+            section.integer("queue_per_core", 0, 1000, 6),
             section.integer("loads_at_once", 1, 100, 4),
             micros(section.duration("keep_alive", Duration.ofSeconds(12))),
-            section.number("fetch_share", 0, 1, 0.65), section.number("load_fails", 0, 1, 0),
+            section.number("fetch_share", 0, 1, 0.65),
+            section.number("load_fails", 0, 1, 0),
             section.flag("eager", true));
-        boolean reportsLoad = section.flag("tells_load", true);
-        List<ScenarioSettings.WorkerKind> kinds = new ArrayList<>();
-        YamlDocument kindSections = section.section("kinds");
-        for (String name : kindSections.keys()) {
-            YamlDocument kind = kindSections.section(name);
-            kinds.add(new ScenarioSettings.WorkerKind(name, kind.number("share", 0, 1),
-                kind.integer("cores", 1, 256), kind.number("speed", 0.01, 100),
-                kind.number("memory", 1, 1e9)));
-            kind.rejectUnknownKeys();
-        }
-        section.rejectUnknownKeys();
-        return new ScenarioSettings.Fleet(workers, cellSize, limits, reportsLoad, kinds);
+    boolean reportsLoad = section.flag("tells_load", true);
+    List<ScenarioSettings.WorkerKind> kinds = new ArrayList<>();
+    YamlDocument kindSections = section.section("kinds");
+    for (String name : kindSections.keys()) {
+      YamlDocument kind = kindSections.section(name);
+      kinds.add(
+          new ScenarioSettings.WorkerKind(
+              name,
+              kind.number("share", 0, 1),
+              kind.integer("cores", 1, 256),
+              kind.number("speed", 0.01, 100),
+              kind.number("memory", 1, 1e9)));
+      kind.rejectUnknownKeys();
     }
+    section.rejectUnknownKeys();
+    return new ScenarioSettings.Fleet(workers, cellSize, limits, reportsLoad, kinds);
+  }
 
-    private static ScenarioSettings.Store store(YamlDocument section) {
-        ScenarioSettings.Store store = new ScenarioSettings.Store(section.number("takes", 0.1, 1e6, 8),
+  private static ScenarioSettings.Store store(YamlDocument section) {
+    ScenarioSettings.Store store =
+        new ScenarioSettings.Store(
+            section.number("takes", 0.1, 1e6, 8),
             micros(section.duration("down", Duration.ofSeconds(3))));
-        section.rejectUnknownKeys();
-        return store;
-    }
+    section.rejectUnknownKeys();
+    return store;
+  }
 
-    private static long listLag(YamlDocument section) {
-        long lag = micros(section.duration("lag", Duration.ofSeconds(1)));
-        section.rejectUnknownKeys();
-        return lag;
-    }
+  private static long listLag(YamlDocument section) {
+    long lag = micros(section.duration("lag", Duration.ofSeconds(1)));
+    section.rejectUnknownKeys();
+    return lag;
+  }
 
-    private static ScenarioSettings.Routers routers(YamlDocument section) {
-        int count = section.integer("count", 1, 250);
-        double busiestShare = section.number("busiest", 0, 1, 1.0 / count);
-        boolean ownProcesses = !section.has("processes")
+  private static ScenarioSettings.Routers routers(YamlDocument section) {
+    int count = section.integer("count", 1, 250);
+    double busiestShare = section.number("busiest", 0, 1, 1.0 / count);
+    boolean ownProcesses =
+        !section.has("processes")
             || section.choice("processes", List.of("own", "one")).equals("own");
-        boolean ownPlanners = section.flag("split", false);
-        if (ownPlanners && !ownProcesses) {
-            throw section.invalid("split", "needs routers in processes of their own");
-        }
-        int maxAttempts = section.integer("executions", 1, 64, 3);
-        section.text("most_come_back", "1s"); // copied to the routers' configurations as it stands
-        section.flag("second_executions", false);
-        section.rejectUnknownKeys();
-        return new ScenarioSettings.Routers(count, busiestShare, ownProcesses, ownPlanners, maxAttempts);
+    boolean ownPlanners = section.flag("split", false);
+    if (ownPlanners && !ownProcesses) {
+      throw section.invalid("split", "needs routers in processes of their own");
     }
+    int maxAttempts = section.integer("executions", 1, 64, 3);
+    section.text("most_come_back", "1s"); // copied to the routers' configurations as it stands
+    section.flag("second_executions", false);
+    section.rejectUnknownKeys();
+    return new ScenarioSettings.Routers(
+        count, busiestShare, ownProcesses, ownPlanners, maxAttempts);
+  }
 
-    private static ScenarioSettings.Load load(YamlDocument section) {
-        double rate = section.number("rate", 0.1, 100_000);
-        double zipf = section.number("zipf", 0, 5, 1.2);
-        int functions = section.integer("functions", 1, 5000, 30);
-        EmulatedClients.RetryBehaviour retries = new EmulatedClients.RetryBehaviour(
+  private static ScenarioSettings.Load load(YamlDocument section) {
+    double rate = section.number("rate", 0.1, 100_000);
+    double zipf = section.number("zipf", 0, 5, 1.2);
+    int functions = section.integer("functions", 1, 5000, 30);
+    EmulatedClients.RetryBehaviour retries =
+        new EmulatedClients.RetryBehaviour(
             section.integer("retries", 0, 20, 2), section.number("least_wait", 0.01, 1, 0.6),
-            micros(section.duration("backoff", Duration.ofMillis(80))), section.number("honour", 0, 1, 0.8));
-        section.rejectUnknownKeys();
-        return new ScenarioSettings.Load(rate, zipf, functions, retries);
-    }
+            micros(section.duration("backoff", Duration.ofMillis(80))),
+                section.number("honour", 0, 1, 0.8));
+    section.rejectUnknownKeys();
+    return new ScenarioSettings.Load(rate, zipf, functions, retries);
+  }
 
-    private static List<ScenarioSettings.RequestClass> requestClasses(YamlDocument section) {
-        List<ScenarioSettings.RequestClass> requestClasses = new ArrayList<>();
-        for (String name : section.keys()) {
-            requestClasses.add(requestClass(name, section.section(name)));
-        }
-        return requestClasses;
+  private static List<ScenarioSettings.RequestClass> requestClasses(YamlDocument section) {
+    List<ScenarioSettings.RequestClass> requestClasses = new ArrayList<>();
+    for (String name : section.keys()) {
+      requestClasses.add(requestClass(name, section.section(name)));
     }
+    return requestClasses;
+  }
 
-    private static ScenarioSettings.RequestClass requestClass(String name, YamlDocument section) {
-        RepeatRule repeatRule = RepeatRule.of(section.choice("repeat", RepeatRule.words()));
-        boolean idempotent = repeatRule == RepeatRule.IDEMPOTENT;
-        long target = micros(section.duration("start_target"));
-        long limit = micros(section.duration("time_limit"));
-        double weight = section.number("importance", 0, MAX_FACTOR, 1);
-        double lateShare = section.number("late_share", 0, 1, 0);
-        // Repeats are recognized within a group of workers; with one group for all, any retry is safe.
-        boolean retriesAll = repeatRule == RepeatRule.RESTARTABLE
+  private static ScenarioSettings.RequestClass requestClass(String name, YamlDocument section) {
+    RepeatRule repeatRule = RepeatRule.of(section.choice("repeat", RepeatRule.words()));
+    boolean idempotent = repeatRule == RepeatRule.IDEMPOTENT;
+    long target = micros(section.duration("start_target"));
+    long limit = micros(section.duration("time_limit"));
+    double weight = section.number("importance", 0, MAX_FACTOR, 1);
+    double lateShare = section.number("late_share", 0, 1, 0);
+    // Repeats are recognized within a group of workers; with one group for all, any retry is safe.
+    boolean retriesAll =
+        repeatRule == RepeatRule.RESTARTABLE
             || idempotent && section.text("group", "all").equals("all");
-        EmulatedClients.RequestClassProfile profile = new EmulatedClients.RequestClassProfile(name, target,
-            limit, weight, lateShare, retriesAll, idempotent);
-        FunctionCatalogue.FunctionGroup functions = new FunctionCatalogue.FunctionGroup(name,
-            section.number("share", 0, 1), section.number("memory", 1, 1e6),
-            section.integer("lanes", 1, 1000), micros(section.duration("load")),
-            micros(section.duration("work")), micros(section.duration("io", Duration.ZERO)),
-            section.number("spread", 0, 2, 0.4), idempotent ? micros(section.duration("memory_span")) : 0);
-        section.text("group", "all"); // a router's key, allowed here in any request class
-        section.has("memory_span");
-        section.rejectUnknownKeys();
-        return new ScenarioSettings.RequestClass(repeatRule, profile, functions);
-    }
+    EmulatedClients.RequestClassProfile profile =
+        new EmulatedClients.RequestClassProfile(
+            name, target, limit, weight, lateShare, retriesAll, idempotent);
+    FunctionCatalogue.FunctionGroup functions =
+        new FunctionCatalogue.FunctionGroup(
+            name,
+            section.number("share", 0, 1),
+            section.number("memory", 1, 1e6),
+            section.integer("lanes", 1, 1000),
+            micros(section.duration("load")),
+            micros(section.duration("work")),
+            micros(section.duration("io", Duration.ZERO)),
+            section.number("spread", 0, 2, 0.4),
+            idempotent ? micros(section.duration("memory_span")) : 0);
+    section.text("group", "all"); // a router's key, allowed here in any request class
+    section.has("memory_span");
+    section.rejectUnknownKeys();
+    return new ScenarioSettings.RequestClass(repeatRule, profile, functions);
+  }
 
-    private static Map<String, Double> tenantShares(YamlDocument section) {
-        Map<String, Double> shares = new LinkedHashMap<>();
-        for (String name : section.keys()) {
-            YamlDocument tenant = section.section(name);
-            tenant.number("rate", 0, 1e9); // copied to the routers' configurations as it stands
-            shares.put(name, tenant.number("share", 0, 1));
-            tenant.rejectUnknownKeys();
-        }
-        return shares;
+  private static Map<String, Double> tenantShares(YamlDocument section) {
+    Map<String, Double> shares = new LinkedHashMap<>();
+    for (String name : section.keys()) {
+      YamlDocument tenant = section.section(name);
+      tenant.number("rate", 0, 1e9); // copied to the routers' configurations as it stands
+      shares.put(name, tenant.number("share", 0, 1));
+      tenant.rejectUnknownKeys();
     }
+    return shares;
+  }
 
-    private static ScenarioSettings.InvariantLimits invariantLimits(YamlDocument section) {
-        return new ScenarioSettings.InvariantLimits(
-            micros(section.duration("drain_grace", Duration.ofMillis(500))),
-            section.number("cold_share", 0, 1, 1), micros(section.duration("cold_span", Duration.ZERO)),
-            section.number("fall_multiple", 0, MAX_FACTOR, 3),
-            micros(section.duration("fall_span", Duration.ofSeconds(1))),
-            section.number("loads_free", 0, MAX_FACTOR, 0), section.number("loads_share", 0, MAX_FACTOR, 0),
-            micros(section.duration("loads_span", Duration.ZERO)));
-    }
+  private static ScenarioSettings.InvariantLimits invariantLimits(YamlDocument section) {
+    return new ScenarioSettings.InvariantLimits(
+        micros(section.duration("drain_grace", Duration.ofMillis(500))),
+        section.number("cold_share", 0, 1, 1),
+        micros(section.duration("cold_span", Duration.ZERO)),
+        section.number("fall_multiple", 0, MAX_FACTOR, 3),
+        micros(section.duration("fall_span", Duration.ofSeconds(1))),
+        section.number("loads_free", 0, MAX_FACTOR, 0),
+        section.number("loads_share", 0, MAX_FACTOR, 0),
+        micros(section.duration("loads_span", Duration.ZERO)));
+  }
 
-    private static Scenario.Fault fault(YamlDocument section) {
-        FaultType type = section.choice("trouble", FaultType.class, null);
-        if (type == null) {
-            section.text("trouble"); // reports the missing key
-        }
-        Scenario.Fault fault = new Scenario.Fault(micros(section.duration("at")), type,
-            micros(section.duration("lasts", Duration.ZERO)), section.number("part", 0, 1, 0.2),
-            section.number("size", 0, MAX_FACTOR, 2), section.text("of", null));
-        section.rejectUnknownKeys();
-        return fault;
+  private static Scenario.Fault fault(YamlDocument section) {
+    FaultType type = section.choice("trouble", FaultType.class, null);
+    if (type == null) {
+      section.text("trouble"); // reports the missing key
     }
+    Scenario.Fault fault =
+        new Scenario.Fault(
+            micros(section.duration("at")),
+            type,
+            micros(section.duration("lasts", Duration.ZERO)),
+            section.number("part", 0, 1, 0.2),
+            section.number("size", 0, MAX_FACTOR, 2),
+            section.text("of", null));
+    section.rejectUnknownKeys();
+    return fault;
+  }
 
-    private static long micros(Duration duration) {
-        return duration.toNanos() / NANOS_PER_MICRO;
-    }
+  private static long micros(Duration duration) {
+    return duration.toNanos() / NANOS_PER_MICRO;
+  }
 }
--- a/src/main/java/switchgap/scenario/ScenarioRunner.java
+++ b/src/main/java/switchgap/scenario/ScenarioRunner.java
@@ -9,69 +9,98 @@
 import switchgap.emulator.EmulatedClients;
 
 /**
- * Plays a scenario: starts the test bed, lets clients send while faults are injected, ends all in good order.
+ * Plays a scenario: starts the test bed, lets clients send while faults are injected, ends all in
+ * good order.
  */
 public final class ScenarioRunner {
-    private static final long SETTLE_MILLIS = 500;
-    private static final long ARRIVALS_POLL_MILLIS = 50;
-    private static final long DRAIN_POLL_MILLIS = 20;
-    private static final long LATE_RESPONSE_MILLIS = 400; // longer than clients wait for a late response
-    private static final long DRAIN_MARGIN_MICROS = 2_000_000;
-    private static final int WORST_WINDOW_SECONDS = 10;
-    private static final double MIN_REQUESTED = 1e-9; // avoids a division by zero
+  private static final long SETTLE_MILLIS = 500;
+  private static final long ARRIVALS_POLL_MILLIS = 50;
+  private static final long DRAIN_POLL_MILLIS = 20;
+  private static final long LATE_RESPONSE_MILLIS =
+      400; // longer than clients wait for a late response
+  private static final long DRAIN_MARGIN_MICROS = 2_000_000;
+  private static final int WORST_WINDOW_SECONDS = 10;
+  private static final double MIN_REQUESTED = 1e-9; // avoids a division by zero
 
-    private ScenarioRunner() {}
+  private ScenarioRunner() {}
 
-    /**
-     * Plays a scenario and prints what became of it.
-     *
-     * @param file      the scenario
-     * @param directory receives the logs and a copy of the scenario
-     * @param baseline  routing policy in place of the program's own, random or turns; null for none
-     * @param out       receives the figures
-     * @return the clients with their counts
-     */
-    public static EmulatedClients play(Path file, Path directory, String baseline, PrintStream out)
-        throws IOException, InterruptedException {
-        Scenario scenario = Scenario.read(file);
-        Files.createDirectories(directory);
-        Files.copy(file, directory.resolve(EventLog.SCENARIO), StandardCopyOption.REPLACE_EXISTING);
-        try (TestBed testBed = new TestBed(scenario, directory, baseline)) {
-            Thread.sleep(SETTLE_MILLIS);
-            testBed.recordFault("began", "day", scenario.name());
-            long end = CompletableFuture.supplyAsync(() -> {
-                long arrivalsEnd = testBed.clients.startFor(scenario.settings().timing().length());
-                new FaultScript(testBed).start();
-                return arrivalsEnd;
-            }, testBed.scheduler::post).join();
-            awaitEnd(testBed, end);
-            testBed.finish();
-            report(testBed, out);
-            return testBed.clients;
-        }
+  /**
+   * Plays a scenario and prints what became of it.
+   *
+   * @param file the scenario
+   * @param directory receives the logs and a copy of the scenario
+   * @param baseline routing policy in place of the program's own, random or turns; null for none
+   * @param out receives the figures
+   * @return the clients with their counts
+   */
+  public static EmulatedClients play(Path file, Path directory, String baseline, PrintStream out)
+      throws IOException, InterruptedException {
+    Scenario scenario = Scenario.read(file);
+    Files.createDirectories(directory);
+    Files.copy(file, directory.resolve(EventLog.SCENARIO), StandardCopyOption.REPLACE_EXISTING);
+    try (TestBed testBed = new TestBed(scenario, directory, baseline)) {
+      Thread.sleep(SETTLE_MILLIS);
+      testBed.recordFault("began", "day", scenario.name());
+      long end =
+          CompletableFuture.supplyAsync(
+                  () -> {
+                    long arrivalsEnd =
+                        testBed.clients.startFor(scenario.settings().timing().length());
+                    new FaultScript(testBed).start();
+                    return arrivalsEnd;
+                  },
+                  testBed.scheduler::post)
+              .join();
+      awaitEnd(testBed, end);
+      testBed.finish();
+      report(testBed, out);
+      return testBed.clients;
     }
+  }
 
-    private static void awaitEnd(TestBed testBed, long end) throws InterruptedException {
-        while (testBed.scheduler.now() < end) {
-            Thread.sleep(ARRIVALS_POLL_MILLIS);
-        }
-        long deadline = end + testBed.scenario.longestLimit() + DRAIN_MARGIN_MICROS;
-        while (testBed.clients.open() > 0 && testBed.scheduler.now() < deadline) {
-            Thread.sleep(DRAIN_POLL_MILLIS);
-        }
-        Thread.sleep(LATE_RESPONSE_MILLIS);
+  private static void awaitEnd(TestBed testBed, long end) throws InterruptedException {
+    while (testBed.scheduler.now() < end) {
+      Thread.sleep(ARRIVALS_POLL_MILLIS);
     }
+    long deadline = end + testBed.scenario.longestLimit() + DRAIN_MARGIN_MICROS;
+    while (testBed.clients.open() > 0 && testBed.scheduler.now() < deadline) {
+      Thread.sleep(DRAIN_POLL_MILLIS);
+    }
+    Thread.sleep(LATE_RESPONSE_MILLIS);
+  }
 
-    private static void report(TestBed testBed, PrintStream out) {
-        out.printf("%-16s %6s %6s %8s %6s %8s %7s %7s %11s %8s%n", "workload", "jobs", "tries", "finished",
-            "late", "pushed", "killed", "gave up", "unreachable", "service");
-        for (var entry : testBed.clients.tallies().entrySet()) {
-            EmulatedClients.Tally tally = entry.getValue();
-            out.printf("%-16s %6d %6d %8d %6d %8d %7d %7d %11d %8.3f%n", entry.getKey(), tally.jobs,
-                tally.tries, tally.finished, tally.late, tally.pushedBack, tally.failed, tally.timedOut,
-                tally.unreachable, tally.earned / Math.max(tally.asked, MIN_REQUESTED));
-        }
-        out.printf("service %.3f, worst 10 s %.3f, fetches from the store %d (simulated servers)%n",
-            testBed.clients.service(), testBed.clients.worst(WORST_WINDOW_SECONDS), testBed.store.fetches());
+  private static void report(TestBed testBed, PrintStream out) {
+    out.printf(
+        "%-16s %6s %6s %8s %6s %8s %7s %7s %11s %8s%n",
+        "workload",
+        "jobs",
+        "tries",
+        "finished",
+        "late",
+        "pushed",
+        "killed",
+        "gave up",
+        "unreachable",
+        "service");
+    for (var entry : testBed.clients.tallies().entrySet()) {
+      EmulatedClients.Tally tally = entry.getValue();
+      out.printf(
+          "%-16s %6d %6d %8d %6d %8d %7d %7d %11d %8.3f%n",
+          entry.getKey(),
+          tally.jobs,
+          tally.tries,
+          tally.finished,
+          tally.late,
+          tally.pushedBack,
+          tally.failed,
+          tally.timedOut,
+          tally.unreachable,
+          tally.earned / Math.max(tally.asked, MIN_REQUESTED));
     }
+    out.printf(
+        "service %.3f, worst 10 s %.3f, fetches from the store %d (simulated servers)%n",
+        testBed.clients.service(),
+        testBed.clients.worst(WORST_WINDOW_SECONDS),
+        testBed.store.fetches());
+  }
 }
--- a/src/main/java/switchgap/scenario/WorkerFaultInjector.java
+++ b/src/main/java/switchgap/scenario/WorkerFaultInjector.java
@@ -9,53 +9,69 @@
 
 /** Injects faults of workers that go on running: slow ones, spoilt responses, void replicas. */
 final class WorkerFaultInjector implements FaultInjector {
-    private static final Map<FaultType, WorkerFaults.Kind> SOCKET_FAULTS = new EnumMap<>(
-        Map.of(FaultType.ERRORS, WorkerFaults.Kind.ERROR, FaultType.ANSWERS_LOST, WorkerFaults.Kind.LOST,
-            FaultType.RESET_MID_ANSWER, WorkerFaults.Kind.RESET, FaultType.HALF_ANSWERS,
-            WorkerFaults.Kind.HALF, FaultType.LATE_ANSWERS, WorkerFaults.Kind.LATE, FaultType.ANSWERED_TWICE,
-            WorkerFaults.Kind.TWICE, FaultType.OVERSIZED_ANSWERS, WorkerFaults.Kind.OVERSIZED,
-            FaultType.CLOSED_AT_REQUEST, WorkerFaults.Kind.CLOSED_AT_REQUEST, FaultType.SLOW_CONNECTIONS,
-            WorkerFaults.Kind.SLOW_CONNECT));
-    private final TestBed testBed;
+  private static final Map<FaultType, WorkerFaults.Kind> SOCKET_FAULTS =
+      new EnumMap<>(
+          Map.of(
+              FaultType.ERRORS,
+              WorkerFaults.Kind.ERROR,
+              FaultType.ANSWERS_LOST,
+              WorkerFaults.Kind.LOST,
+              FaultType.RESET_MID_ANSWER,
+              WorkerFaults.Kind.RESET,
+              FaultType.HALF_ANSWERS,
+              WorkerFaults.Kind.HALF,
+              FaultType.LATE_ANSWERS,
+              WorkerFaults.Kind.LATE,
+              FaultType.ANSWERED_TWICE,
+              WorkerFaults.Kind.TWICE,
+              FaultType.OVERSIZED_ANSWERS,
+              WorkerFaults.Kind.OVERSIZED,
+              FaultType.CLOSED_AT_REQUEST,
+              WorkerFaults.Kind.CLOSED_AT_REQUEST,
+              FaultType.SLOW_CONNECTIONS,
+              WorkerFaults.Kind.SLOW_CONNECT));
+  private final TestBed testBed;
 
-    WorkerFaultInjector(TestBed testBed) {
-        this.testBed = testBed;
-    }
+  WorkerFaultInjector(TestBed testBed) {
+    this.testBed = testBed;
+  }
 
-    @Override public boolean inject(Scenario.Fault fault) {
-        WorkerFaults.Kind socketFault = SOCKET_FAULTS.get(fault.verb());
-        if (socketFault != null) {
-            spoilResponses(fault, socketFault);
-            return true;
-        }
-        switch (fault.verb()) {
-            case SLOW -> slowDown(fault);
-            case RELEASED_ANEW -> unloadFunctions(fault);
-            default -> {
-                return false;
-            }
-        }
-        return true;
+  @Override
+  public boolean inject(Scenario.Fault fault) {
+    WorkerFaults.Kind socketFault = SOCKET_FAULTS.get(fault.verb());
+    if (socketFault != null) {
+      spoilResponses(fault, socketFault);
+      return true;
     }
-
-    private void spoilResponses(Scenario.Fault fault, WorkerFaults.Kind kind) {
-        List<EmulatedModelServer> affected = testBed.fleet.drawReady(fault.part());
-        affected.forEach(server -> server.faults().set(kind, fault.size()));
-        testBed.scheduler.after(fault.lasts(),
-            () -> affected.forEach(server -> server.faults().set(kind, 0)));
+    switch (fault.verb()) {
+      case SLOW -> slowDown(fault);
+      case RELEASED_ANEW -> unloadFunctions(fault);
+      default -> {
+        return false;
+      }
     }
+    return true;
+  }
 
-    private void slowDown(Scenario.Fault fault) {
-        List<EmulatedModelServer> affected = testBed.fleet.drawReady(fault.part());
-        affected.forEach(server -> server.worker().slow(fault.size()));
-        testBed.scheduler.after(fault.lasts(), () -> affected.forEach(server -> server.worker().slow(1)));
-    }
+  private void spoilResponses(Scenario.Fault fault, WorkerFaults.Kind kind) {
+    List<EmulatedModelServer> affected = testBed.fleet.drawReady(fault.part());
+    affected.forEach(server -> server.faults().set(kind, fault.size()));
+    testBed.scheduler.after(
+        fault.lasts(), () -> affected.forEach(server -> server.faults().set(kind, 0)));
+  }
+
+  private void slowDown(Scenario.Fault fault) {
+    List<EmulatedModelServer> affected = testBed.fleet.drawReady(fault.part());
+    affected.forEach(server -> server.worker().slow(fault.size()));
+    testBed.scheduler.after(
+        fault.lasts(), () -> affected.forEach(server -> server.worker().slow(1)));
+  }
 
-    private void unloadFunctions(Scenario.Fault fault) {
-        for (FunctionModel function : testBed.catalogue.functions()) {
-            if (testBed.random.nextDouble() < fault.part()) {
-                testBed.fleet.servers().forEach(server -> server.worker().drop(function.name()));
-            }
-        }
+  private void unloadFunctions(Scenario.Fault fault) {
+    for (FunctionModel function : testBed.catalogue.functions()) {
+      if (testBed.random.nextDouble() < fault.part()) {
+        testBed.fleet.servers().forEach(server -> server.worker().drop(function.name()));
+      }
     }
+  }
 }
--- a/src/main/java/switchgap/scenario/WorkerFleet.java
+++ b/src/main/java/switchgap/scenario/WorkerFleet.java
@@ -18,114 +18,139 @@
 import switchgap.emulator.ModelServerContext;
 
 /**
- * The model servers of a test bed and their lines of the endpoint list. On the scheduler's thread once
- * started.
+ * The model servers of a test bed and their lines of the endpoint list. On the scheduler's thread
+ * once started.
  */
 final class WorkerFleet {
-    static final String READY = "ready";
-    static final String DRAINING = "draining";
-    static final String GONE = "gone";
-    private static final Logger LOG = LoggerFactory.getLogger(WorkerFleet.class);
-    private static final long MICROS_PER_MILLI = 1000;
-    private static final int FAULT_SEED_OFFSET = 100;
-    private static final int WORKER_SEED_OFFSET = 1000;
-    private final Scenario scenario;
-    private final ModelServerContext context;
-    private final FunctionFetcher store;
-    private final EndpointListService endpointList;
-    private final SplittableRandom random;
-    private final Map<String, EmulatedModelServer> servers = new LinkedHashMap<>();
-    private int nextNumber;
+  static final String READY = "ready";
+  static final String DRAINING = "draining";
+  static final String GONE = "gone";
+  private static final Logger LOG = LoggerFactory.getLogger(WorkerFleet.class);
+  private static final long MICROS_PER_MILLI = 1000;
+  private static final int FAULT_SEED_OFFSET = 100;
+  private static final int WORKER_SEED_OFFSET = 1000;
+  private final Scenario scenario;
+  private final ModelServerContext context;
+  private final FunctionFetcher store;
+  private final EndpointListService endpointList;
+  private final SplittableRandom random;
+  private final Map<String, EmulatedModelServer> servers = new LinkedHashMap<>();
+  private int nextNumber;
 
-    WorkerFleet(Scenario scenario, ModelServerContext context, FunctionFetcher store,
-        EndpointListService endpointList, SplittableRandom random) {
-        this.scenario = scenario;
-        this.context = context;
-        this.store = store;
-        this.endpointList = endpointList;
-        this.random = random;
-    }
+  WorkerFleet(
+      Scenario scenario,
+      ModelServerContext context,
+      FunctionFetcher store,
+      EndpointListService endpointList,
+      SplittableRandom random) {
+    this.scenario = scenario;
+    this.context = context;
+    this.store = store;
+    this.endpointList = endpointList;
+    this.random = random;
+  }
 
-    Collection<EmulatedModelServer> servers() {
-        return Collections.unmodifiableCollection(servers.values());
-    }
+  Collection<EmulatedModelServer> servers() {
+    return Collections.unmodifiableCollection(servers.values());
+  }
 
-    List<EmulatedWorker> workers() {
-        return servers.values().stream().map(EmulatedModelServer::worker).toList();
-    }
+  List<EmulatedWorker> workers() {
+    return servers.values().stream().map(EmulatedModelServer::worker).toList();
+  }
 
-    /** Starts a worker of a new name; a cold one tells in the list when it started. */
-    void start(boolean cold) throws IOException {
-        int number = nextNumber++;
-        String name = "w" + number;
-        EmulatedModelServer server = new EmulatedModelServer(name, context,
-            scenario.seed() + FAULT_SEED_OFFSET + number);
-        int port = server.start(scenario.makeOf(number), store,
-            scenario.seed() + WORKER_SEED_OFFSET + number, cold);
-        servers.put(name, server);
-        endpointList.put(entry(name, port, number, cold));
-    }
+  /** Starts a worker of a new name; a cold one tells in the list when it started. */
+  void start(boolean cold) throws IOException {
+    int number = nextNumber++;
+    String name = "w" + number;
+    EmulatedModelServer server =
+        new EmulatedModelServer(name, context, scenario.seed() + FAULT_SEED_OFFSET + number);
+    int port =
+        server.start(
+            scenario.makeOf(number), store, scenario.seed() + WORKER_SEED_OFFSET + number, cold);
+    servers.put(name, server);
+    endpointList.put(entry(name, port, number, cold));
+  }
 
-    /** Starts a cold worker of a new name. */
-    void startCold() {
-        try {
-            start(true);
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+  /** Starts a cold worker of a new name. */
+  void startCold() {
+    try {
+      start(true);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
 
-    private EndpointListService.Entry entry(String name, int port, int number, boolean cold) {
-        return new EndpointListService.Entry(name, port, READY, scenario.zone(number),
-            number / scenario.cellSize(), scenario.kindName(number), scenario.sizeOf(number),
-            cold ? context.scheduler().now() / MICROS_PER_MILLI : 0);
-    }
+  private EndpointListService.Entry entry(String name, int port, int number, boolean cold) {
+    return new EndpointListService.Entry(
+        name,
+        port,
+        READY,
+        scenario.zone(number),
+        number / scenario.cellSize(),
+        scenario.kindName(number),
+        scenario.sizeOf(number),
+        cold ? context.scheduler().now() / MICROS_PER_MILLI : 0);
+  }
 
-    /** Sets the state of a worker in the list. */
-    void setState(String name, String state) {
-        for (EndpointListService.Entry entry : endpointList.lines()) {
-            if (entry.name().equals(name)) {
-                endpointList.put(entry.withState(state));
-            }
-        }
+  /** Sets the state of a worker in the list. */
+  void setState(String name, String state) {
+    for (EndpointListService.Entry entry : endpointList.lines()) {
+      if (entry.name().equals(name)) {
+        endpointList.put(entry.withState(state));
+      }
     }
+  }
 
-    /** Lists a worker as draining, and after a time ends its process and lists it as gone. */
-    void drain(String name, long micros) {
-        setState(name, DRAINING);
-        context.scheduler().after(micros, () -> {
-            servers.get(name).kill();
-            setState(name, GONE);
-        });
-    }
+  /** Lists a worker as draining, and after a time ends its process and lists it as gone. */
+  void drain(String name, long micros) {
+    setState(name, DRAINING);
+    context
+        .scheduler()
+        .after(
+            micros,
+            () -> {
+              servers.get(name).kill();
+              setState(name, GONE);
+            });
+  }
 
-    /** Ends a worker's process and starts it after a time, without replicas, under its name. */
-    void restart(String name, long outageMicros) {
-        servers.get(name).kill();
-        int number = Integer.parseInt(name.substring(1));
-        context.scheduler().after(outageMicros, () -> {
-            try {
-                int port = servers.get(name).start(scenario.makeOf(number), store,
-                    scenario.seed() + context.scheduler().now(), true);
+  /** Ends a worker's process and starts it after a time, without replicas, under its name. */
+  void restart(String name, long outageMicros) {
+    servers.get(name).kill();
+    int number = Integer.parseInt(name.substring(1));
+    context
+        .scheduler()
+        .after(
+            outageMicros,
+            () -> {
+              try {
+                int port =
+                    servers
+                        .get(name)
+                        .start(
+                            scenario.makeOf(number),
+                            store,
+                            scenario.seed() + context.scheduler().now(),
+                            true);
                 endpointList.put(entry(name, port, number, true));
-            } catch (IOException e) {
+              } catch (IOException e) {
                 LOG.error("worker {} can't be started again", name, e);
-            }
-        });
-    }
+              }
+            });
+  }
 
-    /** Draws a share of the running workers that are listed as ready, one at the least. */
-    List<EmulatedModelServer> drawReady(double share) {
-        List<EmulatedModelServer> ready = new ArrayList<>();
-        for (EndpointListService.Entry entry : endpointList.lines()) {
-            if (entry.state().equals(READY) && servers.get(entry.name()).isRunning()) {
-                ready.add(servers.get(entry.name()));
-            }
-        }
-        return LoadFaults.some(ready, share, random);
+  /** Draws a share of the running workers that are listed as ready, one at the least. */
+  List<EmulatedModelServer> drawReady(double share) {
+    List<EmulatedModelServer> ready = new ArrayList<>();
+    for (EndpointListService.Entry entry : endpointList.lines()) {
+      if (entry.state().equals(READY) && servers.get(entry.name()).isRunning()) {
+        ready.add(servers.get(entry.name()));
+      }
     }
+    return LoadFaults.some(ready, share, random);
+  }
 
-    void kill() {
-        servers.values().forEach(EmulatedModelServer::kill);
-    }
+  void kill() {
+    servers.values().forEach(EmulatedModelServer::kill);
+  }
 }
--- a/src/main/java/switchgap/scenario/WorkerReplacementInjector.java
+++ b/src/main/java/switchgap/scenario/WorkerReplacementInjector.java
@@ -5,70 +5,78 @@
 
 /** Injects faults that end workers: drained, replaced, killed or restarted. */
 final class WorkerReplacementInjector implements FaultInjector {
-    private static final long SHORT_DRAIN_MICROS = 500_000;
-    private static final double RELEASE_BATCH_SHARE = 0.15;
-    private static final double MICROS_PER_SECOND = 1e6;
-    private final TestBed testBed;
-    private final WorkerFleet fleet;
+  private static final long SHORT_DRAIN_MICROS = 500_000;
+  private static final double RELEASE_BATCH_SHARE = 0.15;
+  private static final double MICROS_PER_SECOND = 1e6;
+  private final TestBed testBed;
+  private final WorkerFleet fleet;
 
-    WorkerReplacementInjector(TestBed testBed) {
-        this.testBed = testBed;
-        this.fleet = testBed.fleet;
-    }
+  WorkerReplacementInjector(TestBed testBed) {
+    this.testBed = testBed;
+    this.fleet = testBed.fleet;
+  }
 
-    @Override public boolean inject(Scenario.Fault fault) {
-        switch (fault.verb()) {
-            case DRAIN -> fleet.drawReady(fault.part()).forEach(
-                server -> replace(server, drainTime(fault)));
-            case TAKEN_AWAY -> fleet.drawReady(fault.part()).forEach(
-                server -> replace(server, SHORT_DRAIN_MICROS));
-            case RELEASE -> release(fault);
-            case WORKERS_KILLED -> fleet.drawReady(fault.part()).forEach(
-                server -> killAndReplace(server, fault.lasts()));
-            case WORKER_RESTARTED -> fleet.drawReady(fault.part()).forEach(
-                server -> fleet.restart(server.name(), fault.lasts()));
-            default -> {
-                return false;
-            }
-        }
-        return true;
+  @Override
+  public boolean inject(Scenario.Fault fault) {
+    switch (fault.verb()) {
+      case DRAIN ->
+          fleet.drawReady(fault.part()).forEach(server -> replace(server, drainTime(fault)));
+      case TAKEN_AWAY ->
+          fleet.drawReady(fault.part()).forEach(server -> replace(server, SHORT_DRAIN_MICROS));
+      case RELEASE -> release(fault);
+      case WORKERS_KILLED ->
+          fleet.drawReady(fault.part()).forEach(server -> killAndReplace(server, fault.lasts()));
+      case WORKER_RESTARTED ->
+          fleet
+              .drawReady(fault.part())
+              .forEach(server -> fleet.restart(server.name(), fault.lasts()));
+      default -> {
+        return false;
+      }
     }
+    return true;
+  }
 
-    private static long drainTime(Scenario.Fault fault) {
-        return (long) (fault.size() * MICROS_PER_SECOND);
-    }
+  private static long drainTime(Scenario.Fault fault) {
+    return (long) (fault.size() * MICROS_PER_SECOND);
+  }
 
-    private void replace(EmulatedModelServer server, long drainMicros) {
-        fleet.drain(server.name(), drainMicros);
-        fleet.startCold();
-    }
+  private void replace(EmulatedModelServer server, long drainMicros) {
+    fleet.drain(server.name(), drainMicros);
+    fleet.startCold();
+  }
 
-    private void killAndReplace(EmulatedModelServer server, long outageMicros) {
-        server.kill();
-        testBed.scheduler.after(outageMicros, () -> {
-            fleet.setState(server.name(), WorkerFleet.GONE);
-            fleet.startCold();
+  private void killAndReplace(EmulatedModelServer server, long outageMicros) {
+    server.kill();
+    testBed.scheduler.after(
+        outageMicros,
+        () -> {
+          fleet.setState(server.name(), WorkerFleet.GONE);
+          fleet.startCold();
         });
-    }
+  }
 
-    /** A rolling release: the workers of this moment are replaced in batches over the fault's duration. */
-    private void release(Scenario.Fault fault) {
-        List<EmulatedModelServer> affected = fleet.drawReady(fault.part());
-        int batchSize = Math.max(1, (int) Math.round(affected.size() * RELEASE_BATCH_SHARE));
-        int batches = (affected.size() + batchSize - 1) / batchSize;
-        for (int i = 0; i < batches; i++) {
-            List<EmulatedModelServer> batch = affected.subList(i * batchSize,
-                Math.min(affected.size(), (i + 1) * batchSize));
-            testBed.scheduler.after(fault.lasts() * i / batches,
-                () -> replaceRunning(batch, drainTime(fault)));
-        }
+  /**
+   * A rolling release: the workers of this moment are replaced in batches over the fault's
+   * duration.
+   */
+  private void release(Scenario.Fault fault) {
+    List<EmulatedModelServer> affected = fleet.drawReady(fault.part());
+    int batchSize = Math.max(1, (int) Math.round(affected.size() * RELEASE_BATCH_SHARE));
+    int batches = (affected.size() + batchSize - 1) / batchSize;
+    for (int i = 0; i < batches; i++) {
+      List<EmulatedModelServer> batch =
+          affected.subList(i * batchSize, Math.min(affected.size(), (i + 1) * batchSize));
+      testBed.scheduler.after(
+          fault.lasts() * i / batches, () -> replaceRunning(batch, drainTime(fault)));
     }
+  }
 
-    private void replaceRunning(List<EmulatedModelServer> batch, long drainMicros) {
-        for (EmulatedModelServer server : batch) {
-            if (server.isRunning()) {
-                replace(server, drainMicros);
-            }
-        }
+  private void replaceRunning(List<EmulatedModelServer> batch, long drainMicros) {
+    for (EmulatedModelServer server : batch) {
+      if (server.isRunning()) {
+        replace(server, drainMicros);
+      }
     }
+  }
 }
--- a/src/main/java/switchgap/server/gateway/CoreFactory.java
+++ b/src/main/java/switchgap/server/gateway/CoreFactory.java
@@ -14,47 +14,62 @@
  * constructor of the event loop.
  */
 final class CoreFactory implements Function<EventLoop, RouterCore> {
-    private final GatewayConfig config;
-    private final RouterCore.Policy policy;
-    private final HttpClientConnection.Factory connections;
-    private final KeyedWriters writers;
-    private volatile Runnable endpointListRequest = () -> {};
-    private InferenceWorkerTransport workers;
-    private PlannedWorkerTransport planned;
+  private final GatewayConfig config;
+  private final RouterCore.Policy policy;
+  private final HttpClientConnection.Factory connections;
+  private final KeyedWriters writers;
+  private volatile Runnable endpointListRequest = () -> {};
+  private InferenceWorkerTransport workers;
+  private PlannedWorkerTransport planned;
 
-    CoreFactory(GatewayConfig config, RouterCore.Policy policy, HttpClientConnection.Factory connections,
-        KeyedWriters writers) {
-        this.config = config;
-        this.policy = policy;
-        this.connections = connections;
-        this.writers = writers;
-    }
+  CoreFactory(
+      GatewayConfig config,
+      RouterCore.Policy policy,
+      HttpClientConnection.Factory connections,
+      KeyedWriters writers) {
+    this.config = config;
+    this.policy = policy;
+    this.connections = connections;
+    this.writers = writers;
+  }
 
-    @Override public RouterCore apply(EventLoop loop) {
-        workers = new InferenceWorkerTransport(connections, config.workers().limits(), writers, loop::post,
+  @Override
+  public RouterCore apply(EventLoop loop) {
+    workers =
+        new InferenceWorkerTransport(
+            connections,
+            config.workers().limits(),
+            writers,
+            loop::post,
             () -> endpointListRequest.run());
-        if (config.plannerLink() != null) {
-            planned = new PlannedWorkerTransport(workers, config.terms(), config.plannerLink().patience(),
-                loop::post);
-        }
-        WorkerTransport transport = planned == null ? workers : planned;
-        return new RouterCore(config.terms(), policy, transport,
-            new CoreLimits(config.workers().commandTimeout(), config.workers().probeTimeout(),
-                config.requestLimits().maxFunctions()));
+    if (config.plannerLink() != null) {
+      planned =
+          new PlannedWorkerTransport(
+              workers, config.terms(), config.plannerLink().patience(), loop::post);
     }
+    WorkerTransport transport = planned == null ? workers : planned;
+    return new RouterCore(
+        config.terms(),
+        policy,
+        transport,
+        new CoreLimits(
+            config.workers().commandTimeout(),
+            config.workers().probeTimeout(),
+            config.requestLimits().maxFunctions()));
+  }
 
-    /** Sets what follows when the core asks for the endpoint list; without it nothing does. */
-    void onEndpointListRequest(Runnable action) {
-        endpointListRequest = action;
-    }
+  /** Sets what follows when the core asks for the endpoint list; without it nothing does. */
+  void onEndpointListRequest(Runnable action) {
+    endpointListRequest = action;
+  }
 
-    /** The transport to the workers. */
-    InferenceWorkerTransport workers() {
-        return workers;
-    }
+  /** The transport to the workers. */
+  InferenceWorkerTransport workers() {
+    return workers;
+  }
 
-    /** The transport in which load commands wait for a planner, or null where none is configured. */
-    PlannedWorkerTransport planned() {
-        return planned;
-    }
+  /** The transport in which load commands wait for a planner, or null where none is configured. */
+  PlannedWorkerTransport planned() {
+    return planned;
+  }
 }
--- a/src/main/java/switchgap/server/gateway/GatewayConfig.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfig.java
@@ -14,83 +14,97 @@
 /**
  * The configuration of a router, one record for each section of its YAML document.
  *
- * @param terms          the settings of the router's policy
- * @param seed           of the policy's random draws
- * @param listener       the section {@code listen}
- * @param requestLimits  the section {@code holds}
- * @param workers        the section {@code links}
- * @param endpoints      the section {@code list}
- * @param plannerLink    the section {@code planner}, or null
+ * @param terms the settings of the router's policy
+ * @param seed of the policy's random draws
+ * @param listener the section {@code listen}
+ * @param requestLimits the section {@code holds}
+ * @param workers the section {@code links}
+ * @param endpoints the section {@code list}
+ * @param plannerLink the section {@code planner}, or null
  */
-public record GatewayConfig(YamlRouterSettings terms, long seed, Listener listener,
-    RequestLimits requestLimits, WorkerConnections workers, EndpointList endpoints,
+public record GatewayConfig(
+    YamlRouterSettings terms,
+    long seed,
+    Listener listener,
+    RequestLimits requestLimits,
+    WorkerConnections workers,
+    EndpointList endpoints,
     PlannerLink plannerLink) {
 
-    /**
-     * Where and how the router accepts client connections.
-     *
-     * @param port            0 for any free one
-     * @param selectorThreads threads that read requests; as many write responses
-     */
-    public record Listener(String host, int port, ConnectionLimits limits, int selectorThreads) {}
+  /**
+   * Where and how the router accepts client connections.
+   *
+   * @param port 0 for any free one
+   * @param selectorThreads threads that read requests; as many write responses
+   */
+  public record Listener(String host, int port, ConnectionLimits limits, int selectorThreads) {}
 
-    /**
-     * Bounds of what the router holds.
-     *
-     * @param maxPending       requests pending at a time
-     * @param maxFunctions     functions known at a time
-     * @param resultRetention  for how long the result of a deferred request is kept
-     * @param maxDeferred      deferred requests, pending ones and results
-     * @param maxDeferredBytes bytes of the results kept
-     * @param maxPollSeconds   longest time for which a poll is kept open
-     */
-    public record RequestLimits(int maxPending, int maxFunctions, Duration resultRetention, int maxDeferred,
-        long maxDeferredBytes, int maxPollSeconds) {}
+  /**
+   * Bounds of what the router holds.
+   *
+   * @param maxPending requests pending at a time
+   * @param maxFunctions functions known at a time
+   * @param resultRetention for how long the result of a deferred request is kept
+   * @param maxDeferred deferred requests, pending ones and results
+   * @param maxDeferredBytes bytes of the results kept
+   * @param maxPollSeconds longest time for which a poll is kept open
+   */
+  public record RequestLimits(
+      int maxPending,
+      int maxFunctions,
+      Duration resultRetention,
+      int maxDeferred,
+      long maxDeferredBytes,
+      int maxPollSeconds) {}
 
-    /**
-     * Connections to the workers.
-     *
-     * @param sourceAddress    local address to connect from, or null for any
-     * @param maxResponseBytes largest body of a response
-     * @param commandTimeout   of load commands
-     * @param probeTimeout     of probes
-     */
-    public record WorkerConnections(InferenceWorkerTransport.ConnectionLimits limits, String sourceAddress,
-        int maxResponseBytes, Duration commandTimeout, Duration probeTimeout) {}
+  /**
+   * Connections to the workers.
+   *
+   * @param sourceAddress local address to connect from, or null for any
+   * @param maxResponseBytes largest body of a response
+   * @param commandTimeout of load commands
+   * @param probeTimeout of probes
+   */
+  public record WorkerConnections(
+      InferenceWorkerTransport.ConnectionLimits limits,
+      String sourceAddress,
+      int maxResponseBytes,
+      Duration commandTimeout,
+      Duration probeTimeout) {}
 
-    /**
-     * Where the list of workers comes from: a service, or the configuration itself.
-     *
-     * @param service       the endpoint list service, or null
-     * @param retryInterval pause before the service is asked again
-     * @param staticWorkers workers that the configuration names
-     */
-    public record EndpointList(InetSocketAddress service, Duration retryInterval,
-        List<EndpointUpdate> staticWorkers) {}
+  /**
+   * Where the list of workers comes from: a service, or the configuration itself.
+   *
+   * @param service the endpoint list service, or null
+   * @param retryInterval pause before the service is asked again
+   * @param staticWorkers workers that the configuration names
+   */
+  public record EndpointList(
+      InetSocketAddress service, Duration retryInterval, List<EndpointUpdate> staticWorkers) {}
 
-    /**
-     * The planner that sequences load commands.
-     *
-     * @param address  where the router listens for it
-     * @param patience for how long a load command waits for a plan
-     */
-    public record PlannerLink(InetSocketAddress address, Duration patience) {}
+  /**
+   * The planner that sequences load commands.
+   *
+   * @param address where the router listens for it
+   * @param patience for how long a load command waits for a plan
+   */
+  public record PlannerLink(InetSocketAddress address, Duration patience) {}
 
-    /** Reads a YAML file; see {@link #read(YamlDocument)}. */
-    public static GatewayConfig read(Path file) throws IOException {
-        return read(YamlDocument.read(file));
-    }
+  /** Reads a YAML file; see {@link #read(YamlDocument)}. */
+  public static GatewayConfig read(Path file) throws IOException {
+    return read(YamlDocument.read(file));
+  }
 
-    /**
-     * Reads a whole document; a mistake is a {@link switchgap.config.InvalidConfigException} that names file,
-     * line and key.
-     */
-    public static GatewayConfig read(YamlDocument document) {
-        return new GatewayConfigReader(document).read();
-    }
+  /**
+   * Reads a whole document; a mistake is a {@link switchgap.config.InvalidConfigException} that
+   * names file, line and key.
+   */
+  public static GatewayConfig read(YamlDocument document) {
+    return new GatewayConfigReader(document).read();
+  }
 
-    /** Where the router listens for its planner, or null. */
-    public InetSocketAddress planner() {
-        return plannerLink == null ? null : plannerLink.address();
-    }
+  /** Where the router listens for its planner, or null. */
+  public InetSocketAddress planner() {
+    return plannerLink == null ? null : plannerLink.address();
+  }
 }
--- a/src/main/java/switchgap/server/gateway/JvmWarmup.java
+++ b/src/main/java/switchgap/server/gateway/JvmWarmup.java
@@ -14,84 +14,91 @@
 import switchgap.net.NetworkTransport;
 
 /**
- * Runs synthetic requests through a core and a server of its own before the router serves. Guards against
- * responses that come late in the first second, while the JVM still interprets the code that must meet
- * deadlines.
+ * Runs synthetic requests through a core and a server of its own before the router serves. Guards
+ * against responses that come late in the first second, while the JVM still interprets the code
+ * that must meet deadlines.
  */
 final class JvmWarmup {
-    /** Longest time of each of the two parts. */
-    static final Duration MAX_DURATION = Duration.ofSeconds(2);
+  /** Longest time of each of the two parts. */
+  static final Duration MAX_DURATION = Duration.ofSeconds(2);
 
-    private static final int EXCHANGES = 600;
-    private static final int BODY_BYTES = 64;
-    private static final int MAX_RESPONSE_BYTES = 1 << 16;
-    private static final String LOOPBACK = "127.0.0.1";
-    private static final String PATH = "/rehearsal";
-    private static final Map<String, String> HEADERS = Map.of("Content-Type", "text/plain");
+  private static final int EXCHANGES = 600;
+  private static final int BODY_BYTES = 64;
+  private static final int MAX_RESPONSE_BYTES = 1 << 16;
+  private static final String LOOPBACK = "127.0.0.1";
+  private static final String PATH = "/rehearsal";
+  private static final Map<String, String> HEADERS = Map.of("Content-Type", "text/plain");
 
-    private JvmWarmup() {}
+  private JvmWarmup() {}
 
-    /** Warms up the routing of requests and the sockets; takes about four seconds at most. */
-    static void run(YamlRouterSettings settings, NetworkTransport network) throws IOException {
-        new RoutingWarmup(settings).run();
-        warmUpSockets(network);
-    }
+  /** Warms up the routing of requests and the sockets; takes about four seconds at most. */
+  static void run(YamlRouterSettings settings, NetworkTransport network) throws IOException {
+    new RoutingWarmup(settings).run();
+    warmUpSockets(network);
+  }
 
-    private static void warmUpSockets(NetworkTransport network) throws IOException {
-        try (HttpServer server = new HttpServer(network, ConnectionLimits.DEFAULT,
+  private static void warmUpSockets(NetworkTransport network) throws IOException {
+    try (HttpServer server =
+        new HttpServer(
+            network,
+            ConnectionLimits.DEFAULT,
             exchange -> exchange.respond(200, HEADERS, exchange.body))) {
-            int port = server.listen(LOOPBACK, 0);
-            CountDownLatch done = new CountDownLatch(1);
-            new HttpClientConnection.Factory(network, null, MAX_RESPONSE_BYTES).connect(
-                new InetSocketAddress(LOOPBACK, port), MAX_DURATION, new Connected(done));
-            done.await(MAX_DURATION.toMillis(), TimeUnit.MILLISECONDS);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+      int port = server.listen(LOOPBACK, 0);
+      CountDownLatch done = new CountDownLatch(1);
+      new HttpClientConnection.Factory(network, null, MAX_RESPONSE_BYTES)
+          .connect(new InetSocketAddress(LOOPBACK, port), MAX_DURATION, new Connected(done));
+      done.await(MAX_DURATION.toMillis(), TimeUnit.MILLISECONDS);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+  }
 
-    /** Begins the exchanges once the connection is open; counts down when there are to be no more. */
-    private record Connected(CountDownLatch done) implements HttpClientConnection.ConnectCallback {
-        @Override public void connected(HttpClientConnection connection) {
-            new Exchanges(connection, done).sendNext();
-        }
+  /** Begins the exchanges once the connection is open; counts down when there are to be no more. */
+  private record Connected(CountDownLatch done) implements HttpClientConnection.ConnectCallback {
+    @Override
+    public void connected(HttpClientConnection connection) {
+      new Exchanges(connection, done).sendNext();
+    }
 
-        @Override public void failed(String why) {
-            done.countDown();
-        }
+    @Override
+    public void failed(String why) {
+      done.countDown();
     }
+  }
 
-    /** One exchange after the other on one connection. */
-    private static final class Exchanges implements HttpClientConnection.ResponseHandler {
-        private final HttpClientConnection connection;
-        private final CountDownLatch done;
-        private final AtomicInteger remaining = new AtomicInteger(EXCHANGES);
+  /** One exchange after the other on one connection. */
+  private static final class Exchanges implements HttpClientConnection.ResponseHandler {
+    private final HttpClientConnection connection;
+    private final CountDownLatch done;
+    private final AtomicInteger remaining = new AtomicInteger(EXCHANGES);
 
-        Exchanges(HttpClientConnection connection, CountDownLatch done) {
-            this.connection = connection;
-            this.done = done;
-        }
+    Exchanges(HttpClientConnection connection, CountDownLatch done) {
+      this.connection = connection;
+      this.done = done;
+    }
 
-        void sendNext() {
-            boolean sent = remaining.getAndDecrement() > 0
-                && connection.send("POST", PATH, HEADERS, new byte[BODY_BYTES], this);
-            if (!sent) {
-                connection.close();
-                done.countDown();
-            }
-        }
+    void sendNext() {
+      boolean sent =
+          remaining.getAndDecrement() > 0
+              && connection.send("POST", PATH, HEADERS, new byte[BODY_BYTES], this);
+      if (!sent) {
+        connection.close();
+        done.countDown();
+      }
+    }
 
-        @Override public void responded(int status, Map<String, String> headers, byte[] body,
-            boolean reusable) {
-            if (reusable) {
-                sendNext();
-            } else {
-                done.countDown();
-            }
-        }
+    @Override
+    public void responded(int status, Map<String, String> headers, byte[] body, boolean reusable) {
+      if (reusable) {
+        sendNext();
+      } else {
+        done.countDown();
+      }
+    }
 
-        @Override public void connectionLost(String why) {
-            done.countDown();
-        }
+    @Override
+    public void connectionLost(String why) {
+      done.countDown();
     }
+  }
 }
--- a/src/main/java/switchgap/server/platform/AttemptObserver.java
+++ b/src/main/java/switchgap/server/platform/AttemptObserver.java
@@ -10,15 +10,17 @@
 
 /** Notes how attempts end, among the router's events. */
 final class AttemptObserver implements RouterCore.RequestObserver {
-    private final RouterEvents events;
+  private final RouterEvents events;
 
-    AttemptObserver(RouterEvents events) {
-        this.events = events;
-    }
+  AttemptObserver(RouterEvents events) {
+    this.events = events;
+  }
 
-    @Override public void attemptEnded(Attempt attempt, AttemptOutcome outcome) {
-        events.record(Kind.ATTEMPT_ENDED, outcome.name(), attempt.request.id, attempt.worker.name);
-    }
+  @Override
+  public void attemptEnded(Attempt attempt, AttemptOutcome outcome) {
+    events.record(Kind.ATTEMPT_ENDED, outcome.name(), attempt.request.id, attempt.worker.name);
+  }
 
-    @Override public void requestEnded(PendingRequest request, Response response) {}
+  @Override
+  public void requestEnded(PendingRequest request, Response response) {}
 }
--- a/src/main/java/switchgap/server/platform/ServeCommand.java
+++ b/src/main/java/switchgap/server/platform/ServeCommand.java
@@ -7,55 +7,58 @@
 import switchgap.net.WallClock;
 
 /**
- * The command {@code serve}: a router on the platform until SIGTERM. Exit codes: 0 stopped, 1 failed, 2
- * unusable input, 70 an internal error.
+ * The command {@code serve}: a router on the platform until SIGTERM. Exit codes: 0 stopped, 1
+ * failed, 2 unusable input, 70 an internal error.
  */
 public final class ServeCommand {
-    private static final int EXIT_STOPPED = 0;
-    private static final int EXIT_FAILED = 1;
-    private static final int EXIT_UNUSABLE_INPUT = 2;
-    private static final int EXIT_INTERNAL_ERROR = 70;
-    /** Referenced for good: a logger that nobody references is collected, and its level is lost. */
-    private static final Logger GRIZZLY = Logger.getLogger("org.glassfish.grizzly");
+  private static final int EXIT_STOPPED = 0;
+  private static final int EXIT_FAILED = 1;
+  private static final int EXIT_UNUSABLE_INPUT = 2;
+  private static final int EXIT_INTERNAL_ERROR = 70;
 
-    private ServeCommand() {}
+  /** Referenced for good: a logger that nobody references is collected, and its level is lost. */
+  private static final Logger GRIZZLY = Logger.getLogger("org.glassfish.grizzly");
 
-    /** Ends a process of which a part is dead: it would serve nobody, and starts again from nothing. */
-    static void failed(RateLimitedLog log, String what, Throwable error) {
-        StackTraceElement[] stack = error.getStackTrace();
-        String place = stack.length > 0 ? " at " + stack[0] : "";
-        log.line(what + ", the router stops: " + error + place);
-        Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR);
-    }
+  private ServeCommand() {}
 
-    /** Serves until SIGTERM; returns the exit code. */
-    public static int run() {
-        RateLimitedLog log = new RateLimitedLog();
-        GRIZZLY.setLevel(Level.OFF); // it reports each connection that a peer broke
-        Thread.setDefaultUncaughtExceptionHandler(
-            (thread, error) -> failed(log, "thread " + thread.getName() + " ended", error));
-        try {
-            serve(log);
-            return EXIT_STOPPED;
-        } catch (InvalidConfigException e) {
-            System.err.println("switchgap: " + e.getMessage());
-            return EXIT_UNUSABLE_INPUT;
-        } catch (IOException | ReflectiveOperationException e) {
-            System.err.println("switchgap: " + e.getMessage());
-            return EXIT_FAILED;
-        } catch (InterruptedException e) {
-            return EXIT_FAILED;
-        }
-    }
+  /**
+   * Ends a process of which a part is dead: it would serve nobody, and starts again from nothing.
+   */
+  static void failed(RateLimitedLog log, String what, Throwable error) {
+    StackTraceElement[] stack = error.getStackTrace();
+    String place = stack.length > 0 ? " at " + stack[0] : "";
+    log.line(what + ", the router stops: " + error + place);
+    Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR);
+  }
 
-    private static void serve(RateLimitedLog log)
-        throws IOException, ReflectiveOperationException, InterruptedException {
-        SignalHandlers signals = new SignalHandlers();
-        PlatformConfig config = PlatformConfig.read(System.getenv(), WallClock.unixMillis());
-        PlatformRouter router = new PlatformRouter(config, log);
-        FeedReloader reloader = new FeedReloader(System.getenv(), router::follow, log);
-        signals.onHangup(reloader::reload);
-        signals.awaitTermination();
-        router.stop();
+  /** Serves until SIGTERM; returns the exit code. */
+  public static int run() {
+    RateLimitedLog log = new RateLimitedLog();
+    GRIZZLY.setLevel(Level.OFF); // it reports each connection that a peer broke
+    Thread.setDefaultUncaughtExceptionHandler(
+        (thread, error) -> failed(log, "thread " + thread.getName() + " ended", error));
+    try {
+      serve(log);
+      return EXIT_STOPPED;
+    } catch (InvalidConfigException e) {
+      System.err.println("switchgap: " + e.getMessage());
+      return EXIT_UNUSABLE_INPUT;
+    } catch (IOException | ReflectiveOperationException e) {
+      System.err.println("switchgap: " + e.getMessage());
+      return EXIT_FAILED;
+    } catch (InterruptedException e) {
+      return EXIT_FAILED;
     }
+  }
+
+  private static void serve(RateLimitedLog log)
+      throws IOException, ReflectiveOperationException, InterruptedException {
+    SignalHandlers signals = new SignalHandlers();
+    PlatformConfig config = PlatformConfig.read(System.getenv(), WallClock.unixMillis());
+    PlatformRouter router = new PlatformRouter(config, log);
+    FeedReloader reloader = new FeedReloader(System.getenv(), router::follow, log);
+    signals.onHangup(reloader::reload);
+    signals.awaitTermination();
+    router.stop();
+  }
 }
--- a/src/main/java/switchgap/simulator/EndpointListDecoder.java
+++ b/src/main/java/switchgap/simulator/EndpointListDecoder.java
@@ -9,53 +9,58 @@
 
 /** Decodes the content of an endpoint list, entry by entry. */
 final class EndpointListDecoder {
-    static final int ENTRY_BYTES = 25;
-
-    // Offsets in bytes from an entry's start.
-    private static final int STATE = 0;
-    private static final int ZONE = 1;
-    private static final int STARTED_AT = 3;
-    private static final int CELL = 11;
-    private static final int WORKER_ID = 13;
-    private static final int KIND = 19;
-    private static final int CAPACITY = 21;
-
-    private static final int STATE_GONE = 0;
-    private static final int STATE_READY = 1;
-    private static final long LONG_PAST = 0;
-
-    private final IndexAllocator workers;
-    private final long routerStartMicros;
-
-    /** Times in lists are the simulator's; the policy is told times since the router's start. */
-    EndpointListDecoder(IndexAllocator workers, long routerStartMicros) {
-        this.workers = workers;
-        this.routerStartMicros = routerStartMicros;
-    }
+  static final int ENTRY_BYTES = 25;
 
-    void deliver(byte[] content, boolean complete, PolicyEvents events) {
-        ByteBuffer buffer = ByteBuffer.wrap(content).order(ByteOrder.LITTLE_ENDIAN);
-        events.endpointListStarted(complete);
-        for (int at = 0; at < content.length; at += ENTRY_BYTES) {
-            events.endpointListed(entry(buffer, at));
-        }
-        events.endpointListEnded();
-    }
+  // Offsets in bytes from an entry's start.
+  private static final int STATE = 0;
+  private static final int ZONE = 1;
+  private static final int STARTED_AT = 3;
+  private static final int CELL = 11;
+  private static final int WORKER_ID = 13;
+  private static final int KIND = 19;
+  private static final int CAPACITY = 21;
 
-    private EndpointEntry entry(ByteBuffer buffer, int at) {
-        long workerId = WireValues.workerId(buffer, at + WORKER_ID);
-        long startedAt = buffer.getLong(at + STARTED_AT);
-        return new EndpointEntry(workers.allocate(workerId), workerId, state(buffer.get(at + STATE)),
-            WireValues.unsignedShort(buffer, at + ZONE), WireValues.unsignedShort(buffer, at + CELL),
-            WireValues.unsignedShort(buffer, at + KIND), buffer.getFloat(at + CAPACITY),
-            startedAt == LONG_PAST ? null : WireValues.ofMicros(startedAt - routerStartMicros));
-    }
+  private static final int STATE_GONE = 0;
+  private static final int STATE_READY = 1;
+  private static final long LONG_PAST = 0;
+
+  private final IndexAllocator workers;
+  private final long routerStartMicros;
 
-    private static WorkerState state(byte code) {
-        return switch (code) {
-            case STATE_GONE -> WorkerState.GONE;
-            case STATE_READY -> WorkerState.READY;
-            default -> WorkerState.DRAINING;
-        };
+  /** Times in lists are the simulator's; the policy is told times since the router's start. */
+  EndpointListDecoder(IndexAllocator workers, long routerStartMicros) {
+    this.workers = workers;
+    this.routerStartMicros = routerStartMicros;
+  }
+
+  void deliver(byte[] content, boolean complete, PolicyEvents events) {
+    ByteBuffer buffer = ByteBuffer.wrap(content).order(ByteOrder.LITTLE_ENDIAN);
+    events.endpointListStarted(complete);
+    for (int at = 0; at < content.length; at += ENTRY_BYTES) {
+      events.endpointListed(entry(buffer, at));
     }
+    events.endpointListEnded();
+  }
+
+  private EndpointEntry entry(ByteBuffer buffer, int at) {
+    long workerId = WireValues.workerId(buffer, at + WORKER_ID);
+    long startedAt = buffer.getLong(at + STARTED_AT);
+    return new EndpointEntry(
+        workers.allocate(workerId),
+        workerId,
+        state(buffer.get(at + STATE)),
+        WireValues.unsignedShort(buffer, at + ZONE),
+        WireValues.unsignedShort(buffer, at + CELL),
+        WireValues.unsignedShort(buffer, at + KIND),
+        buffer.getFloat(at + CAPACITY),
+        startedAt == LONG_PAST ? null : WireValues.ofMicros(startedAt - routerStartMicros));
+  }
+
+  private static WorkerState state(byte code) {
+    return switch (code) {
+      case STATE_GONE -> WorkerState.GONE;
+      case STATE_READY -> WorkerState.READY;
+      default -> WorkerState.DRAINING;
+    };
+  }
 }
