--- a/src/main/java/switchgap/simulator/EventFrame.java
+++ b/src/main/java/switchgap/simulator/EventFrame.java
@@ -6,86 +6,101 @@
 import java.nio.ByteOrder;
 
 /**
- * A frame of event records: a header, the records, and a tail that holds their parts of variable length.
+ * A frame of event records: a header, the records, and a tail that holds their parts of variable
+ * length.
  *
- * @param number       the frame's number, repeated in its reply
- * @param recordCount  how many records it has
- * @param clockMicros  the simulator's time
- * @param body         the records and the tail, little-endian
+ * @param number the frame's number, repeated in its reply
+ * @param recordCount how many records it has
+ * @param clockMicros the simulator's time
+ * @param body the records and the tail, little-endian
  */
 record EventFrame(int number, int recordCount, long clockMicros, ByteBuffer body) {
-    private static final int HEADER_BYTES = 20;
-    private static final int NUMBER = 0;
-    private static final int RECORD_COUNT = 4;
-    private static final int FRAME_BYTES = 8;
-    private static final int CLOCK = 12;
-    /** Of a reference to the tail: its offset there, then its size. */
-    private static final int REFERENCE_SIZE = 4;
+  private static final int HEADER_BYTES = 20;
+  private static final int NUMBER = 0;
+  private static final int RECORD_COUNT = 4;
+  private static final int FRAME_BYTES = 8;
+  private static final int CLOCK = 12;
 
-    /** Reads the next frame, or returns null at the end of the stream. */
-    static EventFrame read(InputStream in) throws IOException {
-        byte[] headerBytes = new byte[HEADER_BYTES];
-        int headerSize = in.readNBytes(headerBytes, 0, HEADER_BYTES);
-        if (headerSize == 0) {
-            return null;
-        }
-        if (headerSize < HEADER_BYTES) {
-            throw new MalformedFrameException("header ends at byte " + headerSize + " of " + HEADER_BYTES);
-        }
-        ByteBuffer header = ByteBuffer.wrap(headerBytes).order(ByteOrder.LITTLE_ENDIAN);
-        int number = header.getInt(NUMBER);
-        long recordCount = Integer.toUnsignedLong(header.getInt(RECORD_COUNT));
-        long frameBytes = Integer.toUnsignedLong(header.getInt(FRAME_BYTES));
-        long minBytes = HEADER_BYTES + recordCount * EventLayout.RECORD_BYTES;
-        if (frameBytes < minBytes || frameBytes > Integer.MAX_VALUE) {
-            throw new MalformedFrameException(
-                "length " + frameBytes + " at byte 8 does not fit " + recordCount + " records");
-        }
-        byte[] body = in.readNBytes((int) frameBytes - HEADER_BYTES);
-        if (body.length < frameBytes - HEADER_BYTES) {
-            throw new MalformedFrameException(
-                "frame " + number + " ends at byte " + (HEADER_BYTES + body.length) + " of " + frameBytes);
-        }
-        return new EventFrame(number, (int) recordCount, header.getLong(CLOCK),
-            ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN));
-    }
+  /** Of a reference to the tail: its offset there, then its size. */
+  private static final int REFERENCE_SIZE = 4;
 
-    /** Where a record begins in the body. */
-    int offsetOf(int record) {
-        return record * EventLayout.RECORD_BYTES;
+  /** Reads the next frame, or returns null at the end of the stream. */
+  static EventFrame read(InputStream in) throws IOException {
+    byte[] headerBytes = new byte[HEADER_BYTES];
+    int headerSize = in.readNBytes(headerBytes, 0, HEADER_BYTES);
+    if (headerSize == 0) {
+      return null;
     }
-
-    /** A record's event code. */
-    int codeOf(int record) {
-        return body.get(offsetOf(record) + EventLayout.CODE) & 0xff;
+    if (headerSize < HEADER_BYTES) {
+      throw new MalformedFrameException(
+          "header ends at byte " + headerSize + " of " + HEADER_BYTES);
     }
-
-    /** The router that a record is for. */
-    int routerIdOf(int record) {
-        return body.getShort(offsetOf(record) + EventLayout.ROUTER_ID) & 0xffff;
+    ByteBuffer header = ByteBuffer.wrap(headerBytes).order(ByteOrder.LITTLE_ENDIAN);
+    int number = header.getInt(NUMBER);
+    long recordCount = Integer.toUnsignedLong(header.getInt(RECORD_COUNT));
+    long frameBytes = Integer.toUnsignedLong(header.getInt(FRAME_BYTES));
+    long minBytes = HEADER_BYTES + recordCount * EventLayout.RECORD_BYTES;
+    if (frameBytes < minBytes || frameBytes > Integer.MAX_VALUE) {
+      throw new MalformedFrameException(
+          "length " + frameBytes + " at byte 8 does not fit " + recordCount + " records");
     }
-
-    /** The byte of the frame at which an offset in the body lies, for messages. */
-    static int frameOffset(int bodyOffset) {
-        return HEADER_BYTES + bodyOffset;
+    byte[] body = in.readNBytes((int) frameBytes - HEADER_BYTES);
+    if (body.length < frameBytes - HEADER_BYTES) {
+      throw new MalformedFrameException(
+          "frame "
+              + number
+              + " ends at byte "
+              + (HEADER_BYTES + body.length)
+              + " of "
+              + frameBytes);
     }
+    return new EventFrame(
+        number,
+        (int) recordCount,
+        header.getLong(CLOCK),
+        ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN));
+  }
+
+  /** Where a record begins in the body. */
+  int offsetOf(int record) {
+    return record * EventLayout.RECORD_BYTES;
+  }
+
+  /** A record's event code. */
+  int codeOf(int record) {
+    return body.get(offsetOf(record) + EventLayout.CODE) & 0xff;
+  }
+
+  /** The router that a record is for. */
+  int routerIdOf(int record) {
+    return body.getShort(offsetOf(record) + EventLayout.ROUTER_ID) & 0xffff;
+  }
+
+  /** The byte of the frame at which an offset in the body lies, for messages. */
+  static int frameOffset(int bodyOffset) {
+    return HEADER_BYTES + bodyOffset;
+  }
 
-    /**
-     * Copies the part of the tail that a record refers to.
-     *
-     * @param field      the reference's offset in the record
-     * @param unitBytes  bytes of each of the elements that the reference counts
-     */
-    byte[] tailPart(int record, int field, int unitBytes) throws MalformedFrameException {
-        int reference = offsetOf(record) + field;
-        long start = offsetOf(recordCount) + Integer.toUnsignedLong(body.getInt(reference));
-        long size = Integer.toUnsignedLong(body.getInt(reference + REFERENCE_SIZE)) * unitBytes;
-        if (start + size > body.capacity()) {
-            throw new MalformedFrameException(
-                "offset at byte " + frameOffset(reference) + " of record " + record + " is outside the tail");
-        }
-        byte[] part = new byte[(int) size];
-        body.get((int) start, part);
-        return part;
+  /**
+   * Copies the part of the tail that a record refers to.
+   *
+   * @param field the reference's offset in the record
+   * @param unitBytes bytes of each of the elements that the reference counts
+   */
+  byte[] tailPart(int record, int field, int unitBytes) throws MalformedFrameException {
+    int reference = offsetOf(record) + field;
+    long start = offsetOf(recordCount) + Integer.toUnsignedLong(body.getInt(reference));
+    long size = Integer.toUnsignedLong(body.getInt(reference + REFERENCE_SIZE)) * unitBytes;
+    if (start + size > body.capacity()) {
+      throw new MalformedFrameException(
+          "offset at byte "
+              + frameOffset(reference)
+              + " of record "
+              + record
+              + " is outside the tail");
     }
+    byte[] part = new byte[(int) size];
+    body.get((int) start, part);
+    return part;
+  }
 }
--- a/src/main/java/switchgap/simulator/ReplyFrame.java
+++ b/src/main/java/switchgap/simulator/ReplyFrame.java
@@ -6,79 +6,81 @@
 import java.util.Arrays;
 
 /**
- * A reply frame in the making: a header, action records, and a tail of their texts. Reused for each frame.
+ * A reply frame in the making: a header, action records, and a tail of their texts. Reused for each
+ * frame.
  */
 final class ReplyFrame {
-    private static final int RECORD_BYTES = 24;
-    private static final int HEADER_BYTES = 12;
-    private static final int INITIAL_BYTES = 1 << 14;
-    private static final int INITIAL_TAIL_BYTES = 256;
+  private static final int RECORD_BYTES = 24;
+  private static final int HEADER_BYTES = 12;
+  private static final int INITIAL_BYTES = 1 << 14;
+  private static final int INITIAL_TAIL_BYTES = 256;
 
-    // Offsets in bytes from the frame's start.
-    private static final int NUMBER = 0;
-    private static final int RECORD_COUNT = 4;
-    private static final int FRAME_BYTES = 8;
-    // Offsets in bytes from a record's start.
-    private static final int CODE = 0;
-    private static final int ROUTER_ID = 1;
-    /** Of a reference to the tail: its offset there, then its size. */
-    private static final int REFERENCE_SIZE = 4;
+  // Offsets in bytes from the frame's start.
+  private static final int NUMBER = 0;
+  private static final int RECORD_COUNT = 4;
+  private static final int FRAME_BYTES = 8;
+  // Offsets in bytes from a record's start.
+  private static final int CODE = 0;
+  private static final int ROUTER_ID = 1;
 
-    private byte[] bytes = new byte[INITIAL_BYTES];
-    private ByteBuffer buffer = littleEndian(bytes);
-    private byte[] tail = new byte[INITIAL_TAIL_BYTES];
-    private int tailBytes;
-    private int recordCount;
+  /** Of a reference to the tail: its offset there, then its size. */
+  private static final int REFERENCE_SIZE = 4;
 
-    private static ByteBuffer littleEndian(byte[] array) {
-        return ByteBuffer.wrap(array).order(ByteOrder.LITTLE_ENDIAN);
-    }
+  private byte[] bytes = new byte[INITIAL_BYTES];
+  private ByteBuffer buffer = littleEndian(bytes);
+  private byte[] tail = new byte[INITIAL_TAIL_BYTES];
+  private int tailBytes;
+  private int recordCount;
 
-    /** Begins the reply to the frame of that number. */
-    void begin(int number) {
-        recordCount = 0;
-        tailBytes = 0;
-        buffer.putInt(NUMBER, number);
-    }
+  private static ByteBuffer littleEndian(byte[] array) {
+    return ByteBuffer.wrap(array).order(ByteOrder.LITTLE_ENDIAN);
+  }
 
-    /** Adds a record of zeros with its code and router, and returns its offset in {@link #buffer}. */
-    int addRecord(int code, int routerId) {
-        int at = HEADER_BYTES + RECORD_BYTES * recordCount;
-        recordCount++;
-        if (at + RECORD_BYTES > bytes.length) {
-            bytes = Arrays.copyOf(bytes, bytes.length * 2);
-            buffer = littleEndian(bytes);
-        }
-        Arrays.fill(bytes, at, at + RECORD_BYTES, (byte) 0);
-        bytes[at + CODE] = (byte) code;
-        buffer.putShort(at + ROUTER_ID, (short) routerId);
-        return at;
-    }
+  /** Begins the reply to the frame of that number. */
+  void begin(int number) {
+    recordCount = 0;
+    tailBytes = 0;
+    buffer.putInt(NUMBER, number);
+  }
 
-    /** The records; another buffer after {@link #addRecord}. */
-    ByteBuffer buffer() {
-        return buffer;
+  /** Adds a record of zeros with its code and router, and returns its offset in {@link #buffer}. */
+  int addRecord(int code, int routerId) {
+    int at = HEADER_BYTES + RECORD_BYTES * recordCount;
+    recordCount++;
+    if (at + RECORD_BYTES > bytes.length) {
+      bytes = Arrays.copyOf(bytes, bytes.length * 2);
+      buffer = littleEndian(bytes);
     }
+    Arrays.fill(bytes, at, at + RECORD_BYTES, (byte) 0);
+    bytes[at + CODE] = (byte) code;
+    buffer.putShort(at + ROUTER_ID, (short) routerId);
+    return at;
+  }
 
-    /** Adds a text to the tail and writes a reference to it. */
-    void putText(int at, String text) {
-        byte[] encoded = text.getBytes(StandardCharsets.UTF_8);
-        if (tailBytes + encoded.length > tail.length) {
-            tail = Arrays.copyOf(tail, Math.max(tail.length * 2, tailBytes + encoded.length));
-        }
-        System.arraycopy(encoded, 0, tail, tailBytes, encoded.length);
-        buffer.putInt(at, tailBytes);
-        buffer.putInt(at + REFERENCE_SIZE, encoded.length);
-        tailBytes += encoded.length;
-    }
+  /** The records; another buffer after {@link #addRecord}. */
+  ByteBuffer buffer() {
+    return buffer;
+  }
 
-    /** The whole frame. */
-    byte[] finish() {
-        int tailStart = HEADER_BYTES + RECORD_BYTES * recordCount;
-        buffer.putInt(RECORD_COUNT, recordCount);
-        buffer.putInt(FRAME_BYTES, tailStart + tailBytes);
-        byte[] frame = Arrays.copyOf(bytes, tailStart + tailBytes);
-        System.arraycopy(tail, 0, frame, tailStart, tailBytes);
-        return frame;
+  /** Adds a text to the tail and writes a reference to it. */
+  void putText(int at, String text) {
+    byte[] encoded = text.getBytes(StandardCharsets.UTF_8);
+    if (tailBytes + encoded.length > tail.length) {
+      tail = Arrays.copyOf(tail, Math.max(tail.length * 2, tailBytes + encoded.length));
     }
+    System.arraycopy(encoded, 0, tail, tailBytes, encoded.length);
+    buffer.putInt(at, tailBytes);
+    buffer.putInt(at + REFERENCE_SIZE, encoded.length);
+    tailBytes += encoded.length;
+  }
+
+  /** The whole frame. */
+  byte[] finish() {
+    int tailStart = HEADER_BYTES + RECORD_BYTES * recordCount;
+    buffer.putInt(RECORD_COUNT, recordCount);
+    buffer.putInt(FRAME_BYTES, tailStart + tailBytes);
+    byte[] frame = Arrays.copyOf(bytes, tailStart + tailBytes);
+    System.arraycopy(tail, 0, frame, tailStart, tailBytes);
+    return frame;
+  }
 }
--- a/src/main/java/switchgap/soak/BinaryThrift.java
+++ b/src/main/java/switchgap/soak/BinaryThrift.java
@@ -10,149 +10,166 @@
 
 /** The clients' protocol, strict binary Thrift in frames, from the client's side. */
 final class BinaryThrift {
-    /** How a request was answered. */
-    enum ReplyKind {
-        SERVED, REFUSED, FAILED, HEARTBEAT
-    }
-
-    /** A reply; {@code body} is that of a served request, {@code good} a heartbeat's. */
-    record Reply(int sequenceId, ReplyKind kind, byte[] body, boolean good) {}
-
-    private static final int VERSION = 0x80010000;
-    private static final int CALL = 1;
-    private static final int EXCEPTION = 3;
-    private static final int ONEWAY = 4;
-    private static final int STOP = 0;
-    private static final int BOOL = 2;
-    private static final int INT32 = 8;
-    private static final int STRING = 11;
-    private static final int STRUCT = 12;
-    private static final int MAP = 13;
-    private static final int MAX_FRAME_BYTES = 1 << 20;
-    private static final String HEARTBEAT_METHOD = "heartbeat";
-
-    private BinaryThrift() {}
-
-    /** A request's frame. */
-    static byte[] submit(int sequenceId, Map<String, String> fields, byte[] body) throws IOException {
-        return message("submit", CALL, sequenceId, out -> {
-            fieldHeader(out, MAP, 1);
-            out.writeByte(STRING);
-            out.writeByte(STRING);
-            out.writeInt(fields.size());
-            for (Map.Entry<String, String> field : fields.entrySet()) {
-                writeBytes(out, field.getKey().getBytes(StandardCharsets.UTF_8));
-                writeBytes(out, field.getValue().getBytes(StandardCharsets.UTF_8));
-            }
-            fieldHeader(out, STRING, 2);
-            writeBytes(out, body);
+  /** How a request was answered. */
+  enum ReplyKind {
+    SERVED,
+    REFUSED,
+    FAILED,
+    HEARTBEAT
+  }
+
+  /** A reply; {@code body} is that of a served request, {@code good} a heartbeat's. */
+  record Reply(int sequenceId, ReplyKind kind, byte[] body, boolean good) {}
+
+  private static final int VERSION = 0x80010000;
+  private static final int CALL = 1;
+  private static final int EXCEPTION = 3;
+  private static final int ONEWAY = 4;
+  private static final int STOP = 0;
+  private static final int BOOL = 2;
+  private static final int INT32 = 8;
+  private static final int STRING = 11;
+  private static final int STRUCT = 12;
+  private static final int MAP = 13;
+  private static final int MAX_FRAME_BYTES = 1 << 20;
+  private static final String HEARTBEAT_METHOD = "heartbeat";
+
+  private BinaryThrift() {}
+
+  /** A request's frame. */
+  static byte[] submit(int sequenceId, Map<String, String> fields, byte[] body) throws IOException {
+    return message(
+        "submit",
+        CALL,
+        sequenceId,
+        out -> {
+          fieldHeader(out, MAP, 1);
+          out.writeByte(STRING);
+          out.writeByte(STRING);
+          out.writeInt(fields.size());
+          for (Map.Entry<String, String> field : fields.entrySet()) {
+            writeBytes(out, field.getKey().getBytes(StandardCharsets.UTF_8));
+            writeBytes(out, field.getValue().getBytes(StandardCharsets.UTF_8));
+          }
+          fieldHeader(out, STRING, 2);
+          writeBytes(out, body);
         });
-    }
-
-    /** Withdraws the request with this number. */
-    static byte[] revoke(int sequenceId, int revoked) throws IOException {
-        return message("revoke", ONEWAY, sequenceId, out -> {
-            fieldHeader(out, INT32, 1);
-            out.writeInt(revoked);
+  }
+
+  /** Withdraws the request with this number. */
+  static byte[] revoke(int sequenceId, int revoked) throws IOException {
+    return message(
+        "revoke",
+        ONEWAY,
+        sequenceId,
+        out -> {
+          fieldHeader(out, INT32, 1);
+          out.writeInt(revoked);
         });
-    }
-
-    /** Asks whether the router is healthy. */
-    static byte[] heartbeat(int sequenceId) throws IOException {
-        return message(HEARTBEAT_METHOD, CALL, sequenceId, out -> {
-            fieldHeader(out, BOOL, 1);
-            out.writeByte(1);
+  }
+
+  /** Asks whether the router is healthy. */
+  static byte[] heartbeat(int sequenceId) throws IOException {
+    return message(
+        HEARTBEAT_METHOD,
+        CALL,
+        sequenceId,
+        out -> {
+          fieldHeader(out, BOOL, 1);
+          out.writeByte(1);
         });
+  }
+
+  private interface Arguments {
+    void write(DataOutputStream out) throws IOException;
+  }
+
+  private static byte[] message(String method, int type, int sequenceId, Arguments arguments)
+      throws IOException {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    DataOutputStream out = new DataOutputStream(bytes);
+    out.writeInt(0); // the frame's length, below
+    out.writeInt(VERSION | type);
+    writeBytes(out, method.getBytes(StandardCharsets.UTF_8));
+    out.writeInt(sequenceId);
+    arguments.write(out);
+    out.writeByte(STOP);
+    byte[] frame = bytes.toByteArray();
+    ByteBuffer.wrap(frame).putInt(frame.length - Integer.BYTES);
+    return frame;
+  }
+
+  private static void fieldHeader(DataOutputStream out, int type, int id) throws IOException {
+    out.writeByte(type);
+    out.writeShort(id);
+  }
+
+  private static void writeBytes(DataOutputStream out, byte[] bytes) throws IOException {
+    out.writeInt(bytes.length);
+    out.write(bytes);
+  }
+
+  /**
+   * Reads the next reply; an {@link IOException} where the connection ends or what came is none.
+   */
+  static Reply readReply(DataInputStream in) throws IOException {
+    int length = in.readInt();
+    if (length <= 0 || length > MAX_FRAME_BYTES) {
+      throw new IOException("a frame of " + length + " bytes");
     }
-
-    private interface Arguments {
-        void write(DataOutputStream out) throws IOException;
-    }
-
-    private static byte[] message(String method, int type, int sequenceId, Arguments arguments)
-        throws IOException {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        DataOutputStream out = new DataOutputStream(bytes);
-        out.writeInt(0); // the frame's length, below
-        out.writeInt(VERSION | type);
-        writeBytes(out, method.getBytes(StandardCharsets.UTF_8));
-        out.writeInt(sequenceId);
-        arguments.write(out);
-        out.writeByte(STOP);
-        byte[] frame = bytes.toByteArray();
-        ByteBuffer.wrap(frame).putInt(frame.length - Integer.BYTES);
-        return frame;
-    }
-
-    private static void fieldHeader(DataOutputStream out, int type, int id) throws IOException {
-        out.writeByte(type);
-        out.writeShort(id);
+    ByteBuffer frame = ByteBuffer.wrap(in.readNBytes(length));
+    if (frame.remaining() < length) {
+      throw new IOException("a frame was cut off");
     }
-
-    private static void writeBytes(DataOutputStream out, byte[] bytes) throws IOException {
-        out.writeInt(bytes.length);
-        out.write(bytes);
+    int type = frame.getInt() & 0xff;
+    String method = new String(readString(frame), StandardCharsets.UTF_8);
+    int sequenceId = frame.getInt();
+    if (type == EXCEPTION) {
+      return new Reply(sequenceId, ReplyKind.FAILED, null, false);
     }
-
-    /** Reads the next reply; an {@link IOException} where the connection ends or what came is none. */
-    static Reply readReply(DataInputStream in) throws IOException {
-        int length = in.readInt();
-        if (length <= 0 || length > MAX_FRAME_BYTES) {
-            throw new IOException("a frame of " + length + " bytes");
-        }
-        ByteBuffer frame = ByteBuffer.wrap(in.readNBytes(length));
-        if (frame.remaining() < length) {
-            throw new IOException("a frame was cut off");
-        }
-        int type = frame.getInt() & 0xff;
-        String method = new String(readString(frame), StandardCharsets.UTF_8);
-        int sequenceId = frame.getInt();
-        if (type == EXCEPTION) {
-            return new Reply(sequenceId, ReplyKind.FAILED, null, false);
-        }
-        frame.get(); // type of the result's field, a struct
-        int outcome = frame.getShort();
-        Struct struct = readStruct(frame);
-        ReplyKind kind = method.equals(HEARTBEAT_METHOD) ? ReplyKind.HEARTBEAT : kind(outcome);
-        return new Reply(sequenceId, kind, struct.body, struct.good);
+    frame.get(); // type of the result's field, a struct
+    int outcome = frame.getShort();
+    Struct struct = readStruct(frame);
+    ReplyKind kind = method.equals(HEARTBEAT_METHOD) ? ReplyKind.HEARTBEAT : kind(outcome);
+    return new Reply(sequenceId, kind, struct.body, struct.good);
+  }
+
+  private static ReplyKind kind(int outcome) {
+    if (outcome == 0) {
+      return ReplyKind.SERVED;
     }
-
-    private static ReplyKind kind(int outcome) {
-        if (outcome == 0) {
-            return ReplyKind.SERVED;
-        }
-        return outcome == 1 ? ReplyKind.REFUSED : ReplyKind.FAILED;
+    return outcome == 1 ? ReplyKind.REFUSED : ReplyKind.FAILED;
+  }
+
+  private record Struct(byte[] body, boolean good) {}
+
+  private static Struct readStruct(ByteBuffer frame) throws IOException {
+    byte[] body = null;
+    boolean good = false;
+    for (int type = frame.get(); type != STOP; type = frame.get()) {
+      frame.getShort();
+      switch (type) {
+        case STRING -> body = readString(frame);
+        case BOOL -> good = frame.get() != 0;
+        case MAP -> skipMap(frame);
+        case STRUCT -> readStruct(frame);
+        default -> throw new IOException("a field of type " + type);
+      }
     }
-
-    private record Struct(byte[] body, boolean good) {}
-
-    private static Struct readStruct(ByteBuffer frame) throws IOException {
-        byte[] body = null;
-        boolean good = false;
-        for (int type = frame.get(); type != STOP; type = frame.get()) {
-            frame.getShort();
-            switch (type) {
-                case STRING -> body = readString(frame);
-                case BOOL -> good = frame.get() != 0;
-                case MAP -> skipMap(frame);
-                case STRUCT -> readStruct(frame);
-                default -> throw new IOException("a field of type " + type);
-            }
-        }
-        return new Struct(body, good);
-    }
-
-    private static void skipMap(ByteBuffer frame) {
-        frame.getShort(); // types of keys and values, strings
-        for (int entries = frame.getInt(); entries > 0; entries--) {
-            readString(frame);
-            readString(frame);
-        }
+    return new Struct(body, good);
+  }
+
+  private static void skipMap(ByteBuffer frame) {
+    frame.getShort(); // types of keys and values, strings
+    for (int entries = frame.getInt(); entries > 0; entries--) {
+      readString(frame);
+      readString(frame);
     }
+  }
 
-    private static byte[] readString(ByteBuffer frame) {
-        byte[] bytes = new byte[frame.getInt()];
-        frame.get(bytes);
-        return bytes;
-    }
+  private static byte[] readString(ByteBuffer frame) {
+    byte[] bytes = new byte[frame.getInt()];
+    frame.get(bytes);
+    return bytes;
+  }
 }
--- a/src/main/java/switchgap/soak/SystemCallFaults.java
+++ b/src/main/java/switchgap/soak/SystemCallFaults.java
@@ -13,119 +13,150 @@
 import java.util.Map;
 
 /**
- * A shared library that is loaded into a router by LD_PRELOAD and lets its system calls fail, with the
- * file by which this side says which. Its source is {@code system_call_faults.c}; it is compiled when it
- * is needed.
+ * A shared library that is loaded into a router by LD_PRELOAD and lets its system calls fail, with
+ * the file by which this side says which. Its source is {@code system_call_faults.c}; it is
+ * compiled when it is needed.
  */
 public final class SystemCallFaults {
-    /** The calls that can be touched, in the order of the control file. */
-    public enum Call {
-        ACCEPT, SOCKET, CONNECT, READ, WRITE, WAIT
+  /** The calls that can be touched, in the order of the control file. */
+  public enum Call {
+    ACCEPT,
+    SOCKET,
+    CONNECT,
+    READ,
+    WRITE,
+    WAIT
+  }
+
+  /** Errors that Linux documents for these calls, with their numbers. */
+  public enum ErrorNumber {
+    /** No error: the transfer is cut to one byte. */
+    SHORT(0),
+    EINTR(4),
+    ENOMEM(12),
+    ENFILE(23),
+    EMFILE(24),
+    EADDRNOTAVAIL(99),
+    ENETUNREACH(101),
+    ECONNABORTED(103),
+    ENOBUFS(105),
+    ETIMEDOUT(110),
+    EHOSTUNREACH(113);
+
+    private final int number;
+
+    ErrorNumber(int number) {
+      this.number = number;
     }
-
-    /** Errors that Linux documents for these calls, with their numbers. */
-    public enum ErrorNumber {
-        /** No error: the transfer is cut to one byte. */
-        SHORT(0), EINTR(4), ENOMEM(12), ENFILE(23), EMFILE(24), EADDRNOTAVAIL(99), ENETUNREACH(
-            101), ECONNABORTED(103), ENOBUFS(105), ETIMEDOUT(110), EHOSTUNREACH(113);
-
-        private final int number;
-
-        ErrorNumber(int number) {
-            this.number = number;
-        }
-    }
-
-    private static final String SOURCE = "system_call_faults.c";
-    private static final String LIBRARY = "libsystem_call_faults.so";
-    private static final int WORDS_PER_CALL = 5;
-    private static final int ERROR_WORD = 1;
-    private static final int PORT_WORD = 2;
-    private static final int TOUCHED_WORD = 4;
-    private static final int WALL_OFFSET_AT = align(Call.values().length * WORDS_PER_CALL * Integer.BYTES);
-    private static final int CONTROL_BYTES = WALL_OFFSET_AT + Long.BYTES;
-
-    private final Path library;
-    private final Path controlFile;
-    private final ByteBuffer control;
-
-    private SystemCallFaults(Path library, Path controlFile) throws IOException {
-        this.library = library;
-        this.controlFile = controlFile;
-        try (FileChannel channel = FileChannel.open(controlFile, StandardOpenOption.CREATE,
-            StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            control = channel.map(FileChannel.MapMode.READ_WRITE, 0, CONTROL_BYTES).order(
-                ByteOrder.nativeOrder());
-        }
-    }
-
-    private static int align(int bytes) {
-        return (bytes + Long.BYTES - 1) / Long.BYTES * Long.BYTES;
-    }
-
-    /**
-     * Compiles the library.
-     *
-     * @return the library's path
-     * @throws IOException if there is no C compiler, or it fails
-     */
-    public static Path compile(Path directory) throws IOException, InterruptedException {
-        Path source = directory.resolve(SOURCE);
-        Path library = directory.resolve(LIBRARY);
-        try (InputStream text = SystemCallFaults.class.getResourceAsStream(SOURCE)) {
-            Files.copy(text, source, StandardCopyOption.REPLACE_EXISTING);
-        }
-        Process compiler = new ProcessBuilder("cc", "-O2", "-shared", "-fPIC", "-o", library.toString(),
-            source.toString(), "-ldl").inheritIO().start();
-        if (compiler.waitFor() != 0) {
-            throw new IOException(SOURCE + " was not compiled");
-        }
-        return library;
+  }
+
+  private static final String SOURCE = "system_call_faults.c";
+  private static final String LIBRARY = "libsystem_call_faults.so";
+  private static final int WORDS_PER_CALL = 5;
+  private static final int ERROR_WORD = 1;
+  private static final int PORT_WORD = 2;
+  private static final int TOUCHED_WORD = 4;
+  private static final int WALL_OFFSET_AT =
+      align(Call.values().length * WORDS_PER_CALL * Integer.BYTES);
+  private static final int CONTROL_BYTES = WALL_OFFSET_AT + Long.BYTES;
+
+  private final Path library;
+  private final Path controlFile;
+  private final ByteBuffer control;
+
+  private SystemCallFaults(Path library, Path controlFile) throws IOException {
+    this.library = library;
+    this.controlFile = controlFile;
+    try (FileChannel channel =
+        FileChannel.open(
+            controlFile,
+            StandardOpenOption.CREATE,
+            StandardOpenOption.READ,
+            StandardOpenOption.WRITE)) {
+      control =
+          channel
+              .map(FileChannel.MapMode.READ_WRITE, 0, CONTROL_BYTES)
+              .order(ByteOrder.nativeOrder());
     }
-
-    /** Faults of one process, none so far; the control file is made. */
-    public static SystemCallFaults of(Path library, Path controlFile) throws IOException {
-        return new SystemCallFaults(library, controlFile);
+  }
+
+  private static int align(int bytes) {
+    return (bytes + Long.BYTES - 1) / Long.BYTES * Long.BYTES;
+  }
+
+  /**
+   * Compiles the library.
+   *
+   * @return the library's path
+   * @throws IOException if there is no C compiler, or it fails
+   */
+  public static Path compile(Path directory) throws IOException, InterruptedException {
+    Path source = directory.resolve(SOURCE);
+    Path library = directory.resolve(LIBRARY);
+    try (InputStream text = SystemCallFaults.class.getResourceAsStream(SOURCE)) {
+      Files.copy(text, source, StandardCopyOption.REPLACE_EXISTING);
     }
-
-    /** What the process needs in its environment. */
-    public Map<String, String> environment() {
-        return Map.of("LD_PRELOAD", library.toString(), "SYSTEM_CALL_FAULTS", controlFile.toString());
+    Process compiler =
+        new ProcessBuilder(
+                "cc",
+                "-O2",
+                "-shared",
+                "-fPIC",
+                "-o",
+                library.toString(),
+                source.toString(),
+                "-ldl")
+            .inheritIO()
+            .start();
+    if (compiler.waitFor() != 0) {
+      throw new IOException(SOURCE + " was not compiled");
     }
-
-    /** Lets one call in so many fail, on any socket; 0 for none. */
-    public void inject(Call call, ErrorNumber error, int every) {
-        inject(call, error, every, 0);
+    return library;
+  }
+
+  /** Faults of one process, none so far; the control file is made. */
+  public static SystemCallFaults of(Path library, Path controlFile) throws IOException {
+    return new SystemCallFaults(library, controlFile);
+  }
+
+  /** What the process needs in its environment. */
+  public Map<String, String> environment() {
+    return Map.of("LD_PRELOAD", library.toString(), "SYSTEM_CALL_FAULTS", controlFile.toString());
+  }
+
+  /** Lets one call in so many fail, on any socket; 0 for none. */
+  public void inject(Call call, ErrorNumber error, int every) {
+    inject(call, error, every, 0);
+  }
+
+  /**
+   * Lets one call in so many fail.
+   *
+   * @param every one call in so many; 0 for none
+   * @param port of the peer, or negated the socket's own; 0 for any socket
+   */
+  public void inject(Call call, ErrorNumber error, int every, int port) {
+    int at = call.ordinal() * WORDS_PER_CALL * Integer.BYTES;
+    control.putInt(at, 0);
+    control.putInt(at + ERROR_WORD * Integer.BYTES, error.number);
+    control.putInt(at + PORT_WORD * Integer.BYTES, port);
+    control.putInt(at, every);
+  }
+
+  /** Ends the failures of all calls; the wall clock stays as it is. */
+  public void clear() {
+    for (Call call : Call.values()) {
+      control.putInt(call.ordinal() * WORDS_PER_CALL * Integer.BYTES, 0);
     }
+  }
 
-    /**
-     * Lets one call in so many fail.
-     *
-     * @param every  one call in so many; 0 for none
-     * @param port   of the peer, or negated the socket's own; 0 for any socket
-     */
-    public void inject(Call call, ErrorNumber error, int every, int port) {
-        int at = call.ordinal() * WORDS_PER_CALL * Integer.BYTES;
-        control.putInt(at, 0);
-        control.putInt(at + ERROR_WORD * Integer.BYTES, error.number);
-        control.putInt(at + PORT_WORD * Integer.BYTES, port);
-        control.putInt(at, every);
-    }
+  /** Calls that failed or were cut so far. */
+  public int touched(Call call) {
+    return control.getInt((call.ordinal() * WORDS_PER_CALL + TOUCHED_WORD) * Integer.BYTES);
+  }
 
-    /** Ends the failures of all calls; the wall clock stays as it is. */
-    public void clear() {
-        for (Call call : Call.values()) {
-            control.putInt(call.ordinal() * WORDS_PER_CALL * Integer.BYTES, 0);
-        }
-    }
-
-    /** Calls that failed or were cut so far. */
-    public int touched(Call call) {
-        return control.getInt((call.ordinal() * WORDS_PER_CALL + TOUCHED_WORD) * Integer.BYTES);
-    }
-
-    /** Has the process's wall clock go wrong by so much; its monotonic clock runs on. */
-    public void setWallClockOffset(Duration offset) {
-        control.putLong(WALL_OFFSET_AT, offset.toMillis());
-    }
+  /** Has the process's wall clock go wrong by so much; its monotonic clock runs on. */
+  public void setWallClockOffset(Duration offset) {
+    control.putLong(WALL_OFFSET_AT, offset.toMillis());
+  }
 }
--- a/src/test/java/switchgap/LayersTest.java
+++ b/src/test/java/switchgap/LayersTest.java
@@ -1,7 +1,7 @@
 package switchgap;
 
-import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
 import com.tngtech.archunit.core.domain.JavaClasses;
@@ -15,101 +15,165 @@
 import switchgap.config.PropertyRouterSettings;
 import switchgap.net.WallClock;
 
-/** Packages depend one way; what decides and what holds calls is free of sockets, threads and clock. */
+/**
+ * Packages depend one way; what decides and what holds calls is free of sockets, threads and clock.
+ */
 class LayersTest {
-    private final JavaClasses all = new ClassFileImporter().withImportOption(
-        new ImportOption.DoNotIncludeTests()).importPackages("switchgap");
+  private final JavaClasses all =
+      new ClassFileImporter()
+          .withImportOption(new ImportOption.DoNotIncludeTests())
+          .importPackages("switchgap");
 
-    @Test void packagesDependOneWay() {
-        slices().matching("switchgap.(*)..").should().beFreeOfCycles().check(all);
-        layeredArchitecture().consideringOnlyDependenciesInAnyPackage("switchgap..").layer(
-            "policy").definedBy("switchgap.policy", "switchgap.policy.api", "switchgap.policy.state").layer(
-                "admission").definedBy("switchgap.admission").layer("planner").definedBy(
-                    "switchgap.planner").layer("router").definedBy("switchgap.router").layer("net").definedBy(
-                        "switchgap.net").layer("config").definedBy("switchgap.config").layer(
-                            "gateway protocols").definedBy("switchgap.protocol.inference",
-                                "switchgap.endpoints", "switchgap.protocol.invoke",
-                                "switchgap.planner.link").layer("event loop").definedBy(
-                                    "switchgap.eventloop").layer("platform protocols").definedBy(
-                                        "switchgap.protocol.thrift", "switchgap.protocol.resp",
-                                        "switchgap.protocol.sse").layer("platform").definedBy(
-                                            "switchgap.server.platform").layer("gateway").definedBy(
-                                                "switchgap.server.gateway").layer("emulator").definedBy(
-                                                    "switchgap.emulator").layer("scenarios").definedBy(
-                                                        "switchgap.scenario", "switchgap.experiment").layer(
-                                                            "simulator").definedBy(
-                                                                "switchgap.simulator").layer("cli").definedBy(
-                                                                    "switchgap.cli").layer("soak").definedBy(
-                                                                        "switchgap.soak").whereLayer(
-                                                                            "soak").mayOnlyBeAccessedByLayers(
-                                                                                "cli").whereLayer(
-                                                                                    "cli").mayNotBeAccessedByAnyLayer().whereLayer(
-                                                                                        "scenarios").mayOnlyBeAccessedByLayers(
-                                                                                            "cli").whereLayer(
-                                                                                                "simulator").mayOnlyBeAccessedByLayers(
-                                                                                                    "cli").whereLayer(
-                                                                                                        "emulator").mayOnlyBeAccessedByLayers(
-                                                                                                            "scenarios").whereLayer(
-                                                                                                                "gateway").mayOnlyBeAccessedByLayers(
-                                                                                                                    "scenarios",
-                                                                                                                    "cli").whereLayer(
-                                                                                                                        "platform").mayOnlyBeAccessedByLayers(
-                                                                                                                            "cli").whereLayer(
-                                                                                                                                "platform protocols").mayOnlyBeAccessedByLayers(
-                                                                                                                                    "platform",
-                                                                                                                                    "gateway protocols").whereLayer(
-                                                                                                                                        "platform protocols").mayOnlyAccessLayers(
-                                                                                                                                            "policy",
-                                                                                                                                            "router",
-                                                                                                                                            "net").whereLayer(
-                                                                                                                                                "event loop").mayOnlyBeAccessedByLayers(
-                                                                                                                                                    "gateway",
-                                                                                                                                                    "platform").whereLayer(
-                                                                                                                                                        "gateway protocols").mayOnlyBeAccessedByLayers(
-                                                                                                                                                            "gateway",
-                                                                                                                                                            "platform",
-                                                                                                                                                            "cli").whereLayer(
-                                                                                                                                                                "net").mayOnlyBeAccessedByLayers(
-                                                                                                                                                                    "soak",
-                                                                                                                                                                    "gateway protocols",
-                                                                                                                                                                    "platform protocols",
-                                                                                                                                                                    "platform",
-                                                                                                                                                                    "gateway",
-                                                                                                                                                                    "emulator",
-                                                                                                                                                                    "scenarios",
-                                                                                                                                                                    "cli").check(
-                                                                                                                                                                        all);
-    }
+  @Test
+  void packagesDependOneWay() {
+    slices().matching("switchgap.(*)..").should().beFreeOfCycles().check(all);
+    layeredArchitecture()
+        .consideringOnlyDependenciesInAnyPackage("switchgap..")
+        .layer("policy")
+        .definedBy("switchgap.policy", "switchgap.policy.api", "switchgap.policy.state")
+        .layer("admission")
+        .definedBy("switchgap.admission")
+        .layer("planner")
+        .definedBy("switchgap.planner")
+        .layer("router")
+        .definedBy("switchgap.router")
+        .layer("net")
+        .definedBy("switchgap.net")
+        .layer("config")
+        .definedBy("switchgap.config")
+        .layer("gateway protocols")
+        .definedBy(
+            "switchgap.protocol.inference",
+            "switchgap.endpoints",
+            "switchgap.protocol.invoke",
+            "switchgap.planner.link")
+        .layer("event loop")
+        .definedBy("switchgap.eventloop")
+        .layer("platform protocols")
+        .definedBy("switchgap.protocol.thrift", "switchgap.protocol.resp", "switchgap.protocol.sse")
+        .layer("platform")
+        .definedBy("switchgap.server.platform")
+        .layer("gateway")
+        .definedBy("switchgap.server.gateway")
+        .layer("emulator")
+        .definedBy("switchgap.emulator")
+        .layer("scenarios")
+        .definedBy("switchgap.scenario", "switchgap.experiment")
+        .layer("simulator")
+        .definedBy("switchgap.simulator")
+        .layer("cli")
+        .definedBy("switchgap.cli")
+        .layer("soak")
+        .definedBy("switchgap.soak")
+        .whereLayer("soak")
+        .mayOnlyBeAccessedByLayers("cli")
+        .whereLayer("cli")
+        .mayNotBeAccessedByAnyLayer()
+        .whereLayer("scenarios")
+        .mayOnlyBeAccessedByLayers("cli")
+        .whereLayer("simulator")
+        .mayOnlyBeAccessedByLayers("cli")
+        .whereLayer("emulator")
+        .mayOnlyBeAccessedByLayers("scenarios")
+        .whereLayer("gateway")
+        .mayOnlyBeAccessedByLayers("scenarios", "cli")
+        .whereLayer("platform")
+        .mayOnlyBeAccessedByLayers("cli")
+        .whereLayer("platform protocols")
+        .mayOnlyBeAccessedByLayers("platform", "gateway protocols")
+        .whereLayer("platform protocols")
+        .mayOnlyAccessLayers("policy", "router", "net")
+        .whereLayer("event loop")
+        .mayOnlyBeAccessedByLayers("gateway", "platform")
+        .whereLayer("gateway protocols")
+        .mayOnlyBeAccessedByLayers("gateway", "platform", "cli")
+        .whereLayer("net")
+        .mayOnlyBeAccessedByLayers(
+            "soak",
+            "gateway protocols",
+            "platform protocols",
+            "platform",
+            "gateway",
+            "emulator",
+            "scenarios",
+            "cli")
+        .check(all);
+  }
 
-    @Test void jsonAndStatedSettingsAreReadOnlyWhereTheyAreWritten() {
-        noClasses().that().resideOutsideOfPackages("switchgap.config", "switchgap.endpoints",
-            "switchgap.server.platform").should().dependOnClassesThat().haveFullyQualifiedName(
-                JsonDocument.class.getName()).check(all);
-        noClasses().that().resideOutsideOfPackages("switchgap.config", "switchgap.server.platform",
-            "switchgap.simulator").should().dependOnClassesThat().haveFullyQualifiedName(
-                PropertyRouterSettings.class.getName()).check(all);
-    }
+  @Test
+  void jsonAndStatedSettingsAreReadOnlyWhereTheyAreWritten() {
+    noClasses()
+        .that()
+        .resideOutsideOfPackages(
+            "switchgap.config", "switchgap.endpoints", "switchgap.server.platform")
+        .should()
+        .dependOnClassesThat()
+        .haveFullyQualifiedName(JsonDocument.class.getName())
+        .check(all);
+    noClasses()
+        .that()
+        .resideOutsideOfPackages(
+            "switchgap.config", "switchgap.server.platform", "switchgap.simulator")
+        .should()
+        .dependOnClassesThat()
+        .haveFullyQualifiedName(PropertyRouterSettings.class.getName())
+        .check(all);
+  }
 
-    @Test void decisionsAndCoreTouchNoSocketThreadOrClock() {
-        noClasses().that().resideInAnyPackage("switchgap.policy", "switchgap.policy.api",
+  @Test
+  void decisionsAndCoreTouchNoSocketThreadOrClock() {
+    noClasses()
+        .that()
+        .resideInAnyPackage(
+            "switchgap.policy",
+            "switchgap.policy.api",
             "switchgap.policy.state",
-            "switchgap.router", "switchgap.admission",
-            "switchgap.planner").should().dependOnClassesThat().resideInAnyPackage("java.net..", "java.nio..",
-                "java.io..", "org.glassfish..",
-                "java.util.concurrent..", "org.slf4j..", "com.fasterxml..").orShould().callMethod(
-                    System.class, "nanoTime").orShould().callMethod(System.class,
-                        "currentTimeMillis").orShould().dependOnClassesThat().areAssignableTo(
-                            Thread.class).check(all);
-    }
+            "switchgap.router",
+            "switchgap.admission",
+            "switchgap.planner")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage(
+            "java.net..",
+            "java.nio..",
+            "java.io..",
+            "org.glassfish..",
+            "java.util.concurrent..",
+            "org.slf4j..",
+            "com.fasterxml..")
+        .orShould()
+        .callMethod(System.class, "nanoTime")
+        .orShould()
+        .callMethod(System.class, "currentTimeMillis")
+        .orShould()
+        .dependOnClassesThat()
+        .areAssignableTo(Thread.class)
+        .check(all);
+  }
 
-    /** Spans are of monotonic time: a wall clock may be stepped at any moment. */
-    @Test void theWallClockIsReadInOnePlace() {
-        noClasses().that().doNotHaveFullyQualifiedName(WallClock.class.getName()).should().callMethod(
-            System.class, "currentTimeMillis").orShould().callMethod(Instant.class,
-                "now").orShould().dependOnClassesThat().haveFullyQualifiedName(
-                    "java.time.Clock").orShould().dependOnClassesThat().haveFullyQualifiedName(
-                        "java.util.Date").orShould().dependOnClassesThat().resideInAPackage(
-                            "java.time.chrono").orShould().callMethod(LocalDateTime.class,
-                                "now").orShould().callMethod(ZonedDateTime.class, "now").check(all);
-    }
+  /** Spans are of monotonic time: a wall clock may be stepped at any moment. */
+  @Test
+  void theWallClockIsReadInOnePlace() {
+    noClasses()
+        .that()
+        .doNotHaveFullyQualifiedName(WallClock.class.getName())
+        .should()
+        .callMethod(System.class, "currentTimeMillis")
+        .orShould()
+        .callMethod(Instant.class, "now")
+        .orShould()
+        .dependOnClassesThat()
+        .haveFullyQualifiedName("java.time.Clock")
+        .orShould()
+        .dependOnClassesThat()
+        .haveFullyQualifiedName("java.util.Date")
+        .orShould()
+        .dependOnClassesThat()
+        .resideInAPackage("java.time.chrono")
+        .orShould()
+        .callMethod(LocalDateTime.class, "now")
+        .orShould()
+        .callMethod(ZonedDateTime.class, "now")
+        .check(all);
+  }
 }
--- a/src/test/java/switchgap/emulator/ClientOutcomeTest.java
+++ b/src/test/java/switchgap/emulator/ClientOutcomeTest.java
@@ -7,20 +7,28 @@
 
 /** The words of outcomes are those of the routers' response header and of the logs. */
 class ClientOutcomeTest {
-    @Test void hasTheWordsOfTheWire() {
-        assertThat(Stream.of(ClientOutcome.values()).map(ClientOutcome::word)).containsExactly("finished",
-            "pushed-back", "killed", "refused", "gave-up", "broken", "unreachable");
-    }
+  @Test
+  void hasTheWordsOfTheWire() {
+    assertThat(Stream.of(ClientOutcome.values()).map(ClientOutcome::word))
+        .containsExactly(
+            "finished", "pushed-back", "killed", "refused", "gave-up", "broken", "unreachable");
+  }
 
-    @Test void findsTheOutcomeOfAWord() {
-        for (ClientOutcome outcome : ClientOutcome.values()) {
-            assertThat(ClientOutcome.of(outcome.word())).isEqualTo(outcome);
-        }
-        assertThat(ClientOutcome.of("unheard-of")).isEqualTo(ClientOutcome.CONNECTION_LOST);
+  @Test
+  void findsTheOutcomeOfAWord() {
+    for (ClientOutcome outcome : ClientOutcome.values()) {
+      assertThat(ClientOutcome.of(outcome.word())).isEqualTo(outcome);
     }
+    assertThat(ClientOutcome.of("unheard-of")).isEqualTo(ClientOutcome.CONNECTION_LOST);
+  }
 
-    @Test void onlyResponsesOfARouterAreFinal() {
-        assertThat(Stream.of(ClientOutcome.values()).filter(ClientOutcome::isFinal)).containsExactly(
-            ClientOutcome.FINISHED, ClientOutcome.REJECTED, ClientOutcome.FAILED, ClientOutcome.REFUSED);
-    }
+  @Test
+  void onlyResponsesOfARouterAreFinal() {
+    assertThat(Stream.of(ClientOutcome.values()).filter(ClientOutcome::isFinal))
+        .containsExactly(
+            ClientOutcome.FINISHED,
+            ClientOutcome.REJECTED,
+            ClientOutcome.FAILED,
+            ClientOutcome.REFUSED);
+  }
 }
--- a/src/test/java/switchgap/emulator/ServiceTallyTest.java
+++ b/src/test/java/switchgap/emulator/ServiceTallyTest.java
@@ -8,44 +8,52 @@
 
 /** Weights requested and earned, and the worst window of a run. */
 class ServiceTallyTest {
-    private static final long SECOND = 1_000_000;
-    private static final EmulatedClients.RequestClassProfile PROFILE = new EmulatedClients.RequestClassProfile(
-        "status-refresh", SECOND, 2 * SECOND, 4, 0.25, true, false);
-    private final ServiceTally tally = new ServiceTally(List.of(PROFILE));
+  private static final long SECOND = 1_000_000;
+  private static final EmulatedClients.RequestClassProfile PROFILE =
+      new EmulatedClients.RequestClassProfile(
+          "status-refresh", SECOND, 2 * SECOND, 4, 0.25, true, false);
+  private final ServiceTally tally = new ServiceTally(List.of(PROFILE));
 
-    private ClientRequest arrive(long at) {
-        FunctionModel model = new FunctionModel("f", 0, 1, 1, 1, 1, 0, 0, 0);
-        ClientRequest request = new ClientRequest(new ClientRequest.Arrival("j0", model, "tenant", 0, at),
-            PROFILE, 0, new SplittableRandom(1));
-        tally.arrived(request);
-        return request;
-    }
+  private ClientRequest arrive(long at) {
+    FunctionModel model = new FunctionModel("f", 0, 1, 1, 1, 1, 0, 0, 0);
+    ClientRequest request =
+        new ClientRequest(
+            new ClientRequest.Arrival("j0", model, "tenant", 0, at),
+            PROFILE,
+            0,
+            new SplittableRandom(1));
+    tally.arrived(request);
+    return request;
+  }
 
-    @Test void earnsAShareForALateResponse() {
-        tally.begin(0, 10 * SECOND);
-        assertThat(tally.finished(arrive(0), SECOND)).isEqualTo(4);
-        assertThat(tally.finished(arrive(0), SECOND + 1)).isEqualTo(1);
-        assertThat(tally.service()).isEqualTo(5 / 8.0);
-        assertThat(tally.byTenant().get("tenant")).containsExactly(8, 5);
-        assertThat(tally.byRequestClass().get("status-refresh").late).isEqualTo(1);
-    }
+  @Test
+  void earnsAShareForALateResponse() {
+    tally.begin(0, 10 * SECOND);
+    assertThat(tally.finished(arrive(0), SECOND)).isEqualTo(4);
+    assertThat(tally.finished(arrive(0), SECOND + 1)).isEqualTo(1);
+    assertThat(tally.service()).isEqualTo(5 / 8.0);
+    assertThat(tally.byTenant().get("tenant")).containsExactly(8, 5);
+    assertThat(tally.byRequestClass().get("status-refresh").late).isEqualTo(1);
+  }
 
-    @Test void findsTheWorstWindow() {
-        tally.begin(0, 4 * SECOND);
-        for (int second = 0; second < 4; second++) {
-            ClientRequest request = arrive(second * SECOND);
-            if (second != 2) {
-                tally.finished(request, request.arrivedAt);
-            }
-        }
-        assertThat(tally.worstWindow(1)).isZero();
-        assertThat(tally.worstWindow(2)).isEqualTo(0.5);
-        assertThat(tally.worstWindow(10)).isEqualTo(0.75); // longer than the run: the run is the window
+  @Test
+  void findsTheWorstWindow() {
+    tally.begin(0, 4 * SECOND);
+    for (int second = 0; second < 4; second++) {
+      ClientRequest request = arrive(second * SECOND);
+      if (second != 2) {
+        tally.finished(request, request.arrivedAt);
+      }
     }
+    assertThat(tally.worstWindow(1)).isZero();
+    assertThat(tally.worstWindow(2)).isEqualTo(0.5);
+    assertThat(tally.worstWindow(10)).isEqualTo(0.75); // longer than the run: the run is the window
+  }
 
-    @Test void aRunUnderASecondHasNoWholeWindow() {
-        tally.begin(0, SECOND / 2);
-        arrive(0);
-        assertThat(tally.worstWindow(10)).isEqualTo(1);
-    }
+  @Test
+  void aRunUnderASecondHasNoWholeWindow() {
+    tally.begin(0, SECOND / 2);
+    arrive(0);
+    assertThat(tally.worstWindow(10)).isEqualTo(1);
+  }
 }
--- a/src/test/java/switchgap/endpoints/EventStreamClientTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientTest.java
@@ -4,8 +4,6 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import java.io.IOException;
-import java.io.OutputStream;
-import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -25,253 +23,331 @@
 
 /** The control feed through breaks, repeats, gaps, silence and a change of its address. */
 class EventStreamClientTest {
-    private static final EndpointListEvent.NameDirectory DIRECTORY = new EndpointListEvent.NameDirectory(
-        Map.of("east", 0), Map.of("std", 0), 1000);
+  private static final EndpointListEvent.NameDirectory DIRECTORY =
+      new EndpointListEvent.NameDirectory(Map.of("east", 0), Map.of("std", 0), 1000);
 
-    private static String event(long sequence) {
-        return ControlFeedServer.event(sequence, false,
-            ControlFeedServer.worker("w" + sequence, "127.0.0.1:7", "SERVING", 0));
-    }
+  private static String event(long sequence) {
+    return ControlFeedServer.event(
+        sequence, false, ControlFeedServer.worker("w" + sequence, "127.0.0.1:7", "SERVING", 0));
+  }
 
-    @Test void decodesTheSameEventsWhereverTheStreamIsSplit() {
-        byte[] stream = ": hello\r\nid: 4\r\ndata: a\r\ndata: b\r\n\r\nid:5\ndata:c\n\ndata: cut off".getBytes(
-            StandardCharsets.UTF_8);
-        for (int i = 0; i <= stream.length; i++) {
-            ServerSentEventDecoder sse = new ServerSentEventDecoder(100);
-            List<String> received = new ArrayList<>();
-            assertThat(
-                sse.take(java.util.Arrays.copyOf(stream, i),
-                    (id, data) -> received.add(id + "=" + data))).isTrue();
-            assertThat(sse.take(java.util.Arrays.copyOfRange(stream, i, stream.length),
-                (id, data) -> received.add(id + "=" + data))).isTrue();
-            assertThat(received).as("split at %d", i).containsExactly("4=a\nb", "5=c");
-        }
-        assertThat(new ServerSentEventDecoder(10).take("data: more than ten".getBytes(StandardCharsets.UTF_8),
-            (id, data) -> {})).isFalse();
+  @Test
+  void decodesTheSameEventsWhereverTheStreamIsSplit() {
+    byte[] stream =
+        ": hello\r\nid: 4\r\ndata: a\r\ndata: b\r\n\r\nid:5\ndata:c\n\ndata: cut off"
+            .getBytes(StandardCharsets.UTF_8);
+    for (int i = 0; i <= stream.length; i++) {
+      ServerSentEventDecoder sse = new ServerSentEventDecoder(100);
+      List<String> received = new ArrayList<>();
+      assertThat(
+              sse.take(
+                  java.util.Arrays.copyOf(stream, i), (id, data) -> received.add(id + "=" + data)))
+          .isTrue();
+      assertThat(
+              sse.take(
+                  java.util.Arrays.copyOfRange(stream, i, stream.length),
+                  (id, data) -> received.add(id + "=" + data)))
+          .isTrue();
+      assertThat(received).as("split at %d", i).containsExactly("4=a\nb", "5=c");
     }
+    assertThat(
+            new ServerSentEventDecoder(10)
+                .take("data: more than ten".getBytes(StandardCharsets.UTF_8), (id, data) -> {}))
+        .isFalse();
+  }
 
-    @Test void readsAWorkerOfAnEvent() throws Exception {
-        EndpointListEvent event = EndpointListEvent.parse(ControlFeedServer.event(41, true,
-            ControlFeedServer.worker("s-1", "10.1.0.9:10080", "SERVING", 1500)), DIRECTORY);
-        assertThat(event.sequence()).isEqualTo(41);
-        assertThat(event.complete()).isTrue();
-        assertThat(event.updates()).containsExactly(new EndpointUpdate("s-1", "10.1.0.9", 10080,
-            WorkerState.READY, 0, 2, 0, 4, Duration.ofMillis(500)));
-        assertThat(EndpointListEvent.parse("{\"n\":5,\"news\":{}}", DIRECTORY).updates()).isNull();
-    }
+  @Test
+  void readsAWorkerOfAnEvent() throws Exception {
+    EndpointListEvent event =
+        EndpointListEvent.parse(
+            ControlFeedServer.event(
+                41, true, ControlFeedServer.worker("s-1", "10.1.0.9:10080", "SERVING", 1500)),
+            DIRECTORY);
+    assertThat(event.sequence()).isEqualTo(41);
+    assertThat(event.complete()).isTrue();
+    assertThat(event.updates())
+        .containsExactly(
+            new EndpointUpdate(
+                "s-1", "10.1.0.9", 10080, WorkerState.READY, 0, 2, 0, 4, Duration.ofMillis(500)));
+    assertThat(EndpointListEvent.parse("{\"n\":5,\"news\":{}}", DIRECTORY).updates()).isNull();
+  }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"{", "[]", "{}", "{\"n\":1,\"members\":{}}",
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "{",
+        "[]",
+        "{}",
+        "{\"n\":1,\"members\":{}}",
         "{\"n\":1,\"members\":{\"targets\":[3]}}",
-        "{\"n\":1,\"members\":{\"targets\":[{\"uid\":\"a\",\"state\":\"ODD\"}]}}", "{\"n\":1} more",
-        "{\"n\":1,\"members\":{\"targets\":[{\"uid\":\"a\",\"endpoint\":\"nowhere\",\"state\":\"SERVING\"}]}}"}) void rejectsEventsThatCannotBeUsed(
-            String text) {
-        assertThatThrownBy(() -> EndpointListEvent.parse(text, DIRECTORY)).isInstanceOf(IOException.class);
-    }
+        "{\"n\":1,\"members\":{\"targets\":[{\"uid\":\"a\",\"state\":\"ODD\"}]}}",
+        "{\"n\":1} more",
+        "{\"n\":1,\"members\":{\"targets\":[{\"uid\":\"a\",\"endpoint\":\"nowhere\",\"state\":\"SERVING\"}]}}"
+      })
+  void rejectsEventsThatCannotBeUsed(String text) {
+    assertThatThrownBy(() -> EndpointListEvent.parse(text, DIRECTORY))
+        .isInstanceOf(IOException.class);
+  }
 
-    private static void await(java.util.function.BooleanSupplier condition) throws InterruptedException {
-        for (int i = 0; i < 600 && !condition.getAsBoolean(); i++) { Thread.sleep(10); }
-        assertThat(condition.getAsBoolean()).isTrue();
+  private static void await(java.util.function.BooleanSupplier condition)
+      throws InterruptedException {
+    for (int i = 0; i < 600 && !condition.getAsBoolean(); i++) {
+      Thread.sleep(10);
     }
+    assertThat(condition.getAsBoolean()).isTrue();
+  }
 
-    @Test void deliversEachEventOnceAndInOrderThroughBreaksRepeatsAndGaps() throws Exception {
-        List<Long> received = new CopyOnWriteArrayList<>();
-        ControlFeedServer.Behaviour behaviour = (connection, last, out) -> {
-            if (connection == 0) { // cut in the middle of an event
-                ControlFeedServer.say(out, event(last + 1));
-                out.write(("data: " + event(last + 2).substring(0, 20)).getBytes(StandardCharsets.UTF_8));
-                return false;
-            }
-            if (connection == 1) { // one event twice, and then one after a gap
-                ControlFeedServer.say(out, event(last));
-                ControlFeedServer.say(out, event(last + 1));
-                ControlFeedServer.say(out, event(last + 1));
-                ControlFeedServer.say(out, event(last + 3));
-                return true;
-            }
-            if (connection == 2) { ControlFeedServer.say(out, "{\"n\":\"nonsense\"}"); }
-            for (long sequence = last + 1; connection > 2 && sequence <= 6; sequence++) {
-                ControlFeedServer.say(out, event(sequence));
-            }
-            return connection > 2;
+  @Test
+  void deliversEachEventOnceAndInOrderThroughBreaksRepeatsAndGaps() throws Exception {
+    List<Long> received = new CopyOnWriteArrayList<>();
+    ControlFeedServer.Behaviour behaviour =
+        (connection, last, out) -> {
+          if (connection == 0) { // cut in the middle of an event
+            ControlFeedServer.say(out, event(last + 1));
+            out.write(
+                ("data: " + event(last + 2).substring(0, 20)).getBytes(StandardCharsets.UTF_8));
+            return false;
+          }
+          if (connection == 1) { // one event twice, and then one after a gap
+            ControlFeedServer.say(out, event(last));
+            ControlFeedServer.say(out, event(last + 1));
+            ControlFeedServer.say(out, event(last + 1));
+            ControlFeedServer.say(out, event(last + 3));
+            return true;
+          }
+          if (connection == 2) {
+            ControlFeedServer.say(out, "{\"n\":\"nonsense\"}");
+          }
+          for (long sequence = last + 1; connection > 2 && sequence <= 6; sequence++) {
+            ControlFeedServer.say(out, event(sequence));
+          }
+          return connection > 2;
         };
-        try (ControlFeedServer feed = new ControlFeedServer(behaviour);
-            NetworkTransport network = new NetworkTransport(1, "follow");
-            EventStreamClient client = new EventStreamClient(
+    try (ControlFeedServer feed = new ControlFeedServer(behaviour);
+        NetworkTransport network = new NetworkTransport(1, "follow");
+        EventStreamClient client =
+            new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
-                1, DIRECTORY, event -> received.add(event.sequence()), line -> {})) {
-            client.follow(feed.at());
-            await(() -> received.size() >= 5);
-            assertThat(received).containsExactly(2L, 3L, 4L, 5L, 6L);
-            assertThat(feed.asked).startsWith(1L, 2L, 3L, 3L);
-        }
+                1,
+                DIRECTORY,
+                event -> received.add(event.sequence()),
+                line -> {})) {
+      client.follow(feed.at());
+      await(() -> received.size() >= 5);
+      assertThat(received).containsExactly(2L, 3L, 4L, 5L, 6L);
+      assertThat(feed.asked).startsWith(1L, 2L, 3L, 3L);
     }
+  }
 
-    @Test void reconnectsToASilentFeedAndResumesAtAnotherAddress() throws Exception {
-        List<Long> received = new CopyOnWriteArrayList<>();
-        ControlFeedServer.Behaviour silentAtFirst = (connection, last, out) -> {
-            if (connection == 1) { ControlFeedServer.say(out, event(last + 1)); }
-            return true; // and then says nothing
-        };
-        ControlFeedServer.Behaviour deliversOne = (connection, last, out) -> {
+  @Test
+  void reconnectsToASilentFeedAndResumesAtAnotherAddress() throws Exception {
+    List<Long> received = new CopyOnWriteArrayList<>();
+    ControlFeedServer.Behaviour silentAtFirst =
+        (connection, last, out) -> {
+          if (connection == 1) {
             ControlFeedServer.say(out, event(last + 1));
-            return true;
+          }
+          return true; // and then says nothing
         };
-        try (ControlFeedServer firstFeed = new ControlFeedServer(silentAtFirst);
-            ControlFeedServer secondFeed = new ControlFeedServer(deliversOne);
-            NetworkTransport network = new NetworkTransport(1, "follow");
-            EventStreamClient client = new EventStreamClient(
+    ControlFeedServer.Behaviour deliversOne =
+        (connection, last, out) -> {
+          ControlFeedServer.say(out, event(last + 1));
+          return true;
+        };
+    try (ControlFeedServer firstFeed = new ControlFeedServer(silentAtFirst);
+        ControlFeedServer secondFeed = new ControlFeedServer(deliversOne);
+        NetworkTransport network = new NetworkTransport(1, "follow");
+        EventStreamClient client =
+            new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
-                1, DIRECTORY, event -> received.add(event.sequence()), line -> {})) {
-            client.follow(firstFeed.at());
-            await(() -> received.size() == 1); // on the second connection, as the first was silent
-            assertThat(firstFeed.asked).containsExactly(1L, 1L);
-            client.follow(secondFeed.at());
-            await(() -> received.size() == 2);
-            assertThat(secondFeed.asked).containsExactly(2L);
-        }
+                1,
+                DIRECTORY,
+                event -> received.add(event.sequence()),
+                line -> {})) {
+      client.follow(firstFeed.at());
+      await(() -> received.size() == 1); // on the second connection, as the first was silent
+      assertThat(firstFeed.asked).containsExactly(1L, 1L);
+      client.follow(secondFeed.at());
+      await(() -> received.size() == 2);
+      assertThat(secondFeed.asked).containsExactly(2L);
     }
+  }
 
-    /**
-     * Bytes of an event that never ends are no sign of life: the next connection's events count.
-     */
-    @Test void treatsAFeedWhoseEventNeverEndsAsSilent() throws Exception {
-        List<Long> received = new CopyOnWriteArrayList<>();
-        ControlFeedServer.Behaviour behaviour = (connection, last, out) -> {
-            if (connection > 0) {
-                ControlFeedServer.say(out, event(last + 1));
-                return true;
-            }
-            Thread trickler = new Thread(() -> {
-                try {
-                    out.write("data: ".getBytes(StandardCharsets.UTF_8));
-                    for (int i = 0; i < 100; i++) {
+  /** Bytes of an event that never ends are no sign of life: the next connection's events count. */
+  @Test
+  void treatsAFeedWhoseEventNeverEndsAsSilent() throws Exception {
+    List<Long> received = new CopyOnWriteArrayList<>();
+    ControlFeedServer.Behaviour behaviour =
+        (connection, last, out) -> {
+          if (connection > 0) {
+            ControlFeedServer.say(out, event(last + 1));
+            return true;
+          }
+          Thread trickler =
+              new Thread(
+                  () -> {
+                    try {
+                      out.write("data: ".getBytes(StandardCharsets.UTF_8));
+                      for (int i = 0; i < 100; i++) {
                         out.write('x');
                         Thread.sleep(50);
+                      }
+                    } catch (IOException | InterruptedException e) {
+                      return; // the client closed the connection
                     }
-                } catch (IOException | InterruptedException e) {
-                    return; // the client closed the connection
-                }
-            });
-            trickler.setDaemon(true);
-            trickler.start();
-            return true;
+                  });
+          trickler.setDaemon(true);
+          trickler.start();
+          return true;
         };
-        try (ControlFeedServer feed = new ControlFeedServer(behaviour);
-            NetworkTransport network = new NetworkTransport(1, "follow");
-            EventStreamClient client = new EventStreamClient(
+    try (ControlFeedServer feed = new ControlFeedServer(behaviour);
+        NetworkTransport network = new NetworkTransport(1, "follow");
+        EventStreamClient client =
+            new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
-                1, DIRECTORY, event -> received.add(event.sequence()), line -> {})) {
-            client.follow(feed.at());
-            long startedNanos = System.nanoTime();
-            await(() -> received.size() == 1);
-            assertThat((System.nanoTime() - startedNanos) / 1_000_000).isLessThan(4000); // from the second connection
-        }
+                1,
+                DIRECTORY,
+                event -> received.add(event.sequence()),
+                line -> {})) {
+      client.follow(feed.at());
+      long startedNanos = System.nanoTime();
+      await(() -> received.size() == 1);
+      assertThat((System.nanoTime() - startedNanos) / 1_000_000)
+          .isLessThan(4000); // from the second connection
     }
+  }
 
-    /** Delivers so many further events, once it is released. */
-    private static ControlFeedServer.Behaviour afterRelease(CountDownLatch release, int events) {
-        return (connection, last, out) -> {
-            try {
-                release.await();
-            } catch (InterruptedException e) {
-                return false;
-            }
-            for (int i = 1; i <= events; i++) { ControlFeedServer.say(out, event(last + i)); }
-            return true;
-        };
-    }
+  /** Delivers so many further events, once it is released. */
+  private static ControlFeedServer.Behaviour afterRelease(CountDownLatch release, int events) {
+    return (connection, last, out) -> {
+      try {
+        release.await();
+      } catch (InterruptedException e) {
+        return false;
+      }
+      for (int i = 1; i <= events; i++) {
+        ControlFeedServer.say(out, event(last + i));
+      }
+      return true;
+    };
+  }
 
-    /**
-     * Moved by a new configuration to an address that has yet to deliver: the old one's events count.
-     */
-    @Test void deliversFromTheOldAddressUntilTheNewOneDelivers() throws Exception {
-        List<Long> received = new CopyOnWriteArrayList<>();
-        CountDownLatch release = new CountDownLatch(1);
-        ControlFeedServer.Behaviour heartbeatOnly = (connection, last, out) -> {
-            out.write(": beat\n\n".getBytes(StandardCharsets.UTF_8));
-            return true;
+  /**
+   * Moved by a new configuration to an address that has yet to deliver: the old one's events count.
+   */
+  @Test
+  void deliversFromTheOldAddressUntilTheNewOneDelivers() throws Exception {
+    List<Long> received = new CopyOnWriteArrayList<>();
+    CountDownLatch release = new CountDownLatch(1);
+    ControlFeedServer.Behaviour heartbeatOnly =
+        (connection, last, out) -> {
+          out.write(": beat\n\n".getBytes(StandardCharsets.UTF_8));
+          return true;
         };
-        ControlFeedServer.Behaviour deliversTwo = afterRelease(release, 2); // the old one delivers the first of them, too
-        try (ControlFeedServer oldFeed = new ControlFeedServer(heartbeatOnly);
-            ControlFeedServer newFeed = new ControlFeedServer(deliversTwo);
-            NetworkTransport network = new NetworkTransport(1, "follow");
-            EventStreamClient client = new EventStreamClient(
+    ControlFeedServer.Behaviour deliversTwo =
+        afterRelease(release, 2); // the old one delivers the first of them, too
+    try (ControlFeedServer oldFeed = new ControlFeedServer(heartbeatOnly);
+        ControlFeedServer newFeed = new ControlFeedServer(deliversTwo);
+        NetworkTransport network = new NetworkTransport(1, "follow");
+        EventStreamClient client =
+            new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
-                1, DIRECTORY, event -> received.add(event.sequence()), line -> {})) {
-            client.follow(oldFeed.at());
-            await(() -> oldFeed.asked.size() == 1);
-            oldFeed.say(event(2));
-            await(() -> received.size() == 1);
-            client.follow(newFeed.at());
-            await(() -> newFeed.asked.size() == 1);
-            oldFeed.say(event(3));
-            await(() -> received.size() == 2);
-            release.countDown();
-            await(() -> received.size() == 3);
-            assertThat(received).containsExactly(2L, 3L, 4L);
-            assertThat(oldFeed.ended(0)).isTrue();
-            assertThat(oldFeed.asked).hasSize(1);
-            assertThat(newFeed.asked).containsExactly(2L);
-        }
+                1,
+                DIRECTORY,
+                event -> received.add(event.sequence()),
+                line -> {})) {
+      client.follow(oldFeed.at());
+      await(() -> oldFeed.asked.size() == 1);
+      oldFeed.say(event(2));
+      await(() -> received.size() == 1);
+      client.follow(newFeed.at());
+      await(() -> newFeed.asked.size() == 1);
+      oldFeed.say(event(3));
+      await(() -> received.size() == 2);
+      release.countDown();
+      await(() -> received.size() == 3);
+      assertThat(received).containsExactly(2L, 3L, 4L);
+      assertThat(oldFeed.ended(0)).isTrue();
+      assertThat(oldFeed.asked).hasSize(1);
+      assertThat(newFeed.asked).containsExactly(2L);
     }
+  }
 
-    /**
-     * The old address breaks off before the new one delivers: it is not asked again, the new one only once.
-     */
-    @Test void survivesTheEndOfTheOldAddressBeforeTheNewOneDelivers() throws Exception {
-        List<Long> received = new CopyOnWriteArrayList<>();
-        CountDownLatch release = new CountDownLatch(1);
-        ControlFeedServer.Behaviour deliversOne = afterRelease(release, 1);
-        ControlFeedServer oldFeed = new ControlFeedServer((connection, last, out) -> {
-            out.write(": beat\n\n".getBytes(StandardCharsets.UTF_8));
-            return true;
-        });
-        try (ControlFeedServer newFeed = new ControlFeedServer(deliversOne);
-            NetworkTransport network = new NetworkTransport(1, "follow");
-            EventStreamClient client = new EventStreamClient(
+  /**
+   * The old address breaks off before the new one delivers: it is not asked again, the new one only
+   * once.
+   */
+  @Test
+  void survivesTheEndOfTheOldAddressBeforeTheNewOneDelivers() throws Exception {
+    List<Long> received = new CopyOnWriteArrayList<>();
+    CountDownLatch release = new CountDownLatch(1);
+    ControlFeedServer.Behaviour deliversOne = afterRelease(release, 1);
+    ControlFeedServer oldFeed =
+        new ControlFeedServer(
+            (connection, last, out) -> {
+              out.write(": beat\n\n".getBytes(StandardCharsets.UTF_8));
+              return true;
+            });
+    try (ControlFeedServer newFeed = new ControlFeedServer(deliversOne);
+        NetworkTransport network = new NetworkTransport(1, "follow");
+        EventStreamClient client =
+            new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
-                1, DIRECTORY, event -> received.add(event.sequence()), line -> {})) {
-            client.follow(oldFeed.at());
-            await(() -> oldFeed.asked.size() == 1);
-            oldFeed.say(event(2));
-            await(() -> received.size() == 1);
-            client.follow(newFeed.at());
-            await(() -> newFeed.asked.size() == 1);
-            oldFeed.close();
-            release.countDown();
-            await(() -> received.size() == 2);
-            assertThat(newFeed.asked).containsExactly(2L);
-        }
+                1,
+                DIRECTORY,
+                event -> received.add(event.sequence()),
+                line -> {})) {
+      client.follow(oldFeed.at());
+      await(() -> oldFeed.asked.size() == 1);
+      oldFeed.say(event(2));
+      await(() -> received.size() == 1);
+      client.follow(newFeed.at());
+      await(() -> newFeed.asked.size() == 1);
+      oldFeed.close();
+      release.countDown();
+      await(() -> received.size() == 2);
+      assertThat(newFeed.asked).containsExactly(2L);
     }
+  }
 
-    /**
-     * A complete list under the number of the last event is the current one; an older one is not.
-     */
-    @Test void acceptsACompleteListUnderTheLastNumberAndNoOlderOne() throws Exception {
-        List<String> received = new CopyOnWriteArrayList<>();
-        ControlFeedServer.Behaviour behaviour = (connection, last, out) -> {
-            ControlFeedServer.say(out, ControlFeedServer.event(last - 1, true,
-                ControlFeedServer.worker("old", "127.0.0.1:7", "SERVING", 0)));
-            ControlFeedServer.say(out, ControlFeedServer.event(last, true,
-                ControlFeedServer.worker("same", "127.0.0.1:7", "DRAINING", 0)));
-            ControlFeedServer.say(out, ControlFeedServer.event(last, false,
-                ControlFeedServer.worker("told", "127.0.0.1:7", "SERVING", 0)));
-            ControlFeedServer.say(out, ControlFeedServer.event(last + 3, true,
-                ControlFeedServer.worker("ahead", "127.0.0.1:7", "SERVING", 0)));
-            ControlFeedServer.say(out, event(last + 4));
-            return true;
+  /** A complete list under the number of the last event is the current one; an older one is not. */
+  @Test
+  void acceptsACompleteListUnderTheLastNumberAndNoOlderOne() throws Exception {
+    List<String> received = new CopyOnWriteArrayList<>();
+    ControlFeedServer.Behaviour behaviour =
+        (connection, last, out) -> {
+          ControlFeedServer.say(
+              out,
+              ControlFeedServer.event(
+                  last - 1, true, ControlFeedServer.worker("old", "127.0.0.1:7", "SERVING", 0)));
+          ControlFeedServer.say(
+              out,
+              ControlFeedServer.event(
+                  last, true, ControlFeedServer.worker("same", "127.0.0.1:7", "DRAINING", 0)));
+          ControlFeedServer.say(
+              out,
+              ControlFeedServer.event(
+                  last, false, ControlFeedServer.worker("told", "127.0.0.1:7", "SERVING", 0)));
+          ControlFeedServer.say(
+              out,
+              ControlFeedServer.event(
+                  last + 3, true, ControlFeedServer.worker("ahead", "127.0.0.1:7", "SERVING", 0)));
+          ControlFeedServer.say(out, event(last + 4));
+          return true;
         };
-        try (ControlFeedServer feed = new ControlFeedServer(behaviour);
-            NetworkTransport network = new NetworkTransport(1, "follow");
-            EventStreamClient client = new EventStreamClient(
+    try (ControlFeedServer feed = new ControlFeedServer(behaviour);
+        NetworkTransport network = new NetworkTransport(1, "follow");
+        EventStreamClient client =
+            new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
-                5, DIRECTORY, event -> received.add(event.sequence() + event.updates().get(0).name()),
+                5,
+                DIRECTORY,
+                event -> received.add(event.sequence() + event.updates().get(0).name()),
                 line -> {})) {
-            client.follow(feed.at());
-            await(() -> received.size() == 3);
-            assertThat(received).containsExactly("5same", "8ahead", "9w9");
-            assertThat(feed.asked).containsExactly(5L); // a gap before a whole list is none
-        }
+      client.follow(feed.at());
+      await(() -> received.size() == 3);
+      assertThat(received).containsExactly("5same", "8ahead", "9w9");
+      assertThat(feed.asked).containsExactly(5L); // a gap before a whole list is none
     }
+  }
 }
--- a/src/test/java/switchgap/eventloop/EventLoopTest.java
+++ b/src/test/java/switchgap/eventloop/EventLoopTest.java
@@ -16,19 +16,36 @@
 
 /** A loop whose thread is gone serves nobody: whatever ends it is told. */
 class EventLoopTest {
-    @ParameterizedTest
-    @ValueSource(ints = {1, 2}) void anErrorInAnyRoundIsToldTheFirstToo(int round) throws Exception {
-        RouterSettings terms = TestPlatformSettings.terms();
-        WorkerTransport nothing = (WorkerTransport) Proxy.newProxyInstance(
-            EventLoopTest.class.getClassLoader(), new Class<?>[] {WorkerTransport.class}, (p, m, a) -> null);
-        int[] rounds = {0};
-        CompletableFuture<Throwable> told = new CompletableFuture<>();
-        EventLoop loop = new EventLoop(l -> new RouterCore(terms, (now, in, out) -> {
-            if (++rounds[0] == round) { throw new StackOverflowError("planted"); }
-        }, nothing, new CoreLimits(Duration.ofSeconds(1), Duration.ofSeconds(1), 10)), "planted", late -> {},
-            told::complete, () -> {});
-        loop.start();
-        loop.post(c -> {});
-        assertThat(told.get(5, TimeUnit.SECONDS)).hasMessage("planted");
-    }
+  @ParameterizedTest
+  @ValueSource(ints = {1, 2})
+  void anErrorInAnyRoundIsToldTheFirstToo(int round) throws Exception {
+    RouterSettings terms = TestPlatformSettings.terms();
+    WorkerTransport nothing =
+        (WorkerTransport)
+            Proxy.newProxyInstance(
+                EventLoopTest.class.getClassLoader(),
+                new Class<?>[] {WorkerTransport.class},
+                (p, m, a) -> null);
+    int[] rounds = {0};
+    CompletableFuture<Throwable> told = new CompletableFuture<>();
+    EventLoop loop =
+        new EventLoop(
+            l ->
+                new RouterCore(
+                    terms,
+                    (now, in, out) -> {
+                      if (++rounds[0] == round) {
+                        throw new StackOverflowError("planted");
+                      }
+                    },
+                    nothing,
+                    new CoreLimits(Duration.ofSeconds(1), Duration.ofSeconds(1), 10)),
+            "planted",
+            late -> {},
+            told::complete,
+            () -> {});
+    loop.start();
+    loop.post(c -> {});
+    assertThat(told.get(5, TimeUnit.SECONDS)).hasMessage("planted");
+  }
 }
--- a/src/test/java/switchgap/experiment/EmulatorAgainstSocketsTest.java
+++ b/src/test/java/switchgap/experiment/EmulatorAgainstSocketsTest.java
@@ -14,35 +14,44 @@
 import switchgap.scenario.ScenarioRunner;
 
 /**
- * The emulator and the stand-ins on sockets hold the same day to the same account: same arrivals, one worker model, the
- * program's own core. The band is wide enough for a machine that other work fills, and far narrower than what variants differ by.
+ * The emulator and the stand-ins on sockets hold the same day to the same account: same arrivals,
+ * one worker model, the program's own core. The band is wide enough for a machine that other work
+ * fills, and far narrower than what variants differ by.
  */
 class EmulatorAgainstSocketsTest {
-    private static final double BAND = 0.08;
-    @TempDir Path dir;
+  private static final double BAND = 0.08;
+  @TempDir Path dir;
 
-    private void same(int rate) throws Exception {
-        Path f = SmallScenario.write(dir, 8, rate);
-        EmulatedClients sockets = ScenarioRunner.play(f, dir.resolve("run-" + rate), null,
-            new PrintStream(OutputStream.nullOutputStream()));
-        assertThat(InvariantChecker.read(dir.resolve("run-" + rate)).violations()).isEmpty();
-        Scenario day = Scenario.read(f);
-        Emulator e = new Emulator(day, day.seed(), Variant.LEVELS, t -> 1);
-        e.play(8, s -> {});
-        for (var t : e.clients.tallies().entrySet()) {
-            EmulatedClients.Tally a = t.getValue();
-            EmulatedClients.Tally b = sockets.tallies().get(t.getKey());
-            assertThat(b.jobs).isEqualTo(a.jobs); // the same arrivals
-            assertThat(b.finished / (double) b.jobs).isCloseTo(a.finished / (double) a.jobs, within(BAND));
-            assertThat((b.finished - b.late) / (double) b.jobs).isCloseTo(
-                (a.finished - a.late) / (double) a.jobs, within(BAND));
-            assertThat(b.pushedBack / (double) b.tries).isCloseTo(a.pushedBack / (double) a.tries,
-                within(2 * BAND));
-        }
-        assertThat(sockets.service()).isCloseTo(e.clients.service(), within(BAND));
+  private void same(int rate) throws Exception {
+    Path f = SmallScenario.write(dir, 8, rate);
+    EmulatedClients sockets =
+        ScenarioRunner.play(
+            f, dir.resolve("run-" + rate), null, new PrintStream(OutputStream.nullOutputStream()));
+    assertThat(InvariantChecker.read(dir.resolve("run-" + rate)).violations()).isEmpty();
+    Scenario day = Scenario.read(f);
+    Emulator e = new Emulator(day, day.seed(), Variant.LEVELS, t -> 1);
+    e.play(8, s -> {});
+    for (var t : e.clients.tallies().entrySet()) {
+      EmulatedClients.Tally a = t.getValue();
+      EmulatedClients.Tally b = sockets.tallies().get(t.getKey());
+      assertThat(b.jobs).isEqualTo(a.jobs); // the same arrivals
+      assertThat(b.finished / (double) b.jobs)
+          .isCloseTo(a.finished / (double) a.jobs, within(BAND));
+      assertThat((b.finished - b.late) / (double) b.jobs)
+          .isCloseTo((a.finished - a.late) / (double) a.jobs, within(BAND));
+      assertThat(b.pushedBack / (double) b.tries)
+          .isCloseTo(a.pushedBack / (double) a.tries, within(2 * BAND));
     }
+    assertThat(sockets.service()).isCloseTo(e.clients.service(), within(BAND));
+  }
 
-    @Test void aQuietDayIsTheSame() throws Exception { same(50); }
+  @Test
+  void aQuietDayIsTheSame() throws Exception {
+    same(50);
+  }
 
-    @Test void aDayOfTooMuchIsTheSame() throws Exception { same(200); }
+  @Test
+  void aDayOfTooMuchIsTheSame() throws Exception {
+    same(200);
+  }
 }
--- a/src/test/java/switchgap/net/ConnectionCloserTest.java
+++ b/src/test/java/switchgap/net/ConnectionCloserTest.java
@@ -12,40 +12,48 @@
 
 /** A connection that is closed gives its descriptor back, whatever its peer does not read. */
 class ConnectionCloserTest implements TcpConnection.Listener {
-    private static final int MAX_SECONDS = 3;
-    private final CompletableFuture<TcpConnection> opened = new CompletableFuture<>();
-
-    @Test void aCloseDoesNotWaitBehindBytesThatNobodyReads() throws Exception {
-        try (NetworkTransport net = new NetworkTransport(1, "closer-test");
-            TcpConnection.Server server = TcpConnection.listen(net, "127.0.0.1", 0, 10, this);
-            Socket client = new Socket()) {
-            client.setReceiveBufferSize(4096);
-            client.connect(new InetSocketAddress("127.0.0.1", server.port()));
-            TcpConnection connection = opened.get(5, TimeUnit.SECONDS);
-            for (int i = 0; i < 16; i++) { connection.send(new byte[1 << 20]); }
-            assertThat(connection.unsentBytes()).as("the client does not read").isPositive();
-            connection.close("reads no answers");
-            assertThat(isReset(client)).as("the socket is still there").isTrue();
-        }
+  private static final int MAX_SECONDS = 3;
+  private final CompletableFuture<TcpConnection> opened = new CompletableFuture<>();
+
+  @Test
+  void aCloseDoesNotWaitBehindBytesThatNobodyReads() throws Exception {
+    try (NetworkTransport net = new NetworkTransport(1, "closer-test");
+        TcpConnection.Server server = TcpConnection.listen(net, "127.0.0.1", 0, 10, this);
+        Socket client = new Socket()) {
+      client.setReceiveBufferSize(4096);
+      client.connect(new InetSocketAddress("127.0.0.1", server.port()));
+      TcpConnection connection = opened.get(5, TimeUnit.SECONDS);
+      for (int i = 0; i < 16; i++) {
+        connection.send(new byte[1 << 20]);
+      }
+      assertThat(connection.unsentBytes()).as("the client does not read").isPositive();
+      connection.close("reads no answers");
+      assertThat(isReset(client)).as("the socket is still there").isTrue();
     }
-
-    /** Whether what is written meets no socket any more. */
-    private static boolean isReset(Socket client) throws InterruptedException {
-        long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_SECONDS);
-        while (System.nanoTime() < endNanos) {
-            try {
-                client.getOutputStream().write(1);
-            } catch (IOException e) {
-                return true;
-            }
-            Thread.sleep(10);
-        }
-        return false;
+  }
+
+  /** Whether what is written meets no socket any more. */
+  private static boolean isReset(Socket client) throws InterruptedException {
+    long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_SECONDS);
+    while (System.nanoTime() < endNanos) {
+      try {
+        client.getOutputStream().write(1);
+      } catch (IOException e) {
+        return true;
+      }
+      Thread.sleep(10);
     }
+    return false;
+  }
 
-    @Override public void opened(TcpConnection connection) { opened.complete(connection); }
+  @Override
+  public void opened(TcpConnection connection) {
+    opened.complete(connection);
+  }
 
-    @Override public void received(TcpConnection connection, ByteBuffer bytes) {}
+  @Override
+  public void received(TcpConnection connection, ByteBuffer bytes) {}
 
-    @Override public void closed(TcpConnection connection, String reason) {}
+  @Override
+  public void closed(TcpConnection connection, String reason) {}
 }
--- a/src/test/java/switchgap/net/ConnectorTest.java
+++ b/src/test/java/switchgap/net/ConnectorTest.java
@@ -17,69 +17,79 @@
 
 /** Opening a connection ends in exactly one outcome, within its timeout. */
 class ConnectorTest {
-    private static final int WAIT_SECONDS = 5;
+  private static final int WAIT_SECONDS = 5;
 
-    private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
 
-    private final class OutcomeCallback implements Connector.ConnectCallback<TcpConnection> {
-        @Override public void connected(TcpConnection connection) {
-            outcomes.add("connected");
-        }
+  private final class OutcomeCallback implements Connector.ConnectCallback<TcpConnection> {
+    @Override
+    public void connected(TcpConnection connection) {
+      outcomes.add("connected");
+    }
 
-        @Override public void failed(String reason) {
-            outcomes.add("failed: " + reason);
-        }
+    @Override
+    public void failed(String reason) {
+      outcomes.add("failed: " + reason);
     }
+  }
 
-    private static final class SilentListener implements TcpConnection.Listener {
-        @Override public void opened(TcpConnection connection) {}
+  private static final class SilentListener implements TcpConnection.Listener {
+    @Override
+    public void opened(TcpConnection connection) {}
 
-        @Override public void received(TcpConnection connection, ByteBuffer bytes) {}
+    @Override
+    public void received(TcpConnection connection, ByteBuffer bytes) {}
 
-        @Override public void closed(TcpConnection connection, String reason) {}
-    }
+    @Override
+    public void closed(TcpConnection connection, String reason) {}
+  }
 
-    private String connect(NetworkTransport transport, int port, Duration timeout) throws Exception {
-        new TcpConnection.Factory(transport, new SilentListener()).connect(
-            new InetSocketAddress("127.0.0.1", port), timeout, new OutcomeCallback());
-        return outcomes.poll(WAIT_SECONDS, TimeUnit.SECONDS);
-    }
+  private String connect(NetworkTransport transport, int port, Duration timeout) throws Exception {
+    new TcpConnection.Factory(transport, new SilentListener())
+        .connect(new InetSocketAddress("127.0.0.1", port), timeout, new OutcomeCallback());
+    return outcomes.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+  }
 
-    @Test void anOpenPortIsConnectedTo() throws Exception {
-        try (NetworkTransport transport = new NetworkTransport(1, "connect");
-            ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            assertThat(connect(transport, listener.getLocalPort(), Duration.ofMillis(500))).isEqualTo(
-                "connected");
-            assertThat(outcomes.poll(700, TimeUnit.MILLISECONDS)).as("nothing after the timeout").isNull();
-        }
+  @Test
+  void anOpenPortIsConnectedTo() throws Exception {
+    try (NetworkTransport transport = new NetworkTransport(1, "connect");
+        ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+      assertThat(connect(transport, listener.getLocalPort(), Duration.ofMillis(500)))
+          .isEqualTo("connected");
+      assertThat(outcomes.poll(700, TimeUnit.MILLISECONDS))
+          .as("nothing after the timeout")
+          .isNull();
     }
+  }
 
-    @Test void aClosedPortFails() throws Exception {
-        int port;
-        try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            port = listener.getLocalPort();
-        }
-        try (NetworkTransport transport = new NetworkTransport(1, "connect")) {
-            assertThat(connect(transport, port, Duration.ofSeconds(2))).startsWith("failed: ");
-            assertThat(outcomes.poll(100, TimeUnit.MILLISECONDS)).isNull();
-        }
+  @Test
+  void aClosedPortFails() throws Exception {
+    int port;
+    try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+      port = listener.getLocalPort();
+    }
+    try (NetworkTransport transport = new NetworkTransport(1, "connect")) {
+      assertThat(connect(transport, port, Duration.ofSeconds(2))).startsWith("failed: ");
+      assertThat(outcomes.poll(100, TimeUnit.MILLISECONDS)).isNull();
     }
+  }
 
-    /** A listener whose backlog is full drops further attempts without a reply. */
-    @Test void aPeerThatNeverRepliesFailsAtTheTimeout() throws Exception {
-        List<Socket> backlog = new ArrayList<>();
-        try (NetworkTransport transport = new NetworkTransport(1, "connect");
-            ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            for (int i = 0; i < 2; i++) {
-                backlog.add(new Socket(InetAddress.getLoopbackAddress(), listener.getLocalPort()));
-            }
-            assertThat(connect(transport, listener.getLocalPort(), Duration.ofMillis(300))).isEqualTo(
-                "failed: no connection within 300 ms");
-            assertThat(outcomes.poll(100, TimeUnit.MILLISECONDS)).isNull();
-        } finally {
-            for (Socket socket : backlog) {
-                socket.close();
-            }
-        }
+  /** A listener whose backlog is full drops further attempts without a reply. */
+  @Test
+  void aPeerThatNeverRepliesFailsAtTheTimeout() throws Exception {
+    List<Socket> backlog = new ArrayList<>();
+    try (NetworkTransport transport = new NetworkTransport(1, "connect");
+        ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      for (int i = 0; i < 2; i++) {
+        backlog.add(new Socket(InetAddress.getLoopbackAddress(), listener.getLocalPort()));
+      }
+      assertThat(connect(transport, listener.getLocalPort(), Duration.ofMillis(300)))
+          .isEqualTo("failed: no connection within 300 ms");
+      assertThat(outcomes.poll(100, TimeUnit.MILLISECONDS)).isNull();
+    } finally {
+      for (Socket socket : backlog) {
+        socket.close();
+      }
     }
+  }
 }
--- a/src/test/java/switchgap/net/KeyedWritersTest.java
+++ b/src/test/java/switchgap/net/KeyedWritersTest.java
@@ -10,35 +10,41 @@
 
 /** Tasks of one key run in order on one thread, and a task that throws does not end its thread. */
 class KeyedWritersTest {
-    private static final int TASKS = 1000;
+  private static final int TASKS = 1000;
 
-    @Test void tasksOfOneKeyRunInOrderOnOneThread() throws Exception {
-        List<Integer> ran = new CopyOnWriteArrayList<>();
-        List<String> threads = new CopyOnWriteArrayList<>();
-        CountDownLatch done = new CountDownLatch(TASKS);
-        try (KeyedWriters writers = new KeyedWriters(3, "writer")) {
-            for (int i = 0; i < TASKS; i++) {
-                int number = i;
-                writers.execute(-1, () -> {
-                    ran.add(number);
-                    threads.add(Thread.currentThread().getName());
-                    done.countDown();
-                });
-            }
-            assertThat(done.await(10, TimeUnit.SECONDS)).isTrue();
-        }
-        assertThat(ran).hasSize(TASKS).isSorted();
-        assertThat(threads).containsOnly("writer-2");
+  @Test
+  void tasksOfOneKeyRunInOrderOnOneThread() throws Exception {
+    List<Integer> ran = new CopyOnWriteArrayList<>();
+    List<String> threads = new CopyOnWriteArrayList<>();
+    CountDownLatch done = new CountDownLatch(TASKS);
+    try (KeyedWriters writers = new KeyedWriters(3, "writer")) {
+      for (int i = 0; i < TASKS; i++) {
+        int number = i;
+        writers.execute(
+            -1,
+            () -> {
+              ran.add(number);
+              threads.add(Thread.currentThread().getName());
+              done.countDown();
+            });
+      }
+      assertThat(done.await(10, TimeUnit.SECONDS)).isTrue();
     }
+    assertThat(ran).hasSize(TASKS).isSorted();
+    assertThat(threads).containsOnly("writer-2");
+  }
 
-    @Test void aTaskThatThrowsDoesNotEndItsThread() throws Exception {
-        CountDownLatch done = new CountDownLatch(1);
-        try (KeyedWriters writers = new KeyedWriters(1, "writer")) {
-            writers.execute(0, () -> {
-                throw new IllegalStateException("injected");
-            });
-            writers.execute(0, done::countDown);
-            assertThat(done.await(10, TimeUnit.SECONDS)).isTrue();
-        }
+  @Test
+  void aTaskThatThrowsDoesNotEndItsThread() throws Exception {
+    CountDownLatch done = new CountDownLatch(1);
+    try (KeyedWriters writers = new KeyedWriters(1, "writer")) {
+      writers.execute(
+          0,
+          () -> {
+            throw new IllegalStateException("injected");
+          });
+      writers.execute(0, done::countDown);
+      assertThat(done.await(10, TimeUnit.SECONDS)).isTrue();
     }
+  }
 }
--- a/src/test/java/switchgap/net/SelectorThreadsTest.java
+++ b/src/test/java/switchgap/net/SelectorThreadsTest.java
@@ -9,59 +9,65 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A selector thread outlives whatever a listener throws: otherwise a process is up that serves nobody. */
+/**
+ * A selector thread outlives whatever a listener throws: otherwise a process is up that serves
+ * nobody.
+ */
 class SelectorThreadsTest {
-    private static final int SOCKET_TIMEOUT_MILLIS = 3000;
-    private static final int END_OF_STREAM = -1;
+  private static final int SOCKET_TIMEOUT_MILLIS = 3000;
+  private static final int END_OF_STREAM = -1;
 
-    /** Throws at the byte x and replies y to any other. */
-    private static final class FaultyListener implements TcpConnection.Listener {
-        private final boolean throwsError;
+  /** Throws at the byte x and replies y to any other. */
+  private static final class FaultyListener implements TcpConnection.Listener {
+    private final boolean throwsError;
 
-        FaultyListener(boolean throwsError) {
-            this.throwsError = throwsError;
-        }
-
-        @Override public void opened(TcpConnection connection) {}
+    FaultyListener(boolean throwsError) {
+      this.throwsError = throwsError;
+    }
 
-        @Override public void received(TcpConnection connection, ByteBuffer bytes) {
-            if (bytes.get() == 'x' && throwsError) {
-                throw new StackOverflowError("injected");
-            }
-            if (bytes.get(bytes.position() - 1) == 'x') {
-                throw new IllegalStateException("injected");
-            }
-            connection.send(new byte[] {'y'});
-        }
+    @Override
+    public void opened(TcpConnection connection) {}
 
-        @Override public void closed(TcpConnection connection, String reason) {}
+    @Override
+    public void received(TcpConnection connection, ByteBuffer bytes) {
+      if (bytes.get() == 'x' && throwsError) {
+        throw new StackOverflowError("injected");
+      }
+      if (bytes.get(bytes.position() - 1) == 'x') {
+        throw new IllegalStateException("injected");
+      }
+      connection.send(new byte[] {'y'});
     }
 
-    @ParameterizedTest
-    @ValueSource(booleans = {true, false}) void aFaultInReadingOneConnectionLeavesTheOthersServed(
-        boolean throwsError) throws Exception {
-        try (NetworkTransport transport = new NetworkTransport(1, "faulty");
-            TcpConnection.Server server = TcpConnection.listen(transport, "127.0.0.1", 0, 50,
-                new FaultyListener(throwsError))) {
-            for (int i = 0; i < 3; i++) {
-                try (Socket faulty = new Socket("127.0.0.1", server.port());
-                    Socket healthy = new Socket("127.0.0.1", server.port())) {
-                    faulty.getOutputStream().write('x');
-                    assertThat(readByte(faulty)).as("the faulty connection ends").isEqualTo(END_OF_STREAM);
-                    healthy.getOutputStream().write('g');
-                    assertThat(readByte(healthy)).isEqualTo('y');
-                }
-            }
+    @Override
+    public void closed(TcpConnection connection, String reason) {}
+  }
+
+  @ParameterizedTest
+  @ValueSource(booleans = {true, false})
+  void aFaultInReadingOneConnectionLeavesTheOthersServed(boolean throwsError) throws Exception {
+    try (NetworkTransport transport = new NetworkTransport(1, "faulty");
+        TcpConnection.Server server =
+            TcpConnection.listen(transport, "127.0.0.1", 0, 50, new FaultyListener(throwsError))) {
+      for (int i = 0; i < 3; i++) {
+        try (Socket faulty = new Socket("127.0.0.1", server.port());
+            Socket healthy = new Socket("127.0.0.1", server.port())) {
+          faulty.getOutputStream().write('x');
+          assertThat(readByte(faulty)).as("the faulty connection ends").isEqualTo(END_OF_STREAM);
+          healthy.getOutputStream().write('g');
+          assertThat(readByte(healthy)).isEqualTo('y');
         }
+      }
     }
+  }
 
-    /** The next byte, or {@link #END_OF_STREAM} when the connection ended or was reset. */
-    private static int readByte(Socket socket) throws IOException {
-        socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
-        try {
-            return socket.getInputStream().read();
-        } catch (SocketException e) {
-            return END_OF_STREAM;
-        }
+  /** The next byte, or {@link #END_OF_STREAM} when the connection ended or was reset. */
+  private static int readByte(Socket socket) throws IOException {
+    socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
+    try {
+      return socket.getInputStream().read();
+    } catch (SocketException e) {
+      return END_OF_STREAM;
     }
+  }
 }
--- a/src/test/java/switchgap/protocol/inference/OrcaLoadReportTest.java
+++ b/src/test/java/switchgap/protocol/inference/OrcaLoadReportTest.java
@@ -10,48 +10,52 @@
 
 /** Load reports in both forms, and what a worker's nonsense does to them. */
 class OrcaLoadReportTest {
-    private static OrcaLoadReport parse(String header) {
-        return OrcaLoadReport.parse(Map.of(OrcaLoadReport.HEADER, header));
-    }
+  private static OrcaLoadReport parse(String header) {
+    return OrcaLoadReport.parse(Map.of(OrcaLoadReport.HEADER, header));
+  }
 
-    @Test void bothFormsAreReadAlike() {
-        String metrics = "cpu_utilization=0.5, named_metrics.inflight=3,named_metrics.queue=1"
+  @Test
+  void bothFormsAreReadAlike() {
+    String metrics =
+        "cpu_utilization=0.5, named_metrics.inflight=3,named_metrics.queue=1"
             + ",named_metrics.crowd=2";
-        String named = "{\"inflight\":3,\"queue\":1,\"crowd\":2}";
-        String json = "{\"cpu_utilization\":0.5,\"named_metrics\":" + named + "}";
-        for (String header : new String[] {"TEXT " + metrics, metrics, "JSON " + json}) {
-            assertThat(parse(header).toLoadReport()).as(header).isEqualTo(new LoadReport(0.5, 3, 1, 2));
-            assertThat(parse(header).provesNotExecuted()).as(header).isFalse();
-        }
+    String named = "{\"inflight\":3,\"queue\":1,\"crowd\":2}";
+    String json = "{\"cpu_utilization\":0.5,\"named_metrics\":" + named + "}";
+    for (String header : new String[] {"TEXT " + metrics, metrics, "JSON " + json}) {
+      assertThat(parse(header).toLoadReport()).as(header).isEqualTo(new LoadReport(0.5, 3, 1, 2));
+      assertThat(parse(header).provesNotExecuted()).as(header).isFalse();
     }
+  }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"TEXT named_metrics.executed=0",
-        "JSON {\"named_metrics\":{\"executed\":0}}"}) void onlyAReportedZeroProvesNotExecuted(
-            String header) {
-        assertThat(parse(header).provesNotExecuted()).isTrue();
-        assertThat(parse(header.replace('0', '1')).provesNotExecuted()).isFalse();
-        assertThat(OrcaLoadReport.EMPTY.provesNotExecuted()).isFalse();
-    }
+  @ParameterizedTest
+  @ValueSource(
+      strings = {"TEXT named_metrics.executed=0", "JSON {\"named_metrics\":{\"executed\":0}}"})
+  void onlyAReportedZeroProvesNotExecuted(String header) {
+    assertThat(parse(header).provesNotExecuted()).isTrue();
+    assertThat(parse(header.replace('0', '1')).provesNotExecuted()).isFalse();
+    assertThat(OrcaLoadReport.EMPTY.provesNotExecuted()).isFalse();
+  }
 
-    /** Seen in review: the JSON form let negative and infinite figures through to the policy. */
-    @ParameterizedTest
-    @ValueSource(strings = {"-1", "1e999", "1e6"}) void figuresOutOfReasonAreLeftOutOfEitherForm(
-        String figure) {
-        String json = "JSON {\"cpu_utilization\":%1$s,\"named_metrics\":{\"inflight\":%1$s,\"copies\":%1$s}}";
-        String text = "TEXT cpu_utilization=%1$s,named_metrics.inflight=%1$s,named_metrics.copies=%1$s";
-        for (String form : new String[] {json, text}) {
-            OrcaLoadReport report = parse(String.format(form, figure));
-            assertThat(report.toLoadReport()).as(form).isEqualTo(LoadReport.NONE);
-            assertThat(report.namedMetric(OrcaLoadReport.REPLICAS)).as(form).isNaN();
-        }
+  /** Seen in review: the JSON form let negative and infinite figures through to the policy. */
+  @ParameterizedTest
+  @ValueSource(strings = {"-1", "1e999", "1e6"})
+  void figuresOutOfReasonAreLeftOutOfEitherForm(String figure) {
+    String json =
+        "JSON {\"cpu_utilization\":%1$s,\"named_metrics\":{\"inflight\":%1$s,\"copies\":%1$s}}";
+    String text = "TEXT cpu_utilization=%1$s,named_metrics.inflight=%1$s,named_metrics.copies=%1$s";
+    for (String form : new String[] {json, text}) {
+      OrcaLoadReport report = parse(String.format(form, figure));
+      assertThat(report.toLoadReport()).as(form).isEqualTo(LoadReport.NONE);
+      assertThat(report.namedMetric(OrcaLoadReport.REPLICAS)).as(form).isNaN();
     }
+  }
 
-    @Test void aReportThatCannotBeReadIsEmpty() {
-        assertThat(parse("JSON {\"cpu_utilization\":0.5,").toLoadReport()).isEqualTo(LoadReport.NONE);
-        assertThat(parse("TEXT cpu_utilization=half").toLoadReport()).isEqualTo(LoadReport.NONE);
-        assertThat(parse("TEXT cpu_utilization=0.5" + " ".repeat(5000)).toLoadReport()).isEqualTo(
-            LoadReport.NONE);
-        assertThat(OrcaLoadReport.parse(Map.of()).toLoadReport()).isEqualTo(LoadReport.NONE);
-    }
+  @Test
+  void aReportThatCannotBeReadIsEmpty() {
+    assertThat(parse("JSON {\"cpu_utilization\":0.5,").toLoadReport()).isEqualTo(LoadReport.NONE);
+    assertThat(parse("TEXT cpu_utilization=half").toLoadReport()).isEqualTo(LoadReport.NONE);
+    assertThat(parse("TEXT cpu_utilization=0.5" + " ".repeat(5000)).toLoadReport())
+        .isEqualTo(LoadReport.NONE);
+    assertThat(OrcaLoadReport.parse(Map.of()).toLoadReport()).isEqualTo(LoadReport.NONE);
+  }
 }
--- a/src/test/java/switchgap/protocol/inference/PendingExchangeTest.java
+++ b/src/test/java/switchgap/protocol/inference/PendingExchangeTest.java
@@ -17,87 +17,105 @@
 import switchgap.router.WorkerEntry;
 import switchgap.server.gateway.HttpTestServer;
 
-/** Steps of an exchange that two threads can take at once, taken one after the other in the worst order. */
+/**
+ * Steps of an exchange that two threads can take at once, taken one after the other in the worst
+ * order.
+ */
 class PendingExchangeTest {
-    private static final int MAX_BODY_BYTES = 1024;
-    private static final ConnectionLimits ONE_CONNECTION = new ConnectionLimits(
-        1, 10, Duration.ofSeconds(1), Duration.ofSeconds(30));
+  private static final int MAX_BODY_BYTES = 1024;
+  private static final ConnectionLimits ONE_CONNECTION =
+      new ConnectionLimits(1, 10, Duration.ofSeconds(1), Duration.ofSeconds(30));
 
-    private static HttpConnectionPool pool(NetworkTransport net, HttpTestServer worker) {
-        return new HttpConnectionPool(new HttpClientConnection.Factory(net, null, MAX_BODY_BYTES),
-            new InetSocketAddress("127.0.0.1", worker.port()), ONE_CONNECTION);
-    }
+  private static HttpConnectionPool pool(NetworkTransport net, HttpTestServer worker) {
+    return new HttpConnectionPool(
+        new HttpClientConnection.Factory(net, null, MAX_BODY_BYTES),
+        new InetSocketAddress("127.0.0.1", worker.port()),
+        ONE_CONNECTION);
+  }
 
-    private static void awaitAny(List<String> outcomes) throws InterruptedException {
-        for (int i = 0; i < 100 && outcomes.isEmpty(); i++) {
-            Thread.sleep(10);
-        }
+  private static void awaitAny(List<String> outcomes) throws InterruptedException {
+    for (int i = 0; i < 100 && outcomes.isEmpty(); i++) {
+      Thread.sleep(10);
     }
+  }
 
-    /**
-     * Abandoned by the event loop between the writer thread's check and its write: the connection was kept by
-     * an exchange that nobody would end.
-     */
-    @Test void anExchangeAbandonedJustBeforeItIsSentFreesItsConnection() throws Exception {
-        List<String> outcomes = new CopyOnWriteArrayList<>();
-        try (NetworkTransport net = new NetworkTransport(1, "exchange-test");
-            HttpTestServer worker = new HttpTestServer(
-                (request, out) -> request.line().contains("/first") ? HttpTestServer.silent(request, out)
-                    : HttpTestServer.well(request, out))) {
-            HttpConnectionPool pool = pool(net, worker);
-            CompletableFuture<AttemptOutcome> abandoned = new CompletableFuture<>();
-            PendingExchange first = new RecordingExchange(pool, outcomes, "/first") {
-                @Override synchronized boolean assign(HttpClientConnection to) {
-                    boolean assigned = super.assign(to);
-                    abandoned.complete(abandon());
-                    return assigned;
-                }
-            };
-            first.submit();
-            // It may have been sent, and counts so.
-            assertThat(abandoned.get(2, TimeUnit.SECONDS)).isEqualTo(AttemptOutcome.TIMED_OUT);
-            new RecordingExchange(pool, outcomes, "/second").submit();
-            awaitAny(outcomes);
-            assertThat(outcomes).containsExactly("replied 200");
-        }
+  /**
+   * Abandoned by the event loop between the writer thread's check and its write: the connection was
+   * kept by an exchange that nobody would end.
+   */
+  @Test
+  void anExchangeAbandonedJustBeforeItIsSentFreesItsConnection() throws Exception {
+    List<String> outcomes = new CopyOnWriteArrayList<>();
+    try (NetworkTransport net = new NetworkTransport(1, "exchange-test");
+        HttpTestServer worker =
+            new HttpTestServer(
+                (request, out) ->
+                    request.line().contains("/first")
+                        ? HttpTestServer.silent(request, out)
+                        : HttpTestServer.well(request, out))) {
+      HttpConnectionPool pool = pool(net, worker);
+      CompletableFuture<AttemptOutcome> abandoned = new CompletableFuture<>();
+      PendingExchange first =
+          new RecordingExchange(pool, outcomes, "/first") {
+            @Override
+            synchronized boolean assign(HttpClientConnection to) {
+              boolean assigned = super.assign(to);
+              abandoned.complete(abandon());
+              return assigned;
+            }
+          };
+      first.submit();
+      // It may have been sent, and counts so.
+      assertThat(abandoned.get(2, TimeUnit.SECONDS)).isEqualTo(AttemptOutcome.TIMED_OUT);
+      new RecordingExchange(pool, outcomes, "/second").submit();
+      awaitAny(outcomes);
+      assertThat(outcomes).containsExactly("replied 200");
     }
+  }
 
-    /**
-     * Abandoned while it still waits for a writer thread: a worker with an open connection counted as one
-     * that can't be connected to.
-     */
-    @Test void anExchangeAbandonedBeforeItsWriterComesIsNotAConnectFailure() throws Exception {
-        List<String> outcomes = new CopyOnWriteArrayList<>();
-        try (NetworkTransport net = new NetworkTransport(1, "exchange-test");
-            HttpTestServer worker = new HttpTestServer(HttpTestServer::well)) {
-            HttpConnectionPool pool = pool(net, worker);
-            new RecordingExchange(pool, outcomes, "/first").submit();
-            awaitAny(outcomes);
-            assertThat(pool.openConnections()).isEqualTo(1);
-            PendingExchange second = new RecordingExchange(pool, outcomes, "/second");
-            assertThat(second.abandon()).isEqualTo(AttemptOutcome.NOT_SENT);
-        }
+  /**
+   * Abandoned while it still waits for a writer thread: a worker with an open connection counted as
+   * one that can't be connected to.
+   */
+  @Test
+  void anExchangeAbandonedBeforeItsWriterComesIsNotAConnectFailure() throws Exception {
+    List<String> outcomes = new CopyOnWriteArrayList<>();
+    try (NetworkTransport net = new NetworkTransport(1, "exchange-test");
+        HttpTestServer worker = new HttpTestServer(HttpTestServer::well)) {
+      HttpConnectionPool pool = pool(net, worker);
+      new RecordingExchange(pool, outcomes, "/first").submit();
+      awaitAny(outcomes);
+      assertThat(pool.openConnections()).isEqualTo(1);
+      PendingExchange second = new RecordingExchange(pool, outcomes, "/second");
+      assertThat(second.abandon()).isEqualTo(AttemptOutcome.NOT_SENT);
     }
+  }
 
-    private static class RecordingExchange extends PendingExchange {
-        private final List<String> outcomes;
+  private static class RecordingExchange extends PendingExchange {
+    private final List<String> outcomes;
 
-        RecordingExchange(HttpConnectionPool pool, List<String> outcomes, String path) {
-            super(new WorkerEntry("w", "127.0.0.1", 1, 0), pool,
-                new InferenceRequest("GET", path, Map.of(), new byte[0]), NO_DEADLINE);
-            this.outcomes = outcomes;
-        }
+    RecordingExchange(HttpConnectionPool pool, List<String> outcomes, String path) {
+      super(
+          new WorkerEntry("w", "127.0.0.1", 1, 0),
+          pool,
+          new InferenceRequest("GET", path, Map.of(), new byte[0]),
+          NO_DEADLINE);
+      this.outcomes = outcomes;
+    }
 
-        @Override void notSent(AttemptOutcome outcome) {
-            outcomes.add("not sent " + outcome);
-        }
+    @Override
+    void notSent(AttemptOutcome outcome) {
+      outcomes.add("not sent " + outcome);
+    }
 
-        @Override void replied(int status, Map<String, String> headers, byte[] body) {
-            outcomes.add("replied " + status);
-        }
+    @Override
+    void replied(int status, Map<String, String> headers, byte[] body) {
+      outcomes.add("replied " + status);
+    }
 
-        @Override void lost() {
-            outcomes.add("lost");
-        }
+    @Override
+    void lost() {
+      outcomes.add("lost");
     }
+  }
 }
--- a/src/test/java/switchgap/protocol/resp/IgnoredEvents.java
+++ b/src/test/java/switchgap/protocol/resp/IgnoredEvents.java
@@ -9,23 +9,33 @@
 
 /** A policy that takes no notice of anything. */
 final class IgnoredEvents implements PolicyEvents {
-    @Override public void requestArrived(RequestArrival arrival) {}
+  @Override
+  public void requestArrived(RequestArrival arrival) {}
 
-    @Override public void clientLeft(int request) {}
+  @Override
+  public void clientLeft(int request) {}
 
-    @Override public void attemptEnded(AttemptResult result) {}
+  @Override
+  public void attemptEnded(AttemptResult result) {}
 
-    @Override public void loadCommandEnded(LoadCommandResult result) {}
+  @Override
+  public void loadCommandEnded(LoadCommandResult result) {}
 
-    @Override public void probeEnded(ProbeResult result) {}
+  @Override
+  public void probeEnded(ProbeResult result) {}
 
-    @Override public void endpointListStarted(boolean complete) {}
+  @Override
+  public void endpointListStarted(boolean complete) {}
 
-    @Override public void endpointListed(EndpointEntry entry) {}
+  @Override
+  public void endpointListed(EndpointEntry entry) {}
 
-    @Override public void endpointListEnded() {}
+  @Override
+  public void endpointListEnded() {}
 
-    @Override public void endpointListFailed() {}
+  @Override
+  public void endpointListFailed() {}
 
-    @Override public void wakeUp(long token) {}
+  @Override
+  public void wakeUp(long token) {}
 }
--- a/src/test/java/switchgap/protocol/resp/PassedOnDeadlineTest.java
+++ b/src/test/java/switchgap/protocol/resp/PassedOnDeadlineTest.java
@@ -26,52 +26,75 @@
 import switchgap.server.platform.TestPlatformSettings;
 import switchgap.testing.TestRules;
 
-/** The time that a worker is given is what the client has left when the command goes out, not when it was decided. */
+/**
+ * The time that a worker is given is what the client has left when the command goes out, not when
+ * it was decided.
+ */
 class PassedOnDeadlineTest implements ResponseListener {
-    private static final Duration TIMEOUT = Duration.ofMillis(900);
-    private static final Duration CONNECT = Duration.ofMillis(700);
-    private static final Pattern MAX = Pattern.compile("max=(\\d+)");
+  private static final Duration TIMEOUT = Duration.ofMillis(900);
+  private static final Duration CONNECT = Duration.ofMillis(700);
+  private static final Pattern MAX = Pattern.compile("max=(\\d+)");
 
-    private final LinkedBlockingQueue<Consumer<RouterCore>> events = new LinkedBlockingQueue<>();
-    private volatile Duration now = Duration.ZERO;
+  private final LinkedBlockingQueue<Consumer<RouterCore>> events = new LinkedBlockingQueue<>();
+  private volatile Duration now = Duration.ZERO;
 
-    private RouterCore core(NetworkTransport net) throws Exception {
-        ConnectionLimits limits = new ConnectionLimits(4, 2, 10, 2, Duration.ofSeconds(5),
-            Duration.ofSeconds(30),
-            false);
-        RespWorkerTransport transport = new RespWorkerTransport(net, limits, new String[] {"again"},
-            new CoreLimits(TIMEOUT, TIMEOUT, 10), () -> now, events::add, TestRules.checker());
-        int[] attempts = {0};
-        return new RouterCore(TestPlatformSettings.terms(), (at, batch, actions) -> {
-            batch.deliverTo(new IgnoredEvents());
-            if (attempts[0]++ == 0) { actions.startAttempt(0, 0, TIMEOUT); }
-        }, transport, new CoreLimits(TIMEOUT, TIMEOUT, 10));
-    }
+  private RouterCore core(NetworkTransport net) throws Exception {
+    ConnectionLimits limits =
+        new ConnectionLimits(4, 2, 10, 2, Duration.ofSeconds(5), Duration.ofSeconds(30), false);
+    RespWorkerTransport transport =
+        new RespWorkerTransport(
+            net,
+            limits,
+            new String[] {"again"},
+            new CoreLimits(TIMEOUT, TIMEOUT, 10),
+            () -> now,
+            events::add,
+            TestRules.checker());
+    int[] attempts = {0};
+    return new RouterCore(
+        TestPlatformSettings.terms(),
+        (at, batch, actions) -> {
+          batch.deliverTo(new IgnoredEvents());
+          if (attempts[0]++ == 0) {
+            actions.startAttempt(0, 0, TIMEOUT);
+          }
+        },
+        transport,
+        new CoreLimits(TIMEOUT, TIMEOUT, 10));
+  }
 
-    @Test void aConnectionThatComesUpLateLeavesTheWorkerLessTime() throws Exception {
-        try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-            NetworkTransport net = new NetworkTransport(1, "deadline-test")) {
-            RouterCore core = core(net);
-            EndpointUpdate worker = new EndpointUpdate("w", "127.0.0.1", server.getLocalPort(),
-                WorkerState.READY, 0, 0, 0, 1, null);
-            PendingRequest request = PendingRequest.builder("1", "f", TIMEOUT, this).build();
-            core.tick(now, List.of(each -> each.endpointListReceived(true, List.of(worker)),
-                each -> each.accept(request)));
-            try (Socket socket = server.accept()) {
-                Consumer<RouterCore> opened = events.poll(5, TimeUnit.SECONDS);
-                now = CONNECT;
-                core.tick(now, List.of(opened));
-                socket.setSoTimeout(5000);
-                Matcher max = MAX.matcher(
-                    new String(socket.getInputStream().readNBytes(60), StandardCharsets.ISO_8859_1));
-                assertThat(max.find()).isTrue();
-                assertThat(Long.parseLong(max.group(1))).isLessThanOrEqualTo(
-                    TIMEOUT.minus(CONNECT).toMillis());
-            }
-        }
+  @Test
+  void aConnectionThatComesUpLateLeavesTheWorkerLessTime() throws Exception {
+    try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        NetworkTransport net = new NetworkTransport(1, "deadline-test")) {
+      RouterCore core = core(net);
+      EndpointUpdate worker =
+          new EndpointUpdate(
+              "w", "127.0.0.1", server.getLocalPort(), WorkerState.READY, 0, 0, 0, 1, null);
+      PendingRequest request = PendingRequest.builder("1", "f", TIMEOUT, this).build();
+      core.tick(
+          now,
+          List.of(
+              each -> each.endpointListReceived(true, List.of(worker)),
+              each -> each.accept(request)));
+      try (Socket socket = server.accept()) {
+        Consumer<RouterCore> opened = events.poll(5, TimeUnit.SECONDS);
+        now = CONNECT;
+        core.tick(now, List.of(opened));
+        socket.setSoTimeout(5000);
+        Matcher max =
+            MAX.matcher(
+                new String(socket.getInputStream().readNBytes(60), StandardCharsets.ISO_8859_1));
+        assertThat(max.find()).isTrue();
+        assertThat(Long.parseLong(max.group(1)))
+            .isLessThanOrEqualTo(TIMEOUT.minus(CONNECT).toMillis());
+      }
     }
+  }
 
-    @Override public void responded(PendingRequest request, Response response) {}
+  @Override
+  public void responded(PendingRequest request, Response response) {}
 
-    @Override public void deadlineMissed(PendingRequest request, Response late) {}
+  @Override
+  public void deadlineMissed(PendingRequest request, Response late) {}
 }
--- a/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
+++ b/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
@@ -29,126 +29,141 @@
 import switchgap.router.WorkerEntry;
 import switchgap.testing.TestRules;
 
-/** A pool on real sockets, with the events of the loop taken one by one and a clock that the test sets. */
+/**
+ * A pool on real sockets, with the events of the loop taken one by one and a clock that the test
+ * sets.
+ */
 class RespConnectionPoolTest implements ResponseListener {
-    private static final ConnectionLimits LIMITS = new ConnectionLimits(
-        4, 2, 10, 2, Duration.ofSeconds(5), Duration.ofSeconds(30),
-        false);
-    private static final Duration TIMEOUT = Duration.ofMillis(100);
-    private static final int EVENT_SECONDS = 5;
-    private static final int SILENCE_MILLIS = 200;
-
-    private final LinkedBlockingQueue<Consumer<RouterCore>> events = new LinkedBlockingQueue<>();
-    private final List<AttemptOutcome> outcomes = new ArrayList<>();
-    private final NetworkTransport net;
-    private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final WorkerEntry worker = new WorkerEntry("w", "127.0.0.1", server.getLocalPort(), 0);
-    private volatile Duration now = Duration.ZERO;
-    private final RespConnectionPool pool;
-
-    private final RuleChecker rules = TestRules.checker();
-
-    RespConnectionPoolTest() throws IOException {
-        net = new NetworkTransport(1, "pool-test");
-        pool = new RespConnectionManager(net, LIMITS, () -> now, events::add, rules).poolFor(worker);
+  private static final ConnectionLimits LIMITS =
+      new ConnectionLimits(4, 2, 10, 2, Duration.ofSeconds(5), Duration.ofSeconds(30), false);
+  private static final Duration TIMEOUT = Duration.ofMillis(100);
+  private static final int EVENT_SECONDS = 5;
+  private static final int SILENCE_MILLIS = 200;
+
+  private final LinkedBlockingQueue<Consumer<RouterCore>> events = new LinkedBlockingQueue<>();
+  private final List<AttemptOutcome> outcomes = new ArrayList<>();
+  private final NetworkTransport net;
+  private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+  private final WorkerEntry worker = new WorkerEntry("w", "127.0.0.1", server.getLocalPort(), 0);
+  private volatile Duration now = Duration.ZERO;
+  private final RespConnectionPool pool;
+
+  private final RuleChecker rules = TestRules.checker();
+
+  RespConnectionPoolTest() throws IOException {
+    net = new NetworkTransport(1, "pool-test");
+    pool = new RespConnectionManager(net, LIMITS, () -> now, events::add, rules).poolFor(worker);
+  }
+
+  private PendingExchange exchange(String id) {
+    PendingRequest request = PendingRequest.builder(id, "f", Duration.ofMinutes(1), this).build();
+    return PendingExchange.ofAttempt(
+        new Attempt(request, 0, worker, now),
+        remaining -> RespCommand.execute(id, "batch", "f", remaining.toMillis(), new byte[0]),
+        now.plus(TIMEOUT).toNanos(),
+        (core, outcome, reply) -> outcomes.add(outcome));
+  }
+
+  private byte[] command(PendingExchange exchange) {
+    return exchange.command(now.toNanos(), rules);
+  }
+
+  private void runNextEvent() throws InterruptedException {
+    Consumer<RouterCore> event = events.poll(EVENT_SECONDS, TimeUnit.SECONDS);
+    assertThat(event).as("an event within %d s", EVENT_SECONDS).isNotNull();
+    event.accept(null);
+  }
+
+  private static String read(Socket socket, int bytes) throws IOException {
+    return new String(socket.getInputStream().readNBytes(bytes), StandardCharsets.ISO_8859_1);
+  }
+
+  private static void assertSilent(Socket socket) throws IOException {
+    socket.setSoTimeout(SILENCE_MILLIS);
+    assertThatThrownBy(() -> socket.getInputStream().read())
+        .isInstanceOf(SocketTimeoutException.class);
+  }
+
+  private static String text(byte[] bytes) {
+    return new String(bytes, StandardCharsets.ISO_8859_1);
+  }
+
+  @Test
+  void anExchangeWaitsForItsConnectionAndEndsWithItsReply() throws Exception {
+    PendingExchange exchange = exchange("1");
+    pool.submit(exchange);
+    assertThat(exchange.state()).isEqualTo(PendingExchange.State.WAITING);
+    try (Socket socket = server.accept()) {
+      runNextEvent();
+      assertThat(exchange.state()).isEqualTo(PendingExchange.State.IN_FLIGHT);
+      assertThat(read(socket, command(exchange).length)).isEqualTo(text(command(exchange)));
+      socket.getOutputStream().write(RespCommandEncoder.encode("1", "full", "-", ""));
+      runNextEvent();
+      assertThat(outcomes).containsExactly(AttemptOutcome.REJECTED);
     }
-
-    private PendingExchange exchange(String id) {
-        PendingRequest request = PendingRequest.builder(id, "f", Duration.ofMinutes(1), this).build();
-        return PendingExchange.ofAttempt(new Attempt(request, 0, worker, now),
-            remaining -> RespCommand.execute(id, "batch", "f", remaining.toMillis(), new byte[0]),
-            now.plus(TIMEOUT).toNanos(), (core, outcome, reply) -> outcomes.add(outcome));
-    }
-
-    private byte[] command(PendingExchange exchange) { return exchange.command(now.toNanos(), rules); }
-
-    private void runNextEvent() throws InterruptedException {
-        Consumer<RouterCore> event = events.poll(EVENT_SECONDS, TimeUnit.SECONDS);
-        assertThat(event).as("an event within %d s", EVENT_SECONDS).isNotNull();
-        event.accept(null);
-    }
-
-    private static String read(Socket socket, int bytes) throws IOException {
-        return new String(socket.getInputStream().readNBytes(bytes), StandardCharsets.ISO_8859_1);
+  }
+
+  @Test
+  void anAttemptAbandonedInFlightIsCancelledAtItsWorker() throws Exception {
+    PendingExchange exchange = exchange("1");
+    pool.submit(exchange);
+    try (Socket socket = server.accept()) {
+      runNextEvent();
+      assertThat(pool.abandon(exchange)).isEqualTo(AttemptOutcome.TIMED_OUT);
+      assertThat(read(socket, command(exchange).length)).isEqualTo(text(command(exchange)));
+      byte[] cancel = RespCommand.cancel("1");
+      assertThat(read(socket, cancel.length)).isEqualTo(text(cancel));
     }
-
-    private static void assertSilent(Socket socket) throws IOException {
-        socket.setSoTimeout(SILENCE_MILLIS);
-        assertThatThrownBy(() -> socket.getInputStream().read()).isInstanceOf(SocketTimeoutException.class);
+    assertThat(outcomes).isEmpty();
+  }
+
+  @Test
+  void aLostConnectionEndsWhatWasInFlightOnIt() throws Exception {
+    PendingExchange exchange = exchange("1");
+    pool.submit(exchange);
+    try (Socket socket = server.accept()) {
+      runNextEvent();
+      read(socket, command(exchange).length);
     }
-
-    private static String text(byte[] bytes) {
-        return new String(bytes, StandardCharsets.ISO_8859_1);
+    runNextEvent();
+    assertThat(outcomes).containsExactly(AttemptOutcome.CONNECTION_LOST);
+  }
+
+  @Test
+  void whatWaitsForAWorkerThatRefusesConnectionsEndsAsConnectFailed() throws Exception {
+    server.close();
+    pool.submit(exchange("1"));
+    runNextEvent();
+    assertThat(outcomes).containsExactly(AttemptOutcome.CONNECT_FAILED);
+  }
+
+  /**
+   * A pause while its connection was opened: it was sent after its timeout, and so counted as
+   * possibly executed.
+   */
+  @Test
+  void anExchangeThatWaitedPastItsTimeoutIsNotSent() throws Exception {
+    PendingExchange exchange = exchange("1");
+    pool.submit(exchange);
+    try (Socket socket = server.accept()) {
+      now = now.plus(TIMEOUT);
+      runNextEvent();
+      assertThat(exchange.state()).isEqualTo(PendingExchange.State.WAITING);
+      assertSilent(socket);
+      runNextEvent();
+      assertThat(outcomes).containsExactly(AttemptOutcome.NOT_SENT);
     }
+  }
 
-    @Test void anExchangeWaitsForItsConnectionAndEndsWithItsReply() throws Exception {
-        PendingExchange exchange = exchange("1");
-        pool.submit(exchange);
-        assertThat(exchange.state()).isEqualTo(PendingExchange.State.WAITING);
-        try (Socket socket = server.accept()) {
-            runNextEvent();
-            assertThat(exchange.state()).isEqualTo(PendingExchange.State.IN_FLIGHT);
-            assertThat(read(socket, command(exchange).length)).isEqualTo(text(command(exchange)));
-            socket.getOutputStream().write(RespCommandEncoder.encode("1", "full", "-", ""));
-            runNextEvent();
-            assertThat(outcomes).containsExactly(AttemptOutcome.REJECTED);
-        }
-    }
+  @Override
+  public void responded(PendingRequest request, Response response) {}
 
-    @Test void anAttemptAbandonedInFlightIsCancelledAtItsWorker() throws Exception {
-        PendingExchange exchange = exchange("1");
-        pool.submit(exchange);
-        try (Socket socket = server.accept()) {
-            runNextEvent();
-            assertThat(pool.abandon(exchange)).isEqualTo(AttemptOutcome.TIMED_OUT);
-            assertThat(read(socket, command(exchange).length)).isEqualTo(text(command(exchange)));
-            byte[] cancel = RespCommand.cancel("1");
-            assertThat(read(socket, cancel.length)).isEqualTo(text(cancel));
-        }
-        assertThat(outcomes).isEmpty();
-    }
+  @Override
+  public void deadlineMissed(PendingRequest request, Response late) {}
 
-    @Test void aLostConnectionEndsWhatWasInFlightOnIt() throws Exception {
-        PendingExchange exchange = exchange("1");
-        pool.submit(exchange);
-        try (Socket socket = server.accept()) {
-            runNextEvent();
-            read(socket, command(exchange).length);
-        }
-        runNextEvent();
-        assertThat(outcomes).containsExactly(AttemptOutcome.CONNECTION_LOST);
-    }
-
-    @Test void whatWaitsForAWorkerThatRefusesConnectionsEndsAsConnectFailed() throws Exception {
-        server.close();
-        pool.submit(exchange("1"));
-        runNextEvent();
-        assertThat(outcomes).containsExactly(AttemptOutcome.CONNECT_FAILED);
-    }
-
-    /**
-     * A pause while its connection was opened: it was sent after its timeout, and so counted as possibly
-     * executed.
-     */
-    @Test void anExchangeThatWaitedPastItsTimeoutIsNotSent() throws Exception {
-        PendingExchange exchange = exchange("1");
-        pool.submit(exchange);
-        try (Socket socket = server.accept()) {
-            now = now.plus(TIMEOUT);
-            runNextEvent();
-            assertThat(exchange.state()).isEqualTo(PendingExchange.State.WAITING);
-            assertSilent(socket);
-            runNextEvent();
-            assertThat(outcomes).containsExactly(AttemptOutcome.NOT_SENT);
-        }
-    }
-
-    @Override public void responded(PendingRequest request, Response response) {}
-
-    @Override public void deadlineMissed(PendingRequest request, Response late) {}
-
-    @AfterEach void close() throws IOException {
-        server.close();
-        net.close();
-    }
+  @AfterEach
+  void close() throws IOException {
+    server.close();
+    net.close();
+  }
 }
--- a/src/test/java/switchgap/protocol/thrift/ThriftCodecTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftCodecTest.java
@@ -30,181 +30,239 @@
 
 /** The client protocol against Apache Thrift's own codec, and against bytes that are no message. */
 class ThriftCodecTest {
-    static final Map<String, String> FIELDS = Map.of("service", "again", "ref", "9b1f03aa5c7e2d41", "allow",
-        "900", "project", "shop", "lookup", "7f3a9c21e0b4d655", "effort", "8.2", "extras",
-        "memory_mb:512;lanes:2;colour:3");
-
-    /** A submit with a further argument, as a later version of the protocol may have. */
-    private static byte[] submitFrame(Map<String, String> fields, byte[] body, int sequenceId)
-        throws Exception {
-        TMemoryBuffer buffer = new TMemoryBuffer(256);
-        TBinaryProtocol protocol = new TBinaryProtocol(buffer);
-        ThriftTestClient.arguments(protocol, sequenceId, fields, body);
-        protocol.writeFieldBegin(new TField("later", TType.LIST, (short) 9));
-        protocol.writeListBegin(new TList(TType.I32, 2));
-        protocol.writeI32(1);
-        protocol.writeI32(2);
-        protocol.writeFieldStop();
-        return Arrays.copyOf(buffer.getArray(), buffer.length());
-    }
+  static final Map<String, String> FIELDS =
+      Map.of(
+          "service",
+          "again",
+          "ref",
+          "9b1f03aa5c7e2d41",
+          "allow",
+          "900",
+          "project",
+          "shop",
+          "lookup",
+          "7f3a9c21e0b4d655",
+          "effort",
+          "8.2",
+          "extras",
+          "memory_mb:512;lanes:2;colour:3");
 
-    private static TProtocol readerOf(byte[] framedReply) throws Exception {
-        assertThat(ByteBuffer.wrap(framedReply).getInt()).isEqualTo(framedReply.length - 4);
-        TMemoryBuffer buffer = new TMemoryBuffer(framedReply.length);
-        buffer.write(framedReply, 4, framedReply.length - 4);
-        return new TBinaryProtocol(buffer, true, true);
-    }
+  /** A submit with a further argument, as a later version of the protocol may have. */
+  private static byte[] submitFrame(Map<String, String> fields, byte[] body, int sequenceId)
+      throws Exception {
+    TMemoryBuffer buffer = new TMemoryBuffer(256);
+    TBinaryProtocol protocol = new TBinaryProtocol(buffer);
+    ThriftTestClient.arguments(protocol, sequenceId, fields, body);
+    protocol.writeFieldBegin(new TField("later", TType.LIST, (short) 9));
+    protocol.writeListBegin(new TList(TType.I32, 2));
+    protocol.writeI32(1);
+    protocol.writeI32(2);
+    protocol.writeFieldStop();
+    return Arrays.copyOf(buffer.getArray(), buffer.length());
+  }
 
-    @Test void decodesWhatThriftWrites() throws Exception {
-        ThriftMessage message = ThriftMessageDecoder.decode(submitFrame(FIELDS, new byte[] {0, 1, 2}, 7));
-        assertThat(message.type()).isEqualTo(MessageType.CALL);
-        assertThat(message.method()).isEqualTo("submit");
-        assertThat(message.sequenceId()).isEqualTo(7);
-        assertThat(message.fields()).isEqualTo(FIELDS);
-        assertThat(message.body()).containsExactly(0, 1, 2);
-    }
+  private static TProtocol readerOf(byte[] framedReply) throws Exception {
+    assertThat(ByteBuffer.wrap(framedReply).getInt()).isEqualTo(framedReply.length - 4);
+    TMemoryBuffer buffer = new TMemoryBuffer(framedReply.length);
+    buffer.write(framedReply, 4, framedReply.length - 4);
+    return new TBinaryProtocol(buffer, true, true);
+  }
 
-    /** A message whose first argument holds a value of each type, all nested in a list of structs. */
-    @Test void skipsArgumentsOfEveryType() throws Exception {
-        TMemoryBuffer buffer = new TMemoryBuffer(256);
-        TBinaryProtocol protocol = new TBinaryProtocol(buffer);
-        protocol.writeMessageBegin(new TMessage("revoke", (byte) 4, 3));
-        protocol.writeFieldBegin(new TField("later", TType.LIST, (short) 1));
-        protocol.writeListBegin(new TList(TType.STRUCT, 1));
-        writeOneFieldOfEachType(protocol);
-        protocol.writeFieldBegin(new TField("number", TType.I32, (short) 1));
-        protocol.writeI32(41);
-        protocol.writeFieldStop();
-        ThriftMessage message = ThriftMessageDecoder.decode(
-            Arrays.copyOf(buffer.getArray(), buffer.length()));
-        assertThat(message.type()).isEqualTo(MessageType.ONEWAY);
-        assertThat(message.firstInteger()).isEqualTo(41);
-    }
+  @Test
+  void decodesWhatThriftWrites() throws Exception {
+    ThriftMessage message =
+        ThriftMessageDecoder.decode(submitFrame(FIELDS, new byte[] {0, 1, 2}, 7));
+    assertThat(message.type()).isEqualTo(MessageType.CALL);
+    assertThat(message.method()).isEqualTo("submit");
+    assertThat(message.sequenceId()).isEqualTo(7);
+    assertThat(message.fields()).isEqualTo(FIELDS);
+    assertThat(message.body()).containsExactly(0, 1, 2);
+  }
 
-    private static void writeOneFieldOfEachType(TProtocol protocol) throws Exception {
-        protocol.writeFieldBegin(new TField("bool", TType.BOOL, (short) 1));
-        protocol.writeBool(true);
-        protocol.writeFieldBegin(new TField("byte", TType.BYTE, (short) 2));
-        protocol.writeByte((byte) 1);
-        protocol.writeFieldBegin(new TField("double", TType.DOUBLE, (short) 3));
-        protocol.writeDouble(0.5);
-        protocol.writeFieldBegin(new TField("short", TType.I16, (short) 4));
-        protocol.writeI16((short) 1);
-        protocol.writeFieldBegin(new TField("integer", TType.I32, (short) 5));
-        protocol.writeI32(1);
-        protocol.writeFieldBegin(new TField("long", TType.I64, (short) 6));
-        protocol.writeI64(1);
-        protocol.writeFieldBegin(new TField("string", TType.STRING, (short) 7));
-        protocol.writeString("text");
-        protocol.writeFieldBegin(new TField("map", TType.MAP, (short) 8));
-        protocol.writeMapBegin(new TMap(TType.I16, TType.BYTE, 1));
-        protocol.writeI16((short) 1);
-        protocol.writeByte((byte) 1);
-        protocol.writeFieldBegin(new TField("set", TType.SET, (short) 9));
-        protocol.writeSetBegin(new TSet(TType.I64, 1));
-        protocol.writeI64(1);
-        protocol.writeFieldStop();
-    }
+  /** A message whose first argument holds a value of each type, all nested in a list of structs. */
+  @Test
+  void skipsArgumentsOfEveryType() throws Exception {
+    TMemoryBuffer buffer = new TMemoryBuffer(256);
+    TBinaryProtocol protocol = new TBinaryProtocol(buffer);
+    protocol.writeMessageBegin(new TMessage("revoke", (byte) 4, 3));
+    protocol.writeFieldBegin(new TField("later", TType.LIST, (short) 1));
+    protocol.writeListBegin(new TList(TType.STRUCT, 1));
+    writeOneFieldOfEachType(protocol);
+    protocol.writeFieldBegin(new TField("number", TType.I32, (short) 1));
+    protocol.writeI32(41);
+    protocol.writeFieldStop();
+    ThriftMessage message =
+        ThriftMessageDecoder.decode(Arrays.copyOf(buffer.getArray(), buffer.length()));
+    assertThat(message.type()).isEqualTo(MessageType.ONEWAY);
+    assertThat(message.firstInteger()).isEqualTo(41);
+  }
 
-    @Test void thriftReadsTheResponse() throws Exception {
-        TProtocol reader = readerOf(ThriftResponseEncoder.response("submit", 9, new byte[] {5, 6}, true));
-        TMessage header = reader.readMessageBegin();
-        assertThat(header.type).isEqualTo((byte) 2);
-        assertThat(header.seqid).isEqualTo(9);
-        assertThat(reader.readFieldBegin().id).isEqualTo((short) 0);
-        assertThat(reader.readFieldBegin().id).isEqualTo((short) 1);
-        assertThat(reader.readBinary().remaining()).isEqualTo(2);
-        assertThat(reader.readFieldBegin().id).isEqualTo((short) 2);
-        assertThat(reader.readMapBegin().size).isZero();
-        assertThat(reader.readFieldBegin().id).isEqualTo((short) 3);
-        assertThat(reader.readBool()).isTrue();
-        assertThat(reader.readFieldBegin().type).isEqualTo(TType.STOP);
-        assertThat(reader.readFieldBegin().type).isEqualTo(TType.STOP);
-    }
+  private static void writeOneFieldOfEachType(TProtocol protocol) throws Exception {
+    protocol.writeFieldBegin(new TField("bool", TType.BOOL, (short) 1));
+    protocol.writeBool(true);
+    protocol.writeFieldBegin(new TField("byte", TType.BYTE, (short) 2));
+    protocol.writeByte((byte) 1);
+    protocol.writeFieldBegin(new TField("double", TType.DOUBLE, (short) 3));
+    protocol.writeDouble(0.5);
+    protocol.writeFieldBegin(new TField("short", TType.I16, (short) 4));
+    protocol.writeI16((short) 1);
+    protocol.writeFieldBegin(new TField("integer", TType.I32, (short) 5));
+    protocol.writeI32(1);
+    protocol.writeFieldBegin(new TField("long", TType.I64, (short) 6));
+    protocol.writeI64(1);
+    protocol.writeFieldBegin(new TField("string", TType.STRING, (short) 7));
+    protocol.writeString("text");
+    protocol.writeFieldBegin(new TField("map", TType.MAP, (short) 8));
+    protocol.writeMapBegin(new TMap(TType.I16, TType.BYTE, 1));
+    protocol.writeI16((short) 1);
+    protocol.writeByte((byte) 1);
+    protocol.writeFieldBegin(new TField("set", TType.SET, (short) 9));
+    protocol.writeSetBegin(new TSet(TType.I64, 1));
+    protocol.writeI64(1);
+    protocol.writeFieldStop();
+  }
 
-    @Test void thriftReadsDeclaredAndApplicationExceptions() throws Exception {
-        TProtocol declared = readerOf(ThriftResponseEncoder.declaredException("submit", 3,
-            DeclaredException.FULL, Map.of("cooldown", "250")));
-        assertThat(declared.readMessageBegin().seqid).isEqualTo(3);
-        assertThat(declared.readFieldBegin().id).isEqualTo((short) 1);
-        assertThat(declared.readFieldBegin().id).isEqualTo((short) 1);
-        assertThat(declared.readMapBegin().size).isEqualTo(1);
-        assertThat(declared.readString() + declared.readString()).isEqualTo("cooldown250");
-        TProtocol application = readerOf(ThriftResponseEncoder.unknownMethod("nothing", 4));
-        assertThat(application.readMessageBegin().type).isEqualTo((byte) 3);
-        assertThat(TApplicationException.readFrom(application).getType()).isEqualTo(
-            TApplicationException.UNKNOWN_METHOD);
-    }
+  @Test
+  void thriftReadsTheResponse() throws Exception {
+    TProtocol reader =
+        readerOf(ThriftResponseEncoder.response("submit", 9, new byte[] {5, 6}, true));
+    TMessage header = reader.readMessageBegin();
+    assertThat(header.type).isEqualTo((byte) 2);
+    assertThat(header.seqid).isEqualTo(9);
+    assertThat(reader.readFieldBegin().id).isEqualTo((short) 0);
+    assertThat(reader.readFieldBegin().id).isEqualTo((short) 1);
+    assertThat(reader.readBinary().remaining()).isEqualTo(2);
+    assertThat(reader.readFieldBegin().id).isEqualTo((short) 2);
+    assertThat(reader.readMapBegin().size).isZero();
+    assertThat(reader.readFieldBegin().id).isEqualTo((short) 3);
+    assertThat(reader.readBool()).isTrue();
+    assertThat(reader.readFieldBegin().type).isEqualTo(TType.STOP);
+    assertThat(reader.readFieldBegin().type).isEqualTo(TType.STOP);
+  }
 
-    @Test void everyTruncationAndATrailingByteAreMalformed() throws Exception {
-        byte[] frame = submitFrame(FIELDS, new byte[40], 1);
-        for (int length = 0; length < frame.length; length++) {
-            byte[] truncated = Arrays.copyOf(frame, length);
-            assertThatThrownBy(() -> ThriftMessageDecoder.decode(truncated)).as("cut at %d",
-                length).isInstanceOf(MalformedMessageException.class);
-        }
-        assertThatThrownBy(
-            () -> ThriftMessageDecoder.decode(Arrays.copyOf(frame, frame.length + 1))).isInstanceOf(
-                MalformedMessageException.class);
-    }
+  @Test
+  void thriftReadsDeclaredAndApplicationExceptions() throws Exception {
+    TProtocol declared =
+        readerOf(
+            ThriftResponseEncoder.declaredException(
+                "submit", 3, DeclaredException.FULL, Map.of("cooldown", "250")));
+    assertThat(declared.readMessageBegin().seqid).isEqualTo(3);
+    assertThat(declared.readFieldBegin().id).isEqualTo((short) 1);
+    assertThat(declared.readFieldBegin().id).isEqualTo((short) 1);
+    assertThat(declared.readMapBegin().size).isEqualTo(1);
+    assertThat(declared.readString() + declared.readString()).isEqualTo("cooldown250");
+    TProtocol application = readerOf(ThriftResponseEncoder.unknownMethod("nothing", 4));
+    assertThat(application.readMessageBegin().type).isEqualTo((byte) 3);
+    assertThat(TApplicationException.readFrom(application).getType())
+        .isEqualTo(TApplicationException.UNKNOWN_METHOD);
+  }
 
-    /** Also with bytes of a good message changed: it is decoded or refused, never anything else. */
-    @Property(tries = 2000, seed = "41") void anyBytesAreDecodedOrMalformed(
-        @ForAll @Size(max = 200) byte[] noise, @ForAll int at) throws Exception {
-        byte[] changed = submitFrame(FIELDS, new byte[4], 1);
-        for (int i = 0; i < noise.length; i++) {
-            changed[Math.floorMod(at + 7 * i, changed.length)] = noise[i];
-        }
-        for (byte[] frame : new byte[][] {noise, changed}) {
-            try {
-                ThriftMessage message = ThriftMessageDecoder.decode(frame);
-                assertThat(message.method()).isNotNull();
-            } catch (MalformedMessageException e) {
-                assertThat(e.getMessage()).isNotEmpty();
-            }
-        }
+  @Test
+  void everyTruncationAndATrailingByteAreMalformed() throws Exception {
+    byte[] frame = submitFrame(FIELDS, new byte[40], 1);
+    for (int length = 0; length < frame.length; length++) {
+      byte[] truncated = Arrays.copyOf(frame, length);
+      assertThatThrownBy(() -> ThriftMessageDecoder.decode(truncated))
+          .as("cut at %d", length)
+          .isInstanceOf(MalformedMessageException.class);
     }
+    assertThatThrownBy(() -> ThriftMessageDecoder.decode(Arrays.copyOf(frame, frame.length + 1)))
+        .isInstanceOf(MalformedMessageException.class);
+  }
 
-    /** The request of the usual fields with one of them replaced, or without it where the value is null. */
-    private static PendingRequest requestWith(String field, String value) throws Exception {
-        Map<String, String> fields = new HashMap<>(FIELDS);
-        if (value == null) {
-            fields.remove(field);
-        } else {
-            fields.put(field, value);
-        }
-        NameDirectory names = new NameDirectory(TestPlatformSettings.terms(), Map.of("again", 0, "once", 1),
-            Map.of("shop", 0));
-        return SubmitRequestDecoder.decode(
-            ThriftMessageDecoder.decode(submitFrame(fields, new byte[0], 1)), names, Duration.ofSeconds(1),
-            null);
+  /** Also with bytes of a good message changed: it is decoded or refused, never anything else. */
+  @Property(tries = 2000, seed = "41")
+  void anyBytesAreDecodedOrMalformed(@ForAll @Size(max = 200) byte[] noise, @ForAll int at)
+      throws Exception {
+    byte[] changed = submitFrame(FIELDS, new byte[4], 1);
+    for (int i = 0; i < noise.length; i++) {
+      changed[Math.floorMod(at + 7 * i, changed.length)] = noise[i];
     }
-
-    @Test void fieldsBecomeARequest() throws Exception {
-        PendingRequest request = requestWith("effort", "8.2");
-        assertThat(request.deadline).isEqualTo(Duration.ofMillis(1900));
-        assertThat(request.durationHint).isEqualTo(Duration.ofNanos(8_200_000));
-        assertThat(request.memoryMb).isEqualTo(512);
-        assertThat(request.slots).isEqualTo(2);
-        assertThat(requestWith("effort", null).durationHint).isNull();
+    for (byte[] frame : new byte[][] {noise, changed}) {
+      try {
+        ThriftMessage message = ThriftMessageDecoder.decode(frame);
+        assertThat(message.method()).isNotNull();
+      } catch (MalformedMessageException e) {
+        assertThat(e.getMessage()).isNotEmpty();
+      }
     }
+  }
 
-    /** Usual clients round: a hint of next to no work reads 0.0, and is a hint all the same. */
-    @ParameterizedTest
-    @CsvSource({"effort,0", "effort,0.0", "extras,load_ms:0.0;memory_mb:100",
-        "extras,memory_mb:0;lanes:2"}) void aFigureThatWasRoundedToZeroIsNoMistake(String field, String value)
-            throws Exception {
-        assertThat(requestWith(field, value)).isNotNull();
+  /**
+   * The request of the usual fields with one of them replaced, or without it where the value is
+   * null.
+   */
+  private static PendingRequest requestWith(String field, String value) throws Exception {
+    Map<String, String> fields = new HashMap<>(FIELDS);
+    if (value == null) {
+      fields.remove(field);
+    } else {
+      fields.put(field, value);
     }
+    NameDirectory names =
+        new NameDirectory(
+            TestPlatformSettings.terms(), Map.of("again", 0, "once", 1), Map.of("shop", 0));
+    return SubmitRequestDecoder.decode(
+        ThriftMessageDecoder.decode(submitFrame(fields, new byte[0], 1)),
+        names,
+        Duration.ofSeconds(1),
+        null);
+  }
 
-    @ParameterizedTest
-    @CsvSource(nullValues = "null", value = {"service,null", "service,other", "ref,null", "ref,12",
-        "ref,9b1f03aa5c7e2d4g", "allow,null", "allow,0", "allow,-5", "allow,NaN", "allow,1e300", "allow,2001",
-        "allow,Infinity", "allow,0x1p3", "project,null", "project,nobody", "lookup,null",
-        "lookup,7f3a9c21e0b4d65500", "effort,-1", "effort,many", "effort,1e99", "extras,memory_mb",
-        "extras,lanes:1e9", "extras,memory_mb:-3", "extras,load_ms:soon"}) void anUnusableFieldIsNamed(
-            String field, String value) {
-        assertThatThrownBy(() -> requestWith(field, value)).isInstanceOf(
-            InvalidRequestException.class).hasMessage(field);
-    }
+  @Test
+  void fieldsBecomeARequest() throws Exception {
+    PendingRequest request = requestWith("effort", "8.2");
+    assertThat(request.deadline).isEqualTo(Duration.ofMillis(1900));
+    assertThat(request.durationHint).isEqualTo(Duration.ofNanos(8_200_000));
+    assertThat(request.memoryMb).isEqualTo(512);
+    assertThat(request.slots).isEqualTo(2);
+    assertThat(requestWith("effort", null).durationHint).isNull();
+  }
+
+  /** Usual clients round: a hint of next to no work reads 0.0, and is a hint all the same. */
+  @ParameterizedTest
+  @CsvSource({
+    "effort,0",
+    "effort,0.0",
+    "extras,load_ms:0.0;memory_mb:100",
+    "extras,memory_mb:0;lanes:2"
+  })
+  void aFigureThatWasRoundedToZeroIsNoMistake(String field, String value) throws Exception {
+    assertThat(requestWith(field, value)).isNotNull();
+  }
+
+  @ParameterizedTest
+  @CsvSource(
+      nullValues = "null",
+      value = {
+        "service,null",
+        "service,other",
+        "ref,null",
+        "ref,12",
+        "ref,9b1f03aa5c7e2d4g",
+        "allow,null",
+        "allow,0",
+        "allow,-5",
+        "allow,NaN",
+        "allow,1e300",
+        "allow,2001",
+        "allow,Infinity",
+        "allow,0x1p3",
+        "project,null",
+        "project,nobody",
+        "lookup,null",
+        "lookup,7f3a9c21e0b4d65500",
+        "effort,-1",
+        "effort,many",
+        "effort,1e99",
+        "extras,memory_mb",
+        "extras,lanes:1e9",
+        "extras,memory_mb:-3",
+        "extras,load_ms:soon"
+      })
+  void anUnusableFieldIsNamed(String field, String value) {
+    assertThatThrownBy(() -> requestWith(field, value))
+        .isInstanceOf(InvalidRequestException.class)
+        .hasMessage(field);
+  }
 }
--- a/src/test/java/switchgap/protocol/thrift/ThriftServerFloodTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftServerFloodTest.java
@@ -19,85 +19,98 @@
 
 /** Messages that come faster than the event loop takes them. */
 class ThriftServerFloodTest {
-    private static final int QUEUE_BYTES = 1000;
-    private static final int STRICT_CALL = 0x80010001;
-    private static final int STRING_TYPE = 11;
+  private static final int QUEUE_BYTES = 1000;
+  private static final int STRICT_CALL = 0x80010001;
+  private static final int STRING_TYPE = 11;
 
-    /** A submit call with a body of so many bytes and no fields. */
-    private static void submit(Socket socket, int sequenceId, int bodyBytes) throws IOException {
-        byte[] method = "submit".getBytes(StandardCharsets.US_ASCII);
-        DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-        out.writeInt(4 + 4 + method.length + 4 + 1 + 2 + 4 + bodyBytes + 1);
-        out.writeInt(STRICT_CALL);
-        out.writeInt(method.length);
-        out.write(method);
-        out.writeInt(sequenceId);
-        out.writeByte(STRING_TYPE);
-        out.writeShort(2);
-        out.writeInt(bodyBytes);
-        out.write(new byte[bodyBytes]);
-        out.writeByte(0);
-        out.flush();
-    }
+  /** A submit call with a body of so many bytes and no fields. */
+  private static void submit(Socket socket, int sequenceId, int bodyBytes) throws IOException {
+    byte[] method = "submit".getBytes(StandardCharsets.US_ASCII);
+    DataOutputStream out = new DataOutputStream(socket.getOutputStream());
+    out.writeInt(4 + 4 + method.length + 4 + 1 + 2 + 4 + bodyBytes + 1);
+    out.writeInt(STRICT_CALL);
+    out.writeInt(method.length);
+    out.write(method);
+    out.writeInt(sequenceId);
+    out.writeByte(STRING_TYPE);
+    out.writeShort(2);
+    out.writeInt(bodyBytes);
+    out.write(new byte[bodyBytes]);
+    out.writeByte(0);
+    out.flush();
+  }
 
-    /** Whether the server closes the connection within a second. */
-    private static boolean isClosed(Socket socket) throws IOException {
-        socket.setSoTimeout(1000);
-        try {
-            return new DataInputStream(socket.getInputStream()).read() < 0;
-        } catch (java.net.SocketTimeoutException e) {
-            return false;
-        }
+  /** Whether the server closes the connection within a second. */
+  private static boolean isClosed(Socket socket) throws IOException {
+    socket.setSoTimeout(1000);
+    try {
+      return new DataInputStream(socket.getInputStream()).read() < 0;
+    } catch (java.net.SocketTimeoutException e) {
+      return false;
     }
+  }
 
-    private static ThriftServer server(ConcurrentLinkedQueue<Consumer<RouterCore>> events) throws Exception {
-        ThriftServer.ConnectionLimits limits = new ThriftServer.ConnectionLimits(10, 10, 1 << 16, QUEUE_BYTES,
-            10, Duration.ofSeconds(10), Duration.ofMillis(200));
-        return new ThriftServer(TestPlatformSettings.terms(), Map.of(), Map.of(), limits, () -> Duration.ZERO,
-            events::add, TestRules.checker());
-    }
+  private static ThriftServer server(ConcurrentLinkedQueue<Consumer<RouterCore>> events)
+      throws Exception {
+    ThriftServer.ConnectionLimits limits =
+        new ThriftServer.ConnectionLimits(
+            10, 10, 1 << 16, QUEUE_BYTES, 10, Duration.ofSeconds(10), Duration.ofMillis(200));
+    return new ThriftServer(
+        TestPlatformSettings.terms(),
+        Map.of(),
+        Map.of(),
+        limits,
+        () -> Duration.ZERO,
+        events::add,
+        TestRules.checker());
+  }
 
-    /** The event loop stands still behind another client's message: what was read has an answer, not a close. */
-    @Test void aUsualClientBesideAFloodIsRefusedWithAnAnswer() throws Exception {
-        ConcurrentLinkedQueue<Consumer<RouterCore>> events = new ConcurrentLinkedQueue<>();
-        try (NetworkTransport net = new NetworkTransport(1, "flood-test"); ThriftServer server = server(
-            events)) {
-            server.listen(net, "127.0.0.1", 0);
-            try (Socket flooding = new Socket("127.0.0.1", server.port());
-                Socket usual = new Socket("127.0.0.1", server.port())) {
-                submit(flooding, 1, 600);
-                assertThat(isClosed(flooding)).isFalse(); // and it has been read by now
-                submit(usual, 7, 600);
-                usual.setSoTimeout(1000);
-                DataInputStream in = new DataInputStream(usual.getInputStream());
-                byte[] reply = in.readNBytes(in.readInt());
-                assertThat(reply).as("sequence id of a reply").containsSequence(0, 0, 0, 7);
-                assertThat(isClosed(usual)).isFalse();
-            }
-        }
+  /**
+   * The event loop stands still behind another client's message: what was read has an answer, not a
+   * close.
+   */
+  @Test
+  void aUsualClientBesideAFloodIsRefusedWithAnAnswer() throws Exception {
+    ConcurrentLinkedQueue<Consumer<RouterCore>> events = new ConcurrentLinkedQueue<>();
+    try (NetworkTransport net = new NetworkTransport(1, "flood-test");
+        ThriftServer server = server(events)) {
+      server.listen(net, "127.0.0.1", 0);
+      try (Socket flooding = new Socket("127.0.0.1", server.port());
+          Socket usual = new Socket("127.0.0.1", server.port())) {
+        submit(flooding, 1, 600);
+        assertThat(isClosed(flooding)).isFalse(); // and it has been read by now
+        submit(usual, 7, 600);
+        usual.setSoTimeout(1000);
+        DataInputStream in = new DataInputStream(usual.getInputStream());
+        byte[] reply = in.readNBytes(in.readInt());
+        assertThat(reply).as("sequence id of a reply").containsSequence(0, 0, 0, 7);
+        assertThat(isClosed(usual)).isFalse();
+      }
     }
+  }
 
-    /**
-     * The event loop stands still: one message is queued, the next does not fit and is refused, and one of
-     * another client does.
-     */
-    @Test void aMessageThatWasRefusedTakesNothingOfTheQueuesBytes() throws Exception {
-        ConcurrentLinkedQueue<Consumer<RouterCore>> events = new ConcurrentLinkedQueue<>();
-        try (NetworkTransport net = new NetworkTransport(1, "flood-test"); ThriftServer server = server(
-            events)) {
-            server.listen(net, "127.0.0.1", 0);
-            try (Socket flooding = new Socket("127.0.0.1", server.port());
-                Socket usual = new Socket("127.0.0.1", server.port())) {
-                submit(flooding, 1, 600);
-                submit(flooding, 2, 600);
-                flooding.setSoTimeout(1000);
-                DataInputStream in = new DataInputStream(flooding.getInputStream());
-                assertThat(in.readNBytes(in.readInt())).containsSequence(0, 0, 0, 2);
-                int queued = events.size();
-                submit(usual, 1, 300);
-                assertThat(isClosed(usual)).isFalse();
-                assertThat(events.size()).as("it is queued, not refused").isEqualTo(queued + 1);
-            }
-        }
+  /**
+   * The event loop stands still: one message is queued, the next does not fit and is refused, and
+   * one of another client does.
+   */
+  @Test
+  void aMessageThatWasRefusedTakesNothingOfTheQueuesBytes() throws Exception {
+    ConcurrentLinkedQueue<Consumer<RouterCore>> events = new ConcurrentLinkedQueue<>();
+    try (NetworkTransport net = new NetworkTransport(1, "flood-test");
+        ThriftServer server = server(events)) {
+      server.listen(net, "127.0.0.1", 0);
+      try (Socket flooding = new Socket("127.0.0.1", server.port());
+          Socket usual = new Socket("127.0.0.1", server.port())) {
+        submit(flooding, 1, 600);
+        submit(flooding, 2, 600);
+        flooding.setSoTimeout(1000);
+        DataInputStream in = new DataInputStream(flooding.getInputStream());
+        assertThat(in.readNBytes(in.readInt())).containsSequence(0, 0, 0, 2);
+        int queued = events.size();
+        submit(usual, 1, 300);
+        assertThat(isClosed(usual)).isFalse();
+        assertThat(events.size()).as("it is queued, not refused").isEqualTo(queued + 1);
+      }
     }
+  }
 }
--- a/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
+++ b/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
@@ -28,99 +28,133 @@
 import switchgap.testing.ReachableObjects;
 
 /**
- * Many load commands through the planned transport: without a planner, with a silent one, with a working one.
+ * Many load commands through the planned transport: without a planner, with a silent one, with a
+ * working one.
  */
 class PlannedWorkerTransportTest implements WorkerTransport {
-    private final List<Consumer<RouterCore>> nextEvents = new ArrayList<>();
-    private final YamlRouterSettings settings = new YamlRouterSettings(
-        YamlDocument.read("t", GatewayFixture.SETTINGS));
-    private final PlannedWorkerTransport transport = new PlannedWorkerTransport(this, settings,
-        Duration.ofMillis(60), nextEvents::add);
-    private final PolicyEvents noEvents = (PolicyEvents) Proxy.newProxyInstance(
-        PolicyEvents.class.getClassLoader(), new Class<?>[] {PolicyEvents.class},
-        (proxy, method, arguments) -> null);
-    private int requestedLoads;
-    private final RouterCore core = new RouterCore(settings, (now, in, out) -> {
-        in.deliverTo(noEvents);
-        if (requestedLoads > 0) { out.load(0, 0); }
-    }, transport, new CoreLimits(Duration.ofSeconds(1), Duration.ofSeconds(1), 10));
+  private final List<Consumer<RouterCore>> nextEvents = new ArrayList<>();
+  private final YamlRouterSettings settings =
+      new YamlRouterSettings(YamlDocument.read("t", GatewayFixture.SETTINGS));
+  private final PlannedWorkerTransport transport =
+      new PlannedWorkerTransport(this, settings, Duration.ofMillis(60), nextEvents::add);
+  private final PolicyEvents noEvents =
+      (PolicyEvents)
+          Proxy.newProxyInstance(
+              PolicyEvents.class.getClassLoader(),
+              new Class<?>[] {PolicyEvents.class},
+              (proxy, method, arguments) -> null);
+  private int requestedLoads;
+  private final RouterCore core =
+      new RouterCore(
+          settings,
+          (now, in, out) -> {
+            in.deliverTo(noEvents);
+            if (requestedLoads > 0) {
+              out.load(0, 0);
+            }
+          },
+          transport,
+          new CoreLimits(Duration.ofSeconds(1), Duration.ofSeconds(1), 10));
 
-    private void ticks(int count, long fromMillis) {
-        for (int i = 0; i < count; i++) {
-            List<Consumer<RouterCore>> events = List.copyOf(nextEvents);
-            nextEvents.clear();
-            core.tick(Duration.ofMillis(fromMillis + i), events);
-        }
+  private void ticks(int count, long fromMillis) {
+    for (int i = 0; i < count; i++) {
+      List<Consumer<RouterCore>> events = List.copyOf(nextEvents);
+      nextEvents.clear();
+      core.tick(Duration.ofMillis(fromMillis + i), events);
     }
+  }
 
-    @Test void endedLoadCommandsAreNotRetained() {
-        nextEvents.add(router -> {
-            router.endpointListReceived(true,
-                List.of(new EndpointUpdate("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
-            router.accept(
-                PendingRequest.builder("c", "again-1", Duration.ofDays(9), null).replica(1, 1).build());
+  @Test
+  void endedLoadCommandsAreNotRetained() {
+    nextEvents.add(
+        router -> {
+          router.endpointListReceived(
+              true,
+              List.of(
+                  new EndpointUpdate("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
+          router.accept(
+              PendingRequest.builder("c", "again-1", Duration.ofDays(9), null)
+                  .replica(1, 1)
+                  .build());
         });
-        ticks(1, 0);
-        long before = ReachableObjects.by(transport);
-        requestedLoads = 1;
-        ticks(20_000, 1); // no planner
-        assertThat(ReachableObjects.by(transport)).isLessThan(before + 100);
-        nextEvents.add(router -> transport.plannerConnected(router, 1));
-        ticks(20_000, 30_000); // one that is silent
-        nextEvents.add(router -> transport.plannerDisconnected(router, 1));
-        ticks(20_000, 60_000);
-        requestedLoads = 0;
-        ticks(100, 90_000);
-        assertThat(ReachableObjects.by(transport)).isLessThan(before + 100);
-        assertThat(transport.pendingLoads()).isZero();
-    }
+    ticks(1, 0);
+    long before = ReachableObjects.by(transport);
+    requestedLoads = 1;
+    ticks(20_000, 1); // no planner
+    assertThat(ReachableObjects.by(transport)).isLessThan(before + 100);
+    nextEvents.add(router -> transport.plannerConnected(router, 1));
+    ticks(20_000, 30_000); // one that is silent
+    nextEvents.add(router -> transport.plannerDisconnected(router, 1));
+    ticks(20_000, 60_000);
+    requestedLoads = 0;
+    ticks(100, 90_000);
+    assertThat(ReachableObjects.by(transport)).isLessThan(before + 100);
+    assertThat(transport.pendingLoads()).isZero();
+  }
 
-    /**
-     * Each plan was answered by a further backlog, and each backlog by a plan: an idle router and its planner
-     * took most of a core.
-     */
-    @Test void noBacklogIsSentWhereNothingHasChanged() {
-        AtomicInteger backlogs = new AtomicInteger();
-        LoadScheduler planner = new LoadScheduler();
-        nextEvents.add(core -> {
-            transport.setBacklogSender(backlog -> {
+  /**
+   * Each plan was answered by a further backlog, and each backlog by a plan: an idle router and its
+   * planner took most of a core.
+   */
+  @Test
+  void noBacklogIsSentWhereNothingHasChanged() {
+    AtomicInteger backlogs = new AtomicInteger();
+    LoadScheduler planner = new LoadScheduler();
+    nextEvents.add(
+        core -> {
+          transport.setBacklogSender(
+              backlog -> {
                 backlogs.incrementAndGet();
                 LoadPlan plan = planner.plan(backlog);
-                return plan != null && nextEvents.add(router -> transport.planReceived(router, plan));
-            });
-            core.endpointListReceived(true,
-                List.of(new EndpointUpdate("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
-            core.accept(
-                PendingRequest.builder("c", "again-1", Duration.ofDays(9), null).replica(1, 1).build());
-            transport.plannerConnected(core, 1);
+                return plan != null
+                    && nextEvents.add(router -> transport.planReceived(router, plan));
+              });
+          core.endpointListReceived(
+              true,
+              List.of(
+                  new EndpointUpdate("w", "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null)));
+          core.accept(
+              PendingRequest.builder("c", "again-1", Duration.ofDays(9), null)
+                  .replica(1, 1)
+                  .build());
+          transport.plannerConnected(core, 1);
         });
-        ticks(1000, 0);
-        assertThat(backlogs.get()).isLessThanOrEqualTo(2);
-        requestedLoads = 1;
-        ticks(1, 1000);
-        requestedLoads = 0;
-        ticks(1000, 1001);
-        assertThat(backlogs.get()).isBetween(2, 5);
-        assertThat(transport.pendingLoads()).isZero();
-        assertThat(transport.counts().planned()).isEqualTo(1); // sent as the plan said
-    }
+    ticks(1000, 0);
+    assertThat(backlogs.get()).isLessThanOrEqualTo(2);
+    requestedLoads = 1;
+    ticks(1, 1000);
+    requestedLoads = 0;
+    ticks(1000, 1001);
+    assertThat(backlogs.get()).isBetween(2, 5);
+    assertThat(transport.pendingLoads()).isZero();
+    assertThat(transport.counts().planned()).isEqualTo(1); // sent as the plan said
+  }
 
-    @Override public void requestReplicas(WorkerEntry worker, String function, int replicas,
-        WorkerCommand command) {
-        nextEvents.add(router -> router.loadCommandEnded(command, AttemptOutcome.SUCCEEDED, 1));
-    }
+  @Override
+  public void requestReplicas(
+      WorkerEntry worker, String function, int replicas, WorkerCommand command) {
+    nextEvents.add(router -> router.loadCommandEnded(command, AttemptOutcome.SUCCEEDED, 1));
+  }
 
-    @Override public void startAttempt(Attempt attempt, Duration timeout) {}
+  @Override
+  public void startAttempt(Attempt attempt, Duration timeout) {}
 
-    @Override public AttemptOutcome abandon(Attempt attempt) { return AttemptOutcome.TIMED_OUT; }
+  @Override
+  public AttemptOutcome abandon(Attempt attempt) {
+    return AttemptOutcome.TIMED_OUT;
+  }
 
-    @Override public void unload(WorkerEntry worker, String function, WorkerCommand command) {}
+  @Override
+  public void unload(WorkerEntry worker, String function, WorkerCommand command) {}
 
-    @Override public void probe(WorkerEntry worker, WorkerCommand command) {
-        nextEvents.add(router -> router.probeEnded(command, AttemptOutcome.SUCCEEDED, LoadReport.NONE));
-    }
+  @Override
+  public void probe(WorkerEntry worker, WorkerCommand command) {
+    nextEvents.add(router -> router.probeEnded(command, AttemptOutcome.SUCCEEDED, LoadReport.NONE));
+  }
 
-    @Override public void abandon(WorkerCommand command) {}
+  @Override
+  public void abandon(WorkerCommand command) {}
 
-    @Override public void requestEndpointList() {}
+  @Override
+  public void requestEndpointList() {}
 }
--- a/src/test/java/switchgap/simulator/ActionRecordEncoderTest.java
+++ b/src/test/java/switchgap/simulator/ActionRecordEncoderTest.java
@@ -11,115 +11,132 @@
 
 /** Pins the bytes of each kind of action record. */
 class ActionRecordEncoderTest {
-    private static final int ROUTER_ID = 0x0201;
-    private static final int FRAME_NUMBER = 7;
-    private static final long REQUEST_ID = 0x1112131415161718L;
-    private static final long FUNCTION_ID = 0x2122232425262728L;
-    private static final long WORKER_ID = 0x313233343536L;
-    private static final String REQUEST = "1817161514131211";
-    private static final String FUNCTION = "2827262524232221";
-    /** The upper four bytes, then the lower two. */
-    private static final String WORKER = "343332313635";
-
-    private final IndexTables indices = new IndexTables();
-    private final ReplyFrame reply = new ReplyFrame();
-    private final ActionRecordEncoder actions = new ActionRecordEncoder(ROUTER_ID, indices, reply);
-    private int request;
-    private int worker;
-    private int function;
-
-    @BeforeEach void allocateIndices() {
-        indices.requests().allocate(1); // so that ids and indices differ
-        request = indices.requests().allocate(REQUEST_ID);
-        worker = indices.workers().allocate(WORKER_ID);
-        function = indices.functions().allocate(FUNCTION_ID);
-        reply.begin(FRAME_NUMBER);
+  private static final int ROUTER_ID = 0x0201;
+  private static final int FRAME_NUMBER = 7;
+  private static final long REQUEST_ID = 0x1112131415161718L;
+  private static final long FUNCTION_ID = 0x2122232425262728L;
+  private static final long WORKER_ID = 0x313233343536L;
+  private static final String REQUEST = "1817161514131211";
+  private static final String FUNCTION = "2827262524232221";
+
+  /** The upper four bytes, then the lower two. */
+  private static final String WORKER = "343332313635";
+
+  private final IndexTables indices = new IndexTables();
+  private final ReplyFrame reply = new ReplyFrame();
+  private final ActionRecordEncoder actions = new ActionRecordEncoder(ROUTER_ID, indices, reply);
+  private int request;
+  private int worker;
+  private int function;
+
+  @BeforeEach
+  void allocateIndices() {
+    indices.requests().allocate(1); // so that ids and indices differ
+    request = indices.requests().allocate(REQUEST_ID);
+    worker = indices.workers().allocate(WORKER_ID);
+    function = indices.functions().allocate(FUNCTION_ID);
+    reply.begin(FRAME_NUMBER);
+  }
+
+  /** The only record's bytes, without the zeros at its end, and the frame's header checked. */
+  private String onlyRecord() {
+    byte[] frame = reply.finish();
+    ByteBuffer header = ByteBuffer.wrap(frame).order(ByteOrder.LITTLE_ENDIAN);
+    assertThat(header.getInt(0)).isEqualTo(FRAME_NUMBER);
+    assertThat(header.getInt(4)).isEqualTo(1);
+    assertThat(header.getInt(8)).isEqualTo(frame.length);
+    assertThat(frame.length).isEqualTo(12 + 24);
+    return HexFormat.of().formatHex(frame, 12, frame.length).replaceAll("(00)+$", "");
+  }
+
+  @Test
+  void startAttemptHasRequestWorkerAndTimeout() {
+    actions.startAttempt(request, worker, Duration.ofNanos(0x04030201L * 1000 + 999));
+    assertThat(onlyRecord()).isEqualTo("010102" + REQUEST + WORKER + "01020304");
+  }
+
+  @Test
+  void rejectHasRequestAndRetryAfter() {
+    actions.reject(request, Duration.ofMillis(1));
+    assertThat(onlyRecord()).isEqualTo("020102" + REQUEST + "e803");
+  }
+
+  @Test
+  void rejectWithoutAdviceHasNoRetryAfter() {
+    actions.reject(request, null);
+    assertThat(onlyRecord()).isEqualTo("020102" + REQUEST);
+  }
+
+  @Test
+  void failHasRequest() {
+    actions.fail(request);
+    assertThat(onlyRecord()).isEqualTo("030102" + REQUEST);
+  }
+
+  @Test
+  void cancelHasRequestAndAttempt() {
+    actions.cancelAttempt(request, 0x0403);
+    assertThat(onlyRecord()).isEqualTo("040102" + REQUEST + "0304");
+  }
+
+  @Test
+  void wakeUpHasDelayAndToken() {
+    actions.scheduleWakeUp(Duration.ofMillis(1), REQUEST_ID);
+    assertThat(onlyRecord()).isEqualTo("050102" + "e8030000" + REQUEST);
+  }
+
+  @Test
+  void probeHasWorker() {
+    actions.probe(worker);
+    assertThat(onlyRecord()).isEqualTo("060102" + WORKER);
+  }
+
+  @Test
+  void subscriptionHasItsFlag() {
+    actions.subscribeToEndpoints();
+    assertThat(onlyRecord()).isEqualTo("0b0102" + "01");
+  }
+
+  @Test
+  void loadHasWorkerFunctionAndOneReplica() {
+    actions.load(worker, function);
+    assertThat(onlyRecord()).isEqualTo("0d0102" + WORKER + FUNCTION + "01");
+  }
+
+  @Test
+  void queryHasWorkerFunctionAndNoReplica() {
+    actions.queryReplicas(worker, function);
+    assertThat(onlyRecord()).isEqualTo("0d0102" + WORKER + FUNCTION);
+  }
+
+  @Test
+  void unloadHasWorkerAndFunction() {
+    actions.unload(worker, function);
+    assertThat(onlyRecord()).isEqualTo("0e0102" + WORKER + FUNCTION);
+  }
+
+  @Test
+  void policyFaultRefersToItsText() {
+    actions.policyFailed(new IllegalStateException("broken"));
+    byte[] frame = reply.finish();
+    assertThat(HexFormat.of().formatHex(frame, 12, 12 + 7)).isEqualTo("0a0102" + "00000000");
+    int textLength = ByteBuffer.wrap(frame).order(ByteOrder.LITTLE_ENDIAN).getInt(12 + 7);
+    assertThat(textLength).isEqualTo(frame.length - 12 - 24);
+    assertThat(new String(frame, 12 + 24, textLength))
+        .startsWith(
+            "java.lang.IllegalStateException: broken at"
+                + " switchgap.simulator.ActionRecordEncoderTest.");
+  }
+
+  @Test
+  void recordsBeyondTheInitialBufferAreKept() {
+    for (int i = 0; i < 1000; i++) {
+      actions.scheduleWakeUp(Duration.ZERO, i);
     }
-
-    /** The only record's bytes, without the zeros at its end, and the frame's header checked. */
-    private String onlyRecord() {
-        byte[] frame = reply.finish();
-        ByteBuffer header = ByteBuffer.wrap(frame).order(ByteOrder.LITTLE_ENDIAN);
-        assertThat(header.getInt(0)).isEqualTo(FRAME_NUMBER);
-        assertThat(header.getInt(4)).isEqualTo(1);
-        assertThat(header.getInt(8)).isEqualTo(frame.length);
-        assertThat(frame.length).isEqualTo(12 + 24);
-        return HexFormat.of().formatHex(frame, 12, frame.length).replaceAll("(00)+$", "");
-    }
-
-    @Test void startAttemptHasRequestWorkerAndTimeout() {
-        actions.startAttempt(request, worker, Duration.ofNanos(0x04030201L * 1000 + 999));
-        assertThat(onlyRecord()).isEqualTo("010102" + REQUEST + WORKER + "01020304");
-    }
-
-    @Test void rejectHasRequestAndRetryAfter() {
-        actions.reject(request, Duration.ofMillis(1));
-        assertThat(onlyRecord()).isEqualTo("020102" + REQUEST + "e803");
-    }
-
-    @Test void rejectWithoutAdviceHasNoRetryAfter() {
-        actions.reject(request, null);
-        assertThat(onlyRecord()).isEqualTo("020102" + REQUEST);
-    }
-
-    @Test void failHasRequest() {
-        actions.fail(request);
-        assertThat(onlyRecord()).isEqualTo("030102" + REQUEST);
-    }
-
-    @Test void cancelHasRequestAndAttempt() {
-        actions.cancelAttempt(request, 0x0403);
-        assertThat(onlyRecord()).isEqualTo("040102" + REQUEST + "0304");
-    }
-
-    @Test void wakeUpHasDelayAndToken() {
-        actions.scheduleWakeUp(Duration.ofMillis(1), REQUEST_ID);
-        assertThat(onlyRecord()).isEqualTo("050102" + "e8030000" + REQUEST);
-    }
-
-    @Test void probeHasWorker() {
-        actions.probe(worker);
-        assertThat(onlyRecord()).isEqualTo("060102" + WORKER);
-    }
-
-    @Test void subscriptionHasItsFlag() {
-        actions.subscribeToEndpoints();
-        assertThat(onlyRecord()).isEqualTo("0b0102" + "01");
-    }
-
-    @Test void loadHasWorkerFunctionAndOneReplica() {
-        actions.load(worker, function);
-        assertThat(onlyRecord()).isEqualTo("0d0102" + WORKER + FUNCTION + "01");
-    }
-
-    @Test void queryHasWorkerFunctionAndNoReplica() {
-        actions.queryReplicas(worker, function);
-        assertThat(onlyRecord()).isEqualTo("0d0102" + WORKER + FUNCTION);
-    }
-
-    @Test void unloadHasWorkerAndFunction() {
-        actions.unload(worker, function);
-        assertThat(onlyRecord()).isEqualTo("0e0102" + WORKER + FUNCTION);
-    }
-
-    @Test void policyFaultRefersToItsText() {
-        actions.policyFailed(new IllegalStateException("broken"));
-        byte[] frame = reply.finish();
-        assertThat(HexFormat.of().formatHex(frame, 12, 12 + 7)).isEqualTo("0a0102" + "00000000");
-        int textLength = ByteBuffer.wrap(frame).order(ByteOrder.LITTLE_ENDIAN).getInt(12 + 7);
-        assertThat(textLength).isEqualTo(frame.length - 12 - 24);
-        assertThat(new String(frame, 12 + 24, textLength)).startsWith(
-            "java.lang.IllegalStateException: broken at switchgap.simulator.ActionRecordEncoderTest.");
-    }
-
-    @Test void recordsBeyondTheInitialBufferAreKept() {
-        for (int i = 0; i < 1000; i++) {
-            actions.scheduleWakeUp(Duration.ZERO, i);
-        }
-        ByteBuffer frame = ByteBuffer.wrap(reply.finish()).order(ByteOrder.LITTLE_ENDIAN);
-        assertThat(frame.getInt(4)).isEqualTo(1000);
-        for (int i = 0; i < 1000; i++) {
-            assertThat(frame.getLong(12 + 24 * i + 7)).isEqualTo(i);
-        }
+    ByteBuffer frame = ByteBuffer.wrap(reply.finish()).order(ByteOrder.LITTLE_ENDIAN);
+    assertThat(frame.getInt(4)).isEqualTo(1000);
+    for (int i = 0; i < 1000; i++) {
+      assertThat(frame.getLong(12 + 24 * i + 7)).isEqualTo(i);
     }
+  }
 }
--- a/src/test/java/switchgap/soak/SoakTest.java
+++ b/src/test/java/switchgap/soak/SoakTest.java
@@ -13,18 +13,24 @@
 
 /** Short soaks: seeds that once failed, with few routers. The long ones are run by the command. */
 class SoakTest {
-    @TempDir Path directory;
+  @TempDir Path directory;
 
-    /** Seed 1 found requests that waited while accepts failed, seed 4 pauses and floods. */
-    @ParameterizedTest
-    @CsvSource({"1,6,8", "4,6,8"}) void aSeedThatOnceFailedKeepsAllRules(long seed, int routers, int seconds)
-        throws Exception {
-        String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        String run = "exec " + java + " -XX:+UseSerialGC -Xmx48m -Xss256k -XX:TieredStopAtLevel=1 -cp '"
-            + System.getProperty("java.class.path") + "' switchgap.cli.Main serve";
-        ByteArrayOutputStream printed = new ByteArrayOutputStream();
-        boolean kept = Soak.run(new Soak.Options(seed, routers, seconds, Set.of(), run, directory),
+  /** Seed 1 found requests that waited while accepts failed, seed 4 pauses and floods. */
+  @ParameterizedTest
+  @CsvSource({"1,6,8", "4,6,8"})
+  void aSeedThatOnceFailedKeepsAllRules(long seed, int routers, int seconds) throws Exception {
+    String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
+    String run =
+        "exec "
+            + java
+            + " -XX:+UseSerialGC -Xmx48m -Xss256k -XX:TieredStopAtLevel=1 -cp '"
+            + System.getProperty("java.class.path")
+            + "' switchgap.cli.Main serve";
+    ByteArrayOutputStream printed = new ByteArrayOutputStream();
+    boolean kept =
+        Soak.run(
+            new Soak.Options(seed, routers, seconds, Set.of(), run, directory),
             new PrintStream(printed, true, StandardCharsets.UTF_8));
-        assertThat(kept).as(printed.toString(StandardCharsets.UTF_8)).isTrue();
-    }
+    assertThat(kept).as(printed.toString(StandardCharsets.UTF_8)).isTrue();
+  }
 }
--- a/src/test/java/switchgap/testing/TestRules.java
+++ b/src/test/java/switchgap/testing/TestRules.java
@@ -8,14 +8,14 @@
 
 /** A rule checker for parts that are tested by themselves. */
 public final class TestRules {
-    private TestRules() {}
+  private TestRules() {}
 
-    /** A checker under the platform's test settings, whose events are only counted. */
-    public static RuleChecker checker() {
-        try {
-            return new RuleChecker(TestPlatformSettings.terms(), new RouterEvents(line -> {}, null));
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+  /** A checker under the platform's test settings, whose events are only counted. */
+  public static RuleChecker checker() {
+    try {
+      return new RuleChecker(TestPlatformSettings.terms(), new RouterEvents(line -> {}, null));
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
 }
