--- a/src/main/java/switchgap/net/FramedConnection.java
+++ b/src/main/java/switchgap/net/FramedConnection.java
@@ -22,7 +22,7 @@
     void frame(FramedConnection connection, byte[] bytes);
 
     /** The connection ended, by this side or the other. */
-    void closed(FramedConnection connection, String reason);
+    void closed(FramedConnection connection, CloseCause cause);
   }
 
   private static final int MAX_UNSENT_FRAMES = 64;
@@ -53,10 +53,15 @@
   }
 
   /** Closes the connection; its listener hears of it with this reason. Any thread. */
-  public void close(String reason) {
+  public void close(CloseReason reason) {
     connection.close(reason);
   }
 
+  /** Closes the connection; its listener hears of it with this cause. Any thread. */
+  public void close(CloseCause cause) {
+    connection.close(cause);
+  }
+
   /**
    * Begins to accept connections.
    *
@@ -119,17 +124,15 @@
               });
       if (!valid) {
         framed.close(
-            "a frame of "
-                + framed.decoder.frameLength()
-                + " bytes, at most "
-                + maxFrameBytes
-                + " are taken");
+            new CloseCause(
+                CloseReason.Transport.FRAME_TOO_LONG,
+                framed.decoder.frameLength() + " bytes, at most " + maxFrameBytes));
       }
     }
 
     @Override
-    public void closed(TcpConnection connection, String reason) {
-      listener.closed((FramedConnection) connection.attachment, reason);
+    public void closed(TcpConnection connection, CloseCause cause) {
+      listener.closed((FramedConnection) connection.attachment, cause);
     }
   }
 }
--- a/src/main/java/switchgap/net/TcpConnection.java
+++ b/src/main/java/switchgap/net/TcpConnection.java
@@ -36,7 +36,7 @@
     void received(TcpConnection connection, ByteBuffer bytes);
 
     /** The connection ended, by this side or the other. */
-    void closed(TcpConnection connection, String reason);
+    void closed(TcpConnection connection, CloseCause cause);
   }
 
   private static final AtomicLong LAST_ID = new AtomicLong();
@@ -128,7 +128,7 @@
 
           @Override
           public void failed(Throwable cause) {
-            close("a write failed");
+            close(CloseReason.Transport.WRITE_FAILED);
           }
         });
     return true;
@@ -138,10 +138,18 @@
    * Closes the connection, unless it is closed; the listener hears of it with this reason. Any
    * thread.
    */
-  public void close(String reason) {
+  public void close(CloseReason reason) {
+    close(CloseCause.of(reason));
+  }
+
+  /**
+   * Closes the connection, unless it is closed; the listener hears of it with this cause. Any
+   * thread.
+   */
+  public void close(CloseCause cause) {
     if (closed.compareAndSet(false, true)) {
       ConnectionCloser.close(connection);
-      listener.closed(this, reason);
+      listener.closed(this, cause);
     }
   }
 
@@ -237,7 +245,8 @@
           timeout,
           callback,
           new Connector.ConnectionAdapter<>(
-              filter::connectionOf, connection -> connection.close("opened too late")));
+              filter::connectionOf,
+              connection -> connection.close(CloseReason.Transport.OPENED_TOO_LATE)));
     }
   }
 }
--- a/src/main/java/switchgap/net/TcpConnectionFilter.java
+++ b/src/main/java/switchgap/net/TcpConnectionFilter.java
@@ -57,7 +57,7 @@
   public NextAction handleClose(FilterChainContext context) {
     TcpConnection connection = connectionOf(context.getConnection());
     if (connection != null) {
-      connection.close("the other side closed");
+      connection.close(CloseReason.Transport.PEER_CLOSED);
     }
     return context.getStopAction();
   }
--- a/src/main/java/switchgap/planner/link/PlannerClient.java
+++ b/src/main/java/switchgap/planner/link/PlannerClient.java
@@ -6,6 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.net.CloseCause;
 import switchgap.net.FramedConnection;
 import switchgap.net.NetworkTransport;
 import switchgap.net.TimerThread;
@@ -100,7 +101,7 @@
       try {
         received(from, PlannerMessageCodec.decode(bytes));
       } catch (IOException e) {
-        from.close("unreadable: " + e.getMessage());
+        from.close(new CloseCause(LinkCloseReason.UNREADABLE_MESSAGE, e.getMessage()));
       }
     }
 
@@ -115,7 +116,7 @@
       } else if (message instanceof LoadBacklog backlog && greeted) {
         sendPlan(from, backlog);
       } else {
-        from.close("no message for a planner");
+        from.close(LinkCloseReason.UNEXPECTED_MESSAGE);
       }
     }
 
@@ -132,8 +133,8 @@
     }
 
     @Override
-    public void closed(FramedConnection from, String why) {
-      LOG.warn("planner of router {} has lost its edge: {}", router, why);
+    public void closed(FramedConnection from, CloseCause cause) {
+      LOG.warn("planner of router {} has lost its edge: {}", router, cause);
       reconnectLater();
     }
   }
@@ -145,7 +146,7 @@
     heartbeat.cancel(false);
     FramedConnection current = connection;
     if (current != null) {
-      current.close("the planner stops");
+      current.close(LinkCloseReason.PLANNER_STOPPED);
     }
   }
 }
--- a/src/main/java/switchgap/planner/link/PlannerServer.java
+++ b/src/main/java/switchgap/planner/link/PlannerServer.java
@@ -6,6 +6,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.net.CloseCause;
 import switchgap.net.FramedConnection;
 import switchgap.net.NetworkTransport;
 import switchgap.net.TcpConnection;
@@ -105,7 +106,7 @@
   private void closeIfSilent() {
     Session current = session.get();
     if (current != null && current.isSilent()) {
-      current.connection.close("the planner is silent");
+      current.connection.close(LinkCloseReason.PLANNER_SILENT);
     }
   }
 
@@ -122,7 +123,7 @@
       TimerThread.EXECUTOR.schedule(
           () -> {
             if (sessionOf(opened) == null) {
-              opened.close("no handshake within a second");
+              opened.close(LinkCloseReason.HANDSHAKE_TIMEOUT);
             }
           },
           SILENCE_TIMEOUT_NANOS,
@@ -158,10 +159,10 @@
     }
 
     @Override
-    public void closed(FramedConnection from, String why) {
+    public void closed(FramedConnection from, CloseCause cause) {
       Session ended = sessionOf(from);
       if (ended != null && session.compareAndSet(ended, null)) {
-        LOG.warn("router {}: planner gone: {}; orders go out as they come", router, why);
+        LOG.warn("router {}: planner gone: {}; load commands go out as they come", router, cause);
         listener.plannerDisconnected(ended.epoch);
       }
     }
@@ -205,7 +206,9 @@
     LOG.warn("router {}: planner refused: {}", router, why);
     client.send(PlannerMessageCodec.encode(new PlannerMessageCodec.Refused(why)));
     TimerThread.EXECUTOR.schedule(
-        () -> client.close("refused: " + why), REFUSAL_LINGER_MILLIS, TimeUnit.MILLISECONDS);
+        () -> client.close(new CloseCause(LinkCloseReason.REFUSED, why)),
+        REFUSAL_LINGER_MILLIS,
+        TimeUnit.MILLISECONDS);
   }
 
   /** Closes the connection to the planner, and the port. */
@@ -215,7 +218,7 @@
     server.close();
     Session current = session.get();
     if (current != null) {
-      current.connection.close("the edge stops");
+      current.connection.close(LinkCloseReason.EDGE_STOPPED);
     }
   }
 }
--- a/src/main/java/switchgap/protocol/resp/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/resp/PendingExchange.java
@@ -5,7 +5,8 @@
 import switchgap.router.Attempt;
 import switchgap.router.PendingRequest;
 import switchgap.router.RouterCore;
-import switchgap.router.RuleChecker;
+import switchgap.router.RouterDiagnostics;
+import switchgap.router.RouterEvent;
 import switchgap.router.WorkerEntry;
 
 /**
@@ -116,14 +117,15 @@
         && (request == null || request.isAwaited() && nowNanos < timeoutNanos);
   }
 
-  /** The command, to go out at this time; the rules are checked for it. */
-  byte[] command(long nowNanos, RuleChecker rules) {
+  /** The command, to go out at this time; the invariants are checked for it. */
+  byte[] command(long nowNanos, RouterDiagnostics diagnostics) {
     Duration remaining = Duration.ofNanos(timeoutNanos - nowNanos);
     Duration now = Duration.ofNanos(nowNanos);
     if (attempt != null) {
-      rules.attemptSent(attempt, remaining, now);
+      diagnostics.invariants().beforeAttempt(attempt, remaining, now);
+      diagnostics.events().record(new RouterEvent.AttemptSent(attempt, remaining));
     } else if (!allowedWhileDraining) {
-      rules.loadSent(worker, now);
+      diagnostics.invariants().beforeLoad(worker, now);
     }
     return encoder.encode(remaining);
   }
--- a/src/main/java/switchgap/protocol/resp/ReplyReader.java
+++ b/src/main/java/switchgap/protocol/resp/ReplyReader.java
@@ -4,8 +4,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
+import switchgap.net.CloseCause;
 import switchgap.net.TcpConnection;
 import switchgap.router.RouterCore;
+import switchgap.router.RouterEvent;
 import switchgap.router.RouterEvents;
 
 /** Decodes what workers send, on selector threads, and hands the replies to the event loop. */
@@ -28,7 +30,7 @@
   @Override
   public void received(TcpConnection tcp, ByteBuffer bytes) {
     if (!(tcp.attachment instanceof RespConnection connection)) {
-      tcp.close("bytes before the first command");
+      tcp.close(WorkerCloseReason.UNEXPECTED_BYTES);
       return;
     }
     List<WorkerReply> replies = new ArrayList<>(EXPECTED_REPLIES);
@@ -44,14 +46,15 @@
     }
     if (malformed
         != null) { // where the next reply would begin is not known: nothing more can be read
-      tcp.close("malformed reply: " + malformed);
+      tcp.close(new CloseCause(WorkerCloseReason.MALFORMED_REPLY, malformed));
     }
   }
 
   @Override
-  public void closed(TcpConnection tcp, String why) {
+  public void closed(TcpConnection tcp, CloseCause cause) {
     if (tcp.attachment instanceof RespConnection connection) {
-      routerEvents.recordClose(RouterEvents.Kind.WORKER_CLOSED, why, tcp.id());
+      WorkerCloseReason reason = WorkerCloseReason.of(cause.reason());
+      routerEvents.record(new RouterEvent.WorkerClosed(reason, tcp.id(), cause.toString()));
       events.accept(core -> connection.pool.connectionClosed(core, connection));
     }
   }
--- a/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
@@ -10,7 +10,7 @@
 import switchgap.net.NetworkTransport;
 import switchgap.net.TcpConnection;
 import switchgap.router.RouterCore;
-import switchgap.router.RuleChecker;
+import switchgap.router.RouterDiagnostics;
 import switchgap.router.WorkerEntry;
 
 /**
@@ -27,7 +27,7 @@
   private final Supplier<Duration> clock;
   private final Consumer<Consumer<RouterCore>> events;
   private final TcpConnection.Factory connectionFactory;
-  private final RuleChecker rules;
+  private final RouterDiagnostics diagnostics;
   private final Set<RespConnectionPool> pools = new HashSet<>();
 
   /** Connections that are open or being opened. */
@@ -38,29 +38,29 @@
    *
    * @param clock the router's clock
    * @param events posts to the router's event loop
-   * @param rules passes each send
+   * @param diagnostics hears of each send and close
    */
   RespConnectionManager(
       NetworkTransport net,
       RespWorkerTransport.ConnectionLimits limits,
       Supplier<Duration> clock,
       Consumer<Consumer<RouterCore>> events,
-      RuleChecker rules) {
+      RouterDiagnostics diagnostics) {
     this.limits = limits;
     this.clock = clock;
     this.events = events;
-    this.rules = rules;
+    this.diagnostics = diagnostics;
     this.connectionFactory =
-        new TcpConnection.Factory(net, new ReplyReader(events, rules.events()));
+        new TcpConnection.Factory(net, new ReplyReader(events, diagnostics.events()));
   }
 
   RespWorkerTransport.ConnectionLimits limits() {
     return limits;
   }
 
-  /** Passes each send. */
-  RuleChecker rules() {
-    return rules;
+  /** Hears of each send. */
+  RouterDiagnostics diagnostics() {
+    return diagnostics;
   }
 
   /** Nanoseconds of the router's clock. */
@@ -105,7 +105,7 @@
     if (evicted == null) {
       return false;
     }
-    evicted.tcp.close("evicted for another connection");
+    evicted.tcp.close(WorkerCloseReason.EVICTED);
     return true;
   }
 
--- a/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
@@ -135,7 +135,7 @@
     long nowNanos = manager.nowNanos();
     boolean sent =
         exchange.maySend(nowNanos)
-            && connection.tcp.send(exchange.command(nowNanos, manager.rules()));
+            && connection.tcp.send(exchange.command(nowNanos, manager.diagnostics()));
     if (!sent) { // no byte of it went out
       endLater(exchange, AttemptOutcome.NOT_SENT);
       return;
@@ -153,7 +153,7 @@
   void connectionOpened(RouterCore core, RespConnection connection) {
     opening--;
     if (retired || !connection.tcp.isOpen()) {
-      connection.tcp.close("worker is gone");
+      connection.tcp.close(WorkerCloseReason.WORKER_GONE);
       manager.connectionEnded();
     } else {
       connections.add(connection);
@@ -210,7 +210,7 @@
     }
     AttemptOutcome outcome = reply.outcome();
     if (outcome == null) {
-      connection.tcp.close("reply with an unknown status");
+      connection.tcp.close(WorkerCloseReason.UNKNOWN_STATUS);
       return;
     }
     connection.inFlight.remove(reply.id());
@@ -237,7 +237,8 @@
     boolean timedOut = manager.nowNanos() >= exchange.timeoutNanos;
     connection.unresponsive |= timedOut && connection.lastReplyNanos < exchange.sentNanos();
     if (connection.unresponsive && connection.isIdle()) {
-      connection.tcp.close("worker does not reply"); // which cancels everything that was sent on it
+      connection.tcp.close(
+          WorkerCloseReason.UNRESPONSIVE); // which cancels everything that was sent on it
     } else if (exchange.request != null) {
       connection.tcp.send(RespCommand.cancel(exchange.id));
     }
@@ -276,7 +277,7 @@
     long now = manager.nowNanos();
     for (RespConnection connection : connections) {
       if (connection.isIdle() && (retired || now - connection.lastUsedNanos >= idleNanos)) {
-        connection.tcp.close("idle");
+        connection.tcp.close(WorkerCloseReason.IDLE);
       }
     }
     return retired && connections.isEmpty() && opening == 0;
--- a/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -12,7 +12,7 @@
 import switchgap.router.PendingRequest;
 import switchgap.router.Response;
 import switchgap.router.RouterCore;
-import switchgap.router.RuleChecker;
+import switchgap.router.RouterDiagnostics;
 import switchgap.router.WorkerCommand;
 import switchgap.router.WorkerEntry;
 import switchgap.router.WorkerTransport;
@@ -60,7 +60,7 @@
    * @param coreLimits timeouts of load commands and probes
    * @param clock the router's clock
    * @param events posts to the router's event loop
-   * @param rules passes each send
+   * @param diagnostics hears of each send and close
    */
   public RespWorkerTransport(
       NetworkTransport net,
@@ -69,8 +69,8 @@
       CoreLimits coreLimits,
       Supplier<Duration> clock,
       Consumer<Consumer<RouterCore>> events,
-      RuleChecker rules) {
-    this.connections = new RespConnectionManager(net, limits, clock, events, rules);
+      RouterDiagnostics diagnostics) {
+    this.connections = new RespConnectionManager(net, limits, clock, events, diagnostics);
     this.requestClassNames = requestClassNames;
     this.loadCommandTimeout = coreLimits.commandTimeout();
     this.probeTimeout = coreLimits.probeTimeout();
--- a/src/main/java/switchgap/protocol/thrift/ClientCloseReason.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientCloseReason.java
@@ -1,14 +1,17 @@
 package switchgap.protocol.thrift;
 
+import switchgap.net.CloseReason;
+import switchgap.router.EventReason;
+
 /**
- * Why a client's connection ends, and whether the reason is the client's own: only then may
- * requests be held on it that were read and have no answer.
+ * Why a client's connection ends, and whether the client caused it: only then may requests be
+ * unanswered that were read on it.
  */
-enum ClientCloseReason {
+enum ClientCloseReason implements CloseReason, EventReason {
   /** The client closed or reset it, or it broke. */
-  PEER_CLOSED("the other side closed", true),
+  PEER_CLOSED(CloseReason.Transport.PEER_CLOSED.description(), true),
   /** A reply could not be written, as the connection broke. */
-  WRITE_FAILED("a write failed", true),
+  WRITE_FAILED(CloseReason.Transport.WRITE_FAILED.description(), true),
   /** Where the next message would begin is not known. */
   FRAME_OUT_OF_BOUNDS("a frame's length is out of bounds", true),
   /** What was read is no message. */
@@ -28,31 +31,29 @@
   /** The client has sent its requests again on a new connection. */
   SENT_AGAIN("sent again on another one", true);
 
-  private final String text;
-  private final boolean clientsOwn;
+  private final String description;
+  private final boolean clientFault;
 
-  ClientCloseReason(String text, boolean clientsOwn) {
-    this.text = text;
-    this.clientsOwn = clientsOwn;
+  ClientCloseReason(String description, boolean clientFault) {
+    this.description = description;
+    this.clientFault = clientFault;
   }
 
-  /** As it stands in the log. */
-  String text() {
-    return text;
+  @Override
+  public String description() {
+    return description;
   }
 
-  /** Whether requests may be held on the connection. */
-  boolean isClientsOwn() {
-    return clientsOwn;
+  /** Whether the client caused it, so that requests on the connection may be unanswered. */
+  boolean isClientFault() {
+    return clientFault;
   }
 
-  /** The reason with this text; what the transport alone knows of is the peer's. */
-  static ClientCloseReason of(String text) {
-    for (ClientCloseReason reason : values()) {
-      if (reason.text.equals(text)) {
-        return reason;
-      }
+  /** The reason for which a client's connection was closed, by this package or the transport. */
+  static ClientCloseReason of(CloseReason reason) {
+    if (reason instanceof ClientCloseReason own) {
+      return own;
     }
-    return PEER_CLOSED;
+    return reason == CloseReason.Transport.WRITE_FAILED ? WRITE_FAILED : PEER_CLOSED;
   }
 }
--- a/src/main/java/switchgap/protocol/thrift/ClientConnection.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnection.java
@@ -73,7 +73,7 @@
   }
 
   void close(ClientCloseReason reason) {
-    connection.close(reason.text());
+    connection.close(reason);
   }
 
   /** Sends a reply; closes a connection whose client does not read its replies. Any thread. */
--- a/src/main/java/switchgap/protocol/thrift/RequestHandler.java
+++ b/src/main/java/switchgap/protocol/thrift/RequestHandler.java
@@ -4,13 +4,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import switchgap.router.AnswerReason;
+import switchgap.router.EventReason;
 import switchgap.router.PendingRequest;
 import switchgap.router.Response;
 import switchgap.router.ResponseListener;
 import switchgap.router.RouterCore;
-import switchgap.router.RouterEvents;
-import switchgap.router.RouterEvents.Kind;
-import switchgap.router.RuleChecker;
+import switchgap.router.RouterDiagnostics;
+import switchgap.router.RouterEvent;
 
 /**
  * Offers submitted requests to the router's core and sends their responses. Bounds requests in
@@ -32,23 +33,11 @@
 
   private static final String UNUSABLE_PREFIX = "unusable ";
 
-  // Reasons of answers that the policy has not given, and of requests that are given up.
-  private static final String SUBMITTED = "SUBMITTED";
-  private static final String SHUTDOWN = "SHUTDOWN";
-  private static final String REVOKED = "REVOKED";
-  private static final String REVOKED_LATE = "REVOKED_LATE";
-  private static final String NOT_ACCEPTED = "NOT_ACCEPTED";
-  private static final String NO_CAPACITY = "NO_CAPACITY";
-  private static final String TOO_MANY_OPEN = "TOO_MANY_OPEN";
-  private static final String QUEUE_FULL = "QUEUE_FULL";
-  private static final String UNUSABLE = "UNUSABLE";
-
   private final NameDirectory names;
   private final int maxRequests;
   private final int maxRequestBytes;
   private final ClientConnectionTable connections;
-  private final RuleChecker rules;
-  private final RouterEvents events;
+  private final RouterDiagnostics diagnostics;
 
   /** The connection of each request in flight, by the request's id. */
   private final Map<String, ClientConnection> connectionByRequestId = new HashMap<>();
@@ -59,13 +48,12 @@
       NameDirectory names,
       ThriftServer.ConnectionLimits limits,
       ClientConnectionTable connections,
-      RuleChecker rules) {
+      RouterDiagnostics diagnostics) {
     this.names = names;
     this.maxRequests = limits.maxRequests();
     this.maxRequestBytes = limits.maxRequestBytes();
     this.connections = connections;
-    this.rules = rules;
-    this.events = rules.events();
+    this.diagnostics = diagnostics;
   }
 
   /** Requests without their response. */
@@ -88,17 +76,27 @@
   }
 
   /** A connection ended: its requests have no client any more. */
-  void connectionClosed(RouterCore core, ClientConnection connection, String reason) {
+  void connectionClosed(RouterCore core, ClientConnection connection, ClientCloseReason reason) {
     connections.remove(connection);
-    ClientCloseReason typed = ClientCloseReason.of(reason);
     int unanswered = connection.inFlight.size();
-    rules.closed(
-        reason, typed.isClientsOwn(), unanswered + connection.queuedMessages(), core.now());
-    events.record(Kind.CLIENT_CLOSED, typed.name(), connection.id(), unanswered);
+    diagnostics
+        .invariants()
+        .afterClose(
+            connection.id(),
+            reason.isClientFault(),
+            unanswered + connection.queuedMessages(),
+            core.now());
+    diagnostics.events().record(new RouterEvent.ClientClosed(reason, connection.id(), unanswered));
     if (unanswered > 0) {
-      events.line("a client's connection ended with " + unanswered + " calls held: " + reason);
+      diagnostics
+          .log()
+          .accept(
+              "a client's connection was closed with "
+                  + unanswered
+                  + " requests in flight: "
+                  + reason.description());
     }
-    abandonAll(core, connection, typed.name());
+    abandonAll(core, connection, reason);
   }
 
   /** Fails all requests in flight, as none of them can be waited for any more. */
@@ -106,10 +104,10 @@
     for (ClientConnection connection : connections.snapshot()) {
       connection.inFlight.forEach(
           (sequenceId, request) -> {
-            rules.answered(request, SHUTDOWN, core.now());
+            recordAnswer(request, AnswerReason.SHUTDOWN, core.now());
             sendFailed(connection, sequenceId, Map.of());
           });
-      abandonAll(core, connection, SHUTDOWN);
+      abandonAll(core, connection, AnswerReason.SHUTDOWN);
     }
   }
 
@@ -120,9 +118,9 @@
     if (request == null) {
       return;
     }
-    abandon(core, request, REVOKED);
+    abandon(core, request, AbandonReason.REVOKED);
     if (wasDue(request, revokedAt)) {
-      rules.answered(request, REVOKED_LATE, core.now());
+      recordAnswer(request, AnswerReason.REVOKED_LATE, core.now());
       if (request.attempts().isEmpty()) {
         sendRejected(connection, sequenceId);
       } else {
@@ -150,7 +148,7 @@
               message, names, receivedAt, new ResponseSender(connection, sequenceId));
       Duration revokedAt = connection.revokedAt(sequenceId);
       if (revokedAt != null && wasDue(request, revokedAt)) {
-        events.record(Kind.REQUEST_ANSWERED, REVOKED_LATE, request.id, connection.id());
+        recordUnadmittedAnswer(AnswerReason.REVOKED_LATE, request.id, connection.id());
         sendRejected(connection, sequenceId);
       }
     } catch (InvalidRequestException e) {
@@ -170,7 +168,7 @@
       return;
     }
     if (connection.inFlight.size() >= MAX_REQUESTS_PER_CONNECTION) {
-      events.record(Kind.REQUEST_ANSWERED, TOO_MANY_OPEN, connection.id(), sequenceId);
+      recordUnadmittedAnswer(AnswerReason.TOO_MANY_OPEN, connection.id(), sequenceId);
       sendRejected(connection, sequenceId);
       return;
     }
@@ -178,11 +176,11 @@
       PendingRequest request =
           SubmitRequestDecoder.decode(
               message, names, receivedAt, new ResponseSender(connection, sequenceId));
-      events.record(Kind.REQUEST_RECEIVED, SUBMITTED, request.id, connection.id());
+      diagnostics.events().record(new RouterEvent.RequestReceived(request.id, connection.id()));
       ensureIdIsUnused(core, request.id);
       offer(core, connection, sequenceId, request);
     } catch (InvalidRequestException e) {
-      events.record(Kind.REQUEST_ANSWERED, UNUSABLE, connection.id(), e.getMessage());
+      recordUnadmittedAnswer(AnswerReason.UNUSABLE, connection.id(), e.getMessage());
       sendFailed(
           connection, sequenceId, Map.of(WireNames.REASON, UNUSABLE_PREFIX + e.getMessage()));
     }
@@ -200,7 +198,7 @@
     if (owner.isOpen()) {
       throw new InvalidRequestException(WireNames.REF);
     }
-    connectionClosed(core, owner, ClientCloseReason.SENT_AGAIN.text());
+    connectionClosed(core, owner, ClientCloseReason.SENT_AGAIN);
   }
 
   private void offer(
@@ -214,14 +212,15 @@
     connection.inFlight.put(sequenceId, request);
     if (!hasCapacity || !core.accept(request)) {
       finish(connection, sequenceId, request);
-      rules.answered(request, hasCapacity ? NOT_ACCEPTED : NO_CAPACITY, core.now());
+      recordAnswer(
+          request, hasCapacity ? AnswerReason.NOT_ACCEPTED : AnswerReason.NO_CAPACITY, core.now());
       sendRejected(connection, sequenceId);
     }
   }
 
   /** Refuses a request that does not fit into the event loop's queue; any thread. */
   void refuseUnseen(ClientConnection connection, int sequenceId) {
-    events.record(Kind.REQUEST_ANSWERED, QUEUE_FULL, connection.id(), sequenceId);
+    recordUnadmittedAnswer(AnswerReason.QUEUE_FULL, connection.id(), sequenceId);
     sendRejected(connection, sequenceId);
   }
 
@@ -231,20 +230,30 @@
     sendRejected(connection, sequenceId, hasAdvice ? names.settings().maxRetryAfter() : null);
   }
 
+  private void recordAnswer(PendingRequest request, AnswerReason reason, Duration now) {
+    diagnostics.invariants().beforeAnswer(request, now);
+    diagnostics.events().record(new RouterEvent.RequestAnswered(reason, request.id, now));
+  }
+
+  /** Records the answer of a message that has not become a pending request. */
+  private void recordUnadmittedAnswer(AnswerReason reason, String subjectId, Object context) {
+    diagnostics.events().record(new RouterEvent.RequestAnswered(reason, subjectId, context));
+  }
+
   private void finish(ClientConnection connection, int sequenceId, PendingRequest request) {
     connection.inFlight.remove(sequenceId);
     release(request);
   }
 
-  private void abandonAll(RouterCore core, ClientConnection connection, String why) {
+  private void abandonAll(RouterCore core, ClientConnection connection, EventReason reason) {
     for (PendingRequest request : List.copyOf(connection.inFlight.values())) {
-      abandon(core, request, why);
+      abandon(core, request, reason);
     }
     connection.inFlight.clear();
   }
 
-  private void abandon(RouterCore core, PendingRequest request, String why) {
-    events.record(Kind.REQUEST_ABANDONED, why, request.id, "");
+  private void abandon(RouterCore core, PendingRequest request, EventReason reason) {
+    diagnostics.events().record(new RouterEvent.RequestAbandoned(reason, request.id));
     release(request);
     core.clientLeft(request);
   }
@@ -286,7 +295,7 @@
     @Override
     public void responded(PendingRequest request, Response response) {
       finish(connection, sequenceId, request);
-      rules.answered(request, response.kind().name(), request.deadline);
+      recordAnswer(request, AnswerReason.of(response.kind()), request.deadline);
       switch (response.kind()) {
         case SUCCEEDED ->
             connection.send(
--- a/src/main/java/switchgap/protocol/thrift/ThriftServer.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -7,13 +7,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import switchgap.net.CloseCause;
 import switchgap.net.NetworkTransport;
 import switchgap.net.PauseDetector;
 import switchgap.net.TcpConnection;
 import switchgap.policy.api.RouterSettings;
 import switchgap.router.RouterCore;
-import switchgap.router.RouterEvents.Kind;
-import switchgap.router.RuleChecker;
+import switchgap.router.RouterDiagnostics;
+import switchgap.router.RouterEvent;
 
 /**
  * Listens for clients. Selector threads read and decode messages and answer heartbeats; what is
@@ -67,7 +68,7 @@
   private boolean evictionScheduled;
 
   private volatile boolean isHealthy;
-  private final RuleChecker rules;
+  private final RouterDiagnostics diagnostics;
   private final PauseDetector pauseDetector;
   private volatile TcpConnection.Server listener;
 
@@ -80,7 +81,7 @@
    * @param limits bounds of what clients may take
    * @param clock time since the router's start
    * @param eventLoop runs an event on the router's event loop
-   * @param rules passes each answer and close; its events hear of requests and connections
+   * @param diagnostics hears of requests, answers and connections
    */
   public ThriftServer(
       RouterSettings settings,
@@ -89,16 +90,16 @@
       ConnectionLimits limits,
       Supplier<Duration> clock,
       Consumer<Consumer<RouterCore>> eventLoop,
-      RuleChecker rules) {
+      RouterDiagnostics diagnostics) {
     this.limits = limits;
     this.clock = clock;
     this.eventLoop = eventLoop;
-    this.rules = rules;
+    this.diagnostics = diagnostics;
     pauseDetector = new PauseDetector(limits.sweepInterval, clock.get());
     connections = new ClientConnectionTable(limits.maxConnections, limits.receiveTimeout);
     requests =
         new RequestHandler(
-            new NameDirectory(settings, requestClasses, tenants), limits, connections, rules);
+            new NameDirectory(settings, requestClasses, tenants), limits, connections, diagnostics);
   }
 
   /** Listens; port 0 takes any. */
@@ -129,7 +130,7 @@
     ClientConnection connection = new ClientConnection(tcp, clock, limits.maxUnsentBytes);
     tcp.attachment = connection;
     openConnections.incrementAndGet();
-    rules.events().record(Kind.CLIENT_CONNECTED, "accepted", tcp.id(), "");
+    diagnostics.events().record(new RouterEvent.ClientConnected(tcp.id()));
     updateAccepting();
     eventLoop.accept(
         core -> {
@@ -148,12 +149,13 @@
   }
 
   @Override
-  public void closed(TcpConnection tcp, String reason) {
+  public void closed(TcpConnection tcp, CloseCause cause) {
     openConnections.decrementAndGet();
     updateAccepting();
     ClientConnection connection = connectionOf(tcp);
     connection.closed();
-    eventLoop.accept(core -> requests.connectionClosed(core, connection, reason));
+    eventLoop.accept(
+        core -> requests.connectionClosed(core, connection, ClientCloseReason.of(cause.reason())));
   }
 
   /**
--- /dev/null
+++ b/src/main/java/switchgap/router/InvariantMonitor.java
@@ -0,0 +1,113 @@
+package switchgap.router;
+
+import java.time.Duration;
+import java.util.function.Consumer;
+import switchgap.policy.api.Idempotency;
+import switchgap.policy.api.RouterSettings;
+
+/**
+ * Checks the invariants right before an attempt, load, answer or close. A check changes nothing:
+ * whoever acts has decided already, and a violation is a fault of this program. It is counted among
+ * the router's events and logged, at most one line a second, and makes tests and the soak fail.
+ * Event loop only.
+ */
+public final class InvariantMonitor {
+  private static final Duration LOG_INTERVAL = Duration.ofSeconds(1);
+
+  /** An attempt may begin so long after its client was seen to have gone. */
+  private static final Duration DISCONNECT_SLACK = Duration.ofMillis(100);
+
+  /** A worker's timeout may exceed what the client has left by so much. */
+  private static final Duration DEADLINE_SLACK = Duration.ofMillis(150);
+
+  private static final String STARTUP = "start";
+
+  private final RouterSettings settings;
+  private final RouterEvents events;
+  private final Consumer<String> log;
+  private Duration nextLogLine = Duration.ZERO;
+
+  /**
+   * A monitor under these settings.
+   *
+   * @param events violations are counted among them
+   * @param log takes a line for a violation
+   */
+  public InvariantMonitor(RouterSettings settings, RouterEvents events, Consumer<String> log) {
+    this.settings = settings;
+    this.events = events;
+    this.log = log;
+  }
+
+  /** Violations so far. */
+  public long violations() {
+    return events.count(RouterEvent.Kind.INVARIANT_VIOLATED);
+  }
+
+  /**
+   * An attempt is about to go out.
+   *
+   * @param timeout the time that the worker is given
+   */
+  public void beforeAttempt(Attempt attempt, Duration timeout, Duration now) {
+    PendingRequest request = attempt.request;
+    String id = request.id;
+    check(request.state() == PendingRequest.State.PENDING, Invariant.ATTEMPT_AFTER_ANSWER, id, now);
+    check(!isDisconnected(request, now), Invariant.ATTEMPT_FOR_DISCONNECTED_CLIENT, id, now);
+    check(attempt.worker.accepting, Invariant.ATTEMPT_TO_DRAINING_WORKER, id, now);
+    check(now.compareTo(request.deadline) < 0, Invariant.ATTEMPT_AFTER_DEADLINE, id, now);
+    Duration maxTimeout = request.deadline.minus(now).plus(DEADLINE_SLACK);
+    check(timeout.compareTo(maxTimeout) <= 0, Invariant.TIMEOUT_PAST_DEADLINE, id, now);
+    check(!attempt.ended, Invariant.ATTEMPT_SENT_TWICE, id, now);
+    boolean mayRetry = settings.idempotency(request.requestClass) != Idempotency.NON_IDEMPOTENT;
+    check(mayRetry || !mayHaveExecutedBefore(attempt), Invariant.RETRY_OF_NON_IDEMPOTENT, id, now);
+  }
+
+  private static boolean isDisconnected(PendingRequest request, Duration now) {
+    Duration disconnectedAt = request.listener.disconnectedAt();
+    return disconnectedAt != null && now.minus(disconnectedAt).compareTo(DISCONNECT_SLACK) > 0;
+  }
+
+  private static boolean mayHaveExecutedBefore(Attempt attempt) {
+    return attempt.request.attempts().stream()
+        .anyMatch(other -> other != attempt && other.mayHaveExecuted && other.ended);
+  }
+
+  /** A load of replicas is about to go out. */
+  public void beforeLoad(WorkerEntry worker, Duration now) {
+    check(worker.accepting, Invariant.LOAD_TO_DRAINING_WORKER, worker.name, now);
+  }
+
+  /** A request is about to be answered. */
+  public void beforeAnswer(PendingRequest request, Duration now) {
+    check(!request.answered, Invariant.SECOND_ANSWER, request.id, now);
+    request.answered = true;
+  }
+
+  /**
+   * A client's connection was closed.
+   *
+   * @param subjectId what the violation is reported of
+   * @param isClientFault whether the client caused it, so that requests may be unanswered
+   * @param unanswered requests that were read on it and have no answer
+   */
+  public void afterClose(String subjectId, boolean isClientFault, int unanswered, Duration now) {
+    check(isClientFault || unanswered == 0, Invariant.CLOSED_UNANSWERED, subjectId, now);
+  }
+
+  /** Health checks are about to succeed. */
+  public void beforeHealthy(boolean isEndpointListKnown, Duration now) {
+    check(isEndpointListKnown, Invariant.HEALTHY_WITHOUT_WORKERS, STARTUP, now);
+  }
+
+  private void check(boolean holds, Invariant invariant, String subjectId, Duration now) {
+    if (holds) {
+      return;
+    }
+    events.record(new RouterEvent.InvariantViolated(invariant, subjectId, now));
+    if (now.compareTo(nextLogLine) >= 0) {
+      nextLogLine = now.plus(LOG_INTERVAL);
+      log.accept(RouterEvent.Kind.INVARIANT_VIOLATED + " " + invariant + " " + subjectId);
+    }
+  }
+}
--- a/src/main/java/switchgap/router/RouterEvents.java
+++ b/src/main/java/switchgap/router/RouterEvents.java
@@ -7,91 +7,49 @@
 import java.util.function.Consumer;
 
 /**
- * What happens to requests and connections: counted by kind and reason, and told in a line each
- * where lines are wanted. A line is {@code kind reason id detail}, so that one search for a
- * request's id finds its whole way. Counting is cheap; a detail becomes text only for a line.
- * Thread-safe.
+ * Counts what happens to requests and connections by kind and reason, and writes a trace line for
+ * each event where lines are wanted. A line is {@code kind reason id detail}, so that one search
+ * for a request's id finds its whole way. Thread-safe.
  */
 public final class RouterEvents {
-  /** What happened. */
-  public enum Kind {
-    /** A request was read. */
-    REQUEST_RECEIVED,
-    /** A request has its final answer. */
-    REQUEST_ANSWERED,
-    /** A request's client withdrew it or has gone. */
-    REQUEST_ABANDONED,
-    /** An attempt goes out. */
-    ATTEMPT_SENT,
-    /** An attempt ended. */
-    ATTEMPT_ENDED,
-    /** A client's connection was opened. */
-    CLIENT_CONNECTED,
-    /** A client's connection ended. */
-    CLIENT_CLOSED,
-    /** A connection to a worker ended. */
-    WORKER_CLOSED,
-    /** A rule was broken: a fault of this program. */
-    RULE_VIOLATED
-  }
-
   private static final String SEPARATOR = " ";
 
-  private final Consumer<String> lines;
-  private final Consumer<String> traces;
+  private final Consumer<String> traceLines;
 
-  /** By kind and reason; reasons are a bounded set of words. */
-  private final Map<Kind, Map<String, long[]>> counts = new EnumMap<>(Kind.class);
+  /** By kind and reason; reasons are names of enum constants, so the table is bounded. */
+  private final Map<RouterEvent.Kind, Map<String, long[]>> counts =
+      new EnumMap<>(RouterEvent.Kind.class);
 
-  /**
-   * Events of one router.
-   *
-   * @param lines takes lines of the log
-   * @param traces takes a line for each event, or null where none are wanted
-   */
-  public RouterEvents(Consumer<String> lines, Consumer<String> traces) {
-    this.lines = lines;
-    this.traces = traces;
-    for (Kind kind : Kind.values()) {
+  private RouterEvents(Consumer<String> traceLines) {
+    this.traceLines = traceLines;
+    for (RouterEvent.Kind kind : RouterEvent.Kind.values()) {
       counts.put(kind, new HashMap<>());
     }
   }
 
-  /** Writes a line, whether events are traced or not. */
-  public void line(String text) {
-    lines.accept(text);
+  /** Events that are counted only. */
+  public static RouterEvents counting() {
+    return new RouterEvents(null);
   }
 
-  /** Whether each event has a line: a detail that costs something need not be made otherwise. */
-  public boolean isTracing() {
-    return traces != null;
+  /** Events that are counted and traced, in a line each. */
+  public static RouterEvents tracing(Consumer<String> traceLines) {
+    return new RouterEvents(traceLines);
   }
 
-  /**
-   * Notes an event.
-   *
-   * @param reason why, of a bounded set of words: the counter's name
-   * @param id of the request, or of the connection
-   * @param detail its text goes into the line, if there is one
-   */
-  public void record(Kind kind, String reason, String id, Object detail) {
+  /** Counts an event, and traces it where lines are wanted. */
+  public void record(RouterEvent event) {
     synchronized (counts) {
-      counts.get(kind).computeIfAbsent(reason, word -> new long[1])[0]++;
+      counts.get(event.kind()).computeIfAbsent(event.reasonName(), name -> new long[1])[0]++;
     }
-    if (traces != null) {
-      traces.accept(kind + SEPARATOR + reason + SEPARATOR + id + SEPARATOR + detail);
+    if (traceLines != null) {
+      traceLines.accept(traceLine(event));
     }
   }
 
-  /**
-   * Notes the end of a connection.
-   *
-   * @param why the reason, and behind a colon what it was in this case
-   */
-  public void recordClose(Kind kind, String why, String connectionId) {
-    int colon = why.indexOf(':');
-    String reason = colon < 0 ? why : why.substring(0, colon);
-    record(kind, reason.replace(' ', '-'), connectionId, why);
+  private static String traceLine(RouterEvent event) {
+    return String.join(
+        SEPARATOR, event.kind().name(), event.reasonName(), event.subjectId(), event.detail());
   }
 
   /** How often each kind happened for each reason, in the order of their names. */
@@ -106,7 +64,7 @@
   }
 
   /** How often a kind happened, whatever the reason. */
-  public long count(Kind kind) {
+  public long count(RouterEvent.Kind kind) {
     synchronized (counts) {
       return counts.get(kind).values().stream().mapToLong(count -> count[0]).sum();
     }
--- a/src/main/java/switchgap/server/platform/AttemptObserver.java
+++ b/src/main/java/switchgap/server/platform/AttemptObserver.java
@@ -5,10 +5,10 @@
 import switchgap.router.PendingRequest;
 import switchgap.router.Response;
 import switchgap.router.RouterCore;
+import switchgap.router.RouterEvent;
 import switchgap.router.RouterEvents;
-import switchgap.router.RouterEvents.Kind;
 
-/** Notes how attempts end, among the router's events. */
+/** Records how attempts end among the router's events. */
 final class AttemptObserver implements RouterCore.RequestObserver {
   private final RouterEvents events;
 
@@ -18,7 +18,7 @@
 
   @Override
   public void attemptEnded(Attempt attempt, AttemptOutcome outcome) {
-    events.record(Kind.ATTEMPT_ENDED, outcome.name(), attempt.request.id, attempt.worker.name);
+    events.record(new RouterEvent.AttemptEnded(attempt, outcome));
   }
 
   @Override
--- a/src/main/java/switchgap/server/platform/PlatformRouter.java
+++ b/src/main/java/switchgap/server/platform/PlatformRouter.java
@@ -18,8 +18,8 @@
 import switchgap.protocol.thrift.ThriftServer;
 import switchgap.router.CoreLimits;
 import switchgap.router.RouterCore;
+import switchgap.router.RouterDiagnostics;
 import switchgap.router.RouterEvents;
-import switchgap.router.RuleChecker;
 
 /**
  * A running router on the platform: Thrift to its clients, RESP to its workers, the control feed,
@@ -62,8 +62,7 @@
   private static final Duration SWEEP_INTERVAL = Duration.ofMillis(200);
 
   private final RateLimitedLog log;
-  private final RouterEvents events;
-  private final RuleChecker rules;
+  private final RouterDiagnostics diagnostics;
   private final PropertyRouterSettings settings;
   private final NetworkTransport network;
   private final EventLoop loop;
@@ -81,8 +80,7 @@
   PlatformRouter(PlatformConfig config, RateLimitedLog log) throws IOException {
     this.log = log;
     settings = config.settings();
-    events = new RouterEvents(log::line, log.isTracing() ? log::trace : null);
-    rules = new RuleChecker(settings, events);
+    diagnostics = RouterDiagnostics.of(settings, log::line, log.isTracing() ? log::trace : null);
     network = new NetworkTransport(SELECTOR_THREADS, "net");
     Consumer<String> logLines = log::line;
     AtomicReference<RespWorkerTransport> transport = new AtomicReference<>();
@@ -91,7 +89,7 @@
             eventLoop -> {
               transport.set(workerTransport(eventLoop, config.maxSockets()));
               RouterCore core = routerCore(transport.get(), config.seed());
-              core.observe(new AttemptObserver(events));
+              core.observe(new AttemptObserver(diagnostics.events()));
               return core;
             },
             "loop",
@@ -107,7 +105,7 @@
             clientLimits(config.maxSockets()),
             loop::now,
             loop::post,
-            rules);
+            diagnostics);
     longestTimeout = settings.longestTimeout();
     feed =
         new EventStreamClient(
@@ -133,7 +131,13 @@
             idleTimeout,
             settings.reportsConcurrency());
     return new RespWorkerTransport(
-        network, limits, requestClassNames(), coreLimits(), eventLoop::now, eventLoop::post, rules);
+        network,
+        limits,
+        requestClassNames(),
+        coreLimits(),
+        eventLoop::now,
+        eventLoop::post,
+        diagnostics);
   }
 
   private RouterCore routerCore(RespWorkerTransport transport, long seed) {
@@ -191,7 +195,7 @@
     String host = config.listenAddress().getHostString();
     ListenRetry.listen(() -> clients.listen(network, host, config.listenAddress().getPort()));
     feed.follow(config.feed());
-    rules.healthy(listKnown, now());
+    diagnostics.invariants().beforeHealthy(listKnown, now());
     reportHealthy(true);
     log.line("router " + config.name() + " serves at " + host + ":" + clients.port());
   }
@@ -241,12 +245,12 @@
 
   /** What happened to requests and connections so far. */
   RouterEvents events() {
-    return events;
+    return diagnostics.events();
   }
 
-  /** Violations of rules so far, each a fault of this program. */
+  /** Violated invariants so far, each a fault of this program. */
   long violations() {
-    return rules.violations();
+    return diagnostics.invariants().violations();
   }
 
   /** Fails all requests that are pending. */
--- a/src/main/java/switchgap/soak/RouterProcess.java
+++ b/src/main/java/switchgap/soak/RouterProcess.java
@@ -21,7 +21,7 @@
   private static final long READY_TIMEOUT_NANOS = 30_000_000_000L;
   private static final int HEARTBEAT_TIMEOUT_MILLIS = 2000;
   private static final long POLL_MILLIS = 10;
-  private static final String OWN_VIOLATION = "RULE_VIOLATED";
+  private static final String OWN_VIOLATION = "INVARIANT_VIOLATED";
   private static final int EXIT_KILLED = 137;
   private static final int STOP_SECONDS = 8;
 
--- a/src/test/java/switchgap/protocol/resp/PassedOnDeadlineTest.java
+++ b/src/test/java/switchgap/protocol/resp/PassedOnDeadlineTest.java
@@ -24,7 +24,7 @@
 import switchgap.router.ResponseListener;
 import switchgap.router.RouterCore;
 import switchgap.server.platform.TestPlatformSettings;
-import switchgap.testing.TestRules;
+import switchgap.testing.TestDiagnostics;
 
 /**
  * The time that a worker is given is what the client has left when the command goes out, not when
@@ -49,7 +49,7 @@
             new CoreLimits(TIMEOUT, TIMEOUT, 10),
             () -> now,
             events::add,
-            TestRules.checker());
+            TestDiagnostics.create());
     int[] attempts = {0};
     return new RouterCore(
         TestPlatformSettings.terms(),
--- a/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
+++ b/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
@@ -25,9 +25,9 @@
 import switchgap.router.Response;
 import switchgap.router.ResponseListener;
 import switchgap.router.RouterCore;
-import switchgap.router.RuleChecker;
+import switchgap.router.RouterDiagnostics;
 import switchgap.router.WorkerEntry;
-import switchgap.testing.TestRules;
+import switchgap.testing.TestDiagnostics;
 
 /**
  * A pool on real sockets, with the events of the loop taken one by one and a clock that the test
@@ -48,11 +48,12 @@
   private volatile Duration now = Duration.ZERO;
   private final RespConnectionPool pool;
 
-  private final RuleChecker rules = TestRules.checker();
+  private final RouterDiagnostics diagnostics = TestDiagnostics.create();
 
   RespConnectionPoolTest() throws IOException {
     net = new NetworkTransport(1, "pool-test");
-    pool = new RespConnectionManager(net, LIMITS, () -> now, events::add, rules).poolFor(worker);
+    pool =
+        new RespConnectionManager(net, LIMITS, () -> now, events::add, diagnostics).poolFor(worker);
   }
 
   private PendingExchange exchange(String id) {
@@ -65,7 +66,7 @@
   }
 
   private byte[] command(PendingExchange exchange) {
-    return exchange.command(now.toNanos(), rules);
+    return exchange.command(now.toNanos(), diagnostics);
   }
 
   private void runNextEvent() throws InterruptedException {
--- a/src/test/java/switchgap/protocol/thrift/ThriftServerFloodTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftServerFloodTest.java
@@ -15,7 +15,7 @@
 import switchgap.net.NetworkTransport;
 import switchgap.router.RouterCore;
 import switchgap.server.platform.TestPlatformSettings;
-import switchgap.testing.TestRules;
+import switchgap.testing.TestDiagnostics;
 
 /** Messages that come faster than the event loop takes them. */
 class ThriftServerFloodTest {
@@ -62,7 +62,7 @@
         limits,
         () -> Duration.ZERO,
         events::add,
-        TestRules.checker());
+        TestDiagnostics.create());
   }
 
   /**
--- a/src/test/java/switchgap/router/RuleCheckerTest.java
+++ b/src/test/java/switchgap/router/InvariantMonitorTest.java
@@ -8,28 +8,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import switchgap.router.RuleChecker.Rule;
 import switchgap.server.platform.TestPlatformSettings;
 
 /**
- * Mutants: for each rule a program that breaks it, and the check that notices; and one that breaks
+ * For each invariant a mutant that violates it and the check that reports it; and one that violates
  * none.
  */
-class RuleCheckerTest implements ResponseListener {
+class InvariantMonitorTest implements ResponseListener {
   private static final Duration NOW = Duration.ofMillis(100);
   private static final Duration DEADLINE = Duration.ofMillis(1000);
   private static final int NON_IDEMPOTENT = 1; // index of the class in the settings
 
   private final List<String> lines = new ArrayList<>();
-  private final RouterEvents events = new RouterEvents(lines::add, null);
-  private final RuleChecker rules;
+  private final RouterEvents events = RouterEvents.counting();
+  private final InvariantMonitor invariants;
   private final WorkerEntry worker = new WorkerEntry("w", "127.0.0.1", 1, 0);
   private final PendingRequest request =
       PendingRequest.builder("r", "f", DEADLINE, this).requestClass(NON_IDEMPOTENT).build();
   private boolean clientGone;
 
-  RuleCheckerTest() throws Exception {
-    rules = new RuleChecker(TestPlatformSettings.terms(), events);
+  InvariantMonitorTest() throws Exception {
+    invariants = new InvariantMonitor(TestPlatformSettings.terms(), events, lines::add);
   }
 
   private Attempt attempt(int number) {
@@ -39,18 +38,18 @@
   }
 
   private void sent(Attempt attempt) {
-    rules.attemptSent(attempt, Duration.ofMillis(500), NOW);
+    invariants.beforeAttempt(attempt, Duration.ofMillis(500), NOW);
   }
 
-  /** What a program without the rule's own check would do. */
-  private void breakRule(Rule rule) {
+  /** Does what a program would that does not keep the invariant. */
+  private void violate(Invariant invariant) {
     Attempt first = attempt(0);
-    switch (rule) {
+    switch (invariant) {
       case ATTEMPT_AFTER_ANSWER -> {
         request.state = PendingRequest.State.ANSWERED;
         sent(first);
       }
-      case ATTEMPT_FOR_GONE_CLIENT -> {
+      case ATTEMPT_FOR_DISCONNECTED_CLIENT -> {
         clientGone = true;
         sent(first);
       }
@@ -58,9 +57,10 @@
         worker.accepting = false;
         sent(first);
       }
-      case ATTEMPT_AFTER_DEADLINE -> rules.attemptSent(first, Duration.ofMillis(1), DEADLINE);
-      case TIME_PASSED_ON_TOO_LONG -> rules.attemptSent(first, Duration.ofMillis(1051), NOW);
-      case REPEAT_OF_NON_IDEMPOTENT -> {
+      case ATTEMPT_AFTER_DEADLINE ->
+          invariants.beforeAttempt(first, Duration.ofMillis(1), DEADLINE);
+      case TIMEOUT_PAST_DEADLINE -> invariants.beforeAttempt(first, Duration.ofMillis(1051), NOW);
+      case RETRY_OF_NON_IDEMPOTENT -> {
         first.ended = true; // timed out, and may have run
         sent(attempt(1));
       }
@@ -71,49 +71,51 @@
       }
       case LOAD_TO_DRAINING_WORKER -> {
         worker.accepting = false;
-        rules.loadSent(worker, NOW);
+        invariants.beforeLoad(worker, NOW);
       }
       case SECOND_ANSWER -> {
-        rules.answered(request, "SUCCEEDED", NOW);
-        rules.answered(request, "REJECTED", NOW);
+        invariants.beforeAnswer(request, NOW);
+        invariants.beforeAnswer(request, NOW);
       }
-      case CLOSED_UNANSWERED -> rules.closed("idle", false, 1, NOW);
-      case HEALTHY_WITHOUT_WORKERS -> rules.healthy(false, NOW);
-      default -> throw new IllegalArgumentException(rule + " has no mutant");
+      case CLOSED_UNANSWERED -> invariants.afterClose("c1", false, 1, NOW);
+      case HEALTHY_WITHOUT_WORKERS -> invariants.beforeHealthy(false, NOW);
+      default -> throw new IllegalArgumentException(invariant + " has no mutant");
     }
   }
 
   @ParameterizedTest
   @EnumSource
-  void eachRuleIsNoticedWhenItIsBroken(Rule rule) {
-    breakRule(rule);
-    assertThat(events.counts()).containsEntry(RouterEvents.Kind.RULE_VIOLATED + " " + rule, 1L);
-    assertThat(rules.violations()).isEqualTo(1);
-    assertThat(lines).singleElement().asString().contains(rule.name());
+  void eachViolationIsCountedAndLogged(Invariant invariant) {
+    violate(invariant);
+    assertThat(events.counts())
+        .containsEntry(RouterEvent.Kind.INVARIANT_VIOLATED + " " + invariant, 1L);
+    assertThat(invariants.violations()).isEqualTo(1);
+    assertThat(lines).singleElement().asString().contains(invariant.name());
   }
 
   @Test
-  void whatKeepsTheRulesIsNoViolation() {
+  void behaviourWithinTheSlackIsNoViolation() {
     Attempt first = attempt(0);
-    rules.attemptSent(first, Duration.ofMillis(1050), NOW); // with the slack that the users grant
+    invariants.beforeAttempt(
+        first, Duration.ofMillis(1050), NOW); // with the slack that the users grant
     first.ended = true;
     first.mayHaveExecuted = false;
     sent(attempt(1));
-    rules.loadSent(worker, NOW);
-    rules.answered(request, "SUCCEEDED", NOW);
-    rules.closed("unreadable message", true, 3, NOW);
-    rules.closed("idle", false, 0, NOW);
-    rules.healthy(true, NOW);
-    assertThat(rules.violations()).isZero();
+    invariants.beforeLoad(worker, NOW);
+    invariants.beforeAnswer(request, NOW);
+    invariants.afterClose("c2", true, 3, NOW);
+    invariants.afterClose("c1", false, 0, NOW);
+    invariants.beforeHealthy(true, NOW);
+    assertThat(invariants.violations()).isZero();
     assertThat(lines).isEmpty();
   }
 
   @Test
-  void noMoreThanALineASecondIsLoggedAndAllAreCounted() {
+  void atMostOneLineASecondIsLoggedAndAllViolationsAreCounted() {
     for (int millis = 0; millis < 2500; millis += 10) {
-      rules.closed("idle", false, 1, Duration.ofMillis(millis));
+      invariants.afterClose("c1", false, 1, Duration.ofMillis(millis));
     }
-    assertThat(rules.violations()).isEqualTo(250);
+    assertThat(invariants.violations()).isEqualTo(250);
     assertThat(lines).hasSize(3);
   }
 
