--- a/src/main/java/switchgap/cli/DemoCommand.java
+++ b/src/main/java/switchgap/cli/DemoCommand.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import switchgap.scenario.DemoScenario;
+import switchgap.testbed.scenario.DemoScenario;
 
 /** Runs a router, emulated workers and a short load in one process. */
 @Command(
--- a/src/main/java/switchgap/cli/EmulatorCommand.java
+++ b/src/main/java/switchgap/cli/EmulatorCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import switchgap.scenario.EmulatorHost;
+import switchgap.testbed.scenario.EmulatorHost;
 
 /**
  * Runs a scenario's emulated workers, store and endpoint list service without routers or clients.
--- a/src/main/java/switchgap/cli/ExperimentCommand.java
+++ b/src/main/java/switchgap/cli/ExperimentCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import switchgap.experiment.Experiment;
+import switchgap.testbed.experiment.Experiment;
 
 /** Compares variants of the router in simulated time. */
 @Command(
--- a/src/main/java/switchgap/cli/LabMemoryCommand.java
+++ b/src/main/java/switchgap/cli/LabMemoryCommand.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import switchgap.experiment.MemoryMeasurement;
+import switchgap.testbed.experiment.MemoryMeasurement;
 
 /** Measures the heap of a router at size and of each pending request. */
 @Command(
--- a/src/main/java/switchgap/cli/LabRelayCommand.java
+++ b/src/main/java/switchgap/cli/LabRelayCommand.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import switchgap.experiment.SpeedMeasurement;
+import switchgap.testbed.experiment.SpeedMeasurement;
 
 /** Runs the bare relay that the speed measurement compares with, until the process is killed. */
 @Command(
--- a/src/main/java/switchgap/cli/LabSpeedCommand.java
+++ b/src/main/java/switchgap/cli/LabSpeedCommand.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import switchgap.experiment.SpeedMeasurement;
+import switchgap.testbed.experiment.SpeedMeasurement;
 
 /** Measures latency and throughput of a router beside a bare relay. */
 @Command(
--- a/src/main/java/switchgap/cli/LoadCommand.java
+++ b/src/main/java/switchgap/cli/LoadCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import switchgap.experiment.LoadRun;
+import switchgap.testbed.experiment.LoadRun;
 
 /**
  * Sends an open-loop load that follows a curve to routers, or to the emulator where none is named.
--- a/src/main/java/switchgap/cli/RouterCommand.java
+++ b/src/main/java/switchgap/cli/RouterCommand.java
@@ -7,9 +7,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import switchgap.experiment.BaselineRouter;
 import switchgap.server.gateway.GatewayConfig;
 import switchgap.server.gateway.GatewayRouter;
+import switchgap.testbed.experiment.BaselineRouter;
 
 /** Runs a router until SIGTERM. */
 @Command(
--- a/src/main/java/switchgap/cli/ScenarioCheckCommand.java
+++ b/src/main/java/switchgap/cli/ScenarioCheckCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 import switchgap.config.InvalidConfigException;
-import switchgap.scenario.InvariantChecker;
+import switchgap.testbed.scenario.InvariantChecker;
 
 /** Checks the invariants from a scenario's logs. */
 @Command(
--- a/src/main/java/switchgap/cli/ScenarioRunCommand.java
+++ b/src/main/java/switchgap/cli/ScenarioRunCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import switchgap.scenario.ScenarioRunner;
+import switchgap.testbed.scenario.ScenarioRunner;
 
 /** Runs a scenario over loopback sockets and leaves its logs. */
 @Command(
--- a/src/main/java/switchgap/cli/SoakCommand.java
+++ b/src/main/java/switchgap/cli/SoakCommand.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import switchgap.soak.FaultKind;
-import switchgap.soak.Soak;
+import switchgap.testbed.soak.FaultKind;
+import switchgap.testbed.soak.Soak;
 
 /** Plays real router processes on loopback under faults that a seed draws. */
 @Command(
--- a/src/main/java/switchgap/emulator/ClientOutcome.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientOutcome.java
@@ -1,4 +1,4 @@
-package switchgap.emulator;
+package switchgap.testbed.emulator;
 
 /**
  * How a client's attempt ended, and the word for it in logs and in the routers' response header.
--- a/src/main/java/switchgap/emulator/ClientTransport.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientTransport.java
@@ -1,4 +1,4 @@
-package switchgap.emulator;
+package switchgap.testbed.emulator;
 
 /** How a client's attempt reaches a router: over sockets, or in virtual time. */
 public interface ClientTransport {
--- a/src/main/java/switchgap/emulator/ConnectionPool.java
+++ b/src/main/java/switchgap/testbed/emulator/ConnectionPool.java
@@ -1,4 +1,4 @@
-package switchgap.emulator;
+package switchgap.testbed.emulator;
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
--- a/src/main/java/switchgap/emulator/EndpointListService.java
+++ b/src/main/java/switchgap/testbed/emulator/EndpointListService.java
@@ -1,4 +1,4 @@
-package switchgap.emulator;
+package switchgap.testbed.emulator;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/switchgap/emulator/EventRecorder.java
+++ b/src/main/java/switchgap/testbed/emulator/EventRecorder.java
@@ -1,4 +1,4 @@
-package switchgap.emulator;
+package switchgap.testbed.emulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/switchgap/emulator/FunctionModel.java
+++ b/src/main/java/switchgap/testbed/emulator/FunctionModel.java
@@ -1,4 +1,4 @@
-package switchgap.emulator;
+package switchgap.testbed.emulator;
 
 /**
  * What the emulator knows of a function. Times in microseconds.
--- a/src/main/java/switchgap/emulator/ModelServerResponses.java
+++ b/src/main/java/switchgap/testbed/emulator/ModelServerResponses.java
@@ -1,4 +1,4 @@
-package switchgap.emulator;
+package switchgap.testbed.emulator;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/main/java/switchgap/emulator/RequestResult.java
+++ b/src/main/java/switchgap/testbed/emulator/RequestResult.java
@@ -1,4 +1,4 @@
-package switchgap.emulator;
+package switchgap.testbed.emulator;
 
 /**
  * What became of a client's request. Times in microseconds.
--- a/src/main/java/switchgap/emulator/Scheduler.java
+++ b/src/main/java/switchgap/testbed/emulator/Scheduler.java
@@ -1,4 +1,4 @@
-package switchgap.emulator;
+package switchgap.testbed.emulator;
 
 /** The emulator's clock and its single thread. */
 public interface Scheduler {
--- a/src/main/java/switchgap/emulator/package-info.java
+++ b/src/main/java/switchgap/testbed/emulator/package-info.java
@@ -4,4 +4,4 @@
  * message they see on their sockets. Their timing is simulated: figures measured against them say
  * nothing about real servers.
  */
-package switchgap.emulator;
+package switchgap.testbed.emulator;
--- a/src/main/java/switchgap/experiment/CapacityBound.java
+++ b/src/main/java/switchgap/testbed/experiment/CapacityBound.java
@@ -1,8 +1,8 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 import java.util.Comparator;
 import java.util.List;
-import switchgap.scenario.Scenario;
+import switchgap.testbed.scenario.Scenario;
 
 /**
  * What service capacity alone allows: each second's capacity goes to the requests that earn most
--- a/src/main/java/switchgap/experiment/EmulatedRouter.java
+++ b/src/main/java/switchgap/testbed/experiment/EmulatedRouter.java
@@ -1,12 +1,10 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import switchgap.emulator.EmulatedWorker;
-import switchgap.emulator.FunctionModel;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.policy.api.LoadReport;
 import switchgap.router.AdmissionGate;
@@ -16,6 +14,8 @@
 import switchgap.router.WorkerCommand;
 import switchgap.router.WorkerEntry;
 import switchgap.router.WorkerTransport;
+import switchgap.testbed.emulator.EmulatedWorker;
+import switchgap.testbed.emulator.FunctionModel;
 
 /**
  * The program's own core and admission gate in simulated time; its transport reaches the emulated
--- a/src/main/java/switchgap/experiment/Emulator.java
+++ b/src/main/java/switchgap/testbed/experiment/Emulator.java
@@ -1,4 +1,4 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -12,13 +12,6 @@
 import switchgap.admission.ServiceLevelChange;
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
-import switchgap.emulator.ClientTransport;
-import switchgap.emulator.EmulatedClients;
-import switchgap.emulator.EmulatedStore;
-import switchgap.emulator.EmulatedWorker;
-import switchgap.emulator.EventRecorder;
-import switchgap.emulator.FunctionCatalogue;
-import switchgap.emulator.FunctionModel;
 import switchgap.policy.RoutingPolicy;
 import switchgap.policy.api.RouterSettings;
 import switchgap.policy.api.WorkerState;
@@ -29,8 +22,15 @@
 import switchgap.router.Response;
 import switchgap.router.ResponseListener;
 import switchgap.router.RouterCore;
-import switchgap.scenario.LoadFaults;
-import switchgap.scenario.Scenario;
+import switchgap.testbed.emulator.ClientTransport;
+import switchgap.testbed.emulator.EmulatedClients;
+import switchgap.testbed.emulator.EmulatedStore;
+import switchgap.testbed.emulator.EmulatedWorker;
+import switchgap.testbed.emulator.EventRecorder;
+import switchgap.testbed.emulator.FunctionCatalogue;
+import switchgap.testbed.emulator.FunctionModel;
+import switchgap.testbed.scenario.LoadFaults;
+import switchgap.testbed.scenario.Scenario;
 
 /**
  * A scenario in simulated time: emulated workers, store and clients, and the program's own core,
--- a/src/main/java/switchgap/experiment/Experiment.java
+++ b/src/main/java/switchgap/testbed/experiment/Experiment.java
@@ -1,4 +1,4 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -10,7 +10,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import switchgap.config.YamlDocument;
-import switchgap.scenario.Scenario;
+import switchgap.testbed.scenario.Scenario;
 
 /** Variants over scenarios, curves and seeds, the same arrivals for each variant, on all cores. */
 public final class Experiment {
--- a/src/main/java/switchgap/experiment/ExperimentCase.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentCase.java
@@ -1,8 +1,8 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 import java.util.List;
 import java.util.function.ToDoubleFunction;
-import switchgap.scenario.Scenario;
+import switchgap.testbed.scenario.Scenario;
 
 /** One scenario under one curve, and the trials of all variants and seeds. */
 record ExperimentCase(Scenario scenario, LoadCurve curve, List<Trial> trials) {
--- a/src/main/java/switchgap/experiment/LoadCurve.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadCurve.java
@@ -1,4 +1,4 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 import java.io.IOException;
 import java.io.Reader;
@@ -10,8 +10,8 @@
 import org.apache.commons.csv.CSVRecord;
 import switchgap.config.InvalidConfigException;
 import switchgap.config.YamlDocument;
-import switchgap.emulator.EmulatedClients;
-import switchgap.emulator.Scheduler;
+import switchgap.testbed.emulator.EmulatedClients;
+import switchgap.testbed.emulator.Scheduler;
 
 /**
  * A load over time: straight lines between points of time (microseconds) and load (share of
--- a/src/main/java/switchgap/experiment/LoadRun.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRun.java
@@ -1,4 +1,4 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -15,14 +15,14 @@
 import org.HdrHistogram.Histogram;
 import switchgap.config.InvalidConfigException;
 import switchgap.config.YamlDocument;
-import switchgap.emulator.EmulatedClients;
-import switchgap.emulator.EventRecorder;
-import switchgap.emulator.FunctionCatalogue;
-import switchgap.emulator.RealTimeScheduler;
-import switchgap.emulator.Scheduler;
-import switchgap.emulator.SocketClientTransport;
 import switchgap.net.NetworkTransport;
-import switchgap.scenario.Scenario;
+import switchgap.testbed.emulator.EmulatedClients;
+import switchgap.testbed.emulator.EventRecorder;
+import switchgap.testbed.emulator.FunctionCatalogue;
+import switchgap.testbed.emulator.RealTimeScheduler;
+import switchgap.testbed.emulator.Scheduler;
+import switchgap.testbed.emulator.SocketClientTransport;
+import switchgap.testbed.scenario.Scenario;
 
 /**
  * An open-loop load with a curve, against routers on sockets or the emulator: requests are sent
--- a/src/main/java/switchgap/experiment/ResultTable.java
+++ b/src/main/java/switchgap/testbed/experiment/ResultTable.java
@@ -1,4 +1,4 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 import java.io.BufferedOutputStream;
 import java.io.IOException;
--- a/src/main/java/switchgap/experiment/SecondSample.java
+++ b/src/main/java/switchgap/testbed/experiment/SecondSample.java
@@ -1,4 +1,4 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 /**
  * One second of a trial.
--- a/src/main/java/switchgap/experiment/SmallRequestLoad.java
+++ b/src/main/java/switchgap/testbed/experiment/SmallRequestLoad.java
@@ -1,4 +1,4 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/switchgap/experiment/SpeedMeasurement.java
+++ b/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
@@ -1,4 +1,4 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -16,8 +16,8 @@
 import switchgap.net.HttpExchange;
 import switchgap.net.HttpServer;
 import switchgap.net.NetworkTransport;
-import switchgap.scenario.ChildProcess;
-import switchgap.scenario.LoopbackPorts;
+import switchgap.testbed.scenario.ChildProcess;
+import switchgap.testbed.scenario.LoopbackPorts;
 
 /**
  * Latency that the router adds, and the most requests it passes, beside a relay of the same filter
--- a/src/main/java/switchgap/experiment/Spread.java
+++ b/src/main/java/switchgap/testbed/experiment/Spread.java
@@ -1,4 +1,4 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 /** Mean and standard deviation over seeds; a single value has no deviation. */
 record Spread(double mean, double deviation) {
--- a/src/main/java/switchgap/experiment/Trial.java
+++ b/src/main/java/switchgap/testbed/experiment/Trial.java
@@ -1,4 +1,4 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 import switchgap.admission.AdmissionController;
 import switchgap.admission.ServiceLevel;
-import switchgap.emulator.EmulatedClients;
-import switchgap.scenario.Scenario;
+import switchgap.testbed.emulator.EmulatedClients;
+import switchgap.testbed.scenario.Scenario;
 
 /**
  * One variant over one curve with one seed, and what came of it. Plays when it is made; immutable
--- a/src/main/java/switchgap/experiment/Variant.java
+++ b/src/main/java/switchgap/testbed/experiment/Variant.java
@@ -1,4 +1,4 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/main/java/switchgap/experiment/VirtualTimeScheduler.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeScheduler.java
@@ -1,7 +1,7 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 import java.util.PriorityQueue;
-import switchgap.emulator.Scheduler;
+import switchgap.testbed.emulator.Scheduler;
 
 /** Simulated time: events in order of time, equal ones in the order they were set. */
 final class VirtualTimeScheduler implements Scheduler {
--- a/src/main/java/switchgap/experiment/package-info.java
+++ b/src/main/java/switchgap/testbed/experiment/package-info.java
@@ -3,4 +3,4 @@
  * loads on sockets, and the router's latency, throughput and memory beside a bare relay. Only the
  * command line depends on this package.
  */
-package switchgap.experiment;
+package switchgap.testbed.experiment;
--- a/src/main/java/switchgap/scenario/AnswersRule.java
+++ b/src/main/java/switchgap/testbed/scenario/AnswersRule.java
@@ -1,6 +1,6 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
-import switchgap.emulator.ClientOutcome;
+import switchgap.testbed.emulator.ClientOutcome;
 
 /**
  * Each attempt gets one final response before its deadline, and nothing is sent to a worker for it
--- a/src/main/java/switchgap/scenario/EmulatorHost.java
+++ b/src/main/java/switchgap/testbed/scenario/EmulatorHost.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import java.io.IOException;
 import java.io.PrintStream;
--- a/src/main/java/switchgap/scenario/FaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/FaultInjector.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 /** Injects some types of faults. */
 interface FaultInjector {
--- a/src/main/java/switchgap/scenario/FaultType.java
+++ b/src/main/java/switchgap/testbed/scenario/FaultType.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 /**
  * Types of faults that a fault script injects. Their names are the words of scenarios and logs;
--- a/src/main/java/switchgap/scenario/ListFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 /** Injects faults of the endpoint list and of the zones that traffic goes to. */
 final class ListFaultInjector implements FaultInjector {
--- a/src/main/java/switchgap/scenario/LoadFaults.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadFaults.java
@@ -1,12 +1,12 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import switchgap.emulator.EmulatedClients;
-import switchgap.emulator.EmulatedStore;
-import switchgap.emulator.FunctionCatalogue;
-import switchgap.emulator.Scheduler;
+import switchgap.testbed.emulator.EmulatedClients;
+import switchgap.testbed.emulator.EmulatedStore;
+import switchgap.testbed.emulator.FunctionCatalogue;
+import switchgap.testbed.emulator.Scheduler;
 
 /**
  * Injects the faults of clients, functions and the store: the same over sockets and in virtual
--- a/src/main/java/switchgap/scenario/LogLine.java
+++ b/src/main/java/switchgap/testbed/scenario/LogLine.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import com.fasterxml.jackson.databind.JsonNode;
 
--- a/src/main/java/switchgap/scenario/ObservedAttempt.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedAttempt.java
@@ -1,8 +1,8 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import java.util.ArrayList;
 import java.util.List;
-import switchgap.emulator.ClientOutcome;
+import switchgap.testbed.emulator.ClientOutcome;
 
 /** A client's attempt as its log and the workers' log show it. Times in microseconds. */
 final class ObservedAttempt {
--- a/src/main/java/switchgap/scenario/ObservedExecution.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedExecution.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 /** A request at a worker, as the workers' log shows it. Times in microseconds. */
 final class ObservedExecution {
--- a/src/main/java/switchgap/scenario/RepeatRule.java
+++ b/src/main/java/switchgap/testbed/scenario/RepeatRule.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import java.util.List;
 import java.util.stream.Stream;
--- a/src/main/java/switchgap/scenario/RepeatsRule.java
+++ b/src/main/java/switchgap/testbed/scenario/RepeatsRule.java
@@ -1,10 +1,10 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import switchgap.emulator.ClientOutcome;
+import switchgap.testbed.emulator.ClientOutcome;
 
 /**
  * No request that must not be repeated takes effect twice, none that ran is rejected as if it had
--- a/src/main/java/switchgap/scenario/RouterAddress.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterAddress.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 /**
  * The loopback address from which each router connects to its workers: it tells the logs who sent a
--- a/src/main/java/switchgap/scenario/RouterConfigWriter.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import java.util.Comparator;
 import java.util.LinkedHashMap;
@@ -7,8 +7,8 @@
 import org.yaml.snakeyaml.LoaderOptions;
 import org.yaml.snakeyaml.Yaml;
 import org.yaml.snakeyaml.constructor.SafeConstructor;
-import switchgap.emulator.FunctionCatalogue;
-import switchgap.emulator.FunctionModel;
+import switchgap.testbed.emulator.FunctionCatalogue;
+import switchgap.testbed.emulator.FunctionModel;
 
 /** Writes the configuration of a scenario's routers, as YAML. */
 final class RouterConfigWriter {
--- a/src/main/java/switchgap/scenario/RouterFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterFaultInjector.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 /** Injects faults of routers and their planners. */
 final class RouterFaultInjector implements FaultInjector {
--- a/src/main/java/switchgap/scenario/RouterGroup.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterGroup.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import switchgap.emulator.FunctionCatalogue;
+import switchgap.testbed.emulator.FunctionCatalogue;
 
 /** The routers of a test bed: their configurations, ports and processes. */
 final class RouterGroup {
--- a/src/main/java/switchgap/scenario/Scenario.java
+++ b/src/main/java/switchgap/testbed/scenario/Scenario.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -10,12 +10,12 @@
 import org.yaml.snakeyaml.Yaml;
 import org.yaml.snakeyaml.constructor.SafeConstructor;
 import switchgap.config.YamlDocument;
-import switchgap.emulator.ClientSettings;
-import switchgap.emulator.ClientTransport;
-import switchgap.emulator.EmulatedClients;
-import switchgap.emulator.EmulatedWorker;
-import switchgap.emulator.FunctionCatalogue;
-import switchgap.emulator.Scheduler;
+import switchgap.testbed.emulator.ClientSettings;
+import switchgap.testbed.emulator.ClientTransport;
+import switchgap.testbed.emulator.EmulatedClients;
+import switchgap.testbed.emulator.EmulatedWorker;
+import switchgap.testbed.emulator.FunctionCatalogue;
+import switchgap.testbed.emulator.Scheduler;
 
 /** A scenario as its document states it: fleet, routers, load, fault script and seed. Immutable. */
 public final class Scenario {
--- a/src/main/java/switchgap/scenario/ScenarioLog.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioLog.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import switchgap.emulator.ClientOutcome;
+import switchgap.testbed.emulator.ClientOutcome;
 
 /**
  * What passed on the sockets of clients and workers while a scenario was played, joined from its
--- a/src/main/java/switchgap/scenario/ScenarioReader.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import java.nio.file.Path;
 import java.time.Duration;
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import switchgap.config.YamlDocument;
-import switchgap.emulator.EmulatedClients;
-import switchgap.emulator.FunctionCatalogue;
+import switchgap.testbed.emulator.EmulatedClients;
+import switchgap.testbed.emulator.FunctionCatalogue;
 
 /** Reads the settings of a scenario from its document; a mistake names file, line and key. */
 final class ScenarioReader {
--- a/src/main/java/switchgap/scenario/ScenarioRunner.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.util.concurrent.CompletableFuture;
-import switchgap.emulator.EmulatedClients;
+import switchgap.testbed.emulator.EmulatedClients;
 
 /**
  * Plays a scenario: starts the test bed, lets clients send while faults are injected, ends all in
--- a/src/main/java/switchgap/scenario/ScenarioSettings.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
@@ -1,9 +1,9 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import java.util.List;
 import java.util.Map;
-import switchgap.emulator.EmulatedClients;
-import switchgap.emulator.FunctionCatalogue;
+import switchgap.testbed.emulator.EmulatedClients;
+import switchgap.testbed.emulator.FunctionCatalogue;
 
 /**
  * What a scenario's document states. Times in microseconds.
@@ -54,7 +54,7 @@
 
   /**
    * What every worker allows and how it loads; see {@link
-   * switchgap.emulator.EmulatedWorker.Hardware}.
+   * switchgap.testbed.emulator.EmulatedWorker.Hardware}.
    */
   record WorkerLimits(
       int slotsPerCore,
--- a/src/main/java/switchgap/scenario/TestBed.java
+++ b/src/main/java/switchgap/testbed/scenario/TestBed.java
@@ -1,21 +1,21 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.SplittableRandom;
-import switchgap.emulator.EmulatedClients;
-import switchgap.emulator.EmulatedStore;
-import switchgap.emulator.EndpointListService;
-import switchgap.emulator.EventRecorder;
-import switchgap.emulator.FunctionCatalogue;
-import switchgap.emulator.ModelServerContext;
-import switchgap.emulator.RealTimeScheduler;
-import switchgap.emulator.SocketClientTransport;
-import switchgap.emulator.StoreClient;
-import switchgap.emulator.StoreService;
 import switchgap.net.NetworkTransport;
+import switchgap.testbed.emulator.EmulatedClients;
+import switchgap.testbed.emulator.EmulatedStore;
+import switchgap.testbed.emulator.EndpointListService;
+import switchgap.testbed.emulator.EventRecorder;
+import switchgap.testbed.emulator.FunctionCatalogue;
+import switchgap.testbed.emulator.ModelServerContext;
+import switchgap.testbed.emulator.RealTimeScheduler;
+import switchgap.testbed.emulator.SocketClientTransport;
+import switchgap.testbed.emulator.StoreClient;
+import switchgap.testbed.emulator.StoreService;
 
 /**
  * Everything that a scenario needs on loopback ports: model servers, store, endpoint list, routers,
--- a/src/main/java/switchgap/scenario/WorkerFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
@@ -1,11 +1,11 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
-import switchgap.emulator.EmulatedModelServer;
-import switchgap.emulator.FunctionModel;
-import switchgap.emulator.WorkerFaults;
+import switchgap.testbed.emulator.EmulatedModelServer;
+import switchgap.testbed.emulator.FunctionModel;
+import switchgap.testbed.emulator.WorkerFaults;
 
 /** Injects faults of workers that go on running: slow ones, spoilt responses, void replicas. */
 final class WorkerFaultInjector implements FaultInjector {
--- a/src/main/java/switchgap/scenario/WorkerFleet.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -11,11 +11,11 @@
 import java.util.SplittableRandom;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import switchgap.emulator.EmulatedModelServer;
-import switchgap.emulator.EmulatedWorker;
-import switchgap.emulator.EndpointListService;
-import switchgap.emulator.FunctionFetcher;
-import switchgap.emulator.ModelServerContext;
+import switchgap.testbed.emulator.EmulatedModelServer;
+import switchgap.testbed.emulator.EmulatedWorker;
+import switchgap.testbed.emulator.EndpointListService;
+import switchgap.testbed.emulator.FunctionFetcher;
+import switchgap.testbed.emulator.ModelServerContext;
 
 /**
  * The model servers of a test bed and their lines of the endpoint list. On the scheduler's thread
--- a/src/main/java/switchgap/scenario/WorkerReplacementInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
@@ -1,7 +1,7 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import java.util.List;
-import switchgap.emulator.EmulatedModelServer;
+import switchgap.testbed.emulator.EmulatedModelServer;
 
 /** Injects faults that end workers: drained, replaced, killed or restarted. */
 final class WorkerReplacementInjector implements FaultInjector {
--- a/src/main/java/switchgap/soak/ActiveFaults.java
+++ b/src/main/java/switchgap/testbed/soak/ActiveFaults.java
@@ -1,4 +1,4 @@
-package switchgap.soak;
+package switchgap.testbed.soak;
 
 import java.util.concurrent.atomic.AtomicIntegerArray;
 
--- a/src/main/java/switchgap/soak/ClientRequest.java
+++ b/src/main/java/switchgap/testbed/soak/ClientRequest.java
@@ -1,4 +1,4 @@
-package switchgap.soak;
+package switchgap.testbed.soak;
 
 /**
  * A request as its client saw it. Times are of {@link System#nanoTime}; 0 where something did not
--- a/src/main/java/switchgap/soak/EmulatedFleet.java
+++ b/src/main/java/switchgap/testbed/soak/EmulatedFleet.java
@@ -1,4 +1,4 @@
-package switchgap.soak;
+package switchgap.testbed.soak;
 
 import java.io.IOException;
 import java.util.ArrayList;
--- a/src/main/java/switchgap/soak/FaultKind.java
+++ b/src/main/java/switchgap/testbed/soak/FaultKind.java
@@ -1,4 +1,4 @@
-package switchgap.soak;
+package switchgap.testbed.soak;
 
 /** What a seed may draw. */
 public enum FaultKind {
--- a/src/main/java/switchgap/soak/FaultRunner.java
+++ b/src/main/java/switchgap/testbed/soak/FaultRunner.java
@@ -1,4 +1,4 @@
-package switchgap.soak;
+package switchgap.testbed.soak;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -11,11 +11,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import switchgap.soak.FaultPlan.Fault;
-import switchgap.soak.SoakRecords.Span;
-import switchgap.soak.SystemCallFaults.Call;
-import switchgap.soak.SystemCallFaults.ErrorNumber;
-import switchgap.soak.WorkerEmulator.Misbehaviour;
+import switchgap.testbed.soak.FaultPlan.Fault;
+import switchgap.testbed.soak.SoakRecords.Span;
+import switchgap.testbed.soak.SystemCallFaults.Call;
+import switchgap.testbed.soak.SystemCallFaults.ErrorNumber;
+import switchgap.testbed.soak.WorkerEmulator.Misbehaviour;
 
 /** Begins and ends faults, each on a thread of its own. */
 final class FaultRunner {
--- a/src/main/java/switchgap/soak/Soak.java
+++ b/src/main/java/switchgap/testbed/soak/Soak.java
@@ -1,4 +1,4 @@
-package switchgap.soak;
+package switchgap.testbed.soak;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -16,8 +16,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import switchgap.soak.FaultPlan.Fault;
-import switchgap.soak.SoakJudge.Violation;
+import switchgap.testbed.soak.FaultPlan.Fault;
+import switchgap.testbed.soak.SoakJudge.Violation;
 
 /** One soak run: starts all, plays the faults, stops all, judges. */
 public final class Soak {
--- a/src/main/java/switchgap/soak/SoakJudge.java
+++ b/src/main/java/switchgap/testbed/soak/SoakJudge.java
@@ -1,4 +1,4 @@
-package switchgap.soak;
+package switchgap.testbed.soak;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,8 +6,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import switchgap.soak.SoakRecords.Span;
-import switchgap.soak.SoakRecords.WorkerLife;
+import switchgap.testbed.soak.SoakRecords.Span;
+import switchgap.testbed.soak.SoakRecords.WorkerLife;
 
 /** Judges a run by the rules and terms, from what the emulators saw. */
 final class SoakJudge {
--- a/src/main/java/switchgap/soak/WorkerEmulator.java
+++ b/src/main/java/switchgap/testbed/soak/WorkerEmulator.java
@@ -1,4 +1,4 @@
-package switchgap.soak;
+package switchgap.testbed.soak;
 
 import java.io.BufferedInputStream;
 import java.io.EOFException;
--- a/src/main/java/switchgap/soak/WorkerExecution.java
+++ b/src/main/java/switchgap/testbed/soak/WorkerExecution.java
@@ -1,4 +1,4 @@
-package switchgap.soak;
+package switchgap.testbed.soak;
 
 /**
  * An attempt as its worker saw it.
--- a/src/main/java/switchgap/soak/package-info.java
+++ b/src/main/java/switchgap/testbed/soak/package-info.java
@@ -4,4 +4,4 @@
  * emulators saw, never by the routers' own word; nothing here shares code with the router's
  * protocols.
  */
-package switchgap.soak;
+package switchgap.testbed.soak;
--- a/src/test/java/switchgap/LayersTest.java
+++ b/src/test/java/switchgap/LayersTest.java
@@ -27,6 +27,7 @@
   @Test
   void packagesDependOneWay() {
     slices().matching("switchgap.(*)..").should().beFreeOfCycles().check(all);
+    slices().matching("switchgap.testbed.(*)..").should().beFreeOfCycles().check(all);
     layeredArchitecture()
         .consideringOnlyDependenciesInAnyPackage("switchgap..")
         .layer("policy")
@@ -56,15 +57,15 @@
         .layer("gateway")
         .definedBy("switchgap.server.gateway")
         .layer("emulator")
-        .definedBy("switchgap.emulator")
+        .definedBy("switchgap.testbed.emulator")
         .layer("scenarios")
-        .definedBy("switchgap.scenario", "switchgap.experiment")
+        .definedBy("switchgap.testbed.scenario", "switchgap.testbed.experiment")
         .layer("simulator")
         .definedBy("switchgap.simulator")
         .layer("cli")
         .definedBy("switchgap.cli")
         .layer("soak")
-        .definedBy("switchgap.soak")
+        .definedBy("switchgap.testbed.soak")
         .whereLayer("soak")
         .mayOnlyBeAccessedByLayers("cli")
         .whereLayer("cli")
--- a/src/test/java/switchgap/server/gateway/EndpointListTest.java
+++ b/src/test/java/switchgap/server/gateway/EndpointListTest.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import switchgap.emulator.EndpointListService;
-import switchgap.emulator.EventRecorder;
-import switchgap.emulator.RealTimeScheduler;
 import switchgap.net.NetworkTransport;
+import switchgap.testbed.emulator.EndpointListService;
+import switchgap.testbed.emulator.EventRecorder;
+import switchgap.testbed.emulator.RealTimeScheduler;
 
 /**
  * The endpoint list while requests run: workers gone, draining, restarted, and a service that is
--- a/src/test/java/switchgap/server/platform/SystemCallFailureTest.java
+++ b/src/test/java/switchgap/server/platform/SystemCallFailureTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import switchgap.soak.SystemCallFaults;
-import switchgap.soak.SystemCallFaults.Call;
-import switchgap.soak.SystemCallFaults.ErrorNumber;
+import switchgap.testbed.soak.SystemCallFaults;
+import switchgap.testbed.soak.SystemCallFaults.Call;
+import switchgap.testbed.soak.SystemCallFaults.ErrorNumber;
 
 /**
  * System calls of a router's process fail in the ways that Linux documents; no request that was
--- a/src/test/java/switchgap/emulator/ClientOutcomeTest.java
+++ b/src/test/java/switchgap/testbed/emulator/ClientOutcomeTest.java
@@ -1,4 +1,4 @@
-package switchgap.emulator;
+package switchgap.testbed.emulator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/switchgap/experiment/EmulatorAgainstSocketsTest.java
+++ b/src/test/java/switchgap/testbed/experiment/EmulatorAgainstSocketsTest.java
@@ -1,4 +1,4 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
@@ -8,10 +8,10 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import switchgap.emulator.EmulatedClients;
-import switchgap.scenario.InvariantChecker;
-import switchgap.scenario.Scenario;
-import switchgap.scenario.ScenarioRunner;
+import switchgap.testbed.emulator.EmulatedClients;
+import switchgap.testbed.scenario.InvariantChecker;
+import switchgap.testbed.scenario.Scenario;
+import switchgap.testbed.scenario.ScenarioRunner;
 
 /**
  * The emulator and the stand-ins on sockets hold the same day to the same account: same arrivals,
--- a/src/test/java/switchgap/experiment/EmulatorTest.java
+++ b/src/test/java/switchgap/testbed/experiment/EmulatorTest.java
@@ -1,4 +1,4 @@
-package switchgap.experiment;
+package switchgap.testbed.experiment;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import switchgap.admission.ServiceLevel;
-import switchgap.scenario.Scenario;
+import switchgap.testbed.scenario.Scenario;
 
 /**
  * Simulated time: the same seed plays the same day, variants meet the same arrivals, and levels act
--- a/src/test/java/switchgap/scenario/ScenarioRunnerTest.java
+++ b/src/test/java/switchgap/testbed/scenario/ScenarioRunnerTest.java
@@ -1,4 +1,4 @@
-package switchgap.scenario;
+package switchgap.testbed.scenario;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/switchgap/soak/SoakJudgeTest.java
+++ b/src/test/java/switchgap/testbed/soak/SoakJudgeTest.java
@@ -1,4 +1,4 @@
-package switchgap.soak;
+package switchgap.testbed.soak;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import switchgap.soak.SoakJudge.Rule;
-import switchgap.soak.SoakRecords.Span;
-import switchgap.soak.SoakRecords.WorkerLife;
+import switchgap.testbed.soak.SoakJudge.Rule;
+import switchgap.testbed.soak.SoakRecords.Span;
+import switchgap.testbed.soak.SoakRecords.WorkerLife;
 
 /**
  * The judge sees each rule broken in records that break it, and none in records of a run that is
--- a/src/test/java/switchgap/soak/SoakTest.java
+++ b/src/test/java/switchgap/testbed/soak/SoakTest.java
@@ -1,4 +1,4 @@
-package switchgap.soak;
+package switchgap.testbed.soak;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
