--- a/src/main/java/switchgap/testbed/scenario/FaultType.java
+++ b/src/main/java/switchgap/testbed/scenario/FaultType.java
@@ -2,7 +2,7 @@
 
 /**
  * Types of faults that a fault script injects. Their names are the words of scenarios and logs;
- * docs/days.md tells what each stands for.
+ * docs/scenarios.md tells what each stands for.
  */
 public enum FaultType {
   /** Workers run and load more slowly. */
