--- a/src/test/java/switchgap/net/ConnectionCloserTest.java
+++ b/src/test/java/switchgap/net/ConnectionCloserTest.java
@@ -27,7 +27,7 @@
         connection.send(new byte[1 << 20]);
       }
       assertThat(connection.unsentBytes()).as("the client does not read").isPositive();
-      connection.close("reads no answers");
+      connection.close(CloseReason.Transport.WRITE_FAILED);
       assertThat(isReset(client)).as("the socket is still there").isTrue();
     }
   }
@@ -55,5 +55,5 @@
   public void received(TcpConnection connection, ByteBuffer bytes) {}
 
   @Override
-  public void closed(TcpConnection connection, String reason) {}
+  public void closed(TcpConnection connection, CloseCause cause) {}
 }
--- a/src/test/java/switchgap/net/ConnectorTest.java
+++ b/src/test/java/switchgap/net/ConnectorTest.java
@@ -41,7 +41,7 @@
     public void received(TcpConnection connection, ByteBuffer bytes) {}
 
     @Override
-    public void closed(TcpConnection connection, String reason) {}
+    public void closed(TcpConnection connection, CloseCause cause) {}
   }
 
   private String connect(NetworkTransport transport, int port, Duration timeout) throws Exception {
--- a/src/test/java/switchgap/net/SelectorThreadsTest.java
+++ b/src/test/java/switchgap/net/SelectorThreadsTest.java
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void closed(TcpConnection connection, String reason) {}
+    public void closed(TcpConnection connection, CloseCause cause) {}
   }
 
   @ParameterizedTest
