--- a/src/main/java/switchgap/endpoints/EventStreamClient.java
+++ b/src/main/java/switchgap/endpoints/EventStreamClient.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import switchgap.net.HttpClientConnection;
-import switchgap.net.PauseDetector;
+import switchgap.net.StallDetector;
 import switchgap.net.TimerThread;
 import switchgap.protocol.sse.ServerSentEventDecoder;
 
@@ -60,8 +60,8 @@
   private long gapSequence;
 
   private int failedAttempts;
-  private final PauseDetector pauseDetector =
-      new PauseDetector(SILENCE_CHECK_INTERVAL, Duration.ofNanos(System.nanoTime()));
+  private final StallDetector stallDetector =
+      new StallDetector(SILENCE_CHECK_INTERVAL, Duration.ofNanos(System.nanoTime()));
   private long lastDataNanos;
 
   /** Number of the connection attempt made last. */
@@ -122,7 +122,7 @@
 
   private synchronized void reconnectIfSilent() {
     // what the feed said while the process was held up is not read yet
-    lastDataNanos += pauseDetector.heldUp(Duration.ofNanos(System.nanoTime())).toNanos();
+    lastDataNanos += stallDetector.recordCheck(Duration.ofNanos(System.nanoTime())).toNanos();
     if (state.awaitsData() && System.nanoTime() - lastDataNanos > SILENCE_TIMEOUT.toNanos()) {
       log.accept("control feed silent, it is asked anew");
       connect();
--- a/src/main/java/switchgap/net/Connector.java
+++ b/src/main/java/switchgap/net/Connector.java
@@ -98,7 +98,7 @@
     /** Held up with the process, a timer must not go before what the selector has not seen yet. */
     private void due() {
       long lateNanos = System.nanoTime() - dueNanos;
-      if (lateNanos < PauseDetector.THRESHOLD.toNanos()) {
+      if (lateNanos < StallDetector.THRESHOLD.toNanos()) {
         timedOut();
       } else if (pendingCallback.get() != null) {
         timer =
--- a/src/main/java/switchgap/net/HttpServer.java
+++ b/src/main/java/switchgap/net/HttpServer.java
@@ -55,7 +55,7 @@
   private final Set<Connection<?>> openConnections = ConcurrentHashMap.newKeySet();
 
   /** The timer thread alone uses it. */
-  private final PauseHistory pauses = new PauseHistory();
+  private final StallHistory stalls = new StallHistory();
 
   private TCPNIOServerConnection listener;
   private ScheduledFuture<?> sweeper;
@@ -87,11 +87,11 @@
         Math.max(
             MIN_SWEEP_INTERVAL_MILLIS,
             limits.receiveTimeout().toMillis() / SWEEPS_PER_RECEIVE_TIMEOUT);
-    PauseDetector pauseDetector =
-        new PauseDetector(Duration.ofMillis(interval), Duration.ofNanos(System.nanoTime()));
+    StallDetector stallDetector =
+        new StallDetector(Duration.ofMillis(interval), Duration.ofNanos(System.nanoTime()));
     sweeper =
         TimerThread.EXECUTOR.scheduleAtFixedRate(
-            () -> closeOverdueConnections(pauseDetector),
+            () -> closeOverdueConnections(stallDetector),
             interval,
             interval,
             TimeUnit.MILLISECONDS);
@@ -125,16 +125,16 @@
    * silence, or a connection on which nothing comes at all. Each kept its place for good, until all
    * were taken. Pauses of the process do not count.
    */
-  private void closeOverdueConnections(PauseDetector pauseDetector) {
+  private void closeOverdueConnections(StallDetector stallDetector) {
     Duration now = Duration.ofNanos(System.nanoTime());
-    Duration pause = pauseDetector.heldUp(now);
-    pauses.add(now, pause);
-    if (!pause.isZero()) {
+    Duration stall = stallDetector.recordCheck(now);
+    stalls.add(now, stall);
+    if (!stall.isZero()) {
       transport.awaitPendingReads(); // requests may have come meanwhile
     }
     openConnections.forEach(
         connection -> {
-          if (states.get(connection).isOverdue(now, limits, pauses)) {
+          if (states.get(connection).isOverdue(now, limits, stalls)) {
             ConnectionCloser.close(connection);
           }
         });
--- a/src/main/java/switchgap/net/NetworkTransport.java
+++ b/src/main/java/switchgap/net/NetworkTransport.java
@@ -21,13 +21,11 @@
   /** Bytes read at a time; Grizzly's default is as large as the socket's own buffer. */
   static final int READ_BUFFER_BYTES = 16 << 10;
 
-  /**
-   * Time for which a thread waits for reads after a pause; selectors that are alive need far less.
-   */
+  /** Time for which a thread waits for reads after a stall; running event loops need far less. */
   private static final Duration MAX_READ_WAIT = Duration.ofMillis(200);
 
   final TCPNIOTransport transport;
-  private final SelectorRounds rounds = new SelectorRounds();
+  private final StallTrackingSelectorHandler eventLoops = new StallTrackingSelectorHandler();
 
   /**
    * Starts the selector threads, as daemons.
@@ -53,17 +51,18 @@
     builder.setServerConnectionBackLog(LISTEN_BACKLOG);
     builder.setReadBufferSize(READ_BUFFER_BYTES);
     transport = builder.build();
-    transport.setSelectorHandler(rounds);
+    transport.setSelectorHandler(eventLoops);
     transport.start();
   }
 
   /**
-   * Waits until what stands in the sockets now has been read, for a bounded time: after a pause of
-   * the process nobody is judged silent or overdue before. Not for selector threads.
+   * Blocks until all bytes that are in the sockets now have been read, for a bounded time. To be
+   * called after a stall of the process, before any peer is judged silent or overdue. Must not be
+   * called on a selector thread.
    */
   public void awaitPendingReads() {
     try {
-      rounds.awaitPendingReads(MAX_READ_WAIT);
+      eventLoops.awaitPendingReads(MAX_READ_WAIT);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/switchgap/net/SelectorThreadStrategy.java
+++ b/src/main/java/switchgap/net/SelectorThreadStrategy.java
@@ -13,20 +13,21 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * Handles each event on its selector thread. An accept that fails is tried again after a delay:
- * Grizzly 4.0.2 ({@code TCPNIOTransport.fireIOEvent}, {@code SERVER_ACCEPT}) drops the failure and
- * leaves the event ready, so that the selector would spin for as long as descriptors or memory are
- * short.
+ * Handles each event on its selector thread. An accept that fails is retried after a delay: Grizzly
+ * 4.0.2 ({@code TCPNIOTransport.fireIOEvent}, {@code SERVER_ACCEPT}) drops the failure and leaves
+ * the event ready, so that the selector would spin for as long as descriptors or memory are short.
  */
 @SuppressWarnings("rawtypes")
 final class SelectorThreadStrategy implements IOStrategy {
   private static final long ACCEPT_RETRY_DELAY_MILLIS = 20;
 
-  /** One at a time, clients that came together would wait for as many rounds of the selector. */
+  /**
+   * Accepted one per iteration, clients that connect together would wait for as many iterations.
+   */
   private static final int MAX_ACCEPTS_AT_ONCE = 8;
 
-  /** How long the client that a selector thread accepts just now may have waited. */
-  private static final ThreadLocal<Duration> ACCEPT_DELAY =
+  /** How long the client that a selector thread is accepting may have waited, at most. */
+  private static final ThreadLocal<Duration> MAX_ACCEPT_DELAY =
       ThreadLocal.withInitial(() -> Duration.ZERO);
 
   private final IOStrategy sameThread = SameThreadIOStrategy.getInstance();
@@ -47,17 +48,17 @@
   }
 
   private static void accept(TCPNIOServerConnection listener) throws IOException {
-    AcceptHoldUp holdUp = AcceptHoldUp.of(listener);
+    AcceptStall stall = AcceptStall.of(listener);
     try {
-      holdUp.selectorHeldUp(SelectorRounds.possibleDelay());
-      for (int accepts = 0; accepts < MAX_ACCEPTS_AT_ONCE && !holdUp.isPaused(); accepts++) {
-        ACCEPT_DELAY.set(holdUp.possibleDelay());
-        listener.onAccept(); // takes none up where none waits
-        holdUp.accepted();
+      stall.eventLoopResumed(EventLoopIterations.maxReadDelay());
+      for (int accepts = 0; accepts < MAX_ACCEPTS_AT_ONCE && !stall.isPaused(); accepts++) {
+        MAX_ACCEPT_DELAY.set(stall.maxAcceptDelay());
+        listener.onAccept(); // does nothing if no client waits
+        stall.acceptSucceeded();
       }
     } catch (IOException e) {
       if (listener.isOpen()) {
-        holdUp.failed();
+        stall.acceptFailed();
         listener.disableIOEvent(IOEvent.SERVER_ACCEPT);
         TimerThread.EXECUTOR.schedule(
             () -> acceptAgain(listener), ACCEPT_RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
@@ -65,9 +66,9 @@
     }
   }
 
-  /** How long the client that this thread accepts may have waited for that. */
-  static Duration acceptDelay() {
-    return ACCEPT_DELAY.get();
+  /** How long the client that the calling selector thread is accepting may have waited, at most. */
+  static Duration maxAcceptDelay() {
+    return MAX_ACCEPT_DELAY.get();
   }
 
   private static Void acceptAgain(TCPNIOServerConnection listener) throws IOException {
--- a/src/main/java/switchgap/net/ServerConnectionState.java
+++ b/src/main/java/switchgap/net/ServerConnectionState.java
@@ -31,17 +31,18 @@
   }
 
   /** Whether the request that is being received, or the next one, has taken too long to come. */
-  boolean isOverdue(Duration now, ConnectionLimits limits, PauseHistory pauses) {
+  boolean isOverdue(Duration now, ConnectionLimits limits, StallHistory stalls) {
     long startedNanos = requestStartedNanos;
     if (startedNanos != NONE) {
-      return exceeds(limits.receiveTimeout(), startedNanos, now, pauses);
+      return exceeds(limits.receiveTimeout(), startedNanos, now, stalls);
     }
-    return pendingExchange == null && exceeds(limits.idleTimeout(), idleSinceNanos, now, pauses);
+    return pendingExchange == null && exceeds(limits.idleTimeout(), idleSinceNanos, now, stalls);
   }
 
   private static boolean exceeds(
-      Duration timeout, long startedNanos, Duration now, PauseHistory pauses) {
-    return pauses.runningTime(Duration.ofNanos(startedNanos), now).compareTo(timeout) > 0;
+      Duration timeout, long startedNanos, Duration now, StallHistory stalls) {
+    return stalls.elapsedExcludingStalls(Duration.ofNanos(startedNanos), now).compareTo(timeout)
+        > 0;
   }
 
   int bodyBytes() {
--- a/src/main/java/switchgap/net/TcpConnection.java
+++ b/src/main/java/switchgap/net/TcpConnection.java
@@ -68,8 +68,8 @@
    * How long the bytes that are being handed on may have waited, because the process was held up or
    * did not accept; zero as a rule. For the listener, while bytes are handed on.
    */
-  public Duration possibleDelay() {
-    Duration readDelay = SelectorRounds.possibleDelay();
+  public Duration maxReceiveDelay() {
+    Duration readDelay = EventLoopIterations.maxReadDelay();
     boolean waitedForAccept = !hasRead && acceptDelay.compareTo(readDelay) > 0;
     return waitedForAccept ? acceptDelay : readDelay;
   }
@@ -188,13 +188,13 @@
     }
 
     /** Whether clients may wait in the system's backlog, as nothing was accepted a moment ago. */
-    public boolean isHeldUp() {
-      return !AcceptHoldUp.of(connection).possibleDelay().isZero();
+    public boolean isAcceptStalled() {
+      return !AcceptStall.of(connection).maxAcceptDelay().isZero();
     }
 
     /** Leaves further connections to the system's backlog, until {@link #resume}. Any thread. */
     public void pause() {
-      AcceptHoldUp.of(connection).paused();
+      AcceptStall.of(connection).pause();
       try {
         connection.disableIOEvent(IOEvent.SERVER_ACCEPT);
       } catch (IOException | CancelledKeyException e) {
@@ -204,7 +204,7 @@
 
     /** Accepts connections again. Any thread. */
     public void resume() {
-      AcceptHoldUp.of(connection).resumed();
+      AcceptStall.of(connection).resume();
       try {
         connection.enableIOEvent(IOEvent.SERVER_ACCEPT);
       } catch (IOException | CancelledKeyException e) {
--- a/src/main/java/switchgap/net/TcpConnectionFilter.java
+++ b/src/main/java/switchgap/net/TcpConnectionFilter.java
@@ -27,7 +27,7 @@
 
   @Override
   public NextAction handleAccept(FilterChainContext context) {
-    return open(context, SelectorThreadStrategy.acceptDelay());
+    return open(context, SelectorThreadStrategy.maxAcceptDelay());
   }
 
   @Override
--- a/src/main/java/switchgap/protocol/thrift/ClientConnection.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnection.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import switchgap.net.FrameDecoder;
-import switchgap.net.PauseHistory;
+import switchgap.net.StallHistory;
 import switchgap.net.TcpConnection;
 import switchgap.router.PendingRequest;
 
@@ -215,9 +215,9 @@
   }
 
   /** Whether a message is due for longer than the timeout, pauses of the process left out. */
-  boolean isReceiveOverdue(Duration now, Duration timeout, PauseHistory pauses) {
+  boolean isReceiveOverdue(Duration now, Duration timeout, StallHistory pauses) {
     Duration since = receivingSince;
-    return since != null && pauses.runningTime(since, now).compareTo(timeout) > 0;
+    return since != null && pauses.elapsedExcludingStalls(since, now).compareTo(timeout) > 0;
   }
 
   /** When it was opened, its last message was handled or its last reply was sent. */
--- a/src/main/java/switchgap/protocol/thrift/ClientConnectionTable.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnectionTable.java
@@ -5,7 +5,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import switchgap.net.PauseHistory;
+import switchgap.net.StallHistory;
 
 /**
  * The clients' connections as the event loop knows them, bounded: past the bound an idle connection
@@ -29,7 +29,7 @@
   private final int maxConnections;
   private final Duration receiveTimeout;
   private final Duration silentTimeout;
-  private final PauseHistory pauses = new PauseHistory();
+  private final StallHistory pauses = new StallHistory();
 
   ClientConnectionTable(int maxConnections, Duration receiveTimeout) {
     this.maxConnections = maxConnections;
--- a/src/main/java/switchgap/protocol/thrift/ThriftServer.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -9,7 +9,7 @@
 import java.util.function.Supplier;
 import switchgap.net.CloseCause;
 import switchgap.net.NetworkTransport;
-import switchgap.net.PauseDetector;
+import switchgap.net.StallDetector;
 import switchgap.net.TcpConnection;
 import switchgap.policy.api.RouterSettings;
 import switchgap.router.RouterCore;
@@ -69,7 +69,7 @@
 
   private volatile boolean isHealthy;
   private final RouterDiagnostics diagnostics;
-  private final PauseDetector pauseDetector;
+  private final StallDetector stallDetector;
   private volatile TcpConnection.Server listener;
 
   /**
@@ -95,7 +95,7 @@
     this.clock = clock;
     this.eventLoop = eventLoop;
     this.diagnostics = diagnostics;
-    pauseDetector = new PauseDetector(limits.sweepInterval, clock.get());
+    stallDetector = new StallDetector(limits.sweepInterval, clock.get());
     connections = new ClientConnectionTable(limits.maxConnections, limits.receiveTimeout);
     requests =
         new RequestHandler(
@@ -142,7 +142,7 @@
   @Override
   public void received(TcpConnection tcp, ByteBuffer bytes) {
     ClientConnection connection = connectionOf(tcp);
-    Duration now = clock.get().minus(tcp.possibleDelay());
+    Duration now = clock.get().minus(tcp.maxReceiveDelay());
     if (!connection.receive(bytes, frame -> frameReceived(connection, frame, now), now)) {
       connection.close(ClientCloseReason.FRAME_OUT_OF_BOUNDS);
     }
@@ -272,7 +272,7 @@
    * could not be accepted as one.
    */
   public int busy() {
-    int unaccepted = listener.isHeldUp() ? 1 : 0;
+    int unaccepted = listener.isAcceptStalled() ? 1 : 0;
     return Math.max(0, openConnections.get() - connections.size())
         + connections.busy()
         + unaccepted;
@@ -303,7 +303,7 @@
    * limits.
    */
   public void sweep(Duration now) {
-    connections.pauseEnded(now, pauseDetector.heldUp(now));
+    connections.pauseEnded(now, stallDetector.recordCheck(now));
     connections.closeOverdue(now);
   }
 }
