--- a/src/main/java/switchgap/net/FramedConnection.java
+++ b/src/main/java/switchgap/net/FramedConnection.java
@@ -68,10 +68,10 @@
    * @param port the port to listen on; 0 takes any free one
    * @throws IOException when the address can't be listened on
    */
-  public static TcpConnection.Server listen(
+  public static TcpServer listen(
       NetworkTransport transport, String host, int port, int maxFrameBytes, Listener listener)
       throws IOException {
-    return TcpConnection.listen(
+    return TcpServer.listen(
         transport, host, port, LISTEN_BACKLOG, new FrameListener(listener, maxFrameBytes));
   }
 
@@ -107,13 +107,13 @@
     @Override
     public void opened(TcpConnection connection) {
       FramedConnection framed = new FramedConnection(connection, maxFrameBytes);
-      connection.attachment = framed;
+      connection.attach(framed);
       listener.opened(framed);
     }
 
     @Override
     public void received(TcpConnection connection, ByteBuffer bytes) {
-      FramedConnection framed = (FramedConnection) connection.attachment;
+      FramedConnection framed = (FramedConnection) connection.attachment();
       boolean valid =
           framed.decoder.decode(
               bytes,
@@ -132,7 +132,7 @@
 
     @Override
     public void closed(TcpConnection connection, CloseCause cause) {
-      listener.closed((FramedConnection) connection.attachment, cause);
+      listener.closed((FramedConnection) connection.attachment(), cause);
     }
   }
 }
--- a/src/main/java/switchgap/net/TcpConnection.java
+++ b/src/main/java/switchgap/net/TcpConnection.java
@@ -1,31 +1,27 @@
 package switchgap.net;
 
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.nio.ByteBuffer;
-import java.nio.channels.CancelledKeyException;
 import java.time.Duration;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.EmptyCompletionHandler;
-import org.glassfish.grizzly.IOEvent;
 import org.glassfish.grizzly.WriteResult;
 import org.glassfish.grizzly.asyncqueue.WritableMessage;
 import org.glassfish.grizzly.filterchain.FilterChain;
 import org.glassfish.grizzly.filterchain.FilterChainBuilder;
-import org.glassfish.grizzly.nio.transport.TCPNIOBindingHandler;
 import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
-import org.glassfish.grizzly.nio.transport.TCPNIOServerConnection;
 
 /**
- * A TCP connection that hands on bytes as they arrive and counts those that are not written yet.
+ * A TCP connection that passes on bytes as they arrive and counts those that are not written yet.
+ * Thread-safe, but for what is said to belong to its selector thread.
  */
 public final class TcpConnection {
   /**
-   * Hears of connections, on a selector thread. After {@code closed} nothing comes of that
+   * Receives the events of connections, on a selector thread. {@code closed} is the last event of a
    * connection.
    */
   public interface Listener {
@@ -44,40 +40,54 @@
   private final String id = "c" + LAST_ID.incrementAndGet();
   private final Connection<?> connection;
   private final Listener listener;
-  private final Duration acceptDelay;
-  private boolean hasRead;
+  private final Duration maxAcceptDelay;
+
+  /** Belongs to the selector thread. */
+  private boolean hasReceived;
+
   private final AtomicBoolean closed = new AtomicBoolean();
   private final AtomicInteger unsentBytes = new AtomicInteger();
   private final AtomicInteger unsentWrites = new AtomicInteger();
 
-  /** Whatever the listener keeps for this connection. */
-  public volatile Object attachment;
+  private volatile Object attachment;
 
   /**
    * A connection that is open.
    *
-   * @param acceptDelay how long its client may have waited to be accepted
+   * @param maxAcceptDelay how long its client may have waited to be accepted, at most
    */
-  TcpConnection(Connection<?> connection, Listener listener, Duration acceptDelay) {
+  TcpConnection(Connection<?> connection, Listener listener, Duration maxAcceptDelay) {
     this.connection = connection;
-    this.acceptDelay = acceptDelay;
+    this.maxAcceptDelay = maxAcceptDelay;
     this.listener = listener;
   }
 
   /**
-   * How long the bytes that are being handed on may have waited, because the process was held up or
-   * did not accept; zero as a rule. For the listener, while bytes are handed on.
+   * Returns how long the bytes that are being passed on may have been waiting in the kernel, at
+   * most: with the event loop stalled in their socket, with accepts stalled in a connection that
+   * was not accepted. Zero unless there was a stall. To be called by {@link Listener#received}
+   * alone.
    */
   public Duration maxReceiveDelay() {
     Duration readDelay = EventLoopIterations.maxReadDelay();
-    boolean waitedForAccept = !hasRead && acceptDelay.compareTo(readDelay) > 0;
-    return waitedForAccept ? acceptDelay : readDelay;
+    boolean waitedForAccept = !hasReceived && maxAcceptDelay.compareTo(readDelay) > 0;
+    return waitedForAccept ? maxAcceptDelay : readDelay;
   }
 
-  /** Hands on bytes that were read. On the selector thread. */
+  /** Passes on bytes that were read. On the selector thread. */
   void received(ByteBuffer bytes) {
     listener.received(this, bytes);
-    hasRead = true;
+    hasReceived = true;
+  }
+
+  /** Attaches an object by which the listener finds its state again; it replaces any before. */
+  public void attach(Object object) {
+    attachment = object;
+  }
+
+  /** The attached object, or null. */
+  public Object attachment() {
+    return attachment;
   }
 
   /** Its name in the log, unique in the process. */
@@ -90,7 +100,7 @@
     return !closed.get() && connection.isOpen();
   }
 
-  /** Whether this side has closed the connection or has taken note of its end. */
+  /** Whether the listener has been, or is being, notified of the connection's end. */
   boolean isClosed() {
     return closed.get();
   }
@@ -108,7 +118,7 @@
   /**
    * Queues bytes to be written; any thread. The array must not be changed from then on.
    *
-   * @return false, and no byte goes out, when the connection is closed
+   * @return false, and no byte is sent, if the connection is closed
    */
   public boolean send(byte[] bytes) {
     if (!isOpen()) {
@@ -134,18 +144,12 @@
     return true;
   }
 
-  /**
-   * Closes the connection, unless it is closed; the listener hears of it with this reason. Any
-   * thread.
-   */
+  /** Closes the connection, unless it is closed; the listener gets this reason. Any thread. */
   public void close(CloseReason reason) {
     close(CloseCause.of(reason));
   }
 
-  /**
-   * Closes the connection, unless it is closed; the listener hears of it with this cause. Any
-   * thread.
-   */
+  /** Closes the connection, unless it is closed; the listener gets this cause. Any thread. */
   public void close(CloseCause cause) {
     if (closed.compareAndSet(false, true)) {
       ConnectionCloser.close(connection);
@@ -153,78 +157,17 @@
     }
   }
 
-  private static FilterChain filterChain(TcpConnectionFilter filter) {
+  /** The filter chain of plain TCP connections, for both sides. */
+  static FilterChain filterChain(TcpConnectionFilter filter) {
     return FilterChainBuilder.stateless().add(new SocketFilter()).add(filter).build();
   }
 
-  /**
-   * Begins to accept connections.
-   *
-   * @param port the port to listen on; 0 takes any free one
-   * @param backlog how many connections may wait to be accepted
-   * @throws IOException when the address can't be listened on
-   */
-  public static Server listen(
-      NetworkTransport transport, String host, int port, int backlog, Listener listener)
-      throws IOException {
-    TCPNIOBindingHandler binding =
-        TCPNIOBindingHandler.builder(transport.transport)
-            .processor(filterChain(new TcpConnectionFilter(listener)))
-            .build();
-    return new Server(binding.bind(new InetSocketAddress(host, port), backlog));
-  }
-
-  /** A listening socket. */
-  public static final class Server implements AutoCloseable {
-    private final TCPNIOServerConnection connection;
-
-    private Server(TCPNIOServerConnection connection) {
-      this.connection = connection;
-    }
-
-    /** The port that is listened on. */
-    public int port() {
-      return ((InetSocketAddress) connection.getLocalAddress()).getPort();
-    }
-
-    /** Whether clients may wait in the system's backlog, as nothing was accepted a moment ago. */
-    public boolean isAcceptStalled() {
-      return !AcceptStall.of(connection).maxAcceptDelay().isZero();
-    }
-
-    /** Leaves further connections to the system's backlog, until {@link #resume}. Any thread. */
-    public void pause() {
-      AcceptStall.of(connection).pause();
-      try {
-        connection.disableIOEvent(IOEvent.SERVER_ACCEPT);
-      } catch (IOException | CancelledKeyException e) {
-        return; // it is closed, and accepts nothing anyhow
-      }
-    }
-
-    /** Accepts connections again. Any thread. */
-    public void resume() {
-      AcceptStall.of(connection).resume();
-      try {
-        connection.enableIOEvent(IOEvent.SERVER_ACCEPT);
-      } catch (IOException | CancelledKeyException e) {
-        return; // it is closed
-      }
-    }
-
-    /** Stops accepting connections; open ones stay. */
-    @Override
-    public void close() {
-      ConnectionCloser.close(connection);
-    }
-  }
-
   /** Opens any number of connections that share one listener and one filter chain. */
   public static final class Factory {
     private final TcpConnectionFilter filter;
     private final TCPNIOConnectorHandler connector;
 
-    /** A factory of connections that this listener hears of. */
+    /** A factory of connections whose events this listener receives. */
     public Factory(NetworkTransport transport, Listener listener) {
       filter = new TcpConnectionFilter(listener);
       connector =
@@ -233,7 +176,7 @@
               .build();
     }
 
-    /** Begins to open a connection; the callback hears once, within the timeout, how that ended. */
+    /** Begins to open a connection; the callback gets the outcome once, within the timeout. */
     public void connect(
         InetSocketAddress remote,
         Duration timeout,
--- a/src/main/java/switchgap/planner/link/PlannerServer.java
+++ b/src/main/java/switchgap/planner/link/PlannerServer.java
@@ -9,7 +9,7 @@
 import switchgap.net.CloseCause;
 import switchgap.net.FramedConnection;
 import switchgap.net.NetworkTransport;
-import switchgap.net.TcpConnection;
+import switchgap.net.TcpServer;
 import switchgap.net.TimerThread;
 import switchgap.net.WallClock;
 import switchgap.planner.LoadBacklog;
@@ -64,7 +64,7 @@
   private final int router;
   private final Listener listener;
   private final AtomicReference<Session> session = new AtomicReference<>();
-  private final TcpConnection.Server server;
+  private final TcpServer server;
   private final ScheduledFuture<?> silenceCheck;
 
   /** Guarded by this. Begins past the epochs of any process before this one. */
--- a/src/main/java/switchgap/protocol/invoke/DeferredRequestHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/DeferredRequestHandler.java
@@ -80,7 +80,7 @@
       ResponseWriter.writePending(exchange, id);
       return;
     }
-    exchange.attachment = (DisconnectListener) core -> results.stopAwaiting(entry, waiter);
+    exchange.attach((DisconnectListener) core -> results.stopAwaiting(entry, waiter));
     TimerThread.EXECUTOR.schedule(
         () ->
             router.post(
--- a/src/main/java/switchgap/protocol/invoke/InvokeApi.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeApi.java
@@ -81,7 +81,7 @@
   }
 
   private void route(HttpExchange exchange) throws InvalidRequestException {
-    String[] segments = exchange.path.split("/", -1);
+    String[] segments = exchange.path().split("/", -1);
     if (isInvocation(segments)) {
       requireMethod(exchange, "POST");
       invoke(segments[3], exchange);
@@ -89,7 +89,7 @@
       handleDeferredRequest(segments[3], exchange);
     } else if (!operators.handle(exchange, stopping)) {
       throw new InvalidRequestException(
-          ProblemType.UNKNOWN_PATH, "nothing is at " + RequestHeaders.quoted(exchange.path));
+          ProblemType.UNKNOWN_PATH, "nothing is at " + RequestHeaders.quoted(exchange.path()));
     }
   }
 
@@ -108,16 +108,16 @@
 
   private static void requireMethod(HttpExchange exchange, String method)
       throws InvalidRequestException {
-    if (!exchange.method.equals(method)) {
+    if (!exchange.method().equals(method)) {
       throw new InvalidRequestException(
           ProblemType.METHOD_NOT_ALLOWED,
-          RequestHeaders.quoted(exchange.method) + " is not spoken here, " + method + " is");
+          RequestHeaders.quoted(exchange.method()) + " is not spoken here, " + method + " is");
     }
   }
 
   private void handleDeferredRequest(String id, HttpExchange exchange)
       throws InvalidRequestException {
-    if (exchange.method.equals("DELETE")) {
+    if (exchange.method().equals("DELETE")) {
       router.post(core -> deferredRequests.delete(exchange, id, core));
       return;
     }
@@ -146,7 +146,7 @@
 
   @Override
   public void clientLeft(HttpExchange exchange) {
-    if (exchange.attachment instanceof DisconnectListener listener) {
+    if (exchange.attachment() instanceof DisconnectListener listener) {
       router.post(listener::clientDisconnected);
     }
   }
--- a/src/main/java/switchgap/protocol/invoke/InvokeRequest.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeRequest.java
@@ -147,7 +147,7 @@
         .tenant(tenant)
         .durationHint(durationHint)
         .idempotencyKey(idempotencyKey)
-        .payload(exchange.header("Content-Type"), exchange.body)
+        .payload(exchange.header("Content-Type"), exchange.body())
         .replica(functionSettings.memoryMb(), functionSettings.slots())
         .build();
   }
--- a/src/main/java/switchgap/protocol/invoke/OperatorHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/OperatorHandler.java
@@ -32,18 +32,18 @@
   /** Responds where the path is one of its own, else does nothing and returns false. */
   boolean handle(HttpExchange exchange, boolean stopping) {
     Function<RouterCore, byte[]> status = statusSource;
-    if (exchange.path.equals("/v1/status") && status != null) {
+    if (exchange.path().equals("/v1/status") && status != null) {
       router.post(core -> respond(exchange, ResponseWriter.JSON, status.apply(core)));
-    } else if (exchange.path.equals("/v1/levels")) {
+    } else if (exchange.path().equals("/v1/levels")) {
       router.post(core -> serviceLevels.handle(exchange, router.gate()));
-    } else if (exchange.path.equals("/metrics")) {
+    } else if (exchange.path().equals("/metrics")) {
       router.post(
           core ->
               respond(
                   exchange,
                   MetricsWriter.MEDIA_TYPE,
                   MetricsWriter.write(settings, tracker, router.gate().admission())));
-    } else if (exchange.path.equals("/healthz")) {
+    } else if (exchange.path().equals("/healthz")) {
       health(exchange, stopping);
     } else {
       return false;
--- a/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
@@ -38,7 +38,7 @@
           new ProblemDetails(ProblemType.NO_SERVICE_LEVELS, "levels do not act at this router"));
       return;
     }
-    if (exchange.method.equals("POST")) {
+    if (exchange.method().equals("POST")) {
       try {
         pin(exchange, gate);
       } catch (InvalidRequestException e) {
--- a/src/main/java/switchgap/protocol/invoke/SynchronousRequestHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/SynchronousRequestHandler.java
@@ -34,7 +34,7 @@
             deadline,
             exchange,
             new WaitingClient(exchange, clientRequestId));
-    exchange.attachment = (DisconnectListener) core -> cancel(core, pending);
+    exchange.attach((DisconnectListener) core -> cancel(core, pending));
     router.post(
         core -> {
           if (!router.gate().offer(pending)) {
--- a/src/main/java/switchgap/protocol/resp/ReplyReader.java
+++ b/src/main/java/switchgap/protocol/resp/ReplyReader.java
@@ -29,7 +29,7 @@
 
   @Override
   public void received(TcpConnection tcp, ByteBuffer bytes) {
-    if (!(tcp.attachment instanceof RespConnection connection)) {
+    if (!(tcp.attachment() instanceof RespConnection connection)) {
       tcp.close(WorkerCloseReason.UNEXPECTED_BYTES);
       return;
     }
@@ -52,7 +52,7 @@
 
   @Override
   public void closed(TcpConnection tcp, CloseCause cause) {
-    if (tcp.attachment instanceof RespConnection connection) {
+    if (tcp.attachment() instanceof RespConnection connection) {
       WorkerCloseReason reason = WorkerCloseReason.of(cause.reason());
       routerEvents.record(new RouterEvent.WorkerClosed(reason, tcp.id(), cause.toString()));
       events.accept(core -> connection.pool.connectionClosed(core, connection));
--- a/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
@@ -120,7 +120,7 @@
           public void connected(TcpConnection tcp) {
             RespConnection connection =
                 new RespConnection(tcp, pool, new RespDecoder(MAX_STRING_BYTES), nowNanos());
-            tcp.attachment = connection;
+            tcp.attach(connection);
             events.accept(
                 core -> pool.connectionOpened(core, connection)); // it may have closed by then
           }
--- a/src/main/java/switchgap/protocol/thrift/ThriftServer.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -11,6 +11,7 @@
 import switchgap.net.NetworkTransport;
 import switchgap.net.StallDetector;
 import switchgap.net.TcpConnection;
+import switchgap.net.TcpServer;
 import switchgap.policy.api.RouterSettings;
 import switchgap.router.RouterCore;
 import switchgap.router.RouterDiagnostics;
@@ -70,7 +71,7 @@
   private volatile boolean isHealthy;
   private final RouterDiagnostics diagnostics;
   private final StallDetector stallDetector;
-  private volatile TcpConnection.Server listener;
+  private volatile TcpServer listener;
 
   /**
    * A server that does not listen yet.
@@ -104,7 +105,7 @@
 
   /** Listens; port 0 takes any. */
   public void listen(NetworkTransport net, String host, int port) throws IOException {
-    listener = TcpConnection.listen(net, host, port, ACCEPT_BACKLOG, this);
+    listener = TcpServer.listen(net, host, port, ACCEPT_BACKLOG, this);
   }
 
   /** The port it listens at. */
@@ -128,7 +129,7 @@
   @Override
   public void opened(TcpConnection tcp) {
     ClientConnection connection = new ClientConnection(tcp, clock, limits.maxUnsentBytes);
-    tcp.attachment = connection;
+    tcp.attach(connection);
     openConnections.incrementAndGet();
     diagnostics.events().record(new RouterEvent.ClientConnected(tcp.id()));
     updateAccepting();
@@ -177,7 +178,7 @@
   }
 
   private static ClientConnection connectionOf(TcpConnection tcp) {
-    return (ClientConnection) tcp.attachment;
+    return (ClientConnection) tcp.attachment();
   }
 
   private void frameReceived(ClientConnection connection, byte[] frame, Duration now) {
--- a/src/main/java/switchgap/server/gateway/JvmWarmup.java
+++ b/src/main/java/switchgap/server/gateway/JvmWarmup.java
@@ -42,7 +42,7 @@
         new HttpServer(
             network,
             ConnectionLimits.DEFAULT,
-            exchange -> exchange.respond(200, HEADERS, exchange.body))) {
+            exchange -> exchange.respond(200, HEADERS, exchange.body()))) {
       int port = server.listen(LOOPBACK, 0);
       CountDownLatch done = new CountDownLatch(1);
       new HttpClientConnection.Factory(network, null, MAX_RESPONSE_BYTES)
--- a/src/main/java/switchgap/testbed/emulator/EmulatedModelServer.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedModelServer.java
@@ -136,8 +136,8 @@
   }
 
   private void serve(HttpExchange exchange, long receivedAt) {
-    String[] segments = exchange.path.split("/", -1);
-    if (exchange.path.equals("/v2/health/ready") || exchange.path.equals("/v2/health/live")) {
+    String[] segments = exchange.path().split("/", -1);
+    if (exchange.path().equals("/v2/health/ready") || exchange.path().equals("/v2/health/live")) {
       repository.probe(exchange, receivedAt);
     } else if (isModelPath(segments, "infer")) {
       inference.infer(exchange, receivedAt, ModelServerResponses.decode(segments[3]));
@@ -147,7 +147,7 @@
       repository.load(exchange, receivedAt, ModelServerResponses.decode(segments[4]));
     } else if (isRepositoryPath(segments, "unload")) {
       repository.unload(exchange, receivedAt, ModelServerResponses.decode(segments[4]));
-    } else if (exchange.path.equals("/v2/repository/index")) {
+    } else if (exchange.path().equals("/v2/repository/index")) {
       repository.index(exchange);
     } else {
       repository.notFound(exchange);
@@ -173,7 +173,7 @@
         .scheduler()
         .post(
             () -> {
-              if (server != null && exchange.path.endsWith("/infer")) {
+              if (server != null && exchange.path().endsWith("/infer")) {
                 inference.clientLeft(exchange);
               }
             });
--- a/src/main/java/switchgap/testbed/emulator/EndpointListService.java
+++ b/src/main/java/switchgap/testbed/emulator/EndpointListService.java
@@ -183,7 +183,7 @@
 
   private void watch(HttpExchange exchange) {
     String router = exchange.queryParameter("router");
-    if (unavailable || router == null || !exchange.path.equals("/v1/workers")) {
+    if (unavailable || router == null || !exchange.path().equals("/v1/workers")) {
       exchange.drop();
       return;
     }
--- a/src/main/java/switchgap/testbed/emulator/InferenceHandler.java
+++ b/src/main/java/switchgap/testbed/emulator/InferenceHandler.java
@@ -35,7 +35,7 @@
         new Inference(
             exchange,
             attemptId(exchange),
-            ModelServerResponses.requestId(exchange.body),
+            ModelServerResponses.requestId(exchange.body()),
             exchange.header("Idempotency-Key"),
             context.routerOf(exchange));
     context
@@ -87,11 +87,11 @@
               inference.callId);
       respond(inference, 200, 0, EXECUTED, ModelServerResponses.output(inference.attemptId));
     } else {
-      exchange.attachment =
+      exchange.attach(
           worker.infer(
               model,
               () -> started(inference, model),
-              (outcome, concurrency) -> ended(inference, outcome, concurrency));
+              (outcome, concurrency) -> ended(inference, outcome, concurrency)));
     }
   }
 
@@ -100,7 +100,7 @@
     context
         .recorder()
         .record(context.scheduler().now(), "left", "worker", server, "run", attemptId(exchange));
-    if (exchange.attachment instanceof EmulatedWorker.Execution execution) {
+    if (exchange.attachment() instanceof EmulatedWorker.Execution execution) {
       worker.leave(execution);
     }
   }
--- a/src/main/java/switchgap/testbed/emulator/RepositoryHandler.java
+++ b/src/main/java/switchgap/testbed/emulator/RepositoryHandler.java
@@ -56,7 +56,7 @@
 
   void load(HttpExchange exchange, long receivedAt, String function) {
     FunctionModel model = context.functions().apply(function);
-    int replicas = ModelServerResponses.requestedReplicas(exchange.body);
+    int replicas = ModelServerResponses.requestedReplicas(exchange.body());
     context
         .recorder()
         .record(
--- a/src/main/java/switchgap/testbed/emulator/StoreService.java
+++ b/src/main/java/switchgap/testbed/emulator/StoreService.java
@@ -42,13 +42,13 @@
         () -> {
           String worker = exchange.queryParameter("worker");
           String micros = exchange.queryParameter("micros");
-          if (worker == null || micros == null || !exchange.path.startsWith(PATH_PREFIX)) {
+          if (worker == null || micros == null || !exchange.path().startsWith(PATH_PREFIX)) {
             exchange.respond(404, HEADERS, EMPTY);
             return;
           }
           store.fetch(
               worker,
-              exchange.path.substring(PATH_PREFIX.length()),
+              exchange.path().substring(PATH_PREFIX.length()),
               Long.parseLong(micros),
               fetched -> exchange.respond(fetched ? 200 : 503, HEADERS, fetched ? CONTENT : EMPTY));
         });
--- a/src/main/java/switchgap/testbed/experiment/BareRelay.java
+++ b/src/main/java/switchgap/testbed/experiment/BareRelay.java
@@ -69,7 +69,7 @@
             "POST",
             "/v2/models/f/infer",
             Map.of("Content-Type", "application/json"),
-            exchange.body,
+            exchange.body(),
             new HttpClientConnection.ResponseHandler() {
               @Override
               public void responded(
--- a/src/test/java/switchgap/net/ConnectionCloserTest.java
+++ b/src/test/java/switchgap/net/ConnectionCloserTest.java
@@ -18,7 +18,7 @@
   @Test
   void aCloseDoesNotWaitBehindBytesThatNobodyReads() throws Exception {
     try (NetworkTransport net = new NetworkTransport(1, "closer-test");
-        TcpConnection.Server server = TcpConnection.listen(net, "127.0.0.1", 0, 10, this);
+        TcpServer server = TcpServer.listen(net, "127.0.0.1", 0, 10, this);
         Socket client = new Socket()) {
       client.setReceiveBufferSize(4096);
       client.connect(new InetSocketAddress("127.0.0.1", server.port()));
--- a/src/test/java/switchgap/net/HttpServerTest.java
+++ b/src/test/java/switchgap/net/HttpServerTest.java
@@ -97,12 +97,12 @@
         Thread.sleep(20);
         send(client, "def");
         HttpExchange exchange = nextExchange();
-        assertThat(exchange.method + " " + exchange.path + " " + exchange.query)
+        assertThat(exchange.method() + " " + exchange.path() + " " + exchange.query())
             .isEqualTo("POST /a/b c=d&ef=g");
         assertThat(exchange.queryParameter("ef")).isEqualTo("g");
         assertThat(exchange.queryParameter("f")).isNull();
         assertThat(exchange.header("x-name")).isEqualTo("value");
-        assertThat(exchange.body).isEqualTo(ascii("abcdef"));
+        assertThat(exchange.body()).isEqualTo(ascii("abcdef"));
         assertThat(exchange.peerAddress()).isEqualTo("127.0.0.1");
         assertThat(exchange.connectionId()).isEqualTo("127.0.0.1:" + client.getLocalPort());
         assertThat(
@@ -126,7 +126,7 @@
       send(client, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
       Thread.sleep(20);
       send(client, "5\r\ndefgh\r\n0\r\n\r\n");
-      assertThat(nextExchange().body).isEqualTo(ascii("abcdefgh"));
+      assertThat(nextExchange().body()).isEqualTo(ascii("abcdefgh"));
     }
   }
 
--- a/src/test/java/switchgap/net/SelectorThreadsTest.java
+++ b/src/test/java/switchgap/net/SelectorThreadsTest.java
@@ -47,8 +47,8 @@
   @ValueSource(booleans = {true, false})
   void aFaultInReadingOneConnectionLeavesTheOthersServed(boolean throwsError) throws Exception {
     try (NetworkTransport transport = new NetworkTransport(1, "faulty");
-        TcpConnection.Server server =
-            TcpConnection.listen(transport, "127.0.0.1", 0, 50, new FaultyListener(throwsError))) {
+        TcpServer server =
+            TcpServer.listen(transport, "127.0.0.1", 0, 50, new FaultyListener(throwsError))) {
       for (int i = 0; i < 3; i++) {
         try (Socket faulty = new Socket("127.0.0.1", server.port());
             Socket healthy = new Socket("127.0.0.1", server.port())) {
