--- a/src/main/java/switchgap/admission/SheddingRotation.java
+++ b/src/main/java/switchgap/admission/SheddingRotation.java
@@ -75,7 +75,7 @@
   private int slot(int tenant, long key) {
     long hash = (key * KEY_MULTIPLIER + tenant + salt) * FIRST_HASH_MULTIPLIER;
     hash ^= hash >>> HASH_SHIFT;
-    return (int) ((hash * SECOND_HASH_MULTIPLIER) >>> Long.SIZE - SLOT_BITS);
+    return (int) ((hash * SECOND_HASH_MULTIPLIER) >>> (Long.SIZE - SLOT_BITS));
   }
 
   /**
--- a/src/main/java/switchgap/endpoints/EventStreamClient.java
+++ b/src/main/java/switchgap/endpoints/EventStreamClient.java
@@ -33,7 +33,7 @@
   private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(2300);
 
   private static final Duration SILENCE_CHECK_INTERVAL = Duration.ofMillis(200);
-  private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(1000);
+  private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
   /**
    * Delay before the second retry, the first is immediate; doubled with each further one, to 1.6 s.
@@ -235,7 +235,7 @@
   private void deliver(long attempt, EndpointListEvent event) {
     long sequence = event.sequence();
     boolean deliveredBefore =
-        sequence < lastSequence || sequence == lastSequence && !event.complete();
+        sequence < lastSequence || (sequence == lastSequence && !event.complete());
     if (deliveredBefore) {
       return;
     }
--- a/src/main/java/switchgap/policy/OutlierDetector.java
+++ b/src/main/java/switchgap/policy/OutlierDetector.java
@@ -101,6 +101,6 @@
   /** Whether a worker gets nothing now: ejected, or back with one attempt that has yet to end. */
   boolean isEjected(Worker worker) {
     return worker.ejectedUntil != null
-        && (!state.hasPassed(worker.ejectedUntil) || worker.onProbation && worker.inFlight > 0);
+        && (!state.hasPassed(worker.ejectedUntil) || (worker.onProbation && worker.inFlight > 0));
   }
 }
--- a/src/main/java/switchgap/policy/ReplicaLoader.java
+++ b/src/main/java/switchgap/policy/ReplicaLoader.java
@@ -125,7 +125,7 @@
     replica.lastUsed = state.now;
     boolean refused = result.loadedReplicas() == 0 && outcome == AttemptOutcome.REJECTED;
     if (replica.state == (query ? Replica.State.UNKNOWN : Replica.State.LOADING)
-        || query && refused) {
+        || (query && refused)) {
       replica.state = result.loadedReplicas() > 0 ? Replica.State.LOADED : Replica.State.ABSENT;
     }
     if (query) {
--- a/src/main/java/switchgap/policy/ReplicaScaler.java
+++ b/src/main/java/switchgap/policy/ReplicaScaler.java
@@ -90,7 +90,7 @@
     boolean saturated =
         function.saturatedArrivals > 0
             && function.saturatedArrivals * SATURATED_ONE_IN >= function.recentArrivals;
-    boolean overloaded = reported && concurrency > LOAD_MARK || saturated;
+    boolean overloaded = (reported && concurrency > LOAD_MARK) || saturated;
     if (overloaded || concurrency > UNLOAD_MARK) {
       function.lastBusy = state.now;
     }
--- a/src/main/java/switchgap/policy/RequestRouter.java
+++ b/src/main/java/switchgap/policy/RequestRouter.java
@@ -137,7 +137,7 @@
   /** Sends a request by what the survey met; false where it has to wait. */
   private boolean place(Request request, CandidateSurvey met) {
     Function function = request.function;
-    boolean overflows = met.overflow != null && settings.loadsOnDemand || met.unknown == null;
+    boolean overflows = (met.overflow != null && settings.loadsOnDemand) || met.unknown == null;
     Worker choice = met.best != null ? met.best : overflows ? met.overflow : met.unknown;
     if (met.alternative != null && request.probeDeadline == null && probe(request, met)) {
       return false;
@@ -215,7 +215,7 @@
       boolean probing = request.pendingProbes > 0 && !state.hasPassed(request.probeDeadline);
       CandidateSurvey met = probing ? null : survey(request);
       request.queued = probing || !place(request, met);
-      if (probing || request.queued && mayWait(request, met)) {
+      if (probing || (request.queued && mayWait(request, met))) {
         queue.add(request);
       } else if (request.queued) {
         retries.giveUp(request);
--- a/src/main/java/switchgap/policy/RetryPolicy.java
+++ b/src/main/java/switchgap/policy/RetryPolicy.java
@@ -24,7 +24,7 @@
     if (request.closed
         || !worker.isReady()
         || request.hasUsedUp(state.settings.maxAttempts)
-        || request.inFlight > 0 && !hedgeable
+        || (request.inFlight > 0 && !hedgeable)
         || !endsInTime(request, Duration.ZERO)) {
       return false;
     }
@@ -35,7 +35,7 @@
   private boolean isDeduplicated(Request request, Worker worker) {
     Duration window = request.requestClass.deduplicationWindow.minus(state.deadlineMargin);
     boolean dropped = state.isWithin(window, request.firstSentAt) && request.isInScope(worker);
-    return request.isIdempotent() || request.isRepeatable() && dropped;
+    return request.isIdempotent() || (request.isRepeatable() && dropped);
   }
 
   /** Whether a further attempt is worth looking for, now that none is in flight. */
--- a/src/main/java/switchgap/policy/state/Request.java
+++ b/src/main/java/switchgap/policy/state/Request.java
@@ -86,7 +86,7 @@
   /** Whether whoever repeats it does no harm, wherever that goes. */
   public boolean isRepeatableAnywhere() {
     return isIdempotent()
-        || isRepeatable() && requestClass.deduplicationScope == DeduplicationScope.ALL;
+        || (isRepeatable() && requestClass.deduplicationScope == DeduplicationScope.ALL);
   }
 
   /** Whether a worker drops repeats of what {@link #firstWorker} may have executed. */
--- a/src/main/java/switchgap/protocol/resp/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/resp/PendingExchange.java
@@ -114,7 +114,7 @@
   boolean maySend(long nowNanos) {
     return state == State.WAITING
         && (allowedWhileDraining || worker.accepting)
-        && (request == null || request.isAwaited() && nowNanos < timeoutNanos);
+        && (request == null || (request.isAwaited() && nowNanos < timeoutNanos));
   }
 
   /** The command, to go out at this time; the invariants are checked for it. */
--- a/src/main/java/switchgap/protocol/sse/ServerSentEventDecoder.java
+++ b/src/main/java/switchgap/protocol/sse/ServerSentEventDecoder.java
@@ -43,7 +43,8 @@
       if (isSecondOfLineEnd) {
         continue;
       }
-      boolean isWithinBounds = next == '\r' || next == '\n' ? endLine(eventHandler) : append(next);
+      boolean isWithinBounds =
+          (next == '\r' || next == '\n') ? endLine(eventHandler) : append(next);
       if (!isWithinBounds) {
         return false;
       }
--- a/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
+++ b/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
@@ -118,8 +118,8 @@
   }
 
   private static boolean isHexDigit(char character) {
-    return character >= '0' && character <= '9'
-        || character >= 'a' && character <= 'f'
-        || character >= 'A' && character <= 'F';
+    return (character >= '0' && character <= '9')
+        || (character >= 'a' && character <= 'f')
+        || (character >= 'A' && character <= 'F');
   }
 }
--- a/src/main/java/switchgap/protocol/thrift/ThriftServer.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -220,7 +220,7 @@
       return;
     }
     // a revoke is small, and bounded by the messages of its connection
-    if (!fits || !isRevoke && !reserveQueuedBytes(messageBytes)) {
+    if (!fits || (!isRevoke && !reserveQueuedBytes(messageBytes))) {
       connection.messageDequeued();
       requests.refuseUnseen(connection, message.sequenceId());
       return;
--- a/src/main/java/switchgap/server/platform/GracefulShutdown.java
+++ b/src/main/java/switchgap/server/platform/GracefulShutdown.java
@@ -13,10 +13,10 @@
  */
 final class GracefulShutdown {
   /** Time for which requests are taken at the least. */
-  private static final Duration DRAIN_DURATION = Duration.ofMillis(1000);
+  private static final Duration DRAIN_DURATION = Duration.ofSeconds(1);
 
   /** The platform reckons with this timeout where all are shorter. */
-  private static final Duration MIN_LONGEST_TIMEOUT = Duration.ofMillis(3000);
+  private static final Duration MIN_LONGEST_TIMEOUT = Duration.ofSeconds(3);
 
   /** Time past the longest timeout by which all has its response, 0.2 s before SIGKILL. */
   private static final Duration DEADLINE_MARGIN = Duration.ofMillis(500);
--- a/src/main/java/switchgap/server/platform/PlatformRouter.java
+++ b/src/main/java/switchgap/server/platform/PlatformRouter.java
@@ -56,7 +56,7 @@
   private static final int SELECTOR_THREADS = 1;
 
   /** Time for a message to come whole. */
-  private static final Duration MESSAGE_TIMEOUT = Duration.ofMillis(2000);
+  private static final Duration MESSAGE_TIMEOUT = Duration.ofSeconds(2);
 
   private static final Duration MAX_LOOP_WAIT = Duration.ofSeconds(2);
   private static final Duration SWEEP_INTERVAL = Duration.ofMillis(200);
--- a/src/main/java/switchgap/testbed/emulator/ClientRetries.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientRetries.java
@@ -79,7 +79,7 @@
     boolean retryable =
         outcome == ClientOutcome.REJECTED
             || outcome == ClientOutcome.UNREACHABLE
-            || request.profile.retryable() && outcome != ClientOutcome.REFUSED;
+            || (request.profile.retryable() && outcome != ClientOutcome.REFUSED);
     int maxRetries = request.isHammering() ? request.hammeringRetries : behaviour.maxRetries();
     return retryable && request.attempts <= maxRetries;
   }
--- a/src/main/java/switchgap/testbed/experiment/MemoryMeasurement.java
+++ b/src/main/java/switchgap/testbed/experiment/MemoryMeasurement.java
@@ -99,15 +99,17 @@
   private static String page(int port) {
     StringBuilder yaml =
         new StringBuilder(
-            "router: {number: 0, of: 1, tick: 10ms}\n"
-                + "workloads: {w: {start_target: 60s, time_limit: 120s, repeat: restartable}}\n"
-                + "functions: {\"f*\": {workload: w, memory: 1, lanes: 100}}\n"
-                + "kinds: {k: {memory: 1000000}}\n"
-                + "holds: {calls: 100000, deferred: 100000}\n"
-                + "links: {connections: 2, waiting: 100000}\n"
-                + "listen: {port: 0}\n"
-                + "list:\n"
-                + "  workers:\n");
+            """
+            router: {number: 0, of: 1, tick: 10ms}
+            workloads: {w: {start_target: 60s, time_limit: 120s, repeat: restartable}}
+            functions: {"f*": {workload: w, memory: 1, lanes: 100}}
+            kinds: {k: {memory: 1000000}}
+            holds: {calls: 100000, deferred: 100000}
+            links: {connections: 2, waiting: 100000}
+            listen: {port: 0}
+            list:
+              workers:
+            """);
     for (int i = 0; i < WORKERS; i++) {
       yaml.append("    - {name: w")
           .append(i)
--- a/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
+++ b/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
@@ -11,7 +11,6 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import java.util.function.IntFunction;
 import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpExchange;
 import switchgap.net.HttpServer;
@@ -31,10 +30,15 @@
   private static final int CLOSED_ROUNDS = 2;
   private static final Duration WARM_UP = Duration.ofSeconds(4);
   private static final List<String> JVM = List.of("-Xmx1g");
-  private static final IntFunction<String> INVOKE_PATH =
-      number -> "/v1/functions/f" + number % FUNCTIONS + "/invoke";
-  private static final IntFunction<String> INFER_PATH =
-      number -> "/v2/models/f" + number % FUNCTIONS + "/infer";
+
+  private static String invokePath(int number) {
+    return "/v1/functions/f" + number % FUNCTIONS + "/invoke";
+  }
+
+  private static String inferPath(int number) {
+    return "/v2/models/f" + number % FUNCTIONS + "/infer";
+  }
+
   private static final byte[] WORKER_OUTPUT =
       "{\"id\":\"x\",\"outputs\":[]}".getBytes(StandardCharsets.US_ASCII);
   private static final Map<String, String> WORKER_HEADERS =
@@ -128,13 +132,15 @@
     SmallRequestLoad.Result first = null;
     for (int i = 0; i < CLOSED_ROUNDS; i++) {
       SmallRequestLoad.Result relay =
-          new SmallRequestLoad(net, targets.relay, INVOKE_PATH).closed(connections, WARM_UP, span);
+          new SmallRequestLoad(net, targets.relay, SpeedMeasurement::invokePath)
+              .closed(connections, WARM_UP, span);
       first = first == null ? relay : first;
       row(out, "relay", relay, first);
       row(
           out,
           "router",
-          new SmallRequestLoad(net, targets.router, INVOKE_PATH).closed(connections, WARM_UP, span),
+          new SmallRequestLoad(net, targets.router, SpeedMeasurement::invokePath)
+              .closed(connections, WARM_UP, span),
           first);
     }
   }
@@ -145,13 +151,16 @@
       throws InterruptedException {
     out.printf("open load, %d calls a second%n", rate);
     SmallRequestLoad.Result direct =
-        new SmallRequestLoad(net, targets.direct, INFER_PATH).open(rate, WARM_UP, span);
+        new SmallRequestLoad(net, targets.direct, SpeedMeasurement::inferPath)
+            .open(rate, WARM_UP, span);
     row(out, "direct", direct, direct);
     SmallRequestLoad.Result relay =
-        new SmallRequestLoad(net, targets.relay, INVOKE_PATH).open(rate, WARM_UP, span);
+        new SmallRequestLoad(net, targets.relay, SpeedMeasurement::invokePath)
+            .open(rate, WARM_UP, span);
     row(out, "relay", relay, relay);
     SmallRequestLoad.Result router =
-        new SmallRequestLoad(net, targets.router, INVOKE_PATH).open(rate, WARM_UP, span);
+        new SmallRequestLoad(net, targets.router, SpeedMeasurement::invokePath)
+            .open(rate, WARM_UP, span);
     row(out, "router", router, relay);
     out.printf(
         "the router adds %.3f ms at p50 and %.3f ms at p99 over a direct call (relay %.3f and"
--- a/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
@@ -191,7 +191,7 @@
     // Repeats are recognized within a group of workers; with one group for all, any retry is safe.
     boolean retriesAll =
         repeatRule == RepeatRule.RESTARTABLE
-            || idempotent && section.text("group", "all").equals("all");
+            || (idempotent && section.text("group", "all").equals("all"));
     EmulatedClients.RequestClassProfile profile =
         new EmulatedClients.RequestClassProfile(
             name, target, limit, weight, lateShare, retriesAll, idempotent);
--- a/src/test/java/switchgap/policy/RoutingInvariantsTest.java
+++ b/src/test/java/switchgap/policy/RoutingInvariantsTest.java
@@ -349,8 +349,8 @@
     assertThat(
             mayHaveRun
                 && (settings.idempotency == Idempotency.NON_IDEMPOTENT
-                    || settings.idempotency == Idempotency.IDEMPOTENT_WITH_KEY
-                        && settings.deduplicationScope != DeduplicationScope.ALL))
+                    || (settings.idempotency == Idempotency.IDEMPOTENT_WITH_KEY
+                        && settings.deduplicationScope != DeduplicationScope.ALL)))
         .as("rule 2: pushed back")
         .isFalse();
     closed(job, request);
--- a/src/test/java/switchgap/router/InvariantMonitorTest.java
+++ b/src/test/java/switchgap/router/InvariantMonitorTest.java
@@ -16,7 +16,7 @@
  */
 class InvariantMonitorTest implements ResponseListener {
   private static final Duration NOW = Duration.ofMillis(100);
-  private static final Duration DEADLINE = Duration.ofMillis(1000);
+  private static final Duration DEADLINE = Duration.ofSeconds(1);
   private static final int NON_IDEMPOTENT = 1; // index of the class in the settings
 
   private final List<String> lines = new ArrayList<>();
--- a/src/test/java/switchgap/router/RouterCoreLongRunTest.java
+++ b/src/test/java/switchgap/router/RouterCoreLongRunTest.java
@@ -52,7 +52,7 @@
     while (true) {
       Duration a = due.isEmpty() ? null : due.firstKey();
       Duration b = core.nextDue();
-      Duration next = a == null || b != null && b.compareTo(a) < 0 ? b : a;
+      Duration next = a == null || (b != null && b.compareTo(a) < 0) ? b : a;
       if (next == null || next.compareTo(end) > 0) {
         return;
       }
--- a/src/test/java/switchgap/server/gateway/ConnectionFaultsTest.java
+++ b/src/test/java/switchgap/server/gateway/ConnectionFaultsTest.java
@@ -163,7 +163,7 @@
         loaded.add(function);
         return well && HttpTestServer.well(request, out);
       }
-      if (!request.line().contains("/infer") || well && loaded.contains(function)) {
+      if (!request.line().contains("/infer") || (well && loaded.contains(function))) {
         return HttpTestServer.well(request, out);
       }
       out.write(HttpTestServer.http(404, NOT_EXECUTED, "{}"));
--- a/src/test/java/switchgap/server/gateway/RouterAndPlannerTest.java
+++ b/src/test/java/switchgap/server/gateway/RouterAndPlannerTest.java
@@ -20,7 +20,10 @@
  */
 class RouterAndPlannerTest {
   private static final String PLANNER_CONFIG =
-      "planner: {port: 0, patience: 60ms}\n" + "workers: {miss: answers, orders: true}\n";
+      """
+      planner: {port: 0, patience: 60ms}
+      workers: {miss: answers, orders: true}
+      """;
 
   /** A worker that has no function loaded until it is commanded to load one. */
   private static final class LoadCountingWorker implements AutoCloseable {
--- a/src/test/java/switchgap/server/platform/ClientEvictionTest.java
+++ b/src/test/java/switchgap/server/platform/ClientEvictionTest.java
@@ -1,5 +1,6 @@
 package switchgap.server.platform;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
@@ -16,7 +17,7 @@
 
   private static byte[] submit(String id) throws Exception {
     return ThriftTestClient.submit(
-        1, ThriftTestClient.fields("again", id, 1900, FUNCTION), "x".getBytes());
+        1, ThriftTestClient.fields("again", id, 1900, FUNCTION), "x".getBytes(UTF_8));
   }
 
   @Test
--- a/src/test/java/switchgap/server/platform/DepartedClientsTest.java
+++ b/src/test/java/switchgap/server/platform/DepartedClientsTest.java
@@ -238,7 +238,7 @@
     RespTestServer worker =
         new RespTestServer(
             (command, out) ->
-                command.word().equals("DO") && command.words().get(3).equals("first")
+                (command.word().equals("DO") && command.words().get(3).equals("first"))
                     || RespTestServer.serveAll(command, out));
     serve(256, worker);
     ThriftTestClient oldClient = client();
--- a/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
+++ b/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
@@ -1,5 +1,6 @@
 package switchgap.server.platform;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.Arrays;
@@ -37,7 +38,7 @@
     String id = id();
     byte[] frame =
         ThriftTestClient.submit(
-            2, ThriftTestClient.fields("again", id, 900, FUNCTION), "x".getBytes());
+            2, ThriftTestClient.fields("again", id, 900, FUNCTION), "x".getBytes(UTF_8));
     client.raw(Arrays.copyOf(frame, 30));
     Thread stopping = stopping();
     Thread.sleep(1400); // requests are taken for 1 s, and a message may take 2 s
--- a/src/test/java/switchgap/server/platform/ThriftTestClient.java
+++ b/src/test/java/switchgap/server/platform/ThriftTestClient.java
@@ -1,5 +1,7 @@
 package switchgap.server.platform;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -109,7 +111,7 @@
   }
 
   void ask(int number, Map<String, String> fields, String body) throws Exception {
-    raw(submit(number, fields, body.getBytes()));
+    raw(submit(number, fields, body.getBytes(UTF_8)));
   }
 
   void revoke(int number, int which) throws Exception {
--- a/src/test/java/switchgap/simulator/ActionRecordEncoderTest.java
+++ b/src/test/java/switchgap/simulator/ActionRecordEncoderTest.java
@@ -1,5 +1,6 @@
 package switchgap.simulator;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.nio.ByteBuffer;
@@ -122,7 +123,7 @@
     assertThat(HexFormat.of().formatHex(frame, 12, 12 + 7)).isEqualTo("0a0102" + "00000000");
     int textLength = ByteBuffer.wrap(frame).order(ByteOrder.LITTLE_ENDIAN).getInt(12 + 7);
     assertThat(textLength).isEqualTo(frame.length - 12 - 24);
-    assertThat(new String(frame, 12 + 24, textLength))
+    assertThat(new String(frame, 12 + 24, textLength, UTF_8))
         .startsWith(
             "java.lang.IllegalStateException: broken at"
                 + " switchgap.simulator.ActionRecordEncoderTest.");
--- a/src/test/java/switchgap/testbed/scenario/InvariantCheckerTest.java
+++ b/src/test/java/switchgap/testbed/scenario/InvariantCheckerTest.java
@@ -1,5 +1,6 @@
 package switchgap.testbed.scenario;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -134,7 +135,8 @@
     InvariantChecker checker = check();
     checker.print(new PrintStream(out));
     assertThat(checker.violations()).isEmpty();
-    assertThat(out.toString()).contains("answers       kept    3 calls; {finished=2, killed=1}");
+    assertThat(out.toString(UTF_8))
+        .contains("answers       kept    3 calls; {finished=2, killed=1}");
   }
 
   @Test
@@ -239,7 +241,9 @@
           .isInstanceOf(IOException.class)
           .hasMessageContaining(log + ".jsonl:");
       Files.write(
-          file, Arrays.copyOf(whole, Math.max(0, new String(whole).lastIndexOf("{\"t\":9000000"))));
+          file,
+          Arrays.copyOf(
+              whole, Math.max(0, new String(whole, UTF_8).lastIndexOf("{\"t\":9000000"))));
       assertThatThrownBy(() -> InvariantChecker.read(directory))
           .isInstanceOf(IOException.class)
           .hasMessageContaining("cut off");
--- a/src/test/java/switchgap/testbed/scenario/ScenarioRunnerTest.java
+++ b/src/test/java/switchgap/testbed/scenario/ScenarioRunnerTest.java
@@ -1,5 +1,6 @@
 package switchgap.testbed.scenario;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.ByteArrayOutputStream;
@@ -47,7 +48,7 @@
     assertThat(checker.violations()).isEmpty();
     ByteArrayOutputStream report = new ByteArrayOutputStream();
     checker.print(new PrintStream(report));
-    assertThat(report.toString())
+    assertThat(report.toString(UTF_8))
         .contains("finished=")
         .containsPattern("[1-9]\\d* drains told")
         .containsPattern("[1-9]\\d* cold starts")
