--- a/src/main/java/switchgap/config/JsonDocument.java
+++ b/src/main/java/switchgap/config/JsonDocument.java
@@ -63,22 +63,14 @@
     if (depth > MAX_DEPTH) {
       throw new IOException("nested deeper than " + MAX_DEPTH);
     }
-    switch (parser.currentToken()) {
-      case START_OBJECT:
-        return readObject(parser, depth);
-      case START_ARRAY:
-        return readArray(parser, depth);
-      case VALUE_NUMBER_INT:
-      case VALUE_NUMBER_FLOAT:
-        return parser.getNumberValue();
-      case VALUE_TRUE:
-      case VALUE_FALSE:
-        return parser.getBooleanValue();
-      case VALUE_NULL:
-        return null;
-      default:
-        return parser.getText();
-    }
+    return switch (parser.currentToken()) {
+      case START_OBJECT -> readObject(parser, depth);
+      case START_ARRAY -> readArray(parser, depth);
+      case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
+      case VALUE_TRUE, VALUE_FALSE -> parser.getBooleanValue();
+      case VALUE_NULL -> null;
+      default -> parser.getText();
+    };
   }
 
   /**
--- a/src/main/java/switchgap/planner/link/PlannerMessageCodec.java
+++ b/src/main/java/switchgap/planner/link/PlannerMessageCodec.java
@@ -44,18 +44,21 @@
   public record Heartbeat(long number) {}
 
   /** Names on the wire of the members of a plan. */
+  @SuppressWarnings("UnusedVariable") // Jackson reads the annotations alone
   private abstract static class LoadPlanNames {
     @JsonProperty("seq")
     private long sequence;
   }
 
   /** Names on the wire of the members of a backlog. */
+  @SuppressWarnings("UnusedVariable") // Jackson reads the annotations alone
   private abstract static class LoadBacklogNames {
     @JsonProperty("seq")
     private long sequence;
   }
 
   /** Names on the wire of the members of a pending load. */
+  @SuppressWarnings("UnusedVariable") // Jackson reads the annotations alone
   private abstract static class PendingLoadNames {
     @JsonProperty("memory")
     private double memoryMb;
--- a/src/main/java/switchgap/protocol/inference/InferenceRequest.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceRequest.java
@@ -33,7 +33,6 @@
   private static final String READY = "/ready";
   private static final String LOAD = "/load";
   private static final String UNLOAD = "/unload";
-  private static final String LOAD_BODY_FORMAT = "{\"parameters\":{\"copies\":%d}}";
   private static final String UNLOAD_IDLE_BODY = "{\"parameters\":{\"idle_only\":true}}";
   private static final byte[] NO_BODY = {};
 
@@ -63,7 +62,7 @@
   static InferenceRequest load(String function, int replicas) {
     return json(
         REPOSITORY_PATH + encode(function) + LOAD,
-        String.format(Locale.ROOT, LOAD_BODY_FORMAT, replicas));
+        String.format(Locale.ROOT, "{\"parameters\":{\"copies\":%d}}", replicas));
   }
 
   /** Unloads the idle replicas of a function. */
--- a/src/main/java/switchgap/testbed/experiment/BaselinePolicy.java
+++ b/src/main/java/switchgap/testbed/experiment/BaselinePolicy.java
@@ -194,7 +194,8 @@
       long key = (long) worker << 32 | request.function;
       List<PendingRequest> waiting = loading.get(key);
       if (waiting == null) {
-        loading.put(key, waiting = new ArrayList<>());
+        waiting = new ArrayList<>();
+        loading.put(key, waiting);
         actions.load(worker, request.function);
       }
       waiting.add(request);
--- a/src/main/java/switchgap/testbed/experiment/ExperimentCase.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentCase.java
@@ -12,7 +12,7 @@
 
   /** The trials of a variant, in the order of the seeds. */
   List<Trial> of(Variant variant) {
-    return trials.stream().filter(trial -> trial.variant == variant).toList();
+    return trials.stream().filter(trial -> trial.variant.equals(variant)).toList();
   }
 
   /** Differences to a reference variant, seed by seed. */
--- a/src/main/java/switchgap/testbed/experiment/ExperimentTables.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentTables.java
@@ -33,31 +33,31 @@
     }
   }
 
-  private static LinkedHashMap<String, Class<?>> keyColumns() {
-    LinkedHashMap<String, Class<?>> columns = new LinkedHashMap<>();
+  private static Map<String, Class<?>> keyColumns() {
+    Map<String, Class<?>> columns = new LinkedHashMap<>();
     columns.put("case", String.class);
     columns.put("variant", String.class);
     columns.put("seed", Long.class);
     return columns;
   }
 
-  private static LinkedHashMap<String, Class<?>> trialColumns() {
-    LinkedHashMap<String, Class<?>> columns = keyColumns();
+  private static Map<String, Class<?>> trialColumns() {
+    Map<String, Class<?>> columns = keyColumns();
     List.of("of", "name", "figure").forEach(column -> columns.put(column, String.class));
     columns.put("value", Double.class);
     return columns;
   }
 
-  private static LinkedHashMap<String, Class<?>> secondColumns() {
-    LinkedHashMap<String, Class<?>> columns = keyColumns();
+  private static Map<String, Class<?>> secondColumns() {
+    Map<String, Class<?>> columns = keyColumns();
     columns.put("second", Long.class);
     List.of("load", "service", "level", "below_full")
         .forEach(column -> columns.put(column, Double.class));
     return columns;
   }
 
-  private static LinkedHashMap<String, Class<?>> changeColumns() {
-    LinkedHashMap<String, Class<?>> columns = keyColumns();
+  private static Map<String, Class<?>> changeColumns() {
+    Map<String, Class<?>> columns = keyColumns();
     columns.put("router", Long.class);
     columns.put("at", Double.class);
     List.of("customer", "from", "to", "condition")
--- a/src/main/java/switchgap/testbed/experiment/ResultTable.java
+++ b/src/main/java/switchgap/testbed/experiment/ResultTable.java
@@ -8,7 +8,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.apache.arrow.memory.BufferAllocator;
@@ -43,7 +42,7 @@
   private final ArrowFileWriter arrow;
   private int row;
 
-  ResultTable(Path stem, LinkedHashMap<String, Class<?>> columns) throws IOException {
+  ResultTable(Path stem, Map<String, Class<?>> columns) throws IOException {
     this.columns = columns;
     csv =
         new CSVPrinter(
--- a/src/test/java/switchgap/admission/AdmissionControllerTest.java
+++ b/src/test/java/switchgap/admission/AdmissionControllerTest.java
@@ -344,7 +344,6 @@
   @Test
   void routersDoNotChangeInStep() {
     TreeSet<Long> times = new TreeSet<>();
-    TreeSet<Long> retries = new TreeSet<>();
     for (int i = 0; i < 40; i++) {
       second = 0;
       AdmissionController controller = new AdmissionController(settings(1, 2, 2), i);
@@ -352,7 +351,7 @@
       if (!controller.changes().isEmpty()) {
         times.add(controller.changes().get(0).at().toMillis() / 500);
       }
-      retries.add(controller.decide(at(second), 0, 0, 0).retryAfter() == null ? 0 : 1L);
+      assertThat(controller.decide(at(second), 0, 0, 0)).isNotNull();
     }
     assertThat(times.size()).as("%s", times).isGreaterThan(5);
   }
--- a/src/test/java/switchgap/net/HttpServerTest.java
+++ b/src/test/java/switchgap/net/HttpServerTest.java
@@ -6,6 +6,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -113,7 +114,7 @@
         assertThat(exchange.beginStreaming(200, Map.of())).isFalse();
         String response = receive(client, "hello");
         assertThat(response).startsWith("HTTP/1.1 201 ");
-        assertThat(response.toLowerCase())
+        assertThat(response.toLowerCase(Locale.ROOT))
             .contains("content-type: text/x", "x-part: one\r\n", "content-length: 5\r\n");
       }
     }
@@ -200,7 +201,8 @@
       exchange = nextExchange();
       assertThat(exchange.beginStreaming(200, Map.of("Content-Type", "text/x"))).isTrue();
       exchange.sendPart(ascii("one"));
-      assertThat(receive(client, "one").toLowerCase()).contains("transfer-encoding: chunked\r\n");
+      assertThat(receive(client, "one").toLowerCase(Locale.ROOT))
+          .contains("transfer-encoding: chunked\r\n");
       exchange.sendPart(ascii("two"));
       receive(client, "two");
     }
--- a/src/test/java/switchgap/policy/RoutingInvariantsTest.java
+++ b/src/test/java/switchgap/policy/RoutingInvariantsTest.java
@@ -74,7 +74,7 @@
   private SplittableRandom draw = new SplittableRandom(1);
   private Duration now = Duration.ZERO;
   private RoutingPolicy policy;
-  private int sends, repeats, answers, held, wakes;
+  private int sends, repeats, held;
   private long next;
 
   private void later(long millis, Consumer<PolicyEvents> event) {
@@ -132,7 +132,7 @@
   }
 
   private void change(PolicyEvents events) {
-    long name = 1000 + draw.nextInt(WORKERS);
+    long name = 1000L + draw.nextInt(WORKERS);
     WorkerState state = WorkerState.values()[draw.nextInt(3)];
     standing.put(name, state);
     if (state == WorkerState.READY && draw.nextBoolean()) {
@@ -291,7 +291,7 @@
           request.ends.set(x, end);
           request.out--;
           if (end == AttemptOutcome.SUCCEEDED && !request.closed) {
-            closed(job, request);
+            closed(request);
           }
           events.attemptEnded(
               new AttemptResult(
@@ -334,9 +334,8 @@
     assertThat(sent.size()).as("rule 4").isLessThanOrEqualTo(25);
   }
 
-  private void closed(int job, Job request) {
+  private void closed(Job request) {
     request.closed = true;
-    answers++;
     assertThat(now).as("rule 1: before the limit").isLessThan(request.limit);
   }
 
@@ -353,7 +352,7 @@
                         && settings.deduplicationScope != DeduplicationScope.ALL)))
         .as("rule 2: pushed back")
         .isFalse();
-    closed(job, request);
+    closed(request);
   }
 
   @Override
@@ -364,7 +363,7 @@
             request.out > 0 || request.ends.stream().anyMatch(outcome -> !outcome.neverExecuted()))
         .as("killed for nothing")
         .isTrue();
-    closed(job, request);
+    closed(request);
   }
 
   @Override
@@ -426,7 +425,6 @@
 
   @Override
   public void scheduleWakeUp(Duration after, long token) {
-    wakes++;
     due.computeIfAbsent(now.plus(after), time -> new ArrayList<>())
         .add(events -> events.wakeUp(token));
   }
--- a/src/test/java/switchgap/policy/RoutingPolicyTest.java
+++ b/src/test/java/switchgap/policy/RoutingPolicyTest.java
@@ -842,7 +842,7 @@
    */
   @Test
   void atSizeTurnsAtAColdWorkerAreShared() {
-    int sent = 0;
+    long sent = 0;
     for (int routerIndex = 0; routerIndex < 200; routerIndex++) {
       PolicyHarness.TestSettings settings = new PolicyHarness.TestSettings();
       settings.loadsOnDemand = true;
@@ -862,6 +862,6 @@
       assertThat(harness.count("send")).isLessThanOrEqualTo(1);
       sent += harness.count("send");
     }
-    assertThat(sent).isBetween(2, 40);
+    assertThat(sent).isBetween(2L, 40L);
   }
 }
--- a/src/test/java/switchgap/server/gateway/HttpTestServer.java
+++ b/src/test/java/switchgap/server/gateway/HttpTestServer.java
@@ -8,6 +8,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
@@ -85,10 +86,10 @@
         int length = 0;
         String run = "";
         for (String header = line(in); header != null && !header.isEmpty(); header = line(in)) {
-          if (header.toLowerCase().startsWith("content-length:")) {
+          if (header.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
             length = Integer.parseInt(header.substring(15).trim());
           }
-          if (header.toLowerCase().startsWith("x-request-id:")) {
+          if (header.toLowerCase(Locale.ROOT).startsWith("x-request-id:")) {
             run = header.substring(13).trim();
           }
         }
--- a/src/test/java/switchgap/server/gateway/LostResponsesTest.java
+++ b/src/test/java/switchgap/server/gateway/LostResponsesTest.java
@@ -268,11 +268,11 @@
           Thread.sleep(20);
         }
       }
-      AtomicInteger finished = new AtomicInteger();
+      int finished = 0;
       for (int i = 0; i < 200; i++) {
         String end = end(all.get(i).get());
         assertThat(end).isIn("finished", "pushed-back", "killed");
-        finished.addAndGet(end.equals("finished") ? 1 : 0);
+        finished += end.equals("finished") ? 1 : 0;
         String body = "n" + i + ".";
         long runs =
             List.of(worker, otherWorker, thirdWorker).stream()
@@ -286,7 +286,7 @@
           assertThat(runs).as(body).isZero();
         }
       }
-      assertThat(finished.get()).isGreaterThan(100);
+      assertThat(finished).isGreaterThan(100);
       assertThat(fixture.gateway.requestCounts().total()).isEqualTo(200);
     }
   }
--- a/src/test/java/switchgap/server/platform/ClientEvictionTest.java
+++ b/src/test/java/switchgap/server/platform/ClientEvictionTest.java
@@ -96,9 +96,8 @@
   @Test
   void aClientThatHasJustBeenAnsweredKeepsItsConnection() throws Exception {
     serve(48, new RespTestServer(RespTestServer::serveAll)); // sixteen places
-    List<ThriftTestClient> others = new ArrayList<>();
     for (int i = 0; i < 15; i++) {
-      others.add(client());
+      client();
     }
     Thread.sleep(100); // these are of no use
     ThriftTestClient usual = client();
