--- a/src/main/java/switchgap/protocol/inference/AttemptExchange.java
+++ b/src/main/java/switchgap/protocol/inference/AttemptExchange.java
@@ -36,7 +36,7 @@
       HttpConnectionPool pool,
       long deadlineNanos,
       Consumer<Consumer<RouterCore>> events) {
-    super(attempt.worker, pool, InferenceRequest.infer(attempt), deadlineNanos);
+    super(attempt.worker(), pool, InferenceRequest.infer(attempt), deadlineNanos);
     this.attempt = attempt;
     this.events = events;
   }
--- a/src/main/java/switchgap/protocol/inference/InferenceRequest.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceRequest.java
@@ -41,17 +41,17 @@
   static InferenceRequest infer(Attempt attempt) {
     Map<String, String> headers = new HashMap<>();
     headers.put(SENT_REQUEST_ID_HEADER, attempt.attemptId());
-    if (attempt.request.contentType != null) {
-      headers.put(CONTENT_TYPE_HEADER, attempt.request.contentType);
+    if (attempt.request().contentType() != null) {
+      headers.put(CONTENT_TYPE_HEADER, attempt.request().contentType());
     }
-    if (attempt.request.idempotencyKey != null) {
-      headers.put(IDEMPOTENCY_KEY_HEADER, attempt.request.idempotencyKey);
+    if (attempt.request().idempotencyKey() != null) {
+      headers.put(IDEMPOTENCY_KEY_HEADER, attempt.request().idempotencyKey());
     }
     return new InferenceRequest(
         POST,
-        MODELS_PATH + encode(attempt.request.function) + INFER,
+        MODELS_PATH + encode(attempt.request().function()) + INFER,
         headers,
-        attempt.request.body);
+        attempt.request().body());
   }
 
   /** Asks whether a function is loaded. */
--- a/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
@@ -75,19 +75,19 @@
   }
 
   private WorkerPools poolsOf(WorkerEntry worker) {
-    WorkerPools known = (WorkerPools) worker.attachment;
+    WorkerPools known = (WorkerPools) worker.attachment();
     if (known != null) {
       return known;
     }
     WorkerPools created = new WorkerPools(newPool(worker), newPool(worker));
-    worker.attachment = created;
+    worker.attach(created);
     pools.addAll(created.all());
     return created;
   }
 
   private HttpConnectionPool newPool(WorkerEntry worker) {
     return new HttpConnectionPool(
-        connectionFactory, new InetSocketAddress(worker.host, worker.port), limits);
+        connectionFactory, new InetSocketAddress(worker.host(), worker.port()), limits);
   }
 
   /** Closes connections that have been idle for too long; to be called regularly, on any thread. */
@@ -102,7 +102,7 @@
 
   @Override
   public void stopAccepting(WorkerEntry worker, boolean forGood) {
-    if (!(worker.attachment instanceof WorkerPools known)) {
+    if (!(worker.attachment() instanceof WorkerPools known)) {
       return;
     }
     for (HttpConnectionPool pool : known.all()) {
@@ -120,23 +120,23 @@
     AttemptExchange exchange =
         new AttemptExchange(
             attempt,
-            poolsOf(attempt.worker).attempts(),
+            poolsOf(attempt.worker()).attempts(),
             System.nanoTime() + timeout.toNanos(),
             events);
-    attempt.attachment = exchange;
-    writers.execute(attempt.worker.port, exchange::submit);
+    attempt.attach(exchange);
+    writers.execute(attempt.worker().port(), exchange::submit);
   }
 
   @Override
   public AttemptOutcome abandon(Attempt attempt) {
-    return attempt.attachment instanceof PendingExchange exchange
+    return attempt.attachment() instanceof PendingExchange exchange
         ? exchange.abandon()
         : AttemptOutcome.TIMED_OUT;
   }
 
   @Override
   public void abandon(WorkerCommand command) {
-    if (command.attachment instanceof PendingExchange exchange) {
+    if (command.attachment() instanceof PendingExchange exchange) {
       exchange.abandon();
     }
   }
@@ -148,7 +148,7 @@
       CommandExchange.CompletionListener listener) {
     CommandExchange exchange =
         new CommandExchange(worker, poolsOf(worker).commands(), request, listener);
-    command.attachment = exchange;
+    command.attach(exchange);
     exchange.submit();
   }
 
--- a/src/main/java/switchgap/protocol/inference/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/inference/PendingExchange.java
@@ -97,7 +97,7 @@
 
   /** Whether it may still go out: its worker takes what is new, and its deadline has not passed. */
   final synchronized boolean maySend() {
-    return worker.accepting
+    return worker.isAccepting()
         && (deadlineNanos == NO_DEADLINE || System.nanoTime() - deadlineNanos < 0);
   }
 
--- a/src/main/java/switchgap/protocol/invoke/DeferredRequestHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/DeferredRequestHandler.java
@@ -42,7 +42,7 @@
       reject(exchange, request, "no room for a further function");
       return;
     }
-    ResponseWriter.writeAccepted(exchange, pending.id, request.clientRequestId());
+    ResponseWriter.writeAccepted(exchange, pending.id(), request.clientRequestId());
   }
 
   private void reject(HttpExchange exchange, InvokeRequest request, String detail) {
@@ -99,7 +99,7 @@
     Response response = entry.response() == null ? Response.failed() : entry.response();
     PendingRequest request = entry.request();
     ResponseWriter.writeFinal(
-        exchange, response, results.id(entry), null, request == null ? null : request.shedBy);
+        exchange, response, results.id(entry), null, request == null ? null : request.shedBy());
   }
 
   /** Gives a request up: cancels it while it is pending, and forgets its result. */
@@ -111,7 +111,7 @@
       return;
     }
     if (!entry.isEnded() && entry.request().state() == PendingRequest.State.PENDING) {
-      core.clientLeft(entry.request());
+      core.requestCancelled(entry.request());
       tracker.release();
     }
     results.forget(entry);
--- a/src/main/java/switchgap/protocol/invoke/SynchronousRequestHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/SynchronousRequestHandler.java
@@ -51,7 +51,7 @@
 
   private void cancel(RouterCore core, PendingRequest pending) {
     if (pending.state() == PendingRequest.State.PENDING) {
-      core.clientLeft(pending);
+      core.requestCancelled(pending);
       tracker.release();
     }
   }
@@ -69,12 +69,13 @@
     @Override
     public void responded(PendingRequest request, Response response) {
       tracker.responded(response);
-      writers.execute(request.id.hashCode(), () -> write(request, response));
+      writers.execute(request.id().hashCode(), () -> write(request, response));
     }
 
     private void write(PendingRequest request, Response response) {
-      if (router.now().compareTo(request.deadline) < 0) {
-        ResponseWriter.writeFinal(exchange, response, request.id, clientRequestId, request.shedBy);
+      if (router.now().compareTo(request.deadline()) < 0) {
+        ResponseWriter.writeFinal(
+            exchange, response, request.id(), clientRequestId, request.shedBy());
       } else { // paused between the decision and the write: silence, not a late response
         tracker.responseSuppressed();
         exchange.drop();
--- a/src/main/java/switchgap/protocol/resp/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/resp/PendingExchange.java
@@ -74,7 +74,7 @@
     this.worker = worker;
     this.id = id;
     this.attempt = attempt;
-    this.request = attempt == null ? null : attempt.request;
+    this.request = attempt == null ? null : attempt.request();
     this.allowedWhileDraining = allowedWhileDraining;
     this.encoder = encoder;
     this.timeoutNanos = timeoutNanos;
@@ -85,7 +85,7 @@
   static PendingExchange ofAttempt(
       Attempt attempt, CommandEncoder encoder, long timeoutNanos, CompletionListener listener) {
     return new PendingExchange(
-        attempt.worker, attempt.request.id, attempt, false, encoder, timeoutNanos, listener);
+        attempt.worker(), attempt.request().id(), attempt, false, encoder, timeoutNanos, listener);
   }
 
   /**
@@ -113,7 +113,7 @@
    */
   boolean maySend(long nowNanos) {
     return state == State.WAITING
-        && (allowedWhileDraining || worker.accepting)
+        && (allowedWhileDraining || worker.isAccepting())
         && (request == null || request.isAwaited() && nowNanos < timeoutNanos);
   }
 
--- a/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
@@ -75,13 +75,13 @@
 
   /** The pool of a worker, made where it has none yet. */
   RespConnectionPool poolFor(WorkerEntry worker) {
-    if (worker.attachment == null) {
+    if (worker.attachment() == null) {
       RespConnectionPool pool =
-          new RespConnectionPool(this, new InetSocketAddress(worker.host, worker.port));
-      worker.attachment = pool;
+          new RespConnectionPool(this, new InetSocketAddress(worker.host(), worker.port()));
+      worker.attach(pool);
       pools.add(pool);
     }
-    return (RespConnectionPool) worker.attachment;
+    return (RespConnectionPool) worker.attachment();
   }
 
   /** Connections that one worker may have when all that are in use share the limit. */
--- a/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
@@ -122,7 +122,7 @@
       return false;
     }
     for (Attempt attempt : exchange.request.attempts()) {
-      if (attempt.attachment instanceof PendingExchange other
+      if (attempt.attachment() instanceof PendingExchange other
           && other != exchange
           && other.connection() == connection) {
         return true;
--- a/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -89,18 +89,18 @@
 
   @Override
   public void startAttempt(Attempt attempt, Duration timeout) {
-    PendingRequest request = attempt.request;
-    long timeoutNanos = Math.min(deadlineNanos(timeout), request.deadline.toNanos());
+    PendingRequest request = attempt.request();
+    long timeoutNanos = Math.min(deadlineNanos(timeout), request.deadline().toNanos());
     PendingExchange exchange =
         PendingExchange.ofAttempt(
             attempt,
             remaining ->
                 RespCommand.execute(
-                    request.id,
-                    requestClassNames[request.requestClass],
-                    request.function,
+                    request.id(),
+                    requestClassNames[request.requestClass()],
+                    request.function(),
                     Math.max(1, remaining.toMillis()),
-                    request.body),
+                    request.body()),
             timeoutNanos,
             (core, outcome, reply) ->
                 core.attemptEnded(
@@ -110,14 +110,14 @@
                     outcome == AttemptOutcome.SUCCEEDED
                         ? Response.succeeded(0, Map.of(), reply.body())
                         : null));
-    attempt.attachment = exchange;
-    connections.poolFor(attempt.worker).submit(exchange);
+    attempt.attach(exchange);
+    connections.poolFor(attempt.worker()).submit(exchange);
   }
 
   @Override
   public AttemptOutcome abandon(Attempt attempt) {
-    return attempt.attachment instanceof PendingExchange exchange
-        ? connections.poolFor(attempt.worker).abandon(exchange)
+    return attempt.attachment() instanceof PendingExchange exchange
+        ? connections.poolFor(attempt.worker()).abandon(exchange)
         : AttemptOutcome.TIMED_OUT;
   }
 
@@ -168,13 +168,13 @@
   }
 
   private void submit(WorkerCommand command, PendingExchange exchange) {
-    command.attachment = exchange;
+    command.attach(exchange);
     connections.poolFor(exchange.worker).submit(exchange);
   }
 
   @Override
   public void abandon(WorkerCommand command) {
-    if (command.attachment instanceof PendingExchange exchange) {
+    if (command.attachment() instanceof PendingExchange exchange) {
       connections.poolFor(exchange.worker).abandon(exchange);
     }
   }
@@ -190,7 +190,7 @@
 
   @Override
   public void stopAccepting(WorkerEntry worker, boolean forGood) {
-    if (!(worker.attachment instanceof RespConnectionPool pool)) {
+    if (!(worker.attachment() instanceof RespConnectionPool pool)) {
       return;
     }
     if (forGood) {
--- a/src/main/java/switchgap/protocol/thrift/RequestHandler.java
+++ b/src/main/java/switchgap/protocol/thrift/RequestHandler.java
@@ -135,7 +135,7 @@
    * is still owed: up to half a second late it only earns nothing.
    */
   private static boolean wasDue(PendingRequest request, Duration revokedAt) {
-    return revokedAt.compareTo(request.deadline.minus(DEADLINE_SLACK)) >= 0;
+    return revokedAt.compareTo(request.deadline().minus(DEADLINE_SLACK)) >= 0;
   }
 
   /** A submit whose revoke is queued behind it; nothing goes out for it. */
@@ -148,7 +148,7 @@
               message, names, receivedAt, new ResponseSender(connection, sequenceId));
       Duration revokedAt = connection.revokedAt(sequenceId);
       if (revokedAt != null && wasDue(request, revokedAt)) {
-        recordUnadmittedAnswer(AnswerReason.REVOKED_LATE, request.id, connection.id());
+        recordUnadmittedAnswer(AnswerReason.REVOKED_LATE, request.id(), connection.id());
         sendRejected(connection, sequenceId);
       }
     } catch (InvalidRequestException e) {
@@ -176,8 +176,8 @@
       PendingRequest request =
           SubmitRequestDecoder.decode(
               message, names, receivedAt, new ResponseSender(connection, sequenceId));
-      diagnostics.events().record(new RouterEvent.RequestReceived(request.id, connection.id()));
-      ensureIdIsUnused(core, request.id);
+      diagnostics.events().record(new RouterEvent.RequestReceived(request.id(), connection.id()));
+      ensureIdIsUnused(core, request.id());
       offer(core, connection, sequenceId, request);
     } catch (InvalidRequestException e) {
       recordUnadmittedAnswer(AnswerReason.UNUSABLE, connection.id(), e.getMessage());
@@ -205,10 +205,10 @@
       RouterCore core, ClientConnection connection, int sequenceId, PendingRequest request) {
     boolean hasCapacity =
         connectionByRequestId.size() < maxRequests
-            && inFlightBytes + request.body.length <= maxRequestBytes;
+            && inFlightBytes + request.body().length <= maxRequestBytes;
     // before it is offered: its response may come at once, and ends it again
-    connectionByRequestId.put(request.id, connection);
-    inFlightBytes += request.body.length;
+    connectionByRequestId.put(request.id(), connection);
+    inFlightBytes += request.body().length;
     connection.inFlight.put(sequenceId, request);
     if (!hasCapacity || !core.accept(request)) {
       finish(connection, sequenceId, request);
@@ -232,7 +232,7 @@
 
   private void recordAnswer(PendingRequest request, AnswerReason reason, Duration now) {
     diagnostics.invariants().beforeAnswer(request, now);
-    diagnostics.events().record(new RouterEvent.RequestAnswered(reason, request.id, now));
+    diagnostics.events().record(new RouterEvent.RequestAnswered(reason, request.id(), now));
   }
 
   /** Records the answer of a message that has not become a pending request. */
@@ -253,14 +253,14 @@
   }
 
   private void abandon(RouterCore core, PendingRequest request, EventReason reason) {
-    diagnostics.events().record(new RouterEvent.RequestAbandoned(reason, request.id));
+    diagnostics.events().record(new RouterEvent.RequestAbandoned(reason, request.id()));
     release(request);
-    core.clientLeft(request);
+    core.requestCancelled(request);
   }
 
   private void release(PendingRequest request) {
-    connectionByRequestId.remove(request.id);
-    inFlightBytes -= request.body.length;
+    connectionByRequestId.remove(request.id());
+    inFlightBytes -= request.body().length;
   }
 
   private static void sendRejected(
@@ -295,7 +295,7 @@
     @Override
     public void responded(PendingRequest request, Response response) {
       finish(connection, sequenceId, request);
-      recordAnswer(request, AnswerReason.of(response.kind()), request.deadline);
+      recordAnswer(request, AnswerReason.of(response.kind()), request.deadline());
       switch (response.kind()) {
         case SUCCEEDED ->
             connection.send(
--- a/src/main/java/switchgap/router/ActionExecutor.java
+++ b/src/main/java/switchgap/router/ActionExecutor.java
@@ -23,10 +23,9 @@
   @Override
   public void startAttempt(int index, int worker, Duration timeout) {
     PendingRequest request = core.requests().get(index);
-    Attempt attempt =
-        new Attempt(request, request.attempts.size(), core.endpoints().get(worker), core.now());
-    request.attempts.add(attempt);
-    attempt.timeout = core.timers().schedule(core.now().plus(timeout), () -> timeOut(attempt));
+    Attempt attempt = request.addAttempt(core.endpoints().get(worker), core.now());
+    attempt.timeoutScheduled(
+        core.timers().schedule(core.now().plus(timeout), () -> timeOut(attempt)));
     transport.startAttempt(attempt, timeout);
   }
 
@@ -35,15 +34,15 @@
    * WorkerTransport#abandon}.
    */
   private void timeOut(Attempt attempt) {
-    if (!attempt.ended) {
+    if (!attempt.hasEnded()) {
       core.attemptEnded(attempt, transport.abandon(attempt), LoadReport.NONE, null);
     }
   }
 
   @Override
   public void cancelAttempt(int index, int number) {
-    Attempt attempt = core.requests().get(index).attempts.get(number);
-    if (!attempt.ended) {
+    Attempt attempt = core.requests().get(index).attempts().get(number);
+    if (!attempt.hasEnded()) {
       transport.abandon(attempt);
       core.schedule(
           core.now(),
@@ -78,7 +77,8 @@
             function,
             limits.commandTimeout(),
             late -> core.loadCommandEnded(late, AttemptOutcome.TIMED_OUT, 0));
-    transport.requestReplicas(command.worker, core.functions().nameOf(function), replicas, command);
+    transport.requestReplicas(
+        command.worker(), core.functions().nameOf(function), replicas, command);
   }
 
   /**
@@ -88,7 +88,7 @@
   @Override
   public void unload(int worker, int function) {
     WorkerCommand command = command(worker, function, limits.commandTimeout(), core::unloadEnded);
-    transport.unload(command.worker, core.functions().nameOf(function), command);
+    transport.unload(command.worker(), core.functions().nameOf(function), command);
   }
 
   @Override
@@ -99,20 +99,20 @@
             WorkerCommand.NO_FUNCTION,
             limits.probeTimeout(),
             late -> core.probeEnded(late, AttemptOutcome.TIMED_OUT, LoadReport.NONE));
-    transport.probe(command.worker, command);
+    transport.probe(command.worker(), command);
   }
 
   private WorkerCommand command(
       int worker, int function, Duration timeout, Consumer<WorkerCommand> timedOut) {
     WorkerCommand command = new WorkerCommand(core.endpoints().get(worker), function, core.now());
-    command.timeout =
+    command.timeoutScheduled(
         core.timers()
             .schedule(
                 core.now().plus(timeout),
                 () -> {
                   transport.abandon(command);
                   timedOut.accept(command);
-                });
+                }));
     return command;
   }
 
--- a/src/main/java/switchgap/router/AdmissionGate.java
+++ b/src/main/java/switchgap/router/AdmissionGate.java
@@ -46,7 +46,7 @@
   private final class Observer implements RouterCore.RequestObserver {
     @Override
     public void requestEnded(PendingRequest request, Response response) {
-      admission.requestEnded(core.now(), request.requestClass, outcome(request, response));
+      admission.requestEnded(core.now(), request.requestClass(), outcome(request, response));
       reportChanges();
     }
 
@@ -76,7 +76,7 @@
     }
     AdmissionDecision decision =
         admission.decide(
-            core.now(), request.tenant, request.requestClass, request.function.hashCode());
+            core.now(), request.tenant(), request.requestClass(), request.function().hashCode());
     reportChanges();
     if (decision.admitted()) {
       return core.accept(request);
@@ -87,13 +87,12 @@
 
   private void reject(PendingRequest request, AdmissionDecision decision) {
     Response response = Response.rejected(decision.retryAfter());
-    if (request.deadline.compareTo(core.now()) <= 0) {
-      request.state = PendingRequest.State.OVERDUE;
-      request.listener.deadlineMissed(request, response);
+    if (request.deadline().compareTo(core.now()) <= 0) {
+      request.end(PendingRequest.State.DEADLINE_EXCEEDED);
+      request.listener().deadlineMissed(request, response);
     } else {
-      request.state = PendingRequest.State.ANSWERED;
-      request.shedBy = decision.level();
-      request.listener.responded(request, response);
+      request.shed(decision.level());
+      request.listener().responded(request, response);
     }
   }
 
@@ -101,14 +100,13 @@
     if (response == null) {
       return RequestOutcome.OTHER;
     }
-    Duration took = core.now().minus(request.acceptedAt);
-    Duration objective = settings.latencyObjective(request.requestClass);
+    Duration took = core.now().minus(request.acceptedAt());
+    Duration objective = settings.latencyObjective(request.requestClass());
     return switch (response.kind()) {
       case SUCCEEDED ->
           took.compareTo(objective) <= 0 ? RequestOutcome.IN_TIME : RequestOutcome.LATE;
       case REJECTED -> {
-        boolean neverExecuted =
-            request.attempts.stream().noneMatch(attempt -> attempt.mayHaveExecuted);
+        boolean neverExecuted = request.attempts().stream().noneMatch(Attempt::mayHaveExecuted);
         boolean early = took.toNanos() <= objective.toNanos() * SATURATED_OBJECTIVES;
         yield neverExecuted && early ? RequestOutcome.SATURATED : RequestOutcome.OTHER;
       }
--- a/src/main/java/switchgap/router/EndpointTable.java
+++ b/src/main/java/switchgap/router/EndpointTable.java
@@ -34,8 +34,9 @@
 
   /** Whether the policy still knows a worker: its index may have been handed out again. */
   boolean isKnown(WorkerEntry worker) {
-    WorkerEntry current = worker.index == WorkerEntry.FORGOTTEN ? null : byIndex.get(worker.index);
-    return current != null && current.name.equals(worker.name);
+    WorkerEntry current =
+        worker.index() == WorkerEntry.FORGOTTEN ? null : byIndex.get(worker.index());
+    return current != null && current.name().equals(worker.name());
   }
 
   /**
@@ -56,18 +57,18 @@
       updateStart(worker, update.startedAt(), now);
       policy.endpointListed(
           new EndpointEntry(
-              worker.index,
+              worker.index(),
               NameIndex.hash(update.name()),
               update.state(),
               update.zone(),
               update.cell(),
               update.kind(),
               update.capacity(),
-              worker.startedAt));
+              worker.startedAt()));
     }
     if (complete) {
       byIndex.stream()
-          .filter(worker -> worker != null && !named.contains(worker.name))
+          .filter(worker -> worker != null && !named.contains(worker.name()))
           .forEach(worker -> accept(worker, false));
     }
     policy.endpointListEnded();
@@ -79,13 +80,12 @@
    * before this router, and is cold as of now.
    */
   private void updateStart(WorkerEntry worker, Duration stated, Duration now) {
-    if (stated == null || stated.equals(worker.statedStart)) {
+    if (stated == null || stated.equals(worker.listedStart())) {
       return;
     }
     boolean isFirstList = now.equals(firstListAt);
     boolean isPossible = stated.compareTo(now) <= 0 && (isFirstList || !stated.isNegative());
-    worker.statedStart = stated;
-    worker.startedAt = isPossible ? stated : now;
+    worker.startListed(stated, isPossible ? stated : now);
   }
 
   /**
@@ -94,15 +94,15 @@
    */
   private WorkerEntry entryFor(EndpointUpdate update) {
     WorkerEntry known = byName.get(update.name());
-    if (known != null && known.port == update.port() && known.host.equals(update.host())) {
+    if (known != null && known.port() == update.port() && known.host().equals(update.host())) {
       return known;
     }
     if (known != null) {
       retire(known);
     }
-    int index = known == null ? newIndex() : known.index;
+    int index = known == null ? newIndex() : known.index();
     WorkerEntry worker = new WorkerEntry(update.name(), update.host(), update.port(), index);
-    byName.put(worker.name, worker);
+    byName.put(worker.name(), worker);
     byIndex.set(index, worker);
     return worker;
   }
@@ -116,15 +116,19 @@
   }
 
   private void accept(WorkerEntry worker, boolean accepting) {
-    boolean stops = worker.accepting && !accepting;
-    worker.accepting = accepting;
+    boolean stops = worker.isAccepting() && !accepting;
+    if (accepting) {
+      worker.startAccepting();
+    } else {
+      worker.stopAccepting();
+    }
     if (stops) {
       transport.stopAccepting(worker, false);
     }
   }
 
   private void retire(WorkerEntry worker) {
-    worker.accepting = false;
+    worker.stopAccepting();
     transport.stopAccepting(worker, true);
   }
 
@@ -132,8 +136,8 @@
   void release(int index) {
     WorkerEntry worker = byIndex.get(index);
     retire(worker);
-    byName.remove(worker.name);
-    worker.index = WorkerEntry.FORGOTTEN;
+    byName.remove(worker.name());
+    worker.forget();
     byIndex.set(index, null);
     freeIndices.add(index);
   }
--- a/src/main/java/switchgap/router/InvariantMonitor.java
+++ b/src/main/java/switchgap/router/InvariantMonitor.java
@@ -50,38 +50,38 @@
    * @param timeout the time that the worker is given
    */
   public void beforeAttempt(Attempt attempt, Duration timeout, Duration now) {
-    PendingRequest request = attempt.request;
-    String id = request.id;
-    check(request.state() == PendingRequest.State.PENDING, Invariant.ATTEMPT_AFTER_ANSWER, id, now);
+    PendingRequest request = attempt.request();
+    String id = request.id();
+    check(request.isPending(), Invariant.ATTEMPT_AFTER_ANSWER, id, now);
     check(!isDisconnected(request, now), Invariant.ATTEMPT_FOR_DISCONNECTED_CLIENT, id, now);
-    check(attempt.worker.accepting, Invariant.ATTEMPT_TO_DRAINING_WORKER, id, now);
-    check(now.compareTo(request.deadline) < 0, Invariant.ATTEMPT_AFTER_DEADLINE, id, now);
-    Duration maxTimeout = request.deadline.minus(now).plus(DEADLINE_SLACK);
+    check(attempt.worker().isAccepting(), Invariant.ATTEMPT_TO_DRAINING_WORKER, id, now);
+    check(now.compareTo(request.deadline()) < 0, Invariant.ATTEMPT_AFTER_DEADLINE, id, now);
+    Duration maxTimeout = request.deadline().minus(now).plus(DEADLINE_SLACK);
     check(timeout.compareTo(maxTimeout) <= 0, Invariant.TIMEOUT_PAST_DEADLINE, id, now);
-    check(!attempt.ended, Invariant.ATTEMPT_SENT_TWICE, id, now);
-    boolean mayRetry = settings.idempotency(request.requestClass) != Idempotency.NON_IDEMPOTENT;
+    check(!attempt.hasEnded(), Invariant.ATTEMPT_SENT_TWICE, id, now);
+    boolean mayRetry = settings.idempotency(request.requestClass()) != Idempotency.NON_IDEMPOTENT;
     check(mayRetry || !mayHaveExecutedBefore(attempt), Invariant.RETRY_OF_NON_IDEMPOTENT, id, now);
   }
 
   private static boolean isDisconnected(PendingRequest request, Duration now) {
-    Duration disconnectedAt = request.listener.disconnectedAt();
+    Duration disconnectedAt = request.listener().disconnectedAt();
     return disconnectedAt != null && now.minus(disconnectedAt).compareTo(DISCONNECT_SLACK) > 0;
   }
 
   private static boolean mayHaveExecutedBefore(Attempt attempt) {
-    return attempt.request.attempts().stream()
-        .anyMatch(other -> other != attempt && other.mayHaveExecuted && other.ended);
+    return attempt.request().attempts().stream()
+        .anyMatch(other -> other != attempt && other.mayHaveExecuted() && other.hasEnded());
   }
 
   /** A load of replicas is about to go out. */
   public void beforeLoad(WorkerEntry worker, Duration now) {
-    check(worker.accepting, Invariant.LOAD_TO_DRAINING_WORKER, worker.name, now);
+    check(worker.isAccepting(), Invariant.LOAD_TO_DRAINING_WORKER, worker.name(), now);
   }
 
   /** A request is about to be answered. */
   public void beforeAnswer(PendingRequest request, Duration now) {
-    check(!request.answered, Invariant.SECOND_ANSWER, request.id, now);
-    request.answered = true;
+    check(!request.isAnswerSent(), Invariant.SECOND_ANSWER, request.id(), now);
+    request.recordAnswerSent();
   }
 
   /**
--- a/src/main/java/switchgap/router/PendingRequestTable.java
+++ b/src/main/java/switchgap/router/PendingRequestTable.java
@@ -22,24 +22,24 @@
 
   void add(PendingRequest request) {
     if (freeIndices.isEmpty()) {
-      request.index = byIndex.size();
+      request.indexAs(byIndex.size());
       byIndex.add(request);
     } else {
-      request.index = freeIndices.remove(freeIndices.size() - 1);
-      byIndex.set(request.index, request);
+      request.indexAs(freeIndices.remove(freeIndices.size() - 1));
+      byIndex.set(request.index(), request);
     }
     pending++;
   }
 
   /** A request that was added gets its final state. */
-  void end(PendingRequest request, PendingRequest.State state) {
-    request.state = state;
+  void end(PendingRequest request, PendingRequest.State finalState) {
+    request.end(finalState);
     pending--;
   }
 
   /** Forgets a request that nothing refers to any more. */
   void release(int index) {
-    byIndex.get(index).index = PendingRequest.NO_INDEX;
+    byIndex.get(index).forgetIndex();
     byIndex.set(index, null);
     freeIndices.add(index);
   }
@@ -61,12 +61,12 @@
         .filter(Objects::nonNull)
         .filter(PendingRequestTable::isQueued)
         .forEach(
-            request -> weights.merge(request.function, weight.applyAsDouble(request), Double::sum));
+            request ->
+                weights.merge(request.function(), weight.applyAsDouble(request), Double::sum));
     return weights;
   }
 
   private static boolean isQueued(PendingRequest request) {
-    return request.state == PendingRequest.State.PENDING
-        && request.attempts.stream().allMatch(attempt -> attempt.ended);
+    return request.isPending() && request.attempts().stream().allMatch(Attempt::hasEnded);
   }
 }
--- a/src/main/java/switchgap/router/RouterCore.java
+++ b/src/main/java/switchgap/router/RouterCore.java
@@ -119,7 +119,7 @@
   /** Weight of the pending requests that are at no worker, by function. */
   public Map<String, Double> queuedWeightByFunction() {
     return requests.queuedWeightByFunction(
-        request -> settings.priorityWeight(request.requestClass));
+        request -> settings.priorityWeight(request.requestClass()));
   }
 
   // ------------------------------------------------------------------ events
@@ -130,41 +130,41 @@
    */
   public boolean accept(PendingRequest request) {
     boolean tooManyFunctions =
-        functions.find(request.function) < 0 && functions.size() >= maxFunctions;
-    if (request.deadline.compareTo(now) <= 0 || tooManyFunctions) {
-      request.state = PendingRequest.State.NOT_ACCEPTED;
+        functions.find(request.function()) < 0 && functions.size() >= maxFunctions;
+    if (request.deadline().compareTo(now) <= 0 || tooManyFunctions) {
+      request.end(PendingRequest.State.NOT_ACCEPTED);
       return false;
     }
     requests.add(request);
-    request.acceptedAt = now;
+    request.accept(now);
     int tenant =
-        request.tenant == PendingRequest.NO_TENANT ? settings.tenantCount() : request.tenant;
+        request.tenant() == PendingRequest.NO_TENANT ? settings.tenantCount() : request.tenant();
     policyEvents.requestArrived(
         new RequestArrival(
-            request.index,
-            request.requestClass,
+            request.index(),
+            request.requestClass(),
             tenant,
-            functions.allocate(request.function),
-            NameIndex.hash(request.function),
-            request.deadline,
-            request.durationHint,
-            request.memoryMb,
-            request.slots));
+            functions.allocate(request.function()),
+            NameIndex.hash(request.function()),
+            request.deadline(),
+            request.durationHint(),
+            request.memoryMb(),
+            request.slots()));
     return true;
   }
 
   /** The client hung up or cancelled. */
-  public void clientLeft(PendingRequest request) {
-    if (request.state != PendingRequest.State.PENDING) {
+  public void requestCancelled(PendingRequest request) {
+    if (!request.isPending()) {
       return;
     }
-    if (request.index == PendingRequest.NO_INDEX) { // was not offered to the policy yet
-      request.state = PendingRequest.State.CLIENT_LEFT;
+    if (!request.hasIndex()) { // was not offered to the policy yet
+      request.end(PendingRequest.State.CANCELLED);
       return;
     }
-    requests.end(request, PendingRequest.State.CLIENT_LEFT);
+    requests.end(request, PendingRequest.State.CANCELLED);
     observer.requestEnded(request, null);
-    policyEvents.clientLeft(request.index);
+    policyEvents.clientLeft(request.index());
   }
 
   /**
@@ -174,39 +174,38 @@
    */
   public void attemptEnded(
       Attempt attempt, AttemptOutcome outcome, LoadReport report, Response response) {
-    if (attempt.ended) {
+    if (attempt.hasEnded()) {
       return;
     }
-    attempt.ended = true;
+    attempt.end(outcome);
     observer.attemptEnded(attempt, outcome);
-    attempt.mayHaveExecuted = !outcome.neverExecuted();
-    timers.cancel(attempt.timeout);
+    timers.cancel(attempt.timeout());
     observer.workerReported(report);
-    PendingRequest request = attempt.request;
+    PendingRequest request = attempt.request();
     if (outcome == AttemptOutcome.SUCCEEDED) {
       respond(request, response);
     }
-    boolean closed = request.state != PendingRequest.State.PENDING;
+    boolean closed = !request.isPending();
     policyEvents.attemptEnded(
         new AttemptResult(
-            request.index,
-            attempt.number,
-            attempt.worker.index,
+            request.index(),
+            attempt.number(),
+            attempt.worker().index(),
             outcome,
-            now.minus(attempt.sentAt),
+            now.minus(attempt.sentAt()),
             closed,
             report));
   }
 
   /** A load command or a query ended; {@code loadedReplicas} are there now. */
   public void loadCommandEnded(WorkerCommand command, AttemptOutcome outcome, int loadedReplicas) {
-    if (endsFirst(command) && endpoints.isKnown(command.worker)) {
+    if (endsFirst(command) && endpoints.isKnown(command.worker())) {
       policyEvents.loadCommandEnded(
           new LoadCommandResult(
-              command.worker.index,
-              command.function,
+              command.worker().index(),
+              command.function(),
               outcome,
-              now.minus(command.sentAt),
+              now.minus(command.sentAt()),
               loadedReplicas));
     }
   }
@@ -218,16 +217,15 @@
 
   /** A probe ended. */
   public void probeEnded(WorkerCommand command, AttemptOutcome outcome, LoadReport report) {
-    if (endsFirst(command) && endpoints.isKnown(command.worker)) {
-      policyEvents.probeEnded(new ProbeResult(command.worker.index, outcome, report));
+    if (endsFirst(command) && endpoints.isKnown(command.worker())) {
+      policyEvents.probeEnded(new ProbeResult(command.worker().index(), outcome, report));
     }
   }
 
   /** Whether this is a command's first end. */
   private boolean endsFirst(WorkerCommand command) {
-    boolean first = !command.ended;
-    command.ended = true;
-    timers.cancel(command.timeout);
+    boolean first = command.end();
+    timers.cancel(command.timeout());
     return first;
   }
 
@@ -245,17 +243,17 @@
 
   /** Sends a final response, unless the request has its end. */
   void respond(PendingRequest request, Response response) {
-    if (request.state != PendingRequest.State.PENDING) {
+    if (!request.isPending()) {
       return;
     }
-    if (now.compareTo(request.deadline) >= 0) { // paused past the deadline
-      requests.end(request, PendingRequest.State.OVERDUE);
+    if (now.compareTo(request.deadline()) >= 0) { // paused past the deadline
+      requests.end(request, PendingRequest.State.DEADLINE_EXCEEDED);
       observer.requestEnded(request, null);
-      request.listener.deadlineMissed(request, response);
+      request.listener().deadlineMissed(request, response);
     } else {
       requests.end(request, PendingRequest.State.ANSWERED);
       observer.requestEnded(request, response);
-      request.listener.responded(request, response);
+      request.listener().responded(request, response);
     }
   }
 
--- a/src/main/java/switchgap/router/RouterEvent.java
+++ b/src/main/java/switchgap/router/RouterEvent.java
@@ -130,19 +130,19 @@
 
     @Override
     public String reasonName() {
-      Order order = attempt.number == 0 ? Order.FIRST : Order.SUBSEQUENT;
+      Order order = attempt.number() == 0 ? Order.FIRST : Order.SUBSEQUENT;
       return order.name();
     }
 
     @Override
     public String subjectId() {
-      return attempt.request.id;
+      return attempt.request().id();
     }
 
     @Override
     public String detail() {
       return String.format(
-          Locale.ROOT, "%s attempt %d for %s", attempt.worker.name, attempt.number, timeout);
+          Locale.ROOT, "%s attempt %d for %s", attempt.worker().name(), attempt.number(), timeout);
     }
   }
 
@@ -160,12 +160,12 @@
 
     @Override
     public String subjectId() {
-      return attempt.request.id;
+      return attempt.request().id();
     }
 
     @Override
     public String detail() {
-      return attempt.worker.name;
+      return attempt.worker().name();
     }
   }
 
--- a/src/main/java/switchgap/router/WorkerEntry.java
+++ b/src/main/java/switchgap/router/WorkerEntry.java
@@ -2,37 +2,97 @@
 
 import java.time.Duration;
 
-/** A worker of the endpoint list, with its address. */
+/**
+ * A worker of the endpoint list at one address. Changed on the event loop; whether it accepts and
+ * its attachment may be read from any thread.
+ */
 public final class WorkerEntry {
   /** The index of a worker that the policy does not know any more. */
   static final int FORGOTTEN = -1;
 
-  public final String name;
-  public final String host;
-  public final int port;
+  private final String name;
+  private final String host;
+  private final int port;
+  private volatile boolean accepting = true;
+  private volatile Object attachment;
+  private Duration listedStart;
+  private Duration startedAt;
+  private int index;
+
+  /** An accepting worker that the policy calls by this index. */
+  public WorkerEntry(String name, String host, int port, int index) {
+    this.name = name;
+    this.host = host;
+    this.port = port;
+    this.index = index;
+  }
+
+  /** Its name in the endpoint list. */
+  public String name() {
+    return name;
+  }
+
+  /** Host name or IP address. */
+  public String host() {
+    return host;
+  }
+
+  /** TCP port. */
+  public int port() {
+    return port;
+  }
 
   /**
-   * Whether anything new may go out to it: what was decided before it drained may still wait for a
-   * connection.
+   * Whether anything new may be sent to it. To be asked right before sending: what was decided
+   * before it drained may still wait for a connection. Any thread.
    */
-  public volatile boolean accepting = true;
+  public boolean isAccepting() {
+    return accepting;
+  }
 
-  /** State that the transport keeps with it; the core does not read it. */
-  public volatile Object attachment;
+  /** What the transport attached to it, or null. Any thread. */
+  public Object attachment() {
+    return attachment;
+  }
 
-  /** Start of its process as the list states it, and as it counts; null where it is not told. */
-  Duration statedStart;
+  /** Keeps state of the transport with it; the core does not read it. Any thread. */
+  public void attach(Object transportState) {
+    attachment = transportState;
+  }
 
-  Duration startedAt;
+  /** The endpoint list says that it is ready. */
+  void startAccepting() {
+    accepting = true;
+  }
 
-  /** What the policy calls it, or {@link #FORGOTTEN}. */
-  int index;
+  /** It drains, has another address now, or is not in the endpoint list any more. */
+  void stopAccepting() {
+    accepting = false;
+  }
 
-  /** A worker that the policy calls by this index. */
-  public WorkerEntry(String name, String host, int port, int index) {
-    this.name = name;
-    this.host = host;
-    this.port = port;
-    this.index = index;
+  /** Index by which the policy calls it, or {@link #FORGOTTEN}. */
+  int index() {
+    return index;
+  }
+
+  /** The policy does not know it any more. */
+  void forget() {
+    index = FORGOTTEN;
+  }
+
+  /** The start of its process as last listed, since the router's start; null before any was. */
+  Duration listedStart() {
+    return listedStart;
+  }
+
+  /** The start of its process that counts, since the router's start; null where it is unknown. */
+  Duration startedAt() {
+    return startedAt;
+  }
+
+  /** Another start of its process was listed; {@code effective} is the time that counts. */
+  void startListed(Duration listed, Duration effective) {
+    listedStart = listed;
+    startedAt = effective;
   }
 }
--- a/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
@@ -190,7 +190,7 @@
         known == null || known.loadTime() == null
             ? 0
             : known.loadTime().toNanos() / NANOS_PER_MICRO;
-    return new PendingLoad(id, worker.name, function, memoryMb, loadMicros, 0, 0);
+    return new PendingLoad(id, worker.name(), function, memoryMb, loadMicros, 0, 0);
   }
 
   /** The delegate itself refuses a worker that has begun to drain meanwhile. */
--- a/src/main/java/switchgap/testbed/experiment/EmulatedRouter.java
+++ b/src/main/java/switchgap/testbed/experiment/EmulatedRouter.java
@@ -97,8 +97,8 @@
 
   @Override
   public void startAttempt(Attempt attempt, Duration timeout) {
-    EmulatedWorker emulatedWorker = emulator.worker(attempt.worker.name);
-    FunctionModel model = emulator.catalogue.find(attempt.request.function);
+    EmulatedWorker emulatedWorker = emulator.worker(attempt.worker().name());
+    FunctionModel model = emulator.catalogue.find(attempt.request().function());
     emulator.scheduler.after(
         emulator.networkDelayMicros,
         () -> {
@@ -112,7 +112,7 @@
                                 attempt, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE, null)));
             return;
           }
-          attempt.attachment =
+          attempt.attach(
               emulatedWorker.infer(
                   model,
                   () -> {},
@@ -131,18 +131,18 @@
                                             default -> AttemptOutcome.FAILED;
                                           },
                                           loadReport(emulatedWorker, concurrency),
-                                          Response.succeeded(200, Map.of(), NOTHING)))));
+                                          Response.succeeded(200, Map.of(), NOTHING))))));
         });
   }
 
   @Override
   public AttemptOutcome abandon(Attempt attempt) {
-    EmulatedWorker emulatedWorker = emulator.worker(attempt.worker.name);
+    EmulatedWorker emulatedWorker = emulator.worker(attempt.worker().name());
     emulator.scheduler.after(
         emulator.networkDelayMicros,
         () -> {
           if (emulatedWorker != null
-              && attempt.attachment instanceof EmulatedWorker.Execution execution) {
+              && attempt.attachment() instanceof EmulatedWorker.Execution execution) {
             emulatedWorker.leave(execution);
           }
         });
@@ -152,7 +152,7 @@
   @Override
   public void requestReplicas(
       WorkerEntry worker, String function, int replicas, WorkerCommand command) {
-    EmulatedWorker emulatedWorker = emulator.worker(worker.name);
+    EmulatedWorker emulatedWorker = emulator.worker(worker.name());
     emulator.scheduler.after(
         emulator.networkDelayMicros,
         () -> {
@@ -191,7 +191,7 @@
 
   @Override
   public void unload(WorkerEntry worker, String function, WorkerCommand command) {
-    EmulatedWorker emulatedWorker = emulator.worker(worker.name);
+    EmulatedWorker emulatedWorker = emulator.worker(worker.name());
     if (emulatedWorker != null) {
       emulator.scheduler.after(emulator.networkDelayMicros, () -> emulatedWorker.drop(function));
     }
@@ -201,7 +201,7 @@
 
   @Override
   public void probe(WorkerEntry worker, WorkerCommand command) {
-    EmulatedWorker emulatedWorker = emulator.worker(worker.name);
+    EmulatedWorker emulatedWorker = emulator.worker(worker.name());
     emulator.scheduler.after(
         2 * emulator.networkDelayMicros,
         () ->
--- a/src/main/java/switchgap/testbed/experiment/Emulator.java
+++ b/src/main/java/switchgap/testbed/experiment/Emulator.java
@@ -251,7 +251,7 @@
       }
       end("gave-up", 0, NO_RETRY_AFTER);
       if (request != null) {
-        router.post(core -> core.clientLeft(request));
+        router.post(core -> core.requestCancelled(request));
       }
     }
 
--- a/src/test/java/switchgap/protocol/thrift/ThriftCodecTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftCodecTest.java
@@ -212,11 +212,11 @@
   @Test
   void fieldsBecomeARequest() throws Exception {
     PendingRequest request = requestWith("effort", "8.2");
-    assertThat(request.deadline).isEqualTo(Duration.ofMillis(1900));
-    assertThat(request.durationHint).isEqualTo(Duration.ofNanos(8_200_000));
-    assertThat(request.memoryMb).isEqualTo(512);
-    assertThat(request.slots).isEqualTo(2);
-    assertThat(requestWith("effort", null).durationHint).isNull();
+    assertThat(request.deadline()).isEqualTo(Duration.ofMillis(1900));
+    assertThat(request.durationHint()).isEqualTo(Duration.ofNanos(8_200_000));
+    assertThat(request.memoryMb()).isEqualTo(512);
+    assertThat(request.slots()).isEqualTo(2);
+    assertThat(requestWith("effort", null).durationHint()).isNull();
   }
 
   /** Usual clients round: a hint of next to no work reads 0.0, and is a hint all the same. */
--- a/src/test/java/switchgap/router/InvariantMonitorTest.java
+++ b/src/test/java/switchgap/router/InvariantMonitorTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import switchgap.policy.api.AttemptOutcome;
 import switchgap.server.platform.TestPlatformSettings;
 
 /**
@@ -32,8 +33,8 @@
   }
 
   private Attempt attempt(int number) {
-    Attempt attempt = new Attempt(request, number, worker, NOW);
-    request.attempts.add(attempt);
+    Attempt attempt = request.addAttempt(worker, NOW);
+    assertThat(attempt.number()).isEqualTo(number);
     return attempt;
   }
 
@@ -46,7 +47,7 @@
     Attempt first = attempt(0);
     switch (invariant) {
       case ATTEMPT_AFTER_ANSWER -> {
-        request.state = PendingRequest.State.ANSWERED;
+        request.end(PendingRequest.State.ANSWERED);
         sent(first);
       }
       case ATTEMPT_FOR_DISCONNECTED_CLIENT -> {
@@ -54,23 +55,22 @@
         sent(first);
       }
       case ATTEMPT_TO_DRAINING_WORKER -> {
-        worker.accepting = false;
+        worker.stopAccepting();
         sent(first);
       }
       case ATTEMPT_AFTER_DEADLINE ->
           invariants.beforeAttempt(first, Duration.ofMillis(1), DEADLINE);
       case TIMEOUT_PAST_DEADLINE -> invariants.beforeAttempt(first, Duration.ofMillis(1051), NOW);
       case RETRY_OF_NON_IDEMPOTENT -> {
-        first.ended = true; // timed out, and may have run
+        first.end(AttemptOutcome.TIMED_OUT); // and may have been executed
         sent(attempt(1));
       }
       case ATTEMPT_SENT_TWICE -> {
-        first.ended = true;
-        first.mayHaveExecuted = false;
+        first.end(AttemptOutcome.NOT_SENT);
         sent(first);
       }
       case LOAD_TO_DRAINING_WORKER -> {
-        worker.accepting = false;
+        worker.stopAccepting();
         invariants.beforeLoad(worker, NOW);
       }
       case SECOND_ANSWER -> {
@@ -98,8 +98,7 @@
     Attempt first = attempt(0);
     invariants.beforeAttempt(
         first, Duration.ofMillis(1050), NOW); // with the slack that the users grant
-    first.ended = true;
-    first.mayHaveExecuted = false;
+    first.end(AttemptOutcome.NOT_SENT);
     sent(attempt(1));
     invariants.beforeLoad(worker, NOW);
     invariants.beforeAnswer(request, NOW);
--- a/src/test/java/switchgap/router/RouterCoreLongRunTest.java
+++ b/src/test/java/switchgap/router/RouterCoreLongRunTest.java
@@ -93,7 +93,7 @@
           draw.nextInt(200),
           router -> {
             left += call.state() == PendingRequest.State.PENDING ? 1 : 0;
-            router.clientLeft(call);
+            router.requestCancelled(call);
           });
     }
   }
--- a/src/test/java/switchgap/router/RouterCoreTest.java
+++ b/src/test/java/switchgap/router/RouterCoreTest.java
@@ -94,8 +94,9 @@
     finish(sent.get(0)); // came during the pause
     at(2000);
     assertThat(said).contains("overdue").doesNotContain("SUCCEEDED", "FAILED", "REJECTED");
-    assertThat(request.state()).isEqualTo(PendingRequest.State.OVERDUE);
-    assertThat(waits.state()).isIn(PendingRequest.State.OVERDUE, PendingRequest.State.NOT_ACCEPTED);
+    assertThat(request.state()).isEqualTo(PendingRequest.State.DEADLINE_EXCEEDED);
+    assertThat(waits.state())
+        .isIn(PendingRequest.State.DEADLINE_EXCEEDED, PendingRequest.State.NOT_ACCEPTED);
     assertThat(sent).hasSize(1);
     assertThat(core.pendingRequests()).isZero();
     assertThat(core.unsettledRequests()).isZero();
@@ -145,7 +146,7 @@
     list("a");
     PendingRequest request = call(1, "f");
     at(0);
-    next.add(router -> router.clientLeft(request));
+    next.add(router -> router.requestCancelled(request));
     at(5);
     at(6);
     assertThat(said).containsExactly("taken", "abandoned");
