--- a/src/main/java/switchgap/cli/Main.java
+++ b/src/main/java/switchgap/cli/Main.java
@@ -24,7 +24,7 @@
     }
     if (args.length == 1 && args[0].equals("serve")) {
       // every request has its response by now: no shutdown hook is needed
-      Runtime.getRuntime().halt(switchgap.server.platform.ServeCommand.run());
+      Runtime.getRuntime().halt(switchgap.server.platform.PlatformProcess.run());
     }
     System.exit(RootCommand.run(args));
   }
--- a/src/main/java/switchgap/cli/ServeCommand.java
+++ b/src/main/java/switchgap/cli/ServeCommand.java
@@ -13,6 +13,6 @@
 final class ServeCommand implements Callable<Integer> {
   @Override
   public Integer call() {
-    return switchgap.server.platform.ServeCommand.run();
+    return switchgap.server.platform.PlatformProcess.run();
   }
 }
--- a/src/main/java/switchgap/protocol/thrift/ClientConnection.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnection.java
@@ -193,7 +193,7 @@
    * Whether anything is under way: a request, a message in part or queued, a reply that is not
    * written.
    */
-  boolean isBusy() {
+  boolean isActive() {
     return isOpen() && (!isIdle() || hasUnsentReplies());
   }
 
--- a/src/main/java/switchgap/protocol/thrift/ClientConnectionTable.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnectionTable.java
@@ -76,14 +76,14 @@
   }
 
   /** Connections on which anything is under way. */
-  int busy() {
-    int busy = 0;
+  int activeCount() {
+    int active = 0;
     for (ClientConnection connection : connections) {
-      if (connection.isBusy()) {
-        busy++;
+      if (connection.isActive()) {
+        active++;
       }
     }
-    return busy;
+    return active;
   }
 
   /** The connections of this moment, which may be closed while they are walked through. */
--- a/src/main/java/switchgap/protocol/thrift/DecimalFigure.java
+++ b/src/main/java/switchgap/protocol/thrift/DecimalFigure.java
@@ -17,20 +17,20 @@
    * A figure of 0 to {@code max}: usual clients round small ones to 0. What only Java takes for a
    * number (NaN, 1f, 0x1p3, blanks) is none.
    */
-  static double parse(String text, String field, double max) throws InvalidRequestException {
+  static double parse(String text, String field, double max) throws InvalidSubmitException {
     if (text == null || text.isEmpty() || text.length() > MAX_DIGITS || !isDecimal(text)) {
-      throw new InvalidRequestException(field);
+      throw new InvalidSubmitException(field);
     }
     double figure = parseDouble(text);
     if (figure >= 0 && figure <= max) {
       return figure;
     }
-    throw new InvalidRequestException(field);
+    throw new InvalidSubmitException(field);
   }
 
   /** A duration stated in milliseconds, of 0 to {@code maxMillis}. */
   static Duration parseMillis(String text, String field, double maxMillis)
-      throws InvalidRequestException {
+      throws InvalidSubmitException {
     return Duration.ofNanos(Math.round(parse(text, field, maxMillis) * NANOS_PER_MILLI));
   }
 
--- a/src/main/java/switchgap/protocol/thrift/InvalidRequestException.java
+++ b/src/main/java/switchgap/protocol/thrift/InvalidSubmitException.java
@@ -1,10 +1,10 @@
 package switchgap.protocol.thrift;
 
 /** A readable request that cannot be used; the message names the field at fault. */
-final class InvalidRequestException extends ThriftProtocolException {
+final class InvalidSubmitException extends ThriftProtocolException {
   private static final long serialVersionUID = 1;
 
-  InvalidRequestException(String field) {
+  InvalidSubmitException(String field) {
     super(field);
   }
 }
--- a/src/main/java/switchgap/protocol/thrift/ReplicaExtras.java
+++ b/src/main/java/switchgap/protocol/thrift/ReplicaExtras.java
@@ -15,7 +15,7 @@
   /**
    * Reads {@code name:value} figures that are joined by semicolons; unknown ones are passed over.
    */
-  static ReplicaExtras parse(String extras) throws InvalidRequestException {
+  static ReplicaExtras parse(String extras) throws InvalidSubmitException {
     double memoryMb = 0;
     int slots = 1;
     int at = 0;
@@ -24,7 +24,7 @@
       int end = separator < 0 ? extras.length() : separator;
       int colon = extras.indexOf(NAME_END, at);
       if (colon < 0 || colon > end) {
-        throw new InvalidRequestException(WireNames.EXTRAS);
+        throw new InvalidSubmitException(WireNames.EXTRAS);
       }
       String value = extras.substring(colon + 1, end);
       switch (extras.substring(at, colon)) {
@@ -39,7 +39,7 @@
     return new ReplicaExtras(memoryMb, slots);
   }
 
-  private static double parseFigure(String value, double max) throws InvalidRequestException {
+  private static double parseFigure(String value, double max) throws InvalidSubmitException {
     return DecimalFigure.parse(value, WireNames.EXTRAS, max);
   }
 }
--- a/src/main/java/switchgap/protocol/thrift/RequestHandler.java
+++ b/src/main/java/switchgap/protocol/thrift/RequestHandler.java
@@ -46,7 +46,7 @@
 
   RequestHandler(
       NameDirectory names,
-      ThriftServer.ConnectionLimits limits,
+      ClientConnectionLimits limits,
       ClientConnectionTable connections,
       RouterDiagnostics diagnostics) {
     this.names = names;
@@ -151,7 +151,7 @@
         recordUnadmittedAnswer(AnswerReason.REVOKED_LATE, request.id, connection.id());
         sendRejected(connection, sequenceId);
       }
-    } catch (InvalidRequestException e) {
+    } catch (InvalidSubmitException e) {
       return; // withdrawn, whatever it was
     }
   }
@@ -179,7 +179,7 @@
       diagnostics.events().record(new RouterEvent.RequestReceived(request.id, connection.id()));
       ensureIdIsUnused(core, request.id);
       offer(core, connection, sequenceId, request);
-    } catch (InvalidRequestException e) {
+    } catch (InvalidSubmitException e) {
       recordUnadmittedAnswer(AnswerReason.UNUSABLE, connection.id(), e.getMessage());
       sendFailed(
           connection, sequenceId, Map.of(WireNames.REASON, UNUSABLE_PREFIX + e.getMessage()));
@@ -190,13 +190,13 @@
    * An id may be in flight once. Where its connection has ended the request was sent again on a new
    * one, which came before the old one's end: that end is handled first.
    */
-  private void ensureIdIsUnused(RouterCore core, String id) throws InvalidRequestException {
+  private void ensureIdIsUnused(RouterCore core, String id) throws InvalidSubmitException {
     ClientConnection owner = connectionByRequestId.get(id);
     if (owner == null) {
       return;
     }
     if (owner.isOpen()) {
-      throw new InvalidRequestException(WireNames.REF);
+      throw new InvalidSubmitException(WireNames.REF);
     }
     connectionClosed(core, owner, ClientCloseReason.SENT_AGAIN);
   }
--- a/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
+++ b/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
@@ -38,13 +38,13 @@
    */
   static PendingRequest decode(
       ThriftMessage message, NameDirectory names, Duration receivedAt, ResponseListener listener)
-      throws InvalidRequestException {
+      throws InvalidSubmitException {
     if (message.fields() == null) {
-      throw new InvalidRequestException(NO_FIELDS);
+      throw new InvalidSubmitException(NO_FIELDS);
     }
     byte[] body = message.body() == null ? NO_BODY : message.body();
     if (body.length > MAX_BODY_BYTES) {
-      throw new InvalidRequestException(BODY_BYTES);
+      throw new InvalidSubmitException(BODY_BYTES);
     }
     String id = hexId(message, WireNames.REF);
     int requestClass = requestClass(message, names);
@@ -63,55 +63,55 @@
   }
 
   private static int requestClass(ThriftMessage message, NameDirectory names)
-      throws InvalidRequestException {
+      throws InvalidSubmitException {
     Integer index =
         names.requestClasses().get(message.fields().getOrDefault(WireNames.SERVICE, ""));
     if (index == null) {
-      throw new InvalidRequestException(WireNames.SERVICE);
+      throw new InvalidSubmitException(WireNames.SERVICE);
     }
     return index;
   }
 
   private static int tenant(ThriftMessage message, NameDirectory names)
-      throws InvalidRequestException {
+      throws InvalidSubmitException {
     if (names.tenants().isEmpty()) {
       return PendingRequest.NO_TENANT;
     }
     Integer index = names.tenants().get(message.fields().getOrDefault(WireNames.PROJECT, ""));
     if (index == null) {
-      throw new InvalidRequestException(WireNames.PROJECT);
+      throw new InvalidSubmitException(WireNames.PROJECT);
     }
     return index;
   }
 
   private static Duration timeout(ThriftMessage message, NameDirectory names, int requestClass)
-      throws InvalidRequestException {
+      throws InvalidSubmitException {
     long statedNanos = names.settings().requestTimeout(requestClass).toNanos();
     double maxMillis = MAX_TIMEOUTS * MILLIS_PER_NANO * statedNanos;
     Duration timeout =
         DecimalFigure.parseMillis(
             message.fields().get(WireNames.ALLOW), WireNames.ALLOW, maxMillis);
     if (timeout.isZero()) {
-      throw new InvalidRequestException(WireNames.ALLOW);
+      throw new InvalidSubmitException(WireNames.ALLOW);
     }
     return timeout;
   }
 
-  private static Duration durationHint(ThriftMessage message) throws InvalidRequestException {
+  private static Duration durationHint(ThriftMessage message) throws InvalidSubmitException {
     String effort = message.fields().get(WireNames.EFFORT);
     return effort == null
         ? null
         : DecimalFigure.parseMillis(effort, WireNames.EFFORT, DecimalFigure.MAX_MILLIS);
   }
 
-  private static String hexId(ThriftMessage message, String field) throws InvalidRequestException {
+  private static String hexId(ThriftMessage message, String field) throws InvalidSubmitException {
     String text = message.fields().get(field);
     if (text == null || text.length() != ID_DIGITS) {
-      throw new InvalidRequestException(field);
+      throw new InvalidSubmitException(field);
     }
     for (int i = 0; i < ID_DIGITS; i++) {
       if (!isHexDigit(text.charAt(i))) {
-        throw new InvalidRequestException(field);
+        throw new InvalidSubmitException(field);
       }
     }
     return text;
--- a/src/main/java/switchgap/protocol/thrift/ThriftServer.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -22,27 +22,6 @@
  * in order. Whatever a client can make grow is bounded.
  */
 public final class ThriftServer implements TcpConnection.Listener, AutoCloseable {
-  /**
-   * Bounds of what clients may take.
-   *
-   * @param maxConnections connections at a time
-   * @param maxExcessConnections further ones until the event loop has evicted others
-   * @param maxUnsentBytes bytes of one connection's replies that its client has not read
-   * @param maxRequestBytes bytes of all messages that wait for the event loop, and of the bodies of
-   *     all requests in flight
-   * @param maxRequests requests in flight
-   * @param receiveTimeout for a connection's first message, and for the rest of any message
-   * @param sweepInterval of the calls of {@link ThriftServer#sweep}
-   */
-  public record ConnectionLimits(
-      int maxConnections,
-      int maxExcessConnections,
-      int maxUnsentBytes,
-      int maxRequestBytes,
-      int maxRequests,
-      Duration receiveTimeout,
-      Duration sweepInterval) {}
-
   /** Messages of one connection that wait for the event loop. */
   private static final int MAX_QUEUED_MESSAGES = 256;
 
@@ -52,7 +31,7 @@
   /** Between looks for connections that may be evicted, while there are too many. */
   private static final Duration EVICTION_INTERVAL = Duration.ofMillis(10);
 
-  private final ConnectionLimits limits;
+  private final ClientConnectionLimits limits;
   private final Supplier<Duration> clock;
   private final Consumer<Consumer<RouterCore>> eventLoop;
   private final ClientConnectionTable connections;
@@ -87,7 +66,7 @@
       RouterSettings settings,
       Map<String, Integer> requestClasses,
       Map<String, Integer> tenants,
-      ConnectionLimits limits,
+      ClientConnectionLimits limits,
       Supplier<Duration> clock,
       Consumer<Consumer<RouterCore>> eventLoop,
       RouterDiagnostics diagnostics) {
@@ -95,8 +74,8 @@
     this.clock = clock;
     this.eventLoop = eventLoop;
     this.diagnostics = diagnostics;
-    pauseDetector = new PauseDetector(limits.sweepInterval, clock.get());
-    connections = new ClientConnectionTable(limits.maxConnections, limits.receiveTimeout);
+    pauseDetector = new PauseDetector(limits.sweepInterval(), clock.get());
+    connections = new ClientConnectionTable(limits.maxConnections(), limits.receiveTimeout());
     requests =
         new RequestHandler(
             new NameDirectory(settings, requestClasses, tenants), limits, connections, diagnostics);
@@ -113,8 +92,8 @@
   }
 
   /** What heartbeats are answered from now on; any thread. */
-  public void good(boolean good) {
-    isHealthy = good;
+  public void setHealthy(boolean healthy) {
+    isHealthy = healthy;
   }
 
   /** Accepts no further connection; those that are open stay. */
@@ -127,7 +106,7 @@
 
   @Override
   public void opened(TcpConnection tcp) {
-    ClientConnection connection = new ClientConnection(tcp, clock, limits.maxUnsentBytes);
+    ClientConnection connection = new ClientConnection(tcp, clock, limits.maxUnsentBytes());
     tcp.attachment = connection;
     openConnections.incrementAndGet();
     diagnostics.events().record(new RouterEvent.ClientConnected(tcp.id()));
@@ -164,7 +143,8 @@
    */
   private void updateAccepting() {
     synchronized (acceptLock) {
-      boolean hasRoom = openConnections.get() < limits.maxConnections + limits.maxExcessConnections;
+      boolean hasRoom =
+          openConnections.get() < limits.maxConnections() + limits.maxExcessConnections();
       if (hasRoom == acceptPaused && listener != null) {
         acceptPaused = !hasRoom;
         if (hasRoom) {
@@ -240,7 +220,7 @@
    * Takes a message's bytes out of the queue's budget; a message that does not fit takes nothing.
    */
   private boolean reserveQueuedBytes(int messageBytes) {
-    if (queuedBytes.addAndGet(messageBytes) <= limits.maxRequestBytes) {
+    if (queuedBytes.addAndGet(messageBytes) <= limits.maxRequestBytes()) {
       return true;
     }
     queuedBytes.addAndGet(
@@ -254,7 +234,7 @@
    * While there are too many connections, evicts what may go each interval: one look serves many.
    */
   private void scheduleEviction(RouterCore core) {
-    if (!evictionScheduled && connections.size() > limits.maxConnections) {
+    if (!evictionScheduled && connections.size() > limits.maxConnections()) {
       evictionScheduled = true;
       core.schedule(
           core.now().plus(EVICTION_INTERVAL),
@@ -271,30 +251,30 @@
    * that is not written; those that the event loop has not heard of yet count too, and clients that
    * could not be accepted as one.
    */
-  public int busy() {
+  public int activeConnections() {
     int unaccepted = listener.isHeldUp() ? 1 : 0;
     return Math.max(0, openConnections.get() - connections.size())
-        + connections.busy()
+        + connections.activeCount()
         + unaccepted;
   }
 
   /** Fails all requests in flight, as none of them can be waited for any more. */
-  public void endAll(RouterCore core) {
+  public void failPendingRequests(RouterCore core) {
     requests.failAll(core);
   }
 
   /** Requests in flight. */
-  public int held() {
+  public int requestsInFlight() {
     return requests.requestsInFlight();
   }
 
   /** Connections that the event loop knows. */
-  public int connections() {
+  public int trackedConnections() {
     return connections.size();
   }
 
   /** Connections that the selector threads know; any thread. */
-  public int connected() {
+  public int openConnections() {
     return openConnections.get();
   }
 
@@ -302,7 +282,7 @@
    * Closes connections that take too long for a message; to be called at the interval of the
    * limits.
    */
-  public void sweep(Duration now) {
+  public void closeOverdueConnections(Duration now) {
     connections.pauseEnded(now, pauseDetector.heldUp(now));
     connections.closeOverdue(now);
   }
--- a/src/main/java/switchgap/server/platform/FeedReloader.java
+++ b/src/main/java/switchgap/server/platform/EndpointStreamReloader.java
@@ -9,7 +9,7 @@
  * used is read again for a while, as it may be half written; the old event stream is kept
  * meanwhile. Of several signals the last one counts. Thread-safe.
  */
-final class FeedReloader {
+final class EndpointStreamReloader {
   /** Goes over to another event stream. */
   interface Follower {
     /** Follows the event stream at this address. */
@@ -26,7 +26,7 @@
   /** Number of the signal that came last; guarded by this. */
   private long lastSignal;
 
-  FeedReloader(Map<String, String> environment, Follower follower, RateLimitedLog log) {
+  EndpointStreamReloader(Map<String, String> environment, Follower follower, RateLimitedLog log) {
     this.environment = environment;
     this.follower = follower;
     this.log = log;
--- a/src/main/java/switchgap/server/platform/GracefulShutdown.java
+++ b/src/main/java/switchgap/server/platform/GracefulShutdown.java
@@ -64,14 +64,15 @@
     Duration end = router.now().plus(MAX_FLUSH_DURATION);
     do {
       Thread.sleep(CHECK_INTERVAL.toMillis());
-    } while (router.resourceUsage().busyClientConnections() > 0 && router.now().compareTo(end) < 0);
+    } while (router.resourceUsage().activeClientConnections() > 0
+        && router.now().compareTo(end) < 0);
   }
 
   private void awaitIdle() throws InterruptedException {
     int idleChecks = 0;
     while (idleChecks < REQUIRED_IDLE_CHECKS && router.now().compareTo(deadline) < 0) {
       Thread.sleep(CHECK_INTERVAL.toMillis());
-      idleChecks = router.resourceUsage().busyClientConnections() > 0 ? 0 : idleChecks + 1;
+      idleChecks = router.resourceUsage().activeClientConnections() > 0 ? 0 : idleChecks + 1;
     }
   }
 }
--- a/src/main/java/switchgap/server/platform/ServeCommand.java
+++ b/src/main/java/switchgap/server/platform/PlatformProcess.java
@@ -10,7 +10,7 @@
  * The command {@code serve}: a router on the platform until SIGTERM. Exit codes: 0 stopped, 1
  * failed, 2 unusable input, 70 an internal error.
  */
-public final class ServeCommand {
+public final class PlatformProcess {
   private static final int EXIT_STOPPED = 0;
   private static final int EXIT_FAILED = 1;
   private static final int EXIT_UNUSABLE_INPUT = 2;
@@ -19,7 +19,7 @@
   /** Referenced for good: a logger that nobody references is collected, and its level is lost. */
   private static final Logger GRIZZLY = Logger.getLogger("org.glassfish.grizzly");
 
-  private ServeCommand() {}
+  private PlatformProcess() {}
 
   /**
    * Ends a process of which a part is dead: it would serve nobody, and starts again from nothing.
@@ -56,7 +56,8 @@
     SignalHandlers signals = new SignalHandlers();
     PlatformConfig config = PlatformConfig.read(System.getenv(), WallClock.unixMillis());
     PlatformRouter router = new PlatformRouter(config, log);
-    FeedReloader reloader = new FeedReloader(System.getenv(), router::follow, log);
+    EndpointStreamReloader reloader =
+        new EndpointStreamReloader(System.getenv(), router::follow, log);
     signals.onHangup(reloader::reload);
     signals.awaitTermination();
     router.stop();
--- a/src/main/java/switchgap/server/platform/PlatformRouter.java
+++ b/src/main/java/switchgap/server/platform/PlatformRouter.java
@@ -15,6 +15,7 @@
 import switchgap.net.ListenRetry;
 import switchgap.net.NetworkTransport;
 import switchgap.protocol.resp.RespWorkerTransport;
+import switchgap.protocol.thrift.ClientConnectionLimits;
 import switchgap.protocol.thrift.ThriftServer;
 import switchgap.router.CoreLimits;
 import switchgap.router.RouterCore;
@@ -148,10 +149,10 @@
     return new CoreLimits(settings.loadCommandTimeout(), settings.connectTimeout(), MAX_FUNCTIONS);
   }
 
-  private ThriftServer.ConnectionLimits clientLimits(int maxSockets) {
+  private ClientConnectionLimits clientLimits(int maxSockets) {
     long heapBytes = Runtime.getRuntime().maxMemory();
     int bufferBytes = (int) Math.min(Integer.MAX_VALUE, heapBytes / BUFFER_HEAP_SHARE);
-    return new ThriftServer.ConnectionLimits(
+    return new ClientConnectionLimits(
         share(maxSockets, CLIENT_CONNECTION_SHARE),
         share(maxSockets, EXCESS_CONNECTION_SHARE),
         bufferBytes / UNREAD_RESPONSE_SHARE,
@@ -178,7 +179,7 @@
   private void startLoop(PlatformConfig config) {
     config.knownEvents().forEach(this::eventReceived);
     CountDownLatch swept =
-        post(
+        postToEventLoop(
             core -> {
               listKnown = true; // the list was posted before, urgently
               sweep(core);
@@ -218,13 +219,13 @@
   }
 
   private void sweep(RouterCore core) {
-    clients.sweep(core.now());
+    clients.closeOverdueConnections(core.now());
     workers.sweep();
     core.schedule(core.now().plus(SWEEP_INTERVAL), () -> sweep(core));
   }
 
   private void tickFailed(Throwable error) {
-    ServeCommand.failed(log, "a tick failed", error);
+    PlatformProcess.failed(log, "a tick failed", error);
   }
 
   /** Shuts down gracefully; blocks until all is closed. */
@@ -240,7 +241,7 @@
 
   /** What heartbeats of clients are answered from now on. */
   void reportHealthy(boolean healthy) {
-    clients.good(healthy);
+    clients.setHealthy(healthy);
   }
 
   /** What happened to requests and connections so far. */
@@ -255,24 +256,27 @@
 
   /** Fails all requests that are pending. */
   void failPending() throws InterruptedException {
-    onLoop(clients::endAll);
+    runOnEventLoop(clients::failPendingRequests);
   }
 
   /**
    * Connections of clients as the selector knows them: the loop may not have seen some changes yet.
    */
-  int connected() {
-    return clients.connected();
+  int openClientConnections() {
+    return clients.openConnections();
   }
 
   /** What the router holds now, as its loop knows it. */
   ResourceUsage resourceUsage() throws InterruptedException {
     AtomicReference<ResourceUsage> usage = new AtomicReference<>();
-    onLoop(
+    runOnEventLoop(
         core ->
             usage.set(
                 new ResourceUsage(
-                    clients.held(), clients.connections(), workers.connections(), clients.busy())));
+                    clients.requestsInFlight(),
+                    clients.trackedConnections(),
+                    workers.connections(),
+                    clients.activeConnections())));
     ResourceUsage found = usage.get();
     return found == null ? ResourceUsage.UNKNOWN : found;
   }
@@ -280,14 +284,14 @@
   /**
    * Runs an event on the loop, and waits for that, for a bounded time: nobody hangs behind a loop.
    */
-  void onLoop(Consumer<RouterCore> event) throws InterruptedException {
-    if (!post(event).await(MAX_LOOP_WAIT.toMillis(), TimeUnit.MILLISECONDS)) {
+  void runOnEventLoop(Consumer<RouterCore> event) throws InterruptedException {
+    if (!postToEventLoop(event).await(MAX_LOOP_WAIT.toMillis(), TimeUnit.MILLISECONDS)) {
       log.line("the loop did not come to an event within " + MAX_LOOP_WAIT);
     }
   }
 
   /** Posts an event to the loop; the latch opens once it has run. */
-  private CountDownLatch post(Consumer<RouterCore> event) {
+  private CountDownLatch postToEventLoop(Consumer<RouterCore> event) {
     CountDownLatch done = new CountDownLatch(1);
     loop.post(
         core -> {
--- a/src/test/java/switchgap/endpoints/EventStreamClientTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientTest.java
@@ -19,7 +19,7 @@
 import switchgap.policy.api.WorkerState;
 import switchgap.protocol.sse.ServerSentEventDecoder;
 import switchgap.router.EndpointUpdate;
-import switchgap.server.platform.ControlFeedServer;
+import switchgap.server.platform.EventStreamTestServer;
 
 /** The control feed through breaks, repeats, gaps, silence and a change of its address. */
 class EventStreamClientTest {
@@ -27,8 +27,10 @@
       new EndpointListEvent.NameDirectory(Map.of("east", 0), Map.of("std", 0), 1000);
 
   private static String event(long sequence) {
-    return ControlFeedServer.event(
-        sequence, false, ControlFeedServer.worker("w" + sequence, "127.0.0.1:7", "SERVING", 0));
+    return EventStreamTestServer.endpointListEvent(
+        sequence,
+        false,
+        EventStreamTestServer.endpoint("w" + sequence, "127.0.0.1:7", "SERVING", 0));
   }
 
   @Test
@@ -60,8 +62,8 @@
   void readsAWorkerOfAnEvent() throws Exception {
     EndpointListEvent event =
         EndpointListEvent.parse(
-            ControlFeedServer.event(
-                41, true, ControlFeedServer.worker("s-1", "10.1.0.9:10080", "SERVING", 1500)),
+            EventStreamTestServer.endpointListEvent(
+                41, true, EventStreamTestServer.endpoint("s-1", "10.1.0.9:10080", "SERVING", 1500)),
             DIRECTORY);
     assertThat(event.sequence()).isEqualTo(41);
     assertThat(event.complete()).isTrue();
@@ -100,30 +102,30 @@
   @Test
   void deliversEachEventOnceAndInOrderThroughBreaksRepeatsAndGaps() throws Exception {
     List<Long> received = new CopyOnWriteArrayList<>();
-    ControlFeedServer.Behaviour behaviour =
+    EventStreamTestServer.StreamHandler behaviour =
         (connection, last, out) -> {
           if (connection == 0) { // cut in the middle of an event
-            ControlFeedServer.say(out, event(last + 1));
+            EventStreamTestServer.sendEvent(out, event(last + 1));
             out.write(
                 ("data: " + event(last + 2).substring(0, 20)).getBytes(StandardCharsets.UTF_8));
             return false;
           }
           if (connection == 1) { // one event twice, and then one after a gap
-            ControlFeedServer.say(out, event(last));
-            ControlFeedServer.say(out, event(last + 1));
-            ControlFeedServer.say(out, event(last + 1));
-            ControlFeedServer.say(out, event(last + 3));
+            EventStreamTestServer.sendEvent(out, event(last));
+            EventStreamTestServer.sendEvent(out, event(last + 1));
+            EventStreamTestServer.sendEvent(out, event(last + 1));
+            EventStreamTestServer.sendEvent(out, event(last + 3));
             return true;
           }
           if (connection == 2) {
-            ControlFeedServer.say(out, "{\"n\":\"nonsense\"}");
+            EventStreamTestServer.sendEvent(out, "{\"n\":\"nonsense\"}");
           }
           for (long sequence = last + 1; connection > 2 && sequence <= 6; sequence++) {
-            ControlFeedServer.say(out, event(sequence));
+            EventStreamTestServer.sendEvent(out, event(sequence));
           }
           return connection > 2;
         };
-    try (ControlFeedServer feed = new ControlFeedServer(behaviour);
+    try (EventStreamTestServer feed = new EventStreamTestServer(behaviour);
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
@@ -132,30 +134,30 @@
                 DIRECTORY,
                 event -> received.add(event.sequence()),
                 line -> {})) {
-      client.follow(feed.at());
+      client.follow(feed.address());
       await(() -> received.size() >= 5);
       assertThat(received).containsExactly(2L, 3L, 4L, 5L, 6L);
-      assertThat(feed.asked).startsWith(1L, 2L, 3L, 3L);
+      assertThat(feed.requestedEventIds).startsWith(1L, 2L, 3L, 3L);
     }
   }
 
   @Test
   void reconnectsToASilentFeedAndResumesAtAnotherAddress() throws Exception {
     List<Long> received = new CopyOnWriteArrayList<>();
-    ControlFeedServer.Behaviour silentAtFirst =
+    EventStreamTestServer.StreamHandler silentAtFirst =
         (connection, last, out) -> {
           if (connection == 1) {
-            ControlFeedServer.say(out, event(last + 1));
+            EventStreamTestServer.sendEvent(out, event(last + 1));
           }
           return true; // and then says nothing
         };
-    ControlFeedServer.Behaviour deliversOne =
+    EventStreamTestServer.StreamHandler deliversOne =
         (connection, last, out) -> {
-          ControlFeedServer.say(out, event(last + 1));
+          EventStreamTestServer.sendEvent(out, event(last + 1));
           return true;
         };
-    try (ControlFeedServer firstFeed = new ControlFeedServer(silentAtFirst);
-        ControlFeedServer secondFeed = new ControlFeedServer(deliversOne);
+    try (EventStreamTestServer firstFeed = new EventStreamTestServer(silentAtFirst);
+        EventStreamTestServer secondFeed = new EventStreamTestServer(deliversOne);
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
@@ -164,12 +166,12 @@
                 DIRECTORY,
                 event -> received.add(event.sequence()),
                 line -> {})) {
-      client.follow(firstFeed.at());
+      client.follow(firstFeed.address());
       await(() -> received.size() == 1); // on the second connection, as the first was silent
-      assertThat(firstFeed.asked).containsExactly(1L, 1L);
-      client.follow(secondFeed.at());
+      assertThat(firstFeed.requestedEventIds).containsExactly(1L, 1L);
+      client.follow(secondFeed.address());
       await(() -> received.size() == 2);
-      assertThat(secondFeed.asked).containsExactly(2L);
+      assertThat(secondFeed.requestedEventIds).containsExactly(2L);
     }
   }
 
@@ -177,10 +179,10 @@
   @Test
   void treatsAFeedWhoseEventNeverEndsAsSilent() throws Exception {
     List<Long> received = new CopyOnWriteArrayList<>();
-    ControlFeedServer.Behaviour behaviour =
+    EventStreamTestServer.StreamHandler behaviour =
         (connection, last, out) -> {
           if (connection > 0) {
-            ControlFeedServer.say(out, event(last + 1));
+            EventStreamTestServer.sendEvent(out, event(last + 1));
             return true;
           }
           Thread trickler =
@@ -200,7 +202,7 @@
           trickler.start();
           return true;
         };
-    try (ControlFeedServer feed = new ControlFeedServer(behaviour);
+    try (EventStreamTestServer feed = new EventStreamTestServer(behaviour);
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
@@ -209,7 +211,7 @@
                 DIRECTORY,
                 event -> received.add(event.sequence()),
                 line -> {})) {
-      client.follow(feed.at());
+      client.follow(feed.address());
       long startedNanos = System.nanoTime();
       await(() -> received.size() == 1);
       assertThat((System.nanoTime() - startedNanos) / 1_000_000)
@@ -218,7 +220,8 @@
   }
 
   /** Delivers so many further events, once it is released. */
-  private static ControlFeedServer.Behaviour afterRelease(CountDownLatch release, int events) {
+  private static EventStreamTestServer.StreamHandler afterRelease(
+      CountDownLatch release, int events) {
     return (connection, last, out) -> {
       try {
         release.await();
@@ -226,7 +229,7 @@
         return false;
       }
       for (int i = 1; i <= events; i++) {
-        ControlFeedServer.say(out, event(last + i));
+        EventStreamTestServer.sendEvent(out, event(last + i));
       }
       return true;
     };
@@ -239,15 +242,15 @@
   void deliversFromTheOldAddressUntilTheNewOneDelivers() throws Exception {
     List<Long> received = new CopyOnWriteArrayList<>();
     CountDownLatch release = new CountDownLatch(1);
-    ControlFeedServer.Behaviour heartbeatOnly =
+    EventStreamTestServer.StreamHandler heartbeatOnly =
         (connection, last, out) -> {
           out.write(": beat\n\n".getBytes(StandardCharsets.UTF_8));
           return true;
         };
-    ControlFeedServer.Behaviour deliversTwo =
+    EventStreamTestServer.StreamHandler deliversTwo =
         afterRelease(release, 2); // the old one delivers the first of them, too
-    try (ControlFeedServer oldFeed = new ControlFeedServer(heartbeatOnly);
-        ControlFeedServer newFeed = new ControlFeedServer(deliversTwo);
+    try (EventStreamTestServer oldFeed = new EventStreamTestServer(heartbeatOnly);
+        EventStreamTestServer newFeed = new EventStreamTestServer(deliversTwo);
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
@@ -256,20 +259,20 @@
                 DIRECTORY,
                 event -> received.add(event.sequence()),
                 line -> {})) {
-      client.follow(oldFeed.at());
-      await(() -> oldFeed.asked.size() == 1);
-      oldFeed.say(event(2));
+      client.follow(oldFeed.address());
+      await(() -> oldFeed.requestedEventIds.size() == 1);
+      oldFeed.sendEvent(event(2));
       await(() -> received.size() == 1);
-      client.follow(newFeed.at());
-      await(() -> newFeed.asked.size() == 1);
-      oldFeed.say(event(3));
+      client.follow(newFeed.address());
+      await(() -> newFeed.requestedEventIds.size() == 1);
+      oldFeed.sendEvent(event(3));
       await(() -> received.size() == 2);
       release.countDown();
       await(() -> received.size() == 3);
       assertThat(received).containsExactly(2L, 3L, 4L);
-      assertThat(oldFeed.ended(0)).isTrue();
-      assertThat(oldFeed.asked).hasSize(1);
-      assertThat(newFeed.asked).containsExactly(2L);
+      assertThat(oldFeed.awaitClientClose(0)).isTrue();
+      assertThat(oldFeed.requestedEventIds).hasSize(1);
+      assertThat(newFeed.requestedEventIds).containsExactly(2L);
     }
   }
 
@@ -281,14 +284,14 @@
   void survivesTheEndOfTheOldAddressBeforeTheNewOneDelivers() throws Exception {
     List<Long> received = new CopyOnWriteArrayList<>();
     CountDownLatch release = new CountDownLatch(1);
-    ControlFeedServer.Behaviour deliversOne = afterRelease(release, 1);
-    ControlFeedServer oldFeed =
-        new ControlFeedServer(
+    EventStreamTestServer.StreamHandler deliversOne = afterRelease(release, 1);
+    EventStreamTestServer oldFeed =
+        new EventStreamTestServer(
             (connection, last, out) -> {
               out.write(": beat\n\n".getBytes(StandardCharsets.UTF_8));
               return true;
             });
-    try (ControlFeedServer newFeed = new ControlFeedServer(deliversOne);
+    try (EventStreamTestServer newFeed = new EventStreamTestServer(deliversOne);
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
@@ -297,16 +300,16 @@
                 DIRECTORY,
                 event -> received.add(event.sequence()),
                 line -> {})) {
-      client.follow(oldFeed.at());
-      await(() -> oldFeed.asked.size() == 1);
-      oldFeed.say(event(2));
+      client.follow(oldFeed.address());
+      await(() -> oldFeed.requestedEventIds.size() == 1);
+      oldFeed.sendEvent(event(2));
       await(() -> received.size() == 1);
-      client.follow(newFeed.at());
-      await(() -> newFeed.asked.size() == 1);
+      client.follow(newFeed.address());
+      await(() -> newFeed.requestedEventIds.size() == 1);
       oldFeed.close();
       release.countDown();
       await(() -> received.size() == 2);
-      assertThat(newFeed.asked).containsExactly(2L);
+      assertThat(newFeed.requestedEventIds).containsExactly(2L);
     }
   }
 
@@ -314,28 +317,36 @@
   @Test
   void acceptsACompleteListUnderTheLastNumberAndNoOlderOne() throws Exception {
     List<String> received = new CopyOnWriteArrayList<>();
-    ControlFeedServer.Behaviour behaviour =
+    EventStreamTestServer.StreamHandler behaviour =
         (connection, last, out) -> {
-          ControlFeedServer.say(
+          EventStreamTestServer.sendEvent(
               out,
-              ControlFeedServer.event(
-                  last - 1, true, ControlFeedServer.worker("old", "127.0.0.1:7", "SERVING", 0)));
-          ControlFeedServer.say(
+              EventStreamTestServer.endpointListEvent(
+                  last - 1,
+                  true,
+                  EventStreamTestServer.endpoint("old", "127.0.0.1:7", "SERVING", 0)));
+          EventStreamTestServer.sendEvent(
               out,
-              ControlFeedServer.event(
-                  last, true, ControlFeedServer.worker("same", "127.0.0.1:7", "DRAINING", 0)));
-          ControlFeedServer.say(
+              EventStreamTestServer.endpointListEvent(
+                  last,
+                  true,
+                  EventStreamTestServer.endpoint("same", "127.0.0.1:7", "DRAINING", 0)));
+          EventStreamTestServer.sendEvent(
               out,
-              ControlFeedServer.event(
-                  last, false, ControlFeedServer.worker("told", "127.0.0.1:7", "SERVING", 0)));
-          ControlFeedServer.say(
+              EventStreamTestServer.endpointListEvent(
+                  last,
+                  false,
+                  EventStreamTestServer.endpoint("told", "127.0.0.1:7", "SERVING", 0)));
+          EventStreamTestServer.sendEvent(
               out,
-              ControlFeedServer.event(
-                  last + 3, true, ControlFeedServer.worker("ahead", "127.0.0.1:7", "SERVING", 0)));
-          ControlFeedServer.say(out, event(last + 4));
+              EventStreamTestServer.endpointListEvent(
+                  last + 3,
+                  true,
+                  EventStreamTestServer.endpoint("ahead", "127.0.0.1:7", "SERVING", 0)));
+          EventStreamTestServer.sendEvent(out, event(last + 4));
           return true;
         };
-    try (ControlFeedServer feed = new ControlFeedServer(behaviour);
+    try (EventStreamTestServer feed = new EventStreamTestServer(behaviour);
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
@@ -344,10 +355,10 @@
                 DIRECTORY,
                 event -> received.add(event.sequence() + event.updates().get(0).name()),
                 line -> {})) {
-      client.follow(feed.at());
+      client.follow(feed.address());
       await(() -> received.size() == 3);
       assertThat(received).containsExactly("5same", "8ahead", "9w9");
-      assertThat(feed.asked).containsExactly(5L); // a gap before a whole list is none
+      assertThat(feed.requestedEventIds).containsExactly(5L); // a gap before a whole list is none
     }
   }
 }
--- a/src/test/java/switchgap/eventloop/EventLoopTest.java
+++ b/src/test/java/switchgap/eventloop/EventLoopTest.java
@@ -19,7 +19,7 @@
   @ParameterizedTest
   @ValueSource(ints = {1, 2})
   void anErrorInAnyRoundIsToldTheFirstToo(int round) throws Exception {
-    RouterSettings terms = TestPlatformSettings.terms();
+    RouterSettings terms = TestPlatformSettings.routerSettings();
     WorkerTransport nothing =
         (WorkerTransport)
             Proxy.newProxyInstance(
--- a/src/test/java/switchgap/protocol/resp/PassedOnDeadlineTest.java
+++ b/src/test/java/switchgap/protocol/resp/PassedOnDeadlineTest.java
@@ -52,7 +52,7 @@
             TestDiagnostics.create());
     int[] attempts = {0};
     return new RouterCore(
-        TestPlatformSettings.terms(),
+        TestPlatformSettings.routerSettings(),
         (at, batch, actions) -> {
           batch.deliverTo(new IgnoredEvents());
           if (attempts[0]++ == 0) {
--- a/src/test/java/switchgap/protocol/thrift/ThriftCodecTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftCodecTest.java
@@ -52,7 +52,7 @@
       throws Exception {
     TMemoryBuffer buffer = new TMemoryBuffer(256);
     TBinaryProtocol protocol = new TBinaryProtocol(buffer);
-    ThriftTestClient.arguments(protocol, sequenceId, fields, body);
+    ThriftTestClient.writeSubmitArguments(protocol, sequenceId, fields, body);
     protocol.writeFieldBegin(new TField("later", TType.LIST, (short) 9));
     protocol.writeListBegin(new TList(TType.I32, 2));
     protocol.writeI32(1);
@@ -201,7 +201,9 @@
     }
     NameDirectory names =
         new NameDirectory(
-            TestPlatformSettings.terms(), Map.of("again", 0, "once", 1), Map.of("shop", 0));
+            TestPlatformSettings.routerSettings(),
+            Map.of("again", 0, "once", 1),
+            Map.of("shop", 0));
     return SubmitRequestDecoder.decode(
         ThriftMessageDecoder.decode(submitFrame(fields, new byte[0], 1)),
         names,
@@ -262,7 +264,7 @@
       })
   void anUnusableFieldIsNamed(String field, String value) {
     assertThatThrownBy(() -> requestWith(field, value))
-        .isInstanceOf(InvalidRequestException.class)
+        .isInstanceOf(InvalidSubmitException.class)
         .hasMessage(field);
   }
 }
--- a/src/test/java/switchgap/protocol/thrift/ThriftServerFloodTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftServerFloodTest.java
@@ -52,11 +52,11 @@
 
   private static ThriftServer server(ConcurrentLinkedQueue<Consumer<RouterCore>> events)
       throws Exception {
-    ThriftServer.ConnectionLimits limits =
-        new ThriftServer.ConnectionLimits(
+    ClientConnectionLimits limits =
+        new ClientConnectionLimits(
             10, 10, 1 << 16, QUEUE_BYTES, 10, Duration.ofSeconds(10), Duration.ofMillis(200));
     return new ThriftServer(
-        TestPlatformSettings.terms(),
+        TestPlatformSettings.routerSettings(),
         Map.of(),
         Map.of(),
         limits,
--- a/src/test/java/switchgap/router/InvariantMonitorTest.java
+++ b/src/test/java/switchgap/router/InvariantMonitorTest.java
@@ -28,7 +28,7 @@
   private boolean clientGone;
 
   InvariantMonitorTest() throws Exception {
-    invariants = new InvariantMonitor(TestPlatformSettings.terms(), events, lines::add);
+    invariants = new InvariantMonitor(TestPlatformSettings.routerSettings(), events, lines::add);
   }
 
   private Attempt attempt(int number) {
--- a/src/test/java/switchgap/router/WorkerStartTimesTest.java
+++ b/src/test/java/switchgap/router/WorkerStartTimesTest.java
@@ -26,7 +26,7 @@
     PolicyEvents events = proxy(PolicyEvents.class, starts);
     core =
         new RouterCore(
-            TestPlatformSettings.terms(),
+            TestPlatformSettings.routerSettings(),
             (now, batch, actions) -> batch.deliverTo(events),
             transport,
             new CoreLimits(Duration.ofSeconds(1), Duration.ofSeconds(1), 10));
--- a/src/test/java/switchgap/server/platform/ClientEvictionTest.java
+++ b/src/test/java/switchgap/server/platform/ClientEvictionTest.java
@@ -31,7 +31,7 @@
       rest.add(Arrays.copyOfRange(message, message.length / 2, message.length));
       slow.add(client);
     }
-    await(() -> platform.connected() == slow.size());
+    await(() -> platform.openClientConnections() == slow.size());
     for (int i = 0; i < 150; i++) {
       client();
     } // they connect and stay
--- a/src/test/java/switchgap/server/platform/DepartedClientsTest.java
+++ b/src/test/java/switchgap/server/platform/DepartedClientsTest.java
@@ -85,7 +85,7 @@
       leaves.ask(2, ThriftTestClient.fields("again", closed, 900, FUNCTION), "x");
       read(leaves, 3);
       leaves.close();
-      await(() -> platform.connected() == 2);
+      await(() -> platform.openClientConnections() == 2);
     }
     served(client, worker, 4);
     assertThat(worker.received)
@@ -131,14 +131,14 @@
         ThriftTestClient.fields("again", id, 900, String.format("%016x", number)),
         "turned away");
     await(() -> one.commands("DO").size() + two.commands("DO").size() > usualCalls(one, two, id));
-    int before = platform.connected();
+    int before = platform.openClientConnections();
     try (AutoCloseable gate = holdLoop()) {
       answer.countDown();
       answered.await();
       read(usual, ++number); // twice: what came before the first has been read with the second
       read(usual, ++number);
       leaves.close();
-      await(() -> platform.connected() == before - 1);
+      await(() -> platform.openClientConnections() == before - 1);
     }
     usual.ask(++number, ThriftTestClient.fields("again", id(), 900, FUNCTION), "x");
     assertThat(usual.reply().field()).isZero();
@@ -290,12 +290,12 @@
       all.add(newest);
     }
     Thread.sleep(100); // time to make room, which there is none for
-    assertThat(platform.connected()).isEqualTo(11);
+    assertThat(platform.openClientConnections()).isEqualTo(11);
     answer.countDown();
     for (int i = 0; i < 11; i++) {
       assertThat(all.get(i).reply()).as("client %d", i).isNotNull();
     }
-    await(() -> platform.connected() == 10);
+    await(() -> platform.openClientConnections() == 10);
   }
 
   /**
--- a/src/test/java/switchgap/server/platform/DescriptorLimitTest.java
+++ b/src/test/java/switchgap/server/platform/DescriptorLimitTest.java
@@ -24,15 +24,15 @@
       for (int i = 0; i < 60; i++) {
         ThriftTestClient client = client();
         await(() -> client.socket.isConnected());
-        most = Math.max(most, platform.connected());
+        most = Math.max(most, platform.openClientConnections());
       }
-      await(() -> platform.connected() == SOCKETS / 3 + SOCKETS / 12);
-      most = Math.max(most, platform.connected());
+      await(() -> platform.openClientConnections() == SOCKETS / 3 + SOCKETS / 12);
+      most = Math.max(most, platform.openClientConnections());
     }
     assertThat(most)
         .isLessThanOrEqualTo(
             SOCKETS / 3 + SOCKETS / 12 + 1); // one is counted while it is being turned away
-    await(() -> platform.connected() <= SOCKETS / 3);
+    await(() -> platform.openClientConnections() <= SOCKETS / 3);
     ThriftTestClient usual = client();
     usual.ask(1, ThriftTestClient.fields("again", id(), ALLOW_MILLIS, FUNCTION), "x");
     assertThat(usual.reply().field()).isZero();
@@ -47,11 +47,11 @@
       RespTestServer worker = new RespTestServer(RespTestServer::serveAll);
       resources.add(worker);
       peers.add(worker);
-      lines.add(ControlFeedServer.worker("n" + i, worker.at(), "SERVING", 0));
+      lines.add(EventStreamTestServer.endpoint("n" + i, worker.at(), "SERVING", 0));
     }
     serve(SOCKETS, new RespTestServer(RespTestServer::serveAll));
-    await(() -> !feed.asked.isEmpty());
-    feed.say(ControlFeedServer.event(2, false, lines.toArray(new String[0])));
+    await(() -> !feed.requestedEventIds.isEmpty());
+    feed.sendEvent(EventStreamTestServer.endpointListEvent(2, false, lines.toArray(new String[0])));
     ThriftTestClient client = client();
     int most = 0;
     for (int number = 1; number <= 400; number++) {
--- a/src/test/java/switchgap/server/platform/ControlFeedServer.java
+++ b/src/test/java/switchgap/server/platform/EventStreamTestServer.java
@@ -13,28 +13,28 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** A scripted control feed on a plain socket. */
-public final class ControlFeedServer implements AutoCloseable {
+public final class EventStreamTestServer implements AutoCloseable {
   /** Delivers on a connection, counted from 0; false closes it. */
-  public interface Behaviour {
-    boolean tell(int connection, long last, OutputStream out) throws IOException;
+  public interface StreamHandler {
+    boolean handle(int connection, long last, OutputStream out) throws IOException;
   }
 
-  public final List<Long> asked = new CopyOnWriteArrayList<>();
+  public final List<Long> requestedEventIds = new CopyOnWriteArrayList<>();
   private final List<Socket> open = new CopyOnWriteArrayList<>();
   private final ServerSocket listener;
 
-  public ControlFeedServer(Behaviour behaviour) throws IOException {
-    this(0, behaviour);
+  public EventStreamTestServer(StreamHandler handler) throws IOException {
+    this(0, handler);
   }
 
-  public ControlFeedServer(int port, Behaviour behaviour) throws IOException {
+  public EventStreamTestServer(int port, StreamHandler handler) throws IOException {
     listener = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
     Thread thread =
         new Thread(
             () -> {
               try {
                 for (int connection = 0; ; connection++) {
-                  serve(listener.accept(), connection, behaviour);
+                  serve(listener.accept(), connection, handler);
                 }
               } catch (IOException e) {
                 return; // the server was closed
@@ -44,7 +44,7 @@
     thread.start();
   }
 
-  private void serve(Socket socket, int connection, Behaviour behaviour) throws IOException {
+  private void serve(Socket socket, int connection, StreamHandler handler) throws IOException {
     open.add(socket);
     try {
       BufferedReader in =
@@ -56,12 +56,12 @@
           last = Long.parseLong(line.substring(14).trim());
         }
       }
-      asked.add(last);
+      requestedEventIds.add(last);
       OutputStream out = socket.getOutputStream();
       out.write(
           "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
               .getBytes(StandardCharsets.US_ASCII));
-      if (!behaviour.tell(connection, last, out)) {
+      if (!handler.handle(connection, last, out)) {
         socket.close();
       }
     } catch (IOException e) {
@@ -69,23 +69,23 @@
     }
   }
 
-  public static void say(OutputStream out, String event) throws IOException {
+  public static void sendEvent(OutputStream out, String event) throws IOException {
     out.write(("id: 0\ndata: " + event + "\n\n").getBytes(StandardCharsets.UTF_8));
     out.flush();
   }
 
   /** To the connection opened last. */
-  public void say(String event) throws IOException {
-    say(open.get(open.size() - 1).getOutputStream(), event);
+  public void sendEvent(String event) throws IOException {
+    sendEvent(open.get(open.size() - 1).getOutputStream(), event);
   }
 
   /** Whether the client has closed a connection, counted from 0; waits for that. */
-  public boolean ended(int connection) throws IOException {
+  public boolean awaitClientClose(int connection) throws IOException {
     open.get(connection).setSoTimeout(5000);
     return open.get(connection).getInputStream().read() < 0;
   }
 
-  public static String event(long sequence, boolean all, String... workers) {
+  public static String endpointListEvent(long sequence, boolean all, String... workers) {
     return "{\"n\":"
         + sequence
         + ",\"members\":{\"rev\":7,\"all\":"
@@ -95,7 +95,7 @@
         + "]}}";
   }
 
-  public static String worker(String id, String at, String state, long boot) {
+  public static String endpoint(String id, String at, String state, long boot) {
     return "{\"uid\":\""
         + id
         + "\",\"endpoint\":\""
@@ -107,7 +107,7 @@
         + "}";
   }
 
-  public InetSocketAddress at() {
+  public InetSocketAddress address() {
     return (InetSocketAddress) listener.getLocalSocketAddress();
   }
 
--- a/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
+++ b/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
@@ -64,7 +64,7 @@
             platform.port(), 4096); // its system takes little of what it does not read
     resources.add(client);
     int calls = 0;
-    while (platform.resourceUsage().busyClientConnections() == 0
+    while (platform.resourceUsage().activeClientConnections() == 0
         || platform.resourceUsage().pendingRequests() > 0) { // until responses wait to be written
       assertThat(++calls).isLessThan(2000);
       int asked = calls;
--- a/src/test/java/switchgap/server/platform/PlatformFixture.java
+++ b/src/test/java/switchgap/server/platform/PlatformFixture.java
@@ -22,14 +22,14 @@
   static final String FUNCTION = "00000000000000f1";
   @TempDir Path dir;
   final List<AutoCloseable> resources = new ArrayList<>();
-  ControlFeedServer feed;
+  EventStreamTestServer feed;
   PlatformRouter platform;
   String settings = TestPlatformSettings.SETTINGS;
   private int lastId;
 
   @BeforeEach
   void feed() throws Exception {
-    feed = new ControlFeedServer((connection, last, out) -> true);
+    feed = new EventStreamTestServer((connection, last, out) -> true);
     resources.add(feed);
   }
 
@@ -60,14 +60,14 @@
   private String config(int sockets, String... addresses) {
     List<String> workers = new ArrayList<>();
     for (int i = 0; i < addresses.length; i++) {
-      workers.add(ControlFeedServer.worker("w" + i, addresses[i], "SERVING", 0));
+      workers.add(EventStreamTestServer.endpoint("w" + i, addresses[i], "SERVING", 0));
     }
     return "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":64,\"sockets\":"
         + sockets
         + "},\"feed\":\"127.0.0.1:"
-        + feed.at().getPort()
+        + feed.address().getPort()
         + "\",\"known\":{\"n\":1,\"events\":["
-        + ControlFeedServer.event(1, true, workers.toArray(new String[0]))
+        + EventStreamTestServer.endpointListEvent(1, true, workers.toArray(new String[0]))
         + "]},\"settings\":"
         + settings
         + "}";
@@ -134,7 +134,7 @@
         new Thread(
             () -> {
               try {
-                platform.onLoop(
+                platform.runOnEventLoop(
                     core -> {
                       held.countDown();
                       try {
--- a/src/test/java/switchgap/server/platform/ServeProcessFixture.java
+++ b/src/test/java/switchgap/server/platform/PlatformProcessFixture.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A router as a process of its own between scripted clients, workers and a feed. */
-abstract class ServeProcessFixture extends PlatformFixture {
+abstract class PlatformProcessFixture extends PlatformFixture {
   Path file;
   Process process;
   final Map<String, String> variables = new HashMap<>();
--- a/src/test/java/switchgap/server/platform/ServeProcessTest.java
+++ b/src/test/java/switchgap/server/platform/PlatformProcessTest.java
@@ -13,7 +13,7 @@
  * The router as a process, with signals as signals. Its configuration is a pipe where its start has
  * to be held.
  */
-class ServeProcessTest extends ServeProcessFixture {
+class PlatformProcessTest extends PlatformProcessFixture {
   private void pipe() throws Exception {
     file = dir.resolve("config.json");
     shell("mkfifo " + file);
@@ -27,7 +27,7 @@
   void aSighupDuringTheStartCounts() throws Exception {
     pipe();
     try (RespTestServer worker = new RespTestServer(RespTestServer::serveAll);
-        ControlFeedServer newFeed = new ControlFeedServer((number, last, out) -> true)) {
+        EventStreamTestServer newFeed = new EventStreamTestServer((number, last, out) -> true)) {
       String config = config(256, worker);
       start("");
       try (OutputStream held =
@@ -35,7 +35,7 @@
         Path next =
             Files.writeString(
                 dir.resolve("next.json"),
-                config.replace(":" + feed.at().getPort(), ":" + newFeed.at().getPort()));
+                config.replace(":" + feed.address().getPort(), ":" + newFeed.address().getPort()));
         Files.move(next, file, StandardCopyOption.REPLACE_EXISTING);
         signal("HUP");
         signal("HUP");
@@ -43,7 +43,7 @@
         held.write(config.getBytes(StandardCharsets.UTF_8));
       }
       serves();
-      await(() -> !newFeed.asked.isEmpty());
+      await(() -> !newFeed.requestedEventIds.isEmpty());
       Files.writeString(file, "{"); // and one that is of no use keeps what there is
       signal("HUP");
       await(() -> log().contains("the old feed is kept"));
@@ -106,7 +106,7 @@
   void idleClientsLeaveRoomForTheFeedAndTheWorkers() throws Exception {
     file = dir.resolve("config.json");
     try (RespTestServer worker = new RespTestServer(RespTestServer::serveAll)) {
-      int port = feed.at().getPort();
+      int port = feed.address().getPort();
       Files.writeString(file, config(120, worker));
       feed.close(); // discovery is down
       start("ulimit -n 120; ");
@@ -120,8 +120,9 @@
         usual.ask(number, ThriftTestClient.fields("again", id(), 900, FUNCTION), "x");
         assertThat(usual.reply().field()).as(log()).isZero();
       }
-      try (ControlFeedServer back = new ControlFeedServer(port, (number, last, out) -> true)) {
-        await(() -> !back.asked.isEmpty());
+      try (EventStreamTestServer back =
+          new EventStreamTestServer(port, (number, last, out) -> true)) {
+        await(() -> !back.requestedEventIds.isEmpty());
       }
       assertThat(process.info().totalCpuDuration().orElseThrow().minus(before).toMillis())
           .isLessThan(1500); // nothing spins
@@ -135,9 +136,10 @@
   void aConfigurationThatIsHalfWrittenAtSighupIsReadAgain() throws Exception {
     file = dir.resolve("config.json");
     try (RespTestServer worker = new RespTestServer(RespTestServer::serveAll);
-        ControlFeedServer newFeed = new ControlFeedServer((number, last, out) -> true)) {
+        EventStreamTestServer newFeed = new EventStreamTestServer((number, last, out) -> true)) {
       String config = config(256, worker);
-      String next = config.replace(":" + feed.at().getPort(), ":" + newFeed.at().getPort());
+      String next =
+          config.replace(":" + feed.address().getPort(), ":" + newFeed.address().getPort());
       Files.writeString(file, config);
       start("");
       serves();
@@ -145,7 +147,7 @@
       signal("HUP");
       await(() -> log().contains("the old feed is kept"));
       Files.writeString(file, next);
-      await(() -> !newFeed.asked.isEmpty());
+      await(() -> !newFeed.requestedEventIds.isEmpty());
     }
   }
 
--- a/src/test/java/switchgap/server/platform/PlatformRouterTest.java
+++ b/src/test/java/switchgap/server/platform/PlatformRouterTest.java
@@ -259,7 +259,7 @@
     RespTestServer one = new RespTestServer(RespTestServer::serveAll);
     RespTestServer two = new RespTestServer(RespTestServer::serveAll);
     serve(256, one, two);
-    await(() -> !feed.asked.isEmpty());
+    await(() -> !feed.requestedEventIds.isEmpty());
     ThriftTestClient client = client();
     for (int number = 1; number <= 20; number++) {
       client.ask(
@@ -267,11 +267,12 @@
       assertThat(client.reply().field()).isZero();
     }
     RespTestServer drained = one.commands("DO").isEmpty() ? two : one;
-    feed.say(
-        ControlFeedServer.event(
+    feed.sendEvent(
+        EventStreamTestServer.endpointListEvent(
             2,
             false,
-            ControlFeedServer.worker(drained == one ? "w0" : "w1", drained.at(), "DRAINING", 0)));
+            EventStreamTestServer.endpoint(
+                drained == one ? "w0" : "w1", drained.at(), "DRAINING", 0)));
     Thread.sleep(200);
     long before =
         drained.received.stream().filter(command -> !command.word().equals("METER")).count();
@@ -286,12 +287,13 @@
     }
     assertThat(drained.received.stream().filter(command -> !command.word().equals("METER")).count())
         .isEqualTo(before);
-    feed.say(
-        ControlFeedServer.event(
+    feed.sendEvent(
+        EventStreamTestServer.endpointListEvent(
             3,
             false,
-            ControlFeedServer.worker(drained == one ? "w0" : "w1", drained.at(), "DELETED", 0),
-            ControlFeedServer.worker("w9", drained.at(), "SERVING", 0)));
+            EventStreamTestServer.endpoint(
+                drained == one ? "w0" : "w1", drained.at(), "DELETED", 0),
+            EventStreamTestServer.endpoint("w9", drained.at(), "SERVING", 0)));
     Thread.sleep(200);
     for (int number = 41; number <= 80; number++) {
       client.ask(
@@ -334,7 +336,7 @@
   void resourceUsageLevelsOff() throws Exception {
     RespTestServer worker = new RespTestServer(RespTestServer::serveAll);
     serve(256, worker);
-    await(() -> !feed.asked.isEmpty());
+    await(() -> !feed.requestedEventIds.isEmpty());
     for (int number = 1; number <= 400; number++) {
       try (ThriftTestClient client = new ThriftTestClient(platform.port())) {
         client.ask(
@@ -342,13 +344,13 @@
         assertThat(client.reply().field()).isZero();
       }
       if (number % 10 == 0) {
-        feed.say(
-            ControlFeedServer.event(
+        feed.sendEvent(
+            EventStreamTestServer.endpointListEvent(
                 1 + number / 10,
                 false,
-                ControlFeedServer.worker(
+                EventStreamTestServer.endpoint(
                     "w" + (number == 10 ? "0" : "n" + (number - 10)), worker.at(), "DELETED", 0),
-                ControlFeedServer.worker("wn" + number, worker.at(), "SERVING", 0)));
+                EventStreamTestServer.endpoint("wn" + number, worker.at(), "SERVING", 0)));
       }
     }
     Thread.sleep(500);
--- a/src/test/java/switchgap/server/platform/SystemCallFailureTest.java
+++ b/src/test/java/switchgap/server/platform/SystemCallFailureTest.java
@@ -25,7 +25,7 @@
  * System calls of a router's process fail in the ways that Linux documents; no request that was
  * read is lost.
  */
-class SystemCallFailureTest extends ServeProcessFixture {
+class SystemCallFailureTest extends PlatformProcessFixture {
   private static final int CLIENTS = 60;
   private static final int REQUESTS_PER_CLIENT = 3;
   private static final int CLIENTS_AT_A_TIME = 10;
@@ -279,7 +279,7 @@
       Thread.sleep(500);
       faults.clear();
       assertThat(served(serves())).as(log()).isEqualTo(CLIENTS * REQUESTS_PER_CLIENT);
-      await(() -> !feed.asked.isEmpty());
+      await(() -> !feed.requestedEventIds.isEmpty());
     }
   }
 
@@ -338,12 +338,12 @@
       throws Exception {
     try (RespTestServer worker = new RespTestServer(RespTestServer::serveAll)) {
       faults = SystemCallFaults.of(library, dir.resolve("faults"));
-      faults.inject(call, error, every, feed.at().getPort());
+      faults.inject(call, error, every, feed.address().getPort());
       int port = startWithFaults(worker);
       assertThat(served(port)).as(log()).isEqualTo(CLIENTS * REQUESTS_PER_CLIENT);
       faults.clear();
       if (call == Call.WRITE) {
-        await(() -> !feed.asked.isEmpty());
+        await(() -> !feed.requestedEventIds.isEmpty());
       } // it could not ask before
       assertThat(served(port)).as(log()).isEqualTo(CLIENTS * REQUESTS_PER_CLIENT);
     }
--- a/src/test/java/switchgap/server/platform/TestPlatformSettings.java
+++ b/src/test/java/switchgap/server/platform/TestPlatformSettings.java
@@ -25,7 +25,7 @@
 
   private TestPlatformSettings() {}
 
-  public static RouterSettings terms() throws IOException {
+  public static RouterSettings routerSettings() throws IOException {
     Map<String, Object> members = JsonDocument.parseObject(SETTINGS);
     return new PropertyRouterSettings(JsonDocument.flatten(members));
   }
--- a/src/test/java/switchgap/server/platform/ThriftTestClient.java
+++ b/src/test/java/switchgap/server/platform/ThriftTestClient.java
@@ -68,13 +68,13 @@
   static byte[] submit(int number, Map<String, String> fields, byte[] body) throws Exception {
     TMemoryBuffer buffer = new TMemoryBuffer(256);
     TBinaryProtocol protocol = new TBinaryProtocol(buffer);
-    arguments(protocol, number, fields, body);
+    writeSubmitArguments(protocol, number, fields, body);
     protocol.writeFieldStop();
     return framed(java.util.Arrays.copyOf(buffer.getArray(), buffer.length()));
   }
 
   /** A submit up to its last argument. */
-  public static void arguments(
+  public static void writeSubmitArguments(
       TBinaryProtocol protocol, int number, Map<String, String> fields, byte[] body)
       throws Exception {
     protocol.writeMessageBegin(new TMessage("submit", (byte) 1, number));
--- a/src/test/java/switchgap/testing/TestDiagnostics.java
+++ b/src/test/java/switchgap/testing/TestDiagnostics.java
@@ -12,7 +12,7 @@
   /** Diagnostics under the platform's test settings; events are only counted. */
   public static RouterDiagnostics create() {
     try {
-      return RouterDiagnostics.of(TestPlatformSettings.terms(), line -> {}, null);
+      return RouterDiagnostics.of(TestPlatformSettings.routerSettings(), line -> {}, null);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
