--- a/src/main/java/switchgap/cli/PlannerCommand.java
+++ b/src/main/java/switchgap/cli/PlannerCommand.java
@@ -24,7 +24,7 @@
   @Override
   public Integer call() throws IOException, InterruptedException {
     GatewayConfig config = requirePlannerPort(configFile, GatewayConfig.read(configFile));
-    int routerIndex = config.terms().routerIndex();
+    int routerIndex = config.settings().routerIndex();
     NetworkTransport transport = new NetworkTransport(1, "planner-" + routerIndex);
     PlannerClient client = new PlannerClient(transport, config.planner(), routerIndex);
     Runtime.getRuntime().addShutdownHook(new Thread(client::close, "planner-shutdown"));
--- a/src/main/java/switchgap/protocol/inference/AttemptExchange.java
+++ b/src/main/java/switchgap/protocol/inference/AttemptExchange.java
@@ -11,7 +11,7 @@
 import switchgap.router.RouterCore;
 
 /** The exchange of an attempt; its end is posted to the event loop. */
-final class AttemptExchange extends PendingExchange {
+final class AttemptExchange extends InferenceExchange {
   /**
    * Headers that concern the worker's connection or this router, and are not passed on to the
    * client.
--- a/src/main/java/switchgap/protocol/inference/CommandExchange.java
+++ b/src/main/java/switchgap/protocol/inference/CommandExchange.java
@@ -5,21 +5,21 @@
 import switchgap.router.WorkerEntry;
 
 /** The exchange of a load command, a query, an unload or a probe. */
-final class CommandExchange extends PendingExchange {
+final class CommandExchange extends InferenceExchange {
   /** Is notified once how an exchange ended, unless it was abandoned. */
-  interface CompletionListener {
+  interface CommandResultListener {
     /** It ended; the report is empty where there was none. On any thread. */
     void exchangeEnded(AttemptOutcome outcome, OrcaLoadReport report);
   }
 
-  private final CompletionListener listener;
+  private final CommandResultListener listener;
 
   /** An exchange without a deadline of its own: the core abandons it. */
   CommandExchange(
       WorkerEntry worker,
       HttpConnectionPool pool,
       InferenceRequest request,
-      CompletionListener listener) {
+      CommandResultListener listener) {
     super(worker, pool, request, NO_DEADLINE);
     this.listener = listener;
   }
--- a/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
+++ b/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
@@ -24,12 +24,12 @@
 final class HttpConnectionPool {
   private final HttpClientConnection.Factory connectionFactory;
   private final InetSocketAddress address;
-  private final InferenceWorkerTransport.ConnectionLimits limits;
+  private final HttpPoolLimits limits;
 
   /** The most recently used first. */
   private final ArrayDeque<HttpClientConnection> idle = new ArrayDeque<>();
 
-  private final ArrayDeque<PendingExchange> waiting = new ArrayDeque<>();
+  private final ArrayDeque<InferenceExchange> waiting = new ArrayDeque<>();
 
   /** Closed connections that have been counted: a connection may report its end more than once. */
   private final Set<HttpClientConnection> closed = Collections.newSetFromMap(new WeakHashMap<>());
@@ -41,7 +41,7 @@
   HttpConnectionPool(
       HttpClientConnection.Factory connectionFactory,
       InetSocketAddress address,
-      InferenceWorkerTransport.ConnectionLimits limits) {
+      HttpPoolLimits limits) {
     this.connectionFactory = connectionFactory;
     this.address = address;
     this.limits = limits;
@@ -52,7 +52,7 @@
   }
 
   /** Sends an exchange of this pool, has it wait for a connection, or ends it as not sent. */
-  void submit(PendingExchange exchange) {
+  void submit(InferenceExchange exchange) {
     HttpClientConnection connection = null;
     boolean waits = false;
     synchronized (this) {
@@ -78,11 +78,11 @@
   }
 
   /** Has an exchange wait, unless too many do. Needs the lock. */
-  private boolean enqueue(PendingExchange exchange) {
-    if (waiting.size() >= limits.waiting()) {
+  private boolean enqueue(InferenceExchange exchange) {
+    if (waiting.size() >= limits.maxPendingExchanges()) {
       removeEnded();
     }
-    return waiting.size() < limits.waiting() && waiting.add(exchange);
+    return waiting.size() < limits.maxPendingExchanges() && waiting.add(exchange);
   }
 
   private void removeEnded() {
@@ -90,8 +90,8 @@
   }
 
   /** The next exchange that waits, or null. Needs the lock. */
-  private PendingExchange pollWaiting() {
-    PendingExchange exchange = waiting.pollFirst();
+  private InferenceExchange pollWaiting() {
+    InferenceExchange exchange = waiting.pollFirst();
     while (exchange != null && !exchange.isWaiting()) {
       exchange = waiting.pollFirst();
     }
@@ -99,7 +99,7 @@
   }
 
   /** Sends an exchange on a connection; where that takes no byte, on the next one. */
-  private void send(PendingExchange exchange, HttpClientConnection connection) {
+  private void send(InferenceExchange exchange, HttpClientConnection connection) {
     InferenceRequest request = exchange.request;
     if (!exchange.assign(connection)) {
       // Ended at once: what is known not to have been executed can still go to another worker.
@@ -120,12 +120,12 @@
     int needed;
     synchronized (this) {
       removeEnded();
-      int allowed = limits.connections() - open - opening;
+      int allowed = limits.maxConnections() - open - opening;
       needed = Math.max(0, Math.min(waiting.size() - opening, allowed));
       opening += needed;
     }
     for (int i = 0; i < needed; i++) {
-      connectionFactory.connect(address, limits.connectWithin(), new ConnectListener());
+      connectionFactory.connect(address, limits.connectTimeout(), new ConnectListener());
     }
   }
 
@@ -142,7 +142,7 @@
 
     @Override
     public void failed(String why) {
-      PendingExchange exchange;
+      InferenceExchange exchange;
       synchronized (HttpConnectionPool.this) {
         opening--;
         exchange = waiting.size() > opening ? pollWaiting() : null;
@@ -172,7 +172,7 @@
 
   /** A connection is free: the next exchange that waits takes it. */
   void release(HttpClientConnection connection) {
-    PendingExchange next;
+    InferenceExchange next;
     boolean unneeded;
     synchronized (this) {
       next = pollWaiting();
@@ -190,7 +190,7 @@
 
   /** The worker takes nothing new: what waits ends at once, what is in flight goes on. */
   void rejectWaiting() {
-    List<PendingExchange> rejected;
+    List<InferenceExchange> rejected;
     synchronized (this) {
       rejected = List.copyOf(waiting);
       waiting.clear();
--- a/src/main/java/switchgap/protocol/inference/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceExchange.java
@@ -14,7 +14,7 @@
  * alone, needs no lock, and shares its connection with others; this one has its connection to
  * itself.
  */
-abstract class PendingExchange implements HttpClientConnection.ResponseHandler {
+abstract class InferenceExchange implements HttpClientConnection.ResponseHandler {
   /** Of an exchange that waits for as long as it takes. */
   static final long NO_DEADLINE = Long.MAX_VALUE;
 
@@ -53,7 +53,7 @@
    * @param deadlineNanos System.nanoTime after which it is not sent any more, or {@link
    *     #NO_DEADLINE}; guards against a pause, in which it may have waited past its timeout
    */
-  PendingExchange(
+  InferenceExchange(
       WorkerEntry worker, HttpConnectionPool pool, InferenceRequest request, long deadlineNanos) {
     this.worker = worker;
     this.pool = pool;
--- a/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
@@ -24,17 +24,6 @@
  * response that is no 2xx the request may have been executed. See docs/router.md.
  */
 public final class InferenceWorkerTransport implements WorkerTransport {
-  /**
-   * Bounds of the connections of one pool; each worker has one for attempts and one for commands.
-   *
-   * @param connections connections that are open or being opened
-   * @param waiting exchanges that wait for a connection
-   * @param connectWithin timeout of opening a connection
-   * @param idle how long a connection may be idle
-   */
-  public record ConnectionLimits(
-      int connections, int waiting, Duration connectWithin, Duration idle) {}
-
   /**
    * A worker's connections. A load command keeps its connection for as long as loading takes, so
    * commands have connections of their own.
@@ -46,7 +35,7 @@
   }
 
   private final HttpClientConnection.Factory connectionFactory;
-  private final ConnectionLimits limits;
+  private final HttpPoolLimits limits;
   private final KeyedWriters writers;
   private final Consumer<Consumer<RouterCore>> events;
   private final Runnable endpointListRequester;
@@ -63,7 +52,7 @@
    */
   public InferenceWorkerTransport(
       HttpClientConnection.Factory connectionFactory,
-      ConnectionLimits limits,
+      HttpPoolLimits limits,
       KeyedWriters writers,
       Consumer<Consumer<RouterCore>> events,
       Runnable endpointListRequester) {
@@ -92,7 +81,7 @@
 
   /** Closes connections that have been idle for too long; to be called regularly, on any thread. */
   public void sweep() {
-    pools.forEach(pool -> pool.sweep(limits.idle()));
+    pools.forEach(pool -> pool.sweep(limits.idleTimeout()));
   }
 
   /** Closes all idle connections; on any thread. */
@@ -129,14 +118,14 @@
 
   @Override
   public AttemptOutcome abandon(Attempt attempt) {
-    return attempt.attachment instanceof PendingExchange exchange
+    return attempt.attachment instanceof InferenceExchange exchange
         ? exchange.abandon()
         : AttemptOutcome.TIMED_OUT;
   }
 
   @Override
   public void abandon(WorkerCommand command) {
-    if (command.attachment instanceof PendingExchange exchange) {
+    if (command.attachment instanceof InferenceExchange exchange) {
       exchange.abandon();
     }
   }
@@ -145,7 +134,7 @@
       WorkerEntry worker,
       WorkerCommand command,
       InferenceRequest request,
-      CommandExchange.CompletionListener listener) {
+      CommandExchange.CommandResultListener listener) {
     CommandExchange exchange =
         new CommandExchange(worker, poolsOf(worker).commands(), request, listener);
     command.attachment = exchange;
--- a/src/main/java/switchgap/server/gateway/CoreFactory.java
+++ b/src/main/java/switchgap/server/gateway/CoreFactory.java
@@ -45,11 +45,11 @@
     if (config.plannerLink() != null) {
       planned =
           new PlannedWorkerTransport(
-              workers, config.terms(), config.plannerLink().patience(), loop::post);
+              workers, config.settings(), config.plannerLink().patience(), loop::post);
     }
     WorkerTransport transport = planned == null ? workers : planned;
     return new RouterCore(
-        config.terms(),
+        config.settings(),
         policy,
         transport,
         new CoreLimits(
--- a/src/main/java/switchgap/server/gateway/GatewayConfig.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfig.java
@@ -8,13 +8,13 @@
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
 import switchgap.net.ConnectionLimits;
-import switchgap.protocol.inference.InferenceWorkerTransport;
+import switchgap.protocol.inference.HttpPoolLimits;
 import switchgap.router.EndpointUpdate;
 
 /**
  * The configuration of a router, one record for each section of its YAML document.
  *
- * @param terms the settings of the router's policy
+ * @param settings the settings of the router's policy
  * @param seed of the policy's random draws
  * @param listener the section {@code listen}
  * @param requestLimits the section {@code holds}
@@ -23,9 +23,9 @@
  * @param plannerLink the section {@code planner}, or null
  */
 public record GatewayConfig(
-    YamlRouterSettings terms,
+    YamlRouterSettings settings,
     long seed,
-    Listener listener,
+    ListenerConfig listener,
     RequestLimits requestLimits,
     WorkerConnections workers,
     EndpointList endpoints,
@@ -37,7 +37,8 @@
    * @param port 0 for any free one
    * @param selectorThreads threads that read requests; as many write responses
    */
-  public record Listener(String host, int port, ConnectionLimits limits, int selectorThreads) {}
+  public record ListenerConfig(
+      String host, int port, ConnectionLimits limits, int selectorThreads) {}
 
   /**
    * Bounds of what the router holds.
@@ -66,7 +67,7 @@
    * @param probeTimeout of probes
    */
   public record WorkerConnections(
-      InferenceWorkerTransport.ConnectionLimits limits,
+      HttpPoolLimits limits,
       String sourceAddress,
       int maxResponseBytes,
       Duration commandTimeout,
--- a/src/main/java/switchgap/server/gateway/GatewayConfigReader.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfigReader.java
@@ -8,7 +8,7 @@
 import switchgap.config.YamlRouterSettings;
 import switchgap.net.ConnectionLimits;
 import switchgap.policy.api.WorkerState;
-import switchgap.protocol.inference.InferenceWorkerTransport;
+import switchgap.protocol.inference.HttpPoolLimits;
 import switchgap.router.EndpointUpdate;
 
 /**
@@ -34,7 +34,7 @@
   }
 
   GatewayConfig read() {
-    GatewayConfig.Listener listener = readListener(document.section("listen"));
+    GatewayConfig.ListenerConfig listener = readListener(document.section("listen"));
     GatewayConfig.RequestLimits requestLimits =
         readRequestLimits(document.optionalSection("holds"));
     GatewayConfig.WorkerConnections workers =
@@ -47,7 +47,7 @@
     return new GatewayConfig(settings, seed, listener, requestLimits, workers, endpoints, planner);
   }
 
-  private static GatewayConfig.Listener readListener(YamlDocument section) {
+  private static GatewayConfig.ListenerConfig readListener(YamlDocument section) {
     String host = section.text("host", LOOPBACK);
     int port = section.integer("port", 0, MAX_PORT);
     ConnectionLimits limits =
@@ -59,7 +59,7 @@
             section.duration("arrival", Duration.ofSeconds(10)));
     int selectorThreads = section.integer("selectors", 1, 64, 2);
     section.rejectUnknownKeys();
-    return new GatewayConfig.Listener(host, port, limits, selectorThreads);
+    return new GatewayConfig.ListenerConfig(host, port, limits, selectorThreads);
   }
 
   private static GatewayConfig.RequestLimits readRequestLimits(YamlDocument section) {
@@ -75,8 +75,8 @@
   }
 
   private static GatewayConfig.WorkerConnections readWorkerConnections(YamlDocument section) {
-    InferenceWorkerTransport.ConnectionLimits limits =
-        new InferenceWorkerTransport.ConnectionLimits(
+    HttpPoolLimits limits =
+        new HttpPoolLimits(
             section.integer("connections", 1, 100_000, 64),
             section.integer("waiting", 1, MAX_COUNT, 1024),
             section.duration("connect_within", Duration.ofMillis(250)),
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -92,13 +92,13 @@
 
   /** Starts a router with the routing policy; fails where it can't listen. */
   public GatewayRouter(GatewayConfig config) throws IOException {
-    this(config, new RoutingPolicy(config.terms(), config.seed())::tick);
+    this(config, new RoutingPolicy(config.settings(), config.seed())::tick);
   }
 
   /** Starts a router with any policy: to measure the routing policy against a baseline. */
   public GatewayRouter(GatewayConfig config, RouterCore.Policy policy) throws IOException {
     this.config = config;
-    settings = config.terms();
+    settings = config.settings();
     int index = settings.routerIndex();
     int threads = config.listener().selectorThreads();
     network = new NetworkTransport(threads, "router-" + index);
@@ -225,7 +225,7 @@
   }
 
   private int listen() throws IOException {
-    GatewayConfig.Listener listener = config.listener();
+    GatewayConfig.ListenerConfig listener = config.listener();
     try {
       return server.listen(listener.host(), listener.port());
     } catch (IOException e) {
@@ -276,7 +276,7 @@
   }
 
   /** Requests that are pending now. */
-  public int held() {
+  public int pendingRequests() {
     return api.pendingRequests();
   }
 
--- a/src/main/java/switchgap/testbed/experiment/BaselineRouter.java
+++ b/src/main/java/switchgap/testbed/experiment/BaselineRouter.java
@@ -13,6 +13,6 @@
   public static GatewayRouter start(Path page, String choice) throws IOException {
     GatewayConfig config = GatewayConfig.read(page);
     return new GatewayRouter(
-        config, new BaselinePolicy(config.terms(), choice.equals("turns"), config.seed()));
+        config, new BaselinePolicy(config.settings(), choice.equals("turns"), config.seed()));
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/MemoryMeasurement.java
+++ b/src/main/java/switchgap/testbed/experiment/MemoryMeasurement.java
@@ -51,7 +51,7 @@
         silent[0] = true;
         send(client, router, calls, true);
         long held = used();
-        int pendingRequests = router.held();
+        int pendingRequests = router.pendingRequests();
         out.printf(
             "%d workers and %d functions known: %.1f MB over the process before the router%n",
             WORKERS, FUNCTIONS, (known - before) / 1e6);
--- a/src/test/java/switchgap/config/YamlDocumentTest.java
+++ b/src/test/java/switchgap/config/YamlDocumentTest.java
@@ -31,10 +31,10 @@
   @Test
   void readsAValidDocument() {
     GatewayConfig config = GatewayConfig.read(YamlDocument.read("r.yaml", VALID_DOCUMENT));
-    assertThat(config.terms().requestTimeout(0)).isEqualTo(Duration.ofMillis(1500));
-    assertThat(config.terms().function("f1").memoryMb()).isEqualTo(20);
-    assertThat(config.terms().function("f22").memoryMb()).isEqualTo(10);
-    assertThat(config.terms().function("g")).isNull();
+    assertThat(config.settings().requestTimeout(0)).isEqualTo(Duration.ofMillis(1500));
+    assertThat(config.settings().function("f1").memoryMb()).isEqualTo(20);
+    assertThat(config.settings().function("f22").memoryMb()).isEqualTo(10);
+    assertThat(config.settings().function("g")).isNull();
   }
 
   @Test
--- a/src/test/java/switchgap/protocol/inference/PendingExchangeTest.java
+++ b/src/test/java/switchgap/protocol/inference/InferenceExchangeTest.java
@@ -13,7 +13,6 @@
 import switchgap.net.HttpClientConnection;
 import switchgap.net.NetworkTransport;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.protocol.inference.InferenceWorkerTransport.ConnectionLimits;
 import switchgap.router.WorkerEntry;
 import switchgap.server.gateway.HttpTestServer;
 
@@ -21,10 +20,10 @@
  * Steps of an exchange that two threads can take at once, taken one after the other in the worst
  * order.
  */
-class PendingExchangeTest {
+class InferenceExchangeTest {
   private static final int MAX_BODY_BYTES = 1024;
-  private static final ConnectionLimits ONE_CONNECTION =
-      new ConnectionLimits(1, 10, Duration.ofSeconds(1), Duration.ofSeconds(30));
+  private static final HttpPoolLimits ONE_CONNECTION =
+      new HttpPoolLimits(1, 10, Duration.ofSeconds(1), Duration.ofSeconds(30));
 
   private static HttpConnectionPool pool(NetworkTransport net, HttpTestServer worker) {
     return new HttpConnectionPool(
@@ -52,10 +51,10 @@
                 (request, out) ->
                     request.line().contains("/first")
                         ? HttpTestServer.silent(request, out)
-                        : HttpTestServer.well(request, out))) {
+                        : HttpTestServer.echo(request, out))) {
       HttpConnectionPool pool = pool(net, worker);
       CompletableFuture<AttemptOutcome> abandoned = new CompletableFuture<>();
-      PendingExchange first =
+      InferenceExchange first =
           new RecordingExchange(pool, outcomes, "/first") {
             @Override
             synchronized boolean assign(HttpClientConnection to) {
@@ -81,17 +80,17 @@
   void anExchangeAbandonedBeforeItsWriterComesIsNotAConnectFailure() throws Exception {
     List<String> outcomes = new CopyOnWriteArrayList<>();
     try (NetworkTransport net = new NetworkTransport(1, "exchange-test");
-        HttpTestServer worker = new HttpTestServer(HttpTestServer::well)) {
+        HttpTestServer worker = new HttpTestServer(HttpTestServer::echo)) {
       HttpConnectionPool pool = pool(net, worker);
       new RecordingExchange(pool, outcomes, "/first").submit();
       awaitAny(outcomes);
       assertThat(pool.openConnections()).isEqualTo(1);
-      PendingExchange second = new RecordingExchange(pool, outcomes, "/second");
+      InferenceExchange second = new RecordingExchange(pool, outcomes, "/second");
       assertThat(second.abandon()).isEqualTo(AttemptOutcome.NOT_SENT);
     }
   }
 
-  private static class RecordingExchange extends PendingExchange {
+  private static class RecordingExchange extends InferenceExchange {
     private final List<String> outcomes;
 
     RecordingExchange(HttpConnectionPool pool, List<String> outcomes, String path) {
--- a/src/test/java/switchgap/router/WorkerConnectionsTest.java
+++ b/src/test/java/switchgap/router/WorkerConnectionsTest.java
@@ -24,6 +24,7 @@
 import switchgap.policy.api.PolicyEvents;
 import switchgap.policy.api.ProbeResult;
 import switchgap.policy.api.WorkerState;
+import switchgap.protocol.inference.HttpPoolLimits;
 import switchgap.protocol.inference.InferenceWorkerTransport;
 import switchgap.server.gateway.HttpTestServer;
 import switchgap.testing.ReachableObjects;
@@ -58,8 +59,7 @@
     links =
         new InferenceWorkerTransport(
             new HttpClientConnection.Factory(net, null, 1 << 16),
-            new InferenceWorkerTransport.ConnectionLimits(
-                most, waiting, Duration.ofMillis(250), Duration.ofSeconds(30)),
+            new HttpPoolLimits(most, waiting, Duration.ofMillis(250), Duration.ofSeconds(30)),
             carriers,
             events::add,
             () -> {});
@@ -143,16 +143,16 @@
       links(1);
       list("127.0.0.1", worker.port(), WorkerState.READY);
       job();
-      assertThat(until(2000, () -> worker.infers() == 1)).isTrue();
+      assertThat(until(2000, () -> worker.inferenceRequestCount() == 1)).isTrue();
       int waits = job();
       list("127.0.0.1", worker.port(), WorkerState.DRAINING);
       assertThat(until(300, () -> heard.contains(waits + " NOT_SENT"))).isTrue();
-      assertThat(worker.infers()).isEqualTo(1);
+      assertThat(worker.inferenceRequestCount()).isEqualTo(1);
       list(
           "127.0.0.1",
           worker.port(),
           WorkerState.READY); // the drain is taken back: the link serves again
-      worker.manner(HttpTestServer::well);
+      worker.setResponder(HttpTestServer::echo);
       say.add(actions -> actions.probe(0));
       assertThat(until(1000, () -> heard.contains("probed SUCCEEDED"))).isTrue();
     }
@@ -164,22 +164,22 @@
             new HttpTestServer(
                 (received, out) -> {
                   Thread.sleep(300);
-                  return HttpTestServer.well(received, out);
+                  return HttpTestServer.echo(received, out);
                 });
-        HttpTestServer fresh = new HttpTestServer(HttpTestServer::well)) {
+        HttpTestServer fresh = new HttpTestServer(HttpTestServer::echo)) {
       links(1);
       list("127.0.0.1", old.port(), WorkerState.READY);
       int first = job();
-      assertThat(until(2000, () -> old.infers() == 1)).isTrue();
+      assertThat(until(2000, () -> old.inferenceRequestCount() == 1)).isTrue();
       int waits = job();
       list("127.0.0.1", fresh.port(), WorkerState.READY);
       assertThat(until(200, () -> heard.contains(waits + " NOT_SENT"))).isTrue();
       assertThat(until(2000, () -> heard.contains(first + " SUCCEEDED")))
           .isTrue(); // what was out may still answer
-      assertThat(old.infers()).isEqualTo(1);
+      assertThat(old.inferenceRequestCount()).isEqualTo(1);
       int third = job();
       assertThat(until(2000, () -> heard.contains(third + " SUCCEEDED"))).isTrue();
-      assertThat(fresh.infers()).isEqualTo(1);
+      assertThat(fresh.inferenceRequestCount()).isEqualTo(1);
     }
   }
 
@@ -204,7 +204,7 @@
       links(1, 3);
       list("127.0.0.1", worker.port(), WorkerState.READY);
       job();
-      assertThat(until(2000, () -> worker.infers() == 1)).isTrue();
+      assertThat(until(2000, () -> worker.inferenceRequestCount() == 1)).isTrue();
       for (int i = 0; i < 3; i++) {
         job();
       }
@@ -233,7 +233,7 @@
         new HttpTestServer(
             (received, out) ->
                 !received.line().contains("/unload")
-                    ? HttpTestServer.well(received, out)
+                    ? HttpTestServer.echo(received, out)
                     : HttpTestServer.silent(received, out))) {
       links(1);
       list("127.0.0.1", worker.port(), WorkerState.READY);
@@ -243,7 +243,7 @@
               until(
                   2000,
                   () ->
-                      worker.asked.stream()
+                      worker.receivedRequests().stream()
                           .anyMatch(received -> received.line().contains("/unload"))))
           .isTrue();
       assertThat(until(1200, () -> false)).isFalse(); // past the limit of an order
@@ -259,8 +259,8 @@
 
   @Test
   void linksOfAWorkerThatIsGoneOrMovedAreClosedAndForgotten() throws Exception {
-    try (HttpTestServer a = new HttpTestServer(HttpTestServer::well);
-        HttpTestServer b = new HttpTestServer(HttpTestServer::well)) {
+    try (HttpTestServer a = new HttpTestServer(HttpTestServer::echo);
+        HttpTestServer b = new HttpTestServer(HttpTestServer::echo)) {
       links(4);
       for (int i = 0; i < 6; i++) { // to and fro, as a name that is handed from process to process
         HttpTestServer p = i % 2 == 0 ? a : b;
@@ -269,11 +269,11 @@
         assertThat(until(2000, () -> heard.contains(j + " SUCCEEDED"))).isTrue();
       }
       assertThat((Set<?>) ReachableObjects.field(links, "pools")).hasSizeLessThanOrEqualTo(2);
-      assertThat(until(1000, () -> a.connected() == 0)).isTrue();
+      assertThat(until(1000, () -> a.openConnections() == 0)).isTrue();
       say.add(actions -> actions.releaseWorker(0));
       round();
       assertThat((Set<?>) ReachableObjects.field(links, "pools")).isEmpty();
-      assertThat(until(1000, () -> b.connected() == 0)).isTrue();
+      assertThat(until(1000, () -> b.openConnections() == 0)).isTrue();
     }
   }
 
--- a/src/test/java/switchgap/server/gateway/ConnectionFaultsTest.java
+++ b/src/test/java/switchgap/server/gateway/ConnectionFaultsTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static switchgap.server.gateway.GatewayFixture.end;
-import static switchgap.server.gateway.GatewayFixture.until;
+import static switchgap.testing.BoundedWait.until;
 
 import java.io.OutputStream;
 import java.net.ServerSocket;
@@ -38,7 +38,7 @@
                   write(out, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 10");
                   Thread.sleep(30);
                   write(out, "2 Processing\r\nX: y\r\n\r\n");
-                  return HttpTestServer.well(request, out);
+                  return HttpTestServer.echo(request, out);
                 });
         GatewayFixture fixture = new GatewayFixture("", worker)) {
       for (int i = 0; i < 3; i++) {
@@ -46,7 +46,7 @@
         assertThat(end(response)).isEqualTo("finished");
         assertThat(response.body()).isEqualTo("{\"echo\":\"n" + i + "\"}");
       }
-      assertThat(worker.infers()).isEqualTo(3);
+      assertThat(worker.inferenceRequestCount()).isEqualTo(3);
     }
   }
 
@@ -83,7 +83,7 @@
         for (int i = 0; i < 3; i++) {
           assertThat(end(fixture.invoke("once-1", big))).isIn("finished", "killed");
         }
-        until(() -> fixture.gateway.held() == 0);
+        until(() -> fixture.gateway.pendingRequests() == 0);
       }
     }
   }
@@ -91,10 +91,10 @@
   @Test
   void aCloseBetweenHeadAndBodyMayHaveExecutedTheRequest() throws Exception {
     AtomicInteger requests = new AtomicInteger();
-    HttpTestServer.Behaviour once =
+    HttpTestServer.Responder once =
         (request, out) -> {
           if (!request.line().contains("/infer") || requests.incrementAndGet() > 1) {
-            return HttpTestServer.well(request, out);
+            return HttpTestServer.echo(request, out);
           }
           write(out, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n");
           return false;
@@ -103,10 +103,10 @@
         HttpTestServer otherWorker = new HttpTestServer(once);
         GatewayFixture fixture = new GatewayFixture("", worker, otherWorker)) {
       assertThat(end(fixture.invoke("once-1", "1"))).isEqualTo("killed");
-      assertThat(worker.infers() + otherWorker.infers()).isEqualTo(1);
+      assertThat(worker.inferenceRequestCount() + otherWorker.inferenceRequestCount()).isEqualTo(1);
       requests.set(0);
       assertThat(end(fixture.invoke("again-1", "1"))).isEqualTo("finished");
-      assertThat(worker.infers() + otherWorker.infers()).isEqualTo(3);
+      assertThat(worker.inferenceRequestCount() + otherWorker.inferenceRequestCount()).isEqualTo(3);
     }
   }
 
@@ -116,14 +116,14 @@
    */
   @Test
   void anIdleConnectionThatTheWorkerClosedIsNotReused() throws Exception {
-    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::well);
+    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
         GatewayFixture fixture = new GatewayFixture("", worker)) {
       for (int i = 0; i < 5; i++) {
         assertThat(end(fixture.invoke("once-1", "1"))).isEqualTo("finished");
-        worker.hangUp();
+        worker.closeConnections();
         Thread.sleep(60);
       }
-      assertThat(worker.infers()).isEqualTo(5);
+      assertThat(worker.inferenceRequestCount()).isEqualTo(5);
     }
   }
 
@@ -149,11 +149,11 @@
                     .equals("finished"));
       }
       assertThat(bad.get()).isLessThanOrEqualTo(8);
-      assertThat(fixture.gateway.held()).isZero();
+      assertThat(fixture.gateway.pendingRequests()).isZero();
     }
   }
 
-  private static HttpTestServer.Behaviour loading(AtomicInteger loads, boolean well) {
+  private static HttpTestServer.Responder loading(AtomicInteger loads, boolean well) {
     Set<String> loaded = ConcurrentHashMap.newKeySet();
     return (request, out) -> {
       String function = request.line().replaceAll(".*/models/([a-z0-9-]+)/.*", "$1");
@@ -161,12 +161,12 @@
         loads.incrementAndGet();
         Thread.sleep(50);
         loaded.add(function);
-        return well && HttpTestServer.well(request, out);
+        return well && HttpTestServer.echo(request, out);
       }
       if (!request.line().contains("/infer") || well && loaded.contains(function)) {
-        return HttpTestServer.well(request, out);
+        return HttpTestServer.echo(request, out);
       }
-      out.write(HttpTestServer.http(404, NOT_EXECUTED, "{}"));
+      out.write(HttpTestServer.response(404, NOT_EXECUTED, "{}"));
       return true;
     };
   }
@@ -178,9 +178,9 @@
   @Test
   void aHalfOpenWorkerIsDetectedByItsSilence() throws Exception {
     try (HttpTestServer silent = new HttpTestServer(HttpTestServer::silent);
-        HttpTestServer worker = new HttpTestServer(HttpTestServer::well);
-        HttpTestServer otherWorker = new HttpTestServer(HttpTestServer::well);
-        HttpTestServer thirdWorker = new HttpTestServer(HttpTestServer::well);
+        HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
+        HttpTestServer otherWorker = new HttpTestServer(HttpTestServer::echo);
+        HttpTestServer thirdWorker = new HttpTestServer(HttpTestServer::echo);
         GatewayFixture fixture = new GatewayFixture("", silent, worker, otherWorker, thirdWorker)) {
       int finished = 0;
       for (int batch = 0; batch < 5; batch++) {
@@ -198,7 +198,7 @@
                   .get();
         }
       }
-      assertThat(silent.infers())
+      assertThat(silent.inferenceRequestCount())
           .as("of 100 requests at the half-open worker")
           .isLessThanOrEqualTo(12);
       assertThat(finished).as("of the last twenty").isGreaterThanOrEqualTo(18);
@@ -211,7 +211,7 @@
    */
   @Test
   void aClientThatNeverSendsAWholeRequestLosesItsConnection() throws Exception {
-    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::well);
+    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
         GatewayFixture fixture =
             new GatewayFixture(
                 "listen: {port: 0, arrival: 300ms, idle: 1s, connections: 3}\n", worker)) {
@@ -243,7 +243,7 @@
   /** The same at the planner's port. */
   @Test
   void aSilentConnectionAtThePlannerPortIsClosed() throws Exception {
-    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::well);
+    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
         GatewayFixture fixture =
             new GatewayFixture("planner: {port: 0}\nworkers: {orders: true}\n", worker);
         Socket client = new Socket("127.0.0.1", fixture.gateway.plannerPort())) {
--- a/src/test/java/switchgap/server/gateway/EndpointListTest.java
+++ b/src/test/java/switchgap/server/gateway/EndpointListTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static switchgap.server.gateway.GatewayFixture.end;
-import static switchgap.server.gateway.GatewayFixture.until;
+import static switchgap.testing.BoundedWait.until;
 
 import java.net.http.HttpResponse;
 import java.nio.charset.StandardCharsets;
@@ -29,10 +29,10 @@
 
   @Test
   void workersThatLeaveDrainAndReturnAreFollowed() throws Exception {
-    HttpTestServer.Behaviour slow =
+    HttpTestServer.Responder slow =
         (request, out) -> {
           Thread.sleep(150);
-          return HttpTestServer.well(request, out);
+          return HttpTestServer.echo(request, out);
         };
     try (NetworkTransport net = new NetworkTransport(1, "list");
         RealTimeScheduler scheduler = new RealTimeScheduler();
@@ -47,7 +47,7 @@
         Thread.sleep(200);
         assertThat(end(fixture.invoke("once-1", "1"))).isEqualTo("finished");
         CompletableFuture<HttpResponse<String>> pending = fixture.later("once-1", "2");
-        until(() -> worker.infers() == 2);
+        until(() -> worker.inferenceRequestCount() == 2);
         scheduler.post(
             () -> { // gone with an attempt in flight, and another one ready
               list.put(entry("w0", worker, "gone"));
@@ -56,13 +56,13 @@
         assertThat(end(pending.get())).isEqualTo("finished"); // its connection still responds
         Thread.sleep(100);
         assertThat(end(fixture.invoke("once-1", "3"))).isEqualTo("finished");
-        assertThat(worker.infers()).isEqualTo(2);
+        assertThat(worker.inferenceRequestCount()).isEqualTo(2);
         // with no other one left
         scheduler.post(() -> list.put(entry("w1", otherWorker, "draining")));
         Thread.sleep(100);
-        long before = otherWorker.asked.size();
+        long before = otherWorker.receivedRequests().size();
         assertThat(end(fixture.invoke("once-1", "4"))).isEqualTo("pushed-back");
-        assertThat(otherWorker.asked).hasSize((int) before);
+        assertThat(otherWorker.receivedRequests()).hasSize((int) before);
         scheduler.post(() -> list.away(true)); // the last list stays
         Thread.sleep(200);
         assertThat(end(fixture.invoke("once-1", "5"))).isEqualTo("pushed-back");
@@ -81,7 +81,8 @@
                 return false;
               }
             });
-        assertThat(worker.infers()).isGreaterThan(2); // a known name with a new process
+        assertThat(worker.inferenceRequestCount())
+            .isGreaterThan(2); // a known name with a new process
       }
       list.close();
     }
@@ -94,7 +95,7 @@
   @Test
   void aSilentEndpointListServiceIsAskedAgain() throws Exception {
     AtomicInteger asked = new AtomicInteger();
-    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::well);
+    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
         HttpTestServer service =
             new HttpTestServer(
                 (request, out) -> {
--- a/src/test/java/switchgap/server/gateway/GatewayFixture.java
+++ b/src/test/java/switchgap/server/gateway/GatewayFixture.java
@@ -1,14 +1,11 @@
 package switchgap.server.gateway;
 
-import static org.assertj.core.api.Assertions.assertThat;
-
 import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.util.concurrent.CompletableFuture;
-import java.util.function.BooleanSupplier;
 import switchgap.config.YamlDocument;
 
 /** A router whose workers are test servers, and a client of it. */
@@ -87,13 +84,6 @@
     return response.headers().firstValue("Switchgap-End").orElse("none");
   }
 
-  static void until(BooleanSupplier condition) throws InterruptedException {
-    for (int i = 0; i < 100 && !condition.getAsBoolean(); i++) {
-      Thread.sleep(10);
-    }
-    assertThat(condition.getAsBoolean()).isTrue();
-  }
-
   @Override
   public void close() {
     gateway.close();
--- a/src/test/java/switchgap/server/gateway/HttpTestServer.java
+++ b/src/test/java/switchgap/server/gateway/HttpTestServer.java
@@ -4,58 +4,104 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
+import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.util.Collections;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A worker on a plain socket that handles each request as a test says, and records what it
- * received.
+ * A worker on a plain socket: records the requests that it receives and responds as a test says.
+ * One thread serves each connection, one request after the other.
  */
 public final class HttpTestServer implements AutoCloseable {
-  /** A request: its line, the id of its attempt, its body, and the number of its connection. */
-  public record ReceivedRequest(String line, String run, String body, int connection) {}
+  private static final String CONTENT_LENGTH = "content-length:";
+  private static final String REQUEST_ID = "x-request-id:";
+  private static final long SILENCE_MILLIS = 20_000;
+
+  /**
+   * A request as it was received.
+   *
+   * @param line the request line
+   * @param attemptId id of the attempt, empty where the request has none
+   * @param body content in UTF-8
+   * @param connection number of the connection, from 1
+   */
+  public record ReceivedRequest(String line, String attemptId, String body, int connection) {
+    /** Whether this is an inference request, not a load command or a probe. */
+    public boolean isInference() {
+      return line.contains("/infer");
+    }
+  }
 
-  /** Responds to a request on the raw connection; false closes it. */
-  public interface Behaviour {
-    boolean answer(ReceivedRequest request, OutputStream out)
+  /** Responds to requests. */
+  public interface Responder {
+    /** Writes the response to the raw connection; returns false to have the connection closed. */
+    boolean respond(ReceivedRequest request, OutputStream out)
         throws IOException, InterruptedException;
   }
 
-  public final List<ReceivedRequest> asked = new CopyOnWriteArrayList<>();
+  private final List<ReceivedRequest> received = new CopyOnWriteArrayList<>();
   private final ServerSocket listener;
-  private final List<Socket> open = new CopyOnWriteArrayList<>();
-  private final AtomicInteger connections = new AtomicInteger();
-  private volatile Behaviour manner;
-
-  public HttpTestServer(Behaviour manner) throws IOException {
-    this(0, manner);
-  }
+  private final List<Socket> sockets = new CopyOnWriteArrayList<>();
+  private final AtomicInteger connectionCount = new AtomicInteger();
+  private volatile Responder responder;
 
-  public HttpTestServer(int port, Behaviour manner) throws IOException {
-    this.manner = manner;
+  /** Starts a server at any free port. */
+  public HttpTestServer(Responder responder) throws IOException {
+    this.responder = responder;
     listener = new ServerSocket();
     listener.setReuseAddress(true);
-    listener.bind(new java.net.InetSocketAddress("127.0.0.1", port));
-    Thread thread = new Thread(this::accept, "test-server-accept");
-    thread.setDaemon(true);
-    thread.start();
+    listener.bind(new InetSocketAddress("127.0.0.1", 0));
+    startDaemon("test-server-accept", this::accept);
   }
 
+  /** The port at which the server listens. */
   public int port() {
     return listener.getLocalPort();
   }
 
-  public void manner(Behaviour next) {
-    manner = next;
+  /** Replaces the responder; requests that are being responded to keep the former one. */
+  public void setResponder(Responder next) {
+    responder = next;
+  }
+
+  /** A view of all requests received so far, in the order of their arrival. */
+  public List<ReceivedRequest> receivedRequests() {
+    return Collections.unmodifiableList(received);
   }
 
   /** Inference requests received so far. */
-  public long infers() {
-    return asked.stream().filter(request -> request.line().contains("/infer")).count();
+  public long inferenceRequestCount() {
+    return received.stream().filter(ReceivedRequest::isInference).count();
+  }
+
+  /** Connections that neither side has closed. */
+  public long openConnections() {
+    return sockets.stream().filter(socket -> !socket.isClosed()).count();
+  }
+
+  /** Closes all connections and goes on listening. */
+  public void closeConnections() throws IOException {
+    for (Socket socket : sockets) {
+      socket.close();
+    }
+  }
+
+  @Override
+  public void close() throws IOException {
+    listener.close();
+    closeConnections();
+  }
+
+  private static void startDaemon(String name, Runnable task) {
+    Thread thread = new Thread(task, name);
+    thread.setDaemon(true);
+    thread.start();
   }
 
   private void accept() {
@@ -63,52 +109,57 @@
       try {
         Socket socket = listener.accept();
         socket.setTcpNoDelay(true);
-        open.add(socket);
-        int number = connections.incrementAndGet();
-        Thread thread = new Thread(() -> serve(socket, number), "test-server-" + number);
-        thread.setDaemon(true);
-        thread.start();
+        sockets.add(socket);
+        int number = connectionCount.incrementAndGet();
+        startDaemon("test-server-" + number, () -> serve(socket, number));
       } catch (IOException e) {
         return;
       }
     }
   }
 
-  private void serve(Socket socket, int number) {
+  private void serve(Socket socket, int connection) {
     try (socket) {
-      InputStream in = new BufferedInputStream(socket.getInputStream());
-      while (true) {
-        String line = line(in);
-        if (line == null) {
-          return;
-        }
-        int length = 0;
-        String run = "";
-        for (String header = line(in); header != null && !header.isEmpty(); header = line(in)) {
-          if (header.toLowerCase().startsWith("content-length:")) {
-            length = Integer.parseInt(header.substring(15).trim());
-          }
-          if (header.toLowerCase().startsWith("x-request-id:")) {
-            run = header.substring(13).trim();
-          }
-        }
-        ReceivedRequest request =
-            new ReceivedRequest(
-                line, run, new String(in.readNBytes(length), StandardCharsets.UTF_8), number);
-        asked.add(request);
-        if (!manner.answer(request, socket.getOutputStream())) {
+      InputStream input = new BufferedInputStream(socket.getInputStream());
+      ReceivedRequest request = readRequest(input, connection);
+      while (request != null) {
+        received.add(request);
+        if (!responder.respond(request, socket.getOutputStream())) {
           return;
         }
         socket.getOutputStream().flush();
+        request = readRequest(input, connection);
       }
     } catch (IOException | InterruptedException e) {
       // the router closed its side
     }
   }
 
-  private static String line(InputStream in) throws IOException {
+  /** Reads one request; null at the end of the connection. */
+  private static ReceivedRequest readRequest(InputStream input, int connection) throws IOException {
+    String line = readLine(input);
+    if (line == null) {
+      return null;
+    }
+    int length = 0;
+    String attemptId = "";
+    String header = readLine(input);
+    while (header != null && !header.isEmpty()) {
+      String name = header.toLowerCase(Locale.ROOT);
+      if (name.startsWith(CONTENT_LENGTH)) {
+        length = Integer.parseInt(header.substring(CONTENT_LENGTH.length()).trim());
+      } else if (name.startsWith(REQUEST_ID)) {
+        attemptId = header.substring(REQUEST_ID.length()).trim();
+      }
+      header = readLine(input);
+    }
+    String body = new String(input.readNBytes(length), StandardCharsets.UTF_8);
+    return new ReceivedRequest(line, attemptId, body, connection);
+  }
+
+  private static String readLine(InputStream input) throws IOException {
     StringBuilder text = new StringBuilder();
-    for (int character = in.read(); character != '\n'; character = in.read()) {
+    for (int character = input.read(); character != '\n'; character = input.read()) {
       if (character < 0) {
         return null;
       }
@@ -119,51 +170,31 @@
     return text.toString();
   }
 
-  /** A response as a correct worker writes it. */
-  public static byte[] ok(ReceivedRequest request, String body) {
-    return http(200, "X-Request-Id: " + request.run() + "\r\n", body);
+  /** The bytes of a response; each header ends with CR LF. */
+  public static byte[] response(int status, String headers, String body) {
+    String head =
+        "HTTP/1.1 %d x\r\n%sContent-Length: %d\r\n\r\n".formatted(status, headers, body.length());
+    return (head + body).getBytes(StandardCharsets.UTF_8);
   }
 
-  public static byte[] http(int status, String headers, String body) {
-    return ("HTTP/1.1 "
-            + status
-            + " x\r\n"
-            + headers
-            + "Content-Length: "
-            + body.length()
-            + "\r\n\r\n"
-            + body)
-        .getBytes(StandardCharsets.UTF_8);
+  /**
+   * The bytes of a successful response, with the id of the request as a correct worker sends it.
+   */
+  public static byte[] okResponse(ReceivedRequest request, String body) {
+    return response(200, "X-Request-Id: " + request.attemptId() + "\r\n", body);
   }
 
-  public static boolean well(ReceivedRequest request, OutputStream out) throws IOException {
-    out.write(ok(request, "{\"echo\":" + (request.body().isEmpty() ? "0" : request.body()) + "}"));
+  /** A correct worker, which responds at once with the body that it received. */
+  public static boolean echo(ReceivedRequest request, OutputStream out) throws IOException {
+    String content = request.body().isEmpty() ? "0" : request.body();
+    out.write(okResponse(request, "{\"echo\":" + content + "}"));
     return true;
   }
 
+  /** A worker that never responds within a test. */
   public static boolean silent(ReceivedRequest request, OutputStream out)
       throws InterruptedException {
-    Thread.sleep(20_000);
+    Thread.sleep(SILENCE_MILLIS);
     return false;
   }
-
-  /** Connections that are open on the router's side too. */
-  public long connected() {
-    return open.stream().filter(socket -> !socket.isClosed()).count();
-  }
-
-  /** Closes all connections and goes on listening. */
-  public void hangUp() throws IOException {
-    for (Socket socket : open) {
-      socket.close();
-    }
-  }
-
-  @Override
-  public void close() throws IOException {
-    listener.close();
-    for (Socket socket : open) {
-      socket.close();
-    }
-  }
 }
--- a/src/test/java/switchgap/server/gateway/InvokeApiTest.java
+++ b/src/test/java/switchgap/server/gateway/InvokeApiTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static switchgap.server.gateway.GatewayFixture.end;
-import static switchgap.server.gateway.GatewayFixture.until;
+import static switchgap.testing.BoundedWait.until;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -28,7 +28,7 @@
 class InvokeApiTest {
   @Test
   void invalidRequestsGetAProblemThatNamesTheReason() throws Exception {
-    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::well);
+    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
         GatewayFixture fixture = new GatewayFixture("", worker)) {
       String[][] cases = {
         {"nothing", "", "", "404", "unknown-function"},
@@ -55,8 +55,8 @@
       }
       assertThat(fixture.get("/nowhere").statusCode()).isEqualTo(404);
       assertThat(fixture.get("/v1/functions/again-1/invoke").statusCode()).isEqualTo(405);
-      assertThat(worker.infers()).isZero();
-      assertThat(fixture.gateway.held()).isZero();
+      assertThat(worker.inferenceRequestCount()).isZero();
+      assertThat(fixture.gateway.pendingRequests()).isZero();
       HttpResponse<String> response =
           fixture.invoke("again-1", "7", "Switchgap-Call", "mine", "Switchgap-Customer", "shop");
       assertThat(response.body()).isEqualTo("{\"echo\":7}");
@@ -69,7 +69,7 @@
   // complete.
   @Test
   void aRequestThatOffersAnHttp2UpgradeIsHandledAsHttp1() throws Exception {
-    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::well);
+    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
         GatewayFixture fixture = new GatewayFixture("", worker)) {
       var client = HttpClient.newHttpClient();
       var bodies = HttpResponse.BodyHandlers.ofString();
@@ -96,7 +96,7 @@
 
   @Test
   void oversizedSlowAndExcessConnectionsAreRefusedWithoutAffectingOthers() throws Exception {
-    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::well);
+    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
         GatewayFixture fixture =
             new GatewayFixture(
                 "listen: {port: 0, body_bytes: 1000, header_bytes: 2048, connections: 4, arrival:"
@@ -166,12 +166,12 @@
             new HttpTestServer(
                 (request, out) -> {
                   Thread.sleep(300);
-                  return HttpTestServer.well(request, out);
+                  return HttpTestServer.echo(request, out);
                 });
         GatewayFixture fixture = new GatewayFixture("holds: {calls: 2}\n", worker)) {
       var one = fixture.later("once-1", "1");
       var two = fixture.later("once-1", "2");
-      until(() -> fixture.gateway.held() == 2);
+      until(() -> fixture.gateway.pendingRequests() == 2);
       HttpResponse<String> three = fixture.invoke("once-1", "3");
       assertThat(three.statusCode()).isEqualTo(503);
       assertThat(three.body()).contains("not-taken").contains("\"repeat_harmless\":true");
@@ -186,7 +186,7 @@
             new HttpTestServer(
                 (request, out) -> {
                   Thread.sleep(200);
-                  return HttpTestServer.well(request, out);
+                  return HttpTestServer.echo(request, out);
                 });
         GatewayFixture fixture =
             new GatewayFixture("holds: {results_kept: 600ms, deferred: 2}\n", worker)) {
@@ -215,7 +215,7 @@
                   .statusCode())
           .isEqualTo(204);
       assertThat(fixture.get(second).statusCode()).isEqualTo(410);
-      until(() -> fixture.gateway.held() == 0);
+      until(() -> fixture.gateway.pendingRequests() == 0);
     }
   }
 
@@ -237,7 +237,7 @@
         last = future.get().headers().firstValue("Location").orElseThrow();
       }
       assertThat(fixture.get(last, "Prefer", "wait=5").statusCode()).isIn(503, 504);
-      until(() -> fixture.gateway.held() == 0);
+      until(() -> fixture.gateway.pendingRequests() == 0);
       RequestCounts counts = fixture.gateway.requestCounts();
       assertThat(counts.rejected() + counts.failed() + counts.overdue()).isEqualTo(10_000);
       // a machine that pauses for longer than a response's margin leaves some overdue
@@ -251,12 +251,12 @@
             new HttpTestServer(
                 (request, out) -> {
                   Thread.sleep(400);
-                  return HttpTestServer.well(request, out);
+                  return HttpTestServer.echo(request, out);
                 });
         GatewayFixture fixture = new GatewayFixture("", worker)) {
       assertThat(end(fixture.invoke("once-1", "0"))).isEqualTo("finished");
       var pending = fixture.later("once-1", "1");
-      until(() -> fixture.gateway.held() == 1);
+      until(() -> fixture.gateway.pendingRequests() == 1);
       Thread stop = new Thread(fixture.gateway::stop);
       stop.start();
       assertThat(end(pending.get())).isEqualTo("finished");
@@ -267,7 +267,7 @@
 
   @Test
   void anIdempotencyKeyIsAccepted() throws Exception {
-    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::well);
+    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
         GatewayFixture fixture = new GatewayFixture("", worker)) {
       HttpRequest keyed =
           fixture
--- a/src/test/java/switchgap/server/gateway/LostResponsesTest.java
+++ b/src/test/java/switchgap/server/gateway/LostResponsesTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static switchgap.server.gateway.GatewayFixture.end;
-import static switchgap.server.gateway.GatewayFixture.until;
+import static switchgap.testing.BoundedWait.until;
 
 import java.io.OutputStream;
 import java.net.Socket;
@@ -35,21 +35,21 @@
       assertThat(response.body()).contains("\"repeat_harmless\":false");
       // the timeout, and a busy machine
       assertThat((System.nanoTime() - startNanos) / 1_000_000).isLessThan(2500);
-      assertThat(worker.infers() + otherWorker.infers()).isEqualTo(1);
+      assertThat(worker.inferenceRequestCount() + otherWorker.inferenceRequestCount()).isEqualTo(1);
     }
   }
 
   @Test
   void aConnectionClosedDuringTheWriteMayHaveExecutedTheRequest() throws Exception {
     AtomicInteger requests = new AtomicInteger();
-    HttpTestServer.Behaviour second =
-        (request, out) -> requests.incrementAndGet() != 2 && HttpTestServer.well(request, out);
+    HttpTestServer.Responder second =
+        (request, out) -> requests.incrementAndGet() != 2 && HttpTestServer.echo(request, out);
     try (HttpTestServer worker = new HttpTestServer(second);
         GatewayFixture fixture = new GatewayFixture("", worker)) {
       assertThat(end(fixture.invoke("once-1", "1"))).isEqualTo("finished");
       // on the idle connection, which closes
       assertThat(end(fixture.invoke("once-1", "2"))).isEqualTo("killed");
-      assertThat(worker.infers()).isEqualTo(2);
+      assertThat(worker.inferenceRequestCount()).isEqualTo(2);
     }
     requests.set(0);
     try (HttpTestServer worker = new HttpTestServer(second);
@@ -57,7 +57,7 @@
       assertThat(end(fixture.invoke("again-1", "1"))).isEqualTo("finished");
       // an idempotent one is retried
       assertThat(end(fixture.invoke("again-1", "2"))).isEqualTo("finished");
-      assertThat(worker.infers()).isEqualTo(3);
+      assertThat(worker.inferenceRequestCount()).isEqualTo(3);
     }
   }
 
@@ -85,7 +85,7 @@
     try (HttpTestServer worker =
             new HttpTestServer(
                 (request, out) -> {
-                  byte[] one = HttpTestServer.ok(request, request.body());
+                  byte[] one = HttpTestServer.okResponse(request, request.body());
                   byte[] both = java.util.Arrays.copyOf(one, 2 * one.length);
                   System.arraycopy(one, 0, both, one.length, one.length);
                   out.write(both);
@@ -126,7 +126,7 @@
       Thread.sleep(50);
       assertThat(fixture.invoke("again-1", "2").body()).isEqualTo("{}");
       assertThat(
-              worker.asked.stream()
+              worker.receivedRequests().stream()
                   .map(HttpTestServer.ReceivedRequest::connection)
                   .distinct()
                   .count())
@@ -140,7 +140,8 @@
             new HttpTestServer(
                 (request, out) -> {
                   out.write(
-                      HttpTestServer.http(200, "X-Request-Id: somebody-elses.0\r\n", "\"wrong\""));
+                      HttpTestServer.response(
+                          200, "X-Request-Id: somebody-elses.0\r\n", "\"wrong\""));
                   return true;
                 });
         GatewayFixture fixture = new GatewayFixture("", worker)) {
@@ -155,15 +156,15 @@
             new HttpTestServer(
                 (request, out) -> {
                   if (!request.line().contains("/infer") || requests.incrementAndGet() > 1) {
-                    return HttpTestServer.well(request, out);
+                    return HttpTestServer.echo(request, out);
                   }
-                  out.write(HttpTestServer.http(404, NOT_EXECUTED, "{}"));
+                  out.write(HttpTestServer.response(404, NOT_EXECUTED, "{}"));
                   return true;
                 });
         GatewayFixture fixture = new GatewayFixture("", worker)) {
       assertThat(end(fixture.invoke("once-1", "{}")))
           .isEqualTo("finished"); // loaded, then executed
-      assertThat(worker.asked.stream().map(HttpTestServer.ReceivedRequest::line))
+      assertThat(worker.receivedRequests().stream().map(HttpTestServer.ReceivedRequest::line))
           .anyMatch(line -> line.contains("/v2/repository/models/once-1/load"));
     }
     for (int status :
@@ -171,12 +172,12 @@
       try (HttpTestServer worker =
               new HttpTestServer(
                   (request, out) -> {
-                    out.write(HttpTestServer.http(status, "", "{}"));
+                    out.write(HttpTestServer.response(status, "", "{}"));
                     return true;
                   });
           GatewayFixture fixture = new GatewayFixture("", worker)) {
         assertThat(end(fixture.invoke("once-1", "{}"))).as("status %d", status).isEqualTo("killed");
-        assertThat(worker.infers()).isEqualTo(1);
+        assertThat(worker.inferenceRequestCount()).isEqualTo(1);
       }
     }
   }
@@ -189,7 +190,7 @@
                   if (request.body().contains("slow")) {
                     Thread.sleep(1300);
                   }
-                  return HttpTestServer.well(request, out);
+                  return HttpTestServer.echo(request, out);
                 });
         GatewayFixture fixture = new GatewayFixture("", worker)) {
       assertThat(end(fixture.invoke("once-1", "\"slow\""))).isEqualTo("killed");
@@ -207,7 +208,7 @@
     try (HttpTestServer gone = new HttpTestServer(HttpTestServer::silent)) {
       dead = gone.port();
     }
-    try (HttpTestServer otherWorker = new HttpTestServer(HttpTestServer::well);
+    try (HttpTestServer otherWorker = new HttpTestServer(HttpTestServer::echo);
         GatewayFixture fixture =
             new GatewayFixture(
                 "list:\n  workers:\n    - {name: dead, port: "
@@ -218,7 +219,7 @@
       for (int i = 0; i < 8; i++) {
         assertThat(end(fixture.invoke("once-" + i, "{}"))).isEqualTo("finished");
       }
-      assertThat(otherWorker.infers()).isEqualTo(8);
+      assertThat(otherWorker.inferenceRequestCount()).isEqualTo(8);
     }
   }
 
@@ -228,7 +229,7 @@
             new HttpTestServer(
                 (request, out) -> {
                   Thread.sleep(100);
-                  return HttpTestServer.well(request, out);
+                  return HttpTestServer.echo(request, out);
                 });
         GatewayFixture fixture = new GatewayFixture("", worker)) {
       for (int wait : new int[] {0, 1, 20, 50, 100, 105}) {
@@ -241,7 +242,7 @@
           Thread.sleep(wait);
         }
       }
-      until(() -> fixture.gateway.held() == 0);
+      until(() -> fixture.gateway.pendingRequests() == 0);
       assertThat(end(fixture.invoke("once-1", "{}"))).isEqualTo("finished");
     }
   }
@@ -249,13 +250,13 @@
   @Test
   void withRandomResponseLossEachRequestEndsOnceAndNonIdempotentOnesExecuteOnce() throws Exception {
     Random random = new Random(5);
-    HttpTestServer.Behaviour drops =
+    HttpTestServer.Responder drops =
         (request, out) -> {
           boolean lost;
           synchronized (random) {
             lost = random.nextInt(4) == 0;
           }
-          return !lost && HttpTestServer.well(request, out);
+          return !lost && HttpTestServer.echo(request, out);
         };
     try (HttpTestServer worker = new HttpTestServer(drops);
         HttpTestServer otherWorker = new HttpTestServer(drops);
@@ -276,7 +277,7 @@
         String body = "n" + i + ".";
         long runs =
             List.of(worker, otherWorker, thirdWorker).stream()
-                .flatMap(server -> server.asked.stream())
+                .flatMap(server -> server.receivedRequests().stream())
                 .filter(request -> request.body().contains(body))
                 .count();
         if (i % 2 == 0) {
--- a/src/test/java/switchgap/server/gateway/RouterAndPlannerTest.java
+++ b/src/test/java/switchgap/server/gateway/RouterAndPlannerTest.java
@@ -1,6 +1,7 @@
 package switchgap.server.gateway;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static switchgap.testing.BoundedWait.until;
 
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -32,10 +33,10 @@
                 loads.incrementAndGet();
               }
               if (request.line().contains("/infer") && loads.get() == 0) {
-                out.write(HttpTestServer.http(404, "", "{}"));
+                out.write(HttpTestServer.response(404, "", "{}"));
                 return true;
               }
-              return HttpTestServer.well(request, out);
+              return HttpTestServer.echo(request, out);
             });
 
     LoadCountingWorker() throws Exception {}
@@ -65,7 +66,7 @@
       Thread.sleep(40);
     }
     assertThat(status).isEqualTo(200);
-    assertThat(fixture.gateway.held()).isZero();
+    assertThat(fixture.gateway.pendingRequests()).isZero();
   }
 
   private static void send(DataOutputStream out, Object message) throws Exception {
@@ -87,9 +88,9 @@
         GatewayFixture fixture = new GatewayFixture(PLANNER_CONFIG, worker.peer);
         NetworkTransport net = network();
         PlannerClient planner = new PlannerClient(net, plannerAddress(fixture), 0)) {
-      GatewayFixture.until(planner::linked);
+      until(planner::linked);
       awaitSuccess(fixture);
-      GatewayFixture.until(() -> fixture.gateway.loadPlanCounts().planned() > 0);
+      until(() -> fixture.gateway.loadPlanCounts().planned() > 0);
       assertThat(worker.loads.get()).isEqualTo(1);
       assertThat(fixture.gateway.loadPlanCounts().refused()).isZero();
       assertThat(fixture.get("/v1/status").body())
@@ -104,7 +105,7 @@
         GatewayFixture fixture = new GatewayFixture(PLANNER_CONFIG, worker.peer);
         NetworkTransport net = network()) {
       PlannerClient planner = new PlannerClient(net, plannerAddress(fixture), 0);
-      GatewayFixture.until(planner::linked);
+      until(planner::linked);
       planner.close();
       awaitSuccess(fixture);
       assertThat(worker.loads.get()).isEqualTo(1);
@@ -131,7 +132,7 @@
         GatewayFixture fixture = new GatewayFixture(PLANNER_CONFIG, worker.peer);
         NetworkTransport net = network();
         PlannerClient planner = new PlannerClient(net, plannerAddress(fixture), 0)) {
-      GatewayFixture.until(planner::linked);
+      until(planner::linked);
       Object[] firstMessages = {
         new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION + 1, "planner", 0, 0),
         new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "edge", 0, 0),
@@ -182,7 +183,7 @@
             (PlannerMessageCodec.Hello) read(new DataInputStream(client.getInputStream()));
         send(out, new LoadPlan(hello.epoch(), 1, new long[] {99, -4}));
         send(out, new LoadPlan(hello.epoch() + 1, 1, new long[] {0}));
-        GatewayFixture.until(() -> fixture.gateway.loadPlanCounts().refused() == 3);
+        until(() -> fixture.gateway.loadPlanCounts().refused() == 3);
         out.writeInt(400); // half a frame, then the end
         out.write(new byte[17]);
       }
--- a/src/test/java/switchgap/server/gateway/ServiceLevelsAtTheRouterTest.java
+++ b/src/test/java/switchgap/server/gateway/ServiceLevelsAtTheRouterTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static switchgap.server.gateway.GatewayFixture.end;
-import static switchgap.server.gateway.GatewayFixture.until;
+import static switchgap.testing.BoundedWait.until;
 
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
@@ -22,7 +22,7 @@
 
   @Test
   void aPinnedLevelRejectsNamesItselfAndExpires() throws Exception {
-    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::well);
+    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
         GatewayFixture fixture = new GatewayFixture("", worker)) {
       assertThat(fixture.get("/v1/levels").body()).contains("\"level\" : \"full\"");
       assertThat(pin(fixture, "least", 1).statusCode()).isEqualTo(200);
@@ -35,7 +35,9 @@
           .contains("\"repeat_harmless\":true");
       // of the highest priority weight
       assertThat(end(fixture.invoke("once-1", "1"))).isEqualTo("finished");
-      assertThat(worker.asked.stream().anyMatch(request -> request.line().contains("again-1")))
+      assertThat(
+              worker.receivedRequests().stream()
+                  .anyMatch(request -> request.line().contains("again-1")))
           .isFalse();
       assertThat(fixture.get("/v1/levels").body())
           .contains("\"condition\" : \"pinned\"")
@@ -52,7 +54,7 @@
             }
           });
       assertThat(fixture.get("/v1/levels").body()).contains("the pin has expired");
-      assertThat(fixture.gateway.held()).isZero();
+      assertThat(fixture.gateway.pendingRequests()).isZero();
     }
   }
 
@@ -66,7 +68,7 @@
         GatewayFixture.SETTINGS.replace(
             "again: {start_target: 300ms, time_limit: 900ms",
             "again: {start_target: 300ms, time_limit: 6s");
-    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::well);
+    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
         GatewayFixture fixture = GatewayFixture.with(slow, "", worker)) {
       pin(fixture, "hold", 1);
       String at =
@@ -79,14 +81,14 @@
       assertThat(end(response)).isEqualTo("pushed-back");
       // the first level that rejects it
       assertThat(response.headers().firstValue("Switchgap-Level")).hasValue("least");
-      assertThat(worker.infers()).isZero();
-      assertThat(fixture.gateway.held()).isZero();
+      assertThat(worker.inferenceRequestCount()).isZero();
+      assertThat(fixture.gateway.pendingRequests()).isZero();
     }
   }
 
   @Test
   void invalidPinsAreRefused() throws Exception {
-    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::well);
+    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
         GatewayFixture fixture =
             new GatewayFixture("levels: {pin: hold, pin_for: 300ms, spare: [known]}\n", worker)) {
       // the configuration's pin
@@ -99,7 +101,7 @@
       Thread.sleep(500);
       assertThat(end(fixture.invoke("once-1", "1"))).isEqualTo("finished");
     }
-    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::well);
+    try (HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
         GatewayFixture fixture = new GatewayFixture("levels: {act: false}\n", worker)) {
       assertThat(fixture.get("/v1/levels").statusCode()).isEqualTo(404);
     }
