--- a/src/main/java/switchgap/cli/PlannerSupervisor.java
+++ b/src/main/java/switchgap/cli/PlannerSupervisor.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import switchgap.testbed.scenario.ChildProcess;
+import switchgap.testbed.process.ChildProcess;
 
 /**
  * Runs the planner as a child process, restarted with back-off when it ends; never touches the
--- a/src/main/java/switchgap/testbed/experiment/EmulatedRouter.java
+++ b/src/main/java/switchgap/testbed/experiment/EmulatedRouter.java
@@ -89,7 +89,7 @@
   }
 
   private LoadReport loadReport(EmulatedWorker emulatedWorker, int concurrency) {
-    return emulator.scenario.tellsLoad()
+    return emulator.scenario.reportsLoad()
         ? new LoadReport(
             emulatedWorker.busy(), emulatedWorker.inHand(), emulatedWorker.waiting(), concurrency)
         : LoadReport.ofConcurrency(concurrency);
--- a/src/main/java/switchgap/testbed/experiment/Emulator.java
+++ b/src/main/java/switchgap/testbed/experiment/Emulator.java
@@ -79,10 +79,11 @@
     this.random = new SplittableRandom(seed);
     EventRecorder noRecord = EventRecorder.none();
     catalogue = scenario.catalogue(seed);
-    store = new EmulatedStore(scheduler, noRecord, scenario.storeTakes(), scenario.storeDown());
+    store =
+        new EmulatedStore(scheduler, noRecord, scenario.storeCapacity(), scenario.storeOutage());
     clients = scenario.clients(scheduler, this::send, catalogue, seed + 1);
     clients.curve(curve);
-    loadFaults = new LoadFaults(scheduler, clients, catalogue, store, scenario.customers());
+    loadFaults = new LoadFaults(scheduler, clients, catalogue, store, scenario.tenantShares());
     for (int i = 0; i < scenario.workers(); i++) {
       startWorker(false);
     }
@@ -91,7 +92,7 @@
       settings.add(
           new YamlRouterSettings(
               YamlDocument.read(
-                  "router " + i, scenario.routerPage(i, 1, 1, catalogue, variant.terms()))));
+                  "router " + i, scenario.routerConfig(i, 1, 1, catalogue, variant.terms()))));
       clients.zone(i, scenario.zone(i));
       routers.add(null);
       startRouter(i);
@@ -149,7 +150,7 @@
         scenario.zoneOf(workerIndex),
         workerIndex / scenario.cellSize(),
         settings.isEmpty() ? 0 : settings.get(0).workerKindIndex(scenario.kindName(workerIndex)),
-        scenario.sizeOf(workerIndex),
+        scenario.computeCapacityOf(workerIndex),
         worker.cold()
             ? router.now().minus(Duration.ofNanos((scheduler.now() - worker.started()) * 1000))
             : null);
@@ -161,7 +162,7 @@
     workers.put(
         name,
         new EmulatedWorker(
-            scenario.makeOf(workerIndex),
+            scenario.hardwareOf(workerIndex),
             scheduler,
             store,
             name,
@@ -291,7 +292,7 @@
       maxWeight = Math.max(maxWeight, routerSettings.priorityWeight(i));
     }
     return routerSettings.priorityWeight(requestClass) < maxWeight
-        && router.gate().core().pendingRequests() >= scenario.staticHeld();
+        && router.gate().core().pendingRequests() >= scenario.staticPendingLimit();
   }
 
   /**
@@ -302,7 +303,7 @@
     long startedAt = scheduler.now();
     long end = startedAt + seconds * 1_000_000;
     clients.start(end);
-    scenario.script().forEach(fault -> scheduler.after(fault.at(), () -> inject(fault)));
+    scenario.faults().forEach(fault -> scheduler.after(fault.startsAt(), () -> inject(fault)));
     for (long second = 0; second < seconds; second++) {
       scheduler.run(startedAt + (second + 1) * 1_000_000);
       everySecond.accept(second);
@@ -311,36 +312,36 @@
   }
 
   private void inject(Scenario.Fault fault) {
-    if (loadFaults.bring(fault)) {
+    if (loadFaults.inject(fault)) {
       return;
     }
-    switch (fault.verb()) {
+    switch (fault.type()) {
       case SLOW -> {
-        List<EmulatedWorker> selected = selectWorkers(fault.part());
-        selected.forEach(worker -> worker.slow(fault.size()));
-        scheduler.after(fault.lasts(), () -> selected.forEach(worker -> worker.slow(1)));
+        List<EmulatedWorker> selected = selectWorkers(fault.share());
+        selected.forEach(worker -> worker.slow(fault.strength()));
+        scheduler.after(fault.duration(), () -> selected.forEach(worker -> worker.slow(1)));
       }
       case WORKERS_KILLED ->
-          selectWorkers(fault.part())
+          selectWorkers(fault.share())
               .forEach(
                   worker -> {
                     worker.die();
                     scheduler.after(
-                        fault.lasts(),
+                        fault.duration(),
                         () -> {
                           reportState(worker.name(), WorkerState.GONE);
                           startWorker(true);
                         });
                   });
       case ROUTERS_RESTARTED -> {
-        for (int i = 0; i < Math.max(1, Math.round(fault.part() * scenario.routers())); i++) {
+        for (int i = 0; i < Math.max(1, Math.round(fault.share() * scenario.routers())); i++) {
           startRouter(i);
         }
       }
       default ->
           throw new IllegalArgumentException(
               "the emulator does not bring "
-                  + YamlDocument.word(fault.verb())
+                  + YamlDocument.word(fault.type())
                   + "; it brings what needs no socket");
     }
   }
@@ -353,6 +354,6 @@
             all.add(worker);
           }
         });
-    return LoadFaults.some(all, part, random);
+    return LoadFaults.drawShare(all, part, random);
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/LoadRun.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRun.java
@@ -96,7 +96,7 @@
   }
 
   private double fullRateFactor() {
-    return scenario.capacity() / scenario.meanWork() / scenario.rate();
+    return scenario.fleetCapacity() / scenario.meanWork() / scenario.requestRate();
   }
 
   private EmulatedClients emulated() {
@@ -136,7 +136,7 @@
       while (scheduler.now() < end) {
         Thread.sleep(50);
       }
-      long deadline = end + scenario.longestLimit() * 2 + CLOSING_MICROS;
+      long deadline = end + scenario.longestTimeout() * 2 + CLOSING_MICROS;
       while (clients.open() > 0 && scheduler.now() < deadline) {
         Thread.sleep(20);
       }
--- a/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
+++ b/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
@@ -16,8 +16,8 @@
 import switchgap.net.HttpExchange;
 import switchgap.net.HttpServer;
 import switchgap.net.NetworkTransport;
-import switchgap.testbed.scenario.ChildProcess;
-import switchgap.testbed.scenario.LoopbackPorts;
+import switchgap.testbed.process.ChildProcess;
+import switchgap.testbed.process.LoopbackPorts;
 
 /**
  * Latency that the router adds, and the most requests it passes, beside a relay of the same filter
--- a/src/main/java/switchgap/testbed/experiment/Trial.java
+++ b/src/main/java/switchgap/testbed/experiment/Trial.java
@@ -71,7 +71,7 @@
     this.variant = variant;
     this.seed = seed;
     this.seconds = curve.seconds();
-    double fullRateFactor = scenario.capacity() / scenario.meanWork() / scenario.rate();
+    double fullRateFactor = scenario.fleetCapacity() / scenario.meanWork() / scenario.requestRate();
     Emulator emulator =
         new Emulator(scenario, seed, variant, micros -> curve.at(micros) * fullRateFactor);
     curve.schedule(emulator.scheduler, emulator.clients);
@@ -159,7 +159,7 @@
   }
 
   static String tenantName(Scenario scenario, int index) {
-    return List.copyOf(scenario.customers().keySet()).get(index);
+    return List.copyOf(scenario.tenantShares().keySet()).get(index);
   }
 
   private static int maxChangesInFourStays(Emulator emulator) {
--- a/src/main/java/switchgap/testbed/scenario/LoopbackPorts.java
+++ b/src/main/java/switchgap/testbed/process/LoopbackPorts.java
@@ -1,4 +1,4 @@
-package switchgap.testbed.scenario;
+package switchgap.testbed.process;
 
 import java.io.IOException;
 import java.net.ServerSocket;
--- a/src/main/java/switchgap/testbed/scenario/DrainsRule.java
+++ b/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
@@ -2,20 +2,21 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import switchgap.testbed.invariant.Invariant;
 
 /**
  * A router sends nothing new to a worker past the grace after the list told it that the worker
  * drains or is gone.
  */
-final class DrainsRule extends InvariantRule {
+final class DrainingWorkerCheck extends InvariantCheck {
   private static final long NONE = -1;
   private final Map<String, Long> notifiedAt = new HashMap<>();
   private int nextListLine;
   private int drains;
   private long latestSend = NONE;
 
-  DrainsRule(ScenarioLog log) {
-    super(InvariantChecker.Invariant.DRAINS, log);
+  DrainingWorkerCheck(ScenarioLog log) {
+    super(Invariant.NO_SEND_TO_DRAINING_WORKER, log);
   }
 
   @Override
--- a/src/main/java/switchgap/testbed/scenario/RepeatsRule.java
+++ b/src/main/java/switchgap/testbed/scenario/DuplicateEffectCheck.java
@@ -5,16 +5,17 @@
 import java.util.List;
 import java.util.Map;
 import switchgap.testbed.emulator.ClientOutcome;
+import switchgap.testbed.invariant.Invariant;
 
 /**
  * No request that must not be repeated takes effect twice, none that ran is rejected as if it had
  * not, and each attempt has one execution in flight at a time.
  */
-final class RepeatsRule extends InvariantRule {
+final class DuplicateEffectCheck extends InvariantCheck {
   private int requestsWithRepeatedEffect;
 
-  RepeatsRule(ScenarioLog log) {
-    super(InvariantChecker.Invariant.REPEATS, log);
+  DuplicateEffectCheck(ScenarioLog log) {
+    super(Invariant.NO_DUPLICATE_EFFECT, log);
   }
 
   @Override
--- a/src/main/java/switchgap/testbed/scenario/FaultScript.java
+++ b/src/main/java/switchgap/testbed/scenario/FaultScript.java
@@ -15,10 +15,10 @@
             testBed.clients,
             testBed.catalogue,
             testBed.store,
-            testBed.scenario.customers());
+            testBed.scenario.tenantShares());
     this.injectors =
         List.of(
-            loadFaults::bring,
+            loadFaults::inject,
             new WorkerFaultInjector(testBed),
             new WorkerReplacementInjector(testBed),
             new ListFaultInjector(testBed),
@@ -26,8 +26,8 @@
   }
 
   void start() {
-    for (Scenario.Fault fault : testBed.scenario.script()) {
-      testBed.scheduler.after(fault.at(), () -> inject(fault));
+    for (Scenario.Fault fault : testBed.scenario.faults()) {
+      testBed.scheduler.after(fault.startsAt(), () -> inject(fault));
     }
   }
 
@@ -35,18 +35,18 @@
     testBed.recordFault(
         "trouble",
         "verb",
-        fault.verb().name(),
+        fault.type().name(),
         "lasts",
-        fault.lasts(),
+        fault.duration(),
         "part",
-        fault.part(),
+        fault.share(),
         "size",
-        fault.size());
+        fault.strength());
     for (FaultInjector injector : injectors) {
       if (injector.inject(fault)) {
         return;
       }
     }
-    throw new IllegalStateException("no injector for faults of type " + fault.verb());
+    throw new IllegalStateException("no injector for faults of type " + fault.type());
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/AnswersRule.java
+++ b/src/main/java/switchgap/testbed/scenario/FinalResponseCheck.java
@@ -1,17 +1,18 @@
 package switchgap.testbed.scenario;
 
 import switchgap.testbed.emulator.ClientOutcome;
+import switchgap.testbed.invariant.Invariant;
 
 /**
  * Each attempt gets one final response before its deadline, and nothing is sent to a worker for it
  * afterwards.
  */
-final class AnswersRule extends InvariantRule {
+final class FinalResponseCheck extends InvariantCheck {
   private int attempts;
   private int dueWhilePaused;
 
-  AnswersRule(ScenarioLog log) {
-    super(InvariantChecker.Invariant.ANSWERS, log);
+  FinalResponseCheck(ScenarioLog log) {
+    super(Invariant.FINAL_RESPONSE_IN_TIME, log);
   }
 
   @Override
--- a/src/main/java/switchgap/testbed/scenario/InvariantRule.java
+++ b/src/main/java/switchgap/testbed/scenario/InvariantCheck.java
@@ -2,19 +2,21 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import switchgap.testbed.invariant.Invariant;
+import switchgap.testbed.invariant.Violation;
 
 /** Checks one invariant against a scenario's log and counts what it saw. */
-abstract class InvariantRule {
+abstract class InvariantCheck {
   /** Microseconds of a millisecond, the unit of messages. */
   static final long MICROS_PER_MILLI = 1000;
 
-  /** The log that the rule reads. */
+  /** The log that the check reads. */
   final ScenarioLog log;
 
-  private final InvariantChecker.Invariant invariant;
-  private final List<InvariantChecker.Violation> violations = new ArrayList<>();
+  private final Invariant invariant;
+  private final List<Violation> violations = new ArrayList<>();
 
-  InvariantRule(InvariantChecker.Invariant invariant, ScenarioLog log) {
+  InvariantCheck(Invariant invariant, ScenarioLog log) {
     this.invariant = invariant;
     this.log = log;
   }
@@ -25,17 +27,17 @@
   /** The figures of its row of the report; valid after the check. */
   abstract String summary();
 
-  final InvariantChecker.Invariant invariant() {
+  final Invariant invariant() {
     return invariant;
   }
 
   /** In the order in which they were found. */
-  final List<InvariantChecker.Violation> violations() {
+  final List<Violation> violations() {
     return violations;
   }
 
   final void violated(String description) {
-    violations.add(new InvariantChecker.Violation(invariant, description));
+    violations.add(new Violation(invariant, description));
   }
 
   /** The place of a line of the workers' log, as messages name it. */
--- a/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
@@ -11,19 +11,19 @@
 
   @Override
   public boolean inject(Scenario.Fault fault) {
-    switch (fault.verb()) {
+    switch (fault.type()) {
       case TRAFFIC_MOVED -> {
         testBed.clients.moveTo(fault.target() == null ? testBed.scenario.zone(0) : fault.target());
-        testBed.scheduler.after(fault.lasts(), () -> testBed.clients.moveTo(null));
+        testBed.scheduler.after(fault.duration(), () -> testBed.clients.moveTo(null));
       }
       case LIST_LATE -> {
         long usualLag = testBed.scenario.listLag();
-        testBed.endpointList.lag(usualLag + (long) (fault.size() * MICROS_PER_SECOND));
-        testBed.scheduler.after(fault.lasts(), () -> testBed.endpointList.lag(usualLag));
+        testBed.endpointList.lag(usualLag + (long) (fault.strength() * MICROS_PER_SECOND));
+        testBed.scheduler.after(fault.duration(), () -> testBed.endpointList.lag(usualLag));
       }
       case LIST_AWAY -> {
         testBed.endpointList.away(true);
-        testBed.scheduler.after(fault.lasts(), () -> testBed.endpointList.away(false));
+        testBed.scheduler.after(fault.duration(), () -> testBed.endpointList.away(false));
       }
       default -> {
         return false;
--- a/src/main/java/switchgap/testbed/scenario/LoadFaults.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadFaults.java
@@ -38,7 +38,7 @@
    * Draws a share of a list, one element at the least; elements not drawn are removed from the list
    * given.
    */
-  public static <T> List<T> some(List<T> candidates, double part, SplittableRandom random) {
+  public static <T> List<T> drawShare(List<T> candidates, double part, SplittableRandom random) {
     int count = Math.max(1, (int) Math.round(part * candidates.size()));
     while (candidates.size() > count) {
       candidates.remove(random.nextInt(candidates.size()));
@@ -47,12 +47,13 @@
   }
 
   /** Injects a fault and schedules its end; false where the fault is of another type. */
-  public boolean bring(Scenario.Fault fault) {
+  public boolean inject(Scenario.Fault fault) {
     String tenant = fault.target() == null ? tenants.keySet().iterator().next() : fault.target();
-    switch (fault.verb()) {
-      case BURST -> during(fault, () -> clients.burst(fault.size()), () -> clients.burst(1));
+    switch (fault.type()) {
+      case BURST -> during(fault, () -> clients.burst(fault.strength()), () -> clients.burst(1));
       case CUSTOMER_BURST ->
-          during(fault, () -> clients.burst(tenant, fault.size()), () -> clients.burst(tenant, 1));
+          during(
+              fault, () -> clients.burst(tenant, fault.strength()), () -> clients.burst(tenant, 1));
       case HAMMERING ->
           during(
               fault,
@@ -61,14 +62,14 @@
       case HOT_FUNCTIONS ->
           during(
               fault,
-              () -> catalogue.setHotFunctions(fault.part(), (int) Math.max(1, fault.size())),
+              () -> catalogue.setHotFunctions(fault.share(), (int) Math.max(1, fault.strength())),
               () -> catalogue.setHotFunctions(0, 1));
       case ONE_OFF_FUNCTIONS ->
           during(
               fault,
-              () -> catalogue.setOneOffShare(fault.part()),
+              () -> catalogue.setOneOffShare(fault.share()),
               () -> catalogue.setOneOffShare(0));
-      case STORE_SLOW -> during(fault, () -> store.slow(fault.size()), () -> store.slow(1));
+      case STORE_SLOW -> during(fault, () -> store.slow(fault.strength()), () -> store.slow(1));
       default -> {
         return false;
       }
@@ -78,6 +79,6 @@
 
   private void during(Scenario.Fault fault, Runnable begin, Runnable end) {
     begin.run();
-    scheduler.after(fault.lasts(), end);
+    scheduler.after(fault.duration(), end);
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/RationRule.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadQuotaCheck.java
@@ -3,18 +3,19 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
+import switchgap.testbed.invariant.Invariant;
 
 /**
  * A router's load commands within a window stay under its ration for the requests that it received
  * in that window.
  */
-final class RationRule extends InvariantRule {
+final class LoadQuotaCheck extends InvariantCheck {
   private final ScenarioSettings.InvariantLimits limits;
   private int loadCommands;
   private double maxRationShare;
 
-  RationRule(ScenarioLog log) {
-    super(InvariantChecker.Invariant.RATION, log);
+  LoadQuotaCheck(ScenarioLog log) {
+    super(Invariant.LOAD_QUOTA, log);
     this.limits = log.settings().limits();
   }
 
--- a/src/main/java/switchgap/testbed/scenario/RouterFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterFaultInjector.java
@@ -13,12 +13,12 @@
 
   @Override
   public boolean inject(Scenario.Fault fault) {
-    switch (fault.verb()) {
-      case ROUTER_KILLED -> restart(router(fault), fault.lasts());
+    switch (fault.type()) {
+      case ROUTER_KILLED -> restart(router(fault), fault.duration());
       case ROUTERS_RESTARTED -> restartInTurn(fault);
-      case ROUTER_PAUSED -> pause(router(fault), fault.lasts());
-      case PLANNERS_KILLED -> killPlanners(fault.lasts());
-      case PLANNERS_PAUSED -> pausePlanners(fault.lasts());
+      case ROUTER_PAUSED -> pause(router(fault), fault.duration());
+      case PLANNERS_KILLED -> killPlanners(fault.duration());
+      case PLANNERS_PAUSED -> pausePlanners(fault.duration());
       default -> {
         return false;
       }
@@ -27,15 +27,15 @@
   }
 
   private int router(Scenario.Fault fault) {
-    return (int) fault.size() % routers.size();
+    return (int) fault.strength() % routers.size();
   }
 
   private void restartInTurn(Scenario.Fault fault) {
-    int count = (int) Math.max(1, Math.round(fault.part() * routers.size()));
+    int count = (int) Math.max(1, Math.round(fault.share() * routers.size()));
     for (int i = 0; i < count; i++) {
       int router = i;
       testBed.scheduler.after(
-          fault.lasts() * i / count, () -> restart(router, RESTART_OUTAGE_MICROS));
+          fault.duration() * i / count, () -> restart(router, RESTART_OUTAGE_MICROS));
     }
   }
 
--- a/src/main/java/switchgap/testbed/scenario/RouterGroup.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterGroup.java
@@ -10,6 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import switchgap.testbed.emulator.FunctionCatalogue;
+import switchgap.testbed.process.LoopbackPorts;
 
 /** The routers of a test bed: their configurations, ports and processes. */
 final class RouterGroup {
@@ -43,7 +44,7 @@
     Map<String, String> overrides =
         ownPlanner ? Map.of("planner.port", String.valueOf(plannerPorts[number])) : Map.of();
     Files.writeString(
-        config, scenario.routerPage(number, ports[number], listPort, catalogue, overrides));
+        config, scenario.routerConfig(number, ports[number], listPort, catalogue, overrides));
     hosts.add(
         scenario.settings().routers().ownProcesses()
             ? new RouterProcess(config, log, baseline, ownPlanner)
--- a/src/main/java/switchgap/testbed/scenario/RouterProcess.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterProcess.java
@@ -5,6 +5,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import switchgap.testbed.process.ChildProcess;
+import switchgap.testbed.process.ProcessSignal;
 
 /** A router in a process of its own, started from this program's own class path. */
 final class RouterProcess implements RouterHost {
@@ -76,10 +78,7 @@
 
   private static boolean signal(Process target, boolean stop) {
     try {
-      return new ProcessBuilder("kill", stop ? "-STOP" : "-CONT", String.valueOf(target.pid()))
-              .start()
-              .waitFor()
-          == 0;
+      return (stop ? ProcessSignal.STOP : ProcessSignal.CONT).send(target);
     } catch (IOException e) {
       return false; // no signals on this system: the caller records that the fault was not injected
     } catch (InterruptedException e) {
--- a/src/main/java/switchgap/testbed/scenario/Scenario.java
+++ b/src/main/java/switchgap/testbed/scenario/Scenario.java
@@ -23,17 +23,17 @@
   private static final double GOLDEN_RATIO_FRACTION = 0.618034; // spreads the worker kinds evenly
 
   /**
-   * One entry of the fault script. Times in microseconds.
+   * One entry of the fault script. Times are in microseconds.
    *
-   * @param at start, since the scenario's
-   * @param verb type of the fault
-   * @param lasts duration
-   * @param part share of what may be hit: workers, functions, requests or routers
-   * @param size its strength, by type: a factor, a share, a number or seconds
-   * @param target the tenant or zone that it hits, null for the first
+   * @param startsAt start, counted from the start of the scenario
+   * @param type what fails
+   * @param duration how long it lasts
+   * @param share share of the candidates that are affected: workers, functions, requests or routers
+   * @param strength its strength; depending on the type a factor, a share, a number or seconds
+   * @param target the tenant or zone that is affected, null for the first one
    */
   public record Fault(
-      long at, FaultType verb, long lasts, double part, double size, String target) {}
+      long startsAt, FaultType type, long duration, double share, double strength, String target) {}
 
   private final ScenarioSettings settings;
   private final RouterConfigWriter routerConfigs;
@@ -85,12 +85,12 @@
   }
 
   /** Concurrent fetches that the store serves at full speed. */
-  public double storeTakes() {
+  public double storeCapacity() {
     return settings.store().capacity();
   }
 
   /** Microseconds that the store stops for after overload. */
-  public long storeDown() {
+  public long storeOutage() {
     return settings.store().outage();
   }
 
@@ -100,17 +100,17 @@
   }
 
   /** Whether workers report utilization and queue length. */
-  public boolean tellsLoad() {
+  public boolean reportsLoad() {
     return settings.fleet().reportsLoad();
   }
 
   /** The fault script. */
-  public List<Fault> script() {
+  public List<Fault> faults() {
     return List.copyOf(settings.faults());
   }
 
   /** Share of the requests by tenant, in the document's order. */
-  public Map<String, Double> customers() {
+  public Map<String, Double> tenantShares() {
     return settings.tenantShares();
   }
 
@@ -141,12 +141,12 @@
   }
 
   /** Compute capacity of a worker in cores of speed 1. */
-  public double sizeOf(int worker) {
+  public double computeCapacityOf(int worker) {
     return kindOf(worker).cores() * kindOf(worker).speed();
   }
 
   /** Hardware of a worker. */
-  public EmulatedWorker.Hardware makeOf(int worker) {
+  public EmulatedWorker.Hardware hardwareOf(int worker) {
     ScenarioSettings.WorkerKind kind = kindOf(worker);
     ScenarioSettings.WorkerLimits limits = settings.fleet().limits();
     ScenarioSettings.InvariantLimits rules = settings.limits();
@@ -186,7 +186,7 @@
             settings.load().retries(),
             settings.load().rate(),
             routerShares(),
-            customers(),
+            tenantShares(),
             seed));
   }
 
@@ -211,12 +211,12 @@
   }
 
   /** The configuration of one router, as YAML. */
-  public String routerPage(int number, int port, int listPort, FunctionCatalogue catalogue) {
-    return routerPage(number, port, listPort, catalogue, Map.of());
+  public String routerConfig(int number, int port, int listPort, FunctionCatalogue catalogue) {
+    return routerConfig(number, port, listPort, catalogue, Map.of());
   }
 
   /** The same with some values in place of the scenario's, by {@code section.key}. */
-  public String routerPage(
+  public String routerConfig(
       int number,
       int port,
       int listPort,
@@ -226,10 +226,10 @@
   }
 
   /** Work that the fleet can do in a second, in seconds of a core of speed 1. */
-  public double capacity() {
+  public double fleetCapacity() {
     double sum = 0;
     for (int i = 0; i < workers(); i++) {
-      sum += sizeOf(i);
+      sum += computeCapacityOf(i);
     }
     return sum;
   }
@@ -242,12 +242,12 @@
   }
 
   /** Requests a second. */
-  public double rate() {
+  public double requestRate() {
     return settings.load().rate();
   }
 
   /** The longest timeout of a request class, microseconds. */
-  public long longestLimit() {
+  public long longestTimeout() {
     return settings.profiles().stream()
         .mapToLong(EmulatedClients.RequestClassProfile::timeout)
         .max()
@@ -281,7 +281,7 @@
    * Number of pending requests at a router at which a static limit rejects all but the most
    * important: twice the router's part of two thirds of the fleet's slots.
    */
-  public int staticHeld() {
+  public int staticPendingLimit() {
     int slots = workers() * settings.fleet().limits().slotsPerCore();
     return Math.max(2, 2 * slots * 2 / routers() / 3);
   }
--- a/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
@@ -62,7 +62,7 @@
     while (testBed.scheduler.now() < end) {
       Thread.sleep(ARRIVALS_POLL_MILLIS);
     }
-    long deadline = end + testBed.scenario.longestLimit() + DRAIN_MARGIN_MICROS;
+    long deadline = end + testBed.scenario.longestTimeout() + DRAIN_MARGIN_MICROS;
     while (testBed.clients.open() > 0 && testBed.scheduler.now() < deadline) {
       Thread.sleep(DRAIN_POLL_MILLIS);
     }
--- a/src/main/java/switchgap/testbed/scenario/ColdWorkersRule.java
+++ b/src/main/java/switchgap/testbed/scenario/SlowStartCheck.java
@@ -3,12 +3,13 @@
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
+import switchgap.testbed.invariant.Invariant;
 
 /**
  * The work sent to a cold worker within a window stays under a multiple of what it can do in that
  * time.
  */
-final class ColdWorkersRule extends InvariantRule {
+final class SlowStartCheck extends InvariantCheck {
   private record Arrival(long at, double work) {}
 
   /** The budget of a cold worker over the window. */
@@ -29,8 +30,8 @@
   private int coldStarts;
   private double maxBudgetShare;
 
-  ColdWorkersRule(ScenarioLog log) {
-    super(InvariantChecker.Invariant.COLD_WORKERS, log);
+  SlowStartCheck(ScenarioLog log) {
+    super(Invariant.SLOW_START, log);
     this.limits = log.settings().limits();
   }
 
--- a/src/main/java/switchgap/testbed/scenario/TestBed.java
+++ b/src/main/java/switchgap/testbed/scenario/TestBed.java
@@ -62,7 +62,8 @@
     listLog = new EventRecorder(directory.resolve(EventLog.LIST));
     scriptLog = new EventRecorder(directory.resolve(EventLog.SCRIPT));
     catalogue = scenario.catalogue(scenario.seed());
-    store = new EmulatedStore(scheduler, fleetLog, scenario.storeTakes(), scenario.storeDown());
+    store =
+        new EmulatedStore(scheduler, fleetLog, scenario.storeCapacity(), scenario.storeOutage());
     storeService = new StoreService(scheduler, net, store);
     endpointList = new EndpointListService(scheduler, net, listLog, scenario.listLag());
     SocketClientTransport transport =
@@ -82,7 +83,7 @@
             catalogue::find,
             RouterAddress::routerOf,
             new HashMap<>(),
-            scenario.tellsLoad());
+            scenario.reportsLoad());
     WorkerFleet started =
         new WorkerFleet(
             scenario,
--- a/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
@@ -38,12 +38,12 @@
 
   @Override
   public boolean inject(Scenario.Fault fault) {
-    WorkerFaults.Kind socketFault = SOCKET_FAULTS.get(fault.verb());
+    WorkerFaults.Kind socketFault = SOCKET_FAULTS.get(fault.type());
     if (socketFault != null) {
       spoilResponses(fault, socketFault);
       return true;
     }
-    switch (fault.verb()) {
+    switch (fault.type()) {
       case SLOW -> slowDown(fault);
       case RELEASED_ANEW -> unloadFunctions(fault);
       default -> {
@@ -54,22 +54,22 @@
   }
 
   private void spoilResponses(Scenario.Fault fault, WorkerFaults.Kind kind) {
-    List<EmulatedModelServer> affected = testBed.fleet.drawReady(fault.part());
-    affected.forEach(server -> server.faults().set(kind, fault.size()));
+    List<EmulatedModelServer> affected = testBed.fleet.drawReady(fault.share());
+    affected.forEach(server -> server.faults().set(kind, fault.strength()));
     testBed.scheduler.after(
-        fault.lasts(), () -> affected.forEach(server -> server.faults().set(kind, 0)));
+        fault.duration(), () -> affected.forEach(server -> server.faults().set(kind, 0)));
   }
 
   private void slowDown(Scenario.Fault fault) {
-    List<EmulatedModelServer> affected = testBed.fleet.drawReady(fault.part());
-    affected.forEach(server -> server.worker().slow(fault.size()));
+    List<EmulatedModelServer> affected = testBed.fleet.drawReady(fault.share());
+    affected.forEach(server -> server.worker().slow(fault.strength()));
     testBed.scheduler.after(
-        fault.lasts(), () -> affected.forEach(server -> server.worker().slow(1)));
+        fault.duration(), () -> affected.forEach(server -> server.worker().slow(1)));
   }
 
   private void unloadFunctions(Scenario.Fault fault) {
     for (FunctionModel function : testBed.catalogue.functions()) {
-      if (testBed.random.nextDouble() < fault.part()) {
+      if (testBed.random.nextDouble() < fault.share()) {
         testBed.fleet.servers().forEach(server -> server.worker().drop(function.name()));
       }
     }
--- a/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
@@ -66,7 +66,10 @@
         new EmulatedModelServer(name, context, scenario.seed() + FAULT_SEED_OFFSET + number);
     int port =
         server.start(
-            scenario.makeOf(number), store, scenario.seed() + WORKER_SEED_OFFSET + number, cold);
+            scenario.hardwareOf(number),
+            store,
+            scenario.seed() + WORKER_SEED_OFFSET + number,
+            cold);
     servers.put(name, server);
     endpointList.put(entry(name, port, number, cold));
   }
@@ -88,7 +91,7 @@
         scenario.zone(number),
         number / scenario.cellSize(),
         scenario.kindName(number),
-        scenario.sizeOf(number),
+        scenario.computeCapacityOf(number),
         cold ? context.scheduler().now() / MICROS_PER_MILLI : 0);
   }
 
@@ -128,7 +131,7 @@
                     servers
                         .get(name)
                         .start(
-                            scenario.makeOf(number),
+                            scenario.hardwareOf(number),
                             store,
                             scenario.seed() + context.scheduler().now(),
                             true);
@@ -147,7 +150,7 @@
         ready.add(servers.get(entry.name()));
       }
     }
-    return LoadFaults.some(ready, share, random);
+    return LoadFaults.drawShare(ready, share, random);
   }
 
   void kill() {
--- a/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
@@ -18,18 +18,20 @@
 
   @Override
   public boolean inject(Scenario.Fault fault) {
-    switch (fault.verb()) {
+    switch (fault.type()) {
       case DRAIN ->
-          fleet.drawReady(fault.part()).forEach(server -> replace(server, drainTime(fault)));
+          fleet.drawReady(fault.share()).forEach(server -> replace(server, drainTime(fault)));
       case TAKEN_AWAY ->
-          fleet.drawReady(fault.part()).forEach(server -> replace(server, SHORT_DRAIN_MICROS));
+          fleet.drawReady(fault.share()).forEach(server -> replace(server, SHORT_DRAIN_MICROS));
       case RELEASE -> release(fault);
       case WORKERS_KILLED ->
-          fleet.drawReady(fault.part()).forEach(server -> killAndReplace(server, fault.lasts()));
+          fleet
+              .drawReady(fault.share())
+              .forEach(server -> killAndReplace(server, fault.duration()));
       case WORKER_RESTARTED ->
           fleet
-              .drawReady(fault.part())
-              .forEach(server -> fleet.restart(server.name(), fault.lasts()));
+              .drawReady(fault.share())
+              .forEach(server -> fleet.restart(server.name(), fault.duration()));
       default -> {
         return false;
       }
@@ -38,7 +40,7 @@
   }
 
   private static long drainTime(Scenario.Fault fault) {
-    return (long) (fault.size() * MICROS_PER_SECOND);
+    return (long) (fault.strength() * MICROS_PER_SECOND);
   }
 
   private void replace(EmulatedModelServer server, long drainMicros) {
@@ -61,14 +63,14 @@
    * duration.
    */
   private void release(Scenario.Fault fault) {
-    List<EmulatedModelServer> affected = fleet.drawReady(fault.part());
+    List<EmulatedModelServer> affected = fleet.drawReady(fault.share());
     int batchSize = Math.max(1, (int) Math.round(affected.size() * RELEASE_BATCH_SHARE));
     int batches = (affected.size() + batchSize - 1) / batchSize;
     for (int i = 0; i < batches; i++) {
       List<EmulatedModelServer> batch =
           affected.subList(i * batchSize, Math.min(affected.size(), (i + 1) * batchSize));
       testBed.scheduler.after(
-          fault.lasts() * i / batches, () -> replaceRunning(batch, drainTime(fault)));
+          fault.duration() * i / batches, () -> replaceRunning(batch, drainTime(fault)));
     }
   }
 
--- a/src/test/java/switchgap/testbed/scenario/InvariantCheckerTest.java
+++ b/src/test/java/switchgap/testbed/scenario/InvariantCheckerTest.java
@@ -13,6 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import switchgap.testbed.invariant.Invariant;
 
 /**
  * The checker finds one planted violation of each invariant, passes logs without one, and refuses
@@ -108,12 +109,11 @@
     return InvariantChecker.read(directory);
   }
 
-  private void assertViolated(InvariantChecker.Invariant invariant, String description)
-      throws IOException {
+  private void assertViolated(Invariant invariant, String description) throws IOException {
     InvariantChecker checker = check();
     assertThat(checker.violations()).hasSize(1);
-    assertThat(checker.violations().get(0).rule()).isEqualTo(invariant);
-    assertThat(checker.violations().get(0).what()).contains(description);
+    assertThat(checker.violations().get(0).invariant()).isEqualTo(invariant);
+    assertThat(checker.violations().get(0).description()).contains(description);
   }
 
   private void goodAttempt(long atMillis, String call, int workload) {
@@ -141,7 +141,7 @@
   void reportsAnAttemptWithoutAFinalResponse() throws IOException {
     sendAttempt(100, "j0.1", 0);
     endAttempt(1100, "j0.1", "gave-up");
-    assertViolated(InvariantChecker.Invariant.ANSWERS, "j0.1 got no final answer");
+    assertViolated(Invariant.FINAL_RESPONSE_IN_TIME, "j0.1 got no final answer");
   }
 
   @Test
@@ -157,7 +157,7 @@
     sendAttempt(100, "j0.1", 0);
     endAttempt(1100, "j0.1", "gave-up");
     clients.add(line(1150, "late-answer", "\"call\":\"j0.1\",\"end\":\"finished\""));
-    assertViolated(InvariantChecker.Invariant.ANSWERS, "50 ms after its limit");
+    assertViolated(Invariant.FINAL_RESPONSE_IN_TIME, "50 ms after its limit");
     clients.set(2, line(1105, "late-answer", "\"call\":\"j0.1\",\"end\":\"finished\""));
     assertThat(check().violations()).isEmpty(); // within the slack
   }
@@ -167,7 +167,7 @@
     goodAttempt(100, "j0.1", 0);
     execute(400, "j0.1", "y", false);
     endExecution(401, "y");
-    assertViolated(InvariantChecker.Invariant.ANSWERS, "199 ms after its end");
+    assertViolated(Invariant.FINAL_RESPONSE_IN_TIME, "199 ms after its end");
   }
 
   @Test
@@ -177,7 +177,7 @@
     endAttempt(250, "j0.1", "finished");
     execute(210, "j0.1", "z", true);
     endExecution(220, "z");
-    assertViolated(InvariantChecker.Invariant.REPEATS, "j0 took effect 2 times");
+    assertViolated(Invariant.NO_DUPLICATE_EFFECT, "j0 took effect 2 times");
   }
 
   @Test
@@ -185,7 +185,7 @@
     sendAttempt(100, "j0.1", 1);
     execute(101, "j0.1", "x", true);
     endAttempt(900, "j0.1", "pushed-back");
-    assertViolated(InvariantChecker.Invariant.REPEATS, "pushed back though an execution ran");
+    assertViolated(Invariant.NO_DUPLICATE_EFFECT, "pushed back though an execution ran");
   }
 
   @Test
@@ -196,7 +196,7 @@
     endExecution(200, "x");
     endExecution(201, "y");
     endAttempt(210, "j0.1", "finished");
-    assertViolated(InvariantChecker.Invariant.REPEATS, "had two executions out");
+    assertViolated(Invariant.NO_DUPLICATE_EFFECT, "had two executions out");
   }
 
   @Test
@@ -204,7 +204,7 @@
     list.add(line(1000, "told", "\"router\":0,\"worker\":\"w0\",\"state\":\"draining\""));
     goodAttempt(1400, "j0.1", 0); // within the grace
     goodAttempt(1600, "j1.1", 0);
-    assertViolated(InvariantChecker.Invariant.DRAINS, "601 ms after it was told");
+    assertViolated(Invariant.NO_SEND_TO_DRAINING_WORKER, "601 ms after it was told");
   }
 
   @Test
@@ -213,7 +213,7 @@
     for (int i = 0; i < 6; i++) {
       goodAttempt(100 + i * 150, "j" + i + ".1", 0);
     } // 0.6 s of work; it bears 0.54
-    assertViolated(InvariantChecker.Invariant.COLD_WORKERS, "% of its budget");
+    assertViolated(Invariant.SLOW_START, "% of its budget");
   }
 
   @Test
@@ -224,7 +224,7 @@
       fleet.add(
           line(400 + i, "load", "\"worker\":\"w0\",\"router\":0,\"function\":\"f\",\"copies\":1"));
     }
-    assertViolated(InvariantChecker.Invariant.RATION, "ordered 3 loads where 2.0 are its ration");
+    assertViolated(Invariant.LOAD_QUOTA, "ordered 3 loads where 2.0 are its ration");
   }
 
   @Test
