--- a/src/main/java/switchgap/cli/LabMemoryCommand.java
+++ b/src/main/java/switchgap/cli/BenchmarkMemoryCommand.java
@@ -9,9 +9,9 @@
 /** Measures the heap of a router at size and of each pending request. */
 @Command(
     name = "memory",
-    mixinStandardHelpOptions = true, //
-    description = "Heap of a router at size and of each call held.") //
-final class LabMemoryCommand implements Callable<Integer> {
+    mixinStandardHelpOptions = true,
+    description = "Heap of a router at size and of each pending request.")
+final class BenchmarkMemoryCommand implements Callable<Integer> {
   @Option(names = "--calls", paramLabel = "<calls>", defaultValue = "10000")
   private int requests;
 
--- a/src/main/java/switchgap/cli/LabRelayCommand.java
+++ b/src/main/java/switchgap/cli/BenchmarkRelayCommand.java
@@ -8,11 +8,8 @@
 import switchgap.testbed.experiment.SpeedMeasurement;
 
 /** Runs the bare relay that the speed measurement compares with, until the process is killed. */
-@Command(
-    name = "relay",
-    hidden = true, //
-    description = "The baseline, for lab speed.") //
-final class LabRelayCommand implements Callable<Integer> {
+@Command(name = "relay", hidden = true, description = "The baseline, for benchmark speed.")
+final class BenchmarkRelayCommand implements Callable<Integer> {
   @Option(names = "--port", paramLabel = "<port>", required = true)
   private int port;
 
--- a/src/main/java/switchgap/cli/LabSpeedCommand.java
+++ b/src/main/java/switchgap/cli/BenchmarkSpeedCommand.java
@@ -10,13 +10,13 @@
 /** Measures latency and throughput of a router beside a bare relay. */
 @Command(
     name = "speed",
-    mixinStandardHelpOptions = true, //
-    description = "Latency and calls a second beside a relay of the same filter chains.") //
-final class LabSpeedCommand implements Callable<Integer> {
+    mixinStandardHelpOptions = true,
+    description = "Latency and requests per second beside a relay of the same filter chains.")
+final class BenchmarkSpeedCommand implements Callable<Integer> {
   @Option(names = "--seconds", paramLabel = "<seconds>", defaultValue = "6")
   private int seconds;
 
-  @Option(names = "--connections", paramLabel = "<connections>", defaultValue = "64") //
+  @Option(names = "--connections", paramLabel = "<connections>", defaultValue = "64")
   private int connections;
 
   @Option(names = "--rate", paramLabel = "<rate>", defaultValue = "1000")
--- a/src/main/java/switchgap/cli/DemoCommand.java
+++ b/src/main/java/switchgap/cli/DemoCommand.java
@@ -9,8 +9,8 @@
 /** Runs a router, emulated workers and a short load in one process. */
 @Command(
     name = "demo",
-    mixinStandardHelpOptions = true, //
-    description = "A router with stand-ins in one process, a short load, and what came of it.") //
+    mixinStandardHelpOptions = true,
+    description = "A router and its emulator in one process under a short load, and the results.")
 final class DemoCommand implements Callable<Integer> {
   @Option(names = "--keep", description = "leave it up until interrupted")
   private boolean keepRunning;
@@ -18,8 +18,8 @@
   @Option(
       names = "--seconds",
       paramLabel = "<seconds>",
-      defaultValue = "8", //
-      description = "of load (default: ${DEFAULT-VALUE})") //
+      defaultValue = "8",
+      description = "of load (default: ${DEFAULT-VALUE})")
   private int seconds;
 
   @Override
--- a/src/main/java/switchgap/cli/EmulatorCommand.java
+++ b/src/main/java/switchgap/cli/EmulatorCommand.java
@@ -12,21 +12,21 @@
  * Runs a scenario's emulated workers, store and endpoint list service without routers or clients.
  */
 @Command(
-    name = "standin",
-    mixinStandardHelpOptions = true, //
-    description = "Runs a day's stand-ins alone: model servers, store, list service.") //
+    name = "emulator",
+    mixinStandardHelpOptions = true,
+    description = "Runs a scenario's emulated model servers, store and endpoint list alone.")
 final class EmulatorCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "DAY")
+  @Parameters(paramLabel = "SCENARIO")
   private Path scenarioFile;
 
   @Option(
       names = "--record",
       paramLabel = "DIR",
-      required = true, //
-      description = "where logs and router pages go") //
+      required = true,
+      description = "where logs and router configurations go")
   private Path logDirectory;
 
-  @Option(names = "--script", description = "bring the day's troubles too")
+  @Option(names = "--script", description = "play the fault script too")
   private boolean faultScript;
 
   @Override
--- a/src/main/java/switchgap/cli/ExperimentCommand.java
+++ b/src/main/java/switchgap/cli/ExperimentCommand.java
@@ -11,8 +11,8 @@
 /** Compares variants of the router in simulated time. */
 @Command(
     name = "experiment",
-    mixinStandardHelpOptions = true, //
-    description = "Variants over a load curve in simulated time, side by side.") //
+    mixinStandardHelpOptions = true,
+    description = "Variants over a load curve in simulated time, side by side.")
 final class ExperimentCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE")
   private Path experimentFile;
@@ -20,16 +20,13 @@
   @Option(names = "--quick", description = "one seed and a part of the time")
   private boolean quick;
 
-  @Option(
-      names = "--report",
-      paramLabel = "FILE", //
-      description = "an HTML page with plots") //
+  @Option(names = "--report", paramLabel = "FILE", description = "an HTML page with plots")
   private Path reportFile;
 
   @Option(
       names = "--results",
-      paramLabel = "DIR", //
-      description = "trials and seconds as CSV and Arrow files") //
+      paramLabel = "DIR",
+      description = "trials and seconds as CSV and Arrow files")
   private Path resultDirectory;
 
   @Override
--- a/src/main/java/switchgap/cli/InvokeCommand.java
+++ b/src/main/java/switchgap/cli/InvokeCommand.java
@@ -15,13 +15,12 @@
 
 /**
  * Invokes a function once, synchronously or deferred, and prints the response body. The exit code
- * says how the request ended: 0 finished, 3 rejected, 4 failed, 2 refused as unusable.
+ * says how the request ended: 0 succeeded, 3 rejected, 4 failed, 2 invalid.
  */
 @Command(
     name = "call",
-    mixinStandardHelpOptions = true, //
-    description =
-        "Invokes a function once: exit 0 finished, 3 pushed back, 4 killed, 2 refused.") //
+    mixinStandardHelpOptions = true,
+    description = "Invokes a function once: exit 0 succeeded, 3 rejected, 4 failed, 2 invalid.")
 final class InvokeCommand implements Callable<Integer> {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
   private static final int HTTP_ACCEPTED = 202;
@@ -32,31 +31,23 @@
   @Option(
       names = "--router",
       paramLabel = "<router>",
-      defaultValue = "http://127.0.0.1:8080", //
-      description = "default: ${DEFAULT-VALUE}") //
+      defaultValue = "http://127.0.0.1:8080",
+      description = "default: ${DEFAULT-VALUE}")
   private String routerUrl;
 
-  @Option(names = "--body", paramLabel = "TEXT|@FILE", defaultValue = "{\"inputs\":[]}") //
+  @Option(names = "--body", paramLabel = "TEXT|@FILE", defaultValue = "{\"inputs\":[]}")
   private String body;
 
   @Option(names = "--customer", paramLabel = "<customer>")
   private String tenant;
 
-  @Option(
-      names = "--limit",
-      paramLabel = "MS", //
-      description = "time limit in milliseconds") //
+  @Option(names = "--limit", paramLabel = "MS", description = "timeout in milliseconds")
   private Long timeoutMillis;
 
-  @Option(
-      names = "--key",
-      paramLabel = "<key>", //
-      description = "fingerprint of the job, sent as Idempotency-Key") //
+  @Option(names = "--key", paramLabel = "<key>", description = "idempotency key of the request")
   private String idempotencyKey;
 
-  @Option(
-      names = "--deferred", //
-      description = "ask for a deferred answer, then wait for it") //
+  @Option(names = "--deferred", description = "ask for a deferred response, then wait for it")
   private boolean deferred;
 
   @Override
--- a/src/main/java/switchgap/cli/LevelsCommand.java
+++ b/src/main/java/switchgap/cli/LevelsCommand.java
@@ -12,30 +12,26 @@
 /** Prints a router's service levels, or pins one. */
 @Command(
     name = "levels",
-    mixinStandardHelpOptions = true, //
-    description =
-        "Shows a router's service levels and their last changes, or pins one for a time.") //
+    mixinStandardHelpOptions = true,
+    description = "Shows a router's service levels and their last changes, or pins one for a time.")
 final class LevelsCommand implements Callable<Integer> {
   private static final int HTTP_OK = 200;
 
   @Option(
       names = "--router",
       paramLabel = "<router>",
-      defaultValue = "http://127.0.0.1:8080", //
-      description = "default: ${DEFAULT-VALUE}") //
+      defaultValue = "http://127.0.0.1:8080",
+      description = "default: ${DEFAULT-VALUE}")
   private String routerUrl;
 
-  @Option(
-      names = "--pin",
-      paramLabel = "<pin>", //
-      description = "full, least, most or hold") //
+  @Option(names = "--pin", paramLabel = "<pin>", description = "full, least, most or hold")
   private String pinnedLevel;
 
   @Option(
       names = "--seconds",
       paramLabel = "<seconds>",
-      defaultValue = "600", //
-      description = "how long a pin holds (default: ${DEFAULT-VALUE})") //
+      defaultValue = "600",
+      description = "duration of a pin (default: ${DEFAULT-VALUE})")
   private long pinSeconds;
 
   @Override
--- a/src/main/java/switchgap/cli/LoadCommand.java
+++ b/src/main/java/switchgap/cli/LoadCommand.java
@@ -20,37 +20,35 @@
  */
 @Command(
     name = "load",
-    mixinStandardHelpOptions = true, //
+    mixinStandardHelpOptions = true,
     description =
-        "Sends an open-loop load by a curve to routers, or to the emulator where none is named.") //
+        "Sends an open-loop load along a curve to routers, or to the emulator where none is named.")
 final class LoadCommand implements Callable<Integer> {
   private static final double MAX_TIME_SHARE = 100;
   private static final int DEFAULT_HTTP_PORT = 80;
 
-  @Parameters(
-      paramLabel = "FILE", //
-      description = "YAML: load {name, day, seed} and curve") //
+  @Parameters(paramLabel = "FILE", description = "YAML: load {name, day, seed} and curve")
   private Path loadFile;
 
   @Option(
       names = "--router",
       paramLabel = "URL",
-      split = ",", //
-      description = "each router of the day, in order") //
+      split = ",",
+      description = "each router of the scenario, in order")
   private List<String> routerUrls = List.of();
 
   @Option(
       names = "--results",
       paramLabel = "DIR",
-      required = true, //
-      description = "jobs and seconds as CSV and Arrow, latencies as histograms") //
+      required = true,
+      description = "jobs and seconds as CSV and Arrow, latencies as histograms")
   private Path resultDirectory;
 
   @Option(
       names = "--within",
       paramLabel = "SHARE",
-      defaultValue = "1", //
-      description = "play the curve in this share of its time") //
+      defaultValue = "1",
+      description = "play the curve in this share of its time")
   private double timeShare;
 
   @Spec private CommandSpec spec;
--- a/src/main/java/switchgap/cli/Main.java
+++ b/src/main/java/switchgap/cli/Main.java
@@ -5,6 +5,7 @@
 import java.io.FileInputStream;
 import java.io.FileOutputStream;
 import java.io.IOException;
+import java.util.List;
 import switchgap.simulator.MalformedFrameException;
 import switchgap.simulator.SimulatorHost;
 
@@ -14,12 +15,13 @@
  */
 public final class Main {
   private static final int INPUT_BUFFER_BYTES = 1 << 16;
+  private static final List<String> SIMULATOR_HOST_NAMES = List.of("simulator-host", "simhost");
 
   private Main() {}
 
   /** Runs the command that the arguments name and ends the process with its exit code. */
   public static void main(String[] args) {
-    if (args.length == 1 && args[0].equals("simhost")) {
+    if (args.length == 1 && SIMULATOR_HOST_NAMES.contains(args[0])) {
       System.exit(runSimulatorHost());
     }
     if (args.length == 1 && args[0].equals("serve")) {
--- a/src/main/java/switchgap/cli/PlannerCommand.java
+++ b/src/main/java/switchgap/cli/PlannerCommand.java
@@ -13,12 +13,12 @@
 /** Runs the planner of one router: it decides order and time of the router's load commands. */
 @Command(
     name = "planner",
-    mixinStandardHelpOptions = true, //
-    description = "Plans the load orders of the edge whose page this is.") //
+    mixinStandardHelpOptions = true,
+    description = "Plans the load commands of the router with this configuration.")
 final class PlannerCommand implements Callable<Integer> {
   @Parameters(
-      paramLabel = "PAGE", //
-      description = "the page of the edge, with the part planner") //
+      paramLabel = "CONFIG",
+      description = "the configuration of the router, with the section planner")
   private Path configFile;
 
   @Override
--- a/src/main/java/switchgap/cli/RootCommand.java
+++ b/src/main/java/switchgap/cli/RootCommand.java
@@ -10,8 +10,8 @@
 @Command(
     name = "switchgap",
     mixinStandardHelpOptions = true,
-    versionProvider = VersionProvider.class, //
-    description = "A gateway for functions that workers load on demand.", //
+    versionProvider = VersionProvider.class,
+    description = "A gateway for functions that workers load on demand.",
     subcommands = {
       RouterCommand.class,
       PlannerCommand.class,
@@ -22,12 +22,12 @@
       ScenarioCommand.class,
       DemoCommand.class,
       SoakCommand.class,
-      LabCommand.class,
+      BenchmarkCommand.class,
       LoadCommand.class,
       ExperimentCommand.class,
       ServeCommand.class,
       SimulatorHostCommand.class
-    }) //
+    })
 final class RootCommand {
   private RootCommand() {}
 
@@ -35,12 +35,19 @@
   static int run(String[] arguments) {
     SLF4JBridgeHandler.removeHandlersForRootLogger();
     SLF4JBridgeHandler.install();
-    CommandLine commandLine = new CommandLine(new RootCommand());
-    commandLine.setExecutionExceptionHandler(new CommandErrorHandler());
+    CommandLine commandLine = commandLine();
     int code = commandLine.execute(arguments);
     if (arguments.length == 0) {
       commandLine.usage(System.out);
     }
     return code;
   }
+
+  /** The parser of all commands, under their current and their former names. */
+  static CommandLine commandLine() {
+    CommandLine commandLine = new CommandLine(new RootCommand());
+    FormerCommandNames.addTo(commandLine);
+    commandLine.setExecutionExceptionHandler(new CommandErrorHandler());
+    return commandLine;
+  }
 }
--- a/src/main/java/switchgap/cli/RouterCommand.java
+++ b/src/main/java/switchgap/cli/RouterCommand.java
@@ -15,29 +15,27 @@
 @Command(
     name = "router",
     aliases = "edge",
-    mixinStandardHelpOptions = true, //
-    description = "Runs a router by its page until SIGTERM.") //
+    mixinStandardHelpOptions = true,
+    description = "Runs a router by its configuration until SIGTERM.")
 final class RouterCommand implements Callable<Integer> {
   @Parameters(
-      paramLabel = "PAGE", //
-      description = "YAML: terms, functions, where to listen, whom to ask for the list") //
+      paramLabel = "CONFIG",
+      description = "YAML: settings, functions, listen address, endpoint list")
   private Path configFile;
 
-  @Option(
-      names = "--check", //
-      description = "read the page, say what is wrong, start nothing") //
+  @Option(names = "--check", description = "check the configuration and start nothing")
   private boolean checkOnly;
 
   @Option(
       names = "--baseline",
       hidden = true,
-      paramLabel = "<baseline>", //
-      description = "random or turns, in place of the module: to measure") //
+      paramLabel = "<baseline>",
+      description = "random or turns, in place of the routing policy: to measure")
   private String baseline;
 
   @Option(
-      names = "--split", //
-      description = "plan load orders in a program of its own, started again when it dies") //
+      names = "--split",
+      description = "plan load commands in a process of its own, restarted when it ends")
   private boolean separatePlanner;
 
   @Override
--- a/src/main/java/switchgap/cli/ScenarioCheckCommand.java
+++ b/src/main/java/switchgap/cli/ScenarioCheckCommand.java
@@ -11,9 +11,9 @@
 /** Checks the invariants from a scenario's logs. */
 @Command(
     name = "check",
-    mixinStandardHelpOptions = true, //
+    mixinStandardHelpOptions = true,
     description =
-        "Judges the five rules from a played day's logs: 0 kept, 1 broken, 2 unusable.") //
+        "Checks the five invariants in a scenario's logs: 0 held, 1 violated, 2 unusable.")
 final class ScenarioCheckCommand implements Callable<Integer> {
   @Parameters(paramLabel = "DIR")
   private Path logDirectory;
--- a/src/main/java/switchgap/cli/ScenarioCommand.java
+++ b/src/main/java/switchgap/cli/ScenarioCommand.java
@@ -6,9 +6,9 @@
 
 /** The parent of the commands that run and check scenarios. */
 @Command(
-    name = "day",
-    mixinStandardHelpOptions = true, //
-    description = "Plays scripted days over loopback sockets and checks their rules.", //
+    name = "scenario",
+    mixinStandardHelpOptions = true,
+    description = "Runs scripted scenarios over loopback sockets and checks their invariants.",
     subcommands = {ScenarioRunCommand.class, ScenarioCheckCommand.class})
 final class ScenarioCommand implements Callable<Integer> {
   @Override
--- a/src/main/java/switchgap/cli/ScenarioRunCommand.java
+++ b/src/main/java/switchgap/cli/ScenarioRunCommand.java
@@ -11,8 +11,8 @@
 /** Runs a scenario over loopback sockets and leaves its logs. */
 @Command(
     name = "run",
-    mixinStandardHelpOptions = true, //
-    description = "Plays a day and leaves its logs.") //
+    mixinStandardHelpOptions = true,
+    description = "Runs a scenario and writes its logs.")
 final class ScenarioRunCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE")
   private Path scenarioFile;
@@ -20,14 +20,14 @@
   @Option(
       names = "--record",
       paramLabel = "DIR",
-      required = true, //
-      description = "where the logs go") //
+      required = true,
+      description = "where the logs go")
   private Path logDirectory;
 
   @Option(
       names = "--baseline",
-      paramLabel = "<baseline>", //
-      description = "random or turns in place of the module, to measure against") //
+      paramLabel = "<baseline>",
+      description = "random or turns in place of the routing policy, to measure against")
   private String baseline;
 
   @Override
--- a/src/main/java/switchgap/cli/ServeCommand.java
+++ b/src/main/java/switchgap/cli/ServeCommand.java
@@ -6,10 +6,10 @@
 /** Runs a router on the platform until SIGTERM. */
 @Command(
     name = "serve",
-    mixinStandardHelpOptions = true, //
+    mixinStandardHelpOptions = true,
     description =
         "Runs a router on the platform until SIGTERM, by NODE_NAME, "
-            + "NODE_LISTEN and NODE_CONFIG.") //
+            + "NODE_LISTEN and NODE_CONFIG.")
 final class ServeCommand implements Callable<Integer> {
   @Override
   public Integer call() {
--- a/src/main/java/switchgap/cli/SimulatorHostCommand.java
+++ b/src/main/java/switchgap/cli/SimulatorHostCommand.java
@@ -5,10 +5,9 @@
 
 /** Hosts router instances for the simulator. */
 @Command(
-    name = "simhost",
-    mixinStandardHelpOptions = true, //
-    description =
-        "Hosts router instances on the simulator's wire, on standard input and output.") //
+    name = "simulator-host",
+    mixinStandardHelpOptions = true,
+    description = "Hosts router instances on the simulator's wire, on standard input and output.")
 final class SimulatorHostCommand implements Callable<Integer> {
   @Override
   public Integer call() {
--- a/src/main/java/switchgap/cli/SoakCommand.java
+++ b/src/main/java/switchgap/cli/SoakCommand.java
@@ -12,49 +12,49 @@
 import switchgap.testbed.soak.FaultKind;
 import switchgap.testbed.soak.Soak;
 
-/** Plays real router processes on loopback under faults that a seed draws. */
+/** Runs real router processes on loopback under faults drawn from a seed. */
 @Command(
     name = "soak",
-    mixinStandardHelpOptions = true, //
+    mixinStandardHelpOptions = true,
     description =
-        "Router processes under faults from a seed, judged by what clients and workers saw.") //
+        "Router processes under faults drawn from a seed, checked at clients and workers.")
 final class SoakCommand implements Callable<Integer> {
   @Option(
       names = "--seed",
-      defaultValue = "1", //
-      description = "of the faults (default: ${DEFAULT-VALUE})") //
+      defaultValue = "1",
+      description = "of the faults (default: ${DEFAULT-VALUE})")
   private long seed;
 
   @Option(
       names = "--routers",
-      defaultValue = "24", //
-      description = "processes (default: ${DEFAULT-VALUE})") //
+      defaultValue = "24",
+      description = "processes (default: ${DEFAULT-VALUE})")
   private int routers;
 
   @Option(
       names = "--seconds",
       defaultValue = "20",
-      description = "of load (default: ${DEFAULT-VALUE})") //
+      description = "of load (default: ${DEFAULT-VALUE})")
   private int seconds;
 
   @Option(
       names = "--without",
       split = ",",
-      paramLabel = "<fault>", //
-      description = "faults to leave out of the replay of a seed: ${COMPLETION-CANDIDATES}") //
+      paramLabel = "<fault>",
+      description = "faults to leave out of the replay of a seed: ${COMPLETION-CANDIDATES}")
   private List<FaultKind> leftOut = List.of();
 
   @Option(
       names = "--deploy",
       defaultValue = "deploy/balancer.toml",
-      paramLabel = "<file>", //
-      description = "whose line run starts a router (default: ${DEFAULT-VALUE})") //
+      paramLabel = "<file>",
+      description = "whose run command starts a router (default: ${DEFAULT-VALUE})")
   private Path deployFile;
 
   @Option(
       names = "--logs",
       paramLabel = "<directory>",
-      description = "keeps the routers' logs there") //
+      description = "where to keep the routers' logs")
   private Path logs;
 
   @Override
--- a/src/main/java/switchgap/cli/StatusCommand.java
+++ b/src/main/java/switchgap/cli/StatusCommand.java
@@ -14,8 +14,8 @@
 /** Prints the status of routers and their planners. */
 @Command(
     name = "status",
-    mixinStandardHelpOptions = true, //
-    description = "Shows how routers stand: calls, level, planner. 0 when all answer.") //
+    mixinStandardHelpOptions = true,
+    description = "Shows the status of routers: requests, level, planner. 0 when all respond.")
 final class StatusCommand implements Callable<Integer> {
   private static final Duration TIMEOUT = Duration.ofSeconds(3);
   private static final int HTTP_OK = 200;
--- a/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
+++ b/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
@@ -73,7 +73,7 @@
               directory.resolve("relay.log"),
               JVM,
               List.of(
-                  "lab",
+                  "benchmark",
                   "relay",
                   "--port",
                   String.valueOf(ports[0]),
