--- a/src/main/java/switchgap/policy/LoadEstimator.java
+++ b/src/main/java/switchgap/policy/LoadEstimator.java
@@ -65,7 +65,7 @@
     probesReportLoad = succeeded ? !Double.isNaN(report.inFlight()) : probesReportLoad;
   }
 
-  void attemptSucceeded(Request request, Attempt attempt, Worker worker, Duration duration) {
+  void attemptSucceeded(Request request, AttemptState attempt, Worker worker, Duration duration) {
     RequestClass requestClass = request.requestClass;
     double relative = toSeconds(duration) / toSeconds(requestClass.latencyObjective);
     Duration usual = request.hasDurationHint() ? request.durationHint : usualDuration(requestClass);
--- a/src/main/java/switchgap/policy/RequestRouter.java
+++ b/src/main/java/switchgap/policy/RequestRouter.java
@@ -185,7 +185,7 @@
 
   private void startAttempt(Request request, Worker worker) {
     boolean loaded = state.replicaState(request.function, worker) == Replica.State.LOADED;
-    request.attemptStarted(worker, new Attempt(loaded, settings.loadsOnDemand), state.now);
+    request.attemptStarted(worker, new AttemptState(loaded, settings.loadsOnDemand), state.now);
     if (state.isWarmingUp(worker)) {
       worker.sendsWhileCold.add(state.now);
     }
--- a/src/main/java/switchgap/policy/RoutingPolicy.java
+++ b/src/main/java/switchgap/policy/RoutingPolicy.java
@@ -119,7 +119,7 @@
     Request request = state.requests.get(result.request());
     Worker worker = state.workers.get(result.worker());
     AttemptOutcome outcome = result.outcome();
-    Attempt attempt = request.attemptEnded(result.attempt(), worker, outcome);
+    AttemptState attempt = request.attemptEnded(result.attempt(), worker, outcome);
     boolean rejected = outcome == AttemptOutcome.REJECTED;
     estimator.workerReported(request.requestClass, worker, result.load(), rejected);
     scaler.concurrencyMet(request.function, result.load().concurrency());
--- a/src/main/java/switchgap/policy/state/Attempt.java
+++ b/src/main/java/switchgap/policy/state/AttemptState.java
@@ -1,7 +1,7 @@
 package switchgap.policy.state;
 
 /** One attempt of a request at a worker. */
-public final class Attempt {
+public final class AttemptState {
   /** Whether a replica was thought to be loaded there. */
   public final boolean replicaLoaded;
 
@@ -11,7 +11,7 @@
   public boolean ended;
 
   /** An attempt that is about to be sent. */
-  public Attempt(boolean replicaLoaded, boolean loadsOnDemand) {
+  public AttemptState(boolean replicaLoaded, boolean loadsOnDemand) {
     this.replicaLoaded = replicaLoaded;
     this.waitsForLoad = !replicaLoaded && loadsOnDemand;
   }
--- a/src/main/java/switchgap/policy/state/Request.java
+++ b/src/main/java/switchgap/policy/state/Request.java
@@ -20,7 +20,7 @@
   /** How long it should run, null or zero where the client did not say. */
   public final Duration durationHint;
 
-  public final List<Attempt> attempts = new ArrayList<>(2);
+  public final List<AttemptState> attempts = new ArrayList<>(2);
 
   /** Workers at which an attempt ended without a response. */
   public final BitSet failedWorkers = new BitSet();
@@ -116,7 +116,7 @@
   }
 
   /** An attempt goes out to a worker. */
-  public void attemptStarted(Worker worker, Attempt attempt, Duration now) {
+  public void attemptStarted(Worker worker, AttemptState attempt, Duration now) {
     attempts.add(attempt);
     inFlight++;
     if (possibleExecutions == 0 && inFlight == 1) {
@@ -129,8 +129,8 @@
   }
 
   /** An attempt at a worker ended; returns it. */
-  public Attempt attemptEnded(int index, Worker worker, AttemptOutcome outcome) {
-    Attempt attempt = attempts.get(index);
+  public AttemptState attemptEnded(int index, Worker worker, AttemptOutcome outcome) {
+    AttemptState attempt = attempts.get(index);
     attempt.ended = true;
     inFlight--;
     possibleExecutions += outcome.neverExecuted() ? 0 : 1;
