--- a/src/main/java/switchgap/protocol/thrift/ThriftServer.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -9,8 +9,9 @@
 import java.util.function.Supplier;
 import switchgap.net.CloseCause;
 import switchgap.net.NetworkTransport;
-import switchgap.net.PauseDetector;
+import switchgap.net.StallDetector;
 import switchgap.net.TcpConnection;
+import switchgap.net.TcpServer;
 import switchgap.policy.api.RouterSettings;
 import switchgap.router.RouterCore;
 import switchgap.router.RouterDiagnostics;
@@ -48,8 +49,8 @@
 
   private volatile boolean isHealthy;
   private final RouterDiagnostics diagnostics;
-  private final PauseDetector pauseDetector;
-  private volatile TcpConnection.Server listener;
+  private final StallDetector stallDetector;
+  private volatile TcpServer listener;
 
   /**
    * A server that does not listen yet.
@@ -74,7 +75,7 @@
     this.clock = clock;
     this.eventLoop = eventLoop;
     this.diagnostics = diagnostics;
-    pauseDetector = new PauseDetector(limits.sweepInterval(), clock.get());
+    stallDetector = new StallDetector(limits.sweepInterval(), clock.get());
     connections = new ClientConnectionTable(limits.maxConnections(), limits.receiveTimeout());
     requests =
         new RequestHandler(
@@ -83,7 +84,7 @@
 
   /** Listens; port 0 takes any. */
   public void listen(NetworkTransport net, String host, int port) throws IOException {
-    listener = TcpConnection.listen(net, host, port, ACCEPT_BACKLOG, this);
+    listener = TcpServer.listen(net, host, port, ACCEPT_BACKLOG, this);
   }
 
   /** The port it listens at. */
@@ -107,7 +108,7 @@
   @Override
   public void opened(TcpConnection tcp) {
     ClientConnection connection = new ClientConnection(tcp, clock, limits.maxUnsentBytes());
-    tcp.attachment = connection;
+    tcp.attach(connection);
     openConnections.incrementAndGet();
     diagnostics.events().record(new RouterEvent.ClientConnected(tcp.id()));
     updateAccepting();
@@ -121,7 +122,7 @@
   @Override
   public void received(TcpConnection tcp, ByteBuffer bytes) {
     ClientConnection connection = connectionOf(tcp);
-    Duration now = clock.get().minus(tcp.possibleDelay());
+    Duration now = clock.get().minus(tcp.maxReceiveDelay());
     if (!connection.receive(bytes, frame -> frameReceived(connection, frame, now), now)) {
       connection.close(ClientCloseReason.FRAME_OUT_OF_BOUNDS);
     }
@@ -157,7 +158,7 @@
   }
 
   private static ClientConnection connectionOf(TcpConnection tcp) {
-    return (ClientConnection) tcp.attachment;
+    return (ClientConnection) tcp.attachment();
   }
 
   private void frameReceived(ClientConnection connection, byte[] frame, Duration now) {
@@ -252,7 +253,7 @@
    * could not be accepted as one.
    */
   public int activeConnections() {
-    int unaccepted = listener.isHeldUp() ? 1 : 0;
+    int unaccepted = listener.isAcceptStalled() ? 1 : 0;
     return Math.max(0, openConnections.get() - connections.size())
         + connections.activeCount()
         + unaccepted;
@@ -283,7 +284,7 @@
    * limits.
    */
   public void closeOverdueConnections(Duration now) {
-    connections.pauseEnded(now, pauseDetector.heldUp(now));
+    connections.pauseEnded(now, stallDetector.recordCheck(now));
     connections.closeOverdue(now);
   }
 }
