--- a/src/main/java/switchgap/config/FunctionsSection.java
+++ b/src/main/java/switchgap/config/FunctionsSection.java
@@ -5,7 +5,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import switchgap.config.YamlRouterSettings.FunctionSettings;
 
 /**
  * The section {@code functions}: entries of one function each, and entries of all functions with a
--- a/src/main/java/switchgap/config/RequestClassesSection.java
+++ b/src/main/java/switchgap/config/RequestClassesSection.java
@@ -5,7 +5,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import switchgap.config.YamlRouterSettings.RequestClassSettings;
 import switchgap.policy.api.DeduplicationScope;
 import switchgap.policy.api.Idempotency;
 
--- a/src/main/java/switchgap/config/YamlRouterSettings.java
+++ b/src/main/java/switchgap/config/YamlRouterSettings.java
@@ -14,41 +14,6 @@
  * Immutable.
  */
 public final class YamlRouterSettings implements RouterSettings {
-  /** A request class as the document states it. */
-  public record RequestClassSettings(
-      String name,
-      Duration latencyObjective,
-      Duration timeout,
-      double priorityWeight,
-      double lateValueShare,
-      Idempotency idempotency,
-      DeduplicationScope deduplicationScope,
-      Duration deduplicationWindow) {}
-
-  /**
-   * A function, or all whose names begin alike when the name ends in an asterisk.
-   *
-   * @param requestClass its index
-   * @param memoryMb memory of a replica in MB
-   * @param slots requests that a replica serves at a time
-   * @param loadTime time that a replica takes to load, or null where it is not stated
-   * @param tenant its index, or -1 where none is stated
-   */
-  public record FunctionSettings(
-      String name, int requestClass, double memoryMb, int slots, Duration loadTime, int tenant) {
-    private static final String PREFIX_MARK = "*";
-
-    boolean isPrefix() {
-      return name.endsWith(PREFIX_MARK);
-    }
-
-    boolean matches(String function) {
-      return isPrefix()
-          ? function.startsWith(name.substring(0, name.length() - PREFIX_MARK.length()))
-          : name.equals(function);
-    }
-  }
-
   /** The only zone where the document names none. */
   private static final List<String> DEFAULT_ZONES = List.of("zone");
 
--- a/src/main/java/switchgap/endpoints/EndpointListEvent.java
+++ b/src/main/java/switchgap/endpoints/EndpointListEvent.java
@@ -20,16 +20,6 @@
  * @param updates null for an event of another kind
  */
 public record EndpointListEvent(long sequence, boolean complete, List<EndpointUpdate> updates) {
-  /**
-   * What is needed to read names and times.
-   *
-   * @param zones indices of zones by their names in the settings
-   * @param kinds indices of kinds of worker by their names in the settings
-   * @param startedAtMillis start of the router, in milliseconds of Unix time
-   */
-  public record NameDirectory(
-      Map<String, Integer> zones, Map<String, Integer> kinds, long startedAtMillis) {}
-
   private static final int MAX_WORKERS = 4096;
   private static final int MAX_PORT = 0xffff;
 
@@ -49,9 +39,9 @@
   private static final String STARTED_AT_MILLIS = "boot_ms";
 
   /** Reads the text of an event; a mistake is an {@link IOException} that names its key. */
-  static EndpointListEvent parse(String text, NameDirectory directory) throws IOException {
+  static EndpointListEvent parse(String text, EndpointNames names) throws IOException {
     try {
-      return fromJson(JsonDocument.parseObject(text), directory);
+      return fromJson(JsonDocument.parseObject(text), names);
     } catch (IOException e) {
       throw new IOException("event: " + e.getMessage(), e);
     }
@@ -63,7 +53,7 @@
    * @throws IOException if it can't be used; names the key
    * @throws IllegalArgumentException if a worker's endpoint is no address at all
    */
-  public static EndpointListEvent fromJson(Map<?, ?> event, NameDirectory directory)
+  public static EndpointListEvent fromJson(Map<?, ?> event, EndpointNames names)
       throws IOException {
     long sequence = (long) number(event, SEQUENCE);
     if (!(event.get(MEMBERS) instanceof Map<?, ?> members)) {
@@ -77,12 +67,12 @@
       if (!(target instanceof Map<?, ?> worker)) {
         throw new IOException(TARGETS_PATH + ": no object");
       }
-      updates.add(readWorker(worker, directory));
+      updates.add(readWorker(worker, names));
     }
     return new EndpointListEvent(sequence, Boolean.TRUE.equals(members.get(COMPLETE)), updates);
   }
 
-  private static EndpointUpdate readWorker(Map<?, ?> worker, NameDirectory directory)
+  private static EndpointUpdate readWorker(Map<?, ?> worker, EndpointNames names)
       throws IOException {
     WorkerState state = readState(worker);
     String name = text(worker, NAME);
@@ -90,10 +80,10 @@
     URI address = addressNeeded ? readAddress(worker) : null;
     String host = address == null ? "" : address.getHost();
     int port = address == null ? 0 : address.getPort();
-    Duration startedAt = readStart(worker, directory);
-    int zone = index(directory.zones, worker.get(ZONE));
+    Duration startedAt = readStart(worker, names);
+    int zone = names.zones().applyAsInt(String.valueOf(worker.get(ZONE)));
     int cell = (int) optionalNumber(worker, CELL);
-    int kind = index(directory.kinds, worker.get(KIND));
+    int kind = names.workerKinds().applyAsInt(String.valueOf(worker.get(KIND)));
     double capacity = optionalNumber(worker, CAPACITY);
     return new EndpointUpdate(name, host, port, state, zone, cell, kind, capacity, startedAt);
   }
@@ -116,17 +106,12 @@
   }
 
   /** The worker's start since the router's, or null where it is not stated or zero. */
-  private static Duration readStart(Map<?, ?> worker, NameDirectory directory) throws IOException {
+  private static Duration readStart(Map<?, ?> worker, EndpointNames names) throws IOException {
     double startedAtMillis = optionalNumber(worker, STARTED_AT_MILLIS);
     if (startedAtMillis == 0) {
       return null;
     }
-    return Duration.ofMillis((long) startedAtMillis - directory.startedAtMillis);
-  }
-
-  /** The index of a name; one past all known ones where the settings do not have it. */
-  private static int index(Map<String, Integer> indices, Object name) {
-    return indices.getOrDefault(String.valueOf(name), indices.size());
+    return names.sinceRouterStart((long) startedAtMillis);
   }
 
   private static String text(Map<?, ?> object, String key) throws IOException {
--- a/src/main/java/switchgap/endpoints/EndpointListLine.java
+++ b/src/main/java/switchgap/endpoints/EndpointListLine.java
@@ -9,7 +9,6 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Set;
-import java.util.function.ToIntFunction;
 import switchgap.policy.api.WorkerState;
 import switchgap.router.EndpointUpdate;
 
@@ -25,16 +24,6 @@
  * @param version counts up by one with each change
  */
 public record EndpointListLine(boolean complete, long version, List<EndpointUpdate> updates) {
-  /**
-   * What is needed to read names and times.
-   *
-   * @param zones gives the index of a zone, below zero for an unknown one
-   * @param kinds gives the index of a kind of worker
-   * @param startedAtMillis start of the router, in milliseconds of Unix time
-   */
-  public record NameDirectory(
-      ToIntFunction<String> zones, ToIntFunction<String> kinds, long startedAtMillis) {}
-
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int MAX_WORKERS = 100_000;
   private static final int MAX_NAME_LENGTH = 200;
@@ -58,7 +47,7 @@
   private static final String STARTED_AT_MILLIS = "started";
 
   /** Reads a line; a mistake is an {@link IOException} with the worker and the reason. */
-  public static EndpointListLine parse(String line, NameDirectory directory) throws IOException {
+  public static EndpointListLine parse(String line, EndpointNames names) throws IOException {
     JsonNode list = JSON.readTree(line);
     JsonNode workers = list == null ? null : list.get(WORKERS);
     if (workers == null
@@ -71,13 +60,13 @@
       throw new IOException("more than " + MAX_WORKERS + " workers");
     }
     List<EndpointUpdate> updates = new ArrayList<>();
-    Set<String> names = new HashSet<>();
+    Set<String> workerNames = new HashSet<>();
     for (JsonNode worker : workers) {
       String name = readName(worker);
-      if (!names.add(name)) {
+      if (!workerNames.add(name)) {
         throw new IOException("worker " + name + " stands twice");
       }
-      updates.add(readWorker(name, worker, directory));
+      updates.add(readWorker(name, worker, names));
     }
     return new EndpointListLine(
         list.get(COMPLETE).asBoolean(), list.get(VERSION).asLong(), updates);
@@ -91,7 +80,7 @@
     return name;
   }
 
-  private static EndpointUpdate readWorker(String name, JsonNode worker, NameDirectory directory)
+  private static EndpointUpdate readWorker(String name, JsonNode worker, EndpointNames names)
       throws IOException {
     int port = worker.path(PORT).asInt(-1);
     if (port < 1 || port > MAX_PORT) {
@@ -102,16 +91,16 @@
       throw invalid(name, "size " + capacity);
     }
     WorkerState state = readState(name, worker);
-    int zone = directory.zones.applyAsInt(worker.path(ZONE).asText(""));
+    int zone = names.zones().applyAsInt(worker.path(ZONE).asText(""));
     if (zone < 0) {
       throw invalid(name, "unknown zone " + worker.path(ZONE));
     }
     String host = worker.path(HOST).asText(DEFAULT_HOST);
     int cell = worker.path(CELL).asInt(0);
-    int kind = directory.kinds.applyAsInt(worker.path(KIND).asText(""));
+    int kind = names.workerKinds().applyAsInt(worker.path(KIND).asText(""));
     Duration startedAt =
         worker.hasNonNull(STARTED_AT_MILLIS)
-            ? Duration.ofMillis(worker.get(STARTED_AT_MILLIS).asLong() - directory.startedAtMillis)
+            ? names.sinceRouterStart(worker.get(STARTED_AT_MILLIS).asLong())
             : null;
     return new EndpointUpdate(name, host, port, state, zone, cell, kind, capacity, startedAt);
   }
--- a/src/main/java/switchgap/endpoints/EndpointListWatcher.java
+++ b/src/main/java/switchgap/endpoints/EndpointListWatcher.java
@@ -44,7 +44,7 @@
   private final InetSocketAddress service;
   private final int routerIndex;
   private final Duration retryDelay;
-  private final EndpointListLine.NameDirectory directory;
+  private final EndpointNames names;
   private final Consumer<Consumer<RouterCore>> events;
   private final ScheduledFuture<?> silenceCheck;
   private SubscriptionState state = SubscriptionState.DISCONNECTED;
@@ -65,13 +65,13 @@
       InetSocketAddress service,
       int routerIndex,
       Duration retryDelay,
-      EndpointListLine.NameDirectory directory,
+      EndpointNames names,
       Consumer<Consumer<RouterCore>> events) {
     this.connections = connections;
     this.service = service;
     this.routerIndex = routerIndex;
     this.retryDelay = retryDelay;
-    this.directory = directory;
+    this.names = names;
     this.events = events;
     silenceCheck =
         TimerThread.EXECUTOR.scheduleAtFixedRate(
@@ -193,7 +193,7 @@
       }
       EndpointListLine list;
       try {
-        list = EndpointListLine.parse(text, directory);
+        list = EndpointListLine.parse(text, names);
       } catch (IOException e) {
         LOG.warn("a list was refused, the last one stays: {}", e.getMessage());
         requestWholeList();
--- a/src/main/java/switchgap/endpoints/EventStreamClient.java
+++ b/src/main/java/switchgap/endpoints/EventStreamClient.java
@@ -48,7 +48,7 @@
   private static final long NO_ATTEMPT = 0;
 
   private final HttpClientConnection.Factory connections;
-  private final EndpointListEvent.NameDirectory directory;
+  private final EndpointNames names;
   private final Consumer<EndpointListEvent> events;
   private final Consumer<String> log;
   private final ScheduledFuture<?> silenceCheck;
@@ -86,12 +86,12 @@
   public EventStreamClient(
       HttpClientConnection.Factory connections,
       long lastSequence,
-      EndpointListEvent.NameDirectory directory,
+      EndpointNames names,
       Consumer<EndpointListEvent> events,
       Consumer<String> log) {
     this.connections = connections;
     this.lastSequence = lastSequence;
-    this.directory = directory;
+    this.names = names;
     this.events = events;
     this.log = log;
     silenceCheck =
@@ -226,7 +226,7 @@
       return;
     }
     try {
-      deliver(attempt, EndpointListEvent.parse(text, directory));
+      deliver(attempt, EndpointListEvent.parse(text, names));
     } catch (IOException | RuntimeException e) {
       disconnected(attempt, e.getMessage()); // the next connection delivers it whole
     }
--- a/src/main/java/switchgap/protocol/invoke/InvokeRequest.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeRequest.java
@@ -1,9 +1,9 @@
 package switchgap.protocol.invoke;
 
 import java.time.Duration;
+import switchgap.config.FunctionSettings;
+import switchgap.config.RequestClassSettings;
 import switchgap.config.YamlRouterSettings;
-import switchgap.config.YamlRouterSettings.FunctionSettings;
-import switchgap.config.YamlRouterSettings.RequestClassSettings;
 import switchgap.net.HttpExchange;
 import switchgap.net.WallClock;
 import switchgap.policy.api.Idempotency;
--- a/src/main/java/switchgap/protocol/resp/RespConnection.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnection.java
@@ -14,7 +14,7 @@
   final RespDecoder decoder;
 
   /** Exchanges that wait for their reply, by the id or tag that it will bear. */
-  final Map<String, PendingExchange> inFlight = new HashMap<>();
+  final Map<String, RespExchange> inFlight = new HashMap<>();
 
   /** A reply stayed out until its timeout, and nothing has come since. */
   boolean unresponsive;
--- a/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
@@ -23,7 +23,7 @@
   /** The longest string of a reply, which is its body. */
   private static final int MAX_STRING_BYTES = 16 << 10;
 
-  private final RespWorkerTransport.ConnectionLimits limits;
+  private final RespConnectionLimits limits;
   private final Supplier<Duration> clock;
   private final Consumer<Consumer<RouterCore>> events;
   private final TcpConnection.Factory connectionFactory;
@@ -42,7 +42,7 @@
    */
   RespConnectionManager(
       NetworkTransport net,
-      RespWorkerTransport.ConnectionLimits limits,
+      RespConnectionLimits limits,
       Supplier<Duration> clock,
       Consumer<Consumer<RouterCore>> events,
       RouterDiagnostics diagnostics) {
@@ -54,7 +54,7 @@
         new TcpConnection.Factory(net, new ReplyReader(events, diagnostics.events()));
   }
 
-  RespWorkerTransport.ConnectionLimits limits() {
+  RespConnectionLimits limits() {
     return limits;
   }
 
@@ -86,8 +86,8 @@
 
   /** Connections that one worker may have when all that are in use share the limit. */
   int maxConnectionsPerWorker() {
-    int share = limits.connections() / Math.max(1, pools.size());
-    return Math.max(MIN_CONNECTIONS_PER_WORKER, Math.min(limits.links(), share));
+    int share = limits.maxConnections() / Math.max(1, pools.size());
+    return Math.max(MIN_CONNECTIONS_PER_WORKER, Math.min(limits.maxConnectionsPerWorker(), share));
   }
 
   /**
@@ -95,7 +95,7 @@
    * recently used is closed for it, so this must be asked last.
    */
   boolean makeRoom() {
-    if (connectionCount < limits.connections()) {
+    if (connectionCount < limits.maxConnections()) {
       return true;
     }
     RespConnection evicted = null;
@@ -114,7 +114,7 @@
     connectionCount++;
     connectionFactory.connect(
         address,
-        limits.connectWithin(),
+        limits.connectTimeout(),
         new Connector.ConnectCallback<>() {
           @Override
           public void connected(TcpConnection tcp) {
@@ -139,7 +139,7 @@
 
   /** Closes idle connections and forgets the pools of workers that are gone. */
   void sweep() {
-    pools.removeIf(pool -> pool.sweep(limits.idle().toNanos()));
+    pools.removeIf(pool -> pool.sweep(limits.idleTimeout().toNanos()));
   }
 
   /** Connections that are open or being opened. */
--- a/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
@@ -21,7 +21,7 @@
   private final RespConnectionManager manager;
   private final InetSocketAddress address;
   private final List<RespConnection> connections = new ArrayList<>();
-  private final ArrayDeque<PendingExchange> waiting = new ArrayDeque<>();
+  private final ArrayDeque<RespExchange> waiting = new ArrayDeque<>();
   private int opening;
   private boolean retired;
 
@@ -33,7 +33,7 @@
   /**
    * Sends an exchange, has it wait for a connection that is being opened, or ends it as not sent.
    */
-  void submit(PendingExchange exchange) {
+  void submit(RespExchange exchange) {
     boolean maySend = maySend(exchange) && !retired;
     RespConnection connection = maySend ? leastLoaded(exchange) : null;
     if (maySend && (connection == null || !connection.isIdle()) && mayConnect()) {
@@ -42,18 +42,20 @@
     }
     if (connection != null) {
       send(exchange, connection);
-    } else if (maySend(exchange) && opening > 0 && waiting.size() < manager.limits().waiting()) {
+    } else if (maySend(exchange)
+        && opening > 0
+        && waiting.size() < manager.limits().maxWaitingPerWorker()) {
       waiting.add(exchange);
     } else {
       endLater(exchange, AttemptOutcome.NOT_SENT);
     }
   }
 
-  private boolean maySend(PendingExchange exchange) {
+  private boolean maySend(RespExchange exchange) {
     return exchange.maySend(manager.nowNanos());
   }
 
-  private void endLater(PendingExchange exchange, AttemptOutcome outcome) {
+  private void endLater(RespExchange exchange, AttemptOutcome outcome) {
     manager.post(core -> exchange.complete(core, outcome, null));
   }
 
@@ -89,7 +91,7 @@
   /**
    * The connection with the fewest exchanges in flight of those that may take this one, or null.
    */
-  private RespConnection leastLoaded(PendingExchange exchange) {
+  private RespConnection leastLoaded(RespExchange exchange) {
     RespConnection best = null;
     for (RespConnection connection : connections) {
       if (mayTake(connection, exchange)
@@ -104,10 +106,10 @@
    * Whether a connection may take an exchange. One with unwritten bytes may not: what waits behind
    * them would go out after its worker began to drain or its client left.
    */
-  private boolean mayTake(RespConnection connection, PendingExchange exchange) {
+  private boolean mayTake(RespConnection connection, RespExchange exchange) {
     return !connection.unresponsive
         && connection.tcp.isOpen()
-        && connection.inFlight.size() < manager.limits().multiplex()
+        && connection.inFlight.size() < manager.limits().maxInFlightPerConnection()
         && connection.tcp.unsentBytes() == 0
         && !carriedEarlierAttempt(connection, exchange);
   }
@@ -116,13 +118,12 @@
    * Whether an earlier attempt of the same request was sent on this connection: both bear the
    * request's id, so a late reply to the earlier one would be taken for the later one's.
    */
-  private static boolean carriedEarlierAttempt(
-      RespConnection connection, PendingExchange exchange) {
+  private static boolean carriedEarlierAttempt(RespConnection connection, RespExchange exchange) {
     if (exchange.request == null) {
       return false;
     }
     for (Attempt attempt : exchange.request.attempts()) {
-      if (attempt.attachment instanceof PendingExchange other
+      if (attempt.attachment instanceof RespExchange other
           && other != exchange
           && other.connection() == connection) {
         return true;
@@ -131,7 +132,7 @@
     return false;
   }
 
-  private void send(PendingExchange exchange, RespConnection connection) {
+  private void send(RespExchange exchange, RespConnection connection) {
     long nowNanos = manager.nowNanos();
     boolean sent =
         exchange.maySend(nowNanos)
@@ -174,8 +175,8 @@
    */
   private void placeWaiting(RouterCore core, AttemptOutcome outcomeWithoutConnection) {
     for (int i = waiting.size(); i > 0; i--) {
-      PendingExchange exchange = waiting.poll();
-      if (exchange.state() != PendingExchange.State.WAITING) {
+      RespExchange exchange = waiting.poll();
+      if (exchange.state() != RespExchange.State.WAITING) {
         continue;
       }
       RespConnection connection = leastLoaded(exchange);
@@ -195,7 +196,7 @@
     if (connections.remove(connection)) {
       manager.connectionEnded();
     }
-    List<PendingExchange> lost = List.copyOf(connection.inFlight.values());
+    List<RespExchange> lost = List.copyOf(connection.inFlight.values());
     connection.inFlight.clear();
     lost.forEach(exchange -> exchange.complete(core, AttemptOutcome.CONNECTION_LOST, null));
   }
@@ -204,7 +205,7 @@
   void replyReceived(RouterCore core, RespConnection connection, WorkerReply reply) {
     connection.unresponsive = false;
     connection.lastReplyNanos = manager.nowNanos();
-    PendingExchange exchange = connection.inFlight.get(reply.id());
+    RespExchange exchange = connection.inFlight.get(reply.id());
     if (exchange == null) {
       return;
     }
@@ -219,21 +220,21 @@
   }
 
   /** Ends an exchange whose reply is not wanted any more; tells what that proves. */
-  AttemptOutcome abandon(PendingExchange exchange) {
-    PendingExchange.State before = exchange.abandon();
-    if (before == PendingExchange.State.WAITING) {
+  AttemptOutcome abandon(RespExchange exchange) {
+    RespExchange.State before = exchange.abandon();
+    if (before == RespExchange.State.WAITING) {
       waiting.remove(exchange);
       return connections.isEmpty() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT;
     }
     RespConnection connection = exchange.connection();
-    if (before == PendingExchange.State.IN_FLIGHT
+    if (before == RespExchange.State.IN_FLIGHT
         && connection.inFlight.remove(exchange.id, exchange)) {
       abandonInFlight(exchange, connection);
     }
     return AttemptOutcome.TIMED_OUT;
   }
 
-  private void abandonInFlight(PendingExchange exchange, RespConnection connection) {
+  private void abandonInFlight(RespExchange exchange, RespConnection connection) {
     boolean timedOut = manager.nowNanos() >= exchange.timeoutNanos;
     connection.unresponsive |= timedOut && connection.lastReplyNanos < exchange.sentNanos();
     if (connection.unresponsive && connection.isIdle()) {
@@ -250,7 +251,7 @@
    */
   void rejectWaiting() {
     for (int i = waiting.size(); i > 0; i--) {
-      PendingExchange exchange = waiting.poll();
+      RespExchange exchange = waiting.poll();
       if (maySend(exchange)) {
         waiting.add(exchange);
       } else {
--- a/src/main/java/switchgap/protocol/resp/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/resp/RespExchange.java
@@ -16,7 +16,7 @@
  * loop alone and shares its connection with others, that one is guarded by its lock as writer
  * threads send it, and has its connection to itself.
  */
-final class PendingExchange {
+final class RespExchange {
   /** How an exchange stands; it only ever goes forward. */
   enum State {
     /** It has no connection; no byte of it has gone out. */
@@ -63,7 +63,7 @@
   private RespConnection connection;
   private long sentNanos;
 
-  private PendingExchange(
+  private RespExchange(
       WorkerEntry worker,
       String id,
       Attempt attempt,
@@ -82,9 +82,9 @@
   }
 
   /** The exchange of an attempt of a request, whose id the reply will bear. */
-  static PendingExchange ofAttempt(
+  static RespExchange ofAttempt(
       Attempt attempt, CommandEncoder encoder, long timeoutNanos, CompletionListener listener) {
-    return new PendingExchange(
+    return new RespExchange(
         attempt.worker, attempt.request.id, attempt, false, encoder, timeoutNanos, listener);
   }
 
@@ -95,14 +95,14 @@
    * @param allowedWhileDraining whether a worker that takes nothing new may still get it
    * @param timeoutNanos nanoseconds of the loop's clock at which it times out
    */
-  static PendingExchange ofCommand(
+  static RespExchange ofCommand(
       WorkerEntry worker,
       String tag,
       boolean allowedWhileDraining,
       byte[] command,
       long timeoutNanos,
       CompletionListener listener) {
-    return new PendingExchange(
+    return new RespExchange(
         worker, tag, null, allowedWhileDraining, remaining -> command, timeoutNanos, listener);
   }
 
--- a/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -22,41 +22,20 @@
  * decode; every method here belongs to the event loop.
  */
 public final class RespWorkerTransport implements WorkerTransport {
-  /**
-   * Bounds of the connections to workers.
-   *
-   * @param connections connections to all workers together
-   * @param links connections to one worker
-   * @param waiting exchanges that wait for a connection to one worker
-   * @param multiplex exchanges in flight on one connection
-   * @param connectWithin timeout of opening a connection
-   * @param idle how long a connection may be idle
-   * @param crowds whether replies to executions report the worker's concurrency
-   */
-  public record ConnectionLimits(
-      int connections,
-      int links,
-      int waiting,
-      int multiplex,
-      Duration connectWithin,
-      Duration idle,
-      boolean crowds) {}
-
   /** Tags begin with a letter that is no hexadecimal digit, so that none equals a request's id. */
   private static final String TAG_PREFIX = "t";
 
   private final RespConnectionManager connections;
-  private final String[] requestClassNames;
+  private final RespProtocolSettings protocol;
   private final Duration loadCommandTimeout;
   private final Duration probeTimeout;
-  private final boolean reportsConcurrency;
   private long lastTag;
 
   /**
    * A transport without connections. The core ends commands and probes after their timeouts.
    *
    * @param limits bounds of the connections
-   * @param requestClassNames names of the request classes by index
+   * @param protocol what commands and replies depend on
    * @param coreLimits timeouts of load commands and probes
    * @param clock the router's clock
    * @param events posts to the router's event loop
@@ -64,17 +43,16 @@
    */
   public RespWorkerTransport(
       NetworkTransport net,
-      ConnectionLimits limits,
-      String[] requestClassNames,
+      RespConnectionLimits limits,
+      RespProtocolSettings protocol,
       CoreLimits coreLimits,
       Supplier<Duration> clock,
       Consumer<Consumer<RouterCore>> events,
       RouterDiagnostics diagnostics) {
     this.connections = new RespConnectionManager(net, limits, clock, events, diagnostics);
-    this.requestClassNames = requestClassNames;
+    this.protocol = protocol;
     this.loadCommandTimeout = coreLimits.commandTimeout();
     this.probeTimeout = coreLimits.probeTimeout();
-    this.reportsConcurrency = limits.crowds();
   }
 
   /** Closes idle connections and forgets workers that are gone; to be called regularly. */
@@ -91,13 +69,13 @@
   public void startAttempt(Attempt attempt, Duration timeout) {
     PendingRequest request = attempt.request;
     long timeoutNanos = Math.min(deadlineNanos(timeout), request.deadline.toNanos());
-    PendingExchange exchange =
-        PendingExchange.ofAttempt(
+    RespExchange exchange =
+        RespExchange.ofAttempt(
             attempt,
             remaining ->
                 RespCommand.execute(
                     request.id,
-                    requestClassNames[request.requestClass],
+                    protocol.requestClassNames().get(request.requestClass),
                     request.function,
                     Math.max(1, remaining.toMillis()),
                     request.body),
@@ -106,7 +84,9 @@
                 core.attemptEnded(
                     attempt,
                     outcome,
-                    reply == null ? LoadReport.NONE : reply.loadReport(reportsConcurrency),
+                    reply == null
+                        ? LoadReport.NONE
+                        : reply.loadReport(protocol.reportsConcurrency()),
                     outcome == AttemptOutcome.SUCCEEDED
                         ? Response.succeeded(0, Map.of(), reply.body())
                         : null));
@@ -116,7 +96,7 @@
 
   @Override
   public AttemptOutcome abandon(Attempt attempt) {
-    return attempt.attachment instanceof PendingExchange exchange
+    return attempt.attachment instanceof RespExchange exchange
         ? connections.poolFor(attempt.worker).abandon(exchange)
         : AttemptOutcome.TIMED_OUT;
   }
@@ -128,7 +108,7 @@
     boolean isQuery = replicas == 0;
     submit(
         command,
-        PendingExchange.ofCommand(
+        RespExchange.ofCommand(
             worker,
             tag,
             isQuery,
@@ -142,7 +122,7 @@
   public void unload(WorkerEntry worker, String function, WorkerCommand command) {
     submit(
         command,
-        PendingExchange.ofCommand(
+        RespExchange.ofCommand(
             worker,
             null,
             true,
@@ -156,7 +136,7 @@
     String tag = nextTag();
     submit(
         command,
-        PendingExchange.ofCommand(
+        RespExchange.ofCommand(
             worker,
             tag,
             true,
@@ -167,14 +147,14 @@
                     command, outcome, reply == null ? LoadReport.NONE : reply.loadReport(false))));
   }
 
-  private void submit(WorkerCommand command, PendingExchange exchange) {
+  private void submit(WorkerCommand command, RespExchange exchange) {
     command.attachment = exchange;
     connections.poolFor(exchange.worker).submit(exchange);
   }
 
   @Override
   public void abandon(WorkerCommand command) {
-    if (command.attachment instanceof PendingExchange exchange) {
+    if (command.attachment instanceof RespExchange exchange) {
       connections.poolFor(exchange.worker).abandon(exchange);
     }
   }
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -12,8 +12,8 @@
 import switchgap.admission.ServiceLevelChange;
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
-import switchgap.endpoints.EndpointListLine;
 import switchgap.endpoints.EndpointListWatcher;
+import switchgap.endpoints.EndpointNames;
 import switchgap.eventloop.EventLoop;
 import switchgap.net.HttpClientConnection;
 import switchgap.net.HttpServer;
@@ -184,15 +184,14 @@
     if (endpoints.service() == null) {
       return null;
     }
-    EndpointListLine.NameDirectory directory =
-        new EndpointListLine.NameDirectory(
-            settings::zoneIndex, settings::workerKindIndex, startedAtMillis);
+    EndpointNames names =
+        new EndpointNames(settings::zoneIndex, settings::workerKindIndex, startedAtMillis);
     return new EndpointListWatcher(
         connections,
         endpoints.service(),
         settings.routerIndex(),
         endpoints.retryInterval(),
-        directory,
+        names,
         loop::postUrgent);
   }
 
--- a/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
@@ -6,6 +6,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.config.FunctionSettings;
 import switchgap.config.YamlRouterSettings;
 import switchgap.planner.LoadBacklog;
 import switchgap.planner.LoadPlan;
@@ -184,7 +185,7 @@
   }
 
   private PendingLoad pendingLoad(long id, WorkerEntry worker, String function) {
-    YamlRouterSettings.FunctionSettings known = settings.function(function);
+    FunctionSettings known = settings.function(function);
     double memoryMb = known == null ? 0 : known.memoryMb();
     long loadMicros =
         known == null || known.loadTime() == null
--- a/src/main/java/switchgap/server/platform/PlatformConfig.java
+++ b/src/main/java/switchgap/server/platform/PlatformConfig.java
@@ -13,6 +13,7 @@
 import switchgap.config.JsonDocument;
 import switchgap.config.PropertyRouterSettings;
 import switchgap.endpoints.EndpointListEvent;
+import switchgap.endpoints.EndpointNames;
 
 /**
  * The configuration that the platform gives a router at its start. What can't be used is an {@link
@@ -24,7 +25,7 @@
  * @param lastSequence number of the last event in {@code knownEvents}
  * @param knownEvents the endpoint list so far
  * @param settings what the operators state
- * @param directory reads the names in events
+ * @param endpointNames reads the names in events
  */
 record PlatformConfig(
     String name,
@@ -35,7 +36,7 @@
     long lastSequence,
     List<EndpointListEvent> knownEvents,
     PropertyRouterSettings settings,
-    EndpointListEvent.NameDirectory directory) {
+    EndpointNames endpointNames) {
   private static final int MAX_FILE_BYTES = 8 << 20;
   private static final int MAX_PORT = 0xffff;
   private static final int SEED_RADIX = 16;
@@ -57,8 +58,8 @@
     Map<String, Object> stated = readSettings(members, file);
     try {
       PropertyRouterSettings settings = new PropertyRouterSettings(JsonDocument.flatten(stated));
-      EndpointListEvent.NameDirectory directory =
-          new EndpointListEvent.NameDirectory(
+      EndpointNames endpointNames =
+          EndpointNames.ofIndices(
               settings.listIndices("Zones"), settings.listIndices("Skus"), startedAtMillis);
       int maxSockets = readMaxSockets(members, file);
       if (!(members.get("known") instanceof Map<?, ?> known)
@@ -66,7 +67,7 @@
           || !(known.get("events") instanceof List<?> events)) {
         throw invalid(file, "known", "no last number with its events");
       }
-      List<EndpointListEvent> knownEvents = readEvents(events, file, directory);
+      List<EndpointListEvent> knownEvents = readEvents(events, file, endpointNames);
       InetSocketAddress listenAddress = address(LISTEN_VARIABLE, listen);
       long seed = readSeed(members, file);
       return new PlatformConfig(
@@ -78,7 +79,7 @@
           lastSequence.longValue(),
           knownEvents,
           settings,
-          directory);
+          endpointNames);
     } catch (IOException | IllegalArgumentException e) {
       throw new InvalidConfigException(file.toString(), e.getMessage());
     }
@@ -116,13 +117,13 @@
   }
 
   private static List<EndpointListEvent> readEvents(
-      List<?> events, Path file, EndpointListEvent.NameDirectory directory) throws IOException {
+      List<?> events, Path file, EndpointNames endpointNames) throws IOException {
     List<EndpointListEvent> knownEvents = new ArrayList<>();
     for (Object event : events) {
       if (!(event instanceof Map<?, ?> members)) {
         throw invalid(file, "known.events", "no object");
       }
-      knownEvents.add(EndpointListEvent.fromJson(members, directory));
+      knownEvents.add(EndpointListEvent.fromJson(members, endpointNames));
     }
     return knownEvents;
   }
--- a/src/main/java/switchgap/server/platform/PlatformRouter.java
+++ b/src/main/java/switchgap/server/platform/PlatformRouter.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.time.Duration;
+import java.util.Arrays;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
@@ -14,6 +15,8 @@
 import switchgap.net.HttpClientConnection;
 import switchgap.net.ListenRetry;
 import switchgap.net.NetworkTransport;
+import switchgap.protocol.resp.RespConnectionLimits;
+import switchgap.protocol.resp.RespProtocolSettings;
 import switchgap.protocol.resp.RespWorkerTransport;
 import switchgap.protocol.thrift.ThriftServer;
 import switchgap.router.CoreLimits;
@@ -111,7 +114,7 @@
         new EventStreamClient(
             new HttpClientConnection.Factory(network, null, MAX_FEED_BODY_BYTES),
             config.lastSequence(),
-            config.directory(),
+            config.endpointNames(),
             this::eventReceived,
             logLines);
     startLoop(config);
@@ -121,23 +124,18 @@
   private RespWorkerTransport workerTransport(EventLoop eventLoop, int maxSockets) {
     Duration idleTimeout =
         settings.connectionIdleTimeout().dividedBy(2); // before the worker closes it
-    RespWorkerTransport.ConnectionLimits limits =
-        new RespWorkerTransport.ConnectionLimits(
+    RespConnectionLimits limits =
+        new RespConnectionLimits(
             share(maxSockets, WORKER_CONNECTION_SHARE),
             MAX_CONNECTIONS_PER_WORKER,
             MAX_WAITING_EXCHANGES,
             settings.attemptsPerConnection(),
             settings.connectTimeout(),
-            idleTimeout,
-            settings.reportsConcurrency());
+            idleTimeout);
+    RespProtocolSettings protocol =
+        new RespProtocolSettings(Arrays.asList(requestClassNames()), settings.reportsConcurrency());
     return new RespWorkerTransport(
-        network,
-        limits,
-        requestClassNames(),
-        coreLimits(),
-        eventLoop::now,
-        eventLoop::post,
-        diagnostics);
+        network, limits, protocol, coreLimits(), eventLoop::now, eventLoop::post, diagnostics);
   }
 
   private RouterCore routerCore(RespWorkerTransport transport, long seed) {
--- a/src/main/java/switchgap/testbed/experiment/Emulator.java
+++ b/src/main/java/switchgap/testbed/experiment/Emulator.java
@@ -10,6 +10,7 @@
 import java.util.function.LongToDoubleFunction;
 import switchgap.admission.AdmissionController;
 import switchgap.admission.ServiceLevelChange;
+import switchgap.config.FunctionSettings;
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
 import switchgap.policy.RoutingPolicy;
@@ -227,7 +228,7 @@
 
     private void arrive() {
       FunctionModel model = attempt.model();
-      YamlRouterSettings.FunctionSettings function = routerSettings.function(model.name());
+      FunctionSettings function = routerSettings.function(model.name());
       Duration timeLeft = Duration.ofNanos((attempt.limit() - scheduler.now()) * NANOS_PER_MICRO);
       request =
           PendingRequest.builder(attempt.call(), model.name(), router.now().plus(timeLeft), this)
--- a/src/test/java/switchgap/endpoints/EndpointListLineTest.java
+++ b/src/test/java/switchgap/endpoints/EndpointListLineTest.java
@@ -11,10 +11,9 @@
   private static final String WORKER =
       "{\"name\":\"w\",\"port\":80,\"state\":\"ready\",\"zone\":\"a\"}";
   private static final int MAX_WORKERS = 100_000;
-  private static final EndpointListLine.NameDirectory ONE_ZONE =
-      new EndpointListLine.NameDirectory(zone -> zone.equals("a") ? 0 : -1, kind -> 0, 0);
-  private static final EndpointListLine.NameDirectory ANY_ZONE =
-      new EndpointListLine.NameDirectory(zone -> 0, kind -> 0, 0);
+  private static final EndpointNames ONE_ZONE =
+      new EndpointNames(zone -> zone.equals("a") ? 0 : -1, kind -> 0, 0);
+  private static final EndpointNames ANY_ZONE = new EndpointNames(zone -> 0, kind -> 0, 0);
 
   private static EndpointListLine parse(String workers) throws IOException {
     return EndpointListLine.parse(
--- a/src/test/java/switchgap/endpoints/EventStreamClientTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientTest.java
@@ -23,8 +23,8 @@
 
 /** The control feed through breaks, repeats, gaps, silence and a change of its address. */
 class EventStreamClientTest {
-  private static final EndpointListEvent.NameDirectory DIRECTORY =
-      new EndpointListEvent.NameDirectory(Map.of("east", 0), Map.of("std", 0), 1000);
+  private static final EndpointNames NAMES =
+      EndpointNames.ofIndices(Map.of("east", 0), Map.of("std", 0), 1000);
 
   private static String event(long sequence) {
     return ControlFeedServer.event(
@@ -62,14 +62,14 @@
         EndpointListEvent.parse(
             ControlFeedServer.event(
                 41, true, ControlFeedServer.worker("s-1", "10.1.0.9:10080", "SERVING", 1500)),
-            DIRECTORY);
+            NAMES);
     assertThat(event.sequence()).isEqualTo(41);
     assertThat(event.complete()).isTrue();
     assertThat(event.updates())
         .containsExactly(
             new EndpointUpdate(
                 "s-1", "10.1.0.9", 10080, WorkerState.READY, 0, 2, 0, 4, Duration.ofMillis(500)));
-    assertThat(EndpointListEvent.parse("{\"n\":5,\"news\":{}}", DIRECTORY).updates()).isNull();
+    assertThat(EndpointListEvent.parse("{\"n\":5,\"news\":{}}", NAMES).updates()).isNull();
   }
 
   @ParameterizedTest
@@ -85,8 +85,7 @@
         "{\"n\":1,\"members\":{\"targets\":[{\"uid\":\"a\",\"endpoint\":\"nowhere\",\"state\":\"SERVING\"}]}}"
       })
   void rejectsEventsThatCannotBeUsed(String text) {
-    assertThatThrownBy(() -> EndpointListEvent.parse(text, DIRECTORY))
-        .isInstanceOf(IOException.class);
+    assertThatThrownBy(() -> EndpointListEvent.parse(text, NAMES)).isInstanceOf(IOException.class);
   }
 
   private static void await(java.util.function.BooleanSupplier condition)
@@ -129,7 +128,7 @@
             new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
                 1,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(feed.at());
@@ -161,7 +160,7 @@
             new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
                 1,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(firstFeed.at());
@@ -206,7 +205,7 @@
             new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
                 1,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(feed.at());
@@ -253,7 +252,7 @@
             new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
                 1,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(oldFeed.at());
@@ -294,7 +293,7 @@
             new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
                 1,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(oldFeed.at());
@@ -341,7 +340,7 @@
             new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
                 5,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence() + event.updates().get(0).name()),
                 line -> {})) {
       client.follow(feed.at());
--- a/src/test/java/switchgap/protocol/resp/PassedOnDeadlineTest.java
+++ b/src/test/java/switchgap/protocol/resp/PassedOnDeadlineTest.java
@@ -16,7 +16,6 @@
 import org.junit.jupiter.api.Test;
 import switchgap.net.NetworkTransport;
 import switchgap.policy.api.WorkerState;
-import switchgap.protocol.resp.RespWorkerTransport.ConnectionLimits;
 import switchgap.router.CoreLimits;
 import switchgap.router.EndpointUpdate;
 import switchgap.router.PendingRequest;
@@ -39,13 +38,13 @@
   private volatile Duration now = Duration.ZERO;
 
   private RouterCore core(NetworkTransport net) throws Exception {
-    ConnectionLimits limits =
-        new ConnectionLimits(4, 2, 10, 2, Duration.ofSeconds(5), Duration.ofSeconds(30), false);
+    RespConnectionLimits limits =
+        new RespConnectionLimits(4, 2, 10, 2, Duration.ofSeconds(5), Duration.ofSeconds(30));
     RespWorkerTransport transport =
         new RespWorkerTransport(
             net,
             limits,
-            new String[] {"again"},
+            new RespProtocolSettings(List.of("again"), false),
             new CoreLimits(TIMEOUT, TIMEOUT, 10),
             () -> now,
             events::add,
--- a/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
+++ b/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
@@ -19,7 +19,6 @@
 import org.junit.jupiter.api.Test;
 import switchgap.net.NetworkTransport;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.protocol.resp.RespWorkerTransport.ConnectionLimits;
 import switchgap.router.Attempt;
 import switchgap.router.PendingRequest;
 import switchgap.router.Response;
@@ -34,8 +33,8 @@
  * sets.
  */
 class RespConnectionPoolTest implements ResponseListener {
-  private static final ConnectionLimits LIMITS =
-      new ConnectionLimits(4, 2, 10, 2, Duration.ofSeconds(5), Duration.ofSeconds(30), false);
+  private static final RespConnectionLimits LIMITS =
+      new RespConnectionLimits(4, 2, 10, 2, Duration.ofSeconds(5), Duration.ofSeconds(30));
   private static final Duration TIMEOUT = Duration.ofMillis(100);
   private static final int EVENT_SECONDS = 5;
   private static final int SILENCE_MILLIS = 200;
@@ -56,16 +55,16 @@
         new RespConnectionManager(net, LIMITS, () -> now, events::add, diagnostics).poolFor(worker);
   }
 
-  private PendingExchange exchange(String id) {
+  private RespExchange exchange(String id) {
     PendingRequest request = PendingRequest.builder(id, "f", Duration.ofMinutes(1), this).build();
-    return PendingExchange.ofAttempt(
+    return RespExchange.ofAttempt(
         new Attempt(request, 0, worker, now),
         remaining -> RespCommand.execute(id, "batch", "f", remaining.toMillis(), new byte[0]),
         now.plus(TIMEOUT).toNanos(),
         (core, outcome, reply) -> outcomes.add(outcome));
   }
 
-  private byte[] command(PendingExchange exchange) {
+  private byte[] command(RespExchange exchange) {
     return exchange.command(now.toNanos(), diagnostics);
   }
 
@@ -91,12 +90,12 @@
 
   @Test
   void anExchangeWaitsForItsConnectionAndEndsWithItsReply() throws Exception {
-    PendingExchange exchange = exchange("1");
+    RespExchange exchange = exchange("1");
     pool.submit(exchange);
-    assertThat(exchange.state()).isEqualTo(PendingExchange.State.WAITING);
+    assertThat(exchange.state()).isEqualTo(RespExchange.State.WAITING);
     try (Socket socket = server.accept()) {
       runNextEvent();
-      assertThat(exchange.state()).isEqualTo(PendingExchange.State.IN_FLIGHT);
+      assertThat(exchange.state()).isEqualTo(RespExchange.State.IN_FLIGHT);
       assertThat(read(socket, command(exchange).length)).isEqualTo(text(command(exchange)));
       socket.getOutputStream().write(RespCommandEncoder.encode("1", "full", "-", ""));
       runNextEvent();
@@ -106,7 +105,7 @@
 
   @Test
   void anAttemptAbandonedInFlightIsCancelledAtItsWorker() throws Exception {
-    PendingExchange exchange = exchange("1");
+    RespExchange exchange = exchange("1");
     pool.submit(exchange);
     try (Socket socket = server.accept()) {
       runNextEvent();
@@ -120,7 +119,7 @@
 
   @Test
   void aLostConnectionEndsWhatWasInFlightOnIt() throws Exception {
-    PendingExchange exchange = exchange("1");
+    RespExchange exchange = exchange("1");
     pool.submit(exchange);
     try (Socket socket = server.accept()) {
       runNextEvent();
@@ -144,12 +143,12 @@
    */
   @Test
   void anExchangeThatWaitedPastItsTimeoutIsNotSent() throws Exception {
-    PendingExchange exchange = exchange("1");
+    RespExchange exchange = exchange("1");
     pool.submit(exchange);
     try (Socket socket = server.accept()) {
       now = now.plus(TIMEOUT);
       runNextEvent();
-      assertThat(exchange.state()).isEqualTo(PendingExchange.State.WAITING);
+      assertThat(exchange.state()).isEqualTo(RespExchange.State.WAITING);
       assertSilent(socket);
       runNextEvent();
       assertThat(outcomes).containsExactly(AttemptOutcome.NOT_SENT);
