--- a/src/test/java/switchgap/endpoints/EventStreamClientTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientTest.java
@@ -23,8 +23,8 @@
 
 /** The control feed through breaks, repeats, gaps, silence and a change of its address. */
 class EventStreamClientTest {
-  private static final EndpointListEvent.NameDirectory DIRECTORY =
-      new EndpointListEvent.NameDirectory(Map.of("east", 0), Map.of("std", 0), 1000);
+  private static final EndpointNames NAMES =
+      EndpointNames.ofIndices(Map.of("east", 0), Map.of("std", 0), 1000);
 
   private static String event(long sequence) {
     return EventStreamTestServer.endpointListEvent(
@@ -64,14 +64,14 @@
         EndpointListEvent.parse(
             EventStreamTestServer.endpointListEvent(
                 41, true, EventStreamTestServer.endpoint("s-1", "10.1.0.9:10080", "SERVING", 1500)),
-            DIRECTORY);
+            NAMES);
     assertThat(event.sequence()).isEqualTo(41);
     assertThat(event.complete()).isTrue();
     assertThat(event.updates())
         .containsExactly(
             new EndpointUpdate(
                 "s-1", "10.1.0.9", 10080, WorkerState.READY, 0, 2, 0, 4, Duration.ofMillis(500)));
-    assertThat(EndpointListEvent.parse("{\"n\":5,\"news\":{}}", DIRECTORY).updates()).isNull();
+    assertThat(EndpointListEvent.parse("{\"n\":5,\"news\":{}}", NAMES).updates()).isNull();
   }
 
   @ParameterizedTest
@@ -87,8 +87,7 @@
         "{\"n\":1,\"members\":{\"targets\":[{\"uid\":\"a\",\"endpoint\":\"nowhere\",\"state\":\"SERVING\"}]}}"
       })
   void rejectsEventsThatCannotBeUsed(String text) {
-    assertThatThrownBy(() -> EndpointListEvent.parse(text, DIRECTORY))
-        .isInstanceOf(IOException.class);
+    assertThatThrownBy(() -> EndpointListEvent.parse(text, NAMES)).isInstanceOf(IOException.class);
   }
 
   private static void await(java.util.function.BooleanSupplier condition)
@@ -131,7 +130,7 @@
             new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
                 1,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(feed.address());
@@ -163,7 +162,7 @@
             new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
                 1,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(firstFeed.address());
@@ -208,7 +207,7 @@
             new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
                 1,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(feed.address());
@@ -256,7 +255,7 @@
             new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
                 1,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(oldFeed.address());
@@ -297,7 +296,7 @@
             new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
                 1,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(oldFeed.address());
@@ -352,7 +351,7 @@
             new EventStreamClient(
                 new HttpClientConnection.Factory(network, null, 1 << 16),
                 5,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence() + event.updates().get(0).name()),
                 line -> {})) {
       client.follow(feed.address());
