--- a/src/main/java/switchgap/endpoints/EventStreamClient.java
+++ b/src/main/java/switchgap/endpoints/EventStreamClient.java
@@ -35,7 +35,7 @@
   private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(2300);
 
   private static final Duration SILENCE_CHECK_INTERVAL = Duration.ofMillis(200);
-  private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(1000);
+  private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
   /**
    * Delay before the second retry, the first is immediate; doubled with each further one, to 1.6 s.
@@ -50,7 +50,7 @@
   private static final long NO_ATTEMPT = 0;
 
   private final HttpClientConnection.Factory connections;
-  private final EndpointListEvent.NameDirectory directory;
+  private final EndpointNames names;
   private final Consumer<EndpointListEvent> events;
   private final Consumer<String> log;
   private final ScheduledFuture<?> silenceCheck;
@@ -88,12 +88,12 @@
   public EventStreamClient(
       HttpClientConnection.Factory connections,
       long lastSequence,
-      EndpointListEvent.NameDirectory directory,
+      EndpointNames names,
       Consumer<EndpointListEvent> events,
       Consumer<String> log) {
     this.connections = connections;
     this.lastSequence = lastSequence;
-    this.directory = directory;
+    this.names = names;
     this.events = events;
     this.log = log;
     silenceCheck =
@@ -228,7 +228,7 @@
       return;
     }
     try {
-      deliver(attempt, EndpointListEvent.parse(text, directory));
+      deliver(attempt, EndpointListEvent.parse(text, names));
     } catch (IOException | RuntimeException e) {
       disconnected(attempt, e.getMessage()); // the next connection delivers it whole
     }
@@ -237,7 +237,7 @@
   private void deliver(long attempt, EndpointListEvent event) {
     long sequence = event.sequence();
     boolean deliveredBefore =
-        sequence < lastSequence || sequence == lastSequence && !event.complete();
+        sequence < lastSequence || (sequence == lastSequence && !event.complete());
     if (deliveredBefore) {
       return;
     }
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -12,8 +12,8 @@
 import switchgap.admission.ServiceLevelChange;
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
-import switchgap.endpoints.EndpointListLine;
 import switchgap.endpoints.EndpointListWatcher;
+import switchgap.endpoints.EndpointNames;
 import switchgap.eventloop.EventLoop;
 import switchgap.net.HttpClientConnection;
 import switchgap.net.HttpServer;
@@ -92,13 +92,13 @@
 
   /** Starts a router with the routing policy; fails where it can't listen. */
   public GatewayRouter(GatewayConfig config) throws IOException {
-    this(config, new RoutingPolicy(config.terms(), config.seed())::tick);
+    this(config, new RoutingPolicy(config.settings(), config.seed())::tick);
   }
 
   /** Starts a router with any policy: to measure the routing policy against a baseline. */
   public GatewayRouter(GatewayConfig config, RouterCore.Policy policy) throws IOException {
     this.config = config;
-    settings = config.terms();
+    settings = config.settings();
     int index = settings.routerIndex();
     int threads = config.listener().selectorThreads();
     network = new NetworkTransport(threads, "router-" + index);
@@ -184,15 +184,14 @@
     if (endpoints.service() == null) {
       return null;
     }
-    EndpointListLine.NameDirectory directory =
-        new EndpointListLine.NameDirectory(
-            settings::zoneIndex, settings::workerKindIndex, startedAtMillis);
+    EndpointNames names =
+        new EndpointNames(settings::zoneIndex, settings::workerKindIndex, startedAtMillis);
     return new EndpointListWatcher(
         connections,
         endpoints.service(),
         settings.routerIndex(),
         endpoints.retryInterval(),
-        directory,
+        names,
         loop::postUrgent);
   }
 
@@ -225,7 +224,7 @@
   }
 
   private int listen() throws IOException {
-    GatewayConfig.Listener listener = config.listener();
+    GatewayConfig.ListenerConfig listener = config.listener();
     try {
       return server.listen(listener.host(), listener.port());
     } catch (IOException e) {
@@ -276,7 +275,7 @@
   }
 
   /** Requests that are pending now. */
-  public int held() {
+  public int pendingRequests() {
     return api.pendingRequests();
   }
 
--- a/src/test/java/switchgap/protocol/thrift/ThriftCodecTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftCodecTest.java
@@ -52,7 +52,7 @@
       throws Exception {
     TMemoryBuffer buffer = new TMemoryBuffer(256);
     TBinaryProtocol protocol = new TBinaryProtocol(buffer);
-    ThriftTestClient.arguments(protocol, sequenceId, fields, body);
+    ThriftTestClient.writeSubmitArguments(protocol, sequenceId, fields, body);
     protocol.writeFieldBegin(new TField("later", TType.LIST, (short) 9));
     protocol.writeListBegin(new TList(TType.I32, 2));
     protocol.writeI32(1);
@@ -201,7 +201,9 @@
     }
     NameDirectory names =
         new NameDirectory(
-            TestPlatformSettings.terms(), Map.of("again", 0, "once", 1), Map.of("shop", 0));
+            TestPlatformSettings.routerSettings(),
+            Map.of("again", 0, "once", 1),
+            Map.of("shop", 0));
     return SubmitRequestDecoder.decode(
         ThriftMessageDecoder.decode(submitFrame(fields, new byte[0], 1)),
         names,
@@ -212,11 +214,11 @@
   @Test
   void fieldsBecomeARequest() throws Exception {
     PendingRequest request = requestWith("effort", "8.2");
-    assertThat(request.deadline).isEqualTo(Duration.ofMillis(1900));
-    assertThat(request.durationHint).isEqualTo(Duration.ofNanos(8_200_000));
-    assertThat(request.memoryMb).isEqualTo(512);
-    assertThat(request.slots).isEqualTo(2);
-    assertThat(requestWith("effort", null).durationHint).isNull();
+    assertThat(request.deadline()).isEqualTo(Duration.ofMillis(1900));
+    assertThat(request.durationHint()).isEqualTo(Duration.ofNanos(8_200_000));
+    assertThat(request.memoryMb()).isEqualTo(512);
+    assertThat(request.slots()).isEqualTo(2);
+    assertThat(requestWith("effort", null).durationHint()).isNull();
   }
 
   /** Usual clients round: a hint of next to no work reads 0.0, and is a hint all the same. */
@@ -262,7 +264,7 @@
       })
   void anUnusableFieldIsNamed(String field, String value) {
     assertThatThrownBy(() -> requestWith(field, value))
-        .isInstanceOf(InvalidRequestException.class)
+        .isInstanceOf(InvalidSubmitException.class)
         .hasMessage(field);
   }
 }
--- a/src/test/java/switchgap/server/platform/ThriftTestClient.java
+++ b/src/test/java/switchgap/server/platform/ThriftTestClient.java
@@ -1,5 +1,7 @@
 package switchgap.server.platform;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -68,13 +70,13 @@
   static byte[] submit(int number, Map<String, String> fields, byte[] body) throws Exception {
     TMemoryBuffer buffer = new TMemoryBuffer(256);
     TBinaryProtocol protocol = new TBinaryProtocol(buffer);
-    arguments(protocol, number, fields, body);
+    writeSubmitArguments(protocol, number, fields, body);
     protocol.writeFieldStop();
     return framed(java.util.Arrays.copyOf(buffer.getArray(), buffer.length()));
   }
 
   /** A submit up to its last argument. */
-  public static void arguments(
+  public static void writeSubmitArguments(
       TBinaryProtocol protocol, int number, Map<String, String> fields, byte[] body)
       throws Exception {
     protocol.writeMessageBegin(new TMessage("submit", (byte) 1, number));
@@ -109,7 +111,7 @@
   }
 
   void ask(int number, Map<String, String> fields, String body) throws Exception {
-    raw(submit(number, fields, body.getBytes()));
+    raw(submit(number, fields, body.getBytes(UTF_8)));
   }
 
   void revoke(int number, int which) throws Exception {
