--- a/src/main/java/switchgap/endpoints/EndpointListWatcher.java
+++ b/src/main/java/switchgap/endpoints/EndpointListWatcher.java
@@ -14,6 +14,7 @@
 import switchgap.net.CloseCause;
 import switchgap.net.ConnectFailure;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.TimerThread;
 import switchgap.router.RouterCore;
 
@@ -42,7 +43,7 @@
   /** A version that nothing follows: the service answers it with the whole list. */
   private static final long NO_VERSION = -1;
 
-  private final HttpClientConnection.Factory connections;
+  private final HttpClientConnector connections;
   private final InetSocketAddress service;
   private final int routerIndex;
   private final Duration retryDelay;
@@ -63,7 +64,7 @@
    * @param events hands events to the router's loop
    */
   public EndpointListWatcher(
-      HttpClientConnection.Factory connections,
+      HttpClientConnector connections,
       InetSocketAddress service,
       int routerIndex,
       Duration retryDelay,
--- a/src/main/java/switchgap/endpoints/EventStreamClient.java
+++ b/src/main/java/switchgap/endpoints/EventStreamClient.java
@@ -11,6 +11,7 @@
 import switchgap.net.CloseCause;
 import switchgap.net.ConnectFailure;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.StallDetector;
 import switchgap.net.TimerThread;
 import switchgap.protocol.sse.ServerSentEventDecoder;
@@ -49,7 +50,7 @@
 
   private static final long NO_ATTEMPT = 0;
 
-  private final HttpClientConnection.Factory connections;
+  private final HttpClientConnector connections;
   private final EndpointNames names;
   private final Consumer<EndpointListEvent> events;
   private final Consumer<String> log;
@@ -86,7 +87,7 @@
    * @param log hears of trouble with the feed, a line each
    */
   public EventStreamClient(
-      HttpClientConnection.Factory connections,
+      HttpClientConnector connections,
       long lastSequence,
       EndpointNames names,
       Consumer<EndpointListEvent> events,
--- a/src/main/java/switchgap/net/FramedConnection.java
+++ b/src/main/java/switchgap/net/FramedConnection.java
@@ -1,9 +1,7 @@
 package switchgap.net;
 
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
-import java.time.Duration;
 
 /**
  * A TCP connection that carries frames: a length of four bytes, then as many bytes. The length of
@@ -27,7 +25,6 @@
 
   private static final int MAX_UNSENT_FRAMES = 64;
   private static final int LISTEN_BACKLOG = 16;
-  private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(10);
 
   private final TcpConnection connection;
   private final FrameDecoder decoder;
@@ -75,35 +72,8 @@
         transport, host, port, LISTEN_BACKLOG, new FrameListener(listener, maxFrameBytes));
   }
 
-  /** Opens any number of connections that share one listener and one filter chain. */
-  public static final class Factory {
-    private final TcpConnection.Factory factory;
-
-    /** A factory of connections whose received frames hold {@code maxFrameBytes} at most. */
-    public Factory(NetworkTransport transport, int maxFrameBytes, Listener listener) {
-      factory = new TcpConnection.Factory(transport, new FrameListener(listener, maxFrameBytes));
-    }
-
-    /** Begins to open a connection; {@code onFailure} runs when that can't be done. */
-    public void connect(InetSocketAddress remote, Runnable onFailure) {
-      factory.connect(
-          remote,
-          CONNECT_TIMEOUT,
-          new Connector.ConnectCallback<>() {
-            @Override
-            public void connected(TcpConnection connection) {}
-
-            @Override
-            public void failed(ConnectFailure failure) {
-              onFailure.run();
-            }
-          });
-    }
-  }
-
   /** Decodes the bytes of TCP connections for a listener of frames. */
-  private record FrameListener(Listener listener, int maxFrameBytes)
-      implements TcpConnection.Listener {
+  record FrameListener(Listener listener, int maxFrameBytes) implements TcpConnection.Listener {
     @Override
     public void opened(TcpConnection connection) {
       FramedConnection framed = new FramedConnection(connection, maxFrameBytes);
--- /dev/null
+++ b/src/main/java/switchgap/net/FramedConnector.java
@@ -0,0 +1,34 @@
+package switchgap.net;
+
+import java.net.InetSocketAddress;
+import java.time.Duration;
+
+/** Opens any number of connections that share one listener and one filter chain. */
+public final class FramedConnector {
+  private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(10);
+
+  private final TcpConnector connector;
+
+  /** A connector; received frames hold {@code maxFrameBytes} at most. */
+  public FramedConnector(
+      NetworkTransport transport, int maxFrameBytes, FramedConnection.Listener listener) {
+    connector =
+        new TcpConnector(transport, new FramedConnection.FrameListener(listener, maxFrameBytes));
+  }
+
+  /** Begins to open a connection; {@code onFailure} runs when that can't be done. */
+  public void connect(InetSocketAddress remote, Runnable onFailure) {
+    connector.connect(
+        remote,
+        CONNECT_TIMEOUT,
+        new Connector.ConnectCallback<>() {
+          @Override
+          public void connected(TcpConnection connection) {}
+
+          @Override
+          public void failed(ConnectFailure failure) {
+            onFailure.run();
+          }
+        });
+  }
+}
--- a/src/main/java/switchgap/net/HttpClientConnection.java
+++ b/src/main/java/switchgap/net/HttpClientConnection.java
@@ -1,19 +1,12 @@
 package switchgap.net;
 
-import java.net.InetSocketAddress;
-import java.time.Duration;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicReference;
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.EmptyCompletionHandler;
-import org.glassfish.grizzly.Grizzly;
-import org.glassfish.grizzly.attributes.Attribute;
-import org.glassfish.grizzly.filterchain.FilterChainBuilder;
-import org.glassfish.grizzly.http.HttpClientFilter;
 import org.glassfish.grizzly.http.HttpContent;
 import org.glassfish.grizzly.http.HttpResponsePacket;
-import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 
 /**
  * The client's side of one HTTP/1.1 connection. It carries one exchange at a time; a response goes
@@ -50,52 +43,6 @@
   /** Receives the outcome of opening a connection. */
   public interface ConnectCallback extends Connector.ConnectCallback<HttpClientConnection> {}
 
-  /** Opens any number of connections that share one filter chain. */
-  public static final class Factory {
-    private final Attribute<HttpClientConnection> connections =
-        Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(
-            "switchgap.http-client-connection." + System.identityHashCode(this));
-    private final TCPNIOConnectorHandler connector;
-    private final InetSocketAddress localAddress;
-    private final int maxBodyBytes;
-
-    /**
-     * A factory of connections.
-     *
-     * @param localHost the local address to connect from, or null for any
-     * @param maxBodyBytes bytes that the gathered body of a response may hold
-     */
-    public Factory(NetworkTransport transport, String localHost, int maxBodyBytes) {
-      this.maxBodyBytes = maxBodyBytes;
-      this.localAddress = localHost == null ? null : new InetSocketAddress(localHost, 0);
-      FilterChainBuilder filters = FilterChainBuilder.stateless();
-      filters.add(new SocketFilter());
-      filters.add(new UnsolicitedBytesFilter(connections));
-      filters.add(new InterimResponseFilter(connections));
-      filters.add(new HttpClientFilter());
-      filters.add(new ResponseFilter(connections));
-      this.connector =
-          TCPNIOConnectorHandler.builder(transport.transport).processor(filters.build()).build();
-    }
-
-    /** Begins to open a connection; the callback gets the outcome once, within the timeout. */
-    public void connect(InetSocketAddress remote, Duration timeout, ConnectCallback callback) {
-      Connector.connect(
-          connector,
-          remote,
-          localAddress,
-          timeout,
-          callback,
-          new Connector.ConnectionAdapter<>(this::wrap, HttpClientConnection::close));
-    }
-
-    private HttpClientConnection wrap(Connection<?> opened) {
-      HttpClientConnection connection = new HttpClientConnection(opened, maxBodyBytes);
-      connections.set(opened, connection);
-      return connection;
-    }
-  }
-
   private final Connection<?> connection;
   private final int maxBodyBytes;
 
@@ -115,7 +62,7 @@
   private volatile Runnable closeListener = () -> {};
   private volatile long idleSinceNanos = System.nanoTime();
 
-  private HttpClientConnection(Connection<?> connection, int maxBodyBytes) {
+  HttpClientConnection(Connection<?> connection, int maxBodyBytes) {
     this.connection = connection;
     this.maxBodyBytes = maxBodyBytes;
     this.responseBody = new ResponseBodyBuffer(maxBodyBytes);
--- a/src/main/java/switchgap/net/TcpConnection.java
+++ b/src/main/java/switchgap/net/TcpConnection.java
@@ -1,6 +1,5 @@
 package switchgap.net;
 
-import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.nio.ByteBuffer;
 import java.time.Duration;
@@ -13,7 +12,6 @@
 import org.glassfish.grizzly.asyncqueue.WritableMessage;
 import org.glassfish.grizzly.filterchain.FilterChain;
 import org.glassfish.grizzly.filterchain.FilterChainBuilder;
-import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 
 /**
  * A TCP connection that passes on bytes as they arrive and counts those that are not written yet.
@@ -161,35 +159,4 @@
   static FilterChain filterChain(TcpConnectionFilter filter) {
     return FilterChainBuilder.stateless().add(new SocketFilter()).add(filter).build();
   }
-
-  /** Opens any number of connections that share one listener and one filter chain. */
-  public static final class Factory {
-    private final TcpConnectionFilter filter;
-    private final TCPNIOConnectorHandler connector;
-
-    /** A factory of connections whose events this listener receives. */
-    public Factory(NetworkTransport transport, Listener listener) {
-      filter = new TcpConnectionFilter(listener);
-      connector =
-          TCPNIOConnectorHandler.builder(transport.transport)
-              .processor(filterChain(filter))
-              .build();
-    }
-
-    /** Begins to open a connection; the callback gets the outcome once, within the timeout. */
-    public void connect(
-        InetSocketAddress remote,
-        Duration timeout,
-        Connector.ConnectCallback<TcpConnection> callback) {
-      Connector.connect(
-          connector,
-          remote,
-          null,
-          timeout,
-          callback,
-          new Connector.ConnectionAdapter<>(
-              filter::connectionOf,
-              connection -> connection.close(CloseReason.Transport.OPENED_TOO_LATE)));
-    }
-  }
 }
--- a/src/main/java/switchgap/planner/link/PlannerClient.java
+++ b/src/main/java/switchgap/planner/link/PlannerClient.java
@@ -8,6 +8,7 @@
 import org.slf4j.LoggerFactory;
 import switchgap.net.CloseCause;
 import switchgap.net.FramedConnection;
+import switchgap.net.FramedConnector;
 import switchgap.net.NetworkTransport;
 import switchgap.net.TimerThread;
 import switchgap.planner.LoadBacklog;
@@ -26,7 +27,7 @@
   private static final long MAX_BACKOFF_MILLIS = 2000;
   private static final int BACKOFF_FACTOR = 2;
 
-  private final FramedConnection.Factory connections;
+  private final FramedConnector connections;
   private final InetSocketAddress edge;
   private final int router;
   private final LoadScheduler scheduler = new LoadScheduler();
@@ -40,8 +41,7 @@
   /** Connects at once to the edge of the router with this index. */
   public PlannerClient(NetworkTransport net, InetSocketAddress edge, int router) {
     this.connections =
-        new FramedConnection.Factory(
-            net, PlannerMessageCodec.MAX_FRAME_BYTES, new MessageListener());
+        new FramedConnector(net, PlannerMessageCodec.MAX_FRAME_BYTES, new MessageListener());
     this.edge = edge;
     this.router = router;
     this.heartbeat =
--- a/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
+++ b/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
@@ -10,6 +10,7 @@
 import java.util.WeakHashMap;
 import switchgap.net.ConnectFailure;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.policy.api.AttemptOutcome;
 
 /**
@@ -23,7 +24,7 @@
  * use it, and has one exchange at a time on a connection. Callbacks are called without the lock.
  */
 final class HttpConnectionPool {
-  private final HttpClientConnection.Factory connectionFactory;
+  private final HttpClientConnector connectionFactory;
   private final InetSocketAddress address;
   private final HttpPoolLimits limits;
 
@@ -40,9 +41,7 @@
   private boolean retired;
 
   HttpConnectionPool(
-      HttpClientConnection.Factory connectionFactory,
-      InetSocketAddress address,
-      HttpPoolLimits limits) {
+      HttpClientConnector connectionFactory, InetSocketAddress address, HttpPoolLimits limits) {
     this.connectionFactory = connectionFactory;
     this.address = address;
     this.limits = limits;
--- a/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
-import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.KeyedWriters;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Attempt;
@@ -34,7 +34,7 @@
     }
   }
 
-  private final HttpClientConnection.Factory connectionFactory;
+  private final HttpClientConnector connectionFactory;
   private final HttpPoolLimits limits;
   private final KeyedWriters writers;
   private final Consumer<Consumer<RouterCore>> events;
@@ -51,7 +51,7 @@
    * @param endpointListRequester asks for the endpoint list
    */
   public InferenceWorkerTransport(
-      HttpClientConnection.Factory connectionFactory,
+      HttpClientConnector connectionFactory,
       HttpPoolLimits limits,
       KeyedWriters writers,
       Consumer<Consumer<RouterCore>> events,
--- a/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
@@ -10,6 +10,7 @@
 import switchgap.net.Connector;
 import switchgap.net.NetworkTransport;
 import switchgap.net.TcpConnection;
+import switchgap.net.TcpConnector;
 import switchgap.router.RouterCore;
 import switchgap.router.RouterDiagnostics;
 import switchgap.router.WorkerEntry;
@@ -27,7 +28,7 @@
   private final RespConnectionLimits limits;
   private final Supplier<Duration> clock;
   private final Consumer<Consumer<RouterCore>> events;
-  private final TcpConnection.Factory connectionFactory;
+  private final TcpConnector connectionFactory;
   private final RouterDiagnostics diagnostics;
   private final Set<RespConnectionPool> pools = new HashSet<>();
 
@@ -51,8 +52,7 @@
     this.clock = clock;
     this.events = events;
     this.diagnostics = diagnostics;
-    this.connectionFactory =
-        new TcpConnection.Factory(net, new ReplyReader(events, diagnostics.events()));
+    this.connectionFactory = new TcpConnector(net, new ReplyReader(events, diagnostics.events()));
   }
 
   RespConnectionLimits limits() {
--- a/src/main/java/switchgap/server/gateway/CoreFactory.java
+++ b/src/main/java/switchgap/server/gateway/CoreFactory.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Function;
 import switchgap.eventloop.EventLoop;
-import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.KeyedWriters;
 import switchgap.protocol.inference.InferenceWorkerTransport;
 import switchgap.router.CoreLimits;
@@ -16,7 +16,7 @@
 final class CoreFactory implements Function<EventLoop, RouterCore> {
   private final GatewayConfig config;
   private final RouterCore.Policy policy;
-  private final HttpClientConnection.Factory connections;
+  private final HttpClientConnector connections;
   private final KeyedWriters writers;
   private volatile Runnable endpointListRequest = () -> {};
   private InferenceWorkerTransport workers;
@@ -25,7 +25,7 @@
   CoreFactory(
       GatewayConfig config,
       RouterCore.Policy policy,
-      HttpClientConnection.Factory connections,
+      HttpClientConnector connections,
       KeyedWriters writers) {
     this.config = config;
     this.policy = policy;
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -15,7 +15,7 @@
 import switchgap.endpoints.EndpointListWatcher;
 import switchgap.endpoints.EndpointNames;
 import switchgap.eventloop.EventLoop;
-import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.HttpServer;
 import switchgap.net.KeyedWriters;
 import switchgap.net.NetworkTransport;
@@ -78,7 +78,7 @@
       new AtomicReference<>(); // set in the first tick
   private final NetworkTransport network;
   private final KeyedWriters writers;
-  private final HttpClientConnection.Factory connections;
+  private final HttpClientConnector connections;
   private final CoreFactory transports;
   private final EventLoop loop;
   private final PlannedWorkerTransport planned; // null: load commands go out without a plan
@@ -106,7 +106,7 @@
     startedAtMillis = WallClock.unixMillis();
     writers = new KeyedWriters(threads, "carrier-" + index);
     connections =
-        new HttpClientConnection.Factory(
+        new HttpClientConnector(
             network, config.workers().sourceAddress(), config.workers().maxResponseBytes());
     transports = new CoreFactory(config, policy, connections, writers);
     loop =
--- a/src/main/java/switchgap/server/gateway/JvmWarmup.java
+++ b/src/main/java/switchgap/server/gateway/JvmWarmup.java
@@ -12,6 +12,7 @@
 import switchgap.net.ConnectFailure;
 import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.HttpServer;
 import switchgap.net.NetworkTransport;
 
@@ -47,7 +48,7 @@
             exchange -> exchange.respond(200, HEADERS, exchange.body()))) {
       int port = server.listen(LOOPBACK, 0);
       CountDownLatch done = new CountDownLatch(1);
-      new HttpClientConnection.Factory(network, null, MAX_RESPONSE_BYTES)
+      new HttpClientConnector(network, null, MAX_RESPONSE_BYTES)
           .connect(new InetSocketAddress(LOOPBACK, port), MAX_DURATION, new Connected(done));
       done.await(MAX_DURATION.toMillis(), TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
--- a/src/main/java/switchgap/server/platform/PlatformRouter.java
+++ b/src/main/java/switchgap/server/platform/PlatformRouter.java
@@ -12,7 +12,7 @@
 import switchgap.endpoints.EndpointListEvent;
 import switchgap.endpoints.EventStreamClient;
 import switchgap.eventloop.EventLoop;
-import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.ListenRetry;
 import switchgap.net.NetworkTransport;
 import switchgap.protocol.resp.RespConnectionLimits;
@@ -113,7 +113,7 @@
     longestTimeout = settings.longestTimeout();
     feed =
         new EventStreamClient(
-            new HttpClientConnection.Factory(network, null, MAX_FEED_BODY_BYTES),
+            new HttpClientConnector(network, null, MAX_FEED_BODY_BYTES),
             config.lastSequence(),
             config.endpointNames(),
             this::eventReceived,
--- a/src/main/java/switchgap/testbed/emulator/ConnectionPool.java
+++ b/src/main/java/switchgap/testbed/emulator/ConnectionPool.java
@@ -6,20 +6,21 @@
 import java.util.function.Consumer;
 import switchgap.net.ConnectFailure;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 
 /**
  * Kept connections to one server: each carries one exchange at a time. On the scheduler's thread.
  */
 final class ConnectionPool {
   private final Scheduler scheduler;
-  private final HttpClientConnection.Factory factory;
+  private final HttpClientConnector factory;
   private final InetSocketAddress server;
   private final Duration connectTimeout;
   private final ArrayDeque<HttpClientConnection> idle = new ArrayDeque<>();
 
   ConnectionPool(
       Scheduler scheduler,
-      HttpClientConnection.Factory factory,
+      HttpClientConnector factory,
       InetSocketAddress server,
       Duration connectTimeout) {
     this.scheduler = scheduler;
--- a/src/main/java/switchgap/testbed/emulator/SocketClientTransport.java
+++ b/src/main/java/switchgap/testbed/emulator/SocketClientTransport.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import switchgap.net.CloseCause;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.NetworkTransport;
 
 /**
@@ -22,7 +23,7 @@
   private static final long NO_RETRY_AFTER = -1;
   private final Scheduler scheduler;
   private final EventRecorder recorder;
-  private final HttpClientConnection.Factory factory;
+  private final HttpClientConnector factory;
   private final ConnectionPool[] routers;
 
   /** A transport to so many routers, whose addresses are set by {@link #router}. */
@@ -30,7 +31,7 @@
       Scheduler scheduler, NetworkTransport net, EventRecorder recorder, int routers) {
     this.scheduler = scheduler;
     this.recorder = recorder;
-    this.factory = new HttpClientConnection.Factory(net, null, MAX_BODY_BYTES);
+    this.factory = new HttpClientConnector(net, null, MAX_BODY_BYTES);
     this.routers = new ConnectionPool[routers];
   }
 
--- a/src/main/java/switchgap/testbed/emulator/StoreClient.java
+++ b/src/main/java/switchgap/testbed/emulator/StoreClient.java
@@ -6,6 +6,7 @@
 import java.util.function.Consumer;
 import switchgap.net.CloseCause;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.NetworkTransport;
 
 /**
@@ -25,7 +26,7 @@
     this.connections =
         new ConnectionPool(
             scheduler,
-            new HttpClientConnection.Factory(net, null, MAX_BODY_BYTES),
+            new HttpClientConnector(net, null, MAX_BODY_BYTES),
             new InetSocketAddress("127.0.0.1", port),
             CONNECT_TIMEOUT);
   }
--- a/src/main/java/switchgap/testbed/experiment/BareRelay.java
+++ b/src/main/java/switchgap/testbed/experiment/BareRelay.java
@@ -10,6 +10,7 @@
 import switchgap.net.ConnectFailure;
 import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.HttpExchange;
 import switchgap.net.HttpServer;
 import switchgap.net.NetworkTransport;
@@ -19,14 +20,14 @@
  * chains, without decisions.
  */
 final class BareRelay implements HttpServer.RequestHandler {
-  private final HttpClientConnection.Factory factory;
+  private final HttpClientConnector factory;
   private final InetSocketAddress[] workers;
   private final ConcurrentLinkedDeque<HttpClientConnection>[] idle;
   private final AtomicInteger turn = new AtomicInteger();
 
   @SuppressWarnings({"unchecked"})
   private BareRelay(NetworkTransport net, InetSocketAddress[] workers) {
-    this.factory = new HttpClientConnection.Factory(net, null, 4 << 20);
+    this.factory = new HttpClientConnector(net, null, 4 << 20);
     this.workers = workers;
     this.idle = new ConcurrentLinkedDeque[workers.length];
     for (int i = 0; i < idle.length; i++) {
--- a/src/main/java/switchgap/testbed/experiment/SmallRequestLoad.java
+++ b/src/main/java/switchgap/testbed/experiment/SmallRequestLoad.java
@@ -15,6 +15,7 @@
 import switchgap.net.CloseCause;
 import switchgap.net.ConnectFailure;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.NetworkTransport;
 
 /**
@@ -36,7 +37,7 @@
       ("{\"id\":\"x\",\"inputs\":[{\"name\":\"a\",\"shape\":[4],"
               + "\"datatype\":\"FP32\",\"data\":[1,2,3,4]}]}")
           .getBytes(StandardCharsets.US_ASCII);
-  private final HttpClientConnection.Factory factory;
+  private final HttpClientConnector factory;
   private final InetSocketAddress[] to;
   private final IntFunction<String> path;
   private final AtomicLong good = new AtomicLong();
@@ -47,7 +48,7 @@
   private volatile boolean over;
 
   SmallRequestLoad(NetworkTransport net, InetSocketAddress[] to, IntFunction<String> path) {
-    this.factory = new HttpClientConnection.Factory(net, null, 1 << 20);
+    this.factory = new HttpClientConnector(net, null, 1 << 20);
     this.to = to;
     this.path = path;
   }
--- a/src/test/java/switchgap/endpoints/EventStreamClientTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.NetworkTransport;
 import switchgap.policy.api.WorkerState;
 import switchgap.protocol.sse.ServerSentEventDecoder;
@@ -128,7 +128,7 @@
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
-                new HttpClientConnection.Factory(network, null, 1 << 16),
+                new HttpClientConnector(network, null, 1 << 16),
                 1,
                 NAMES,
                 event -> received.add(event.sequence()),
@@ -160,7 +160,7 @@
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
-                new HttpClientConnection.Factory(network, null, 1 << 16),
+                new HttpClientConnector(network, null, 1 << 16),
                 1,
                 NAMES,
                 event -> received.add(event.sequence()),
@@ -205,7 +205,7 @@
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
-                new HttpClientConnection.Factory(network, null, 1 << 16),
+                new HttpClientConnector(network, null, 1 << 16),
                 1,
                 NAMES,
                 event -> received.add(event.sequence()),
@@ -253,7 +253,7 @@
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
-                new HttpClientConnection.Factory(network, null, 1 << 16),
+                new HttpClientConnector(network, null, 1 << 16),
                 1,
                 NAMES,
                 event -> received.add(event.sequence()),
@@ -294,7 +294,7 @@
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
-                new HttpClientConnection.Factory(network, null, 1 << 16),
+                new HttpClientConnector(network, null, 1 << 16),
                 1,
                 NAMES,
                 event -> received.add(event.sequence()),
@@ -349,7 +349,7 @@
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
-                new HttpClientConnection.Factory(network, null, 1 << 16),
+                new HttpClientConnector(network, null, 1 << 16),
                 5,
                 NAMES,
                 event -> received.add(event.sequence() + event.updates().get(0).name()),
--- a/src/test/java/switchgap/net/ConnectorTest.java
+++ b/src/test/java/switchgap/net/ConnectorTest.java
@@ -45,7 +45,7 @@
   }
 
   private String connect(NetworkTransport transport, int port, Duration timeout) throws Exception {
-    new TcpConnection.Factory(transport, new SilentListener())
+    new TcpConnector(transport, new SilentListener())
         .connect(new InetSocketAddress("127.0.0.1", port), timeout, new OutcomeCallback());
     return outcomes.poll(WAIT_SECONDS, TimeUnit.SECONDS);
   }
--- a/src/test/java/switchgap/net/HttpClientConnectionTest.java
+++ b/src/test/java/switchgap/net/HttpClientConnectionTest.java
@@ -68,7 +68,7 @@
     transport = new NetworkTransport(1, "client");
     listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     CompletableFuture<HttpClientConnection> connected = new CompletableFuture<>();
-    new HttpClientConnection.Factory(transport, null, MAX_BODY_BYTES)
+    new HttpClientConnector(transport, null, MAX_BODY_BYTES)
         .connect(
             new InetSocketAddress("127.0.0.1", listener.getLocalPort()),
             CONNECT_TIMEOUT,
--- a/src/test/java/switchgap/protocol/inference/InferenceExchangeTest.java
+++ b/src/test/java/switchgap/protocol/inference/InferenceExchangeTest.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.NetworkTransport;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.WorkerEntry;
@@ -27,7 +28,7 @@
 
   private static HttpConnectionPool pool(NetworkTransport net, HttpTestServer worker) {
     return new HttpConnectionPool(
-        new HttpClientConnection.Factory(net, null, MAX_BODY_BYTES),
+        new HttpClientConnector(net, null, MAX_BODY_BYTES),
         new InetSocketAddress("127.0.0.1", worker.port()),
         ONE_CONNECTION);
   }
--- a/src/test/java/switchgap/router/WorkerConnectionsTest.java
+++ b/src/test/java/switchgap/router/WorkerConnectionsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
-import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.KeyedWriters;
 import switchgap.net.NetworkTransport;
 import switchgap.policy.api.AttemptResult;
@@ -58,7 +58,7 @@
   private void links(int most, int waiting) {
     links =
         new InferenceWorkerTransport(
-            new HttpClientConnection.Factory(net, null, 1 << 16),
+            new HttpClientConnector(net, null, 1 << 16),
             new HttpPoolLimits(most, waiting, Duration.ofMillis(250), Duration.ofSeconds(30)),
             carriers,
             events::add,
