--- a/src/main/java/switchgap/planner/LoadBacklog.java
+++ b/src/main/java/switchgap/planner/LoadBacklog.java
@@ -3,11 +3,12 @@
 import java.util.List;
 
 /**
- * What the edge reports to its planner: all pending loads, whole each time, so that a lost report
- * is made up for by the next.
+ * The edge's report to its planner: a full snapshot of the pending loads each time, so that the
+ * next one makes up for a lost one.
  *
  * @param epoch of the edge's connection to the planner; a plan for another epoch is rejected
  * @param sequence counts up within an epoch
  * @param waiting the pending loads
  */
-public record LoadBacklog(long epoch, long sequence, List<PendingLoad> waiting) {}
+public record LoadBacklog(long epoch, long sequence, List<PendingLoad> waiting)
+    implements PlannerMessage {}
--- a/src/main/java/switchgap/planner/LoadPlan.java
+++ b/src/main/java/switchgap/planner/LoadPlan.java
@@ -7,4 +7,4 @@
  * @param sequence that of the backlog
  * @param ids of the loads, in the order in which they are to be released
  */
-public record LoadPlan(long epoch, long sequence, long[] ids) {}
+public record LoadPlan(long epoch, long sequence, long[] ids) implements PlannerMessage {}
--- a/src/main/java/switchgap/planner/LoadScheduler.java
+++ b/src/main/java/switchgap/planner/LoadScheduler.java
@@ -6,12 +6,12 @@
 
 /**
  * The planner's side: in which order loads are released. The load with the most waiting priority
- * weight for a second of loading goes first; waiting adds to the weight, so that no load waits for
- * ever. Where replicas are placed, how many there are, and how many loads are in flight is what the
- * edge's router asked for: it alone measures the store's pace. Not thread-safe.
+ * weight for a second of loading goes first; waiting adds to the weight, so that no load starves.
+ * Where replicas are placed, how many there are, and how many loads are in flight is decided by the
+ * edge's router, which alone measures the store's throughput. Not thread-safe.
  */
 public final class LoadScheduler {
-  /** Priority weight that a second of waiting adds: guards against a load that waits for ever. */
+  /** Priority weight that a second of waiting adds: guards against starvation. */
   private static final double WEIGHT_PER_WAITING_SECOND = 1;
 
   /** Load time, microseconds, of a function that has none configured. */
@@ -26,7 +26,7 @@
   private long lastSequence = -1;
   private long epoch = -1;
 
-  /** The plan for a backlog; null where the backlog is not newer than the last one of its epoch. */
+  /** Returns the plan for a backlog, or null if it is not newer than the last one of its epoch. */
   public LoadPlan plan(LoadBacklog backlog) {
     if (backlog.epoch() != epoch) {
       epoch = backlog.epoch();
--- a/src/main/java/switchgap/planner/PendingLoadQueue.java
+++ b/src/main/java/switchgap/planner/PendingLoadQueue.java
@@ -9,12 +9,12 @@
 
 /**
  * The edge's side: loads that its router requested are pending here until a plan names them, each
- * for a bounded time, and are released once. The edge never depends on the planner: when in doubt a
- * load is released as it would be without one. Not thread-safe; times are durations since the
- * router's start.
+ * for a bounded time, and each is released at most once. The edge never depends on the planner:
+ * when in doubt a load is released as it would be without one. Not thread-safe; times are durations
+ * since the router's start.
  */
 public final class PendingLoadQueue {
-  /** Whether a planner decides on releases. The names are shown to operators. */
+  /** Whether a planner decides on releases. The names are part of the status page. */
   public enum State {
     /** No planner is connected: each load is released at once. */
     ALONE,
@@ -29,8 +29,8 @@
     /** The load is released now; called at most once for each id. */
     void release(long id);
 
-    /** A part of a plan was rejected: the planner that sent it is at fault. */
-    void planRejected(String why);
+    /** A plan or a part of it was rejected: the planner that sent it is at fault. */
+    void planRejected(PlanRejection rejection);
   }
 
   private record Entry(PendingLoad load, Duration addedAt, Duration timeoutAt) {}
@@ -85,7 +85,7 @@
   /**
    * A planner is connected; its plans must name this epoch.
    *
-   * @throws IllegalArgumentException where the epoch is not above all before
+   * @throws IllegalArgumentException if the epoch is not above all earlier ones
    */
   public void connected(long newEpoch) {
     if (newEpoch <= epoch) {
@@ -104,7 +104,7 @@
   /**
    * The router requests a load.
    *
-   * @throws IllegalArgumentException where its id is not {@link #nextId}
+   * @throws IllegalArgumentException if its id is not {@link #nextId}
    */
   public void add(Duration now, PendingLoad load) {
     if (load.id() != nextId) {
@@ -118,8 +118,9 @@
   }
 
   /**
-   * The router no longer wants a load, which must not be released. False where it is not pending
-   * any more.
+   * The router cancels a load, which must not be released.
+   *
+   * @return false if it is no longer pending
    */
   public boolean withdraw(long id) {
     return entries.remove(id) != null;
@@ -131,7 +132,7 @@
    */
   public void planReceived(LoadPlan plan) {
     if (plan.epoch() != epoch || state == State.ALONE) {
-      reject("a plan for epoch " + plan.epoch() + ", this is " + epoch);
+      reject(PlanRejection.wrongEpoch(plan.epoch(), epoch));
       return;
     }
     if (plan.sequence() <= lastSequence) { // overtaken by a later one, or received twice
@@ -144,7 +145,7 @@
     }
   }
 
-  /** The planner is heard: its plans decide. */
+  /** The planner is responsive, as of this sequence number: its plans decide. */
   private void follow(long sequence) {
     lastSequence = sequence;
     successiveTimeouts = 0;
@@ -153,7 +154,7 @@
 
   private void releasePlanned(long id) {
     if (id < 0 || id >= nextId) {
-      reject("a load " + id + " that was never asked for");
+      reject(PlanRejection.unknownLoad(id));
     } else if (entries.containsKey(id)) {
       plannedCount++;
       release(id);
@@ -163,8 +164,9 @@
   }
 
   /**
-   * Releases loads that have timed out. Returns when the next times out, or null where none is
-   * pending.
+   * Releases loads that have timed out.
+   *
+   * @return when the next load times out, or null if none is pending
    */
   public Duration tick(Duration now) {
     for (Entry entry : List.copyOf(entries.values())) {
@@ -193,13 +195,13 @@
     }
   }
 
-  private void reject(String why) {
+  private void reject(PlanRejection rejection) {
     rejectedCount++;
-    listener.planRejected(why);
+    listener.planRejected(rejection);
   }
 
   /**
-   * The pending loads, with their present ages and the priority weight that waits for each
+   * Returns the pending loads, with their ages and the priority weight that waits for each
    * function.
    */
   public List<PendingLoad> waiting(Duration now, ToDoubleFunction<String> priorityWeight) {
@@ -219,8 +221,8 @@
     return loads;
   }
 
-  /** Loads released by a plan, released by timeout, stale in plans; and rejected parts of plans. */
-  public long[] counts() {
-    return new long[] {plannedCount, timedOutCount, staleCount, rejectedCount};
+  /** What became of loads and plans since this queue was created. */
+  public LoadPlanCounts counts() {
+    return new LoadPlanCounts(plannedCount, timedOutCount, staleCount, rejectedCount);
   }
 }
--- a/src/main/java/switchgap/planner/link/LinkCloseReason.java
+++ b/src/main/java/switchgap/planner/link/LinkCloseReason.java
@@ -8,8 +8,8 @@
   PLANNER_SILENT("the planner is silent"),
   /** A client of the edge sent no handshake in time. */
   HANDSHAKE_TIMEOUT("no handshake within a second"),
-  /** The edge refused the planner, or a message of it. */
-  REFUSED("refused"),
+  /** The edge rejected the planner, or a message of it. */
+  REJECTED("rejected"),
   /** A message could not be decoded. */
   UNREADABLE_MESSAGE("unreadable"),
   /** A message that an edge does not send. */
--- a/src/main/java/switchgap/planner/link/PlannerClient.java
+++ b/src/main/java/switchgap/planner/link/PlannerClient.java
@@ -14,10 +14,11 @@
 import switchgap.planner.LoadBacklog;
 import switchgap.planner.LoadPlan;
 import switchgap.planner.LoadScheduler;
+import switchgap.planner.PlannerMessage;
 
 /**
- * The planner's end: connects to its edge, again and again with exponential back-off, and responds
- * to each backlog with a plan. Messages are handled on the connection's selector thread, heartbeats
+ * The planner's end: connects to its edge, reconnects with exponential backoff, and responds to
+ * each backlog with a plan. Messages are handled on the connection's selector thread, heartbeats
  * and reconnects on the timer thread.
  */
 public final class PlannerClient implements AutoCloseable {
@@ -33,7 +34,7 @@
   private final LoadScheduler scheduler = new LoadScheduler();
   private final ScheduledFuture<?> heartbeat;
   private volatile FramedConnection connection;
-  private volatile boolean greeted;
+  private volatile boolean handshakeDone;
   private volatile boolean closed;
   private long backoffMillis = MIN_BACKOFF_MILLIS; // guarded by this
   private long heartbeatsSent; // timer thread only
@@ -53,15 +54,15 @@
     connect();
   }
 
-  /** Whether the handshake with the edge is done and the connection stands. */
-  public boolean linked() {
-    return greeted;
+  /** Whether the connection to the edge is open and its handshake is complete. */
+  public boolean isLinked() {
+    return handshakeDone;
   }
 
   private void sendHeartbeat() {
     FramedConnection current = connection;
-    if (current != null && greeted) {
-      current.send(PlannerMessageCodec.encode(new PlannerMessageCodec.Heartbeat(heartbeatsSent)));
+    if (current != null && handshakeDone) {
+      current.send(PlannerMessageCodec.encode(new PlannerMessage.Heartbeat(heartbeatsSent)));
       heartbeatsSent++;
     }
   }
@@ -73,7 +74,7 @@
   }
 
   private synchronized void reconnectLater() {
-    greeted = false;
+    handshakeDone = false;
     connection = null;
     if (closed) {
       return;
@@ -92,7 +93,7 @@
       connection = opened;
       opened.send(
           PlannerMessageCodec.encode(
-              new PlannerMessageCodec.Hello(
+              new PlannerMessage.Hello(
                   PlannerMessageCodec.VERSION, PlannerMessageCodec.PLANNER_SIDE, router, 0)));
     }
 
@@ -105,22 +106,22 @@
       }
     }
 
-    private void received(FramedConnection from, Record message) {
-      if (message instanceof PlannerMessageCodec.Hello hello && isFromEdge(hello)) {
-        greeted = true;
+    private void received(FramedConnection from, PlannerMessage message) {
+      if (message instanceof PlannerMessage.Hello hello && isFromEdge(hello)) {
+        handshakeDone = true;
         setBackoff(MIN_BACKOFF_MILLIS);
         LOG.info("planner of router {} linked, epoch {}", router, hello.epoch());
-      } else if (message instanceof PlannerMessageCodec.Refused refused) {
-        LOG.error("the edge refuses this planner: {}", refused.why());
+      } else if (message instanceof PlannerMessage.Rejected rejected) {
+        LOG.error("the edge rejects this planner: {}", rejected.why());
         setBackoff(MAX_BACKOFF_MILLIS);
-      } else if (message instanceof LoadBacklog backlog && greeted) {
+      } else if (message instanceof LoadBacklog backlog && handshakeDone) {
         sendPlan(from, backlog);
       } else {
         from.close(LinkCloseReason.UNEXPECTED_MESSAGE);
       }
     }
 
-    private boolean isFromEdge(PlannerMessageCodec.Hello hello) {
+    private boolean isFromEdge(PlannerMessage.Hello hello) {
       return hello.version() == PlannerMessageCodec.VERSION
           && hello.side().equals(PlannerMessageCodec.EDGE_SIDE);
     }
--- a/src/main/java/switchgap/planner/link/PlannerMessageCodec.java
+++ b/src/main/java/switchgap/planner/link/PlannerMessageCodec.java
@@ -11,6 +11,7 @@
 import switchgap.planner.LoadBacklog;
 import switchgap.planner.LoadPlan;
 import switchgap.planner.PendingLoad;
+import switchgap.planner.PlannerMessage;
 
 /**
  * Encodes messages between edge and planner as CBOR maps; the member {@code is} names the type.
@@ -23,25 +24,13 @@
   /** The largest message, bytes. */
   public static final int MAX_FRAME_BYTES = 1 << 20;
 
+  /** The edge's name in {@link PlannerMessage.Hello#side}. */
   static final String EDGE_SIDE = "edge";
-  static final String PLANNER_SIDE = "planner";
-  private static final String TYPE_MEMBER = "is";
-
-  /**
-   * The first message of each side.
-   *
-   * @param version of the protocol
-   * @param side "edge" or "planner"
-   * @param router index of the router that the edge belongs to
-   * @param epoch of the connection, from the edge; 0 from the planner
-   */
-  public record Hello(int version, String side, int router, long epoch) {}
 
-  /** The edge refuses the connection, and closes it. */
-  public record Refused(String why) {}
+  /** The planner's name in {@link PlannerMessage.Hello#side}. */
+  static final String PLANNER_SIDE = "planner";
 
-  /** Sent by the planner at intervals; the number counts up. */
-  public record Heartbeat(long number) {}
+  private static final String TYPE_MEMBER = "is";
 
   /** Names on the wire of the members of a plan. */
   @SuppressWarnings("UnusedVariable") // Jackson reads the annotations alone
@@ -87,29 +76,24 @@
     return mapper;
   }
 
-  /**
-   * Encodes a message: one of the records of this class, a {@link LoadBacklog} or a {@link
-   * LoadPlan}.
-   *
-   * @throws IllegalArgumentException where the object is no message
-   */
-  public static byte[] encode(Object message) {
+  /** Encodes a message. */
+  public static byte[] encode(PlannerMessage message) {
     PlannerMessageType type = PlannerMessageType.of(message);
     ObjectNode node = CBOR.valueToTree(message);
     node.put(TYPE_MEMBER, type.wireName());
     try {
       return CBOR.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
-      throw new IllegalArgumentException(e);
+      throw new IllegalArgumentException(e); // each message is a record of plain values
     }
   }
 
   /**
    * Decodes a message.
    *
-   * @throws IOException where the bytes are no message; it says what is wrong with them
+   * @throws IOException if the bytes are not a message; its text says why
    */
-  public static Record decode(byte[] bytes) throws IOException {
+  public static PlannerMessage decode(byte[] bytes) throws IOException {
     JsonNode node = CBOR.readTree(bytes);
     if (!(node instanceof ObjectNode members) || !members.path(TYPE_MEMBER).isTextual()) {
       throw new IOException("no message");
--- a/src/main/java/switchgap/planner/link/PlannerMessageType.java
+++ b/src/main/java/switchgap/planner/link/PlannerMessageType.java
@@ -2,19 +2,25 @@
 
 import switchgap.planner.LoadBacklog;
 import switchgap.planner.LoadPlan;
+import switchgap.planner.PlannerMessage;
 
 /** The types of messages between edge and planner, with their names on the wire. */
 enum PlannerMessageType {
-  HELLO("hello", PlannerMessageCodec.Hello.class),
-  REFUSED("refused", PlannerMessageCodec.Refused.class),
-  HEARTBEAT("beat", PlannerMessageCodec.Heartbeat.class),
+  /** The handshake of either side. */
+  HELLO("hello", PlannerMessage.Hello.class),
+  /** The edge rejects a connection. */
+  REJECTED("refused", PlannerMessage.Rejected.class),
+  /** The planner is alive. */
+  HEARTBEAT("beat", PlannerMessage.Heartbeat.class),
+  /** The edge's pending loads. */
   BACKLOG("told", LoadBacklog.class),
+  /** The planner's response to a backlog. */
   PLAN("plan", LoadPlan.class);
 
   private final String wireName;
-  private final Class<? extends Record> messageClass;
+  private final Class<? extends PlannerMessage> messageClass;
 
-  PlannerMessageType(String wireName, Class<? extends Record> messageClass) {
+  PlannerMessageType(String wireName, Class<? extends PlannerMessage> messageClass) {
     this.wireName = wireName;
     this.messageClass = messageClass;
   }
@@ -23,7 +29,7 @@
     return wireName;
   }
 
-  Class<? extends Record> messageClass() {
+  Class<? extends PlannerMessage> messageClass() {
     return messageClass;
   }
 
@@ -37,17 +43,13 @@
     return null;
   }
 
-  /**
-   * The type of a message.
-   *
-   * @throws IllegalArgumentException where it is none
-   */
-  static PlannerMessageType of(Object message) {
+  /** The type of a message. */
+  static PlannerMessageType of(PlannerMessage message) {
     for (PlannerMessageType type : values()) {
       if (type.messageClass == message.getClass()) {
         return type;
       }
     }
-    throw new IllegalArgumentException("no message: " + message.getClass().getName());
+    throw new IllegalArgumentException("no type of " + message.getClass().getName());
   }
 }
--- a/src/main/java/switchgap/planner/link/PlannerServer.java
+++ b/src/main/java/switchgap/planner/link/PlannerServer.java
@@ -14,11 +14,12 @@
 import switchgap.net.WallClock;
 import switchgap.planner.LoadBacklog;
 import switchgap.planner.LoadPlan;
+import switchgap.planner.PlannerMessage;
 
 /**
  * The edge's end: accepts one planner at a time, after a handshake. A client that speaks another
- * version, is no planner, is for another router, or connects while a planner is connected, is
- * refused with the reason. Requests to the router are not affected. Thread-safe.
+ * version, is not a planner, is for another router, or connects while a planner is connected, is
+ * rejected with the reason. Requests to the router are not affected. Thread-safe.
  */
 public final class PlannerServer implements AutoCloseable {
   /** Notified of the planner, on selector threads. */
@@ -35,13 +36,13 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(PlannerServer.class);
 
-  /** Without a message for so long a planner is disconnected, without a handshake any client. */
+  /** A planner is disconnected after this time without a message, a client without a handshake. */
   private static final long SILENCE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private static final long SILENCE_CHECK_MILLIS = 250;
 
-  /** Time for a refusal to reach the client before the connection is closed. */
-  private static final long REFUSAL_LINGER_MILLIS = 100;
+  /** Time for a rejection to reach the client before the connection is closed. */
+  private static final long REJECTION_LINGER_MILLIS = 100;
 
   private static final long EPOCHS_PER_MILLISECOND = 1000;
 
@@ -49,15 +50,19 @@
   private static final class Session {
     private final FramedConnection connection;
     private final long epoch;
-    private volatile long heardAtNanos = System.nanoTime();
+    private volatile long lastMessageNanos = System.nanoTime();
 
     Session(FramedConnection connection, long epoch) {
       this.connection = connection;
       this.epoch = epoch;
     }
 
+    void messageReceived() {
+      lastMessageNanos = System.nanoTime();
+    }
+
     boolean isSilent() {
-      return System.nanoTime() - heardAtNanos > SILENCE_TIMEOUT_NANOS;
+      return System.nanoTime() - lastMessageNanos > SILENCE_TIMEOUT_NANOS;
     }
   }
 
@@ -73,7 +78,7 @@
   /**
    * Listens for the planner of the router with this index; port 0 takes any.
    *
-   * @throws IOException where the port can't be listened at
+   * @throws IOException if the port can't be listened on
    */
   public PlannerServer(NetworkTransport net, String host, int port, int router, Listener listener)
       throws IOException {
@@ -87,14 +92,16 @@
             this::closeIfSilent, SILENCE_CHECK_MILLIS, SILENCE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** The port that is listened at. */
+  /** The port that is listened on. */
   public int port() {
     return server.port();
   }
 
   /**
-   * Sends a backlog to the planner. False where none is connected in its epoch, or it does not keep
-   * up; the next backlog makes up for it.
+   * Sends a backlog to the planner.
+   *
+   * @return false if no planner of its epoch is connected, or too many messages to it are unsent;
+   *     the next backlog makes up for it
    */
   public boolean send(LoadBacklog backlog) {
     Session current = session.get();
@@ -110,7 +117,7 @@
     }
   }
 
-  /** The session of this connection, or null where it had no handshake. */
+  /** The session of this connection, or null if its handshake is not complete. */
   private Session sessionOf(FramedConnection connection) {
     Session current = session.get();
     return current != null && current.connection == connection ? current : null;
@@ -132,29 +139,29 @@
 
     @Override
     public void frame(FramedConnection from, byte[] bytes) {
-      Record message;
+      PlannerMessage message;
       try {
         message = PlannerMessageCodec.decode(bytes);
       } catch (IOException e) {
-        refuse(from, "unreadable: " + e.getMessage().lines().findFirst().orElse(""));
+        reject(from, "unreadable: " + e.getMessage().lines().findFirst().orElse(""));
         return;
       }
       Session current = sessionOf(from);
       if (current != null) {
         received(current, message);
-      } else if (message instanceof PlannerMessageCodec.Hello hello) {
-        greet(from, hello);
+      } else if (message instanceof PlannerMessage.Hello hello) {
+        handshake(from, hello);
       } else {
-        refuse(from, "a message before the handshake");
+        reject(from, "a message before the handshake");
       }
     }
 
-    private void received(Session from, Record message) {
-      from.heardAtNanos = System.nanoTime();
+    private void received(Session from, PlannerMessage message) {
+      from.messageReceived();
       if (message instanceof LoadPlan plan) {
         listener.planReceived(plan);
-      } else if (!(message instanceof PlannerMessageCodec.Heartbeat)) {
-        refuse(from.connection, "no message for an edge");
+      } else if (!(message instanceof PlannerMessage.Heartbeat)) {
+        reject(from.connection, "no message for an edge");
       }
     }
 
@@ -168,28 +175,28 @@
     }
   }
 
-  private synchronized void greet(FramedConnection client, PlannerMessageCodec.Hello hello) {
-    String fault = fault(hello);
-    if (fault != null) {
-      refuse(client, fault);
+  private synchronized void handshake(FramedConnection client, PlannerMessage.Hello hello) {
+    String mismatch = mismatch(hello);
+    if (mismatch != null) {
+      reject(client, mismatch);
       return;
     }
     lastEpoch++;
     Session opened = new Session(client, lastEpoch);
     if (!session.compareAndSet(null, opened)) {
-      refuse(client, "a planner is linked already");
+      reject(client, "a planner is linked already");
       return;
     }
     client.send(
         PlannerMessageCodec.encode(
-            new PlannerMessageCodec.Hello(
+            new PlannerMessage.Hello(
                 PlannerMessageCodec.VERSION, PlannerMessageCodec.EDGE_SIDE, router, opened.epoch)));
     LOG.info("router {}: planner linked, epoch {}", router, opened.epoch);
     listener.plannerConnected(opened.epoch);
   }
 
   /** Why a client with this handshake can't be this edge's planner, or null. */
-  private String fault(PlannerMessageCodec.Hello hello) {
+  private String mismatch(PlannerMessage.Hello hello) {
     if (hello.version() != PlannerMessageCodec.VERSION) {
       return "version " + hello.version() + ", this edge speaks " + PlannerMessageCodec.VERSION;
     }
@@ -202,12 +209,12 @@
     return null;
   }
 
-  private void refuse(FramedConnection client, String why) {
-    LOG.warn("router {}: planner refused: {}", router, why);
-    client.send(PlannerMessageCodec.encode(new PlannerMessageCodec.Refused(why)));
+  private void reject(FramedConnection client, String why) {
+    LOG.warn("router {}: planner rejected: {}", router, why);
+    client.send(PlannerMessageCodec.encode(new PlannerMessage.Rejected(why)));
     TimerThread.EXECUTOR.schedule(
-        () -> client.close(new CloseCause(LinkCloseReason.REFUSED, why)),
-        REFUSAL_LINGER_MILLIS,
+        () -> client.close(new CloseCause(LinkCloseReason.REJECTED, why)),
+        REJECTION_LINGER_MILLIS,
         TimeUnit.MILLISECONDS);
   }
 
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -22,6 +22,7 @@
 import switchgap.net.TimerThread;
 import switchgap.net.WallClock;
 import switchgap.planner.LoadPlan;
+import switchgap.planner.LoadPlanCounts;
 import switchgap.planner.link.PlannerServer;
 import switchgap.policy.RoutingPolicy;
 import switchgap.protocol.invoke.InvokeApi;
--- a/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
@@ -10,8 +10,10 @@
 import switchgap.config.YamlRouterSettings;
 import switchgap.planner.LoadBacklog;
 import switchgap.planner.LoadPlan;
+import switchgap.planner.LoadPlanCounts;
 import switchgap.planner.PendingLoad;
 import switchgap.planner.PendingLoadQueue;
+import switchgap.planner.PlanRejection;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Attempt;
 import switchgap.router.RouterCore;
@@ -46,8 +48,8 @@
     }
 
     @Override
-    public void planRejected(String why) {
-      LOG.warn("the planner is wrong: {}", why);
+    public void planRejected(PlanRejection rejection) {
+      LOG.warn("the planner is wrong: {}", rejection);
     }
   }
 
@@ -125,8 +127,7 @@
   }
 
   LoadPlanCounts counts() {
-    long[] counts = queue.counts();
-    return new LoadPlanCounts(counts[0], counts[1], counts[2], counts[3]);
+    return queue.counts();
   }
 
   private void sendBacklog(RouterCore core) {
--- a/src/main/java/switchgap/server/gateway/RouterStatus.java
+++ b/src/main/java/switchgap/server/gateway/RouterStatus.java
@@ -5,6 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import switchgap.admission.AdmissionController;
 import switchgap.config.YamlDocument;
+import switchgap.planner.LoadPlanCounts;
 import switchgap.protocol.invoke.InvokeApi;
 import switchgap.protocol.invoke.RequestCounts;
 import switchgap.router.RouterCore;
@@ -68,6 +69,6 @@
     node.put("led", counts.planned());
     node.put("patience_over", counts.timedOut());
     node.put("stale", counts.stale());
-    node.put("refused", counts.refused());
+    node.put("refused", counts.rejected());
   }
 }
--- a/src/test/java/switchgap/planner/PendingLoadQueueTest.java
+++ b/src/test/java/switchgap/planner/PendingLoadQueueTest.java
@@ -48,7 +48,7 @@
     final PendingLoadQueue queue = new PendingLoadQueue(Duration.ofMillis(60), 4, this);
     final List<Long> released = new ArrayList<>();
     final Set<Long> withdrawn = new HashSet<>();
-    final List<String> rejections = new ArrayList<>();
+    final List<PlanRejection> rejections = new ArrayList<>();
     final ArrayDeque<LoadBacklog> backlogs = new ArrayDeque<>();
     final ArrayDeque<LoadPlan> plans = new ArrayDeque<>();
     LoadScheduler planner = new LoadScheduler();
@@ -65,8 +65,8 @@
     }
 
     @Override
-    public void planRejected(String why) {
-      rejections.add(why);
+    public void planRejected(PlanRejection rejection) {
+      rejections.add(rejection);
     }
 
     PendingLoad load(double priorityWeight, long loadMicros) {
@@ -179,7 +179,8 @@
     events.forEach(index -> bed.step(Event.values()[index]));
     bed.assertNoneIsLeftPending();
     // a correct planner is rejected for nothing else
-    assertThat(bed.rejections).allMatch(why -> why.startsWith("a plan for epoch"));
+    assertThat(bed.rejections)
+        .allMatch(rejection -> rejection.reason() == PlanRejection.Reason.WRONG_EPOCH);
   }
 
   @Test
@@ -236,7 +237,7 @@
     while (!bed.plans.isEmpty()) {
       bed.edgeReceives();
     }
-    assertThat(bed.queue.counts()[2]).isPositive();
+    assertThat(bed.queue.counts().stale()).isPositive();
     assertThat(bed.released).doesNotHaveDuplicates();
   }
 
--- a/src/test/java/switchgap/planner/link/PlannerMessageCodecTest.java
+++ b/src/test/java/switchgap/planner/link/PlannerMessageCodecTest.java
@@ -11,15 +11,16 @@
 import switchgap.planner.LoadBacklog;
 import switchgap.planner.LoadPlan;
 import switchgap.planner.PendingLoad;
+import switchgap.planner.PlannerMessage;
 
-/** The members of messages on the wire, which other versions read. */
+/** The wire form of messages, which other versions read. */
 class PlannerMessageCodecTest {
-  private static String json(Object message) throws IOException {
+  private static String json(PlannerMessage message) throws IOException {
     return new CBORMapper().readTree(PlannerMessageCodec.encode(message)).toString();
   }
 
   @Test
-  void namesOnTheWireAreThoseOfVersionTwo() throws IOException {
+  void encodesBacklogAndPlanWithMemberNamesOfVersionTwo() throws IOException {
     PendingLoad load = new PendingLoad(7, "w1", "f", 512, 250_000, 1.5, 3000);
     assertThat(json(new LoadBacklog(3, 4, List.of(load))))
         .isEqualTo(
@@ -32,30 +33,42 @@
   }
 
   @Test
-  void aMessageIsReadAsItWasWritten() throws IOException {
+  void decodesBacklogEqualToEncodedOne() throws IOException {
     LoadBacklog backlog =
         new LoadBacklog(3, 4, List.of(new PendingLoad(7, "w1", "f", 512, 250_000, 1.5, 3000)));
     assertThat(PlannerMessageCodec.decode(PlannerMessageCodec.encode(backlog))).isEqualTo(backlog);
   }
 
   @Test
-  void namesOfTheHandshakeAreThoseOfVersionTwo() throws IOException {
-    assertThat(json(new PlannerMessageCodec.Hello(2, "edge", 1, 5)))
+  void encodesHandshakeAndHeartbeatWithMemberNamesOfVersionTwo() throws IOException {
+    assertThat(json(new PlannerMessage.Hello(2, "edge", 1, 5)))
         .isEqualTo("{\"version\":2,\"side\":\"edge\",\"router\":1,\"epoch\":5,\"is\":\"hello\"}");
-    assertThat(json(new PlannerMessageCodec.Refused("version 3")))
+    assertThat(json(new PlannerMessage.Rejected("version 3")))
         .isEqualTo("{\"why\":\"version 3\",\"is\":\"refused\"}");
-    assertThat(json(new PlannerMessageCodec.Heartbeat(9)))
-        .isEqualTo("{\"number\":9,\"is\":\"beat\"}");
+    assertThat(json(new PlannerMessage.Heartbeat(9))).isEqualTo("{\"number\":9,\"is\":\"beat\"}");
   }
 
   @Test
-  void anObjectThatIsNoMessageIsNotEncoded() {
-    assertThatThrownBy(() -> PlannerMessageCodec.encode("text"))
-        .isInstanceOf(IllegalArgumentException.class);
+  void acceptsMessageTypesAloneEachWithWireNameOfItsOwn() throws NoSuchMethodException {
+    assertThat(PlannerMessageCodec.class.getMethod("encode", PlannerMessage.class)).isNotNull();
+    assertThatThrownBy(() -> PlannerMessageCodec.class.getMethod("encode", Object.class))
+        .as("an object that is not a message does not compile")
+        .isInstanceOf(NoSuchMethodException.class);
+    assertThat(PlannerMessageType.values())
+        .extracting(PlannerMessageType::messageClass)
+        .containsExactlyInAnyOrder(messageClasses());
+    assertThat(PlannerMessageType.values())
+        .extracting(PlannerMessageType::wireName)
+        .doesNotHaveDuplicates();
+  }
+
+  @SuppressWarnings("unchecked") // what a sealed type permits are its subtypes
+  private static Class<? extends PlannerMessage>[] messageClasses() {
+    return (Class<? extends PlannerMessage>[]) PlannerMessage.class.getPermittedSubclasses();
   }
 
   @Test
-  void bytesThatAreNoMessageAreRejectedWithTheReason() throws IOException {
+  void rejectsBytesThatAreNotMessageWithReason() throws IOException {
     CBORMapper cbor = new CBORMapper();
     byte[] number = cbor.writeValueAsBytes(7);
     byte[] unknownType = cbor.writeValueAsBytes(Map.of("is", "greeting"));
--- a/src/test/java/switchgap/server/gateway/RouterAndPlannerTest.java
+++ b/src/test/java/switchgap/server/gateway/RouterAndPlannerTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.api.Test;
 import switchgap.net.NetworkTransport;
 import switchgap.planner.LoadPlan;
+import switchgap.planner.PlannerMessage;
 import switchgap.planner.link.PlannerClient;
 import switchgap.planner.link.PlannerMessageCodec;
 
@@ -72,14 +73,14 @@
     assertThat(fixture.gateway.pendingRequests()).isZero();
   }
 
-  private static void send(DataOutputStream out, Object message) throws Exception {
+  private static void send(DataOutputStream out, PlannerMessage message) throws Exception {
     byte[] bytes = PlannerMessageCodec.encode(message);
     out.writeInt(bytes.length);
     out.write(bytes);
     out.flush();
   }
 
-  private static Object read(DataInputStream in) throws Exception {
+  private static PlannerMessage read(DataInputStream in) throws Exception {
     byte[] bytes = new byte[in.readInt()];
     in.readFully(bytes);
     return PlannerMessageCodec.decode(bytes);
@@ -91,11 +92,11 @@
         GatewayFixture fixture = new GatewayFixture(PLANNER_CONFIG, worker.peer);
         NetworkTransport net = network();
         PlannerClient planner = new PlannerClient(net, plannerAddress(fixture), 0)) {
-      until(planner::linked);
+      until(planner::isLinked);
       awaitSuccess(fixture);
       until(() -> fixture.gateway.loadPlanCounts().planned() > 0);
       assertThat(worker.loads.get()).isEqualTo(1);
-      assertThat(fixture.gateway.loadPlanCounts().refused()).isZero();
+      assertThat(fixture.gateway.loadPlanCounts().rejected()).isZero();
       assertThat(fixture.get("/v1/status").body())
           .contains("\"state\" : \"led\"")
           .contains("\"led\" : 1");
@@ -108,7 +109,7 @@
         GatewayFixture fixture = new GatewayFixture(PLANNER_CONFIG, worker.peer);
         NetworkTransport net = network()) {
       PlannerClient planner = new PlannerClient(net, plannerAddress(fixture), 0);
-      until(planner::linked);
+      until(planner::isLinked);
       planner.close();
       awaitSuccess(fixture);
       assertThat(worker.loads.get()).isEqualTo(1);
@@ -121,9 +122,9 @@
         GatewayFixture fixture = new GatewayFixture(PLANNER_CONFIG, worker.peer);
         Socket silent = new Socket("127.0.0.1", fixture.gateway.plannerPort())) {
       DataOutputStream out = new DataOutputStream(silent.getOutputStream());
-      send(out, new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0));
+      send(out, new PlannerMessage.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0));
       assertThat(read(new DataInputStream(silent.getInputStream())))
-          .isInstanceOf(PlannerMessageCodec.Hello.class);
+          .isInstanceOf(PlannerMessage.Hello.class);
       awaitSuccess(fixture);
       assertThat(fixture.gateway.loadPlanCounts().timedOut()).isPositive(); // the patience was over
     }
@@ -135,13 +136,13 @@
         GatewayFixture fixture = new GatewayFixture(PLANNER_CONFIG, worker.peer);
         NetworkTransport net = network();
         PlannerClient planner = new PlannerClient(net, plannerAddress(fixture), 0)) {
-      until(planner::linked);
-      Object[] firstMessages = {
-        new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION + 1, "planner", 0, 0),
-        new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "edge", 0, 0),
-        new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 5, 0),
-        new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0),
-        new PlannerMessageCodec.Heartbeat(1)
+      until(planner::isLinked);
+      PlannerMessage[] firstMessages = {
+        new PlannerMessage.Hello(PlannerMessageCodec.VERSION + 1, "planner", 0, 0),
+        new PlannerMessage.Hello(PlannerMessageCodec.VERSION, "edge", 0, 0),
+        new PlannerMessage.Hello(PlannerMessageCodec.VERSION, "planner", 5, 0),
+        new PlannerMessage.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0),
+        new PlannerMessage.Heartbeat(1)
       };
       String[] reasons = {
         "version 3", "no planner", "router 5", "linked already", "before the handshake"
@@ -149,12 +150,12 @@
       for (int i = 0; i < firstMessages.length; i++) {
         try (Socket client = new Socket("127.0.0.1", fixture.gateway.plannerPort())) {
           send(new DataOutputStream(client.getOutputStream()), firstMessages[i]);
-          Object answer = read(new DataInputStream(client.getInputStream()));
-          assertThat(answer).isInstanceOf(PlannerMessageCodec.Refused.class);
-          assertThat(((PlannerMessageCodec.Refused) answer).why()).contains(reasons[i]);
+          PlannerMessage answer = read(new DataInputStream(client.getInputStream()));
+          assertThat(answer).isInstanceOf(PlannerMessage.Rejected.class);
+          assertThat(((PlannerMessage.Rejected) answer).why()).contains(reasons[i]);
         }
       }
-      assertThat(planner.linked()).isTrue();
+      assertThat(planner.isLinked()).isTrue();
       awaitSuccess(fixture);
     }
   }
@@ -177,16 +178,16 @@
         out.write(new byte[] {1, 2, 3, 4, 5});
         out.flush();
         assertThat(read(new DataInputStream(client.getInputStream())))
-            .isInstanceOf(PlannerMessageCodec.Refused.class);
+            .isInstanceOf(PlannerMessage.Rejected.class);
       }
       try (Socket client = new Socket("127.0.0.1", port)) {
         DataOutputStream out = new DataOutputStream(client.getOutputStream());
-        send(out, new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0));
-        PlannerMessageCodec.Hello hello =
-            (PlannerMessageCodec.Hello) read(new DataInputStream(client.getInputStream()));
+        send(out, new PlannerMessage.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0));
+        PlannerMessage.Hello hello =
+            (PlannerMessage.Hello) read(new DataInputStream(client.getInputStream()));
         send(out, new LoadPlan(hello.epoch(), 1, new long[] {99, -4}));
         send(out, new LoadPlan(hello.epoch() + 1, 1, new long[] {0}));
-        until(() -> fixture.gateway.loadPlanCounts().refused() == 3);
+        until(() -> fixture.gateway.loadPlanCounts().rejected() == 3);
         out.writeInt(400); // half a frame, then the end
         out.write(new byte[17]);
       }
