--- a/src/main/java/switchgap/router/InvariantMonitor.java
+++ b/src/main/java/switchgap/router/InvariantMonitor.java
@@ -52,15 +52,19 @@
   public void beforeAttempt(Attempt attempt, Duration timeout, Duration now) {
     PendingRequest request = attempt.request();
     String id = request.id();
-    check(request.isPending(), Invariant.ATTEMPT_AFTER_ANSWER, id, now);
-    check(!isDisconnected(request, now), Invariant.ATTEMPT_FOR_DISCONNECTED_CLIENT, id, now);
-    check(attempt.worker().isAccepting(), Invariant.ATTEMPT_TO_DRAINING_WORKER, id, now);
-    check(now.compareTo(request.deadline()) < 0, Invariant.ATTEMPT_AFTER_DEADLINE, id, now);
+    check(request.isPending(), RouterInvariant.ATTEMPT_AFTER_ANSWER, id, now);
+    check(!isDisconnected(request, now), RouterInvariant.ATTEMPT_FOR_DISCONNECTED_CLIENT, id, now);
+    check(attempt.worker().isAccepting(), RouterInvariant.ATTEMPT_TO_DRAINING_WORKER, id, now);
+    check(now.compareTo(request.deadline()) < 0, RouterInvariant.ATTEMPT_AFTER_DEADLINE, id, now);
     Duration maxTimeout = request.deadline().minus(now).plus(DEADLINE_SLACK);
-    check(timeout.compareTo(maxTimeout) <= 0, Invariant.TIMEOUT_PAST_DEADLINE, id, now);
-    check(!attempt.hasEnded(), Invariant.ATTEMPT_SENT_TWICE, id, now);
+    check(timeout.compareTo(maxTimeout) <= 0, RouterInvariant.TIMEOUT_PAST_DEADLINE, id, now);
+    check(!attempt.hasEnded(), RouterInvariant.ATTEMPT_SENT_TWICE, id, now);
     boolean mayRetry = settings.idempotency(request.requestClass()) != Idempotency.NON_IDEMPOTENT;
-    check(mayRetry || !mayHaveExecutedBefore(attempt), Invariant.RETRY_OF_NON_IDEMPOTENT, id, now);
+    check(
+        mayRetry || !mayHaveExecutedBefore(attempt),
+        RouterInvariant.RETRY_OF_NON_IDEMPOTENT,
+        id,
+        now);
   }
 
   private static boolean isDisconnected(PendingRequest request, Duration now) {
@@ -75,12 +79,12 @@
 
   /** A load of replicas is about to go out. */
   public void beforeLoad(WorkerEntry worker, Duration now) {
-    check(worker.isAccepting(), Invariant.LOAD_TO_DRAINING_WORKER, worker.name(), now);
+    check(worker.isAccepting(), RouterInvariant.LOAD_TO_DRAINING_WORKER, worker.name(), now);
   }
 
   /** A request is about to be answered. */
   public void beforeAnswer(PendingRequest request, Duration now) {
-    check(!request.isAnswerSent(), Invariant.SECOND_ANSWER, request.id(), now);
+    check(!request.isAnswerSent(), RouterInvariant.SECOND_ANSWER, request.id(), now);
     request.recordAnswerSent();
   }
 
@@ -92,15 +96,15 @@
    * @param unanswered requests that were read on it and have no answer
    */
   public void afterClose(String subjectId, boolean isClientFault, int unanswered, Duration now) {
-    check(isClientFault || unanswered == 0, Invariant.CLOSED_UNANSWERED, subjectId, now);
+    check(isClientFault || unanswered == 0, RouterInvariant.CLOSED_UNANSWERED, subjectId, now);
   }
 
   /** Health checks are about to succeed. */
   public void beforeHealthy(boolean isEndpointListKnown, Duration now) {
-    check(isEndpointListKnown, Invariant.HEALTHY_WITHOUT_WORKERS, STARTUP, now);
+    check(isEndpointListKnown, RouterInvariant.HEALTHY_WITHOUT_WORKERS, STARTUP, now);
   }
 
-  private void check(boolean holds, Invariant invariant, String subjectId, Duration now) {
+  private void check(boolean holds, RouterInvariant invariant, String subjectId, Duration now) {
     if (holds) {
       return;
     }
--- a/src/main/java/switchgap/router/RouterEvent.java
+++ b/src/main/java/switchgap/router/RouterEvent.java
@@ -243,7 +243,7 @@
   }
 
   /** An invariant was violated at a time since the router's start. */
-  record InvariantViolated(Invariant invariant, String subjectId, Duration time)
+  record InvariantViolated(RouterInvariant invariant, String subjectId, Duration time)
       implements RouterEvent {
     @Override
     public Kind kind() {
--- a/src/main/java/switchgap/router/Invariant.java
+++ b/src/main/java/switchgap/router/RouterInvariant.java
@@ -3,7 +3,7 @@
 /**
  * What must hold whenever something is sent, answered or closed; each is named by its violation.
  */
-public enum Invariant {
+public enum RouterInvariant {
   /** An attempt goes out for a request that has its answer. */
   ATTEMPT_AFTER_ANSWER,
   /** An attempt goes out for a client that was seen to have gone over 0.1 s ago. */
--- a/src/main/java/switchgap/testbed/experiment/LoadRun.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRun.java
@@ -47,7 +47,7 @@
     YamlDocument loadSection = document.section("load");
     name = loadSection.text("name");
     scenario = Scenario.read(file.resolveSibling(loadSection.text("day")).normalize());
-    seed = (long) loadSection.number("seed", 0, (double) (1L << 50), scenario.seed());
+    seed = (long) loadSection.number("seed", 0, (double) (1L << 50), (double) scenario.seed());
     loadSection.rejectUnknownKeys();
     curve = LoadCurve.read("curve", document.section("curve"), file).within(within);
     document.rejectUnknownKeys();
--- a/src/test/java/switchgap/router/InvariantMonitorTest.java
+++ b/src/test/java/switchgap/router/InvariantMonitorTest.java
@@ -43,7 +43,7 @@
   }
 
   /** Does what a program would that does not keep the invariant. */
-  private void violate(Invariant invariant) {
+  private void violate(RouterInvariant invariant) {
     Attempt first = attempt(0);
     switch (invariant) {
       case ATTEMPT_AFTER_ANSWER -> {
@@ -85,7 +85,7 @@
 
   @ParameterizedTest
   @EnumSource
-  void eachViolationIsCountedAndLogged(Invariant invariant) {
+  void eachViolationIsCountedAndLogged(RouterInvariant invariant) {
     violate(invariant);
     assertThat(events.counts())
         .containsEntry(RouterEvent.Kind.INVARIANT_VIOLATED + " " + invariant, 1L);
