--- a/src/main/java/switchgap/router/AdmissionGate.java
+++ b/src/main/java/switchgap/router/AdmissionGate.java
@@ -43,7 +43,7 @@
   }
 
   /** Tells the controller what became of what it admitted. */
-  private final class Observer implements RouterCore.RequestObserver {
+  private final class Observer implements RequestObserver {
     @Override
     public void requestEnded(PendingRequest request, Response response) {
       admission.requestEnded(core.now(), request.requestClass(), outcome(request, response));
--- a/src/main/java/switchgap/router/NameIndex.java
+++ b/src/main/java/switchgap/router/NameIndex.java
@@ -10,6 +10,9 @@
  * limits the names.
  */
 final class NameIndex {
+  /** The index of a name that has none. */
+  static final int NOT_FOUND = -1;
+
   private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
   private static final long FNV_PRIME = 0x100000001b3L;
   private static final long MIX_MULTIPLIER = 0xff51afd7ed558ccdL; // of MurmurHash3's finalizer
@@ -19,9 +22,9 @@
   private final List<String> names = new ArrayList<>();
   private final List<Integer> freeIndices = new ArrayList<>();
 
-  /** The index of a name, or -1. */
+  /** The index of a name, or {@link #NOT_FOUND}. */
   int find(String name) {
-    return indices.getOrDefault(name, -1);
+    return indices.getOrDefault(name, NOT_FOUND);
   }
 
   /** The index of a name, a new one where it has none. */
--- a/src/main/java/switchgap/router/RouterCore.java
+++ b/src/main/java/switchgap/router/RouterCore.java
@@ -6,52 +6,31 @@
 import java.util.function.Consumer;
 import switchgap.policy.RoutingPolicy;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.policy.api.AttemptResult;
 import switchgap.policy.api.EventBatch;
-import switchgap.policy.api.LoadCommandResult;
 import switchgap.policy.api.LoadReport;
 import switchgap.policy.api.PolicyActions;
-import switchgap.policy.api.PolicyEvents;
-import switchgap.policy.api.ProbeResult;
-import switchgap.policy.api.RequestArrival;
 import switchgap.policy.api.RouterSettings;
 
 /**
- * One router under one policy. Its owner calls {@link #tick} from one thread with the events since
- * the last one; the event methods below are for those events only. It decides nothing that the
- * policy decides; it keeps what is mechanical about the rules: one response a request, none past
- * its deadline, one end an attempt.
+ * One router under one policy. Its owner calls {@link #tick} from one thread, the event loop, with
+ * the events since the last tick; the event methods below are to be called by those events only.
+ * The policy makes all decisions; the core carries them out and guarantees one response a request,
+ * none past its deadline, and one end an attempt.
  */
 public final class RouterCore {
-  private final RouterSettings settings;
-  private final Policy policy;
-  private final int maxFunctions;
-  private final TimerQueue timers = new TimerQueue();
-  private final NameIndex functions = new NameIndex();
-  private final EndpointTable endpoints;
-  private final PendingRequestTable requests = new PendingRequestTable();
-  private final PolicyActions actions;
-  private Duration now = Duration.ZERO;
-  private PolicyEvents policyEvents; // while a tick's events are being told
-  private RequestObserver observer = (request, response) -> {};
-
-  /** What decides: the routing policy, or in measurements a baseline. */
+  /** Makes the decisions: the routing policy, or in measurements a baseline. */
   public interface Policy {
-    /** Takes in the events since the last tick and decides. */
+    /** Takes in the events since the last tick and decides, through the actions. */
     void tick(Duration now, EventBatch events, PolicyActions actions);
   }
 
-  /** Is told of each accepted request how it ended. */
-  public interface RequestObserver {
-    /** A request ended with its response, null where it got none. */
-    void requestEnded(PendingRequest request, Response response);
-
-    /** An attempt ended. */
-    default void attemptEnded(Attempt attempt, AttemptOutcome outcome) {}
-
-    /** What a worker reported with an attempt's end. */
-    default void workerReported(LoadReport report) {}
-  }
+  private final Policy policy;
+  private final CoreContext context = new CoreContext();
+  private final EndpointTable endpoints;
+  private final RequestLifecycle requests;
+  private final AttemptLifecycle attempts;
+  private final WorkerCommandLifecycle commands;
+  private final PolicyActions actions;
 
   /** A core under the routing policy; its random draws come from the seed alone. */
   public RouterCore(
@@ -62,218 +41,119 @@
   /** A core under any policy. */
   public RouterCore(
       RouterSettings settings, Policy policy, WorkerTransport transport, CoreLimits limits) {
-    this.settings = settings;
     this.policy = policy;
-    this.maxFunctions = limits.maxFunctions();
-    this.endpoints = new EndpointTable(transport);
-    this.actions = new ActionExecutor(this, transport, limits);
+    NameIndex functions = new NameIndex();
+    endpoints = new EndpointTable(transport);
+    requests = new RequestLifecycle(context, settings, functions, limits.maxFunctions());
+    attempts = new AttemptLifecycle(context, transport, requests);
+    commands = new WorkerCommandLifecycle(context, transport, endpoints, functions, limits);
+    actions =
+        new ActionExecutor(context, transport, requests, attempts, commands, endpoints, functions);
   }
 
-  /** Has an observer told from now on; there is one at a time. */
-  public void observe(RequestObserver to) {
-    observer = to;
-  }
-
-  /** Time of the tick, since the router's start. */
-  public Duration now() {
-    return now;
-  }
-
-  /** Runs within a tick at that time or soon after. */
-  public void schedule(Duration due, Runnable task) {
-    timers.schedule(due, task);
-  }
+  // ------------------------------------------------------------------ the owner's side
 
-  /** One tick of the policy with all that came in, and what is due. */
-  public void tick(Duration at, Iterable<Consumer<RouterCore>> events) {
-    now = at;
+  /** One tick of the policy at a time since the router's start: new events, then timers due. */
+  public void tick(Duration time, Iterable<Consumer<RouterCore>> events) {
+    context.tickStarted(time);
     policy.tick(
-        at,
-        to -> {
-          policyEvents = to;
+        time,
+        policyEvents -> {
+          context.eventsOpened(policyEvents);
           events.forEach(event -> event.accept(this));
-          timers.runDue(at);
-          policyEvents = null;
+          context.timers().runDue(time);
+          context.eventsClosed();
         },
         actions);
   }
 
-  /** When the next tick is due without an event, or null. */
+  /** When the next tick is due without an event, since the router's start; null for never. */
   public Duration nextDue() {
-    return timers.nextDue();
+    return context.timers().nextDue();
+  }
+
+  /** Time of the current or last tick, since the router's start. */
+  public Duration now() {
+    return context.now();
   }
 
-  /** Requests accepted and without their response. */
+  /** Runs a task in the first tick at this time or later. */
+  public void schedule(Duration due, Runnable task) {
+    context.timers().schedule(due, task);
+  }
+
+  /** Notifies an observer from now on, in place of the last one. */
+  public void observe(RequestObserver observer) {
+    context.observe(observer);
+  }
+
+  /** Requests accepted and without their final state. */
   public int pendingRequests() {
     return requests.pending();
   }
 
   /**
-   * What must be none once all is over: requests known to the policy, with or without attempts in
-   * flight.
+   * Requests that the policy knows, pending or with attempts in flight; zero once all have ended.
    */
   public int unsettledRequests() {
     return requests.unsettled();
   }
 
-  /** Weight of the pending requests that are at no worker, by function. */
+  /** Priority weight of the pending requests that are at no worker, by function. */
   public Map<String, Double> queuedWeightByFunction() {
-    return requests.queuedWeightByFunction(
-        request -> settings.priorityWeight(request.requestClass()));
+    return requests.queuedWeightByFunction();
   }
 
   // ------------------------------------------------------------------ events
 
   /**
-   * A request came. Accepted: it gets one final response. Not accepted (false): its deadline has
-   * passed, or too many functions are known.
+   * A request arrived. Returns whether it is accepted and so gets one final response; false where
+   * its deadline has passed or too many functions are known.
    */
   public boolean accept(PendingRequest request) {
-    boolean tooManyFunctions =
-        functions.find(request.function()) < 0 && functions.size() >= maxFunctions;
-    if (request.deadline().compareTo(now) <= 0 || tooManyFunctions) {
-      request.end(PendingRequest.State.NOT_ACCEPTED);
-      return false;
-    }
-    requests.add(request);
-    request.accept(now);
-    int tenant =
-        request.tenant() == PendingRequest.NO_TENANT ? settings.tenantCount() : request.tenant();
-    policyEvents.requestArrived(
-        new RequestArrival(
-            request.index(),
-            request.requestClass(),
-            tenant,
-            functions.allocate(request.function()),
-            NameIndex.hash(request.function()),
-            request.deadline(),
-            request.durationHint(),
-            request.memoryMb(),
-            request.slots()));
-    return true;
+    return requests.accept(request);
   }
 
-  /** The client hung up or cancelled. */
+  /** A request's client disconnected or cancelled it; without effect once it has ended. */
   public void requestCancelled(PendingRequest request) {
-    if (!request.isPending()) {
-      return;
-    }
-    if (!request.hasIndex()) { // was not offered to the policy yet
-      request.end(PendingRequest.State.CANCELLED);
-      return;
-    }
-    requests.end(request, PendingRequest.State.CANCELLED);
-    observer.requestEnded(request, null);
-    policyEvents.clientLeft(request.index());
+    requests.cancel(request);
   }
 
   /**
-   * An attempt ended; the first end counts, a later one is a late response and reaches nobody. A
-   * response that comes when the deadline has passed (a pause) is told as such: most protocols send
-   * nothing after a deadline.
+   * An attempt ended. The first end counts; a later one is a late response, which is discarded. A
+   * response after the deadline (the process paused) is passed to {@link
+   * ResponseListener#deadlineMissed}, as most protocols send nothing then.
+   *
+   * @param report the worker's load, {@link LoadReport#NONE} where it reported none
+   * @param response the worker's response where it succeeded, else null
    */
   public void attemptEnded(
       Attempt attempt, AttemptOutcome outcome, LoadReport report, Response response) {
-    if (attempt.hasEnded()) {
-      return;
-    }
-    attempt.end(outcome);
-    observer.attemptEnded(attempt, outcome);
-    timers.cancel(attempt.timeout());
-    observer.workerReported(report);
-    PendingRequest request = attempt.request();
-    if (outcome == AttemptOutcome.SUCCEEDED) {
-      respond(request, response);
-    }
-    boolean closed = !request.isPending();
-    policyEvents.attemptEnded(
-        new AttemptResult(
-            request.index(),
-            attempt.number(),
-            attempt.worker().index(),
-            outcome,
-            now.minus(attempt.sentAt()),
-            closed,
-            report));
+    attempts.ended(attempt, outcome, report, response);
   }
 
-  /** A load command or a query ended; {@code loadedReplicas} are there now. */
+  /** A load command or a query ended; {@code loadedReplicas} are loaded now. */
   public void loadCommandEnded(WorkerCommand command, AttemptOutcome outcome, int loadedReplicas) {
-    if (endsFirst(command) && endpoints.isKnown(command.worker())) {
-      policyEvents.loadCommandEnded(
-          new LoadCommandResult(
-              command.worker().index(),
-              command.function(),
-              outcome,
-              now.minus(command.sentAt()),
-              loadedReplicas));
-    }
+    commands.loadEnded(command, outcome, loadedReplicas);
   }
 
-  /** An unload ended, however it did. */
+  /** An unload ended, with any outcome. */
   public void unloadEnded(WorkerCommand command) {
-    endsFirst(command);
+    commands.unloadEnded(command);
   }
 
-  /** A probe ended. */
+  /** A load probe ended. */
   public void probeEnded(WorkerCommand command, AttemptOutcome outcome, LoadReport report) {
-    if (endsFirst(command) && endpoints.isKnown(command.worker())) {
-      policyEvents.probeEnded(new ProbeResult(command.worker().index(), outcome, report));
-    }
+    commands.probeEnded(command, outcome, report);
   }
 
-  /** Whether this is a command's first end. */
-  private boolean endsFirst(WorkerCommand command) {
-    boolean first = command.end();
-    timers.cancel(command.timeout());
-    return first;
-  }
-
-  /** A version of the endpoint list came, complete or as its changes. */
+  /** A version of the endpoint list was received, complete or as its changes. */
   public void endpointListReceived(boolean complete, List<EndpointUpdate> updates) {
-    endpoints.update(complete, updates, now, policyEvents);
+    endpoints.update(complete, updates, context.now(), context.policyEvents());
   }
 
-  /** A poll for the endpoint list failed; the last one stays in force. */
+  /** A poll of the endpoint list failed; the last one stays in force. */
   public void endpointListFailed() {
-    policyEvents.endpointListFailed();
-  }
-
-  // ------------------------------------------------------------------ for the actions
-
-  /** Sends a final response, unless the request has its end. */
-  void respond(PendingRequest request, Response response) {
-    if (!request.isPending()) {
-      return;
-    }
-    if (now.compareTo(request.deadline()) >= 0) { // paused past the deadline
-      requests.end(request, PendingRequest.State.DEADLINE_EXCEEDED);
-      observer.requestEnded(request, null);
-      request.listener().deadlineMissed(request, response);
-    } else {
-      requests.end(request, PendingRequest.State.ANSWERED);
-      observer.requestEnded(request, response);
-      request.listener().responded(request, response);
-    }
-  }
-
-  void wakeUpLater(Duration delay, long token) {
-    timers.schedule(now.plus(delay), () -> policyEvents.wakeUp(token));
-  }
-
-  TimerQueue timers() {
-    return timers;
-  }
-
-  NameIndex functions() {
-    return functions;
-  }
-
-  EndpointTable endpoints() {
-    return endpoints;
-  }
-
-  PendingRequestTable requests() {
-    return requests;
+    context.policyEvents().endpointListFailed();
   }
 }
--- a/src/main/java/switchgap/server/platform/AttemptObserver.java
+++ b/src/main/java/switchgap/server/platform/AttemptObserver.java
@@ -3,13 +3,13 @@
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Attempt;
 import switchgap.router.PendingRequest;
+import switchgap.router.RequestObserver;
 import switchgap.router.Response;
-import switchgap.router.RouterCore;
 import switchgap.router.RouterEvent;
 import switchgap.router.RouterEvents;
 
 /** Records how attempts end among the router's events. */
-final class AttemptObserver implements RouterCore.RequestObserver {
+final class AttemptObserver implements RequestObserver {
   private final RouterEvents events;
 
   AttemptObserver(RouterEvents events) {
--- a/src/test/java/switchgap/router/RouterCoreLongRunTest.java
+++ b/src/test/java/switchgap/router/RouterCoreLongRunTest.java
@@ -128,7 +128,11 @@
     assertThat(answers + overdue + left).isEqualTo(taken);
     assertThat(overdue).isZero();
     assertThat(refused).isZero();
-    assertThat(((NameIndex) ReachableObjects.field(core, "functions")).size()).isLessThan(60);
+    assertThat(
+            ((NameIndex)
+                    ReachableObjects.field(ReachableObjects.field(core, "requests"), "functions"))
+                .size())
+        .isLessThan(60);
     assertThat(
             (Map<?, ?>) ReachableObjects.field(ReachableObjects.field(core, "endpoints"), "byName"))
         .hasSizeLessThan(8);
