--- a/src/main/java/switchgap/net/HttpServer.java
+++ b/src/main/java/switchgap/net/HttpServer.java
@@ -2,11 +2,8 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.time.Duration;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.ScheduledFuture;
-import java.util.concurrent.TimeUnit;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.Grizzly;
 import org.glassfish.grizzly.attributes.Attribute;
@@ -18,9 +15,9 @@
 import org.glassfish.grizzly.utils.DelayedExecutor;
 
 /**
- * An HTTP/1.1 server that receives requests whole, within {@link ConnectionLimits}, and hands each
- * to a request handler on a selector thread. Requests are not pipelined: a further one before the
- * response ends its connection.
+ * An HTTP/1.1 server that receives complete requests, within {@link ConnectionLimits}, and passes
+ * each to a request handler on a selector thread. Pipelining is not supported: a further request
+ * before the response closes the connection.
  */
 public final class HttpServer implements AutoCloseable {
   /** Handles requests on a selector thread, which it must not block. */
@@ -28,13 +25,13 @@
     /** A request was received; the response may come later and from any thread. */
     void handle(HttpExchange exchange);
 
-    /** The client's connection ended before its request was responded to. */
+    /** The client's connection ended before its response was sent. */
     default void clientLeft(HttpExchange exchange) {}
   }
 
   /**
-   * Grizzly measures idle connections by the wall clock (DelayedExecutor), so they are swept here
-   * instead.
+   * None, since Grizzly's DelayedExecutor measures idle time by the wall clock, which may be
+   * stepped; idle connections are closed by {@link OverdueConnectionSweeper} instead.
    */
   private static final DelayedExecutor NO_IDLE_TIMERS = null;
 
@@ -42,8 +39,6 @@
   private static final int UNLIMITED_REQUESTS = -1;
   private static final int MAX_REQUEST_HEADERS = 100;
   private static final int MAX_RESPONSE_HEADERS = 100;
-  private static final int SWEEPS_PER_RECEIVE_TIMEOUT = 4;
-  private static final long MIN_SWEEP_INTERVAL_MILLIS = 10;
 
   private final Attribute<ServerConnectionState> states =
       Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(
@@ -53,12 +48,8 @@
   private final ConnectionLimits limits;
   private final RequestHandler handler;
   private final Set<Connection<?>> openConnections = ConcurrentHashMap.newKeySet();
-
-  /** The timer thread alone uses it. */
-  private final StallHistory stalls = new StallHistory();
-
   private TCPNIOServerConnection listener;
-  private ScheduledFuture<?> sweeper;
+  private OverdueConnectionSweeper sweeper;
 
   /** A server that does not listen yet. */
   public HttpServer(NetworkTransport transport, ConnectionLimits limits, RequestHandler handler) {
@@ -83,18 +74,7 @@
     TCPNIOBindingHandler binding =
         TCPNIOBindingHandler.builder(transport.transport).processor(filters.build()).build();
     listener = binding.bind(new InetSocketAddress(host, port), NetworkTransport.LISTEN_BACKLOG);
-    long interval =
-        Math.max(
-            MIN_SWEEP_INTERVAL_MILLIS,
-            limits.receiveTimeout().toMillis() / SWEEPS_PER_RECEIVE_TIMEOUT);
-    StallDetector stallDetector =
-        new StallDetector(Duration.ofMillis(interval), Duration.ofNanos(System.nanoTime()));
-    sweeper =
-        TimerThread.EXECUTOR.scheduleAtFixedRate(
-            () -> closeOverdueConnections(stallDetector),
-            interval,
-            interval,
-            TimeUnit.MILLISECONDS);
+    sweeper = new OverdueConnectionSweeper(transport, limits, openConnections, states);
     return ((InetSocketAddress) listener.getLocalAddress()).getPort();
   }
 
@@ -120,32 +100,12 @@
     }
   }
 
-  /**
-   * Guards against clients that never complete a request: one byte a minute, half a head and then
-   * silence, or a connection on which nothing comes at all. Each kept its place for good, until all
-   * were taken. Pauses of the process do not count.
-   */
-  private void closeOverdueConnections(StallDetector stallDetector) {
-    Duration now = Duration.ofNanos(System.nanoTime());
-    Duration stall = stallDetector.recordCheck(now);
-    stalls.add(now, stall);
-    if (!stall.isZero()) {
-      transport.awaitPendingReads(); // requests may have come meanwhile
-    }
-    openConnections.forEach(
-        connection -> {
-          if (states.get(connection).isOverdue(now, limits, stalls)) {
-            ConnectionCloser.close(connection);
-          }
-        });
-  }
-
   /** Stops accepting connections and closes the open ones. */
   @Override
   public void close() {
     stopListening();
     if (sweeper != null) {
-      sweeper.cancel(false);
+      sweeper.close();
     }
     openConnections.forEach(ConnectionCloser::close);
   }
--- /dev/null
+++ b/src/main/java/switchgap/net/OverdueConnectionSweeper.java
@@ -0,0 +1,68 @@
+package switchgap.net;
+
+import java.time.Duration;
+import java.util.Set;
+import java.util.concurrent.ScheduledFuture;
+import java.util.concurrent.TimeUnit;
+import org.glassfish.grizzly.Connection;
+import org.glassfish.grizzly.attributes.Attribute;
+
+/**
+ * Closes connections of an {@link HttpServer} whose request, or whose next request, takes too long.
+ * Guards against clients that never complete a request: one byte a minute, half a head and then
+ * silence, or a connection on which nothing comes at all. Each kept its place for good, until all
+ * were taken. Stalls of the process do not count.
+ *
+ * <p>Sweeps run on the {@link TimerThread}.
+ */
+final class OverdueConnectionSweeper implements AutoCloseable {
+  private static final int SWEEPS_PER_RECEIVE_TIMEOUT = 4;
+  private static final long MIN_INTERVAL_MILLIS = 10;
+
+  private final NetworkTransport transport;
+  private final ConnectionLimits limits;
+  private final Set<Connection<?>> openConnections;
+  private final Attribute<ServerConnectionState> states;
+  private final StallDetector stallDetector;
+  private final StallHistory stalls = new StallHistory();
+  private final ScheduledFuture<?> schedule;
+
+  /** Begins to sweep these connections, a set that changes. */
+  OverdueConnectionSweeper(
+      NetworkTransport transport,
+      ConnectionLimits limits,
+      Set<Connection<?>> openConnections,
+      Attribute<ServerConnectionState> states) {
+    this.transport = transport;
+    this.limits = limits;
+    this.openConnections = openConnections;
+    this.states = states;
+    long intervalMillis =
+        Math.max(
+            MIN_INTERVAL_MILLIS, limits.receiveTimeout().toMillis() / SWEEPS_PER_RECEIVE_TIMEOUT);
+    stallDetector =
+        new StallDetector(Duration.ofMillis(intervalMillis), Duration.ofNanos(System.nanoTime()));
+    schedule =
+        TimerThread.EXECUTOR.scheduleAtFixedRate(
+            this::sweep, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS);
+  }
+
+  private void sweep() {
+    Duration now = Duration.ofNanos(System.nanoTime());
+    Duration stall = stallDetector.recordCheck(now);
+    stalls.add(now, stall);
+    if (!stall.isZero()) {
+      transport.awaitPendingReads(); // requests may have come meanwhile
+    }
+    for (Connection<?> connection : openConnections) {
+      if (states.get(connection).isOverdue(now, limits, stalls)) {
+        ConnectionCloser.close(connection);
+      }
+    }
+  }
+
+  @Override
+  public void close() {
+    schedule.cancel(false);
+  }
+}
--- a/src/main/java/switchgap/net/RawBytesWriter.java
+++ b/src/main/java/switchgap/net/RawBytesWriter.java
@@ -21,9 +21,6 @@
     transport
         .getAsyncQueueIO()
         .getWriter()
-        .write(
-            (NIOConnection) connection,
-            new SocketFilter.Message(connection, bytes),
-            completionHandler);
+        .write((NIOConnection) connection, new SocketMessage(connection, bytes), completionHandler);
   }
 }
--- a/src/main/java/switchgap/net/RequestAssemblyFilter.java
+++ b/src/main/java/switchgap/net/RequestAssemblyFilter.java
@@ -13,8 +13,8 @@
 import org.glassfish.grizzly.http.HttpRequestPacket;
 
 /**
- * The last filter of a server's chain: bounds the open connections, gathers bodies, hands whole
- * requests to the request handler and reports clients that leave.
+ * The last filter of a server's chain: bounds the open connections, gathers bodies, passes complete
+ * requests to the request handler and reports clients that disconnect.
  */
 final class RequestAssemblyFilter extends BaseFilter {
   private static final int PAYLOAD_TOO_LARGE = 413;
@@ -73,11 +73,11 @@
       rejectTooLarge(connection, request);
       return context.getStopAction();
     }
-    state.appendBody(part.getContent(), request.getContentLength());
-    boolean wholeUpgradeRequest = endsUpgradeRequest(request, state);
-    boolean last = part.isLast() || wholeUpgradeRequest;
+    state.body().append(part.getContent(), request.getContentLength());
+    boolean completesUpgradeRequest = completesUpgradeRequest(request, state);
+    boolean complete = part.isLast() || completesUpgradeRequest;
     part.recycle();
-    if (last && !state.isDiscardingBody()) {
+    if (complete && !state.isDiscardingBody()) {
       startExchange(connection, request, state);
     }
     return context.getStopAction();
@@ -87,18 +87,18 @@
       HttpContent part, HttpRequestPacket request, ServerConnectionState state) {
     Buffer content = part.getContent();
     int length = content == null ? 0 : content.remaining();
-    return state.bodyBytes() + length > limits.maxBodyBytes()
+    return state.body().size() + length > limits.maxBodyBytes()
         || request.getContentLength() > limits.maxBodyBytes();
   }
 
   /**
-   * Whether a request that also offers an upgrade is whole: Grizzly never gives such a request a
-   * last part. It is handled as the plain request that it is, and its connection ends with the
-   * response, since what follows on it is no request to the filters.
+   * Whether a request that also offers an upgrade is complete: Grizzly never marks a last part of
+   * such a request. It is handled as a plain request, and its connection is closed behind the
+   * response, since the filters take what follows on it for the other protocol.
    */
-  private static boolean endsUpgradeRequest(
+  private static boolean completesUpgradeRequest(
       HttpRequestPacket request, ServerConnectionState state) {
-    boolean complete = request.isUpgrade() && state.bodyBytes() >= request.getContentLength();
+    boolean complete = request.isUpgrade() && state.body().size() >= request.getContentLength();
     if (complete) {
       request.getProcessingState().setKeepAlive(false);
     }
@@ -108,7 +108,7 @@
   private void startExchange(
       Connection<?> connection, HttpRequestPacket request, ServerConnectionState state) {
     HttpExchange exchange =
-        new HttpExchange(connection, request, state.takeBody(), state::exchangeEnded);
+        new HttpExchange(connection, request, state.body().take(), state::exchangeEnded);
     state.exchangeStarted(exchange);
     handler.handle(exchange);
   }
--- a/src/main/java/switchgap/net/ServerConnectionState.java
+++ b/src/main/java/switchgap/net/ServerConnectionState.java
@@ -1,36 +1,33 @@
 package switchgap.net;
 
 import java.time.Duration;
-import java.util.Arrays;
-import org.glassfish.grizzly.Buffer;
 
 /**
- * What an {@link HttpServer} knows of one connection. The body belongs to the connection's selector
- * thread; the other fields are read by the timer thread and by whoever responds, too.
+ * The state of one connection of an {@link HttpServer}: idle, receiving a request, or with an
+ * exchange that is pending. The body belongs to the connection's selector thread; the other fields
+ * are also read by the timer thread and by whoever responds.
  */
 final class ServerConnectionState {
-  private static final byte[] NO_BYTES = new byte[0];
-
-  /** In place of a time, when no request is being received. */
+  /** In place of a time: no request is being received. */
   private static final long NONE = 0;
 
-  /** When it opened or its last exchange ended. */
+  private final RequestBodyBuffer body = new RequestBodyBuffer();
+  private boolean discardingBody;
+
+  /** The {@link System#nanoTime} at which it opened or its last exchange ended. */
   private volatile long idleSinceNanos = System.nanoTime();
 
-  private byte[] body = NO_BYTES;
-  private int bodyBytes;
-  private boolean discardingBody;
   private volatile long requestStartedNanos = NONE;
   private volatile HttpExchange pendingExchange;
 
-  /** Takes note that bytes arrived: outside an exchange they begin a request. */
+  /** Bytes arrived: outside an exchange they start a request. */
   void bytesArrived() {
     if (requestStartedNanos == NONE && pendingExchange == null) {
       requestStartedNanos = System.nanoTime();
     }
   }
 
-  /** Whether the request that is being received, or the next one, has taken too long to come. */
+  /** Whether the request that is being received, or the next one, exceeds its timeout. */
   boolean isOverdue(Duration now, ConnectionLimits limits, StallHistory stalls) {
     long startedNanos = requestStartedNanos;
     if (startedNanos != NONE) {
@@ -41,15 +38,16 @@
 
   private static boolean exceeds(
       Duration timeout, long startedNanos, Duration now, StallHistory stalls) {
-    return stalls.elapsedExcludingStalls(Duration.ofNanos(startedNanos), now).compareTo(timeout)
-        > 0;
+    Duration elapsed = stalls.elapsedExcludingStalls(Duration.ofNanos(startedNanos), now);
+    return elapsed.compareTo(timeout) > 0;
   }
 
-  int bodyBytes() {
-    return bodyBytes;
+  /** The body of the request that is being received. */
+  RequestBodyBuffer body() {
+    return body;
   }
 
-  /** Lets the rest of a request be received and ignored. */
+  /** The rest of the request is received and ignored. */
   void discardBody() {
     discardingBody = true;
   }
@@ -58,40 +56,13 @@
     return discardingBody;
   }
 
-  /**
-   * Takes in a part of the body.
-   *
-   * @param content the part, or null
-   * @param contentLength the length that the request's head states, or one below 1 when it states
-   *     none
-   */
-  void appendBody(Buffer content, long contentLength) {
-    int length = content == null ? 0 : content.remaining();
-    int total = bodyBytes + length;
-    if (total > body.length) {
-      int expected = contentLength > 0 ? (int) contentLength : 2 * bodyBytes;
-      body = Arrays.copyOf(body, Math.max(total, expected));
-    }
-    if (length > 0) {
-      content.get(body, bodyBytes, length);
-      bodyBytes = total;
-    }
-  }
-
-  /** Takes the received body out. */
-  byte[] takeBody() {
-    byte[] whole = bodyBytes == body.length ? body : Arrays.copyOf(body, bodyBytes);
-    body = NO_BYTES;
-    bodyBytes = 0;
-    return whole;
-  }
-
-  /** Takes note that a request is whole and waits for its response. */
+  /** A request is complete and waits for its response. */
   void exchangeStarted(HttpExchange exchange) {
     pendingExchange = exchange;
     requestStartedNanos = NONE;
   }
 
+  /** The exchange has its response, or its client disconnected. */
   void exchangeEnded() {
     idleSinceNanos = System.nanoTime();
     pendingExchange = null;
--- a/src/main/java/switchgap/planner/link/PlannerClient.java
+++ b/src/main/java/switchgap/planner/link/PlannerClient.java
@@ -126,10 +126,10 @@
           && hello.side().equals(PlannerMessageCodec.EDGE_SIDE);
     }
 
-    private void sendPlan(FramedConnection to, LoadBacklog backlog) {
+    private void sendPlan(FramedConnection edgeConnection, LoadBacklog backlog) {
       LoadPlan plan = scheduler.plan(backlog);
       if (plan != null) {
-        to.send(PlannerMessageCodec.encode(plan));
+        edgeConnection.send(PlannerMessageCodec.encode(plan));
       }
     }
 
