--- a/src/test/java/switchgap/net/ConnectionCloserTest.java
+++ b/src/test/java/switchgap/net/ConnectionCloserTest.java
@@ -16,7 +16,7 @@
   private final CompletableFuture<TcpConnection> opened = new CompletableFuture<>();
 
   @Test
-  void aCloseDoesNotWaitBehindBytesThatNobodyReads() throws Exception {
+  void closesSocketAlthoughPeerDoesNotRead() throws Exception {
     try (NetworkTransport net = new NetworkTransport(1, "closer-test");
         TcpServer server = TcpServer.listen(net, "127.0.0.1", 0, 10, this);
         Socket client = new Socket()) {
--- a/src/test/java/switchgap/net/ConnectorTest.java
+++ b/src/test/java/switchgap/net/ConnectorTest.java
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void anOpenPortIsConnectedTo() throws Exception {
+  void connectsToOpenPort() throws Exception {
     try (NetworkTransport transport = new NetworkTransport(1, "connect");
         ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       assertThat(connect(transport, listener.getLocalPort(), Duration.ofMillis(500)))
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void aClosedPortFails() throws Exception {
+  void failsWhenPortIsClosed() throws Exception {
     int port;
     try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       port = listener.getLocalPort();
@@ -76,7 +76,7 @@
 
   /** A listener whose backlog is full drops further attempts without a reply. */
   @Test
-  void aPeerThatNeverRepliesFailsAtTheTimeout() throws Exception {
+  void failsAtTimeoutWhenPeerNeverReplies() throws Exception {
     List<Socket> backlog = new ArrayList<>();
     try (NetworkTransport transport = new NetworkTransport(1, "connect");
         ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
--- a/src/test/java/switchgap/net/FrameDecoderTest.java
+++ b/src/test/java/switchgap/net/FrameDecoderTest.java
@@ -34,7 +34,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 3, 4, 5, 700, 10_000})
-  void framesAreWholeWhateverTheSizeOfThePieces(int pieceBytes) {
+  void decodesFramesWhateverTheSizeOfPieces(int pieceBytes) {
     ByteBuffer encoded = encode(payload(1), payload(MAX_FRAME_BYTES), payload(600));
     while (encoded.hasRemaining()) {
       int length = Math.min(pieceBytes, encoded.remaining());
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void aFrameIsPartialFromItsFirstByteToItsLast() {
+  void reportsPartialFrameFromFirstByteToLast() {
     assertThat(decoder.hasPartialFrame()).isFalse();
     ByteBuffer encoded = encode(payload(2));
     while (encoded.hasRemaining()) {
@@ -59,7 +59,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, -1, MAX_FRAME_BYTES + 1, Integer.MAX_VALUE})
-  void aLengthOutOfBoundsIsRefused(int length) {
+  void rejectsLengthOutOfBounds(int length) {
     ByteBuffer encoded = ByteBuffer.allocate(8).putInt(length).putInt(0).flip();
     assertThat(decoder.decode(encoded, frames::add)).isFalse();
     assertThat(decoder.frameLength()).isEqualTo(length);
--- a/src/test/java/switchgap/net/HttpClientConnectionTest.java
+++ b/src/test/java/switchgap/net/HttpClientConnectionTest.java
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void aRequestHasItsPathQueryHeadersAndBody() throws Exception {
+  void sendsPathQueryHeadersAndBody() throws Exception {
     send("/a/b?c=d", "body");
     String request = receiveRequest("body");
     assertThat(request).startsWith("POST /a/b?c=d HTTP/1.1\r\n").endsWith("\r\n\r\nbody");
@@ -136,7 +136,7 @@
   }
 
   @Test
-  void exchangesFollowEachOtherOnOneConnection() throws Exception {
+  void carriesOneExchangeAfterAnother() throws Exception {
     for (int i = 0; i < 3; i++) {
       Outcomes outcomes = send("/", "body");
       receiveRequest("body");
@@ -150,7 +150,7 @@
   }
 
   @Test
-  void interimResponsesAreDropped() throws Exception {
+  void ignoresInterimResponses() throws Exception {
     Outcomes outcomes = send("/", "body");
     receiveRequest("body");
     reply("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 10");
@@ -161,7 +161,7 @@
   }
 
   @Test
-  void aSecondResponseInTheSameBytesEndsTheConnection() throws Exception {
+  void closesConnectionOnSecondResponseInSameRead() throws Exception {
     Outcomes outcomes = send("/", "body");
     receiveRequest("body");
     reply(OK + OK);
@@ -173,14 +173,14 @@
   }
 
   @Test
-  void bytesWhileIdleEndTheConnection() throws Exception {
+  void closesConnectionOnBytesWhileIdle() throws Exception {
     reply(OK);
     assertServerSeesEnd();
     assertThat(client.isUsable()).isFalse();
   }
 
   @Test
-  void aBodyBeyondTheBoundEndsTheExchange() throws Exception {
+  void losesExchangeWhenBodyExceedsLimit() throws Exception {
     Outcomes outcomes = send("/", "body");
     receiveRequest("body");
     reply("HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n" + "x".repeat(MAX_BODY_BYTES + 1));
@@ -190,7 +190,7 @@
   }
 
   @Test
-  void aResponseThatClosesLeavesNoReusableConnection() throws Exception {
+  void reportsConnectionNotReusableWhenResponseClosesIt() throws Exception {
     Outcomes outcomes = send("/", "body");
     receiveRequest("body");
     reply("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
@@ -199,8 +199,7 @@
   }
 
   @Test
-  void theEndOfTheConnectionIsReportedOnceToThePendingExchangeAndTheCloseListener()
-      throws Exception {
+  void reportsConnectionEndOnceToPendingExchangeAndCloseListener() throws Exception {
     CompletableFuture<Void> closed = new CompletableFuture<>();
     client.onClose(() -> closed.complete(null));
     Outcomes outcomes = send("/", "body");
@@ -213,7 +212,7 @@
   }
 
   @Test
-  void bytesThatAreNoHttpEndTheExchange() throws Exception {
+  void losesExchangeWhenResponseIsNotHttp() throws Exception {
     Outcomes outcomes = send("/", "body");
     receiveRequest("body");
     reply("SPDY/9.9 no number\r\n\r\n");
@@ -222,7 +221,7 @@
   }
 
   @Test
-  void anAbandonedExchangeHearsNothingAndItsConnectionEnds() throws Exception {
+  void closesConnectionOfAbandonedExchangeWithoutNotifyingIt() throws Exception {
     Outcomes outcomes = send("/", "body");
     receiveRequest("body");
     client.abandon(new Outcomes()); // another exchange's handler: nothing happens
--- a/src/test/java/switchgap/net/KeyedWritersTest.java
+++ b/src/test/java/switchgap/net/KeyedWritersTest.java
@@ -13,7 +13,7 @@
   private static final int TASKS = 1000;
 
   @Test
-  void tasksOfOneKeyRunInOrderOnOneThread() throws Exception {
+  void runsTasksOfOneKeyInOrderOnOneThread() throws Exception {
     List<Integer> ran = new CopyOnWriteArrayList<>();
     List<String> threads = new CopyOnWriteArrayList<>();
     CountDownLatch done = new CountDownLatch(TASKS);
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void aTaskThatThrowsDoesNotEndItsThread() throws Exception {
+  void continuesAfterTaskThatThrows() throws Exception {
     CountDownLatch done = new CountDownLatch(1);
     try (KeyedWriters writers = new KeyedWriters(1, "writer")) {
       writers.execute(
--- a/src/test/java/switchgap/net/SelectorThreadsTest.java
+++ b/src/test/java/switchgap/net/SelectorThreadsTest.java
@@ -45,7 +45,7 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aFaultInReadingOneConnectionLeavesTheOthersServed(boolean throwsError) throws Exception {
+  void servesOtherConnectionsAfterListenerThrows(boolean throwsError) throws Exception {
     try (NetworkTransport transport = new NetworkTransport(1, "faulty");
         TcpServer server =
             TcpServer.listen(transport, "127.0.0.1", 0, 50, new FaultyListener(throwsError))) {
