--- a/src/main/java/switchgap/protocol/resp/ReplyReader.java
+++ b/src/main/java/switchgap/protocol/resp/ReplyReader.java
@@ -10,15 +10,19 @@
 import switchgap.router.RouterEvent;
 import switchgap.router.RouterEvents;
 
-/** Decodes what workers send, on selector threads, and hands the replies to the event loop. */
+/** Decodes the replies of workers on selector threads and hands them to the event loop. */
 final class ReplyReader implements TcpConnection.Listener {
   private static final int EXPECTED_REPLIES = 2;
 
   private final Consumer<Consumer<RouterCore>> events;
-
   private final RouterEvents routerEvents;
 
-  /** A reader that posts to this event loop, and notes why connections end. */
+  /**
+   * Creates a reader for any number of connections.
+   *
+   * @param events posts to the router's event loop
+   * @param routerEvents records why connections are closed
+   */
   ReplyReader(Consumer<Consumer<RouterCore>> events, RouterEvents routerEvents) {
     this.events = events;
     this.routerEvents = routerEvents;
@@ -34,19 +38,19 @@
       return;
     }
     List<WorkerReply> replies = new ArrayList<>(EXPECTED_REPLIES);
-    String malformed = null;
     try {
-      connection.decoder.decode(bytes, parts -> replies.add(WorkerReply.parse(parts)));
-    } catch (RespDecoder.MalformedReplyException e) {
-      malformed = e.getMessage();
-    }
-    if (!replies.isEmpty()) { // those before a malformed one still count
-      events.accept(
-          core -> replies.forEach(reply -> connection.pool.replyReceived(core, connection, reply)));
+      connection.decode(bytes, parts -> replies.add(WorkerReply.parse(parts)));
+      deliver(connection, replies);
+    } catch (MalformedReplyException e) {
+      deliver(connection, replies); // those before the malformed one still count
+      tcp.close(new CloseCause(WorkerCloseReason.MALFORMED_REPLY, e.getMessage()));
     }
-    if (malformed
-        != null) { // where the next reply would begin is not known: nothing more can be read
-      tcp.close(new CloseCause(WorkerCloseReason.MALFORMED_REPLY, malformed));
+  }
+
+  private void deliver(RespConnection connection, List<WorkerReply> replies) {
+    if (!replies.isEmpty()) {
+      RespConnectionPool pool = connection.pool();
+      events.accept(core -> replies.forEach(reply -> pool.replyReceived(core, connection, reply)));
     }
   }
 
@@ -55,7 +59,7 @@
     if (tcp.attachment instanceof RespConnection connection) {
       WorkerCloseReason reason = WorkerCloseReason.of(cause.reason());
       routerEvents.record(new RouterEvent.WorkerClosed(reason, tcp.id(), cause.toString()));
-      events.accept(core -> connection.pool.connectionClosed(core, connection));
+      events.accept(core -> connection.pool().connectionClosed(core, connection));
     }
   }
 }
--- a/src/main/java/switchgap/protocol/resp/RespCommand.java
+++ b/src/main/java/switchgap/protocol/resp/RespCommand.java
@@ -1,6 +1,6 @@
 package switchgap.protocol.resp;
 
-/** The commands that a worker understands, with their words on the wire. */
+/** Encodes the commands that a worker accepts. */
 final class RespCommand {
   private static final String EXECUTE = "DO";
   private static final String CANCEL = "UNDO";
@@ -21,7 +21,7 @@
    * @param id the request's id, which the reply bears
    * @param profile name of the request class
    * @param function name of the function
-   * @param maxMillis milliseconds after which the worker may give it up
+   * @param maxMillis milliseconds after which the worker may time out the execution
    * @param body the request's body
    */
   static byte[] execute(String id, String profile, String function, long maxMillis, byte[] body) {
--- a/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
@@ -15,12 +15,13 @@
 
 /**
  * The connection pools of all workers, and the number of connections that they share. All methods
- * belong to the event loop, but for {@link #nowNanos} and {@link #post}, which any thread may call.
+ * belong to the event loop, except for {@link #nowNanos} and {@link #post}, which any thread may
+ * call.
  */
 final class RespConnectionManager {
   private static final int MIN_CONNECTIONS_PER_WORKER = 2;
 
-  /** The longest string of a reply, which is its body. */
+  /** Bytes of the longest string that a reply may hold, which is its body. */
   private static final int MAX_STRING_BYTES = 16 << 10;
 
   private final RespConnectionLimits limits;
@@ -30,15 +31,15 @@
   private final RouterDiagnostics diagnostics;
   private final Set<RespConnectionPool> pools = new HashSet<>();
 
-  /** Connections that are open or being opened. */
+  /** The number of connections that are open or being opened. */
   private int connectionCount;
 
   /**
-   * A manager without connections.
+   * Creates a manager without connections.
    *
    * @param clock the router's clock
    * @param events posts to the router's event loop
-   * @param diagnostics hears of each send and close
+   * @param diagnostics is notified of each command sent and each connection closed
    */
   RespConnectionManager(
       NetworkTransport net,
@@ -54,11 +55,7 @@
         new TcpConnection.Factory(net, new ReplyReader(events, diagnostics.events()));
   }
 
-  RespConnectionLimits limits() {
-    return limits;
-  }
-
-  /** Hears of each send. */
+  /** Is notified of each command sent. */
   RouterDiagnostics diagnostics() {
     return diagnostics;
   }
@@ -68,33 +65,33 @@
     return clock.get().toNanos();
   }
 
-  /** Posts an event: what the core asks is never answered before the call returns. */
+  /** Posts an event to the event loop, which never runs it before this returns. */
   void post(Consumer<RouterCore> event) {
     events.accept(event);
   }
 
-  /** The pool of a worker, made where it has none yet. */
+  /** Returns the pool of a worker, which is created where there is none yet. */
   RespConnectionPool poolFor(WorkerEntry worker) {
     if (worker.attachment == null) {
-      RespConnectionPool pool =
-          new RespConnectionPool(this, new InetSocketAddress(worker.host, worker.port));
+      InetSocketAddress address = new InetSocketAddress(worker.host, worker.port);
+      RespConnectionPool pool = new RespConnectionPool(this, address, limits);
       worker.attachment = pool;
       pools.add(pool);
     }
     return (RespConnectionPool) worker.attachment;
   }
 
-  /** Connections that one worker may have when all that are in use share the limit. */
+  /** The bound of connections to one worker, so that all workers together keep within the limit. */
   int maxConnectionsPerWorker() {
     int share = limits.maxConnections() / Math.max(1, pools.size());
     return Math.max(MIN_CONNECTIONS_PER_WORKER, Math.min(limits.maxConnectionsPerWorker(), share));
   }
 
   /**
-   * Whether one more connection may be opened. At the limit the idle connection that was least
-   * recently used is closed for it, so this must be asked last.
+   * Returns whether one more connection may be opened. At the limit it evicts the idle connection
+   * that was least recently used, so it must be called only when the connection is opened next.
    */
-  boolean makeRoom() {
+  boolean ensureCapacity() {
     if (connectionCount < limits.maxConnections()) {
       return true;
     }
@@ -105,11 +102,11 @@
     if (evicted == null) {
       return false;
     }
-    evicted.tcp.close(WorkerCloseReason.EVICTED);
+    evicted.close(WorkerCloseReason.EVICTED);
     return true;
   }
 
-  /** Opens a connection for a pool, which is notified how that ended. */
+  /** Begins to open a connection for a pool, which is notified by an event how that ended. */
   void connect(RespConnectionPool pool, InetSocketAddress address) {
     connectionCount++;
     connectionFactory.connect(
@@ -118,16 +115,15 @@
         new Connector.ConnectCallback<>() {
           @Override
           public void connected(TcpConnection tcp) {
-            RespConnection connection =
-                new RespConnection(tcp, pool, new RespDecoder(MAX_STRING_BYTES), nowNanos());
+            RespDecoder decoder = new RespDecoder(MAX_STRING_BYTES);
+            RespConnection connection = new RespConnection(tcp, pool, decoder, nowNanos());
             tcp.attachment = connection;
-            events.accept(
-                core -> pool.connectionOpened(core, connection)); // it may have closed by then
+            post(core -> pool.connectionOpened(core, connection));
           }
 
           @Override
-          public void failed(String why) {
-            events.accept(pool::connectFailed);
+          public void failed(String reason) {
+            post(pool::connectFailed);
           }
         });
   }
@@ -137,12 +133,17 @@
     connectionCount--;
   }
 
-  /** Closes idle connections and forgets the pools of workers that are gone. */
+  /** Closes connections past the idle timeout, and forgets the pools of workers that are gone. */
   void sweep() {
-    pools.removeIf(pool -> pool.sweep(limits.idleTimeout().toNanos()));
+    long idleNanos = limits.idleTimeout().toNanos();
+    pools.removeIf(
+        pool -> {
+          pool.closeIdleFor(idleNanos);
+          return pool.isDisposable();
+        });
   }
 
-  /** Connections that are open or being opened. */
+  /** The number of connections that are open or being opened. */
   int connectionCount() {
     return connectionCount;
   }
--- a/src/main/java/switchgap/protocol/resp/RespDecoder.java
+++ b/src/main/java/switchgap/protocol/resp/RespDecoder.java
@@ -4,33 +4,23 @@
 import java.util.Arrays;
 
 /**
- * Decodes RESP arrays of bulk strings out of a stream of bytes that may be split anywhere. Each
- * length is checked before it is used, and memory grows with the bytes that came, not with what a
- * length claims. One decoder serves one connection, on its selector thread; after an exception it
- * must not be used again.
+ * Decodes RESP arrays of bulk strings from a stream of bytes that may be split anywhere. Each
+ * length is checked before it is used, and memory grows with the bytes received, not with the
+ * lengths announced. One decoder serves one connection, on its selector thread; after an exception
+ * it must not be used again.
  */
 final class RespDecoder {
-  /** The stream holds something other than such an array, or a longer one than allowed. */
-  static final class MalformedReplyException extends Exception {
-    private static final long serialVersionUID = 1;
-
-    /** Without a stack trace: peers can cause it at any rate. */
-    MalformedReplyException(String message) {
-      super(message, null, false, false);
-    }
-  }
-
-  /** Takes each array as it is complete. */
+  /** Receives each array as soon as it is complete. */
   interface ArrayHandler {
     /**
      * An array is complete.
      *
-     * @throws MalformedReplyException where its parts make no message
+     * @throws MalformedReplyException where its parts are no valid reply
      */
     void arrayDecoded(byte[][] parts) throws MalformedReplyException;
   }
 
-  /** What the next byte is. */
+  /** The element of the stream that the next byte belongs to. */
   private enum State {
     /** The first of an array or a string: {@code *} or {@code $}. */
     TYPE,
@@ -54,7 +44,7 @@
   private final int maxStringBytes;
   private State state = State.TYPE;
 
-  /** Parts of the array that is being read, null between two arrays. */
+  /** Parts of the array that is being read; null between two arrays. */
   private byte[][] parts;
 
   private int completeParts;
@@ -67,12 +57,17 @@
   private int length;
   private int lengthDigits;
 
-  /** A decoder of strings of at most so many bytes. */
+  /** Creates a decoder that rejects strings of more than so many bytes. */
   RespDecoder(int maxStringBytes) {
     this.maxStringBytes = maxStringBytes;
   }
 
-  /** Reads all bytes and hands over each array that they complete. */
+  /**
+   * Decodes all bytes and hands on each array that they complete.
+   *
+   * @throws MalformedReplyException where the bytes are no array of bulk strings, one that exceeds
+   *     a bound, or one that the handler rejects
+   */
   void decode(ByteBuffer bytes, ArrayHandler handler) throws MalformedReplyException {
     while (bytes.hasRemaining()) {
       switch (state) {
@@ -80,7 +75,7 @@
         case LENGTH -> readLength(bytes.get());
         case LENGTH_LINE_FEED -> {
           expect('\n', bytes.get());
-          lengthRead();
+          endLength();
         }
         case CONTENT -> readContent(bytes);
         case CONTENT_CARRIAGE_RETURN -> {
@@ -89,7 +84,7 @@
         }
         case CONTENT_LINE_FEED -> {
           expect('\n', bytes.get());
-          stringRead(handler);
+          endString(handler);
         }
         default -> throw new IllegalStateException(state.name());
       }
@@ -121,7 +116,7 @@
     }
   }
 
-  private void lengthRead() throws MalformedReplyException {
+  private void endLength() throws MalformedReplyException {
     if (parts == null) {
       beginArray();
     } else {
@@ -162,7 +157,7 @@
     }
   }
 
-  private void stringRead(ArrayHandler handler) throws MalformedReplyException {
+  private void endString(ArrayHandler handler) throws MalformedReplyException {
     parts[completeParts++] = content;
     content = null;
     state = State.TYPE;
--- a/src/main/java/switchgap/protocol/resp/RespExchange.java
+++ b/src/main/java/switchgap/protocol/resp/RespExchange.java
@@ -10,18 +10,19 @@
 import switchgap.router.WorkerEntry;
 
 /**
- * One exchange with a worker: an attempt, a load command or a probe.
+ * One command to a worker and the reply to it: an attempt, a load command or a probe. All methods
+ * belong to the event loop.
  *
- * <p>It shares no code with the exchange of the inference protocol: this one belongs to the event
- * loop alone and shares its connection with others, that one is guarded by its lock as writer
- * threads send it, and has its connection to itself.
+ * <p>It shares no code with the exchange of the inference protocol: this one shares its connection
+ * with other exchanges, that one has a connection to itself and is guarded by a lock, since writer
+ * threads send it.
  */
 final class RespExchange {
-  /** How an exchange stands; it only ever goes forward. */
+  /** The states of an exchange, in the only order in which it can go through them. */
   enum State {
-    /** It has no connection; no byte of it has gone out. */
+    /** It waits for a connection; no byte of it was sent. */
     WAITING,
-    /** It was sent and its reply may come. */
+    /** It was sent; its reply may arrive. */
     IN_FLIGHT,
     /** It was completed or abandoned. */
     ENDED;
@@ -31,32 +32,23 @@
     }
   }
 
-  /** Is notified once how an exchange ended, unless it was abandoned. */
+  /** Is notified once how an exchange ended, unless the exchange was abandoned. */
   interface CompletionListener {
-    /** It ended; {@code reply} is null where none came. On the event loop. */
+    /** The exchange ended. On the event loop; {@code reply} is null where none arrived. */
     void exchangeEnded(RouterCore core, AttemptOutcome outcome, WorkerReply reply);
   }
 
-  /** Encodes the command when it goes out: it may have waited for a connection. */
+  /** Encodes a command at the moment it is sent, which may be later than its submission. */
   interface CommandEncoder {
-    /** The command's bytes; {@code remaining} is the time until its timeout. */
+    /** Returns the command's bytes; {@code remaining} is the time until its deadline. */
     byte[] encode(Duration remaining);
   }
 
-  final WorkerEntry worker;
-
-  /** The id or tag that its reply will bear; null where the command has no reply. */
-  final String id;
-
-  /** The attempt and its request, else null. */
-  final Attempt attempt;
-
-  final PendingRequest request;
+  private final WorkerEntry worker;
+  private final String replyId;
+  private final Attempt attempt;
   private final CommandEncoder encoder;
-
-  /** Nanoseconds of the loop's clock at which it times out. */
-  final long timeoutNanos;
-
+  private final long deadlineNanos;
   private final boolean allowedWhileDraining;
   private final CompletionListener listener;
   private State state = State.WAITING;
@@ -65,61 +57,83 @@
 
   private RespExchange(
       WorkerEntry worker,
-      String id,
+      String replyId,
       Attempt attempt,
       boolean allowedWhileDraining,
       CommandEncoder encoder,
-      long timeoutNanos,
+      long deadlineNanos,
       CompletionListener listener) {
     this.worker = worker;
-    this.id = id;
+    this.replyId = replyId;
     this.attempt = attempt;
-    this.request = attempt == null ? null : attempt.request;
     this.allowedWhileDraining = allowedWhileDraining;
     this.encoder = encoder;
-    this.timeoutNanos = timeoutNanos;
+    this.deadlineNanos = deadlineNanos;
     this.listener = listener;
   }
 
-  /** The exchange of an attempt of a request, whose id the reply will bear. */
+  /**
+   * Creates the exchange of an attempt; the reply bears the request's id.
+   *
+   * @param deadlineNanos nanoseconds of the loop's clock at which it times out
+   */
   static RespExchange ofAttempt(
-      Attempt attempt, CommandEncoder encoder, long timeoutNanos, CompletionListener listener) {
+      Attempt attempt, CommandEncoder encoder, long deadlineNanos, CompletionListener listener) {
     return new RespExchange(
-        attempt.worker, attempt.request.id, attempt, false, encoder, timeoutNanos, listener);
+        attempt.worker, attempt.request.id, attempt, false, encoder, deadlineNanos, listener);
   }
 
   /**
-   * The exchange of a command.
+   * Creates the exchange of a load command or a probe.
    *
-   * @param tag what the reply will bear, or null for a command without a reply
-   * @param allowedWhileDraining whether a worker that takes nothing new may still get it
-   * @param timeoutNanos nanoseconds of the loop's clock at which it times out
+   * @param tag the tag that the reply bears, or null for a command without a reply
+   * @param allowedWhileDraining whether it may be sent to a worker that accepts no new requests
+   * @param deadlineNanos nanoseconds of the loop's clock at which it times out
    */
   static RespExchange ofCommand(
       WorkerEntry worker,
       String tag,
       boolean allowedWhileDraining,
       byte[] command,
-      long timeoutNanos,
+      long deadlineNanos,
       CompletionListener listener) {
     return new RespExchange(
-        worker, tag, null, allowedWhileDraining, remaining -> command, timeoutNanos, listener);
+        worker, tag, null, allowedWhileDraining, remaining -> command, deadlineNanos, listener);
+  }
+
+  /** The worker that the command is for. */
+  WorkerEntry worker() {
+    return worker;
+  }
+
+  /** The id or tag that the reply bears; null where the command has no reply. */
+  String replyId() {
+    return replyId;
+  }
+
+  /** Whether it carries an attempt of a request, rather than a load command or a probe. */
+  boolean isAttempt() {
+    return attempt != null;
   }
 
   /**
-   * Whether it may go out now. Asked right before it is sent, not when it was decided: its worker
-   * may start to drain and its client may leave in between, and in a pause an attempt's timeout may
-   * pass.
+   * Whether it may be sent now. To be asked right before it is sent, not when it was submitted: in
+   * between its worker may start draining, its client may leave, and its deadline may pass.
    */
   boolean maySend(long nowNanos) {
     return state == State.WAITING
         && (allowedWhileDraining || worker.accepting)
-        && (request == null || request.isAwaited() && nowNanos < timeoutNanos);
+        && (attempt == null || attempt.request.isAwaited() && !isOverdue(nowNanos));
   }
 
-  /** The command, to go out at this time; the invariants are checked for it. */
-  byte[] command(long nowNanos, RouterDiagnostics diagnostics) {
-    Duration remaining = Duration.ofNanos(timeoutNanos - nowNanos);
+  /** Whether its deadline has passed. */
+  boolean isOverdue(long nowNanos) {
+    return nowNanos >= deadlineNanos;
+  }
+
+  /** Encodes the command, to be sent now; checks the invariants and records the event of it. */
+  byte[] encodeCommand(long nowNanos, RouterDiagnostics diagnostics) {
+    Duration remaining = Duration.ofNanos(deadlineNanos - nowNanos);
     Duration now = Duration.ofNanos(nowNanos);
     if (attempt != null) {
       diagnostics.invariants().beforeAttempt(attempt, remaining, now);
@@ -130,43 +144,62 @@
     return encoder.encode(remaining);
   }
 
+  /**
+   * Whether an earlier attempt of the same request was sent on this connection. Both attempts bear
+   * the request's id, so a late reply to the earlier one would be taken for the later one's.
+   */
+  boolean hasEarlierAttemptOn(RespConnection candidate) {
+    if (attempt == null) {
+      return false;
+    }
+    PendingRequest request = attempt.request;
+    for (Attempt other : request.attempts()) {
+      if (other.attachment instanceof RespExchange exchange
+          && exchange != this
+          && exchange.connection == candidate) {
+        return true;
+      }
+    }
+    return false;
+  }
+
   State state() {
     return state;
   }
 
-  /** Its connection, null while it waits. */
+  /** The connection that it was sent on; null before that. */
   RespConnection connection() {
     return connection;
   }
 
-  /** Nanoseconds of the loop's clock at which it was sent, 0 while it waits. */
+  /** Nanoseconds of the loop's clock at which it was sent; 0 before that. */
   long sentNanos() {
     return sentNanos;
   }
 
-  /** It was sent on a connection. */
-  void sent(RespConnection usedConnection, long nowNanos) {
-    if (transition(State.IN_FLIGHT)) {
+  /** Records that it was sent on a connection. */
+  void markSent(RespConnection usedConnection, long nowNanos) {
+    if (transitionTo(State.IN_FLIGHT)) {
       connection = usedConnection;
       sentNanos = nowNanos;
     }
   }
 
-  /** Ends it and notifies its listener, unless it has ended before. */
+  /** Ends it and notifies its listener; does nothing where it has ended before. */
   void complete(RouterCore core, AttemptOutcome outcome, WorkerReply reply) {
-    if (transition(State.ENDED)) {
+    if (transitionTo(State.ENDED)) {
       listener.exchangeEnded(core, outcome, reply);
     }
   }
 
-  /** Ends it without notifying its listener; returns how it stood. */
+  /** Ends it without notifying its listener; returns the state before. */
   State abandon() {
     State before = state;
-    transition(State.ENDED);
+    transitionTo(State.ENDED);
     return before;
   }
 
-  private boolean transition(State next) {
+  private boolean transitionTo(State next) {
     boolean allowed = state.mayBecome(next);
     if (allowed) {
       state = next;
--- a/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -18,11 +18,11 @@
 import switchgap.router.WorkerTransport;
 
 /**
- * Carries attempts, load commands and probes to workers as RESP commands. Selector threads read and
- * decode; every method here belongs to the event loop.
+ * Sends attempts, load commands and probes to workers as RESP commands. Selector threads read and
+ * decode the replies; every method here belongs to the event loop.
  */
 public final class RespWorkerTransport implements WorkerTransport {
-  /** Tags begin with a letter that is no hexadecimal digit, so that none equals a request's id. */
+  /** Begins with a letter that is no hexadecimal digit, so that no tag equals a request's id. */
   private static final String TAG_PREFIX = "t";
 
   private final RespConnectionManager connections;
@@ -32,14 +32,14 @@
   private long lastTag;
 
   /**
-   * A transport without connections. The core ends commands and probes after their timeouts.
+   * Creates a transport without connections.
    *
    * @param limits bounds of the connections
    * @param protocol what commands and replies depend on
-   * @param coreLimits timeouts of load commands and probes
+   * @param coreLimits timeouts of load commands and probes, after which the core abandons them
    * @param clock the router's clock
    * @param events posts to the router's event loop
-   * @param diagnostics hears of each send and close
+   * @param diagnostics is notified of each command sent and each connection closed
    */
   public RespWorkerTransport(
       NetworkTransport net,
@@ -55,45 +55,45 @@
     this.probeTimeout = coreLimits.probeTimeout();
   }
 
-  /** Closes idle connections and forgets workers that are gone; to be called regularly. */
+  /** Closes idle connections and forgets workers that are gone; to be called at an interval. */
   public void sweep() {
     connections.sweep();
   }
 
-  /** Connections to workers that are open or being opened. */
+  /** The number of connections to workers that are open or being opened. */
   public int connections() {
     return connections.connectionCount();
   }
 
   @Override
   public void startAttempt(Attempt attempt, Duration timeout) {
-    PendingRequest request = attempt.request;
-    long timeoutNanos = Math.min(deadlineNanos(timeout), request.deadline.toNanos());
+    long deadlineNanos = Math.min(deadlineNanos(timeout), attempt.request.deadline.toNanos());
     RespExchange exchange =
         RespExchange.ofAttempt(
             attempt,
-            remaining ->
-                RespCommand.execute(
-                    request.id,
-                    protocol.requestClassNames().get(request.requestClass),
-                    request.function,
-                    Math.max(1, remaining.toMillis()),
-                    request.body),
-            timeoutNanos,
-            (core, outcome, reply) ->
-                core.attemptEnded(
-                    attempt,
-                    outcome,
-                    reply == null
-                        ? LoadReport.NONE
-                        : reply.loadReport(protocol.reportsConcurrency()),
-                    outcome == AttemptOutcome.SUCCEEDED
-                        ? Response.succeeded(0, Map.of(), reply.body())
-                        : null));
+            remaining -> executeCommand(attempt.request, remaining),
+            deadlineNanos,
+            (core, outcome, reply) -> attemptEnded(core, attempt, outcome, reply));
     attempt.attachment = exchange;
     connections.poolFor(attempt.worker).submit(exchange);
   }
 
+  private byte[] executeCommand(PendingRequest request, Duration remaining) {
+    String requestClassName = protocol.requestClassNames().get(request.requestClass);
+    long maxMillis = Math.max(1, remaining.toMillis());
+    return RespCommand.execute(
+        request.id, requestClassName, request.function, maxMillis, request.body);
+  }
+
+  private void attemptEnded(
+      RouterCore core, Attempt attempt, AttemptOutcome outcome, WorkerReply reply) {
+    LoadReport loadReport =
+        reply == null ? LoadReport.NONE : reply.loadReport(protocol.reportsConcurrency());
+    Response response =
+        outcome == AttemptOutcome.SUCCEEDED ? Response.succeeded(0, Map.of(), reply.body()) : null;
+    core.attemptEnded(attempt, outcome, loadReport, response);
+  }
+
   @Override
   public AttemptOutcome abandon(Attempt attempt) {
     return attempt.attachment instanceof RespExchange exchange
@@ -106,8 +106,7 @@
       WorkerEntry worker, String function, int replicas, WorkerCommand command) {
     String tag = nextTag();
     boolean isQuery = replicas == 0;
-    submit(
-        command,
+    RespExchange exchange =
         RespExchange.ofCommand(
             worker,
             tag,
@@ -115,27 +114,27 @@
             RespCommand.load(tag, function, replicas),
             deadlineNanos(loadCommandTimeout),
             (core, outcome, reply) ->
-                core.loadCommandEnded(command, outcome, reply == null ? 0 : reply.replicas())));
+                core.loadCommandEnded(command, outcome, reply == null ? 0 : reply.replicas()));
+    submit(command, exchange);
   }
 
   @Override
   public void unload(WorkerEntry worker, String function, WorkerCommand command) {
-    submit(
-        command,
+    RespExchange exchange =
         RespExchange.ofCommand(
             worker,
             null,
             true,
             RespCommand.unload(function),
             deadlineNanos(loadCommandTimeout),
-            (core, outcome, reply) -> core.unloadEnded(command)));
+            (core, outcome, reply) -> core.unloadEnded(command));
+    submit(command, exchange);
   }
 
   @Override
   public void probe(WorkerEntry worker, WorkerCommand command) {
     String tag = nextTag();
-    submit(
-        command,
+    RespExchange exchange =
         RespExchange.ofCommand(
             worker,
             tag,
@@ -144,18 +143,19 @@
             deadlineNanos(probeTimeout),
             (core, outcome, reply) ->
                 core.probeEnded(
-                    command, outcome, reply == null ? LoadReport.NONE : reply.loadReport(false))));
+                    command, outcome, reply == null ? LoadReport.NONE : reply.loadReport(false)));
+    submit(command, exchange);
   }
 
   private void submit(WorkerCommand command, RespExchange exchange) {
     command.attachment = exchange;
-    connections.poolFor(exchange.worker).submit(exchange);
+    connections.poolFor(exchange.worker()).submit(exchange);
   }
 
   @Override
   public void abandon(WorkerCommand command) {
     if (command.attachment instanceof RespExchange exchange) {
-      connections.poolFor(exchange.worker).abandon(exchange);
+      connections.poolFor(exchange.worker()).abandon(exchange);
     }
   }
 
@@ -180,7 +180,7 @@
     }
   }
 
-  /** Does nothing: the control feed sends the list by itself. */
+  /** Does nothing: the control feed delivers the endpoint list without being polled. */
   @Override
   public void requestEndpointList() {}
 }
--- a/src/test/java/switchgap/protocol/resp/PassedOnDeadlineTest.java
+++ b/src/test/java/switchgap/protocol/resp/AttemptDeadlineTest.java
@@ -5,7 +5,6 @@
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.List;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -26,44 +25,56 @@
 import switchgap.testing.TestDiagnostics;
 
 /**
- * The time that a worker is given is what the client has left when the command goes out, not when
- * it was decided.
+ * The deadline of an attempt at its worker is the time that the client has left when the command is
+ * sent, not when the attempt was decided.
  */
-class PassedOnDeadlineTest implements ResponseListener {
+class AttemptDeadlineTest implements ResponseListener {
   private static final Duration TIMEOUT = Duration.ofMillis(900);
-  private static final Duration CONNECT = Duration.ofMillis(700);
-  private static final Pattern MAX = Pattern.compile("max=(\\d+)");
+  private static final Duration CONNECT_DURATION = Duration.ofMillis(700);
+  private static final CoreLimits CORE_LIMITS = new CoreLimits(TIMEOUT, TIMEOUT, 10);
+  private static final int EVENT_SECONDS = 5;
+  private static final int READ_TIMEOUT_MILLIS = 5000;
+  private static final int COMMAND_PREFIX_BYTES = 60;
+  private static final Pattern MAX_MILLIS_FIELD = Pattern.compile("max=(\\d+)");
 
   private final LinkedBlockingQueue<Consumer<RouterCore>> events = new LinkedBlockingQueue<>();
   private volatile Duration now = Duration.ZERO;
 
+  /** A core that starts one attempt at the only worker as soon as a request has arrived. */
   private RouterCore core(NetworkTransport net) throws Exception {
-    RespConnectionLimits limits =
-        new RespConnectionLimits(4, 2, 10, 2, Duration.ofSeconds(5), Duration.ofSeconds(30));
+    RespProtocolSettings protocol = new RespProtocolSettings(List.of("again"), false);
     RespWorkerTransport transport =
         new RespWorkerTransport(
             net,
-            limits,
-            new RespProtocolSettings(List.of("again"), false),
-            new CoreLimits(TIMEOUT, TIMEOUT, 10),
+            RespTestLimits.SMALL,
+            protocol,
+            CORE_LIMITS,
             () -> now,
             events::add,
             TestDiagnostics.create());
     int[] attempts = {0};
     return new RouterCore(
         TestPlatformSettings.terms(),
-        (at, batch, actions) -> {
+        (time, batch, actions) -> {
           batch.deliverTo(new IgnoredEvents());
           if (attempts[0]++ == 0) {
             actions.startAttempt(0, 0, TIMEOUT);
           }
         },
         transport,
-        new CoreLimits(TIMEOUT, TIMEOUT, 10));
+        CORE_LIMITS);
+  }
+
+  private static long readMaxMillis(Socket socket) throws Exception {
+    socket.setSoTimeout(READ_TIMEOUT_MILLIS);
+    byte[] prefix = socket.getInputStream().readNBytes(COMMAND_PREFIX_BYTES);
+    Matcher maxMillis = MAX_MILLIS_FIELD.matcher(RespTestStrings.text(prefix));
+    assertThat(maxMillis.find()).isTrue();
+    return Long.parseLong(maxMillis.group(1));
   }
 
   @Test
-  void aConnectionThatComesUpLateLeavesTheWorkerLessTime() throws Exception {
+  void sendsShorterDeadlineWhenConnectionOpensLate() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         NetworkTransport net = new NetworkTransport(1, "deadline-test")) {
       RouterCore core = core(net);
@@ -77,16 +88,11 @@
               each -> each.endpointListReceived(true, List.of(worker)),
               each -> each.accept(request)));
       try (Socket socket = server.accept()) {
-        Consumer<RouterCore> opened = events.poll(5, TimeUnit.SECONDS);
-        now = CONNECT;
+        Consumer<RouterCore> opened = events.poll(EVENT_SECONDS, TimeUnit.SECONDS);
+        now = CONNECT_DURATION;
         core.tick(now, List.of(opened));
-        socket.setSoTimeout(5000);
-        Matcher max =
-            MAX.matcher(
-                new String(socket.getInputStream().readNBytes(60), StandardCharsets.ISO_8859_1));
-        assertThat(max.find()).isTrue();
-        assertThat(Long.parseLong(max.group(1)))
-            .isLessThanOrEqualTo(TIMEOUT.minus(CONNECT).toMillis());
+        assertThat(readMaxMillis(socket))
+            .isLessThanOrEqualTo(TIMEOUT.minus(CONNECT_DURATION).toMillis());
       }
     }
   }
--- a/src/test/java/switchgap/protocol/resp/IgnoredEvents.java
+++ b/src/test/java/switchgap/protocol/resp/IgnoredEvents.java
@@ -7,7 +7,7 @@
 import switchgap.policy.api.ProbeResult;
 import switchgap.policy.api.RequestArrival;
 
-/** A policy that takes no notice of anything. */
+/** A policy that ignores every event. */
 final class IgnoredEvents implements PolicyEvents {
   @Override
   public void requestArrived(RequestArrival arrival) {}
--- a/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
+++ b/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
@@ -8,7 +8,6 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
-import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -28,13 +27,8 @@
 import switchgap.router.WorkerEntry;
 import switchgap.testing.TestDiagnostics;
 
-/**
- * A pool on real sockets, with the events of the loop taken one by one and a clock that the test
- * sets.
- */
+/** A pool on real sockets; the test runs the event loop's events one by one and sets its clock. */
 class RespConnectionPoolTest implements ResponseListener {
-  private static final RespConnectionLimits LIMITS =
-      new RespConnectionLimits(4, 2, 10, 2, Duration.ofSeconds(5), Duration.ofSeconds(30));
   private static final Duration TIMEOUT = Duration.ofMillis(100);
   private static final int EVENT_SECONDS = 5;
   private static final int SILENCE_MILLIS = 200;
@@ -46,13 +40,13 @@
   private final WorkerEntry worker = new WorkerEntry("w", "127.0.0.1", server.getLocalPort(), 0);
   private volatile Duration now = Duration.ZERO;
   private final RespConnectionPool pool;
-
   private final RouterDiagnostics diagnostics = TestDiagnostics.create();
 
   RespConnectionPoolTest() throws IOException {
     net = new NetworkTransport(1, "pool-test");
-    pool =
-        new RespConnectionManager(net, LIMITS, () -> now, events::add, diagnostics).poolFor(worker);
+    RespConnectionManager manager =
+        new RespConnectionManager(net, RespTestLimits.SMALL, () -> now, events::add, diagnostics);
+    pool = manager.poolFor(worker);
   }
 
   private RespExchange exchange(String id) {
@@ -65,7 +59,7 @@
   }
 
   private byte[] command(RespExchange exchange) {
-    return exchange.command(now.toNanos(), diagnostics);
+    return exchange.encodeCommand(now.toNanos(), diagnostics);
   }
 
   private void runNextEvent() throws InterruptedException {
@@ -75,7 +69,7 @@
   }
 
   private static String read(Socket socket, int bytes) throws IOException {
-    return new String(socket.getInputStream().readNBytes(bytes), StandardCharsets.ISO_8859_1);
+    return RespTestStrings.text(socket.getInputStream().readNBytes(bytes));
   }
 
   private static void assertSilent(Socket socket) throws IOException {
@@ -84,19 +78,16 @@
         .isInstanceOf(SocketTimeoutException.class);
   }
 
-  private static String text(byte[] bytes) {
-    return new String(bytes, StandardCharsets.ISO_8859_1);
-  }
-
   @Test
-  void anExchangeWaitsForItsConnectionAndEndsWithItsReply() throws Exception {
+  void waitsForConnectionAndEndsWithReply() throws Exception {
     RespExchange exchange = exchange("1");
     pool.submit(exchange);
     assertThat(exchange.state()).isEqualTo(RespExchange.State.WAITING);
     try (Socket socket = server.accept()) {
       runNextEvent();
       assertThat(exchange.state()).isEqualTo(RespExchange.State.IN_FLIGHT);
-      assertThat(read(socket, command(exchange).length)).isEqualTo(text(command(exchange)));
+      assertThat(read(socket, command(exchange).length))
+          .isEqualTo(RespTestStrings.text(command(exchange)));
       socket.getOutputStream().write(RespCommandEncoder.encode("1", "full", "-", ""));
       runNextEvent();
       assertThat(outcomes).containsExactly(AttemptOutcome.REJECTED);
@@ -104,21 +95,22 @@
   }
 
   @Test
-  void anAttemptAbandonedInFlightIsCancelledAtItsWorker() throws Exception {
+  void cancelsAttemptAtWorkerWhenAbandonedInFlight() throws Exception {
     RespExchange exchange = exchange("1");
     pool.submit(exchange);
     try (Socket socket = server.accept()) {
       runNextEvent();
       assertThat(pool.abandon(exchange)).isEqualTo(AttemptOutcome.TIMED_OUT);
-      assertThat(read(socket, command(exchange).length)).isEqualTo(text(command(exchange)));
+      assertThat(read(socket, command(exchange).length))
+          .isEqualTo(RespTestStrings.text(command(exchange)));
       byte[] cancel = RespCommand.cancel("1");
-      assertThat(read(socket, cancel.length)).isEqualTo(text(cancel));
+      assertThat(read(socket, cancel.length)).isEqualTo(RespTestStrings.text(cancel));
     }
     assertThat(outcomes).isEmpty();
   }
 
   @Test
-  void aLostConnectionEndsWhatWasInFlightOnIt() throws Exception {
+  void endsExchangesInFlightWhenConnectionIsLost() throws Exception {
     RespExchange exchange = exchange("1");
     pool.submit(exchange);
     try (Socket socket = server.accept()) {
@@ -130,7 +122,7 @@
   }
 
   @Test
-  void whatWaitsForAWorkerThatRefusesConnectionsEndsAsConnectFailed() throws Exception {
+  void endsWaitingExchangeAsConnectFailedWhenWorkerRefusesConnections() throws Exception {
     server.close();
     pool.submit(exchange("1"));
     runNextEvent();
@@ -138,11 +130,11 @@
   }
 
   /**
-   * A pause while its connection was opened: it was sent after its timeout, and so counted as
-   * possibly executed.
+   * When the process was paused while a connection was being opened, the exchange was once sent
+   * after its deadline, and so counted as possibly executed.
    */
   @Test
-  void anExchangeThatWaitedPastItsTimeoutIsNotSent() throws Exception {
+  void doesNotSendExchangeThatWaitedPastItsDeadline() throws Exception {
     RespExchange exchange = exchange("1");
     pool.submit(exchange);
     try (Socket socket = server.accept()) {
