--- a/src/main/java/switchgap/protocol/inference/InferenceRequest.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceRequest.java
@@ -33,7 +33,6 @@
   private static final String READY = "/ready";
   private static final String LOAD = "/load";
   private static final String UNLOAD = "/unload";
-  private static final String LOAD_BODY_FORMAT = "{\"parameters\":{\"copies\":%d}}";
   private static final String UNLOAD_IDLE_BODY = "{\"parameters\":{\"idle_only\":true}}";
   private static final byte[] NO_BODY = {};
 
@@ -41,17 +40,17 @@
   static InferenceRequest infer(Attempt attempt) {
     Map<String, String> headers = new HashMap<>();
     headers.put(SENT_REQUEST_ID_HEADER, attempt.attemptId());
-    if (attempt.request.contentType != null) {
-      headers.put(CONTENT_TYPE_HEADER, attempt.request.contentType);
+    if (attempt.request().contentType() != null) {
+      headers.put(CONTENT_TYPE_HEADER, attempt.request().contentType());
     }
-    if (attempt.request.idempotencyKey != null) {
-      headers.put(IDEMPOTENCY_KEY_HEADER, attempt.request.idempotencyKey);
+    if (attempt.request().idempotencyKey() != null) {
+      headers.put(IDEMPOTENCY_KEY_HEADER, attempt.request().idempotencyKey());
     }
     return new InferenceRequest(
         POST,
-        MODELS_PATH + encode(attempt.request.function) + INFER,
+        MODELS_PATH + encode(attempt.request().function()) + INFER,
         headers,
-        attempt.request.body);
+        attempt.request().body());
   }
 
   /** Asks whether a function is loaded. */
@@ -63,7 +62,7 @@
   static InferenceRequest load(String function, int replicas) {
     return json(
         REPOSITORY_PATH + encode(function) + LOAD,
-        String.format(Locale.ROOT, LOAD_BODY_FORMAT, replicas));
+        String.format(Locale.ROOT, "{\"parameters\":{\"copies\":%d}}", replicas));
   }
 
   /** Unloads the idle replicas of a function. */
--- a/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
@@ -72,13 +72,13 @@
 
   /** Returns the pool of a worker, which is created where there is none yet. */
   RespConnectionPool poolFor(WorkerEntry worker) {
-    if (worker.attachment == null) {
-      InetSocketAddress address = new InetSocketAddress(worker.host, worker.port);
+    if (worker.attachment() == null) {
+      InetSocketAddress address = new InetSocketAddress(worker.host(), worker.port());
       RespConnectionPool pool = new RespConnectionPool(this, address, limits);
-      worker.attachment = pool;
+      worker.attach(pool);
       pools.add(pool);
     }
-    return (RespConnectionPool) worker.attachment;
+    return (RespConnectionPool) worker.attachment();
   }
 
   /** The bound of connections to one worker, so that all workers together keep within the limit. */
@@ -117,7 +117,7 @@
           public void connected(TcpConnection tcp) {
             RespDecoder decoder = new RespDecoder(MAX_STRING_BYTES);
             RespConnection connection = new RespConnection(tcp, pool, decoder, nowNanos());
-            tcp.attachment = connection;
+            tcp.attach(connection);
             post(core -> pool.connectionOpened(core, connection));
           }
 
--- a/src/main/java/switchgap/protocol/resp/RespExchange.java
+++ b/src/main/java/switchgap/protocol/resp/RespExchange.java
@@ -80,7 +80,7 @@
   static RespExchange ofAttempt(
       Attempt attempt, CommandEncoder encoder, long deadlineNanos, CompletionListener listener) {
     return new RespExchange(
-        attempt.worker, attempt.request.id, attempt, false, encoder, deadlineNanos, listener);
+        attempt.worker(), attempt.request().id(), attempt, false, encoder, deadlineNanos, listener);
   }
 
   /**
@@ -122,8 +122,8 @@
    */
   boolean maySend(long nowNanos) {
     return state == State.WAITING
-        && (allowedWhileDraining || worker.accepting)
-        && (attempt == null || attempt.request.isAwaited() && !isOverdue(nowNanos));
+        && (allowedWhileDraining || worker.isAccepting())
+        && (attempt == null || (attempt.request().isAwaited() && !isOverdue(nowNanos)));
   }
 
   /** Whether its deadline has passed. */
@@ -152,9 +152,9 @@
     if (attempt == null) {
       return false;
     }
-    PendingRequest request = attempt.request;
+    PendingRequest request = attempt.request();
     for (Attempt other : request.attempts()) {
-      if (other.attachment instanceof RespExchange exchange
+      if (other.attachment() instanceof RespExchange exchange
           && exchange != this
           && exchange.connection == candidate) {
         return true;
--- a/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -67,22 +67,22 @@
 
   @Override
   public void startAttempt(Attempt attempt, Duration timeout) {
-    long deadlineNanos = Math.min(deadlineNanos(timeout), attempt.request.deadline.toNanos());
+    long deadlineNanos = Math.min(deadlineNanos(timeout), attempt.request().deadline().toNanos());
     RespExchange exchange =
         RespExchange.ofAttempt(
             attempt,
-            remaining -> executeCommand(attempt.request, remaining),
+            remaining -> executeCommand(attempt.request(), remaining),
             deadlineNanos,
             (core, outcome, reply) -> attemptEnded(core, attempt, outcome, reply));
-    attempt.attachment = exchange;
-    connections.poolFor(attempt.worker).submit(exchange);
+    attempt.attach(exchange);
+    connections.poolFor(attempt.worker()).submit(exchange);
   }
 
   private byte[] executeCommand(PendingRequest request, Duration remaining) {
-    String requestClassName = protocol.requestClassNames().get(request.requestClass);
+    String requestClassName = protocol.requestClassNames().get(request.requestClass());
     long maxMillis = Math.max(1, remaining.toMillis());
     return RespCommand.execute(
-        request.id, requestClassName, request.function, maxMillis, request.body);
+        request.id(), requestClassName, request.function(), maxMillis, request.body());
   }
 
   private void attemptEnded(
@@ -96,8 +96,8 @@
 
   @Override
   public AttemptOutcome abandon(Attempt attempt) {
-    return attempt.attachment instanceof RespExchange exchange
-        ? connections.poolFor(attempt.worker).abandon(exchange)
+    return attempt.attachment() instanceof RespExchange exchange
+        ? connections.poolFor(attempt.worker()).abandon(exchange)
         : AttemptOutcome.TIMED_OUT;
   }
 
@@ -148,13 +148,13 @@
   }
 
   private void submit(WorkerCommand command, RespExchange exchange) {
-    command.attachment = exchange;
+    command.attach(exchange);
     connections.poolFor(exchange.worker()).submit(exchange);
   }
 
   @Override
   public void abandon(WorkerCommand command) {
-    if (command.attachment instanceof RespExchange exchange) {
+    if (command.attachment() instanceof RespExchange exchange) {
       connections.poolFor(exchange.worker()).abandon(exchange);
     }
   }
@@ -170,7 +170,7 @@
 
   @Override
   public void stopAccepting(WorkerEntry worker, boolean forGood) {
-    if (!(worker.attachment instanceof RespConnectionPool pool)) {
+    if (!(worker.attachment() instanceof RespConnectionPool pool)) {
       return;
     }
     if (forGood) {
--- a/src/test/java/switchgap/protocol/resp/AttemptDeadlineTest.java
+++ b/src/test/java/switchgap/protocol/resp/AttemptDeadlineTest.java
@@ -54,7 +54,7 @@
             TestDiagnostics.create());
     int[] attempts = {0};
     return new RouterCore(
-        TestPlatformSettings.terms(),
+        TestPlatformSettings.routerSettings(),
         (time, batch, actions) -> {
           batch.deliverTo(new IgnoredEvents());
           if (attempts[0]++ == 0) {
