--- a/src/main/java/switchgap/admission/AdmissionController.java
+++ b/src/main/java/switchgap/admission/AdmissionController.java
@@ -1,9 +1,7 @@
 package switchgap.admission;
 
 import java.time.Duration;
-import java.util.EnumSet;
 import java.util.List;
-import java.util.Set;
 import java.util.SplittableRandom;
 
 /**
@@ -12,10 +10,10 @@
  * measures; names of tenants or request classes play no part. The router's own rejections, bounds
  * and choice of workers are not touched: the controllers only see requests that found no capacity,
  * as pressure. Not thread-safe; times are durations since the router's start, and one before the
- * last tick lets no time pass.
+ * last tick is ignored.
  */
 public final class AdmissionController {
-  /** Index of no tenant: for changes that apply to all requests. */
+  /** The tenant of changes that apply to all requests. */
   private static final int ALL_TENANTS = -1;
 
   /**
@@ -41,8 +39,8 @@
   private static final double HOLD_PRESSURE = 0.5;
 
   /**
-   * Share of the pressure which the excess of tenants must be to count against these alone: guards
-   * against reducing the service of all for the load of a few.
+   * Fraction of the pressure that the tenants' load beyond their quotas must exceed to count
+   * against these tenants alone: guards against reducing the service of all for the load of a few.
    */
   private static final double TENANT_PRESSURE_FRACTION = 0.5;
 
@@ -54,12 +52,13 @@
 
   private final AdmissionSettings settings;
   private final SplittableRandom random;
-  private final ServiceLevel[] rejectingLevels;
+  private final RejectionRules rules;
   private final Duration minStay;
   private final SheddingRotation rotation;
   private final DegradationController common;
   private final TenantControllers tenants;
   private final PressureMonitor monitor;
+  private final ShedRateControl control;
   private final RetryAfterPolicy retryAfter;
   private final ServiceLevelHistory history;
   private Duration tickedAt = Duration.ZERO;
@@ -68,16 +67,16 @@
   public AdmissionController(AdmissionSettings settings, long seed) {
     this.settings = settings;
     this.random = new SplittableRandom(seed);
-    this.rejectingLevels = rejectingLevels(settings);
+    this.rules = new RejectionRules(settings);
     double objectiveSeconds = settings.longestObjective().toNanos() / 1e9;
     double stayJitter = MIN_STAY_JITTER + STAY_JITTER_RANGE * random.nextDouble();
     this.minStay = ofSeconds(objectiveSeconds * MIN_STAY_OBJECTIVES * stayJitter);
     Duration rotationPeriod = ofSeconds(objectiveSeconds * ROTATION_OBJECTIVES);
     this.rotation = new SheddingRotation(rotationPeriod, random.split());
-    this.common =
-        new DegradationController(minStay, random.split(), effectiveLevels(rejectingLevels));
+    this.common = new DegradationController(minStay, random.split(), rules.effectiveLevels());
     this.tenants = new TenantControllers(settings, minStay, rotationPeriod, random);
     this.monitor = new PressureMonitor(settings);
+    this.control = new ShedRateControl(monitor, settings.protectedFraction());
     this.retryAfter = new RetryAfterPolicy(settings.maxRetryAfter());
     this.history = new ServiceLevelHistory(settings.priorityWeights().length);
   }
@@ -86,32 +85,6 @@
     return Duration.ofNanos((long) (seconds * 1e9));
   }
 
-  /** For each request class the first level that may reject it, null where it is exempt. */
-  private static ServiceLevel[] rejectingLevels(AdmissionSettings settings) {
-    ServiceLevel[] levels = new ServiceLevel[settings.priorityWeights().length];
-    for (int i = 0; i < levels.length; i++) {
-      if (settings.exempt()[i]) {
-        levels[i] = null;
-      } else if (settings.isTopPriority(i)) {
-        levels[i] = ServiceLevel.HOLD;
-      } else {
-        levels[i] = settings.isIdempotent(i) ? ServiceLevel.LEAST : ServiceLevel.MOST;
-      }
-    }
-    return levels;
-  }
-
-  /** The levels that reject anything under these settings, FULL before them. */
-  private static ServiceLevel[] effectiveLevels(ServiceLevel[] rejectingLevels) {
-    Set<ServiceLevel> levels = EnumSet.of(ServiceLevel.FULL, ServiceLevel.HOLD);
-    for (ServiceLevel level : rejectingLevels) {
-      if (level != null) {
-        levels.add(level);
-      }
-    }
-    return levels.toArray(new ServiceLevel[0]);
-  }
-
   /** A worker's response reported its CPU utilization, 0 to 1; NaN where it reported none. */
   public void workerReported(double utilization) {
     monitor.workerReported(utilization);
@@ -134,15 +107,14 @@
       return AdmissionDecision.ADMITTED;
     }
     history.countRejection(level, requestClass);
-    // Drawn also where no delay is told, so that the order of draws does not depend on that
-    // setting.
+    // Drawn also without a delay, so that the order of draws does not depend on that setting.
     double draw = random.nextDouble();
     return new AdmissionDecision(false, level, retryAfter.retryAfter(level, draw));
   }
 
   /** The level that rejects this request, or null where it is admitted. */
   private ServiceLevel rejectingLevel(int tenant, int requestClass, long key) {
-    ServiceLevel first = rejectingLevels[requestClass];
+    ServiceLevel first = rules.firstRejecting(requestClass);
     if (first == null) {
       return null;
     }
@@ -170,8 +142,8 @@
   }
 
   /**
-   * Lets time pass; a tick counts a second at most, so that a clock that jumps changes nothing at
-   * once.
+   * Advances to a time; a tick counts a second at most, so that a clock that jumps changes nothing
+   * at once. Without effect within {@value #MIN_TICK_SECONDS} s of the last tick.
    */
   public void tick(Duration now) {
     double elapsed = (now.toNanos() - tickedAt.toNanos()) / 1e9;
@@ -184,7 +156,7 @@
     tenants.updateLoads();
     double rotationRetained = monitor.retainedAtMost(seconds);
     rotation.advance(seconds, rotationRetained);
-    ControlSignal signal = monitor.measure();
+    ControlSignal signal = control.signal();
     double tenantExcess =
         tenants.update(
             now, seconds, rotationRetained, signal, settings.lowestLevel(), this::record);
@@ -200,9 +172,7 @@
     if (expired != null) {
       record(now, ALL_TENANTS, expired);
     }
-    // What tenants send beyond their share counts against their own controllers, while these can
-    // shed
-    // more.
+    // Load beyond quotas counts against the tenants' own controllers while these can shed more.
     boolean fromTenants =
         signal.shedRate() > 0 && tenantExcess > TENANT_PRESSURE_FRACTION * pressure();
     LevelTransition change =
@@ -223,14 +193,14 @@
         new ServiceLevelChange(
             now,
             tenant,
-            transition.from(),
-            transition.to(),
+            transition.previous(),
+            transition.current(),
             transition.condition().text(),
             monitor.pressure(),
             monitor.samples()));
   }
 
-  /** Share of the admitted priority weight that found no capacity. */
+  /** Fraction of the admitted priority weight that found no capacity. */
   public double pressure() {
     return monitor.pressure();
   }
@@ -249,7 +219,7 @@
     return common.level();
   }
 
-  /** Share rejected of what the level for all requests may reject, 0 to 1. */
+  /** Fraction rejected of what the level for all requests may reject, 0 to 1. */
   public double shedFraction() {
     return common.shedFraction();
   }
@@ -259,7 +229,7 @@
     return tenants.level(tenant);
   }
 
-  /** Share rejected of a tenant's load in excess of its share, 0 to 1. */
+  /** Fraction rejected of a tenant's load beyond its quota, 0 to 1. */
   public double shedFraction(int tenant) {
     return tenants.shedFraction(tenant);
   }
--- a/src/main/java/switchgap/admission/AdmissionSettings.java
+++ b/src/main/java/switchgap/admission/AdmissionSettings.java
@@ -10,11 +10,11 @@
  * @param priorityWeights of each request class
  * @param idempotency of each request class
  * @param latencyObjectives of each request class
- * @param tenantShares of each tenant, in any unit
+ * @param tenantQuotas of each tenant, in any unit
  * @param exempt request classes that no level may reject
  * @param lowestLevel the lowest level that the controller may come to by itself
- * @param maxRetryAfter the longest delay told to rejected clients; null where none is told
- * @param protectedShare share of the top priority requests that are to meet their latency
+ * @param maxRetryAfter the longest delay that rejected clients are given; null for none
+ * @param protectedFraction fraction of the top priority requests that are to meet their latency
  *     objectives, at the cost of all idempotent requests of lower priority; 0 where all requests
  *     count alike
  */
@@ -22,13 +22,14 @@
     double[] priorityWeights,
     Idempotency[] idempotency,
     Duration[] latencyObjectives,
-    double[] tenantShares,
+    double[] tenantQuotas,
     boolean[] exempt,
     ServiceLevel lowestLevel,
     Duration maxRetryAfter,
-    double protectedShare) {
+    double protectedFraction) {
   private static final Duration MIN_OBJECTIVE = Duration.ofMillis(1);
 
+  /** The largest priority weight of a request class. */
   double maxPriorityWeight() {
     double max = 0;
     for (double weight : priorityWeights) {
@@ -37,6 +38,7 @@
     return max;
   }
 
+  /** Whether no class has a larger priority weight. */
   boolean isTopPriority(int requestClass) {
     return priorityWeights[requestClass] >= maxPriorityWeight();
   }
@@ -46,7 +48,7 @@
   }
 
   int tenantCount() {
-    return tenantShares.length;
+    return tenantQuotas.length;
   }
 
   /**
--- a/src/main/java/switchgap/admission/ChangeCondition.java
+++ b/src/main/java/switchgap/admission/ChangeCondition.java
@@ -1,8 +1,8 @@
 package switchgap.admission;
 
-/** Why a service level changes. The texts are printed on the operators' pages. */
+/** Why a service level changes. The texts are shown to operators and kept in traces. */
 enum ChangeCondition {
-  /** Full service is left: the pressure is above its threshold. */
+  /** Service is reduced: the pressure is above its threshold. */
   PRESSURE_HIGH("pressure past the enter mark"),
   /** The level already rejects all that it may, and the pressure is still above its threshold. */
   LEVEL_EXHAUSTED("the rung gives all it has and pressure stays"),
--- a/src/main/java/switchgap/admission/DegradationController.java
+++ b/src/main/java/switchgap/admission/DegradationController.java
@@ -4,9 +4,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Steps through a list of service levels, and sets the shed fraction of the current one: the share
- * that is rejected of what the level may reject. The shed fraction follows the pressure at a
- * bounded rate, so that service is reduced and restored in a ramp. A level is left only when the
+ * Steps through a list of service levels, and sets the shed fraction of the current one: the
+ * fraction that is rejected of what the level may reject. The shed fraction follows the pressure at
+ * a bounded rate, so that service is reduced and restored in a ramp. A level is left only when the
  * shed fraction has reached 0 or 1 and has stayed there.
  */
 final class DegradationController {
@@ -21,13 +21,13 @@
 
   /**
    * Shortest stays on a level before it is restored, and after that before mild pressure takes it
-   * again: guards against a level that comes and goes with each wave of load.
+   * again: guards against a level that oscillates with each wave of load.
    */
   private static final int STAYS_PER_LEVEL = 4;
 
   /**
-   * Shortest stays (times the jitter) of pressure before full service is left; that is reversible
-   * and cheap.
+   * Shortest stays (times the jitter) of pressure before service is first reduced, which is
+   * reversible and cheap.
    */
   private static final double FIRST_DEGRADE_STAYS = 0.35;
 
@@ -50,10 +50,10 @@
   private double shedFraction;
   private Duration changedAt = Duration.ZERO;
 
-  /** Once true, leaving full service again waits for STAYS_PER_LEVEL. */
+  /** Once true, full service is reduced again only after STAYS_PER_LEVEL. */
   private boolean restoredBefore;
 
-  /** The shed fraction has asked for another level since then; null if it does not. */
+  /** Since when the shed fraction has required another level; null while it does not. */
   private Duration atBoundSince;
 
   private ServiceLevel pinned;
@@ -70,25 +70,27 @@
     this.jitter = drawJitter();
   }
 
+  /** The pinned level, else the one that the pressure requires. */
   ServiceLevel level() {
     return pinned != null ? pinned : levels[index];
   }
 
-  /** The share rejected of what the level may reject; a pinned level rejects all of it. */
+  /** Fraction rejected of what the level may reject; a pinned level rejects all of it. */
   double shedFraction() {
     return pinned != null ? 1 : shedFraction;
   }
 
+  /** Whether a pinned level is in force. */
   boolean isPinned() {
     return pinned != null;
   }
 
-  /** Pins a level until a time. The controller goes on below the pin by what it measures. */
+  /** Pins a level until a time. The controller continues to follow the pressure under the pin. */
   LevelTransition pin(ServiceLevel level, Duration until) {
-    ServiceLevel from = level();
+    ServiceLevel previous = level();
     pinned = level;
     pinnedUntil = until;
-    return new LevelTransition(from, level, ChangeCondition.PINNED);
+    return new LevelTransition(previous, level, ChangeCondition.PINNED);
   }
 
   /** Ends a pin whose time is over, and returns the transition back; null where none ends. */
@@ -96,11 +98,11 @@
     if (pinned == null || now.compareTo(pinnedUntil) < 0) {
       return null;
     }
-    ServiceLevel from = pinned;
+    ServiceLevel previous = pinned;
     pinned = null;
     changedAt = now;
     atBoundSince = null;
-    return new LevelTransition(from, level(), ChangeCondition.PIN_EXPIRED);
+    return new LevelTransition(previous, level(), ChangeCondition.PIN_EXPIRED);
   }
 
   /**
@@ -158,20 +160,20 @@
       return null;
     }
     restoredBefore = true;
-    // The level above begins where it was left, and is restored in its turn.
+    // The level above starts where it was when this one was taken, and is restored next.
     double fraction = index - 1 == 0 ? 0 : 1;
     return change(now, index - 1, fraction, ChangeCondition.PRESSURE_LOW);
   }
 
   private LevelTransition change(
       Duration now, int toIndex, double fraction, ChangeCondition condition) {
-    ServiceLevel from = level();
+    ServiceLevel previous = level();
     index = toIndex;
     shedFraction = fraction;
     jitter = drawJitter();
     changedAt = now;
     atBoundSince = null;
-    return new LevelTransition(from, level(), condition);
+    return new LevelTransition(previous, level(), condition);
   }
 
   private boolean stayedLong(Duration now) {
--- a/src/main/java/switchgap/admission/LevelTransition.java
+++ b/src/main/java/switchgap/admission/LevelTransition.java
@@ -1,4 +1,4 @@
 package switchgap.admission;
 
-/** A step of a degradation controller from one level to another, and the condition that was met. */
-record LevelTransition(ServiceLevel from, ServiceLevel to, ChangeCondition condition) {}
+/** A step of a degradation controller between two levels, and the condition that was met. */
+record LevelTransition(ServiceLevel previous, ServiceLevel current, ChangeCondition condition) {}
--- a/src/main/java/switchgap/admission/RequestOutcome.java
+++ b/src/main/java/switchgap/admission/RequestOutcome.java
@@ -8,6 +8,6 @@
   LATE,
   /** Rejected, never executed, before its latency objective was over: no capacity was found. */
   SATURATED,
-  /** Ended in any other way, which says nothing of the load. */
+  /** Ended in any other way, which says nothing about the load. */
   OTHER
 }
--- a/src/main/java/switchgap/admission/RetryAfterPolicy.java
+++ b/src/main/java/switchgap/admission/RetryAfterPolicy.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 
 /**
- * The delay told to rejected clients: longer the lower the level, and spread by chance so that
- * clients rejected together do not retry together.
+ * The retry delay given to rejected clients: longer the lower the level, and spread at random so
+ * that clients rejected together do not retry together.
  */
 final class RetryAfterPolicy {
-  /** Share of the longest delay, for a tenant over its share. */
+  /** Fraction of the longest delay, for a tenant over its quota. */
   private static final double TENANT_FRACTION = 0.5;
 
   /**
@@ -26,14 +26,12 @@
 
   private final Duration max;
 
-  /** {@code max} is null where clients are told no delay. */
+  /** {@code max} is null where clients are given no delay. */
   RetryAfterPolicy(Duration max) {
     this.max = max;
   }
 
-  /**
-   * The delay for a rejection by {@code level}, null where none is told; {@code draw} is 0 to 1.
-   */
+  /** The delay for a rejection by {@code level}, null for none; {@code draw} is 0 to 1. */
   Duration retryAfter(ServiceLevel level, double draw) {
     if (max == null) {
       return null;
--- a/src/main/java/switchgap/admission/ServiceLevel.java
+++ b/src/main/java/switchgap/admission/ServiceLevel.java
@@ -6,9 +6,7 @@
 public enum ServiceLevel {
   /** All requests are admitted. */
   FULL,
-  /**
-   * Idempotent requests of a tenant in excess of its share are rejected. For single tenants only.
-   */
+  /** Idempotent requests of a tenant beyond its quota are rejected. For single tenants only. */
   SHARE,
   /** Idempotent requests of less than the top priority are rejected. */
   LEAST,
--- a/src/main/java/switchgap/admission/ServiceLevelChange.java
+++ b/src/main/java/switchgap/admission/ServiceLevelChange.java
@@ -5,19 +5,19 @@
 /**
  * A change of service level, with the figures at that time.
  *
- * @param at when
+ * @param time since the router's start
  * @param tenant index of the tenant that it applies to, -1 for all requests
- * @param from the level before
- * @param to the level after
+ * @param previous the level before
+ * @param current the level after
  * @param condition what was met, as shown to operators
- * @param pressure weighted share of the admitted requests that found no capacity
+ * @param pressure weighted fraction of the admitted requests that found no capacity
  * @param samples number of requests that the pressure was measured on; older ones count less
  */
 public record ServiceLevelChange(
-    Duration at,
+    Duration time,
     int tenant,
-    ServiceLevel from,
-    ServiceLevel to,
+    ServiceLevel previous,
+    ServiceLevel current,
     String condition,
     double pressure,
     double samples) {}
--- a/src/main/java/switchgap/admission/ServiceLevelHistory.java
+++ b/src/main/java/switchgap/admission/ServiceLevelHistory.java
@@ -5,11 +5,9 @@
 import java.util.Arrays;
 import java.util.List;
 
-/**
- * What operators see of the service levels: the last changes, time spent at each level, rejections.
- */
+/** History of the service levels for operators: last changes, time at each level, rejections. */
 final class ServiceLevelHistory {
-  /** Changes kept at most, in each of the two lists. */
+  /** Bound of each of the two lists of changes; older changes are dropped. */
   private static final int MAX_CHANGES = 64;
 
   private final List<ServiceLevelChange> recent = new ArrayList<>();
@@ -22,6 +20,7 @@
     Arrays.fill(timeAtLevel, Duration.ZERO);
   }
 
+  /** Adds a change to both lists. */
   void add(ServiceLevelChange change) {
     append(recent, change);
     append(undrained, change);
@@ -46,18 +45,22 @@
     return drained;
   }
 
+  /** Counts time spent at a level. */
   void addTime(ServiceLevel level, Duration spent) {
     timeAtLevel[level.ordinal()] = timeAtLevel[level.ordinal()].plus(spent);
   }
 
+  /** Total time at a level. */
   Duration timeAt(ServiceLevel level) {
     return timeAtLevel[level.ordinal()];
   }
 
+  /** Counts a request of a class that a level rejected. */
   void countRejection(ServiceLevel level, int requestClass) {
     rejections[level.ordinal()][requestClass]++;
   }
 
+  /** Number of requests of a class that a level rejected. */
   long rejections(ServiceLevel level, int requestClass) {
     return rejections[level.ordinal()][requestClass];
   }
--- a/src/main/java/switchgap/admission/SheddingRotation.java
+++ b/src/main/java/switchgap/admission/SheddingRotation.java
@@ -8,8 +8,8 @@
  * to the slots of a ring; each slot is as wide as the priority weight that was offered to it
  * lately. An arc as wide as the shed fraction rotates, and what lies in it is shed. So a client
  * that retries finds the same decision for most of the time, in place of being admitted at its
- * second or third attempt, when its latency objective is over and the work that it then causes is
- * worth little. A wide slot is covered by the ends of the arc in part.
+ * second or third attempt, when its latency objective is over and the work that it then causes
+ * earns little. A wide slot is covered by the ends of the arc in part.
  */
 final class SheddingRotation {
   private static final int SLOT_BITS = 6;
@@ -34,7 +34,7 @@
   private final double periodSeconds;
   private double arcStart;
 
-  /** The arc goes round once in {@code period}. */
+  /** The arc rotates once in each {@code period}. */
   SheddingRotation(Duration period, SplittableRandom random) {
     this.periodSeconds = period.toNanos() / 1e9;
     this.salt = random.nextLong();
@@ -79,8 +79,8 @@
   }
 
   /**
-   * Rotates the arc, and lays out the slots by the weight offered, of which {@code retained} is
-   * kept.
+   * Rotates the arc, and lays out the slots by the weight offered, of which the fraction {@code
+   * retained} remains.
    */
   void advance(double seconds, double retained) {
     arcStart += seconds / periodSeconds;
--- a/src/main/java/switchgap/admission/TenantControllers.java
+++ b/src/main/java/switchgap/admission/TenantControllers.java
@@ -5,13 +5,12 @@
 import java.util.SplittableRandom;
 
 /**
- * The degradation controllers of single tenants: each sheds what its tenant sends in excess of its
- * share.
+ * The degradation controllers of single tenants: each sheds what its tenant sends beyond its quota.
  */
 final class TenantControllers {
-  /** Told of each change of level, at its time. */
+  /** Notified of each change of a tenant's level, at its time. */
   interface TransitionListener {
-    void levelChanged(Duration at, int tenant, LevelTransition transition);
+    void levelChanged(Duration time, int tenant, LevelTransition transition);
   }
 
   private final TenantLoads loads;
@@ -35,14 +34,17 @@
     Arrays.setAll(rotations, tenant -> new SheddingRotation(rotationPeriod, random.split()));
   }
 
+  /** The level of a tenant: FULL or SHARE. */
   ServiceLevel level(int tenant) {
     return controllers[tenant].level();
   }
 
+  /** Fraction shed of a tenant's load beyond its quota, 0 to 1. */
   double shedFraction(int tenant) {
     return controllers[tenant].shedFraction();
   }
 
+  /** A request of a priority weight was offered, admitted or not. */
   void offered(int tenant, double weight) {
     loads.offered(tenant, weight);
   }
@@ -53,18 +55,18 @@
     return rotations[tenant].sheds(tenant, key, weight, fraction, positionInSlot);
   }
 
-  /** Judges anew which tenants are over their share. */
+  /** Determines anew which tenants exceed their quotas. */
   void updateLoads() {
     loads.update();
   }
 
   /**
-   * Applies a control signal for the given seconds to the tenants over their share; the others are
+   * Applies a control signal for the given seconds to the tenants over their quota; the others are
    * restored.
    *
    * @param retained what the rotations retain of the loads
-   * @return the share of the whole load that exceeds tenants' shares; 0 where the controllers of
-   *     all such tenants shed all that they may, so that they have nothing left to give
+   * @return the fraction of the total load that is beyond tenants' quotas; 0 where the controllers
+   *     of all such tenants shed all that they may already
    */
   double update(
       Duration now,
@@ -76,7 +78,7 @@
     double excess = 0;
     boolean canShedMore = false;
     double total = loads.totalWeight();
-    ControlSignal restore = PressureMonitor.restoreTenant(signal);
+    ControlSignal restore = ShedRateControl.restoreTenant(signal);
     for (int i = 0; i < controllers.length; i++) {
       boolean over = loads.excessFraction(i) > 0;
       if (controllers[i].level() == ServiceLevel.SHARE) {
@@ -93,6 +95,7 @@
     return canShedMore ? excess / total : 0;
   }
 
+  /** Lets the tenants' loads decay to a fraction. */
   void decay(double retained) {
     loads.decay(retained);
   }
--- a/src/main/java/switchgap/admission/TenantLoads.java
+++ b/src/main/java/switchgap/admission/TenantLoads.java
@@ -4,16 +4,16 @@
 import java.util.Comparator;
 
 /**
- * Which tenants are over their share. A tenant is over it when its load for a share stands out from
- * the usual one, the median over the tenants weighted by share. A few that send far too much don't
- * move it as long as they hold less than half of the shares.
+ * Loads of the tenants, and which of them exceed their quota. A tenant exceeds it when its load per
+ * unit of quota stands out from the usual one, the median over the tenants weighted by quota. A few
+ * tenants that send far too much don't move it as long as they hold less than half of the quotas.
  */
 final class TenantLoads {
   /**
-   * Times the usual load for a share, from which a tenant is over it. Guards against shedding for
+   * Multiple of the usual load from which a tenant exceeds its quota. Guards against shedding for
    * ordinary differences between tenants.
    */
-  private static final double OVER_SHARE_FACTOR = 1.3;
+  private static final double OVER_QUOTA_FACTOR = 1.3;
 
   /**
    * Added to it for a load of one request, and less by the square root of its load: guards against
@@ -22,42 +22,40 @@
   private static final double SAMPLING_ERROR = 3;
 
   /**
-   * Times the usual load for its share, what a tenant that is over it keeps. Guards against leaving
-   * a tenant that is over its share worse off than one that is not.
+   * Multiple of the usual load that is admitted of a tenant over its quota. Guards against leaving
+   * it worse off than a tenant within its quota.
    */
-  private static final double KEPT_SHARE_FACTOR = 1.1;
+  private static final double ADMITTED_QUOTA_FACTOR = 1.1;
 
-  private final double[] shares;
-  private final double totalShare;
+  private final double[] quotas;
+  private final double totalQuota;
   private final double maxWeight;
   private final double[] offeredWeight; // admitted or not
   private final double[] excessFraction;
 
   TenantLoads(AdmissionSettings settings) {
-    this.shares = settings.tenantShares();
+    this.quotas = settings.tenantQuotas();
     this.maxWeight = settings.maxPriorityWeight();
-    this.offeredWeight = new double[shares.length];
-    this.excessFraction = new double[shares.length];
+    this.offeredWeight = new double[quotas.length];
+    this.excessFraction = new double[quotas.length];
     double sum = 0;
-    for (double share : shares) {
-      sum += share;
+    for (double quota : quotas) {
+      sum += quota;
     }
-    this.totalShare = sum;
+    this.totalQuota = sum;
   }
 
+  /** A request of a priority weight was offered, admitted or not. */
   void offered(int tenant, double weight) {
     offeredWeight[tenant] += weight;
   }
 
-  /**
-   * Fraction of the tenant's load that exceeds its share, as of the last update; 0 where it is not
-   * over it.
-   */
+  /** Fraction of the tenant's load beyond its quota, as of the last update; 0 within the quota. */
   double excessFraction(int tenant) {
     return excessFraction[tenant];
   }
 
-  /** The tenant's load that exceeds its share, in priority weight. */
+  /** The tenant's load beyond its quota, in priority weight. */
   double excessWeight(int tenant) {
     return offeredWeight[tenant] * excessFraction[tenant];
   }
@@ -67,21 +65,21 @@
     return Math.max(Arrays.stream(offeredWeight).sum(), Double.MIN_NORMAL);
   }
 
-  /** Judges anew who is over its share. */
+  /** Determines anew which tenants exceed their quotas. */
   void update() {
-    double[] loads = new double[shares.length];
-    for (int i = 0; i < shares.length; i++) {
-      loads[i] = offeredWeight[i] / Math.max(shares[i], Double.MIN_NORMAL);
+    double[] loads = new double[quotas.length]; // per unit of quota
+    for (int i = 0; i < quotas.length; i++) {
+      loads[i] = offeredWeight[i] / Math.max(quotas[i], Double.MIN_NORMAL);
     }
     double usual = usualLoad(loads);
-    for (int i = 0; i < shares.length; i++) {
+    for (int i = 0; i < quotas.length; i++) {
       double doubt = SAMPLING_ERROR / Math.sqrt(Math.max(1, offeredWeight[i] / maxWeight));
-      boolean over = usual > 0 && loads[i] > (OVER_SHARE_FACTOR + doubt) * usual;
-      excessFraction[i] = over ? 1 - KEPT_SHARE_FACTOR * usual / loads[i] : 0;
+      boolean over = usual > 0 && loads[i] > (OVER_QUOTA_FACTOR + doubt) * usual;
+      excessFraction[i] = over ? 1 - ADMITTED_QUOTA_FACTOR * usual / loads[i] : 0;
     }
   }
 
-  /** The median of the loads, weighted by share. */
+  /** The median of the loads, weighted by quota. */
   private double usualLoad(double[] loads) {
     Integer[] byLoad = new Integer[loads.length];
     Arrays.setAll(byLoad, tenant -> tenant);
@@ -89,15 +87,16 @@
     double usual = 0;
     double sum = 0;
     for (int tenant : byLoad) {
-      sum += shares[tenant];
+      sum += quotas[tenant];
       usual = loads[tenant];
-      if (sum >= totalShare / 2) {
+      if (sum >= totalQuota / 2) {
         break;
       }
     }
     return usual;
   }
 
+  /** Lets the loads decay to a fraction. */
   void decay(double retained) {
     for (int i = 0; i < offeredWeight.length; i++) {
       offeredWeight[i] *= retained;
--- a/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
@@ -119,10 +119,10 @@
   }
 
   private void addChange(ObjectNode node, ServiceLevelChange change) {
-    node.put("at_s", seconds(change.at()));
+    node.put("at_s", seconds(change.time()));
     node.put("for", change.tenant() < 0 ? "all" : settings.tenantName(change.tenant()));
-    node.put("from", YamlDocument.word(change.from()));
-    node.put("to", YamlDocument.word(change.to()));
+    node.put("from", YamlDocument.word(change.previous()));
+    node.put("to", YamlDocument.word(change.current()));
     node.put("condition", change.condition());
     node.put("pressure", change.pressure());
     node.put("evidence", change.samples());
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -243,8 +243,8 @@
   private void logLevelChange(ServiceLevelChange change) {
     LOG.warn(
         "level {} to {} for {}: {} (pressure {}, evidence {} calls)",
-        YamlDocument.word(change.from()),
-        YamlDocument.word(change.to()),
+        YamlDocument.word(change.previous()),
+        YamlDocument.word(change.current()),
         change.tenant() < 0 ? "all" : settings.tenantName(change.tenant()),
         change.condition(),
         String.format(Locale.ROOT, "%.3f", change.pressure()),
--- a/src/main/java/switchgap/testbed/experiment/ExperimentTables.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentTables.java
@@ -112,10 +112,10 @@
           trial.variant.name(),
           trial.seed,
           routerChange.router(),
-          change.at().toMillis() / 1e3,
+          change.time().toMillis() / 1e3,
           tenant,
-          YamlDocument.word(change.from()),
-          YamlDocument.word(change.to()),
+          YamlDocument.word(change.previous()),
+          YamlDocument.word(change.current()),
           change.condition(),
           change.pressure(),
           change.samples());
--- a/src/main/java/switchgap/testbed/experiment/Trial.java
+++ b/src/main/java/switchgap/testbed/experiment/Trial.java
@@ -180,7 +180,7 @@
     ArrayDeque<Duration> within = new ArrayDeque<>();
     for (Emulator.RouterLevelChange change : changes) {
       if (change.router() == router && change.isCommon()) {
-        Duration at = change.change().at();
+        Duration at = change.change().time();
         while (!within.isEmpty() && at.minus(within.peek()).compareTo(window) > 0) {
           within.poll();
         }
--- a/src/test/java/switchgap/admission/AdmissionControllerTest.java
+++ b/src/test/java/switchgap/admission/AdmissionControllerTest.java
@@ -93,10 +93,10 @@
                     String.format(
                         Locale.ROOT,
                         "%6.1f %s %s to %s: %s%n",
-                        change.at().toMillis() / 1000.0,
+                        change.time().toMillis() / 1000.0,
                         change.tenant() < 0 ? "all" : "customer " + change.tenant(),
-                        change.from(),
-                        change.to(),
+                        change.previous(),
+                        change.current(),
                         change.condition())));
     return lines.toString();
   }
@@ -349,7 +349,7 @@
       AdmissionController controller = new AdmissionController(settings(1, 2, 2), i);
       offerLoad(controller, 30, 3, 1, 1, 1, 1);
       if (!controller.changes().isEmpty()) {
-        times.add(controller.changes().get(0).at().toMillis() / 500);
+        times.add(controller.changes().get(0).time().toMillis() / 500);
       }
       assertThat(controller.decide(at(second), 0, 0, 0)).isNotNull();
     }
