--- a/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
+++ b/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
@@ -8,7 +8,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.WeakHashMap;
+import switchgap.net.ConnectFailure;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.policy.api.AttemptOutcome;
 
 /**
@@ -22,7 +24,7 @@
  * use it, and has one exchange at a time on a connection. Callbacks are called without the lock.
  */
 final class HttpConnectionPool {
-  private final HttpClientConnection.Factory connectionFactory;
+  private final HttpClientConnector connectionFactory;
   private final InetSocketAddress address;
   private final HttpPoolLimits limits;
 
@@ -39,9 +41,7 @@
   private boolean retired;
 
   HttpConnectionPool(
-      HttpClientConnection.Factory connectionFactory,
-      InetSocketAddress address,
-      HttpPoolLimits limits) {
+      HttpClientConnector connectionFactory, InetSocketAddress address, HttpPoolLimits limits) {
     this.connectionFactory = connectionFactory;
     this.address = address;
     this.limits = limits;
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public void failed(String why) {
+    public void failed(ConnectFailure failure) {
       InferenceExchange exchange;
       synchronized (HttpConnectionPool.this) {
         opening--;
@@ -214,7 +214,7 @@
     List<HttpClientConnection> expired = new ArrayList<>();
     long now = System.nanoTime();
     synchronized (this) {
-      while (!idle.isEmpty() && now - idle.peekLast().idleSince > idleTimeout.toNanos()) {
+      while (!idle.isEmpty() && now - idle.peekLast().idleSinceNanos() > idleTimeout.toNanos()) {
         expired.add(idle.pollLast());
       }
     }
