--- a/src/main/java/switchgap/testbed/emulator/ClientRequest.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientRequest.java
@@ -9,10 +9,10 @@
   final String tenant;
   final int router;
   final long arrivedAt;
-  final EmulatedClients.RequestClassProfile profile;
+  final RequestClassProfile profile;
 
-  /** Retries of a hammering client, 0 for a client that behaves. */
-  final int hammeringRetries;
+  /** Retries without backoff in a retry storm; 0 for a client that follows the retry policy. */
+  final int stormRetries;
 
   /**
    * A generator of its own, so that how responses come affects no other request: the same seed
@@ -23,24 +23,21 @@
   int attempts;
 
   ClientRequest(
-      Arrival arrival,
-      EmulatedClients.RequestClassProfile profile,
-      int hammeringRetries,
-      SplittableRandom random) {
+      Arrival arrival, RequestClassProfile profile, int stormRetries, SplittableRandom random) {
     this.id = arrival.id;
     this.model = arrival.model;
     this.tenant = arrival.tenant;
     this.router = arrival.router;
     this.arrivedAt = arrival.at;
     this.profile = profile;
-    this.hammeringRetries = hammeringRetries;
+    this.stormRetries = stormRetries;
     this.random = random;
   }
 
   /** What is drawn when a request arrives; {@code at} in microseconds. */
   record Arrival(String id, FunctionModel model, String tenant, int router, long at) {}
 
-  boolean isHammering() {
-    return hammeringRetries > 0;
+  boolean isRetryStorm() {
+    return stormRetries > 0;
   }
 }
--- a/src/main/java/switchgap/testbed/emulator/ClientRetries.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientRetries.java
@@ -7,25 +7,22 @@
  * scheduler's thread.
  */
 final class ClientRetries {
-  private static final double HAMMERING_TIMEOUT_SHARE = 0.3;
+  private static final double STORM_TIMEOUT_SHARE = 0.3;
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
   private static final int FIRST_ERROR_STATUS = 300;
   private static final long MICROS_PER_MILLI = 1000;
   private final Scheduler scheduler;
   private final ClientTransport transport;
-  private final EmulatedClients.RetryBehaviour behaviour;
+  private final RetryPolicy policy;
   private final ServiceTally tally;
   private Consumer<RequestResult> listener = result -> {};
   private long inFlight;
 
   ClientRetries(
-      Scheduler scheduler,
-      ClientTransport transport,
-      EmulatedClients.RetryBehaviour behaviour,
-      ServiceTally tally) {
+      Scheduler scheduler, ClientTransport transport, RetryPolicy policy, ServiceTally tally) {
     this.scheduler = scheduler;
     this.transport = transport;
-    this.behaviour = behaviour;
+    this.policy = policy;
     this.tally = tally;
   }
 
@@ -41,12 +38,12 @@
   void attempt(ClientRequest request) {
     request.attempts++;
     inFlight++;
-    tally.of(request).tries++;
+    tally.attemptSent(request);
     double timeoutShare =
-        request.isHammering()
-            ? HAMMERING_TIMEOUT_SHARE
-            : behaviour.minTimeoutShare()
-                + (1 - behaviour.minTimeoutShare()) * request.random.nextDouble();
+        request.isRetryStorm()
+            ? STORM_TIMEOUT_SHARE
+            : policy.minTimeoutShare()
+                + (1 - policy.minTimeoutShare()) * request.random.nextDouble();
     long deadline = scheduler.now() + (long) (request.profile.timeout() * timeoutShare);
     transport.send(
         new ClientTransport.ClientAttempt(
@@ -64,7 +61,7 @@
     inFlight--;
     ClientOutcome outcome = ClientOutcome.of(end);
     if (outcome == ClientOutcome.FINISHED && status < FIRST_ERROR_STATUS) {
-      report(request, end, tally.finished(request, scheduler.now()));
+      report(request, end, tally.requestSucceeded(request, scheduler.now()));
       return;
     }
     tally.attemptFailed(request, outcome);
@@ -80,7 +77,7 @@
         outcome == ClientOutcome.REJECTED
             || outcome == ClientOutcome.UNREACHABLE
             || request.profile.retryable() && outcome != ClientOutcome.REFUSED;
-    int maxRetries = request.isHammering() ? request.hammeringRetries : behaviour.maxRetries();
+    int maxRetries = request.isRetryStorm() ? request.stormRetries : policy.maxRetries();
     return retryable && request.attempts <= maxRetries;
   }
 
@@ -88,11 +85,11 @@
    * Pause before the next attempt in microseconds; draws whether a retry-after time is honoured.
    */
   private long backoff(ClientRequest request, long retryAfterMillis) {
-    if (request.isHammering()) {
+    if (request.isRetryStorm()) {
       return 0;
     }
-    long pause = behaviour.backoff() << Math.min(MAX_BACKOFF_DOUBLINGS, request.attempts - 1);
-    if (retryAfterMillis >= 0 && request.random.nextDouble() < behaviour.honourShare()) {
+    long pause = policy.backoff() << Math.min(MAX_BACKOFF_DOUBLINGS, request.attempts - 1);
+    if (retryAfterMillis >= 0 && request.random.nextDouble() < policy.honourShare()) {
       return Math.max(pause, retryAfterMillis * MICROS_PER_MILLI);
     }
     return pause;
--- a/src/main/java/switchgap/testbed/emulator/ClientSettings.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientSettings.java
@@ -14,8 +14,8 @@
  * @param seed seed of all random draws
  */
 public record ClientSettings(
-    List<EmulatedClients.RequestClassProfile> requestClasses,
-    EmulatedClients.RetryBehaviour retries,
+    List<RequestClassProfile> requestClasses,
+    RetryPolicy retries,
     double rate,
     double[] routerShares,
     Map<String, Double> tenantShares,
--- a/src/main/java/switchgap/testbed/emulator/ColdStart.java
+++ b/src/main/java/switchgap/testbed/emulator/ColdStart.java
@@ -7,16 +7,18 @@
  * cold more work than a multiple of its capacity within a window crashes it. Times in microseconds.
  */
 final class ColdStart {
-  private record Arrival(long at, double work) {}
+  private record Arrival(long arrivedAt, double work) {}
 
-  private final EmulatedWorker.Hardware hardware;
+  private final WorkerHardware.Compute compute;
+  private final WorkerHardware.WarmUp warmUp;
   private final long startedAt;
   private final boolean cold;
   private final ArrayDeque<Arrival> window = new ArrayDeque<>();
   private double workInWindow;
 
-  ColdStart(EmulatedWorker.Hardware hardware, long startedAt, boolean cold) {
-    this.hardware = hardware;
+  ColdStart(WorkerHardware hardware, long startedAt, boolean cold) {
+    this.compute = hardware.compute();
+    this.warmUp = hardware.warmUp();
     this.startedAt = startedAt;
     this.cold = cold;
   }
@@ -31,30 +33,29 @@
 
   /** Share of the full capacity at a time. */
   double capacityShare(long now) {
-    if (!cold || now - startedAt >= hardware.warmUpTime()) { // also where no warm-up is stated
+    if (!cold || now - startedAt >= warmUp.duration()) { // also where no warm-up is configured
       return 1;
     }
-    double initial = hardware.initialCapacityShare();
-    return Math.min(
-        1, initial + (1 - initial) * (now - startedAt) / (double) hardware.warmUpTime());
+    double initial = warmUp.initialCapacityShare();
+    return Math.min(1, initial + (1 - initial) * (now - startedAt) / (double) warmUp.duration());
   }
 
   /** Counts work that arrives; true when it is more than the cold worker bears. */
   boolean overloadedBy(double work, long now) {
-    if (!cold || now - startedAt > hardware.warmUpTime()) {
+    if (!cold || now - startedAt > warmUp.duration()) {
       return false;
     }
     window.add(new Arrival(now, work));
     workInWindow += work;
-    while (now - window.peek().at > hardware.crashWindow()) {
+    while (now - window.peek().arrivedAt > warmUp.crashWindow()) {
       workInWindow -= window.poll().work;
     }
     double bearable =
-        hardware.cores()
-            * hardware.speed()
+        compute.cores()
+            * compute.speed()
             * capacityShare(now)
-            * hardware.crashWindow()
-            * hardware.crashMultiple();
+            * warmUp.crashWindow()
+            * warmUp.crashMultiple();
     return workInWindow > bearable;
   }
 }
--- a/src/main/java/switchgap/testbed/emulator/EmulatedClients.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedClients.java
@@ -16,73 +16,6 @@
   private static final double MIN_CURVE_FACTOR = 1e-3;
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /**
-   * A request class as its clients see it. Times in microseconds.
-   *
-   * @param name name of the request class
-   * @param latencyObjective latency objective
-   * @param timeout longest timeout
-   * @param priorityWeight priority weight of one request
-   * @param lateShare share of the weight that a response past the objective earns
-   * @param retryable whether any failure but a refusal may be retried
-   * @param idempotent whether requests carry an idempotency key
-   */
-  public record RequestClassProfile(
-      String name,
-      long latencyObjective,
-      long timeout,
-      double priorityWeight,
-      double lateShare,
-      boolean retryable,
-      boolean idempotent) {}
-
-  /**
-   * How clients time out and retry.
-   *
-   * @param maxRetries retries at most
-   * @param minTimeoutShare least share of the request class's timeout that a client waits
-   * @param backoff pause before the first retry in microseconds; doubles with each
-   * @param honourShare share of clients that honour a retry-after time
-   */
-  public record RetryBehaviour(
-      int maxRetries, double minTimeoutShare, long backoff, double honourShare) {}
-
-  /** What became of one request class's requests; weights in units of priority weight. */
-  public static final class Tally {
-    /** Requests that arrived. */
-    public long jobs;
-
-    /** Attempts sent. */
-    public long tries;
-
-    /** Requests answered with success. */
-    public long finished;
-
-    /** Of these, requests answered past their latency objective. */
-    public long late;
-
-    /** Attempts rejected by a router, to be retried later. */
-    public long pushedBack;
-
-    /** Attempts that a router ended as failed. */
-    public long failed;
-
-    /** Attempts without a response before their deadline. */
-    public long timedOut;
-
-    /** Attempts that reached no router, or ended in any other way. */
-    public long unreachable;
-
-    /** Attempts that a router refused as invalid or over its bounds. */
-    public long refused;
-
-    /** Weight requested. */
-    public double asked;
-
-    /** Weight earned. */
-    public double earned;
-  }
-
   private final Scheduler scheduler;
   private final FunctionCatalogue catalogue;
   private final ClientSettings settings;
@@ -90,9 +23,9 @@
   private final TrafficMix mix;
   private final ServiceTally tally;
   private final ClientRetries retries;
-  private final Map<String, Integer> hammeringRetries = new HashMap<>();
+  private final Map<String, Integer> stormRetries = new HashMap<>();
   private LongConsumer sendDelayListener = delay -> {};
-  private double burstFactor = 1;
+  private double rateFactor = 1;
   private LongToDoubleFunction curve = elapsed -> 1;
   private long startedAt;
   private long endsAt;
@@ -115,7 +48,7 @@
   }
 
   /** Sets the zone of a router, for traffic that moves between zones. */
-  public void zone(int router, String zone) {
+  public void setZone(int router, String zone) {
     mix.setZone(router, zone);
   }
 
@@ -127,37 +60,37 @@
   /**
    * Sets who is notified, for each request, by how many microseconds it is sent after it was due.
    */
-  public void sent(LongConsumer listener) {
+  public void onRequestSent(LongConsumer listener) {
     sendDelayListener = listener;
   }
 
   /** Sets the load over time: a factor on the rate, by microseconds since the start. */
-  public void curve(LongToDoubleFunction factorByElapsedMicros) {
+  public void setRateCurve(LongToDoubleFunction factorByElapsedMicros) {
     curve = factorByElapsedMicros;
   }
 
   /** Multiplies the rate of all tenants; 1 ends it. */
-  public void burst(double factor) {
-    burstFactor = factor;
+  public void setRateFactor(double factor) {
+    rateFactor = factor;
   }
 
   /** Multiplies one tenant's rate; 1 ends it. */
-  public void burst(String customer, double factor) {
-    mix.setTenantBurst(customer, factor);
+  public void setRateFactor(String tenant, double factor) {
+    mix.setTenantRateFactor(tenant, factor);
   }
 
   /** Makes one tenant's clients time out early and retry at once, so many times; 0 ends it. */
-  public void hammer(String customer, int maxRetries) {
+  public void setRetryStorm(String tenant, int maxRetries) {
     if (maxRetries == 0) {
-      hammeringRetries.remove(customer);
+      stormRetries.remove(tenant);
     } else {
-      hammeringRetries.put(customer, maxRetries);
+      stormRetries.put(tenant, maxRetries);
     }
   }
 
   /** Sends all traffic to the routers of one zone; null ends it. */
-  public void moveTo(String zone) {
-    mix.moveTo(zone);
+  public void shiftTrafficTo(String zone) {
+    mix.shiftTo(zone);
   }
 
   /** Starts arrivals; they end at this time, microseconds of the scheduler's clock. */
@@ -180,12 +113,12 @@
   }
 
   /** Number of attempts in flight. */
-  public long open() {
+  public long attemptsInFlight() {
     return retries.inFlight();
   }
 
   /** Counts by name of the request class. */
-  public Map<String, Tally> tallies() {
+  public Map<String, RequestTally> tallies() {
     return tally.byRequestClass();
   }
 
@@ -195,19 +128,17 @@
   }
 
   /** Weight earned over weight requested in the worst window of so many seconds. */
-  public double worst(int seconds) {
+  public double worstWindowService(int seconds) {
     return tally.worstWindow(seconds);
   }
 
-  /** Weight requested and weight earned by tenant. */
-  public Map<String, double[]> customers() {
+  /** Weight requested and earned by tenant. */
+  public Map<String, ServiceWeights> weightsByTenant() {
     return tally.byTenant();
   }
 
-  /**
-   * Weight requested and weight earned of the requests that arrived in each second since the start.
-   */
-  public Map<Long, double[]> seconds() {
+  /** Weight requested and earned of the requests that arrived in each second since the start. */
+  public Map<Long, ServiceWeights> weightsBySecond() {
     return tally.bySecond();
   }
 
@@ -224,7 +155,7 @@
     double totalWeight = mix.totalWeight();
     double rate =
         settings.rate()
-            * burstFactor
+            * rateFactor
             * totalWeight
             * Math.max(MIN_CURVE_FACTOR, curve.applyAsDouble(at - startedAt));
     nextArrival += (long) (-Math.log(1 - random.nextDouble()) / rate * MICROS_PER_SECOND);
@@ -236,9 +167,9 @@
         new ClientRequest(
             new ClientRequest.Arrival("j" + nextId++, model, tenant, router, at),
             settings.requestClasses().get(model.workload()),
-            hammeringRetries.getOrDefault(tenant, 0),
+            stormRetries.getOrDefault(tenant, 0),
             random.split());
-    tally.arrived(request);
+    tally.requestArrived(request);
     sendDelayListener.accept(scheduler.now() - at);
     retries.attempt(request);
   }
--- a/src/main/java/switchgap/testbed/emulator/EmulatedModelServer.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedModelServer.java
@@ -49,7 +49,7 @@
    * @param cold whether it has to warm up; false for one that has run for long
    * @return the port, the same at every start
    */
-  public int start(EmulatedWorker.Hardware hardware, FunctionFetcher store, long seed, boolean cold)
+  public int start(WorkerHardware hardware, FunctionFetcher store, long seed, boolean cold)
       throws IOException {
     worker =
         new EmulatedWorker(hardware, context.scheduler(), store, name, seed, cold, this::crashed);
@@ -62,9 +62,9 @@
         "cold",
         cold,
         "cores",
-        hardware.cores(),
+        hardware.compute().cores(),
         "speed",
-        hardware.speed());
+        hardware.compute().speed());
     server = new HttpServer(context.net(), LIMITS, this);
     port = server.listen("127.0.0.1", port);
     return port;
@@ -105,7 +105,7 @@
     if (server == null) {
       return;
     }
-    worker.die();
+    worker.kill();
     recordNow("ended", "worker", name);
     server.close();
     server = null;
--- a/src/main/java/switchgap/testbed/emulator/EmulatedStore.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedStore.java
@@ -39,7 +39,7 @@
   }
 
   /** Makes all later fetches take this many times as long; 1 ends it. */
-  public void slow(double factor) {
+  public void setSlowdown(double factor) {
     slowdown = factor;
   }
 
--- a/src/main/java/switchgap/testbed/emulator/EmulatedWorker.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedWorker.java
@@ -1,99 +1,23 @@
 package switchgap.testbed.emulator;
 
-import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
 
 /**
- * One worker's process without its sockets: queues executions for the slots of replicas and lets
- * them share the cores. On the scheduler's thread.
+ * One worker's process without its sockets: admits requests to {@link ExecutionSlots}, loads
+ * functions by its {@link ReplicaManager}, and crashes from overload while it is cold. On the
+ * scheduler's thread.
  */
 public final class EmulatedWorker {
-  /** How a command to the worker ended. */
-  public enum Outcome {
-    /** Done. */
-    OK,
-    /** A repeat known by its idempotency key, answered without running. */
-    DROPPED,
-    /** The function is not loaded. */
-    MISS,
-    /** No room in the queue or in memory. */
-    FULL,
-    /** It failed. */
-    FAILED
-  }
-
-  /**
-   * What a worker is. Times in microseconds.
-   *
-   * @param cores number of cores
-   * @param speed speed of a core
-   * @param slots executions that run at a time
-   * @param queueLimit executions that wait beyond these
-   * @param memoryMb memory for replicas in MB
-   * @param concurrentLoads loads at a time
-   * @param keepAlive time after which an idle function is unloaded
-   * @param loadsOnMiss whether a request for a function that is not loaded loads it
-   * @param eagerLoads whether a request that finds all slots busy loads one replica more
-   * @param initialCapacityShare share of the capacity at a cold start
-   * @param warmUpTime time from a cold start to full capacity
-   * @param crashMultiple multiple of its capacity at which a cold worker crashes
-   * @param crashWindow window over which that is measured
-   * @param fetchShare share of a load's time that is spent on fetching
-   * @param loadFailureShare share of the loads that fail
-   */
-  public record Hardware(
-      int cores,
-      double speed,
-      int slots,
-      int queueLimit,
-      double memoryMb,
-      int concurrentLoads,
-      long keepAlive,
-      boolean loadsOnMiss,
-      boolean eagerLoads,
-      double initialCapacityShare,
-      long warmUpTime,
-      double crashMultiple,
-      long crashWindow,
-      double fetchShare,
-      double loadFailureShare) {}
-
-  /** A request that waits or runs on the worker. */
-  public static final class Execution {
-    private final LoadedFunction function;
-    private final Runnable startHandler;
-    private final BiConsumer<Outcome, Integer> callback;
-    private final int concurrency;
-    private boolean queued;
-
-    /** Microseconds of work on a core of speed 1. */
-    double remainingWork;
-
-    Execution(
-        LoadedFunction function, Runnable startHandler, BiConsumer<Outcome, Integer> callback) {
-      this.function = function;
-      this.startHandler = startHandler;
-      this.callback = callback;
-      this.concurrency = function.inFlight;
-    }
-
-    private void end(Outcome outcome) {
-      callback.accept(outcome, concurrency);
-    }
-  }
-
-  private final Hardware hardware;
+  private final WorkerHardware.ReplicaLimits limits;
   private final Scheduler scheduler;
   private final String name;
   private final SplittableRandom random;
   private final Runnable crashHandler;
   private final ColdStart coldStart;
-  private final ProcessorSharing processors;
+  private final ExecutionSlots slots;
   private final ReplicaManager replicas;
-  private int inFlight;
-  private int waitingForIo;
   private boolean dead;
 
   /**
@@ -108,60 +32,58 @@
    * @param crashHandler called when it crashes from overload while cold
    */
   public EmulatedWorker(
-      Hardware hardware,
+      WorkerHardware hardware,
       Scheduler scheduler,
       FunctionFetcher store,
       String name,
       long seed,
       boolean cold,
       Runnable crashHandler) {
-    this.hardware = hardware;
+    this.limits = hardware.replicas();
     this.scheduler = scheduler;
     this.name = name;
     this.random = new SplittableRandom(seed);
     this.crashHandler = crashHandler;
     this.coldStart = new ColdStart(hardware, scheduler.now(), cold);
-    this.processors = new ProcessorSharing(hardware, scheduler, coldStart, this::completed);
-    this.replicas =
-        new ReplicaManager(
-            hardware,
-            scheduler,
-            store,
-            name,
-            random,
-            new ReplicaManager.Listener() {
-              @Override
-              public void functionUnavailable(LoadedFunction function) {
-                failQueued(function);
-              }
+    this.slots = new ExecutionSlots(hardware, scheduler, coldStart);
+    this.replicas = new ReplicaManager(limits, scheduler, store, name, random, loadListener());
+    slots.setReplicas(replicas);
+  }
 
-              @Override
-              public void loadEnded(LoadedFunction function) {
-                startQueued(function);
-              }
-            });
+  private ReplicaManager.Listener loadListener() {
+    return new ReplicaManager.Listener() {
+      @Override
+      public void functionUnavailable(LoadedFunction function) {
+        slots.failQueued(function);
+      }
+
+      @Override
+      public void loadEnded(LoadedFunction function) {
+        slots.startQueued(function);
+      }
+    };
   }
 
   /** Makes executions and loads take this many times as long; 1 ends it. */
-  public void slow(double factor) {
+  public void setSlowdown(double factor) {
     replicas.setSlowdown(factor);
-    processors.setSlowdown(factor);
+    slots.setSlowdown(factor);
   }
 
   /** Ends the process at once: nothing that is in flight is answered. */
-  public void die() {
+  public void kill() {
     dead = true;
-    processors.stop();
+    slots.stop();
     replicas.stop();
   }
 
   /** Whether the process has ended. */
-  public boolean dead() {
+  public boolean isDead() {
     return dead;
   }
 
   /** Whether it had to warm up when it started. */
-  public boolean cold() {
+  public boolean startedCold() {
     return coldStart.cold();
   }
 
@@ -171,27 +93,27 @@
   }
 
   /** When it started, microseconds of the scheduler's clock. */
-  public long started() {
+  public long startedAt() {
     return coldStart.startedAt();
   }
 
   /** Number of executions queued or running. */
-  public int inHand() {
-    return inFlight;
+  public int inFlight() {
+    return slots.inFlight();
   }
 
   /** Number of executions queued. */
-  public int waiting() {
-    return inFlight - runningOrWaitingForIo();
+  public int queued() {
+    return slots.queued();
   }
 
   /** Share of the cores that compute. */
-  public double busy() {
-    return processors.utilization();
+  public double utilization() {
+    return slots.utilization();
   }
 
   /** Number of loaded replicas of a function. */
-  public int standing(String function) {
+  public int replicas(String function) {
     return replicas.replicas(function);
   }
 
@@ -200,8 +122,8 @@
     return replicas.replicas();
   }
 
-  /** Adds a replica that needs no load, while there is room. */
-  public void seed(FunctionModel model) {
+  /** Adds a replica that needs no load, while memory allows. */
+  public void seedReplica(FunctionModel model) {
     replicas.seed(model);
   }
 
@@ -210,142 +132,80 @@
    *
    * @param model the function
    * @param startHandler called when it starts to run
-   * @param callback called once with the outcome and the concurrency of the function that it met,
+   * @param callback called once with the outcome and the concurrency of the function at arrival,
    *     unless the worker dies
-   * @return the execution for {@link #leave}, null when the outcome is known at once
+   * @return the execution for {@link #cancel}, null when the outcome is known at once
    */
-  public Execution infer(
-      FunctionModel model, Runnable startHandler, BiConsumer<Outcome, Integer> callback) {
+  public EmulatedExecution execute(
+      FunctionModel model, Runnable startHandler, BiConsumer<WorkerOutcome, Integer> callback) {
     if (coldStart.overloadedBy(model.work(), scheduler.now()) && !dead) {
-      die();
+      kill();
       crashHandler.run();
     }
     if (dead) {
       return null;
     }
-    LoadedFunction function = replicas.entry(model);
-    if (inFlight >= hardware.slots() + hardware.queueLimit()) {
-      callback.accept(Outcome.FULL, function.inFlight);
+    LoadedFunction function = replicas.function(model);
+    if (slots.isFull()) {
+      callback.accept(WorkerOutcome.NO_CAPACITY, function.inFlight());
+      return null;
+    }
+    if (function.isAbsent() && !limits.loadsOnMiss()) {
+      callback.accept(WorkerOutcome.NOT_LOADED, function.inFlight());
       return null;
     }
-    if (function.isAbsent() && !(hardware.loadsOnMiss() && replicas.load(function))) {
-      callback.accept(hardware.loadsOnMiss() ? Outcome.FULL : Outcome.MISS, function.inFlight);
+    if (function.isAbsent() && !replicas.load(function)) {
+      callback.accept(WorkerOutcome.NO_CAPACITY, function.inFlight());
       return null;
     }
-    Execution execution = new Execution(function, startHandler, callback);
-    execution.remainingWork = model.work() * workFactor(model);
-    function.inFlight++;
-    inFlight++;
-    function.lastUsedAt = scheduler.now();
-    function.queue.add(execution);
-    execution.queued = true;
-    if (!function.hasFreeSlot() && function.loading == 0 && hardware.eagerLoads()) {
+    EmulatedExecution execution =
+        new EmulatedExecution(function, drawWork(model), startHandler, callback);
+    slots.enqueue(execution);
+    if (!function.hasFreeSlot() && function.pendingLoads() == 0 && limits.eagerLoads()) {
       replicas.load(function);
     }
-    startQueued(function);
+    slots.startQueued(function);
     return execution;
   }
 
-  /** A lognormal factor of mean 1. */
-  private double workFactor(FunctionModel model) {
+  /** The work of one execution: the mean times a lognormal factor of mean 1. */
+  private double drawWork(FunctionModel model) {
     double sigma = model.workSigma();
-    return Math.exp(sigma * Distributions.gaussian(random) - sigma * sigma / 2);
+    double factor = Math.exp(sigma * Distributions.gaussian(random) - sigma * sigma / 2);
+    return model.work() * factor;
   }
 
   /**
    * Cancels an execution whose client left: it is removed from the queue, but goes on when it runs.
    */
-  public void leave(Execution execution) {
-    LoadedFunction function = execution.function;
-    if (execution.queued && function.queue.remove(execution)) {
-      execution.queued = false;
-      function.inFlight--;
-      inFlight--;
-    }
+  public void cancel(EmulatedExecution execution) {
+    slots.cancel(execution);
   }
 
-  /** Loads up to so many replicas; the callback is told how many are loaded. */
-  public void hold(FunctionModel model, int copies, BiConsumer<Outcome, Integer> callback) {
+  /** Loads up to so many replicas; the callback receives the number of loaded ones. */
+  public void load(
+      FunctionModel model, int wantedReplicas, BiConsumer<WorkerOutcome, Integer> callback) {
     if (dead) {
       return;
     }
-    LoadedFunction function = replicas.entry(model);
-    function.lastUsedAt = scheduler.now();
-    for (int missing = copies - function.replicas - function.loading; missing > 0; missing--) {
+    LoadedFunction function = replicas.function(model);
+    function.markUsed(scheduler.now());
+    int missing = wantedReplicas - function.replicas() - function.pendingLoads();
+    for (int i = 0; i < missing; i++) {
       if (!replicas.load(function)) {
-        callback.accept(Outcome.FULL, function.replicas);
+        callback.accept(WorkerOutcome.NO_CAPACITY, function.replicas());
         return;
       }
     }
-    if (function.replicas >= copies) {
-      callback.accept(Outcome.OK, function.replicas);
+    if (function.replicas() >= wantedReplicas) {
+      callback.accept(WorkerOutcome.SUCCEEDED, function.replicas());
     } else {
-      function.loadWaiters.add(new LoadedFunction.LoadWaiter(copies, callback));
+      function.awaitReplicas(wantedReplicas, callback);
     }
   }
 
   /** Unloads the idle replicas of a function. */
-  public void drop(String function) {
+  public void unload(String function) {
     replicas.unload(function);
   }
-
-  private int runningOrWaitingForIo() {
-    return processors.running() + waitingForIo;
-  }
-
-  private void startQueued(LoadedFunction function) {
-    while (!function.queue.isEmpty()
-        && function.hasFreeSlot()
-        && runningOrWaitingForIo() < hardware.slots()) {
-      start(function.queue.poll());
-    }
-    processors.scheduleUpdate();
-  }
-
-  private void start(Execution execution) {
-    processors.advance();
-    execution.queued = false;
-    execution.function.busySlots++;
-    execution.startHandler.run();
-    double ioTime = execution.function.model.ioTime();
-    if (ioTime > 0) {
-      waitingForIo++;
-      scheduler.after(
-          (long) ioTime,
-          () -> {
-            processors.advance();
-            waitingForIo--;
-            processors.add(execution);
-            processors.scheduleUpdate();
-          });
-    } else {
-      processors.add(execution);
-    }
-  }
-
-  private void completed(List<Execution> executions) {
-    for (Execution execution : executions) {
-      LoadedFunction function = execution.function;
-      function.busySlots--;
-      function.inFlight--;
-      inFlight--;
-      function.lastUsedAt = scheduler.now();
-      execution.end(Outcome.OK);
-      startQueued(function);
-    }
-    if (!executions.isEmpty()) {
-      for (LoadedFunction function : replicas.entries()) {
-        if (!function.queue.isEmpty()) {
-          startQueued(function);
-        }
-      }
-    }
-  }
-
-  private void failQueued(LoadedFunction function) {
-    for (Execution execution : List.copyOf(function.queue)) {
-      leave(execution);
-      execution.end(Outcome.MISS);
-    }
-  }
 }
--- a/src/main/java/switchgap/testbed/emulator/EndpointListService.java
+++ b/src/main/java/switchgap/testbed/emulator/EndpointListService.java
@@ -20,29 +20,29 @@
   private static final long MICROS_PER_MILLI = 1000;
 
   /**
-   * One line of the list.
+   * One worker in the list.
    *
    * @param name name of the worker
    * @param port its port on the loopback address
-   * @param state ready, draining or gone
+   * @param state its state
    * @param zone its zone
    * @param cell its cell
    * @param kind its worker kind
    * @param size its compute capacity in cores of speed 1
-   * @param started when it started, milliseconds of wall time; 0 where long past
+   * @param startedAt when it started, milliseconds of wall time; 0 where long past
    */
   public record Entry(
       String name,
       int port,
-      String state,
+      EndpointState state,
       String zone,
       int cell,
       String kind,
       double size,
-      long started) {
-    /** The same line with another state. */
-    public Entry withState(String newState) {
-      return new Entry(name, port, newState, zone, cell, kind, size, started);
+      long startedAt) {
+    /** The same entry with another state. */
+    public Entry withState(EndpointState newState) {
+      return new Entry(name, port, newState, zone, cell, kind, size, startedAt);
     }
 
     String json() {
@@ -51,7 +51,7 @@
           + "\",\"host\":\"127.0.0.1\",\"port\":"
           + port
           + ",\"state\":\""
-          + state
+          + state.word()
           + "\",\"zone\":\""
           + zone
           + "\",\"cell\":"
@@ -60,7 +60,7 @@
           + kind
           + "\",\"size\":"
           + size
-          + (started == 0 ? "" : ",\"started\":" + started)
+          + (startedAt == 0 ? "" : ",\"started\":" + startedAt)
           + "}";
     }
   }
@@ -108,17 +108,17 @@
   }
 
   /** Sets the lag of later changes, microseconds. */
-  public void lag(long micros) {
+  public void setLag(long micros) {
     lag = micros;
   }
 
-  /** The list as it stands. */
-  public Collection<Entry> lines() {
+  /** The current entries. */
+  public Collection<Entry> entries() {
     return List.copyOf(entries.values());
   }
 
   /** Makes the service unavailable: open streams end and new ones are cut; false ends it. */
-  public void away(boolean isUnavailable) {
+  public void setUnavailable(boolean isUnavailable) {
     unavailable = isUnavailable;
     if (isUnavailable) {
       List.copyOf(watchers.keySet()).forEach(HttpExchange::drop);
@@ -126,10 +126,11 @@
     }
   }
 
-  /** Sets one line; watching routers are notified after the lag, in order. */
+  /** Sets one entry; watching routers are notified after the lag, in order. */
   public void put(Entry entry) {
     entries.put(entry.name(), entry);
-    recorder.record(scheduler.now(), "changed", "worker", entry.name(), "state", entry.state());
+    recorder.record(
+        scheduler.now(), "changed", "worker", entry.name(), "state", entry.state().word());
     long now = scheduler.now();
     for (Watcher watcher : watchers.values()) {
       watcher.pendingChanges.add(entry);
@@ -170,9 +171,9 @@
           "worker",
           entry.name(),
           "state",
-          entry.state(),
+          entry.state().word(),
           "started",
-          entry.started() * MICROS_PER_MILLI);
+          entry.startedAt() * MICROS_PER_MILLI);
     }
   }
 
--- a/src/main/java/switchgap/testbed/emulator/FunctionCatalogue.java
+++ b/src/main/java/switchgap/testbed/emulator/FunctionCatalogue.java
@@ -110,12 +110,12 @@
   }
 
   /**
-   * Loads each function at one worker, while there is room, as if the fleet had served it lately.
+   * Loads each function at one worker, while memory allows, as if the fleet had served it lately.
    */
   public void seed(List<EmulatedWorker> fleet) {
     for (FunctionModel model : functions()) {
       int worker = Math.floorMod(model.name().hashCode() * SEED_HASH_FACTOR, fleet.size());
-      fleet.get(worker).seed(model);
+      fleet.get(worker).seedReplica(model);
     }
   }
 
--- a/src/main/java/switchgap/testbed/emulator/InferenceHandler.java
+++ b/src/main/java/switchgap/testbed/emulator/InferenceHandler.java
@@ -88,7 +88,7 @@
       respond(inference, 200, 0, EXECUTED, ModelServerResponses.output(inference.attemptId));
     } else {
       exchange.attachment =
-          worker.infer(
+          worker.execute(
               model,
               () -> started(inference, model),
               (outcome, concurrency) -> ended(inference, outcome, concurrency));
@@ -100,8 +100,8 @@
     context
         .recorder()
         .record(context.scheduler().now(), "left", "worker", server, "run", attemptId(exchange));
-    if (exchange.attachment instanceof EmulatedWorker.Execution execution) {
-      worker.leave(execution);
+    if (exchange.attachment instanceof EmulatedExecution execution) {
+      worker.cancel(execution);
     }
   }
 
@@ -139,23 +139,23 @@
     }
   }
 
-  private void ended(Inference inference, EmulatedWorker.Outcome outcome, int concurrency) {
+  private void ended(Inference inference, WorkerOutcome outcome, int concurrency) {
     switch (outcome) {
-      case OK, DROPPED ->
+      case SUCCEEDED ->
           respond(
               inference,
               200,
               concurrency,
               EXECUTED,
               ModelServerResponses.output(inference.attemptId));
-      case MISS ->
+      case NOT_LOADED ->
           respond(
               inference,
               404,
               concurrency,
               NOT_EXECUTED,
               ModelServerResponses.error("model is not loaded"));
-      case FULL ->
+      case NO_CAPACITY ->
           respond(inference, 503, concurrency, NOT_EXECUTED, ModelServerResponses.error("no room"));
       default ->
           respond(
--- a/src/main/java/switchgap/testbed/emulator/LoadReportHeaders.java
+++ b/src/main/java/switchgap/testbed/emulator/LoadReportHeaders.java
@@ -35,11 +35,11 @@
     if (reportsUtilization) {
       report
           .append("cpu_utilization=")
-          .append(worker.busy())
+          .append(worker.utilization())
           .append(",named_metrics.inflight=")
-          .append(worker.inHand())
+          .append(worker.inFlight())
           .append(",named_metrics.queue=")
-          .append(worker.waiting())
+          .append(worker.queued())
           .append(',');
     }
     append(report, "crowd", concurrency);
--- a/src/main/java/switchgap/testbed/emulator/ProcessorSharing.java
+++ b/src/main/java/switchgap/testbed/emulator/ProcessorSharing.java
@@ -11,22 +11,22 @@
 final class ProcessorSharing {
   private static final long MAX_UPDATE_PERIOD_MICROS = 100_000;
   private static final double COMPLETE_BELOW_MICROS = 1;
-  private final EmulatedWorker.Hardware hardware;
+  private final WorkerHardware.Compute compute;
   private final Scheduler scheduler;
   private final ColdStart coldStart;
-  private final Consumer<List<EmulatedWorker.Execution>> completionHandler;
-  private final List<EmulatedWorker.Execution> running = new ArrayList<>();
+  private final Consumer<List<EmulatedExecution>> completionHandler;
+  private final List<EmulatedExecution> running = new ArrayList<>();
   private double slowdown = 1;
   private long advancedAt;
   private long updateNumber;
   private boolean stopped;
 
   ProcessorSharing(
-      EmulatedWorker.Hardware hardware,
+      WorkerHardware.Compute compute,
       Scheduler scheduler,
       ColdStart coldStart,
-      Consumer<List<EmulatedWorker.Execution>> completionHandler) {
-    this.hardware = hardware;
+      Consumer<List<EmulatedExecution>> completionHandler) {
+    this.compute = compute;
     this.scheduler = scheduler;
     this.coldStart = coldStart;
     this.completionHandler = completionHandler;
@@ -49,10 +49,10 @@
 
   /** Share of the cores that compute. */
   double utilization() {
-    return Math.min(1, running.size() / (double) hardware.cores());
+    return Math.min(1, running.size() / (double) compute.cores());
   }
 
-  void add(EmulatedWorker.Execution execution) {
+  void add(EmulatedExecution execution) {
     running.add(execution);
   }
 
@@ -63,8 +63,8 @@
   void advance() {
     long now = scheduler.now();
     double done = (now - advancedAt) * pace(now);
-    for (EmulatedWorker.Execution execution : running) {
-      execution.remainingWork -= done;
+    for (EmulatedExecution execution : running) {
+      execution.advance(done);
     }
     advancedAt = now;
   }
@@ -74,9 +74,9 @@
     if (running.isEmpty()) {
       return 0;
     }
-    return hardware.speed()
+    return compute.speed()
         * coldStart.capacityShare(now)
-        * Math.min(1, hardware.cores() / (double) running.size())
+        * Math.min(1, compute.cores() / (double) running.size())
         / slowdown;
   }
 
@@ -88,8 +88,8 @@
       return;
     }
     double leastWork = Double.MAX_VALUE;
-    for (EmulatedWorker.Execution execution : running) {
-      leastWork = Math.min(leastWork, execution.remainingWork);
+    for (EmulatedExecution execution : running) {
+      leastWork = Math.min(leastWork, execution.remainingWork());
     }
     long delay = (long) Math.ceil(Math.max(0, leastWork) / pace(scheduler.now()));
     scheduler.after(
@@ -103,10 +103,10 @@
   }
 
   private void complete() {
-    List<EmulatedWorker.Execution> completed = new ArrayList<>();
-    for (Iterator<EmulatedWorker.Execution> iterator = running.iterator(); iterator.hasNext(); ) {
-      EmulatedWorker.Execution execution = iterator.next();
-      if (execution.remainingWork <= COMPLETE_BELOW_MICROS) {
+    List<EmulatedExecution> completed = new ArrayList<>();
+    for (Iterator<EmulatedExecution> iterator = running.iterator(); iterator.hasNext(); ) {
+      EmulatedExecution execution = iterator.next();
+      if (execution.remainingWork() <= COMPLETE_BELOW_MICROS) {
         iterator.remove();
         completed.add(execution);
       }
--- a/src/main/java/switchgap/testbed/emulator/ReplicaManager.java
+++ b/src/main/java/switchgap/testbed/emulator/ReplicaManager.java
@@ -19,14 +19,14 @@
 
   /** What becomes of loads. */
   interface Listener {
-    /** A load ended that leaves no replica and none on its way: what waits for one fails. */
+    /** A load ended that leaves no replica and none on its way: what is queued for one fails. */
     void functionUnavailable(LoadedFunction function);
 
     /** A load ended, in success or not, and the next one was started. */
     void loadEnded(LoadedFunction function);
   }
 
-  private final EmulatedWorker.Hardware hardware;
+  private final WorkerHardware.ReplicaLimits limits;
   private final Scheduler scheduler;
   private final FunctionFetcher store;
   private final String worker;
@@ -40,13 +40,13 @@
   private boolean stopped;
 
   ReplicaManager(
-      EmulatedWorker.Hardware hardware,
+      WorkerHardware.ReplicaLimits limits,
       Scheduler scheduler,
       FunctionFetcher store,
       String worker,
       SplittableRandom random,
       Listener listener) {
-    this.hardware = hardware;
+    this.limits = limits;
     this.scheduler = scheduler;
     this.store = store;
     this.worker = worker;
@@ -63,19 +63,19 @@
     slowdown = factor;
   }
 
-  /** The function's entry, which is created where absent. */
-  LoadedFunction entry(FunctionModel model) {
+  /** The function of a model, which is created where absent. */
+  LoadedFunction function(FunctionModel model) {
     return functions.computeIfAbsent(model.name(), name -> new LoadedFunction(model));
   }
 
   /** The functions known at present; a copy. */
-  List<LoadedFunction> entries() {
+  List<LoadedFunction> functions() {
     return List.copyOf(functions.values());
   }
 
   int replicas(String function) {
     LoadedFunction entry = functions.get(function);
-    return entry == null ? 0 : entry.replicas;
+    return entry == null ? 0 : entry.replicas();
   }
 
   /** Number of replicas by function, sorted by name; functions without one are left out. */
@@ -83,19 +83,17 @@
     Map<String, Integer> replicas = new TreeMap<>();
     functions.forEach(
         (name, entry) -> {
-          if (entry.replicas > 0) {
-            replicas.put(name, entry.replicas);
+          if (entry.replicas() > 0) {
+            replicas.put(name, entry.replicas());
           }
         });
     return replicas;
   }
 
-  /** Adds a replica that needs no load, while there is room. */
+  /** Adds a replica that needs no load, while memory allows. */
   void seed(FunctionModel model) {
-    if (usedMemoryMb + model.memoryMb() <= hardware.memoryMb() * MAX_SEEDED_MEMORY_SHARE) {
-      LoadedFunction entry = entry(model);
-      entry.replicas++;
-      entry.lastUsedAt = scheduler.now();
+    if (usedMemoryMb + model.memoryMb() <= limits.memoryMb() * MAX_SEEDED_MEMORY_SHARE) {
+      function(model).replicaAdded(scheduler.now());
       usedMemoryMb += model.memoryMb();
     }
   }
@@ -111,14 +109,14 @@
   /** Loads one replica more; false where the queue of loads is full or memory is short. */
   boolean load(LoadedFunction function) {
     boolean queueFull =
-        activeLoads >= hardware.concurrentLoads()
-            && loadQueue.size() >= QUEUED_LOADS_PER_CONCURRENT_LOAD * hardware.concurrentLoads();
-    if (queueFull || !makeRoom(function.model.memoryMb())) {
+        activeLoads >= limits.concurrentLoads()
+            && loadQueue.size() >= QUEUED_LOADS_PER_CONCURRENT_LOAD * limits.concurrentLoads();
+    if (queueFull || !freeMemory(function.model().memoryMb())) {
       return false;
     }
-    usedMemoryMb += function.model.memoryMb();
-    function.loading++;
-    if (activeLoads < hardware.concurrentLoads()) {
+    usedMemoryMb += function.model().memoryMb();
+    function.loadRequested();
+    if (activeLoads < limits.concurrentLoads()) {
       startLoad(function);
     } else {
       loadQueue.add(function);
@@ -127,14 +125,15 @@
   }
 
   /**
-   * Unloads the least recently used idle functions until there is room; false where there is none.
+   * Unloads the least recently used idle functions until the memory is free; false where it cannot
+   * be freed.
    */
-  private boolean makeRoom(double memoryMb) {
-    while (usedMemoryMb + memoryMb > hardware.memoryMb()) {
+  private boolean freeMemory(double memoryMb) {
+    while (usedMemoryMb + memoryMb > limits.memoryMb()) {
       LoadedFunction oldest = null;
       for (LoadedFunction entry : functions.values()) {
-        boolean unloadable = entry.replicas > 0 && entry.isIdle();
-        if (unloadable && (oldest == null || entry.lastUsedAt < oldest.lastUsedAt)) {
+        boolean unloadable = entry.replicas() > 0 && entry.isIdle();
+        if (unloadable && (oldest == null || entry.lastUsedAt() < oldest.lastUsedAt())) {
           oldest = entry;
         }
       }
@@ -147,24 +146,22 @@
   }
 
   private void unloadUnused(LoadedFunction function) {
-    int unused = function.unusedReplicas();
-    function.replicas -= unused;
-    usedMemoryMb -= unused * function.model.memoryMb();
+    usedMemoryMb -= function.unloadUnused() * function.model().memoryMb();
   }
 
   private void startLoad(LoadedFunction function) {
     activeLoads++;
-    long loadTime = function.model.loadTime();
-    long fetchTime = (long) (loadTime * hardware.fetchShare());
+    long loadTime = function.model().loadTime();
+    long fetchTime = (long) (loadTime * limits.fetchShare());
     store.fetch(
         worker,
-        function.model.name(),
+        function.model().name(),
         fetchTime,
         fetched -> {
           if (stopped) {
             return;
           }
-          boolean success = fetched && random.nextDouble() >= hardware.loadFailureShare();
+          boolean success = fetched && random.nextDouble() >= limits.loadFailureShare();
           long startTime = fetched ? (long) ((loadTime - fetchTime) * slowdown) : 0;
           scheduler.after(startTime, () -> loadEnded(function, success));
         });
@@ -175,14 +172,11 @@
       return;
     }
     activeLoads--;
-    function.loading--;
-    function.lastUsedAt = scheduler.now();
-    if (success) {
-      function.replicas++;
-    } else {
-      usedMemoryMb -= function.model.memoryMb();
+    function.loadEnded(success, scheduler.now());
+    if (!success) {
+      usedMemoryMb -= function.model().memoryMb();
     }
-    answerLoadCommands(function);
+    function.notifyLoadWaiters();
     if (function.isAbsent()) {
       listener.functionUnavailable(function);
     }
@@ -192,20 +186,6 @@
     listener.loadEnded(function);
   }
 
-  private static void answerLoadCommands(LoadedFunction function) {
-    for (LoadedFunction.LoadWaiter waiter : List.copyOf(function.loadWaiters)) {
-      boolean satisfied = function.replicas >= waiter.replicas();
-      if (satisfied || function.loading == 0) {
-        function.loadWaiters.remove(waiter);
-        waiter
-            .callback()
-            .accept(
-                satisfied ? EmulatedWorker.Outcome.OK : EmulatedWorker.Outcome.FAILED,
-                function.replicas);
-      }
-    }
-  }
-
   private void unloadIdle() {
     if (stopped) {
       return;
@@ -213,10 +193,10 @@
     long now = scheduler.now();
     for (Iterator<LoadedFunction> iterator = functions.values().iterator(); iterator.hasNext(); ) {
       LoadedFunction entry = iterator.next();
-      if (now - entry.lastUsedAt > hardware.keepAlive() && entry.isIdle()) {
+      if (now - entry.lastUsedAt() > limits.keepAlive() && entry.isIdle()) {
         unloadUnused(entry);
       }
-      if (entry.isAbsent() && entry.inFlight == 0 && entry.loadWaiters.isEmpty()) {
+      if (entry.isDisposable()) {
         iterator.remove();
       }
     }
--- a/src/main/java/switchgap/testbed/emulator/RepositoryHandler.java
+++ b/src/main/java/switchgap/testbed/emulator/RepositoryHandler.java
@@ -36,7 +36,7 @@
   }
 
   void modelReady(HttpExchange exchange, long receivedAt, String function) {
-    int replicas = worker.standing(function);
+    int replicas = worker.replicas(function);
     context
         .recorder()
         .record(
@@ -75,7 +75,7 @@
           404, headers.withReplicas(worker, 0), ModelServerResponses.error("unknown model"));
       return;
     }
-    worker.hold(
+    worker.load(
         model,
         replicas,
         (outcome, loaded) ->
@@ -83,10 +83,10 @@
                 status(outcome), headers.withReplicas(worker, loaded), ModelServerResponses.EMPTY));
   }
 
-  private static int status(EmulatedWorker.Outcome outcome) {
+  private static int status(WorkerOutcome outcome) {
     return switch (outcome) {
-      case OK -> 200;
-      case FULL -> 503;
+      case SUCCEEDED -> 200;
+      case NO_CAPACITY -> 503;
       default -> 500;
     };
   }
@@ -103,7 +103,7 @@
             context.routerOf(exchange),
             "function",
             function);
-    worker.drop(function);
+    worker.unload(function);
     exchange.respond(200, headers.plain(worker), ModelServerResponses.EMPTY);
   }
 
--- a/src/main/java/switchgap/testbed/emulator/SocketClientTransport.java
+++ b/src/main/java/switchgap/testbed/emulator/SocketClientTransport.java
@@ -24,7 +24,10 @@
   private final HttpClientConnection.Factory factory;
   private final ConnectionPool[] routers;
 
-  /** A transport to so many routers, whose addresses are set by {@link #router}. */
+  /**
+   * A transport to so many routers, whose addresses are set by {@link #setRouter(int,
+   * InetSocketAddress)}.
+   */
   public SocketClientTransport(
       Scheduler scheduler, NetworkTransport net, EventRecorder recorder, int routers) {
     this.scheduler = scheduler;
@@ -34,13 +37,13 @@
   }
 
   /** Sets the address of a router. */
-  public void router(int number, InetSocketAddress at) {
-    routers[number] = new ConnectionPool(scheduler, factory, at, CONNECT_TIMEOUT);
+  public void setRouter(int number, InetSocketAddress address) {
+    routers[number] = new ConnectionPool(scheduler, factory, address, CONNECT_TIMEOUT);
   }
 
   /** Sets the port of a router on the loopback address. */
-  public void router(int number, int port) {
-    router(number, new InetSocketAddress("127.0.0.1", port));
+  public void setRouter(int number, int port) {
+    setRouter(number, new InetSocketAddress("127.0.0.1", port));
   }
 
   @Override
--- a/src/main/java/switchgap/testbed/emulator/TrafficMix.java
+++ b/src/main/java/switchgap/testbed/emulator/TrafficMix.java
@@ -13,7 +13,7 @@
   private final Map<String, Double> tenantShares;
   private final String[] zones;
   private final boolean[] excluded;
-  private final Map<String, Double> tenantBursts = new HashMap<>();
+  private final Map<String, Double> tenantRateFactors = new HashMap<>();
 
   TrafficMix(double[] routerShares, Map<String, Double> tenantShares) {
     this.routerShares = routerShares.clone();
@@ -27,26 +27,26 @@
   }
 
   /** Sends all traffic to the routers of one zone; null ends it. */
-  void moveTo(String zone) {
+  void shiftTo(String zone) {
     for (int i = 0; i < excluded.length; i++) {
       excluded[i] = zone != null && !zone.equals(zones[i]);
     }
   }
 
   /** Multiplies one tenant's rate; 1 ends it. */
-  void setTenantBurst(String tenant, double factor) {
+  void setTenantRateFactor(String tenant, double factor) {
     if (factor == 1) {
-      tenantBursts.remove(tenant);
+      tenantRateFactors.remove(tenant);
     } else {
-      tenantBursts.put(tenant, factor);
+      tenantRateFactors.put(tenant, factor);
     }
   }
 
-  /** Total weight of all tenants: 1 without bursts. */
+  /** Total weight of all tenants: 1 without rate factors. */
   double totalWeight() {
     double total = 1;
-    for (var burst : tenantBursts.entrySet()) {
-      total += tenantShares.get(burst.getKey()) * (burst.getValue() - 1);
+    for (var factor : tenantRateFactors.entrySet()) {
+      total += tenantShares.get(factor.getKey()) * (factor.getValue() - 1);
     }
     return total;
   }
@@ -57,7 +57,7 @@
     String tenant = "";
     for (var share : tenantShares.entrySet()) {
       tenant = share.getKey();
-      remaining -= share.getValue() * tenantBursts.getOrDefault(tenant, 1.0);
+      remaining -= share.getValue() * tenantRateFactors.getOrDefault(tenant, 1.0);
       if (remaining < 0) {
         break;
       }
--- a/src/main/java/switchgap/testbed/experiment/EmulatedRouter.java
+++ b/src/main/java/switchgap/testbed/experiment/EmulatedRouter.java
@@ -14,8 +14,10 @@
 import switchgap.router.WorkerCommand;
 import switchgap.router.WorkerEntry;
 import switchgap.router.WorkerTransport;
+import switchgap.testbed.emulator.EmulatedExecution;
 import switchgap.testbed.emulator.EmulatedWorker;
 import switchgap.testbed.emulator.FunctionModel;
+import switchgap.testbed.emulator.WorkerOutcome;
 
 /**
  * The program's own core and admission gate in simulated time; its transport reaches the emulated
@@ -91,7 +93,10 @@
   private LoadReport loadReport(EmulatedWorker emulatedWorker, int concurrency) {
     return emulator.scenario.tellsLoad()
         ? new LoadReport(
-            emulatedWorker.busy(), emulatedWorker.inHand(), emulatedWorker.waiting(), concurrency)
+            emulatedWorker.utilization(),
+            emulatedWorker.inFlight(),
+            emulatedWorker.queued(),
+            concurrency)
         : LoadReport.ofConcurrency(concurrency);
   }
 
@@ -102,7 +107,7 @@
     emulator.scheduler.after(
         emulator.networkDelayMicros,
         () -> {
-          if (stopped || emulatedWorker == null || emulatedWorker.dead()) {
+          if (stopped || emulatedWorker == null || emulatedWorker.isDead()) {
             emulator.scheduler.after(
                 emulator.networkDelayMicros,
                 () ->
@@ -113,7 +118,7 @@
             return;
           }
           attempt.attachment =
-              emulatedWorker.infer(
+              emulatedWorker.execute(
                   model,
                   () -> {},
                   (outcome, concurrency) ->
@@ -125,9 +130,9 @@
                                       core.attemptEnded(
                                           attempt,
                                           switch (outcome) {
-                                            case OK, DROPPED -> AttemptOutcome.SUCCEEDED;
-                                            case MISS -> AttemptOutcome.NOT_LOADED;
-                                            case FULL -> AttemptOutcome.REJECTED;
+                                            case SUCCEEDED -> AttemptOutcome.SUCCEEDED;
+                                            case NOT_LOADED -> AttemptOutcome.NOT_LOADED;
+                                            case NO_CAPACITY -> AttemptOutcome.REJECTED;
                                             default -> AttemptOutcome.FAILED;
                                           },
                                           loadReport(emulatedWorker, concurrency),
@@ -141,9 +146,8 @@
     emulator.scheduler.after(
         emulator.networkDelayMicros,
         () -> {
-          if (emulatedWorker != null
-              && attempt.attachment instanceof EmulatedWorker.Execution execution) {
-            emulatedWorker.leave(execution);
+          if (emulatedWorker != null && attempt.attachment instanceof EmulatedExecution execution) {
+            emulatedWorker.cancel(execution);
           }
         });
     return AttemptOutcome.TIMED_OUT;
@@ -156,10 +160,10 @@
     emulator.scheduler.after(
         emulator.networkDelayMicros,
         () -> {
-          if (emulatedWorker == null || emulatedWorker.dead()) {
+          if (emulatedWorker == null || emulatedWorker.isDead()) {
             post(core -> core.loadCommandEnded(command, AttemptOutcome.CONNECT_FAILED, 0));
           } else if (replicas == 0) {
-            int loadedReplicas = emulatedWorker.standing(function);
+            int loadedReplicas = emulatedWorker.replicas(function);
             emulator.scheduler.after(
                 emulator.networkDelayMicros,
                 () ->
@@ -168,7 +172,7 @@
                             core.loadCommandEnded(
                                 command, AttemptOutcome.SUCCEEDED, loadedReplicas)));
           } else {
-            emulatedWorker.hold(
+            emulatedWorker.load(
                 emulator.catalogue.find(function),
                 replicas,
                 (outcome, loaded) ->
@@ -179,9 +183,9 @@
                                 core ->
                                     core.loadCommandEnded(
                                         command,
-                                        outcome == EmulatedWorker.Outcome.OK
+                                        outcome == WorkerOutcome.SUCCEEDED
                                             ? AttemptOutcome.SUCCEEDED
-                                            : outcome == EmulatedWorker.Outcome.FULL
+                                            : outcome == WorkerOutcome.NO_CAPACITY
                                                 ? AttemptOutcome.REJECTED
                                                 : AttemptOutcome.FAILED,
                                         loaded))));
@@ -193,7 +197,7 @@
   public void unload(WorkerEntry worker, String function, WorkerCommand command) {
     EmulatedWorker emulatedWorker = emulator.worker(worker.name);
     if (emulatedWorker != null) {
-      emulator.scheduler.after(emulator.networkDelayMicros, () -> emulatedWorker.drop(function));
+      emulator.scheduler.after(emulator.networkDelayMicros, () -> emulatedWorker.unload(function));
     }
     emulator.scheduler.after(
         2 * emulator.networkDelayMicros, () -> post(core -> core.unloadEnded(command)));
@@ -209,7 +213,7 @@
                 core ->
                     core.probeEnded(
                         command,
-                        emulatedWorker == null || emulatedWorker.dead()
+                        emulatedWorker == null || emulatedWorker.isDead()
                             ? AttemptOutcome.CONNECT_FAILED
                             : AttemptOutcome.SUCCEEDED,
                         emulatedWorker == null
--- a/src/main/java/switchgap/testbed/experiment/Emulator.java
+++ b/src/main/java/switchgap/testbed/experiment/Emulator.java
@@ -81,7 +81,7 @@
     catalogue = scenario.catalogue(seed);
     store = new EmulatedStore(scheduler, noRecord, scenario.storeTakes(), scenario.storeDown());
     clients = scenario.clients(scheduler, this::send, catalogue, seed + 1);
-    clients.curve(curve);
+    clients.setRateCurve(curve);
     loadFaults = new LoadFaults(scheduler, clients, catalogue, store, scenario.customers());
     for (int i = 0; i < scenario.workers(); i++) {
       startWorker(false);
@@ -92,7 +92,7 @@
           new YamlRouterSettings(
               YamlDocument.read(
                   "router " + i, scenario.routerPage(i, 1, 1, catalogue, variant.terms()))));
-      clients.zone(i, scenario.zone(i));
+      clients.setZone(i, scenario.zone(i));
       routers.add(null);
       startRouter(i);
     }
@@ -150,8 +150,8 @@
         workerIndex / scenario.cellSize(),
         settings.isEmpty() ? 0 : settings.get(0).workerKindIndex(scenario.kindName(workerIndex)),
         scenario.sizeOf(workerIndex),
-        worker.cold()
-            ? router.now().minus(Duration.ofNanos((scheduler.now() - worker.started()) * 1000))
+        worker.startedCold()
+            ? router.now().minus(Duration.ofNanos((scheduler.now() - worker.startedAt()) * 1000))
             : null);
   }
 
@@ -177,8 +177,8 @@
   /** Mean share of cores at work, over the workers that run. */
   double meanUtilization() {
     return workers.values().stream()
-        .filter(worker -> !worker.dead())
-        .mapToDouble(EmulatedWorker::busy)
+        .filter(worker -> !worker.isDead())
+        .mapToDouble(EmulatedWorker::utilization)
         .average()
         .orElse(0);
   }
@@ -317,14 +317,14 @@
     switch (fault.verb()) {
       case SLOW -> {
         List<EmulatedWorker> selected = selectWorkers(fault.part());
-        selected.forEach(worker -> worker.slow(fault.size()));
-        scheduler.after(fault.lasts(), () -> selected.forEach(worker -> worker.slow(1)));
+        selected.forEach(worker -> worker.setSlowdown(fault.size()));
+        scheduler.after(fault.lasts(), () -> selected.forEach(worker -> worker.setSlowdown(1)));
       }
       case WORKERS_KILLED ->
           selectWorkers(fault.part())
               .forEach(
                   worker -> {
-                    worker.die();
+                    worker.kill();
                     scheduler.after(
                         fault.lasts(),
                         () -> {
@@ -349,7 +349,7 @@
     List<EmulatedWorker> all = new ArrayList<>();
     workers.forEach(
         (workerName, worker) -> {
-          if (ready.get(workerName) && !worker.dead()) {
+          if (ready.get(workerName) && !worker.isDead()) {
             all.add(worker);
           }
         });
--- a/src/main/java/switchgap/testbed/experiment/LoadCurve.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadCurve.java
@@ -212,10 +212,10 @@
 
   private static void set(EmulatedClients clients, Spell spell, double factor, int retries) {
     if (spell.tenant == null) {
-      clients.burst(factor);
+      clients.setRateFactor(factor);
       return;
     }
-    clients.burst(spell.tenant, factor);
-    clients.hammer(spell.tenant, retries);
+    clients.setRateFactor(spell.tenant, factor);
+    clients.setRetryStorm(spell.tenant, retries);
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/LoadRun.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRun.java
@@ -20,6 +20,7 @@
 import switchgap.testbed.emulator.EventRecorder;
 import switchgap.testbed.emulator.FunctionCatalogue;
 import switchgap.testbed.emulator.RealTimeScheduler;
+import switchgap.testbed.emulator.RequestTally;
 import switchgap.testbed.emulator.Scheduler;
 import switchgap.testbed.emulator.SocketClientTransport;
 import switchgap.testbed.scenario.Scenario;
@@ -117,12 +118,12 @@
       SocketClientTransport transport =
           new SocketClientTransport(scheduler, network, EventRecorder.none(), routers.size());
       for (int i = 0; i < routers.size(); i++) {
-        transport.router(i, routers.get(i));
+        transport.setRouter(i, routers.get(i));
       }
       EmulatedClients clients = scenario.clients(scheduler, transport, catalogue, seed + 1);
-      clients.curve(micros -> curve.at(micros) * fullRateFactor());
+      clients.setRateCurve(micros -> curve.at(micros) * fullRateFactor());
       for (int i = 0; i < routers.size(); i++) {
-        clients.zone(i, scenario.zone(i));
+        clients.setZone(i, scenario.zone(i));
       }
       long end =
           CompletableFuture.supplyAsync(
@@ -137,7 +138,7 @@
         Thread.sleep(50);
       }
       long deadline = end + scenario.longestLimit() * 2 + CLOSING_MICROS;
-      while (clients.open() > 0 && scheduler.now() < deadline) {
+      while (clients.attemptsInFlight() > 0 && scheduler.now() < deadline) {
         Thread.sleep(20);
       }
       return clients;
@@ -170,7 +171,7 @@
             throw new UncheckedIOException(e);
           }
         });
-    clients.sent(late -> sendDelay.recordValue(Math.min(MAX_LATENCY_MICROS, late)));
+    clients.onRequestSent(late -> sendDelay.recordValue(Math.min(MAX_LATENCY_MICROS, late)));
   }
 
   private void writeSeconds(EmulatedClients clients, Path dir) throws IOException {
@@ -178,12 +179,12 @@
     columns.put("second", Long.class);
     List.of("load", "asked", "earned").forEach(column -> columns.put(column, Double.class));
     try (ResultTable table = new ResultTable(dir.resolve("seconds"), columns)) {
-      for (var entry : clients.seconds().entrySet()) {
+      for (var entry : clients.weightsBySecond().entrySet()) {
         table.row(
             entry.getKey(),
             curve.at(entry.getKey() * 1_000_000),
-            entry.getValue()[0],
-            entry.getValue()[1]);
+            entry.getValue().requested(),
+            entry.getValue().earned());
       }
     }
   }
@@ -201,13 +202,13 @@
         "%-16s %8s %10s %10s %10s %10s  %s%n",
         "workload", "jobs", "in target", "p50 ms", "p99 ms", "most ms", "ends");
     for (var entry : clients.tallies().entrySet()) {
-      EmulatedClients.Tally tally = entry.getValue();
+      RequestTally tally = entry.getValue();
       Histogram histogram = latencies.getOrDefault(entry.getKey(), new Histogram(3));
       out.printf(
           "%-16s %8d %10.3f %10.1f %10.1f %10.1f  %s%n",
           entry.getKey(),
-          tally.jobs,
-          (tally.finished - tally.late) / (double) Math.max(1, tally.jobs),
+          tally.requests(),
+          tally.objectiveMetShare(),
           histogram.getValueAtPercentile(50) / 1e3,
           histogram.getValueAtPercentile(99) / 1e3,
           histogram.getMaxValue() / 1e3,
--- a/src/main/java/switchgap/testbed/experiment/Trial.java
+++ b/src/main/java/switchgap/testbed/experiment/Trial.java
@@ -22,7 +22,6 @@
   private static final double CALM_LOAD = 0.7; // of capacity: nothing more is too much
   private static final int STAYS = 4;
   private static final long MICROS_PER_SECOND = 1_000_000;
-  private static final double MIN_REQUESTED = 1e-9; // avoids a division by zero
 
   final Variant variant;
   final long seed;
@@ -127,27 +126,21 @@
         .tallies()
         .forEach(
             (requestClass, tally) ->
-                objectiveMetShare.put(
-                    requestClass,
-                    (tally.finished - tally.late) / (double) Math.max(1, tally.jobs)));
+                objectiveMetShare.put(requestClass, tally.objectiveMetShare()));
     clients
-        .customers()
-        .forEach((tenant, weights) -> serviceByTenant.put(tenant, earnedShare(weights)));
+        .weightsByTenant()
+        .forEach((tenant, weights) -> serviceByTenant.put(tenant, weights.service()));
     clients
-        .seconds()
+        .weightsBySecond()
         .forEach(
             (second, weights) -> {
               if (second < samples.size()) {
                 int index = second.intValue();
-                samples.set(index, samples.get(index).withService(earnedShare(weights)));
+                samples.set(index, samples.get(index).withService(weights.service()));
               }
             });
   }
 
-  private static double earnedShare(double[] requestedAndEarned) {
-    return requestedAndEarned[1] / Math.max(requestedAndEarned[0], MIN_REQUESTED);
-  }
-
   private void recordTimeAtLevels(List<EmulatedRouter> routers) {
     for (EmulatedRouter router : routers) {
       AdmissionController admission = router.gate().admission();
--- a/src/main/java/switchgap/testbed/scenario/DrainsRule.java
+++ b/src/main/java/switchgap/testbed/scenario/DrainsRule.java
@@ -2,6 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import switchgap.testbed.emulator.EndpointState;
 
 /**
  * A router sends nothing new to a worker past the grace after the list told it that the worker
@@ -61,7 +62,7 @@
     if (!line.is("told")) {
       return;
     }
-    if (line.text("state").equals(WorkerFleet.READY)) {
+    if (line.text("state").equals(EndpointState.READY.word())) {
       notifiedAt.remove(key(line));
     } else if (notifiedAt.putIfAbsent(key(line), line.at()) == null) {
       drains++;
--- a/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
@@ -13,17 +13,18 @@
   public boolean inject(Scenario.Fault fault) {
     switch (fault.verb()) {
       case TRAFFIC_MOVED -> {
-        testBed.clients.moveTo(fault.target() == null ? testBed.scenario.zone(0) : fault.target());
-        testBed.scheduler.after(fault.lasts(), () -> testBed.clients.moveTo(null));
+        testBed.clients.shiftTrafficTo(
+            fault.target() == null ? testBed.scenario.zone(0) : fault.target());
+        testBed.scheduler.after(fault.lasts(), () -> testBed.clients.shiftTrafficTo(null));
       }
       case LIST_LATE -> {
         long usualLag = testBed.scenario.listLag();
-        testBed.endpointList.lag(usualLag + (long) (fault.size() * MICROS_PER_SECOND));
-        testBed.scheduler.after(fault.lasts(), () -> testBed.endpointList.lag(usualLag));
+        testBed.endpointList.setLag(usualLag + (long) (fault.size() * MICROS_PER_SECOND));
+        testBed.scheduler.after(fault.lasts(), () -> testBed.endpointList.setLag(usualLag));
       }
       case LIST_AWAY -> {
-        testBed.endpointList.away(true);
-        testBed.scheduler.after(fault.lasts(), () -> testBed.endpointList.away(false));
+        testBed.endpointList.setUnavailable(true);
+        testBed.scheduler.after(fault.lasts(), () -> testBed.endpointList.setUnavailable(false));
       }
       default -> {
         return false;
--- a/src/main/java/switchgap/testbed/scenario/LoadFaults.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadFaults.java
@@ -50,14 +50,18 @@
   public boolean bring(Scenario.Fault fault) {
     String tenant = fault.target() == null ? tenants.keySet().iterator().next() : fault.target();
     switch (fault.verb()) {
-      case BURST -> during(fault, () -> clients.burst(fault.size()), () -> clients.burst(1));
+      case BURST ->
+          during(fault, () -> clients.setRateFactor(fault.size()), () -> clients.setRateFactor(1));
       case CUSTOMER_BURST ->
-          during(fault, () -> clients.burst(tenant, fault.size()), () -> clients.burst(tenant, 1));
+          during(
+              fault,
+              () -> clients.setRateFactor(tenant, fault.size()),
+              () -> clients.setRateFactor(tenant, 1));
       case HAMMERING ->
           during(
               fault,
-              () -> clients.hammer(tenant, HAMMERING_RETRIES),
-              () -> clients.hammer(tenant, 0));
+              () -> clients.setRetryStorm(tenant, HAMMERING_RETRIES),
+              () -> clients.setRetryStorm(tenant, 0));
       case HOT_FUNCTIONS ->
           during(
               fault,
@@ -68,7 +72,8 @@
               fault,
               () -> catalogue.setOneOffShare(fault.part()),
               () -> catalogue.setOneOffShare(0));
-      case STORE_SLOW -> during(fault, () -> store.slow(fault.size()), () -> store.slow(1));
+      case STORE_SLOW ->
+          during(fault, () -> store.setSlowdown(fault.size()), () -> store.setSlowdown(1));
       default -> {
         return false;
       }
--- a/src/main/java/switchgap/testbed/scenario/Scenario.java
+++ b/src/main/java/switchgap/testbed/scenario/Scenario.java
@@ -13,9 +13,10 @@
 import switchgap.testbed.emulator.ClientSettings;
 import switchgap.testbed.emulator.ClientTransport;
 import switchgap.testbed.emulator.EmulatedClients;
-import switchgap.testbed.emulator.EmulatedWorker;
 import switchgap.testbed.emulator.FunctionCatalogue;
+import switchgap.testbed.emulator.RequestClassProfile;
 import switchgap.testbed.emulator.Scheduler;
+import switchgap.testbed.emulator.WorkerHardware;
 
 /** A scenario as its document states it: fleet, routers, load, fault script and seed. Immutable. */
 public final class Scenario {
@@ -146,26 +147,29 @@
   }
 
   /** Hardware of a worker. */
-  public EmulatedWorker.Hardware makeOf(int worker) {
+  public WorkerHardware makeOf(int worker) {
     ScenarioSettings.WorkerKind kind = kindOf(worker);
     ScenarioSettings.WorkerLimits limits = settings.fleet().limits();
     ScenarioSettings.InvariantLimits rules = settings.limits();
-    return new EmulatedWorker.Hardware(
-        kind.cores(),
-        kind.speed(),
-        limits.slotsPerCore() * kind.cores(),
-        limits.queuePerCore() * kind.cores(),
-        kind.memoryMb(),
-        limits.concurrentLoads(),
-        limits.keepAlive(),
-        settings.loadsOnMiss(),
-        limits.eagerLoads(),
-        rules.initialCapacityShare(),
-        rules.warmUpTime(),
-        rules.crashMultiple(),
-        rules.crashWindow(),
-        limits.fetchShare(),
-        limits.loadFailureShare());
+    return new WorkerHardware(
+        new WorkerHardware.Compute(
+            kind.cores(),
+            kind.speed(),
+            limits.slotsPerCore() * kind.cores(),
+            limits.queuePerCore() * kind.cores()),
+        new WorkerHardware.ReplicaLimits(
+            kind.memoryMb(),
+            limits.concurrentLoads(),
+            limits.keepAlive(),
+            settings.loadsOnMiss(),
+            limits.eagerLoads(),
+            limits.fetchShare(),
+            limits.loadFailureShare()),
+        new WorkerHardware.WarmUp(
+            rules.initialCapacityShare(),
+            rules.warmUpTime(),
+            rules.crashMultiple(),
+            rules.crashWindow()));
   }
 
   /** The functions, drawn with a seed. */
@@ -248,10 +252,7 @@
 
   /** The longest timeout of a request class, microseconds. */
   public long longestLimit() {
-    return settings.profiles().stream()
-        .mapToLong(EmulatedClients.RequestClassProfile::timeout)
-        .max()
-        .orElse(0);
+    return settings.profiles().stream().mapToLong(RequestClassProfile::timeout).max().orElse(0);
   }
 
   /**
--- a/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
@@ -7,8 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import switchgap.config.YamlDocument;
-import switchgap.testbed.emulator.EmulatedClients;
 import switchgap.testbed.emulator.FunctionCatalogue;
+import switchgap.testbed.emulator.RequestClassProfile;
+import switchgap.testbed.emulator.RetryPolicy;
 
 /** Reads the settings of a scenario from its document; a mistake names file, line and key. */
 final class ScenarioReader {
@@ -164,8 +165,8 @@
     double rate = section.number("rate", 0.1, 100_000);
     double zipf = section.number("zipf", 0, 5, 1.2);
     int functions = section.integer("functions", 1, 5000, 30);
-    EmulatedClients.RetryBehaviour retries =
-        new EmulatedClients.RetryBehaviour(
+    RetryPolicy retries =
+        new RetryPolicy(
             section.integer("retries", 0, 20, 2), section.number("least_wait", 0.01, 1, 0.6),
             micros(section.duration("backoff", Duration.ofMillis(80))),
                 section.number("honour", 0, 1, 0.8));
@@ -192,9 +193,8 @@
     boolean retriesAll =
         repeatRule == RepeatRule.RESTARTABLE
             || idempotent && section.text("group", "all").equals("all");
-    EmulatedClients.RequestClassProfile profile =
-        new EmulatedClients.RequestClassProfile(
-            name, target, limit, weight, lateShare, retriesAll, idempotent);
+    RequestClassProfile profile =
+        new RequestClassProfile(name, target, limit, weight, lateShare, retriesAll, idempotent);
     FunctionCatalogue.FunctionGroup functions =
         new FunctionCatalogue.FunctionGroup(
             name,
--- a/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
@@ -7,6 +7,7 @@
 import java.nio.file.StandardCopyOption;
 import java.util.concurrent.CompletableFuture;
 import switchgap.testbed.emulator.EmulatedClients;
+import switchgap.testbed.emulator.RequestTally;
 
 /**
  * Plays a scenario: starts the test bed, lets clients send while faults are injected, ends all in
@@ -20,7 +21,6 @@
       400; // longer than clients wait for a late response
   private static final long DRAIN_MARGIN_MICROS = 2_000_000;
   private static final int WORST_WINDOW_SECONDS = 10;
-  private static final double MIN_REQUESTED = 1e-9; // avoids a division by zero
 
   private ScenarioRunner() {}
 
@@ -63,7 +63,7 @@
       Thread.sleep(ARRIVALS_POLL_MILLIS);
     }
     long deadline = end + testBed.scenario.longestLimit() + DRAIN_MARGIN_MICROS;
-    while (testBed.clients.open() > 0 && testBed.scheduler.now() < deadline) {
+    while (testBed.clients.attemptsInFlight() > 0 && testBed.scheduler.now() < deadline) {
       Thread.sleep(DRAIN_POLL_MILLIS);
     }
     Thread.sleep(LATE_RESPONSE_MILLIS);
@@ -83,24 +83,24 @@
         "unreachable",
         "service");
     for (var entry : testBed.clients.tallies().entrySet()) {
-      EmulatedClients.Tally tally = entry.getValue();
+      RequestTally tally = entry.getValue();
       out.printf(
           "%-16s %6d %6d %8d %6d %8d %7d %7d %11d %8.3f%n",
           entry.getKey(),
-          tally.jobs,
-          tally.tries,
-          tally.finished,
-          tally.late,
-          tally.pushedBack,
-          tally.failed,
-          tally.timedOut,
-          tally.unreachable,
-          tally.earned / Math.max(tally.asked, MIN_REQUESTED));
+          tally.requests(),
+          tally.attempts(),
+          tally.succeeded(),
+          tally.late(),
+          tally.rejected(),
+          tally.failed(),
+          tally.timedOut(),
+          tally.unreachable(),
+          tally.weights().service());
     }
     out.printf(
         "service %.3f, worst 10 s %.3f, fetches from the store %d (simulated servers)%n",
         testBed.clients.service(),
-        testBed.clients.worst(WORST_WINDOW_SECONDS),
+        testBed.clients.worstWindowService(WORST_WINDOW_SECONDS),
         testBed.store.fetches());
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
@@ -2,8 +2,9 @@
 
 import java.util.List;
 import java.util.Map;
-import switchgap.testbed.emulator.EmulatedClients;
 import switchgap.testbed.emulator.FunctionCatalogue;
+import switchgap.testbed.emulator.RequestClassProfile;
+import switchgap.testbed.emulator.RetryPolicy;
 
 /**
  * What a scenario's document states. Times in microseconds.
@@ -54,7 +55,7 @@
 
   /**
    * What every worker allows and how it loads; see {@link
-   * switchgap.testbed.emulator.EmulatedWorker.Hardware}.
+   * switchgap.testbed.emulator.WorkerHardware}.
    */
   record WorkerLimits(
       int slotsPerCore,
@@ -75,12 +76,12 @@
   /**
    * {@code rate}: requests a second; {@code zipf}: exponent of the popularity of {@code functions}.
    */
-  record Load(double rate, double zipf, int functions, EmulatedClients.RetryBehaviour retries) {}
+  record Load(double rate, double zipf, int functions, RetryPolicy retries) {}
 
   /** A request class as its clients and as its functions see it. */
   record RequestClass(
       RepeatRule repeatRule,
-      EmulatedClients.RequestClassProfile profile,
+      RequestClassProfile profile,
       FunctionCatalogue.FunctionGroup functions) {}
 
   /** Bounds of the invariants: drain grace, cold start and load ration. */
@@ -94,7 +95,7 @@
       double loadsPerRequest,
       long loadWindow) {}
 
-  List<EmulatedClients.RequestClassProfile> profiles() {
+  List<RequestClassProfile> profiles() {
     return requestClasses.stream().map(RequestClass::profile).toList();
   }
 
--- a/src/main/java/switchgap/testbed/scenario/TestBed.java
+++ b/src/main/java/switchgap/testbed/scenario/TestBed.java
@@ -104,8 +104,8 @@
       if (withRouters) {
         routers.host(i).start();
       }
-      transport.router(i, routers.port(i));
-      clients.zone(i, scenario.zone(i));
+      transport.setRouter(i, routers.port(i));
+      clients.setZone(i, scenario.zone(i));
     }
     if (withRouters) {
       routers.awaitListening();
--- a/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
@@ -62,15 +62,15 @@
 
   private void slowDown(Scenario.Fault fault) {
     List<EmulatedModelServer> affected = testBed.fleet.drawReady(fault.part());
-    affected.forEach(server -> server.worker().slow(fault.size()));
+    affected.forEach(server -> server.worker().setSlowdown(fault.size()));
     testBed.scheduler.after(
-        fault.lasts(), () -> affected.forEach(server -> server.worker().slow(1)));
+        fault.lasts(), () -> affected.forEach(server -> server.worker().setSlowdown(1)));
   }
 
   private void unloadFunctions(Scenario.Fault fault) {
     for (FunctionModel function : testBed.catalogue.functions()) {
       if (testBed.random.nextDouble() < fault.part()) {
-        testBed.fleet.servers().forEach(server -> server.worker().drop(function.name()));
+        testBed.fleet.servers().forEach(server -> server.worker().unload(function.name()));
       }
     }
   }
--- a/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
@@ -14,6 +14,7 @@
 import switchgap.testbed.emulator.EmulatedModelServer;
 import switchgap.testbed.emulator.EmulatedWorker;
 import switchgap.testbed.emulator.EndpointListService;
+import switchgap.testbed.emulator.EndpointState;
 import switchgap.testbed.emulator.FunctionFetcher;
 import switchgap.testbed.emulator.ModelServerContext;
 
@@ -22,9 +23,6 @@
  * once started.
  */
 final class WorkerFleet {
-  static final String READY = "ready";
-  static final String DRAINING = "draining";
-  static final String GONE = "gone";
   private static final Logger LOG = LoggerFactory.getLogger(WorkerFleet.class);
   private static final long MICROS_PER_MILLI = 1000;
   private static final int FAULT_SEED_OFFSET = 100;
@@ -84,7 +82,7 @@
     return new EndpointListService.Entry(
         name,
         port,
-        READY,
+        EndpointState.READY,
         scenario.zone(number),
         number / scenario.cellSize(),
         scenario.kindName(number),
@@ -93,8 +91,8 @@
   }
 
   /** Sets the state of a worker in the list. */
-  void setState(String name, String state) {
-    for (EndpointListService.Entry entry : endpointList.lines()) {
+  void setState(String name, EndpointState state) {
+    for (EndpointListService.Entry entry : endpointList.entries()) {
       if (entry.name().equals(name)) {
         endpointList.put(entry.withState(state));
       }
@@ -103,14 +101,14 @@
 
   /** Lists a worker as draining, and after a time ends its process and lists it as gone. */
   void drain(String name, long micros) {
-    setState(name, DRAINING);
+    setState(name, EndpointState.DRAINING);
     context
         .scheduler()
         .after(
             micros,
             () -> {
               servers.get(name).kill();
-              setState(name, GONE);
+              setState(name, EndpointState.GONE);
             });
   }
 
@@ -142,8 +140,8 @@
   /** Draws a share of the running workers that are listed as ready, one at the least. */
   List<EmulatedModelServer> drawReady(double share) {
     List<EmulatedModelServer> ready = new ArrayList<>();
-    for (EndpointListService.Entry entry : endpointList.lines()) {
-      if (entry.state().equals(READY) && servers.get(entry.name()).isRunning()) {
+    for (EndpointListService.Entry entry : endpointList.entries()) {
+      if (entry.state() == EndpointState.READY && servers.get(entry.name()).isRunning()) {
         ready.add(servers.get(entry.name()));
       }
     }
--- a/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import switchgap.testbed.emulator.EmulatedModelServer;
+import switchgap.testbed.emulator.EndpointState;
 
 /** Injects faults that end workers: drained, replaced, killed or restarted. */
 final class WorkerReplacementInjector implements FaultInjector {
@@ -51,7 +52,7 @@
     testBed.scheduler.after(
         outageMicros,
         () -> {
-          fleet.setState(server.name(), WorkerFleet.GONE);
+          fleet.setState(server.name(), EndpointState.GONE);
           fleet.startCold();
         });
   }
--- a/src/test/java/switchgap/server/gateway/EndpointListTest.java
+++ b/src/test/java/switchgap/server/gateway/EndpointListTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import switchgap.net.NetworkTransport;
 import switchgap.testbed.emulator.EndpointListService;
+import switchgap.testbed.emulator.EndpointState;
 import switchgap.testbed.emulator.EventRecorder;
 import switchgap.testbed.emulator.RealTimeScheduler;
 
@@ -23,7 +24,8 @@
 class EndpointListTest {
   @TempDir Path dir;
 
-  private static EndpointListService.Entry entry(String name, HttpTestServer server, String state) {
+  private static EndpointListService.Entry entry(
+      String name, HttpTestServer server, EndpointState state) {
     return new EndpointListService.Entry(name, server.port(), state, "zone", 0, "", 1, 0);
   }
 
@@ -40,38 +42,45 @@
         HttpTestServer worker = new HttpTestServer(slow);
         HttpTestServer otherWorker = new HttpTestServer(slow)) {
       EndpointListService list = new EndpointListService(scheduler, net, log, 0);
-      scheduler.post(() -> list.put(entry("w0", worker, "ready")));
+      scheduler.post(() -> list.put(entry("w0", worker, EndpointState.READY)));
       try (GatewayFixture fixture =
           new GatewayFixture("list: {port: " + list.port() + ", ask_again: 50ms}\n")) {
-        until(() -> list.lines().size() == 1);
+        until(() -> list.entries().size() == 1);
         Thread.sleep(200);
         assertThat(end(fixture.invoke("once-1", "1"))).isEqualTo("finished");
         CompletableFuture<HttpResponse<String>> pending = fixture.later("once-1", "2");
         until(() -> worker.infers() == 2);
         scheduler.post(
             () -> { // gone with an attempt in flight, and another one ready
-              list.put(entry("w0", worker, "gone"));
-              list.put(entry("w1", otherWorker, "ready"));
+              list.put(entry("w0", worker, EndpointState.GONE));
+              list.put(entry("w1", otherWorker, EndpointState.READY));
             });
         assertThat(end(pending.get())).isEqualTo("finished"); // its connection still responds
         Thread.sleep(100);
         assertThat(end(fixture.invoke("once-1", "3"))).isEqualTo("finished");
         assertThat(worker.infers()).isEqualTo(2);
         // with no other one left
-        scheduler.post(() -> list.put(entry("w1", otherWorker, "draining")));
+        scheduler.post(() -> list.put(entry("w1", otherWorker, EndpointState.DRAINING)));
         Thread.sleep(100);
         long before = otherWorker.asked.size();
         assertThat(end(fixture.invoke("once-1", "4"))).isEqualTo("pushed-back");
         assertThat(otherWorker.asked).hasSize((int) before);
-        scheduler.post(() -> list.away(true)); // the last list stays
+        scheduler.post(() -> list.setUnavailable(true)); // the last list stays
         Thread.sleep(200);
         assertThat(end(fixture.invoke("once-1", "5"))).isEqualTo("pushed-back");
         scheduler.post(
             () -> {
               list.put(
                   new EndpointListService.Entry(
-                      "w0", worker.port(), "ready", "zone", 0, "", 1, System.currentTimeMillis()));
-              list.away(false);
+                      "w0",
+                      worker.port(),
+                      EndpointState.READY,
+                      "zone",
+                      0,
+                      "",
+                      1,
+                      System.currentTimeMillis()));
+              list.setUnavailable(false);
             });
         until(
             () -> {
@@ -105,7 +114,7 @@
                           + ",\"workers\":[{\"name\":\"w0\",\"port\":"
                           + worker.port()
                           + ",\"state\":\""
-                          + (requestNumber < 3 ? "ready" : "draining")
+                          + (requestNumber < 3 ? EndpointState.READY : EndpointState.DRAINING)
                           + "\",\"zone\":\"zone\"}]}\n";
                   out.write(
                       ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/src/test/java/switchgap/testbed/emulator/ColdStartTest.java
+++ b/src/test/java/switchgap/testbed/emulator/ColdStartTest.java
@@ -6,9 +6,11 @@
 
 class ColdStartTest {
   private static ColdStart coldStart(long warmUpTime) {
-    EmulatedWorker.Hardware hardware =
-        new EmulatedWorker.Hardware(
-            4, 1, 8, 8, 1000, 1, 1_000_000, true, false, 0.25, warmUpTime, 2, 1_000_000, 0.5, 0);
+    WorkerHardware hardware =
+        new WorkerHardware(
+            new WorkerHardware.Compute(4, 1, 8, 8),
+            new WorkerHardware.ReplicaLimits(1000, 1, 1_000_000, true, false, 0.5, 0),
+            new WorkerHardware.WarmUp(0.25, warmUpTime, 2, 1_000_000));
     return new ColdStart(hardware, 5000, true);
   }
 
--- a/src/test/java/switchgap/testbed/emulator/ServiceTallyTest.java
+++ b/src/test/java/switchgap/testbed/emulator/ServiceTallyTest.java
@@ -9,9 +9,8 @@
 /** Weights requested and earned, and the worst window of a run. */
 class ServiceTallyTest {
   private static final long SECOND = 1_000_000;
-  private static final EmulatedClients.RequestClassProfile PROFILE =
-      new EmulatedClients.RequestClassProfile(
-          "status-refresh", SECOND, 2 * SECOND, 4, 0.25, true, false);
+  private static final RequestClassProfile PROFILE =
+      new RequestClassProfile("status-refresh", SECOND, 2 * SECOND, 4, 0.25, true, false);
   private final ServiceTally tally = new ServiceTally(List.of(PROFILE));
 
   private ClientRequest arrive(long at) {
@@ -22,18 +21,18 @@
             PROFILE,
             0,
             new SplittableRandom(1));
-    tally.arrived(request);
+    tally.requestArrived(request);
     return request;
   }
 
   @Test
   void earnsAShareForALateResponse() {
     tally.begin(0, 10 * SECOND);
-    assertThat(tally.finished(arrive(0), SECOND)).isEqualTo(4);
-    assertThat(tally.finished(arrive(0), SECOND + 1)).isEqualTo(1);
+    assertThat(tally.requestSucceeded(arrive(0), SECOND)).isEqualTo(4);
+    assertThat(tally.requestSucceeded(arrive(0), SECOND + 1)).isEqualTo(1);
     assertThat(tally.service()).isEqualTo(5 / 8.0);
-    assertThat(tally.byTenant().get("tenant")).containsExactly(8, 5);
-    assertThat(tally.byRequestClass().get("status-refresh").late).isEqualTo(1);
+    assertThat(tally.byTenant().get("tenant")).isEqualTo(new ServiceWeights(8, 5));
+    assertThat(tally.byRequestClass().get("status-refresh").late()).isEqualTo(1);
   }
 
   @Test
@@ -42,7 +41,7 @@
     for (int second = 0; second < 4; second++) {
       ClientRequest request = arrive(second * SECOND);
       if (second != 2) {
-        tally.finished(request, request.arrivedAt);
+        tally.requestSucceeded(request, request.arrivedAt);
       }
     }
     assertThat(tally.worstWindow(1)).isZero();
--- a/src/test/java/switchgap/testbed/experiment/EmulatorAgainstSocketsTest.java
+++ b/src/test/java/switchgap/testbed/experiment/EmulatorAgainstSocketsTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import switchgap.testbed.emulator.EmulatedClients;
+import switchgap.testbed.emulator.RequestTally;
 import switchgap.testbed.scenario.InvariantChecker;
 import switchgap.testbed.scenario.Scenario;
 import switchgap.testbed.scenario.ScenarioRunner;
@@ -32,15 +33,15 @@
     Emulator e = new Emulator(day, day.seed(), Variant.LEVELS, t -> 1);
     e.play(8, s -> {});
     for (var t : e.clients.tallies().entrySet()) {
-      EmulatedClients.Tally a = t.getValue();
-      EmulatedClients.Tally b = sockets.tallies().get(t.getKey());
-      assertThat(b.jobs).isEqualTo(a.jobs); // the same arrivals
-      assertThat(b.finished / (double) b.jobs)
-          .isCloseTo(a.finished / (double) a.jobs, within(BAND));
-      assertThat((b.finished - b.late) / (double) b.jobs)
-          .isCloseTo((a.finished - a.late) / (double) a.jobs, within(BAND));
-      assertThat(b.pushedBack / (double) b.tries)
-          .isCloseTo(a.pushedBack / (double) a.tries, within(2 * BAND));
+      RequestTally a = t.getValue();
+      RequestTally b = sockets.tallies().get(t.getKey());
+      assertThat(b.requests()).isEqualTo(a.requests()); // the same arrivals
+      assertThat(b.succeeded() / (double) b.requests())
+          .isCloseTo(a.succeeded() / (double) a.requests(), within(BAND));
+      assertThat((b.succeeded() - b.late()) / (double) b.requests())
+          .isCloseTo((a.succeeded() - a.late()) / (double) a.requests(), within(BAND));
+      assertThat(b.rejected() / (double) b.attempts())
+          .isCloseTo(a.rejected() / (double) a.attempts(), within(2 * BAND));
     }
     assertThat(sockets.service()).isCloseTo(e.clients.service(), within(BAND));
   }
