--- a/src/main/java/switchgap/endpoints/EventStreamClient.java
+++ b/src/main/java/switchgap/endpoints/EventStreamClient.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import switchgap.net.HttpClientConnection;
-import switchgap.net.PauseDetector;
+import switchgap.net.StallDetector;
 import switchgap.net.TimerThread;
 import switchgap.protocol.sse.ServerSentEventDecoder;
 
@@ -33,7 +33,7 @@
   private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(2300);
 
   private static final Duration SILENCE_CHECK_INTERVAL = Duration.ofMillis(200);
-  private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(1000);
+  private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
   /**
    * Delay before the second retry, the first is immediate; doubled with each further one, to 1.6 s.
@@ -48,7 +48,7 @@
   private static final long NO_ATTEMPT = 0;
 
   private final HttpClientConnection.Factory connections;
-  private final EndpointListEvent.NameDirectory directory;
+  private final EndpointNames names;
   private final Consumer<EndpointListEvent> events;
   private final Consumer<String> log;
   private final ScheduledFuture<?> silenceCheck;
@@ -60,8 +60,8 @@
   private long gapSequence;
 
   private int failedAttempts;
-  private final PauseDetector pauseDetector =
-      new PauseDetector(SILENCE_CHECK_INTERVAL, Duration.ofNanos(System.nanoTime()));
+  private final StallDetector stallDetector =
+      new StallDetector(SILENCE_CHECK_INTERVAL, Duration.ofNanos(System.nanoTime()));
   private long lastDataNanos;
 
   /** Number of the connection attempt made last. */
@@ -86,12 +86,12 @@
   public EventStreamClient(
       HttpClientConnection.Factory connections,
       long lastSequence,
-      EndpointListEvent.NameDirectory directory,
+      EndpointNames names,
       Consumer<EndpointListEvent> events,
       Consumer<String> log) {
     this.connections = connections;
     this.lastSequence = lastSequence;
-    this.directory = directory;
+    this.names = names;
     this.events = events;
     this.log = log;
     silenceCheck =
@@ -122,7 +122,7 @@
 
   private synchronized void reconnectIfSilent() {
     // what the feed said while the process was held up is not read yet
-    lastDataNanos += pauseDetector.heldUp(Duration.ofNanos(System.nanoTime())).toNanos();
+    lastDataNanos += stallDetector.recordCheck(Duration.ofNanos(System.nanoTime())).toNanos();
     if (state.awaitsData() && System.nanoTime() - lastDataNanos > SILENCE_TIMEOUT.toNanos()) {
       log.accept("control feed silent, it is asked anew");
       connect();
@@ -226,7 +226,7 @@
       return;
     }
     try {
-      deliver(attempt, EndpointListEvent.parse(text, directory));
+      deliver(attempt, EndpointListEvent.parse(text, names));
     } catch (IOException | RuntimeException e) {
       disconnected(attempt, e.getMessage()); // the next connection delivers it whole
     }
@@ -235,7 +235,7 @@
   private void deliver(long attempt, EndpointListEvent event) {
     long sequence = event.sequence();
     boolean deliveredBefore =
-        sequence < lastSequence || sequence == lastSequence && !event.complete();
+        sequence < lastSequence || (sequence == lastSequence && !event.complete());
     if (deliveredBefore) {
       return;
     }
--- a/src/main/java/switchgap/server/platform/GracefulShutdown.java
+++ b/src/main/java/switchgap/server/platform/GracefulShutdown.java
@@ -13,10 +13,10 @@
  */
 final class GracefulShutdown {
   /** Time for which requests are taken at the least. */
-  private static final Duration DRAIN_DURATION = Duration.ofMillis(1000);
+  private static final Duration DRAIN_DURATION = Duration.ofSeconds(1);
 
   /** The platform reckons with this timeout where all are shorter. */
-  private static final Duration MIN_LONGEST_TIMEOUT = Duration.ofMillis(3000);
+  private static final Duration MIN_LONGEST_TIMEOUT = Duration.ofSeconds(3);
 
   /** Time past the longest timeout by which all has its response, 0.2 s before SIGKILL. */
   private static final Duration DEADLINE_MARGIN = Duration.ofMillis(500);
@@ -64,14 +64,15 @@
     Duration end = router.now().plus(MAX_FLUSH_DURATION);
     do {
       Thread.sleep(CHECK_INTERVAL.toMillis());
-    } while (router.resourceUsage().busyClientConnections() > 0 && router.now().compareTo(end) < 0);
+    } while (router.resourceUsage().activeClientConnections() > 0
+        && router.now().compareTo(end) < 0);
   }
 
   private void awaitIdle() throws InterruptedException {
     int idleChecks = 0;
     while (idleChecks < REQUIRED_IDLE_CHECKS && router.now().compareTo(deadline) < 0) {
       Thread.sleep(CHECK_INTERVAL.toMillis());
-      idleChecks = router.resourceUsage().busyClientConnections() > 0 ? 0 : idleChecks + 1;
+      idleChecks = router.resourceUsage().activeClientConnections() > 0 ? 0 : idleChecks + 1;
     }
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/EmulatedRouter.java
+++ b/src/main/java/switchgap/testbed/experiment/EmulatedRouter.java
@@ -91,7 +91,7 @@
   }
 
   private LoadReport loadReport(EmulatedWorker emulatedWorker, int concurrency) {
-    return emulator.scenario.tellsLoad()
+    return emulator.scenario.reportsLoad()
         ? new LoadReport(
             emulatedWorker.utilization(),
             emulatedWorker.inFlight(),
@@ -102,8 +102,8 @@
 
   @Override
   public void startAttempt(Attempt attempt, Duration timeout) {
-    EmulatedWorker emulatedWorker = emulator.worker(attempt.worker.name);
-    FunctionModel model = emulator.catalogue.find(attempt.request.function);
+    EmulatedWorker emulatedWorker = emulator.worker(attempt.worker().name());
+    FunctionModel model = emulator.catalogue.find(attempt.request().function());
     emulator.scheduler.after(
         emulator.networkDelayMicros,
         () -> {
@@ -117,8 +117,13 @@
                                 attempt, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE, null)));
             return;
           }
+<<<<<<< HEAD
           attempt.attachment =
               emulatedWorker.execute(
+=======
+          attempt.attach(
+              emulatedWorker.infer(
+>>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
                   model,
                   () -> {},
                   (outcome, concurrency) ->
@@ -136,18 +141,24 @@
                                             default -> AttemptOutcome.FAILED;
                                           },
                                           loadReport(emulatedWorker, concurrency),
-                                          Response.succeeded(200, Map.of(), NOTHING)))));
+                                          Response.succeeded(200, Map.of(), NOTHING))))));
         });
   }
 
   @Override
   public AttemptOutcome abandon(Attempt attempt) {
-    EmulatedWorker emulatedWorker = emulator.worker(attempt.worker.name);
+    EmulatedWorker emulatedWorker = emulator.worker(attempt.worker().name());
     emulator.scheduler.after(
         emulator.networkDelayMicros,
         () -> {
+<<<<<<< HEAD
           if (emulatedWorker != null && attempt.attachment instanceof EmulatedExecution execution) {
             emulatedWorker.cancel(execution);
+=======
+          if (emulatedWorker != null
+              && attempt.attachment() instanceof EmulatedWorker.Execution execution) {
+            emulatedWorker.leave(execution);
+>>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
           }
         });
     return AttemptOutcome.TIMED_OUT;
@@ -156,7 +167,7 @@
   @Override
   public void requestReplicas(
       WorkerEntry worker, String function, int replicas, WorkerCommand command) {
-    EmulatedWorker emulatedWorker = emulator.worker(worker.name);
+    EmulatedWorker emulatedWorker = emulator.worker(worker.name());
     emulator.scheduler.after(
         emulator.networkDelayMicros,
         () -> {
@@ -195,7 +206,7 @@
 
   @Override
   public void unload(WorkerEntry worker, String function, WorkerCommand command) {
-    EmulatedWorker emulatedWorker = emulator.worker(worker.name);
+    EmulatedWorker emulatedWorker = emulator.worker(worker.name());
     if (emulatedWorker != null) {
       emulator.scheduler.after(emulator.networkDelayMicros, () -> emulatedWorker.unload(function));
     }
@@ -205,7 +216,7 @@
 
   @Override
   public void probe(WorkerEntry worker, WorkerCommand command) {
-    EmulatedWorker emulatedWorker = emulator.worker(worker.name);
+    EmulatedWorker emulatedWorker = emulator.worker(worker.name());
     emulator.scheduler.after(
         2 * emulator.networkDelayMicros,
         () ->
--- a/src/main/java/switchgap/testbed/experiment/LoadRun.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRun.java
@@ -48,7 +48,7 @@
     YamlDocument loadSection = document.section("load");
     name = loadSection.text("name");
     scenario = Scenario.read(file.resolveSibling(loadSection.text("day")).normalize());
-    seed = (long) loadSection.number("seed", 0, 1L << 50, scenario.seed());
+    seed = (long) loadSection.number("seed", 0, (double) (1L << 50), scenario.seed());
     loadSection.rejectUnknownKeys();
     curve = LoadCurve.read("curve", document.section("curve"), file).within(within);
     document.rejectUnknownKeys();
@@ -97,7 +97,7 @@
   }
 
   private double fullRateFactor() {
-    return scenario.capacity() / scenario.meanWork() / scenario.rate();
+    return scenario.fleetCapacity() / scenario.meanWork() / scenario.requestRate();
   }
 
   private EmulatedClients emulated() {
@@ -137,8 +137,13 @@
       while (scheduler.now() < end) {
         Thread.sleep(50);
       }
+<<<<<<< HEAD
       long deadline = end + scenario.longestLimit() * 2 + CLOSING_MICROS;
       while (clients.attemptsInFlight() > 0 && scheduler.now() < deadline) {
+=======
+      long deadline = end + scenario.longestTimeout() * 2 + CLOSING_MICROS;
+      while (clients.open() > 0 && scheduler.now() < deadline) {
+>>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
         Thread.sleep(20);
       }
       return clients;
--- a/src/test/java/switchgap/net/HttpServerTest.java
+++ b/src/test/java/switchgap/net/HttpServerTest.java
@@ -6,6 +6,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -97,12 +98,12 @@
         Thread.sleep(20);
         send(client, "def");
         HttpExchange exchange = nextExchange();
-        assertThat(exchange.method + " " + exchange.path + " " + exchange.query)
+        assertThat(exchange.method() + " " + exchange.path() + " " + exchange.query())
             .isEqualTo("POST /a/b c=d&ef=g");
         assertThat(exchange.queryParameter("ef")).isEqualTo("g");
         assertThat(exchange.queryParameter("f")).isNull();
         assertThat(exchange.header("x-name")).isEqualTo("value");
-        assertThat(exchange.body).isEqualTo(ascii("abcdef"));
+        assertThat(exchange.body()).isEqualTo(ascii("abcdef"));
         assertThat(exchange.peerAddress()).isEqualTo("127.0.0.1");
         assertThat(exchange.connectionId()).isEqualTo("127.0.0.1:" + client.getLocalPort());
         assertThat(
@@ -113,7 +114,7 @@
         assertThat(exchange.beginStreaming(200, Map.of())).isFalse();
         String response = receive(client, "hello");
         assertThat(response).startsWith("HTTP/1.1 201 ");
-        assertThat(response.toLowerCase())
+        assertThat(response.toLowerCase(Locale.ROOT))
             .contains("content-type: text/x", "x-part: one\r\n", "content-length: 5\r\n");
       }
     }
@@ -126,7 +127,7 @@
       send(client, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
       Thread.sleep(20);
       send(client, "5\r\ndefgh\r\n0\r\n\r\n");
-      assertThat(nextExchange().body).isEqualTo(ascii("abcdefgh"));
+      assertThat(nextExchange().body()).isEqualTo(ascii("abcdefgh"));
     }
   }
 
@@ -200,7 +201,8 @@
       exchange = nextExchange();
       assertThat(exchange.beginStreaming(200, Map.of("Content-Type", "text/x"))).isTrue();
       exchange.sendPart(ascii("one"));
-      assertThat(receive(client, "one").toLowerCase()).contains("transfer-encoding: chunked\r\n");
+      assertThat(receive(client, "one").toLowerCase(Locale.ROOT))
+          .contains("transfer-encoding: chunked\r\n");
       exchange.sendPart(ascii("two"));
       receive(client, "two");
     }
