--- a/src/main/java/switchgap/testbed/emulator/ClientRetries.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientRetries.java
@@ -76,13 +76,8 @@
     boolean retryable =
         outcome == ClientOutcome.REJECTED
             || outcome == ClientOutcome.UNREACHABLE
-<<<<<<< HEAD
-            || request.profile.retryable() && outcome != ClientOutcome.REFUSED;
-    int maxRetries = request.isRetryStorm() ? request.stormRetries : policy.maxRetries();
-=======
             || (request.profile.retryable() && outcome != ClientOutcome.REFUSED);
-    int maxRetries = request.isHammering() ? request.hammeringRetries : behaviour.maxRetries();
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
+    int maxRetries = request.isRetryStorm() ? request.stormRetries : policy.maxRetries();
     return retryable && request.attempts <= maxRetries;
   }
 
--- a/src/main/java/switchgap/testbed/emulator/InferenceHandler.java
+++ b/src/main/java/switchgap/testbed/emulator/InferenceHandler.java
@@ -87,13 +87,8 @@
               inference.callId);
       respond(inference, 200, 0, EXECUTED, ModelServerResponses.output(inference.attemptId));
     } else {
-<<<<<<< HEAD
-      exchange.attachment =
-          worker.execute(
-=======
       exchange.attach(
-          worker.infer(
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
+          worker.execute(
               model,
               () -> started(inference, model),
               (outcome, concurrency) -> ended(inference, outcome, concurrency)));
@@ -105,13 +100,8 @@
     context
         .recorder()
         .record(context.scheduler().now(), "left", "worker", server, "run", attemptId(exchange));
-<<<<<<< HEAD
-    if (exchange.attachment instanceof EmulatedExecution execution) {
+    if (exchange.attachment() instanceof EmulatedExecution execution) {
       worker.cancel(execution);
-=======
-    if (exchange.attachment() instanceof EmulatedWorker.Execution execution) {
-      worker.leave(execution);
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
     }
   }
 
--- a/src/main/java/switchgap/testbed/experiment/EmulatedRouter.java
+++ b/src/main/java/switchgap/testbed/experiment/EmulatedRouter.java
@@ -117,13 +117,8 @@
                                 attempt, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE, null)));
             return;
           }
-<<<<<<< HEAD
-          attempt.attachment =
-              emulatedWorker.execute(
-=======
           attempt.attach(
-              emulatedWorker.infer(
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
+              emulatedWorker.execute(
                   model,
                   () -> {},
                   (outcome, concurrency) ->
@@ -151,14 +146,9 @@
     emulator.scheduler.after(
         emulator.networkDelayMicros,
         () -> {
-<<<<<<< HEAD
-          if (emulatedWorker != null && attempt.attachment instanceof EmulatedExecution execution) {
-            emulatedWorker.cancel(execution);
-=======
           if (emulatedWorker != null
-              && attempt.attachment() instanceof EmulatedWorker.Execution execution) {
-            emulatedWorker.leave(execution);
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
+              && attempt.attachment() instanceof EmulatedExecution execution) {
+            emulatedWorker.cancel(execution);
           }
         });
     return AttemptOutcome.TIMED_OUT;
--- a/src/main/java/switchgap/testbed/experiment/Emulator.java
+++ b/src/main/java/switchgap/testbed/experiment/Emulator.java
@@ -83,13 +83,8 @@
     store =
         new EmulatedStore(scheduler, noRecord, scenario.storeCapacity(), scenario.storeOutage());
     clients = scenario.clients(scheduler, this::send, catalogue, seed + 1);
-<<<<<<< HEAD
     clients.setRateCurve(curve);
-    loadFaults = new LoadFaults(scheduler, clients, catalogue, store, scenario.customers());
-=======
-    clients.curve(curve);
     loadFaults = new LoadFaults(scheduler, clients, catalogue, store, scenario.tenantShares());
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
     for (int i = 0; i < scenario.workers(); i++) {
       startWorker(false);
     }
@@ -98,13 +93,8 @@
       settings.add(
           new YamlRouterSettings(
               YamlDocument.read(
-<<<<<<< HEAD
-                  "router " + i, scenario.routerPage(i, 1, 1, catalogue, variant.terms()))));
-      clients.setZone(i, scenario.zone(i));
-=======
                   "router " + i, scenario.routerConfig(i, 1, 1, catalogue, variant.terms()))));
-      clients.zone(i, scenario.zone(i));
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
+      clients.setZone(i, scenario.zone(i));
       routers.add(null);
       startRouter(i);
     }
@@ -161,15 +151,9 @@
         scenario.zoneOf(workerIndex),
         workerIndex / scenario.cellSize(),
         settings.isEmpty() ? 0 : settings.get(0).workerKindIndex(scenario.kindName(workerIndex)),
-<<<<<<< HEAD
-        scenario.sizeOf(workerIndex),
+        scenario.computeCapacityOf(workerIndex),
         worker.startedCold()
             ? router.now().minus(Duration.ofNanos((scheduler.now() - worker.startedAt()) * 1000))
-=======
-        scenario.computeCapacityOf(workerIndex),
-        worker.cold()
-            ? router.now().minus(Duration.ofNanos((scheduler.now() - worker.started()) * 1000))
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
             : null);
   }
 
@@ -334,15 +318,9 @@
     }
     switch (fault.type()) {
       case SLOW -> {
-<<<<<<< HEAD
-        List<EmulatedWorker> selected = selectWorkers(fault.part());
-        selected.forEach(worker -> worker.setSlowdown(fault.size()));
-        scheduler.after(fault.lasts(), () -> selected.forEach(worker -> worker.setSlowdown(1)));
-=======
         List<EmulatedWorker> selected = selectWorkers(fault.share());
-        selected.forEach(worker -> worker.slow(fault.strength()));
-        scheduler.after(fault.duration(), () -> selected.forEach(worker -> worker.slow(1)));
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
+        selected.forEach(worker -> worker.setSlowdown(fault.strength()));
+        scheduler.after(fault.duration(), () -> selected.forEach(worker -> worker.setSlowdown(1)));
       }
       case WORKERS_KILLED ->
           selectWorkers(fault.share())
--- a/src/main/java/switchgap/testbed/experiment/LoadRun.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRun.java
@@ -137,13 +137,8 @@
       while (scheduler.now() < end) {
         Thread.sleep(50);
       }
-<<<<<<< HEAD
-      long deadline = end + scenario.longestLimit() * 2 + CLOSING_MICROS;
-      while (clients.attemptsInFlight() > 0 && scheduler.now() < deadline) {
-=======
       long deadline = end + scenario.longestTimeout() * 2 + CLOSING_MICROS;
-      while (clients.open() > 0 && scheduler.now() < deadline) {
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
+      while (clients.attemptsInFlight() > 0 && scheduler.now() < deadline) {
         Thread.sleep(20);
       }
       return clients;
--- a/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
@@ -2,11 +2,8 @@
 
 import java.util.HashMap;
 import java.util.Map;
-<<<<<<< HEAD:src/main/java/switchgap/testbed/scenario/DrainsRule.java
 import switchgap.testbed.emulator.EndpointState;
-=======
 import switchgap.testbed.invariant.Invariant;
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5:src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
 
 /**
  * A router sends nothing new to a worker past the grace after the list told it that the worker
--- a/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
@@ -13,32 +13,18 @@
   public boolean inject(Scenario.Fault fault) {
     switch (fault.type()) {
       case TRAFFIC_MOVED -> {
-<<<<<<< HEAD
         testBed.clients.shiftTrafficTo(
             fault.target() == null ? testBed.scenario.zone(0) : fault.target());
-        testBed.scheduler.after(fault.lasts(), () -> testBed.clients.shiftTrafficTo(null));
+        testBed.scheduler.after(fault.duration(), () -> testBed.clients.shiftTrafficTo(null));
       }
       case LIST_LATE -> {
         long usualLag = testBed.scenario.listLag();
-        testBed.endpointList.setLag(usualLag + (long) (fault.size() * MICROS_PER_SECOND));
-        testBed.scheduler.after(fault.lasts(), () -> testBed.endpointList.setLag(usualLag));
+        testBed.endpointList.setLag(usualLag + (long) (fault.strength() * MICROS_PER_SECOND));
+        testBed.scheduler.after(fault.duration(), () -> testBed.endpointList.setLag(usualLag));
       }
       case LIST_AWAY -> {
         testBed.endpointList.setUnavailable(true);
-        testBed.scheduler.after(fault.lasts(), () -> testBed.endpointList.setUnavailable(false));
-=======
-        testBed.clients.moveTo(fault.target() == null ? testBed.scenario.zone(0) : fault.target());
-        testBed.scheduler.after(fault.duration(), () -> testBed.clients.moveTo(null));
-      }
-      case LIST_LATE -> {
-        long usualLag = testBed.scenario.listLag();
-        testBed.endpointList.lag(usualLag + (long) (fault.strength() * MICROS_PER_SECOND));
-        testBed.scheduler.after(fault.duration(), () -> testBed.endpointList.lag(usualLag));
-      }
-      case LIST_AWAY -> {
-        testBed.endpointList.away(true);
-        testBed.scheduler.after(fault.duration(), () -> testBed.endpointList.away(false));
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
+        testBed.scheduler.after(fault.duration(), () -> testBed.endpointList.setUnavailable(false));
       }
       default -> {
         return false;
--- a/src/main/java/switchgap/testbed/scenario/LoadFaults.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadFaults.java
@@ -49,22 +49,15 @@
   /** Injects a fault and schedules its end; false where the fault is of another type. */
   public boolean inject(Scenario.Fault fault) {
     String tenant = fault.target() == null ? tenants.keySet().iterator().next() : fault.target();
-<<<<<<< HEAD
-    switch (fault.verb()) {
+    switch (fault.type()) {
       case BURST ->
-          during(fault, () -> clients.setRateFactor(fault.size()), () -> clients.setRateFactor(1));
+          during(
+              fault, () -> clients.setRateFactor(fault.strength()), () -> clients.setRateFactor(1));
       case CUSTOMER_BURST ->
           during(
               fault,
-              () -> clients.setRateFactor(tenant, fault.size()),
+              () -> clients.setRateFactor(tenant, fault.strength()),
               () -> clients.setRateFactor(tenant, 1));
-=======
-    switch (fault.type()) {
-      case BURST -> during(fault, () -> clients.burst(fault.strength()), () -> clients.burst(1));
-      case CUSTOMER_BURST ->
-          during(
-              fault, () -> clients.burst(tenant, fault.strength()), () -> clients.burst(tenant, 1));
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
       case HAMMERING ->
           during(
               fault,
@@ -80,12 +73,8 @@
               fault,
               () -> catalogue.setOneOffShare(fault.share()),
               () -> catalogue.setOneOffShare(0));
-<<<<<<< HEAD
       case STORE_SLOW ->
-          during(fault, () -> store.setSlowdown(fault.size()), () -> store.setSlowdown(1));
-=======
-      case STORE_SLOW -> during(fault, () -> store.slow(fault.strength()), () -> store.slow(1));
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
+          during(fault, () -> store.setSlowdown(fault.strength()), () -> store.setSlowdown(1));
       default -> {
         return false;
       }
--- a/src/main/java/switchgap/testbed/scenario/Scenario.java
+++ b/src/main/java/switchgap/testbed/scenario/Scenario.java
@@ -147,11 +147,7 @@
   }
 
   /** Hardware of a worker. */
-<<<<<<< HEAD
-  public WorkerHardware makeOf(int worker) {
-=======
-  public EmulatedWorker.Hardware hardwareOf(int worker) {
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
+  public WorkerHardware hardwareOf(int worker) {
     ScenarioSettings.WorkerKind kind = kindOf(worker);
     ScenarioSettings.WorkerLimits limits = settings.fleet().limits();
     ScenarioSettings.InvariantLimits rules = settings.limits();
@@ -255,16 +251,8 @@
   }
 
   /** The longest timeout of a request class, microseconds. */
-<<<<<<< HEAD
-  public long longestLimit() {
-    return settings.profiles().stream().mapToLong(RequestClassProfile::timeout).max().orElse(0);
-=======
   public long longestTimeout() {
-    return settings.profiles().stream()
-        .mapToLong(EmulatedClients.RequestClassProfile::timeout)
-        .max()
-        .orElse(0);
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
+    return settings.profiles().stream().mapToLong(RequestClassProfile::timeout).max().orElse(0);
   }
 
   /**
--- a/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
@@ -192,16 +192,9 @@
     // Repeats are recognized within a group of workers; with one group for all, any retry is safe.
     boolean retriesAll =
         repeatRule == RepeatRule.RESTARTABLE
-<<<<<<< HEAD
-            || idempotent && section.text("group", "all").equals("all");
+            || (idempotent && section.text("group", "all").equals("all"));
     RequestClassProfile profile =
         new RequestClassProfile(name, target, limit, weight, lateShare, retriesAll, idempotent);
-=======
-            || (idempotent && section.text("group", "all").equals("all"));
-    EmulatedClients.RequestClassProfile profile =
-        new EmulatedClients.RequestClassProfile(
-            name, target, limit, weight, lateShare, retriesAll, idempotent);
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
     FunctionCatalogue.FunctionGroup functions =
         new FunctionCatalogue.FunctionGroup(
             name,
--- a/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
@@ -62,13 +62,8 @@
     while (testBed.scheduler.now() < end) {
       Thread.sleep(ARRIVALS_POLL_MILLIS);
     }
-<<<<<<< HEAD
-    long deadline = end + testBed.scenario.longestLimit() + DRAIN_MARGIN_MICROS;
-    while (testBed.clients.attemptsInFlight() > 0 && testBed.scheduler.now() < deadline) {
-=======
     long deadline = end + testBed.scenario.longestTimeout() + DRAIN_MARGIN_MICROS;
-    while (testBed.clients.open() > 0 && testBed.scheduler.now() < deadline) {
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
+    while (testBed.clients.attemptsInFlight() > 0 && testBed.scheduler.now() < deadline) {
       Thread.sleep(DRAIN_POLL_MILLIS);
     }
     Thread.sleep(LATE_RESPONSE_MILLIS);
--- a/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
@@ -61,28 +61,16 @@
   }
 
   private void slowDown(Scenario.Fault fault) {
-<<<<<<< HEAD
-    List<EmulatedModelServer> affected = testBed.fleet.drawReady(fault.part());
-    affected.forEach(server -> server.worker().setSlowdown(fault.size()));
-    testBed.scheduler.after(
-        fault.lasts(), () -> affected.forEach(server -> server.worker().setSlowdown(1)));
-=======
     List<EmulatedModelServer> affected = testBed.fleet.drawReady(fault.share());
-    affected.forEach(server -> server.worker().slow(fault.strength()));
+    affected.forEach(server -> server.worker().setSlowdown(fault.strength()));
     testBed.scheduler.after(
-        fault.duration(), () -> affected.forEach(server -> server.worker().slow(1)));
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
+        fault.duration(), () -> affected.forEach(server -> server.worker().setSlowdown(1)));
   }
 
   private void unloadFunctions(Scenario.Fault fault) {
     for (FunctionModel function : testBed.catalogue.functions()) {
-<<<<<<< HEAD
-      if (testBed.random.nextDouble() < fault.part()) {
-        testBed.fleet.servers().forEach(server -> server.worker().unload(function.name()));
-=======
       if (testBed.random.nextDouble() < fault.share()) {
-        testBed.fleet.servers().forEach(server -> server.worker().drop(function.name()));
->>>>>>> 61f0d6293194c14b0f3b9e1e06a794df2576eed5
+        testBed.fleet.servers().forEach(server -> server.worker().unload(function.name()));
       }
     }
   }
