--- a/src/main/java/switchgap/endpoints/EndpointListWatcher.java
+++ b/src/main/java/switchgap/endpoints/EndpointListWatcher.java
@@ -11,7 +11,10 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.net.CloseCause;
+import switchgap.net.ConnectFailure;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.TimerThread;
 import switchgap.router.RouterCore;
 
@@ -40,7 +43,7 @@
   /** A version that nothing follows: the service answers it with the whole list. */
   private static final long NO_VERSION = -1;
 
-  private final HttpClientConnection.Factory connections;
+  private final HttpClientConnector connections;
   private final InetSocketAddress service;
   private final int routerIndex;
   private final Duration retryDelay;
@@ -61,7 +64,7 @@
    * @param events hands events to the router's loop
    */
   public EndpointListWatcher(
-      HttpClientConnection.Factory connections,
+      HttpClientConnector connections,
       InetSocketAddress service,
       int routerIndex,
       Duration retryDelay,
@@ -108,8 +111,8 @@
           }
 
           @Override
-          public void failed(String reason) {
-            disconnected(reason);
+          public void failed(ConnectFailure failure) {
+            disconnected(failure.toString());
           }
         });
   }
@@ -223,8 +226,8 @@
     }
 
     @Override
-    public void connectionLost(String why) {
-      ended(why);
+    public void connectionLost(CloseCause cause) {
+      ended(cause.toString());
     }
 
     private void ended(String reason) {
--- a/src/main/java/switchgap/endpoints/EventStreamClient.java
+++ b/src/main/java/switchgap/endpoints/EventStreamClient.java
@@ -8,7 +8,10 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import switchgap.net.CloseCause;
+import switchgap.net.ConnectFailure;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.StallDetector;
 import switchgap.net.TimerThread;
 import switchgap.protocol.sse.ServerSentEventDecoder;
@@ -47,7 +50,7 @@
 
   private static final long NO_ATTEMPT = 0;
 
-  private final HttpClientConnection.Factory connections;
+  private final HttpClientConnector connections;
   private final EndpointNames names;
   private final Consumer<EndpointListEvent> events;
   private final Consumer<String> log;
@@ -84,7 +87,7 @@
    * @param log hears of trouble with the feed, a line each
    */
   public EventStreamClient(
-      HttpClientConnection.Factory connections,
+      HttpClientConnector connections,
       long lastSequence,
       EndpointNames names,
       Consumer<EndpointListEvent> events,
@@ -147,8 +150,8 @@
           }
 
           @Override
-          public void failed(String reason) {
-            disconnected(attempt, reason);
+          public void failed(ConnectFailure failure) {
+            disconnected(attempt, failure.toString());
           }
         });
   }
@@ -317,8 +320,8 @@
     }
 
     @Override
-    public void connectionLost(String why) {
-      disconnected(attempt, why);
+    public void connectionLost(CloseCause cause) {
+      disconnected(attempt, cause.toString());
     }
   }
 }
--- a/src/main/java/switchgap/server/gateway/JvmWarmup.java
+++ b/src/main/java/switchgap/server/gateway/JvmWarmup.java
@@ -8,8 +8,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import switchgap.config.YamlRouterSettings;
+import switchgap.net.CloseCause;
+import switchgap.net.ConnectFailure;
 import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.HttpServer;
 import switchgap.net.NetworkTransport;
 
@@ -45,7 +48,7 @@
             exchange -> exchange.respond(200, HEADERS, exchange.body()))) {
       int port = server.listen(LOOPBACK, 0);
       CountDownLatch done = new CountDownLatch(1);
-      new HttpClientConnection.Factory(network, null, MAX_RESPONSE_BYTES)
+      new HttpClientConnector(network, null, MAX_RESPONSE_BYTES)
           .connect(new InetSocketAddress(LOOPBACK, port), MAX_DURATION, new Connected(done));
       done.await(MAX_DURATION.toMillis(), TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
@@ -61,7 +64,7 @@
     }
 
     @Override
-    public void failed(String why) {
+    public void failed(ConnectFailure failure) {
       done.countDown();
     }
   }
@@ -97,7 +100,7 @@
     }
 
     @Override
-    public void connectionLost(String why) {
+    public void connectionLost(CloseCause cause) {
       done.countDown();
     }
   }
