--- a/src/main/java/switchgap/testbed/scenario/LoadFaults.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadFaults.java
@@ -50,15 +50,19 @@
   public boolean inject(Scenario.Fault fault) {
     String tenant = fault.target() == null ? tenants.keySet().iterator().next() : fault.target();
     switch (fault.type()) {
-      case BURST -> during(fault, () -> clients.burst(fault.strength()), () -> clients.burst(1));
+      case BURST ->
+          during(
+              fault, () -> clients.setRateFactor(fault.strength()), () -> clients.setRateFactor(1));
       case CUSTOMER_BURST ->
           during(
-              fault, () -> clients.burst(tenant, fault.strength()), () -> clients.burst(tenant, 1));
+              fault,
+              () -> clients.setRateFactor(tenant, fault.strength()),
+              () -> clients.setRateFactor(tenant, 1));
       case HAMMERING ->
           during(
               fault,
-              () -> clients.hammer(tenant, HAMMERING_RETRIES),
-              () -> clients.hammer(tenant, 0));
+              () -> clients.setRetryStorm(tenant, HAMMERING_RETRIES),
+              () -> clients.setRetryStorm(tenant, 0));
       case HOT_FUNCTIONS ->
           during(
               fault,
@@ -69,7 +73,8 @@
               fault,
               () -> catalogue.setOneOffShare(fault.share()),
               () -> catalogue.setOneOffShare(0));
-      case STORE_SLOW -> during(fault, () -> store.slow(fault.strength()), () -> store.slow(1));
+      case STORE_SLOW ->
+          during(fault, () -> store.setSlowdown(fault.strength()), () -> store.setSlowdown(1));
       default -> {
         return false;
       }
--- a/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
@@ -62,15 +62,15 @@
 
   private void slowDown(Scenario.Fault fault) {
     List<EmulatedModelServer> affected = testBed.fleet.drawReady(fault.share());
-    affected.forEach(server -> server.worker().slow(fault.strength()));
+    affected.forEach(server -> server.worker().setSlowdown(fault.strength()));
     testBed.scheduler.after(
-        fault.duration(), () -> affected.forEach(server -> server.worker().slow(1)));
+        fault.duration(), () -> affected.forEach(server -> server.worker().setSlowdown(1)));
   }
 
   private void unloadFunctions(Scenario.Fault fault) {
     for (FunctionModel function : testBed.catalogue.functions()) {
       if (testBed.random.nextDouble() < fault.share()) {
-        testBed.fleet.servers().forEach(server -> server.worker().drop(function.name()));
+        testBed.fleet.servers().forEach(server -> server.worker().unload(function.name()));
       }
     }
   }
