--- /dev/null
+++ b/src/main/java/switchgap/policy/CandidateSelector.java
@@ -0,0 +1,122 @@
+package switchgap.policy;
+
+import switchgap.policy.state.CandidateSurvey;
+import switchgap.policy.state.Function;
+import switchgap.policy.state.PolicyState;
+import switchgap.policy.state.Replica;
+import switchgap.policy.state.Request;
+import switchgap.policy.state.SettingsSnapshot;
+import switchgap.policy.state.Worker;
+
+/**
+ * Chooses the worker for a request: the first of the target replicas in hash order below its
+ * concurrency limit, unless another one is clearly less loaded; else a loaded replica past them.
+ */
+final class CandidateSelector {
+  private static final double OVERFLOW_LOAD = 1; // requests: a smaller difference does not matter
+  private static final double CROSS_ZONE_LOAD = 1.5; // as much as that many overflow loads
+  private static final int OVERFLOW_WORKERS = 4; // visited past the target, and as many more
+  private static final double BUSY_CPU = 0.9; // utilization below which no request waits for cores
+  private static final double MAX_OVERCOMMIT = 3; // times the limit, with those waiting for loads
+
+  private final PolicyState state;
+  private final SettingsSnapshot settings;
+  private final OutlierDetector outliers;
+  private final LoadEstimator estimator;
+  private final RetryPolicy retries;
+
+  CandidateSelector(
+      PolicyState state, OutlierDetector outliers, LoadEstimator estimator, RetryPolicy retries) {
+    this.state = state;
+    this.settings = state.settings;
+    this.outliers = outliers;
+    this.estimator = estimator;
+    this.retries = retries;
+  }
+
+  /** Visits workers in hash order until an available replica is found past the target. */
+  CandidateSurvey survey(Request request) {
+    Function function = request.function;
+    CandidateSurvey survey = new CandidateSurvey();
+    boolean avoidsFailed = request.failedWorkerCount() < state.readyWorkers();
+    int maxVisited = 2 * function.targetReplicas() + OVERFLOW_WORKERS;
+    int visited = 0;
+    for (Worker worker : state.hashOrder(function)) {
+      if (outliers.isEjected(worker) || avoidsFailed && request.hasFailedAt(worker)) {
+        continue;
+      }
+      if (visited++ < function.targetReplicas()) {
+        visitTarget(survey, request, worker);
+      } else if (survey.hasAvailableReplica() || visited > maxVisited) {
+        break;
+      } else {
+        visitPastTarget(survey, request, worker);
+      }
+    }
+    return survey;
+  }
+
+  private void visitTarget(CandidateSurvey survey, Request request, Worker worker) {
+    Replica.State replica = state.replicaState(request.function, worker);
+    survey.visited(worker, replica);
+    boolean unknown = replica == Replica.State.UNKNOWN;
+    boolean loaded = replica == Replica.State.LOADED;
+    if (!retries.mayAttempt(request, worker)) {
+      return;
+    }
+    if (!hasCapacity(request, worker)) {
+      if (loaded || unknown) {
+        survey.foundSaturated();
+      }
+    } else if (loaded || unknown && triesUnknown(request)) {
+      double difference = OVERFLOW_LOAD * state.ownShare;
+      survey.foundAvailable(worker, comparableLoad(worker, replica), difference);
+    } else if (unknown || settings.loadsOnDemand) {
+      survey.foundUnknown(worker);
+    }
+  }
+
+  private void visitPastTarget(CandidateSurvey survey, Request request, Worker worker) {
+    Replica.State replica = state.replicaState(request.function, worker);
+    survey.visited(worker, replica);
+    boolean capacity = hasCapacity(request, worker);
+    if (replica == Replica.State.LOADED && capacity && retries.mayAttempt(request, worker)) {
+      survey.foundOverflow(worker);
+    } else if (replica != Replica.State.LOADING && capacity && survey.next() == null) {
+      survey.foundNext(worker);
+    }
+  }
+
+  /** With many routers another may have loaded the replica; a miss must leave one more attempt. */
+  private boolean triesUnknown(Request request) {
+    boolean lastAttempt = request.hasUsedUp(settings.maxAttempts - 1);
+    return state.ownShare < 1 && !settings.loadsOnDemand && !lastAttempt;
+  }
+
+  /** Load to compare replicas by; the more routers, the more of it is random, to spread them. */
+  private double comparableLoad(Worker worker, Replica.State replica) {
+    boolean crosses = settings.crossZonePrice > 0 && worker.zone() != settings.zone;
+    double crossing = crosses ? CROSS_ZONE_LOAD * OVERFLOW_LOAD : 0;
+    double guess = replica == Replica.State.UNKNOWN ? OVERFLOW_LOAD : 0;
+    return estimator.load(worker)
+        + guess
+        + crossing
+        + state.random.nextDouble() * OVERFLOW_LOAD * (1 - state.ownShare);
+  }
+
+  private boolean hasCapacity(Request request, Worker worker) {
+    double limit = estimator.concurrencyLimit(worker);
+    return hasForeignCapacity(request, worker)
+        && worker.running() < limit
+        && worker.inFlight() < MAX_OVERCOMMIT * limit;
+  }
+
+  /** Whether other routers leave capacity; a request of more weight gives way to less of theirs. */
+  private boolean hasForeignCapacity(Request request, Worker worker) {
+    double yielding = Math.min(1, request.capacityDraw());
+    return state.ownShare == 1
+        || worker.report.cpuUtilization() < BUSY_CPU
+        || estimator.foreignLoad(worker) * worker.latencyRatio() * yielding
+            < estimator.capacity(request.requestClass);
+  }
+}
--- a/src/main/java/switchgap/policy/LoadEstimator.java
+++ b/src/main/java/switchgap/policy/LoadEstimator.java
@@ -1,33 +1,42 @@
 package switchgap.policy;
 
-import static switchgap.policy.state.Durations.*;
+import static switchgap.policy.state.Durations.scale;
+import static switchgap.policy.state.Durations.toSeconds;
 
 import java.time.Duration;
-import switchgap.policy.api.*;
-import switchgap.policy.state.*;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.LoadReport;
+import switchgap.policy.api.ProbeResult;
+import switchgap.policy.state.AttemptState;
+import switchgap.policy.state.Histogram;
+import switchgap.policy.state.PolicyState;
+import switchgap.policy.state.Request;
+import switchgap.policy.state.RequestClass;
+import switchgap.policy.state.Worker;
 
 /**
- * Measures workers' load and requests' durations; derives workers' capacity and concurrency limits.
+ * Measures the workers' load and the requests' durations; derives the workers' capacity and this
+ * router's concurrency limits. Relative durations are ratios to a class's latency objective.
  */
 final class LoadEstimator {
-  /**
-   * Requests that a worker is taken to bear at a time, from all routers, while nothing is measured.
-   */
+  /** Requests, of all routers, that a worker is assumed to bear at a time until one is measured. */
   static final double DEFAULT_CAPACITY = 10;
 
-  private static final double FAST_DURATION = 0.15; // to an objective: past it the limit shrinks
-  private static final double DEFAULT_DURATION = 0.25; // to an objective, while nothing is measured
-  private static final double REPORT_HALF_LIFE = 1; // seconds in which half of a report is old news
-  private static final double PRIOR_RATIOS = 4; // at the fleet's ratio, while a worker tells little
+  private static final double FAST_DURATION = 0.15; // relative; above it the limit shrinks
+  private static final double DEFAULT_DURATION = 0.25; // relative, until one is measured
+  private static final double REPORT_HALF_LIFE = 1; // seconds until a report counts half
+  private static final double PRIOR_RATIOS = 4; // at the fleet's ratio, for a worker little known
   private static final double MIN_LATENCY_RATIO = 0.5; // of the fleet's
-  private static final double MIN_CONCURRENCY = 2; // or rejections feed on themselves
-  private static final double MAX_REPORTS = 64; // past it halved
-  private static final double MAX_SAMPLES = 256; // past it halved, or what once was usual stays so
-  private static final int NO_REPORT_SECONDS = 64; // then probes may report load where they did not
+  private static final double MIN_CONCURRENCY = 2; // below it rejections cause more rejections
+  private static final double WINDOW_SECONDS = 1.5; // of a worker's durations: one to two, mean
+  private static final double REJECTED_LOAD = 2; // times its capacity, at a worker that rejects
+  private static final double MAX_REPORTS = 64; // above it halved each second
+  private static final double MAX_SAMPLES = 256; // above it halved, so that old ones fade
+  private static final int PROBE_RETRY_SECONDS = 64; // until probes without a report are retried
 
   private final PolicyState state;
   private final SlowStart slowStart;
-  private final double ownCapacity; // of a worker, for this router, while nothing is measured
+  private final double ownCapacity; // this router's equal part of the default capacity
   private double usualForeignLoad = 1;
   private boolean probesReportLoad = true;
 
@@ -41,28 +50,32 @@
     double fleetRatio = state.fleet.latencyRatios.meanWithPrior(1, PRIOR_RATIOS);
     for (Worker worker : state.workers) {
       double ratio = worker.latencyRatios.meanWithPrior(fleetRatio, PRIOR_RATIOS) / fleetRatio;
-      worker.latencyRatio = Math.max(MIN_LATENCY_RATIO, ratio);
-      worker.presumedEmpty &= state.isWarmingUp(worker); // later others may have loaded
+      worker.latencyRatioMeasured(Math.max(MIN_LATENCY_RATIO, ratio));
+      if (!state.isWarmingUp(worker)) {
+        worker.warmedUp();
+      }
       worker.relativeDurations.halve();
     }
     usualForeignLoad = state.fleet.foreignLoads.meanWithPrior(1, 1);
     state.fleet.foreignLoads.halveAbove(MAX_REPORTS);
     state.fleet.latencyRatios.halve();
-    for (RequestClass each : state.settings.requestClasses) {
-      each.halveAbove(MAX_SAMPLES);
+    for (RequestClass requestClass : state.settings.requestClasses) {
+      requestClass.halveAbove(MAX_SAMPLES);
     }
-    probesReportLoad |= state.seconds % NO_REPORT_SECONDS == 0;
+    probesReportLoad |= state.seconds() % PROBE_RETRY_SECONDS == 0;
   }
 
+  /** Whether the last successful probe reported a load, as far as known. */
   boolean probesReportLoad() {
     return probesReportLoad;
   }
 
   void probeEnded(Worker worker, ProbeResult result) {
-    LoadReport report = result.load().withInFlightFromQueue(worker.inFlight);
-    workerReported(null, worker, report, false);
-    boolean succeeded = result.outcome() == AttemptOutcome.SUCCEEDED;
-    probesReportLoad = succeeded ? !Double.isNaN(report.inFlight()) : probesReportLoad;
+    LoadReport report = result.load().withInFlightFromQueue(worker.inFlight());
+    workerReported(worker, report);
+    if (result.outcome() == AttemptOutcome.SUCCEEDED) {
+      probesReportLoad = !Double.isNaN(report.inFlight());
+    }
   }
 
   void attemptSucceeded(Request request, AttemptState attempt, Worker worker, Duration duration) {
@@ -71,53 +84,66 @@
     Duration usual = request.hasDurationHint() ? request.durationHint : usualDuration(requestClass);
     double ratio = toSeconds(duration) / toSeconds(usual);
     worker.relativeDurations.add(relative);
-    if (!attempt.replicaLoaded) {
+    if (!attempt.replicaLoaded()) { // the duration includes the load
       return;
     }
     worker.latencyRatios.add(ratio);
     state.fleet.latencyRatios.add(ratio);
-    requestClass.responded(relative, worker.foreignLoad);
+    requestClass.responded(relative, worker.report.foreignLoad());
   }
 
-  /**
-   * Takes in a worker's report; one that rejected an attempt is taken to hold twice what it bears.
-   */
-  void workerReported(
-      RequestClass requestClass, Worker worker, LoadReport report, boolean rejected) {
-    // With few routers much of that is this one's own, as of a while ago: less today's, it is
-    // noise.
-    boolean silent = state.ownShare == 1 || Double.isNaN(report.inFlight());
-    if (silent && report.concurrency() < 0 && !rejected) {
+  /** Records the load that a worker reported with an attempt or a probe. */
+  void workerReported(Worker worker, LoadReport report) {
+    if (!reportsForeignLoad(report) && report.concurrency() < 0) {
       return;
     }
-    double foreign = report.inFlight() - worker.inFlight;
-    double load = silent ? Math.max(report.concurrency(), foreignLoad(worker)) : foreign;
-    load = Math.max(0, rejected ? Math.max(load, 2 * capacity(requestClass)) : load);
-    worker.reported(load, rejected ? 1 : report.cpuUtilization(), state.now);
-    state.fleet.foreignLoads.add(
-        silent ? Math.max(0, report.concurrency()) : load); // or it only grows
+    record(worker, report, reportedForeignLoad(worker, report), report.cpuUtilization());
+  }
+
+  /** Records the load of a worker that rejected an attempt: all cores, and more than it bears. */
+  void workerRejected(RequestClass requestClass, Worker worker, LoadReport report) {
+    double overload = REJECTED_LOAD * capacity(requestClass);
+    record(worker, report, Math.max(reportedForeignLoad(worker, report), overload), 1);
+  }
+
+  private void record(Worker worker, LoadReport report, double load, double cpuUtilization) {
+    double foreignLoad = Math.max(0, load);
+    worker.report.update(foreignLoad, cpuUtilization, state.now());
+    // An estimate is kept out of the fleet's usual load, which would only grow by it.
+    boolean reported = reportsForeignLoad(report);
+    state.fleet.foreignLoads.add(reported ? foreignLoad : Math.max(0, report.concurrency()));
   }
 
-  /** What a further request would meet: this router's requests and what others hold, by latency. */
+  /** With few routers most of what a report counts are this router's own, by now ended requests. */
+  private boolean reportsForeignLoad(LoadReport report) {
+    return state.ownShare < 1 && !Double.isNaN(report.inFlight());
+  }
+
+  private double reportedForeignLoad(Worker worker, LoadReport report) {
+    return reportsForeignLoad(report)
+        ? report.inFlight() - worker.inFlight()
+        : Math.max(report.concurrency(), foreignLoad(worker));
+  }
+
+  /** Requests at a worker with one more, of all routers, weighted by its latency and warm-up. */
   double load(Worker worker) {
-    double requests = worker.inFlight - worker.waitingForLoad + 1 + foreignLoad(worker);
-    return requests * worker.latencyRatio / slowStart.capacityShare(worker);
+    double requests = worker.running() + 1 + foreignLoad(worker);
+    return requests * worker.latencyRatio() / slowStart.capacityShare(worker);
   }
 
-  /**
-   * Other routers' requests at a worker: its last report, which fades to the usual within seconds.
-   */
+  /** Other routers' requests at a worker: its last report, which decays to the usual. */
   double foreignLoad(Worker worker) {
-    if (worker.lastReport == null) {
+    Duration reportedAt = worker.report.reportedAt();
+    if (reportedAt == null) {
       return usualForeignLoad;
     }
-    double fading = Math.pow(0.5, toSeconds(state.now.minus(worker.lastReport)) / REPORT_HALF_LIFE);
-    return usualForeignLoad + (worker.foreignLoad - usualForeignLoad) * fading;
+    double decay = Math.pow(0.5, toSeconds(state.now().minus(reportedAt)) / REPORT_HALF_LIFE);
+    return usualForeignLoad + (worker.report.foreignLoad() - usualForeignLoad) * decay;
   }
 
   /**
-   * What a worker bears of all routers: requests met there by the time they took, times the
-   * objective.
+   * Requests of all routers that a worker bears at a time within the latency objective: by Little's
+   * law those observed there, divided by their mean relative duration.
    */
   double capacity(RequestClass requestClass) {
     Histogram durations = requestClass.relativeDurations;
@@ -127,27 +153,25 @@
     return (durations.total() + requestClass.foreignLoads.sum()) / durations.sum();
   }
 
-  /** Requests of this router at a worker: its measured rate for half an objective, and a few. */
+  /** This router's limit at a worker: its equal part, and half an objective at its present rate. */
   double concurrencyLimit(Worker worker) {
-    Histogram durations = worker.relativeDurations; // blind to loads; holds one to two seconds: 1.5
+    Histogram durations = worker.relativeDurations; // of loads on demand, too
     double usual = durations.total() < 1 ? 0 : durations.quantile(0.5);
-    double most =
-        ownCapacity + durations.total() / 1.5 * toSeconds(state.settings.shortestObjective) / 2;
+    double rate = durations.total() / WINDOW_SECONDS;
+    double max = ownCapacity + rate * toSeconds(state.settings.shortestObjective) / 2;
     double warm = slowStart.capacityShare(worker);
-    double least = Math.max(1, Math.min(MIN_CONCURRENCY, ownCapacity) * warm);
-    return Math.max(least, most * Math.min(warm, FAST_DURATION / usual));
+    double min = Math.max(1, Math.min(MIN_CONCURRENCY, ownCapacity) * warm);
+    return Math.max(min, max * Math.min(warm, FAST_DURATION / usual));
   }
 
-  /**
-   * What a request should take: its hint, stretched as others were, else what is usual for its
-   * class.
-   */
+  /** A request's hint, scaled as other hints proved wrong; without one, what its class takes. */
   Duration expectedDuration(Request request) {
     double ratio = state.fleet.latencyRatios.quantile(0.5);
     boolean hinted = request.hasDurationHint() && !Double.isNaN(ratio);
     return hinted ? scale(request.durationHint, ratio) : usualDuration(request.requestClass);
   }
 
+  /** The median duration of a class's requests. */
   static Duration usualDuration(RequestClass requestClass) {
     Histogram durations = requestClass.relativeDurations;
     double relative = durations.total() == 0 ? DEFAULT_DURATION : durations.quantile(0.5);
--- a/src/main/java/switchgap/policy/OutlierDetector.java
+++ b/src/main/java/switchgap/policy/OutlierDetector.java
@@ -1,19 +1,27 @@
 package switchgap.policy;
 
-import static switchgap.policy.state.Durations.*;
+import static switchgap.policy.state.Durations.SECOND;
+import static switchgap.policy.state.Durations.isShorter;
 
-import switchgap.policy.api.*;
-import switchgap.policy.state.*;
+import switchgap.policy.api.AttemptResult;
+import switchgap.policy.state.Histogram;
+import switchgap.policy.state.PolicyState;
+import switchgap.policy.state.Request;
+import switchgap.policy.state.Worker;
 
-/** Judges workers by their own outcomes against their peers', and ejects outliers for a while. */
+/**
+ * Outlier detection: ejects a worker for a while whose error count exceeds what the fleet's error
+ * rate lets expect, or that surely failed. An ejected worker returns on probation.
+ */
 final class OutlierDetector {
   private static final double MAX_EJECTED_SHARE = 1 / 3.; // of the ready workers
-  private static final double ENOUGH_OUTCOMES = 4; // tell of a worker's health; more: halved
-  private static final int FORGET_SECONDS = 8; // or whoever meets it seldom knows nothing
-  private static final double MAX_FLEET_OUTCOMES = 64; // past it halved
-  private static final double PRIOR_OUTCOMES = 10; // one error in ten where nothing is known
-  private static final double MIN_ERRORS = 2; // and twice the fleet's share: an outlier
-  private static final int MAX_DOUBLINGS = 3; // of the ejection's second: 1, 2, 4, then 8
+  private static final double ENOUGH_OUTCOMES = 4; // of one worker: above it halved each second
+  private static final int HALVING_SECONDS = 8; // fewer outcomes are halved this often
+  private static final double MAX_FLEET_OUTCOMES = 64; // above it halved each second
+  private static final double PRIOR_OUTCOMES = 10; // one of them an error: the fleet's prior
+  private static final double MIN_ERRORS = 2; // an outlier has at least so many
+  private static final double ERROR_RATE_FACTOR = 2; // and so many times the fleet's error rate
+  private static final int MAX_DOUBLINGS = 3; // of an ejection's second: 1, 2, 4, then 8 s
 
   private final PolicyState state;
 
@@ -22,85 +30,94 @@
   }
 
   void everySecond() {
+    boolean halvesFew = state.seconds() % HALVING_SECONDS == 0;
     for (Worker worker : state.workers) {
-      boolean enough = worker.errors.total() > ENOUGH_OUTCOMES;
-      if (enough || state.seconds % FORGET_SECONDS == 0) {
+      if (halvesFew || worker.errors.total() > ENOUGH_OUTCOMES) {
         worker.halveHealth();
       }
     }
     state.fleet.errors.halveAbove(MAX_FLEET_OUTCOMES);
   }
 
-  /** Takes in how an attempt ended; what proves nothing of the worker is left out. */
+  /** Records how an attempt ended; outcomes that prove nothing of the worker are not counted. */
   void attemptEnded(Request request, Worker worker, AttemptResult result) {
     switch (result.outcome()) {
       case SUCCEEDED -> attemptSucceeded(request, worker);
       case FAILED -> attemptFailed(request, worker);
-      case CONNECTION_LOST -> failed(worker, false);
-      case CONNECT_FAILED -> failed(worker, true);
-      case TIMED_OUT -> { // a hung worker answers nothing; where responses get lost, others of it
-        // come
-        boolean slow = !isShorter(result.duration(), request.requestClass.latencyObjective);
-        boolean silent = isShorter(worker.lastResponse, state.now.minus(result.duration()));
-        if (slow && silent) {
-          failed(worker, false);
+      case CONNECTION_LOST -> failed(worker);
+      case CONNECT_FAILED -> failedSurely(worker);
+      case TIMED_OUT -> {
+        if (provesHang(request, worker, result)) {
+          failed(worker);
         }
       }
       default -> {}
     }
   }
 
-  /**
-   * Of a function never loaded anywhere an error may be the request's own, until it succeeds
-   * elsewhere.
-   */
+  /** A hung worker answers nothing; where single responses are lost, others arrive meanwhile. */
+  private boolean provesHang(Request request, Worker worker, AttemptResult result) {
+    boolean slow = !isShorter(result.duration(), request.requestClass.latencyObjective);
+    return slow && isShorter(worker.lastResponse(), state.now().minus(result.duration()));
+  }
+
+  /** While a function was never loaded, an error may be the request's own fault. */
   private void attemptFailed(Request request, Worker worker) {
-    boolean itsOwn = request.function.everLoaded;
-    request.suspectWorker = itsOwn ? request.suspectWorker : worker;
-    if (itsOwn) {
-      failed(worker, false);
+    if (request.function.everLoaded()) {
+      failed(worker);
+    } else {
+      request.suspect(worker);
     }
   }
 
   private void attemptSucceeded(Request request, Worker worker) {
-    worker.errors.add(0);
+    worker.attemptSucceeded();
     state.fleet.errors.add(0);
-    worker.ejectionCount = worker.onProbation ? 0 : worker.ejectionCount;
-    worker.onProbation = false;
-    if (request.suspectWorker != null) {
-      failed(request.suspectWorker, false);
+    Worker suspect = request.takeSuspect();
+    if (suspect != null) { // the request is sound, so the worker was at fault
+      failed(suspect);
     }
-    request.suspectWorker = null;
   }
 
-  /** A worker erred; {@code surely} where no other cause is possible. */
-  void failed(Worker worker, boolean surely) {
-    worker.errors.add(1);
-    state.fleet.errors.add(1);
+  /** Counts an error that may have another cause; ejects the worker if it is an outlier by now. */
+  private void failed(Worker worker) {
+    countError(worker);
     Histogram fleet = state.fleet.errors;
-    double fleetShare = (fleet.countFrom(1) + 1) / (fleet.total() + PRIOR_OUTCOMES);
-    double expected = Math.max(MIN_ERRORS, 2 * fleetShare * worker.errors.total());
-    if (surely || worker.onProbation || worker.errors.countFrom(1) >= expected) {
+    double fleetRate = (fleet.countFrom(1) + 1) / (fleet.total() + PRIOR_OUTCOMES);
+    double allowed = Math.max(MIN_ERRORS, ERROR_RATE_FACTOR * fleetRate * worker.errors.total());
+    if (worker.ejection.isOnProbation() || worker.errors.countFrom(1) >= allowed) {
       eject(worker);
     }
   }
 
-  /** Ejects a worker for a while, longer each time, as long as not too many are ejected already. */
+  /** Counts an error that has no other cause than the worker, and ejects it. */
+  void failedSurely(Worker worker) {
+    countError(worker);
+    eject(worker);
+  }
+
+  private void countError(Worker worker) {
+    worker.errors.add(1);
+    state.fleet.errors.add(1);
+  }
+
+  /** Ejects a worker, longer each time, unless too many are ejected already. */
   private void eject(Worker worker) {
     int ejected = 1;
     for (Worker other : state.workers) {
       ejected += other.isReady() && isEjected(other) ? 1 : 0;
     }
-    if (isEjected(worker) || ejected > state.readyWorkers * MAX_EJECTED_SHARE) {
+    if (isEjected(worker) || ejected > state.readyWorkers() * MAX_EJECTED_SHARE) {
       return;
     }
-    int doublings = Math.min(MAX_DOUBLINGS, worker.ejectionCount++);
-    worker.eject(state.now.plus(SECOND.multipliedBy(1L << doublings)));
+    int doublings = Math.min(MAX_DOUBLINGS, worker.ejection.count());
+    worker.eject(state.now().plus(SECOND.multipliedBy(1L << doublings)));
   }
 
-  /** Whether a worker gets nothing now: ejected, or back with one attempt that has yet to end. */
+  /** Whether a worker gets nothing now: ejected, or on probation with an attempt in flight. */
   boolean isEjected(Worker worker) {
-    return worker.ejectedUntil != null
-        && (!state.hasPassed(worker.ejectedUntil) || worker.onProbation && worker.inFlight > 0);
+    return worker.ejection.until() != null
+        && (!state.hasPassed(worker.ejection.until())
+            || worker.ejection.isOnProbation() && worker.inFlight() > 0);
   }
 }
--- a/src/main/java/switchgap/policy/ReplicaLoader.java
+++ b/src/main/java/switchgap/policy/ReplicaLoader.java
@@ -1,23 +1,28 @@
 package switchgap.policy;
 
-import static switchgap.policy.state.Durations.*;
+import static switchgap.policy.state.Durations.SECOND;
+import static switchgap.policy.state.Durations.isShorter;
 
 import java.time.Duration;
-import switchgap.policy.api.*;
-import switchgap.policy.state.*;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.LoadCommandResult;
+import switchgap.policy.state.Function;
+import switchgap.policy.state.PolicyState;
+import switchgap.policy.state.Replica;
+import switchgap.policy.state.Worker;
 
 /**
- * Rule 5: commands replicas to be loaded, within the load quota and the pace of the store they come
- * from.
+ * Rule 5: sends load commands, within the load quota and within the pace of the store that replicas
+ * come from. The limit of commands in flight follows additive increase, multiplicative decrease.
  */
 final class ReplicaLoader {
-  private static final int QUICK_LOADS =
-      3; // in a replica idle timeout; a slower load halves the pace
+  private static final int QUICK_LOADS = 3; // in an idle timeout; a slower load halves the limit
+  private static final int MAX_FAILED_LOADS = 1; // of a function never loaded, in quick succession
 
   private final PolicyState state;
   private final OutlierDetector outliers;
   private int pendingLoads;
-  private double maxPendingLoads; // 0 before the first list; additive increase, halved on failure
+  private double maxPendingLoads; // 0 before the first endpoint list
 
   ReplicaLoader(PolicyState state, OutlierDetector outliers) {
     this.state = state;
@@ -25,135 +30,130 @@
   }
 
   void endpointListEnded() {
-    double fairPace = 1 + (double) state.readyWorkers / state.settings.routerCount;
-    maxPendingLoads = maxPendingLoads == 0 ? fairPace : maxPendingLoads;
+    double fairShare = 1 + (double) state.readyWorkers() / state.settings.routerCount;
+    maxPendingLoads = maxPendingLoads == 0 ? fairShare : maxPendingLoads;
   }
 
-  /** Commands a load if that is allowed now, and tells whether it did. */
+  /** Sends a load command if one is allowed now; returns whether it did. */
   boolean load(Function function, Worker worker) {
     Replica replica = function.replicaAt(worker);
-    boolean failsEverywhere =
-        !function.everLoaded
-            && function.failedLoads > 1
-            && state.isWithin(SECOND, function.lastLoadFailure);
-    if (!state.settings.loadCommandsAllowed
-        || !worker.isReady()
-        || outliers.isEjected(worker)
-        || replica.loadPending
-        || wasRefusedLately(replica)
-        || failsEverywhere
-        || pendingLoads >= Math.max(1, maxPendingLoads)
-        || isQuotaUsedUp()) {
+    boolean available = worker.isReady() && !outliers.isEjected(worker);
+    if (!state.settings.loadCommandsAllowed || !available || failsEverywhere(function)) {
       return false;
     }
-    state.loadQuota.commandStarted(state.now);
-    replica.loadStarted(state.now);
+    if (replica.isLoadPending() || wasRejectedLately(replica)) {
+      return false;
+    }
+    if (pendingLoads >= Math.max(1, maxPendingLoads) || isQuotaUsedUp()) {
+      return false;
+    }
+    state.loadQuota.commandStarted(state.now());
+    replica.loadStarted(state.now());
     pendingLoads++;
     function.commandStarted(worker);
-    state.actions.load(worker.id, function.id);
+    state.actions().load(worker.id, function.id);
     return true;
   }
 
+  /** Whether a function that nobody may have at all failed to load more than once just now. */
+  private boolean failsEverywhere(Function function) {
+    return !function.everLoaded()
+        && function.failedLoads() > MAX_FAILED_LOADS
+        && state.isWithin(SECOND, function.lastLoadFailure());
+  }
+
   private boolean isQuotaUsedUp() {
-    double earned = state.settings.loadQuotaPerRequest * state.loadQuota.requests(state.now);
+    double earned = state.settings.loadQuotaPerRequest * state.loadQuota.requests(state.now());
     return state.settings.hasLoadQuota
-        && state.loadQuota.commands(state.now) + 1 > state.settings.loadQuotaBase + earned;
+        && state.loadQuota.commands(state.now()) + 1 > state.settings.loadQuotaBase + earned;
   }
 
-  /** No memory a moment ago, or it drains and the list is late: the next in order is asked. */
-  private boolean wasRefusedLately(Replica replica) {
-    return replica.loadRefusedAt != null && state.isWithin(SECOND, replica.loadRefusedAt);
+  /** Whether the worker has no memory, or drains and the endpoint list does not say so yet. */
+  private boolean wasRejectedLately(Replica replica) {
+    return replica.loadRejectedAt() != null && state.isWithin(SECOND, replica.loadRejectedAt());
   }
 
   /**
-   * Loads the first of the target replicas that is missing; with many routers it is asked for
-   * first.
+   * Loads the first target replica that is missing. Where routers are many it is queried first, as
+   * another may have loaded it: a query uses none of the quota.
    */
   void loadFirstMissing(Function function) {
+    boolean queries = state.ownShare < 1 && state.settings.loadCommandsAllowed;
     int visited = 0;
     for (Worker worker : state.hashOrder(function)) {
       Replica replica = function.replicaAt(worker);
-      if (outliers.isEjected(worker) || wasRefusedLately(replica)) {
+      if (outliers.isEjected(worker) || wasRejectedLately(replica)) {
         continue;
       }
-      if (visited++ >= function.targetReplicas) {
+      if (visited++ >= function.targetReplicas()) {
         return;
       }
-      boolean unknown = state.replicaState(function, worker) == Replica.State.UNKNOWN;
-      boolean queries = state.ownShare < 1 && state.settings.loadCommandsAllowed;
-      if (queries && unknown && !replica.queryPending) {
-        replica.queryPending = true; // takes nothing of the quota
+      Replica.State believed = state.replicaState(function, worker);
+      if (replica.isQueryPending() || believed == Replica.State.LOADED) {
+        continue;
+      }
+      if (queries && believed == Replica.State.UNKNOWN) {
+        replica.queryStarted();
         function.commandStarted(worker);
-        state.actions.queryReplicas(worker.id, function.id);
+        state.actions().queryReplicas(worker.id, function.id);
         return;
       }
-      boolean missing = !replica.queryPending && replica.state != Replica.State.LOADED;
-      if (missing && load(function, worker)) {
+      if (load(function, worker)) {
         return;
       }
     }
   }
 
-  /**
-   * Has a loaded replica kept: what is believed of it stays, as with a query, until that is
-   * answered.
-   */
+  /** Commands a load of a loaded replica, so that the worker's idle timeout begins anew. */
   void renew(Function function, Worker worker) {
-    function.replicaAt(worker).queryPending = true;
+    function.replicaAt(worker).queryStarted();
     function.commandStarted(worker);
-    state.actions.load(worker.id, function.id);
+    state.actions().load(worker.id, function.id);
   }
 
+  /** Learns from an attempt whether its worker has the replica; loads it if not. */
   void attemptEnded(Function function, Worker worker, AttemptOutcome outcome) {
-    Replica replica = function.replicaAt(worker);
     if (outcome == AttemptOutcome.SUCCEEDED) {
-      function.attemptSucceeded(worker, state.now);
+      function.attemptSucceeded(worker, state.now());
     } else if (outcome == AttemptOutcome.NOT_LOADED) {
-      if (replica.state != Replica.State.LOADING) {
-        replica.state = Replica.State.ABSENT;
-      }
+      function.replicaAt(worker).reportedAbsent();
       load(function, worker);
     }
   }
 
+  /** A load command, query or renewal ended; a query's end comes before that of a later load. */
   void loadCommandEnded(Function function, Worker worker, LoadCommandResult result) {
     AttemptOutcome outcome = result.outcome();
+    int loaded = result.loadedReplicas();
+    boolean rejected = loaded == 0 && outcome == AttemptOutcome.REJECTED;
     Replica replica = function.replicaAt(worker);
     function.commandEnded(worker);
-    boolean query = replica.queryPending; // its answer comes first: it went out before any load
-    replica.queryPending = false;
-    replica.lastUsed = state.now;
-    boolean refused = result.loadedReplicas() == 0 && outcome == AttemptOutcome.REJECTED;
-    if (replica.state == (query ? Replica.State.UNKNOWN : Replica.State.LOADING)
-        || query && refused) {
-      replica.state = result.loadedReplicas() > 0 ? Replica.State.LOADED : Replica.State.ABSENT;
-    }
-    if (query) {
+    if (replica.isQueryPending()) {
+      replica.queryEnded(loaded, rejected, state.now());
       return;
     }
-    replica.loadPending = false; // whatever is believed by now: or it stays counted for ever
-    replica.loadRefusedAt = refused ? state.now : null;
-    learnPace(function, result);
-    boolean lost =
-        outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.CONNECTION_LOST;
-    if (lost) {
-      outliers.failed(worker, true);
+    replica.loadEnded(loaded, rejected, state.now());
+    adaptPace(function, result);
+    if (outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.CONNECTION_LOST) {
+      outliers.failedSurely(worker);
     }
   }
 
-  /** Of what was never loaded a failure may be nobody's, and is no sign of the store. */
-  private void learnPace(Function function, LoadCommandResult result) {
+  /** A function never loaded may not exist: its failures say nothing of the store's pace. */
+  private void adaptPace(Function function, LoadCommandResult result) {
     pendingLoads--;
-    function.everLoaded |= result.loadedReplicas() > 0;
-    boolean nobodys = result.outcome() == AttemptOutcome.FAILED && !function.everLoaded;
-    if (nobodys) {
-      function.loadFailed(state.now);
+    if (result.loadedReplicas() > 0) {
+      function.loaded();
+    }
+    if (result.outcome() == AttemptOutcome.FAILED && !function.everLoaded()) {
+      function.loadFailed(state.now());
+      return;
     }
     Duration slow = state.settings.replicaIdleTimeout.dividedBy(QUICK_LOADS);
     boolean quick = isShorter(result.duration(), slow);
     if (result.outcome() == AttemptOutcome.SUCCEEDED && quick) {
       maxPendingLoads += 1 / maxPendingLoads;
-    } else if (!nobodys) {
+    } else {
       maxPendingLoads = Math.max(1, maxPendingLoads / 2);
     }
   }
--- a/src/main/java/switchgap/policy/ReplicaScaler.java
+++ b/src/main/java/switchgap/policy/ReplicaScaler.java
@@ -1,158 +1,178 @@
 package switchgap.policy;
 
-import static switchgap.policy.state.Durations.*;
+import static switchgap.policy.state.Durations.scale;
 
 import java.time.Duration;
-import switchgap.policy.state.*;
+import switchgap.policy.state.Function;
+import switchgap.policy.state.PolicyState;
+import switchgap.policy.state.Replica;
+import switchgap.policy.state.Worker;
 
 /**
- * Sets functions' target replica counts: up past the load mark, down some time below the unload
- * mark.
+ * Sets functions' target replica counts once a second: up above the load threshold, down after an
+ * idle timeout below the unload threshold. Between the two the target stays as it is.
  */
 final class ReplicaScaler {
-  private static final double LOAD_MARK = 0.25; // mean concurrency a slot at arrival: above it up
-  private static final double UNLOAD_MARK = 0.15; // ... and below it down
-  private static final double MAX_COUNTED_SLOTS = 2; // more than cores only share the cores
-  private static final double ENOUGH_REPORTS = 4; // tell of the concurrency; more: halved
+  private static final double LOAD_THRESHOLD = 0.25; // mean concurrency for each slot, on arrival
+  private static final double UNLOAD_THRESHOLD = 0.15;
+  private static final double MAX_COUNTED_SLOTS = 2; // further slots share the same cores
+  private static final double MIN_REPORTS = 2; // below it the concurrency is not known
+  private static final double MIN_REPORTS_OF_FEW = 0.5; // ... where this router sees few requests
+  private static final double ENOUGH_REPORTS = 4; // above it halved each second in any case
   private static final double MAX_REPLICA_SHARE = 0.5; // of the ready workers
   private static final double MAX_MEMORY_SHARE = 0.5; // of the ready workers' memory
-  private static final int SATURATED_ONE_IN = 4; // arrivals that met only saturated replicas: up
-  private static final double TIMEOUTS_KEPT = 4; // idle: so long the one replica is kept
-  private static final double TIMEOUTS_KNOWN = 2; // idle: so long any other function is known
-  private static final double RENEWAL_AGE = 0.6; // of an idle timeout: then a replica is kept anew
+  private static final int SATURATED_ONE_IN = 4; // arrivals: so many saturated ones scale up
+  private static final int MIN_REQUESTS_KEPT = 2; // of a function whose last replica is kept
+  private static final double TIMEOUTS_KEPT = 4; // idle timeouts for which that replica is kept
+  private static final double TIMEOUTS_KNOWN = 2; // idle timeouts until another is released
+  private static final double RENEWAL_AGE = 0.6; // of an idle timeout, when a kept one is renewed
 
   private final PolicyState state;
   private final OutlierDetector outliers;
   private final ReplicaLoader loader;
   private final Duration idleTimeout;
-  private final boolean unloads; // only where idle memory is priced; else replicas expire
-  private final boolean
-      keepsReplica; // only where that costs little: no quota, no price, few routers
-  private double plannedMemoryMb; // what the replicas at their targets take
-  private double keptMemoryMb; // of functions idle for a timeout whose replica is kept
+  private final boolean unloads; // only where idle memory has a price; otherwise replicas expire
+  private final boolean keepsReplica; // only where cheap: no quota, no memory price, few routers
+  private double plannedMemoryMb; // of all target replicas of active functions
+  private double keptMemoryMb; // of the kept replicas of idle functions
 
   ReplicaScaler(PolicyState state, OutlierDetector outliers, ReplicaLoader loader) {
     this.state = state;
     this.outliers = outliers;
     this.loader = loader;
     idleTimeout = state.settings.replicaIdleTimeout;
+    boolean commands = state.settings.loadCommandsAllowed;
     boolean priced = state.settings.idleMemoryPrice > 0;
-    unloads = priced && state.settings.loadCommandsAllowed;
-    keepsReplica =
-        state.settings.loadCommandsAllowed
-            && state.settings.idleMemoryPrice == 0
-            && !state.settings.hasLoadQuota
-            && state.ownShare == 1;
+    unloads = commands && priced;
+    keepsReplica = commands && !priced && !state.settings.hasLoadQuota && state.ownShare == 1;
   }
 
-  /**
-   * Concurrency met at a replica, as the sum over all target replicas: it stays true as they
-   * change.
-   */
-  void concurrencyMet(Function function, int concurrency) {
-    double slots = Math.min(function.slots, MAX_COUNTED_SLOTS);
+  /** Records the concurrency reported at one replica as the sum over all target replicas. */
+  void concurrencyReported(Function function, int concurrency) {
+    double slots = Math.min(function.slots(), MAX_COUNTED_SLOTS);
     if (concurrency >= 0) {
-      function.concurrency.add(concurrency / slots * function.targetReplicas);
+      function.concurrency.add(concurrency / slots * function.targetReplicas());
     }
   }
 
+  /** Whether one more replica of a function fits the memory that replicas may take. */
   boolean fitsMemory(Function function) {
-    return plannedMemoryMb + function.memoryMb <= MAX_MEMORY_SHARE * state.readyMemoryMb;
+    return plannedMemoryMb + function.memoryMb() <= MAX_MEMORY_SHARE * state.readyMemoryMb();
   }
 
   void everySecond() {
-    plannedMemoryMb = 0;
-    keptMemoryMb = 0;
-    for (Function function : state.functions) {
-      boolean active = state.isWithin(idleTimeout, function.lastRequest);
-      plannedMemoryMb += active ? function.targetReplicas * function.memoryMb : 0;
-      keptMemoryMb += active || function.totalRequests < 2 ? 0 : function.memoryMb;
-    }
-    int maxReplicas = (int) Math.max(1, Math.ceil(state.readyWorkers * MAX_REPLICA_SHARE));
+    planMemory();
+    int maxReplicas = (int) Math.max(1, Math.ceil(state.readyWorkers() * MAX_REPLICA_SHARE));
     for (Function function : state.functions) {
       rescale(function, maxReplicas);
-      if (keepsReplica) {
+      boolean keeps = keepsReplica && function.totalRequests() >= MIN_REQUESTS_KEPT;
+      if (keeps) {
         keepOneReplica(function);
       }
-      double timeouts = keepsReplica && function.totalRequests > 1 ? TIMEOUTS_KEPT : TIMEOUTS_KNOWN;
-      boolean known = state.isWithin(scale(idleTimeout, timeouts), function.lastRequest);
-      if (!known && function.isIdle()) {
+      Duration known = scale(idleTimeout, keeps ? TIMEOUTS_KEPT : TIMEOUTS_KNOWN);
+      if (!state.isWithin(known, function.lastRequest()) && function.isIdle()) {
         state.release(function);
       }
     }
   }
 
+  private void planMemory() {
+    plannedMemoryMb = 0;
+    keptMemoryMb = 0;
+    for (Function function : state.functions) {
+      if (state.isWithin(idleTimeout, function.lastRequest())) {
+        plannedMemoryMb += function.targetReplicas() * function.memoryMb();
+      } else if (function.totalRequests() >= MIN_REQUESTS_KEPT) {
+        keptMemoryMb += function.memoryMb();
+      }
+    }
+  }
+
   private void rescale(Function function, int maxReplicas) {
-    double reports = function.concurrency.total();
-    double mean = function.concurrency.sum() / (reports + 1 - state.ownShare);
-    double concurrency = reports >= 0.5 ? mean / function.targetReplicas : 0;
-    boolean reported = reports >= (state.ownShare < 1 ? 0.5 : 2);
-    boolean saturated =
-        function.saturatedArrivals > 0
-            && function.saturatedArrivals * SATURATED_ONE_IN >= function.recentArrivals;
-    boolean overloaded = reported && concurrency > LOAD_MARK || saturated;
-    if (overloaded || concurrency > UNLOAD_MARK) {
-      function.lastBusy = state.now;
+    double concurrency = meanConcurrency(function);
+    boolean overloaded = isOverloaded(function, concurrency);
+    if (overloaded || concurrency > UNLOAD_THRESHOLD) {
+      function.busy(state.now());
     }
-    if (overloaded && function.targetReplicas < maxReplicas && fitsMemory(function)) {
-      double wanted = Math.min(maxReplicas, function.targetReplicas * concurrency / LOAD_MARK);
-      // One replica more, or where routers are many the whole way at once.
-      int steps = (int) Math.max(1, (wanted - function.targetReplicas) * (1 - state.ownShare));
-      function.targetReplicas += steps;
-      plannedMemoryMb += steps * function.memoryMb;
-    } else if (function.targetReplicas > 1 && !state.isWithin(idleTimeout, function.lastBusy)) {
+    if (overloaded && function.targetReplicas() < maxReplicas && fitsMemory(function)) {
+      scaleUp(function, concurrency, maxReplicas);
+    } else if (function.targetReplicas() > 1 && !state.isWithin(idleTimeout, function.lastBusy())) {
       scaleDown(function);
     }
-    function.targetReplicas = Math.min(function.targetReplicas, Math.max(1, maxReplicas));
-    // Where routers are many and loads not on demand, a request that finds no replica tells of it.
-    boolean loadsAhead =
-        state.settings.loadsOnDemand ? function.targetReplicas > 1 : state.ownShare >= 1;
-    if (function.recentArrivals > 0 && loadsAhead) {
-      loader.loadFirstMissing(function);
-    }
-    // Who hears of a function once in some seconds keeps what it heard for as long as replicas
-    // live.
-    boolean unused =
-        function.recentArrivals == 0 && !state.isWithin(idleTimeout, function.lastRequest);
-    if (state.ownShare == 1 || reports > ENOUGH_REPORTS || unused) {
-      function.concurrency.halve();
-    }
-    function.recentArrivals = 0;
-    function.saturatedArrivals = 0;
+    function.limitTarget(maxReplicas);
+    loadAhead(function);
+    ageReports(function);
+    function.restartArrivalCounts();
+  }
+
+  /** Concurrency for each slot of a target replica; 0 without reports. */
+  private double meanConcurrency(Function function) {
+    double reports = function.concurrency.total();
+    double mean = function.concurrency.sum() / (reports + 1 - state.ownShare);
+    return reports >= MIN_REPORTS_OF_FEW ? mean / function.targetReplicas() : 0;
+  }
+
+  private boolean isOverloaded(Function function, double concurrency) {
+    double minReports = state.ownShare < 1 ? MIN_REPORTS_OF_FEW : MIN_REPORTS;
+    boolean reported = function.concurrency.total() >= minReports;
+    int saturated = function.saturatedArrivals();
+    return reported && concurrency > LOAD_THRESHOLD
+        || saturated > 0 && saturated * SATURATED_ONE_IN >= function.recentArrivals();
+  }
+
+  /** Adds one replica or, the more routers there are, nearly all that the concurrency asks for. */
+  private void scaleUp(Function function, double concurrency, int maxReplicas) {
+    int target = function.targetReplicas();
+    double wanted = Math.min(maxReplicas, target * concurrency / LOAD_THRESHOLD);
+    int steps = (int) Math.max(1, (wanted - target) * (1 - state.ownShare));
+    function.scaleUp(steps);
+    plannedMemoryMb += steps * function.memoryMb();
   }
 
   private void scaleDown(Function function) {
-    function.targetReplicas--;
-    plannedMemoryMb -= function.memoryMb;
-    function.lastBusy = state.now;
+    function.scaleDown(state.now());
+    plannedMemoryMb -= function.memoryMb();
     Worker[] order = state.hashOrder(function);
-    if (!unloads || function.targetReplicas >= order.length) {
+    if (!unloads || function.targetReplicas() >= order.length) {
       return;
     }
-    Worker last = order[function.targetReplicas];
-    boolean commanded = function.replicaAt(last).unloadStarted(last.isReady());
-    if (commanded) {
-      state.actions.unload(last.id, function.id);
+    Worker last = order[function.targetReplicas()];
+    if (function.replicaAt(last).unloadStarted(last.isReady())) {
+      state.actions().unload(last.id, function.id);
+    }
+  }
+
+  /** Loads a missing target replica, unless a request that finds none will cause the load. */
+  private void loadAhead(Function function) {
+    boolean loadsAhead =
+        state.settings.loadsOnDemand ? function.targetReplicas() > 1 : state.ownShare >= 1;
+    if (function.recentArrivals() > 0 && loadsAhead) {
+      loader.loadFirstMissing(function);
+    }
+  }
+
+  /** Halves the reports; the few that one of many routers gets last until the function is idle. */
+  private void ageReports(Function function) {
+    boolean unused =
+        function.recentArrivals() == 0 && !state.isWithin(idleTimeout, function.lastRequest());
+    if (state.ownShare == 1 || function.concurrency.total() > ENOUGH_REPORTS || unused) {
+      function.concurrency.halve();
     }
   }
 
-  /**
-   * The first replica stays for some idle timeouts after the last request: its idle time begins
-   * anew.
-   */
+  /** Renews the first replica of an idle function before its idle timeout, if the memory allows. */
   private void keepOneReplica(Function function) {
-    boolean fits = plannedMemoryMb + keptMemoryMb <= MAX_MEMORY_SHARE * state.readyMemoryMb;
-    if (function.totalRequests < 2 || !fits) {
+    if (plannedMemoryMb + keptMemoryMb > MAX_MEMORY_SHARE * state.readyMemoryMb()) {
       return;
-    } // of one-off functions no replica is kept
+    }
     for (Worker worker : state.hashOrder(function)) {
       if (outliers.isEjected(worker)) {
         continue;
       }
-      Replica replica = function.replicaAt(worker);
       boolean loaded = state.replicaState(function, worker) == Replica.State.LOADED;
-      boolean old = loaded && !state.isWithin(scale(idleTimeout, RENEWAL_AGE), replica.lastUsed);
-      if (old && !replica.queryPending) {
+      Replica replica = function.replicaAt(worker);
+      Duration renewalAge = scale(idleTimeout, RENEWAL_AGE);
+      if (loaded && !replica.isQueryPending() && !state.isWithin(renewalAge, replica.lastUsed())) {
         loader.renew(function, worker);
       }
       return;
--- /dev/null
+++ b/src/main/java/switchgap/policy/RequestQueue.java
@@ -0,0 +1,109 @@
+package switchgap.policy;
+
+import static switchgap.policy.state.Durations.isShorter;
+import static switchgap.policy.state.Durations.min;
+import static switchgap.policy.state.Durations.toSeconds;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import switchgap.policy.state.CandidateSurvey;
+import switchgap.policy.state.PolicyState;
+import switchgap.policy.state.Request;
+import switchgap.policy.state.RequestClass;
+import switchgap.policy.state.Worker;
+
+/**
+ * Holds the requests that could not be sent. Each is tried again at every step, the most valuable
+ * first, and rejected as soon as it cannot be worth its place.
+ */
+final class RequestQueue {
+  private static final double MIN_LENGTH = 2; // requests that may wait for one worker
+
+  private final PolicyState state;
+  private final CandidateSelector selector;
+  private final RequestRouter router;
+  private final RetryPolicy retries;
+  private final List<Request> queue = new ArrayList<>();
+
+  RequestQueue(
+      PolicyState state, CandidateSelector selector, RequestRouter router, RetryPolicy retries) {
+    this.state = state;
+    this.selector = selector;
+    this.router = router;
+    this.retries = retries;
+  }
+
+  /** Sends a request now or queues it. */
+  void sendOrQueue(Request request) {
+    if (!router.send(request, selector.survey(request))) {
+      request.queued();
+      queue.add(request);
+    }
+  }
+
+  /** When the queue is due again, or {@code latest} if that is earlier. */
+  Duration nextStep(Duration latest) {
+    return queue.isEmpty() ? latest : min(state.now().plus(router.queueStep()), latest);
+  }
+
+  /** Tries each queued request again, by descending weight, then by age. */
+  void sendQueued() {
+    if (queue.isEmpty()) {
+      return;
+    }
+    List<Request> waiting = new ArrayList<>(queue);
+    waiting.sort(
+        Comparator.comparingDouble((Request request) -> -request.weightAt(state.now()))
+            .thenComparing(request -> request.arrivedAt));
+    queue.clear();
+    for (Request request : waiting) {
+      if (request.isQueued()) {
+        retry(request);
+      }
+    }
+    state.workers.forEach(Worker::queuePlaced);
+  }
+
+  private void retry(Request request) {
+    if (request.isWaitingForProbes(state.now())) {
+      queue.add(request);
+      return;
+    }
+    CandidateSurvey survey = selector.survey(request);
+    if (router.send(request, survey)) {
+      request.dequeued();
+    } else if (mayWait(request, survey)) {
+      queue.add(request);
+    } else {
+      retries.giveUp(request);
+    }
+  }
+
+  /**
+   * Whether a request may go on waiting; counts it in the queue of the worker that it waits for.
+   */
+  private boolean mayWait(Request request, CandidateSurvey survey) {
+    boolean queueFull = survey.anyLoaded() && isQueueFull(request, survey.first());
+    RequestClass requestClass = request.requestClass;
+    Duration usual = LoadEstimator.usualDuration(requestClass);
+    Duration latency = state.now().minus(request.arrivedAt).plus(usual);
+    boolean late = !isShorter(latency, requestClass.latencyObjective);
+    boolean loading = !survey.anyLoaded() && survey.anyLoading();
+    return !queueFull
+        && (loading || !late)
+        && !request.hasUsedUp(state.settings.maxAttempts)
+        && retries.endsInTime(request, usual);
+  }
+
+  /**
+   * Adds a request to a worker's queue, which holds what the worker serves in half an objective.
+   */
+  private boolean isQueueFull(Request request, Worker worker) {
+    RequestClass requestClass = request.requestClass;
+    double rate = worker.relativeDurations.total() / 2;
+    double length = Math.max(MIN_LENGTH, rate * toSeconds(requestClass.latencyObjective) / 2);
+    return worker.enqueue() >= length * request.weight() / requestClass.priorityWeight;
+  }
+}
--- a/src/main/java/switchgap/policy/RetryPolicy.java
+++ b/src/main/java/switchgap/policy/RetryPolicy.java
@@ -1,13 +1,17 @@
 package switchgap.policy;
 
-import static switchgap.policy.state.Durations.*;
+import static switchgap.policy.state.Durations.isShorter;
+import static switchgap.policy.state.Durations.min;
+import static switchgap.policy.state.Durations.scale;
 
 import java.time.Duration;
-import switchgap.policy.state.*;
+import switchgap.policy.state.PolicyState;
+import switchgap.policy.state.Request;
+import switchgap.policy.state.Worker;
 
 /**
- * Rules 1 to 4: whether a request may be attempted, retried or hedged, and the response when given
- * up.
+ * Rules 1 to 4: whether a request may be attempted, retried or hedged, and its final response when
+ * no attempt is left.
  */
 final class RetryPolicy {
   private final PolicyState state;
@@ -18,54 +22,52 @@
     this.slowStart = slowStart;
   }
 
-  /** Whether this request may be sent to this worker now. */
+  /** Whether a request may be sent to a worker now. */
   boolean mayAttempt(Request request, Worker worker) {
     boolean hedgeable = state.settings.hedgingAllowed && request.isRepeatable();
-    if (request.closed
+    if (request.isClosed()
         || !worker.isReady()
         || request.hasUsedUp(state.settings.maxAttempts)
-        || request.inFlight > 0 && !hedgeable
+        || request.inFlight() > 0 && !hedgeable
         || !endsInTime(request, Duration.ZERO)) {
       return false;
     }
-    return (request.neverExecuted() || isDeduplicated(request, worker)) && slowStart.admits(worker);
+    return (request.neverExecuted() || isRepeatableAt(request, worker)) && slowStart.admits(worker);
   }
 
-  /** Whether a repeat is harmless at this worker, or would be dropped there. */
-  private boolean isDeduplicated(Request request, Worker worker) {
+  /** Whether a repeat does no harm at a worker, or is dropped there by its idempotency key. */
+  private boolean isRepeatableAt(Request request, Worker worker) {
     Duration window = request.requestClass.deduplicationWindow.minus(state.deadlineMargin);
-    boolean dropped = state.isWithin(window, request.firstSentAt) && request.isInScope(worker);
+    boolean dropped = state.isWithin(window, request.firstSentAt()) && request.isInScope(worker);
     return request.isIdempotent() || request.isRepeatable() && dropped;
   }
 
-  /** Whether a further attempt is worth looking for, now that none is in flight. */
+  /** Whether a request without an attempt in flight may wait for another one. */
   boolean mayRetry(Request request) {
     return !request.hasUsedUp(state.settings.maxAttempts)
-        && (request.possibleExecutions == 0 || request.isRepeatable())
+        && (request.neverExecuted() || request.isRepeatable())
         && endsInTime(request, LoadEstimator.usualDuration(request.requestClass));
   }
 
   /** Whether an attempt of this duration would end before the request's deadline. */
   boolean endsInTime(Request request, Duration duration) {
-    return isShorter(state.now.plus(duration).plus(state.deadlineMargin), request.deadline);
+    return isShorter(state.now().plus(duration).plus(state.deadlineMargin), request.deadline);
   }
 
-  /** The one final response, at once; a rejection only where a repeat is harmless. */
+  /** Sends the final response at once: a rejection if a repeat does no harm, else a failure. */
   void giveUp(Request request) {
-    if (request.closed) {
+    if (request.isClosed()) {
       return;
     }
-    boolean harmless = request.neverExecuted() || request.isRepeatableAnywhere();
-    Duration delay = state.settings.maxRetryAfter;
-    if (delay != null) { // no longer than the shortest objective, and spread by chance
-      delay = min(delay, state.settings.shortestObjective);
-      delay = scale(delay, 0.5 + state.random.nextDouble() / 2);
+    Duration retryAfter = state.settings.maxRetryAfter;
+    if (retryAfter != null) { // with jitter, so that not all clients return at once
+      retryAfter = min(retryAfter, state.settings.shortestObjective);
+      retryAfter = scale(retryAfter, 0.5 + state.random.nextDouble() / 2);
     }
-    if (harmless) {
-      state.actions.reject(request.id, delay);
-    }
-    if (!harmless) {
-      state.actions.fail(request.id);
+    if (request.neverExecuted() || request.isRepeatableAnywhere()) {
+      state.actions().reject(request.id, retryAfter);
+    } else {
+      state.actions().fail(request.id);
     }
     state.close(request);
     state.releaseIfSettled(request);
--- a/src/main/java/switchgap/policy/RoutingPolicy.java
+++ b/src/main/java/switchgap/policy/RoutingPolicy.java
@@ -1,34 +1,46 @@
 package switchgap.policy;
 
-import static switchgap.policy.state.Durations.*;
+import static switchgap.policy.state.Durations.SECOND;
+import static switchgap.policy.state.Durations.isShorter;
+import static switchgap.policy.state.Durations.min;
+import static switchgap.policy.state.Durations.scale;
 
 import java.time.Duration;
-import switchgap.policy.api.*;
-import switchgap.policy.state.*;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.AttemptResult;
+import switchgap.policy.api.EndpointEntry;
+import switchgap.policy.api.EventBatch;
+import switchgap.policy.api.LoadCommandResult;
+import switchgap.policy.api.PolicyActions;
+import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.ProbeResult;
+import switchgap.policy.api.RequestArrival;
+import switchgap.policy.api.RouterSettings;
+import switchgap.policy.state.AttemptState;
+import switchgap.policy.state.Function;
+import switchgap.policy.state.HistogramEdges;
+import switchgap.policy.state.PolicyState;
+import switchgap.policy.state.Request;
+import switchgap.policy.state.SettingsSnapshot;
+import switchgap.policy.state.Worker;
 
 /**
- * All decisions of one router, split by concern over this package. Called once a tick from one
- * thread. docs/design.md says what follows the design page and under what conditions each exception
- * acts.
+ * The entry to all decisions of one router, which the other classes of this package share by
+ * concern. One thread calls {@link #tick} with the events since the last tick; the decisions go to
+ * {@link PolicyActions}. docs/design.md explains them.
  */
 public final class RoutingPolicy implements PolicyEvents {
   private static final HistogramEdges EDGES =
       new HistogramEdges(
-          new double[] {
-            1 / 16., 1 / 8., 1 / 4., 1 / 2., 1, 2, 4
-          }, // relative durations: to a latency objective
-          new double[] {0.5, 1, 1.5, 2, 3, 5, 8}, // latency ratios: to the usual duration
-          new double[] {1, 2, 3, 4, 6, 8, 12, 16, 24}, // foreign load: requests of other routers
-          new double[] {0.5}, // errors: 1, and 0 for a success
-          new double[] {
-            0.25, 0.5, 1, 1.5, 2, 3, 4, 6, 8, 12, 16, 24, 32, 48
-          }); // concurrency, of a slot
-  private static final int MARGIN_TICKS = 2; // before a deadline: a response is never late
-  private static final double HOPELESS_DURATION =
-      1.5; // of the expected: a nearer deadline is hopeless
-  private static final double OVER_QUOTA = 1.25; // times a tenant's share
-  private static final double MIN_TENANT_REQUESTS =
-      20; // of all tenants: below them shares tell nothing
+          new double[] {1 / 16., 1 / 8., 1 / 4., 1 / 2., 1, 2, 4}, // relative durations
+          new double[] {0.5, 1, 1.5, 2, 3, 5, 8}, // latency ratios
+          new double[] {1, 2, 3, 4, 6, 8, 12, 16, 24}, // foreign loads
+          new double[] {0.5}, // errors
+          new double[] {0.25, 0.5, 1, 1.5, 2, 3, 4, 6, 8, 12, 16, 24, 32, 48}); // concurrency
+  private static final int MARGIN_TICKS = 2; // before a deadline, or responses would be late
+  private static final double HOPELESS_DURATION = 1.5; // times the expected, for a nearer deadline
+  private static final double OVER_QUOTA = 1.25; // times a tenant's share of the requests
+  private static final double MIN_TENANT_REQUESTS = 20; // below it the shares are not compared
   private static final int POLLS_PER_INTERVAL = 4; // of the endpoint list
 
   private final PolicyState state;
@@ -38,16 +50,16 @@
   private final ReplicaLoader loader;
   private final ReplicaScaler scaler;
   private final RetryPolicy retries;
-  private final RequestRouter router;
-  private final Duration pollInterval; // null: the endpoint list comes by itself
+  private final RequestQueue queue;
+  private final Duration pollInterval; // null where the endpoint list is not polled
   private Duration nextSecond = Duration.ZERO;
   private Duration nextPoll = Duration.ZERO;
-  private Duration nextWakeUp; // the last one asked for
+  private Duration nextWakeUp; // the last one scheduled, null for none
   private long wakeUps;
 
   /** A policy whose random draws come from the seed alone. */
-  public RoutingPolicy(RouterSettings stated, long seed) {
-    SettingsSnapshot settings = new SettingsSnapshot(stated, EDGES);
+  public RoutingPolicy(RouterSettings configured, long seed) {
+    SettingsSnapshot settings = new SettingsSnapshot(configured, EDGES);
     double ownShare = Math.min(1, LoadEstimator.DEFAULT_CAPACITY / settings.routerCount);
     Duration margin = settings.tickInterval.multipliedBy(MARGIN_TICKS);
     state = new PolicyState(settings, EDGES, seed, ownShare, margin);
@@ -57,15 +69,14 @@
     loader = new ReplicaLoader(state, outliers);
     scaler = new ReplicaScaler(state, outliers, loader);
     retries = new RetryPolicy(state, slowStart);
-    router = new RequestRouter(state, outliers, estimator, loader, scaler, retries);
+    CandidateSelector selector = new CandidateSelector(state, outliers, estimator, retries);
+    RequestRouter router = new RequestRouter(state, estimator, loader, scaler);
+    queue = new RequestQueue(state, selector, router, retries);
     Duration longest = settings.endpointPollInterval;
     pollInterval = longest == null ? null : longest.dividedBy(POLLS_PER_INTERVAL);
   }
 
-  /**
-   * Takes in the events since the last tick and decides; no other method is called but by the
-   * batch.
-   */
+  /** Applies the events since the last tick and decides; the other methods are for the batch. */
   public void tick(Duration now, EventBatch events, PolicyActions actions) {
     state.beginTick(now, actions);
     events.deliverTo(this);
@@ -77,11 +88,15 @@
       everySecond();
       nextSecond = now.plus(SECOND);
     }
-    router.placeQueued();
-    Duration due = router.nextStep(nextSecond);
-    boolean lost = nextWakeUp != null && isShorter(nextWakeUp, now);
-    if (nextWakeUp == null || lost || isShorter(due, nextWakeUp)) {
-      actions.scheduleWakeUp(due.minus(now), ++wakeUps);
+    queue.sendQueued();
+    scheduleWakeUp(queue.nextStep(nextSecond));
+  }
+
+  /** Schedules the next wake-up, unless an earlier one is scheduled that is not overdue. */
+  private void scheduleWakeUp(Duration due) {
+    boolean overdue = nextWakeUp != null && isShorter(nextWakeUp, state.now());
+    if (nextWakeUp == null || overdue || isShorter(due, nextWakeUp)) {
+      state.actions().scheduleWakeUp(due.minus(state.now()), ++wakeUps);
       nextWakeUp = due;
     }
   }
@@ -105,13 +120,21 @@
     boolean overQuota =
         state.tenants.total() > MIN_TENANT_REQUESTS
             && state.tenants.exceeds(arrival.tenant(), OVER_QUOTA);
-    request.weight *= overQuota ? state.settings.overQuotaWeight : 1;
-    request.capacityDraw =
-        state.random.nextDouble() * state.settings.maxPriorityWeight / request.weight;
-    // Whoever gives up sooner than a response can come only fills the workers, and more so as it
-    // retries.
+    double weight = request.weight() * (overQuota ? state.settings.overQuotaWeight : 1);
+    double draw = state.random.nextDouble() * state.settings.maxPriorityWeight / weight;
+    request.prioritize(weight, draw);
+    // A request that times out before its response only loads the workers, the more if it is
+    // retried.
     Duration shortest = scale(estimator.expectedDuration(request), HOPELESS_DURATION);
-    router.placeOrQueue(request, retries.endsInTime(request, shortest));
+    sendIf(retries.endsInTime(request, shortest), request);
+  }
+
+  private void sendIf(boolean allowed, Request request) {
+    if (allowed) {
+      queue.sendOrQueue(request);
+    } else {
+      retries.giveUp(request);
+    }
   }
 
   @Override
@@ -120,24 +143,27 @@
     Worker worker = state.workers.get(result.worker());
     AttemptOutcome outcome = result.outcome();
     AttemptState attempt = request.attemptEnded(result.attempt(), worker, outcome);
-    boolean rejected = outcome == AttemptOutcome.REJECTED;
-    estimator.workerReported(request.requestClass, worker, result.load(), rejected);
-    scaler.concurrencyMet(request.function, result.load().concurrency());
+    if (outcome == AttemptOutcome.REJECTED) {
+      estimator.workerRejected(request.requestClass, worker, result.load());
+    } else {
+      estimator.workerReported(worker, result.load());
+    }
+    scaler.concurrencyReported(request.function, result.load().concurrency());
     if (outcome == AttemptOutcome.SUCCEEDED) {
       estimator.attemptSucceeded(request, attempt, worker, result.duration());
     }
     outliers.attemptEnded(request, worker, result);
     if (outcome != AttemptOutcome.TIMED_OUT && outcome != AttemptOutcome.CONNECT_FAILED) {
-      worker.lastResponse = state.now;
+      worker.responded(state.now());
     }
     loader.attemptEnded(request.function, worker, outcome);
     if (result.requestClosed()) {
       state.close(request);
-    } else if (!request.closed && request.inFlight == 0) {
+    } else if (!request.isClosed() && request.inFlight() == 0) {
       if (outcome != AttemptOutcome.NOT_LOADED) {
-        request.failedWorkers.set(worker.id);
+        request.failedAt(worker);
       }
-      router.placeOrQueue(request, retries.mayRetry(request));
+      sendIf(retries.mayRetry(request), request);
     }
     state.releaseIfSettled(request);
   }
@@ -170,8 +196,8 @@
     worker.probeEnded();
     estimator.probeEnded(worker, result);
     switch (result.outcome()) {
-      case SUCCEEDED -> worker.lastResponse = state.now;
-      case CONNECT_FAILED, CONNECTION_LOST -> outliers.failed(worker, true);
+      case SUCCEEDED -> worker.responded(state.now());
+      case CONNECT_FAILED, CONNECTION_LOST -> outliers.failedSurely(worker);
       default -> {}
     }
   }
@@ -194,6 +220,6 @@
 
   @Override
   public void endpointListFailed() {
-    nextPoll = state.now.plus(pollInterval == null ? SECOND : min(pollInterval, SECOND));
+    nextPoll = state.now().plus(pollInterval == null ? SECOND : min(pollInterval, SECOND));
   }
 }
--- a/src/main/java/switchgap/policy/SlowStart.java
+++ b/src/main/java/switchgap/policy/SlowStart.java
@@ -1,26 +1,38 @@
 package switchgap.policy;
 
-import static switchgap.policy.state.Durations.*;
+import static switchgap.policy.state.Durations.toSeconds;
 
 import java.time.Duration;
 import java.util.Arrays;
-import switchgap.policy.state.*;
+import switchgap.policy.state.PolicyState;
+import switchgap.policy.state.Worker;
 
 /**
- * Rule 4: how much this router may send to a worker that warms up, as its part of what all may
- * send.
+ * Rule 4, slow start: limits what this router sends to a worker that warms up, so that all routers
+ * together stay within the overload budget in any overload window W:
+ *
+ * <pre>
+ *   budget(N) = N + 2 sqrt(N) + 2, or N + 3 sqrt(N) + 3 below 30 requests
+ *   N         = coldOverloadMultiple * capacityShare * W * fullRate
+ * </pre>
+ *
+ * Each router may send two thirds of its equal part of N in a window. Where that part is below one
+ * request, the routers rotate: time since the worker's start is cut into slots of length W, and in
+ * slot s the routers with {@code (s + routerIndex) % slots == 0} may send one request each.
  */
 final class SlowStart {
-  private static final double FEW_REQUESTS = 30; // below them chance has more slack
-  private static final double TURN_SHARE =
-      0.5; // of the budget in one turn, as two fall into one window
-  private static final double MIN_TURNS_SHARE =
-      3; // turns for all routers, times the share that is allowed
+  /** Below this many requests chance gets more slack. */
+  private static final double FEW_REQUESTS = 30;
+
+  /** Share of the budget that one slot may use: one window can overlap two slots. */
+  private static final double SLOT_BUDGET_SHARE = 0.5;
+
+  /** A rotation lasts at least this many slots, divided by the share that a worker may be sent. */
+  private static final double MIN_ROTATION_SLOTS = 3;
 
   private final PolicyState state;
-  private final double
-      ownOverloadMultiple; // of full capacity, for this router, at the end of the warm-up
-  private double averageWorkerRate; // requests a second that this router has at an average worker
+  private final double ownOverloadMultiple; // this router's equal part
+  private double averageWorkerRate; // requests a second from this router to an average worker
 
   SlowStart(PolicyState state) {
     this.state = state;
@@ -29,44 +41,48 @@
 
   void everySecond() {
     averageWorkerRate = 0;
-    for (Worker worker :
-        state.workers) { // its durations hold between one and two seconds of responses
+    for (Worker worker : state.workers) { // the durations are those of the last one to two seconds
       double rate = worker.relativeDurations.total() / 2;
-      averageWorkerRate += worker.isReady() ? rate / state.readyWorkers : 0;
+      averageWorkerRate += worker.isReady() ? rate / state.readyWorkers() : 0;
     }
   }
 
-  /** The share of its capacity that a worker has at the least, as it was an overload window ago. */
+  /** The least share of its capacity that a worker had during the last overload window, 0 to 1. */
   double capacityShare(Worker worker) {
-    return worker.startedAt == null ? 1 : capacityShare(state.now.minus(worker.startedAt));
+    Duration startedAt = worker.startedAt();
+    return startedAt == null ? 1 : capacityShare(state.now().minus(startedAt));
   }
 
   private double capacityShare(Duration age) {
     double seconds = Math.max(0, toSeconds(age.minus(state.settings.coldOverloadWindow)));
     double risen = (1 - state.settings.coldCapacityShare) * seconds;
-    return Math.min(
-        1, state.settings.coldCapacityShare + risen / toSeconds(state.settings.warmUpDuration));
+    double warmUpSeconds = toSeconds(state.settings.warmUpDuration);
+    return Math.min(1, state.settings.coldCapacityShare + risen / warmUpSeconds);
   }
 
-  /** Whether a worker may have one more attempt now; routers take turns for a part below one. */
+  /** Whether this router may send one more attempt to a worker now. */
   boolean admits(Worker worker) {
     if (!state.isWarmingUp(worker)) {
       return true;
     }
     Duration window = state.settings.coldOverloadWindow;
-    // a process before this one, under the same name, may have sent its part in this very window
+    // An earlier process of this router may have sent its part within the present window.
     if (!state.hasPassed(window)) {
       return false;
     }
+    double multiple = ownOverloadMultiple * capacityShare(worker);
     double allowed =
-        ownOverloadMultiple * capacityShare(worker) * toSeconds(window) * fullRate() * 2 / 3;
+        multiple * toSeconds(window) * fullRate() * 2 / 3; // a third is left for chance
     if (allowed >= 1) {
-      return worker.sendsWhileCold.countWithin(state.now, window) < Math.floor(allowed);
+      return worker.slowStartSends.countWithin(state.now(), window) < Math.floor(allowed);
     }
-    return isOwnTurn(worker, window);
+    return admitsInRotation(worker, window);
   }
 
-  /** Requests a second that a warm worker bears: one after the other, and what it gets. */
+  /**
+   * Requests a second that a warm worker bears: the greater of the rate of the slowest request
+   * class, one request after the other, and the rate that an average worker gets of all routers.
+   */
   private double fullRate() {
     double serialRate =
         Arrays.stream(state.settings.requestClasses)
@@ -77,24 +93,28 @@
   }
 
   /**
-   * Whether this router may send one request now: in each turn, one window long, some of the
-   * routers may.
+   * Whether this router may send one request in the present slot of the rotation:
+   *
+   * <pre>
+   *   slots   = ceil(routers / min(useful senders, senders that half the slot's budget bears))
+   *   useful  = routers * share / MIN_ROTATION_SLOTS
+   *   share   = coldOverloadMultiple * capacityShare, at the start of the slot
+   * </pre>
    */
-  private boolean isOwnTurn(Worker worker, Duration window) {
+  private boolean admitsInRotation(Worker worker, Duration window) {
     int routers = state.settings.routerCount;
-    Duration age = state.now.minus(worker.startedAt);
-    long number = age.dividedBy(window);
-    double share = state.settings.coldOverloadMultiple * capacityShare(window.multipliedBy(number));
-    // One router a turn starved new workers: so many that half of it is used at a warm one's rate.
-    double usedInTurn = routers * share / MIN_TURNS_SHARE;
-    double inTurn =
-        Math.min(usedInTurn, budget(share * toSeconds(window) * fullRate()) * TURN_SHARE);
-    long turns = (long) Math.max(1, Math.min(routers, Math.ceil(routers / inTurn)));
-    int sent = worker.sendsWhileCold.countWithin(state.now, window);
-    return sent == 0 && (number + state.settings.routerIndex) % turns == 0;
+    long slot = state.now().minus(worker.startedAt()).dividedBy(window);
+    double share = state.settings.coldOverloadMultiple * capacityShare(window.multipliedBy(slot));
+    // With one sender a slot, new workers would starve where routers are many.
+    double usefulSenders = routers * share / MIN_ROTATION_SLOTS;
+    double slotBudget = budget(share * toSeconds(window) * fullRate()) * SLOT_BUDGET_SHARE;
+    double slotCount = Math.ceil(routers / Math.min(usefulSenders, slotBudget));
+    long slots = (long) Math.max(1, Math.min(routers, slotCount));
+    int sent = worker.slowStartSends.countWithin(state.now(), window);
+    return sent == 0 && (slot + state.settings.routerIndex) % slots == 0;
   }
 
-  /** What all routers may send in a window, with the slack that the users grant for chance. */
+  /** What all routers may send in a window where this many requests are due on average. */
   private static double budget(double requests) {
     boolean few = requests < FEW_REQUESTS;
     double slack = few ? 3 * Math.sqrt(requests) + 3 : 2 * Math.sqrt(requests) + 2;
--- a/src/main/java/switchgap/policy/package-info.java
+++ b/src/main/java/switchgap/policy/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The decisions of one router, a class a concern: entry ({@link switchgap.policy.RoutingPolicy}),
- * replica scaling, request routing, retries, load commands, slow start, outlier ejection and load
- * estimates. Free of I/O, threads and clock; all tuned values stand here. docs/design.md explains
- * them.
+ * The decisions of one router, a class for each concern: entry ({@link
+ * switchgap.policy.RoutingPolicy}), candidate selection, sending, queueing, retries, replica
+ * scaling, load commands, slow start, outlier detection and load estimates. Free of I/O, threads
+ * and clocks; all tuned values are constants here. docs/design.md explains them.
  */
 package switchgap.policy;
--- a/src/main/java/switchgap/policy/state/AttemptState.java
+++ b/src/main/java/switchgap/policy/state/AttemptState.java
@@ -1,18 +1,37 @@
 package switchgap.policy.state;
 
-/** One attempt of a request at a worker. */
+/** One attempt of a request at a worker, from its start to its end. */
 public final class AttemptState {
-  /** Whether a replica was thought to be loaded there. */
-  public final boolean replicaLoaded;
+  private final boolean replicaLoaded;
+  private final boolean waitsForLoad;
+  private boolean ended;
 
-  /** Whether it waits for a replica to be loaded on demand. */
-  public final boolean waitsForLoad;
-
-  public boolean ended;
-
-  /** An attempt that is about to be sent. */
+  /**
+   * An attempt that is about to be sent.
+   *
+   * @param replicaLoaded whether a replica is believed to be loaded at the worker
+   * @param loadsOnDemand whether workers load a missing replica on demand
+   */
   public AttemptState(boolean replicaLoaded, boolean loadsOnDemand) {
     this.replicaLoaded = replicaLoaded;
     this.waitsForLoad = !replicaLoaded && loadsOnDemand;
   }
+
+  /** Whether a replica was believed to be loaded at the worker when the attempt was sent. */
+  public boolean replicaLoaded() {
+    return replicaLoaded;
+  }
+
+  /** Whether the attempt waits until the worker has loaded a replica on demand. */
+  boolean waitsForLoad() {
+    return waitsForLoad;
+  }
+
+  boolean isInFlight() {
+    return !ended;
+  }
+
+  void ended() {
+    ended = true;
+  }
 }
--- a/src/main/java/switchgap/policy/state/Function.java
+++ b/src/main/java/switchgap/policy/state/Function.java
@@ -4,83 +4,149 @@
 import switchgap.policy.api.RequestArrival;
 
 /**
- * A function: its target replica count, its workers in hash order and what is believed of its
+ * A function: its target replica count, its workers in hash order and the believed states of its
  * replicas.
  */
 public final class Function {
   public final int id;
 
-  /** Its id as all routers see it. */
+  /** The function's id as all routers see it. */
   public final long hash;
 
-  /** Concurrency met at its replicas, summed over the target replicas. */
+  /** Reported concurrency at its replicas, scaled to the sum over the target replicas. */
   public final Histogram concurrency;
 
-  /** Requests that one replica runs at a time. */
-  public int slots = 1;
+  private int slots = 1;
+  private double memoryMb;
+  private int targetReplicas = 1;
+  private int openRequests;
+  private int pendingCommands;
+  private int recentArrivals;
+  private int saturatedArrivals;
+  private int totalRequests;
+  private boolean everLoaded;
+  private int failedLoads;
+  private Duration lastLoadFailure;
+  private Duration lastRequest;
+  private Duration lastBusy;
+  private Worker[] workersByHash = {};
+  private int hashOrderVersion = -1;
+  private final IndexedTable<Replica> replicas = new IndexedTable<>();
 
-  /** Memory of one replica. */
-  public double memoryMb;
+  Function(int id, long hash, double[] concurrencyEdges, Duration now) {
+    this.id = id;
+    this.hash = hash;
+    this.concurrency = new Histogram(concurrencyEdges);
+    this.lastBusy = now;
+  }
 
-  public int targetReplicas = 1;
+  /** What is believed of the replica at a worker. */
+  public Replica replicaAt(Worker worker) {
+    Replica replica = replicas.get(worker.id);
+    if (replica == null) {
+      Replica.State initial =
+          worker.isPresumedEmpty() ? Replica.State.ABSENT : Replica.State.UNKNOWN;
+      replica = replicas.set(worker.id, new Replica(initial));
+    }
+    return replica;
+  }
 
-  /** Requests without a final response. */
-  public int openRequests;
+  /** Requests that one replica runs at a time. */
+  public int slots() {
+    return slots;
+  }
 
-  /** Load commands and queries in flight for it. */
-  public int pendingCommands;
+  /** Memory of one replica. */
+  public double memoryMb() {
+    return memoryMb;
+  }
+
+  /** The number of replicas that should be loaded, at least 1. */
+  public int targetReplicas() {
+    return targetReplicas;
+  }
 
   /** Requests since the target was last set. */
-  public int recentArrivals;
+  public int recentArrivals() {
+    return recentArrivals;
+  }
 
-  /** Of these, the placements that met only saturated replicas. */
-  public int saturatedArrivals;
+  /** Placements since the target was last set that found only saturated replicas. */
+  public int saturatedArrivals() {
+    return saturatedArrivals;
+  }
 
-  /** Requests since it is known. */
-  public int totalRequests;
+  /** Requests since the function is known. */
+  public int totalRequests() {
+    return totalRequests;
+  }
 
   /** Whether a replica of it was ever known to be loaded. */
-  public boolean everLoaded;
+  public boolean everLoaded() {
+    return everLoaded;
+  }
 
-  /** Loads that failed while it never was. */
-  public int failedLoads;
+  /** Loads that failed while no replica of it had ever been loaded. */
+  public int failedLoads() {
+    return failedLoads;
+  }
 
-  public Duration lastLoadFailure;
-  public Duration lastRequest;
+  /** When the last of {@link #failedLoads()} failed; null if there is none. */
+  public Duration lastLoadFailure() {
+    return lastLoadFailure;
+  }
 
-  /** When its concurrency was last above the unload mark. */
-  public Duration lastBusy;
+  /** When its last request arrived. */
+  public Duration lastRequest() {
+    return lastRequest;
+  }
 
-  Worker[] workersByHash = {};
-  int hashOrderVersion = -1;
-  private final IndexedTable<Replica> replicas = new IndexedTable<>();
+  /** When its concurrency was last above the unload threshold, or its target was last lowered. */
+  public Duration lastBusy() {
+    return lastBusy;
+  }
 
-  Function(int id, long hash, double[] concurrencyEdges, Duration now) {
-    this.id = id;
-    this.hash = hash;
-    this.concurrency = new Histogram(concurrencyEdges);
-    this.lastBusy = now;
+  /** Its concurrency is above the unload threshold. */
+  public void busy(Duration now) {
+    lastBusy = now;
   }
 
-  /** What is believed of its replica at a worker. */
-  public Replica replicaAt(Worker worker) {
-    Replica replica = replicas.get(worker.id);
-    if (replica == null) {
-      replica = replicas.set(worker.id, new Replica());
-      replica.state = worker.presumedEmpty ? Replica.State.ABSENT : Replica.State.UNKNOWN;
-    }
-    return replica;
+  /** The target rises by a number of replicas. */
+  public void scaleUp(int replicasMore) {
+    targetReplicas += replicasMore;
+  }
+
+  /** The target falls by one replica. */
+  public void scaleDown(Duration now) {
+    targetReplicas--;
+    lastBusy = now;
+  }
+
+  /** The target is at most this. */
+  public void limitTarget(int maxReplicas) {
+    targetReplicas = Math.min(targetReplicas, maxReplicas);
+  }
+
+  /** The target was set: arrivals count from here. */
+  public void restartArrivalCounts() {
+    recentArrivals = 0;
+    saturatedArrivals = 0;
   }
 
-  /** Counts a load command or a query that goes out. */
+  /** The placement of a request found only saturated replicas. */
+  public void placementSaturated() {
+    saturatedArrivals++;
+  }
+
+  /** A load command or a query is sent to a worker. */
   public void commandStarted(Worker worker) {
-    worker.pendingCommands++;
+    worker.commandStarted();
     pendingCommands++;
   }
 
-  /** Counts a load command or a query that ended. */
+  /** A load command or a query at a worker ended. */
   public void commandEnded(Worker worker) {
-    worker.pendingCommands--;
+    worker.commandEnded();
     pendingCommands--;
   }
 
@@ -90,15 +156,18 @@
     lastLoadFailure = now;
   }
 
-  /** A worker answered a request for it, so its replica there is loaded. */
-  public void attemptSucceeded(Worker worker, Duration now) {
-    Replica replica = replicaAt(worker);
-    replica.state = Replica.State.LOADED;
-    replica.lastUsed = now;
+  /** A replica of it is known to be loaded. */
+  public void loaded() {
     everLoaded = true;
   }
 
-  /** Whether neither a request nor a command of it is open. */
+  /** A worker served a request for it, so its replica there is loaded. */
+  public void attemptSucceeded(Worker worker, Duration now) {
+    replicaAt(worker).served(now);
+    loaded();
+  }
+
+  /** Whether no request and no command of it is open. */
   public boolean isIdle() {
     return openRequests == 0 && pendingCommands == 0;
   }
@@ -112,7 +181,20 @@
     openRequests++;
   }
 
+  void requestClosed() {
+    openRequests--;
+  }
+
   void forget(int worker) {
     replicas.set(worker, null);
   }
+
+  /** The ready workers in hash order, computed once for each version of the endpoint list. */
+  Worker[] hashOrder(Iterable<Worker> workers, int listVersion) {
+    if (hashOrderVersion != listVersion) {
+      workersByHash = RendezvousHash.order(this, workers);
+      hashOrderVersion = listVersion;
+    }
+    return workersByHash;
+  }
 }
--- a/src/main/java/switchgap/policy/state/PolicyState.java
+++ b/src/main/java/switchgap/policy/state/PolicyState.java
@@ -5,11 +5,11 @@
 import switchgap.policy.api.EndpointEntry;
 import switchgap.policy.api.PolicyActions;
 import switchgap.policy.api.RequestArrival;
-import switchgap.policy.api.WorkerState;
 
 /**
- * What the parts of one router's policy share: settings, tables, and the time and actions of the
- * tick under way. It keeps account and decides nothing. One thread.
+ * What the parts of one router's policy share: settings, tables of workers, functions and requests,
+ * and the time and actions of the current tick. It records and decides nothing. Not thread-safe:
+ * one thread calls the policy.
  */
 public final class PolicyState {
   public final SettingsSnapshot settings;
@@ -27,21 +27,14 @@
   /** Time before a deadline at which no attempt may be in flight any more. */
   public final Duration deadlineMargin;
 
-  public PolicyActions actions;
-  public Duration now = Duration.ZERO;
-
-  /** Calls of {@link #everySecond()}. */
-  public long seconds;
-
-  /** Number of ready workers, as of the last endpoint list. */
-  public int readyWorkers;
-
-  /** Memory of the ready workers, as of the last endpoint list. */
-  public double readyMemoryMb;
-
+  private PolicyActions actions;
+  private Duration now = Duration.ZERO;
+  private long seconds;
+  private int readyWorkers;
+  private double readyMemoryMb;
   private final HistogramEdges edges;
 
-  /** Counts endpoint lists, so that what is derived from one is known to be old. */
+  /** Counts endpoint lists: what was derived from an earlier one is outdated. */
   private int listVersion;
 
   private boolean listComplete;
@@ -63,13 +56,38 @@
     this.deadlineMargin = deadlineMargin;
   }
 
-  /** A tick begins. */
-  public void beginTick(Duration at, PolicyActions to) {
-    now = at;
-    actions = to;
+  /** A tick begins: its time, and what carries out its decisions. */
+  public void beginTick(Duration tickTime, PolicyActions tickActions) {
+    now = tickTime;
+    actions = tickActions;
   }
 
-  /** Lets what is counted fade. */
+  /** The time of the tick, since the router's start. */
+  public Duration now() {
+    return now;
+  }
+
+  /** Carries out the decisions of the tick. */
+  public PolicyActions actions() {
+    return actions;
+  }
+
+  /** Number of calls of {@link #everySecond()}. */
+  public long seconds() {
+    return seconds;
+  }
+
+  /** Number of ready workers, as of the last endpoint list. */
+  public int readyWorkers() {
+    return readyWorkers;
+  }
+
+  /** Memory of the ready workers, as of the last endpoint list. */
+  public double readyMemoryMb() {
+    return readyMemoryMb;
+  }
+
+  /** Ages the counts of requests by tenant and of the load quota. */
   public void everySecond() {
     seconds++;
     loadQuota.prune(now);
@@ -86,30 +104,27 @@
     return now.minus(since).compareTo(span) < 0;
   }
 
-  /** Whether a worker's process started less than the stated warm-up ago. */
+  /** Whether a worker's process started less than the configured warm-up ago. */
   public boolean isWarmingUp(Worker worker) {
-    return worker.startedAt != null && isWithin(settings.warmUpDuration, worker.startedAt);
+    return worker.startedAt() != null && isWithin(settings.warmUpDuration, worker.startedAt());
   }
 
   /** All ready workers in the function's rendezvous order: the same at every router. */
   public Worker[] hashOrder(Function function) {
-    return RendezvousHash.order(function, workers, listVersion);
+    return function.hashOrder(workers, listVersion);
   }
 
-  /**
-   * What is believed of a replica; nothing is known any more once it may have been unloaded as
-   * idle.
-   */
+  /** The believed state of a replica; unknown once it may have been unloaded as idle. */
   public Replica.State replicaState(Function function, Worker worker) {
     Replica replica = function.replicaAt(worker);
-    if (replica.state == Replica.State.LOADED
-        && !isWithin(settings.replicaIdleTimeout, replica.lastUsed)) {
-      replica.state = Replica.State.UNKNOWN;
+    if (replica.state() == Replica.State.LOADED
+        && !isWithin(settings.replicaIdleTimeout, replica.lastUsed())) {
+      replica.expired();
     }
-    return replica.state;
+    return replica.state();
   }
 
-  /** Enters a request that arrived, and its function where it is new. */
+  /** Adds a request that arrived, and its function where that is new. */
   public Request add(RequestArrival arrival) {
     Function function = functions.get(arrival.function());
     if (function == null) {
@@ -125,16 +140,16 @@
     return requests.set(arrival.request(), new Request(arrival, requestClass, function, now));
   }
 
-  /** A request has its response or its client left: nothing further is started for it. */
+  /** A request has its final response or its client left: no attempt is started for it any more. */
   public void close(Request request) {
-    request.function.openRequests -= request.closed ? 0 : 1;
-    request.queued = false;
-    request.closed = true;
+    if (request.close()) {
+      request.function.requestClosed();
+    }
   }
 
-  /** Forgets a closed request with the end of its last attempt. */
+  /** Releases a request that is closed and has no attempt in flight. */
   public void releaseIfSettled(Request request) {
-    if (request.closed && request.inFlight == 0 && requests.get(request.id) == request) {
+    if (request.isClosed() && request.inFlight() == 0 && requests.get(request.id) == request) {
       requests.set(request.id, null);
       actions.releaseRequest(request.id);
     }
@@ -142,14 +157,14 @@
 
   /** Cancels all attempts of a request that are in flight. */
   public void cancelAttempts(Request request) {
-    for (int attempt = 0; attempt < request.attempts.size(); attempt++) {
-      if (!request.attempts.get(attempt).ended) {
+    for (int attempt = 0; attempt < request.attemptCount(); attempt++) {
+      if (request.isInFlight(attempt)) {
         actions.cancelAttempt(request.id, attempt);
       }
     }
   }
 
-  /** Forgets a function. */
+  /** Releases a function. */
   public void release(Function function) {
     functions.set(function.id, null);
     actions.releaseFunction(function.id);
@@ -158,20 +173,21 @@
   /** An endpoint list begins; a complete one names all workers there are. */
   public void endpointListStarted(boolean complete) {
     listComplete = complete;
-    workers.forEach(worker -> worker.listed = false);
+    workers.forEach(Worker::listStarted);
   }
 
   /**
-   * Takes in one worker of the list; a process that started anew is empty, cold and without a past.
+   * Applies one entry of the endpoint list; a worker whose process started anew has no replicas and
+   * warms up.
    */
   public void endpointListed(EndpointEntry entry) {
     Worker worker = workers.get(entry.worker());
     if (worker == null) {
       worker = workers.set(entry.worker(), new Worker(entry, edges));
-      worker.presumedEmpty = isWarmingUp(worker);
-    } else if (entry.startedAt() != null && !entry.startedAt().equals(worker.startedAt)) {
+      worker.presumeEmpty(isWarmingUp(worker));
+    } else if (entry.startedAt() != null && !entry.startedAt().equals(worker.startedAt())) {
       worker.restarted(entry.startedAt());
-      worker.presumedEmpty = isWarmingUp(worker);
+      worker.presumeEmpty(isWarmingUp(worker));
       for (Function function : functions) {
         function.replicaAt(worker).workerRestarted();
       }
@@ -183,22 +199,22 @@
   }
 
   /**
-   * The list has come whole: forgets workers that are gone once nothing is out there, and counts
-   * the ready ones.
+   * The endpoint list is complete: releases workers that are gone and idle, and counts the ready
+   * ones.
    */
   public void endpointListEnded() {
     readyWorkers = 0;
     readyMemoryMb = 0;
     for (Worker worker : workers) {
-      if (listComplete && !worker.listed) {
-        worker.state = WorkerState.GONE;
+      if (listComplete && !worker.isListed()) {
+        worker.gone();
       }
-      if (worker.state == WorkerState.GONE && worker.inFlight + worker.pendingCommands == 0) {
+      if (worker.isGone() && worker.isIdle()) {
         release(worker);
       }
       if (worker.isReady()) {
         readyWorkers++;
-        readyMemoryMb += worker.memoryMb;
+        readyMemoryMb += worker.memoryMb();
       }
     }
     listVersion++;
@@ -207,7 +223,7 @@
   private void release(Worker worker) {
     workers.set(worker.id, null);
     functions.forEach(function -> function.forget(worker.id));
-    requests.forEach(request -> request.failedWorkers.clear(worker.id));
+    requests.forEach(request -> request.forgetWorker(worker.id));
     actions.releaseWorker(worker.id);
   }
 }
--- a/src/main/java/switchgap/policy/state/RendezvousHash.java
+++ b/src/main/java/switchgap/policy/state/RendezvousHash.java
@@ -5,34 +5,31 @@
 import java.util.List;
 
 /**
- * Rendezvous (highest random weight) hashing: ranks workers for a function by a number drawn from
- * both ids, so that all routers rank alike and a worker that joins or leaves moves no other.
+ * Weighted rendezvous (highest random weight) hashing: ranks workers for a function by a number
+ * drawn from both ids, so that all routers rank alike and a worker that joins or leaves changes the
+ * rank of no other.
  */
 final class RendezvousHash {
   private RendezvousHash() {}
 
-  /** The ready workers in a function's order; made once for each version of the endpoint list. */
-  static Worker[] order(Function function, Iterable<Worker> workers, int listVersion) {
-    if (function.hashOrderVersion != listVersion) {
-      List<Worker> ready = new ArrayList<>();
-      for (Worker worker : workers) {
-        if (worker.isReady()) {
-          ready.add(worker);
-        }
+  /** The ready workers in a function's order. */
+  static Worker[] order(Function function, Iterable<Worker> workers) {
+    List<Worker> ready = new ArrayList<>();
+    for (Worker worker : workers) {
+      if (worker.isReady()) {
+        ready.add(worker);
       }
-      ready.sort(
-          Comparator.comparingDouble((Worker worker) -> -score(function, worker))
-              .thenComparingLong(worker -> worker.hash));
-      function.workersByHash = ready.toArray(new Worker[0]);
-      function.hashOrderVersion = listVersion;
     }
-    return function.workersByHash;
+    ready.sort(
+        Comparator.comparingDouble((Worker worker) -> -score(function, worker))
+            .thenComparingLong(worker -> worker.hash));
+    return ready.toArray(new Worker[0]);
   }
 
-  /** Weighted: a worker of half the weight comes first for half as many functions. */
+  /** A worker of half the weight comes first for half as many functions. */
   private static double score(Function function, Worker worker) {
     double uniform = ((mix(worker.hash ^ mix(function.hash)) >>> 11) + 0.5) / (1L << 53);
-    return -worker.hashWeight / Math.log(uniform);
+    return -worker.hashWeight() / Math.log(uniform);
   }
 
   /** The finalizer of SplitMix64. */
--- a/src/main/java/switchgap/policy/state/Replica.java
+++ b/src/main/java/switchgap/policy/state/Replica.java
@@ -4,45 +4,93 @@
 
 /** What this router believes of a function's replica at one worker. */
 public final class Replica {
-  /** What is believed. */
+  /** The believed state. */
   public enum State {
     /** Nothing was heard of it lately. */
     UNKNOWN,
     /** The worker does not have it. */
     ABSENT,
-    /** A command to load it is out. */
+    /** A command to load it is in flight. */
     LOADING,
     /** The worker has it. */
     LOADED
   }
 
-  public State state = State.UNKNOWN;
+  private State state;
+  private Duration lastUsed;
+  private Duration loadCommandedAt;
+  private Duration loadRejectedAt;
+  private boolean queryPending;
+  private boolean loadPending;
 
-  /** When it was last known to serve or to be kept. */
-  public Duration lastUsed;
+  Replica(State initial) {
+    state = initial;
+  }
 
-  /** When this router had it loaded, null where it did not. */
-  public Duration loadCommandedAt;
+  /** The state believed last; it may be outdated, see {@link PolicyState#replicaState}. */
+  public State state() {
+    return state;
+  }
 
-  /** When a load ended without it, as the worker has no memory or drains; else null. */
-  public Duration loadRefusedAt;
+  /** When it was last known to serve, or was last renewed. */
+  public Duration lastUsed() {
+    return lastUsed;
+  }
 
-  /** Whether a query for it, or a command to keep it, is out. */
-  public boolean queryPending;
+  /** When a load was rejected, as the worker has no memory or drains; null otherwise. */
+  public Duration loadRejectedAt() {
+    return loadRejectedAt;
+  }
 
-  /** Whether a command to load it is out, whatever is believed meanwhile. */
-  public boolean loadPending;
+  /** Whether a query for it, or a command to renew it, is in flight. */
+  public boolean isQueryPending() {
+    return queryPending;
+  }
+
+  /** Whether a command to load it is in flight, whatever is believed meanwhile. */
+  public boolean isLoadPending() {
+    return loadPending;
+  }
 
-  /** A command to load it goes out. */
+  /** A command to load it is sent. */
   public void loadStarted(Duration now) {
     state = State.LOADING;
     loadCommandedAt = now;
     loadPending = true;
   }
 
+  /** A query for it, or a command to renew it, is sent; what is believed stays until its end. */
+  public void queryStarted() {
+    queryPending = true;
+  }
+
+  /** A query or renewal ended; it counts unless the belief has changed meanwhile. */
+  public void queryEnded(int loadedReplicas, boolean rejected, Duration now) {
+    queryPending = false;
+    lastUsed = now;
+    if (state == State.UNKNOWN || rejected) {
+      state = loadedReplicas > 0 ? State.LOADED : State.ABSENT;
+    }
+  }
+
+  /** A load command ended; its result counts unless the belief has changed meanwhile. */
+  public void loadEnded(int loadedReplicas, boolean rejected, Duration now) {
+    lastUsed = now;
+    if (state == State.LOADING) {
+      state = loadedReplicas > 0 ? State.LOADED : State.ABSENT;
+    }
+    loadPending = false; // whatever the state is by now: otherwise it would stay pending for ever
+    loadRejectedAt = rejected ? now : null;
+  }
+
+  /** The worker answered that it does not have the replica; a load in flight may still bring it. */
+  public void reportedAbsent() {
+    state = state == State.LOADING ? State.LOADING : State.ABSENT;
+  }
+
   /**
-   * Gives up a replica that this router had loaded; false where it did not, or its worker takes
-   * nothing.
+   * Stops using a replica that this router had loaded; false where it had not, or its worker takes
+   * no commands.
    */
   public boolean unloadStarted(boolean workerReady) {
     boolean unloads = workerReady && loadCommandedAt != null;
@@ -53,8 +101,24 @@
     return unloads;
   }
 
-  /** Its worker's process is a new one, which has only what it is told to load. */
+  /** An attempt is sent to it. */
+  void used(Duration now) {
+    lastUsed = now;
+  }
+
+  /** It served an attempt. */
+  void served(Duration now) {
+    state = State.LOADED;
+    lastUsed = now;
+  }
+
+  /** It may have been unloaded as idle. */
+  void expired() {
+    state = State.UNKNOWN;
+  }
+
+  /** The worker's process is a new one, which has only the replicas it is commanded to load. */
   void workerRestarted() {
-    state = state == State.LOADING ? State.LOADING : State.ABSENT;
+    reportedAbsent();
   }
 }
--- a/src/main/java/switchgap/policy/state/Worker.java
+++ b/src/main/java/switchgap/policy/state/Worker.java
@@ -6,100 +6,215 @@
 import switchgap.policy.api.EndpointEntry;
 import switchgap.policy.api.WorkerState;
 
-/** A worker: what the endpoint list says of it and what this router has measured of it. */
+/** A worker: its entry of the endpoint list and what this router has measured of it. */
 public final class Worker {
   public final int id;
 
-  /** Its id as all routers see it. */
+  /** The worker's id as all routers see it. */
   public final long hash;
 
-  /** Durations there as a ratio to what is usual. */
+  /** Durations there as a ratio to the usual one. */
   public final Histogram latencyRatios;
 
   /** Outcomes there: 0 for a success, 1 for an error. */
   public final Histogram errors;
 
   /**
-   * Durations there as a ratio to the latency objective; halved each second, so it holds the last
-   * one to two.
+   * Durations there as a ratio to the latency objective, halved each second: the last one to two.
    */
   public final Histogram relativeDurations;
 
   /** Attempts sent while it warms up. */
-  public final SlidingWindow sendsWhileCold = new SlidingWindow();
+  public final SlidingWindow slowStartSends = new SlidingWindow();
+
+  /** Its ejections as an outlier. */
+  public final EjectionState ejection = new EjectionState();
+
+  /** Its load as of its last report. */
+  public final ReportedLoad report = new ReportedLoad();
+
+  private final List<Request> awaitingProbe = new ArrayList<>();
+  private WorkerState state = WorkerState.GONE;
+  private boolean listed;
+  private boolean presumedEmpty;
+  private int zone;
+  private int cell;
+  private double memoryMb;
+  private double hashWeight;
+  private Duration startedAt;
+  private int inFlight;
+  private int waitingForLoad;
+  private int queuedAhead;
+  private int pendingCommands;
+  private Duration lastResponse = Duration.ZERO;
+  private double latencyRatio = 1;
 
-  /** Requests that wait for the probe that is out; a probe is out while there are any. */
-  public final List<Request> awaitingProbe = new ArrayList<>();
+  Worker(EndpointEntry entry, HistogramEdges edges) {
+    this.id = entry.worker();
+    this.hash = entry.hash();
+    this.startedAt = entry.startedAt();
+    this.latencyRatios = new Histogram(edges.latencyRatios());
+    this.errors = new Histogram(edges.errors());
+    this.relativeDurations = new Histogram(edges.relativeDurations());
+  }
+
+  // The endpoint list.
 
-  public WorkerState state = WorkerState.GONE;
+  /** Whether it takes requests. */
+  public boolean isReady() {
+    return state == WorkerState.READY;
+  }
 
-  /** Whether the endpoint list under way has named it. */
-  public boolean listed;
+  boolean isGone() {
+    return state == WorkerState.GONE;
+  }
 
-  /**
-   * Whether nothing is loaded there but what this router had loaded: its process has just started.
-   */
-  public boolean presumedEmpty;
+  /** Whether the endpoint list in progress has named it. */
+  boolean isListed() {
+    return listed;
+  }
 
-  public int zone;
-  public int cell;
-  public double memoryMb;
-  public double hashWeight;
+  /** An endpoint list begins. */
+  void listStarted() {
+    listed = false;
+  }
+
+  /** Applies its entry of the endpoint list. */
+  void update(EndpointEntry entry, double memory, double weight) {
+    listed = true;
+    state = entry.state();
+    zone = entry.zone();
+    cell = entry.cell();
+    memoryMb = memory;
+    hashWeight = weight;
+    startedAt = entry.startedAt();
+  }
+
+  /** A complete endpoint list does not name it. */
+  void gone() {
+    state = WorkerState.GONE;
+  }
+
+  /** Its process started anew: the old one's errors, latencies and ejections do not count. */
+  void restarted(Duration processStart) {
+    startedAt = processStart;
+    latencyRatios.clear();
+    errors.clear();
+    ejection.clear();
+  }
+
+  /** Whether only this router can have loaded replicas there: its process has just started. */
+  public boolean isPresumedEmpty() {
+    return presumedEmpty;
+  }
+
+  void presumeEmpty(boolean empty) {
+    presumedEmpty = empty;
+  }
+
+  /** Its warm-up is over: other routers may have loaded replicas there. */
+  public void warmedUp() {
+    presumedEmpty = false;
+  }
+
+  /** Index of its zone in the settings. */
+  public int zone() {
+    return zone;
+  }
+
+  /** Its cell within the zone. */
+  public int cell() {
+    return cell;
+  }
+
+  double memoryMb() {
+    return memoryMb;
+  }
+
+  double hashWeight() {
+    return hashWeight;
+  }
 
   /** Start of its process, null if long past. */
-  public Duration startedAt;
+  public Duration startedAt() {
+    return startedAt;
+  }
+
+  // This router's attempts, commands, queue and probes.
 
   /** This router's attempts in flight there. */
-  public int inFlight;
+  public int inFlight() {
+    return inFlight;
+  }
 
-  /** Of these, the ones that wait for a replica to be loaded. */
-  public int waitingForLoad;
+  /** This router's attempts in flight there that do not wait for a replica to be loaded. */
+  public int running() {
+    return inFlight - waitingForLoad;
+  }
 
-  /** Requests queued for it, while the queue is being placed. */
-  public int queuedAhead;
+  void attemptStarted(AttemptState attempt) {
+    inFlight++;
+    waitingForLoad += attempt.waitsForLoad() ? 1 : 0;
+  }
 
-  /** Load commands and queries in flight there. */
-  public int pendingCommands;
+  void attemptEnded(AttemptState attempt) {
+    inFlight--;
+    waitingForLoad -= attempt.waitsForLoad() ? 1 : 0;
+  }
 
-  /** Ejections since its last success while on probation. */
-  public int ejectionCount;
+  void commandStarted() {
+    pendingCommands++;
+  }
 
-  /** Whether it was ejected and has not succeeded since. */
-  public boolean onProbation;
+  void commandEnded() {
+    pendingCommands--;
+  }
 
-  /** End of its last ejection, null if there was none. */
-  public Duration ejectedUntil;
+  /** Whether this router has no attempt, load command or query in flight there. */
+  boolean isIdle() {
+    return inFlight + pendingCommands == 0;
+  }
 
-  /** When it last answered anything. */
-  public Duration lastResponse = Duration.ZERO;
+  /** Queues one more request for it while the queue is placed; returns how many are ahead. */
+  public int enqueue() {
+    return queuedAhead++;
+  }
 
-  /** Other routers' requests there, as of its last report. */
-  public double foreignLoad;
+  /** The queue has been placed. */
+  public void queuePlaced() {
+    queuedAhead = 0;
+  }
 
-  /** Share of its cores in use, as of its last report. */
-  public double cpuUtilization = 1;
+  /** Whether a load probe is in flight. */
+  public boolean isProbed() {
+    return !awaitingProbe.isEmpty();
+  }
 
-  /** When it last reported its load, null for never. */
-  public Duration lastReport;
+  /** A request waits for the load probe that is in flight. */
+  public void awaitProbe(Request request) {
+    awaitingProbe.add(request);
+    request.probeStarted();
+  }
 
-  /** Its usual latency as a ratio to the fleet's. */
-  public double latencyRatio = 1;
+  /** The load probe that was in flight ended. */
+  public void probeEnded() {
+    awaitingProbe.forEach(Request::probeEnded);
+    awaitingProbe.clear();
+  }
 
-  Worker(EndpointEntry entry, HistogramEdges edges) {
-    this.id = entry.worker();
-    this.hash = entry.hash();
-    this.startedAt = entry.startedAt();
-    this.latencyRatios = new Histogram(edges.latencyRatios());
-    this.errors = new Histogram(edges.errors());
-    this.relativeDurations = new Histogram(edges.relativeDurations());
+  // Health and load.
+
+  /** When it last answered anything. */
+  public Duration lastResponse() {
+    return lastResponse;
   }
 
-  /** Whether it takes requests. */
-  public boolean isReady() {
-    return state == WorkerState.READY;
+  /** It answered an attempt or a probe. */
+  public void responded(Duration now) {
+    lastResponse = now;
   }
 
-  /** Lets what tells of its health fade. */
+  /** Halves the counts of outcomes and latencies. */
   public void halveHealth() {
     latencyRatios.halve();
     errors.halve();
@@ -107,43 +222,24 @@
 
   /** It gets nothing until a time, and then one attempt at a time until one succeeds. */
   public void eject(Duration until) {
-    ejectedUntil = until;
-    onProbation = true;
+    ejection.ejected(until);
     latencyRatios.clear();
     errors.clear();
   }
 
-  /** Takes in a report of its load; a utilization that was not reported stays as it was. */
-  public void reported(double load, double utilization, Duration now) {
-    foreignLoad = load;
-    lastReport = now;
-    cpuUtilization = Double.isNaN(utilization) ? cpuUtilization : utilization;
-  }
-
-  /** The probe that was out has ended. */
-  public void probeEnded() {
-    awaitingProbe.forEach(request -> request.pendingProbes--);
-    awaitingProbe.clear();
+  /** An attempt there succeeded. */
+  public void attemptSucceeded() {
+    errors.add(0);
+    ejection.attemptSucceeded();
   }
 
-  /** Its process started anew, and is not to blame for the old one. */
-  void restarted(Duration at) {
-    startedAt = at;
-    latencyRatios.clear();
-    errors.clear();
-    ejectedUntil = null;
-    onProbation = false;
-    ejectionCount = 0;
+  /** Its usual latency as a ratio to the fleet's. */
+  public double latencyRatio() {
+    return latencyRatio;
   }
 
-  /** Takes in what the endpoint list says of it. */
-  void update(EndpointEntry entry, double memory, double weight) {
-    listed = true;
-    state = entry.state();
-    zone = entry.zone();
-    cell = entry.cell();
-    memoryMb = memory;
-    hashWeight = weight;
-    startedAt = entry.startedAt();
+  /** Its usual latency was measured anew. */
+  public void latencyRatioMeasured(double ratio) {
+    latencyRatio = ratio;
   }
 }
--- a/src/test/java/switchgap/policy/PolicyHarness.java
+++ b/src/test/java/switchgap/policy/PolicyHarness.java
@@ -317,7 +317,7 @@
 
   /** The copy target of a function. */
   int targetReplicas(int function) {
-    return functions().get(function).targetReplicas;
+    return functions().get(function).targetReplicas();
   }
 
   @SuppressWarnings("unchecked")
