--- a/src/main/java/switchgap/policy/CandidateSelector.java
+++ b/src/main/java/switchgap/policy/CandidateSelector.java
@@ -5,7 +5,6 @@
 import switchgap.policy.state.PolicyState;
 import switchgap.policy.state.Replica;
 import switchgap.policy.state.Request;
-import switchgap.policy.state.SettingsSnapshot;
 import switchgap.policy.state.Worker;
 
 /**
@@ -20,7 +19,6 @@
   private static final double MAX_OVERCOMMIT = 3; // times the limit, with those waiting for loads
 
   private final PolicyState state;
-  private final SettingsSnapshot settings;
   private final OutlierDetector outliers;
   private final LoadEstimator estimator;
   private final RetryPolicy retries;
@@ -28,7 +26,6 @@
   CandidateSelector(
       PolicyState state, OutlierDetector outliers, LoadEstimator estimator, RetryPolicy retries) {
     this.state = state;
-    this.settings = state.settings;
     this.outliers = outliers;
     this.estimator = estimator;
     this.retries = retries;
@@ -71,7 +68,7 @@
     } else if (loaded || unknown && triesUnknown(request)) {
       double difference = OVERFLOW_LOAD * state.ownShare;
       survey.foundAvailable(worker, comparableLoad(worker, replica), difference);
-    } else if (unknown || settings.loadsOnDemand) {
+    } else if (unknown || state.settings.loadsOnDemand) {
       survey.foundUnknown(worker);
     }
   }
@@ -89,19 +86,17 @@
 
   /** With many routers another may have loaded the replica; a miss must leave one more attempt. */
   private boolean triesUnknown(Request request) {
-    boolean lastAttempt = request.hasUsedUp(settings.maxAttempts - 1);
-    return state.ownShare < 1 && !settings.loadsOnDemand && !lastAttempt;
+    boolean lastAttempt = request.hasUsedUp(state.settings.maxAttempts - 1);
+    return state.ownShare < 1 && !state.settings.loadsOnDemand && !lastAttempt;
   }
 
   /** Load to compare replicas by; the more routers, the more of it is random, to spread them. */
   private double comparableLoad(Worker worker, Replica.State replica) {
-    boolean crosses = settings.crossZonePrice > 0 && worker.zone() != settings.zone;
+    boolean crosses = state.settings.crossZonePrice > 0 && worker.zone() != state.settings.zone;
     double crossing = crosses ? CROSS_ZONE_LOAD * OVERFLOW_LOAD : 0;
     double guess = replica == Replica.State.UNKNOWN ? OVERFLOW_LOAD : 0;
-    return estimator.load(worker)
-        + guess
-        + crossing
-        + state.random.nextDouble() * OVERFLOW_LOAD * (1 - state.ownShare);
+    double chance = state.random.nextDouble() * OVERFLOW_LOAD * (1 - state.ownShare);
+    return estimator.load(worker) + guess + crossing + chance;
   }
 
   private boolean hasCapacity(Request request, Worker worker) {
--- a/src/main/java/switchgap/policy/LoadEstimator.java
+++ b/src/main/java/switchgap/policy/LoadEstimator.java
@@ -94,10 +94,9 @@
 
   /** Records the load that a worker reported with an attempt or a probe. */
   void workerReported(Worker worker, LoadReport report) {
-    if (!reportsForeignLoad(report) && report.concurrency() < 0) {
-      return;
+    if (reportsForeignLoad(report) || report.concurrency() >= 0) {
+      record(worker, report, reportedForeignLoad(worker, report), report.cpuUtilization());
     }
-    record(worker, report, reportedForeignLoad(worker, report), report.cpuUtilization());
   }
 
   /** Records the load of a worker that rejected an attempt: all cores, and more than it bears. */
@@ -141,10 +140,7 @@
     return usualForeignLoad + (worker.report.foreignLoad() - usualForeignLoad) * decay;
   }
 
-  /**
-   * Requests of all routers that a worker bears at a time within the latency objective: by Little's
-   * law those observed there, divided by their mean relative duration.
-   */
+  /** Requests of all routers that a worker bears: those observed by their relative duration. */
   double capacity(RequestClass requestClass) {
     Histogram durations = requestClass.relativeDurations;
     if (durations.total() < 1) {
--- a/src/main/java/switchgap/policy/OutlierDetector.java
+++ b/src/main/java/switchgap/policy/OutlierDetector.java
@@ -9,10 +9,7 @@
 import switchgap.policy.state.Request;
 import switchgap.policy.state.Worker;
 
-/**
- * Outlier detection: ejects a worker for a while whose error count exceeds what the fleet's error
- * rate lets expect, or that surely failed. An ejected worker returns on probation.
- */
+/** Ejects a worker for a while that surely failed, or with more errors than the fleet's rate. */
 final class OutlierDetector {
   private static final double MAX_EJECTED_SHARE = 1 / 3.; // of the ready workers
   private static final double ENOUGH_OUTCOMES = 4; // of one worker: above it halved each second
@@ -46,19 +43,17 @@
       case FAILED -> attemptFailed(request, worker);
       case CONNECTION_LOST -> failed(worker);
       case CONNECT_FAILED -> failedSurely(worker);
-      case TIMED_OUT -> {
-        if (provesHang(request, worker, result)) {
-          failed(worker);
-        }
-      }
+      case TIMED_OUT -> attemptTimedOut(request, worker, result);
       default -> {}
     }
   }
 
   /** A hung worker answers nothing; where single responses are lost, others arrive meanwhile. */
-  private boolean provesHang(Request request, Worker worker, AttemptResult result) {
+  private void attemptTimedOut(Request request, Worker worker, AttemptResult result) {
     boolean slow = !isShorter(result.duration(), request.requestClass.latencyObjective);
-    return slow && isShorter(worker.lastResponse(), state.now().minus(result.duration()));
+    if (slow && isShorter(worker.lastResponse(), state.now().minus(result.duration()))) {
+      failed(worker);
+    }
   }
 
   /** While a function was never loaded, an error may be the request's own fault. */
--- a/src/main/java/switchgap/policy/ReplicaLoader.java
+++ b/src/main/java/switchgap/policy/ReplicaLoader.java
@@ -37,21 +37,18 @@
   /** Sends a load command if one is allowed now; returns whether it did. */
   boolean load(Function function, Worker worker) {
     Replica replica = function.replicaAt(worker);
-    boolean available = worker.isReady() && !outliers.isEjected(worker);
-    if (!state.settings.loadCommandsAllowed || !available || failsEverywhere(function)) {
+    if (!state.settings.loadCommandsAllowed
+        || !worker.isReady()
+        || outliers.isEjected(worker)
+        || replica.isLoadPending()
+        || wasRejectedLately(replica)
+        || failsEverywhere(function)
+        || pendingLoads >= Math.max(1, maxPendingLoads)
+        || isQuotaUsedUp()) {
       return false;
     }
-    if (replica.isLoadPending() || wasRejectedLately(replica)) {
-      return false;
-    }
-    if (pendingLoads >= Math.max(1, maxPendingLoads) || isQuotaUsedUp()) {
-      return false;
-    }
-    state.loadQuota.commandStarted(state.now());
-    replica.loadStarted(state.now());
     pendingLoads++;
-    function.commandStarted(worker);
-    state.actions().load(worker.id, function.id);
+    state.dispatcher.load(function, worker);
     return true;
   }
 
@@ -73,10 +70,7 @@
     return replica.loadRejectedAt() != null && state.isWithin(SECOND, replica.loadRejectedAt());
   }
 
-  /**
-   * Loads the first target replica that is missing. Where routers are many it is queried first, as
-   * another may have loaded it: a query uses none of the quota.
-   */
+  /** Loads the first missing target replica; one of many routers first queries it, quota-free. */
   void loadFirstMissing(Function function) {
     boolean queries = state.ownShare < 1 && state.settings.loadCommandsAllowed;
     int visited = 0;
@@ -93,9 +87,7 @@
         continue;
       }
       if (queries && believed == Replica.State.UNKNOWN) {
-        replica.queryStarted();
-        function.commandStarted(worker);
-        state.actions().queryReplicas(worker.id, function.id);
+        state.dispatcher.queryReplicas(function, worker);
         return;
       }
       if (load(function, worker)) {
@@ -104,13 +96,6 @@
     }
   }
 
-  /** Commands a load of a loaded replica, so that the worker's idle timeout begins anew. */
-  void renew(Function function, Worker worker) {
-    function.replicaAt(worker).queryStarted();
-    function.commandStarted(worker);
-    state.actions().load(worker.id, function.id);
-  }
-
   /** Learns from an attempt whether its worker has the replica; loads it if not. */
   void attemptEnded(Function function, Worker worker, AttemptOutcome outcome) {
     if (outcome == AttemptOutcome.SUCCEEDED) {
--- a/src/main/java/switchgap/policy/ReplicaScaler.java
+++ b/src/main/java/switchgap/policy/ReplicaScaler.java
@@ -133,12 +133,8 @@
     function.scaleDown(state.now());
     plannedMemoryMb -= function.memoryMb();
     Worker[] order = state.hashOrder(function);
-    if (!unloads || function.targetReplicas() >= order.length) {
-      return;
-    }
-    Worker last = order[function.targetReplicas()];
-    if (function.replicaAt(last).unloadStarted(last.isReady())) {
-      state.actions().unload(last.id, function.id);
+    if (unloads && function.targetReplicas() < order.length) {
+      state.dispatcher.unload(function, order[function.targetReplicas()]);
     }
   }
 
@@ -173,7 +169,7 @@
       Replica replica = function.replicaAt(worker);
       Duration renewalAge = scale(idleTimeout, RENEWAL_AGE);
       if (loaded && !replica.isQueryPending() && !state.isWithin(renewalAge, replica.lastUsed())) {
-        loader.renew(function, worker);
+        state.dispatcher.renew(function, worker);
       }
       return;
     }
--- a/src/main/java/switchgap/policy/RequestQueue.java
+++ b/src/main/java/switchgap/policy/RequestQueue.java
@@ -1,14 +1,11 @@
 package switchgap.policy;
 
-import static switchgap.policy.state.Durations.isShorter;
-import static switchgap.policy.state.Durations.min;
-import static switchgap.policy.state.Durations.toSeconds;
-
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import switchgap.policy.state.CandidateSurvey;
+import switchgap.policy.state.Durations;
 import switchgap.policy.state.PolicyState;
 import switchgap.policy.state.Request;
 import switchgap.policy.state.RequestClass;
@@ -45,7 +42,7 @@
 
   /** When the queue is due again, or {@code latest} if that is earlier. */
   Duration nextStep(Duration latest) {
-    return queue.isEmpty() ? latest : min(state.now().plus(router.queueStep()), latest);
+    return queue.isEmpty() ? latest : Durations.min(state.now().plus(router.queueStep), latest);
   }
 
   /** Tries each queued request again, by descending weight, then by age. */
@@ -89,7 +86,7 @@
     RequestClass requestClass = request.requestClass;
     Duration usual = LoadEstimator.usualDuration(requestClass);
     Duration latency = state.now().minus(request.arrivedAt).plus(usual);
-    boolean late = !isShorter(latency, requestClass.latencyObjective);
+    boolean late = !Durations.isShorter(latency, requestClass.latencyObjective);
     boolean loading = !survey.anyLoaded() && survey.anyLoading();
     return !queueFull
         && (loading || !late)
@@ -103,7 +100,8 @@
   private boolean isQueueFull(Request request, Worker worker) {
     RequestClass requestClass = request.requestClass;
     double rate = worker.relativeDurations.total() / 2;
-    double length = Math.max(MIN_LENGTH, rate * toSeconds(requestClass.latencyObjective) / 2);
+    double length =
+        Math.max(MIN_LENGTH, rate * Durations.toSeconds(requestClass.latencyObjective) / 2);
     return worker.enqueue() >= length * request.weight() / requestClass.priorityWeight;
   }
 }
--- a/src/main/java/switchgap/policy/RequestRouter.java
+++ b/src/main/java/switchgap/policy/RequestRouter.java
@@ -4,13 +4,11 @@
 
 import java.time.Duration;
 import java.util.List;
-import switchgap.policy.state.AttemptState;
 import switchgap.policy.state.CandidateSurvey;
 import switchgap.policy.state.Function;
 import switchgap.policy.state.PolicyState;
 import switchgap.policy.state.Replica;
 import switchgap.policy.state.Request;
-import switchgap.policy.state.SettingsSnapshot;
 import switchgap.policy.state.Worker;
 
 /**
@@ -23,28 +21,22 @@
   private static final int STEPS = 20; // of the queue, within the shortest objective
 
   private final PolicyState state;
-  private final SettingsSnapshot settings;
   private final LoadEstimator estimator;
   private final ReplicaLoader loader;
   private final ReplicaScaler scaler;
   private final boolean probes;
-  private final Duration queueStep;
+  final Duration queueStep; // after which a request that could not be sent is tried again
 
   RequestRouter(
       PolicyState state, LoadEstimator estimator, ReplicaLoader loader, ReplicaScaler scaler) {
     this.state = state;
-    this.settings = state.settings;
     this.estimator = estimator;
     this.loader = loader;
     this.scaler = scaler;
-    probes =
-        state.ownShare < 1 && settings.probesAllowed && 2 * settings.probePrice < MAX_PROBE_PRICE;
-    queueStep = max(settings.tickInterval, settings.shortestObjective.dividedBy(STEPS));
-  }
-
-  /** Time after which a request that could not be sent is tried again. */
-  Duration queueStep() {
-    return queueStep;
+    double probePrice = state.settings.probePrice;
+    probes = state.settings.probesAllowed && state.ownShare < 1 && 2 * probePrice < MAX_PROBE_PRICE;
+    Duration objective = state.settings.shortestObjective;
+    queueStep = max(state.settings.tickInterval, objective.dividedBy(STEPS));
   }
 
   /** Sends a request to what its survey found; returns false if it has to wait. */
@@ -58,7 +50,7 @@
       loadReplicas(request.function, survey, choice);
     }
     if (choice != null) {
-      startAttempt(request, choice);
+      state.dispatcher.startAttempt(request, choice);
     }
     return choice != null;
   }
@@ -68,7 +60,7 @@
     if (survey.best() != null) {
       return survey.best();
     }
-    boolean overflows = survey.overflow() != null && settings.loadsOnDemand;
+    boolean overflows = survey.overflow() != null && state.settings.loadsOnDemand;
     return overflows || survey.unknown() == null ? survey.overflow() : survey.unknown();
   }
 
@@ -77,8 +69,9 @@
     if (survey.anySaturated()) {
       function.placementSaturated();
       Worker next = survey.next();
-      boolean further = choice == null && !survey.anyLoading() && next != null;
-      if (further
+      if (choice == null
+          && next != null
+          && !survey.anyLoading()
           && scaler.fitsMemory(function)
           && state.replicaState(function, next) != Replica.State.LOADED) { // but warming up
         loader.load(function, next);
@@ -88,36 +81,19 @@
     }
   }
 
-  /**
-   * Probes the load of two replicas unless they reported lately; returns whether to wait for it.
-   */
+  /** Probes two replicas' load unless they reported it lately; returns whether to wait for it. */
   private boolean sendProbes(Request request, CandidateSurvey survey) {
     if (!probes || !estimator.probesReportLoad()) {
       return false;
     }
     request.waitForProbes(state.now().plus(queueStep));
-    Duration fresh = settings.shortestObjective.dividedBy(FRESH_REPORT);
+    Duration fresh = state.settings.shortestObjective.dividedBy(FRESH_REPORT);
     for (Worker worker : List.of(survey.best(), survey.alternative())) {
       Duration reportedAt = worker.report.reportedAt();
-      if (reportedAt != null && state.isWithin(fresh, reportedAt)) {
-        continue;
-      }
-      if (!worker.isProbed()) {
-        state.actions().probe(worker.id);
+      if (reportedAt == null || !state.isWithin(fresh, reportedAt)) {
+        state.dispatcher.probe(worker, request);
       }
-      worker.awaitProbe(request);
     }
     return request.pendingProbes() > 0;
   }
-
-  private void startAttempt(Request request, Worker worker) {
-    boolean loaded = state.replicaState(request.function, worker) == Replica.State.LOADED;
-    AttemptState attempt = new AttemptState(loaded, settings.loadsOnDemand);
-    request.attemptStarted(worker, attempt, state.now());
-    if (state.isWarmingUp(worker)) {
-      worker.slowStartSends.add(state.now());
-    }
-    Duration timeout = request.deadline.minus(state.now()).minus(state.deadlineMargin);
-    state.actions().startAttempt(request.id, worker.id, timeout);
-  }
 }
--- a/src/main/java/switchgap/policy/RetryPolicy.java
+++ b/src/main/java/switchgap/policy/RetryPolicy.java
@@ -1,18 +1,12 @@
 package switchgap.policy;
 
-import static switchgap.policy.state.Durations.isShorter;
-import static switchgap.policy.state.Durations.min;
-import static switchgap.policy.state.Durations.scale;
-
 import java.time.Duration;
+import switchgap.policy.state.Durations;
 import switchgap.policy.state.PolicyState;
 import switchgap.policy.state.Request;
 import switchgap.policy.state.Worker;
 
-/**
- * Rules 1 to 4: whether a request may be attempted, retried or hedged, and its final response when
- * no attempt is left.
- */
+/** Rules 1 to 4: whether a request may be attempted, retried or hedged; its final response. */
 final class RetryPolicy {
   private final PolicyState state;
   private final SlowStart slowStart;
@@ -51,7 +45,8 @@
 
   /** Whether an attempt of this duration would end before the request's deadline. */
   boolean endsInTime(Request request, Duration duration) {
-    return isShorter(state.now().plus(duration).plus(state.deadlineMargin), request.deadline);
+    return Durations.isShorter(
+        state.now().plus(duration).plus(state.deadlineMargin), request.deadline);
   }
 
   /** Sends the final response at once: a rejection if a repeat does no harm, else a failure. */
@@ -61,15 +56,13 @@
     }
     Duration retryAfter = state.settings.maxRetryAfter;
     if (retryAfter != null) { // with jitter, so that not all clients return at once
-      retryAfter = min(retryAfter, state.settings.shortestObjective);
-      retryAfter = scale(retryAfter, 0.5 + state.random.nextDouble() / 2);
+      retryAfter = Durations.min(retryAfter, state.settings.shortestObjective);
+      retryAfter = Durations.scale(retryAfter, 0.5 + state.random.nextDouble() / 2);
     }
     if (request.neverExecuted() || request.isRepeatableAnywhere()) {
-      state.actions().reject(request.id, retryAfter);
+      state.dispatcher.reject(request, retryAfter);
     } else {
-      state.actions().fail(request.id);
+      state.dispatcher.fail(request);
     }
-    state.close(request);
-    state.releaseIfSettled(request);
   }
 }
--- a/src/main/java/switchgap/policy/RoutingPolicy.java
+++ b/src/main/java/switchgap/policy/RoutingPolicy.java
@@ -1,7 +1,6 @@
 package switchgap.policy;
 
 import static switchgap.policy.state.Durations.SECOND;
-import static switchgap.policy.state.Durations.isShorter;
 import static switchgap.policy.state.Durations.min;
 import static switchgap.policy.state.Durations.scale;
 
@@ -22,6 +21,7 @@
 import switchgap.policy.state.PolicyState;
 import switchgap.policy.state.Request;
 import switchgap.policy.state.SettingsSnapshot;
+import switchgap.policy.state.WakeUpTimer;
 import switchgap.policy.state.Worker;
 
 /**
@@ -51,11 +51,10 @@
   private final ReplicaScaler scaler;
   private final RetryPolicy retries;
   private final RequestQueue queue;
+  private final WakeUpTimer wakeUps = new WakeUpTimer();
   private final Duration pollInterval; // null where the endpoint list is not polled
   private Duration nextSecond = Duration.ZERO;
   private Duration nextPoll = Duration.ZERO;
-  private Duration nextWakeUp; // the last one scheduled, null for none
-  private long wakeUps;
 
   /** A policy whose random draws come from the seed alone. */
   public RoutingPolicy(RouterSettings configured, long seed) {
@@ -89,16 +88,7 @@
       nextSecond = now.plus(SECOND);
     }
     queue.sendQueued();
-    scheduleWakeUp(queue.nextStep(nextSecond));
-  }
-
-  /** Schedules the next wake-up, unless an earlier one is scheduled that is not overdue. */
-  private void scheduleWakeUp(Duration due) {
-    boolean overdue = nextWakeUp != null && isShorter(nextWakeUp, state.now());
-    if (nextWakeUp == null || overdue || isShorter(due, nextWakeUp)) {
-      state.actions().scheduleWakeUp(due.minus(state.now()), ++wakeUps);
-      nextWakeUp = due;
-    }
+    wakeUps.schedule(queue.nextStep(nextSecond), now, actions);
   }
 
   private void everySecond() {
@@ -111,7 +101,7 @@
 
   @Override
   public void wakeUp(long token) {
-    nextWakeUp = token == wakeUps ? null : nextWakeUp;
+    wakeUps.fired(token);
   }
 
   @Override
@@ -123,13 +113,12 @@
     double weight = request.weight() * (overQuota ? state.settings.overQuotaWeight : 1);
     double draw = state.random.nextDouble() * state.settings.maxPriorityWeight / weight;
     request.prioritize(weight, draw);
-    // A request that times out before its response only loads the workers, the more if it is
-    // retried.
+    // A request that times out before its response only loads the workers, and so do its retries.
     Duration shortest = scale(estimator.expectedDuration(request), HOPELESS_DURATION);
-    sendIf(retries.endsInTime(request, shortest), request);
+    sendOrGiveUp(request, retries.endsInTime(request, shortest));
   }
 
-  private void sendIf(boolean allowed, Request request) {
+  private void sendOrGiveUp(Request request, boolean allowed) {
     if (allowed) {
       queue.sendOrQueue(request);
     } else {
@@ -163,7 +152,7 @@
       if (outcome != AttemptOutcome.NOT_LOADED) {
         request.failedAt(worker);
       }
-      sendIf(retries.mayRetry(request), request);
+      sendOrGiveUp(request, retries.mayRetry(request));
     }
     state.releaseIfSettled(request);
   }
@@ -182,7 +171,7 @@
     Request request = state.requests.get(index);
     state.close(request);
     if (state.settings.cancellationAllowed) {
-      state.cancelAttempts(request);
+      state.dispatcher.cancelAttempts(request);
     }
     state.releaseIfSettled(request);
   }
@@ -220,6 +209,7 @@
 
   @Override
   public void endpointListFailed() {
-    nextPoll = state.now().plus(pollInterval == null ? SECOND : min(pollInterval, SECOND));
+    Duration retry = pollInterval == null ? SECOND : min(pollInterval, SECOND);
+    nextPoll = state.now().plus(retry);
   }
 }
--- a/src/main/java/switchgap/policy/SlowStart.java
+++ b/src/main/java/switchgap/policy/SlowStart.java
@@ -12,23 +12,23 @@
  * together stay within the overload budget in any overload window W:
  *
  * <pre>
+ *   share     = coldOverloadMultiple * capacityShare
+ *   N         = share * W * fullRate
  *   budget(N) = N + 2 sqrt(N) + 2, or N + 3 sqrt(N) + 3 below 30 requests
- *   N         = coldOverloadMultiple * capacityShare * W * fullRate
  * </pre>
  *
  * Each router may send two thirds of its equal part of N in a window. Where that part is below one
  * request, the routers rotate: time since the worker's start is cut into slots of length W, and in
- * slot s the routers with {@code (s + routerIndex) % slots == 0} may send one request each.
+ * slot s the routers with {@code (s + routerIndex) % slots == 0} may send one request each:
+ *
+ * <pre>
+ *   slots = ceil(routers / min(routers * share / MIN_ROTATION_SLOTS, budget(N) / 2)), 1 to routers
+ * </pre>
  */
 final class SlowStart {
-  /** Below this many requests chance gets more slack. */
-  private static final double FEW_REQUESTS = 30;
-
-  /** Share of the budget that one slot may use: one window can overlap two slots. */
-  private static final double SLOT_BUDGET_SHARE = 0.5;
-
-  /** A rotation lasts at least this many slots, divided by the share that a worker may be sent. */
-  private static final double MIN_ROTATION_SLOTS = 3;
+  private static final double FEW_REQUESTS = 30; // below it the budget has more slack
+  private static final double SLOT_BUDGET_SHARE = 0.5; // as one window can overlap two slots
+  private static final double MIN_ROTATION_SLOTS = 3; // or one router alone would starve a worker
 
   private final PolicyState state;
   private final double ownOverloadMultiple; // this router's equal part
@@ -70,19 +70,15 @@
     if (!state.hasPassed(window)) {
       return false;
     }
-    double multiple = ownOverloadMultiple * capacityShare(worker);
-    double allowed =
-        multiple * toSeconds(window) * fullRate() * 2 / 3; // a third is left for chance
+    double fullLoad = ownOverloadMultiple * capacityShare(worker) * toSeconds(window) * fullRate();
+    double allowed = fullLoad * 2 / 3; // a third is left for chance
     if (allowed >= 1) {
       return worker.slowStartSends.countWithin(state.now(), window) < Math.floor(allowed);
     }
     return admitsInRotation(worker, window);
   }
 
-  /**
-   * Requests a second that a warm worker bears: the greater of the rate of the slowest request
-   * class, one request after the other, and the rate that an average worker gets of all routers.
-   */
+  /** Requests a second of a warm worker: serial ones of the slowest class, or the average rate. */
   private double fullRate() {
     double serialRate =
         Arrays.stream(state.settings.requestClasses)
@@ -92,20 +88,11 @@
     return Math.max(serialRate, averageWorkerRate * state.settings.routerCount);
   }
 
-  /**
-   * Whether this router may send one request in the present slot of the rotation:
-   *
-   * <pre>
-   *   slots   = ceil(routers / min(useful senders, senders that half the slot's budget bears))
-   *   useful  = routers * share / MIN_ROTATION_SLOTS
-   *   share   = coldOverloadMultiple * capacityShare, at the start of the slot
-   * </pre>
-   */
+  /** Whether this router may send one request in the present slot of the rotation. */
   private boolean admitsInRotation(Worker worker, Duration window) {
     int routers = state.settings.routerCount;
     long slot = state.now().minus(worker.startedAt()).dividedBy(window);
     double share = state.settings.coldOverloadMultiple * capacityShare(window.multipliedBy(slot));
-    // With one sender a slot, new workers would starve where routers are many.
     double usefulSenders = routers * share / MIN_ROTATION_SLOTS;
     double slotBudget = budget(share * toSeconds(window) * fullRate()) * SLOT_BUDGET_SHARE;
     double slotCount = Math.ceil(routers / Math.min(usefulSenders, slotBudget));
--- a/src/main/java/switchgap/policy/state/PolicyState.java
+++ b/src/main/java/switchgap/policy/state/PolicyState.java
@@ -27,6 +27,9 @@
   /** Time before a deadline at which no attempt may be in flight any more. */
   public final Duration deadlineMargin;
 
+  /** Carries out decisions in the current tick. */
+  public final ActionDispatcher dispatcher = new ActionDispatcher(this);
+
   private PolicyActions actions;
   private Duration now = Duration.ZERO;
   private long seconds;
@@ -67,8 +70,7 @@
     return now;
   }
 
-  /** Carries out the decisions of the tick. */
-  public PolicyActions actions() {
+  PolicyActions actions() {
     return actions;
   }
 
@@ -155,15 +157,6 @@
     }
   }
 
-  /** Cancels all attempts of a request that are in flight. */
-  public void cancelAttempts(Request request) {
-    for (int attempt = 0; attempt < request.attemptCount(); attempt++) {
-      if (request.isInFlight(attempt)) {
-        actions.cancelAttempt(request.id, attempt);
-      }
-    }
-  }
-
   /** Releases a function. */
   public void release(Function function) {
     functions.set(function.id, null);
