--- a/src/main/java/switchgap/simulator/ActionRecordEncoder.java
+++ b/src/main/java/switchgap/simulator/ActionRecordEncoder.java
@@ -37,71 +37,71 @@
   /** Reports that the policy failed; it decides nothing any more. */
   void policyFailed(RuntimeException fault) {
     StackTraceElement[] trace = fault.getStackTrace();
-    int at = reply.addRecord(ActionCode.POLICY_FAULT, routerId);
-    reply.putText(at + FAULT_TEXT, fault + (trace.length > 0 ? " at " + trace[0] : ""));
+    int offset = reply.addRecord(ActionType.POLICY_FAULT, routerId);
+    reply.putText(offset + FAULT_TEXT, fault + (trace.length > 0 ? " at " + trace[0] : ""));
   }
 
   @Override
   public void startAttempt(int request, int worker, Duration timeout) {
-    int at = addRequestRecord(ActionCode.START_ATTEMPT, request);
-    reply.buffer().putInt(at + START_TIMEOUT, (int) WireValues.toMicros(timeout));
-    putWorkerId(at + START_WORKER_ID, worker);
+    int offset = addRequestRecord(ActionType.START_ATTEMPT, request);
+    reply.buffer().putInt(offset + START_TIMEOUT, (int) WireValues.toMicros(timeout));
+    putWorkerId(offset + START_WORKER_ID, worker);
   }
 
   @Override
   public void reject(int request, Duration retryAfter) {
-    int at = addRequestRecord(ActionCode.REJECT, request);
+    int offset = addRequestRecord(ActionType.REJECT, request);
     reply
         .buffer()
         .putInt(
-            at + REJECT_RETRY_AFTER,
+            offset + REJECT_RETRY_AFTER,
             retryAfter == null ? NO_RETRY_AFTER : (int) WireValues.toMicros(retryAfter));
   }
 
   @Override
   public void fail(int request) {
-    addRequestRecord(ActionCode.FAIL, request);
+    addRequestRecord(ActionType.FAIL, request);
   }
 
   @Override
   public void cancelAttempt(int request, int attempt) {
-    int at = addRequestRecord(ActionCode.CANCEL_ATTEMPT, request);
-    reply.buffer().putShort(at + CANCEL_ATTEMPT, (short) attempt);
+    int offset = addRequestRecord(ActionType.CANCEL_ATTEMPT, request);
+    reply.buffer().putShort(offset + CANCEL_ATTEMPT, (short) attempt);
   }
 
   @Override
   public void scheduleWakeUp(Duration delay, long token) {
-    int at = reply.addRecord(ActionCode.SCHEDULE_WAKE_UP, routerId);
-    reply.buffer().putInt(at + WAKE_UP_DELAY, (int) WireValues.toMicros(delay));
-    reply.buffer().putLong(at + WAKE_UP_TOKEN, token);
+    int offset = reply.addRecord(ActionType.SCHEDULE_WAKE_UP, routerId);
+    reply.buffer().putInt(offset + WAKE_UP_DELAY, (int) WireValues.toMicros(delay));
+    reply.buffer().putLong(offset + WAKE_UP_TOKEN, token);
   }
 
   @Override
   public void probe(int worker) {
-    addWorkerRecord(ActionCode.PROBE, worker);
+    addWorkerRecord(ActionType.PROBE, worker);
   }
 
   @Override
   public void subscribeToEndpoints() {
-    int at = reply.addRecord(ActionCode.SUBSCRIBE_TO_ENDPOINTS, routerId);
-    reply.buffer().put(at + SUBSCRIBE_FLAG, SUBSCRIBE);
+    int offset = reply.addRecord(ActionType.SUBSCRIBE_TO_ENDPOINTS, routerId);
+    reply.buffer().put(offset + SUBSCRIBE_FLAG, SUBSCRIBE);
   }
 
   @Override
   public void load(int worker, int function) {
-    int at = addReplicaRecord(ActionCode.LOAD, worker, function);
-    reply.buffer().put(at + LOAD_REPLICAS, LOAD_ONE);
+    int offset = addReplicaRecord(ActionType.LOAD, worker, function);
+    reply.buffer().put(offset + LOAD_REPLICAS, LOAD_ONE);
   }
 
   @Override
   public void queryReplicas(int worker, int function) {
-    int at = addReplicaRecord(ActionCode.LOAD, worker, function);
-    reply.buffer().put(at + LOAD_REPLICAS, QUERY_ONLY);
+    int offset = addReplicaRecord(ActionType.LOAD, worker, function);
+    reply.buffer().put(offset + LOAD_REPLICAS, QUERY_ONLY);
   }
 
   @Override
   public void unload(int worker, int function) {
-    addReplicaRecord(ActionCode.UNLOAD, worker, function);
+    addReplicaRecord(ActionType.UNLOAD, worker, function);
   }
 
   @Override
@@ -119,25 +119,25 @@
     indices.workers().release(worker);
   }
 
-  private int addRequestRecord(int code, int request) {
-    int at = reply.addRecord(code, routerId);
-    reply.buffer().putLong(at + REQUEST_ID, indices.requests().idOf(request));
-    return at;
+  private int addRequestRecord(ActionType type, int request) {
+    int offset = reply.addRecord(type, routerId);
+    reply.buffer().putLong(offset + REQUEST_ID, indices.requests().idOf(request));
+    return offset;
   }
 
-  private int addWorkerRecord(int code, int worker) {
-    int at = reply.addRecord(code, routerId);
-    putWorkerId(at + WORKER_ID, worker);
-    return at;
+  private int addWorkerRecord(ActionType type, int worker) {
+    int offset = reply.addRecord(type, routerId);
+    putWorkerId(offset + WORKER_ID, worker);
+    return offset;
   }
 
-  private int addReplicaRecord(int code, int worker, int function) {
-    int at = addWorkerRecord(code, worker);
-    reply.buffer().putLong(at + FUNCTION_ID, indices.functions().idOf(function));
-    return at;
+  private int addReplicaRecord(ActionType type, int worker, int function) {
+    int offset = addWorkerRecord(type, worker);
+    reply.buffer().putLong(offset + FUNCTION_ID, indices.functions().idOf(function));
+    return offset;
   }
 
-  private void putWorkerId(int at, int worker) {
-    WireValues.putWorkerId(reply.buffer(), at, indices.workers().idOf(worker));
+  private void putWorkerId(int offset, int worker) {
+    WireValues.putWorkerId(reply.buffer(), offset, indices.workers().idOf(worker));
   }
 }
--- a/src/main/java/switchgap/simulator/EndpointListDecoder.java
+++ b/src/main/java/switchgap/simulator/EndpointListDecoder.java
@@ -27,7 +27,7 @@
   private final IndexAllocator workers;
   private final long routerStartMicros;
 
-  /** Times in lists are the simulator's; the policy is told times since the router's start. */
+  /** A decoder that converts times of the simulator to times since the router's start. */
   EndpointListDecoder(IndexAllocator workers, long routerStartMicros) {
     this.workers = workers;
     this.routerStartMicros = routerStartMicros;
@@ -36,23 +36,23 @@
   void deliver(byte[] content, boolean complete, PolicyEvents events) {
     ByteBuffer buffer = ByteBuffer.wrap(content).order(ByteOrder.LITTLE_ENDIAN);
     events.endpointListStarted(complete);
-    for (int at = 0; at < content.length; at += ENTRY_BYTES) {
-      events.endpointListed(entry(buffer, at));
+    for (int offset = 0; offset < content.length; offset += ENTRY_BYTES) {
+      events.endpointListed(entry(buffer, offset));
     }
     events.endpointListEnded();
   }
 
-  private EndpointEntry entry(ByteBuffer buffer, int at) {
-    long workerId = WireValues.workerId(buffer, at + WORKER_ID);
-    long startedAt = buffer.getLong(at + STARTED_AT);
+  private EndpointEntry entry(ByteBuffer buffer, int offset) {
+    long workerId = WireValues.workerId(buffer, offset + WORKER_ID);
+    long startedAt = buffer.getLong(offset + STARTED_AT);
     return new EndpointEntry(
         workers.allocate(workerId),
         workerId,
-        state(buffer.get(at + STATE)),
-        WireValues.unsignedShort(buffer, at + ZONE),
-        WireValues.unsignedShort(buffer, at + CELL),
-        WireValues.unsignedShort(buffer, at + KIND),
-        buffer.getFloat(at + CAPACITY),
+        state(buffer.get(offset + STATE)),
+        WireValues.unsignedShort(buffer, offset + ZONE),
+        WireValues.unsignedShort(buffer, offset + CELL),
+        WireValues.unsignedShort(buffer, offset + KIND),
+        buffer.getFloat(offset + CAPACITY),
         startedAt == LONG_PAST ? null : WireValues.ofMicros(startedAt - routerStartMicros));
   }
 
--- a/src/main/java/switchgap/simulator/EventFrame.java
+++ b/src/main/java/switchgap/simulator/EventFrame.java
@@ -25,9 +25,9 @@
   private static final int REFERENCE_SIZE = 4;
 
   /** Reads the next frame, or returns null at the end of the stream. */
-  static EventFrame read(InputStream in) throws IOException {
+  static EventFrame read(InputStream input) throws IOException {
     byte[] headerBytes = new byte[HEADER_BYTES];
-    int headerSize = in.readNBytes(headerBytes, 0, HEADER_BYTES);
+    int headerSize = input.readNBytes(headerBytes, 0, HEADER_BYTES);
     if (headerSize == 0) {
       return null;
     }
@@ -44,7 +44,7 @@
       throw new MalformedFrameException(
           "length " + frameBytes + " at byte 8 does not fit " + recordCount + " records");
     }
-    byte[] body = in.readNBytes((int) frameBytes - HEADER_BYTES);
+    byte[] body = input.readNBytes((int) frameBytes - HEADER_BYTES);
     if (body.length < frameBytes - HEADER_BYTES) {
       throw new MalformedFrameException(
           "frame "
--- a/src/main/java/switchgap/simulator/EventLayout.java
+++ b/src/main/java/switchgap/simulator/EventLayout.java
@@ -6,7 +6,7 @@
 
   static final int CODE = 0;
 
-  /** The router that an event is for; all but {@link EventCode#DEFINE_LIST}. */
+  /** The router that an event is for; all but {@link EventType#DEFINE_LIST}. */
   static final int ROUTER_ID = 1;
 
   static final int LIST_DEFINITION_ID = 1;
--- a/src/main/java/switchgap/simulator/EventRecordDecoder.java
+++ b/src/main/java/switchgap/simulator/EventRecordDecoder.java
@@ -13,8 +13,8 @@
 import switchgap.policy.api.RequestArrival;
 
 /**
- * Gathers one router's events of a frame and tells them to its policy in order. Events of requests,
- * workers or functions that the policy has released are passed over.
+ * Collects one router's events of a frame and delivers them to its policy in order. Events of
+ * requests, workers or functions that the policy has released are ignored.
  */
 final class EventRecordDecoder implements EventBatch {
   private static final int INITIAL_EVENTS = 16;
@@ -71,118 +71,119 @@
   public void deliverTo(PolicyEvents events) {
     int listsDelivered = 0;
     for (int i = 0; i < eventCount; i++) {
-      int at = offsets[i];
-      int code = WireValues.unsignedByte(body, at + EventLayout.CODE);
-      if (code == EventCode.ENDPOINT_LIST && !isFailedList(at)) {
-        boolean complete = body.get(at + EventLayout.LIST_KIND) != EventLayout.LIST_KIND_DELTA;
+      int offset = offsets[i];
+      EventType type = EventType.ofCode(WireValues.unsignedByte(body, offset + EventLayout.CODE));
+      if (type == EventType.ENDPOINT_LIST && !isFailedList(offset)) {
+        boolean complete = body.get(offset + EventLayout.LIST_KIND) != EventLayout.LIST_KIND_DELTA;
         endpointLists.deliver(listContents.get(listsDelivered), complete, events);
         listsDelivered++;
       } else {
-        deliver(code, at, events);
+        deliver(type, offset, events);
       }
     }
   }
 
-  private boolean isFailedList(int at) {
-    return body.get(at + EventLayout.LIST_KIND) == EventLayout.LIST_KIND_FAILED;
+  private boolean isFailedList(int offset) {
+    return body.get(offset + EventLayout.LIST_KIND) == EventLayout.LIST_KIND_FAILED;
   }
 
-  private void deliver(int code, int at, PolicyEvents events) {
-    switch (code) {
-      case EventCode.CLIENT_LEFT -> clientLeft(at, events);
-      case EventCode.PROBE_ENDED -> probeEnded(at, events);
-      case EventCode.ENDPOINT_LIST -> events.endpointListFailed();
-      case EventCode.RESPONSE_STARTED -> responseStarted(at, events);
-      case EventCode.ATTEMPT_ENDED -> attemptEnded(at, events);
-      case EventCode.WAKE_UP -> events.wakeUp(body.getLong(at + EventLayout.WAKE_UP_TOKEN));
-      case EventCode.LOAD_COMMAND_ENDED -> loadCommandEnded(at, events);
-      case EventCode.REQUEST_ARRIVED -> requestArrived(at, events);
+  private void deliver(EventType type, int offset, PolicyEvents events) {
+    switch (type) {
+      case CLIENT_LEFT -> clientLeft(offset, events);
+      case PROBE_ENDED -> probeEnded(offset, events);
+      case ENDPOINT_LIST -> events.endpointListFailed();
+      case RESPONSE_STARTED -> responseStarted(offset, events);
+      case ATTEMPT_ENDED -> attemptEnded(offset, events);
+      case WAKE_UP -> events.wakeUp(body.getLong(offset + EventLayout.WAKE_UP_TOKEN));
+      case LOAD_COMMAND_ENDED -> loadCommandEnded(offset, events);
+      case REQUEST_ARRIVED -> requestArrived(offset, events);
       default -> {} // a peer's message: routers share nothing
     }
   }
 
-  private void clientLeft(int at, PolicyEvents events) {
-    int request = indices.requests().find(body.getLong(at + EventLayout.REQUEST_ID));
+  private void clientLeft(int offset, PolicyEvents events) {
+    int request = indices.requests().find(body.getLong(offset + EventLayout.REQUEST_ID));
     if (request >= 0) {
       events.clientLeft(request);
     }
   }
 
-  private void responseStarted(int at, PolicyEvents events) {
-    int request = indices.requests().find(body.getLong(at + EventLayout.REQUEST_ID));
+  private void responseStarted(int offset, PolicyEvents events) {
+    int request = indices.requests().find(body.getLong(offset + EventLayout.REQUEST_ID));
     if (request >= 0) {
       events.responseStarted(
-          request, WireValues.unsignedShort(body, at + EventLayout.RESPONSE_ATTEMPT));
+          request, WireValues.unsignedShort(body, offset + EventLayout.RESPONSE_ATTEMPT));
     }
   }
 
-  private void probeEnded(int at, PolicyEvents events) {
-    int worker = indices.workers().find(WireValues.workerId(body, at + EventLayout.WORKER_ID));
+  private void probeEnded(int offset, PolicyEvents events) {
+    int worker = indices.workers().find(WireValues.workerId(body, offset + EventLayout.WORKER_ID));
     if (worker >= 0) {
       events.probeEnded(
           new ProbeResult(
               worker,
-              outcome(at + EventLayout.PROBE_OUTCOME),
-              loadReports.ofProbe(body, at + EventLayout.PROBE_REPORT)));
+              outcome(offset + EventLayout.PROBE_OUTCOME),
+              loadReports.ofProbe(body, offset + EventLayout.PROBE_REPORT)));
     }
   }
 
-  private void loadCommandEnded(int at, PolicyEvents events) {
-    int worker = indices.workers().find(WireValues.workerId(body, at + EventLayout.WORKER_ID));
-    int function = indices.functions().find(body.getLong(at + EventLayout.LOAD_FUNCTION_ID));
+  private void loadCommandEnded(int offset, PolicyEvents events) {
+    int worker = indices.workers().find(WireValues.workerId(body, offset + EventLayout.WORKER_ID));
+    int function = indices.functions().find(body.getLong(offset + EventLayout.LOAD_FUNCTION_ID));
     if (worker >= 0 && function >= 0) {
       events.loadCommandEnded(
           new LoadCommandResult(
               worker,
               function,
-              outcome(at + EventLayout.LOAD_OUTCOME),
-              WireValues.duration(body, at + EventLayout.LOAD_DURATION),
-              WireValues.unsignedByte(body, at + EventLayout.LOAD_REPLICAS)));
+              outcome(offset + EventLayout.LOAD_OUTCOME),
+              WireValues.duration(body, offset + EventLayout.LOAD_DURATION),
+              WireValues.unsignedByte(body, offset + EventLayout.LOAD_REPLICAS)));
     }
   }
 
-  private void attemptEnded(int at, PolicyEvents events) {
-    int request = indices.requests().find(body.getLong(at + EventLayout.REQUEST_ID));
+  private void attemptEnded(int offset, PolicyEvents events) {
+    int request = indices.requests().find(body.getLong(offset + EventLayout.REQUEST_ID));
     int worker =
-        indices.workers().find(WireValues.workerId(body, at + EventLayout.ATTEMPT_WORKER_ID));
+        indices.workers().find(WireValues.workerId(body, offset + EventLayout.ATTEMPT_WORKER_ID));
     if (request < 0 || worker < 0) {
       return;
     }
-    AttemptOutcome outcome = outcome(at + EventLayout.ATTEMPT_OUTCOME);
+    AttemptOutcome outcome = outcome(offset + EventLayout.ATTEMPT_OUTCOME);
     boolean isAnswered = outcome == AttemptOutcome.SUCCEEDED || outcome == AttemptOutcome.REJECTED;
     int concurrency =
-        WireValues.unsignedByte(body, at + EventLayout.ATTEMPT_CONCURRENCY)
+        WireValues.unsignedByte(body, offset + EventLayout.ATTEMPT_CONCURRENCY)
             >> EventLayout.CONCURRENCY_SHIFT;
     events.attemptEnded(
         new AttemptResult(
             request,
-            WireValues.unsignedShort(body, at + EventLayout.ATTEMPT_NUMBER),
+            WireValues.unsignedShort(body, offset + EventLayout.ATTEMPT_NUMBER),
             worker,
             outcome,
-            WireValues.duration(body, at + EventLayout.ATTEMPT_DURATION),
-            body.get(at + EventLayout.ATTEMPT_REQUEST_CLOSED) != 0,
-            loadReports.ofAttempt(body, at + EventLayout.ATTEMPT_REPORT, concurrency, isAnswered)));
+            WireValues.duration(body, offset + EventLayout.ATTEMPT_DURATION),
+            body.get(offset + EventLayout.ATTEMPT_REQUEST_CLOSED) != 0,
+            loadReports.ofAttempt(
+                body, offset + EventLayout.ATTEMPT_REPORT, concurrency, isAnswered)));
   }
 
-  private void requestArrived(int at, PolicyEvents events) {
-    long functionId = body.getLong(at + EventLayout.ARRIVAL_FUNCTION_ID);
+  private void requestArrived(int offset, PolicyEvents events) {
+    long functionId = body.getLong(offset + EventLayout.ARRIVAL_FUNCTION_ID);
     boolean hasHint =
-        (body.getShort(at + EventLayout.ARRIVAL_FLAGS) & EventLayout.FLAG_DURATION_HINT) != 0;
+        (body.getShort(offset + EventLayout.ARRIVAL_FLAGS) & EventLayout.FLAG_DURATION_HINT) != 0;
     events.requestArrived(
         new RequestArrival(
-            indices.requests().allocate(body.getLong(at + EventLayout.REQUEST_ID)),
-            WireValues.unsignedByte(body, at + EventLayout.ARRIVAL_CLASS),
-            body.getInt(at + EventLayout.ARRIVAL_TENANT),
+            indices.requests().allocate(body.getLong(offset + EventLayout.REQUEST_ID)),
+            WireValues.unsignedByte(body, offset + EventLayout.ARRIVAL_CLASS),
+            body.getInt(offset + EventLayout.ARRIVAL_TENANT),
             indices.functions().allocate(functionId),
             functionId,
             WireValues.ofMicros(
-                body.getLong(at + EventLayout.ARRIVAL_DEADLINE) - routerStartMicros),
-            hasHint ? WireValues.duration(body, at + EventLayout.ARRIVAL_DURATION_HINT) : null,
-            body.getFloat(at + EventLayout.ARRIVAL_MEMORY_MB),
-            Math.max(1, Math.round(body.getFloat(at + EventLayout.ARRIVAL_SLOTS)))));
+                body.getLong(offset + EventLayout.ARRIVAL_DEADLINE) - routerStartMicros),
+            hasHint ? WireValues.duration(body, offset + EventLayout.ARRIVAL_DURATION_HINT) : null,
+            body.getFloat(offset + EventLayout.ARRIVAL_MEMORY_MB),
+            Math.max(1, Math.round(body.getFloat(offset + EventLayout.ARRIVAL_SLOTS)))));
   }
 
-  private AttemptOutcome outcome(int at) {
-    return OutcomeCode.decode(body.get(at));
+  private AttemptOutcome outcome(int offset) {
+    return OutcomeCode.decode(body.get(offset));
   }
 }
--- a/src/main/java/switchgap/simulator/LoadReportDecoder.java
+++ b/src/main/java/switchgap/simulator/LoadReportDecoder.java
@@ -26,29 +26,30 @@
   }
 
   /** The report of a probe. */
-  LoadReport ofProbe(ByteBuffer buffer, int at) {
-    return report(buffer, at, UNKNOWN_CONCURRENCY);
+  LoadReport ofProbe(ByteBuffer buffer, int offset) {
+    return report(buffer, offset, UNKNOWN_CONCURRENCY);
   }
 
   /**
    * The report that came with an attempt's end; only a worker that answered says its concurrency.
    */
-  LoadReport ofAttempt(ByteBuffer buffer, int at, int concurrency, boolean isAnswered) {
-    return report(buffer, at, reportsConcurrency && isAnswered ? concurrency : UNKNOWN_CONCURRENCY);
+  LoadReport ofAttempt(ByteBuffer buffer, int offset, int concurrency, boolean isAnswered) {
+    return report(
+        buffer, offset, reportsConcurrency && isAnswered ? concurrency : UNKNOWN_CONCURRENCY);
   }
 
-  private LoadReport report(ByteBuffer buffer, int at, int concurrency) {
+  private LoadReport report(ByteBuffer buffer, int offset, int concurrency) {
     return new LoadReport(
-        field(buffer, at, cpuUtilizationIndex),
-        field(buffer, at, inFlightIndex),
-        field(buffer, at, queueLengthIndex),
+        field(buffer, offset, cpuUtilizationIndex),
+        field(buffer, offset, inFlightIndex),
+        field(buffer, offset, queueLengthIndex),
         concurrency);
   }
 
-  private static double field(ByteBuffer buffer, int at, int index) {
-    if (index < 0 || index >= WireValues.unsignedByte(buffer, at)) {
+  private static double field(ByteBuffer buffer, int offset, int index) {
+    if (index < 0 || index >= WireValues.unsignedByte(buffer, offset)) {
       return Double.NaN;
     }
-    return buffer.getFloat(at + FIRST_FIELD + Float.BYTES * index);
+    return buffer.getFloat(offset + FIRST_FIELD + Float.BYTES * index);
   }
 }
--- a/src/main/java/switchgap/simulator/ReplyFrame.java
+++ b/src/main/java/switchgap/simulator/ReplyFrame.java
@@ -6,8 +6,7 @@
 import java.util.Arrays;
 
 /**
- * A reply frame in the making: a header, action records, and a tail of their texts. Reused for each
- * frame.
+ * Builds reply frames: a header, action records, and a tail of their texts. Reused for each frame.
  */
 final class ReplyFrame {
   private static final int RECORD_BYTES = 24;
@@ -43,18 +42,18 @@
     buffer.putInt(NUMBER, number);
   }
 
-  /** Adds a record of zeros with its code and router, and returns its offset in {@link #buffer}. */
-  int addRecord(int code, int routerId) {
-    int at = HEADER_BYTES + RECORD_BYTES * recordCount;
+  /** Adds a record of zeros with its type and router, and returns its offset in {@link #buffer}. */
+  int addRecord(ActionType type, int routerId) {
+    int offset = HEADER_BYTES + RECORD_BYTES * recordCount;
     recordCount++;
-    if (at + RECORD_BYTES > bytes.length) {
+    if (offset + RECORD_BYTES > bytes.length) {
       bytes = Arrays.copyOf(bytes, bytes.length * 2);
       buffer = littleEndian(bytes);
     }
-    Arrays.fill(bytes, at, at + RECORD_BYTES, (byte) 0);
-    bytes[at + CODE] = (byte) code;
-    buffer.putShort(at + ROUTER_ID, (short) routerId);
-    return at;
+    Arrays.fill(bytes, offset, offset + RECORD_BYTES, (byte) 0);
+    bytes[offset + CODE] = type.code();
+    buffer.putShort(offset + ROUTER_ID, (short) routerId);
+    return offset;
   }
 
   /** The records; another buffer after {@link #addRecord}. */
@@ -63,14 +62,14 @@
   }
 
   /** Adds a text to the tail and writes a reference to it. */
-  void putText(int at, String text) {
+  void putText(int offset, String text) {
     byte[] encoded = text.getBytes(StandardCharsets.UTF_8);
     if (tailBytes + encoded.length > tail.length) {
       tail = Arrays.copyOf(tail, Math.max(tail.length * 2, tailBytes + encoded.length));
     }
     System.arraycopy(encoded, 0, tail, tailBytes, encoded.length);
-    buffer.putInt(at, tailBytes);
-    buffer.putInt(at + REFERENCE_SIZE, encoded.length);
+    buffer.putInt(offset, tailBytes);
+    buffer.putInt(offset + REFERENCE_SIZE, encoded.length);
     tailBytes += encoded.length;
   }
 
--- a/src/main/java/switchgap/simulator/SimulatedRouter.java
+++ b/src/main/java/switchgap/simulator/SimulatedRouter.java
@@ -5,8 +5,8 @@
 import switchgap.policy.RoutingPolicy;
 
 /**
- * One router of the simulation: a policy that is told the events of each frame. A policy that fails
- * is reported once and decides nothing from then on.
+ * One router of the simulation: a policy that receives the events of each frame. A policy that
+ * fails is reported once and decides nothing from then on.
  */
 final class SimulatedRouter {
   private final long startMicros;
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Tells the policy the events that were added and encodes what it decides. */
+  /** Delivers the added events to the policy and encodes its decisions. */
   void tick(ByteBuffer frameBody, long clockMicros) {
     if (policy == null) {
       return;
--- a/src/main/java/switchgap/simulator/SimulatorHost.java
+++ b/src/main/java/switchgap/simulator/SimulatorHost.java
@@ -8,7 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * Reads frames, distributes their events to the routers, and writes one reply a frame. One thread.
+ * Reads frames, distributes their events to the routers, and writes one reply for each frame. Not
+ * thread-safe: one thread serves the stream.
  */
 public final class SimulatorHost {
   private final Map<Integer, SimulatedRouter> routers = new TreeMap<>();
@@ -21,14 +22,14 @@
    * @throws MalformedFrameException at a frame that the protocol does not allow; nothing is written
    *     for it
    */
-  public void serve(InputStream in, OutputStream out) throws IOException {
-    EventFrame frame = EventFrame.read(in);
+  public void serve(InputStream input, OutputStream out) throws IOException {
+    EventFrame frame = EventFrame.read(input);
     while (frame != null) {
       reply.begin(frame.number());
       handle(frame);
       out.write(reply.finish());
       out.flush();
-      frame = EventFrame.read(in);
+      frame = EventFrame.read(input);
     }
   }
 
@@ -49,7 +50,8 @@
   private void handleRecord(EventFrame frame, int record, Map<Integer, SimulatedRouter> due)
       throws MalformedFrameException {
     int code = frame.codeOf(record);
-    if (!EventCode.isKnown(code)) {
+    EventType type = EventType.ofCode(code);
+    if (type == null) {
       throw new MalformedFrameException(
           "unknown event code "
               + code
@@ -58,15 +60,15 @@
               + " at byte "
               + EventFrame.frameOffset(frame.offsetOf(record)));
     }
-    switch (code) {
-      case EventCode.DEFINE_LIST -> defineList(frame, record);
-      case EventCode.START_ROUTER -> startRouter(frame, record, due);
-      case EventCode.STOP_ROUTER -> {
+    switch (type) {
+      case DEFINE_LIST -> defineList(frame, record);
+      case START_ROUTER -> startRouter(frame, record, due);
+      case STOP_ROUTER -> {
         int routerId = frame.routerIdOf(record);
         routers.remove(routerId);
         due.remove(routerId);
       }
-      default -> distribute(frame, record, code, due);
+      default -> distribute(frame, record, type, due);
     }
   }
 
@@ -94,7 +96,8 @@
     due.put(routerId, router);
   }
 
-  private void distribute(EventFrame frame, int record, int code, Map<Integer, SimulatedRouter> due)
+  private void distribute(
+      EventFrame frame, int record, EventType type, Map<Integer, SimulatedRouter> due)
       throws MalformedFrameException {
     int routerId = frame.routerIdOf(record);
     SimulatedRouter router = routers.get(routerId);
@@ -102,12 +105,12 @@
       throw new MalformedFrameException(
           "record " + record + " is for instance " + routerId + ", which is not alive");
     }
-    int at = frame.offsetOf(record);
-    if (code == EventCode.ENDPOINT_LIST
-        && frame.body().get(at + EventLayout.LIST_KIND) != EventLayout.LIST_KIND_FAILED) {
-      router.addEndpointList(at, endpointList(frame, record));
+    int offset = frame.offsetOf(record);
+    if (type == EventType.ENDPOINT_LIST
+        && frame.body().get(offset + EventLayout.LIST_KIND) != EventLayout.LIST_KIND_FAILED) {
+      router.addEndpointList(offset, endpointList(frame, record));
     } else {
-      router.addEvent(at);
+      router.addEvent(offset);
     }
     due.put(routerId, router);
   }
--- a/src/main/java/switchgap/simulator/WireValues.java
+++ b/src/main/java/switchgap/simulator/WireValues.java
@@ -23,27 +23,27 @@
   }
 
   /** A duration in 32 unsigned bits of microseconds. */
-  static Duration duration(ByteBuffer buffer, int at) {
-    return ofMicros(buffer.getInt(at) & UNSIGNED_INT);
+  static Duration duration(ByteBuffer buffer, int offset) {
+    return ofMicros(buffer.getInt(offset) & UNSIGNED_INT);
   }
 
-  static int unsignedByte(ByteBuffer buffer, int at) {
-    return buffer.get(at) & 0xff;
+  static int unsignedByte(ByteBuffer buffer, int offset) {
+    return buffer.get(offset) & 0xff;
   }
 
-  static int unsignedShort(ByteBuffer buffer, int at) {
-    return buffer.getShort(at) & 0xffff;
+  static int unsignedShort(ByteBuffer buffer, int offset) {
+    return buffer.getShort(offset) & 0xffff;
   }
 
   /** A worker's id, of 48 bits. */
-  static long workerId(ByteBuffer buffer, int at) {
-    long upper = buffer.getInt(at) & UNSIGNED_INT;
-    long lower = buffer.getShort(at + WORKER_ID_LOWER) & UNSIGNED_SHORT;
+  static long workerId(ByteBuffer buffer, int offset) {
+    long upper = buffer.getInt(offset) & UNSIGNED_INT;
+    long lower = buffer.getShort(offset + WORKER_ID_LOWER) & UNSIGNED_SHORT;
     return upper << Short.SIZE | lower;
   }
 
-  static void putWorkerId(ByteBuffer buffer, int at, long workerId) {
-    buffer.putInt(at, (int) (workerId >>> Short.SIZE));
-    buffer.putShort(at + WORKER_ID_LOWER, (short) workerId);
+  static void putWorkerId(ByteBuffer buffer, int offset, long workerId) {
+    buffer.putInt(offset, (int) (workerId >>> Short.SIZE));
+    buffer.putShort(offset + WORKER_ID_LOWER, (short) workerId);
   }
 }
