--- /dev/null
+++ b/src/test/java/switchgap/planner/LoadSchedulerTest.java
@@ -0,0 +1,50 @@
+package switchgap.planner;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static switchgap.planner.PendingLoadBuilder.load;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** The order in which a planner releases loads. */
+class LoadSchedulerTest {
+  private static final int LOADS = 12;
+  private static final int HEAVY_LOAD = 5;
+  private static final int SHORT_LOAD = 11;
+
+  private final LoadScheduler scheduler = new LoadScheduler();
+
+  private static LoadBacklog backlogOf(List<PendingLoad> waiting) {
+    return new LoadBacklog(1, 1, waiting);
+  }
+
+  @Test
+  void ordersLoadsByWaitingWeightForSecondOfLoading() {
+    List<PendingLoad> waiting = new ArrayList<>();
+    for (int i = 0; i < LOADS; i++) {
+      waiting.add(
+          load(i)
+              .function("f" + i)
+              .loadMicros(i == SHORT_LOAD ? 100_000 : 1_000_000)
+              .priorityWeight(i == HEAVY_LOAD ? 50 : 1)
+              .build());
+    }
+    LoadPlan plan = scheduler.plan(backlogOf(waiting));
+    assertThat(plan.ids())
+        .as("most weight, then the shortest, then the first requested")
+        .startsWith(HEAVY_LOAD, SHORT_LOAD, 0);
+    assertThat(plan.ids()).as("the edge's router decides how many").hasSize(LOADS);
+    assertThat(scheduler.plan(backlogOf(waiting))).as("not newer").isNull();
+  }
+
+  @Test
+  void ordersLongWaitingLoadBeforeOneOfMoreWeight() {
+    PendingLoad recent =
+        load(0).function("new").loadMicros(1000).priorityWeight(5).ageMicros(0).build();
+    PendingLoad old =
+        load(1).function("old").loadMicros(1000).priorityWeight(1).ageMicros(6_000_000).build();
+    LoadPlan plan = scheduler.plan(backlogOf(List.of(recent, old)));
+    assertThat(plan.ids()).containsExactly(1, 0);
+  }
+}
--- /dev/null
+++ b/src/test/java/switchgap/planner/PendingLoadQueueSequencesTest.java
@@ -0,0 +1,55 @@
+package switchgap.planner;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+import net.jqwik.api.constraints.Size;
+import org.junit.jupiter.api.Test;
+
+/** Invariants of pending loads in all short, and in long random, sequences of events. */
+class PendingLoadQueueSequencesTest {
+  private static final int EXHAUSTIVE_LENGTH = 5;
+
+  /** Sequences of none to five of ten events. */
+  private static final int EXHAUSTIVE_SEQUENCES = 111_111;
+
+  private long explored;
+
+  private void explore(UnreliablePlannerLink.Event[] events, int depth) {
+    UnreliablePlannerLink link = new UnreliablePlannerLink();
+    for (int i = 0; i < depth; i++) {
+      link.step(events[i]);
+    }
+    link.assertNoneIsLeftPending();
+    explored++;
+    if (depth == events.length) {
+      return;
+    }
+    for (UnreliablePlannerLink.Event event : UnreliablePlannerLink.Event.values()) {
+      events[depth] = event;
+      explore(events, depth + 1);
+    }
+  }
+
+  @Test
+  void releasesEachLoadOnceInAllSequencesOfFiveEvents() {
+    explore(new UnreliablePlannerLink.Event[EXHAUSTIVE_LENGTH], 0);
+    assertThat(explored).isEqualTo(EXHAUSTIVE_SEQUENCES);
+  }
+
+  /** Long random sequences, where the exhaustive ones are short. */
+  @Property(tries = 2000, seed = "7")
+  void releasesEachLoadOnceInLongRandomSequences(
+      @ForAll @Size(min = 20, max = 120) List<@IntRange(min = 0, max = 9) Integer> events) {
+    UnreliablePlannerLink link = new UnreliablePlannerLink();
+    events.forEach(index -> link.step(UnreliablePlannerLink.Event.values()[index]));
+    link.assertNoneIsLeftPending();
+    assertThat(link.rejections)
+        .as("a correct planner is rejected for nothing else")
+        .allMatch(rejection -> rejection.reason() == PlanRejection.Reason.WRONG_EPOCH)
+        .allMatch(rejection -> rejection.toString().startsWith("a plan for epoch"));
+  }
+}
--- a/src/test/java/switchgap/simulator/ActionRecordEncoderTest.java
+++ b/src/test/java/switchgap/simulator/ActionRecordEncoderTest.java
@@ -51,73 +51,73 @@
   }
 
   @Test
-  void startAttemptHasRequestWorkerAndTimeout() {
+  void encodesStartAttemptWithRequestWorkerAndTimeout() {
     actions.startAttempt(request, worker, Duration.ofNanos(0x04030201L * 1000 + 999));
     assertThat(onlyRecord()).isEqualTo("010102" + REQUEST + WORKER + "01020304");
   }
 
   @Test
-  void rejectHasRequestAndRetryAfter() {
+  void encodesRejectWithRequestAndRetryAfter() {
     actions.reject(request, Duration.ofMillis(1));
     assertThat(onlyRecord()).isEqualTo("020102" + REQUEST + "e803");
   }
 
   @Test
-  void rejectWithoutAdviceHasNoRetryAfter() {
+  void encodesRejectWithoutRetryAfterAsZero() {
     actions.reject(request, null);
     assertThat(onlyRecord()).isEqualTo("020102" + REQUEST);
   }
 
   @Test
-  void failHasRequest() {
+  void encodesFailWithRequest() {
     actions.fail(request);
     assertThat(onlyRecord()).isEqualTo("030102" + REQUEST);
   }
 
   @Test
-  void cancelHasRequestAndAttempt() {
+  void encodesCancelWithRequestAndAttempt() {
     actions.cancelAttempt(request, 0x0403);
     assertThat(onlyRecord()).isEqualTo("040102" + REQUEST + "0304");
   }
 
   @Test
-  void wakeUpHasDelayAndToken() {
+  void encodesWakeUpWithDelayAndToken() {
     actions.scheduleWakeUp(Duration.ofMillis(1), REQUEST_ID);
     assertThat(onlyRecord()).isEqualTo("050102" + "e8030000" + REQUEST);
   }
 
   @Test
-  void probeHasWorker() {
+  void encodesProbeWithWorker() {
     actions.probe(worker);
     assertThat(onlyRecord()).isEqualTo("060102" + WORKER);
   }
 
   @Test
-  void subscriptionHasItsFlag() {
+  void encodesSubscriptionWithItsFlag() {
     actions.subscribeToEndpoints();
     assertThat(onlyRecord()).isEqualTo("0b0102" + "01");
   }
 
   @Test
-  void loadHasWorkerFunctionAndOneReplica() {
+  void encodesLoadWithWorkerFunctionAndOneReplica() {
     actions.load(worker, function);
     assertThat(onlyRecord()).isEqualTo("0d0102" + WORKER + FUNCTION + "01");
   }
 
   @Test
-  void queryHasWorkerFunctionAndNoReplica() {
+  void encodesQueryWithWorkerFunctionAndNoReplica() {
     actions.queryReplicas(worker, function);
     assertThat(onlyRecord()).isEqualTo("0d0102" + WORKER + FUNCTION);
   }
 
   @Test
-  void unloadHasWorkerAndFunction() {
+  void encodesUnloadWithWorkerAndFunction() {
     actions.unload(worker, function);
     assertThat(onlyRecord()).isEqualTo("0e0102" + WORKER + FUNCTION);
   }
 
   @Test
-  void policyFaultRefersToItsText() {
+  void encodesPolicyFaultWithReferenceToItsText() {
     actions.policyFailed(new IllegalStateException("broken"));
     byte[] frame = reply.finish();
     assertThat(HexFormat.of().formatHex(frame, 12, 12 + 7)).isEqualTo("0a0102" + "00000000");
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void recordsBeyondTheInitialBufferAreKept() {
+  void encodesRecordsBeyondInitialBuffer() {
     for (int i = 0; i < 1000; i++) {
       actions.scheduleWakeUp(Duration.ZERO, i);
     }
--- a/src/test/java/switchgap/simulator/SimulatorHostTest.java
+++ b/src/test/java/switchgap/simulator/SimulatorHostTest.java
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void anEmptyFrameIsAnsweredWithItsNumber() throws IOException {
+  void repliesToEmptyFrameWithItsNumber() throws IOException {
     ByteBuffer reply =
         ByteBuffer.wrap(serve(frame(9, 0, 0).array())).order(ByteOrder.LITTLE_ENDIAN);
     assertThat(reply.capacity()).isEqualTo(12);
@@ -56,7 +56,7 @@
 
   /** A router without settings reports its fault once and decides nothing from then on. */
   @Test
-  void aRouterWithUnusableSettingsReportsAFaultOnce() throws IOException {
+  void reportsFaultOnceForRouterWithInvalidSettings() throws IOException {
     ByteBuffer start = frameOfOneRecord(1);
     ByteBuffer wakeUp = frameOfOneRecord(10);
     ByteArrayOutputStream input = new ByteArrayOutputStream();
@@ -71,36 +71,36 @@
   }
 
   @Test
-  void aTruncatedHeaderIsMalformed() {
+  void rejectsTruncatedHeader() {
     assertMalformed(new byte[5], "header ends at byte 5 of 20");
   }
 
   @Test
-  void aTruncatedBodyIsMalformed() {
+  void rejectsTruncatedBody() {
     byte[] truncated = Arrays.copyOf(frameOfOneRecord(1).array(), 40);
     assertMalformed(truncated, "frame 3 ends at byte 40 of 76");
   }
 
   @Test
-  void aLengthThatDoesNotHoldTheRecordsIsMalformed() {
+  void rejectsLengthTooShortForRecords() {
     byte[] frame = frame(3, 1, 0).putInt(8, 75).array();
     assertMalformed(frame, "length 75 at byte 8 does not fit 1 records");
   }
 
   @Test
-  void anUnknownCodeIsMalformed() {
+  void rejectsUnknownEventCode() {
     assertMalformed(frameOfOneRecord(13).array(), "unknown event code 13 in record 0 at byte 20");
     assertMalformed(frameOfOneRecord(0).array(), "unknown event code 0 in record 0 at byte 20");
   }
 
   @Test
-  void anEventOfNoRouterIsMalformed() {
+  void rejectsEventForUnknownRouter() {
     ByteBuffer frame = frameOfOneRecord(3).putShort(HEADER_BYTES + 1, (short) 0xffff);
     assertMalformed(frame.array(), "record 0 is for instance 65535, which is not alive");
   }
 
   @Test
-  void anUndefinedListIsMalformed() {
+  void rejectsReferenceToUndefinedList() {
     ByteBuffer frame = frame(3, 2, 0);
     frame.put(HEADER_BYTES, (byte) 1);
     frame.put(HEADER_BYTES + RECORD_BYTES, (byte) 6);
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void aReferenceOutsideTheTailIsMalformed() {
+  void rejectsReferenceOutsideTail() {
     ByteBuffer frame = frame(3, 1, 24);
     frame.put(HEADER_BYTES, (byte) 9);
     frame.putInt(HEADER_BYTES + 9, 1); // an entry takes 25 bytes
