--- a/src/main/java/switchgap/admission/AdmissionController.java
+++ b/src/main/java/switchgap/admission/AdmissionController.java
@@ -16,22 +16,6 @@
   /** The tenant of changes that apply to all requests. */
   private static final int ALL_TENANTS = -1;
 
-  /**
-   * Shortest stay on a level, in longest latency objectives: guards against levels that oscillate.
-   */
-  private static final double MIN_STAY_OBJECTIVES = 10;
-
-  /** Range of the factor on the shortest stay: guards against routers that change in step. */
-  private static final double MIN_STAY_JITTER = 0.8;
-
-  private static final double STAY_JITTER_RANGE = 0.4;
-
-  /**
-   * Period of the shedding rotations, in longest latency objectives. Guards against a retry within
-   * its objective that finds another decision, and against a key that is shed for ever.
-   */
-  private static final double ROTATION_OBJECTIVES = 80;
-
   /**
    * Pressure from which HOLD, which admits nothing, may be taken: guards against it in a mild
    * overload.
@@ -68,23 +52,17 @@
     this.settings = settings;
     this.random = new SplittableRandom(seed);
     this.rules = new RejectionRules(settings);
-    double objectiveSeconds = settings.longestObjective().toNanos() / 1e9;
-    double stayJitter = MIN_STAY_JITTER + STAY_JITTER_RANGE * random.nextDouble();
-    this.minStay = ofSeconds(objectiveSeconds * MIN_STAY_OBJECTIVES * stayJitter);
-    Duration rotationPeriod = ofSeconds(objectiveSeconds * ROTATION_OBJECTIVES);
-    this.rotation = new SheddingRotation(rotationPeriod, random.split());
+    AdmissionTiming timing = AdmissionTiming.draw(settings, random);
+    this.minStay = timing.minStay();
+    this.rotation = new SheddingRotation(timing.rotationPeriod(), random.split());
     this.common = new DegradationController(minStay, random.split(), rules.effectiveLevels());
-    this.tenants = new TenantControllers(settings, minStay, rotationPeriod, random);
+    this.tenants = new TenantControllers(settings, minStay, timing.rotationPeriod(), random);
     this.monitor = new PressureMonitor(settings);
     this.control = new ShedRateControl(monitor, settings.protectedFraction());
     this.retryAfter = new RetryAfterPolicy(settings.maxRetryAfter());
     this.history = new ServiceLevelHistory(settings.priorityWeights().length);
   }
 
-  private static Duration ofSeconds(double seconds) {
-    return Duration.ofNanos((long) (seconds * 1e9));
-  }
-
   /** A worker's response reported its CPU utilization, 0 to 1; NaN where it reported none. */
   public void workerReported(double utilization) {
     monitor.workerReported(utilization);
--- a/src/main/java/switchgap/eventloop/EventLoop.java
+++ b/src/main/java/switchgap/eventloop/EventLoop.java
@@ -11,17 +11,19 @@
 import switchgap.router.RouterCore;
 
 /**
- * The one thread that owns a router's core: gathers events, runs ticks, sleeps until the next is
- * due. The queues are not bounded here: whoever posts bounds what it may have in them.
+ * * The thread that owns a router's core: gathers events, runs ticks, sleeps until the next is due.
+ * The queues are not bounded here: whoever posts events must bound them.
  */
 public final class EventLoop implements Runnable {
-  /** Events of one tick; the rest waits for the next, so that timers stay on time. */
+  /** Events of one tick; the others wait for the next, so that timers stay on time. */
   private static final int MAX_EVENTS_PER_TICK = 512;
 
   private static final long STOP_TIMEOUT_MILLIS = 5000;
 
-  /** A tick that is later was held up with the process: what came meanwhile is read first. */
-  private static final Duration HELD_UP = Duration.ofMillis(100);
+  /**
+   * A tick later than this means that the process was paused: what arrived meanwhile is read first.
+   */
+  private static final Duration PAUSE_THRESHOLD = Duration.ofMillis(100);
 
   private final long startedNanos = System.nanoTime();
   private final ConcurrentLinkedQueue<Consumer<RouterCore>> queue = new ConcurrentLinkedQueue<>();
@@ -35,15 +37,15 @@
   private volatile boolean asleep;
 
   /**
-   * A loop that is not started yet.
+   * Creates a loop that is not started yet.
    *
-   * @param coreFactory makes the core, which may post to this loop
+   * @param coreFactory creates the core, which may post to this loop
    * @param threadName name of the loop's thread
-   * @param latenessListener hears the microseconds by which a tick came after its due time
-   * @param failureListener hears of a tick that failed: the loop ends there, as what is half done
-   *     can't be gone on from
-   * @param pendingReads blocks, for a bounded time, until what stands in the sockets has been read
-   *     and posted; called when a tick was held up, before anything is judged overdue
+   * @param latenessListener receives the microseconds by which a tick was late
+   * @param failureListener receives the cause of a tick that failed; the loop ends there, as its
+   *     state may be inconsistent
+   * @param pendingReads blocks, for a bounded time, until what is in the sockets has been read and
+   *     posted; called after a pause, before any deadline is judged
    */
   public EventLoop(
       Function<EventLoop, RouterCore> coreFactory,
@@ -63,18 +65,21 @@
     thread.start();
   }
 
-  /** Time since the loop was made; any thread. */
+  /** Time since the loop was created. Any thread. */
   public Duration now() {
     return Duration.ofNanos(System.nanoTime() - startedNanos);
   }
 
-  /** Goes before all that waits: news of workers that drain must not stand in line. Any thread. */
+  /**
+   * Runs an event in the next tick, before all others posted: a draining worker must not wait for
+   * its turn. Any thread.
+   */
   public void postUrgent(Consumer<RouterCore> event) {
     urgent.add(event);
     wakeUp();
   }
 
-  /** Runs an event in the next tick; any thread. */
+  /** Runs an event in one of the next ticks, in order of posting. Any thread. */
   public void post(Consumer<RouterCore> event) {
     queue.add(event);
     wakeUp();
@@ -86,7 +91,7 @@
     }
   }
 
-  /** Ends the thread after the tick under way, and waits for that. */
+  /** Ends the thread after the current tick, and waits for that a bounded time. */
   public void stop() {
     stopped = true;
     LockSupport.unpark(thread);
@@ -101,14 +106,14 @@
   public void run() {
     try {
       runTicks();
-    } catch (Throwable e) { // errors too: a thread that is gone serves nobody
+    } catch (Throwable e) { // errors too: without the thread no request is served
       failureListener.accept(e);
     }
   }
 
   private void runTicks() {
     List<Consumer<RouterCore>> batch = new ArrayList<>();
-    core.tick(now(), batch); // the policy asks for its first wake-up
+    core.tick(now(), batch); // the policy schedules its first wake-up
     while (!stopped) {
       gather(batch, MAX_EVENTS_PER_TICK);
       Duration due = core.nextDue();
@@ -121,7 +126,7 @@
       if (isDue) {
         latenessListener.accept(now.minus(due).toNanos() / 1000);
       }
-      if (isDue && now.minus(due).compareTo(HELD_UP) > 0) {
+      if (isDue && now.minus(due).compareTo(PAUSE_THRESHOLD) > 0) {
         pendingReads.run();
         gather(batch, Integer.MAX_VALUE);
       }
@@ -130,7 +135,7 @@
     }
   }
 
-  /** All urgent events, and others up to the bound of a tick. */
+  /** Moves all urgent events to the batch, and others up to a number of events in all. */
   private void gather(List<Consumer<RouterCore>> batch, int maxEvents) {
     Consumer<RouterCore> event = urgent.poll();
     while (event != null) {
--- a/src/main/java/switchgap/router/AdmissionGate.java
+++ b/src/main/java/switchgap/router/AdmissionGate.java
@@ -11,23 +11,27 @@
 import switchgap.policy.api.RouterSettings;
 
 /**
- * Where requests are offered: asks the admission controller, and hands on to the core what it
- * admits. What it rejects was never executed, so the rejection keeps rules 1 and 2. Runs within the
- * core's ticks.
+ * Applies admission control to offered requests: the core accepts what the controller admits. What
+ * it rejects was never executed, so a retry is harmless. Event loop only, within the core's ticks.
  */
 public final class AdmissionGate {
   /**
-   * A rejection within so many latency objectives found no capacity; a later one may have other
-   * causes.
+   * A rejection within this multiple of the latency objective counts as no capacity; a later one
+   * may have other causes.
    */
   private static final double SATURATED_OBJECTIVES = 1.2;
 
   private final RouterCore core;
   private final RouterSettings settings;
-  private final AdmissionController admission; // null: everything is admitted
+  private final AdmissionController admission; // null: every request is admitted
   private final Consumer<ServiceLevelChange> changeListener;
 
-  /** Without a controller (null) everything is admitted. Each change of service level is told. */
+  /**
+   * Creates the gate; with a controller it observes the core.
+   *
+   * @param admission null to admit every request
+   * @param changeListener notified of each change of service level
+   */
   public AdmissionGate(
       RouterCore core,
       RouterSettings settings,
@@ -42,7 +46,7 @@
     }
   }
 
-  /** Tells the controller what became of what it admitted. */
+  /** Reports to the controller how admitted requests end. */
   private final class Observer implements RequestObserver {
     @Override
     public void requestEnded(PendingRequest request, Response response) {
@@ -56,7 +60,7 @@
     }
   }
 
-  /** The core that admitted requests go to. */
+  /** The core that accepts admitted requests. */
   public RouterCore core() {
     return core;
   }
@@ -67,8 +71,8 @@
   }
 
   /**
-   * Offers a request. False when it was not accepted and gets no response here: see {@link
-   * RouterCore#accept}.
+   * Offers a request. Returns true where it gets its final response, which may be a rejection now;
+   * false where it was not accepted, see {@link RouterCore#accept}.
    */
   public boolean offer(PendingRequest request) {
     if (admission == null) {
@@ -81,7 +85,7 @@
     if (decision.admitted()) {
       return core.accept(request);
     }
-    reject(request, decision); // deferred ones too: to give up is to answer now
+    reject(request, decision);
     return true;
   }
 
@@ -100,27 +104,27 @@
     if (response == null) {
       return RequestOutcome.OTHER;
     }
-    Duration took = core.now().minus(request.acceptedAt());
+    Duration duration = core.now().minus(request.acceptedAt());
     Duration objective = settings.latencyObjective(request.requestClass());
     return switch (response.kind()) {
       case SUCCEEDED ->
-          took.compareTo(objective) <= 0 ? RequestOutcome.IN_TIME : RequestOutcome.LATE;
+          duration.compareTo(objective) <= 0 ? RequestOutcome.IN_TIME : RequestOutcome.LATE;
       case REJECTED -> {
         boolean neverExecuted = request.attempts().stream().noneMatch(Attempt::mayHaveExecuted);
-        boolean early = took.toNanos() <= objective.toNanos() * SATURATED_OBJECTIVES;
+        boolean early = duration.toNanos() <= objective.toNanos() * SATURATED_OBJECTIVES;
         yield neverExecuted && early ? RequestOutcome.SATURATED : RequestOutcome.OTHER;
       }
       case FAILED -> RequestOutcome.OTHER;
     };
   }
 
-  /** Holds a service level for all tenants for a time. */
+  /** Pins a service level for all tenants; needs a controller. */
   public void pin(ServiceLevel level, Duration duration) {
     admission.pin(core.now(), level, core.now().plus(duration));
     reportChanges();
   }
 
-  /** Lets time pass for the controller where nothing is offered. */
+  /** Advances the controller to the current time; needed only while no request is offered. */
   public void tick() {
     if (admission != null) {
       admission.tick(core.now());
--- a/src/main/java/switchgap/router/AnswerReason.java
+++ b/src/main/java/switchgap/router/AnswerReason.java
@@ -1,6 +1,6 @@
 package switchgap.router;
 
-/** Why a request has the final answer that it has. */
+/** Why a request got its final answer. */
 public enum AnswerReason implements EventReason {
   /** A worker served it. */
   SUCCEEDED,
@@ -8,9 +8,9 @@
   REJECTED,
   /** The policy failed it. */
   FAILED,
-  /** The router shuts down. */
+  /** The router is shutting down. */
   SHUTDOWN,
-  /** Its client sent a revoke when its time had run out; the answer is still owed. */
+  /** Its client revoked it after the deadline; an answer is still required. */
   REVOKED_LATE,
   /** The core did not accept it: its deadline has passed or too many functions are known. */
   NOT_ACCEPTED,
@@ -20,10 +20,10 @@
   TOO_MANY_OPEN,
   /** It does not fit into the event loop's queue. */
   QUEUE_FULL,
-  /** It was read and makes no sense. */
+  /** It was read and is invalid. */
   UNUSABLE;
 
-  /** The reason of a response that the policy decided on. */
+  /** The reason for a response that the policy decided on. */
   public static AnswerReason of(Response.Kind kind) {
     return switch (kind) {
       case SUCCEEDED -> SUCCEEDED;
--- a/src/main/java/switchgap/router/DeferredResults.java
+++ b/src/main/java/switchgap/router/DeferredResults.java
@@ -9,20 +9,21 @@
 import java.util.function.Consumer;
 
 /**
- * Deferred requests of one router: pending ones, and responses kept for a stated time. Bounded by
- * count and by the bytes of the responses kept; when full, the responses kept longest go first, and
- * no new request is accepted while all places are taken by pending ones. Belongs to the event loop.
+ * Deferred requests of one router: pending ones, and the responses of ended ones, which are cached
+ * for a configured time. Bounded by the number of entries and by the bytes of the cached responses;
+ * when full, the responses cached longest are evicted, and no new request is accepted while pending
+ * ones have all entries. Belongs to the event loop.
  */
 public final class DeferredResults {
   /** What is known of an id. */
   public enum Status {
     /** Its request has no response yet. */
     PENDING,
-    /** Its request has ended, and the result is kept. */
+    /** Its request has ended, and the result is cached. */
     ENDED,
-    /** It was handed out, and nothing is kept of it any more. */
+    /** This router assigned it, and its result is not cached any more. */
     GONE,
-    /** It was never handed out by this router. */
+    /** This router never assigned it. */
     UNKNOWN
   }
 
@@ -36,18 +37,19 @@
     private PendingRequest request;
     private Response response;
     private boolean ended;
-    private Duration keptUntil;
+    private Duration expiresAt;
 
     private Entry(DeferredResults owner, long number) {
       this.owner = owner;
       this.number = number;
     }
 
-    /** The request, once it was accepted. */
+    /** The request; null before it was accepted. */
     public PendingRequest request() {
       return request;
     }
 
+    /** Whether the request has ended, with a response or without. */
     public boolean isEnded() {
       return ended;
     }
@@ -76,12 +78,19 @@
   private final int maxEntries;
   private final long maxBytes;
   private final Map<Long, Entry> entries = new HashMap<>();
-  private final ArrayDeque<Entry> ended = new ArrayDeque<>();
+  private final ArrayDeque<Entry> endedEntries = new ArrayDeque<>(); // by their end, oldest first
   private Duration now = Duration.ZERO;
   private long nextNumber;
-  private long keptBytes;
+  private long cachedBytes;
 
-  /** Ids begin with the prefix, which differs from one start of a router to the next. */
+  /**
+   * Creates it without entries.
+   *
+   * @param idPrefix what ids begin with; must differ from one start of a router to the next
+   * @param retention how long a response is cached
+   * @param maxEntries bound of the entries, pending and ended
+   * @param maxBytes bound of the bodies of the cached responses
+   */
   public DeferredResults(String idPrefix, Duration retention, int maxEntries, long maxBytes) {
     this.idPrefix = idPrefix;
     this.retention = retention;
@@ -89,10 +98,10 @@
     this.maxBytes = maxBytes;
   }
 
-  /** A place for one more, or null when all are taken by pending requests. */
+  /** Reserves an entry; null when pending requests have them all. */
   public Entry reserve() {
-    while (entries.size() >= maxEntries && !ended.isEmpty()) {
-      forget(ended.poll());
+    while (entries.size() >= maxEntries && !endedEntries.isEmpty()) {
+      forget(endedEntries.poll());
     }
     if (entries.size() >= maxEntries) {
       return null;
@@ -102,30 +111,30 @@
     return entry;
   }
 
-  /** The id by which a client asks for an entry. */
+  /** The id by which a client polls an entry. */
   public String id(Entry entry) {
     return idPrefix + entry.number;
   }
 
-  /** The request behind an entry was accepted. */
+  /** The request of a reserved entry was accepted. */
   public void accepted(Entry entry, PendingRequest request) {
     entry.request = request;
   }
 
-  /** The request behind an entry was not accepted. */
+  /** The request of a reserved entry was not accepted; the entry is free again. */
   public void notAccepted(Entry entry) {
     entries.remove(entry.number);
   }
 
-  /** Drops what has been kept long enough. */
-  public void tick(Duration at) {
-    now = at;
-    while (!ended.isEmpty() && ended.peek().keptUntil.compareTo(at) <= 0) {
-      forget(ended.poll());
+  /** Drops the responses whose retention has expired at a time since the router's start. */
+  public void tick(Duration time) {
+    now = time;
+    while (!endedEntries.isEmpty() && endedEntries.peek().expiresAt.compareTo(time) <= 0) {
+      forget(endedEntries.poll());
     }
   }
 
-  /** What is known of an id. */
+  /** What is known of an id, as of the last tick. */
   public Status status(String id) {
     long number = numberOf(id);
     if (number < 0 || number >= nextNumber) {
@@ -143,26 +152,26 @@
     return entries.get(numberOf(id));
   }
 
-  /** Tells the waiter at the end; false when too many wait already. */
+  /** Notifies the waiter of the end of an entry; false when too many wait already. */
   public boolean await(Entry entry, Consumer<Entry> waiter) {
     return entry.waiters.size() < MAX_WAITERS && entry.waiters.add(waiter);
   }
 
-  /** A waiter is not told any more. */
+  /** Does not notify a waiter any more. */
   public void stopAwaiting(Entry entry, Consumer<Entry> waiter) {
     entry.waiters.remove(waiter);
   }
 
-  /** The client wants it no more: nothing is kept of it. */
+  /** Removes an entry with its response; its waiters are not notified. */
   public void forget(Entry entry) {
     if (entries.remove(entry.number) != null && entry.response != null) {
-      keptBytes -= entry.response.body().length;
+      cachedBytes -= entry.response.body().length;
     }
-    ended.remove(entry);
+    endedEntries.remove(entry);
     entry.waiters.clear();
   }
 
-  /** Entries, pending and ended. */
+  /** Number of entries, pending and ended. */
   public int size() {
     return entries.size();
   }
@@ -184,14 +193,14 @@
     }
     entry.response = response;
     entry.ended = true;
-    entry.keptUntil = now.plus(retention);
-    ended.add(entry);
-    keptBytes += response == null ? 0 : response.body().length;
+    entry.expiresAt = now.plus(retention);
+    endedEntries.add(entry);
+    cachedBytes += response == null ? 0 : response.body().length;
     List<Consumer<Entry>> waiters = List.copyOf(entry.waiters);
     entry.waiters.clear();
     waiters.forEach(waiter -> waiter.accept(entry));
-    while (keptBytes > maxBytes && ended.size() > 1) {
-      forget(ended.poll());
+    while (cachedBytes > maxBytes && endedEntries.size() > 1) {
+      forget(endedEntries.poll());
     }
   }
 }
--- a/src/main/java/switchgap/router/EndpointTable.java
+++ b/src/main/java/switchgap/router/EndpointTable.java
@@ -1,7 +1,6 @@
 package switchgap.router;
 
 import java.time.Duration;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -18,42 +17,45 @@
 final class EndpointTable {
   private final WorkerTransport transport;
   private final Map<String, WorkerEntry> byName = new HashMap<>();
-  private final List<WorkerEntry> byIndex = new ArrayList<>();
-  private final List<Integer> freeIndices = new ArrayList<>();
+  private final IndexedTable<WorkerEntry> byIndex = new IndexedTable<>();
 
-  /** Time of the first list; a configuration may give it in several parts, all at one time. */
+  /**
+   * Time of the first list, null before; a configuration may provide it in parts, all at one time.
+   */
   private Duration firstListAt;
 
   EndpointTable(WorkerTransport transport) {
     this.transport = transport;
   }
 
+  /** The worker of an index, null once it was released. */
   WorkerEntry get(int index) {
     return byIndex.get(index);
   }
 
-  /** Whether the policy still knows a worker: its index may have been handed out again. */
+  /** Whether the policy still knows a worker: its index may have been assigned again. */
   boolean isKnown(WorkerEntry worker) {
     WorkerEntry current =
         worker.index() == WorkerEntry.FORGOTTEN ? null : byIndex.get(worker.index());
     return current != null && current.name().equals(worker.name());
   }
 
-  /**
-   * Takes in a version of the list, or its changes, at a time since the router's start; tells the
-   * policy.
-   */
+  /** Applies a version of the list, complete or as its changes, and notifies the policy. */
   void update(boolean complete, List<EndpointUpdate> updates, Duration now, PolicyEvents policy) {
     firstListAt = firstListAt == null ? now : firstListAt;
     policy.endpointListStarted(complete);
-    Set<String> named = new HashSet<>();
+    Set<String> listed = new HashSet<>();
     for (EndpointUpdate update : updates) {
       if (update.state() == WorkerState.GONE && !byName.containsKey(update.name())) {
         continue;
       }
       WorkerEntry worker = entryFor(update);
-      named.add(update.name());
-      accept(worker, update.state() == WorkerState.READY);
+      listed.add(update.name());
+      if (update.state() == WorkerState.READY) {
+        worker.startAccepting();
+      } else {
+        drain(worker);
+      }
       updateStart(worker, update.startedAt(), now);
       policy.endpointListed(
           new EndpointEntry(
@@ -67,25 +69,23 @@
               worker.startedAt()));
     }
     if (complete) {
-      byIndex.stream()
-          .filter(worker -> worker != null && !named.contains(worker.name()))
-          .forEach(worker -> accept(worker, false));
+      byIndex.stream().filter(worker -> !listed.contains(worker.name())).forEach(this::drain);
     }
     policy.endpointListEnded();
   }
 
   /**
-   * Takes in a stated start, as far as it can be: wall clocks step, here and where it is stated. No
-   * process starts in the future; one that was in none of the first lists has not been there since
-   * before this router, and is cold as of now.
+   * Takes a listed start only as far as it is possible, as wall clocks step, here and where the
+   * list is made. No process starts in the future, and one that was in none of the first lists did
+   * not start before this router: it is warming up as of now.
    */
-  private void updateStart(WorkerEntry worker, Duration stated, Duration now) {
-    if (stated == null || stated.equals(worker.listedStart())) {
+  private void updateStart(WorkerEntry worker, Duration listed, Duration now) {
+    if (listed == null || listed.equals(worker.listedStart())) {
       return;
     }
     boolean isFirstList = now.equals(firstListAt);
-    boolean isPossible = stated.compareTo(now) <= 0 && (isFirstList || !stated.isNegative());
-    worker.startListed(stated, isPossible ? stated : now);
+    boolean isPossible = listed.compareTo(now) <= 0 && (isFirstList || !listed.isNegative());
+    worker.startListed(listed, isPossible ? listed : now);
   }
 
   /**
@@ -100,29 +100,17 @@
     if (known != null) {
       retire(known);
     }
-    int index = known == null ? newIndex() : known.index();
+    int index = known == null ? byIndex.add(null) : known.index();
     WorkerEntry worker = new WorkerEntry(update.name(), update.host(), update.port(), index);
     byName.put(worker.name(), worker);
     byIndex.set(index, worker);
     return worker;
   }
 
-  private int newIndex() {
-    if (!freeIndices.isEmpty()) {
-      return freeIndices.remove(freeIndices.size() - 1);
-    }
-    byIndex.add(null);
-    return byIndex.size() - 1;
-  }
-
-  private void accept(WorkerEntry worker, boolean accepting) {
-    boolean stops = worker.isAccepting() && !accepting;
-    if (accepting) {
-      worker.startAccepting();
-    } else {
+  /** Notifies the transport only of a worker that accepted until now. */
+  private void drain(WorkerEntry worker) {
+    if (worker.isAccepting()) {
       worker.stopAccepting();
-    }
-    if (stops) {
       transport.stopAccepting(worker, false);
     }
   }
@@ -132,13 +120,13 @@
     transport.stopAccepting(worker, true);
   }
 
-  /** Forgets a worker that nothing refers to any more. */
+  /** Frees the index of a worker that nothing refers to any more. */
   void release(int index) {
     WorkerEntry worker = byIndex.get(index);
     retire(worker);
     byName.remove(worker.name());
     worker.forget();
     byIndex.set(index, null);
-    freeIndices.add(index);
+    byIndex.release(index);
   }
 }
--- a/src/main/java/switchgap/router/EventReason.java
+++ b/src/main/java/switchgap/router/EventReason.java
@@ -2,6 +2,6 @@
 
 /** Why an event happened: a constant of an enum, so that the counters by reason are bounded. */
 public interface EventReason {
-  /** The constant's name, which counters and trace lines bear. */
+  /** The constant's name, as it appears in counters and trace lines. */
   String name();
 }
--- a/src/main/java/switchgap/router/InvariantMonitor.java
+++ b/src/main/java/switchgap/router/InvariantMonitor.java
@@ -6,18 +6,17 @@
 import switchgap.policy.api.RouterSettings;
 
 /**
- * Checks the invariants right before an attempt, load, answer or close. A check changes nothing:
- * whoever acts has decided already, and a violation is a fault of this program. It is counted among
- * the router's events and logged, at most one line a second, and makes tests and the soak fail.
- * Event loop only.
+ * Checks the invariants right before an attempt, load, answer or close. A check does not prevent
+ * the action; a violation is a fault of this program. It is counted among the router's events and
+ * logged, at most one line a second, and makes tests and the soak fail. Event loop only.
  */
 public final class InvariantMonitor {
   private static final Duration LOG_INTERVAL = Duration.ofSeconds(1);
 
-  /** An attempt may begin so long after its client was seen to have gone. */
+  /** An attempt may start this long after its client was seen to have disconnected. */
   private static final Duration DISCONNECT_SLACK = Duration.ofMillis(100);
 
-  /** A worker's timeout may exceed what the client has left by so much. */
+  /** A worker's timeout may exceed the time until the client's deadline by this much. */
   private static final Duration DEADLINE_SLACK = Duration.ofMillis(150);
 
   private static final String STARTUP = "start";
@@ -28,10 +27,10 @@
   private Duration nextLogLine = Duration.ZERO;
 
   /**
-   * A monitor under these settings.
+   * Creates a monitor without violations.
    *
    * @param events violations are counted among them
-   * @param log takes a line for a violation
+   * @param log receives a line for a violation
    */
   public InvariantMonitor(RouterSettings settings, RouterEvents events, Consumer<String> log) {
     this.settings = settings;
@@ -39,15 +38,15 @@
     this.log = log;
   }
 
-  /** Violations so far. */
+  /** Number of violations so far. */
   public long violations() {
     return events.count(RouterEvent.Kind.INVARIANT_VIOLATED);
   }
 
   /**
-   * An attempt is about to go out.
+   * An attempt is about to be sent.
    *
-   * @param timeout the time that the worker is given
+   * @param timeout the time that the worker has for it
    */
   public void beforeAttempt(Attempt attempt, Duration timeout, Duration now) {
     PendingRequest request = attempt.request();
@@ -77,7 +76,7 @@
         .anyMatch(other -> other != attempt && other.mayHaveExecuted() && other.hasEnded());
   }
 
-  /** A load of replicas is about to go out. */
+  /** A load command is about to be sent. */
   public void beforeLoad(WorkerEntry worker, Duration now) {
     check(worker.isAccepting(), RouterInvariant.LOAD_TO_DRAINING_WORKER, worker.name(), now);
   }
@@ -91,8 +90,8 @@
   /**
    * A client's connection was closed.
    *
-   * @param subjectId what the violation is reported of
-   * @param isClientFault whether the client caused it, so that requests may be unanswered
+   * @param subjectId id that a violation is reported with
+   * @param isClientFault whether the client caused it; then requests may be unanswered
    * @param unanswered requests that were read on it and have no answer
    */
   public void afterClose(String subjectId, boolean isClientFault, int unanswered, Duration now) {
--- a/src/main/java/switchgap/router/NameIndex.java
+++ b/src/main/java/switchgap/router/NameIndex.java
@@ -1,13 +1,11 @@
 package switchgap.router;
 
-import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 
 /**
- * Names to small indices and back; a released index is handed out again. Not bounded: its owner
- * limits the names.
+ * Names to small indices and back; a released index is assigned again. Not bounded: its owner
+ * limits the names. Belongs to the event loop.
  */
 final class NameIndex {
   /** The index of a name that has none. */
@@ -19,8 +17,7 @@
   private static final long HASH_BITS = 0xffffffffffL;
 
   private final Map<String, Integer> indices = new HashMap<>();
-  private final List<String> names = new ArrayList<>();
-  private final List<Integer> freeIndices = new ArrayList<>();
+  private final IndexedTable<String> names = new IndexedTable<>();
 
   /** The index of a name, or {@link #NOT_FOUND}. */
   int find(String name) {
@@ -33,16 +30,12 @@
     if (known != null) {
       return known;
     }
-    int index = freeIndices.isEmpty() ? names.size() : freeIndices.remove(freeIndices.size() - 1);
-    if (index == names.size()) {
-      names.add(name);
-    } else {
-      names.set(index, name);
-    }
+    int index = names.add(name);
     indices.put(name, index);
     return index;
   }
 
+  /** The name of an index; after a release until the index is assigned again. */
   String nameOf(int index) {
     return names.get(index);
   }
@@ -50,15 +43,16 @@
   /** Frees an index for another name. */
   void release(int index) {
     if (indices.remove(names.get(index), index)) {
-      freeIndices.add(index);
+      names.release(index);
     }
   }
 
+  /** Number of names that have an index. */
   int size() {
     return indices.size();
   }
 
-  /** The same number at every router for the same name: FNV-1a, then mixed, 40 bits. */
+  /** A hash of 40 bits that is equal at every router: FNV-1a, then the finalizer of MurmurHash3. */
   static long hash(String name) {
     long hash = FNV_OFFSET_BASIS;
     for (int i = 0; i < name.length(); i++) {
--- a/src/main/java/switchgap/router/PendingRequest.java
+++ b/src/main/java/switchgap/router/PendingRequest.java
@@ -31,17 +31,7 @@
   /** The index of a request that the policy does not know. */
   private static final int NO_INDEX = -1;
 
-  private final String id;
-  private final String function;
-  private final int requestClass;
-  private final int tenant;
-  private final Duration deadline;
-  private final Duration durationHint;
-  private final String idempotencyKey;
-  private final String contentType;
-  private final byte[] body;
-  private final double memoryMb;
-  private final int slots;
+  private final RequestSpec spec;
   private final ResponseListener listener;
   private final List<Attempt> attempts = new ArrayList<>(1);
   private State state = State.PENDING;
@@ -50,80 +40,70 @@
   private Duration acceptedAt = Duration.ZERO;
   private int index = NO_INDEX;
 
-  private PendingRequest(Builder builder) {
-    this.id = builder.id;
-    this.function = builder.function;
-    this.requestClass = builder.requestClass;
-    this.tenant = builder.tenant;
-    this.deadline = builder.deadline;
-    this.durationHint = builder.durationHint;
-    this.idempotencyKey = builder.idempotencyKey;
-    this.contentType = builder.contentType;
-    this.body = builder.body;
-    this.memoryMb = builder.memoryMb;
-    this.slots = builder.slots;
-    this.listener = builder.listener;
+  PendingRequest(RequestSpec spec, ResponseListener listener) {
+    this.spec = spec;
+    this.listener = listener;
   }
 
   /** Builds a request; by default of the first class, without tenant, hint, key and body. */
-  public static Builder builder(
+  public static PendingRequestBuilder builder(
       String id, String function, Duration deadline, ResponseListener listener) {
-    return new Builder(id, function, deadline, listener);
+    return new PendingRequestBuilder(id, function, deadline, listener);
   }
 
   /** Its id, unique among the requests in flight. */
   public String id() {
-    return id;
+    return spec.id();
   }
 
   /** Name of the function that it invokes. */
   public String function() {
-    return function;
+    return spec.function();
   }
 
   /** Index of its class in the settings. */
   public int requestClass() {
-    return requestClass;
+    return spec.requestClass();
   }
 
   /** Index of its tenant in the settings, or {@link #NO_TENANT}. */
   public int tenant() {
-    return tenant;
+    return spec.tenant();
   }
 
   /** When the client stops waiting. */
   public Duration deadline() {
-    return deadline;
+    return spec.deadline();
   }
 
   /** How long it should run, or null. */
   public Duration durationHint() {
-    return durationHint;
+    return spec.durationHint();
   }
 
   /** The key by which workers recognize a retry, or null. */
   public String idempotencyKey() {
-    return idempotencyKey;
+    return spec.idempotencyKey();
   }
 
   /** Media type of the body, or null. */
   public String contentType() {
-    return contentType;
+    return spec.contentType();
   }
 
   /** The body as received; not to be changed. */
   public byte[] body() {
-    return body;
+    return spec.body();
   }
 
   /** Memory of one replica of its function, in MB. */
   public double memoryMb() {
-    return memoryMb;
+    return spec.memoryMb();
   }
 
   /** Requests that one replica of its function runs at a time. */
   public int slots() {
-    return slots;
+    return spec.slots();
   }
 
   /** Notified of its end. */
@@ -216,70 +196,4 @@
   int index() {
     return index;
   }
-
-  /** Builds a request from what a client sent. */
-  public static final class Builder {
-    private final String id;
-    private final String function;
-    private final Duration deadline;
-    private final ResponseListener listener;
-    private int requestClass;
-    private int tenant = NO_TENANT;
-    private Duration durationHint;
-    private String idempotencyKey;
-    private String contentType;
-    private byte[] body = {};
-    private double memoryMb;
-    private int slots = 1;
-
-    private Builder(String id, String function, Duration deadline, ResponseListener listener) {
-      this.id = id;
-      this.function = function;
-      this.deadline = deadline;
-      this.listener = listener;
-    }
-
-    /** Index of its class in the settings. */
-    public Builder requestClass(int index) {
-      requestClass = index;
-      return this;
-    }
-
-    /** Index of its tenant in the settings, or {@link #NO_TENANT}. */
-    public Builder tenant(int index) {
-      tenant = index;
-      return this;
-    }
-
-    /** How long it should run, null for no hint. */
-    public Builder durationHint(Duration hint) {
-      durationHint = hint;
-      return this;
-    }
-
-    /** The key by which workers recognize a retry, null for none. */
-    public Builder idempotencyKey(String key) {
-      idempotencyKey = key;
-      return this;
-    }
-
-    /** Its body with the media type, which may be null. */
-    public Builder payload(String type, byte[] bytes) {
-      contentType = type;
-      body = bytes;
-      return this;
-    }
-
-    /** Memory in MB and concurrent requests of one replica of its function. */
-    public Builder replica(double memory, int concurrentRequests) {
-      memoryMb = memory;
-      slots = concurrentRequests;
-      return this;
-    }
-
-    /** The request. */
-    public PendingRequest build() {
-      return new PendingRequest(this);
-    }
-  }
 }
--- a/src/main/java/switchgap/router/PendingRequestTable.java
+++ b/src/main/java/switchgap/router/PendingRequestTable.java
@@ -1,10 +1,7 @@
 package switchgap.router;
 
-import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
-import java.util.Objects;
 import java.util.function.ToDoubleFunction;
 
 /**
@@ -12,36 +9,31 @@
  * event loop.
  */
 final class PendingRequestTable {
-  private final List<PendingRequest> byIndex = new ArrayList<>();
-  private final List<Integer> freeIndices = new ArrayList<>();
+  private final IndexedTable<PendingRequest> requests = new IndexedTable<>();
   private int pending;
 
+  /** The request of an index, null once it was released. */
   PendingRequest get(int index) {
-    return byIndex.get(index);
+    return requests.get(index);
   }
 
+  /** Adds a pending request and gives it its index. */
   void add(PendingRequest request) {
-    if (freeIndices.isEmpty()) {
-      request.indexAs(byIndex.size());
-      byIndex.add(request);
-    } else {
-      request.indexAs(freeIndices.remove(freeIndices.size() - 1));
-      byIndex.set(request.index(), request);
-    }
+    request.indexAs(requests.add(request));
     pending++;
   }
 
-  /** A request that was added gets its final state. */
+  /** A request that was added reached a final state. */
   void end(PendingRequest request, PendingRequest.State finalState) {
     request.end(finalState);
     pending--;
   }
 
-  /** Forgets a request that nothing refers to any more. */
+  /** Frees the index of a request that nothing refers to any more. */
   void release(int index) {
-    byIndex.get(index).forgetIndex();
-    byIndex.set(index, null);
-    freeIndices.add(index);
+    requests.get(index).forgetIndex();
+    requests.set(index, null);
+    requests.release(index);
   }
 
   /** Requests without their final state. */
@@ -51,14 +43,13 @@
 
   /** Requests that the policy knows: also those with attempts in flight after their end. */
   int unsettled() {
-    return byIndex.size() - freeIndices.size();
+    return requests.size();
   }
 
   /** Sum of the weights of pending requests without an attempt in flight, by function. */
   Map<String, Double> queuedWeightByFunction(ToDoubleFunction<PendingRequest> weight) {
     Map<String, Double> weights = new HashMap<>();
-    byIndex.stream()
-        .filter(Objects::nonNull)
+    requests.stream()
         .filter(PendingRequestTable::isQueued)
         .forEach(
             request ->
--- a/src/main/java/switchgap/router/Response.java
+++ b/src/main/java/switchgap/router/Response.java
@@ -15,11 +15,11 @@
     Kind kind, int status, Map<String, String> headers, byte[] body, Duration retryAfter) {
   /** The three ways in which a request may end with a response. */
   public enum Kind {
-    /** A worker's response is passed on. */
+    /** A worker's response is forwarded. */
     SUCCEEDED,
     /** A retry is harmless. */
     REJECTED,
-    /** No promise about the request's effect. */
+    /** The request may have been executed; a retry is not harmless. */
     FAILED
   }
 
--- a/src/main/java/switchgap/router/ResponseListener.java
+++ b/src/main/java/switchgap/router/ResponseListener.java
@@ -2,28 +2,28 @@
 
 import java.time.Duration;
 
-/** Is told once, on the event loop, how an accepted request ended. */
+/** Notified once, on the event loop, of how an accepted request ended. */
 public interface ResponseListener {
-  /** The one final response. */
+  /** The request has its final response. */
   void responded(PendingRequest request, Response response);
 
   /**
-   * The deadline passed before this response could be passed on; whether anything may still be sent
-   * is the protocol's to say.
+   * The deadline passed before this response could be sent; whether it may still be sent depends on
+   * the protocol.
    */
   void deadlineMissed(PendingRequest request, Response late);
 
   /**
-   * Whether the client is known to have gone, though that has yet to be taken in: nothing goes out
-   * for it any more.
+   * Whether the client is known to have disconnected, possibly before the core was notified: no
+   * attempt is sent for it any more. Any thread.
    */
   default boolean isDisconnected() {
     return false;
   }
 
   /**
-   * When the client was seen to have gone, since the router's start; null where it was not, or just
-   * now.
+   * When the client was seen to have disconnected, since the router's start; null where it was not,
+   * or only just was.
    */
   default Duration disconnectedAt() {
     return null;
--- a/src/main/java/switchgap/router/RouterDiagnostics.java
+++ b/src/main/java/switchgap/router/RouterDiagnostics.java
@@ -4,17 +4,18 @@
 import switchgap.policy.api.RouterSettings;
 
 /**
- * What observes a running router. None of it decides anything.
+ * Observability of a running router; without influence on its decisions.
  *
- * @param events counts and traces what happens
- * @param invariants checks what is about to happen
- * @param log takes lines for the operators
+ * @param events counts and traces events
+ * @param invariants checks actions right before they happen
+ * @param log receives log lines for the operators
  */
 public record RouterDiagnostics(
     RouterEvents events, InvariantMonitor invariants, Consumer<String> log) {
   /**
-   * Diagnostics of a router under these settings; events are traced where there are lines for it,
-   * else null.
+   * Creates the diagnostics of a router under these settings.
+   *
+   * @param traceLines receives a line for each event; null for counters alone
    */
   public static RouterDiagnostics of(
       RouterSettings settings, Consumer<String> log, Consumer<String> traceLines) {
--- a/src/main/java/switchgap/router/RouterEvent.java
+++ b/src/main/java/switchgap/router/RouterEvent.java
@@ -12,9 +12,9 @@
     REQUEST_RECEIVED,
     /** A request has its final answer. */
     REQUEST_ANSWERED,
-    /** A request's client withdrew it or has gone. */
+    /** A request's client cancelled it or disconnected. */
     REQUEST_ABANDONED,
-    /** An attempt goes out. */
+    /** An attempt is sent. */
     ATTEMPT_SENT,
     /** An attempt ended. */
     ATTEMPT_ENDED,
@@ -37,8 +37,21 @@
   /** Id of the request or connection that it happened to. */
   String subjectId();
 
-  /** Further text of the trace line; made only where lines are wanted. */
-  String detail();
+  /** Further text of the trace line, empty for none; made only where lines are wanted. */
+  default String detail() {
+    return "";
+  }
+
+  /** An event that happens for one of several reasons. */
+  sealed interface WithReason extends RouterEvent {
+    /** Why it happened. */
+    EventReason reason();
+
+    @Override
+    default String reasonName() {
+      return reason().name();
+    }
+  }
 
   /** A request was read from a client's connection. */
   record RequestReceived(String requestId, String connectionId) implements RouterEvent {
@@ -72,50 +85,35 @@
    * @param context when it was answered, or what else says which request it was
    */
   record RequestAnswered(AnswerReason reason, String subjectId, Object context)
-      implements RouterEvent {
+      implements WithReason {
     @Override
     public Kind kind() {
       return Kind.REQUEST_ANSWERED;
     }
 
-    @Override
-    public String reasonName() {
-      return reason.name();
-    }
-
     @Override
     public String detail() {
       return String.valueOf(context);
     }
   }
 
-  /** A request's client withdrew it or has gone. */
-  record RequestAbandoned(EventReason reason, String requestId) implements RouterEvent {
+  /** A request's client cancelled it or disconnected. */
+  record RequestAbandoned(EventReason reason, String requestId) implements WithReason {
     @Override
     public Kind kind() {
       return Kind.REQUEST_ABANDONED;
     }
 
-    @Override
-    public String reasonName() {
-      return reason.name();
-    }
-
     @Override
     public String subjectId() {
       return requestId;
     }
-
-    @Override
-    public String detail() {
-      return "";
-    }
   }
 
   /**
-   * An attempt goes out.
+   * An attempt is sent.
    *
-   * @param timeout the time that the worker is given
+   * @param timeout time that the worker has for it
    */
   record AttemptSent(Attempt attempt, Duration timeout) implements RouterEvent {
     private enum Order {
@@ -187,26 +185,16 @@
     public String subjectId() {
       return connectionId;
     }
-
-    @Override
-    public String detail() {
-      return "";
-    }
   }
 
   /** A client's connection ended with this many requests that were read and have no answer. */
   record ClientClosed(EventReason reason, String connectionId, int unanswered)
-      implements RouterEvent {
+      implements WithReason {
     @Override
     public Kind kind() {
       return Kind.CLIENT_CLOSED;
     }
 
-    @Override
-    public String reasonName() {
-      return reason.name();
-    }
-
     @Override
     public String subjectId() {
       return connectionId;
@@ -220,17 +208,12 @@
 
   /** A connection to a worker ended; the description says what it was in this case. */
   record WorkerClosed(EventReason reason, String connectionId, String description)
-      implements RouterEvent {
+      implements WithReason {
     @Override
     public Kind kind() {
       return Kind.WORKER_CLOSED;
     }
 
-    @Override
-    public String reasonName() {
-      return reason.name();
-    }
-
     @Override
     public String subjectId() {
       return connectionId;
--- a/src/main/java/switchgap/router/RouterEvents.java
+++ b/src/main/java/switchgap/router/RouterEvents.java
@@ -8,8 +8,8 @@
 
 /**
  * Counts what happens to requests and connections by kind and reason, and writes a trace line for
- * each event where lines are wanted. A line is {@code kind reason id detail}, so that one search
- * for a request's id finds its whole way. Thread-safe.
+ * each event where lines are wanted. A line is {@code kind reason id detail}, so that a search for
+ * a request's id finds its complete history. Thread-safe.
  */
 public final class RouterEvents {
   private static final String SEPARATOR = " ";
@@ -27,17 +27,17 @@
     }
   }
 
-  /** Events that are counted only. */
+  /** Creates a recorder that only counts. */
   public static RouterEvents counting() {
     return new RouterEvents(null);
   }
 
-  /** Events that are counted and traced, in a line each. */
+  /** Creates a recorder that counts, and writes a trace line for each event. */
   public static RouterEvents tracing(Consumer<String> traceLines) {
     return new RouterEvents(traceLines);
   }
 
-  /** Counts an event, and traces it where lines are wanted. */
+  /** Counts an event, and writes its trace line where events are traced. */
   public void record(RouterEvent event) {
     synchronized (counts) {
       counts.get(event.kind()).computeIfAbsent(event.reasonName(), name -> new long[1])[0]++;
--- a/src/main/java/switchgap/router/RouterInvariant.java
+++ b/src/main/java/switchgap/router/RouterInvariant.java
@@ -1,24 +1,24 @@
 package switchgap.router;
 
 /**
- * What must hold whenever something is sent, answered or closed; each is named by its violation.
+ * What must hold whenever something is sent, answered or closed. Each is named by its violation.
  */
 public enum RouterInvariant {
-  /** An attempt goes out for a request that has its answer. */
+  /** An attempt is sent for a request that has its answer. */
   ATTEMPT_AFTER_ANSWER,
-  /** An attempt goes out for a client that was seen to have gone over 0.1 s ago. */
+  /** An attempt is sent although its client was seen to have disconnected over 0.1 s ago. */
   ATTEMPT_FOR_DISCONNECTED_CLIENT,
-  /** An attempt goes out to a worker that drains or is gone. */
+  /** An attempt is sent to a worker that is draining or gone. */
   ATTEMPT_TO_DRAINING_WORKER,
-  /** An attempt goes out after the request's deadline. */
+  /** An attempt is sent after the request's deadline. */
   ATTEMPT_AFTER_DEADLINE,
-  /** The timeout that a worker is given is longer than what the client has left. */
+  /** The timeout sent to a worker ends after the client's deadline. */
   TIMEOUT_PAST_DEADLINE,
   /** A non-idempotent request is retried although an attempt may have been executed. */
   RETRY_OF_NON_IDEMPOTENT,
-  /** An attempt goes out after it ended. */
+  /** An attempt is sent after it ended. */
   ATTEMPT_SENT_TWICE,
-  /** A load goes to a worker that drains or is gone. */
+  /** A load command is sent to a worker that is draining or gone. */
   LOAD_TO_DRAINING_WORKER,
   /** A request is answered a second time. */
   SECOND_ANSWER,
--- a/src/main/java/switchgap/router/TimerQueue.java
+++ b/src/main/java/switchgap/router/TimerQueue.java
@@ -5,16 +5,17 @@
 import java.util.PriorityQueue;
 
 /**
- * What is due when, in order; equal times in the order they were set. Belongs to the event loop.
+ * Timers by due time; equal times in the order in which they were scheduled. Belongs to the event
+ * loop.
  */
 final class TimerQueue {
   /**
-   * Cancelled timers are cleared out past so many, once they are the larger part: they must not
-   * pile up until due.
+   * Beyond this number cancelled timers are removed once they are the larger part of the queue:
+   * they must not accumulate until due.
    */
-  private static final int MIN_CANCELLED_TO_CLEAR = 1024;
+  private static final int MIN_CANCELLED_TO_REMOVE = 1024;
 
-  /** A timer that was set; its task is null once it ran or was cancelled. */
+  /** A scheduled timer; its task is null once it ran or was cancelled. */
   static final class Timer {
     private final Duration due;
     private final long number;
@@ -34,26 +35,27 @@
   private long count;
   private int cancelled;
 
-  /** Has a task run at a time or soon after. */
+  /** Schedules a task for the first run at this time or later. */
   Timer schedule(Duration due, Runnable task) {
     Timer timer = new Timer(due, count++, task);
     queue.add(timer);
     return timer;
   }
 
-  /** Has a timer not run; null and timers that ran are passed over. */
+  /** Cancels a timer; without effect on null, timers that ran and cancelled ones. */
   void cancel(Timer timer) {
     if (timer == null || timer.task == null) {
       return;
     }
     timer.task = null;
-    if (++cancelled > MIN_CANCELLED_TO_CLEAR && cancelled > queue.size() / 2) {
+    cancelled++;
+    if (cancelled > MIN_CANCELLED_TO_REMOVE && cancelled > queue.size() / 2) {
       queue.removeIf(each -> each.task == null);
       cancelled = 0;
     }
   }
 
-  /** The next due time, or null. */
+  /** Due time of the next timer, or null. */
   Duration nextDue() {
     while (!queue.isEmpty() && queue.peek().task == null) {
       queue.poll();
@@ -62,7 +64,7 @@
     return queue.isEmpty() ? null : queue.peek().due;
   }
 
-  /** Runs all that is due. */
+  /** Runs the timers due at this time, also those that they schedule meanwhile. */
   void runDue(Duration now) {
     for (Duration due = nextDue(); due != null && due.compareTo(now) <= 0; due = nextDue()) {
       Timer timer = queue.poll();
@@ -72,7 +74,7 @@
     }
   }
 
-  /** Timers that are set. */
+  /** Number of scheduled timers that neither ran nor were cancelled. */
   int size() {
     return queue.size() - cancelled;
   }
--- a/src/test/java/switchgap/router/BoundsTest.java
+++ b/src/test/java/switchgap/router/BoundsTest.java
@@ -46,7 +46,7 @@
         .isEqualTo(3);
     results.tick(Duration.ofMinutes(6));
     assertThat(results.size()).isZero();
-    assertThat(ReachableObjects.field(results, "keptBytes")).isEqualTo(0L);
+    assertThat(ReachableObjects.field(results, "cachedBytes")).isEqualTo(0L);
   }
 
   @Test
