--- a/src/main/java/switchgap/testbed/experiment/Emulator.java
+++ b/src/main/java/switchgap/testbed/experiment/Emulator.java
@@ -83,7 +83,7 @@
     store =
         new EmulatedStore(scheduler, noRecord, scenario.storeCapacity(), scenario.storeOutage());
     clients = scenario.clients(scheduler, this::send, catalogue, seed + 1);
-    clients.curve(curve);
+    clients.setRateCurve(curve);
     loadFaults = new LoadFaults(scheduler, clients, catalogue, store, scenario.tenantShares());
     for (int i = 0; i < scenario.workers(); i++) {
       startWorker(false);
@@ -94,7 +94,7 @@
           new YamlRouterSettings(
               YamlDocument.read(
                   "router " + i, scenario.routerConfig(i, 1, 1, catalogue, variant.terms()))));
-      clients.zone(i, scenario.zone(i));
+      clients.setZone(i, scenario.zone(i));
       routers.add(null);
       startRouter(i);
     }
@@ -152,8 +152,8 @@
         workerIndex / scenario.cellSize(),
         settings.isEmpty() ? 0 : settings.get(0).workerKindIndex(scenario.kindName(workerIndex)),
         scenario.computeCapacityOf(workerIndex),
-        worker.cold()
-            ? router.now().minus(Duration.ofNanos((scheduler.now() - worker.started()) * 1000))
+        worker.startedCold()
+            ? router.now().minus(Duration.ofNanos((scheduler.now() - worker.startedAt()) * 1000))
             : null);
   }
 
@@ -179,8 +179,8 @@
   /** Mean share of cores at work, over the workers that run. */
   double meanUtilization() {
     return workers.values().stream()
-        .filter(worker -> !worker.dead())
-        .mapToDouble(EmulatedWorker::busy)
+        .filter(worker -> !worker.isDead())
+        .mapToDouble(EmulatedWorker::utilization)
         .average()
         .orElse(0);
   }
@@ -319,14 +319,14 @@
     switch (fault.type()) {
       case SLOW -> {
         List<EmulatedWorker> selected = selectWorkers(fault.share());
-        selected.forEach(worker -> worker.slow(fault.strength()));
-        scheduler.after(fault.duration(), () -> selected.forEach(worker -> worker.slow(1)));
+        selected.forEach(worker -> worker.setSlowdown(fault.strength()));
+        scheduler.after(fault.duration(), () -> selected.forEach(worker -> worker.setSlowdown(1)));
       }
       case WORKERS_KILLED ->
           selectWorkers(fault.share())
               .forEach(
                   worker -> {
-                    worker.die();
+                    worker.kill();
                     scheduler.after(
                         fault.duration(),
                         () -> {
@@ -351,7 +351,7 @@
     List<EmulatedWorker> all = new ArrayList<>();
     workers.forEach(
         (workerName, worker) -> {
-          if (ready.get(workerName) && !worker.dead()) {
+          if (ready.get(workerName) && !worker.isDead()) {
             all.add(worker);
           }
         });
