--- a/src/main/java/switchgap/cli/ServeCommand.java
+++ b/src/main/java/switchgap/cli/ServeCommand.java
@@ -6,13 +6,13 @@
 /** Runs a router on the platform until SIGTERM. */
 @Command(
     name = "serve",
-    mixinStandardHelpOptions = true, //
+    mixinStandardHelpOptions = true,
     description =
         "Runs a router on the platform until SIGTERM, by NODE_NAME, "
-            + "NODE_LISTEN and NODE_CONFIG.") //
+            + "NODE_LISTEN and NODE_CONFIG.")
 final class ServeCommand implements Callable<Integer> {
   @Override
   public Integer call() {
-    return switchgap.server.platform.ServeCommand.run();
+    return switchgap.server.platform.PlatformProcess.run();
   }
 }
--- a/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
@@ -6,43 +6,46 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import switchgap.net.ConnectFailure;
 import switchgap.net.Connector;
 import switchgap.net.NetworkTransport;
 import switchgap.net.TcpConnection;
+import switchgap.net.TcpConnector;
 import switchgap.router.RouterCore;
 import switchgap.router.RouterDiagnostics;
 import switchgap.router.WorkerEntry;
 
 /**
  * The connection pools of all workers, and the number of connections that they share. All methods
- * belong to the event loop, but for {@link #nowNanos} and {@link #post}, which any thread may call.
+ * belong to the event loop, except for {@link #nowNanos} and {@link #post}, which any thread may
+ * call.
  */
 final class RespConnectionManager {
   private static final int MIN_CONNECTIONS_PER_WORKER = 2;
 
-  /** The longest string of a reply, which is its body. */
+  /** Bytes of the longest string that a reply may hold, which is its body. */
   private static final int MAX_STRING_BYTES = 16 << 10;
 
-  private final RespWorkerTransport.ConnectionLimits limits;
+  private final RespConnectionLimits limits;
   private final Supplier<Duration> clock;
   private final Consumer<Consumer<RouterCore>> events;
-  private final TcpConnection.Factory connectionFactory;
+  private final TcpConnector connectionFactory;
   private final RouterDiagnostics diagnostics;
   private final Set<RespConnectionPool> pools = new HashSet<>();
 
-  /** Connections that are open or being opened. */
+  /** The number of connections that are open or being opened. */
   private int connectionCount;
 
   /**
-   * A manager without connections.
+   * Creates a manager without connections.
    *
    * @param clock the router's clock
    * @param events posts to the router's event loop
-   * @param diagnostics hears of each send and close
+   * @param diagnostics is notified of each command sent and each connection closed
    */
   RespConnectionManager(
       NetworkTransport net,
-      RespWorkerTransport.ConnectionLimits limits,
+      RespConnectionLimits limits,
       Supplier<Duration> clock,
       Consumer<Consumer<RouterCore>> events,
       RouterDiagnostics diagnostics) {
@@ -50,15 +53,10 @@
     this.clock = clock;
     this.events = events;
     this.diagnostics = diagnostics;
-    this.connectionFactory =
-        new TcpConnection.Factory(net, new ReplyReader(events, diagnostics.events()));
+    this.connectionFactory = new TcpConnector(net, new ReplyReader(events, diagnostics.events()));
   }
 
-  RespWorkerTransport.ConnectionLimits limits() {
-    return limits;
-  }
-
-  /** Hears of each send. */
+  /** Is notified of each command sent. */
   RouterDiagnostics diagnostics() {
     return diagnostics;
   }
@@ -68,34 +66,34 @@
     return clock.get().toNanos();
   }
 
-  /** Posts an event: what the core asks is never answered before the call returns. */
+  /** Posts an event to the event loop, which never runs it before this returns. */
   void post(Consumer<RouterCore> event) {
     events.accept(event);
   }
 
-  /** The pool of a worker, made where it has none yet. */
+  /** Returns the pool of a worker, which is created where there is none yet. */
   RespConnectionPool poolFor(WorkerEntry worker) {
-    if (worker.attachment == null) {
-      RespConnectionPool pool =
-          new RespConnectionPool(this, new InetSocketAddress(worker.host, worker.port));
-      worker.attachment = pool;
+    if (worker.attachment() == null) {
+      InetSocketAddress address = new InetSocketAddress(worker.host(), worker.port());
+      RespConnectionPool pool = new RespConnectionPool(this, address, limits);
+      worker.attach(pool);
       pools.add(pool);
     }
-    return (RespConnectionPool) worker.attachment;
+    return (RespConnectionPool) worker.attachment();
   }
 
-  /** Connections that one worker may have when all that are in use share the limit. */
+  /** The bound of connections to one worker, so that all workers together keep within the limit. */
   int maxConnectionsPerWorker() {
-    int share = limits.connections() / Math.max(1, pools.size());
-    return Math.max(MIN_CONNECTIONS_PER_WORKER, Math.min(limits.links(), share));
+    int share = limits.maxConnections() / Math.max(1, pools.size());
+    return Math.max(MIN_CONNECTIONS_PER_WORKER, Math.min(limits.maxConnectionsPerWorker(), share));
   }
 
   /**
-   * Whether one more connection may be opened. At the limit the idle connection that was least
-   * recently used is closed for it, so this must be asked last.
+   * Returns whether one more connection may be opened. At the limit it evicts the idle connection
+   * that was least recently used, so it must be called only when the connection is opened next.
    */
-  boolean makeRoom() {
-    if (connectionCount < limits.connections()) {
+  boolean ensureCapacity() {
+    if (connectionCount < limits.maxConnections()) {
       return true;
     }
     RespConnection evicted = null;
@@ -105,29 +103,28 @@
     if (evicted == null) {
       return false;
     }
-    evicted.tcp.close(WorkerCloseReason.EVICTED);
+    evicted.close(WorkerCloseReason.EVICTED);
     return true;
   }
 
-  /** Opens a connection for a pool, which is notified how that ended. */
+  /** Begins to open a connection for a pool, which is notified by an event how that ended. */
   void connect(RespConnectionPool pool, InetSocketAddress address) {
     connectionCount++;
     connectionFactory.connect(
         address,
-        limits.connectWithin(),
+        limits.connectTimeout(),
         new Connector.ConnectCallback<>() {
           @Override
           public void connected(TcpConnection tcp) {
-            RespConnection connection =
-                new RespConnection(tcp, pool, new RespDecoder(MAX_STRING_BYTES), nowNanos());
-            tcp.attachment = connection;
-            events.accept(
-                core -> pool.connectionOpened(core, connection)); // it may have closed by then
+            RespDecoder decoder = new RespDecoder(MAX_STRING_BYTES);
+            RespConnection connection = new RespConnection(tcp, pool, decoder, nowNanos());
+            tcp.attach(connection);
+            post(core -> pool.connectionOpened(core, connection));
           }
 
           @Override
-          public void failed(String why) {
-            events.accept(pool::connectFailed);
+          public void failed(ConnectFailure failure) {
+            post(pool::connectFailed);
           }
         });
   }
@@ -137,12 +134,17 @@
     connectionCount--;
   }
 
-  /** Closes idle connections and forgets the pools of workers that are gone. */
+  /** Closes connections past the idle timeout, and forgets the pools of workers that are gone. */
   void sweep() {
-    pools.removeIf(pool -> pool.sweep(limits.idle().toNanos()));
+    long idleNanos = limits.idleTimeout().toNanos();
+    pools.removeIf(
+        pool -> {
+          pool.closeIdleFor(idleNanos);
+          return pool.isDisposable();
+        });
   }
 
-  /** Connections that are open or being opened. */
+  /** The number of connections that are open or being opened. */
   int connectionCount() {
     return connectionCount;
   }
--- a/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
@@ -6,11 +6,14 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.config.FunctionSettings;
 import switchgap.config.YamlRouterSettings;
 import switchgap.planner.LoadBacklog;
 import switchgap.planner.LoadPlan;
+import switchgap.planner.LoadPlanCounts;
 import switchgap.planner.PendingLoad;
 import switchgap.planner.PendingLoadQueue;
+import switchgap.planner.PlanRejection;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.Attempt;
 import switchgap.router.RouterCore;
@@ -45,8 +48,8 @@
     }
 
     @Override
-    public void planRejected(String why) {
-      LOG.warn("the planner is wrong: {}", why);
+    public void planRejected(PlanRejection rejection) {
+      LOG.warn("the planner is wrong: {}", rejection);
     }
   }
 
@@ -124,8 +127,7 @@
   }
 
   LoadPlanCounts counts() {
-    long[] counts = queue.counts();
-    return new LoadPlanCounts(counts[0], counts[1], counts[2], counts[3]);
+    return queue.counts();
   }
 
   private void sendBacklog(RouterCore core) {
@@ -184,13 +186,13 @@
   }
 
   private PendingLoad pendingLoad(long id, WorkerEntry worker, String function) {
-    YamlRouterSettings.FunctionSettings known = settings.function(function);
+    FunctionSettings known = settings.function(function);
     double memoryMb = known == null ? 0 : known.memoryMb();
     long loadMicros =
         known == null || known.loadTime() == null
             ? 0
             : known.loadTime().toNanos() / NANOS_PER_MICRO;
-    return new PendingLoad(id, worker.name, function, memoryMb, loadMicros, 0, 0);
+    return new PendingLoad(id, worker.name(), function, memoryMb, loadMicros, 0, 0);
   }
 
   /** The delegate itself refuses a worker that has begun to drain meanwhile. */
--- a/src/main/java/switchgap/testbed/emulator/EmulatedModelServer.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedModelServer.java
@@ -49,7 +49,7 @@
    * @param cold whether it has to warm up; false for one that has run for long
    * @return the port, the same at every start
    */
-  public int start(EmulatedWorker.Hardware hardware, FunctionFetcher store, long seed, boolean cold)
+  public int start(WorkerHardware hardware, FunctionFetcher store, long seed, boolean cold)
       throws IOException {
     worker =
         new EmulatedWorker(hardware, context.scheduler(), store, name, seed, cold, this::crashed);
@@ -62,9 +62,9 @@
         "cold",
         cold,
         "cores",
-        hardware.cores(),
+        hardware.compute().cores(),
         "speed",
-        hardware.speed());
+        hardware.compute().speed());
     server = new HttpServer(context.net(), LIMITS, this);
     port = server.listen("127.0.0.1", port);
     return port;
@@ -105,7 +105,7 @@
     if (server == null) {
       return;
     }
-    worker.die();
+    worker.kill();
     recordNow("ended", "worker", name);
     server.close();
     server = null;
@@ -136,8 +136,8 @@
   }
 
   private void serve(HttpExchange exchange, long receivedAt) {
-    String[] segments = exchange.path.split("/", -1);
-    if (exchange.path.equals("/v2/health/ready") || exchange.path.equals("/v2/health/live")) {
+    String[] segments = exchange.path().split("/", -1);
+    if (exchange.path().equals("/v2/health/ready") || exchange.path().equals("/v2/health/live")) {
       repository.probe(exchange, receivedAt);
     } else if (isModelPath(segments, "infer")) {
       inference.infer(exchange, receivedAt, ModelServerResponses.decode(segments[3]));
@@ -147,7 +147,7 @@
       repository.load(exchange, receivedAt, ModelServerResponses.decode(segments[4]));
     } else if (isRepositoryPath(segments, "unload")) {
       repository.unload(exchange, receivedAt, ModelServerResponses.decode(segments[4]));
-    } else if (exchange.path.equals("/v2/repository/index")) {
+    } else if (exchange.path().equals("/v2/repository/index")) {
       repository.index(exchange);
     } else {
       repository.notFound(exchange);
@@ -173,7 +173,7 @@
         .scheduler()
         .post(
             () -> {
-              if (server != null && exchange.path.endsWith("/infer")) {
+              if (server != null && exchange.path().endsWith("/infer")) {
                 inference.clientLeft(exchange);
               }
             });
--- a/src/main/java/switchgap/testbed/emulator/SocketClientTransport.java
+++ b/src/main/java/switchgap/testbed/emulator/SocketClientTransport.java
@@ -5,7 +5,9 @@
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
+import switchgap.net.CloseCause;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.NetworkTransport;
 
 /**
@@ -21,26 +23,29 @@
   private static final long NO_RETRY_AFTER = -1;
   private final Scheduler scheduler;
   private final EventRecorder recorder;
-  private final HttpClientConnection.Factory factory;
+  private final HttpClientConnector factory;
   private final ConnectionPool[] routers;
 
-  /** A transport to so many routers, whose addresses are set by {@link #router}. */
+  /**
+   * A transport to so many routers, whose addresses are set by {@link #setRouter(int,
+   * InetSocketAddress)}.
+   */
   public SocketClientTransport(
       Scheduler scheduler, NetworkTransport net, EventRecorder recorder, int routers) {
     this.scheduler = scheduler;
     this.recorder = recorder;
-    this.factory = new HttpClientConnection.Factory(net, null, MAX_BODY_BYTES);
+    this.factory = new HttpClientConnector(net, null, MAX_BODY_BYTES);
     this.routers = new ConnectionPool[routers];
   }
 
   /** Sets the address of a router. */
-  public void router(int number, InetSocketAddress at) {
-    routers[number] = new ConnectionPool(scheduler, factory, at, CONNECT_TIMEOUT);
+  public void setRouter(int number, InetSocketAddress address) {
+    routers[number] = new ConnectionPool(scheduler, factory, address, CONNECT_TIMEOUT);
   }
 
   /** Sets the port of a router on the loopback address. */
-  public void router(int number, int port) {
-    router(number, new InetSocketAddress("127.0.0.1", port));
+  public void setRouter(int number, int port) {
+    setRouter(number, new InetSocketAddress("127.0.0.1", port));
   }
 
   @Override
@@ -140,7 +145,7 @@
     }
 
     @Override
-    public void connectionLost(String reason) {
+    public void connectionLost(CloseCause cause) {
       scheduler.post(
           () -> {
             if (!ended) {
--- a/src/test/java/switchgap/admission/AdmissionControllerTest.java
+++ b/src/test/java/switchgap/admission/AdmissionControllerTest.java
@@ -93,10 +93,10 @@
                     String.format(
                         Locale.ROOT,
                         "%6.1f %s %s to %s: %s%n",
-                        change.at().toMillis() / 1000.0,
+                        change.time().toMillis() / 1000.0,
                         change.tenant() < 0 ? "all" : "customer " + change.tenant(),
-                        change.from(),
-                        change.to(),
+                        change.previous(),
+                        change.current(),
                         change.condition())));
     return lines.toString();
   }
@@ -344,15 +344,14 @@
   @Test
   void routersDoNotChangeInStep() {
     TreeSet<Long> times = new TreeSet<>();
-    TreeSet<Long> retries = new TreeSet<>();
     for (int i = 0; i < 40; i++) {
       second = 0;
       AdmissionController controller = new AdmissionController(settings(1, 2, 2), i);
       offerLoad(controller, 30, 3, 1, 1, 1, 1);
       if (!controller.changes().isEmpty()) {
-        times.add(controller.changes().get(0).at().toMillis() / 500);
+        times.add(controller.changes().get(0).time().toMillis() / 500);
       }
-      retries.add(controller.decide(at(second), 0, 0, 0).retryAfter() == null ? 0 : 1L);
+      assertThat(controller.decide(at(second), 0, 0, 0)).isNotNull();
     }
     assertThat(times.size()).as("%s", times).isGreaterThan(5);
   }
--- a/src/test/java/switchgap/router/RouterCoreLongRunTest.java
+++ b/src/test/java/switchgap/router/RouterCoreLongRunTest.java
@@ -52,7 +52,7 @@
     while (true) {
       Duration a = due.isEmpty() ? null : due.firstKey();
       Duration b = core.nextDue();
-      Duration next = a == null || b != null && b.compareTo(a) < 0 ? b : a;
+      Duration next = a == null || (b != null && b.compareTo(a) < 0) ? b : a;
       if (next == null || next.compareTo(end) > 0) {
         return;
       }
@@ -93,7 +93,7 @@
           draw.nextInt(200),
           router -> {
             left += call.state() == PendingRequest.State.PENDING ? 1 : 0;
-            router.clientLeft(call);
+            router.requestCancelled(call);
           });
     }
   }
@@ -128,7 +128,11 @@
     assertThat(answers + overdue + left).isEqualTo(taken);
     assertThat(overdue).isZero();
     assertThat(refused).isZero();
-    assertThat(((NameIndex) ReachableObjects.field(core, "functions")).size()).isLessThan(60);
+    assertThat(
+            ((NameIndex)
+                    ReachableObjects.field(ReachableObjects.field(core, "requests"), "functions"))
+                .size())
+        .isLessThan(60);
     assertThat(
             (Map<?, ?>) ReachableObjects.field(ReachableObjects.field(core, "endpoints"), "byName"))
         .hasSizeLessThan(8);
