--- a/src/main/java/switchgap/protocol/thrift/ClientCloseReason.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientCloseReason.java
@@ -4,32 +4,32 @@
 import switchgap.router.EventReason;
 
 /**
- * Why a client's connection ends, and whether the client caused it: only then may requests be
- * unanswered that were read on it.
+ * Why a client's connection ends, and whether the client caused it: only then may requests that
+ * were read on it be left unanswered.
  */
 enum ClientCloseReason implements CloseReason, EventReason {
   /** The client closed or reset it, or it broke. */
   PEER_CLOSED(CloseReason.Transport.PEER_CLOSED.description(), true),
   /** A reply could not be written, as the connection broke. */
   WRITE_FAILED(CloseReason.Transport.WRITE_FAILED.description(), true),
-  /** Where the next message would begin is not known. */
-  FRAME_OUT_OF_BOUNDS("a frame's length is out of bounds", true),
-  /** What was read is no message. */
+  /** The start of the next message is unknown. */
+  FRAME_OUT_OF_BOUNDS("frame length out of bounds", true),
+  /** A frame is no readable message. */
   UNREADABLE_MESSAGE("unreadable message", true),
-  /** A client sends requests alone. */
-  REPLY_FROM_CLIENT("a reply from a client", true),
-  /** More messages that have no reply than the router keeps up with. */
-  QUEUE_OVERFLOW("more messages than the router keeps up with", true),
-  /** A reply could be taken for the other request's. */
-  DUPLICATE_SEQUENCE_ID("two requests under one number", true),
-  /** The rest of a message, or the first one, did not come. */
-  RECEIVE_TIMEOUT("no whole message in time", true),
-  /** Nothing was going on on it, and others need its place. */
-  EVICTED("the place is needed", false),
-  /** More replies are unsent than are kept for one client. */
-  REPLIES_UNREAD("reads no answers", true),
-  /** The client has sent its requests again on a new connection. */
-  SENT_AGAIN("sent again on another one", true);
+  /** Only the router sends replies. */
+  REPLY_FROM_CLIENT("reply from a client", true),
+  /** Too many messages without a reply wait for the event loop. */
+  QUEUE_OVERFLOW("too many queued messages", true),
+  /** The reply of one request could be taken for the other's. */
+  DUPLICATE_SEQUENCE_ID("duplicate sequence id", true),
+  /** The first message, or the rest of a partial one, did not come in time. */
+  RECEIVE_TIMEOUT("receive timeout", true),
+  /** It was idle while there were more connections than the limit. */
+  EVICTED("evicted for another connection", false),
+  /** Its client does not read its replies, and their bytes have reached the limit. */
+  REPLIES_UNREAD("too many unread reply bytes", true),
+  /** The client retries a request of this connection, which has ended, on a new one. */
+  RETRIED_ON_NEW_CONNECTION("request retried on a new connection", true);
 
   private final String description;
   private final boolean clientFault;
@@ -44,7 +44,7 @@
     return description;
   }
 
-  /** Whether the client caused it, so that requests on the connection may be unanswered. */
+  /** Whether the client caused it, so that requests on the connection may be left unanswered. */
   boolean isClientFault() {
     return clientFault;
   }
--- a/src/main/java/switchgap/protocol/thrift/ClientConnection.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnection.java
@@ -3,12 +3,13 @@
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import switchgap.net.FrameDecoder;
 import switchgap.net.PauseHistory;
 import switchgap.net.TcpConnection;
 import switchgap.router.PendingRequest;
@@ -19,50 +20,47 @@
  * read are volatile or concurrent.
  */
 final class ClientConnection {
-  /** Bytes of one message, its length not included. */
-  private static final int MAX_FRAME_BYTES = 32 << 10;
+  private final TcpConnection connection;
+  private final Supplier<Duration> clock;
+  private final int maxUnsentBytes;
+  private final MessageReceiver receiver;
 
   /** Requests without their response, by sequence id; event loop only. */
-  final Map<Integer, PendingRequest> inFlight = new HashMap<>();
+  private final Map<Integer, PendingRequest> inFlight = new HashMap<>();
 
-  private final TcpConnection connection;
-  private final int maxUnsentBytes;
-  private final FrameDecoder frames = new FrameDecoder(MAX_FRAME_BYTES);
   private final AtomicInteger queuedMessages = new AtomicInteger();
 
   /**
    * When the selector thread read a revoke that the event loop has not handled, by the sequence id
-   * that it names: at most as many as messages are queued.
+   * that it names; bounded by the number of queued messages.
    */
   private final Map<Integer, Duration> revokedAt = new ConcurrentHashMap<>();
 
-  private volatile boolean hasPartialMessage;
-
-  /** Whether the event loop is about to evict it; what is read from now on is refused. */
+  /** Whether the event loop is about to evict it; messages read from now on are rejected. */
   private volatile boolean evicting;
 
-  /**
-   * Time of the connect, or of the first byte of a message that has not come whole; null while
-   * nothing is expected.
-   */
-  private volatile Duration receivingSince;
-
-  private volatile boolean hasSentMessage;
-  private final Supplier<Duration> clock;
-
   /** When it was opened, its last message was handled or its last reply was given to the socket. */
   private volatile long lastActiveNanos;
 
   private volatile Duration closedAt;
 
+  /**
+   * A connection that has just been opened.
+   *
+   * @param clock time since the router's start
+   * @param maxUnsentBytes reply bytes that its client may leave unread
+   */
   ClientConnection(TcpConnection connection, Supplier<Duration> clock, int maxUnsentBytes) {
     this.connection = connection;
     this.maxUnsentBytes = maxUnsentBytes;
     this.clock = clock;
-    receivingSince = clock.get();
-    lastActiveNanos = receivingSince.toNanos();
+    Duration openedAt = clock.get();
+    receiver = new MessageReceiver(openedAt);
+    lastActiveNanos = openedAt.toNanos();
   }
 
+  // ------------------------------------------------------------------ any thread
+
   boolean isOpen() {
     return connection.isOpen();
   }
@@ -76,7 +74,7 @@
     connection.close(reason);
   }
 
-  /** Sends a reply; closes a connection whose client does not read its replies. Any thread. */
+  /** Sends a reply; closes a connection whose client does not read its replies. */
   void send(byte[] reply) {
     if (connection.unsentBytes() > maxUnsentBytes) {
       close(ClientCloseReason.REPLIES_UNREAD);
@@ -86,29 +84,66 @@
     }
   }
 
-  /** Sends what may go out however much is unsent, as the connection is closed behind it. */
+  /** Sends a reply regardless of unsent bytes, as the connection is closed right after it. */
   void sendLast(byte[] reply) {
     connection.send(reply);
   }
 
+  /** Whether its client has not taken all replies. */
+  boolean hasUnsentReplies() {
+    return connection.unsentBytes() > 0;
+  }
+
+  /** When the end of the connection was seen, or null. */
+  Duration closedAt() {
+    return closedAt;
+  }
+
+  /** Messages that wait for the event loop. */
+  int queuedMessages() {
+    return queuedMessages.get();
+  }
+
+  /** Counts a message that is about to be queued for the event loop, and returns the new count. */
+  int messageQueued() {
+    return queuedMessages.incrementAndGet();
+  }
+
+  /** A queued message has reached the event loop, or was rejected. */
+  void messageDequeued() {
+    queuedMessages.decrementAndGet();
+  }
+
+  /** Whether a revoke of the request has been read and not handled yet. */
+  boolean isRevoked(int sequenceId) {
+    return revokedAt.containsKey(sequenceId);
+  }
+
+  /** When a revoke of the request was read that has not been handled yet, or null. */
+  Duration revokedAt(int sequenceId) {
+    return revokedAt.get(sequenceId);
+  }
+
   // ------------------------------------------------------------------ on the selector thread
 
-  /** Hands on each whole frame; false, for good, at a length that is out of bounds. */
+  /** Hands on each complete frame; returns false, for good, at a length that is out of bounds. */
   boolean receive(ByteBuffer bytes, Consumer<byte[]> frameHandler, Duration now) {
-    boolean isWithinBounds = frames.decode(bytes, frameHandler);
-    hasPartialMessage = frames.hasPartialFrame();
-    if (!hasPartialMessage) {
-      receivingSince = null;
-    } else if (receivingSince == null) {
-      receivingSince = now;
-    }
-    return isWithinBounds;
+    return receiver.receive(bytes, frameHandler, now);
   }
 
-  /** A whole message came. */
+  /** A complete message came. */
   void messageReceived() {
-    hasSentMessage = true;
-    receivingSince = null;
+    receiver.messageReceived();
+  }
+
+  /** A revoke was read: from now on nothing is sent to a worker for that request. */
+  void revokeReceived(int sequenceId, Duration now) {
+    revokedAt.put(sequenceId, now);
+  }
+
+  /** Whether the event loop is about to evict it. */
+  boolean isEvicting() {
+    return evicting;
   }
 
   /** The end of the connection was seen. */
@@ -116,52 +151,39 @@
     closedAt = clock.get();
   }
 
-  /** When the end of the connection was seen, or null. */
-  Duration closedAt() {
-    return closedAt;
-  }
+  // ------------------------------------------------------------------ on the event loop
 
-  /** Whether the event loop is about to evict it. */
-  boolean isEvicting() {
-    return evicting;
+  /** A request of this connection is in flight from now on. */
+  void requestAdded(int sequenceId, PendingRequest request) {
+    inFlight.put(sequenceId, request);
   }
 
-  /** Messages that wait for the event loop. */
-  int queuedMessages() {
-    return queuedMessages.get();
+  /** The request is no longer in flight; returns it, or null if it was not. */
+  PendingRequest requestRemoved(int sequenceId) {
+    return inFlight.remove(sequenceId);
   }
 
-  /** Counts a message that is about to be queued for the event loop, and returns how many are. */
-  int messageQueued() {
-    return queuedMessages.incrementAndGet();
+  /** No request of this connection is in flight any more. */
+  void allRequestsRemoved() {
+    inFlight.clear();
   }
 
-  /** A revoke was read: from now on nothing goes out for that request. */
-  void revokeReceived(int sequenceId, Duration now) {
-    revokedAt.put(sequenceId, now);
+  boolean hasRequestInFlight(int sequenceId) {
+    return inFlight.containsKey(sequenceId);
   }
 
-  // ------------------------------------------------------------------ on the event loop
+  int requestsInFlight() {
+    return inFlight.size();
+  }
 
-  /**
-   * Evicts the connection, unless the selector thread has read something just now: either it sees
-   * the eviction and refuses the message, or this side sees the message and lets the connection be.
-   *
-   * @return whether it is closed
-   */
-  boolean evict() {
-    evicting = true;
-    if (!isIdle()) {
-      evicting = false;
-      return false;
-    }
-    close(ClientCloseReason.EVICTED);
-    return true;
+  /** Visits the requests in flight with their sequence ids; the visitor must not remove any. */
+  void forEachRequest(BiConsumer<Integer, PendingRequest> visitor) {
+    inFlight.forEach(visitor);
   }
 
-  /** A queued message has reached the event loop. */
-  void messageDequeued() {
-    queuedMessages.decrementAndGet();
+  /** The requests in flight at this moment, which may be removed while they are visited. */
+  List<PendingRequest> requestSnapshot() {
+    return List.copyOf(inFlight.values());
   }
 
   /** The event loop handles a message at this time. */
@@ -174,50 +196,45 @@
     revokedAt.remove(sequenceId);
   }
 
-  /** Whether a revoke of the request has been read and not handled yet. */
-  boolean isRevoked(int sequenceId) {
-    return revokedAt.containsKey(sequenceId);
-  }
-
-  /** When a revoke of the request was read that has not been handled yet, or null. */
-  Duration revokedAt(int sequenceId) {
-    return revokedAt.get(sequenceId);
+  /**
+   * Evicts the connection, unless the selector thread has just read something: either that thread
+   * sees the eviction and rejects the message, or this one sees the message and evicts nothing.
+   *
+   * @return whether it was closed
+   */
+  boolean evict() {
+    evicting = true;
+    if (!isIdle()) {
+      evicting = false;
+      return false;
+    }
+    close(ClientCloseReason.EVICTED);
+    return true;
   }
 
-  /** Whether no request is in flight, on its way to the event loop or half received. */
+  /** Whether no request is in flight, queued for the event loop or partially received. */
   boolean isIdle() {
-    return inFlight.isEmpty() && queuedMessages.get() == 0 && !hasPartialMessage;
+    return inFlight.isEmpty() && queuedMessages.get() == 0 && !receiver.hasPartialMessage();
   }
 
-  /**
-   * Whether anything is under way: a request, a message in part or queued, a reply that is not
-   * written.
-   */
+  /** Whether a request is in flight, queued or partial, or a reply is not written. */
   boolean isActive() {
     return isOpen() && (!isIdle() || hasUnsentReplies());
   }
 
-  /**
-   * Whether the client has sent no message within the timeout, unlike one that has just connected.
-   */
+  /** Whether the client has sent no message since it connected, longer than the timeout ago. */
   boolean isSilent(Duration now, Duration timeout) {
-    return !hasSentMessage && isQuiet(now, timeout);
-  }
-
-  /** Whether nothing was handled or sent on it for longer than a span. */
-  boolean isQuiet(Duration now, Duration span) {
-    return now.toNanos() - lastActiveNanos > span.toNanos();
+    return !receiver.hasReceivedMessage() && isQuiet(now, timeout);
   }
 
-  /** Whether its client has not taken all replies. */
-  boolean hasUnsentReplies() {
-    return connection.unsentBytes() > 0;
+  /** Whether no message was handled and no reply sent on it for longer than this. */
+  boolean isQuiet(Duration now, Duration minDuration) {
+    return now.toNanos() - lastActiveNanos > minDuration.toNanos();
   }
 
-  /** Whether a message is due for longer than the timeout, pauses of the process left out. */
+  /** Whether a message is due for longer than the timeout; pauses of the process do not count. */
   boolean isReceiveOverdue(Duration now, Duration timeout, PauseHistory pauses) {
-    Duration since = receivingSince;
-    return since != null && pauses.runningTime(since, now).compareTo(timeout) > 0;
+    return receiver.isOverdue(now, timeout, pauses);
   }
 
   /** When it was opened, its last message was handled or its last reply was sent. */
--- a/src/main/java/switchgap/protocol/thrift/ClientConnectionTable.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnectionTable.java
@@ -8,22 +8,21 @@
 import switchgap.net.PauseHistory;
 
 /**
- * The clients' connections as the event loop knows them, bounded: past the bound an idle connection
- * is evicted for a new one. Event loop only.
+ * The clients' connections that the event loop tracks. Past their maximum number idle connections
+ * are evicted for new ones. Event loop only.
  */
 final class ClientConnectionTable {
   /**
-   * A client that has sent nothing for this part of the receive timeout is evicted before all
+   * A client that has sent no message for the receive timeout divided by this is evicted before all
    * others.
    */
   private static final int SILENT_TIMEOUT_DIVISOR = 4;
 
   /**
-   * One on which something was going on less than this ago is in use: a reply may be on its way to
-   * the client, or a message from it. The platform takes so long for a close and a request to
-   * cross.
+   * A connection that was active less than this ago is in use: a reply may be on its way to the
+   * client, or a message from it. On the platform a close and a request may cross for as long.
    */
-  private static final Duration QUIET_FOR = Duration.ofMillis(50);
+  private static final Duration MIN_QUIET_DURATION = Duration.ofMillis(50);
 
   private final Set<ClientConnection> connections = new HashSet<>();
   private final int maxConnections;
@@ -37,16 +36,16 @@
     silentTimeout = receiveTimeout.dividedBy(SILENT_TIMEOUT_DIVISOR);
   }
 
-  /** Takes in a new connection. */
+  /** Tracks a new connection, unless it was closed before its opening reached the event loop. */
   void add(ClientConnection connection) {
-    if (connection.isOpen()) { // or it was closed before the event loop heard of it
+    if (connection.isOpen()) {
       connections.add(connection);
     }
   }
 
   /**
-   * Evicts connections of no use while there are too many: the ones that are in use stay, however
-   * many.
+   * Evicts idle connections while there are too many. Connections in use stay, however many they
+   * are.
    */
   void evictExcess(Duration now) {
     int excess = connections.size() - maxConnections;
@@ -75,7 +74,7 @@
     return connections.size();
   }
 
-  /** Connections on which anything is under way. */
+  /** Connections with a request in flight, queued or partial, or with an unwritten reply. */
   int activeCount() {
     int active = 0;
     for (ClientConnection connection : connections) {
@@ -86,17 +85,17 @@
     return active;
   }
 
-  /** The connections of this moment, which may be closed while they are walked through. */
+  /** The connections at this moment, which may be closed while they are visited. */
   List<ClientConnection> snapshot() {
     return new ArrayList<>(connections);
   }
 
-  /** The process was held up for so long, until now: no client is to blame for it. */
+  /** A pause of the process ended: it does not count against any client's receive timeout. */
   void pauseEnded(Duration now, Duration length) {
     pauses.add(now, length);
   }
 
-  /** Closes connections that take too long for a message. */
+  /** Closes connections whose message is overdue. */
   void closeOverdue(Duration now) {
     for (ClientConnection connection : snapshot()) {
       if (connection.isReceiveOverdue(now, receiveTimeout, pauses)) {
@@ -106,11 +105,11 @@
   }
 
   private boolean isEvictable(ClientConnection connection, Duration now) {
-    Duration quiet = connection.hasUnsentReplies() ? receiveTimeout : QUIET_FOR;
-    return connection.isOpen() && connection.isIdle() && connection.isQuiet(now, quiet);
+    Duration minQuiet = connection.hasUnsentReplies() ? receiveTimeout : MIN_QUIET_DURATION;
+    return connection.isOpen() && connection.isIdle() && connection.isQuiet(now, minQuiet);
   }
 
-  /** Silent ones go first, then the one that has been of no use for longest. */
+  /** Orders silent connections first, then the least recently active. */
   private int compareForEviction(ClientConnection first, ClientConnection second, Duration now) {
     boolean isFirstSilent = first.isSilent(now, silentTimeout);
     boolean isSecondSilent = second.isSilent(now, silentTimeout);
--- a/src/main/java/switchgap/protocol/thrift/DecimalFigure.java
+++ b/src/main/java/switchgap/protocol/thrift/DecimalFigure.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** Plain decimal figures in the text of a request's fields. */
+/** Parses plain decimal figures in the text of a request's fields. */
 final class DecimalFigure {
   /** The longest duration that a client may state in milliseconds: an hour. */
   static final double MAX_MILLIS = 3_600_000;
@@ -14,8 +14,8 @@
   private DecimalFigure() {}
 
   /**
-   * A figure of 0 to {@code max}: usual clients round small ones to 0. What only Java takes for a
-   * number (NaN, 1f, 0x1p3, blanks) is none.
+   * Parses a figure of 0 to {@code max}; 0 is allowed, as clients round small figures. What only
+   * Java accepts as a number (NaN, 1f, 0x1p3, blanks) is rejected.
    */
   static double parse(String text, String field, double max) throws InvalidSubmitException {
     if (text == null || text.isEmpty() || text.length() > MAX_DIGITS || !isDecimal(text)) {
@@ -28,7 +28,7 @@
     throw new InvalidSubmitException(field);
   }
 
-  /** A duration stated in milliseconds, of 0 to {@code maxMillis}. */
+  /** Parses a duration in milliseconds, of 0 to {@code maxMillis}. */
   static Duration parseMillis(String text, String field, double maxMillis)
       throws InvalidSubmitException {
     return Duration.ofNanos(Math.round(parse(text, field, maxMillis) * NANOS_PER_MILLI));
@@ -45,7 +45,7 @@
     return true;
   }
 
-  /** The figure, or NaN, which is within no bounds, where digits and signs make none. */
+  /** The figure, or NaN, which is within no bounds, if the text is no number. */
   private static double parseDouble(String text) {
     try {
       return Double.parseDouble(text);
--- /dev/null
+++ b/src/main/java/switchgap/protocol/thrift/InFlightRequests.java
@@ -0,0 +1,52 @@
+package switchgap.protocol.thrift;
+
+import java.util.HashMap;
+import java.util.Map;
+import switchgap.router.PendingRequest;
+
+/**
+ * The requests that were offered to the core and have no response, bounded in number and in bytes
+ * of their bodies. Each is in flight once, under its id and on its connection. Event loop only.
+ */
+final class InFlightRequests {
+  private final int maxRequests;
+  private final int maxBodyBytes;
+  private final Map<String, ClientConnection> connectionByRequestId = new HashMap<>();
+  private int bodyBytes;
+
+  InFlightRequests(int maxRequests, int maxBodyBytes) {
+    this.maxRequests = maxRequests;
+    this.maxBodyBytes = maxBodyBytes;
+  }
+
+  int size() {
+    return connectionByRequestId.size();
+  }
+
+  /** The connection of the request in flight with this id, or null. */
+  ClientConnection connectionOf(String requestId) {
+    return connectionByRequestId.get(requestId);
+  }
+
+  /** Whether the request fits within the bounds. */
+  boolean hasCapacityFor(PendingRequest request) {
+    return size() < maxRequests && bodyBytes + request.body.length <= maxBodyBytes;
+  }
+
+  void add(ReplyAddress address, PendingRequest request) {
+    connectionByRequestId.put(request.id, address.connection());
+    bodyBytes += request.body.length;
+    address.connection().requestAdded(address.sequenceId(), request);
+  }
+
+  void remove(ReplyAddress address, PendingRequest request) {
+    address.connection().requestRemoved(address.sequenceId());
+    release(request);
+  }
+
+  /** Releases the capacity of a request that its connection no longer lists, or soon will not. */
+  void release(PendingRequest request) {
+    connectionByRequestId.remove(request.id);
+    bodyBytes -= request.body.length;
+  }
+}
--- a/src/main/java/switchgap/protocol/thrift/InvalidSubmitException.java
+++ b/src/main/java/switchgap/protocol/thrift/InvalidSubmitException.java
@@ -1,6 +1,6 @@
 package switchgap.protocol.thrift;
 
-/** A readable request that cannot be used; the message names the field at fault. */
+/** A readable submit that cannot be used; the exception's message names the field at fault. */
 final class InvalidSubmitException extends ThriftProtocolException {
   private static final long serialVersionUID = 1;
 
--- a/src/main/java/switchgap/protocol/thrift/MalformedMessageException.java
+++ b/src/main/java/switchgap/protocol/thrift/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package switchgap.protocol.thrift;
 
-/** A frame that is no readable message. */
+/** A frame that cannot be decoded as a message. */
 final class MalformedMessageException extends ThriftProtocolException {
   private static final long serialVersionUID = 1;
 
@@ -13,12 +13,12 @@
     this.sequenceId = sequenceId;
   }
 
-  /** The method, or null where the header could not be read. */
+  /** The method, or null if the header could not be read. */
   String method() {
     return method;
   }
 
-  /** The sequence id; meaningless where the header could not be read. */
+  /** The sequence id; meaningless if the header could not be read. */
   int sequenceId() {
     return sequenceId;
   }
--- a/src/main/java/switchgap/protocol/thrift/ReplicaExtras.java
+++ b/src/main/java/switchgap/protocol/thrift/ReplicaExtras.java
@@ -1,10 +1,10 @@
 package switchgap.protocol.thrift;
 
 /**
- * What a request says of the replicas of its function.
+ * What a request states about the replicas of its function.
  *
- * @param memoryMb memory of one replica, 0 where not stated
- * @param slots requests that one replica runs at a time
+ * @param memoryMb memory of one replica, 0 if not stated
+ * @param slots requests that one replica executes concurrently
  */
 record ReplicaExtras(double memoryMb, int slots) {
   private static final double MAX_MEMORY_MB = 1 << 20;
@@ -12,29 +12,27 @@
   private static final char SEPARATOR = ';';
   private static final char NAME_END = ':';
 
-  /**
-   * Reads {@code name:value} figures that are joined by semicolons; unknown ones are passed over.
-   */
+  /** Parses {@code name:value} figures joined by semicolons; unknown names are ignored. */
   static ReplicaExtras parse(String extras) throws InvalidSubmitException {
     double memoryMb = 0;
     int slots = 1;
-    int at = 0;
-    while (at < extras.length()) {
-      int separator = extras.indexOf(SEPARATOR, at);
+    int start = 0;
+    while (start < extras.length()) {
+      int separator = extras.indexOf(SEPARATOR, start);
       int end = separator < 0 ? extras.length() : separator;
-      int colon = extras.indexOf(NAME_END, at);
+      int colon = extras.indexOf(NAME_END, start);
       if (colon < 0 || colon > end) {
         throw new InvalidSubmitException(WireNames.EXTRAS);
       }
       String value = extras.substring(colon + 1, end);
-      switch (extras.substring(at, colon)) {
+      switch (extras.substring(start, colon)) {
         case WireNames.MEMORY_MB -> memoryMb = parseFigure(value, MAX_MEMORY_MB);
         case WireNames.LANES ->
             slots = (int) Math.max(1, Math.round(parseFigure(value, MAX_SLOTS)));
         case WireNames.LOAD_MS -> parseFigure(value, DecimalFigure.MAX_MILLIS); // checked, not used
-        default -> {} // a figure that this router has no use for
+        default -> {} // ignored: this router does not use it
       }
-      at = end + 1;
+      start = end + 1;
     }
     return new ReplicaExtras(memoryMb, slots);
   }
--- a/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
+++ b/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
@@ -4,37 +4,32 @@
 import switchgap.router.PendingRequest;
 import switchgap.router.ResponseListener;
 
-/**
- * Decodes a submitted request, field by field; what cannot be used is refused with its field's
- * name.
- */
+/** Decodes a submitted request field by field; an unusable field is reported by its name. */
 final class SubmitRequestDecoder {
   private static final int MAX_BODY_BYTES = 16 << 10;
 
   /** Hexadecimal digits of a request's and of a function's id. */
   private static final int ID_DIGITS = 16;
 
-  /**
-   * No request may wait for longer than so many times the stated timeout of its class: it would
-   * only be kept.
-   */
-  private static final double MAX_TIMEOUTS = 2;
+  /** A request's timeout may be at most this multiple of the configured one of its class. */
+  private static final double MAX_TIMEOUT_MULTIPLE = 2;
 
   private static final double MILLIS_PER_NANO = 1e-6;
   private static final byte[] NO_BODY = {};
 
-  // Names of what is at fault where it is no field.
+  // Reported in place of a field's name.
   private static final String NO_FIELDS = "no fields";
-  private static final String BODY_BYTES = "bytes";
+  private static final String BODY_TOO_LONG = "bytes";
 
   private SubmitRequestDecoder() {}
 
   /**
    * The request that a message submits.
    *
-   * @param receivedAt when the message came, since the router's start; its deadline counts from
+   * @param receivedAt when the message was read, since the router's start; its timeout counts from
    *     then
-   * @param listener is told how the request ended
+   * @param listener receives the response
+   * @throws InvalidSubmitException with the name of a missing or unusable field
    */
   static PendingRequest decode(
       ThriftMessage message, NameDirectory names, Duration receivedAt, ResponseListener listener)
@@ -44,7 +39,7 @@
     }
     byte[] body = message.body() == null ? NO_BODY : message.body();
     if (body.length > MAX_BODY_BYTES) {
-      throw new InvalidSubmitException(BODY_BYTES);
+      throw new InvalidSubmitException(BODY_TOO_LONG);
     }
     String id = hexId(message, WireNames.REF);
     int requestClass = requestClass(message, names);
@@ -86,8 +81,8 @@
 
   private static Duration timeout(ThriftMessage message, NameDirectory names, int requestClass)
       throws InvalidSubmitException {
-    long statedNanos = names.settings().requestTimeout(requestClass).toNanos();
-    double maxMillis = MAX_TIMEOUTS * MILLIS_PER_NANO * statedNanos;
+    long configuredNanos = names.settings().requestTimeout(requestClass).toNanos();
+    double maxMillis = MAX_TIMEOUT_MULTIPLE * MILLIS_PER_NANO * configuredNanos;
     Duration timeout =
         DecimalFigure.parseMillis(
             message.fields().get(WireNames.ALLOW), WireNames.ALLOW, maxMillis);
--- a/src/main/java/switchgap/protocol/thrift/ThriftProtocolException.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftProtocolException.java
@@ -1,8 +1,8 @@
 package switchgap.protocol.thrift;
 
 /**
- * A client sent something that the protocol does not allow. The message is a part of what the
- * client is told. Without a stack trace, as such messages may come at full speed.
+ * A client violated the protocol. The exception's message becomes part of the reply. It has no
+ * stack trace, as clients may send invalid messages at full speed.
  */
 abstract class ThriftProtocolException extends Exception {
   private static final long serialVersionUID = 1;
--- a/src/main/java/switchgap/protocol/thrift/ThriftResponseEncoder.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftResponseEncoder.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.Map;
 
-/** Encodes replies and application exceptions, each as a whole frame with its length before it. */
+/** Encodes replies and application exceptions, each as a complete frame with its length prefix. */
 final class ThriftResponseEncoder {
   private static final byte[] NO_BODY = {};
   private static final int LENGTH_BYTES = 4;
@@ -33,7 +33,7 @@
   private static final int RESULT_SUCCESS = 0;
   private static final int RESPONSE_BODY = 1;
   private static final int RESPONSE_FIELDS = 2;
-  private static final int RESPONSE_GOOD = 3;
+  private static final int RESPONSE_HEALTHY = 3;
   private static final int DECLARED_FIELDS = 1;
   private static final int APPLICATION_MESSAGE = 1;
   private static final int APPLICATION_CODE = 2;
@@ -41,20 +41,20 @@
   private ThriftResponseEncoder() {}
 
   /** A {@code Response} struct as the result. */
-  static byte[] response(String method, int sequenceId, byte[] body, boolean good) {
+  static byte[] response(String method, int sequenceId, byte[] body, boolean healthy) {
     ByteBuffer buffer = begin(MessageType.REPLY, method, sequenceId, RESPONSE_BYTES + body.length);
     putFieldHeader(buffer, ThriftType.STRUCT, RESULT_SUCCESS);
     putFieldHeader(buffer, ThriftType.STRING, RESPONSE_BODY);
     putBytes(buffer, body);
     putFields(buffer, RESPONSE_FIELDS, Map.of());
-    putFieldHeader(buffer, ThriftType.BOOL, RESPONSE_GOOD);
-    buffer.put((byte) (good ? 1 : 0));
+    putFieldHeader(buffer, ThriftType.BOOL, RESPONSE_HEALTHY);
+    buffer.put((byte) (healthy ? 1 : 0));
     return endStructs(buffer);
   }
 
   /** The reply to a heartbeat. */
-  static byte[] heartbeat(String method, int sequenceId, boolean good) {
-    return response(method, sequenceId, NO_BODY, good);
+  static byte[] heartbeat(String method, int sequenceId, boolean healthy) {
+    return response(method, sequenceId, NO_BODY, healthy);
   }
 
   /** A declared exception as the result. */
--- a/src/main/java/switchgap/server/platform/AttemptObserver.java
+++ b/src/main/java/switchgap/server/platform/AttemptObserver.java
@@ -8,7 +8,7 @@
 import switchgap.router.RouterEvent;
 import switchgap.router.RouterEvents;
 
-/** Records how attempts end among the router's events. */
+/** Records the outcome of each attempt in the router's events. */
 final class AttemptObserver implements RouterCore.RequestObserver {
   private final RouterEvents events;
 
--- a/src/main/java/switchgap/server/platform/EndpointStreamReloader.java
+++ b/src/main/java/switchgap/server/platform/EndpointStreamReloader.java
@@ -5,15 +5,15 @@
 import switchgap.config.InvalidConfigException;
 
 /**
- * Follows the event stream that the configuration file names after a SIGHUP. A file that can't be
- * used is read again for a while, as it may be half written; the old event stream is kept
- * meanwhile. Of several signals the last one counts. Thread-safe.
+ * After a SIGHUP, follows the event stream that the configuration file names then. An unusable file
+ * is read again for a while, as it may be half written; the old event stream is followed meanwhile.
+ * A later signal supersedes an earlier one. Thread-safe.
  */
 final class EndpointStreamReloader {
-  /** Goes over to another event stream. */
+  /** Follows one event stream at a time. */
   interface Follower {
-    /** Follows the event stream at this address. */
-    void follow(InetSocketAddress feed);
+    /** Follows the event stream at this address instead of the current one. */
+    void follow(InetSocketAddress address);
   }
 
   private static final int MAX_READS = 30;
@@ -23,8 +23,8 @@
   private final Follower follower;
   private final RateLimitedLog log;
 
-  /** Number of the signal that came last; guarded by this. */
-  private long lastSignal;
+  /** Number of the latest signal; guarded by this. */
+  private long latestSignal;
 
   EndpointStreamReloader(Map<String, String> environment, Follower follower, RateLimitedLog log) {
     this.environment = environment;
@@ -32,50 +32,54 @@
     this.log = log;
   }
 
-  /** Reads the file on a thread of its own; returns at once. */
+  /** Reads the file on a separate thread; returns at once. */
   synchronized void reload() {
-    long signal = ++lastSignal;
+    long signal = ++latestSignal;
     Thread reader = new Thread(() -> read(signal), "reload");
     reader.setDaemon(true);
     reader.start();
   }
 
   private void read(long signal) {
-    for (int reads = 0; reads < MAX_READS && isLast(signal); reads++) {
-      if (readOnce(signal, reads == 0)) {
+    for (int reads = 0; reads < MAX_READS && isLatest(signal); reads++) {
+      boolean isFirstRead = reads == 0;
+      if (readOnce(signal, isFirstRead)) {
         return;
       }
-      pause();
+      sleepUntilNextRead();
     }
   }
 
-  private synchronized boolean isLast(long signal) {
-    return signal == lastSignal;
+  private synchronized boolean isLatest(long signal) {
+    return signal == latestSignal;
   }
 
   /** Whether the file could be used; only the first failure is logged. */
-  private boolean readOnce(long signal, boolean isFirst) {
+  private boolean readOnce(long signal, boolean isFirstRead) {
     try {
-      InetSocketAddress feed = PlatformConfig.readFeed(environment);
-      follow(signal, feed);
+      InetSocketAddress address = PlatformConfig.readEventStream(environment);
+      follow(signal, address);
       return true;
     } catch (InvalidConfigException e) {
-      if (isFirst) {
+      if (isFirstRead) {
         log.line("SIGHUP: the old feed is kept: " + e.getMessage());
       }
       return false;
     }
   }
 
-  private synchronized void follow(long signal, InetSocketAddress feed) {
-    if (signal == lastSignal) {
+  private synchronized void follow(long signal, InetSocketAddress address) {
+    if (signal == latestSignal) {
       log.line(
-          "SIGHUP: the control feed is followed at " + feed.getHostString() + ":" + feed.getPort());
-      follower.follow(feed);
+          "SIGHUP: the control feed is followed at "
+              + address.getHostString()
+              + ":"
+              + address.getPort());
+      follower.follow(address);
     }
   }
 
-  private static void pause() {
+  private static void sleepUntilNextRead() {
     try {
       Thread.sleep(READ_INTERVAL_MILLIS);
     } catch (InterruptedException e) {
--- a/src/main/java/switchgap/server/platform/GracefulShutdown.java
+++ b/src/main/java/switchgap/server/platform/GracefulShutdown.java
@@ -3,27 +3,28 @@
 import java.time.Duration;
 
 /**
- * The end of a router after SIGTERM: it reports that it is no longer healthy, goes on taking what
- * may still come, and ends once nothing is under way: no request pending, no message half received
- * or unread by the loop, no response unwritten. Whatever comes meanwhile has its response before
- * SIGKILL can come.
+ * The graceful shutdown of a router after SIGTERM. It reports unhealthy, keeps accepting requests
+ * for a while, and ends once it is idle: no request is pending, no message partial or queued for
+ * the event loop, no response unwritten. Every request has its response before SIGKILL can come.
  *
  * <p>After SIGTERM clients open connections for 0.4 s and send requests for 0.2 s more; SIGKILL
- * comes no sooner than 0.7 s after the longest request timeout, or after 3 s where that is shorter.
+ * comes 0.7 s after the longest request timeout, taken as 3 s if it is shorter, at the earliest.
  */
 final class GracefulShutdown {
-  /** Time for which requests are taken at the least. */
-  private static final Duration DRAIN_DURATION = Duration.ofMillis(1000);
+  /** Requests are accepted for at least this long. */
+  private static final Duration MIN_DRAIN_DURATION = Duration.ofMillis(1000);
 
-  /** The platform reckons with this timeout where all are shorter. */
+  /** The platform assumes this timeout if all are shorter. */
   private static final Duration MIN_LONGEST_TIMEOUT = Duration.ofMillis(3000);
 
-  /** Time past the longest timeout by which all has its response, 0.2 s before SIGKILL. */
+  /**
+   * Past the longest timeout by this much, every request has its response: 0.2 s before SIGKILL.
+   */
   private static final Duration DEADLINE_MARGIN = Duration.ofMillis(500);
 
   private static final Duration CHECK_INTERVAL = Duration.ofMillis(20);
 
-  /** Checks one after the other that must find nothing under way. */
+  /** Consecutive checks that must find the router idle. */
   private static final int REQUIRED_IDLE_CHECKS = 3;
 
   /** Time for the last responses to be written, before SIGKILL comes. */
@@ -34,32 +35,30 @@
   private final RateLimitedLog log;
 
   /**
-   * The shutdown of a router, whose time starts now.
+   * A shutdown whose deadline counts from now.
    *
    * @param longestTimeout the longest request timeout
    */
   GracefulShutdown(PlatformRouter router, Duration longestTimeout, RateLimitedLog log) {
     this.router = router;
     this.log = log;
-    Duration graceful =
+    Duration assumedTimeout =
         longestTimeout.compareTo(MIN_LONGEST_TIMEOUT) < 0 ? MIN_LONGEST_TIMEOUT : longestTimeout;
-    this.deadline = router.now().plus(graceful).plus(DEADLINE_MARGIN);
+    this.deadline = router.now().plus(assumedTimeout).plus(DEADLINE_MARGIN);
   }
 
-  /** Blocks until nothing is under way or the deadline has passed; what is left then is failed. */
+  /** Blocks until the router is idle or the deadline has passed; pending requests fail then. */
   void run() throws InterruptedException {
     router.reportHealthy(false);
-    Thread.sleep(DRAIN_DURATION.toMillis());
+    Thread.sleep(MIN_DRAIN_DURATION.toMillis());
     awaitIdle();
     router.events().counts().forEach((event, count) -> log.trace("count " + event + " " + count));
     log.line("stopped, " + router.resourceUsage().pendingRequests() + " requests pending");
-    router.failPending();
+    router.failPendingRequests();
     flush();
   }
 
-  /**
-   * Waits until the last responses are written; clients that do not read hold nobody up for longer.
-   */
+  /** Waits until the last responses are written, for a bounded time. */
   private void flush() throws InterruptedException {
     Duration end = router.now().plus(MAX_FLUSH_DURATION);
     do {
--- a/src/main/java/switchgap/server/platform/PlatformProcess.java
+++ b/src/main/java/switchgap/server/platform/PlatformProcess.java
@@ -16,27 +16,30 @@
   private static final int EXIT_UNUSABLE_INPUT = 2;
   private static final int EXIT_INTERNAL_ERROR = 70;
 
-  /** Referenced for good: a logger that nobody references is collected, and its level is lost. */
+  /** Referenced statically, as an unreferenced logger is collected and loses its level. */
   private static final Logger GRIZZLY = Logger.getLogger("org.glassfish.grizzly");
 
   private PlatformProcess() {}
 
   /**
-   * Ends a process of which a part is dead: it would serve nobody, and starts again from nothing.
+   * Halts the process after one of its threads has failed: it could not serve any more, and the
+   * platform starts a new one.
+   *
+   * @param failure what failed, for the log
    */
-  static void failed(RateLimitedLog log, String what, Throwable error) {
+  static void halt(RateLimitedLog log, String failure, Throwable error) {
     StackTraceElement[] stack = error.getStackTrace();
     String place = stack.length > 0 ? " at " + stack[0] : "";
-    log.line(what + ", the router stops: " + error + place);
+    log.line(failure + ", the router stops: " + error + place);
     Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR);
   }
 
   /** Serves until SIGTERM; returns the exit code. */
   public static int run() {
     RateLimitedLog log = new RateLimitedLog();
-    GRIZZLY.setLevel(Level.OFF); // it reports each connection that a peer broke
+    GRIZZLY.setLevel(Level.OFF); // it logs each connection that a peer resets
     Thread.setDefaultUncaughtExceptionHandler(
-        (thread, error) -> failed(log, "thread " + thread.getName() + " ended", error));
+        (thread, error) -> halt(log, "thread " + thread.getName() + " ended", error));
     try {
       serve(log);
       return EXIT_STOPPED;
--- a/src/main/java/switchgap/server/platform/RateLimitedLog.java
+++ b/src/main/java/switchgap/server/platform/RateLimitedLog.java
@@ -5,31 +5,31 @@
 import switchgap.net.WallClock;
 
 /**
- * Lines on standard error, a bounded number in each window: what others send must not fill the log.
- * With {@code SWITCHGAP_TRACE=1} in the environment each event of a request has a line besides;
- * these go through a bounded queue and a thread of its own, and past the bound they are dropped and
- * counted. Any thread.
+ * A log on standard error with a bounded number of lines in each window, so that clients can't fill
+ * it. With {@code SWITCHGAP_TRACE=1} in the environment each event of a request has a trace line as
+ * well; trace lines pass through a bounded queue to a writer thread, and are dropped and counted
+ * when it is full. Thread-safe.
  */
 final class RateLimitedLog {
   private static final int MAX_LINES_PER_WINDOW = 30;
   private static final long WINDOW_NANOS = 10_000_000_000L;
   private static final int MAX_LINE_LENGTH = 300;
-  private static final int MAX_QUEUED_LINES = 8192;
+  private static final int MAX_QUEUED_TRACES = 8192;
   private static final String TRACE_VARIABLE = "SWITCHGAP_TRACE";
   private static final String TRACE_ON = "1";
 
   private final boolean tracing = TRACE_ON.equals(System.getenv(TRACE_VARIABLE));
 
-  /** Null where nothing is traced. */
-  private final ArrayBlockingQueue<String> traced =
-      tracing ? new ArrayBlockingQueue<>(MAX_QUEUED_LINES) : null;
+  /** Null unless events are traced. */
+  private final ArrayBlockingQueue<String> queuedTraces =
+      tracing ? new ArrayBlockingQueue<>(MAX_QUEUED_TRACES) : null;
 
   private final AtomicLong droppedTraces = new AtomicLong();
   private long windowStartNanos = System.nanoTime();
-  private int lines;
+  private int linesInWindow;
   private long droppedLines;
 
-  /** A log; its thread starts where events are traced. */
+  /** A log, with a started writer thread if events are traced. */
   RateLimitedLog() {
     if (tracing) {
       Thread writer = new Thread(this::writeTraces, "trace");
@@ -38,14 +38,14 @@
     }
   }
 
-  /** Whether each event of a request has a line. */
+  /** Whether each event of a request has a trace line. */
   boolean isTracing() {
     return tracing;
   }
 
-  /** Writes a line of a trace, where events are traced; never blocks. */
+  /** Queues a trace line, if events are traced; never blocks. */
   void trace(String text) {
-    if (tracing && !traced.offer(WallClock.now() + " " + text)) {
+    if (tracing && !queuedTraces.offer(WallClock.now() + " " + text)) {
       droppedTraces.incrementAndGet();
     }
   }
@@ -53,7 +53,7 @@
   private void writeTraces() {
     try {
       while (true) {
-        System.err.println(traced.take());
+        System.err.println(queuedTraces.take());
         long dropped = droppedTraces.getAndSet(0);
         if (dropped > 0) {
           System.err.println("switchgap: " + dropped + " trace lines were dropped");
@@ -64,20 +64,18 @@
     }
   }
 
-  /**
-   * Writes a line, cut to its bound, with the time; drops it when the window has had its number.
-   */
+  /** Writes a line, truncated and with the time, or drops it if the window is full. */
   synchronized void line(String text) {
     long now = System.nanoTime();
     if (now - windowStartNanos >= WINDOW_NANOS) {
       startWindow(now);
     }
-    if (lines < MAX_LINES_PER_WINDOW) {
+    if (linesInWindow < MAX_LINES_PER_WINDOW) {
       System.err.println(WallClock.now() + " switchgap: " + bounded(text));
     } else {
       droppedLines++;
     }
-    lines++;
+    linesInWindow++;
   }
 
   private void startWindow(long now) {
@@ -85,7 +83,7 @@
       System.err.println("switchgap: " + droppedLines + " lines were left out");
     }
     windowStartNanos = now;
-    lines = 0;
+    linesInWindow = 0;
     droppedLines = 0;
   }
 
--- a/src/main/java/switchgap/server/platform/SignalHandlers.java
+++ b/src/main/java/switchgap/server/platform/SignalHandlers.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Handlers of SIGHUP, SIGTERM and SIGINT. A SIGHUP before anybody listens must not end the process,
- * so the handlers are installed before anything else; it is kept until somebody does. The JDK's
- * handler type is used by name, as the compiler knows it only with a warning.
+ * Handlers of SIGHUP, SIGTERM and SIGINT. They are installed before anything else, as an unhandled
+ * SIGHUP would end the process; one that comes before there is a listener is delivered to it later.
+ * The JDK's handler type is used by name, as the compiler warns of it.
  */
 final class SignalHandlers {
   private static final String SIGNAL_TYPE = "sun.misc.Signal";
@@ -25,7 +25,7 @@
     install("INT", termination::countDown);
   }
 
-  /** One at a time, so that the one which began last has read the newest file. */
+  /** Serialized, so that the listener which starts last reads the newest file. */
   private synchronized void hangup() {
     hangupMissed = hangupListener == null;
     if (hangupListener != null) {
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Runs the listener at each SIGHUP from now on, and now where one came before. */
+  /** Runs the listener at each SIGHUP from now on, and at once if one came before. */
   synchronized void onHangup(Runnable listener) {
     hangupListener = listener;
     if (hangupMissed) {
@@ -59,7 +59,7 @@
     signalType.getMethod("handle", signalType, handlerType).invoke(null, signal, handler);
   }
 
-  /** A method of the handler, or one of those that every object has. */
+  /** Implements the handler's method and those of {@code Object}. */
   private static Object invoke(Object proxy, Method method, Object[] arguments, Runnable action) {
     String name = method.getName();
     if (name.equals("handle")) {
