--- a/src/main/java/switchgap/net/FramedConnection.java
+++ b/src/main/java/switchgap/net/FramedConnection.java
@@ -1,9 +1,7 @@
 package switchgap.net;
 
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
-import java.time.Duration;
 
 /**
  * A TCP connection that carries frames: a length of four bytes, then as many bytes. The length of
@@ -27,7 +25,6 @@
 
   private static final int MAX_UNSENT_FRAMES = 64;
   private static final int LISTEN_BACKLOG = 16;
-  private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(10);
 
   private final TcpConnection connection;
   private final FrameDecoder decoder;
@@ -68,52 +65,25 @@
    * @param port the port to listen on; 0 takes any free one
    * @throws IOException when the address can't be listened on
    */
-  public static TcpConnection.Server listen(
+  public static TcpServer listen(
       NetworkTransport transport, String host, int port, int maxFrameBytes, Listener listener)
       throws IOException {
-    return TcpConnection.listen(
+    return TcpServer.listen(
         transport, host, port, LISTEN_BACKLOG, new FrameListener(listener, maxFrameBytes));
   }
 
-  /** Opens any number of connections that share one listener and one filter chain. */
-  public static final class Factory {
-    private final TcpConnection.Factory factory;
-
-    /** A factory of connections whose received frames hold {@code maxFrameBytes} at most. */
-    public Factory(NetworkTransport transport, int maxFrameBytes, Listener listener) {
-      factory = new TcpConnection.Factory(transport, new FrameListener(listener, maxFrameBytes));
-    }
-
-    /** Begins to open a connection; {@code onFailure} runs when that can't be done. */
-    public void connect(InetSocketAddress remote, Runnable onFailure) {
-      factory.connect(
-          remote,
-          CONNECT_TIMEOUT,
-          new Connector.ConnectCallback<>() {
-            @Override
-            public void connected(TcpConnection connection) {}
-
-            @Override
-            public void failed(String reason) {
-              onFailure.run();
-            }
-          });
-    }
-  }
-
   /** Decodes the bytes of TCP connections for a listener of frames. */
-  private record FrameListener(Listener listener, int maxFrameBytes)
-      implements TcpConnection.Listener {
+  record FrameListener(Listener listener, int maxFrameBytes) implements TcpConnection.Listener {
     @Override
     public void opened(TcpConnection connection) {
       FramedConnection framed = new FramedConnection(connection, maxFrameBytes);
-      connection.attachment = framed;
+      connection.attach(framed);
       listener.opened(framed);
     }
 
     @Override
     public void received(TcpConnection connection, ByteBuffer bytes) {
-      FramedConnection framed = (FramedConnection) connection.attachment;
+      FramedConnection framed = (FramedConnection) connection.attachment();
       boolean valid =
           framed.decoder.decode(
               bytes,
@@ -132,7 +102,7 @@
 
     @Override
     public void closed(TcpConnection connection, CloseCause cause) {
-      listener.closed((FramedConnection) connection.attachment, cause);
+      listener.closed((FramedConnection) connection.attachment(), cause);
     }
   }
 }
--- a/src/main/java/switchgap/protocol/inference/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceExchange.java
@@ -1,6 +1,7 @@
 package switchgap.protocol.inference;
 
 import java.util.Map;
+import switchgap.net.CloseCause;
 import switchgap.net.HttpClientConnection;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.WorkerEntry;
@@ -14,7 +15,7 @@
  * alone, needs no lock, and shares its connection with others; this one has its connection to
  * itself.
  */
-abstract class PendingExchange implements HttpClientConnection.ResponseHandler {
+abstract class InferenceExchange implements HttpClientConnection.ResponseHandler {
   /** Of an exchange that waits for as long as it takes. */
   static final long NO_DEADLINE = Long.MAX_VALUE;
 
@@ -53,7 +54,7 @@
    * @param deadlineNanos System.nanoTime after which it is not sent any more, or {@link
    *     #NO_DEADLINE}; guards against a pause, in which it may have waited past its timeout
    */
-  PendingExchange(
+  InferenceExchange(
       WorkerEntry worker, HttpConnectionPool pool, InferenceRequest request, long deadlineNanos) {
     this.worker = worker;
     this.pool = pool;
@@ -97,7 +98,7 @@
 
   /** Whether it may still go out: its worker takes what is new, and its deadline has not passed. */
   final synchronized boolean maySend() {
-    return worker.accepting
+    return worker.isAccepting()
         && (deadlineNanos == NO_DEADLINE || System.nanoTime() - deadlineNanos < 0);
   }
 
@@ -165,7 +166,7 @@
   }
 
   @Override
-  public final void connectionLost(String why) {
+  public final void connectionLost(CloseCause cause) {
     if (transition(State.ENDED)) {
       lost();
     }
--- a/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
@@ -6,9 +6,11 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import switchgap.net.ConnectFailure;
 import switchgap.net.Connector;
 import switchgap.net.NetworkTransport;
 import switchgap.net.TcpConnection;
+import switchgap.net.TcpConnector;
 import switchgap.router.RouterCore;
 import switchgap.router.RouterDiagnostics;
 import switchgap.router.WorkerEntry;
@@ -23,10 +25,10 @@
   /** The longest string of a reply, which is its body. */
   private static final int MAX_STRING_BYTES = 16 << 10;
 
-  private final RespWorkerTransport.ConnectionLimits limits;
+  private final RespConnectionLimits limits;
   private final Supplier<Duration> clock;
   private final Consumer<Consumer<RouterCore>> events;
-  private final TcpConnection.Factory connectionFactory;
+  private final TcpConnector connectionFactory;
   private final RouterDiagnostics diagnostics;
   private final Set<RespConnectionPool> pools = new HashSet<>();
 
@@ -42,7 +44,7 @@
    */
   RespConnectionManager(
       NetworkTransport net,
-      RespWorkerTransport.ConnectionLimits limits,
+      RespConnectionLimits limits,
       Supplier<Duration> clock,
       Consumer<Consumer<RouterCore>> events,
       RouterDiagnostics diagnostics) {
@@ -50,11 +52,10 @@
     this.clock = clock;
     this.events = events;
     this.diagnostics = diagnostics;
-    this.connectionFactory =
-        new TcpConnection.Factory(net, new ReplyReader(events, diagnostics.events()));
+    this.connectionFactory = new TcpConnector(net, new ReplyReader(events, diagnostics.events()));
   }
 
-  RespWorkerTransport.ConnectionLimits limits() {
+  RespConnectionLimits limits() {
     return limits;
   }
 
@@ -75,19 +76,19 @@
 
   /** The pool of a worker, made where it has none yet. */
   RespConnectionPool poolFor(WorkerEntry worker) {
-    if (worker.attachment == null) {
+    if (worker.attachment() == null) {
       RespConnectionPool pool =
-          new RespConnectionPool(this, new InetSocketAddress(worker.host, worker.port));
-      worker.attachment = pool;
+          new RespConnectionPool(this, new InetSocketAddress(worker.host(), worker.port()));
+      worker.attach(pool);
       pools.add(pool);
     }
-    return (RespConnectionPool) worker.attachment;
+    return (RespConnectionPool) worker.attachment();
   }
 
   /** Connections that one worker may have when all that are in use share the limit. */
   int maxConnectionsPerWorker() {
-    int share = limits.connections() / Math.max(1, pools.size());
-    return Math.max(MIN_CONNECTIONS_PER_WORKER, Math.min(limits.links(), share));
+    int share = limits.maxConnections() / Math.max(1, pools.size());
+    return Math.max(MIN_CONNECTIONS_PER_WORKER, Math.min(limits.maxConnectionsPerWorker(), share));
   }
 
   /**
@@ -95,7 +96,7 @@
    * recently used is closed for it, so this must be asked last.
    */
   boolean makeRoom() {
-    if (connectionCount < limits.connections()) {
+    if (connectionCount < limits.maxConnections()) {
       return true;
     }
     RespConnection evicted = null;
@@ -114,19 +115,19 @@
     connectionCount++;
     connectionFactory.connect(
         address,
-        limits.connectWithin(),
+        limits.connectTimeout(),
         new Connector.ConnectCallback<>() {
           @Override
           public void connected(TcpConnection tcp) {
             RespConnection connection =
                 new RespConnection(tcp, pool, new RespDecoder(MAX_STRING_BYTES), nowNanos());
-            tcp.attachment = connection;
+            tcp.attach(connection);
             events.accept(
                 core -> pool.connectionOpened(core, connection)); // it may have closed by then
           }
 
           @Override
-          public void failed(String why) {
+          public void failed(ConnectFailure failure) {
             events.accept(pool::connectFailed);
           }
         });
@@ -139,7 +140,7 @@
 
   /** Closes idle connections and forgets the pools of workers that are gone. */
   void sweep() {
-    pools.removeIf(pool -> pool.sweep(limits.idle().toNanos()));
+    pools.removeIf(pool -> pool.sweep(limits.idleTimeout().toNanos()));
   }
 
   /** Connections that are open or being opened. */
--- a/src/main/java/switchgap/protocol/resp/PendingExchange.java
+++ b/src/main/java/switchgap/protocol/resp/RespExchange.java
@@ -16,7 +16,7 @@
  * loop alone and shares its connection with others, that one is guarded by its lock as writer
  * threads send it, and has its connection to itself.
  */
-final class PendingExchange {
+final class RespExchange {
   /** How an exchange stands; it only ever goes forward. */
   enum State {
     /** It has no connection; no byte of it has gone out. */
@@ -63,7 +63,7 @@
   private RespConnection connection;
   private long sentNanos;
 
-  private PendingExchange(
+  private RespExchange(
       WorkerEntry worker,
       String id,
       Attempt attempt,
@@ -74,7 +74,7 @@
     this.worker = worker;
     this.id = id;
     this.attempt = attempt;
-    this.request = attempt == null ? null : attempt.request;
+    this.request = attempt == null ? null : attempt.request();
     this.allowedWhileDraining = allowedWhileDraining;
     this.encoder = encoder;
     this.timeoutNanos = timeoutNanos;
@@ -82,10 +82,10 @@
   }
 
   /** The exchange of an attempt of a request, whose id the reply will bear. */
-  static PendingExchange ofAttempt(
+  static RespExchange ofAttempt(
       Attempt attempt, CommandEncoder encoder, long timeoutNanos, CompletionListener listener) {
-    return new PendingExchange(
-        attempt.worker, attempt.request.id, attempt, false, encoder, timeoutNanos, listener);
+    return new RespExchange(
+        attempt.worker(), attempt.request().id(), attempt, false, encoder, timeoutNanos, listener);
   }
 
   /**
@@ -95,14 +95,14 @@
    * @param allowedWhileDraining whether a worker that takes nothing new may still get it
    * @param timeoutNanos nanoseconds of the loop's clock at which it times out
    */
-  static PendingExchange ofCommand(
+  static RespExchange ofCommand(
       WorkerEntry worker,
       String tag,
       boolean allowedWhileDraining,
       byte[] command,
       long timeoutNanos,
       CompletionListener listener) {
-    return new PendingExchange(
+    return new RespExchange(
         worker, tag, null, allowedWhileDraining, remaining -> command, timeoutNanos, listener);
   }
 
@@ -113,8 +113,8 @@
    */
   boolean maySend(long nowNanos) {
     return state == State.WAITING
-        && (allowedWhileDraining || worker.accepting)
-        && (request == null || request.isAwaited() && nowNanos < timeoutNanos);
+        && (allowedWhileDraining || worker.isAccepting())
+        && (request == null || (request.isAwaited() && nowNanos < timeoutNanos));
   }
 
   /** The command, to go out at this time; the invariants are checked for it. */
--- a/src/main/java/switchgap/protocol/thrift/AcceptThrottle.java
+++ b/src/main/java/switchgap/protocol/thrift/AcceptThrottle.java
@@ -1,17 +1,17 @@
 package switchgap.protocol.thrift;
 
 import java.util.concurrent.atomic.AtomicInteger;
-import switchgap.net.TcpConnection;
+import switchgap.net.TcpServer;
 
 /**
- * Counts open connections and pauses the listener while their number is at its limit. Clients past
+ * Counts open connections and stalls the listener while their number is at its limit. Clients past
  * it wait in the system's backlog: a connection that was accepted and closed again might carry a
  * request already. Thread-safe, as connections open and close on several threads.
  */
 final class AcceptThrottle {
   private final int maxOpenConnections;
   private final AtomicInteger openConnections = new AtomicInteger();
-  private volatile TcpConnection.Server listener;
+  private volatile TcpServer listener;
 
   /** Guarded by this. */
   private boolean isPaused;
@@ -21,7 +21,7 @@
   }
 
   /** Throttles this listener from the next change on. */
-  void listenerOpened(TcpConnection.Server opened) {
+  void listenerOpened(TcpServer opened) {
     listener = opened;
   }
 
--- a/src/main/java/switchgap/protocol/thrift/ClientConnection.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnection.java
@@ -10,7 +10,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import switchgap.net.PauseHistory;
+import switchgap.net.StallHistory;
 import switchgap.net.TcpConnection;
 import switchgap.router.PendingRequest;
 
@@ -232,9 +232,9 @@
     return now.toNanos() - lastActiveNanos > minDuration.toNanos();
   }
 
-  /** Whether a message is due for longer than the timeout; pauses of the process do not count. */
-  boolean isReceiveOverdue(Duration now, Duration timeout, PauseHistory pauses) {
-    return receiver.isOverdue(now, timeout, pauses);
+  /** Whether a message is due for longer than the timeout; stalls of the process do not count. */
+  boolean isReceiveOverdue(Duration now, Duration timeout, StallHistory stalls) {
+    return receiver.isOverdue(now, timeout, stalls);
   }
 
   /** When it was opened, its last message was handled or its last reply was sent. */
--- a/src/main/java/switchgap/protocol/thrift/ClientConnectionTable.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnectionTable.java
@@ -5,7 +5,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import switchgap.net.PauseHistory;
+import switchgap.net.StallHistory;
 
 /**
  * The clients' connections that the event loop tracks. Past their maximum number idle connections
@@ -28,7 +28,7 @@
   private final int maxConnections;
   private final Duration receiveTimeout;
   private final Duration silentTimeout;
-  private final PauseHistory pauses = new PauseHistory();
+  private final StallHistory stalls = new StallHistory();
 
   ClientConnectionTable(int maxConnections, Duration receiveTimeout) {
     this.maxConnections = maxConnections;
@@ -91,14 +91,14 @@
   }
 
   /** A pause of the process ended: it does not count against any client's receive timeout. */
-  void pauseEnded(Duration now, Duration length) {
-    pauses.add(now, length);
+  void stallEnded(Duration now, Duration length) {
+    stalls.add(now, length);
   }
 
   /** Closes connections whose message is overdue. */
   void closeOverdue(Duration now) {
     for (ClientConnection connection : snapshot()) {
-      if (connection.isReceiveOverdue(now, receiveTimeout, pauses)) {
+      if (connection.isReceiveOverdue(now, receiveTimeout, stalls)) {
         connection.close(ClientCloseReason.RECEIVE_TIMEOUT);
       }
     }
--- a/src/main/java/switchgap/protocol/thrift/InFlightRequests.java
+++ b/src/main/java/switchgap/protocol/thrift/InFlightRequests.java
@@ -30,12 +30,12 @@
 
   /** Whether the request fits within the bounds. */
   boolean hasCapacityFor(PendingRequest request) {
-    return size() < maxRequests && bodyBytes + request.body.length <= maxBodyBytes;
+    return size() < maxRequests && bodyBytes + request.body().length <= maxBodyBytes;
   }
 
   void add(ReplyAddress address, PendingRequest request) {
-    connectionByRequestId.put(request.id, address.connection());
-    bodyBytes += request.body.length;
+    connectionByRequestId.put(request.id(), address.connection());
+    bodyBytes += request.body().length;
     address.connection().requestAdded(address.sequenceId(), request);
   }
 
@@ -46,7 +46,7 @@
 
   /** Releases the capacity of a request that its connection no longer lists, or soon will not. */
   void release(PendingRequest request) {
-    connectionByRequestId.remove(request.id);
-    bodyBytes -= request.body.length;
+    connectionByRequestId.remove(request.id());
+    bodyBytes -= request.body().length;
   }
 }
--- a/src/main/java/switchgap/protocol/thrift/MessageReceiver.java
+++ b/src/main/java/switchgap/protocol/thrift/MessageReceiver.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 import switchgap.net.FrameDecoder;
-import switchgap.net.PauseHistory;
+import switchgap.net.StallHistory;
 
 /**
  * Splits the bytes of one connection into frames and knows since when a message is due. Written on
@@ -57,9 +57,9 @@
     return hasPartialMessage;
   }
 
-  /** Whether a message is due for longer than the timeout; pauses of the process do not count. */
-  boolean isOverdue(Duration now, Duration timeout, PauseHistory pauses) {
+  /** Whether a message is due for longer than the timeout; stalls of the process do not count. */
+  boolean isOverdue(Duration now, Duration timeout, StallHistory stalls) {
     Duration since = dueSince;
-    return since != null && pauses.runningTime(since, now).compareTo(timeout) > 0;
+    return since != null && stalls.elapsedExcludingStalls(since, now).compareTo(timeout) > 0;
   }
 }
--- a/src/main/java/switchgap/protocol/thrift/RequestAdmission.java
+++ b/src/main/java/switchgap/protocol/thrift/RequestAdmission.java
@@ -78,8 +78,8 @@
       PendingRequest request = decode(address, message, receivedAt);
       diagnostics
           .events()
-          .record(new RouterEvent.RequestReceived(request.id, address.connection().id()));
-      ensureIdIsNotInFlight(core, request.id);
+          .record(new RouterEvent.RequestReceived(request.id(), address.connection().id()));
+      ensureIdIsNotInFlight(core, request.id());
       offer(core, address, request);
     } catch (InvalidSubmitException e) {
       responder.failUnusable(address, e);
--- a/src/main/java/switchgap/protocol/thrift/RequestCancellation.java
+++ b/src/main/java/switchgap/protocol/thrift/RequestCancellation.java
@@ -41,7 +41,7 @@
    * owed the answer that it did not get.
    */
   static boolean isAnswerOwed(PendingRequest request, Duration revokedAt) {
-    return revokedAt.compareTo(request.deadline.minus(DEADLINE_SLACK)) >= 0;
+    return revokedAt.compareTo(request.deadline().minus(DEADLINE_SLACK)) >= 0;
   }
 
   /**
@@ -112,8 +112,8 @@
   }
 
   private void abandon(RouterCore core, PendingRequest request, EventReason reason) {
-    diagnostics.events().record(new RouterEvent.RequestAbandoned(reason, request.id));
+    diagnostics.events().record(new RouterEvent.RequestAbandoned(reason, request.id()));
     inFlight.release(request);
-    core.clientLeft(request);
+    core.requestCancelled(request);
   }
 }
--- a/src/main/java/switchgap/protocol/thrift/RequestResponder.java
+++ b/src/main/java/switchgap/protocol/thrift/RequestResponder.java
@@ -54,7 +54,7 @@
 
   /** Rejects a decoded submit that was revoked past its deadline, before it was admitted. */
   void rejectRevokedLate(ReplyAddress address, PendingRequest request) {
-    recordUnadmittedAnswer(AnswerReason.REVOKED_LATE, request.id, address.connection().id());
+    recordUnadmittedAnswer(AnswerReason.REVOKED_LATE, request.id(), address.connection().id());
     sendRejection(address, configuredRetryAfter());
   }
 
@@ -67,7 +67,7 @@
 
   private void recordAnswer(PendingRequest request, AnswerReason reason, Duration now) {
     diagnostics.invariants().beforeAnswer(request, now);
-    diagnostics.events().record(new RouterEvent.RequestAnswered(reason, request.id, now));
+    diagnostics.events().record(new RouterEvent.RequestAnswered(reason, request.id(), now));
   }
 
   /** Records the answer of a message that has not become a pending request. */
@@ -100,7 +100,7 @@
     @Override
     public void responded(PendingRequest request, Response response) {
       inFlight.remove(address, request);
-      recordAnswer(request, AnswerReason.of(response.kind()), request.deadline);
+      recordAnswer(request, AnswerReason.of(response.kind()), request.deadline());
       switch (response.kind()) {
         case SUCCEEDED -> address.sendResult(response.body());
         case REJECTED -> sendRejection(address, response.retryAfter());
--- a/src/main/java/switchgap/protocol/thrift/ThriftServer.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -8,8 +8,9 @@
 import java.util.function.Supplier;
 import switchgap.net.CloseCause;
 import switchgap.net.NetworkTransport;
-import switchgap.net.PauseDetector;
+import switchgap.net.StallDetector;
 import switchgap.net.TcpConnection;
+import switchgap.net.TcpServer;
 import switchgap.policy.api.RouterSettings;
 import switchgap.router.RouterCore;
 import switchgap.router.RouterDiagnostics;
@@ -35,12 +36,12 @@
   private final ClientConnectionTable connections;
   private final RequestHandler requests;
   private final ClientMessageReader messages;
-  private final PauseDetector pauseDetector;
+  private final StallDetector stallDetector;
 
   /** Whether the next eviction is scheduled; event loop only. */
   private boolean evictionScheduled;
 
-  private volatile TcpConnection.Server listener;
+  private volatile TcpServer listener;
 
   /**
    * A server that does not listen yet.
@@ -70,7 +71,7 @@
     NameDirectory names = new NameDirectory(settings, requestClasses, tenants);
     requests = new RequestHandler(names, limits, connections, diagnostics);
     messages = new ClientMessageReader(requests, eventLoop, limits.maxRequestBytes());
-    pauseDetector = new PauseDetector(limits.sweepInterval(), clock.get());
+    stallDetector = new StallDetector(limits.sweepInterval(), clock.get());
   }
 
   /**
@@ -79,7 +80,7 @@
    * @param port 0 for any free port
    */
   public void listen(NetworkTransport net, String host, int port) throws IOException {
-    listener = TcpConnection.listen(net, host, port, ACCEPT_BACKLOG, this);
+    listener = TcpServer.listen(net, host, port, ACCEPT_BACKLOG, this);
     acceptThrottle.listenerOpened(listener);
   }
 
@@ -109,7 +110,7 @@
   @Override
   public void opened(TcpConnection tcp) {
     ClientConnection connection = new ClientConnection(tcp, clock, limits.maxUnsentBytes());
-    tcp.attachment = connection;
+    tcp.attach(connection);
     diagnostics.events().record(new RouterEvent.ClientConnected(tcp.id()));
     acceptThrottle.connectionOpened();
     eventLoop.accept(
@@ -122,7 +123,7 @@
   @Override
   public void received(TcpConnection tcp, ByteBuffer bytes) {
     ClientConnection connection = connectionOf(tcp);
-    Duration receivedAt = clock.get().minus(tcp.possibleDelay());
+    Duration receivedAt = clock.get().minus(tcp.maxReceiveDelay());
     Consumer<byte[]> frameHandler = frame -> messages.frameReceived(connection, frame, receivedAt);
     if (!connection.receive(bytes, frameHandler, receivedAt)) {
       connection.close(ClientCloseReason.FRAME_OUT_OF_BOUNDS);
@@ -139,7 +140,7 @@
   }
 
   private static ClientConnection connectionOf(TcpConnection tcp) {
-    return (ClientConnection) tcp.attachment;
+    return (ClientConnection) tcp.attachment();
   }
 
   // ------------------------------------------------------------------ on the event loop
@@ -166,7 +167,7 @@
    */
   public int activeConnections() {
     int untracked = Math.max(0, acceptThrottle.openConnections() - connections.size());
-    int unaccepted = listener.isHeldUp() ? 1 : 0;
+    int unaccepted = listener.isAcceptStalled() ? 1 : 0;
     return untracked + connections.activeCount() + unaccepted;
   }
 
@@ -189,7 +190,7 @@
    * Closes connections whose message is overdue; to be called at the sweep interval of the limits.
    */
   public void closeOverdueConnections(Duration now) {
-    connections.pauseEnded(now, pauseDetector.heldUp(now));
+    connections.stallEnded(now, stallDetector.recordCheck(now));
     connections.closeOverdue(now);
   }
 }
--- a/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
@@ -6,6 +6,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.config.FunctionSettings;
 import switchgap.config.YamlRouterSettings;
 import switchgap.planner.LoadBacklog;
 import switchgap.planner.LoadPlan;
@@ -184,13 +185,13 @@
   }
 
   private PendingLoad pendingLoad(long id, WorkerEntry worker, String function) {
-    YamlRouterSettings.FunctionSettings known = settings.function(function);
+    FunctionSettings known = settings.function(function);
     double memoryMb = known == null ? 0 : known.memoryMb();
     long loadMicros =
         known == null || known.loadTime() == null
             ? 0
             : known.loadTime().toNanos() / NANOS_PER_MICRO;
-    return new PendingLoad(id, worker.name, function, memoryMb, loadMicros, 0, 0);
+    return new PendingLoad(id, worker.name(), function, memoryMb, loadMicros, 0, 0);
   }
 
   /** The delegate itself refuses a worker that has begun to drain meanwhile. */
--- a/src/main/java/switchgap/server/platform/GracefulShutdown.java
+++ b/src/main/java/switchgap/server/platform/GracefulShutdown.java
@@ -12,10 +12,10 @@
  */
 final class GracefulShutdown {
   /** Requests are accepted for at least this long. */
-  private static final Duration MIN_DRAIN_DURATION = Duration.ofMillis(1000);
+  private static final Duration MIN_DRAIN_DURATION = Duration.ofSeconds(1);
 
   /** The platform assumes this timeout if all are shorter. */
-  private static final Duration MIN_LONGEST_TIMEOUT = Duration.ofMillis(3000);
+  private static final Duration MIN_LONGEST_TIMEOUT = Duration.ofSeconds(3);
 
   /**
    * Past the longest timeout by this much, every request has its response: 0.2 s before SIGKILL.
--- a/src/main/java/switchgap/server/platform/PlatformAssembly.java
+++ b/src/main/java/switchgap/server/platform/PlatformAssembly.java
@@ -1,10 +1,13 @@
 package switchgap.server.platform;
 
 import java.io.IOException;
+import java.util.Arrays;
+import java.util.List;
 import java.util.concurrent.atomic.AtomicReference;
 import switchgap.config.PropertyRouterSettings;
 import switchgap.eventloop.EventLoop;
 import switchgap.net.NetworkTransport;
+import switchgap.protocol.resp.RespProtocolSettings;
 import switchgap.protocol.resp.RespWorkerTransport;
 import switchgap.protocol.thrift.ThriftServer;
 import switchgap.router.RouterCore;
@@ -52,17 +55,17 @@
     return new RespWorkerTransport(
         network,
         limits.workerConnections(),
-        requestClassNames(),
+        new RespProtocolSettings(requestClassNames(), settings.reportsConcurrency()),
         limits.core(),
         loop::now,
         loop::post,
         diagnostics);
   }
 
-  private String[] requestClassNames() {
+  private List<String> requestClassNames() {
     String[] names = new String[settings.requestClassCount()];
     settings.namedIndices(REQUEST_CLASS_LIST).forEach((name, index) -> names[index] = name);
-    return names;
+    return Arrays.asList(names);
   }
 
   private RouterCore routerCore(RespWorkerTransport transport, long seed) {
--- a/src/main/java/switchgap/server/platform/PlatformConfig.java
+++ b/src/main/java/switchgap/server/platform/PlatformConfig.java
@@ -9,6 +9,7 @@
 import switchgap.config.JsonDocument;
 import switchgap.config.PropertyRouterSettings;
 import switchgap.endpoints.EndpointListEvent;
+import switchgap.endpoints.EndpointNames;
 
 /**
  * The configuration that the platform gives a router at its start: an environment and the file that
@@ -23,7 +24,7 @@
  * @param lastSequence number of the last event in {@code knownEvents}
  * @param knownEvents the endpoint list so far
  * @param settings the operators' settings
- * @param directory reads the names in events
+ * @param endpointNames reads the names in events
  */
 record PlatformConfig(
     String name,
@@ -34,7 +35,7 @@
     long lastSequence,
     List<EndpointListEvent> knownEvents,
     PropertyRouterSettings settings,
-    EndpointListEvent.NameDirectory directory) {
+    EndpointNames endpointNames) {
   private static final String FILE_VARIABLE = "NODE_CONFIG";
   private static final String LISTEN_VARIABLE = "NODE_LISTEN";
   private static final String NAME_VARIABLE = "NODE_NAME";
@@ -52,11 +53,11 @@
     try {
       PropertyRouterSettings settings =
           new PropertyRouterSettings(JsonDocument.flatten(nestedSettings));
-      EndpointListEvent.NameDirectory directory =
-          new EndpointListEvent.NameDirectory(
+      EndpointNames endpointNames =
+          EndpointNames.ofIndices(
               settings.listIndices("Zones"), settings.listIndices("Skus"), startedAtMillis);
       int maxSockets = file.maxSockets();
-      PlatformConfigFile.KnownEvents known = file.knownEvents(directory);
+      PlatformConfigFile.KnownEvents known = file.knownEvents(endpointNames);
       InetSocketAddress listenAddress = PlatformConfigFile.address(LISTEN_VARIABLE, listen);
       long seed = file.seed();
       return new PlatformConfig(
@@ -68,7 +69,7 @@
           known.lastSequence(),
           known.events(),
           settings,
-          directory);
+          endpointNames);
     } catch (IOException | IllegalArgumentException e) {
       throw new InvalidConfigException(file.toString(), e.getMessage());
     }
--- a/src/main/java/switchgap/server/platform/PlatformConfigFile.java
+++ b/src/main/java/switchgap/server/platform/PlatformConfigFile.java
@@ -12,6 +12,7 @@
 import switchgap.config.InvalidConfigException;
 import switchgap.config.JsonDocument;
 import switchgap.endpoints.EndpointListEvent;
+import switchgap.endpoints.EndpointNames;
 
 /**
  * The JSON file that the platform gives a router. An unusable member is an {@link
@@ -74,11 +75,11 @@
   }
 
   /** The endpoint list so far; the names in it are read by the directory. */
-  KnownEvents knownEvents(EndpointListEvent.NameDirectory directory) throws IOException {
+  KnownEvents knownEvents(EndpointNames endpointNames) throws IOException {
     if (members.get("known") instanceof Map<?, ?> known
         && known.get("n") instanceof Number lastSequence
         && known.get("events") instanceof List<?> events) {
-      return new KnownEvents(lastSequence.longValue(), endpointListEvents(events, directory));
+      return new KnownEvents(lastSequence.longValue(), endpointListEvents(events, endpointNames));
     }
     throw invalid("known", "no last number with its events");
   }
@@ -91,14 +92,14 @@
    */
   record KnownEvents(long lastSequence, List<EndpointListEvent> events) {}
 
-  private List<EndpointListEvent> endpointListEvents(
-      List<?> events, EndpointListEvent.NameDirectory directory) throws IOException {
+  private List<EndpointListEvent> endpointListEvents(List<?> events, EndpointNames endpointNames)
+      throws IOException {
     List<EndpointListEvent> endpointListEvents = new ArrayList<>();
     for (Object event : events) {
       if (!(event instanceof Map<?, ?> eventMembers)) {
         throw invalid("known.events", "no object");
       }
-      endpointListEvents.add(EndpointListEvent.fromJson(eventMembers, directory));
+      endpointListEvents.add(EndpointListEvent.fromJson(eventMembers, endpointNames));
     }
     return endpointListEvents;
   }
--- a/src/main/java/switchgap/server/platform/PlatformLimits.java
+++ b/src/main/java/switchgap/server/platform/PlatformLimits.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import switchgap.config.PropertyRouterSettings;
-import switchgap.protocol.resp.RespWorkerTransport;
+import switchgap.protocol.resp.RespConnectionLimits;
 import switchgap.protocol.thrift.ClientConnectionLimits;
 import switchgap.router.CoreLimits;
 
@@ -41,7 +41,7 @@
   private static final int UNREAD_RESPONSE_DIVISOR = 4;
 
   /** Time for a complete message to arrive. */
-  private static final Duration RECEIVE_TIMEOUT = Duration.ofMillis(2000);
+  private static final Duration RECEIVE_TIMEOUT = Duration.ofSeconds(2);
 
   private final PropertyRouterSettings settings;
   private final int maxSockets;
@@ -60,17 +60,16 @@
     return new CoreLimits(settings.loadCommandTimeout(), settings.connectTimeout(), MAX_FUNCTIONS);
   }
 
-  RespWorkerTransport.ConnectionLimits workerConnections() {
+  RespConnectionLimits workerConnections() {
     Duration idleTimeout =
         settings.connectionIdleTimeout().dividedBy(2); // before the worker closes it
-    return new RespWorkerTransport.ConnectionLimits(
+    return new RespConnectionLimits(
         descriptorQuota(WORKER_CONNECTION_DIVISOR),
         MAX_CONNECTIONS_PER_WORKER,
         MAX_WAITING_EXCHANGES,
         settings.attemptsPerConnection(),
         settings.connectTimeout(),
-        idleTimeout,
-        settings.reportsConcurrency());
+        idleTimeout);
   }
 
   ClientConnectionLimits clientConnections() {
--- a/src/main/java/switchgap/server/platform/PlatformRouter.java
+++ b/src/main/java/switchgap/server/platform/PlatformRouter.java
@@ -10,7 +10,7 @@
 import switchgap.endpoints.EndpointListEvent;
 import switchgap.endpoints.EventStreamClient;
 import switchgap.eventloop.EventLoop;
-import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.ListenRetry;
 import switchgap.net.NetworkTransport;
 import switchgap.protocol.resp.RespWorkerTransport;
@@ -53,9 +53,9 @@
     longestTimeout = config.settings().longestTimeout();
     eventStream =
         new EventStreamClient(
-            new HttpClientConnection.Factory(network, null, MAX_EVENT_STREAM_BODY_BYTES),
+            new HttpClientConnector(network, null, MAX_EVENT_STREAM_BODY_BYTES),
             config.lastSequence(),
-            config.directory(),
+            config.endpointNames(),
             this::eventReceived,
             log::line);
     startEventLoop(config);
--- a/src/main/java/switchgap/testbed/experiment/BareRelay.java
+++ b/src/main/java/switchgap/testbed/experiment/BareRelay.java
@@ -6,8 +6,11 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentLinkedDeque;
 import java.util.concurrent.atomic.AtomicInteger;
+import switchgap.net.CloseCause;
+import switchgap.net.ConnectFailure;
 import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.HttpExchange;
 import switchgap.net.HttpServer;
 import switchgap.net.NetworkTransport;
@@ -17,14 +20,14 @@
  * chains, without decisions.
  */
 final class BareRelay implements HttpServer.RequestHandler {
-  private final HttpClientConnection.Factory factory;
+  private final HttpClientConnector factory;
   private final InetSocketAddress[] workers;
   private final ConcurrentLinkedDeque<HttpClientConnection>[] idle;
   private final AtomicInteger turn = new AtomicInteger();
 
   @SuppressWarnings({"unchecked"})
   private BareRelay(NetworkTransport net, InetSocketAddress[] workers) {
-    this.factory = new HttpClientConnection.Factory(net, null, 4 << 20);
+    this.factory = new HttpClientConnector(net, null, 4 << 20);
     this.workers = workers;
     this.idle = new ConcurrentLinkedDeque[workers.length];
     for (int i = 0; i < idle.length; i++) {
@@ -57,7 +60,7 @@
           }
 
           @Override
-          public void failed(String why) {
+          public void failed(ConnectFailure failure) {
             exchange.drop();
           }
         });
@@ -69,7 +72,7 @@
             "POST",
             "/v2/models/f/infer",
             Map.of("Content-Type", "application/json"),
-            exchange.body,
+            exchange.body(),
             new HttpClientConnection.ResponseHandler() {
               @Override
               public void responded(
@@ -81,7 +84,7 @@
               }
 
               @Override
-              public void connectionLost(String why) {
+              public void connectionLost(CloseCause cause) {
                 exchange.drop();
               }
             });
--- a/src/test/java/switchgap/endpoints/EventStreamClientTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.NetworkTransport;
 import switchgap.policy.api.WorkerState;
 import switchgap.protocol.sse.ServerSentEventDecoder;
@@ -23,8 +23,8 @@
 
 /** The control feed through breaks, repeats, gaps, silence and a change of its address. */
 class EventStreamClientTest {
-  private static final EndpointListEvent.NameDirectory DIRECTORY =
-      new EndpointListEvent.NameDirectory(Map.of("east", 0), Map.of("std", 0), 1000);
+  private static final EndpointNames NAMES =
+      EndpointNames.ofIndices(Map.of("east", 0), Map.of("std", 0), 1000);
 
   private static String event(long sequence) {
     return EventStreamTestServer.endpointListEvent(
@@ -64,14 +64,14 @@
         EndpointListEvent.parse(
             EventStreamTestServer.endpointListEvent(
                 41, true, EventStreamTestServer.endpoint("s-1", "10.1.0.9:10080", "SERVING", 1500)),
-            DIRECTORY);
+            NAMES);
     assertThat(event.sequence()).isEqualTo(41);
     assertThat(event.complete()).isTrue();
     assertThat(event.updates())
         .containsExactly(
             new EndpointUpdate(
                 "s-1", "10.1.0.9", 10080, WorkerState.READY, 0, 2, 0, 4, Duration.ofMillis(500)));
-    assertThat(EndpointListEvent.parse("{\"n\":5,\"news\":{}}", DIRECTORY).updates()).isNull();
+    assertThat(EndpointListEvent.parse("{\"n\":5,\"news\":{}}", NAMES).updates()).isNull();
   }
 
   @ParameterizedTest
@@ -87,8 +87,7 @@
         "{\"n\":1,\"members\":{\"targets\":[{\"uid\":\"a\",\"endpoint\":\"nowhere\",\"state\":\"SERVING\"}]}}"
       })
   void rejectsEventsThatCannotBeUsed(String text) {
-    assertThatThrownBy(() -> EndpointListEvent.parse(text, DIRECTORY))
-        .isInstanceOf(IOException.class);
+    assertThatThrownBy(() -> EndpointListEvent.parse(text, NAMES)).isInstanceOf(IOException.class);
   }
 
   private static void await(java.util.function.BooleanSupplier condition)
@@ -129,9 +128,9 @@
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
-                new HttpClientConnection.Factory(network, null, 1 << 16),
+                new HttpClientConnector(network, null, 1 << 16),
                 1,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(feed.address());
@@ -161,9 +160,9 @@
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
-                new HttpClientConnection.Factory(network, null, 1 << 16),
+                new HttpClientConnector(network, null, 1 << 16),
                 1,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(firstFeed.address());
@@ -206,9 +205,9 @@
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
-                new HttpClientConnection.Factory(network, null, 1 << 16),
+                new HttpClientConnector(network, null, 1 << 16),
                 1,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(feed.address());
@@ -254,9 +253,9 @@
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
-                new HttpClientConnection.Factory(network, null, 1 << 16),
+                new HttpClientConnector(network, null, 1 << 16),
                 1,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(oldFeed.address());
@@ -295,9 +294,9 @@
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
-                new HttpClientConnection.Factory(network, null, 1 << 16),
+                new HttpClientConnector(network, null, 1 << 16),
                 1,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(oldFeed.address());
@@ -350,9 +349,9 @@
         NetworkTransport network = new NetworkTransport(1, "follow");
         EventStreamClient client =
             new EventStreamClient(
-                new HttpClientConnection.Factory(network, null, 1 << 16),
+                new HttpClientConnector(network, null, 1 << 16),
                 5,
-                DIRECTORY,
+                NAMES,
                 event -> received.add(event.sequence() + event.updates().get(0).name()),
                 line -> {})) {
       client.follow(feed.address());
