--- a/src/main/java/switchgap/endpoints/EndpointListWatcher.java
+++ b/src/main/java/switchgap/endpoints/EndpointListWatcher.java
@@ -11,7 +11,10 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.net.CloseCause;
+import switchgap.net.ConnectFailure;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.TimerThread;
 import switchgap.router.RouterCore;
 
@@ -40,11 +43,11 @@
   /** A version that nothing follows: the service answers it with the whole list. */
   private static final long NO_VERSION = -1;
 
-  private final HttpClientConnection.Factory connections;
+  private final HttpClientConnector connections;
   private final InetSocketAddress service;
   private final int routerIndex;
   private final Duration retryDelay;
-  private final EndpointListLine.NameDirectory directory;
+  private final EndpointNames names;
   private final Consumer<Consumer<RouterCore>> events;
   private final ScheduledFuture<?> silenceCheck;
   private SubscriptionState state = SubscriptionState.DISCONNECTED;
@@ -61,17 +64,17 @@
    * @param events hands events to the router's loop
    */
   public EndpointListWatcher(
-      HttpClientConnection.Factory connections,
+      HttpClientConnector connections,
       InetSocketAddress service,
       int routerIndex,
       Duration retryDelay,
-      EndpointListLine.NameDirectory directory,
+      EndpointNames names,
       Consumer<Consumer<RouterCore>> events) {
     this.connections = connections;
     this.service = service;
     this.routerIndex = routerIndex;
     this.retryDelay = retryDelay;
-    this.directory = directory;
+    this.names = names;
     this.events = events;
     silenceCheck =
         TimerThread.EXECUTOR.scheduleAtFixedRate(
@@ -108,8 +111,8 @@
           }
 
           @Override
-          public void failed(String reason) {
-            disconnected(reason);
+          public void failed(ConnectFailure failure) {
+            disconnected(failure.toString());
           }
         });
   }
@@ -193,7 +196,7 @@
       }
       EndpointListLine list;
       try {
-        list = EndpointListLine.parse(text, directory);
+        list = EndpointListLine.parse(text, names);
       } catch (IOException e) {
         LOG.warn("a list was refused, the last one stays: {}", e.getMessage());
         requestWholeList();
@@ -223,8 +226,8 @@
     }
 
     @Override
-    public void connectionLost(String why) {
-      ended(why);
+    public void connectionLost(CloseCause cause) {
+      ended(cause.toString());
     }
 
     private void ended(String reason) {
--- a/src/main/java/switchgap/policy/state/Request.java
+++ b/src/main/java/switchgap/policy/state/Request.java
@@ -120,7 +120,7 @@
   /** Whether a repeat does no harm whoever sends it and to whichever worker. */
   public boolean isRepeatableAnywhere() {
     return isIdempotent()
-        || isRepeatable() && requestClass.deduplicationScope == DeduplicationScope.ALL;
+        || (isRepeatable() && requestClass.deduplicationScope == DeduplicationScope.ALL);
   }
 
   /** Whether a worker drops repeats of what the first executed attempt may have done. */
--- a/src/main/java/switchgap/protocol/thrift/ClientConnectionTable.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnectionTable.java
@@ -5,7 +5,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import switchgap.net.PauseHistory;
+import switchgap.net.StallHistory;
 
 /**
  * The clients' connections as the event loop knows them, bounded: past the bound an idle connection
@@ -29,7 +29,7 @@
   private final int maxConnections;
   private final Duration receiveTimeout;
   private final Duration silentTimeout;
-  private final PauseHistory pauses = new PauseHistory();
+  private final StallHistory pauses = new StallHistory();
 
   ClientConnectionTable(int maxConnections, Duration receiveTimeout) {
     this.maxConnections = maxConnections;
@@ -76,14 +76,14 @@
   }
 
   /** Connections on which anything is under way. */
-  int busy() {
-    int busy = 0;
+  int activeCount() {
+    int active = 0;
     for (ClientConnection connection : connections) {
-      if (connection.isBusy()) {
-        busy++;
+      if (connection.isActive()) {
+        active++;
       }
     }
-    return busy;
+    return active;
   }
 
   /** The connections of this moment, which may be closed while they are walked through. */
--- a/src/main/java/switchgap/protocol/thrift/ThriftServer.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -9,8 +9,9 @@
 import java.util.function.Supplier;
 import switchgap.net.CloseCause;
 import switchgap.net.NetworkTransport;
-import switchgap.net.PauseDetector;
+import switchgap.net.StallDetector;
 import switchgap.net.TcpConnection;
+import switchgap.net.TcpServer;
 import switchgap.policy.api.RouterSettings;
 import switchgap.router.RouterCore;
 import switchgap.router.RouterDiagnostics;
@@ -22,27 +23,6 @@
  * in order. Whatever a client can make grow is bounded.
  */
 public final class ThriftServer implements TcpConnection.Listener, AutoCloseable {
-  /**
-   * Bounds of what clients may take.
-   *
-   * @param maxConnections connections at a time
-   * @param maxExcessConnections further ones until the event loop has evicted others
-   * @param maxUnsentBytes bytes of one connection's replies that its client has not read
-   * @param maxRequestBytes bytes of all messages that wait for the event loop, and of the bodies of
-   *     all requests in flight
-   * @param maxRequests requests in flight
-   * @param receiveTimeout for a connection's first message, and for the rest of any message
-   * @param sweepInterval of the calls of {@link ThriftServer#sweep}
-   */
-  public record ConnectionLimits(
-      int maxConnections,
-      int maxExcessConnections,
-      int maxUnsentBytes,
-      int maxRequestBytes,
-      int maxRequests,
-      Duration receiveTimeout,
-      Duration sweepInterval) {}
-
   /** Messages of one connection that wait for the event loop. */
   private static final int MAX_QUEUED_MESSAGES = 256;
 
@@ -52,7 +32,7 @@
   /** Between looks for connections that may be evicted, while there are too many. */
   private static final Duration EVICTION_INTERVAL = Duration.ofMillis(10);
 
-  private final ConnectionLimits limits;
+  private final ClientConnectionLimits limits;
   private final Supplier<Duration> clock;
   private final Consumer<Consumer<RouterCore>> eventLoop;
   private final ClientConnectionTable connections;
@@ -69,8 +49,8 @@
 
   private volatile boolean isHealthy;
   private final RouterDiagnostics diagnostics;
-  private final PauseDetector pauseDetector;
-  private volatile TcpConnection.Server listener;
+  private final StallDetector stallDetector;
+  private volatile TcpServer listener;
 
   /**
    * A server that does not listen yet.
@@ -87,7 +67,7 @@
       RouterSettings settings,
       Map<String, Integer> requestClasses,
       Map<String, Integer> tenants,
-      ConnectionLimits limits,
+      ClientConnectionLimits limits,
       Supplier<Duration> clock,
       Consumer<Consumer<RouterCore>> eventLoop,
       RouterDiagnostics diagnostics) {
@@ -95,8 +75,8 @@
     this.clock = clock;
     this.eventLoop = eventLoop;
     this.diagnostics = diagnostics;
-    pauseDetector = new PauseDetector(limits.sweepInterval, clock.get());
-    connections = new ClientConnectionTable(limits.maxConnections, limits.receiveTimeout);
+    stallDetector = new StallDetector(limits.sweepInterval(), clock.get());
+    connections = new ClientConnectionTable(limits.maxConnections(), limits.receiveTimeout());
     requests =
         new RequestHandler(
             new NameDirectory(settings, requestClasses, tenants), limits, connections, diagnostics);
@@ -104,7 +84,7 @@
 
   /** Listens; port 0 takes any. */
   public void listen(NetworkTransport net, String host, int port) throws IOException {
-    listener = TcpConnection.listen(net, host, port, ACCEPT_BACKLOG, this);
+    listener = TcpServer.listen(net, host, port, ACCEPT_BACKLOG, this);
   }
 
   /** The port it listens at. */
@@ -113,8 +93,8 @@
   }
 
   /** What heartbeats are answered from now on; any thread. */
-  public void good(boolean good) {
-    isHealthy = good;
+  public void setHealthy(boolean healthy) {
+    isHealthy = healthy;
   }
 
   /** Accepts no further connection; those that are open stay. */
@@ -127,8 +107,8 @@
 
   @Override
   public void opened(TcpConnection tcp) {
-    ClientConnection connection = new ClientConnection(tcp, clock, limits.maxUnsentBytes);
-    tcp.attachment = connection;
+    ClientConnection connection = new ClientConnection(tcp, clock, limits.maxUnsentBytes());
+    tcp.attach(connection);
     openConnections.incrementAndGet();
     diagnostics.events().record(new RouterEvent.ClientConnected(tcp.id()));
     updateAccepting();
@@ -142,7 +122,7 @@
   @Override
   public void received(TcpConnection tcp, ByteBuffer bytes) {
     ClientConnection connection = connectionOf(tcp);
-    Duration now = clock.get().minus(tcp.possibleDelay());
+    Duration now = clock.get().minus(tcp.maxReceiveDelay());
     if (!connection.receive(bytes, frame -> frameReceived(connection, frame, now), now)) {
       connection.close(ClientCloseReason.FRAME_OUT_OF_BOUNDS);
     }
@@ -164,7 +144,8 @@
    */
   private void updateAccepting() {
     synchronized (acceptLock) {
-      boolean hasRoom = openConnections.get() < limits.maxConnections + limits.maxExcessConnections;
+      boolean hasRoom =
+          openConnections.get() < limits.maxConnections() + limits.maxExcessConnections();
       if (hasRoom == acceptPaused && listener != null) {
         acceptPaused = !hasRoom;
         if (hasRoom) {
@@ -177,7 +158,7 @@
   }
 
   private static ClientConnection connectionOf(TcpConnection tcp) {
-    return (ClientConnection) tcp.attachment;
+    return (ClientConnection) tcp.attachment();
   }
 
   private void frameReceived(ClientConnection connection, byte[] frame, Duration now) {
@@ -220,7 +201,7 @@
       return;
     }
     // a revoke is small, and bounded by the messages of its connection
-    if (!fits || !isRevoke && !reserveQueuedBytes(messageBytes)) {
+    if (!fits || (!isRevoke && !reserveQueuedBytes(messageBytes))) {
       connection.messageDequeued();
       requests.refuseUnseen(connection, message.sequenceId());
       return;
@@ -240,7 +221,7 @@
    * Takes a message's bytes out of the queue's budget; a message that does not fit takes nothing.
    */
   private boolean reserveQueuedBytes(int messageBytes) {
-    if (queuedBytes.addAndGet(messageBytes) <= limits.maxRequestBytes) {
+    if (queuedBytes.addAndGet(messageBytes) <= limits.maxRequestBytes()) {
       return true;
     }
     queuedBytes.addAndGet(
@@ -254,7 +235,7 @@
    * While there are too many connections, evicts what may go each interval: one look serves many.
    */
   private void scheduleEviction(RouterCore core) {
-    if (!evictionScheduled && connections.size() > limits.maxConnections) {
+    if (!evictionScheduled && connections.size() > limits.maxConnections()) {
       evictionScheduled = true;
       core.schedule(
           core.now().plus(EVICTION_INTERVAL),
@@ -271,30 +252,30 @@
    * that is not written; those that the event loop has not heard of yet count too, and clients that
    * could not be accepted as one.
    */
-  public int busy() {
-    int unaccepted = listener.isHeldUp() ? 1 : 0;
+  public int activeConnections() {
+    int unaccepted = listener.isAcceptStalled() ? 1 : 0;
     return Math.max(0, openConnections.get() - connections.size())
-        + connections.busy()
+        + connections.activeCount()
         + unaccepted;
   }
 
   /** Fails all requests in flight, as none of them can be waited for any more. */
-  public void endAll(RouterCore core) {
+  public void failPendingRequests(RouterCore core) {
     requests.failAll(core);
   }
 
   /** Requests in flight. */
-  public int held() {
+  public int requestsInFlight() {
     return requests.requestsInFlight();
   }
 
   /** Connections that the event loop knows. */
-  public int connections() {
+  public int trackedConnections() {
     return connections.size();
   }
 
   /** Connections that the selector threads know; any thread. */
-  public int connected() {
+  public int openConnections() {
     return openConnections.get();
   }
 
@@ -302,8 +283,8 @@
    * Closes connections that take too long for a message; to be called at the interval of the
    * limits.
    */
-  public void sweep(Duration now) {
-    connections.pauseEnded(now, pauseDetector.heldUp(now));
+  public void closeOverdueConnections(Duration now) {
+    connections.pauseEnded(now, stallDetector.recordCheck(now));
     connections.closeOverdue(now);
   }
 }
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -12,16 +12,17 @@
 import switchgap.admission.ServiceLevelChange;
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
-import switchgap.endpoints.EndpointListLine;
 import switchgap.endpoints.EndpointListWatcher;
+import switchgap.endpoints.EndpointNames;
 import switchgap.eventloop.EventLoop;
-import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.HttpServer;
 import switchgap.net.KeyedWriters;
 import switchgap.net.NetworkTransport;
 import switchgap.net.TimerThread;
 import switchgap.net.WallClock;
 import switchgap.planner.LoadPlan;
+import switchgap.planner.LoadPlanCounts;
 import switchgap.planner.link.PlannerServer;
 import switchgap.policy.RoutingPolicy;
 import switchgap.protocol.invoke.InvokeApi;
@@ -78,7 +79,7 @@
       new AtomicReference<>(); // set in the first tick
   private final NetworkTransport network;
   private final KeyedWriters writers;
-  private final HttpClientConnection.Factory connections;
+  private final HttpClientConnector connections;
   private final CoreFactory transports;
   private final EventLoop loop;
   private final PlannedWorkerTransport planned; // null: load commands go out without a plan
@@ -92,13 +93,13 @@
 
   /** Starts a router with the routing policy; fails where it can't listen. */
   public GatewayRouter(GatewayConfig config) throws IOException {
-    this(config, new RoutingPolicy(config.terms(), config.seed())::tick);
+    this(config, new RoutingPolicy(config.settings(), config.seed())::tick);
   }
 
   /** Starts a router with any policy: to measure the routing policy against a baseline. */
   public GatewayRouter(GatewayConfig config, RouterCore.Policy policy) throws IOException {
     this.config = config;
-    settings = config.terms();
+    settings = config.settings();
     int index = settings.routerIndex();
     int threads = config.listener().selectorThreads();
     network = new NetworkTransport(threads, "router-" + index);
@@ -106,7 +107,7 @@
     startedAtMillis = WallClock.unixMillis();
     writers = new KeyedWriters(threads, "carrier-" + index);
     connections =
-        new HttpClientConnection.Factory(
+        new HttpClientConnector(
             network, config.workers().sourceAddress(), config.workers().maxResponseBytes());
     transports = new CoreFactory(config, policy, connections, writers);
     loop =
@@ -184,15 +185,14 @@
     if (endpoints.service() == null) {
       return null;
     }
-    EndpointListLine.NameDirectory directory =
-        new EndpointListLine.NameDirectory(
-            settings::zoneIndex, settings::workerKindIndex, startedAtMillis);
+    EndpointNames names =
+        new EndpointNames(settings::zoneIndex, settings::workerKindIndex, startedAtMillis);
     return new EndpointListWatcher(
         connections,
         endpoints.service(),
         settings.routerIndex(),
         endpoints.retryInterval(),
-        directory,
+        names,
         loop::postUrgent);
   }
 
@@ -225,7 +225,7 @@
   }
 
   private int listen() throws IOException {
-    GatewayConfig.Listener listener = config.listener();
+    GatewayConfig.ListenerConfig listener = config.listener();
     try {
       return server.listen(listener.host(), listener.port());
     } catch (IOException e) {
@@ -244,8 +244,8 @@
   private void logLevelChange(ServiceLevelChange change) {
     LOG.warn(
         "level {} to {} for {}: {} (pressure {}, evidence {} calls)",
-        YamlDocument.word(change.from()),
-        YamlDocument.word(change.to()),
+        YamlDocument.word(change.previous()),
+        YamlDocument.word(change.current()),
         change.tenant() < 0 ? "all" : settings.tenantName(change.tenant()),
         change.condition(),
         String.format(Locale.ROOT, "%.3f", change.pressure()),
@@ -276,7 +276,7 @@
   }
 
   /** Requests that are pending now. */
-  public int held() {
+  public int pendingRequests() {
     return api.pendingRequests();
   }
 
--- a/src/main/java/switchgap/testbed/emulator/ConnectionPool.java
+++ b/src/main/java/switchgap/testbed/emulator/ConnectionPool.java
@@ -4,21 +4,23 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
+import switchgap.net.ConnectFailure;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 
 /**
  * Kept connections to one server: each carries one exchange at a time. On the scheduler's thread.
  */
 final class ConnectionPool {
   private final Scheduler scheduler;
-  private final HttpClientConnection.Factory factory;
+  private final HttpClientConnector factory;
   private final InetSocketAddress server;
   private final Duration connectTimeout;
   private final ArrayDeque<HttpClientConnection> idle = new ArrayDeque<>();
 
   ConnectionPool(
       Scheduler scheduler,
-      HttpClientConnection.Factory factory,
+      HttpClientConnector factory,
       InetSocketAddress server,
       Duration connectTimeout) {
     this.scheduler = scheduler;
@@ -49,7 +51,7 @@
           }
 
           @Override
-          public void failed(String reason) {
+          public void failed(ConnectFailure failure) {
             scheduler.post(onFailure);
           }
         });
--- a/src/main/java/switchgap/testbed/experiment/LoadRun.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRun.java
@@ -47,7 +47,7 @@
     YamlDocument loadSection = document.section("load");
     name = loadSection.text("name");
     scenario = Scenario.read(file.resolveSibling(loadSection.text("day")).normalize());
-    seed = (long) loadSection.number("seed", 0, 1L << 50, scenario.seed());
+    seed = (long) loadSection.number("seed", 0, (double) (1L << 50), (double) scenario.seed());
     loadSection.rejectUnknownKeys();
     curve = LoadCurve.read("curve", document.section("curve"), file).within(within);
     document.rejectUnknownKeys();
@@ -96,7 +96,7 @@
   }
 
   private double fullRateFactor() {
-    return scenario.capacity() / scenario.meanWork() / scenario.rate();
+    return scenario.fleetCapacity() / scenario.meanWork() / scenario.requestRate();
   }
 
   private EmulatedClients emulated() {
@@ -136,7 +136,7 @@
       while (scheduler.now() < end) {
         Thread.sleep(50);
       }
-      long deadline = end + scenario.longestLimit() * 2 + CLOSING_MICROS;
+      long deadline = end + scenario.longestTimeout() * 2 + CLOSING_MICROS;
       while (clients.open() > 0 && scheduler.now() < deadline) {
         Thread.sleep(20);
       }
--- a/src/test/java/switchgap/net/HttpClientConnectionTest.java
+++ b/src/test/java/switchgap/net/HttpClientConnectionTest.java
@@ -50,8 +50,8 @@
     }
 
     @Override
-    public void connectionLost(String reason) {
-      queue.add("lost: " + reason);
+    public void connectionLost(CloseCause cause) {
+      queue.add("lost: " + cause);
     }
 
     String next() throws InterruptedException {
@@ -68,7 +68,7 @@
     transport = new NetworkTransport(1, "client");
     listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     CompletableFuture<HttpClientConnection> connected = new CompletableFuture<>();
-    new HttpClientConnection.Factory(transport, null, MAX_BODY_BYTES)
+    new HttpClientConnector(transport, null, MAX_BODY_BYTES)
         .connect(
             new InetSocketAddress("127.0.0.1", listener.getLocalPort()),
             CONNECT_TIMEOUT,
@@ -79,8 +79,8 @@
               }
 
               @Override
-              public void failed(String reason) {
-                connected.completeExceptionally(new IOException(reason));
+              public void failed(ConnectFailure failure) {
+                connected.completeExceptionally(new IOException(failure.toString()));
               }
             });
     server = listener.accept();
--- a/src/test/java/switchgap/router/InvariantMonitorTest.java
+++ b/src/test/java/switchgap/router/InvariantMonitorTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import switchgap.policy.api.AttemptOutcome;
 import switchgap.server.platform.TestPlatformSettings;
 
 /**
@@ -16,7 +17,7 @@
  */
 class InvariantMonitorTest implements ResponseListener {
   private static final Duration NOW = Duration.ofMillis(100);
-  private static final Duration DEADLINE = Duration.ofMillis(1000);
+  private static final Duration DEADLINE = Duration.ofSeconds(1);
   private static final int NON_IDEMPOTENT = 1; // index of the class in the settings
 
   private final List<String> lines = new ArrayList<>();
@@ -28,12 +29,12 @@
   private boolean clientGone;
 
   InvariantMonitorTest() throws Exception {
-    invariants = new InvariantMonitor(TestPlatformSettings.terms(), events, lines::add);
+    invariants = new InvariantMonitor(TestPlatformSettings.routerSettings(), events, lines::add);
   }
 
   private Attempt attempt(int number) {
-    Attempt attempt = new Attempt(request, number, worker, NOW);
-    request.attempts.add(attempt);
+    Attempt attempt = request.addAttempt(worker, NOW);
+    assertThat(attempt.number()).isEqualTo(number);
     return attempt;
   }
 
@@ -42,11 +43,11 @@
   }
 
   /** Does what a program would that does not keep the invariant. */
-  private void violate(Invariant invariant) {
+  private void violate(RouterInvariant invariant) {
     Attempt first = attempt(0);
     switch (invariant) {
       case ATTEMPT_AFTER_ANSWER -> {
-        request.state = PendingRequest.State.ANSWERED;
+        request.end(PendingRequest.State.ANSWERED);
         sent(first);
       }
       case ATTEMPT_FOR_DISCONNECTED_CLIENT -> {
@@ -54,23 +55,22 @@
         sent(first);
       }
       case ATTEMPT_TO_DRAINING_WORKER -> {
-        worker.accepting = false;
+        worker.stopAccepting();
         sent(first);
       }
       case ATTEMPT_AFTER_DEADLINE ->
           invariants.beforeAttempt(first, Duration.ofMillis(1), DEADLINE);
       case TIMEOUT_PAST_DEADLINE -> invariants.beforeAttempt(first, Duration.ofMillis(1051), NOW);
       case RETRY_OF_NON_IDEMPOTENT -> {
-        first.ended = true; // timed out, and may have run
+        first.end(AttemptOutcome.TIMED_OUT); // and may have been executed
         sent(attempt(1));
       }
       case ATTEMPT_SENT_TWICE -> {
-        first.ended = true;
-        first.mayHaveExecuted = false;
+        first.end(AttemptOutcome.NOT_SENT);
         sent(first);
       }
       case LOAD_TO_DRAINING_WORKER -> {
-        worker.accepting = false;
+        worker.stopAccepting();
         invariants.beforeLoad(worker, NOW);
       }
       case SECOND_ANSWER -> {
@@ -85,7 +85,7 @@
 
   @ParameterizedTest
   @EnumSource
-  void eachViolationIsCountedAndLogged(Invariant invariant) {
+  void eachViolationIsCountedAndLogged(RouterInvariant invariant) {
     violate(invariant);
     assertThat(events.counts())
         .containsEntry(RouterEvent.Kind.INVARIANT_VIOLATED + " " + invariant, 1L);
@@ -98,8 +98,7 @@
     Attempt first = attempt(0);
     invariants.beforeAttempt(
         first, Duration.ofMillis(1050), NOW); // with the slack that the users grant
-    first.ended = true;
-    first.mayHaveExecuted = false;
+    first.end(AttemptOutcome.NOT_SENT);
     sent(attempt(1));
     invariants.beforeLoad(worker, NOW);
     invariants.beforeAnswer(request, NOW);
--- a/src/test/java/switchgap/server/gateway/RouterAndPlannerTest.java
+++ b/src/test/java/switchgap/server/gateway/RouterAndPlannerTest.java
@@ -1,6 +1,7 @@
 package switchgap.server.gateway;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static switchgap.testing.BoundedWait.until;
 
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -11,6 +12,7 @@
 import org.junit.jupiter.api.Test;
 import switchgap.net.NetworkTransport;
 import switchgap.planner.LoadPlan;
+import switchgap.planner.PlannerMessage;
 import switchgap.planner.link.PlannerClient;
 import switchgap.planner.link.PlannerMessageCodec;
 
@@ -20,7 +22,10 @@
  */
 class RouterAndPlannerTest {
   private static final String PLANNER_CONFIG =
-      "planner: {port: 0, patience: 60ms}\n" + "workers: {miss: answers, orders: true}\n";
+      """
+      planner: {port: 0, patience: 60ms}
+      workers: {miss: answers, orders: true}
+      """;
 
   /** A worker that has no function loaded until it is commanded to load one. */
   private static final class LoadCountingWorker implements AutoCloseable {
@@ -32,10 +37,10 @@
                 loads.incrementAndGet();
               }
               if (request.line().contains("/infer") && loads.get() == 0) {
-                out.write(HttpTestServer.http(404, "", "{}"));
+                out.write(HttpTestServer.response(404, "", "{}"));
                 return true;
               }
-              return HttpTestServer.well(request, out);
+              return HttpTestServer.echo(request, out);
             });
 
     LoadCountingWorker() throws Exception {}
@@ -65,17 +70,17 @@
       Thread.sleep(40);
     }
     assertThat(status).isEqualTo(200);
-    assertThat(fixture.gateway.held()).isZero();
+    assertThat(fixture.gateway.pendingRequests()).isZero();
   }
 
-  private static void send(DataOutputStream out, Object message) throws Exception {
+  private static void send(DataOutputStream out, PlannerMessage message) throws Exception {
     byte[] bytes = PlannerMessageCodec.encode(message);
     out.writeInt(bytes.length);
     out.write(bytes);
     out.flush();
   }
 
-  private static Object read(DataInputStream in) throws Exception {
+  private static PlannerMessage read(DataInputStream in) throws Exception {
     byte[] bytes = new byte[in.readInt()];
     in.readFully(bytes);
     return PlannerMessageCodec.decode(bytes);
@@ -87,11 +92,11 @@
         GatewayFixture fixture = new GatewayFixture(PLANNER_CONFIG, worker.peer);
         NetworkTransport net = network();
         PlannerClient planner = new PlannerClient(net, plannerAddress(fixture), 0)) {
-      GatewayFixture.until(planner::linked);
+      until(planner::isLinked);
       awaitSuccess(fixture);
-      GatewayFixture.until(() -> fixture.gateway.loadPlanCounts().planned() > 0);
+      until(() -> fixture.gateway.loadPlanCounts().planned() > 0);
       assertThat(worker.loads.get()).isEqualTo(1);
-      assertThat(fixture.gateway.loadPlanCounts().refused()).isZero();
+      assertThat(fixture.gateway.loadPlanCounts().rejected()).isZero();
       assertThat(fixture.get("/v1/status").body())
           .contains("\"state\" : \"led\"")
           .contains("\"led\" : 1");
@@ -104,7 +109,7 @@
         GatewayFixture fixture = new GatewayFixture(PLANNER_CONFIG, worker.peer);
         NetworkTransport net = network()) {
       PlannerClient planner = new PlannerClient(net, plannerAddress(fixture), 0);
-      GatewayFixture.until(planner::linked);
+      until(planner::isLinked);
       planner.close();
       awaitSuccess(fixture);
       assertThat(worker.loads.get()).isEqualTo(1);
@@ -117,9 +122,9 @@
         GatewayFixture fixture = new GatewayFixture(PLANNER_CONFIG, worker.peer);
         Socket silent = new Socket("127.0.0.1", fixture.gateway.plannerPort())) {
       DataOutputStream out = new DataOutputStream(silent.getOutputStream());
-      send(out, new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0));
+      send(out, new PlannerMessage.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0));
       assertThat(read(new DataInputStream(silent.getInputStream())))
-          .isInstanceOf(PlannerMessageCodec.Hello.class);
+          .isInstanceOf(PlannerMessage.Hello.class);
       awaitSuccess(fixture);
       assertThat(fixture.gateway.loadPlanCounts().timedOut()).isPositive(); // the patience was over
     }
@@ -131,13 +136,13 @@
         GatewayFixture fixture = new GatewayFixture(PLANNER_CONFIG, worker.peer);
         NetworkTransport net = network();
         PlannerClient planner = new PlannerClient(net, plannerAddress(fixture), 0)) {
-      GatewayFixture.until(planner::linked);
-      Object[] firstMessages = {
-        new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION + 1, "planner", 0, 0),
-        new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "edge", 0, 0),
-        new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 5, 0),
-        new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0),
-        new PlannerMessageCodec.Heartbeat(1)
+      until(planner::isLinked);
+      PlannerMessage[] firstMessages = {
+        new PlannerMessage.Hello(PlannerMessageCodec.VERSION + 1, "planner", 0, 0),
+        new PlannerMessage.Hello(PlannerMessageCodec.VERSION, "edge", 0, 0),
+        new PlannerMessage.Hello(PlannerMessageCodec.VERSION, "planner", 5, 0),
+        new PlannerMessage.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0),
+        new PlannerMessage.Heartbeat(1)
       };
       String[] reasons = {
         "version 3", "no planner", "router 5", "linked already", "before the handshake"
@@ -145,12 +150,12 @@
       for (int i = 0; i < firstMessages.length; i++) {
         try (Socket client = new Socket("127.0.0.1", fixture.gateway.plannerPort())) {
           send(new DataOutputStream(client.getOutputStream()), firstMessages[i]);
-          Object answer = read(new DataInputStream(client.getInputStream()));
-          assertThat(answer).isInstanceOf(PlannerMessageCodec.Refused.class);
-          assertThat(((PlannerMessageCodec.Refused) answer).why()).contains(reasons[i]);
+          PlannerMessage answer = read(new DataInputStream(client.getInputStream()));
+          assertThat(answer).isInstanceOf(PlannerMessage.Rejected.class);
+          assertThat(((PlannerMessage.Rejected) answer).why()).contains(reasons[i]);
         }
       }
-      assertThat(planner.linked()).isTrue();
+      assertThat(planner.isLinked()).isTrue();
       awaitSuccess(fixture);
     }
   }
@@ -173,16 +178,16 @@
         out.write(new byte[] {1, 2, 3, 4, 5});
         out.flush();
         assertThat(read(new DataInputStream(client.getInputStream())))
-            .isInstanceOf(PlannerMessageCodec.Refused.class);
+            .isInstanceOf(PlannerMessage.Rejected.class);
       }
       try (Socket client = new Socket("127.0.0.1", port)) {
         DataOutputStream out = new DataOutputStream(client.getOutputStream());
-        send(out, new PlannerMessageCodec.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0));
-        PlannerMessageCodec.Hello hello =
-            (PlannerMessageCodec.Hello) read(new DataInputStream(client.getInputStream()));
+        send(out, new PlannerMessage.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0));
+        PlannerMessage.Hello hello =
+            (PlannerMessage.Hello) read(new DataInputStream(client.getInputStream()));
         send(out, new LoadPlan(hello.epoch(), 1, new long[] {99, -4}));
         send(out, new LoadPlan(hello.epoch() + 1, 1, new long[] {0}));
-        GatewayFixture.until(() -> fixture.gateway.loadPlanCounts().refused() == 3);
+        until(() -> fixture.gateway.loadPlanCounts().rejected() == 3);
         out.writeInt(400); // half a frame, then the end
         out.write(new byte[17]);
       }
--- a/src/test/java/switchgap/server/platform/ClientEvictionTest.java
+++ b/src/test/java/switchgap/server/platform/ClientEvictionTest.java
@@ -1,5 +1,6 @@
 package switchgap.server.platform;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
@@ -16,7 +17,7 @@
 
   private static byte[] submit(String id) throws Exception {
     return ThriftTestClient.submit(
-        1, ThriftTestClient.fields("again", id, 1900, FUNCTION), "x".getBytes());
+        1, ThriftTestClient.fields("again", id, 1900, FUNCTION), "x".getBytes(UTF_8));
   }
 
   @Test
@@ -31,7 +32,7 @@
       rest.add(Arrays.copyOfRange(message, message.length / 2, message.length));
       slow.add(client);
     }
-    await(() -> platform.connected() == slow.size());
+    await(() -> platform.openClientConnections() == slow.size());
     for (int i = 0; i < 150; i++) {
       client();
     } // they connect and stay
@@ -95,9 +96,8 @@
   @Test
   void aClientThatHasJustBeenAnsweredKeepsItsConnection() throws Exception {
     serve(48, new RespTestServer(RespTestServer::serveAll)); // sixteen places
-    List<ThriftTestClient> others = new ArrayList<>();
     for (int i = 0; i < 15; i++) {
-      others.add(client());
+      client();
     }
     Thread.sleep(100); // these are of no use
     ThriftTestClient usual = client();
