--- a/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
+++ b/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
@@ -2,8 +2,6 @@
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
 import java.util.Set;
@@ -13,9 +11,8 @@
 
 /**
  * Persistent connections to one worker: opened as needed up to a limit, the most recently used
- * first, closed when idle. Nothing is ever sent a second time by itself: an exchange whose
- * connection took bytes and was lost is lost, and only one of which no byte went out is tried on a
- * further connection.
+ * first, closed when idle. The pool never retries: an exchange whose connection took bytes and was
+ * lost is lost, and only one of which no byte was sent is sent on another connection.
  *
  * <p>It shares no code with the pool of the RESP protocol: that one belongs to the event loop alone
  * and multiplexes exchanges over a connection, this one is guarded by its lock as writer threads
@@ -25,11 +22,8 @@
   private final HttpClientConnection.Factory connectionFactory;
   private final InetSocketAddress address;
   private final HttpPoolLimits limits;
-
-  /** The most recently used first. */
-  private final ArrayDeque<HttpClientConnection> idle = new ArrayDeque<>();
-
-  private final ArrayDeque<InferenceExchange> waiting = new ArrayDeque<>();
+  private final IdleConnections idle = new IdleConnections();
+  private final ExchangeQueue waiting;
 
   /** Closed connections that have been counted: a connection may report its end more than once. */
   private final Set<HttpClientConnection> closed = Collections.newSetFromMap(new WeakHashMap<>());
@@ -45,8 +39,10 @@
     this.connectionFactory = connectionFactory;
     this.address = address;
     this.limits = limits;
+    this.waiting = new ExchangeQueue(limits.maxPendingExchanges());
   }
 
+  /** Connections that are open, idle or in use. */
   synchronized int openConnections() {
     return open;
   }
@@ -57,8 +53,8 @@
     boolean waits = false;
     synchronized (this) {
       if (exchange.maySend()) {
-        connection = takeIdle();
-        waits = connection == null && enqueue(exchange);
+        connection = idle.pollUsable();
+        waits = connection == null && waiting.offer(exchange);
       }
     }
     if (connection != null) {
@@ -68,45 +64,13 @@
     }
   }
 
-  /** Needs the lock. */
-  private HttpClientConnection takeIdle() {
-    HttpClientConnection connection = idle.pollFirst();
-    while (connection != null && !connection.isUsable()) {
-      connection = idle.pollFirst();
-    }
-    return connection;
-  }
-
-  /** Has an exchange wait, unless too many do. Needs the lock. */
-  private boolean enqueue(InferenceExchange exchange) {
-    if (waiting.size() >= limits.maxPendingExchanges()) {
-      removeEnded();
-    }
-    return waiting.size() < limits.maxPendingExchanges() && waiting.add(exchange);
-  }
-
-  private void removeEnded() {
-    waiting.removeIf(exchange -> !exchange.isWaiting());
-  }
-
-  /** The next exchange that waits, or null. Needs the lock. */
-  private InferenceExchange pollWaiting() {
-    InferenceExchange exchange = waiting.pollFirst();
-    while (exchange != null && !exchange.isWaiting()) {
-      exchange = waiting.pollFirst();
-    }
-    return exchange;
-  }
-
-  /** Sends an exchange on a connection; where that takes no byte, on the next one. */
+  /** Sends an exchange on a connection; where that takes no byte, on another one. */
   private void send(InferenceExchange exchange, HttpClientConnection connection) {
-    InferenceRequest request = exchange.request;
     if (!exchange.assign(connection)) {
       // Ended at once: what is known not to have been executed can still go to another worker.
       exchange.endNotSent(AttemptOutcome.NOT_SENT);
       release(connection);
-    } else if (!connection.send(
-        request.method(), request.path(), request.headers(), request.body(), exchange)) {
+    } else if (!exchange.sendOn(connection)) {
       if (exchange.unassign()) {
         submit(exchange);
       }
@@ -119,7 +83,7 @@
   private void openConnectionsForWaiting() {
     int needed;
     synchronized (this) {
-      removeEnded();
+      waiting.removeEnded();
       int allowed = limits.maxConnections() - open - opening;
       needed = Math.max(0, Math.min(waiting.size() - opening, allowed));
       opening += needed;
@@ -145,7 +109,7 @@
       InferenceExchange exchange;
       synchronized (HttpConnectionPool.this) {
         opening--;
-        exchange = waiting.size() > opening ? pollWaiting() : null;
+        exchange = waiting.size() > opening ? waiting.poll() : null;
       }
       if (exchange != null) {
         exchange.endNotSent(AttemptOutcome.CONNECT_FAILED);
@@ -175,10 +139,10 @@
     InferenceExchange next;
     boolean unneeded;
     synchronized (this) {
-      next = pollWaiting();
+      next = waiting.poll();
       unneeded = next == null && retired;
       if (next == null && !retired && connection.isUsable()) {
-        idle.addFirst(connection);
+        idle.add(connection);
       }
     }
     if (next != null) {
@@ -188,19 +152,16 @@
     }
   }
 
-  /** The worker takes nothing new: what waits ends at once, what is in flight goes on. */
+  /** The worker accepts nothing new: what waits ends at once, what is in flight goes on. */
   void rejectWaiting() {
     List<InferenceExchange> rejected;
     synchronized (this) {
-      rejected = List.copyOf(waiting);
-      waiting.clear();
+      rejected = waiting.drain();
     }
     rejected.forEach(exchange -> exchange.endNotSent(AttemptOutcome.NOT_SENT));
   }
 
-  /**
-   * The worker is gone for good: what waits ends at once, connections are closed as they fall idle.
-   */
+  /** The worker is gone for good: as above, and connections are closed as they become idle. */
   void retire() {
     synchronized (this) {
       retired = true;
@@ -209,14 +170,12 @@
     closeIdle();
   }
 
-  /** Closes connections that have been idle for longer than this. */
+  /** Closes connections that have been idle for longer than the timeout. */
   void sweep(Duration idleTimeout) {
-    List<HttpClientConnection> expired = new ArrayList<>();
+    List<HttpClientConnection> expired;
     long now = System.nanoTime();
     synchronized (this) {
-      while (!idle.isEmpty() && now - idle.peekLast().idleSince > idleTimeout.toNanos()) {
-        expired.add(idle.pollLast());
-      }
+      expired = idle.drainExpired(now, idleTimeout);
     }
     expired.forEach(HttpClientConnection::close);
   }
@@ -225,8 +184,7 @@
   void closeIdle() {
     List<HttpClientConnection> unused;
     synchronized (this) {
-      unused = List.copyOf(idle);
-      idle.clear();
+      unused = idle.drain();
     }
     unused.forEach(HttpClientConnection::close);
   }
--- a/src/main/java/switchgap/protocol/inference/InferenceExchange.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceExchange.java
@@ -15,43 +15,23 @@
  * itself.
  */
 abstract class InferenceExchange implements HttpClientConnection.ResponseHandler {
-  /** Of an exchange that waits for as long as it takes. */
+  /** The deadline of an exchange that may wait for any time. */
   static final long NO_DEADLINE = Long.MAX_VALUE;
 
-  private enum State {
-    /** It has no connection; no byte of it has gone out. */
-    WAITING,
-    /** It has a connection, and bytes of it may have gone out. */
-    IN_FLIGHT,
-    /** It was completed or abandoned. */
-    ENDED;
-
-    /** In flight it goes back to waiting only where its connection took no byte. */
-    boolean mayBecome(State next) {
-      return switch (this) {
-        case WAITING -> next == IN_FLIGHT || next == ENDED;
-        case IN_FLIGHT -> next == WAITING || next == ENDED;
-        case ENDED -> false;
-      };
-    }
-  }
-
-  final InferenceRequest request;
+  private final InferenceRequest request;
   private final WorkerEntry worker;
   private final HttpConnectionPool pool;
-
-  /** The System.nanoTime after which it is not sent any more, or {@link #NO_DEADLINE}. */
   private final long deadlineNanos;
-
-  private State state = State.WAITING;
-  private HttpClientConnection connection;
+  private ExchangeState state = ExchangeState.WAITING;
+  private HttpClientConnection connection; // null unless in flight, or ended in flight
 
   /**
    * An exchange that waits. Its pool is known before it is submitted, since it may be abandoned
    * before that.
    *
    * @param deadlineNanos System.nanoTime after which it is not sent any more, or {@link
-   *     #NO_DEADLINE}; guards against a pause, in which it may have waited past its timeout
+   *     #NO_DEADLINE}; guards against a pause of the process, in which it may have waited past its
+   *     timeout
    */
   InferenceExchange(
       WorkerEntry worker, HttpConnectionPool pool, InferenceRequest request, long deadlineNanos) {
@@ -75,7 +55,7 @@
     pool.submit(this);
   }
 
-  private synchronized boolean transition(State next) {
+  private synchronized boolean transition(ExchangeState next) {
     boolean allowed = state.mayBecome(next);
     if (allowed) {
       state = next;
@@ -85,25 +65,32 @@
 
   /**
    * Takes a connection, unless it is too late: what waited here while its worker began to drain
-   * must not go out.
+   * must not be sent.
    */
-  synchronized boolean assign(HttpClientConnection to) {
-    if (!maySend() || !transition(State.IN_FLIGHT)) {
+  synchronized boolean assign(HttpClientConnection free) {
+    if (!maySend() || !transition(ExchangeState.IN_FLIGHT)) {
       return false;
     }
-    connection = to;
+    connection = free;
     return true;
   }
 
-  /** Whether it may still go out: its worker takes what is new, and its deadline has not passed. */
+  /** Whether it may still be sent: its worker accepts requests, and its deadline has not passed. */
   final synchronized boolean maySend() {
     return worker.accepting
         && (deadlineNanos == NO_DEADLINE || System.nanoTime() - deadlineNanos < 0);
   }
 
-  /** Its connection took no byte: it waits again; false where it was abandoned meanwhile. */
+  /** Sends its request on the connection it was assigned; returns false where no byte was sent. */
+  final boolean sendOn(HttpClientConnection assigned) {
+    return assigned.send(request.method(), request.path(), request.headers(), request.body(), this);
+  }
+
+  /**
+   * Its connection took no byte: it waits again. Returns false where it was abandoned meanwhile.
+   */
   final synchronized boolean unassign() {
-    if (!transition(State.WAITING)) {
+    if (!transition(ExchangeState.WAITING)) {
       return false;
     }
     connection = null;
@@ -111,16 +98,16 @@
   }
 
   final synchronized boolean isWaiting() {
-    return state == State.WAITING;
+    return state == ExchangeState.WAITING;
   }
 
   final synchronized boolean isEnded() {
-    return state == State.ENDED;
+    return state == ExchangeState.ENDED;
   }
 
-  /** Ends it as not sent; false where it had ended before. */
+  /** Ends it as not sent; returns false where it had ended before. */
   final boolean endNotSent(AttemptOutcome outcome) {
-    boolean ends = transition(State.ENDED);
+    boolean ends = transition(ExchangeState.ENDED);
     if (ends) {
       notSent(outcome);
     }
@@ -128,22 +115,22 @@
   }
 
   /**
-   * Ends it without notifying anybody; returns what that proves. Asking whether it was sent and
-   * ending it are one step: between two, a writer thread could send it, and a request that may have
-   * been executed would count as not sent (seen in a scenario with few connections).
+   * Ends it without notifying anybody; returns what that proves. Whether it was sent is decided in
+   * the step that ends it: between two steps a writer thread could send it, and a request that may
+   * have been executed would count as not sent (seen in a scenario with few connections).
    */
   final AttemptOutcome abandon() {
-    State before;
+    ExchangeState before;
     HttpClientConnection used;
     synchronized (this) {
       before = state;
       used = connection;
-      transition(State.ENDED);
+      transition(ExchangeState.ENDED);
     }
-    if (before == State.IN_FLIGHT && used != null) {
+    if (before == ExchangeState.IN_FLIGHT && used != null) {
       used.abandon(this);
     }
-    if (before != State.WAITING) {
+    if (before != ExchangeState.WAITING) {
       return AttemptOutcome.TIMED_OUT;
     }
     boolean allConnectionsBusy = pool.openConnections() > 0;
@@ -154,8 +141,8 @@
   public final void responded(
       int status, Map<String, String> headers, byte[] body, boolean reusable) {
     HttpClientConnection used =
-        connection; // set before it was sent, which comes before its response
-    boolean ends = transition(State.ENDED);
+        connection; // assigned before it was sent, hence before its response
+    boolean ends = transition(ExchangeState.ENDED);
     if (reusable) {
       pool.release(used);
     }
@@ -166,7 +153,7 @@
 
   @Override
   public final void connectionLost(String why) {
-    if (transition(State.ENDED)) {
+    if (transition(ExchangeState.ENDED)) {
       lost();
     }
   }
--- a/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
@@ -2,7 +2,6 @@
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
-import java.util.List;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
@@ -24,16 +23,6 @@
  * response that is no 2xx the request may have been executed. See docs/router.md.
  */
 public final class InferenceWorkerTransport implements WorkerTransport {
-  /**
-   * A worker's connections. A load command keeps its connection for as long as loading takes, so
-   * commands have connections of their own.
-   */
-  private record WorkerPools(HttpConnectionPool attempts, HttpConnectionPool commands) {
-    List<HttpConnectionPool> all() {
-      return List.of(attempts, commands);
-    }
-  }
-
   private final HttpClientConnection.Factory connectionFactory;
   private final HttpPoolLimits limits;
   private final KeyedWriters writers;
--- a/src/main/java/switchgap/server/gateway/GatewayConfig.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfig.java
@@ -41,7 +41,7 @@
       String host, int port, ConnectionLimits limits, int selectorThreads) {}
 
   /**
-   * Bounds of what the router holds.
+   * Bounds of the requests and results that the router keeps in memory.
    *
    * @param maxPending requests pending at a time
    * @param maxFunctions functions known at a time
@@ -74,10 +74,10 @@
       Duration probeTimeout) {}
 
   /**
-   * Where the list of workers comes from: a service, or the configuration itself.
+   * Where the endpoint list comes from: a service, the configuration itself, or both.
    *
    * @param service the endpoint list service, or null
-   * @param retryInterval pause before the service is asked again
+   * @param retryInterval pause before the service is requested again
    * @param staticWorkers workers that the configuration names
    */
   public record EndpointList(
--- a/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
+++ b/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
@@ -84,7 +84,7 @@
     assertThat(ReachableObjects.by(transport)).isLessThan(before + 100);
     nextEvents.add(router -> transport.plannerConnected(router, 1));
     ticks(20_000, 30_000); // one that is silent
-    nextEvents.add(router -> transport.plannerDisconnected(router, 1));
+    nextEvents.add(router -> transport.plannerDisconnected(1));
     ticks(20_000, 60_000);
     requestedLoads = 0;
     ticks(100, 90_000);
@@ -106,8 +106,7 @@
               backlog -> {
                 backlogs.incrementAndGet();
                 LoadPlan plan = planner.plan(backlog);
-                return plan != null
-                    && nextEvents.add(router -> transport.planReceived(router, plan));
+                return plan != null && nextEvents.add(router -> transport.planReceived(plan));
               });
           core.endpointListReceived(
               true,
