--- a/src/main/java/switchgap/protocol/inference/InferenceExchange.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceExchange.java
@@ -77,7 +77,7 @@
 
   /** Whether it may still be sent: its worker accepts requests, and its deadline has not passed. */
   final synchronized boolean maySend() {
-    return worker.accepting
+    return worker.isAccepting()
         && (deadlineNanos == NO_DEADLINE || System.nanoTime() - deadlineNanos < 0);
   }
 
--- a/src/main/java/switchgap/server/gateway/EndpointListSource.java
+++ b/src/main/java/switchgap/server/gateway/EndpointListSource.java
@@ -1,7 +1,7 @@
 package switchgap.server.gateway;
 
-import switchgap.endpoints.EndpointListLine;
 import switchgap.endpoints.EndpointListWatcher;
+import switchgap.endpoints.EndpointNames;
 import switchgap.eventloop.EventLoop;
 import switchgap.net.HttpClientConnection;
 
@@ -32,15 +32,15 @@
 
   private EndpointListWatcher createWatcher(
       GatewayConfig config, HttpClientConnection.Factory connections, long startedAtMillis) {
-    EndpointListLine.NameDirectory directory =
-        new EndpointListLine.NameDirectory(
+    EndpointNames names =
+        new EndpointNames(
             config.settings()::zoneIndex, config.settings()::workerKindIndex, startedAtMillis);
     return new EndpointListWatcher(
         connections,
         endpoints.service(),
         config.settings().routerIndex(),
         endpoints.retryInterval(),
-        directory,
+        names,
         loop::postUrgent);
   }
 
--- a/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
@@ -4,6 +4,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import switchgap.config.FunctionSettings;
 import switchgap.config.YamlRouterSettings;
 import switchgap.planner.LoadPlan;
 import switchgap.planner.PendingLoad;
@@ -124,13 +125,13 @@
   }
 
   private PendingLoad pendingLoad(long id, WorkerEntry worker, String function) {
-    YamlRouterSettings.FunctionSettings known = settings.function(function);
+    FunctionSettings known = settings.function(function);
     double memoryMb = known == null ? 0 : known.memoryMb();
     long loadMicros =
         known == null || known.loadTime() == null
             ? 0
             : known.loadTime().toNanos() / NANOS_PER_MICRO;
-    return new PendingLoad(id, worker.name, function, memoryMb, loadMicros, 0, 0);
+    return new PendingLoad(id, worker.name(), function, memoryMb, loadMicros, 0, 0);
   }
 
   /** Sends loads whose patience is over, and comes again for as long as any load waits. */
--- a/src/test/java/switchgap/server/gateway/ConnectionFaultsTest.java
+++ b/src/test/java/switchgap/server/gateway/ConnectionFaultsTest.java
@@ -163,7 +163,7 @@
         loaded.add(function);
         return well && HttpTestServer.echo(request, out);
       }
-      if (!request.line().contains("/infer") || well && loaded.contains(function)) {
+      if (!request.line().contains("/infer") || (well && loaded.contains(function))) {
         return HttpTestServer.echo(request, out);
       }
       out.write(HttpTestServer.response(404, NOT_EXECUTED, "{}"));
