--- a/src/main/java/switchgap/protocol/invoke/DeferredRequestHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/DeferredRequestHandler.java
@@ -12,8 +12,8 @@
 import switchgap.router.RouterCore;
 
 /**
- * Requests whose responses are kept, to be asked for by id. All methods run on the event loop,
- * which owns the results.
+ * Requests whose responses are stored, for their clients to poll for by id. All methods run on the
+ * event loop, which owns the results.
  */
 final class DeferredRequestHandler {
   private final RouterContext router;
@@ -26,12 +26,12 @@
     this.results = results;
   }
 
-  /** Submits a request for which the tracker has given a place. */
+  /** Submits a request that the tracker counts as pending. */
   void submit(HttpExchange exchange, InvokeRequest request, Duration deadline) {
     results.tick(router.now());
     DeferredResults.Entry entry = results.reserve();
     if (entry == null) {
-      reject(exchange, request, "no room for a further deferred call");
+      reject(exchange, request, ProblemDetails.deferredLimitReached());
       return;
     }
     PendingRequest pending =
@@ -39,20 +39,21 @@
     results.accepted(entry, pending);
     if (!router.gate().offer(pending)) {
       results.notAccepted(entry);
-      reject(exchange, request, "no room for a further function");
+      reject(exchange, request, ProblemDetails.functionLimitReached());
       return;
     }
     ResponseWriter.writeAccepted(exchange, pending.id(), request.clientRequestId());
   }
 
-  private void reject(HttpExchange exchange, InvokeRequest request, String detail) {
+  private void reject(HttpExchange exchange, InvokeRequest request, ProblemDetails problem) {
     tracker.release();
-    ResponseWriter.writeProblem(
-        exchange, ProblemDetails.notAccepted(detail), request.clientRequestId());
+    ResponseWriter.writeProblem(exchange, problem, request.clientRequestId());
   }
 
   /**
-   * Responds with the result, at the latest after so many seconds with that it is still pending.
+   * Responds with the result as soon as there is one.
+   *
+   * @param waitSeconds time after which the response says that the request is still pending
    */
   void poll(HttpExchange exchange, String id, int waitSeconds) {
     results.tick(router.now());
@@ -102,7 +103,7 @@
         exchange, response, results.id(entry), null, request == null ? null : request.shedBy());
   }
 
-  /** Gives a request up: cancels it while it is pending, and forgets its result. */
+  /** Cancels a request that is pending, or deletes the result of one that has ended. */
   void delete(HttpExchange exchange, String id, RouterCore core) {
     results.tick(router.now());
     DeferredResults.Entry entry = results.find(id);
@@ -110,15 +111,14 @@
       poll(exchange, id, 0);
       return;
     }
-    if (!entry.isEnded() && entry.request().state() == PendingRequest.State.PENDING) {
-      core.requestCancelled(entry.request());
-      tracker.release();
+    if (!entry.isEnded()) {
+      tracker.cancel(core, entry.request());
     }
     results.forget(entry);
     ResponseWriter.writeDeleted(exchange, id);
   }
 
-  /** Counts how a request ended and keeps its response. */
+  /** Counts how a request ended and stores its response. */
   private final class ResultRecorder implements ResponseListener {
     private final DeferredResults.Entry entry;
 
--- a/src/main/java/switchgap/protocol/invoke/InvokeApi.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeApi.java
@@ -15,9 +15,9 @@
  * bounded number of requests at a time.
  */
 public final class InvokeApi implements HttpServer.RequestHandler {
-  private static final String VERSION_SEGMENT = "v1";
-  private static final int DEFERRED_PATH_SEGMENTS = 4; // "", v1, calls, ID
-  private static final int INVOKE_PATH_SEGMENTS = 5; // "", v1, functions, NAME, invoke
+  private static final String METHOD_GET = "GET";
+  private static final String METHOD_POST = "POST";
+  private static final String METHOD_DELETE = "DELETE";
 
   private final YamlRouterSettings settings;
   private final RouterContext router;
@@ -81,29 +81,19 @@
   }
 
   private void route(HttpExchange exchange) throws InvalidRequestException {
-    String[] segments = exchange.path().split("/", -1);
-    if (isInvocation(segments)) {
-      requireMethod(exchange, "POST");
-      invoke(segments[3], exchange);
-    } else if (isDeferredRequest(segments)) {
-      handleDeferredRequest(segments[3], exchange);
-    } else if (!operators.handle(exchange, stopping)) {
-      throw new InvalidRequestException(
-          ProblemType.UNKNOWN_PATH, "nothing is at " + RequestHeaders.quoted(exchange.path()));
+    ResourcePath path = ResourcePath.parse(exchange.path());
+    switch (path.resource()) {
+      case FUNCTION_INVOCATION -> invoke(path.name(), exchange);
+      case DEFERRED_REQUEST -> handleDeferredRequest(path.name(), exchange);
+      default -> handleOperatorRequest(exchange);
     }
   }
 
-  private static boolean isInvocation(String[] segments) {
-    return segments.length == INVOKE_PATH_SEGMENTS
-        && segments[1].equals(VERSION_SEGMENT)
-        && segments[2].equals("functions")
-        && segments[4].equals("invoke");
-  }
-
-  private static boolean isDeferredRequest(String[] segments) {
-    return segments.length == DEFERRED_PATH_SEGMENTS
-        && segments[1].equals(VERSION_SEGMENT)
-        && segments[2].equals("calls");
+  private void handleOperatorRequest(HttpExchange exchange) throws InvalidRequestException {
+    if (!operators.handle(exchange, stopping)) {
+      throw new InvalidRequestException(
+          ProblemType.UNKNOWN_PATH, "nothing is at " + RequestHeaders.quoted(exchange.path()));
+    }
   }
 
   private static void requireMethod(HttpExchange exchange, String method)
@@ -117,24 +107,23 @@
 
   private void handleDeferredRequest(String id, HttpExchange exchange)
       throws InvalidRequestException {
-    if (exchange.method().equals("DELETE")) {
+    if (exchange.method().equals(METHOD_DELETE)) {
       router.post(core -> deferredRequests.delete(exchange, id, core));
       return;
     }
-    requireMethod(exchange, "GET");
+    requireMethod(exchange, METHOD_GET);
     int waitSeconds = Math.min(maxPollSeconds, new RequestHeaders(exchange).preferredWaitSeconds());
     router.post(core -> deferredRequests.poll(exchange, id, waitSeconds));
   }
 
   private void invoke(String function, HttpExchange exchange) throws InvalidRequestException {
-    InvokeRequest request = InvokeRequest.read(function, exchange, settings);
+    requireMethod(exchange, METHOD_POST);
+    InvokeRequest request = new InvokeRequestReader(exchange, settings).read(function);
     if (stopping) {
-      throw new InvalidRequestException(ProblemDetails.notAccepted("the router is stopping"));
+      throw new InvalidRequestException(ProblemDetails.routerStopping());
     }
     if (!tracker.tryAcquire()) {
-      throw new InvalidRequestException(
-          ProblemDetails.notAccepted(
-              "the router holds " + tracker.maxPending() + " calls already"));
+      throw new InvalidRequestException(ProblemDetails.pendingLimitReached(tracker.maxPending()));
     }
     Duration deadline = router.now().plus(request.timeout());
     if (request.deferred()) {
--- /dev/null
+++ b/src/main/java/switchgap/protocol/invoke/InvokeRequestReader.java
@@ -0,0 +1,121 @@
+package switchgap.protocol.invoke;
+
+import java.time.Duration;
+import switchgap.config.FunctionSettings;
+import switchgap.config.RequestClassSettings;
+import switchgap.config.YamlRouterSettings;
+import switchgap.net.HttpExchange;
+import switchgap.net.WallClock;
+import switchgap.policy.api.Idempotency;
+
+/**
+ * Reads an invoke request from its headers, in a fixed order: the first mistake is the one named.
+ * The headers are those of {@link HeaderNames}; {@code Switchgap-Repeat} is allowed and has no
+ * effect.
+ */
+final class InvokeRequestReader {
+  private final RequestHeaders headers;
+  private final YamlRouterSettings settings;
+
+  InvokeRequestReader(HttpExchange exchange, YamlRouterSettings settings) {
+    this.headers = new RequestHeaders(exchange);
+    this.settings = settings;
+  }
+
+  InvokeRequest read(String function) throws InvalidRequestException {
+    FunctionSettings functionSettings = readFunction(function);
+    int requestClass = readRequestClass(functionSettings);
+    int tenant = readTenant(functionSettings);
+    RequestClassSettings classSettings = settings.requestClass(requestClass);
+    Duration timeout = readTimeout(classSettings);
+    Duration durationHint = headers.millis(HeaderNames.DURATION_HINT, null);
+    String idempotencyKey = readIdempotencyKey(classSettings);
+    String clientRequestId = headers.boundedText(HeaderNames.CLIENT_REQUEST_ID);
+    return new InvokeRequest(
+        function,
+        functionSettings,
+        requestClass,
+        tenant,
+        timeout,
+        durationHint,
+        idempotencyKey,
+        clientRequestId,
+        headers.prefersDeferred());
+  }
+
+  private FunctionSettings readFunction(String function) throws InvalidRequestException {
+    FunctionSettings found =
+        function.length() > RequestHeaders.MAX_VALUE_LENGTH ? null : settings.function(function);
+    if (found == null) {
+      throw new InvalidRequestException(
+          ProblemType.UNKNOWN_FUNCTION, "no function is called " + RequestHeaders.quoted(function));
+    }
+    return found;
+  }
+
+  private int readRequestClass(FunctionSettings functionSettings) throws InvalidRequestException {
+    String name = headers.text(HeaderNames.REQUEST_CLASS);
+    int index = name == null ? functionSettings.requestClass() : settings.requestClassIndex(name);
+    if (index < 0) {
+      throw new InvalidRequestException(
+          ProblemType.UNKNOWN_REQUEST_CLASS,
+          "no workload is called " + RequestHeaders.quoted(name));
+    }
+    return index;
+  }
+
+  private int readTenant(FunctionSettings functionSettings) throws InvalidRequestException {
+    String name = headers.text(HeaderNames.TENANT);
+    if (name == null) {
+      return functionSettings.tenant();
+    }
+    int index = settings.tenantIndex(name);
+    if (index < 0) {
+      throw new InvalidRequestException(
+          ProblemType.UNKNOWN_TENANT, "no customer is called " + RequestHeaders.quoted(name));
+    }
+    return index;
+  }
+
+  /** The client may shorten the timeout of the request class, never extend it. */
+  private Duration readTimeout(RequestClassSettings classSettings) throws InvalidRequestException {
+    Duration timeout = headers.millis(HeaderNames.TIMEOUT, classSettings.timeout());
+    if (timeout.isZero()) {
+      throw new InvalidRequestException(
+          ProblemType.DEADLINE_EXCEEDED, "the time limit has passed already");
+    }
+    return shortenToDeadline(min(timeout, classSettings.timeout()));
+  }
+
+  /**
+   * Guards against a request that lay in the socket while the router was paused: a duration alone
+   * would begin anew when it is read. The wall clock may only shorten the timeout.
+   */
+  private Duration shortenToDeadline(Duration timeout) throws InvalidRequestException {
+    Long deadlineMillis = headers.epochMillis(HeaderNames.DEADLINE);
+    if (deadlineMillis == null) {
+      return timeout;
+    }
+    Duration remaining = Duration.ofMillis(deadlineMillis - WallClock.unixMillis());
+    if (remaining.isNegative() || remaining.isZero()) {
+      throw new InvalidRequestException(
+          ProblemType.DEADLINE_EXCEEDED, "the deadline has passed already");
+    }
+    return min(remaining, timeout);
+  }
+
+  private String readIdempotencyKey(RequestClassSettings classSettings)
+      throws InvalidRequestException {
+    String key = headers.boundedText(HeaderNames.IDEMPOTENCY_KEY);
+    if (key == null && classSettings.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
+      throw new InvalidRequestException(
+          ProblemType.IDEMPOTENCY_KEY_MISSING,
+          "workload " + classSettings.name() + " needs an Idempotency-Key");
+    }
+    return key;
+  }
+
+  private static Duration min(Duration first, Duration second) {
+    return first.compareTo(second) < 0 ? first : second;
+  }
+}
--- a/src/main/java/switchgap/protocol/invoke/OperatorHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/OperatorHandler.java
@@ -9,14 +9,17 @@
 
 /** What operators and their monitoring read: status, service levels, metrics, health. */
 final class OperatorHandler {
-  private static final int STATUS_OK = 200;
+  private static final String STATUS_PATH = "/v1/status";
+  private static final String SERVICE_LEVELS_PATH = "/v1/levels";
+  private static final String METRICS_PATH = "/metrics";
+  private static final String HEALTH_PATH = "/healthz";
   private static final int STATUS_UNAVAILABLE = 503;
 
   private final YamlRouterSettings settings;
   private final RouterContext router;
   private final RequestTracker tracker;
   private final ServiceLevelHandler serviceLevels;
-  private volatile Function<RouterCore, byte[]> statusSource;
+  private volatile Function<RouterCore, byte[]> statusSource; // null until it is set
 
   OperatorHandler(YamlRouterSettings settings, RouterContext router, RequestTracker tracker) {
     this.settings = settings;
@@ -29,37 +32,48 @@
     statusSource = source;
   }
 
-  /** Responds where the path is one of its own, else does nothing and returns false. */
+  /**
+   * Responds where the path is one of its own.
+   *
+   * @param stopping whether the router shuts down, which health reports
+   * @return false where the path is not its own: then there is no response
+   */
   boolean handle(HttpExchange exchange, boolean stopping) {
-    Function<RouterCore, byte[]> status = statusSource;
-    if (exchange.path().equals("/v1/status") && status != null) {
-      router.post(core -> respond(exchange, ResponseWriter.JSON, status.apply(core)));
-    } else if (exchange.path().equals("/v1/levels")) {
-      router.post(core -> serviceLevels.handle(exchange, router.gate()));
-    } else if (exchange.path().equals("/metrics")) {
-      router.post(
-          core ->
-              respond(
-                  exchange,
-                  MetricsWriter.MEDIA_TYPE,
-                  MetricsWriter.write(settings, tracker, router.gate().admission())));
-    } else if (exchange.path().equals("/healthz")) {
-      health(exchange, stopping);
-    } else {
+    switch (exchange.path()) {
+      case STATUS_PATH -> {
+        return respondStatus(exchange);
+      }
+      case SERVICE_LEVELS_PATH ->
+          router.post(core -> serviceLevels.handle(exchange, router.gate()));
+      case METRICS_PATH -> router.post(core -> respondMetrics(exchange));
+      case HEALTH_PATH -> respondHealth(exchange, stopping);
+      default -> {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  private boolean respondStatus(HttpExchange exchange) {
+    Function<RouterCore, byte[]> source = statusSource;
+    if (source == null) {
       return false;
     }
+    router.post(
+        core -> ResponseWriter.writePage(exchange, ResponseWriter.JSON, source.apply(core)));
     return true;
   }
 
-  private static void respond(HttpExchange exchange, String mediaType, byte[] body) {
-    exchange.respond(STATUS_OK, Map.of(ResponseWriter.CONTENT_TYPE, mediaType), body);
+  private void respondMetrics(HttpExchange exchange) {
+    byte[] page = MetricsWriter.write(settings, tracker, router.gate().admission());
+    ResponseWriter.writePage(exchange, MetricsWriter.MEDIA_TYPE, page);
   }
 
   /** Responds at once, on the thread that read the request. */
-  private static void health(HttpExchange exchange, boolean stopping) {
+  private static void respondHealth(HttpExchange exchange, boolean stopping) {
     exchange.respond(
-        stopping ? STATUS_UNAVAILABLE : STATUS_OK,
-        Map.of(ResponseWriter.CONTENT_TYPE, "text/plain"),
+        stopping ? STATUS_UNAVAILABLE : ResponseWriter.STATUS_OK,
+        Map.of(HeaderNames.CONTENT_TYPE, "text/plain"),
         (stopping ? "stopping\n" : "ok\n").getBytes(StandardCharsets.US_ASCII));
   }
 }
--- a/src/main/java/switchgap/protocol/invoke/ProblemDetails.java
+++ b/src/main/java/switchgap/protocol/invoke/ProblemDetails.java
@@ -2,32 +2,49 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import java.util.LinkedHashMap;
-import java.util.Map;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import switchgap.config.YamlDocument;
 
 /**
  * Problem details by RFC 9457.
  *
  * @param detail the explanation for a reader
- * @param extensions further members, which a program may act on
+ * @param outcome how the request ended, or null where there was none that could be accepted
  */
-record ProblemDetails(ProblemType type, String detail, Map<String, Object> extensions) {
+record ProblemDetails(ProblemType type, String detail, ProblemOutcome outcome) {
   static final String MEDIA_TYPE = "application/problem+json";
-  static final String END_MEMBER = "end";
-  static final String RETRY_HARMLESS_MEMBER = "repeat_harmless";
   private static final String TYPE_PREFIX = "urn:switchgap:problem:";
   private static final ObjectMapper JSON = new ObjectMapper();
 
+  /** A problem of a path, or of a request that is malformed. */
   ProblemDetails(ProblemType type, String detail) {
-    this(type, detail, Map.of());
+    this(type, detail, null);
+  }
+
+  /** The router shuts down. */
+  static ProblemDetails routerStopping() {
+    return notAccepted("the router is stopping");
+  }
+
+  /** As many requests are pending as may be. */
+  static ProblemDetails pendingLimitReached(int maxPending) {
+    return notAccepted("the router holds " + maxPending + " calls already");
+  }
+
+  /** The request names a function that is not known yet, and no further one can be. */
+  static ProblemDetails functionLimitReached() {
+    return notAccepted("no room for a further function");
+  }
+
+  /** As many deferred requests are pending as may be. */
+  static ProblemDetails deferredLimitReached() {
+    return notAccepted("no room for a further deferred call");
   }
 
   /** The problem of a request that was not accepted: never executed, so a retry is harmless. */
-  static ProblemDetails notAccepted(String detail) {
+  private static ProblemDetails notAccepted(String detail) {
     return new ProblemDetails(
-        ProblemType.NOT_ACCEPTED,
-        detail,
-        Map.of(END_MEMBER, ProblemType.REJECTED.word(), RETRY_HARMLESS_MEMBER, true));
+        ProblemType.NOT_ACCEPTED, detail, ProblemOutcome.rejected(null, null));
   }
 
   int status() {
@@ -36,16 +53,29 @@
 
   /** The body of the response, JSON in UTF-8. */
   byte[] toJson() {
-    Map<String, Object> members = new LinkedHashMap<>();
+    ObjectNode members = JSON.createObjectNode();
     members.put("type", TYPE_PREFIX + type.word());
     members.put("title", type.word().replace('-', ' '));
     members.put("status", status());
     members.put("detail", detail);
-    members.putAll(extensions);
+    if (outcome != null) {
+      addOutcome(members);
+    }
     try {
       return JSON.writeValueAsBytes(members);
     } catch (JsonProcessingException e) {
       throw new IllegalStateException(e);
     }
   }
+
+  private void addOutcome(ObjectNode members) {
+    members.put("end", outcome.end().word());
+    members.put("repeat_harmless", outcome.retryHarmless());
+    if (outcome.shedBy() != null) {
+      members.put("level", YamlDocument.word(outcome.shedBy()));
+    }
+    if (outcome.retryAfter() != null) {
+      members.put("come_back_ms", outcome.retryAfter().toMillis());
+    }
+  }
 }
--- a/src/main/java/switchgap/protocol/invoke/RequestHeaders.java
+++ b/src/main/java/switchgap/protocol/invoke/RequestHeaders.java
@@ -3,11 +3,17 @@
 import java.time.Duration;
 import switchgap.net.HttpExchange;
 
-/** Typed access to the headers of one request; input that is malformed is refused by name. */
+/**
+ * Typed access to the headers of one request; a malformed value is rejected with the name of its
+ * header.
+ */
 final class RequestHeaders {
   /** Longest value of a key or id, and longest name of a function, characters. */
   static final int MAX_VALUE_LENGTH = 256;
 
+  /** The preference of a client that polls for its response (RFC 7240). */
+  static final String DEFERRED_PREFERENCE = "respond-async";
+
   private static final int MAX_QUOTED_LENGTH = 60;
   private static final double MAX_MILLIS = 1e10;
   private static final double NANOS_PER_MILLI = 1e6;
@@ -70,8 +76,8 @@
 
   /** Whether the client prefers a deferred response. */
   boolean prefersDeferred() {
-    String prefer = text("Prefer");
-    return prefer != null && prefer.contains("respond-async");
+    String prefer = text(HeaderNames.PREFER);
+    return prefer != null && prefer.contains(DEFERRED_PREFERENCE);
   }
 
   /**
@@ -79,7 +85,7 @@
    * say.
    */
   int preferredWaitSeconds() throws InvalidRequestException {
-    String prefer = text("Prefer");
+    String prefer = text(HeaderNames.PREFER);
     int start = prefer == null ? -1 : prefer.indexOf(WAIT_PREFERENCE);
     if (start < 0) {
       return 0;
--- a/src/main/java/switchgap/protocol/invoke/RequestTracker.java
+++ b/src/main/java/switchgap/protocol/invoke/RequestTracker.java
@@ -2,7 +2,9 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
+import switchgap.router.PendingRequest;
 import switchgap.router.Response;
+import switchgap.router.RouterCore;
 
 /**
  * Bounds the requests that are pending at a time and counts how requests ended. Safe from any
@@ -20,7 +22,7 @@
     this.maxPending = maxPending;
   }
 
-  /** Takes a place for one more request; false where all are taken. */
+  /** Counts one more pending request; returns false where as many are pending as may be. */
   boolean tryAcquire() {
     if (pending.incrementAndGet() > maxPending) {
       pending.decrementAndGet();
@@ -29,11 +31,19 @@
     return true;
   }
 
-  /** Gives the place back of a request that was not accepted, or whose client has gone. */
+  /** A request that was counted as pending was not accepted after all. */
   void release() {
     pending.decrementAndGet();
   }
 
+  /** Cancels a request whose client has left, unless it has ended; on the event loop. */
+  void cancel(RouterCore core, PendingRequest request) {
+    if (request.state() == PendingRequest.State.PENDING) {
+      core.requestCancelled(request);
+      release();
+    }
+  }
+
   /** A pending request has its response. */
   void responded(Response response) {
     release();
--- a/src/main/java/switchgap/protocol/invoke/ResponseWriter.java
+++ b/src/main/java/switchgap/protocol/invoke/ResponseWriter.java
@@ -3,7 +3,6 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.Map;
 import switchgap.admission.ServiceLevel;
 import switchgap.config.YamlDocument;
@@ -16,8 +15,7 @@
  */
 final class ResponseWriter {
   static final String JSON = "application/json";
-  static final String CONTENT_TYPE = "Content-Type";
-  private static final String END_HEADER = "Switchgap-End";
+  static final int STATUS_OK = 200;
   private static final String SUCCEEDED_WORD = "finished";
   private static final int STATUS_ACCEPTED = 202;
   private static final int STATUS_NO_CONTENT = 204;
@@ -26,6 +24,11 @@
 
   private ResponseWriter() {}
 
+  /** Writes a page for operators. */
+  static void writePage(HttpExchange exchange, String mediaType, byte[] body) {
+    exchange.respond(STATUS_OK, Map.of(HeaderNames.CONTENT_TYPE, mediaType), body);
+  }
+
   /**
    * Writes the final response of a request.
    *
@@ -41,7 +44,7 @@
       ServiceLevel shedBy) {
     Map<String, String> headers = requestHeaders(id, clientRequestId);
     if (shedBy != null) {
-      headers.put("Switchgap-Level", YamlDocument.word(shedBy));
+      headers.put(HeaderNames.SERVICE_LEVEL, YamlDocument.word(shedBy));
     }
     switch (response.kind()) {
       case SUCCEEDED -> writeSuccess(exchange, response, headers);
@@ -53,7 +56,7 @@
   private static void writeSuccess(
       HttpExchange exchange, Response response, Map<String, String> headers) {
     headers.putAll(response.headers());
-    headers.put(END_HEADER, SUCCEEDED_WORD);
+    headers.put(HeaderNames.END, SUCCEEDED_WORD);
     exchange.respond(response.status(), headers, response.body());
   }
 
@@ -62,41 +65,24 @@
       Duration retryAfter,
       Map<String, String> headers,
       ServiceLevel shedBy) {
-    Map<String, Object> members = new LinkedHashMap<>();
-    members.put(ProblemDetails.END_MEMBER, ProblemType.REJECTED.word());
-    members.put(ProblemDetails.RETRY_HARMLESS_MEMBER, true);
-    if (shedBy != null) {
-      members.put("level", YamlDocument.word(shedBy));
-    }
     if (retryAfter != null) {
       long millis = retryAfter.toMillis();
       long seconds = (millis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND; // rounded up
-      members.put("come_back_ms", millis);
-      headers.put("Retry-After", String.valueOf(seconds));
-      headers.put("Switchgap-Come-Back", String.valueOf(millis));
+      headers.put(HeaderNames.RETRY_AFTER, String.valueOf(seconds));
+      headers.put(HeaderNames.RETRY_AFTER_MILLIS, String.valueOf(millis));
     }
-    writeEnd(
-        exchange,
-        headers,
-        new ProblemDetails(ProblemType.REJECTED, "not done; trying again is harmless", members));
+    ProblemDetails problem =
+        new ProblemDetails(
+            ProblemType.REJECTED,
+            "not done; trying again is harmless",
+            ProblemOutcome.rejected(shedBy, retryAfter));
+    writeProblem(exchange, headers, problem);
   }
 
   private static void writeFailure(HttpExchange exchange, Map<String, String> headers) {
-    Map<String, Object> members =
-        Map.of(
-            ProblemDetails.END_MEMBER,
-            ProblemType.FAILED.word(),
-            ProblemDetails.RETRY_HARMLESS_MEMBER,
-            false);
-    writeEnd(
-        exchange,
-        headers,
-        new ProblemDetails(ProblemType.FAILED, "no promise is made about its effect", members));
-  }
-
-  private static void writeEnd(
-      HttpExchange exchange, Map<String, String> headers, ProblemDetails problem) {
-    headers.put(END_HEADER, problem.type().word());
+    ProblemDetails problem =
+        new ProblemDetails(
+            ProblemType.FAILED, "no promise is made about its effect", ProblemOutcome.failed());
     writeProblem(exchange, headers, problem);
   }
 
@@ -107,24 +93,22 @@
 
   /** The same with the client's id of the request, which may be null. */
   static void writeProblem(HttpExchange exchange, ProblemDetails problem, String clientRequestId) {
-    Map<String, String> headers = requestHeaders(null, clientRequestId);
-    Object end = problem.extensions().get(ProblemDetails.END_MEMBER);
-    if (end != null) {
-      headers.put(END_HEADER, String.valueOf(end));
-    }
-    writeProblem(exchange, headers, problem);
+    writeProblem(exchange, requestHeaders(null, clientRequestId), problem);
   }
 
   private static void writeProblem(
       HttpExchange exchange, Map<String, String> headers, ProblemDetails problem) {
-    headers.put(CONTENT_TYPE, ProblemDetails.MEDIA_TYPE);
+    if (problem.outcome() != null) {
+      headers.put(HeaderNames.END, problem.outcome().end().word());
+    }
+    headers.put(HeaderNames.CONTENT_TYPE, ProblemDetails.MEDIA_TYPE);
     exchange.respond(problem.status(), headers, problem.toJson());
   }
 
-  /** A deferred request was accepted; its response is to be asked for by its id. */
+  /** A deferred request was accepted; its client polls for the response by its id. */
   static void writeAccepted(HttpExchange exchange, String id, String clientRequestId) {
     Map<String, String> headers = locationHeaders(id, clientRequestId);
-    headers.put("Preference-Applied", "respond-async");
+    headers.put(HeaderNames.PREFERENCE_APPLIED, RequestHeaders.DEFERRED_PREFERENCE);
     writePending(exchange, id, headers);
   }
 
@@ -134,29 +118,29 @@
   }
 
   private static void writePending(HttpExchange exchange, String id, Map<String, String> headers) {
-    headers.put(CONTENT_TYPE, JSON);
+    headers.put(HeaderNames.CONTENT_TYPE, JSON);
     String state = "{\"call\":\"" + id + "\",\"state\":\"held\"}";
     exchange.respond(STATUS_ACCEPTED, headers, state.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** A deferred request was given up by its client. */
+  /** A deferred request was cancelled by its client, or its result deleted. */
   static void writeDeleted(HttpExchange exchange, String id) {
     exchange.respond(STATUS_NO_CONTENT, requestHeaders(id, null), NO_BODY);
   }
 
   private static Map<String, String> locationHeaders(String id, String clientRequestId) {
     Map<String, String> headers = requestHeaders(id, clientRequestId);
-    headers.put("Location", "/v1/calls/" + id);
+    headers.put(HeaderNames.LOCATION, ResourcePath.ofDeferredRequest(id));
     return headers;
   }
 
   private static Map<String, String> requestHeaders(String id, String clientRequestId) {
     Map<String, String> headers = new HashMap<>();
     if (id != null) {
-      headers.put("Switchgap-Id", id);
+      headers.put(HeaderNames.REQUEST_ID, id);
     }
     if (clientRequestId != null) {
-      headers.put("Switchgap-Call", clientRequestId);
+      headers.put(HeaderNames.CLIENT_REQUEST_ID, clientRequestId);
     }
     return headers;
   }
--- /dev/null
+++ b/src/main/java/switchgap/protocol/invoke/ServiceLevelReport.java
@@ -0,0 +1,77 @@
+package switchgap.protocol.invoke;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import switchgap.admission.AdmissionController;
+import switchgap.admission.ServiceLevel;
+import switchgap.admission.ServiceLevelChange;
+import switchgap.config.YamlDocument;
+import switchgap.config.YamlRouterSettings;
+
+/** The service levels of a router as JSON: now, so far, and their last changes. */
+final class ServiceLevelReport {
+  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final double MILLIS_PER_SECOND = 1000.0;
+
+  private final YamlRouterSettings settings;
+
+  ServiceLevelReport(YamlRouterSettings settings) {
+    this.settings = settings;
+  }
+
+  /** The report now, in UTF-8; on the event loop. */
+  byte[] toJson(AdmissionController admission) {
+    ObjectNode root = JSON.createObjectNode();
+    root.put("level", YamlDocument.word(admission.level()));
+    root.put("depth", admission.shedFraction());
+    root.put("pinned", admission.isPinned());
+    root.put("pressure", admission.pressure());
+    addTotals(root, admission);
+    addTenants(root.putObject("customers"), admission);
+    ArrayNode changes = root.putArray("changes");
+    for (ServiceLevelChange change : admission.changes()) {
+      addChange(changes.addObject(), change);
+    }
+    return root.toPrettyString().concat("\n").getBytes(StandardCharsets.UTF_8);
+  }
+
+  private void addTotals(ObjectNode root, AdmissionController admission) {
+    ObjectNode seconds = root.putObject("seconds_at");
+    ObjectNode rejections = root.putObject("pushed_back");
+    for (ServiceLevel level : ServiceLevel.values()) {
+      String word = YamlDocument.word(level);
+      seconds.put(word, seconds(admission.timeAt(level)));
+      for (int i = 0; i < settings.requestClassCount(); i++) {
+        long count = admission.rejections(level, i);
+        if (count > 0) {
+          rejections.withObject("/" + word).put(settings.requestClass(i).name(), count);
+        }
+      }
+    }
+  }
+
+  private void addTenants(ObjectNode tenants, AdmissionController admission) {
+    for (int i = 0; i < settings.tenantCount(); i++) {
+      ObjectNode tenant = tenants.putObject(settings.tenantName(i));
+      tenant.put("level", YamlDocument.word(admission.level(i)));
+      tenant.put("depth", admission.shedFraction(i));
+    }
+  }
+
+  private void addChange(ObjectNode node, ServiceLevelChange change) {
+    node.put("at_s", seconds(change.at()));
+    node.put("for", change.tenant() < 0 ? "all" : settings.tenantName(change.tenant()));
+    node.put("from", YamlDocument.word(change.from()));
+    node.put("to", YamlDocument.word(change.to()));
+    node.put("condition", change.condition());
+    node.put("pressure", change.pressure());
+    node.put("evidence", change.samples());
+  }
+
+  private static double seconds(Duration duration) {
+    return duration.toMillis() / MILLIS_PER_SECOND;
+  }
+}
--- a/src/main/java/switchgap/protocol/invoke/SynchronousRequestHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/SynchronousRequestHandler.java
@@ -7,9 +7,8 @@
 import switchgap.router.PendingRequest;
 import switchgap.router.Response;
 import switchgap.router.ResponseListener;
-import switchgap.router.RouterCore;
 
-/** Requests whose clients wait for the response on the connection on which they asked. */
+/** Requests whose clients wait for the response on the connection that carried the request. */
 final class SynchronousRequestHandler {
   private final RouterContext router;
   private final RequestTracker tracker;
@@ -25,7 +24,7 @@
     this.idPrefix = idPrefix;
   }
 
-  /** Submits a request for which the tracker has given a place; from the thread that read it. */
+  /** Submits a request that the tracker counts as pending; from the thread that read it. */
   void submit(HttpExchange exchange, InvokeRequest request, Duration deadline) {
     String clientRequestId = request.clientRequestId();
     PendingRequest pending =
@@ -34,28 +33,19 @@
             deadline,
             exchange,
             new WaitingClient(exchange, clientRequestId));
-    exchange.attach((DisconnectListener) core -> cancel(core, pending));
+    exchange.attach((DisconnectListener) core -> tracker.cancel(core, pending));
     router.post(
         core -> {
           if (!router.gate().offer(pending)) {
             tracker.release();
             ResponseWriter.writeProblem(
-                exchange,
-                ProblemDetails.notAccepted("no room for a further function"),
-                clientRequestId);
+                exchange, ProblemDetails.functionLimitReached(), clientRequestId);
           } else if (!exchange.isOpen()) {
-            cancel(core, pending);
+            tracker.cancel(core, pending);
           }
         });
   }
 
-  private void cancel(RouterCore core, PendingRequest pending) {
-    if (pending.state() == PendingRequest.State.PENDING) {
-      core.requestCancelled(pending);
-      tracker.release();
-    }
-  }
-
   /** The client of one request. */
   private final class WaitingClient implements ResponseListener {
     private final HttpExchange exchange;
