--- a/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
+++ b/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
@@ -6,7 +6,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.WeakHashMap;
+import switchgap.net.ConnectFailure;
 import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.policy.api.AttemptOutcome;
 
 /**
@@ -19,7 +21,7 @@
  * use it, and has one exchange at a time on a connection. Callbacks are called without the lock.
  */
 final class HttpConnectionPool {
-  private final HttpClientConnection.Factory connectionFactory;
+  private final HttpClientConnector connectionFactory;
   private final InetSocketAddress address;
   private final HttpPoolLimits limits;
   private final IdleConnections idle = new IdleConnections();
@@ -33,9 +35,7 @@
   private boolean retired;
 
   HttpConnectionPool(
-      HttpClientConnection.Factory connectionFactory,
-      InetSocketAddress address,
-      HttpPoolLimits limits) {
+      HttpClientConnector connectionFactory, InetSocketAddress address, HttpPoolLimits limits) {
     this.connectionFactory = connectionFactory;
     this.address = address;
     this.limits = limits;
@@ -105,7 +105,7 @@
     }
 
     @Override
-    public void failed(String why) {
+    public void failed(ConnectFailure failure) {
       InferenceExchange exchange;
       synchronized (HttpConnectionPool.this) {
         opening--;
--- a/src/main/java/switchgap/protocol/inference/IdleConnections.java
+++ b/src/main/java/switchgap/protocol/inference/IdleConnections.java
@@ -32,7 +32,7 @@
   List<HttpClientConnection> drainExpired(long nowNanos, Duration idleTimeout) {
     List<HttpClientConnection> expired = new ArrayList<>();
     while (!connections.isEmpty()
-        && nowNanos - connections.peekLast().idleSince > idleTimeout.toNanos()) {
+        && nowNanos - connections.peekLast().idleSinceNanos() > idleTimeout.toNanos()) {
       expired.add(connections.pollLast());
     }
     return expired;
--- a/src/main/java/switchgap/server/gateway/EndpointListSource.java
+++ b/src/main/java/switchgap/server/gateway/EndpointListSource.java
@@ -3,7 +3,7 @@
 import switchgap.endpoints.EndpointListWatcher;
 import switchgap.endpoints.EndpointNames;
 import switchgap.eventloop.EventLoop;
-import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 
 /**
  * Where a router learns its workers: from the endpoint list service, from its configuration, or
@@ -20,10 +20,7 @@
    * @param startedAtMillis wall time of the router's start
    */
   EndpointListSource(
-      GatewayConfig config,
-      HttpClientConnection.Factory connections,
-      EventLoop loop,
-      long startedAtMillis) {
+      GatewayConfig config, HttpClientConnector connections, EventLoop loop, long startedAtMillis) {
     this.endpoints = config.endpoints();
     this.loop = loop;
     this.watcher =
@@ -31,7 +28,7 @@
   }
 
   private EndpointListWatcher createWatcher(
-      GatewayConfig config, HttpClientConnection.Factory connections, long startedAtMillis) {
+      GatewayConfig config, HttpClientConnector connections, long startedAtMillis) {
     EndpointNames names =
         new EndpointNames(
             config.settings()::zoneIndex, config.settings()::workerKindIndex, startedAtMillis);
--- a/src/main/java/switchgap/server/gateway/GatewayComponents.java
+++ b/src/main/java/switchgap/server/gateway/GatewayComponents.java
@@ -7,7 +7,7 @@
 import org.slf4j.LoggerFactory;
 import switchgap.config.YamlRouterSettings;
 import switchgap.eventloop.EventLoop;
-import switchgap.net.HttpClientConnection;
+import switchgap.net.HttpClientConnector;
 import switchgap.net.HttpServer;
 import switchgap.net.KeyedWriters;
 import switchgap.net.NetworkTransport;
@@ -57,8 +57,8 @@
     JvmWarmup.run(settings, network);
     startedAtMillis = WallClock.unixMillis();
     writers = new KeyedWriters(threads, "carrier-" + index);
-    HttpClientConnection.Factory connections =
-        new HttpClientConnection.Factory(
+    HttpClientConnector connections =
+        new HttpClientConnector(
             network, config.workers().sourceAddress(), config.workers().maxResponseBytes());
     cores = new CoreFactory(config, policy, connections, writers);
     loop =
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -6,6 +6,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import switchgap.config.YamlRouterSettings;
+import switchgap.planner.LoadPlanCounts;
 import switchgap.policy.RoutingPolicy;
 import switchgap.protocol.invoke.RequestCounts;
 import switchgap.router.RouterCore;
--- a/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
@@ -7,8 +7,10 @@
 import switchgap.config.FunctionSettings;
 import switchgap.config.YamlRouterSettings;
 import switchgap.planner.LoadPlan;
+import switchgap.planner.LoadPlanCounts;
 import switchgap.planner.PendingLoad;
 import switchgap.planner.PendingLoadQueue;
+import switchgap.planner.PlanRejection;
 import switchgap.router.RouterCore;
 import switchgap.router.WorkerCommand;
 import switchgap.router.WorkerEntry;
@@ -31,8 +33,8 @@
     }
 
     @Override
-    public void planRejected(String why) {
-      LOG.warn("the planner is wrong: {}", why);
+    public void planRejected(PlanRejection rejection) {
+      LOG.warn("the planner is wrong: {}", rejection.detail());
     }
   }
 
@@ -103,8 +105,7 @@
 
   /** Load commands and parts of plans so far. */
   LoadPlanCounts counts() {
-    long[] counts = queue.counts();
-    return new LoadPlanCounts(counts[0], counts[1], counts[2], counts[3]);
+    return queue.counts();
   }
 
   @Override
--- a/src/main/java/switchgap/server/gateway/RouterStatus.java
+++ b/src/main/java/switchgap/server/gateway/RouterStatus.java
@@ -8,6 +8,7 @@
 import org.slf4j.LoggerFactory;
 import switchgap.admission.AdmissionController;
 import switchgap.config.YamlDocument;
+import switchgap.planner.LoadPlanCounts;
 import switchgap.protocol.invoke.InvokeApi;
 import switchgap.protocol.invoke.RequestCounts;
 import switchgap.router.RouterCore;
@@ -122,6 +123,6 @@
     node.put("led", counts.planned());
     node.put("patience_over", counts.timedOut());
     node.put("stale", counts.stale());
-    node.put("refused", counts.refused());
+    node.put("refused", counts.rejected());
   }
 }
