--- a/src/main/java/switchgap/policy/OutlierDetector.java
+++ b/src/main/java/switchgap/policy/OutlierDetector.java
@@ -113,6 +113,6 @@
   boolean isEjected(Worker worker) {
     return worker.ejection.until() != null
         && (!state.hasPassed(worker.ejection.until())
-            || worker.ejection.isOnProbation() && worker.inFlight() > 0);
+            || (worker.ejection.isOnProbation() && worker.inFlight() > 0));
   }
 }
