--- a/src/main/java/switchgap/net/CloseReason.java
+++ b/src/main/java/switchgap/net/CloseReason.java
@@ -1,7 +1,8 @@
 package switchgap.net;
 
 /**
- * Why a connection ended. Each protocol has an enum of its own reasons; the transport's stand here.
+ * Why a connection ended. Each protocol has an enum of its own reasons; those of the transport are
+ * nested here.
  */
 public interface CloseReason {
   /** The constant's name, by which closed connections are counted. */
@@ -10,7 +11,7 @@
   /** What log lines say of it. */
   String description();
 
-  /** Reasons that the transport itself knows of. */
+  /** Reasons of the transport itself. */
   enum Transport implements CloseReason {
     /** The peer closed or reset the connection, or it broke. */
     PEER_CLOSED("the other side closed"),
--- a/src/main/java/switchgap/net/FrameDecoder.java
+++ b/src/main/java/switchgap/net/FrameDecoder.java
@@ -6,7 +6,7 @@
 
 /**
  * Decodes a stream of bytes into frames: a length of four bytes (big-endian), then as many bytes. A
- * length out of bounds is refused before any of its bytes are gathered. Not thread-safe: one
+ * length out of bounds is rejected before any of its bytes are gathered. Not thread-safe: one
  * decoder belongs to one connection.
  */
 public final class FrameDecoder {
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Consumes bytes and hands on each frame that they complete.
+   * Consumes bytes and passes on each frame that they complete.
    *
    * @return false at a length out of bounds: the stream can't be decoded any further, and this
    *     decoder must not be used again
@@ -74,7 +74,7 @@
     frameBytes += count;
   }
 
-  /** The length in the header that was read last: after a refusal, the one that was refused. */
+  /** The length in the header that was read last: after a rejection, the one that was rejected. */
   public int frameLength() {
     return frameLength;
   }
--- a/src/main/java/switchgap/net/FramedConnection.java
+++ b/src/main/java/switchgap/net/FramedConnection.java
@@ -9,14 +9,14 @@
  */
 public final class FramedConnection {
   /**
-   * Hears of connections, on a selector thread. After {@code closed} nothing comes of that
+   * Receives the events of connections, on a selector thread. {@code closed} is the last event of a
    * connection.
    */
   public interface Listener {
     /** The connection is open. */
     void opened(FramedConnection connection);
 
-    /** A whole frame arrived. */
+    /** A complete frame arrived. */
     void frame(FramedConnection connection, byte[] bytes);
 
     /** The connection ended, by this side or the other. */
@@ -49,12 +49,12 @@
     return connection.send(bytes);
   }
 
-  /** Closes the connection; its listener hears of it with this reason. Any thread. */
+  /** Closes the connection; its listener gets this reason. Any thread. */
   public void close(CloseReason reason) {
     connection.close(reason);
   }
 
-  /** Closes the connection; its listener hears of it with this cause. Any thread. */
+  /** Closes the connection; its listener gets this cause. Any thread. */
   public void close(CloseCause cause) {
     connection.close(cause);
   }
--- a/src/main/java/switchgap/net/HttpClientConnection.java
+++ b/src/main/java/switchgap/net/HttpClientConnection.java
@@ -155,7 +155,7 @@
     finalResponseStarted = true;
   }
 
-  /** Closes the connection for good: it received bytes that belong to no exchange. */
+  /** Closes the connection, as it received bytes that belong to no exchange. */
   void rejectUnsolicitedBytes() {
     receivedUnsolicitedBytes = true;
     close();
--- a/src/main/java/switchgap/net/HttpCloseReason.java
+++ b/src/main/java/switchgap/net/HttpCloseReason.java
@@ -7,9 +7,9 @@
   /** The request could not be written. */
   WRITE_FAILED("write failed"),
   /** The received bytes are not HTTP. */
-  MALFORMED_RESPONSE("unreadable answer"),
+  MALFORMED_RESPONSE("malformed response"),
   /** The response's body exceeds its bound. */
-  RESPONSE_TOO_LARGE("answer larger than the limit");
+  RESPONSE_TOO_LARGE("response larger than the limit");
 
   private final String description;
 
--- a/src/main/java/switchgap/net/HttpExchange.java
+++ b/src/main/java/switchgap/net/HttpExchange.java
@@ -86,7 +86,7 @@
     return String.valueOf(peer().getAddress().getHostAddress());
   }
 
-  /** Tells connections apart in a log: the client's address and port. */
+  /** Identifies the connection in a log: the client's address and port. */
   public String connectionId() {
     InetSocketAddress peer = peer();
     return peer.getAddress().getHostAddress() + ":" + peer.getPort();
@@ -135,7 +135,7 @@
     return true;
   }
 
-  /** Sends a part of a streamed response; the first one goes out together with the head. */
+  /** Sends a part of a streamed response; the first one is sent together with the head. */
   public void sendPart(byte[] content) {
     response.sendChunk(content);
   }
--- a/src/main/java/switchgap/net/HttpRequest.java
+++ b/src/main/java/switchgap/net/HttpRequest.java
@@ -7,7 +7,7 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 
 /**
- * A request to be sent whole.
+ * A request that is sent in one piece.
  *
  * @param path the path, with a query behind a question mark if there is one
  */
--- a/src/main/java/switchgap/net/HttpResponse.java
+++ b/src/main/java/switchgap/net/HttpResponse.java
@@ -7,7 +7,7 @@
 import org.glassfish.grizzly.http.util.MimeHeaders;
 
 /**
- * A whole response.
+ * A complete response.
  *
  * @param headers by name in lower case
  * @param keepAlive whether the server keeps the connection open
--- a/src/main/java/switchgap/net/InterimResponseFilter.java
+++ b/src/main/java/switchgap/net/InterimResponseFilter.java
@@ -8,7 +8,7 @@
 
 /**
  * Drops interim responses (1xx). Guards against reading one as a response with a body that never
- * ends, which kept the exchange until its timeout.
+ * ends, which would leave the exchange pending until its timeout.
  */
 final class InterimResponseFilter extends BaseFilter {
   private static final int MAX_HEAD_BYTES = 16 << 10;
--- a/src/main/java/switchgap/net/KeyedWriters.java
+++ b/src/main/java/switchgap/net/KeyedWriters.java
@@ -30,7 +30,7 @@
     writers[Math.floorMod(key, writers.length)].add(task);
   }
 
-  /** Asks the threads to end; pending tasks may stay undone. */
+  /** Requests the threads to end; pending tasks may not run. */
   @Override
   public void close() {
     for (Writer writer : writers) {
@@ -74,9 +74,7 @@
       }
     }
 
-    /**
-     * Flags the sleep before it looks at the queue again, so that a task added meanwhile wakes it.
-     */
+    /** Sets the flag before it polls the queue again, so that a task added meanwhile wakes it. */
     private void sleep() {
       asleep = true;
       if (queue.isEmpty() && !stopped) {
--- a/src/main/java/switchgap/net/ListenRetry.java
+++ b/src/main/java/switchgap/net/ListenRetry.java
@@ -4,7 +4,9 @@
 import java.net.BindException;
 import java.time.Duration;
 
-/** Opens a listening socket at a start: descriptors or memory may be short for a moment. */
+/**
+ * Retries opening a listening socket at start-up, where descriptors or memory may be short briefly.
+ */
 public final class ListenRetry {
   private static final Duration TIMEOUT = Duration.ofSeconds(5);
   private static final long DELAY_MILLIS = 50;
@@ -18,9 +20,9 @@
   private ListenRetry() {}
 
   /**
-   * Listens, for a bounded time again and again.
+   * Listens, and retries for a bounded time.
    *
-   * @throws IOException when the address can't be listened on, or nothing helped in time
+   * @throws IOException when the address can't be listened on, or the retries timed out
    */
   public static void listen(Listen listen) throws IOException {
     long startNanos = System.nanoTime();
@@ -29,17 +31,17 @@
         listen.run();
         return;
       } catch (BindException e) {
-        throw e; // the address itself: time does not help
+        throw e; // the address itself: a retry does not help
       } catch (IOException e) {
         if (System.nanoTime() - startNanos > TIMEOUT.toNanos()) {
           throw e;
         }
       }
-      pause();
+      awaitRetry();
     }
   }
 
-  private static void pause() throws IOException {
+  private static void awaitRetry() throws IOException {
     try {
       Thread.sleep(DELAY_MILLIS);
     } catch (InterruptedException e) {
--- a/src/main/java/switchgap/net/OverdueConnectionSweeper.java
+++ b/src/main/java/switchgap/net/OverdueConnectionSweeper.java
@@ -10,8 +10,8 @@
 /**
  * Closes connections of an {@link HttpServer} whose request, or whose next request, takes too long.
  * Guards against clients that never complete a request: one byte a minute, half a head and then
- * silence, or a connection on which nothing comes at all. Each kept its place for good, until all
- * were taken. Stalls of the process do not count.
+ * silence, or a connection on which nothing is sent at all. Each would occupy a connection for
+ * ever, until the limit is reached. Stalls of the process do not count.
  *
  * <p>Sweeps run on the {@link TimerThread}.
  */
@@ -27,7 +27,7 @@
   private final StallHistory stalls = new StallHistory();
   private final ScheduledFuture<?> schedule;
 
-  /** Begins to sweep these connections, a set that changes. */
+  /** Begins to sweep; the set may change at any time. */
   OverdueConnectionSweeper(
       NetworkTransport transport,
       ConnectionLimits limits,
--- a/src/main/java/switchgap/net/RequestStartFilter.java
+++ b/src/main/java/switchgap/net/RequestStartFilter.java
@@ -6,8 +6,7 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Stands before the HTTP filter, to note when a request begins even if its head never becomes
- * whole.
+ * Runs before the HTTP filter, to record when a request begins even if its head is never completed.
  */
 final class RequestStartFilter extends BaseFilter {
   private final Attribute<ServerConnectionState> states;
--- a/src/main/java/switchgap/net/SocketFilter.java
+++ b/src/main/java/switchgap/net/SocketFilter.java
@@ -12,14 +12,14 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * The first filter of each chain: moves bytes between the socket and the chain, and outlives system
+ * The first filter of each chain: moves bytes between the socket and the chain, and survives system
  * calls that a signal interrupts.
  *
  * <p>The JDK's channels return -3 ({@code sun.nio.ch.IOStatus.INTERRUPTED}) for such a call where
  * they do not block. Grizzly 4.0.2 takes it for the end of the stream ({@code TCPNIOTransport.read}
  * and {@code TCPNIOUtils.allocateAndReadBuffer}: {@code read < 0}) or moves a buffer's position
  * back by it ({@code TCPNIOUtils.writeSimpleBuffer}, {@code writeCompositeBuffer}), so neither is
- * used: reads are made here, and what is written goes out as a {@link SocketMessage}, whose own
+ * used: reads are made here, and what is written is sent as a {@link SocketMessage}, whose own
  * method the writer calls.
  */
 final class SocketFilter extends TransportFilter {
--- a/src/main/java/switchgap/net/SocketMessage.java
+++ b/src/main/java/switchgap/net/SocketMessage.java
@@ -8,7 +8,7 @@
 import org.glassfish.grizzly.FileChunk;
 
 /**
- * Bytes on their way to a socket, which outlive interrupted writes; see {@link SocketFilter}.
+ * Bytes on their way to a socket, which survive interrupted writes; see {@link SocketFilter}.
  *
  * <p>To the queue of Grizzly's writer it is an external message: each of these takes one unit of
  * the queue's space whatever its length, and none is joined with others. The writer calls {@link
@@ -46,7 +46,7 @@
 
   /**
    * Writes what the socket takes. A connection that can't be written to is closed at once, as
-   * nothing that is queued on it can go out any more.
+   * nothing that is queued on it can be sent any more.
    *
    * @return the queue's space that is given back: one unit once all is written, else none
    */
--- a/src/main/java/switchgap/net/StallDetector.java
+++ b/src/main/java/switchgap/net/StallDetector.java
@@ -5,7 +5,7 @@
 /**
  * Detects stalls of the whole process (no CPU time, SIGSTOP, a stop-the-world collection) by the
  * lateness of a check that runs at a fixed interval. Silence and idle timers exclude stalls from
- * what they measure: while the process is stalled no peer can be heard.
+ * what they measure: while the process is stalled nothing can be received from any peer.
  *
  * <p>Not thread-safe: a detector belongs to the thread that runs its checks.
  */
--- a/src/main/java/switchgap/net/UnsolicitedBytesFilter.java
+++ b/src/main/java/switchgap/net/UnsolicitedBytesFilter.java
@@ -6,8 +6,8 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Guards against bytes that nobody asked for: a second response to a request must never be read as
- * the response to the next one, so a connection that receives anything while idle ends.
+ * Guards against unsolicited bytes: a second response to a request must never be read as the
+ * response to the next one, so a connection that receives anything while idle ends.
  */
 final class UnsolicitedBytesFilter extends BaseFilter {
   private final Attribute<HttpClientConnection> connections;
--- a/src/main/java/switchgap/planner/PendingLoadQueue.java
+++ b/src/main/java/switchgap/planner/PendingLoadQueue.java
@@ -14,13 +14,17 @@
  * since the router's start.
  */
 public final class PendingLoadQueue {
-  /** Whether a planner decides on releases. The names are part of the status page. */
+  /**
+   * Whether a planner decides on releases. A connection or an accepted plan leads to LED, timeouts
+   * in succession from LED to STALLED, a disconnect to ALONE. The names are part of the status
+   * page.
+   */
   public enum State {
-    /** No planner is connected: each load is released at once. */
+    /** No planner is connected: each load is released immediately. */
     ALONE,
     /** A planner is connected, and its plans decide. */
     LED,
-    /** A planner is connected, but no plan came in time: as ALONE until one comes. */
+    /** A planner is connected, but no plan came in time: as ALONE until one is accepted. */
     STALLED
   }
 
--- a/src/main/java/switchgap/planner/PlanRejection.java
+++ b/src/main/java/switchgap/planner/PlanRejection.java
@@ -21,7 +21,7 @@
   }
 
   static PlanRejection unknownLoad(long id) {
-    return new PlanRejection(Reason.UNKNOWN_LOAD, "a load " + id + " that was never asked for");
+    return new PlanRejection(Reason.UNKNOWN_LOAD, "load " + id + " was never requested");
   }
 
   /** The text for log lines. */
--- a/src/main/java/switchgap/simulator/LoadReportDecoder.java
+++ b/src/main/java/switchgap/simulator/LoadReportDecoder.java
@@ -9,7 +9,7 @@
   private static final int FIRST_FIELD = 1;
   private static final int UNKNOWN_CONCURRENCY = -1;
 
-  /** Whether the ends of attempts report the concurrency that they met. */
+  /** Whether the ends of attempts report the observed concurrency. */
   private final boolean reportsConcurrency;
 
   /** Positions of the fields, below 0 where they are not reported. */
--- a/src/main/java/switchgap/simulator/ReplyFrame.java
+++ b/src/main/java/switchgap/simulator/ReplyFrame.java
@@ -73,7 +73,7 @@
     tailBytes += encoded.length;
   }
 
-  /** The whole frame. */
+  /** Returns the complete frame. */
   byte[] finish() {
     int tailStart = HEADER_BYTES + RECORD_BYTES * recordCount;
     buffer.putInt(RECORD_COUNT, recordCount);
--- a/src/test/java/switchgap/net/ConnectionCloserTest.java
+++ b/src/test/java/switchgap/net/ConnectionCloserTest.java
@@ -32,7 +32,7 @@
     }
   }
 
-  /** Whether what is written meets no socket any more. */
+  /** Whether the server side has released its socket, so that writes are reset. */
   private static boolean isReset(Socket client) throws InterruptedException {
     long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_SECONDS);
     while (System.nanoTime() < endNanos) {
--- a/src/test/java/switchgap/net/FrameDecoderTest.java
+++ b/src/test/java/switchgap/net/FrameDecoderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Frames come out whole, however the bytes are cut, and a length out of bounds is refused. */
+/** Frames are complete, however the bytes are split, and a length out of bounds is rejected. */
 class FrameDecoderTest {
   private static final int MAX_FRAME_BYTES = 3000;
 
