--- /dev/null
+++ b/src/test/java/switchgap/policy/OutlierDetectorTest.java
@@ -0,0 +1,189 @@
+package switchgap.policy;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static switchgap.policy.AttemptEnd.ended;
+import static switchgap.policy.AttemptEnd.succeeded;
+import static switchgap.policy.AttemptEnd.timedOut;
+import static switchgap.policy.PolicyHarness.list;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.Idempotency;
+import switchgap.policy.api.LoadReport;
+import switchgap.policy.api.ProbeResult;
+
+/** Ejection of outliers. */
+class OutlierDetectorTest {
+  /**
+   * Fast failures look like an idle worker: it is ejected after two errors, until one attempt
+   * succeeds.
+   */
+  @Test
+  void ejectsFailingWorkerAndRetestsItAfterEjection() throws IOException {
+    PolicyHarness harness = new PolicyHarness(new TestSettings());
+    harness.at(0, events -> list(events, 4));
+    for (int i = 0; i < 5; i++) {
+      int request = i;
+      harness.at(10 + 300 * i, events -> harness.requestArrives(events, request, 0));
+      int worker = harness.sentTo(request);
+      boolean fails = worker == harness.firstWorker() && i < 2;
+      harness.at(
+          15 + 300 * i,
+          events ->
+              harness.attemptEnds(
+                  events,
+                  ended(request, worker, fails ? AttemptOutcome.FAILED : AttemptOutcome.SUCCEEDED)
+                      .after(5)
+                      .withConcurrency(0)));
+      harness.at(
+          40 + 300 * i,
+          events -> {
+            if (fails) {
+              int other = harness.sentTo(request);
+              harness.attemptEnds(
+                  events, succeeded(request, other).number(1).after(20).withConcurrency(0));
+            }
+          });
+    }
+    harness.assertTrace("ejected");
+  }
+
+  /** The worker may only be busy. */
+  @Test
+  void doesNotEjectWorkerWhenLoadProbeTimesOut() {
+    PolicyHarness harness = new PolicyHarness(new TestSettings());
+    harness.at(0, events -> list(events, 4)).at(10, events -> harness.requestArrives(events, 0, 0));
+    int primary = harness.firstWorker();
+    harness.at(
+        90,
+        events -> harness.attemptEnds(events, succeeded(0, primary).after(80).withConcurrency(0)));
+    harness.at(
+        100,
+        events ->
+            events.probeEnded(new ProbeResult(primary, AttemptOutcome.TIMED_OUT, LoadReport.NONE)));
+    harness.at(110, events -> harness.requestArrives(events, 1, 0));
+    assertThat(harness.trace()).contains("110 send request 1 to worker " + primary);
+  }
+
+  /**
+   * The workers that requests of eight functions are sent to after so many requests of missing
+   * functions failed at one worker.
+   */
+  private static List<Integer> workersAfterErrors(int errors) {
+    TestSettings settings = new TestSettings();
+    settings.idempotency = Idempotency.NON_IDEMPOTENT;
+    PolicyHarness harness = new PolicyHarness(settings);
+    harness.at(0, events -> list(events, 4));
+    int sentTo = -1;
+    for (int i = 0; i < 60; i++) { // successes, as a fleet that only fails has no outlier
+      int request = 200 + i;
+      harness.at(1 + i, events -> harness.requestArrives(events, request, request % 8));
+      sentTo = request == 206 ? harness.sentTo(request) : sentTo;
+      harness.at(
+          1 + i,
+          events ->
+              harness.attemptEnds(
+                  events, succeeded(request, harness.sentTo(request)).after(5).withConcurrency(0)));
+    }
+    int failing = sentTo;
+    for (int i = 0; i < errors; i++) {
+      int request = i;
+      harness
+          .at(70 + 5 * i, events -> harness.requestArrives(events, request, 100 + request))
+          .at(
+              72 + 5 * i,
+              events -> {
+                if (harness.sentTo(request) != failing) {
+                  events.clientLeft(request);
+                }
+                harness.attemptEnds(
+                    events,
+                    ended(
+                            request,
+                            harness.sentTo(request),
+                            harness.sentTo(request) == failing
+                                ? AttemptOutcome.FAILED
+                                : AttemptOutcome.CANCELLED)
+                        .after(2));
+              });
+    }
+    harness.at(
+        500,
+        events -> {
+          for (int i = 0; i < 8; i++) {
+            harness.requestArrives(events, 50 + i, i);
+          }
+        });
+    return IntStream.range(50, 58).mapToObj(harness::sentTo).toList();
+  }
+
+  @Test
+  void doesNotEjectWorkerForErrorsOfMissingFunctions() {
+    assertThat(workersAfterErrors(48)).isEqualTo(workersAfterErrors(0)).doesNotContain(-1);
+  }
+
+  @Test
+  void doesNotEjectWorkerThatLosesSomeResponses() {
+    PolicyHarness harness = new PolicyHarness(new TestSettings());
+    int first = harness.scaleToTwoReplicas(0).first();
+    for (int i = 0; i < 6; i++) { // one of three responses is lost
+      int start = 2000 + 700 * i;
+      harness
+          .at(start, events -> harness.requestArrives(events, 2, 0))
+          .at(start + 5, events -> harness.requestArrives(events, 3, 0))
+          .at(start + 10, events -> harness.requestArrives(events, 4, 0));
+      assertThat(List.of(harness.sentTo(2), harness.sentTo(3), harness.sentTo(4))).contains(first);
+      for (int request : new int[] {3, 4}) {
+        int worker = harness.sentTo(request);
+        harness.at(
+            start + 60 + request,
+            events ->
+                harness.attemptEnds(
+                    events, succeeded(request, worker).after(60).withConcurrency(3)));
+      }
+      int losing = harness.sentTo(2);
+      harness.at(
+          start + 500, events -> harness.attemptEnds(events, timedOut(2, losing).after(500)));
+      succeedRetry(harness, start + 600, 500);
+    }
+  }
+
+  @Test
+  void ejectsWorkerThatAnswersNothing() {
+    PolicyHarness harness = new PolicyHarness(new TestSettings());
+    int silent = harness.scaleToTwoReplicas(0).first();
+    List<Integer> workers = new ArrayList<>();
+    for (int i = 0; i < 6; i++) {
+      int start = 2000 + 700 * i;
+      harness.at(start, events -> harness.requestArrives(events, 2, 0));
+      int worker = harness.sentTo(2);
+      workers.add(worker);
+      AttemptOutcome outcome =
+          worker == silent ? AttemptOutcome.TIMED_OUT : AttemptOutcome.SUCCEEDED;
+      harness.at(
+          start + 500,
+          events ->
+              harness.attemptEnds(events, ended(2, worker, outcome).after(500).withConcurrency(3)));
+      succeedRetry(harness, start + 650, 150);
+    }
+    assertThat(workers.subList(0, 2)).containsOnly(silent);
+    assertThat(workers.subList(2, 4)).doesNotContain(silent);
+  }
+
+  /** The second attempt of request 2 succeeds, if there is one. */
+  private static void succeedRetry(PolicyHarness harness, int time, int durationMillis) {
+    harness.at(
+        time,
+        events -> {
+          int worker = harness.sentTo(2);
+          if (worker >= 0) {
+            harness.attemptEnds(
+                events, succeeded(2, worker).number(1).after(durationMillis).withConcurrency(3));
+          }
+        });
+  }
+}
--- a/src/test/java/switchgap/policy/PolicyHarness.java
+++ b/src/test/java/switchgap/policy/PolicyHarness.java
@@ -1,5 +1,8 @@
 package switchgap.policy;
 
+import static org.assertj.core.api.Assertions.assertThat;
+import static switchgap.policy.AttemptEnd.succeeded;
+
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -11,11 +14,8 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import switchgap.policy.api.AttemptOutcome;
-import switchgap.policy.api.AttemptResult;
-import switchgap.policy.api.DeduplicationScope;
 import switchgap.policy.api.EndpointEntry;
-import switchgap.policy.api.Idempotency;
-import switchgap.policy.api.LoadReport;
+import switchgap.policy.api.LoadCommandResult;
 import switchgap.policy.api.PolicyActions;
 import switchgap.policy.api.PolicyEvents;
 import switchgap.policy.api.RequestArrival;
@@ -25,375 +25,234 @@
 import switchgap.policy.state.IndexedTable;
 import switchgap.testing.ReachableObjects;
 
-/**
- * The tests' one helper: terms that a test changes, one router under them, and its decisions as
- * printed lines.
- */
+/** Drives the policy of one router with the events of a test and records its actions as a trace. */
 final class PolicyHarness implements PolicyActions {
-  static class TestSettings implements RouterSettings {
-    Idempotency idempotency = Idempotency.IDEMPOTENT;
-    DeduplicationScope deduplicationScope = DeduplicationScope.ALL;
-    boolean loadsOnDemand;
-    int routerCount = 2;
-    int routerIndex;
-    double loadQuotaBase = 0;
-    double loadQuotaPerRequest = 0;
-    Duration loadQuotaWindow = Duration.ZERO;
-    double idleMemoryPrice = 0;
-    double probePrice = 0;
-    int maxAttempts = 4;
-
-    @Override
-    public int routerIndex() {
-      return routerIndex;
-    }
-
-    @Override
-    public int routerCount() {
-      return routerCount;
-    }
-
-    @Override
-    public int zone() {
-      return 0;
-    }
-
-    @Override
-    public Duration tickInterval() {
-      return ms(5);
-    }
-
-    @Override
-    public int requestClassCount() {
-      return 1;
-    }
-
-    @Override
-    public Duration latencyObjective(int worker) {
-      return ms(400);
-    }
-
-    @Override
-    public Duration requestTimeout(int worker) {
-      return ms(2000);
-    }
-
-    @Override
-    public double priorityWeight(int worker) {
-      return 1;
-    }
-
-    @Override
-    public double lateValueShare(int worker) {
-      return 0.2;
-    }
-
-    @Override
-    public Idempotency idempotency(int worker) {
-      return idempotency;
-    }
-
-    @Override
-    public DeduplicationScope deduplicationScope(int worker) {
-      return deduplicationScope;
-    }
-
-    @Override
-    public Duration deduplicationWindow(int worker) {
-      return ms(1000);
-    }
-
-    @Override
-    public int tenantCount() {
-      return 0;
-    }
-
-    @Override
-    public double tenantQuota(int c) {
-      return 0;
-    }
-
-    @Override
-    public double overQuotaWeight() {
-      return 0.2;
-    }
-
-    @Override
-    public int maxAttempts() {
-      return maxAttempts;
-    }
-
-    @Override
-    public boolean hedgingAllowed() {
-      return false;
-    }
-
-    @Override
-    public boolean probesAllowed() {
-      return true;
-    }
-
-    @Override
-    public boolean cancellationAllowed() {
-      return true;
-    }
-
-    @Override
-    public boolean retryAfterAllowed() {
-      return false;
-    }
-
-    @Override
-    public Duration maxRetryAfter() {
-      return ms(500);
-    }
-
-    @Override
-    public double coldCapacityShare() {
-      return 0.2;
-    }
-
-    @Override
-    public Duration warmUpDuration() {
-      return ms(10_000);
-    }
-
-    @Override
-    public double coldOverloadMultiple() {
-      return 2;
-    }
-
-    @Override
-    public Duration coldOverloadWindow() {
-      return ms(1000);
-    }
-
-    @Override
-    public boolean loadsOnDemand() {
-      return loadsOnDemand;
-    }
-
-    @Override
-    public boolean loadCommandsAllowed() {
-      return true;
-    }
+  private static final int SEED = 7;
+  private static final int TICK_MILLIS = 20;
 
-    @Override
-    public Duration replicaIdleTimeout() {
-      return ms(10_000);
-    }
-
-    @Override
-    public double loadQuotaBase() {
-      return loadQuotaBase;
-    }
-
-    @Override
-    public double loadQuotaPerRequest() {
-      return loadQuotaPerRequest;
-    }
-
-    @Override
-    public Duration loadQuotaWindow() {
-      return loadQuotaWindow;
-    }
-
-    @Override
-    public double idleMemoryPrice() {
-      return idleMemoryPrice;
-    }
-
-    @Override
-    public double[] workerKindMemory() {
-      return new double[] {4000};
-    }
-
-    @Override
-    public double crossZonePrice() {
-      return 0;
-    }
-
-    @Override
-    public double probePrice() {
-      return probePrice;
-    }
-
-    @Override
-    public boolean capacityReported() {
-      return false;
-    }
-
-    @Override
-    public boolean pollsEndpointList() {
-      return false;
-    }
-
-    @Override
-    public Duration endpointPollInterval() {
-      return ms(10_000);
-    }
-  }
+  /** The workers of a function with two target replicas, in hash order. */
+  record Replicas(int first, int second) {}
 
   private final RoutingPolicy policy;
-  private final List<String> lines = new ArrayList<>();
-  private int at;
-  int wakes;
-
-  /** Told of each load order: the worker and the function. */
-  BiConsumer<Integer, Integer> onLoad = (worker, function) -> {};
+  private final List<String> trace = new ArrayList<>();
+  private final Map<Integer, Integer> lastWorkers = new HashMap<>();
+  private BiConsumer<Integer, Integer> loadListener = (worker, function) -> {};
+  private int nowMillis;
+  private int scheduledWakeUps;
 
-  private final Map<Integer, Integer> sent = new HashMap<>();
+  PolicyHarness(RouterSettings settings) {
+    policy = new RoutingPolicy(settings, SEED);
+  }
 
-  PolicyHarness(RouterSettings terms) {
-    policy = new RoutingPolicy(terms, 7);
+  static Duration millis(long count) {
+    return Duration.ofMillis(count);
   }
 
-  static Duration ms(long n) {
-    return Duration.ofMillis(n);
+  /** Is notified of each load command: its worker and its function. */
+  void onLoad(BiConsumer<Integer, Integer> listener) {
+    loadListener = listener;
   }
 
-  /** A round at this time, with what comes in; no event is a round for the clock alone. */
+  /** One tick at this time with these events. */
   PolicyHarness at(int millis, Consumer<PolicyEvents> events) {
-    at = millis;
-    policy.tick(ms(millis), events::accept, this);
+    nowMillis = millis;
+    policy.tick(millis(millis), events::accept, this);
     return this;
   }
 
-  /** Rounds for the clock alone, each 20 ms. */
+  /** Ticks without an event but a wake-up, up to this time. */
   PolicyHarness until(int millis) {
-    for (int time = at + 20; time <= millis; time += 20) {
+    for (int time = nowMillis + TICK_MILLIS; time <= millis; time += TICK_MILLIS) {
       at(time, events -> events.wakeUp(0));
     }
     return this;
   }
 
+  // Events.
+
+  /** A complete endpoint list of ready workers, numbered from 0. */
   static void list(PolicyEvents events, int workers) {
     events.endpointListStarted(true);
     for (int worker = 0; worker < workers; worker++) {
-      worker(events, worker, WorkerState.READY, null);
+      list(events, worker, WorkerState.READY, null);
     }
     events.endpointListEnded();
   }
 
-  static void change(PolicyEvents events, int worker, WorkerState standing, Duration started) {
+  /** A complete endpoint list of worker 0 alone, whose process started at a time. */
+  static void listOneStartedAt(PolicyEvents events, Duration startedAt) {
+    events.endpointListStarted(true);
+    list(events, 0, WorkerState.READY, startedAt);
+    events.endpointListEnded();
+  }
+
+  /** A change of one worker; {@code startedAt} is null if its process started long ago. */
+  static void change(PolicyEvents events, int worker, WorkerState state, Duration startedAt) {
     events.endpointListStarted(false);
-    worker(events, worker, standing, started);
+    list(events, worker, state, startedAt);
     events.endpointListEnded();
   }
 
-  private static void worker(
-      PolicyEvents events, int worker, WorkerState standing, Duration started) {
+  /** A worker's zone and cell are its number modulo 2. */
+  private static void list(PolicyEvents events, int worker, WorkerState state, Duration startedAt) {
     events.endpointListed(
-        new EndpointEntry(worker, 1000 + worker, standing, worker % 2, worker % 2, 0, 1, started));
+        new EndpointEntry(worker, 1000 + worker, state, worker % 2, worker % 2, 0, 1, startedAt));
   }
 
-  void requestArrives(PolicyEvents events, int job, int function) {
-    requestArrives(events, job, function, 2000);
+  /** A request arrives that times out after 2 s. */
+  void requestArrives(PolicyEvents events, int request, int function) {
+    requestArrives(events, request, function, 2000);
   }
 
-  void requestArrives(PolicyEvents events, int job, int function, int left) {
+  void requestArrives(PolicyEvents events, int request, int function, int timeoutMillis) {
+    Duration deadline = millis(nowMillis + timeoutMillis);
     events.requestArrived(
-        new RequestArrival(job, 0, 0, function, 50 + function, ms(at + left), null, 100, 2));
-  }
-
-  void attemptEnds(
-      PolicyEvents events,
-      int job,
-      int execution,
-      int worker,
-      AttemptOutcome end,
-      int took,
-      int crowd) {
-    events.attemptEnded(
-        new AttemptResult(
-            job,
-            execution,
-            worker,
-            end,
-            ms(took),
-            end == AttemptOutcome.SUCCEEDED,
-            LoadReport.ofConcurrency(crowd)));
-  }
-
-  /** The copy target of a function. */
+        new RequestArrival(request, 0, 0, function, 50 + function, deadline, null, 100, 2));
+  }
+
+  void attemptEnds(PolicyEvents events, AttemptEnd end) {
+    events.attemptEnded(end.result());
+  }
+
+  static void replicaLoaded(PolicyEvents events, int worker, int function, int durationMillis) {
+    events.loadCommandEnded(
+        new LoadCommandResult(
+            worker, function, AttemptOutcome.SUCCEEDED, millis(durationMillis), 1));
+  }
+
+  static void loadFailed(PolicyEvents events, int worker, int function, AttemptOutcome outcome) {
+    events.loadCommandEnded(new LoadCommandResult(worker, function, outcome, millis(2), 0));
+  }
+
+  /** Lists four workers and has reported concurrency raise a function to two loaded replicas. */
+  Replicas scaleToTwoReplicas(int function) {
+    at(0, events -> list(events, 4)).at(10, events -> requestArrives(events, 0, function));
+    int first = sentTo(0);
+    int[] second = {-1};
+    onLoad((worker, loaded) -> second[0] = worker);
+    at(60, events -> attemptEnds(events, succeeded(0, first).after(50).withConcurrency(3)));
+    for (int i = 0; i < 20; i++) {
+      int time = 100 + 60 * i;
+      at(time, events -> requestArrives(events, 1, function));
+      int worker = sentTo(1);
+      at(
+          time + 50,
+          events -> attemptEnds(events, succeeded(1, worker).after(50).withConcurrency(3)));
+    }
+    assertThat(targetReplicas(function)).isEqualTo(2);
+    at(1400, events -> replicaLoaded(events, second[0], function, 100));
+    return new Replicas(first, second[0]);
+  }
+
+  // What the policy holds and did.
+
   int targetReplicas(int function) {
     return functions().get(function).targetReplicas();
   }
 
-  @SuppressWarnings("unchecked")
+  @SuppressWarnings("unchecked") // the field's declared type
   private IndexedTable<Function> functions() {
     return (IndexedTable<Function>)
         ReachableObjects.field(ReachableObjects.field(policy, "state"), "functions");
   }
 
-  /** All that the module holds: elements of its tables. */
+  /** The number of elements in all tables of the policy. */
   long reachableElements() {
     return ReachableObjects.by(policy, this);
   }
 
+  int scheduledWakeUps() {
+    return scheduledWakeUps;
+  }
+
   String trace() {
-    return String.join("\n", lines) + "\n";
+    return String.join("\n", trace) + "\n";
   }
 
-  /** Executions of a job so far. */
-  int attemptsOf(int job) {
-    return (int) lines.stream().filter(line -> line.contains(" send job " + job + " ")).count();
+  void assertTrace(String name) throws IOException {
+    assertThat(trace()).isEqualTo(expectedTrace(name));
   }
 
-  /** Where a job was sent last, -1 if nowhere. */
-  int sentTo(int job) {
-    return sent.getOrDefault(job, -1);
+  private static String expectedTrace(String name) throws IOException {
+    try (InputStream input = PolicyHarness.class.getResourceAsStream(name + ".txt")) {
+      return input == null ? "" : new String(input.readAllBytes(), StandardCharsets.UTF_8);
+    }
   }
 
-  long count(String start) {
-    return lines.stream().filter(line -> line.contains(" " + start)).count();
+  /** The number of recorded actions that begin with these words. */
+  long count(String action) {
+    return trace.stream().filter(line -> line.contains(" " + action)).count();
   }
 
-  static String keptTrace(String name) throws IOException {
-    try (InputStream in = PolicyHarness.class.getResourceAsStream(name + ".txt")) {
-      return in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8);
-    }
+  int attemptsOf(int request) {
+    return (int) count("send request " + request + " ");
   }
 
-  private void record(String what) {
-    lines.add(at + " " + what);
+  /** The worker that a request was sent to last, -1 if none or released. */
+  int sentTo(int request) {
+    return lastWorkers.getOrDefault(request, -1);
+  }
+
+  /** The worker that the first attempt of all was sent to: the first in hash order. */
+  int firstWorker() {
+    return workersSentTo().get(0);
+  }
+
+  /** The workers of all attempts, in their order. */
+  List<Integer> workersSentTo() {
+    return trace.stream()
+        .filter(line -> line.contains(" send "))
+        .map(line -> line.charAt(line.indexOf("worker ") + 7) - '0')
+        .toList();
+  }
+
+  /** The worker that function 0 was last loaded at. */
+  int lastLoadedAt() {
+    return Integer.parseInt(trace().replaceAll("(?s).*load function 0 at worker (\\d).*", "$1"));
+  }
+
+  // Actions.
+
+  private void record(String action) {
+    trace.add(nowMillis + " " + action);
   }
 
   @Override
-  public void startAttempt(int job, int worker, Duration allow) {
-    sent.put(job, worker);
-    record("send job " + job + " to worker " + worker + " for " + allow.toMillis() + " ms");
+  public void startAttempt(int request, int worker, Duration timeout) {
+    lastWorkers.put(request, worker);
+    record(
+        "send request " + request + " to worker " + worker + " for " + timeout.toMillis() + " ms");
   }
 
   @Override
-  public void cancelAttempt(int job, int execution) {
-    record("cancel job " + job + " execution " + execution);
+  public void cancelAttempt(int request, int attempt) {
+    record("cancel request " + request + " attempt " + attempt);
   }
 
   @Override
-  public void reject(int job, Duration comeBack) {
-    record("push back job " + job);
+  public void reject(int request, Duration retryAfter) {
+    record("reject request " + request);
   }
 
   @Override
-  public void fail(int job) {
-    record("kill job " + job);
+  public void fail(int request) {
+    record("fail request " + request);
   }
 
   @Override
   public void load(int worker, int function) {
-    onLoad.accept(worker, function);
-    record("hold function " + function + " at worker " + worker);
+    loadListener.accept(worker, function);
+    record("load function " + function + " at worker " + worker);
   }
 
   @Override
   public void queryReplicas(int worker, int function) {
-    record("ask function " + function + " at worker " + worker);
+    record("query function " + function + " at worker " + worker);
   }
 
   @Override
   public void unload(int worker, int function) {
-    record("drop function " + function + " at worker " + worker);
+    record("unload function " + function + " at worker " + worker);
   }
 
   @Override
@@ -402,8 +261,8 @@
   }
 
   @Override
-  public void scheduleWakeUp(Duration after, long token) {
-    wakes++;
+  public void scheduleWakeUp(Duration delay, long token) {
+    scheduledWakeUps++;
   }
 
   @Override
@@ -412,18 +271,18 @@
   }
 
   @Override
-  public void releaseRequest(int job) {
-    sent.remove(job);
-    record("forget job " + job);
+  public void releaseRequest(int request) {
+    lastWorkers.remove(request);
+    record("release request " + request);
   }
 
   @Override
   public void releaseFunction(int function) {
-    record("forget function " + function);
+    record("release function " + function);
   }
 
   @Override
   public void releaseWorker(int worker) {
-    record("forget worker " + worker);
+    record("release worker " + worker);
   }
 }
--- /dev/null
+++ b/src/test/java/switchgap/policy/RequestRouterTest.java
@@ -0,0 +1,224 @@
+package switchgap.policy;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static switchgap.policy.AttemptEnd.failed;
+import static switchgap.policy.AttemptEnd.rejected;
+import static switchgap.policy.AttemptEnd.succeeded;
+import static switchgap.policy.PolicyHarness.list;
+import static switchgap.policy.PolicyHarness.millis;
+import static switchgap.policy.PolicyHarness.replicaLoaded;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.AttemptResult;
+import switchgap.policy.api.LoadReport;
+
+/** The choice of a worker for a request. */
+class RequestRouterTest {
+  @Test
+  void overflowsToReplicaPastTargetWhenTargetReplicaIsSaturated() throws IOException {
+    PolicyHarness harness = new PolicyHarness(new TestSettings());
+    harness.at(0, events -> list(events, 4)).at(10, events -> harness.requestArrives(events, 0, 0));
+    int primary = harness.firstWorker();
+    harness.at(
+        90,
+        events -> harness.attemptEnds(events, succeeded(0, primary).after(80).withConcurrency(0)));
+    harness.at(
+        100,
+        events -> {
+          for (int request = 1; request < 9; request++) {
+            harness.requestArrives(events, request, 0);
+          }
+        });
+    int next = harness.lastLoadedAt();
+    harness.at(300, events -> replicaLoaded(events, next, 0, 200));
+    harness.assertTrace("overflow");
+  }
+
+  @Test
+  void sendsRequestsInTickOfFirstEndpointList() throws IOException {
+    TestSettings settings = new TestSettings();
+    settings.loadsOnDemand = true;
+    PolicyHarness harness = new PolicyHarness(settings);
+    harness.at(
+        0,
+        events -> {
+          list(events, 3);
+          for (int request = 0; request < 8; request++) {
+            harness.requestArrives(events, request, 0);
+          }
+        });
+    harness.assertTrace("restart");
+  }
+
+  @Test
+  void decidesTheSameForTheSameEventsAndSeed() {
+    assertThat(traceOfRetry()).isEqualTo(traceOfRetry());
+  }
+
+  private static String traceOfRetry() {
+    PolicyHarness harness = new PolicyHarness(new TestSettings());
+    harness.at(0, events -> list(events, 4)).at(10, events -> harness.requestArrives(events, 0, 0));
+    int first = harness.firstWorker();
+    return harness
+        .at(60, events -> harness.attemptEnds(events, failed(0, first).after(50)))
+        .until(2100)
+        .trace();
+  }
+
+  /** A worker that rejects counts as loaded with twice its capacity. */
+  @Test
+  void avoidsWorkerThatRejectedAnAttempt() {
+    TestSettings settings = new TestSettings();
+    settings.routerCount = 200;
+    PolicyHarness harness = new PolicyHarness(settings);
+    harness.at(0, events -> list(events, 4)).at(10, events -> harness.requestArrives(events, 0, 0));
+    int primary = harness.sentTo(0);
+    harness
+        .at(
+            90,
+            events ->
+                harness.attemptEnds(events, succeeded(0, primary).after(80).withConcurrency(8)))
+        .until(1100); // the target rises to two
+    harness.at(1110, events -> harness.requestArrives(events, 1, 0)).until(1200);
+    int rejecting = harness.sentTo(1);
+    harness.at(
+        1210,
+        events -> harness.attemptEnds(events, rejected(1, rejecting).after(2).withConcurrency(5)));
+    assertThat(harness.sentTo(1)).isNotEqualTo(rejecting);
+    harness.at(1220, events -> harness.requestArrives(events, 2, 0)).until(1260);
+    assertThat(harness.sentTo(2)).isNotEqualTo(rejecting);
+  }
+
+  /**
+   * Whatever their index and seed, all routers send the requests of a function to the same workers.
+   */
+  @Test
+  void allRoutersHaveTheSameHashOrder() {
+    for (int function = 0; function < 30; function++) {
+      int requested = function;
+      List<Integer> first = new ArrayList<>();
+      for (int routerIndex = 0; routerIndex < 4; routerIndex++) {
+        TestSettings settings = new TestSettings();
+        settings.routerIndex = routerIndex;
+        settings.routerCount = 4;
+        PolicyHarness harness = new PolicyHarness(settings);
+        harness
+            .at(0, events -> list(events, 9))
+            .at(10, events -> harness.requestArrives(events, 0, requested));
+        first.add(harness.sentTo(0));
+      }
+      assertThat(first).containsOnly(first.get(0));
+    }
+  }
+
+  /**
+   * A report counts mostly this router's own requests, of a moment ago: it would empty idle
+   * workers.
+   */
+  @Test
+  void ignoresReportedInFlightRequestsWithFewRouters() {
+    PolicyHarness harness = new PolicyHarness(new TestSettings());
+    Set<Integer> loading = new HashSet<>();
+    harness.onLoad((worker, function) -> loading.add(worker));
+    harness.at(0, events -> list(events, 4));
+    for (int i = 0; i < 200; i++) { // until the target is at two
+      int request = i;
+      harness.at(10 + 20 * i, events -> harness.requestArrives(events, request, 0));
+      harness.at(
+          15 + 20 * i,
+          events ->
+              harness.attemptEnds(
+                  events, succeeded(request, harness.sentTo(request)).after(5).withConcurrency(4)));
+    }
+    assertThat(harness.targetReplicas(0)).isEqualTo(2);
+    harness.at(4500, events -> loading.forEach(worker -> replicaLoaded(events, worker, 0, 200)));
+    harness.at(5000, events -> harness.requestArrives(events, 300, 0));
+    int first = harness.sentTo(300);
+    harness.at(
+        5010,
+        events ->
+            events.attemptEnded(
+                new AttemptResult(
+                    300,
+                    0,
+                    first,
+                    AttemptOutcome.SUCCEEDED,
+                    millis(10),
+                    true,
+                    new LoadReport(0.9, 50, Double.NaN, 0))));
+    harness.at(5020, events -> harness.requestArrives(events, 301, 0));
+    assertThat(harness.sentTo(301)).isEqualTo(first);
+  }
+
+  @Test
+  void avoidsSlowWorker() {
+    PolicyHarness harness = new PolicyHarness(new TestSettings());
+    PolicyHarness.Replicas replicas = harness.scaleToTwoReplicas(0);
+    int early = 0;
+    int late = 0;
+    for (int i = 0; i < 60; i++) {
+      int time = 1500 + 450 * i;
+      harness.at(
+          time,
+          events -> {
+            harness.requestArrives(events, 2, 0);
+            harness.requestArrives(events, 3, 0);
+          });
+      for (int index = 2; index < 4; index++) {
+        int worker = harness.sentTo(index);
+        int request = index;
+        early += i < 3 && worker == replicas.first() ? 1 : 0;
+        late += i >= 40 && worker == replicas.first() ? 1 : 0;
+        harness.at(
+            time + (worker == replicas.first() ? 400 : 30 + index),
+            events ->
+                harness.attemptEnds(
+                    events,
+                    succeeded(request, worker)
+                        .after(worker == replicas.first() ? 400 : 30)
+                        .withConcurrency(3)));
+      }
+    }
+    assertThat(early).isGreaterThanOrEqualTo(3);
+    assertThat(late).isLessThan(15); // of 40
+  }
+
+  @Test
+  void prefersOwnZoneUntilItIsMoreLoaded() {
+    TestSettings settings =
+        new TestSettings() {
+          @Override
+          public double crossZonePrice() {
+            return 0.02;
+          }
+        };
+    int function = 0;
+    PolicyHarness harness = new PolicyHarness(settings);
+    PolicyHarness.Replicas replicas = harness.scaleToTwoReplicas(function);
+    while (replicas.first() % 2 == replicas.second() % 2) { // the same zone
+      harness = new PolicyHarness(settings);
+      replicas = harness.scaleToTwoReplicas(++function);
+    }
+    int own = replicas.first() % 2 == 0 ? replicas.first() : replicas.second();
+    int requested = function;
+    PolicyHarness zoned = harness;
+    zoned.at(1500, events -> zoned.requestArrives(events, 2, requested));
+    assertThat(zoned.sentTo(2)).isEqualTo(own);
+    zoned.at(
+        1501,
+        events -> {
+          for (int request = 3; request < 9; request++) {
+            zoned.requestArrives(events, request, requested);
+          }
+        });
+    assertThat(IntStream.range(3, 9).map(zoned::sentTo).boxed().toList())
+        .contains(replicas.first(), replicas.second());
+  }
+}
--- /dev/null
+++ b/src/test/java/switchgap/policy/RequestSeries.java
@@ -0,0 +1,46 @@
+package switchgap.policy;
+
+import static switchgap.policy.AttemptEnd.succeeded;
+import static switchgap.policy.PolicyHarness.list;
+
+import switchgap.policy.api.PolicyEvents;
+
+/** A long series of requests of function 0 at three workers, each of which succeeds. */
+final class RequestSeries {
+  private static final int REQUEST_INDICES = 50;
+
+  private final PolicyHarness harness;
+  private int requests;
+
+  /** Lists the workers and has a first request served. */
+  RequestSeries(PolicyHarness harness) {
+    this.harness = harness;
+    harness
+        .at(0, events -> list(events, 3))
+        .at(5, events -> harness.requestArrives(events, 0, 0))
+        .at(50, events -> succeed(events, 0, 45));
+  }
+
+  /** Requests at an interval, each served after its duration; returns the time after the last. */
+  int run(int startMillis, int count, int intervalMillis, int durationMillis) {
+    int time = startMillis;
+    for (int i = 0; i < count; i++, time += intervalMillis) {
+      int request = requests++ % REQUEST_INDICES;
+      harness.at(time, events -> harness.requestArrives(events, request, 0));
+      harness.at(
+          time + durationMillis,
+          events -> {
+            if (harness.sentTo(request) >= 0) {
+              succeed(events, request, durationMillis);
+            }
+          });
+    }
+    return time;
+  }
+
+  private void succeed(PolicyEvents events, int request, int durationMillis) {
+    int worker = harness.sentTo(request);
+    harness.attemptEnds(
+        events, succeeded(request, worker).after(durationMillis).withConcurrency(0));
+  }
+}
--- /dev/null
+++ b/src/test/java/switchgap/policy/RetryPolicyTest.java
@@ -0,0 +1,168 @@
+package switchgap.policy;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static switchgap.policy.AttemptEnd.failed;
+import static switchgap.policy.AttemptEnd.notLoaded;
+import static switchgap.policy.PolicyHarness.list;
+import static switchgap.policy.PolicyHarness.millis;
+import static switchgap.policy.PolicyHarness.replicaLoaded;
+
+import java.io.IOException;
+import java.util.Arrays;
+import org.junit.jupiter.api.Test;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.AttemptResult;
+import switchgap.policy.api.DeduplicationScope;
+import switchgap.policy.api.Idempotency;
+import switchgap.policy.api.LoadReport;
+
+/** Retries, idempotency and the final response of a request. */
+class RetryPolicyTest {
+  private static PolicyHarness afterError(Idempotency idempotency, DeduplicationScope scope) {
+    return afterError(idempotency, scope, 0);
+  }
+
+  /** The first attempt fails; the rest depends on the idempotency of the request. */
+  private static PolicyHarness afterError(
+      Idempotency idempotency, DeduplicationScope scope, int function) {
+    TestSettings settings = new TestSettings();
+    settings.idempotency = idempotency;
+    settings.deduplicationScope = scope;
+    PolicyHarness harness = new PolicyHarness(settings);
+    harness
+        .at(0, events -> list(events, 4))
+        .at(10, events -> harness.requestArrives(events, 0, function));
+    int primary = harness.firstWorker();
+    return harness
+        .at(60, events -> harness.attemptEnds(events, failed(0, primary).after(50)))
+        .until(2100);
+  }
+
+  @Test
+  void retriesIdempotentRequestAtAnotherWorkerAfterError() throws IOException {
+    afterError(Idempotency.IDEMPOTENT, DeduplicationScope.ALL).assertTrace("idempotent");
+  }
+
+  @Test
+  void failsNonIdempotentRequestAfterErrorAndNeverRejectsIt() throws IOException {
+    afterError(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL).assertTrace("non-idempotent");
+  }
+
+  @Test
+  void retriesRequestWithIdempotencyKeyOnlyInItsDeduplicationScope() throws IOException {
+    afterError(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE)
+        .assertTrace("idempotency-key-zone");
+    for (int function = 1; function < 8; function++) {
+      assertThat(
+              afterError(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, function)
+                  .workersSentTo()
+                  .stream()
+                  .map(worker -> worker % 2) // the zone
+                  .distinct())
+          .hasSize(1);
+    }
+  }
+
+  @Test
+  void doesNotRetryRequestWithIdempotencyKeyAfterDeduplicationWindow() {
+    TestSettings settings = new TestSettings();
+    settings.idempotency = Idempotency.IDEMPOTENT_WITH_KEY;
+    PolicyHarness harness = new PolicyHarness(settings);
+    harness.at(0, events -> list(events, 4)).at(10, events -> harness.requestArrives(events, 0, 0));
+    int primary = harness.firstWorker();
+    harness
+        .at(1050, events -> harness.attemptEnds(events, failed(0, primary).after(1040)))
+        .until(2100);
+    assertThat(harness.count("send")).isEqualTo(1);
+    assertThat(harness.count("reject") + harness.count("fail")).isEqualTo(1);
+  }
+
+  /**
+   * The window is 1,000 ms less two ticks: a retry is allowed 980 ms after the first attempt, not
+   * after 994 ms, whichever attempt ended.
+   */
+  @Test
+  void countsDeduplicationWindowFromFirstAttemptThatMayHaveExecuted() {
+    for (int[] ends : new int[][] {{980, 2}, {994, 1}, {500, 980, 3}, {500, 994, 2}}) {
+      TestSettings settings = new TestSettings();
+      settings.idempotency = Idempotency.IDEMPOTENT_WITH_KEY;
+      PolicyHarness harness = new PolicyHarness(settings);
+      harness
+          .at(0, events -> list(events, 4))
+          .at(10, events -> harness.requestArrives(events, 0, 0));
+      for (int i = 0; i < ends.length - 1; i++) {
+        int attempt = i;
+        int worker = harness.sentTo(0);
+        harness.at(
+            10 + ends[i],
+            events -> harness.attemptEnds(events, failed(0, worker).number(attempt).after(50)));
+      }
+      assertThat(harness.count("send")).as(Arrays.toString(ends)).isEqualTo(ends[ends.length - 1]);
+    }
+  }
+
+  @Test
+  void rejectsRequestBeforeDeadlineWhenReplicaIsNotLoadedInTime() throws IOException {
+    PolicyHarness harness = new PolicyHarness(new TestSettings());
+    harness.at(0, events -> list(events, 3)).at(10, events -> harness.requestArrives(events, 0, 0));
+    int primary = harness.firstWorker();
+    harness
+        .at(12, events -> harness.attemptEnds(events, notLoaded(0, primary).after(2)))
+        .until(2500);
+    harness.assertTrace("answered-in-time");
+  }
+
+  /**
+   * The replica is loaded after a pause of the router: at 2003 ms, with a deadline of 2010 ms less
+   * two ticks of 5 ms.
+   */
+  @Test
+  void doesNotSendRequestWithinDeadlineMargin() {
+    PolicyHarness harness = new PolicyHarness(new TestSettings());
+    harness
+        .at(0, events -> list(events, 1))
+        .at(10, events -> harness.requestArrives(events, 0, 0))
+        .at(12, events -> harness.attemptEnds(events, notLoaded(0, 0).after(2)));
+    harness.at(2003, events -> replicaLoaded(events, 0, 0, 1990));
+    assertThat(harness.count("send")).isEqualTo(1);
+    assertThat(harness.count("reject request 0")).isEqualTo(1);
+  }
+
+  /** Clients that time out before a response is possible, and retry, would occupy every worker. */
+  @Test
+  void rejectsRequestOnArrivalWhenDeadlineIsTooNear() {
+    PolicyHarness harness = new PolicyHarness(new TestSettings());
+    harness
+        .at(0, events -> list(events, 3))
+        .at(10, events -> harness.requestArrives(events, 0, 0, 90));
+    assertThat(harness.count("reject request 0")).isEqualTo(1);
+    assertThat(harness.count("send")).isZero();
+  }
+
+  @Test
+  void doesNotRetryOrRejectRequestWhoseResponseHasStarted() {
+    PolicyHarness harness = new PolicyHarness(new TestSettings());
+    harness
+        .at(0, events -> list(events, 3))
+        .at(10, events -> harness.requestArrives(events, 0, 0))
+        .at(60, events -> events.responseStarted(0, 0))
+        .until(5000);
+    assertThat(harness.count("send")).isEqualTo(1);
+    assertThat(harness.count("reject") + harness.count("fail") + harness.count("cancel")).isZero();
+    int worker = harness.sentTo(0);
+    harness.at(
+        5100,
+        events ->
+            events.attemptEnded(
+                new AttemptResult(
+                    0,
+                    0,
+                    worker,
+                    AttemptOutcome.CONNECTION_LOST,
+                    millis(5090),
+                    true,
+                    LoadReport.NONE)));
+    assertThat(harness.count("send")).isEqualTo(1);
+    assertThat(harness.count("release request 0")).isEqualTo(1);
+  }
+}
--- a/src/test/java/switchgap/policy/RoutingInvariantsTest.java
+++ b/src/test/java/switchgap/policy/RoutingInvariantsTest.java
@@ -1,7 +1,7 @@
 package switchgap.policy;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static switchgap.policy.PolicyHarness.ms;
+import static switchgap.policy.PolicyHarness.millis;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -61,7 +61,7 @@
     Duration first;
   }
 
-  private final PolicyHarness.TestSettings settings = new PolicyHarness.TestSettings();
+  private final TestSettings settings = new TestSettings();
   private final IndexAllocator jobs = new IndexAllocator(),
       workers = new IndexAllocator(),
       functions = new IndexAllocator();
@@ -78,7 +78,7 @@
   private long next;
 
   private void later(long millis, Consumer<PolicyEvents> event) {
-    due.computeIfAbsent(now.plus(ms(millis)), time -> new ArrayList<>()).add(event);
+    due.computeIfAbsent(now.plus(millis(millis)), time -> new ArrayList<>()).add(event);
   }
 
   private void run(Duration until) {
@@ -92,7 +92,7 @@
   private void job(PolicyEvents events, String function) {
     int j = jobs.allocate(next++);
     Job job = new Job();
-    job.limit = now.plus(ms(200 + draw.nextInt(1800)));
+    job.limit = now.plus(millis(200 + draw.nextInt(1800)));
     open.put(j, job);
     came.add(now);
     long mark = function.hashCode();
@@ -136,7 +136,7 @@
     WorkerState state = WorkerState.values()[draw.nextInt(3)];
     standing.put(name, state);
     if (state == WorkerState.READY && draw.nextBoolean()) {
-      started.put(name, now.minus(ms(draw.nextInt(2000))));
+      started.put(name, now.minus(millis(draw.nextInt(2000))));
     }
     list(events, draw.nextBoolean());
   }
@@ -164,8 +164,8 @@
     for (long time = 3000; time < seconds * 1000L; time += 1 + draw.nextInt(2 * changeMillis)) {
       later(time, this::change);
     }
-    Duration end = now.plus(ms(seconds * 1000L + 40_000));
-    run(end.minus(ms(1000)));
+    Duration end = now.plus(millis(seconds * 1000L + 40_000));
+    run(end.minus(millis(1000)));
     later(
         0,
         events -> {
@@ -213,7 +213,7 @@
     settings.idleMemoryPrice = 0.05;
     settings.loadQuotaBase = 3;
     settings.loadQuotaPerRequest = 0.15;
-    settings.loadQuotaWindow = ms(5000);
+    settings.loadQuotaWindow = millis(5000);
     for (int seed = 1; seed <= 6; seed++) {
       day(seed, 60, 15, 3000, 12);
       nothingIsLeft();
@@ -233,7 +233,7 @@
   void nothingGrowsOverDays() {
     settings.loadQuotaBase = 3;
     settings.loadQuotaPerRequest = 0.15;
-    settings.loadQuotaWindow = ms(5000);
+    settings.loadQuotaWindow = millis(5000);
     long[] after = new long[3];
     for (int d = 0; d < 3; d++) {
       day(d, 24 * 3600, 5000, 60_000, 40 + 40 * d);
@@ -251,7 +251,7 @@
     assertThat(request.closed).as("rule 1: sent after the answer").isFalse();
     assertThat(now.plus(allow))
         .as("rule 1: two ticks before the limit")
-        .isLessThanOrEqualTo(request.limit.minus(ms(10)));
+        .isLessThanOrEqualTo(request.limit.minus(millis(10)));
     ready(worker);
     boolean mayHaveRun =
         request.out > 0 || request.ends.stream().anyMatch(outcome -> !outcome.neverExecuted());
@@ -267,7 +267,7 @@
       if (settings.deduplicationScope == DeduplicationScope.CELL) {
         assertThat(b % 3).as("rule 2: cell").isEqualTo(a % 3);
       }
-      assertThat(now.minus(request.first)).as("rule 2: memory").isLessThan(ms(1000 - 10));
+      assertThat(now.minus(request.first)).as("rule 2: memory").isLessThan(millis(1000 - 10));
     }
     assertThat(request.out).as("one execution at a time").isZero();
     if (!mayHaveRun) {
@@ -299,7 +299,7 @@
                   x,
                   worker,
                   end,
-                  ms(took),
+                  millis(took),
                   request.closed,
                   LoadReport.ofConcurrency(draw.nextInt(4) - 1)));
         });
@@ -323,12 +323,12 @@
    */
   private void cold(int worker) {
     Duration s = started.get(workers.idOf(worker));
-    if (s == null || now.minus(s).compareTo(ms(10_000)) >= 0) {
+    if (s == null || now.minus(s).compareTo(millis(10_000)) >= 0) {
       return;
     }
     ArrayDeque<Duration> sent = coldSends.computeIfAbsent(worker, w -> new ArrayDeque<>());
     sent.add(now);
-    while (now.minus(sent.peek()).compareTo(ms(1000)) > 0) {
+    while (now.minus(sent.peek()).compareTo(millis(1000)) > 0) {
       sent.poll();
     }
     assertThat(sent.size()).as("rule 4").isLessThanOrEqualTo(25);
@@ -399,7 +399,7 @@
         events ->
             events.loadCommandEnded(
                 new LoadCommandResult(
-                    worker, function, end, ms(took), end == AttemptOutcome.SUCCEEDED ? 1 : 0)));
+                    worker, function, end, millis(took), end == AttemptOutcome.SUCCEEDED ? 1 : 0)));
   }
 
   @Override
--- a/src/test/java/switchgap/policy/SlowStartFleetTest.java
+++ b/src/test/java/switchgap/policy/SlowStartFleetTest.java
@@ -68,7 +68,7 @@
       this.index = index;
       this.life = life;
       this.startedAt = now;
-      PolicyHarness.TestSettings settings = new PolicyHarness.TestSettings();
+      TestSettings settings = new TestSettings();
       settings.routerCount = count;
       settings.routerIndex = index;
       settings.loadsOnDemand = true;
@@ -212,7 +212,7 @@
 
   /** Requests of mean work that the settings allow the cold worker in a window that ends now. */
   private double allowedNow() {
-    PolicyHarness.TestSettings settings = new PolicyHarness.TestSettings();
+    TestSettings settings = new TestSettings();
     double age = (now - COLD_STARTS_AT) / (double) settings.warmUpDuration().toMillis();
     double share =
         settings.coldCapacityShare() + (1 - settings.coldCapacityShare()) * Math.min(1, age);
