--- a/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
@@ -2,6 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import switchgap.testbed.emulator.EndpointState;
 import switchgap.testbed.invariant.Invariant;
 
 /**
@@ -62,7 +63,7 @@
     if (!line.is("told")) {
       return;
     }
-    if (line.text("state").equals(WorkerFleet.READY)) {
+    if (line.text("state").equals(EndpointState.READY.word())) {
       notifiedAt.remove(key(line));
     } else if (notifiedAt.putIfAbsent(key(line), line.at()) == null) {
       drains++;
