--- a/src/main/java/switchgap/testbed/emulator/ClientRequest.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientRequest.java
@@ -5,7 +5,7 @@
 /** A client's request through all its attempts. Belongs to the scheduler's thread. */
 final class ClientRequest {
   final String id;
-  final FunctionModel model;
+  final FunctionModel function;
   final String tenant;
   final int router;
   final long arrivedAt;
@@ -20,22 +20,31 @@
    */
   final SplittableRandom random;
 
-  int attempts;
+  private int attempts;
 
   ClientRequest(
       Arrival arrival, RequestClassProfile profile, int stormRetries, SplittableRandom random) {
     this.id = arrival.id;
-    this.model = arrival.model;
+    this.function = arrival.function;
     this.tenant = arrival.tenant;
     this.router = arrival.router;
-    this.arrivedAt = arrival.at;
+    this.arrivedAt = arrival.arrivedAt;
     this.profile = profile;
     this.stormRetries = stormRetries;
     this.random = random;
   }
 
-  /** What is drawn when a request arrives; {@code at} in microseconds. */
-  record Arrival(String id, FunctionModel model, String tenant, int router, long at) {}
+  /** What is drawn when a request arrives; {@code arrivedAt} in microseconds. */
+  record Arrival(String id, FunctionModel function, String tenant, int router, long arrivedAt) {}
+
+  /** Attempts made so far, the present one included. */
+  int attempts() {
+    return attempts;
+  }
+
+  void attemptStarted() {
+    attempts++;
+  }
 
   boolean isRetryStorm() {
     return stormRetries > 0;
--- a/src/main/java/switchgap/testbed/emulator/ClientRetries.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientRetries.java
@@ -9,7 +9,6 @@
 final class ClientRetries {
   private static final double STORM_TIMEOUT_SHARE = 0.3;
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
-  private static final int FIRST_ERROR_STATUS = 300;
   private static final long MICROS_PER_MILLI = 1000;
   private final Scheduler scheduler;
   private final ClientTransport transport;
@@ -36,7 +35,7 @@
   }
 
   void attempt(ClientRequest request) {
-    request.attempts++;
+    request.attemptStarted();
     inFlight++;
     tally.attemptSent(request);
     double timeoutShare =
@@ -47,29 +46,28 @@
     long deadline = scheduler.now() + (long) (request.profile.timeout() * timeoutShare);
     transport.send(
         new ClientTransport.ClientAttempt(
-            request.id + "." + request.attempts,
+            request.id + "." + request.attempts(),
             request.id,
-            request.model,
+            request.function,
             request.tenant,
             request.router,
             deadline,
             request.profile.idempotent() ? request.id : null),
-        (end, status, retryAfter) -> attemptEnded(request, end, status, retryAfter));
+        end -> attemptEnded(request, end));
   }
 
-  private void attemptEnded(ClientRequest request, String end, int status, long retryAfterMillis) {
+  private void attemptEnded(ClientRequest request, AttemptEnd end) {
     inFlight--;
-    ClientOutcome outcome = ClientOutcome.of(end);
-    if (outcome == ClientOutcome.FINISHED && status < FIRST_ERROR_STATUS) {
+    if (end.isSuccess()) {
       report(request, end, tally.requestSucceeded(request, scheduler.now()));
       return;
     }
-    tally.attemptFailed(request, outcome);
-    if (!mayRetry(request, outcome)) {
+    tally.attemptFailed(request, end.outcome());
+    if (!mayRetry(request, end.outcome())) {
       report(request, end, 0);
       return;
     }
-    scheduler.after(backoff(request, retryAfterMillis), () -> attempt(request));
+    scheduler.after(backoff(request, end.retryAfterMillis()), () -> attempt(request));
   }
 
   private boolean mayRetry(ClientRequest request, ClientOutcome outcome) {
@@ -78,7 +76,7 @@
             || outcome == ClientOutcome.UNREACHABLE
             || (request.profile.retryable() && outcome != ClientOutcome.REFUSED);
     int maxRetries = request.isRetryStorm() ? request.stormRetries : policy.maxRetries();
-    return retryable && request.attempts <= maxRetries;
+    return retryable && request.attempts() <= maxRetries;
   }
 
   /**
@@ -88,14 +86,14 @@
     if (request.isRetryStorm()) {
       return 0;
     }
-    long pause = policy.backoff() << Math.min(MAX_BACKOFF_DOUBLINGS, request.attempts - 1);
+    long pause = policy.backoff() << Math.min(MAX_BACKOFF_DOUBLINGS, request.attempts() - 1);
     if (retryAfterMillis >= 0 && request.random.nextDouble() < policy.honourShare()) {
       return Math.max(pause, retryAfterMillis * MICROS_PER_MILLI);
     }
     return pause;
   }
 
-  private void report(ClientRequest request, String end, double earned) {
+  private void report(ClientRequest request, AttemptEnd end, double earned) {
     listener.accept(
         new RequestResult(
             request.profile.name(),
@@ -103,7 +101,7 @@
             request.router,
             request.arrivedAt,
             scheduler.now() - request.arrivedAt,
-            request.attempts,
+            request.attempts(),
             end,
             earned));
   }
--- a/src/main/java/switchgap/testbed/emulator/ClientTransport.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientTransport.java
@@ -5,35 +5,29 @@
   /**
    * One attempt of a client request.
    *
-   * @param call identifier of this attempt
-   * @param request identifier of the request that it belongs to
-   * @param model function asked for
-   * @param customer name of the tenant
+   * @param attemptId identifier of this attempt
+   * @param requestId identifier of the request that it belongs to
+   * @param function function asked for
+   * @param tenant name of the tenant
    * @param router index of the router
-   * @param limit deadline, microseconds of the scheduler's clock
-   * @param key idempotency key, null for none
+   * @param deadline time at which the client cancels it, microseconds of the scheduler's clock
+   * @param idempotencyKey idempotency key, null for none
    */
   record ClientAttempt(
-      String call,
-      String request,
-      FunctionModel model,
-      String customer,
+      String attemptId,
+      String requestId,
+      FunctionModel function,
+      String tenant,
       int router,
-      long limit,
-      String key) {}
+      long deadline,
+      String idempotencyKey) {}
 
   /** Notified once of how an attempt ended. */
-  interface ResultHandler {
-    /**
-     * Called on the scheduler's thread.
-     *
-     * @param end a word of {@link ClientOutcome}, or what the router sent in its place
-     * @param status HTTP status, 0 without a response
-     * @param comeBack retry-after time in milliseconds, negative for none
-     */
-    void ended(String end, int status, long comeBack);
+  interface AttemptListener {
+    /** Called on the scheduler's thread. */
+    void attemptEnded(AttemptEnd end);
   }
 
-  /** Sends an attempt; the handler is called exactly once. */
-  void send(ClientAttempt attempt, ResultHandler handler);
+  /** Sends an attempt; the listener is notified exactly once. */
+  void send(ClientAttempt attempt, AttemptListener listener);
 }
--- a/src/main/java/switchgap/testbed/emulator/EmulatedClients.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedClients.java
@@ -148,8 +148,8 @@
    */
   private void arrive() {
     // Not the time of sending: a sender that falls behind must not thin out the load.
-    long at = nextArrival;
-    if (at >= endsAt) {
+    long arrivedAt = nextArrival;
+    if (arrivedAt >= endsAt) {
       return;
     }
     double totalWeight = mix.totalWeight();
@@ -157,20 +157,20 @@
         settings.rate()
             * rateFactor
             * totalWeight
-            * Math.max(MIN_CURVE_FACTOR, curve.applyAsDouble(at - startedAt));
+            * Math.max(MIN_CURVE_FACTOR, curve.applyAsDouble(arrivedAt - startedAt));
     nextArrival += (long) (-Math.log(1 - random.nextDouble()) / rate * MICROS_PER_SECOND);
     scheduler.after(nextArrival - scheduler.now(), this::arrive);
-    FunctionModel model = catalogue.draw(random);
+    FunctionModel function = catalogue.draw(random);
     String tenant = mix.drawTenant(random, totalWeight);
     int router = mix.drawRouter(random);
     ClientRequest request =
         new ClientRequest(
-            new ClientRequest.Arrival("j" + nextId++, model, tenant, router, at),
-            settings.requestClasses().get(model.workload()),
+            new ClientRequest.Arrival("j" + nextId++, function, tenant, router, arrivedAt),
+            settings.requestClasses().get(function.requestClass()),
             stormRetries.getOrDefault(tenant, 0),
             random.split());
     tally.requestArrived(request);
-    sendDelayListener.accept(scheduler.now() - at);
+    sendDelayListener.accept(scheduler.now() - arrivedAt);
     retries.attempt(request);
   }
 }
--- a/src/main/java/switchgap/testbed/emulator/EmulatedExecution.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedExecution.java
@@ -1,24 +1,16 @@
 package switchgap.testbed.emulator;
 
-import java.util.function.BiConsumer;
-
 /** A request that is queued or runs on an emulated worker. On the scheduler's thread. */
 public final class EmulatedExecution {
   private final LoadedFunction function;
-  private final Runnable startHandler;
-  private final BiConsumer<WorkerOutcome, Integer> callback;
+  private final ExecutionListener listener;
   private final int concurrency;
   private double remainingWork;
 
-  EmulatedExecution(
-      LoadedFunction function,
-      double work,
-      Runnable startHandler,
-      BiConsumer<WorkerOutcome, Integer> callback) {
+  EmulatedExecution(LoadedFunction function, double work, ExecutionListener listener) {
     this.function = function;
     this.remainingWork = work;
-    this.startHandler = startHandler;
-    this.callback = callback;
+    this.listener = listener;
     this.concurrency = function.inFlight();
   }
 
@@ -36,11 +28,11 @@
   }
 
   void notifyStarted() {
-    startHandler.run();
+    listener.started();
   }
 
   /** Notifies of the outcome, with the function's concurrency at the request's arrival. */
   void notifyEnded(WorkerOutcome outcome) {
-    callback.accept(outcome, concurrency);
+    listener.ended(outcome, concurrency);
   }
 }
--- a/src/main/java/switchgap/testbed/emulator/EmulatedModelServer.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedModelServer.java
@@ -55,16 +55,12 @@
         new EmulatedWorker(hardware, context.scheduler(), store, name, seed, cold, this::crashed);
     inference = new InferenceHandler(name, context, worker, faults);
     repository = new RepositoryHandler(name, context, worker);
-    recordNow(
-        "started",
-        "worker",
-        name,
-        "cold",
-        cold,
-        "cores",
-        hardware.compute().cores(),
-        "speed",
-        hardware.compute().speed());
+    context.record(
+        now("started")
+            .with("worker", name)
+            .with("cold", cold)
+            .with("cores", hardware.compute().cores())
+            .with("speed", hardware.compute().speed()));
     server = new HttpServer(context.net(), LIMITS, this);
     port = server.listen("127.0.0.1", port);
     return port;
@@ -96,7 +92,7 @@
   }
 
   private void crashed() {
-    recordNow("fell", "worker", name);
+    context.record(now("fell").with("worker", name));
     kill();
   }
 
@@ -106,13 +102,13 @@
       return;
     }
     worker.kill();
-    recordNow("ended", "worker", name);
+    context.record(now("ended").with("worker", name));
     server.close();
     server = null;
   }
 
-  private void recordNow(String what, Object... fields) {
-    context.recorder().record(context.scheduler().now(), what, fields);
+  private LogEvent now(String kind) {
+    return LogEvent.of(context.scheduler().now(), kind);
   }
 
   @Override
--- a/src/main/java/switchgap/testbed/emulator/EmulatedStore.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedStore.java
@@ -54,13 +54,20 @@
     fetches++;
     if (now < stoppedUntil || inFlight >= REFUSAL_MULTIPLE * capacity) {
       recorder.record(
-          now, "fetch-refused", "worker", worker, "function", function, "in_hand", inFlight);
+          LogEvent.of(now, "fetch-refused")
+              .with("worker", worker)
+              .with("function", function)
+              .with("in_hand", inFlight));
       scheduler.after(REFUSAL_DELAY_MICROS, () -> callback.accept(false));
       return;
     }
     inFlight++;
     watchOverload(now);
-    recorder.record(now, "fetch", "worker", worker, "function", function, "in_hand", inFlight);
+    recorder.record(
+        LogEvent.of(now, "fetch")
+            .with("worker", worker)
+            .with("function", function)
+            .with("in_hand", inFlight));
     scheduler.after(
         (long) (micros * slowdown * Math.max(1, inFlight / capacity)),
         () -> {
@@ -77,7 +84,7 @@
     } else if (now - overloadedSince > MAX_OVERLOAD_MICROS) {
       stoppedUntil = now + outage;
       overloadedSince = NOT_OVERLOADED;
-      recorder.record(now, "store-stopped", "in_hand", inFlight);
+      recorder.record(LogEvent.of(now, "store-stopped").with("in_hand", inFlight));
     }
   }
 }
--- a/src/main/java/switchgap/testbed/emulator/EmulatedWorker.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedWorker.java
@@ -2,7 +2,6 @@
 
 import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.function.BiConsumer;
 
 /**
  * One worker's process without its sockets: admits requests to {@link ExecutionSlots}, loads
@@ -131,13 +130,10 @@
    * Runs a request.
    *
    * @param model the function
-   * @param startHandler called when it starts to run
-   * @param callback called once with the outcome and the concurrency of the function at arrival,
-   *     unless the worker dies
+   * @param listener notified when it starts and when it ends, unless the process ends first
    * @return the execution for {@link #cancel}, null when the outcome is known at once
    */
-  public EmulatedExecution execute(
-      FunctionModel model, Runnable startHandler, BiConsumer<WorkerOutcome, Integer> callback) {
+  public EmulatedExecution execute(FunctionModel model, ExecutionListener listener) {
     if (coldStart.overloadedBy(model.work(), scheduler.now()) && !dead) {
       kill();
       crashHandler.run();
@@ -147,19 +143,18 @@
     }
     LoadedFunction function = replicas.function(model);
     if (slots.isFull()) {
-      callback.accept(WorkerOutcome.NO_CAPACITY, function.inFlight());
+      listener.ended(WorkerOutcome.NO_CAPACITY, function.inFlight());
       return null;
     }
     if (function.isAbsent() && !limits.loadsOnMiss()) {
-      callback.accept(WorkerOutcome.NOT_LOADED, function.inFlight());
+      listener.ended(WorkerOutcome.NOT_LOADED, function.inFlight());
       return null;
     }
     if (function.isAbsent() && !replicas.load(function)) {
-      callback.accept(WorkerOutcome.NO_CAPACITY, function.inFlight());
+      listener.ended(WorkerOutcome.NO_CAPACITY, function.inFlight());
       return null;
     }
-    EmulatedExecution execution =
-        new EmulatedExecution(function, drawWork(model), startHandler, callback);
+    EmulatedExecution execution = new EmulatedExecution(function, drawWork(model), listener);
     slots.enqueue(execution);
     if (!function.hasFreeSlot() && function.pendingLoads() == 0 && limits.eagerLoads()) {
       replicas.load(function);
@@ -182,9 +177,8 @@
     slots.cancel(execution);
   }
 
-  /** Loads up to so many replicas; the callback receives the number of loaded ones. */
-  public void load(
-      FunctionModel model, int wantedReplicas, BiConsumer<WorkerOutcome, Integer> callback) {
+  /** Loads up to so many replicas; the listener receives the number of loaded ones. */
+  public void load(FunctionModel model, int wantedReplicas, LoadListener listener) {
     if (dead) {
       return;
     }
@@ -193,14 +187,14 @@
     int missing = wantedReplicas - function.replicas() - function.pendingLoads();
     for (int i = 0; i < missing; i++) {
       if (!replicas.load(function)) {
-        callback.accept(WorkerOutcome.NO_CAPACITY, function.replicas());
+        listener.loadEnded(WorkerOutcome.NO_CAPACITY, function.replicas());
         return;
       }
     }
     if (function.replicas() >= wantedReplicas) {
-      callback.accept(WorkerOutcome.SUCCEEDED, function.replicas());
+      listener.loadEnded(WorkerOutcome.SUCCEEDED, function.replicas());
     } else {
-      function.awaitReplicas(wantedReplicas, callback);
+      function.awaitReplicas(wantedReplicas, listener);
     }
   }
 
--- a/src/main/java/switchgap/testbed/emulator/EndpointListService.java
+++ b/src/main/java/switchgap/testbed/emulator/EndpointListService.java
@@ -130,7 +130,9 @@
   public void put(Entry entry) {
     entries.put(entry.name(), entry);
     recorder.record(
-        scheduler.now(), "changed", "worker", entry.name(), "state", entry.state().word());
+        LogEvent.of(scheduler.now(), "changed")
+            .with("worker", entry.name())
+            .with("state", entry.state().word()));
     long now = scheduler.now();
     for (Watcher watcher : watchers.values()) {
       watcher.pendingChanges.add(entry);
@@ -164,16 +166,11 @@
     for (Entry entry :
         changes) { // a router learns what is sent now at this time, or a little later
       recorder.record(
-          now,
-          "told",
-          "router",
-          watcher.router,
-          "worker",
-          entry.name(),
-          "state",
-          entry.state().word(),
-          "started",
-          entry.startedAt() * MICROS_PER_MILLI);
+          LogEvent.of(now, "told")
+              .with("router", watcher.router)
+              .with("worker", entry.name())
+              .with("state", entry.state().word())
+              .with("started", entry.startedAt() * MICROS_PER_MILLI));
     }
   }
 
@@ -191,7 +188,7 @@
     Watcher watcher = new Watcher(exchange, Integer.parseInt(router));
     watchers.put(exchange, watcher);
     exchange.beginStreaming(200, Map.of("Content-Type", "application/x-ndjson"));
-    recorder.record(scheduler.now(), "watch", "router", watcher.router);
+    recorder.record(LogEvent.of(scheduler.now(), "watch").with("router", watcher.router));
     send(watcher, true, entries.values());
     watchers.keySet().removeIf(stream -> !stream.isOpen());
   }
--- a/src/main/java/switchgap/testbed/emulator/EventRecorder.java
+++ b/src/main/java/switchgap/testbed/emulator/EventRecorder.java
@@ -13,6 +13,7 @@
  * kind. Safe for use by several threads.
  */
 public final class EventRecorder implements AutoCloseable {
+  private static final String END_KIND = "end";
   private final JsonGenerator json;
 
   /** Records to a file, which is replaced. */
@@ -25,7 +26,7 @@
     json = null;
   }
 
-  /** A recorder that keeps nothing. */
+  /** A recorder that writes nothing. */
   public static EventRecorder none() {
     return new EventRecorder();
   }
@@ -33,21 +34,30 @@
   /**
    * Records one event.
    *
-   * @param at time in microseconds
-   * @param what kind of the event
+   * @param timeMicros time in microseconds
+   * @param kind kind of the event
    * @param fields names and values in turn; a value is text, a number or a boolean, and null is
    *     left out
    */
-  public synchronized void record(long at, String what, Object... fields) {
+  public void record(long timeMicros, String kind, Object... fields) {
+    LogEvent event = LogEvent.of(timeMicros, kind);
+    for (int i = 0; i < fields.length; i += 2) {
+      event.add((String) fields[i], fields[i + 1]);
+    }
+    record(event);
+  }
+
+  /** Records one event; a closed recorder drops it. */
+  public synchronized void record(LogEvent event) {
     if (json == null || json.isClosed()) {
       return;
     }
     try {
       json.writeStartObject();
-      json.writeNumberField("t", at);
-      json.writeStringField("what", what);
-      for (int i = 0; i < fields.length; i += 2) {
-        write((String) fields[i], fields[i + 1]);
+      json.writeNumberField("t", event.timeMicros());
+      json.writeStringField("what", event.kind());
+      for (LogEvent.Field field : event.fields()) {
+        write(field.name(), field.value());
       }
       json.writeEndObject();
     } catch (IOException e) {
@@ -67,10 +77,10 @@
     }
   }
 
-  /** Writes the last line, which proves that the log is whole, and closes the file. */
-  public synchronized void end(long at) throws IOException {
+  /** Writes the last line, which proves that the log is complete, and closes the file. */
+  public synchronized void end(long timeMicros) throws IOException {
     if (!json.isClosed()) {
-      record(at, "end");
+      record(LogEvent.of(timeMicros, END_KIND));
       json.writeRaw("\n");
       json.close();
     }
--- a/src/main/java/switchgap/testbed/emulator/FunctionModel.java
+++ b/src/main/java/switchgap/testbed/emulator/FunctionModel.java
@@ -4,7 +4,7 @@
  * What the emulator knows of a function. Times in microseconds.
  *
  * @param name name of the function
- * @param workload index of its request class
+ * @param requestClass index of its request class
  * @param memoryMb memory of a replica in MB
  * @param slots requests that a replica runs at a time
  * @param loadTime time to load a replica, fetch included
@@ -16,7 +16,7 @@
  */
 public record FunctionModel(
     String name,
-    int workload,
+    int requestClass,
     double memoryMb,
     int slots,
     long loadTime,
--- a/src/main/java/switchgap/testbed/emulator/InferenceHandler.java
+++ b/src/main/java/switchgap/testbed/emulator/InferenceHandler.java
@@ -6,8 +6,14 @@
 /** Serves inference requests of one process of a model server. On the scheduler's thread. */
 final class InferenceHandler {
   private static final String REQUEST_ID = "X-Request-Id";
+  private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
   private static final int EXECUTED = 1;
   private static final int NOT_EXECUTED = 0;
+  private static final int UNKNOWN_REQUEST_CLASS = -1;
+  private static final int STATUS_OK = 200;
+  private static final int STATUS_NOT_FOUND = 404;
+  private static final int STATUS_ERROR = 500;
+  private static final int STATUS_UNAVAILABLE = 503;
   private final String server;
   private final ModelServerContext context;
   private final EmulatedWorker worker;
@@ -25,81 +31,47 @@
     this.responder = new FaultyResponder(context.scheduler(), faults);
   }
 
-  /** An inference request with the identifiers that its router gave it. */
-  private record Inference(
-      HttpExchange exchange, String attemptId, String callId, String idempotencyKey, int router) {}
-
-  void infer(HttpExchange exchange, long receivedAt, String function) {
-    FunctionModel model = context.functions().apply(function);
-    Inference inference =
-        new Inference(
-            exchange,
-            attemptId(exchange),
-            ModelServerResponses.requestId(exchange.body()),
-            exchange.header("Idempotency-Key"),
-            context.routerOf(exchange));
-    context
-        .recorder()
-        .record(
-            receivedAt,
-            "infer",
-            "worker",
-            server,
-            "router",
-            inference.router,
-            "conn",
-            exchange.connectionId(),
-            "run",
-            inference.attemptId,
-            "call",
-            inference.callId,
-            "function",
-            function,
-            "workload",
-            model == null ? -1 : model.workload(),
-            "work",
-            model == null ? 0 : model.work());
+  void infer(HttpExchange exchange, long receivedAt, String functionName) {
+    FunctionModel function = context.functions().apply(functionName);
+    Inference inference = new Inference(exchange, function);
+    recordArrival(inference, receivedAt, functionName);
     if (faults.hits(WorkerFaults.Kind.CLOSED_AT_REQUEST)) {
       exchange.drop();
-    } else if (model == null) {
+    } else if (function == null) {
       exchange.respond(
-          404,
+          STATUS_NOT_FOUND,
           headers.withExecution(worker, LoadReportHeaders.ABSENT, NOT_EXECUTED),
           ModelServerResponses.error("unknown model"));
     } else if (faults.hits(WorkerFaults.Kind.ERROR)) {
-      respond(
-          inference,
-          500,
-          LoadReportHeaders.ABSENT,
-          LoadReportHeaders.ABSENT,
-          ModelServerResponses.error("failed"));
-    } else if (isRepeat(inference, model)) {
-      context
-          .recorder()
-          .record(
-              context.scheduler().now(),
-              "repeat-dropped",
-              "worker",
-              server,
-              "run",
-              inference.attemptId,
-              "call",
-              inference.callId);
-      respond(inference, 200, 0, EXECUTED, ModelServerResponses.output(inference.attemptId));
+      inference.respondFailed(LoadReportHeaders.ABSENT);
+    } else if (isRepeat(inference)) {
+      context.record(event("repeat-dropped", inference));
+      inference.respondSucceeded(0);
     } else {
-      exchange.attach(
-          worker.execute(
-              model,
-              () -> started(inference, model),
-              (outcome, concurrency) -> ended(inference, outcome, concurrency)));
+      exchange.attach(worker.execute(function, inference));
     }
   }
 
+  private void recordArrival(Inference inference, long receivedAt, String functionName) {
+    FunctionModel function = inference.function;
+    context.record(
+        LogEvent.of(receivedAt, "infer")
+            .with("worker", server)
+            .with("router", inference.router)
+            .with("conn", inference.exchange.connectionId())
+            .with("run", inference.attemptId)
+            .with("call", inference.callId)
+            .with("function", functionName)
+            .with("workload", function == null ? UNKNOWN_REQUEST_CLASS : function.requestClass())
+            .with("work", function == null ? 0 : function.work()));
+  }
+
   /** Notified that the client of a request closed its connection. */
   void clientLeft(HttpExchange exchange) {
-    context
-        .recorder()
-        .record(context.scheduler().now(), "left", "worker", server, "run", attemptId(exchange));
+    context.record(
+        LogEvent.of(context.scheduler().now(), "left")
+            .with("worker", server)
+            .with("run", attemptId(exchange)));
     if (exchange.attachment() instanceof EmulatedExecution execution) {
       worker.cancel(execution);
     }
@@ -109,86 +81,91 @@
     return String.valueOf(exchange.header(REQUEST_ID));
   }
 
-  private boolean isRepeat(Inference inference, FunctionModel model) {
-    if (model.idempotencyWindow() <= 0 || inference.idempotencyKey == null) {
+  private boolean isRepeat(Inference inference) {
+    if (!inference.isDeduplicated()) {
       return false;
     }
     Long seenAt = context.idempotencyKeys().get(inference.idempotencyKey);
-    return seenAt != null && context.scheduler().now() - seenAt <= model.idempotencyWindow();
+    return seenAt != null
+        && context.scheduler().now() - seenAt <= inference.function.idempotencyWindow();
   }
 
-  private void started(Inference inference, FunctionModel model) {
-    long now = context.scheduler().now();
-    context
-        .recorder()
-        .record(
-            now,
-            "ran",
-            "worker",
-            server,
-            "router",
-            inference.router,
-            "run",
-            inference.attemptId,
-            "call",
-            inference.callId,
-            "workload",
-            model.workload());
-    if (inference.idempotencyKey != null && model.idempotencyWindow() > 0) {
-      context.idempotencyKeys().put(inference.idempotencyKey, now);
-    }
+  private LogEvent event(String kind, Inference inference) {
+    return LogEvent.of(context.scheduler().now(), kind)
+        .with("worker", server)
+        .with("run", inference.attemptId)
+        .with("call", inference.callId);
   }
 
-  private void ended(Inference inference, WorkerOutcome outcome, int concurrency) {
-    switch (outcome) {
-      case SUCCEEDED ->
-          respond(
-              inference,
-              200,
-              concurrency,
-              EXECUTED,
-              ModelServerResponses.output(inference.attemptId));
-      case NOT_LOADED ->
-          respond(
-              inference,
-              404,
-              concurrency,
-              NOT_EXECUTED,
-              ModelServerResponses.error("model is not loaded"));
-      case NO_CAPACITY ->
-          respond(inference, 503, concurrency, NOT_EXECUTED, ModelServerResponses.error("no room"));
-      default ->
-          respond(
-              inference,
-              500,
-              concurrency,
-              LoadReportHeaders.ABSENT,
-              ModelServerResponses.error("failed"));
+  /** An inference request with the identifiers that its router gave it. */
+  private final class Inference implements ExecutionListener {
+    private final HttpExchange exchange;
+    private final FunctionModel function;
+    private final String attemptId;
+    private final String callId;
+    private final String idempotencyKey;
+    private final int router;
+
+    Inference(HttpExchange exchange, FunctionModel function) {
+      this.exchange = exchange;
+      this.function = function;
+      this.attemptId = attemptId(exchange);
+      this.callId = ModelServerResponses.requestId(exchange.body());
+      this.idempotencyKey = exchange.header(IDEMPOTENCY_KEY);
+      this.router = context.routerOf(exchange);
+    }
+
+    boolean isDeduplicated() {
+      return idempotencyKey != null && function.idempotencyWindow() > 0;
+    }
+
+    @Override
+    public void started() {
+      long now = context.scheduler().now();
+      context.record(
+          LogEvent.of(now, "ran")
+              .with("worker", server)
+              .with("router", router)
+              .with("run", attemptId)
+              .with("call", callId)
+              .with("workload", function.requestClass()));
+      if (isDeduplicated()) {
+        context.idempotencyKeys().put(idempotencyKey, now);
+      }
+    }
+
+    @Override
+    public void ended(WorkerOutcome outcome, int concurrency) {
+      switch (outcome) {
+        case SUCCEEDED -> respondSucceeded(concurrency);
+        case NOT_LOADED -> respondNotExecuted(STATUS_NOT_FOUND, concurrency, "model is not loaded");
+        case NO_CAPACITY -> respondNotExecuted(STATUS_UNAVAILABLE, concurrency, "no room");
+        default -> respondFailed(concurrency);
+      }
+    }
+
+    void respondSucceeded(int concurrency) {
+      respond(STATUS_OK, concurrency, EXECUTED, ModelServerResponses.output(attemptId));
     }
-  }
 
-  private void respond(
-      Inference inference, int status, int concurrency, int executed, byte[] body) {
-    Map<String, String> head = headers.withExecution(worker, concurrency, executed);
-    head.put(REQUEST_ID, inference.attemptId);
-    WorkerFaults.Kind fault =
-        responder.respond(
-            inference.exchange,
-            new FaultyResponder.Response(inference.attemptId, status, head, body));
-    context
-        .recorder()
-        .record(
-            context.scheduler().now(),
-            "answer",
-            "worker",
-            server,
-            "run",
-            inference.attemptId,
-            "call",
-            inference.callId,
-            "status",
-            status,
-            "fault",
-            fault == null ? null : fault.word());
+    void respondFailed(int concurrency) {
+      byte[] body = ModelServerResponses.error("failed");
+      respond(STATUS_ERROR, concurrency, LoadReportHeaders.ABSENT, body);
+    }
+
+    private void respondNotExecuted(int status, int concurrency, String reason) {
+      respond(status, concurrency, NOT_EXECUTED, ModelServerResponses.error(reason));
+    }
+
+    private void respond(int status, int concurrency, int executed, byte[] body) {
+      Map<String, String> head = headers.withExecution(worker, concurrency, executed);
+      head.put(REQUEST_ID, attemptId);
+      WorkerFaults.Kind fault =
+          responder.respond(exchange, new FaultyResponder.Response(attemptId, status, head, body));
+      context.record(
+          event("answer", this)
+              .with("status", status)
+              .with("fault", fault == null ? null : fault.word()));
+    }
   }
 }
--- a/src/main/java/switchgap/testbed/emulator/LoadedFunction.java
+++ b/src/main/java/switchgap/testbed/emulator/LoadedFunction.java
@@ -3,7 +3,6 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.BiConsumer;
 
 /**
  * The replicas of one function on a worker, its executions, and the load commands that wait for
@@ -11,7 +10,7 @@
  */
 final class LoadedFunction {
   /** A load command that waits until so many replicas are loaded. */
-  private record LoadWaiter(int replicas, BiConsumer<WorkerOutcome, Integer> callback) {}
+  private record LoadWaiter(int replicas, LoadListener listener) {}
 
   private final FunctionModel model;
   private final ArrayDeque<EmulatedExecution> queue = new ArrayDeque<>();
@@ -135,8 +134,8 @@
     return replicas - (busySlots + model.slots() - 1) / model.slots();
   }
 
-  void awaitReplicas(int wanted, BiConsumer<WorkerOutcome, Integer> callback) {
-    loadWaiters.add(new LoadWaiter(wanted, callback));
+  void awaitReplicas(int wanted, LoadListener listener) {
+    loadWaiters.add(new LoadWaiter(wanted, listener));
   }
 
   /** Notifies the load commands that have their replicas, and all where no load is pending. */
@@ -146,8 +145,8 @@
       if (satisfied || pendingLoads == 0) {
         loadWaiters.remove(waiter);
         waiter
-            .callback()
-            .accept(satisfied ? WorkerOutcome.SUCCEEDED : WorkerOutcome.FAILED, replicas);
+            .listener()
+            .loadEnded(satisfied ? WorkerOutcome.SUCCEEDED : WorkerOutcome.FAILED, replicas);
       }
     }
   }
--- a/src/main/java/switchgap/testbed/emulator/ModelServerContext.java
+++ b/src/main/java/switchgap/testbed/emulator/ModelServerContext.java
@@ -26,6 +26,10 @@
     ToIntFunction<String> routerOfAddress,
     Map<String, Long> idempotencyKeys,
     boolean reportsUtilization) {
+  void record(LogEvent event) {
+    recorder.record(event);
+  }
+
   /** Index of the router that sent a request. */
   int routerOf(HttpExchange exchange) {
     return routerOfAddress.applyAsInt(exchange.peerAddress());
--- a/src/main/java/switchgap/testbed/emulator/RepositoryHandler.java
+++ b/src/main/java/switchgap/testbed/emulator/RepositoryHandler.java
@@ -21,33 +21,21 @@
   }
 
   void probe(HttpExchange exchange, long receivedAt) {
-    context
-        .recorder()
-        .record(
-            receivedAt,
-            "probe",
-            "worker",
-            server,
-            "router",
-            context.routerOf(exchange),
-            "conn",
-            exchange.connectionId());
+    context.record(
+        LogEvent.of(receivedAt, "probe")
+            .with("worker", server)
+            .with("router", context.routerOf(exchange))
+            .with("conn", exchange.connectionId()));
     exchange.respond(200, headers.plain(worker), ModelServerResponses.EMPTY);
   }
 
   void modelReady(HttpExchange exchange, long receivedAt, String function) {
     int replicas = worker.replicas(function);
-    context
-        .recorder()
-        .record(
-            receivedAt,
-            "asked",
-            "worker",
-            server,
-            "router",
-            context.routerOf(exchange),
-            "function",
-            function);
+    context.record(
+        LogEvent.of(receivedAt, "asked")
+            .with("worker", server)
+            .with("router", context.routerOf(exchange))
+            .with("function", function));
     exchange.respond(
         replicas > 0 ? 200 : 404,
         headers.withReplicas(worker, replicas),
@@ -57,19 +45,12 @@
   void load(HttpExchange exchange, long receivedAt, String function) {
     FunctionModel model = context.functions().apply(function);
     int replicas = ModelServerResponses.requestedReplicas(exchange.body());
-    context
-        .recorder()
-        .record(
-            receivedAt,
-            "load",
-            "worker",
-            server,
-            "router",
-            context.routerOf(exchange),
-            "function",
-            function,
-            "copies",
-            replicas);
+    context.record(
+        LogEvent.of(receivedAt, "load")
+            .with("worker", server)
+            .with("router", context.routerOf(exchange))
+            .with("function", function)
+            .with("copies", replicas));
     if (model == null) {
       exchange.respond(
           404, headers.withReplicas(worker, 0), ModelServerResponses.error("unknown model"));
@@ -92,17 +73,11 @@
   }
 
   void unload(HttpExchange exchange, long receivedAt, String function) {
-    context
-        .recorder()
-        .record(
-            receivedAt,
-            "unload",
-            "worker",
-            server,
-            "router",
-            context.routerOf(exchange),
-            "function",
-            function);
+    context.record(
+        LogEvent.of(receivedAt, "unload")
+            .with("worker", server)
+            .with("router", context.routerOf(exchange))
+            .with("function", function));
     worker.unload(function);
     exchange.respond(200, headers.plain(worker), ModelServerResponses.EMPTY);
   }
--- a/src/main/java/switchgap/testbed/emulator/RequestResult.java
+++ b/src/main/java/switchgap/testbed/emulator/RequestResult.java
@@ -9,7 +9,7 @@
  * @param arrivedAt time of arrival
  * @param duration time over all attempts
  * @param attempts attempts made
- * @param end word of how the last attempt ended, see {@link ClientOutcome}
+ * @param lastAttempt how the last attempt ended
  * @param earned weight earned
  */
 public record RequestResult(
@@ -19,5 +19,5 @@
     long arrivedAt,
     long duration,
     int attempts,
-    String end,
+    AttemptEnd lastAttempt,
     double earned) {}
--- a/src/main/java/switchgap/testbed/emulator/SocketClientTransport.java
+++ b/src/main/java/switchgap/testbed/emulator/SocketClientTransport.java
@@ -19,8 +19,8 @@
   private static final long MICROS_PER_MILLI = 1000;
   private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
   private static final int MAX_BODY_BYTES = 1 << 20;
-  private static final int NO_STATUS = 0;
-  private static final long NO_RETRY_AFTER = -1;
+  private static final String END_HEADER = "switchgap-end";
+  private static final String RETRY_AFTER_HEADER = "switchgap-come-back";
   private final Scheduler scheduler;
   private final EventRecorder recorder;
   private final HttpClientConnector factory;
@@ -49,23 +49,24 @@
   }
 
   @Override
-  public void send(ClientAttempt attempt, ResultHandler handler) {
-    PendingAttempt pending = new PendingAttempt(attempt, routers[attempt.router()], handler);
-    pending.connections.acquire(pending::send, () -> pending.finish(ClientOutcome.UNREACHABLE));
+  public void send(ClientAttempt attempt, AttemptListener listener) {
+    PendingAttempt pending = new PendingAttempt(attempt, routers[attempt.router()], listener);
+    pending.connections.acquire(
+        pending::send, () -> pending.finish(AttemptEnd.withoutResponse(ClientOutcome.UNREACHABLE)));
   }
 
   /** An attempt from its connection to its end, and on to a late response. */
   private final class PendingAttempt implements HttpClientConnection.ResponseHandler {
     private final ClientAttempt attempt;
     private final ConnectionPool connections;
-    private final ResultHandler handler;
+    private final AttemptListener listener;
     private HttpClientConnection connection;
     private boolean ended;
 
-    PendingAttempt(ClientAttempt attempt, ConnectionPool connections, ResultHandler handler) {
+    PendingAttempt(ClientAttempt attempt, ConnectionPool connections, AttemptListener listener) {
       this.attempt = attempt;
       this.connections = connections;
-      this.handler = handler;
+      this.listener = listener;
     }
 
     void send(HttpClientConnection acquired) {
@@ -73,107 +74,95 @@
       long now = scheduler.now();
       Map<String, String> headers = headers(now);
       byte[] body =
-          ("{\"id\":\"" + attempt.call() + "\",\"inputs\":[]}").getBytes(StandardCharsets.UTF_8);
+          ("{\"id\":\"" + attempt.attemptId() + "\",\"inputs\":[]}")
+              .getBytes(StandardCharsets.UTF_8);
       recorder.record(
-          now,
-          "call",
-          "call",
-          attempt.call(),
-          "job",
-          attempt.request(),
-          "router",
-          attempt.router(),
-          "workload",
-          attempt.model().workload(),
-          "function",
-          attempt.model().name(),
-          "customer",
-          attempt.customer(),
-          "limit",
-          attempt.limit());
-      String path = "/v1/functions/" + attempt.model().name() + "/invoke";
+          LogEvent.of(now, "call")
+              .with("call", attempt.attemptId())
+              .with("job", attempt.requestId())
+              .with("router", attempt.router())
+              .with("workload", attempt.function().requestClass())
+              .with("function", attempt.function().name())
+              .with("customer", attempt.tenant())
+              .with("limit", attempt.deadline()));
+      String path = "/v1/functions/" + attempt.function().name() + "/invoke";
       if (!connection.send("POST", path, headers, body, this)) {
-        finish(ClientOutcome.UNREACHABLE);
+        finish(AttemptEnd.withoutResponse(ClientOutcome.UNREACHABLE));
         return;
       }
-      scheduler.after(attempt.limit() - now, this::deadlinePassed);
+      scheduler.after(attempt.deadline() - now, this::deadlinePassed);
     }
 
     private Map<String, String> headers(long now) {
       Map<String, String> headers = new HashMap<>();
       headers.put("Content-Type", "application/json");
-      headers.put("Switchgap-Call", attempt.call());
-      headers.put("Switchgap-Customer", attempt.customer());
+      headers.put("Switchgap-Call", attempt.attemptId());
+      headers.put("Switchgap-Customer", attempt.tenant());
       headers.put(
           "Switchgap-Time-Limit",
-          String.valueOf((attempt.limit() - now) / (double) MICROS_PER_MILLI));
-      headers.put("Switchgap-Deadline", String.valueOf(attempt.limit() / MICROS_PER_MILLI));
-      headers.put("Switchgap-Cost-Hint", String.valueOf(attempt.model().work() / MICROS_PER_MILLI));
-      if (attempt.key() != null) {
-        headers.put("Idempotency-Key", attempt.key());
+          String.valueOf((attempt.deadline() - now) / (double) MICROS_PER_MILLI));
+      headers.put("Switchgap-Deadline", String.valueOf(attempt.deadline() / MICROS_PER_MILLI));
+      headers.put(
+          "Switchgap-Cost-Hint", String.valueOf(attempt.function().work() / MICROS_PER_MILLI));
+      if (attempt.idempotencyKey() != null) {
+        headers.put("Idempotency-Key", attempt.idempotencyKey());
       }
       return headers;
     }
 
     private void deadlinePassed() {
       if (!ended) {
-        finish(ClientOutcome.TIMED_OUT);
+        finish(AttemptEnd.withoutResponse(ClientOutcome.TIMED_OUT));
         scheduler.after(LATE_RESPONSE_WINDOW_MICROS, () -> connection.abandon(this));
       }
     }
 
     @Override
     public void responded(int status, Map<String, String> headers, byte[] body, boolean reusable) {
-      long at = scheduler.now();
+      long receivedAt = scheduler.now();
       scheduler.post(
           () -> {
             if (reusable) {
               connections.release(connection);
             }
-            String end = headers.getOrDefault("switchgap-end", ClientOutcome.REFUSED.word());
+            String word = headers.getOrDefault(END_HEADER, ClientOutcome.REFUSED.word());
             if (ended) {
               recorder.record(
-                  at, "late-answer", "call", attempt.call(), "status", status, "end", end);
+                  LogEvent.of(receivedAt, "late-answer")
+                      .with("call", attempt.attemptId())
+                      .with("status", status)
+                      .with("end", word));
             } else {
-              finish(
-                  end,
-                  status,
-                  Long.parseLong(
-                      headers.getOrDefault("switchgap-come-back", String.valueOf(NO_RETRY_AFTER))));
+              finish(AttemptEnd.ofResponse(word, status, retryAfterMillis(headers)));
             }
           });
     }
 
+    private static long retryAfterMillis(Map<String, String> headers) {
+      String value = headers.get(RETRY_AFTER_HEADER);
+      return value == null ? AttemptEnd.NO_RETRY_AFTER : Long.parseLong(value);
+    }
+
     @Override
     public void connectionLost(CloseCause cause) {
       scheduler.post(
           () -> {
             if (!ended) {
-              finish(ClientOutcome.CONNECTION_LOST);
+              finish(AttemptEnd.withoutResponse(ClientOutcome.CONNECTION_LOST));
             }
           });
     }
 
-    private void finish(ClientOutcome outcome) {
-      finish(outcome.word(), NO_STATUS, NO_RETRY_AFTER);
-    }
-
-    private void finish(String end, int status, long retryAfterMillis) {
+    private void finish(AttemptEnd end) {
       ended = true;
       recorder.record(
-          scheduler.now(),
-          "answer",
-          "call",
-          attempt.call(),
-          "job",
-          attempt.request(),
-          "router",
-          attempt.router(),
-          "end",
-          end,
-          "status",
-          status);
-      handler.ended(end, status, retryAfterMillis);
+          LogEvent.of(scheduler.now(), "answer")
+              .with("call", attempt.attemptId())
+              .with("job", attempt.requestId())
+              .with("router", attempt.router())
+              .with("end", end.word())
+              .with("status", end.status()));
+      listener.attemptEnded(end);
     }
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/EmulatedRouter.java
+++ b/src/main/java/switchgap/testbed/experiment/EmulatedRouter.java
@@ -120,7 +120,6 @@
           attempt.attach(
               emulatedWorker.execute(
                   model,
-                  () -> {},
                   (outcome, concurrency) ->
                       emulator.scheduler.after(
                           emulator.networkDelayMicros,
--- a/src/main/java/switchgap/testbed/experiment/Emulator.java
+++ b/src/main/java/switchgap/testbed/experiment/Emulator.java
@@ -23,6 +23,8 @@
 import switchgap.router.Response;
 import switchgap.router.ResponseListener;
 import switchgap.router.RouterCore;
+import switchgap.testbed.emulator.AttemptEnd;
+import switchgap.testbed.emulator.ClientOutcome;
 import switchgap.testbed.emulator.ClientTransport;
 import switchgap.testbed.emulator.EmulatedClients;
 import switchgap.testbed.emulator.EmulatedStore;
@@ -48,7 +50,6 @@
   }
 
   private static final long NANOS_PER_MICRO = 1000;
-  private static final long NO_RETRY_AFTER = -1;
   private static final int HTTP_OK = 200;
   private static final int HTTP_UNAVAILABLE = 503;
   private static final Duration STATIC_RETRY_AFTER = Duration.ofMillis(500);
@@ -202,48 +203,60 @@
                 }));
   }
 
-  private void send(ClientTransport.ClientAttempt attempt, ClientTransport.ResultHandler handler) {
-    new EmulatedExchange(attempt, handler).start();
+  private void send(
+      ClientTransport.ClientAttempt attempt, ClientTransport.AttemptListener listener) {
+    new EmulatedExchange(attempt, listener).start();
   }
 
   /** One attempt of a client at a router, a network delay away; it ends once. */
   private final class EmulatedExchange implements ResponseListener {
     private final ClientTransport.ClientAttempt attempt;
-    private final ClientTransport.ResultHandler handler;
+    private final ClientTransport.AttemptListener listener;
     private final EmulatedRouter router;
     private final YamlRouterSettings routerSettings;
     private PendingRequest request;
     private boolean ended;
 
-    EmulatedExchange(ClientTransport.ClientAttempt attempt, ClientTransport.ResultHandler handler) {
+    EmulatedExchange(
+        ClientTransport.ClientAttempt attempt, ClientTransport.AttemptListener listener) {
       this.attempt = attempt;
-      this.handler = handler;
+      this.listener = listener;
       router = routers.get(attempt.router());
       routerSettings = settings.get(attempt.router());
     }
 
     void start() {
       scheduler.after(networkDelayMicros, () -> router.post(core -> arrive()));
-      scheduler.after(attempt.limit() - scheduler.now(), this::timeOut);
+      scheduler.after(attempt.deadline() - scheduler.now(), this::timeOut);
     }
 
     private void arrive() {
-      FunctionModel model = attempt.model();
+      FunctionModel model = attempt.function();
       FunctionSettings function = routerSettings.function(model.name());
-      Duration timeLeft = Duration.ofNanos((attempt.limit() - scheduler.now()) * NANOS_PER_MICRO);
+      Duration timeLeft =
+          Duration.ofNanos((attempt.deadline() - scheduler.now()) * NANOS_PER_MICRO);
       request =
-          PendingRequest.builder(attempt.call(), model.name(), router.now().plus(timeLeft), this)
-              .requestClass(model.workload())
-              .tenant(routerSettings.tenantIndex(attempt.customer()))
+          PendingRequest.builder(
+                  attempt.attemptId(), model.name(), router.now().plus(timeLeft), this)
+              .requestClass(model.requestClass())
+              .tenant(routerSettings.tenantIndex(attempt.tenant()))
               .durationHint(Duration.ofNanos((long) (model.work() * NANOS_PER_MICRO)))
-              .idempotencyKey(attempt.key())
+              .idempotencyKey(attempt.idempotencyKey())
               .replica(function.memoryMb(), function.slots())
               .build();
       if (variant.before() == Variant.Before.STATIC
-          && rejectedByStaticThreshold(router, model.workload(), routerSettings)) {
+          && rejectedByStaticThreshold(router, model.requestClass(), routerSettings)) {
         responded(request, Response.rejected(STATIC_RETRY_AFTER));
       } else if (!router.gate().offer(request)) {
-        scheduler.after(networkDelayMicros, () -> end("refused", HTTP_UNAVAILABLE, NO_RETRY_AFTER));
+        scheduler.after(
+            networkDelayMicros,
+            () ->
+                end(
+                    new AttemptEnd(
+                        ClientOutcome.REFUSED,
+                        ClientOutcome.REFUSED.word(),
+                        HTTP_UNAVAILABLE,
+                        AttemptEnd.NO_RETRY_AFTER)));
       }
     }
 
@@ -251,7 +264,7 @@
       if (ended) {
         return;
       }
-      end("gave-up", 0, NO_RETRY_AFTER);
+      end(AttemptEnd.withoutResponse(ClientOutcome.TIMED_OUT));
       if (request != null) {
         router.post(core -> core.requestCancelled(request));
       }
@@ -260,24 +273,28 @@
     @Override
     public void responded(PendingRequest answered, Response response) {
       long retryAfter =
-          response.retryAfter() == null ? NO_RETRY_AFTER : response.retryAfter().toMillis();
-      String outcome =
+          response.retryAfter() == null
+              ? AttemptEnd.NO_RETRY_AFTER
+              : response.retryAfter().toMillis();
+      ClientOutcome outcome =
           switch (response.kind()) {
-            case SUCCEEDED -> "finished";
-            case REJECTED -> "pushed-back";
-            case FAILED -> "killed";
+            case SUCCEEDED -> ClientOutcome.SUCCEEDED;
+            case REJECTED -> ClientOutcome.REJECTED;
+            case FAILED -> ClientOutcome.FAILED;
           };
       int status = response.kind() == Response.Kind.SUCCEEDED ? HTTP_OK : HTTP_UNAVAILABLE;
-      scheduler.after(networkDelayMicros, () -> end(outcome, status, retryAfter));
+      scheduler.after(
+          networkDelayMicros,
+          () -> end(new AttemptEnd(outcome, outcome.word(), status, retryAfter)));
     }
 
     @Override
     public void deadlineMissed(PendingRequest overdue, Response late) {}
 
-    private void end(String outcome, int status, long retryAfterMillis) {
+    private void end(AttemptEnd end) {
       if (!ended) {
         ended = true;
-        handler.ended(outcome, status, retryAfterMillis);
+        listener.attemptEnded(end);
       }
     }
   }
--- a/src/main/java/switchgap/testbed/experiment/LoadRun.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRun.java
@@ -16,6 +16,7 @@
 import switchgap.config.InvalidConfigException;
 import switchgap.config.YamlDocument;
 import switchgap.net.NetworkTransport;
+import switchgap.testbed.emulator.ClientOutcome;
 import switchgap.testbed.emulator.EmulatedClients;
 import switchgap.testbed.emulator.EventRecorder;
 import switchgap.testbed.emulator.FunctionCatalogue;
@@ -151,8 +152,8 @@
         result -> {
           outcomes
               .computeIfAbsent(result.requestClass(), key -> new TreeMap<>())
-              .merge(result.end(), 1L, Long::sum);
-          if (result.end().equals("finished")) {
+              .merge(result.lastAttempt().word(), 1L, Long::sum);
+          if (result.lastAttempt().outcome() == ClientOutcome.SUCCEEDED) {
             latencies
                 .computeIfAbsent(result.requestClass(), key -> new Histogram(MAX_LATENCY_MICROS, 3))
                 .recordValue(Math.min(MAX_LATENCY_MICROS, Math.max(0, result.duration())));
@@ -165,7 +166,7 @@
                 result.router(),
                 result.duration() / 1e3,
                 result.attempts(),
-                result.end(),
+                result.lastAttempt().word(),
                 result.earned());
           } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
@@ -113,7 +113,8 @@
             model ->
                 functions.put(
                     model.name(),
-                    function(model.workload(), model.memoryMb(), model.slots(), model.loadTime())));
+                    function(
+                        model.requestClass(), model.memoryMb(), model.slots(), model.loadTime())));
     List<FunctionCatalogue.FunctionGroup> groups = settings.functionGroups();
     for (int requestClass = 0; requestClass < groups.size(); requestClass++) {
       FunctionCatalogue.FunctionGroup group = groups.get(requestClass);
--- a/src/test/java/switchgap/testbed/emulator/ClientOutcomeTest.java
+++ b/src/test/java/switchgap/testbed/emulator/ClientOutcomeTest.java
@@ -26,7 +26,7 @@
   void onlyResponsesOfARouterAreFinal() {
     assertThat(Stream.of(ClientOutcome.values()).filter(ClientOutcome::isFinal))
         .containsExactly(
-            ClientOutcome.FINISHED,
+            ClientOutcome.SUCCEEDED,
             ClientOutcome.REJECTED,
             ClientOutcome.FAILED,
             ClientOutcome.REFUSED);
