--- a/src/main/java/switchgap/endpoints/EndpointListEvent.java
+++ b/src/main/java/switchgap/endpoints/EndpointListEvent.java
@@ -11,13 +11,13 @@
 import switchgap.router.EndpointUpdate;
 
 /**
- * One numbered event of the platform's control feed: a version of the endpoint list, whole or its
- * changes. It is read apart from {@link EndpointListLine} since the platform's keys, words and
- * bounds are its own, and since a router there must not load Jackson's object mapper.
+ * One numbered event of the platform's control feed: a complete endpoint list or the changes of
+ * one. Its parser shares no code with {@link EndpointListLine}, since the platform has keys, words
+ * and bounds of its own, and since a router there must not load Jackson's object mapper.
  *
  * @param sequence number of the event in the feed
- * @param complete whether the updates are the whole list rather than its changes
- * @param updates null for an event of another kind
+ * @param complete whether the updates are the complete list rather than its changes
+ * @param updates the entries in the order of the event; null for an event of another kind
  */
 public record EndpointListEvent(long sequence, boolean complete, List<EndpointUpdate> updates) {
   private static final int MAX_WORKERS = 4096;
@@ -38,34 +38,44 @@
   private static final String CAPACITY = "capacity_hint";
   private static final String STARTED_AT_MILLIS = "boot_ms";
 
-  /** Reads the text of an event; a mistake is an {@link IOException} that names its key. */
-  static EndpointListEvent parse(String text, EndpointNames names) throws IOException {
+  /** Whether it is about the endpoint list, rather than an event of another kind. */
+  boolean isEndpointList() {
+    return updates != null;
+  }
+
+  /**
+   * Parses the text of an event.
+   *
+   * @throws InvalidEndpointListException if it can't be used; the message names the key
+   */
+  static EndpointListEvent parse(String text, EndpointNames names)
+      throws InvalidEndpointListException {
     try {
       return fromJson(JsonDocument.parseObject(text), names);
     } catch (IOException e) {
-      throw new IOException("event: " + e.getMessage(), e);
+      throw new InvalidEndpointListException("event: " + e.getMessage(), e);
     }
   }
 
   /**
-   * Reads an event that is decoded already.
+   * Converts an event that is decoded to maps and lists already.
    *
-   * @throws IOException if it can't be used; names the key
+   * @throws InvalidEndpointListException if it can't be used; the message names the key
    * @throws IllegalArgumentException if a worker's endpoint is no address at all
    */
   public static EndpointListEvent fromJson(Map<?, ?> event, EndpointNames names)
-      throws IOException {
+      throws InvalidEndpointListException {
     long sequence = (long) number(event, SEQUENCE);
     if (!(event.get(MEMBERS) instanceof Map<?, ?> members)) {
       return new EndpointListEvent(sequence, false, null);
     }
     if (!(members.get(TARGETS) instanceof List<?> targets) || targets.size() > MAX_WORKERS) {
-      throw new IOException(TARGETS_PATH + ": no list, or too long");
+      throw new InvalidEndpointListException(TARGETS_PATH + ": no list, or too long");
     }
     List<EndpointUpdate> updates = new ArrayList<>(targets.size());
     for (Object target : targets) {
       if (!(target instanceof Map<?, ?> worker)) {
-        throw new IOException(TARGETS_PATH + ": no object");
+        throw new InvalidEndpointListException(TARGETS_PATH + ": no object");
       }
       updates.add(readWorker(worker, names));
     }
@@ -73,7 +83,7 @@
   }
 
   private static EndpointUpdate readWorker(Map<?, ?> worker, EndpointNames names)
-      throws IOException {
+      throws InvalidEndpointListException {
     WorkerState state = readState(worker);
     String name = text(worker, NAME);
     boolean addressNeeded = state != WorkerState.GONE || worker.get(ENDPOINT) != null;
@@ -88,25 +98,27 @@
     return new EndpointUpdate(name, host, port, state, zone, cell, kind, capacity, startedAt);
   }
 
-  private static WorkerState readState(Map<?, ?> worker) throws IOException {
+  private static WorkerState readState(Map<?, ?> worker) throws InvalidEndpointListException {
     return switch (text(worker, STATE)) {
       case "SERVING" -> WorkerState.READY;
       case "DRAINING" -> WorkerState.DRAINING;
       case "DELETED" -> WorkerState.GONE;
-      default -> throw new IOException(STATE + ": unknown word " + worker.get(STATE));
+      default ->
+          throw new InvalidEndpointListException(STATE + ": unknown word " + worker.get(STATE));
     };
   }
 
-  private static URI readAddress(Map<?, ?> worker) throws IOException {
+  private static URI readAddress(Map<?, ?> worker) throws InvalidEndpointListException {
     URI address = URI.create("tcp://" + text(worker, ENDPOINT).replace(' ', '_'));
     if (address.getHost() == null || address.getPort() <= 0 || address.getPort() > MAX_PORT) {
-      throw new IOException(ENDPOINT + ": " + worker.get(ENDPOINT));
+      throw new InvalidEndpointListException(ENDPOINT + ": " + worker.get(ENDPOINT));
     }
     return address;
   }
 
-  /** The worker's start since the router's, or null where it is not stated or zero. */
-  private static Duration readStart(Map<?, ?> worker, EndpointNames names) throws IOException {
+  /** The worker's start since the router's; null where it is absent or zero. */
+  private static Duration readStart(Map<?, ?> worker, EndpointNames names)
+      throws InvalidEndpointListException {
     double startedAtMillis = optionalNumber(worker, STARTED_AT_MILLIS);
     if (startedAtMillis == 0) {
       return null;
@@ -114,21 +126,22 @@
     return names.sinceRouterStart((long) startedAtMillis);
   }
 
-  private static String text(Map<?, ?> object, String key) throws IOException {
+  private static String text(Map<?, ?> object, String key) throws InvalidEndpointListException {
     if (object.get(key) instanceof String text && !text.isEmpty()) {
       return text;
     }
-    throw new IOException(key + ": no text");
+    throw new InvalidEndpointListException(key + ": no text");
   }
 
-  private static double number(Map<?, ?> object, String key) throws IOException {
+  private static double number(Map<?, ?> object, String key) throws InvalidEndpointListException {
     if (object.get(key) instanceof Number number && Double.isFinite(number.doubleValue())) {
       return number.doubleValue();
     }
-    throw new IOException(key + ": no number");
+    throw new InvalidEndpointListException(key + ": no number");
   }
 
-  private static double optionalNumber(Map<?, ?> object, String key) throws IOException {
+  private static double optionalNumber(Map<?, ?> object, String key)
+      throws InvalidEndpointListException {
     return object.get(key) == null ? 0 : number(object, key);
   }
 }
--- a/src/main/java/switchgap/endpoints/EndpointListLine.java
+++ b/src/main/java/switchgap/endpoints/EndpointListLine.java
@@ -16,12 +16,13 @@
  * One version of the gateway's endpoint list as a line of JSON: {@code
  * {"whole":true,"version":7,"workers":[{"name":"w1","host":"127.0.0.1","port":8001,"state":"ready",
  * "zone":"a","cell":0,"kind":"std","size":1,"started":1764600000000}]}}; {@code started} is in
- * milliseconds of Unix time, left out where it is long past. A line is good as a whole or not at
- * all. It is read apart from {@link EndpointListEvent} since the keys, words and bounds are its
- * own, and an unknown zone is a mistake here.
+ * milliseconds of Unix time, absent where it is long past. A line is valid as a whole or not at
+ * all. Its parser shares no code with {@link EndpointListEvent}, since the keys, words and bounds
+ * are its own, and an unknown zone is an error here.
  *
- * @param complete whether the updates are the whole list rather than its changes
- * @param version counts up by one with each change
+ * @param complete whether the updates are the complete list rather than its changes
+ * @param version number of the list, one more with each change
+ * @param updates the entries in the order of the line
  */
 public record EndpointListLine(boolean complete, long version, List<EndpointUpdate> updates) {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -46,7 +47,13 @@
   private static final String CAPACITY = "size";
   private static final String STARTED_AT_MILLIS = "started";
 
-  /** Reads a line; a mistake is an {@link IOException} with the worker and the reason. */
+  /**
+   * Parses a line.
+   *
+   * @throws InvalidEndpointListException if an entry can't be used; the message names the worker
+   *     and the reason
+   * @throws IOException if the line is no JSON
+   */
   public static EndpointListLine parse(String line, EndpointNames names) throws IOException {
     JsonNode list = JSON.readTree(line);
     JsonNode workers = list == null ? null : list.get(WORKERS);
@@ -54,17 +61,17 @@
         || !workers.isArray()
         || !list.path(VERSION).canConvertToLong()
         || !list.path(COMPLETE).isBoolean()) {
-      throw new IOException("a list needs whole, version and workers");
+      throw new InvalidEndpointListException("a list needs whole, version and workers");
     }
     if (workers.size() > MAX_WORKERS) {
-      throw new IOException("more than " + MAX_WORKERS + " workers");
+      throw new InvalidEndpointListException("more than " + MAX_WORKERS + " workers");
     }
     List<EndpointUpdate> updates = new ArrayList<>();
     Set<String> workerNames = new HashSet<>();
     for (JsonNode worker : workers) {
       String name = readName(worker);
       if (!workerNames.add(name)) {
-        throw new IOException("worker " + name + " stands twice");
+        throw new InvalidEndpointListException("worker " + name + " stands twice");
       }
       updates.add(readWorker(name, worker, names));
     }
@@ -72,16 +79,16 @@
         list.get(COMPLETE).asBoolean(), list.get(VERSION).asLong(), updates);
   }
 
-  private static String readName(JsonNode worker) throws IOException {
+  private static String readName(JsonNode worker) throws InvalidEndpointListException {
     String name = worker.path(NAME).asText("");
     if (name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
-      throw new IOException("a worker without a usable name");
+      throw new InvalidEndpointListException("a worker without a usable name");
     }
     return name;
   }
 
   private static EndpointUpdate readWorker(String name, JsonNode worker, EndpointNames names)
-      throws IOException {
+      throws InvalidEndpointListException {
     int port = worker.path(PORT).asInt(-1);
     if (port < 1 || port > MAX_PORT) {
       throw invalid(name, "port " + port);
@@ -105,7 +112,8 @@
     return new EndpointUpdate(name, host, port, state, zone, cell, kind, capacity, startedAt);
   }
 
-  private static WorkerState readState(String name, JsonNode worker) throws IOException {
+  private static WorkerState readState(String name, JsonNode worker)
+      throws InvalidEndpointListException {
     try {
       return WorkerState.valueOf(worker.path(STATE).asText("").toUpperCase(Locale.ROOT));
     } catch (IllegalArgumentException e) {
@@ -113,7 +121,7 @@
     }
   }
 
-  private static IOException invalid(String name, String reason) {
-    return new IOException("worker " + name + ": " + reason);
+  private static InvalidEndpointListException invalid(String name, String reason) {
+    return new InvalidEndpointListException("worker " + name + ": " + reason);
   }
 }
--- a/src/main/java/switchgap/endpoints/EndpointListWatcher.java
+++ b/src/main/java/switchgap/endpoints/EndpointListWatcher.java
@@ -1,9 +1,7 @@
 package switchgap.endpoints;
 
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.Map;
 import java.util.concurrent.ScheduledFuture;
@@ -19,36 +17,38 @@
 import switchgap.router.RouterCore;
 
 /**
- * Follows the gateway's list service by one request whose response goes on in lines. While the
- * service is away, or its lines can't be used, the last good list stays in force. A service that is
- * silent for long is asked again on a further connection: a connection that is half open sounds
- * like a fleet in which nothing changes.
+ * Follows the gateway's endpoint list service by one request whose response goes on in lines. While
+ * the service is disconnected or its lines are invalid, the last endpoint list stays in force. A
+ * service that is silent for long is requested again on a further connection, since a half-open
+ * connection looks like a fleet without changes.
  *
- * <p>It differs from {@link EventStreamClient}: the list service sends no heartbeats and can give
- * its whole list at any time, so a fixed retry delay and a switch to the newest connection as soon
- * as it is up are enough here.
+ * <p>It differs from {@link EventStreamClient}: the service sends no heartbeats and can send its
+ * complete list at any time, so a fixed reconnect delay and a switch to the newest connection as
+ * soon as it is open are sufficient here.
  *
- * <p>Thread-safe; events are handed on by the threads of the connections.
+ * <p>Thread-safe; lists are delivered by the threads of the connections.
  */
 public final class EndpointListWatcher {
   private static final Logger LOG = LoggerFactory.getLogger(EndpointListWatcher.class);
   private static final int MAX_LINE_BYTES = 16 << 20;
 
-  /** Retry delays without a byte after which the service counts as dead. */
-  private static final int SILENCE_TIMEOUT_RETRY_DELAYS = 20;
+  /** Reconnect delays without a byte after which a connection counts as half-open. */
+  private static final int SILENCE_TIMEOUT_DELAYS = 20;
 
-  /** Retry delays that opening a connection may take. */
-  private static final int CONNECT_TIMEOUT_RETRY_DELAYS = 4;
+  /** Reconnect delays that opening a connection may take. */
+  private static final int CONNECT_TIMEOUT_DELAYS = 4;
 
-  /** A version that nothing follows: the service answers it with the whole list. */
+  /** A version that precedes none: the service responds to it with the complete list. */
   private static final long NO_VERSION = -1;
 
-  private final HttpClientConnector connections;
+  private final HttpClientConnector connector;
   private final InetSocketAddress service;
   private final int routerIndex;
-  private final Duration retryDelay;
+  private final Duration connectTimeout;
+  private final long silenceTimeoutNanos;
   private final EndpointNames names;
   private final Consumer<Consumer<RouterCore>> events;
+  private final ReconnectBackoff backoff;
   private final ScheduledFuture<?> silenceCheck;
   private SubscriptionState state = SubscriptionState.DISCONNECTED;
   private volatile long version = NO_VERSION;
@@ -56,52 +56,51 @@
   private volatile long lastByteNanos = System.nanoTime();
 
   /**
-   * A watcher that does nothing until {@link #follow()}.
+   * Creates a watcher that does nothing until {@link #follow()}.
    *
-   * @param connections opens connections to the service
-   * @param routerIndex by which the service knows this router
-   * @param retryDelay time between the loss of a connection and the next try
-   * @param events hands events to the router's loop
+   * @param routerIndex index by which the service knows this router
+   * @param reconnectDelay time between the loss of a connection and the next attempt
+   * @param events posts to the router's event loop
    */
   public EndpointListWatcher(
-      HttpClientConnector connections,
+      HttpClientConnector connector,
       InetSocketAddress service,
       int routerIndex,
-      Duration retryDelay,
+      Duration reconnectDelay,
       EndpointNames names,
       Consumer<Consumer<RouterCore>> events) {
-    this.connections = connections;
+    this.connector = connector;
     this.service = service;
     this.routerIndex = routerIndex;
-    this.retryDelay = retryDelay;
+    this.connectTimeout = reconnectDelay.multipliedBy(CONNECT_TIMEOUT_DELAYS);
+    this.silenceTimeoutNanos = SILENCE_TIMEOUT_DELAYS * reconnectDelay.toNanos();
     this.names = names;
     this.events = events;
+    this.backoff = ReconnectBackoff.fixed(reconnectDelay);
     silenceCheck =
         TimerThread.EXECUTOR.scheduleAtFixedRate(
-            this::checkSilence,
-            retryDelay.toMillis(),
-            retryDelay.toMillis(),
+            this::reconnectIfSilent,
+            reconnectDelay.toMillis(),
+            reconnectDelay.toMillis(),
             TimeUnit.MILLISECONDS);
   }
 
-  private synchronized void checkSilence() {
+  private synchronized void reconnectIfSilent() {
     long silentNanos = System.nanoTime() - lastByteNanos;
-    if (!state.awaitsData() || silentNanos < SILENCE_TIMEOUT_RETRY_DELAYS * retryDelay.toNanos()) {
-      return;
+    if (state.awaitsData() && silentNanos >= silenceTimeoutNanos) {
+      state = state.onDisconnect();
+      follow(); // the old connection is closed once the new one is open
     }
-    state = state.onDisconnect();
-    follow(); // the old connection is closed once there is a new one
   }
 
-  /** Opens a connection unless there is one or it is being opened. */
+  /** Opens a connection, unless one is open or being opened. */
   public synchronized void follow() {
     if (state != SubscriptionState.DISCONNECTED) {
       return;
     }
     state = state.onConnect();
     lastByteNanos = System.nanoTime();
-    Duration connectTimeout = retryDelay.multipliedBy(CONNECT_TIMEOUT_RETRY_DELAYS);
-    connections.connect(
+    connector.connect(
         service,
         connectTimeout,
         new HttpClientConnection.ConnectCallback() {
@@ -112,7 +111,7 @@
 
           @Override
           public void failed(ConnectFailure failure) {
-            disconnected(failure.toString());
+            disconnected(SubscriptionEndReason.CONNECT_FAILED.with(failure.toString()));
           }
         });
   }
@@ -130,24 +129,20 @@
     if (previous != null) {
       previous.close();
     }
-    opened.send(
-        "GET",
-        "/v1/workers?watch=1&router=" + routerIndex + "&from=" + version,
-        Map.of(),
-        new byte[0],
-        new LineHandler(opened));
+    String path = "/v1/workers?watch=1&router=" + routerIndex + "&from=" + version;
+    opened.send("GET", path, Map.of(), new byte[0], new LineHandler(opened));
   }
 
-  private synchronized void disconnected(String reason) {
+  private synchronized void disconnected(CloseCause cause) {
     if (state == SubscriptionState.CLOSED) {
       return;
     }
     if (state != SubscriptionState.DISCONNECTED) {
-      LOG.warn("list service away, the last list stays: {}", reason);
+      LOG.warn("list service away, the last list stays: {}", cause);
     }
     state = state.onDisconnect();
     events.accept(RouterCore::endpointListFailed);
-    TimerThread.EXECUTOR.schedule(this::follow, retryDelay.toMillis(), TimeUnit.MILLISECONDS);
+    ReconnectBackoff.schedule(this::follow, backoff.nextDelay());
   }
 
   private synchronized void delivered() {
@@ -163,10 +158,10 @@
     }
   }
 
-  /** Takes the lines of one connection; the selector's thread alone calls it. */
+  /** Receives the lines of one connection. For the selector thread of the connection. */
   private final class LineHandler implements HttpClientConnection.ResponseHandler {
     private final HttpClientConnection source;
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream();
+    private final LineDecoder decoder = new LineDecoder(MAX_LINE_BYTES);
 
     LineHandler(HttpClientConnection source) {
       this.source = source;
@@ -175,17 +170,9 @@
     @Override
     public boolean bodyPart(byte[] bytes) {
       lastByteNanos = System.nanoTime();
-      for (byte next : bytes) {
-        if (next == '\n') {
-          lineReceived(line.toString(StandardCharsets.UTF_8));
-          line.reset();
-        } else if (line.size() < MAX_LINE_BYTES) {
-          line.write(next);
-        } else {
-          LOG.warn("a list line over {} bytes is refused", MAX_LINE_BYTES);
-          source.close();
-          return true;
-        }
+      if (!decoder.decode(bytes, this::lineReceived)) {
+        LOG.warn("a list line over {} bytes is refused", MAX_LINE_BYTES);
+        source.close();
       }
       return true;
     }
@@ -199,13 +186,13 @@
         list = EndpointListLine.parse(text, names);
       } catch (IOException e) {
         LOG.warn("a list was refused, the last one stays: {}", e.getMessage());
-        requestWholeList();
+        requestCompleteList();
         return;
       }
       if (!list.complete() && list.version() != version + 1) {
         LOG.warn(
-            "list version {} follows {}: the whole list is asked for", list.version(), version);
-        requestWholeList();
+            "list version {} follows {}: the complete list is requested", list.version(), version);
+        requestCompleteList();
         return;
       }
       delivered();
@@ -213,8 +200,8 @@
       events.accept(core -> core.endpointListReceived(list.complete(), list.updates()));
     }
 
-    /** The next connection asks for it. */
-    private void requestWholeList() {
+    /** Closes the connection; the next one requests the complete list. */
+    private void requestCompleteList() {
       version = NO_VERSION;
       source.close();
     }
@@ -222,18 +209,18 @@
     @Override
     public void responded(int status, Map<String, String> headers, byte[] body, boolean reusable) {
       source.close();
-      ended("the service ended its answer with status " + status);
+      ended(SubscriptionEndReason.RESPONSE_ENDED.with("status " + status));
     }
 
     @Override
     public void connectionLost(CloseCause cause) {
-      ended(cause.toString());
+      ended(cause);
     }
 
-    private void ended(String reason) {
-      boolean replaced = source != connection;
-      if (!replaced) {
-        disconnected(reason);
+    private void ended(CloseCause cause) {
+      boolean isReplaced = source != connection;
+      if (!isReplaced) {
+        disconnected(cause);
       }
     }
   }
--- a/src/main/java/switchgap/endpoints/EventStreamClient.java
+++ b/src/main/java/switchgap/endpoints/EventStreamClient.java
@@ -5,7 +5,6 @@
 import java.time.Duration;
 import java.util.Map;
 import java.util.concurrent.ScheduledFuture;
-import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import switchgap.net.CloseCause;
@@ -14,86 +13,67 @@
 import switchgap.net.HttpClientConnector;
 import switchgap.net.StallDetector;
 import switchgap.net.TimerThread;
-import switchgap.protocol.sse.ServerSentEventDecoder;
 
 /**
- * Follows the platform's control feed from a sequence number on. Events are handed on once each and
- * in order; whatever happens to the feed, the last list stays in force. A feed that is silent for
- * longer than two of its heartbeat comments is asked again on a further connection: one that is
- * half open sounds like a fleet in which nothing changes. The connection that delivered last goes
- * on delivering until its successor does.
+ * Follows the platform's control feed from a sequence number on. Each event is delivered once and
+ * in order; while the feed is disconnected or its events are invalid, the last endpoint list stays
+ * in force. A feed that is silent for longer than two of its heartbeat comments is requested again
+ * on a further connection, since a half-open connection looks like a fleet without changes. The
+ * connection that delivered last stays in use until its successor delivers.
  *
- * <p>It differs from {@link EndpointListWatcher}: the feed has heartbeats and numbers that resume
- * it, and the platform moves routers from one feed to another, so two connections may count at a
- * time here and retries back off.
+ * <p>It differs from {@link EndpointListWatcher}: the feed has heartbeats and sequence numbers that
+ * resume it, and the platform migrates routers from one feed to another, so two connections may be
+ * in use at a time here and reconnects back off exponentially.
  *
- * <p>Thread-safe; events are handed on by the threads of the connections, under the client's lock.
+ * <p>Thread-safe; events are delivered by the threads of the connections, under the client's lock.
  */
 public final class EventStreamClient implements AutoCloseable {
-  private static final int MAX_EVENT_BYTES = 2 << 20;
-
-  /** Two heartbeat comments, one each second, and a little. */
+  /** Two heartbeat comments, one each second, and a margin. */
   private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(2300);
 
   private static final Duration SILENCE_CHECK_INTERVAL = Duration.ofMillis(200);
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
-  /**
-   * Delay before the second retry, the first is immediate; doubled with each further one, to 1.6 s.
-   */
+  /** Bound of the delay before the second reconnect; the first one is immediate. */
   private static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
 
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
-  /** A connection that delivers for so long is well: the next retry is immediate again. */
+  /** Time for which a connection must have delivered before its loss counts as a first failure. */
   private static final Duration STABLE_AFTER = Duration.ofMillis(500);
 
-  private static final long NO_ATTEMPT = 0;
-
-  private final HttpClientConnector connections;
+  private final HttpClientConnector connector;
   private final EndpointNames names;
   private final Consumer<EndpointListEvent> events;
   private final Consumer<String> log;
   private final ScheduledFuture<?> silenceCheck;
+  private final EventSequence sequence;
+  private final ConnectionHandover connections = new ConnectionHandover();
+  private final ReconnectBackoff backoff =
+      ReconnectBackoff.exponential(INITIAL_BACKOFF, MAX_BACKOFF_DOUBLINGS);
+  private final StallDetector stallDetector =
+      new StallDetector(SILENCE_CHECK_INTERVAL, Duration.ofNanos(System.nanoTime()));
   private InetSocketAddress feed;
   private SubscriptionState state = SubscriptionState.DISCONNECTED;
-  private long lastSequence;
-
-  /** The number at which a gap was met: met again, nothing stands between. */
-  private long gapSequence;
 
-  private int failedAttempts;
-  private final StallDetector stallDetector =
-      new StallDetector(SILENCE_CHECK_INTERVAL, Duration.ofNanos(System.nanoTime()));
+  /** The {@link System#nanoTime} at which the latest attempt began or last delivered a line. */
   private long lastDataNanos;
 
-  /** Number of the connection attempt made last. */
-  private long latestAttempt;
-
-  private HttpClientConnection latestConnection;
-
-  /**
-   * The attempt that delivered last: it counts until a later one delivers, and none before it does.
-   */
-  private long activeAttempt = NO_ATTEMPT;
-
-  private HttpClientConnection activeConnection;
-
   /**
-   * A client that does nothing until {@link #follow}.
+   * Creates a client that does nothing until {@link #follow}.
    *
    * @param lastSequence number of the last event that is known already
-   * @param events hears of each event that has a list
-   * @param log hears of trouble with the feed, a line each
+   * @param events receives each event that has an endpoint list
+   * @param log receives a line for each fault of the feed
    */
   public EventStreamClient(
-      HttpClientConnector connections,
+      HttpClientConnector connector,
       long lastSequence,
       EndpointNames names,
       Consumer<EndpointListEvent> events,
       Consumer<String> log) {
-    this.connections = connections;
-    this.lastSequence = lastSequence;
+    this.connector = connector;
+    this.sequence = new EventSequence(lastSequence);
     this.names = names;
     this.events = events;
     this.log = log;
@@ -105,13 +85,13 @@
             TimeUnit.MILLISECONDS);
   }
 
-  /** Begins, or goes over to another address from the last number on. */
+  /** Connects to the feed, or migrates to another address; resumes after the last event. */
   public synchronized void follow(InetSocketAddress address) {
     if (state == SubscriptionState.CLOSED) {
       return;
     }
     feed = address;
-    failedAttempts = 0;
+    backoff.reset();
     connect();
   }
 
@@ -124,10 +104,10 @@
   }
 
   private synchronized void reconnectIfSilent() {
-    // what the feed said while the process was held up is not read yet
+    // what the feed sent while the process was stalled is not read yet
     lastDataNanos += stallDetector.recordCheck(Duration.ofNanos(System.nanoTime())).toNanos();
     if (state.awaitsData() && System.nanoTime() - lastDataNanos > SILENCE_TIMEOUT.toNanos()) {
-      log.accept("control feed silent, it is asked anew");
+      log.accept("control feed silent, it is requested again");
       connect();
     }
   }
@@ -138,9 +118,8 @@
     }
     state = state.onConnect();
     lastDataNanos = System.nanoTime();
-    latestAttempt++;
-    long attempt = latestAttempt;
-    connections.connect(
+    long attempt = connections.beginAttempt();
+    connector.connect(
         feed,
         CONNECT_TIMEOUT,
         new HttpClientConnection.ConnectCallback() {
@@ -151,177 +130,99 @@
 
           @Override
           public void failed(ConnectFailure failure) {
-            disconnected(attempt, failure.toString());
+            disconnected(attempt, SubscriptionEndReason.CONNECT_FAILED.with(failure.toString()));
           }
         });
   }
 
   private synchronized void requestEvents(long attempt, HttpClientConnection opened) {
-    if (attempt != latestAttempt || state == SubscriptionState.CLOSED) {
+    if (!connections.isLatest(attempt) || state == SubscriptionState.CLOSED) {
       opened.close();
       return;
     }
-    if (latestConnection != null && latestConnection != activeConnection) {
-      latestConnection.close();
-    }
-    latestConnection = opened;
+    connections.connectionOpened(opened);
     Map<String, String> headers =
-        Map.of("Last-Event-ID", String.valueOf(lastSequence), "Accept", "text/event-stream");
-    if (!opened.send("GET", "/v1/events", headers, new byte[0], new StreamHandler(attempt))) {
-      disconnected(attempt, "it ended before it was asked");
+        Map.of(
+            "Last-Event-ID",
+            String.valueOf(sequence.lastSequence()),
+            "Accept",
+            "text/event-stream");
+    if (!opened.send(
+        "GET", "/v1/events", headers, new byte[0], new EventStreamHandler(this, attempt))) {
+      disconnected(attempt, CloseCause.of(SubscriptionEndReason.CLOSED_BEFORE_REQUEST));
     }
   }
 
-  private synchronized void disconnected(long attempt, String reason) {
+  /** An attempt has ended, or must be given up. Where it is the latest, another is scheduled. */
+  synchronized void disconnected(long attempt, CloseCause cause) {
     if (state == SubscriptionState.CLOSED) {
       return;
     }
-    if (attempt == activeAttempt) {
-      activeAttempt = NO_ATTEMPT;
-      activeConnection.close();
-      activeConnection = null;
-    }
-    if (attempt != latestAttempt) {
+    connections.closeIfActive(attempt);
+    if (!connections.isLatest(attempt)) {
       return;
     }
-    if (failedAttempts == 0) {
-      log.accept("control feed away, the last list stays: " + reason);
+    if (!backoff.hasFailed()) {
+      log.accept("control feed away, the last list stays: " + cause);
     }
-    Duration backoff = backoff();
-    failedAttempts++;
+    Duration delay = backoff.nextDelay();
     state = state.onDisconnect();
-    latestAttempt++; // what the lost attempt still reports counts for nothing
-    long waitingAttempt = latestAttempt;
-    HttpClientConnection lost = latestConnection;
-    latestConnection = null;
-    if (lost != null && lost != activeConnection) {
-      lost.close();
-    }
-    TimerThread.EXECUTOR.schedule(
-        () -> reconnect(waitingAttempt), backoff.toMillis(), TimeUnit.MILLISECONDS);
-  }
-
-  private Duration backoff() {
-    if (failedAttempts == 0) {
-      return Duration.ZERO;
-    }
-    int doublings = Math.min(failedAttempts - 1, MAX_BACKOFF_DOUBLINGS);
-    Duration longest = INITIAL_BACKOFF.multipliedBy(1L << doublings);
-    // between half of it and all of it: hundreds of routers lose the feed at one moment
-    long nanos = longest.toNanos() / 2;
-    return Duration.ofNanos(nanos + ThreadLocalRandom.current().nextLong(nanos));
+    long waitingAttempt = connections.beginWait();
+    ReconnectBackoff.schedule(() -> reconnect(waitingAttempt), delay);
   }
 
   private synchronized void reconnect(long waitingAttempt) {
-    if (waitingAttempt == latestAttempt && state == SubscriptionState.DISCONNECTED) {
+    if (connections.isLatest(waitingAttempt) && state == SubscriptionState.DISCONNECTED) {
       connect();
     }
   }
 
-  /** Whether this attempt is the latest, or still the only one that delivers. */
-  private synchronized boolean isCurrent(long attempt) {
-    return state != SubscriptionState.CLOSED
-        && (attempt == latestAttempt || attempt == activeAttempt);
+  /** Whether what an attempt delivers counts. */
+  synchronized boolean isCurrent(long attempt) {
+    return state != SubscriptionState.CLOSED && connections.isCurrent(attempt);
   }
 
-  private synchronized void eventReceived(long attempt, String text) {
+  /** An attempt received the data of an event. */
+  synchronized void eventReceived(long attempt, String text) {
     if (!isCurrent(attempt)) {
       return;
     }
     try {
       deliver(attempt, EndpointListEvent.parse(text, names));
     } catch (IOException | RuntimeException e) {
-      disconnected(attempt, e.getMessage()); // the next connection delivers it whole
+      // the next connection delivers the event again
+      disconnected(attempt, SubscriptionEndReason.INVALID_EVENT.with(e.getMessage()));
     }
   }
 
   private void deliver(long attempt, EndpointListEvent event) {
-    long sequence = event.sequence();
-    boolean deliveredBefore =
-        sequence < lastSequence || (sequence == lastSequence && !event.complete());
-    if (deliveredBefore) {
-      return;
-    }
-    boolean gap = sequence > lastSequence + 1 && !event.complete();
-    if (gap && gapSequence != sequence) {
-      gapSequence = sequence;
-      disconnected(attempt, "event " + sequence + " follows " + lastSequence);
-      return;
-    }
-    lastSequence = sequence;
-    if (event.updates() != null) {
+    long lastSequence = sequence.lastSequence();
+    EventSequence.Verdict verdict = sequence.advance(event);
+    if (verdict == EventSequence.Verdict.GAP) {
+      String detail = "event " + event.sequence() + " follows " + lastSequence;
+      disconnected(attempt, SubscriptionEndReason.SEQUENCE_GAP.with(detail));
+    } else if (verdict == EventSequence.Verdict.DELIVER && event.isEndpointList()) {
       events.accept(event);
     }
   }
 
-  /** Complete lines came: an event, a part of one or a heartbeat. */
-  private synchronized void dataReceived(long attempt, long requestedAtNanos) {
-    if (attempt != latestAttempt) {
+  /** Complete lines were received: an event, a part of one or a heartbeat. */
+  synchronized void linesReceived(long attempt, long requestedAtNanos) {
+    if (!connections.isLatest(attempt)) {
       return;
     }
     lastDataNanos = System.nanoTime();
     state = state.onDelivery();
-    // one that breaks off at once is not asked at full speed
     if (lastDataNanos - requestedAtNanos > STABLE_AFTER.toNanos()) {
-      failedAttempts = 0;
+      backoff.reset(); // not for one that breaks at once, which would be reconnected at full speed
     }
-    if (activeAttempt == attempt) {
-      return;
-    }
-    if (activeConnection != null) {
-      activeConnection.close();
-    }
-    activeConnection = latestConnection;
-    activeAttempt = attempt;
+    connections.activateLatest();
   }
 
   @Override
   public synchronized void close() {
     state = SubscriptionState.CLOSED;
     silenceCheck.cancel(false);
-    if (latestConnection != null) {
-      latestConnection.close();
-    }
-    if (activeConnection != null) {
-      activeConnection.close();
-    }
-  }
-
-  /** Takes the stream of one attempt; the selector's thread alone calls it. */
-  private final class StreamHandler implements HttpClientConnection.ResponseHandler {
-    private final long attempt;
-    private final ServerSentEventDecoder decoder = new ServerSentEventDecoder(MAX_EVENT_BYTES);
-    private final long requestedAtNanos = System.nanoTime();
-
-    StreamHandler(long attempt) {
-      this.attempt = attempt;
-    }
-
-    @Override
-    public boolean bodyPart(byte[] bytes) {
-      if (!isCurrent(attempt)) {
-        return true;
-      }
-      long linesBefore = decoder.lines();
-      boolean fits = decoder.take(bytes, (id, data) -> eventReceived(attempt, data));
-      // bytes of a line that never ends are silence
-      if (decoder.lines() > linesBefore) {
-        dataReceived(attempt, requestedAtNanos);
-      }
-      if (!fits) {
-        disconnected(attempt, "an event over " + MAX_EVENT_BYTES + " bytes");
-      }
-      return true;
-    }
-
-    @Override
-    public void responded(int status, Map<String, String> headers, byte[] body, boolean reusable) {
-      disconnected(attempt, "it ended with status " + status);
-    }
-
-    @Override
-    public void connectionLost(CloseCause cause) {
-      disconnected(attempt, cause.toString());
-    }
+    connections.close();
   }
 }
--- a/src/main/java/switchgap/endpoints/SubscriptionState.java
+++ b/src/main/java/switchgap/endpoints/SubscriptionState.java
@@ -2,21 +2,21 @@
 
 /** The states of a client that follows an endpoint list, and all transitions between them. */
 enum SubscriptionState {
-  /** No connection is up or being opened; one will be tried again after a delay. */
+  /** No connection is open or being opened; the next attempt follows after a backoff. */
   DISCONNECTED,
-  /** A connection is being opened, or is up and has not delivered yet. */
+  /** A connection is being opened, or is open and has not delivered anything yet. */
   CONNECTING,
   /** The connection has delivered. */
   STREAMING,
-  /** Closed for good. */
+  /** Closed for good; no transition leads out of it. */
   CLOSED;
 
-  /** A connection is tried. */
+  /** An attempt to connect begins. */
   SubscriptionState onConnect() {
     return this == CLOSED ? CLOSED : CONNECTING;
   }
 
-  /** Something was delivered; it does not bring back what was given up meanwhile. */
+  /** A connection delivered something; one that was given up before stays disconnected. */
   SubscriptionState onDelivery() {
     return this == CONNECTING ? STREAMING : this;
   }
@@ -26,7 +26,7 @@
     return this == CLOSED ? CLOSED : DISCONNECTED;
   }
 
-  /** Whether silence of the service means that the connection is dead. */
+  /** Whether silence of the service may mean that the connection is half-open. */
   boolean awaitsData() {
     return this == CONNECTING || this == STREAMING;
   }
--- a/src/main/java/switchgap/protocol/sse/ServerSentEventDecoder.java
+++ b/src/main/java/switchgap/protocol/sse/ServerSentEventDecoder.java
@@ -2,18 +2,28 @@
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
-import java.util.function.BiConsumer;
 
 /**
- * Decodes server-sent events from a stream of bytes that may be split anywhere. An event counts
- * once its blank line has come; an id counts for its own event only. For one thread.
+ * Decodes server-sent events from a stream of bytes that may be split anywhere. An event is
+ * complete with its blank line; an id applies to its own event only. For one thread.
  */
 public final class ServerSentEventDecoder {
+  /** Receives each event as soon as it is complete. */
+  public interface EventHandler {
+    /**
+     * An event is complete.
+     *
+     * @param id the event's id, or null where it has none
+     * @param data its data, with line feeds between several lines
+     */
+    void eventDecoded(String id, String data);
+  }
+
   private static final String DATA_FIELD = "data";
   private static final String ID_FIELD = "id";
   private static final char NAME_END = ':';
 
-  /** May follow the colon, and is no part of the value. */
+  /** May follow the colon; it is not a part of the value. */
   private static final String VALUE_PREFIX = " ";
 
   private final int maxBytes;
@@ -24,27 +34,27 @@
   private long lineCount;
 
   /**
-   * A decoder at the beginning of a stream.
+   * Creates a decoder for one stream.
    *
-   * @param maxBytes bytes of a line, and characters of an event's data
+   * @param maxBytes bound of the bytes of a line, and of the characters of an event's data
    */
   public ServerSentEventDecoder(int maxBytes) {
     this.maxBytes = maxBytes;
   }
 
   /**
-   * Decodes further bytes and hands on each event's id (null where it has none) and data. False
-   * where a line or an event is too long: the stream cannot be read any further.
+   * Decodes further bytes and hands on each event that they complete.
+   *
+   * @return false where a line or an event is too long: the stream must not be decoded any further
    */
-  public boolean take(byte[] bytes, BiConsumer<String, String> eventHandler) {
+  public boolean decode(byte[] bytes, EventHandler handler) {
     for (byte next : bytes) {
       boolean isSecondOfLineEnd = next == '\n' && afterCarriageReturn;
       afterCarriageReturn = next == '\r';
       if (isSecondOfLineEnd) {
         continue;
       }
-      boolean isWithinBounds =
-          (next == '\r' || next == '\n') ? endLine(eventHandler) : append(next);
+      boolean isWithinBounds = (next == '\r' || next == '\n') ? endLine(handler) : append(next);
       if (!isWithinBounds) {
         return false;
       }
@@ -52,8 +62,8 @@
     return true;
   }
 
-  /** Lines that have come whole, comments too. */
-  public long lines() {
+  /** The number of complete lines so far, including comments and blank lines. */
+  public long lineCount() {
     return lineCount;
   }
 
@@ -65,21 +75,21 @@
     return true;
   }
 
-  private boolean endLine(BiConsumer<String, String> eventHandler) {
+  private boolean endLine(EventHandler handler) {
     lineCount++;
     String line = lineBytes.toString(StandardCharsets.UTF_8);
     lineBytes.reset();
     if (line.isEmpty()) {
-      endEvent(eventHandler);
+      endEvent(handler);
     } else {
       readField(line);
     }
     return data.length() <= maxBytes;
   }
 
-  private void endEvent(BiConsumer<String, String> eventHandler) {
+  private void endEvent(EventHandler handler) {
     if (data.length() > 0) {
-      eventHandler.accept(id, data.substring(0, data.length() - 1)); // without the last line's end
+      handler.eventDecoded(id, data.substring(0, data.length() - 1)); // without the last line's end
     }
     data.setLength(0);
     id = null;
--- a/src/test/java/switchgap/endpoints/EndpointListLineTest.java
+++ b/src/test/java/switchgap/endpoints/EndpointListLineTest.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** A line of the list is good as a whole or refused with its reason; its size is bounded. */
+/** A line of the list is accepted as a whole or rejected with its reason; its size is bounded. */
 class EndpointListLineTest {
   private static final String WORKER =
       "{\"name\":\"w\",\"port\":80,\"state\":\"ready\",\"zone\":\"a\"}";
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void namesTheWorkerAndTheReasonOfEachMistake() {
+  void namesTheWorkerAndTheReasonOfEachError() {
     assertRejected(WORKER + "," + WORKER, "worker w stands twice");
     assertRejected(WORKER.replace("80", "0"), "worker w: port 0");
     assertRejected(
--- /dev/null
+++ b/src/test/java/switchgap/endpoints/EventStreamClientFixture.java
@@ -0,0 +1,84 @@
+package switchgap.endpoints;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.function.BooleanSupplier;
+import switchgap.net.HttpClientConnector;
+import switchgap.net.NetworkTransport;
+import switchgap.server.platform.EventStreamTestServer;
+import switchgap.testing.BoundedWait;
+
+/** A client on a network of its own that records the events which it delivers. */
+final class EventStreamClientFixture implements AutoCloseable {
+  static final EndpointNames NAMES =
+      EndpointNames.ofIndices(Map.of("east", 0), Map.of("std", 0), 1000);
+
+  private static final Duration TIMEOUT = Duration.ofSeconds(6);
+  private static final int MAX_BODY_BYTES = 1 << 16;
+
+  final EventStreamClient client;
+  private final NetworkTransport network;
+  private final List<EndpointListEvent> received = new CopyOnWriteArrayList<>();
+
+  EventStreamClientFixture(long lastSequence) throws IOException {
+    network = new NetworkTransport(1, "follow");
+    client =
+        new EventStreamClient(
+            new HttpClientConnector(network, null, MAX_BODY_BYTES),
+            lastSequence,
+            NAMES,
+            received::add,
+            line -> {});
+  }
+
+  /** The event with this number, which changes one worker. */
+  static String event(long sequence) {
+    return EventStreamTestServer.endpointListEvent(
+        sequence, false, worker("w" + sequence, "SERVING"));
+  }
+
+  static String worker(String name, String state) {
+    return EventStreamTestServer.endpoint(name, "127.0.0.1:7", state, 0);
+  }
+
+  /** Sends a heartbeat and leaves the connection open. */
+  static EventStreamTestServer.StreamHandler heartbeatOnly() {
+    return (connection, last, out) -> {
+      out.write(": beat\n\n".getBytes(StandardCharsets.UTF_8));
+      return true;
+    };
+  }
+
+  List<Long> receivedSequences() {
+    return received.stream().map(EndpointListEvent::sequence).toList();
+  }
+
+  /** Number and first worker of each event. */
+  List<String> receivedWorkers() {
+    return received.stream()
+        .map(event -> event.sequence() + event.updates().get(0).name())
+        .toList();
+  }
+
+  void awaitReceived(int events) throws InterruptedException {
+    await(() -> received.size() == events);
+  }
+
+  static void awaitRequests(EventStreamTestServer feed, int requests) throws InterruptedException {
+    await(() -> feed.requestedEventIds.size() == requests);
+  }
+
+  private static void await(BooleanSupplier condition) throws InterruptedException {
+    BoundedWait.until(TIMEOUT, condition);
+  }
+
+  @Override
+  public void close() throws IOException {
+    client.close();
+    network.close();
+  }
+}
--- /dev/null
+++ b/src/test/java/switchgap/endpoints/EventStreamHandoverTest.java
@@ -0,0 +1,73 @@
+package switchgap.endpoints;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static switchgap.endpoints.EventStreamClientFixture.event;
+
+import java.util.concurrent.CountDownLatch;
+import org.junit.jupiter.api.Test;
+import switchgap.server.platform.EventStreamTestServer;
+
+/** A client that a new configuration migrates to another address of the control feed. */
+class EventStreamHandoverTest {
+  /** Delivers so many further events, once it is released. */
+  private static EventStreamTestServer.StreamHandler afterRelease(
+      CountDownLatch release, int events) {
+    return (connection, last, out) -> {
+      try {
+        release.await();
+      } catch (InterruptedException e) {
+        return false;
+      }
+      for (int i = 1; i <= events; i++) {
+        EventStreamTestServer.sendEvent(out, event(last + i));
+      }
+      return true;
+    };
+  }
+
+  @Test
+  void deliversFromOldAddressUntilNewOneDelivers() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
+    // the old address delivers the first of the two events as well
+    EventStreamTestServer.StreamHandler deliversTwo = afterRelease(release, 2);
+    try (EventStreamTestServer oldFeed =
+            new EventStreamTestServer(EventStreamClientFixture.heartbeatOnly());
+        EventStreamTestServer newFeed = new EventStreamTestServer(deliversTwo);
+        EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
+      fixture.client.follow(oldFeed.address());
+      EventStreamClientFixture.awaitRequests(oldFeed, 1);
+      oldFeed.sendEvent(event(2));
+      fixture.awaitReceived(1);
+      fixture.client.follow(newFeed.address());
+      EventStreamClientFixture.awaitRequests(newFeed, 1);
+      oldFeed.sendEvent(event(3));
+      fixture.awaitReceived(2);
+      release.countDown();
+      fixture.awaitReceived(3);
+      assertThat(fixture.receivedSequences()).containsExactly(2L, 3L, 4L);
+      assertThat(oldFeed.awaitClientClose(0)).isTrue();
+      assertThat(oldFeed.requestedEventIds).hasSize(1);
+      assertThat(newFeed.requestedEventIds).containsExactly(2L);
+    }
+  }
+
+  @Test
+  void requestsNewAddressOnceWhenOldOneEndsBeforeItDelivers() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
+    EventStreamTestServer oldFeed =
+        new EventStreamTestServer(EventStreamClientFixture.heartbeatOnly());
+    try (EventStreamTestServer newFeed = new EventStreamTestServer(afterRelease(release, 1));
+        EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
+      fixture.client.follow(oldFeed.address());
+      EventStreamClientFixture.awaitRequests(oldFeed, 1);
+      oldFeed.sendEvent(event(2));
+      fixture.awaitReceived(1);
+      fixture.client.follow(newFeed.address());
+      EventStreamClientFixture.awaitRequests(newFeed, 1);
+      oldFeed.close();
+      release.countDown();
+      fixture.awaitReceived(2);
+      assertThat(newFeed.requestedEventIds).containsExactly(2L);
+    }
+  }
+}
