--- a/src/main/java/switchgap/policy/RetryPolicy.java
+++ b/src/main/java/switchgap/policy/RetryPolicy.java
@@ -22,7 +22,7 @@
     if (request.isClosed()
         || !worker.isReady()
         || request.hasUsedUp(state.settings.maxAttempts)
-        || request.inFlight() > 0 && !hedgeable
+        || (request.inFlight() > 0 && !hedgeable)
         || !endsInTime(request, Duration.ZERO)) {
       return false;
     }
@@ -33,7 +33,7 @@
   private boolean isRepeatableAt(Request request, Worker worker) {
     Duration window = request.requestClass.deduplicationWindow.minus(state.deadlineMargin);
     boolean dropped = state.isWithin(window, request.firstSentAt()) && request.isInScope(worker);
-    return request.isIdempotent() || request.isRepeatable() && dropped;
+    return request.isIdempotent() || (request.isRepeatable() && dropped);
   }
 
   /** Whether a request without an attempt in flight may wait for another one. */
