--- a/src/main/java/switchgap/config/YamlDocument.java
+++ b/src/main/java/switchgap/config/YamlDocument.java
@@ -9,7 +9,6 @@
 import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.TreeSet;
 import java.util.regex.Matcher;
@@ -239,14 +238,14 @@
   }
 
   /**
-   * The constant of an enum by its {@link #word(Enum) word}, or the default when the key is absent.
+   * The constant of an enum by its {@link EnumWords word}, or the default when the key is absent.
    */
   public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
     if (!has(key)) {
       return defaultValue;
     }
     E[] constants = type.getEnumConstants();
-    List<String> words = Arrays.stream(constants).map(YamlDocument::word).toList();
+    List<String> words = Arrays.stream(constants).map(EnumWords::wordOf).toList();
     return constants[words.indexOf(choice(key, words))];
   }
 
@@ -258,11 +257,6 @@
     return has(key) ? words.get(choice(key, List.copyOf(words.keySet()))) : null;
   }
 
-  /** How documents and reports write an enum's constant: in lower case, with hyphens. */
-  public static String word(Enum<?> constant) {
-    return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
-  }
-
   /** A mapping under a key. */
   public YamlDocument section(String key) {
     if (!has(key)) {
--- a/src/main/java/switchgap/protocol/invoke/MetricsWriter.java
+++ b/src/main/java/switchgap/protocol/invoke/MetricsWriter.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import switchgap.admission.AdmissionController;
 import switchgap.admission.ServiceLevel;
-import switchgap.config.YamlDocument;
+import switchgap.config.EnumWords;
 import switchgap.config.YamlRouterSettings;
 
 /** Metrics of requests and service levels in the Prometheus text format; on the event loop. */
@@ -42,7 +42,7 @@
     sample("switchgap_level", admission.level().ordinal());
     sample("switchgap_level_depth", String.format(Locale.ROOT, "%.3f", admission.shedFraction()));
     for (ServiceLevel level : ServiceLevel.values()) {
-      String label = "{level=\"" + YamlDocument.word(level) + "\"";
+      String label = "{level=\"" + EnumWords.wordOf(level) + "\"";
       sample(
           "switchgap_level_seconds" + label + "}",
           admission.timeAt(level).toMillis() / MILLIS_PER_SECOND);
--- a/src/main/java/switchgap/protocol/invoke/ResponseWriter.java
+++ b/src/main/java/switchgap/protocol/invoke/ResponseWriter.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import switchgap.admission.ServiceLevel;
-import switchgap.config.YamlDocument;
+import switchgap.config.EnumWords;
 import switchgap.net.HttpExchange;
 import switchgap.router.Response;
 
@@ -41,7 +41,7 @@
       ServiceLevel shedBy) {
     Map<String, String> headers = requestHeaders(id, clientRequestId);
     if (shedBy != null) {
-      headers.put("Switchgap-Level", YamlDocument.word(shedBy));
+      headers.put("Switchgap-Level", EnumWords.wordOf(shedBy));
     }
     switch (response.kind()) {
       case SUCCEEDED -> writeSuccess(exchange, response, headers);
@@ -66,7 +66,7 @@
     members.put(ProblemDetails.END_MEMBER, ProblemType.REJECTED.word());
     members.put(ProblemDetails.RETRY_HARMLESS_MEMBER, true);
     if (shedBy != null) {
-      members.put("level", YamlDocument.word(shedBy));
+      members.put("level", EnumWords.wordOf(shedBy));
     }
     if (retryAfter != null) {
       long millis = retryAfter.toMillis();
--- a/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
@@ -9,7 +9,7 @@
 import switchgap.admission.AdmissionController;
 import switchgap.admission.ServiceLevel;
 import switchgap.admission.ServiceLevelChange;
-import switchgap.config.YamlDocument;
+import switchgap.config.EnumWords;
 import switchgap.config.YamlRouterSettings;
 import switchgap.net.HttpExchange;
 import switchgap.router.AdmissionGate;
@@ -65,7 +65,7 @@
   /** Null for no level, and for the one that belongs to single tenants. */
   private static ServiceLevel parsePinnableLevel(String word) {
     for (ServiceLevel level : ServiceLevel.values()) {
-      if (level != ServiceLevel.SHARE && YamlDocument.word(level).equals(word)) {
+      if (level != ServiceLevel.SHARE && EnumWords.wordOf(level).equals(word)) {
         return level;
       }
     }
@@ -82,7 +82,7 @@
 
   private byte[] toJson(AdmissionController admission) {
     ObjectNode root = JSON.createObjectNode();
-    root.put("level", YamlDocument.word(admission.level()));
+    root.put("level", EnumWords.wordOf(admission.level()));
     root.put("depth", admission.shedFraction());
     root.put("pinned", admission.isPinned());
     root.put("pressure", admission.pressure());
@@ -99,7 +99,7 @@
     ObjectNode seconds = root.putObject("seconds_at");
     ObjectNode rejections = root.putObject("pushed_back");
     for (ServiceLevel level : ServiceLevel.values()) {
-      String word = YamlDocument.word(level);
+      String word = EnumWords.wordOf(level);
       seconds.put(word, seconds(admission.timeAt(level)));
       for (int i = 0; i < settings.requestClassCount(); i++) {
         long count = admission.rejections(level, i);
@@ -113,7 +113,7 @@
   private void addTenants(ObjectNode tenants, AdmissionController admission) {
     for (int i = 0; i < settings.tenantCount(); i++) {
       ObjectNode tenant = tenants.putObject(settings.tenantName(i));
-      tenant.put("level", YamlDocument.word(admission.level(i)));
+      tenant.put("level", EnumWords.wordOf(admission.level(i)));
       tenant.put("depth", admission.shedFraction(i));
     }
   }
@@ -121,8 +121,8 @@
   private void addChange(ObjectNode node, ServiceLevelChange change) {
     node.put("at_s", seconds(change.time()));
     node.put("for", change.tenant() < 0 ? "all" : settings.tenantName(change.tenant()));
-    node.put("from", YamlDocument.word(change.previous()));
-    node.put("to", YamlDocument.word(change.current()));
+    node.put("from", EnumWords.wordOf(change.previous()));
+    node.put("to", EnumWords.wordOf(change.current()));
     node.put("condition", change.condition());
     node.put("pressure", change.pressure());
     node.put("evidence", change.samples());
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -10,7 +10,7 @@
 import org.slf4j.LoggerFactory;
 import switchgap.admission.AdmissionController;
 import switchgap.admission.ServiceLevelChange;
-import switchgap.config.YamlDocument;
+import switchgap.config.EnumWords;
 import switchgap.config.YamlRouterSettings;
 import switchgap.endpoints.EndpointListWatcher;
 import switchgap.endpoints.EndpointNames;
@@ -244,8 +244,8 @@
   private void logLevelChange(ServiceLevelChange change) {
     LOG.warn(
         "level {} to {} for {}: {} (pressure {}, evidence {} calls)",
-        YamlDocument.word(change.previous()),
-        YamlDocument.word(change.current()),
+        EnumWords.wordOf(change.previous()),
+        EnumWords.wordOf(change.current()),
         change.tenant() < 0 ? "all" : settings.tenantName(change.tenant()),
         change.condition(),
         String.format(Locale.ROOT, "%.3f", change.pressure()),
--- a/src/main/java/switchgap/server/gateway/RouterStatus.java
+++ b/src/main/java/switchgap/server/gateway/RouterStatus.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
 import switchgap.admission.AdmissionController;
-import switchgap.config.YamlDocument;
+import switchgap.config.EnumWords;
 import switchgap.planner.LoadPlanCounts;
 import switchgap.protocol.invoke.InvokeApi;
 import switchgap.protocol.invoke.RequestCounts;
@@ -43,7 +43,7 @@
     root.put("router", routerIndex);
     root.put("up_s", core.now().toMillis() / MILLIS_PER_SECOND);
     addRequests(root.putObject("calls"));
-    root.put("level", admission == null ? "none" : YamlDocument.word(admission.level()));
+    root.put("level", admission == null ? "none" : EnumWords.wordOf(admission.level()));
     if (planned == null) {
       root.put("planner", "none: one program");
     } else {
@@ -63,7 +63,7 @@
 
   private void addPlanner(ObjectNode node) {
     LoadPlanCounts counts = planned.counts();
-    node.put("state", YamlDocument.word(planned.state()));
+    node.put("state", EnumWords.wordOf(planned.state()));
     node.put("epoch", planned.epoch());
     node.put("orders_waiting", planned.pendingLoads());
     node.put("led", counts.planned());
--- a/src/main/java/switchgap/testbed/experiment/Emulator.java
+++ b/src/main/java/switchgap/testbed/experiment/Emulator.java
@@ -10,6 +10,7 @@
 import java.util.function.LongToDoubleFunction;
 import switchgap.admission.AdmissionController;
 import switchgap.admission.ServiceLevelChange;
+import switchgap.config.EnumWords;
 import switchgap.config.FunctionSettings;
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
@@ -342,7 +343,7 @@
       default ->
           throw new IllegalArgumentException(
               "the emulator does not bring "
-                  + YamlDocument.word(fault.type())
+                  + EnumWords.wordOf(fault.type())
                   + "; it brings what needs no socket");
     }
   }
--- a/src/main/java/switchgap/testbed/experiment/Experiment.java
+++ b/src/main/java/switchgap/testbed/experiment/Experiment.java
@@ -9,6 +9,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
+import switchgap.config.EnumWords;
 import switchgap.config.YamlDocument;
 import switchgap.testbed.scenario.Scenario;
 
@@ -153,7 +154,7 @@
         .forEach(
             (level, seconds) -> {
               if (seconds > 0) {
-                text.append(String.format("%s %.0f s ", YamlDocument.word(level), seconds));
+                text.append(String.format("%s %.0f s ", EnumWords.wordOf(level), seconds));
               }
             });
     for (Trial trial : trials) {
--- a/src/main/java/switchgap/testbed/experiment/ExperimentReport.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentReport.java
@@ -17,7 +17,7 @@
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 import switchgap.admission.ServiceLevel;
-import switchgap.config.YamlDocument;
+import switchgap.config.EnumWords;
 
 /** An experiment as one HTML page with its plots inside. */
 final class ExperimentReport {
@@ -244,7 +244,7 @@
                     trial.variant.name(),
                     trial.secondsAtLevel.keySet().stream()
                         .filter(level -> level != ServiceLevel.SHARE)
-                        .map(YamlDocument::word)
+                        .map(EnumWords::wordOf)
                         .toList(),
                     trial.secondsAtLevel.entrySet().stream()
                         .filter(entry -> entry.getKey() != ServiceLevel.SHARE)
--- a/src/main/java/switchgap/testbed/experiment/ExperimentTables.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentTables.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import switchgap.admission.ServiceLevelChange;
-import switchgap.config.YamlDocument;
+import switchgap.config.EnumWords;
 
 /**
  * An experiment's results as tables: {@code trials} with one row a trial and request class or
@@ -114,8 +114,8 @@
           routerChange.router(),
           change.time().toMillis() / 1e3,
           tenant,
-          YamlDocument.word(change.previous()),
-          YamlDocument.word(change.current()),
+          EnumWords.wordOf(change.previous()),
+          EnumWords.wordOf(change.current()),
           change.condition(),
           change.pressure(),
           change.samples());
