--- a/src/main/java/switchgap/protocol/invoke/ResponseWriter.java
+++ b/src/main/java/switchgap/protocol/invoke/ResponseWriter.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import switchgap.admission.ServiceLevel;
-import switchgap.config.YamlDocument;
+import switchgap.config.EnumWords;
 import switchgap.net.HttpExchange;
 import switchgap.router.Response;
 
