--- a/src/main/java/switchgap/protocol/invoke/PinRequest.java
+++ b/src/main/java/switchgap/protocol/invoke/PinRequest.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import switchgap.admission.ServiceLevel;
-import switchgap.config.YamlDocument;
+import switchgap.config.EnumWords;
 import switchgap.net.HttpExchange;
 
 /**
@@ -28,7 +28,7 @@
   /** Returns null for no level, and for the one that applies to single tenants. */
   private static ServiceLevel parseLevel(String word) {
     for (ServiceLevel level : ServiceLevel.values()) {
-      if (level != ServiceLevel.SHARE && YamlDocument.word(level).equals(word)) {
+      if (level != ServiceLevel.SHARE && EnumWords.wordOf(level).equals(word)) {
         return level;
       }
     }
--- a/src/main/java/switchgap/protocol/invoke/ProblemDetails.java
+++ b/src/main/java/switchgap/protocol/invoke/ProblemDetails.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import switchgap.config.YamlDocument;
+import switchgap.config.EnumWords;
 
 /**
  * Problem details by RFC 9457.
@@ -72,7 +72,7 @@
     members.put("end", outcome.end().word());
     members.put("repeat_harmless", outcome.retryHarmless());
     if (outcome.shedBy() != null) {
-      members.put("level", YamlDocument.word(outcome.shedBy()));
+      members.put("level", EnumWords.wordOf(outcome.shedBy()));
     }
     if (outcome.retryAfter() != null) {
       members.put("come_back_ms", outcome.retryAfter().toMillis());
--- a/src/main/java/switchgap/protocol/invoke/ResponseWriter.java
+++ b/src/main/java/switchgap/protocol/invoke/ResponseWriter.java
@@ -44,7 +44,7 @@
       ServiceLevel shedBy) {
     Map<String, String> headers = requestHeaders(id, clientRequestId);
     if (shedBy != null) {
-      headers.put(HeaderNames.SERVICE_LEVEL, YamlDocument.word(shedBy));
+      headers.put(HeaderNames.SERVICE_LEVEL, EnumWords.wordOf(shedBy));
     }
     switch (response.kind()) {
       case SUCCEEDED -> writeSuccess(exchange, response, headers);
--- a/src/main/java/switchgap/protocol/invoke/ServiceLevelReport.java
+++ b/src/main/java/switchgap/protocol/invoke/ServiceLevelReport.java
@@ -8,7 +8,7 @@
 import switchgap.admission.AdmissionController;
 import switchgap.admission.ServiceLevel;
 import switchgap.admission.ServiceLevelChange;
-import switchgap.config.YamlDocument;
+import switchgap.config.EnumWords;
 import switchgap.config.YamlRouterSettings;
 
 /** The service levels of a router as JSON: now, so far, and their last changes. */
@@ -25,7 +25,7 @@
   /** The report now, in UTF-8; on the event loop. */
   byte[] toJson(AdmissionController admission) {
     ObjectNode root = JSON.createObjectNode();
-    root.put("level", YamlDocument.word(admission.level()));
+    root.put("level", EnumWords.wordOf(admission.level()));
     root.put("depth", admission.shedFraction());
     root.put("pinned", admission.isPinned());
     root.put("pressure", admission.pressure());
@@ -42,7 +42,7 @@
     ObjectNode seconds = root.putObject("seconds_at");
     ObjectNode rejections = root.putObject("pushed_back");
     for (ServiceLevel level : ServiceLevel.values()) {
-      String word = YamlDocument.word(level);
+      String word = EnumWords.wordOf(level);
       seconds.put(word, seconds(admission.timeAt(level)));
       for (int i = 0; i < settings.requestClassCount(); i++) {
         long count = admission.rejections(level, i);
@@ -56,7 +56,7 @@
   private void addTenants(ObjectNode tenants, AdmissionController admission) {
     for (int i = 0; i < settings.tenantCount(); i++) {
       ObjectNode tenant = tenants.putObject(settings.tenantName(i));
-      tenant.put("level", YamlDocument.word(admission.level(i)));
+      tenant.put("level", EnumWords.wordOf(admission.level(i)));
       tenant.put("depth", admission.shedFraction(i));
     }
   }
@@ -64,8 +64,8 @@
   private void addChange(ObjectNode node, ServiceLevelChange change) {
     node.put("at_s", seconds(change.time()));
     node.put("for", change.tenant() < 0 ? "all" : settings.tenantName(change.tenant()));
-    node.put("from", YamlDocument.word(change.previous()));
-    node.put("to", YamlDocument.word(change.current()));
+    node.put("from", EnumWords.wordOf(change.previous()));
+    node.put("to", EnumWords.wordOf(change.current()));
     node.put("condition", change.condition());
     node.put("pressure", change.pressure());
     node.put("evidence", change.samples());
--- a/src/main/java/switchgap/server/gateway/GatewayAdmission.java
+++ b/src/main/java/switchgap/server/gateway/GatewayAdmission.java
@@ -6,7 +6,7 @@
 import org.slf4j.LoggerFactory;
 import switchgap.admission.AdmissionController;
 import switchgap.admission.ServiceLevelChange;
-import switchgap.config.YamlDocument;
+import switchgap.config.EnumWords;
 import switchgap.config.YamlRouterSettings;
 import switchgap.router.AdmissionGate;
 import switchgap.router.RouterCore;
@@ -56,8 +56,8 @@
   private void logLevelChange(ServiceLevelChange change) {
     LOG.warn(
         "level {} to {} for {}: {} (pressure {}, evidence {} calls)",
-        YamlDocument.word(change.previous()),
-        YamlDocument.word(change.current()),
+        EnumWords.wordOf(change.previous()),
+        EnumWords.wordOf(change.current()),
         change.tenant() < 0 ? "all" : settings.tenantName(change.tenant()),
         change.condition(),
         String.format(Locale.ROOT, "%.3f", change.pressure()),
