--- a/src/test/java/switchgap/admission/AdmissionControllerTest.java
+++ b/src/test/java/switchgap/admission/AdmissionControllerTest.java
@@ -371,7 +371,7 @@
       }
     }
     assertThat(controller.changes()).hasSize(64);
-    assertThat(ReachableObjects.by(controller)).isLessThan(2000);
+    assertThat(ReachableObjects.count(controller)).isLessThan(2000);
     assertThat(controller.drainChanges().size()).isLessThanOrEqualTo(64);
     assertThat(controller.pressure()).isBetween(0.0, 1.0);
   }
--- a/src/test/java/switchgap/eventloop/EventLoopTest.java
+++ b/src/test/java/switchgap/eventloop/EventLoopTest.java
@@ -2,50 +2,51 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.lang.reflect.Proxy;
+import java.io.IOException;
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import switchgap.policy.api.RouterSettings;
 import switchgap.router.CoreLimits;
 import switchgap.router.RouterCore;
 import switchgap.router.WorkerTransport;
 import switchgap.server.platform.TestPlatformSettings;
+import switchgap.testing.RecordingProxy;
 
-/** A loop whose thread is gone serves nobody: whatever ends it is told. */
+/** Without its thread a loop serves nothing: whatever ends the thread is reported. */
 class EventLoopTest {
+  private static final String ERROR_MESSAGE = "injected by the test";
+  private static final CoreLimits LIMITS =
+      new CoreLimits(Duration.ofSeconds(1), Duration.ofSeconds(1), 10);
+
+  private static RouterCore coreThatFailsInTick(int failingTick) throws IOException {
+    AtomicInteger ticks = new AtomicInteger();
+    RouterCore.Policy policy =
+        (now, events, actions) -> {
+          if (ticks.incrementAndGet() == failingTick) {
+            throw new StackOverflowError(ERROR_MESSAGE);
+          }
+        };
+    return new RouterCore(
+        TestPlatformSettings.routerSettings(),
+        policy,
+        RecordingProxy.ignoring(WorkerTransport.class),
+        LIMITS);
+  }
+
   @ParameterizedTest
   @ValueSource(ints = {1, 2})
-  void anErrorInAnyRoundIsToldTheFirstToo(int round) throws Exception {
-    RouterSettings terms = TestPlatformSettings.routerSettings();
-    WorkerTransport nothing =
-        (WorkerTransport)
-            Proxy.newProxyInstance(
-                EventLoopTest.class.getClassLoader(),
-                new Class<?>[] {WorkerTransport.class},
-                (p, m, a) -> null);
-    int[] rounds = {0};
-    CompletableFuture<Throwable> told = new CompletableFuture<>();
+  void reportsAnErrorInAnyTickIncludingTheFirst(int failingTick) throws Exception {
+    CompletableFuture<Throwable> failure = new CompletableFuture<>();
+    RouterCore core = coreThatFailsInTick(failingTick);
     EventLoop loop =
-        new EventLoop(
-            l ->
-                new RouterCore(
-                    terms,
-                    (now, in, out) -> {
-                      if (++rounds[0] == round) {
-                        throw new StackOverflowError("planted");
-                      }
-                    },
-                    nothing,
-                    new CoreLimits(Duration.ofSeconds(1), Duration.ofSeconds(1), 10)),
-            "planted",
-            late -> {},
-            told::complete,
-            () -> {});
+        new EventLoop(self -> core, "failing-loop", late -> {}, failure::complete, () -> {});
+
     loop.start();
-    loop.post(c -> {});
-    assertThat(told.get(5, TimeUnit.SECONDS)).hasMessage("planted");
+    loop.post(router -> {});
+
+    assertThat(failure.get(5, TimeUnit.SECONDS)).hasMessage(ERROR_MESSAGE);
   }
 }
--- a/src/test/java/switchgap/policy/PolicyHarness.java
+++ b/src/test/java/switchgap/policy/PolicyHarness.java
@@ -328,7 +328,7 @@
 
   /** All that the module holds: elements of its tables. */
   long reachableElements() {
-    return ReachableObjects.by(policy, this);
+    return ReachableObjects.count(policy, this);
   }
 
   String trace() {
--- a/src/test/java/switchgap/policy/RoutingInvariantsTest.java
+++ b/src/test/java/switchgap/policy/RoutingInvariantsTest.java
@@ -238,7 +238,7 @@
     for (int d = 0; d < 3; d++) {
       day(d, 24 * 3600, 5000, 60_000, 40 + 40 * d);
       nothingIsLeft();
-      after[d] = ReachableObjects.by(policy, this);
+      after[d] = ReachableObjects.count(policy, this);
     }
     assertThat(after[2]).isLessThan(after[0] + 200);
   }
--- a/src/test/java/switchgap/router/RouterCoreLongRunTest.java
+++ b/src/test/java/switchgap/router/RouterCoreLongRunTest.java
@@ -14,15 +14,15 @@
 import switchgap.config.YamlRouterSettings;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.policy.api.LoadReport;
-import switchgap.policy.api.WorkerState;
+import switchgap.testing.EndpointUpdateBuilder;
 import switchgap.testing.ReachableObjects;
 
 /**
- * The core under the module for simulated days: workers replaced by others for ever, functions
- * asked for once, clients that leave.
+ * The core under the routing policy for simulated days: workers are replaced for ever, functions
+ * are requested once, clients cancel.
  */
 class RouterCoreLongRunTest implements WorkerTransport, ResponseListener {
-  private static final String TERMS =
+  private static final String SETTINGS =
       """
       router: {number: 0, of: 3, tick: 5ms, executions: 3}
       workloads:
@@ -32,171 +32,186 @@
       workers: {miss: answers, orders: true, keep_alive: 10s}
       prices: {memory: 0.05}
       """;
-  private final TreeMap<Duration, List<Consumer<RouterCore>>> due = new TreeMap<>();
-  private final SplittableRandom draw = new SplittableRandom(3);
+  private static final long MILLIS_PER_HOUR = 3_600_000;
+  private static final long LONGEST_REQUEST_MILLIS = 60_000;
+
+  private final TreeMap<Duration, List<Consumer<RouterCore>>> eventsByTime = new TreeMap<>();
+  private final SplittableRandom random = new SplittableRandom(3);
   private final RouterCore core =
       new RouterCore(
-          new YamlRouterSettings(YamlDocument.read("t", TERMS)),
+          new YamlRouterSettings(YamlDocument.read("settings", SETTINGS)),
           1,
           this,
           new CoreLimits(Duration.ofSeconds(10), Duration.ofMillis(250), 500));
-  private final List<String> fleet = new ArrayList<>(List.of("w0", "w1", "w2", "w3"));
+  private final List<String> workers = new ArrayList<>(List.of("w0", "w1", "w2", "w3"));
   private Duration now = Duration.ZERO;
-  private int names = 4, taken, answers, overdue, refused, left;
-
-  private void later(long millis, Consumer<RouterCore> e) {
-    due.computeIfAbsent(now.plusMillis(millis), t -> new ArrayList<>()).add(e);
+  private int workersSoFar = 4;
+  private int accepted;
+  private int notAccepted;
+  private int answered;
+  private int deadlinesMissed;
+  private int cancelled;
+
+  private void postLater(long millis, Consumer<RouterCore> event) {
+    eventsByTime.computeIfAbsent(now.plusMillis(millis), time -> new ArrayList<>()).add(event);
   }
 
-  private void until(Duration end) {
-    while (true) {
-      Duration a = due.isEmpty() ? null : due.firstKey();
-      Duration b = core.nextDue();
-      Duration next = a == null || (b != null && b.compareTo(a) < 0) ? b : a;
-      if (next == null || next.compareTo(end) > 0) {
-        return;
-      }
+  private void runUntil(Duration end) {
+    Duration next = nextTick();
+    while (next != null && next.compareTo(end) <= 0) {
       now = next.compareTo(now) < 0 ? now : next;
       List<Consumer<RouterCore>> events = new ArrayList<>();
-      while (!due.isEmpty() && due.firstKey().compareTo(now) <= 0) {
-        events.addAll(due.pollFirstEntry().getValue());
+      while (!eventsByTime.isEmpty() && eventsByTime.firstKey().compareTo(now) <= 0) {
+        events.addAll(eventsByTime.pollFirstEntry().getValue());
       }
       core.tick(now, events);
+      next = nextTick();
     }
   }
 
-  private void list(RouterCore core) {
-    List<EndpointUpdate> lines = new ArrayList<>();
-    for (String name : fleet) {
-      lines.add(
-          new EndpointUpdate(
-              name, "h", 1 + draw.nextInt(3) / 2, WorkerState.READY, 0, 0, 0, 1, null));
+  private Duration nextTick() {
+    Duration nextEvent = eventsByTime.isEmpty() ? null : eventsByTime.firstKey();
+    Duration nextTimer = core.nextDue();
+    boolean timerFirst =
+        nextEvent == null || (nextTimer != null && nextTimer.compareTo(nextEvent) < 0);
+    return timerFirst ? nextTimer : nextEvent;
+  }
+
+  /** Some workers also change their address from list to list. */
+  private void receiveList(RouterCore router) {
+    List<EndpointUpdate> updates = new ArrayList<>();
+    for (String name : workers) {
+      int port = 1 + random.nextInt(3) / 2;
+      updates.add(EndpointUpdateBuilder.worker(name).address("h", port).build());
     }
-    core.endpointListReceived(true, lines);
+    router.endpointListReceived(true, updates);
   }
 
-  private void call(RouterCore core) {
-    String function =
-        draw.nextInt(4) == 0 ? "f-once-" + draw.nextInt(1_000_000) : "f" + draw.nextInt(20);
-    PendingRequest call =
-        PendingRequest.builder("c", function, now.plusMillis(300 + draw.nextInt(1700)), this)
-            .requestClass(draw.nextInt(2))
-            .replica(1, 4)
-            .build();
-    if (!core.accept(call)) {
-      refused++;
+  private void replaceWorker(RouterCore router) {
+    workers.remove(random.nextInt(workers.size()));
+    workers.add("w" + workersSoFar);
+    workersSoFar++;
+    receiveList(router);
+  }
+
+  private void offerRequest(RouterCore router) {
+    PendingRequest request = randomRequest();
+    if (!router.accept(request)) {
+      notAccepted++;
       return;
     }
-    taken++;
-    if (draw.nextInt(30) == 0) {
-      later(
-          draw.nextInt(200),
-          router -> {
-            left += call.state() == PendingRequest.State.PENDING ? 1 : 0;
-            router.requestCancelled(call);
-          });
+    accepted++;
+    if (random.nextInt(30) == 0) {
+      postLater(random.nextInt(200), later -> cancel(later, request));
     }
   }
 
-  private void hours(int n) {
-    long span = n * 3_600_000L;
-    for (long time = 1; time < span; time += 1 + draw.nextInt(2000)) {
-      later(time, this::call);
+  private PendingRequest randomRequest() {
+    String function =
+        random.nextInt(4) == 0 ? "f-once-" + random.nextInt(1_000_000) : "f" + random.nextInt(20);
+    Duration deadline = now.plusMillis(300 + random.nextInt(1700));
+    return PendingRequest.builder("request", function, deadline, this)
+        .requestClass(random.nextInt(2))
+        .replica(1, 4)
+        .build();
+  }
+
+  private void cancel(RouterCore router, PendingRequest request) {
+    cancelled += request.isPending() ? 1 : 0;
+    router.requestCancelled(request);
+  }
+
+  private void runHours(int hours) {
+    long millis = hours * MILLIS_PER_HOUR;
+    for (long time = 1; time < millis; time += 1 + random.nextInt(2000)) {
+      postLater(time, this::offerRequest);
     }
-    for (long time = 1; time < span; time += 20_000 + draw.nextInt(40_000)) {
-      later(
-          time,
-          core -> {
-            fleet.remove(draw.nextInt(fleet.size()));
-            fleet.add("w" + names++);
-            list(core);
-          });
+    for (long time = 1; time < millis; time += 20_000 + random.nextInt(40_000)) {
+      postLater(time, this::replaceWorker);
     }
-    until(now.plusMillis(span + 60_000));
+    runUntil(now.plusMillis(millis + LONGEST_REQUEST_MILLIS));
   }
 
   @Test
-  void nothingOfWhatHasGoneIsKept() {
-    later(0, this::list);
-    hours(12);
-    long after = ReachableObjects.by(core, this);
-    hours(36);
-    assertThat(names).isGreaterThan(3000);
-    assertThat(ReachableObjects.by(core, this)).isLessThan(after + 300);
+  void keepsNothingOfEndedRequestsAndForgottenWorkersAndFunctions() {
+    postLater(0, this::receiveList);
+    runHours(12);
+    long elementsAfterHalfADay = ReachableObjects.count(core, this);
+
+    runHours(36);
+
+    assertThat(workersSoFar).isGreaterThan(3000);
+    assertThat(ReachableObjects.count(core, this)).isLessThan(elementsAfterHalfADay + 300);
     assertThat(core.pendingRequests()).isZero();
     assertThat(core.unsettledRequests()).isZero();
-    assertThat(answers + overdue + left).isEqualTo(taken);
-    assertThat(overdue).isZero();
-    assertThat(refused).isZero();
-    assertThat(
-            ((NameIndex)
-                    ReachableObjects.field(ReachableObjects.field(core, "requests"), "functions"))
-                .size())
-        .isLessThan(60);
-    assertThat(
-            (Map<?, ?>) ReachableObjects.field(ReachableObjects.field(core, "endpoints"), "byName"))
-        .hasSizeLessThan(8);
+    assertThat(answered + deadlinesMissed + cancelled).isEqualTo(accepted);
+    assertThat(deadlinesMissed).isZero();
+    assertThat(notAccepted).isZero();
+    Object requests = ReachableObjects.field(core, "requests");
+    Object endpoints = ReachableObjects.field(core, "endpoints");
+    assertThat(((NameIndex) ReachableObjects.field(requests, "functions")).size()).isLessThan(60);
+    assertThat((Map<?, ?>) ReachableObjects.field(endpoints, "byName")).hasSizeLessThan(8);
   }
 
-  // ---- the seam
-
+  /** Ends with a random outcome, mostly success; an attempt that is to time out never ends. */
   @Override
-  public void startAttempt(Attempt run, Duration allow) {
-    AttemptOutcome end =
-        draw.nextInt(5) > 0
+  public void startAttempt(Attempt attempt, Duration timeout) {
+    AttemptOutcome outcome =
+        random.nextInt(5) > 0
             ? AttemptOutcome.SUCCEEDED
-            : AttemptOutcome.values()[draw.nextInt(AttemptOutcome.values().length)];
-    if (end == AttemptOutcome.TIMED_OUT) {
+            : AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
+    if (outcome == AttemptOutcome.TIMED_OUT) {
       return;
-    } // never answers
-    later(
-        1 + draw.nextInt(400),
-        core ->
-            core.attemptEnded(
-                run, end, LoadReport.NONE, Response.succeeded(200, Map.of(), new byte[0])));
+    }
+    Response response = Response.succeeded(200, Map.of(), new byte[0]);
+    postLater(
+        1 + random.nextInt(400),
+        router -> router.attemptEnded(attempt, outcome, LoadReport.NONE, response));
   }
 
   @Override
-  public AttemptOutcome abandon(Attempt run) {
+  public AttemptOutcome abandon(Attempt attempt) {
     return AttemptOutcome.TIMED_OUT;
   }
 
+  /** One in twenty never ends by itself. */
   @Override
   public void requestReplicas(
-      WorkerEntry worker, String function, int copies, WorkerCommand command) {
-    if (draw.nextInt(20) == 0) {
+      WorkerEntry worker, String function, int replicas, WorkerCommand command) {
+    if (random.nextInt(20) == 0) {
       return;
-    } // never ends by itself
-    later(
-        1 + draw.nextInt(2000),
-        core -> core.loadCommandEnded(command, AttemptOutcome.SUCCEEDED, 1));
+    }
+    postLater(
+        1 + random.nextInt(2000),
+        router -> router.loadCommandEnded(command, AttemptOutcome.SUCCEEDED, 1));
   }
 
+  /** Every other one never ends by itself. */
   @Override
-  public void unload(WorkerEntry worker, String function, WorkerCommand order) {
-    if (draw.nextBoolean()) {
-      later(5, core -> core.unloadEnded(order));
+  public void unload(WorkerEntry worker, String function, WorkerCommand command) {
+    if (random.nextBoolean()) {
+      postLater(5, router -> router.unloadEnded(command));
     }
   }
 
   @Override
-  public void probe(WorkerEntry worker, WorkerCommand order) {
-    later(2, core -> core.probeEnded(order, AttemptOutcome.SUCCEEDED, LoadReport.NONE));
+  public void probe(WorkerEntry worker, WorkerCommand command) {
+    postLater(2, router -> router.probeEnded(command, AttemptOutcome.SUCCEEDED, LoadReport.NONE));
   }
 
   @Override
-  public void abandon(WorkerCommand order) {}
+  public void abandon(WorkerCommand command) {}
 
   @Override
   public void requestEndpointList() {}
 
   @Override
   public void responded(PendingRequest request, Response response) {
-    answers++;
+    answered++;
   }
 
   @Override
   public void deadlineMissed(PendingRequest request, Response late) {
-    overdue++;
+    deadlinesMissed++;
   }
 }
--- a/src/test/java/switchgap/router/WorkerStartTimesTest.java
+++ b/src/test/java/switchgap/router/WorkerStartTimesTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.lang.reflect.Proxy;
+import java.io.IOException;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.List;
@@ -12,46 +12,49 @@
 import switchgap.policy.api.PolicyEvents;
 import switchgap.policy.api.WorkerState;
 import switchgap.server.platform.TestPlatformSettings;
+import switchgap.testing.EndpointUpdateBuilder;
+import switchgap.testing.RecordingProxy;
 
 /**
- * Wall clocks step, here and at the platform: a worker's stated start counts only as far as it
- * agrees with when this router was told of the worker.
+ * Wall clocks step, here and at the platform: a worker's listed start counts only as far as it
+ * agrees with when this router was notified of the worker.
  */
 class WorkerStartTimesTest {
-  private final Map<Integer, Duration> starts = new HashMap<>();
+  private static final Duration ONE_HOUR = Duration.ofHours(1);
+
+  private final Map<Integer, Duration> startsByWorker = new HashMap<>();
   private final RouterCore core;
 
-  WorkerStartTimesTest() throws Exception {
-    WorkerTransport transport = proxy(WorkerTransport.class, null);
-    PolicyEvents events = proxy(PolicyEvents.class, starts);
+  WorkerStartTimesTest() throws IOException {
+    PolicyEvents policyEvents = RecordingProxy.recording(PolicyEvents.class, this::recordStart);
     core =
         new RouterCore(
             TestPlatformSettings.routerSettings(),
-            (now, batch, actions) -> batch.deliverTo(events),
-            transport,
+            (now, batch, actions) -> batch.deliverTo(policyEvents),
+            RecordingProxy.ignoring(WorkerTransport.class),
             new CoreLimits(Duration.ofSeconds(1), Duration.ofSeconds(1), 10));
   }
 
-  @SuppressWarnings("unchecked")
-  private static <T> T proxy(Class<T> type, Map<Integer, Duration> starts) {
-    return (T)
-        Proxy.newProxyInstance(
-            type.getClassLoader(),
-            new Class<?>[] {type},
-            (p, method, args) -> {
-              if (args != null && args.length == 1 && args[0] instanceof EndpointEntry entry) {
-                starts.put(entry.worker(), entry.startedAt());
-              }
-              return null;
-            });
+  private void recordStart(Object event) {
+    if (event instanceof EndpointEntry entry) {
+      startsByWorker.put(entry.worker(), entry.startedAt());
+    }
   }
 
   private static EndpointUpdate worker(String name, WorkerState state, Duration startedAt) {
-    return new EndpointUpdate(name, "127.0.0.1", 1, state, 0, 0, 0, 1, startedAt);
+    return EndpointUpdateBuilder.worker(name).state(state).startedAt(startedAt).build();
+  }
+
+  private static EndpointUpdate readyWorker(String name, Duration startedAt) {
+    return worker(name, WorkerState.READY, startedAt);
   }
 
-  private void told(Duration now, boolean complete, EndpointUpdate... updates) {
-    core.tick(now, List.of(each -> each.endpointListReceived(complete, List.of(updates))));
+  private void receiveList(Duration now, EndpointUpdate... updates) {
+    core.tick(now, List.of(router -> router.endpointListReceived(true, List.of(updates))));
+  }
+
+  private void receiveChanges(Duration now, EndpointUpdate... updates) {
+    core.tick(now, List.of(router -> router.endpointListReceived(false, List.of(updates))));
   }
 
   private static Duration seconds(long seconds) {
@@ -59,34 +62,42 @@
   }
 
   @Test
-  void aNewWorkerIsNoOlderThanThisRoutersList() {
-    told(seconds(0), true, worker("old", WorkerState.READY, seconds(-3600)));
-    told(seconds(30), false, worker("new", WorkerState.READY, seconds(-3600)));
-    assertThat(starts).containsEntry(0, seconds(-3600)).containsEntry(1, seconds(30));
+  void newWorkerStartsNoEarlierThanItsFirstListing() {
+    receiveList(seconds(0), readyWorker("old", ONE_HOUR.negated()));
+
+    receiveChanges(seconds(30), readyWorker("new", ONE_HOUR.negated()));
+
+    assertThat(startsByWorker).containsEntry(0, ONE_HOUR.negated()).containsEntry(1, seconds(30));
   }
 
   @Test
-  void noWorkerStartsInTheFuture() {
-    told(seconds(0), true, worker("known", WorkerState.READY, seconds(3600)));
-    told(seconds(30), false, worker("new", WorkerState.READY, seconds(3600)));
-    assertThat(starts).containsEntry(0, seconds(0)).containsEntry(1, seconds(30));
+  void listedStartInTheFutureCountsAsNow() {
+    receiveList(seconds(0), readyWorker("known", ONE_HOUR));
+
+    receiveChanges(seconds(30), readyWorker("new", ONE_HOUR));
+
+    assertThat(startsByWorker).containsEntry(0, seconds(0)).containsEntry(1, seconds(30));
   }
 
   @Test
-  void aStartThatCanBeIsTakenAsItIsStated() {
-    told(seconds(0), true, worker("known", WorkerState.READY, seconds(-2)));
-    told(seconds(30), false, worker("new", WorkerState.READY, seconds(29)));
-    assertThat(starts).containsEntry(0, seconds(-2)).containsEntry(1, seconds(29));
+  void possibleStartCountsAsListed() {
+    receiveList(seconds(0), readyWorker("known", seconds(-2)));
+
+    receiveChanges(seconds(30), readyWorker("new", seconds(29)));
+
+    assertThat(startsByWorker).containsEntry(0, seconds(-2)).containsEntry(1, seconds(29));
   }
 
   @Test
-  void theSameProcessKeepsItsStartInEachVersion() {
-    told(seconds(0), true);
-    told(seconds(30), false, worker("new", WorkerState.READY, seconds(-3600)));
-    told(seconds(31), false, worker("new", WorkerState.DRAINING, seconds(-3600)));
-    told(seconds(32), true, worker("new", WorkerState.READY, seconds(-3600)));
-    assertThat(starts).containsEntry(0, seconds(30));
-    told(seconds(33), false, worker("new", WorkerState.READY, seconds(-3599)));
-    assertThat(starts).as("its process was replaced").containsEntry(0, seconds(33));
+  void startChangesOnlyWhenTheProcessIsReplaced() {
+    receiveList(seconds(0));
+    receiveChanges(seconds(30), readyWorker("new", ONE_HOUR.negated()));
+    receiveChanges(seconds(31), worker("new", WorkerState.DRAINING, ONE_HOUR.negated()));
+    receiveList(seconds(32), readyWorker("new", ONE_HOUR.negated()));
+    assertThat(startsByWorker).containsEntry(0, seconds(30));
+
+    receiveChanges(seconds(33), readyWorker("new", seconds(-3599)));
+
+    assertThat(startsByWorker).as("its process was replaced").containsEntry(0, seconds(33));
   }
 }
--- a/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
+++ b/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
@@ -78,17 +78,17 @@
                   .build());
         });
     ticks(1, 0);
-    long before = ReachableObjects.by(transport);
+    long before = ReachableObjects.count(transport);
     requestedLoads = 1;
     ticks(20_000, 1); // no planner
-    assertThat(ReachableObjects.by(transport)).isLessThan(before + 100);
+    assertThat(ReachableObjects.count(transport)).isLessThan(before + 100);
     nextEvents.add(router -> transport.plannerConnected(router, 1));
     ticks(20_000, 30_000); // one that is silent
     nextEvents.add(router -> transport.plannerDisconnected(router, 1));
     ticks(20_000, 60_000);
     requestedLoads = 0;
     ticks(100, 90_000);
-    assertThat(ReachableObjects.by(transport)).isLessThan(before + 100);
+    assertThat(ReachableObjects.count(transport)).isLessThan(before + 100);
     assertThat(transport.pendingLoads()).isZero();
   }
 
--- a/src/test/java/switchgap/testing/ReachableObjects.java
+++ b/src/test/java/switchgap/testing/ReachableObjects.java
@@ -4,84 +4,92 @@
 import java.lang.reflect.Field;
 import java.lang.reflect.Modifier;
 import java.util.ArrayDeque;
+import java.util.Arrays;
 import java.util.Collection;
 import java.util.Collections;
 import java.util.IdentityHashMap;
 import java.util.Map;
+import java.util.Queue;
 import java.util.Set;
 
 /**
- * Counts what an object of this program holds: the elements of all collections and arrays that it
- * reaches.
+ * Counts the elements of all collections and arrays that an object of this project reaches: a
+ * measure of its memory that must not grow for ever.
  */
 public final class ReachableObjects {
+  private static final String PROJECT_PACKAGE = "switchgap.";
+
+  private final Set<Object> visited = Collections.newSetFromMap(new IdentityHashMap<>());
+  private final Queue<Object> queue = new ArrayDeque<>();
+  private long elements;
+
   private ReachableObjects() {}
 
-  /** All but what is reached through {@code but}. */
-  public static long by(Object root, Object... but) {
-    Set<Object> seen = Collections.newSetFromMap(new IdentityHashMap<>());
-    Collections.addAll(seen, but);
-    ArrayDeque<Object> next = new ArrayDeque<>();
-    next.add(root);
-    long held = 0;
-    while (!next.isEmpty()) {
-      Object o = next.poll();
-      if (!seen.add(o)) {
-        continue;
-      }
-      if (o instanceof Map<?, ?> m) {
-        held += m.size();
-        m.forEach(
-            (k, v) -> {
-              push(next, k);
-              push(next, v);
-            });
-      } else if (o instanceof Collection<?> c) {
-        held += c.size();
-        c.forEach(e -> push(next, e));
-      } else if (o instanceof Object[] a) {
-        held += a.length;
-        for (Object e : a) {
-          push(next, e);
-        }
-      } else if (o.getClass().isArray()) {
-        held += Array.getLength(o);
-      } else if (o.getClass().getName().startsWith("switchgap.")) {
-        for (Class<?> c = o.getClass();
-            c != Object.class && c != Record.class && c != null;
-            c = c.getSuperclass()) {
-          for (Field f : c.getDeclaredFields()) {
-            if (!Modifier.isStatic(f.getModifiers())) {
-              push(next, get(f, o));
-            }
-          }
-        }
+  /** Counts the elements reached from a root, except through the excluded objects. */
+  public static long count(Object root, Object... excluded) {
+    ReachableObjects search = new ReachableObjects();
+    Collections.addAll(search.visited, excluded);
+    search.enqueue(root);
+    while (!search.queue.isEmpty()) {
+      Object next = search.queue.poll();
+      if (search.visited.add(next)) {
+        search.visit(next);
       }
     }
-    return held;
+    return search.elements;
   }
 
-  /** A field's value, by its name: for counters that must come back to none. */
-  public static Object field(Object o, String name) {
+  /** A field's value by its name: for counters that must return to zero. */
+  public static Object field(Object object, String name) {
     try {
-      return get(o.getClass().getDeclaredField(name), o);
+      return read(object.getClass().getDeclaredField(name), object);
     } catch (NoSuchFieldException e) {
       throw new AssertionError(e);
     }
   }
 
-  private static Object get(Field f, Object o) {
-    try {
-      f.setAccessible(true);
-      return f.get(o);
-    } catch (IllegalAccessException e) {
-      throw new AssertionError(e);
+  private void visit(Object object) {
+    if (object instanceof Map<?, ?> map) {
+      elements += map.size();
+      map.keySet().forEach(this::enqueue);
+      map.values().forEach(this::enqueue);
+    } else if (object instanceof Collection<?> collection) {
+      elements += collection.size();
+      collection.forEach(this::enqueue);
+    } else if (object instanceof Object[] array) {
+      elements += array.length;
+      Arrays.asList(array).forEach(this::enqueue);
+    } else if (object.getClass().isArray()) {
+      elements += Array.getLength(object);
+    } else if (object.getClass().getName().startsWith(PROJECT_PACKAGE)) {
+      enqueueFields(object);
     }
   }
 
-  private static void push(ArrayDeque<Object> next, Object o) {
-    if (o != null && !(o instanceof Enum<?>)) {
-      next.add(o);
+  private void enqueueFields(Object object) {
+    Class<?> type = object.getClass();
+    while (type != null && type != Object.class && type != Record.class) {
+      for (Field field : type.getDeclaredFields()) {
+        if (!Modifier.isStatic(field.getModifiers())) {
+          enqueue(read(field, object));
+        }
+      }
+      type = type.getSuperclass();
+    }
+  }
+
+  private void enqueue(Object object) {
+    if (object != null && !(object instanceof Enum<?>)) {
+      queue.add(object);
+    }
+  }
+
+  private static Object read(Field field, Object object) {
+    try {
+      field.setAccessible(true);
+      return field.get(object);
+    } catch (IllegalAccessException e) {
+      throw new AssertionError(e);
     }
   }
 }
