--- a/src/main/java/switchgap/policy/CandidateSelector.java
+++ b/src/main/java/switchgap/policy/CandidateSelector.java
@@ -39,7 +39,7 @@
     int maxVisited = 2 * function.targetReplicas() + OVERFLOW_WORKERS;
     int visited = 0;
     for (Worker worker : state.hashOrder(function)) {
-      if (outliers.isEjected(worker) || avoidsFailed && request.hasFailedAt(worker)) {
+      if (outliers.isEjected(worker) || (avoidsFailed && request.hasFailedAt(worker))) {
         continue;
       }
       if (visited++ < function.targetReplicas()) {
@@ -65,7 +65,7 @@
       if (loaded || unknown) {
         survey.foundSaturated();
       }
-    } else if (loaded || unknown && triesUnknown(request)) {
+    } else if (loaded || (unknown && triesUnknown(request))) {
       double difference = OVERFLOW_LOAD * state.ownShare;
       survey.foundAvailable(worker, comparableLoad(worker, replica), difference);
     } else if (unknown || state.settings.loadsOnDemand) {
--- a/src/main/java/switchgap/policy/ReplicaScaler.java
+++ b/src/main/java/switchgap/policy/ReplicaScaler.java
@@ -116,8 +116,8 @@
     double minReports = state.ownShare < 1 ? MIN_REPORTS_OF_FEW : MIN_REPORTS;
     boolean reported = function.concurrency.total() >= minReports;
     int saturated = function.saturatedArrivals();
-    return reported && concurrency > LOAD_THRESHOLD
-        || saturated > 0 && saturated * SATURATED_ONE_IN >= function.recentArrivals();
+    return (reported && concurrency > LOAD_THRESHOLD)
+        || (saturated > 0 && saturated * SATURATED_ONE_IN >= function.recentArrivals());
   }
 
   /** Adds one replica or, the more routers there are, nearly all that the concurrency asks for. */
