--- a/src/main/java/switchgap/net/FrameDecoder.java
+++ b/src/main/java/switchgap/net/FrameDecoder.java
@@ -46,24 +46,36 @@
         if (headerBytes < HEADER_BYTES) {
           continue;
         }
-        frameLength = ByteBuffer.wrap(header).getInt();
-        if (frameLength <= 0 || frameLength > maxFrameBytes) {
+        if (!startFrame(input.remaining())) {
           return false;
         }
-        frame = new byte[Math.min(frameLength, Math.max(INITIAL_BUFFER_BYTES, input.remaining()))];
-        frameBytes = 0;
       }
       gather(input);
       if (frameBytes == frameLength) {
-        byte[] complete = frame;
-        frame = null;
-        headerBytes = 0;
-        frameConsumer.accept(complete);
+        frameConsumer.accept(takeFrame());
       }
     }
     return true;
   }
 
+  /** The header is complete. Returns false if its length is out of bounds. */
+  private boolean startFrame(int availableBytes) {
+    frameLength = ByteBuffer.wrap(header).getInt();
+    if (frameLength <= 0 || frameLength > maxFrameBytes) {
+      return false;
+    }
+    frame = new byte[Math.min(frameLength, Math.max(INITIAL_BUFFER_BYTES, availableBytes))];
+    frameBytes = 0;
+    return true;
+  }
+
+  private byte[] takeFrame() {
+    byte[] complete = frame;
+    frame = null;
+    headerBytes = 0;
+    return complete;
+  }
+
   private void gather(ByteBuffer input) {
     int count = Math.min(input.remaining(), frameLength - frameBytes);
     if (frameBytes + count > frame.length) {
--- a/src/main/java/switchgap/net/InterimResponseFilter.java
+++ b/src/main/java/switchgap/net/InterimResponseFilter.java
@@ -13,6 +13,8 @@
 final class InterimResponseFilter extends BaseFilter {
   private static final int MAX_HEAD_BYTES = 16 << 10;
   private static final int STATUS_OFFSET = "HTTP/1.1 ".length();
+  private static final char FIRST_DIGIT_OF_INTERIM_STATUS = '1';
+  private static final int NOT_FOUND = -1;
 
   private final Attribute<HttpClientConnection> connections;
 
@@ -28,15 +30,15 @@
       if (input.remaining() <= STATUS_OFFSET) {
         return context.getStopAction(input);
       }
-      if (input.get(input.position() + STATUS_OFFSET) != '1') {
+      if (input.get(input.position() + STATUS_OFFSET) != FIRST_DIGIT_OF_INTERIM_STATUS) {
         connection.startFinalResponse();
         break;
       }
       int end = endOfHead(input);
-      if (end < 0 && input.remaining() < MAX_HEAD_BYTES) {
-        return context.getStopAction(input);
+      if (end == NOT_FOUND && input.remaining() < MAX_HEAD_BYTES) {
+        return context.getStopAction(input); // Grizzly prepends it to the next read
       }
-      if (end < 0) {
+      if (end == NOT_FOUND) {
         context.getConnection().closeSilently();
         return context.getStopAction();
       }
@@ -49,13 +51,16 @@
     return context.getInvokeAction();
   }
 
-  /** The position behind the empty line that ends the head, or -1 when that has not come. */
+  /**
+   * The position behind the empty line that ends the head, or {@link #NOT_FOUND} if it has not
+   * arrived.
+   */
   private static int endOfHead(Buffer input) {
     for (int i = input.position() + 3; i < input.limit(); i++) {
       if (input.get(i) == '\n' && input.get(i - 2) == '\n') {
         return i + 1;
       }
     }
-    return -1;
+    return NOT_FOUND;
   }
 }
--- a/src/main/java/switchgap/net/SelectorThreadStrategy.java
+++ b/src/main/java/switchgap/net/SelectorThreadStrategy.java
@@ -24,7 +24,7 @@
   /**
    * Accepted one per iteration, clients that connect together would wait for as many iterations.
    */
-  private static final int MAX_ACCEPTS_AT_ONCE = 8;
+  private static final int MAX_ACCEPTS_PER_ITERATION = 8;
 
   /** How long the client that a selector thread is accepting may have waited, at most. */
   private static final ThreadLocal<Duration> MAX_ACCEPT_DELAY =
@@ -51,7 +51,7 @@
     AcceptStall stall = AcceptStall.of(listener);
     try {
       stall.eventLoopResumed(EventLoopIterations.maxReadDelay());
-      for (int accepts = 0; accepts < MAX_ACCEPTS_AT_ONCE && !stall.isPaused(); accepts++) {
+      for (int accepts = 0; accepts < MAX_ACCEPTS_PER_ITERATION && !stall.isPaused(); accepts++) {
         MAX_ACCEPT_DELAY.set(stall.maxAcceptDelay());
         listener.onAccept(); // does nothing if no client waits
         stall.acceptSucceeded();
--- a/src/main/java/switchgap/planner/link/PlannerServer.java
+++ b/src/main/java/switchgap/planner/link/PlannerServer.java
@@ -46,29 +46,9 @@
 
   private static final long EPOCHS_PER_MILLISECOND = 1000;
 
-  /** A planner's connection after the handshake. */
-  private static final class Session {
-    private final FramedConnection connection;
-    private final long epoch;
-    private volatile long lastMessageNanos = System.nanoTime();
-
-    Session(FramedConnection connection, long epoch) {
-      this.connection = connection;
-      this.epoch = epoch;
-    }
-
-    void messageReceived() {
-      lastMessageNanos = System.nanoTime();
-    }
-
-    boolean isSilent() {
-      return System.nanoTime() - lastMessageNanos > SILENCE_TIMEOUT_NANOS;
-    }
-  }
-
   private final int router;
   private final Listener listener;
-  private final AtomicReference<Session> session = new AtomicReference<>();
+  private final AtomicReference<PlannerSession> session = new AtomicReference<>();
   private final TcpServer server;
   private final ScheduledFuture<?> silenceCheck;
 
@@ -104,23 +84,23 @@
    *     the next backlog makes up for it
    */
   public boolean send(LoadBacklog backlog) {
-    Session current = session.get();
+    PlannerSession current = session.get();
     return current != null
-        && current.epoch == backlog.epoch()
-        && current.connection.send(PlannerMessageCodec.encode(backlog));
+        && current.epoch() == backlog.epoch()
+        && current.connection().send(PlannerMessageCodec.encode(backlog));
   }
 
   private void closeIfSilent() {
-    Session current = session.get();
-    if (current != null && current.isSilent()) {
-      current.connection.close(LinkCloseReason.PLANNER_SILENT);
+    PlannerSession current = session.get();
+    if (current != null && current.isSilent(SILENCE_TIMEOUT_NANOS)) {
+      current.connection().close(LinkCloseReason.PLANNER_SILENT);
     }
   }
 
   /** The session of this connection, or null if its handshake is not complete. */
-  private Session sessionOf(FramedConnection connection) {
-    Session current = session.get();
-    return current != null && current.connection == connection ? current : null;
+  private PlannerSession sessionOf(FramedConnection connection) {
+    PlannerSession current = session.get();
+    return current != null && current.connection() == connection ? current : null;
   }
 
   private final class MessageListener implements FramedConnection.Listener {
@@ -146,7 +126,7 @@
         reject(from, "unreadable: " + e.getMessage().lines().findFirst().orElse(""));
         return;
       }
-      Session current = sessionOf(from);
+      PlannerSession current = sessionOf(from);
       if (current != null) {
         received(current, message);
       } else if (message instanceof PlannerMessage.Hello hello) {
@@ -156,21 +136,21 @@
       }
     }
 
-    private void received(Session from, PlannerMessage message) {
+    private void received(PlannerSession from, PlannerMessage message) {
       from.messageReceived();
       if (message instanceof LoadPlan plan) {
         listener.planReceived(plan);
       } else if (!(message instanceof PlannerMessage.Heartbeat)) {
-        reject(from.connection, "no message for an edge");
+        reject(from.connection(), "no message for an edge");
       }
     }
 
     @Override
     public void closed(FramedConnection from, CloseCause cause) {
-      Session ended = sessionOf(from);
+      PlannerSession ended = sessionOf(from);
       if (ended != null && session.compareAndSet(ended, null)) {
         LOG.warn("router {}: planner gone: {}; load commands go out as they come", router, cause);
-        listener.plannerDisconnected(ended.epoch);
+        listener.plannerDisconnected(ended.epoch());
       }
     }
   }
@@ -182,7 +162,7 @@
       return;
     }
     lastEpoch++;
-    Session opened = new Session(client, lastEpoch);
+    PlannerSession opened = new PlannerSession(client, lastEpoch);
     if (!session.compareAndSet(null, opened)) {
       reject(client, "a planner is linked already");
       return;
@@ -190,9 +170,12 @@
     client.send(
         PlannerMessageCodec.encode(
             new PlannerMessage.Hello(
-                PlannerMessageCodec.VERSION, PlannerMessageCodec.EDGE_SIDE, router, opened.epoch)));
-    LOG.info("router {}: planner linked, epoch {}", router, opened.epoch);
-    listener.plannerConnected(opened.epoch);
+                PlannerMessageCodec.VERSION,
+                PlannerMessageCodec.EDGE_SIDE,
+                router,
+                opened.epoch())));
+    LOG.info("router {}: planner linked, epoch {}", router, opened.epoch());
+    listener.plannerConnected(opened.epoch());
   }
 
   /** Why a client with this handshake can't be this edge's planner, or null. */
@@ -223,9 +206,9 @@
   public void close() {
     silenceCheck.cancel(false);
     server.close();
-    Session current = session.get();
+    PlannerSession current = session.get();
     if (current != null) {
-      current.connection.close(LinkCloseReason.EDGE_STOPPED);
+      current.connection().close(LinkCloseReason.EDGE_STOPPED);
     }
   }
 }
--- a/src/main/java/switchgap/simulator/EventFrame.java
+++ b/src/main/java/switchgap/simulator/EventFrame.java
@@ -68,12 +68,12 @@
 
   /** A record's event code. */
   int codeOf(int record) {
-    return body.get(offsetOf(record) + EventLayout.CODE) & 0xff;
+    return WireValues.unsignedByte(body, offsetOf(record) + EventLayout.CODE);
   }
 
   /** The router that a record is for. */
   int routerIdOf(int record) {
-    return body.getShort(offsetOf(record) + EventLayout.ROUTER_ID) & 0xffff;
+    return WireValues.unsignedShort(body, offsetOf(record) + EventLayout.ROUTER_ID);
   }
 
   /** The byte of the frame at which an offset in the body lies, for messages. */
--- a/src/test/java/switchgap/simulator/SimulatorHostTest.java
+++ b/src/test/java/switchgap/simulator/SimulatorHostTest.java
@@ -15,14 +15,28 @@
 class SimulatorHostTest {
   private static final int HEADER_BYTES = 20;
   private static final int RECORD_BYTES = 56;
+  private static final int REPLY_HEADER_BYTES = 12;
+
+  // Offsets in bytes from a frame's start, of events and of replies.
+  private static final int NUMBER = 0;
+  private static final int RECORD_COUNT = 4;
+  private static final int FRAME_BYTES = 8;
+
+  // Codes on the wire.
+  private static final byte START_ROUTER = 1;
+  private static final byte CLIENT_LEFT = 3;
+  private static final byte ENDPOINT_LIST = 6;
+  private static final byte DEFINE_LIST = 9;
+  private static final byte WAKE_UP = 10;
+  private static final byte POLICY_FAULT = 10;
 
   private static ByteBuffer frame(int number, int recordCount, int tailBytes) {
     ByteBuffer frame =
         ByteBuffer.allocate(HEADER_BYTES + RECORD_BYTES * recordCount + tailBytes)
             .order(ByteOrder.LITTLE_ENDIAN);
-    frame.putInt(0, number);
-    frame.putInt(4, recordCount);
-    frame.putInt(8, frame.capacity());
+    frame.putInt(NUMBER, number);
+    frame.putInt(RECORD_COUNT, recordCount);
+    frame.putInt(FRAME_BYTES, frame.capacity());
     return frame;
   }
 
@@ -48,26 +62,26 @@
   void repliesToEmptyFrameWithItsNumber() throws IOException {
     ByteBuffer reply =
         ByteBuffer.wrap(serve(frame(9, 0, 0).array())).order(ByteOrder.LITTLE_ENDIAN);
-    assertThat(reply.capacity()).isEqualTo(12);
-    assertThat(reply.getInt(0)).isEqualTo(9);
-    assertThat(reply.getInt(4)).isZero();
-    assertThat(reply.getInt(8)).isEqualTo(12);
+    assertThat(reply.capacity()).isEqualTo(REPLY_HEADER_BYTES);
+    assertThat(reply.getInt(NUMBER)).isEqualTo(9);
+    assertThat(reply.getInt(RECORD_COUNT)).isZero();
+    assertThat(reply.getInt(FRAME_BYTES)).isEqualTo(REPLY_HEADER_BYTES);
   }
 
   /** A router without settings reports its fault once and decides nothing from then on. */
   @Test
   void reportsFaultOnceForRouterWithInvalidSettings() throws IOException {
-    ByteBuffer start = frameOfOneRecord(1);
-    ByteBuffer wakeUp = frameOfOneRecord(10);
+    ByteBuffer start = frameOfOneRecord(START_ROUTER);
+    ByteBuffer wakeUp = frameOfOneRecord(WAKE_UP);
     ByteArrayOutputStream input = new ByteArrayOutputStream();
     input.write(start.array());
     input.write(wakeUp.array());
     ByteBuffer replies = ByteBuffer.wrap(serve(input.toByteArray())).order(ByteOrder.LITTLE_ENDIAN);
-    assertThat(replies.getInt(4)).isEqualTo(1);
-    assertThat(replies.get(12)).isEqualTo((byte) 10);
-    int second = replies.getInt(8);
-    assertThat(replies.getInt(second + 4)).isZero();
-    assertThat(replies.capacity()).isEqualTo(second + 12);
+    assertThat(replies.getInt(RECORD_COUNT)).isEqualTo(1);
+    assertThat(replies.get(REPLY_HEADER_BYTES)).isEqualTo(POLICY_FAULT);
+    int second = replies.getInt(FRAME_BYTES);
+    assertThat(replies.getInt(second + RECORD_COUNT)).isZero();
+    assertThat(replies.capacity()).isEqualTo(second + REPLY_HEADER_BYTES);
   }
 
   @Test
@@ -77,13 +91,13 @@
 
   @Test
   void rejectsTruncatedBody() {
-    byte[] truncated = Arrays.copyOf(frameOfOneRecord(1).array(), 40);
+    byte[] truncated = Arrays.copyOf(frameOfOneRecord(START_ROUTER).array(), 40);
     assertMalformed(truncated, "frame 3 ends at byte 40 of 76");
   }
 
   @Test
   void rejectsLengthTooShortForRecords() {
-    byte[] frame = frame(3, 1, 0).putInt(8, 75).array();
+    byte[] frame = frame(3, 1, 0).putInt(FRAME_BYTES, 75).array();
     assertMalformed(frame, "length 75 at byte 8 does not fit 1 records");
   }
 
@@ -95,15 +109,15 @@
 
   @Test
   void rejectsEventForUnknownRouter() {
-    ByteBuffer frame = frameOfOneRecord(3).putShort(HEADER_BYTES + 1, (short) 0xffff);
+    ByteBuffer frame = frameOfOneRecord(CLIENT_LEFT).putShort(HEADER_BYTES + 1, (short) 0xffff);
     assertMalformed(frame.array(), "record 0 is for instance 65535, which is not alive");
   }
 
   @Test
   void rejectsReferenceToUndefinedList() {
     ByteBuffer frame = frame(3, 2, 0);
-    frame.put(HEADER_BYTES, (byte) 1);
-    frame.put(HEADER_BYTES + RECORD_BYTES, (byte) 6);
+    frame.put(HEADER_BYTES, START_ROUTER);
+    frame.put(HEADER_BYTES + RECORD_BYTES, ENDPOINT_LIST);
     frame.putInt(HEADER_BYTES + RECORD_BYTES + 3, 4);
     assertMalformed(frame.array(), "record 1 names list 4, never defined");
   }
@@ -111,7 +125,7 @@
   @Test
   void rejectsReferenceOutsideTail() {
     ByteBuffer frame = frame(3, 1, 24);
-    frame.put(HEADER_BYTES, (byte) 9);
+    frame.put(HEADER_BYTES, DEFINE_LIST);
     frame.putInt(HEADER_BYTES + 9, 1); // an entry takes 25 bytes
     assertMalformed(frame.array(), "offset at byte 25 of record 0 is outside the tail");
   }
