--- a/src/main/java/switchgap/router/EndpointTable.java
+++ b/src/main/java/switchgap/router/EndpointTable.java
@@ -17,7 +17,7 @@
 final class EndpointTable {
   private final WorkerTransport transport;
   private final Map<String, WorkerEntry> byName = new HashMap<>();
-  private final IndexedTable<WorkerEntry> byIndex = new IndexedTable<>();
+  private final IndexAllocatingTable<WorkerEntry> byIndex = new IndexAllocatingTable<>();
 
   /**
    * Time of the first list, null before; a configuration may provide it in parts, all at one time.
--- a/src/main/java/switchgap/router/IndexedTable.java
+++ b/src/main/java/switchgap/router/IndexAllocatingTable.java
@@ -9,7 +9,7 @@
  * Elements by small indices, assigned from 0; a released index is assigned again, the one released
  * last first. Not bounded: its owner limits the elements. Not thread-safe.
  */
-final class IndexedTable<T> {
+final class IndexAllocatingTable<T> {
   private final List<T> elements = new ArrayList<>();
   private final List<Integer> freeIndices = new ArrayList<>();
 
--- a/src/main/java/switchgap/router/NameIndex.java
+++ b/src/main/java/switchgap/router/NameIndex.java
@@ -17,7 +17,7 @@
   private static final long HASH_BITS = 0xffffffffffL;
 
   private final Map<String, Integer> indices = new HashMap<>();
-  private final IndexedTable<String> names = new IndexedTable<>();
+  private final IndexAllocatingTable<String> names = new IndexAllocatingTable<>();
 
   /** The index of a name, or {@link #NOT_FOUND}. */
   int find(String name) {
--- a/src/main/java/switchgap/router/PendingRequestTable.java
+++ b/src/main/java/switchgap/router/PendingRequestTable.java
@@ -9,7 +9,7 @@
  * event loop.
  */
 final class PendingRequestTable {
-  private final IndexedTable<PendingRequest> requests = new IndexedTable<>();
+  private final IndexAllocatingTable<PendingRequest> requests = new IndexAllocatingTable<>();
   private int pending;
 
   /** The request of an index, null once it was released. */
--- a/src/main/java/switchgap/testbed/emulator/ClientRetries.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientRetries.java
@@ -12,13 +12,16 @@
   private static final long MICROS_PER_MILLI = 1000;
   private final Scheduler scheduler;
   private final ClientTransport transport;
-  private final RetryPolicy policy;
+  private final ClientRetryPolicy policy;
   private final ServiceTally tally;
   private Consumer<RequestResult> listener = result -> {};
   private long inFlight;
 
   ClientRetries(
-      Scheduler scheduler, ClientTransport transport, RetryPolicy policy, ServiceTally tally) {
+      Scheduler scheduler,
+      ClientTransport transport,
+      ClientRetryPolicy policy,
+      ServiceTally tally) {
     this.scheduler = scheduler;
     this.transport = transport;
     this.policy = policy;
--- a/src/main/java/switchgap/testbed/emulator/RetryPolicy.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientRetryPolicy.java
@@ -8,5 +8,5 @@
  * @param backoff pause before the first retry in microseconds; doubles with each
  * @param honourShare share of clients that honour a retry-after time
  */
-public record RetryPolicy(
+public record ClientRetryPolicy(
     int maxRetries, double minTimeoutShare, long backoff, double honourShare) {}
--- a/src/main/java/switchgap/testbed/emulator/ClientSettings.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientSettings.java
@@ -15,7 +15,7 @@
  */
 public record ClientSettings(
     List<RequestClassProfile> requestClasses,
-    RetryPolicy retries,
+    ClientRetryPolicy retries,
     double rate,
     double[] routerShares,
     Map<String, Double> tenantShares,
--- a/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import switchgap.config.YamlDocument;
+import switchgap.testbed.emulator.ClientRetryPolicy;
 import switchgap.testbed.emulator.FunctionCatalogue;
 import switchgap.testbed.emulator.RequestClassProfile;
-import switchgap.testbed.emulator.RetryPolicy;
 
 /** Reads the settings of a scenario from its document; a mistake names file, line and key. */
 final class ScenarioReader {
@@ -165,8 +165,8 @@
     double rate = section.number("rate", 0.1, 100_000);
     double zipf = section.number("zipf", 0, 5, 1.2);
     int functions = section.integer("functions", 1, 5000, 30);
-    RetryPolicy retries =
-        new RetryPolicy(
+    ClientRetryPolicy retries =
+        new ClientRetryPolicy(
             section.integer("retries", 0, 20, 2), section.number("least_wait", 0.01, 1, 0.6),
             micros(section.duration("backoff", Duration.ofMillis(80))),
                 section.number("honour", 0, 1, 0.8));
--- a/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 import java.util.Map;
+import switchgap.testbed.emulator.ClientRetryPolicy;
 import switchgap.testbed.emulator.FunctionCatalogue;
 import switchgap.testbed.emulator.RequestClassProfile;
-import switchgap.testbed.emulator.RetryPolicy;
 
 /**
  * What a scenario's document states. Times in microseconds.
@@ -76,7 +76,7 @@
   /**
    * {@code rate}: requests a second; {@code zipf}: exponent of the popularity of {@code functions}.
    */
-  record Load(double rate, double zipf, int functions, RetryPolicy retries) {}
+  record Load(double rate, double zipf, int functions, ClientRetryPolicy retries) {}
 
   /** A request class as its clients and as its functions see it. */
   record RequestClass(
