--- a/src/main/java/switchgap/net/FramedConnection.java
+++ b/src/main/java/switchgap/net/FramedConnection.java
@@ -9,8 +9,9 @@
  */
 public final class FramedConnection {
   /**
-   * Receives the events of connections, on a selector thread. {@code closed} is the last event of a
-   * connection.
+   * Receives the events of connections. {@code opened} and {@code frame} run on the connection's
+   * selector thread, {@code closed} on the thread that closes the connection first, as its last
+   * event.
    */
   public interface Listener {
     /** The connection is open. */
--- a/src/main/java/switchgap/net/HttpClientConnection.java
+++ b/src/main/java/switchgap/net/HttpClientConnection.java
@@ -14,8 +14,9 @@
  */
 public final class HttpClientConnection {
   /**
-   * Receives the outcome of one exchange, on a selector thread: exactly one of {@code responded}
-   * and {@code connectionLost} is called, once, or neither if the exchange was abandoned.
+   * Receives the outcome of one exchange: exactly one of {@code responded} and {@code
+   * connectionLost} is called, once, or neither if the exchange was abandoned. Called on a selector
+   * thread, a failed write also on the thread that writes.
    */
   public interface ResponseHandler {
     /**
--- a/src/main/java/switchgap/net/TcpConnection.java
+++ b/src/main/java/switchgap/net/TcpConnection.java
@@ -19,8 +19,9 @@
  */
 public final class TcpConnection {
   /**
-   * Receives the events of connections, on a selector thread. {@code closed} is the last event of a
-   * connection.
+   * Receives the events of connections. {@code opened} and {@code received} run on the connection's
+   * selector thread, {@code closed} on the thread that closes the connection first, as its last
+   * event.
    */
   public interface Listener {
     /** The connection is open. */
--- a/src/main/java/switchgap/planner/link/PlannerServer.java
+++ b/src/main/java/switchgap/planner/link/PlannerServer.java
@@ -22,7 +22,7 @@
  * rejected with the reason. Requests to the router are not affected. Thread-safe.
  */
 public final class PlannerServer implements AutoCloseable {
-  /** Notified of the planner, on selector threads. */
+  /** Notified of the planner, on selector threads; of its end also on the thread that closes it. */
   public interface Listener {
     /** A planner is connected; its plans must name this epoch. */
     void plannerConnected(long epoch);
