--- a/src/main/java/switchgap/testbed/experiment/Emulator.java
+++ b/src/main/java/switchgap/testbed/experiment/Emulator.java
@@ -32,6 +32,7 @@
 import switchgap.testbed.emulator.FunctionModel;
 import switchgap.testbed.scenario.LoadFaults;
 import switchgap.testbed.scenario.Scenario;
+import switchgap.testbed.scenario.ScenarioFault;
 
 /**
  * A scenario in simulated time: emulated workers, store and clients, and the program's own core,
@@ -312,7 +313,7 @@
     scheduler.run(end + 10_000_000);
   }
 
-  private void inject(Scenario.Fault fault) {
+  private void inject(ScenarioFault fault) {
     if (loadFaults.inject(fault)) {
       return;
     }
--- a/src/main/java/switchgap/testbed/scenario/DemoScenario.java
+++ b/src/main/java/switchgap/testbed/scenario/DemoScenario.java
@@ -25,8 +25,8 @@
       throws IOException, InterruptedException {
     Path directory = Files.createTempDirectory("switchgap-demo");
     Path file = directory.resolve(DOCUMENT);
-    try (InputStream in = DemoScenario.class.getResourceAsStream(DOCUMENT)) {
-      String template = new String(in.readAllBytes(), StandardCharsets.UTF_8);
+    try (InputStream document = DemoScenario.class.getResourceAsStream(DOCUMENT)) {
+      String template = new String(document.readAllBytes(), StandardCharsets.UTF_8);
       Files.writeString(file, template.replace("SECONDS", seconds + "s"));
     }
     out.println("a router and its stand-ins on loopback ports; logs in " + directory);
@@ -42,13 +42,13 @@
   private static void keepRunning(Path file, Path directory, PrintStream out)
       throws IOException, InterruptedException {
     try (TestBed testBed = new TestBed(Scenario.read(file), directory, null)) {
-      testBed.scheduler.post(() -> testBed.clients.start(Long.MAX_VALUE));
-      for (int i = 0; i < testBed.routers.size(); i++) {
+      testBed.scheduler().post(() -> testBed.clients().start(Long.MAX_VALUE));
+      for (int i = 0; i < testBed.routers().size(); i++) {
         out.println(
             "router "
                 + i
                 + ": switchgap call status-refresh-0 --router http://127.0.0.1:"
-                + testBed.routers.port(i));
+                + testBed.routers().port(i));
       }
       Thread.currentThread().join();
     }
--- a/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
@@ -6,11 +6,12 @@
 import switchgap.testbed.invariant.Invariant;
 
 /**
- * A router sends nothing new to a worker past the grace after the list told it that the worker
- * drains or is gone.
+ * A router sends nothing new to a worker once the grace period has passed since the endpoint list
+ * notified it that the worker is draining or gone.
  */
 final class DrainingWorkerCheck extends InvariantCheck {
   private static final long NONE = -1;
+
   private final Map<String, Long> notifiedAt = new HashMap<>();
   private int nextListLine;
   private int drains;
@@ -52,8 +53,9 @@
     }
   }
 
-  private void readListUntil(long at) {
-    while (nextListLine < log.listLines().size() && log.listLines().get(nextListLine).at() <= at) {
+  private void readListUntil(long time) {
+    while (nextListLine < log.listLines().size()
+        && log.listLines().get(nextListLine).at() <= time) {
       readNotification(log.listLines().get(nextListLine));
       nextListLine++;
     }
--- a/src/main/java/switchgap/testbed/scenario/DuplicateEffectCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/DuplicateEffectCheck.java
@@ -4,12 +4,13 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import switchgap.policy.api.Idempotency;
 import switchgap.testbed.emulator.ClientOutcome;
 import switchgap.testbed.invariant.Invariant;
 
 /**
- * No request that must not be repeated takes effect twice, none that ran is rejected as if it had
- * not, and each attempt has one execution in flight at a time.
+ * Only idempotent requests may take effect twice, a non-idempotent request that was executed is not
+ * rejected as if it had not been, and each attempt has one execution in flight at a time.
  */
 final class DuplicateEffectCheck extends InvariantCheck {
   private int requestsWithRepeatedEffect;
@@ -21,23 +22,23 @@
   @Override
   void check() {
     Map<String, List<String>> effectsByRequest = new HashMap<>();
-    for (ObservedAttempt attempt : log.attempts()) {
+    for (ObservedAttempt attempt : log.attempts().all()) {
       checkExecutions(attempt, effectsByRequest);
-      if (repeatRule(attempt) == RepeatRule.RUN_ONCE
+      if (idempotency(attempt) == Idempotency.NON_IDEMPOTENT
           && attempt.endedAs(ClientOutcome.REJECTED)
-          && attempt.hasRun()) {
+          && attempt.wasExecuted()) {
         violated(
-            attempt.call
+            attempt.id()
                 + " was pushed back though an execution ran, "
-                + clientLine(attempt.answeredLine));
+                + clientLine(attempt.endLine()));
       }
     }
-    for (ObservedAttempt attempt : log.attempts()) {
-      List<String> effects = effectsByRequest.remove(attempt.requestId);
-      if (effects != null && effects.size() > 1 && repeatRule(attempt) != RepeatRule.RESTARTABLE) {
+    for (ObservedAttempt attempt : log.attempts().all()) {
+      List<String> effects = effectsByRequest.remove(attempt.requestId());
+      if (effects != null && effects.size() > 1 && idempotency(attempt) != Idempotency.IDEMPOTENT) {
         requestsWithRepeatedEffect++;
         violated(
-            attempt.requestId
+            attempt.requestId()
                 + " took effect "
                 + effects.size()
                 + " times: "
@@ -46,27 +47,27 @@
     }
   }
 
-  private RepeatRule repeatRule(ObservedAttempt attempt) {
-    return log.settings().requestClasses().get(attempt.requestClass).repeatRule();
+  private Idempotency idempotency(ObservedAttempt attempt) {
+    return log.settings().requestClasses().get(attempt.requestClass()).idempotency();
   }
 
   private void checkExecutions(
       ObservedAttempt attempt, Map<String, List<String>> effectsByRequest) {
-    for (int i = 0; i < attempt.executions.size(); i++) {
-      ObservedExecution execution = attempt.executions.get(i);
-      if (execution.started) {
+    for (int i = 0; i < attempt.executions().size(); i++) {
+      ObservedExecution execution = attempt.executions().get(i);
+      if (execution.isStarted()) {
         effectsByRequest
-            .computeIfAbsent(attempt.requestId, id -> new ArrayList<>())
-            .add(fleetLine(execution.line));
+            .computeIfAbsent(attempt.requestId(), id -> new ArrayList<>())
+            .add(fleetLine(execution.line()));
       }
-      for (ObservedExecution earlier : attempt.executions.subList(0, i)) {
-        if (earlier.endedAt > execution.arrivedAt + log.slack()) {
+      for (ObservedExecution earlier : attempt.executions().subList(0, i)) {
+        if (earlier.isInFlightAt(execution.arrivedAt() + log.slack())) {
           violated(
-              attempt.call
+              attempt.id()
                   + " had two executions out, "
-                  + fleetLine(earlier.line)
+                  + fleetLine(earlier.line())
                   + " and :"
-                  + execution.line);
+                  + execution.line());
         }
       }
     }
@@ -74,11 +75,11 @@
 
   @Override
   String summary() {
-    return log.executionCount()
+    return log.executions().count()
         + " executions, "
-        + log.startedCount()
+        + log.executions().startedCount()
         + " ran, "
-        + log.droppedRepeats()
+        + log.executions().droppedRepeats()
         + " repeats dropped, "
         + requestsWithRepeatedEffect
         + " jobs took effect twice";
--- a/src/main/java/switchgap/testbed/scenario/EmulatorHost.java
+++ b/src/main/java/switchgap/testbed/scenario/EmulatorHost.java
@@ -9,11 +9,11 @@
   private EmulatorHost() {}
 
   /**
-   * Runs until interrupted: model servers, store and endpoint list.
+   * Runs model servers, store and endpoint list until interrupted.
    *
    * @param file the scenario
    * @param directory receives the routers' configurations and the logs
-   * @param script whether the fault script is played
+   * @param script whether the faults of the script are injected
    * @param out receives the addresses
    */
   public static void run(Path file, Path directory, boolean script, PrintStream out)
@@ -22,7 +22,7 @@
     try (TestBed testBed = new TestBed(scenario, directory, null, false)) {
       printAddresses(testBed, directory, out);
       if (script) {
-        testBed.scheduler.post(() -> new FaultScript(testBed).start());
+        testBed.scheduler().post(() -> new FaultScript(testBed).start());
       }
       Runtime.getRuntime()
           .addShutdownHook(new Thread(() -> finish(testBed, out), "emulator-shutdown"));
@@ -31,17 +31,17 @@
   }
 
   private static void printAddresses(TestBed testBed, Path directory, PrintStream out) {
-    out.println("list service at 127.0.0.1:" + testBed.endpointList.port());
+    out.println("list service at 127.0.0.1:" + testBed.endpointList().port());
     testBed
-        .fleet
+        .fleet()
         .servers()
         .forEach(server -> out.println(server.name() + " at 127.0.0.1:" + server.port()));
-    for (int i = 0; i < testBed.scenario.routers(); i++) {
+    for (int i = 0; i < testBed.scenario().routers(); i++) {
       out.println(
           "./switchgap router "
               + directory.resolve("router-" + i + ".yaml")
               + "   # will listen at 127.0.0.1:"
-              + testBed.routers.port(i));
+              + testBed.routers().port(i));
     }
   }
 
@@ -49,7 +49,7 @@
     try {
       testBed.finish();
     } catch (IOException e) {
-      out.println("the logs are not whole: " + e.getMessage());
+      out.println("the logs are not complete: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/FaultScript.java
+++ b/src/main/java/switchgap/testbed/scenario/FaultScript.java
@@ -11,11 +11,11 @@
     this.testBed = testBed;
     LoadFaults loadFaults =
         new LoadFaults(
-            testBed.scheduler,
-            testBed.clients,
-            testBed.catalogue,
-            testBed.store,
-            testBed.scenario.tenantShares());
+            testBed.scheduler(),
+            testBed.clients(),
+            testBed.catalogue(),
+            testBed.store(),
+            testBed.scenario().tenantShares());
     this.injectors =
         List.of(
             loadFaults::inject,
@@ -26,12 +26,12 @@
   }
 
   void start() {
-    for (Scenario.Fault fault : testBed.scenario.faults()) {
-      testBed.scheduler.after(fault.startsAt(), () -> inject(fault));
+    for (ScenarioFault fault : testBed.scenario().faults()) {
+      testBed.scheduler().after(fault.startsAt(), () -> inject(fault));
     }
   }
 
-  private void inject(Scenario.Fault fault) {
+  private void inject(ScenarioFault fault) {
     testBed.recordFault(
         "trouble",
         "verb",
--- a/src/main/java/switchgap/testbed/scenario/FinalResponseCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/FinalResponseCheck.java
@@ -4,8 +4,8 @@
 import switchgap.testbed.invariant.Invariant;
 
 /**
- * Each attempt gets one final response before its deadline, and nothing is sent to a worker for it
- * afterwards.
+ * Each attempt of a client receives one final response before its deadline, and nothing is sent to
+ * a worker for it afterwards.
  */
 final class FinalResponseCheck extends InvariantCheck {
   private int attempts;
@@ -17,15 +17,15 @@
 
   @Override
   void check() {
-    for (ScenarioLog.LateResponse response : log.lateResponses()) {
+    for (ObservedAttempts.LateResponse response : log.attempts().lateResponses()) {
       violated(
-          response.call()
+          response.attemptId()
               + " got an answer "
               + response.lateBy() / MICROS_PER_MILLI
               + " ms after its limit, "
               + clientLine(response.line()));
     }
-    for (ObservedAttempt attempt : log.attempts()) {
+    for (ObservedAttempt attempt : log.attempts().all()) {
       attempts++;
       checkResponses(attempt);
       checkExecutions(attempt);
@@ -33,59 +33,59 @@
   }
 
   private void checkResponses(ObservedAttempt attempt) {
-    if (attempt.finalResponses == 0 && !mayBeUnanswered(attempt)) {
+    if (attempt.finalResponses() == 0 && !mayBeUnanswered(attempt)) {
       violated(
-          attempt.call
+          attempt.id()
               + " got no final answer ("
-              + attempt.end
+              + attempt.outcomeWord()
               + "), "
-              + clientLine(attempt.sentLine));
+              + clientLine(attempt.sentLine()));
     }
-    if (attempt.finalResponses > 1) {
+    if (attempt.finalResponses() > 1) {
       violated(
-          attempt.call
+          attempt.id()
               + " got "
-              + attempt.finalResponses
+              + attempt.finalResponses()
               + " final answers, "
-              + clientLine(attempt.answeredLine));
+              + clientLine(attempt.endLine()));
     }
   }
 
   /**
-   * A router that is paused can't answer what falls due meanwhile: silence is right then, a late
-   * answer is not.
+   * Whether no response is no violation: the router was dead or could not be reached, or it was
+   * paused at the deadline. A late response is a violation then all the same.
    */
   private boolean mayBeUnanswered(ObservedAttempt attempt) {
     if (attempt.endedAs(ClientOutcome.UNREACHABLE)
-        || log.outages().wasDead(attempt.router, attempt.sentAt, attempt.deadline)) {
+        || log.outages().wasDead(attempt.router(), attempt.sentAt(), attempt.deadline())) {
       return true;
     }
-    boolean paused = log.outages().wasPaused(attempt.router, attempt.deadline);
+    boolean paused = log.outages().wasPaused(attempt.router(), attempt.deadline());
     dueWhilePaused += paused ? 1 : 0;
     return paused;
   }
 
   private void checkExecutions(ObservedAttempt attempt) {
-    long end = attempt.finalResponses > 0 ? attempt.answeredAt : attempt.deadline;
-    for (ObservedExecution execution : attempt.executions) {
-      if (execution.arrivedAt > end + log.slack()) {
+    long end = attempt.finalResponses() > 0 ? attempt.endedAt() : attempt.deadline();
+    for (ObservedExecution execution : attempt.executions()) {
+      if (execution.arrivedAt() > end + log.slack()) {
         violated(
-            attempt.call
+            attempt.id()
                 + " was sent "
-                + (execution.arrivedAt - end) / MICROS_PER_MILLI
+                + (execution.arrivedAt() - end) / MICROS_PER_MILLI
                 + " ms after its end, "
-                + fleetLine(execution.line));
+                + fleetLine(execution.line()));
       }
     }
   }
 
   @Override
   String summary() {
-    String summary = attempts + " calls; " + log.endCounts();
-    if (log.responsesWithinSlack() > 0) {
+    String summary = attempts + " calls; " + log.attempts().outcomeCounts();
+    if (log.attempts().responsesWithinSlack() > 0) {
       summary +=
           "; "
-              + log.responsesWithinSlack()
+              + log.attempts().responsesWithinSlack()
               + " answers were seen past the limit, within the slack of "
               + log.slack() / MICROS_PER_MILLI
               + " ms";
--- /dev/null
+++ b/src/main/java/switchgap/testbed/scenario/FleetComposition.java
@@ -0,0 +1,68 @@
+package switchgap.testbed.scenario;
+
+import switchgap.testbed.emulator.WorkerHardware;
+
+/** Which kind each worker of a scenario is, and the hardware that follows from it. Immutable. */
+final class FleetComposition {
+  /** Steps of the golden ratio spread the kinds evenly over the numbers of the workers. */
+  private static final double GOLDEN_RATIO_FRACTION = 0.618034;
+
+  private final ScenarioSettings settings;
+
+  FleetComposition(ScenarioSettings settings) {
+    this.settings = settings;
+  }
+
+  /** The kind of a worker by its number. */
+  ScenarioSettings.WorkerKind kindOf(int worker) {
+    double draw = (worker * GOLDEN_RATIO_FRACTION) % 1;
+    for (ScenarioSettings.WorkerKind kind : settings.fleet().kinds()) {
+      if (draw < kind.share()) {
+        return kind;
+      }
+      draw -= kind.share();
+    }
+    return settings.fleet().kinds().get(0);
+  }
+
+  /** Compute capacity of a worker in cores of speed 1. */
+  double computeCapacityOf(int worker) {
+    ScenarioSettings.WorkerKind kind = kindOf(worker);
+    return kind.cores() * kind.speed();
+  }
+
+  /** Compute capacity of all workers at the start, in cores of speed 1. */
+  double totalComputeCapacity() {
+    double sum = 0;
+    for (int i = 0; i < settings.fleet().workers(); i++) {
+      sum += computeCapacityOf(i);
+    }
+    return sum;
+  }
+
+  /** Hardware of a worker. */
+  WorkerHardware hardwareOf(int worker) {
+    ScenarioSettings.WorkerKind kind = kindOf(worker);
+    ScenarioSettings.WorkerLimits limits = settings.fleet().limits();
+    ScenarioSettings.InvariantLimits invariants = settings.limits();
+    return new WorkerHardware(
+        new WorkerHardware.Compute(
+            kind.cores(),
+            kind.speed(),
+            limits.slotsPerCore() * kind.cores(),
+            limits.queuePerCore() * kind.cores()),
+        new WorkerHardware.ReplicaLimits(
+            kind.memoryMb(),
+            limits.concurrentLoads(),
+            limits.keepAlive(),
+            settings.loadsOnMiss(),
+            limits.eagerLoads(),
+            limits.fetchShare(),
+            limits.loadFailureShare()),
+        new WorkerHardware.WarmUp(
+            invariants.initialCapacityShare(),
+            invariants.warmUpTime(),
+            invariants.crashMultiple(),
+            invariants.crashWindow()));
+  }
+}
--- a/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
@@ -10,21 +10,24 @@
   }
 
   @Override
-  public boolean inject(Scenario.Fault fault) {
+  public boolean inject(ScenarioFault fault) {
     switch (fault.type()) {
       case TRAFFIC_MOVED -> {
-        testBed.clients.shiftTrafficTo(
-            fault.target() == null ? testBed.scenario.zone(0) : fault.target());
-        testBed.scheduler.after(fault.duration(), () -> testBed.clients.shiftTrafficTo(null));
+        testBed
+            .clients()
+            .shiftTrafficTo(fault.target() == null ? testBed.scenario().zone(0) : fault.target());
+        testBed.scheduler().after(fault.duration(), () -> testBed.clients().shiftTrafficTo(null));
       }
       case LIST_LATE -> {
-        long usualLag = testBed.scenario.listLag();
-        testBed.endpointList.setLag(usualLag + (long) (fault.strength() * MICROS_PER_SECOND));
-        testBed.scheduler.after(fault.duration(), () -> testBed.endpointList.setLag(usualLag));
+        long usualLag = testBed.scenario().listLag();
+        testBed.endpointList().setLag(usualLag + (long) (fault.strength() * MICROS_PER_SECOND));
+        testBed.scheduler().after(fault.duration(), () -> testBed.endpointList().setLag(usualLag));
       }
       case LIST_AWAY -> {
-        testBed.endpointList.setUnavailable(true);
-        testBed.scheduler.after(fault.duration(), () -> testBed.endpointList.setUnavailable(false));
+        testBed.endpointList().setUnavailable(true);
+        testBed
+            .scheduler()
+            .after(fault.duration(), () -> testBed.endpointList().setUnavailable(false));
       }
       default -> {
         return false;
--- a/src/main/java/switchgap/testbed/scenario/LoadFaults.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadFaults.java
@@ -47,7 +47,7 @@
   }
 
   /** Injects a fault and schedules its end; false where the fault is of another type. */
-  public boolean inject(Scenario.Fault fault) {
+  public boolean inject(ScenarioFault fault) {
     String tenant = fault.target() == null ? tenants.keySet().iterator().next() : fault.target();
     switch (fault.type()) {
       case BURST ->
@@ -82,7 +82,7 @@
     return true;
   }
 
-  private void during(Scenario.Fault fault, Runnable begin, Runnable end) {
+  private void during(ScenarioFault fault, Runnable begin, Runnable end) {
     begin.run();
     scheduler.after(fault.duration(), end);
   }
--- a/src/main/java/switchgap/testbed/scenario/LoadQuotaCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadQuotaCheck.java
@@ -59,7 +59,7 @@
 
   /** Number of requests that a router received within the window that ends at a time. */
   private long requests(int router, long now) {
-    return log.sendTimes(router).stream()
+    return log.attempts().sendTimes(router).stream()
         .filter(sentAt -> sentAt <= now && now - sentAt <= limits.loadWindow())
         .count();
   }
--- a/src/main/java/switchgap/testbed/scenario/ObservedAttempt.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedAttempt.java
@@ -1,31 +1,33 @@
 package switchgap.testbed.scenario;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import switchgap.testbed.emulator.ClientOutcome;
 
-/** A client's attempt as its log and the workers' log show it. Times in microseconds. */
+/**
+ * A client's attempt as the logs of clients and workers show it. Times are in microseconds, lines
+ * are numbers of lines of the clients' log.
+ */
 final class ObservedAttempt {
-  final String call;
-  final String requestId;
-  final int router;
-  final int requestClass;
-  final long sentAt;
-  final long deadline;
-  final int sentLine;
+  private static final long NOT_ENDED = -1;
 
-  /** Executions at workers, in order of arrival. */
-  final List<ObservedExecution> executions = new ArrayList<>(1);
-
-  /** Word of how it ended, null where it did not. */
-  String end;
-
-  long answeredAt = -1;
-  int answeredLine;
-  int finalResponses;
+  private final String id;
+  private final String requestId;
+  private final int router;
+  private final int requestClass;
+  private final long sentAt;
+  private final long deadline;
+  private final int sentLine;
+  private final List<ObservedExecution> executions = new ArrayList<>(1);
+  private String outcomeWord;
+  private long endedAt = NOT_ENDED;
+  private int endLine;
+  private int finalResponses;
 
+  /** The attempt that a line of the clients' log begins. */
   ObservedAttempt(LogLine line) {
-    call = line.text("call");
+    id = line.text("call");
     requestId = line.text("job");
     router = line.integer("router");
     requestClass = line.integer("workload");
@@ -34,11 +36,90 @@
     sentLine = line.number();
   }
 
+  /** The client records how it ended. */
+  void ended(LogLine line) {
+    outcomeWord = line.text("end");
+    endedAt = line.at();
+    endLine = line.number();
+    if (ClientOutcome.of(outcomeWord).isFinal()) {
+      finalResponses++;
+    }
+  }
+
+  /** A response arrived after its client had recorded an end. */
+  void respondedLate() {
+    finalResponses++;
+  }
+
+  /** A late response counts as in time: the attempt ended as the response states. */
+  void acceptLateResponse(LogLine line) {
+    outcomeWord = line.text("end");
+  }
+
+  /** A worker received a request for it. */
+  void addExecution(ObservedExecution execution) {
+    executions.add(execution);
+  }
+
+  /** The id of the attempt, as messages name it. */
+  String id() {
+    return id;
+  }
+
+  String requestId() {
+    return requestId;
+  }
+
+  int router() {
+    return router;
+  }
+
+  /** Index of the request class. */
+  int requestClass() {
+    return requestClass;
+  }
+
+  long sentAt() {
+    return sentAt;
+  }
+
+  long deadline() {
+    return deadline;
+  }
+
+  int sentLine() {
+    return sentLine;
+  }
+
+  /** Executions at workers, in order of arrival. */
+  List<ObservedExecution> executions() {
+    return Collections.unmodifiableList(executions);
+  }
+
+  /** The log's word for how it ended, null where it did not. */
+  String outcomeWord() {
+    return outcomeWord;
+  }
+
   boolean endedAs(ClientOutcome outcome) {
-    return outcome.word().equals(end);
+    return outcome.word().equals(outcomeWord);
+  }
+
+  /** When its client recorded an end, -1 where it did not. */
+  long endedAt() {
+    return endedAt;
+  }
+
+  int endLine() {
+    return endLine;
+  }
+
+  int finalResponses() {
+    return finalResponses;
   }
 
-  boolean hasRun() {
-    return executions.stream().anyMatch(execution -> execution.started);
+  /** Whether a worker began to execute it. */
+  boolean wasExecuted() {
+    return executions.stream().anyMatch(ObservedExecution::isStarted);
   }
 }
--- /dev/null
+++ b/src/main/java/switchgap/testbed/scenario/ObservedAttempts.java
@@ -0,0 +1,107 @@
+package switchgap.testbed.scenario;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * The attempts of all clients, joined from the lines of the clients' log. Times in microseconds.
+ */
+final class ObservedAttempts {
+  /**
+   * A response that a client saw after the deadline and the slack.
+   *
+   * @param attemptId the attempt
+   * @param lateBy how long after the deadline
+   * @param line number of the line of the clients' log
+   */
+  record LateResponse(String attemptId, long lateBy, int line) {}
+
+  private final long slack;
+  private final Map<String, ObservedAttempt> attempts = new LinkedHashMap<>();
+  private final List<List<Long>> sendTimesByRouter = new ArrayList<>();
+  private final Map<String, Integer> outcomeCounts = new TreeMap<>();
+  private final List<LateResponse> lateResponses = new ArrayList<>();
+  private int responsesWithinSlack;
+
+  /** Reads the clients' log; a response that is later than the deadline by the slack is in time. */
+  ObservedAttempts(int routers, long slack, List<LogLine> clientLines) {
+    this.slack = slack;
+    for (int i = 0; i < routers; i++) {
+      sendTimesByRouter.add(new ArrayList<>());
+    }
+    clientLines.forEach(this::read);
+  }
+
+  private void read(LogLine line) {
+    switch (line.kind()) {
+      case "call" -> readAttempt(line);
+      case "answer" -> readEnd(line);
+      case "late-answer" -> readLateResponse(line);
+      default -> { // the end of the log
+      }
+    }
+  }
+
+  private void readAttempt(LogLine line) {
+    ObservedAttempt attempt = new ObservedAttempt(line);
+    attempts.put(attempt.id(), attempt);
+    sendTimesByRouter.get(attempt.router()).add(attempt.sentAt());
+  }
+
+  private void readEnd(LogLine line) {
+    outcomeCounts.merge(line.text("end"), 1, Integer::sum);
+    ObservedAttempt attempt = find(line);
+    if (attempt != null) {
+      attempt.ended(line);
+    }
+  }
+
+  private void readLateResponse(LogLine line) {
+    ObservedAttempt attempt = find(line);
+    if (attempt == null) {
+      return;
+    }
+    attempt.respondedLate();
+    long lateBy = line.at() - attempt.deadline();
+    if (lateBy <= slack) {
+      responsesWithinSlack++;
+      attempt.acceptLateResponse(line);
+    } else {
+      lateResponses.add(new LateResponse(attempt.id(), lateBy, line.number()));
+    }
+  }
+
+  /** The attempt that a line names, null where the clients' log has none. */
+  ObservedAttempt find(LogLine line) {
+    return attempts.get(line.text("call"));
+  }
+
+  /** All attempts in order of sending. */
+  Collection<ObservedAttempt> all() {
+    return attempts.values();
+  }
+
+  /** Times at which clients sent attempts to a router, in order. */
+  List<Long> sendTimes(int router) {
+    return sendTimesByRouter.get(router);
+  }
+
+  /** Number of attempts by the log's word for how they ended. */
+  Map<String, Integer> outcomeCounts() {
+    return outcomeCounts;
+  }
+
+  /** Responses after the deadline and the slack. */
+  List<LateResponse> lateResponses() {
+    return lateResponses;
+  }
+
+  /** Number of responses after the deadline and within the slack. */
+  int responsesWithinSlack() {
+    return responsesWithinSlack;
+  }
+}
--- a/src/main/java/switchgap/testbed/scenario/ObservedExecution.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedExecution.java
@@ -1,24 +1,51 @@
 package switchgap.testbed.scenario;
 
-/** A request at a worker, as the workers' log shows it. Times in microseconds. */
+/** A request at a worker, as the workers' log shows it. Times are in microseconds. */
 final class ObservedExecution {
-  final String worker;
-  final long arrivedAt;
-  final int line;
+  private static final long IN_FLIGHT = Long.MAX_VALUE;
 
-  /** When its router could know that it had ended. */
-  long endedAt = Long.MAX_VALUE;
-
-  /** Whether it began to run. */
-  boolean started;
+  private final String worker;
+  private final long arrivedAt;
+  private final int line;
+  private long endedAt = IN_FLIGHT;
+  private boolean started;
 
+  /** The execution that a line of the workers' log begins. */
   ObservedExecution(LogLine logLine) {
     worker = logLine.text("worker");
     arrivedAt = logLine.at();
     line = logLine.number();
   }
 
-  void endedBy(long at) {
-    endedAt = Math.min(endedAt, at);
+  /** The worker began to execute it. */
+  void started() {
+    started = true;
+  }
+
+  /** Its router could know by then that it had ended; the earliest time counts. */
+  void endedBy(long time) {
+    endedAt = Math.min(endedAt, time);
+  }
+
+  String worker() {
+    return worker;
+  }
+
+  long arrivedAt() {
+    return arrivedAt;
+  }
+
+  /** Number of the line of the workers' log that begins it. */
+  int line() {
+    return line;
+  }
+
+  /** Whether it was still in flight at a time. */
+  boolean isInFlightAt(long time) {
+    return endedAt > time;
+  }
+
+  boolean isStarted() {
+    return started;
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/RouterFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterFaultInjector.java
@@ -8,11 +8,11 @@
 
   RouterFaultInjector(TestBed testBed) {
     this.testBed = testBed;
-    this.routers = testBed.routers;
+    this.routers = testBed.routers();
   }
 
   @Override
-  public boolean inject(Scenario.Fault fault) {
+  public boolean inject(ScenarioFault fault) {
     switch (fault.type()) {
       case ROUTER_KILLED -> restart(router(fault), fault.duration());
       case ROUTERS_RESTARTED -> restartInTurn(fault);
@@ -26,60 +26,66 @@
     return true;
   }
 
-  private int router(Scenario.Fault fault) {
+  private int router(ScenarioFault fault) {
     return (int) fault.strength() % routers.size();
   }
 
-  private void restartInTurn(Scenario.Fault fault) {
+  private void restartInTurn(ScenarioFault fault) {
     int count = (int) Math.max(1, Math.round(fault.share() * routers.size()));
     for (int i = 0; i < count; i++) {
       int router = i;
-      testBed.scheduler.after(
-          fault.duration() * i / count, () -> restart(router, RESTART_OUTAGE_MICROS));
+      testBed
+          .scheduler()
+          .after(fault.duration() * i / count, () -> restart(router, RESTART_OUTAGE_MICROS));
     }
   }
 
   private void restart(int router, long outageMicros) {
     testBed.recordFault("router-killed", "router", router);
     routers.host(router).kill();
-    testBed.scheduler.after(
-        outageMicros,
-        () -> {
-          if (routers.start(router)) {
-            testBed.recordFault("router-started", "router", router);
-          }
-        });
+    testBed
+        .scheduler()
+        .after(
+            outageMicros,
+            () -> {
+              if (routers.start(router)) {
+                testBed.recordFault("router-started", "router", router);
+              }
+            });
   }
 
   private void killPlanners(long outageMicros) {
     for (RouterHost host : routers.hosts()) {
-      long at = testBed.scheduler.now();
-      testBed.recordFaultAt(at, "planner-killed", "done", host.killPlanner());
+      long time = testBed.scheduler().now();
+      testBed.recordFaultAt(time, "planner-killed", "done", host.killPlanner());
     }
-    testBed.scheduler.after(outageMicros, routers::startPlanners);
+    testBed.scheduler().after(outageMicros, routers::startPlanners);
   }
 
   private void pausePlanners(long durationMicros) {
     for (RouterHost host : routers.hosts()) {
-      long at = testBed.scheduler.now();
-      testBed.recordFaultAt(at, "planner-paused", "done", host.pausePlanner(true));
+      long time = testBed.scheduler().now();
+      testBed.recordFaultAt(time, "planner-paused", "done", host.pausePlanner(true));
     }
-    testBed.scheduler.after(
-        durationMicros, () -> routers.hosts().forEach(host -> host.pausePlanner(false)));
+    testBed
+        .scheduler()
+        .after(durationMicros, () -> routers.hosts().forEach(host -> host.pausePlanner(false)));
   }
 
   /**
    * Records the time before the signal: the router may have stopped by the time that it was sent.
    */
   private void pause(int router, long durationMicros) {
-    long at = testBed.scheduler.now();
+    long time = testBed.scheduler().now();
     boolean done = routers.host(router).pause(true);
-    testBed.recordFaultAt(at, "router-paused", "router", router, "done", done);
-    testBed.scheduler.after(
-        durationMicros,
-        () -> {
-          routers.host(router).pause(false);
-          testBed.recordFault("router-resumed", "router", router);
-        });
+    testBed.recordFaultAt(time, "router-paused", "router", router, "done", done);
+    testBed
+        .scheduler()
+        .after(
+            durationMicros,
+            () -> {
+              routers.host(router).pause(false);
+              testBed.recordFault("router-resumed", "router", router);
+            });
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/Scenario.java
+++ b/src/main/java/switchgap/testbed/scenario/Scenario.java
@@ -18,36 +18,31 @@
 import switchgap.testbed.emulator.Scheduler;
 import switchgap.testbed.emulator.WorkerHardware;
 
-/** A scenario as its document states it: fleet, routers, load, fault script and seed. Immutable. */
+/**
+ * A scenario as its document states it: fleet, routers, load, fault script and seed. Workers and
+ * routers are numbered from 0. Immutable.
+ */
 public final class Scenario {
   private static final double MICROS_PER_SECOND = 1e6;
-  private static final double GOLDEN_RATIO_FRACTION = 0.618034; // spreads the worker kinds evenly
-
-  /**
-   * One entry of the fault script. Times are in microseconds.
-   *
-   * @param startsAt start, counted from the start of the scenario
-   * @param type what fails
-   * @param duration how long it lasts
-   * @param share share of the candidates that are affected: workers, functions, requests or routers
-   * @param strength its strength; depending on the type a factor, a share, a number or seconds
-   * @param target the tenant or zone that is affected, null for the first one
-   */
-  public record Fault(
-      long startsAt, FaultType type, long duration, double share, double strength, String target) {}
 
   private final ScenarioSettings settings;
+  private final FleetComposition fleet;
   private final RouterConfigWriter routerConfigs;
 
   private Scenario(ScenarioSettings settings, Map<String, Object> document) {
     this.settings = settings;
+    this.fleet = new FleetComposition(settings);
     this.routerConfigs = new RouterConfigWriter(settings, document);
   }
 
   /**
    * Reads a scenario.
    *
-   * @throws switchgap.config.InvalidConfigException for a mistake, with file, line and key
+   * @param path a YAML document
+   * @return the scenario
+   * @throws IOException if the file can't be read
+   * @throws switchgap.config.InvalidConfigException if the document has a mistake, with file, line
+   *     and key
    */
   public static Scenario read(Path path) throws IOException {
     String text = Files.readString(path);
@@ -60,12 +55,12 @@
     return settings;
   }
 
-  /** Its name. */
+  /** The name of the scenario. */
   public String name() {
     return settings.timing().name();
   }
 
-  /** Seed of all random draws. */
+  /** The seed of all random draws. */
   public long seed() {
     return settings.timing().seed();
   }
@@ -80,7 +75,7 @@
     return settings.routers().count();
   }
 
-  /** Workers of a cell. */
+  /** Number of workers in a cell. */
   public int cellSize() {
     return settings.fleet().cellSize();
   }
@@ -90,12 +85,12 @@
     return settings.store().capacity();
   }
 
-  /** Microseconds that the store stops for after overload. */
+  /** How long the store stops after an overload, microseconds. */
   public long storeOutage() {
     return settings.store().outage();
   }
 
-  /** Delay of changes of the endpoint list, microseconds. */
+  /** Delay with which routers learn of changes to the endpoint list, microseconds. */
   public long listLag() {
     return settings.listLag();
   }
@@ -105,8 +100,8 @@
     return settings.fleet().reportsLoad();
   }
 
-  /** The fault script. */
-  public List<Fault> faults() {
+  /** The fault script, in the document's order. */
+  public List<ScenarioFault> faults() {
     return List.copyOf(settings.faults());
   }
 
@@ -125,60 +120,28 @@
     return settings.zones().get(zoneOf(number));
   }
 
-  private ScenarioSettings.WorkerKind kindOf(int worker) {
-    double draw = (worker * GOLDEN_RATIO_FRACTION) % 1;
-    for (ScenarioSettings.WorkerKind kind : settings.fleet().kinds()) {
-      if (draw < kind.share()) {
-        return kind;
-      }
-      draw -= kind.share();
-    }
-    return settings.fleet().kinds().get(0);
-  }
-
   /** Name of a worker's kind. */
   public String kindName(int worker) {
-    return kindOf(worker).name();
+    return fleet.kindOf(worker).name();
   }
 
   /** Compute capacity of a worker in cores of speed 1. */
   public double computeCapacityOf(int worker) {
-    return kindOf(worker).cores() * kindOf(worker).speed();
+    return fleet.computeCapacityOf(worker);
   }
 
   /** Hardware of a worker. */
   public WorkerHardware hardwareOf(int worker) {
-    ScenarioSettings.WorkerKind kind = kindOf(worker);
-    ScenarioSettings.WorkerLimits limits = settings.fleet().limits();
-    ScenarioSettings.InvariantLimits rules = settings.limits();
-    return new WorkerHardware(
-        new WorkerHardware.Compute(
-            kind.cores(),
-            kind.speed(),
-            limits.slotsPerCore() * kind.cores(),
-            limits.queuePerCore() * kind.cores()),
-        new WorkerHardware.ReplicaLimits(
-            kind.memoryMb(),
-            limits.concurrentLoads(),
-            limits.keepAlive(),
-            settings.loadsOnMiss(),
-            limits.eagerLoads(),
-            limits.fetchShare(),
-            limits.loadFailureShare()),
-        new WorkerHardware.WarmUp(
-            rules.initialCapacityShare(),
-            rules.warmUpTime(),
-            rules.crashMultiple(),
-            rules.crashWindow()));
+    return fleet.hardwareOf(worker);
   }
 
-  /** The functions, drawn with a seed. */
+  /** The functions of the scenario, drawn with a seed. */
   public FunctionCatalogue catalogue(long seed) {
     return new FunctionCatalogue(
         settings.functionGroups(), settings.load().functions(), settings.load().zipf(), seed);
   }
 
-  /** The clients, drawn with a seed; they send through the transport. */
+  /** The clients of the scenario, drawn with a seed; they send through the transport. */
   public EmulatedClients clients(
       Scheduler scheduler, ClientTransport transport, FunctionCatalogue catalogue, long seed) {
     return new EmulatedClients(
@@ -189,37 +152,29 @@
             settings.profiles(),
             settings.load().retries(),
             settings.load().rate(),
-            routerShares(),
+            RouterShares.of(routers(), settings.routers().busiestShare()),
             tenantShares(),
             seed));
   }
 
   /**
-   * The first router receives its stated share; the others share the rest in proportion to 1, 1/2,
-   * 1/3.
+   * The configuration of one router.
+   *
+   * @param number of the router
+   * @param port that it listens at
+   * @param listPort of the endpoint list service
+   * @param catalogue functions of the scenario
+   * @return the configuration as YAML
    */
-  private double[] routerShares() {
-    int routers = routers();
-    double busiestShare = settings.routers().busiestShare();
-    double[] shares = new double[routers];
-    double rest = routers == 1 ? 1 : 1 - busiestShare;
-    double sum = 0;
-    for (int i = 1; i < routers; i++) {
-      sum += 1.0 / i;
-    }
-    shares[0] = routers == 1 ? 1 : busiestShare;
-    for (int i = 1; i < routers; i++) {
-      shares[i] = rest / i / sum;
-    }
-    return shares;
-  }
-
-  /** The configuration of one router, as YAML. */
   public String routerConfig(int number, int port, int listPort, FunctionCatalogue catalogue) {
     return routerConfig(number, port, listPort, catalogue, Map.of());
   }
 
-  /** The same with some values in place of the scenario's, by {@code section.key}. */
+  /**
+   * The configuration of one router, with some values in place of the scenario's.
+   *
+   * @param overrides values as YAML, by {@code section.key}
+   */
   public String routerConfig(
       int number,
       int port,
@@ -229,23 +184,19 @@
     return routerConfigs.write(number, port, listPort, catalogue, overrides);
   }
 
-  /** Work that the fleet can do in a second, in seconds of a core of speed 1. */
+  /** Work that the fleet does in a second, in seconds of a core of speed 1. */
   public double fleetCapacity() {
-    double sum = 0;
-    for (int i = 0; i < workers(); i++) {
-      sum += computeCapacityOf(i);
-    }
-    return sum;
+    return fleet.totalComputeCapacity();
   }
 
-  /** Seconds of work of a mean request. */
+  /** Mean work of a request, in seconds of a core of speed 1. */
   public double meanWork() {
     return settings.functionGroups().stream()
         .mapToDouble(group -> group.share() * group.work() / MICROS_PER_SECOND)
         .sum();
   }
 
-  /** Requests a second. */
+  /** Requests a second of all clients together. */
   public double requestRate() {
     return settings.load().rate();
   }
--- a/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
@@ -7,11 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import switchgap.config.YamlDocument;
-import switchgap.testbed.emulator.FunctionCatalogue;
-import switchgap.testbed.emulator.RequestClassProfile;
 import switchgap.testbed.emulator.RetryPolicy;
 
-/** Reads the settings of a scenario from its document; a mistake names file, line and key. */
+/** Reads the settings of a scenario from its document; errors name file, line and key. */
 final class ScenarioReader {
   private static final List<String> SECTIONS =
       List.of(
@@ -32,7 +30,10 @@
           "levels",
           "script");
   private static final long MAX_SEED = 1L << 50;
-  private static final double MAX_FACTOR = 1e6;
+
+  /** Upper bound of factors and numbers that have no bound by their nature. */
+  static final double MAX_FACTOR = 1e6;
+
   private static final int NANOS_PER_MICRO = 1000;
   private final YamlDocument document;
   private final Path file;
@@ -42,6 +43,12 @@
     this.file = file;
   }
 
+  /**
+   * Reads a document.
+   *
+   * @param document the document
+   * @param file its file, whose name is the default of the scenario's
+   */
   static ScenarioSettings read(YamlDocument document, Path file) {
     return new ScenarioReader(document, file).read();
   }
@@ -56,12 +63,12 @@
     ScenarioSettings.Routers routers = routers(document.section("routers"));
     ScenarioSettings.Load load = load(document.section("load"));
     List<ScenarioSettings.RequestClass> requestClasses =
-        requestClasses(document.section("workloads"));
+        RequestClassReader.readAll(document.section("workloads"));
     Map<String, Double> tenantShares = tenantShares(document.section("customers"));
     boolean loadsOnMiss =
         document.optionalSection("workers").text("miss", "answers").equals("loads");
     ScenarioSettings.InvariantLimits limits = invariantLimits(document.optionalSection("rules"));
-    List<Scenario.Fault> faults = new ArrayList<>();
+    List<ScenarioFault> faults = new ArrayList<>();
     for (YamlDocument entry : document.sections("script")) {
       faults.add(fault(entry));
     }
@@ -174,44 +181,6 @@
     return new ScenarioSettings.Load(rate, zipf, functions, retries);
   }
 
-  private static List<ScenarioSettings.RequestClass> requestClasses(YamlDocument section) {
-    List<ScenarioSettings.RequestClass> requestClasses = new ArrayList<>();
-    for (String name : section.keys()) {
-      requestClasses.add(requestClass(name, section.section(name)));
-    }
-    return requestClasses;
-  }
-
-  private static ScenarioSettings.RequestClass requestClass(String name, YamlDocument section) {
-    RepeatRule repeatRule = RepeatRule.of(section.choice("repeat", RepeatRule.words()));
-    boolean idempotent = repeatRule == RepeatRule.IDEMPOTENT;
-    long target = micros(section.duration("start_target"));
-    long limit = micros(section.duration("time_limit"));
-    double weight = section.number("importance", 0, MAX_FACTOR, 1);
-    double lateShare = section.number("late_share", 0, 1, 0);
-    // Repeats are recognized within a group of workers; with one group for all, any retry is safe.
-    boolean retriesAll =
-        repeatRule == RepeatRule.RESTARTABLE
-            || (idempotent && section.text("group", "all").equals("all"));
-    RequestClassProfile profile =
-        new RequestClassProfile(name, target, limit, weight, lateShare, retriesAll, idempotent);
-    FunctionCatalogue.FunctionGroup functions =
-        new FunctionCatalogue.FunctionGroup(
-            name,
-            section.number("share", 0, 1),
-            section.number("memory", 1, 1e6),
-            section.integer("lanes", 1, 1000),
-            micros(section.duration("load")),
-            micros(section.duration("work")),
-            micros(section.duration("io", Duration.ZERO)),
-            section.number("spread", 0, 2, 0.4),
-            idempotent ? micros(section.duration("memory_span")) : 0);
-    section.text("group", "all"); // a router's key, allowed here in any request class
-    section.has("memory_span");
-    section.rejectUnknownKeys();
-    return new ScenarioSettings.RequestClass(repeatRule, profile, functions);
-  }
-
   private static Map<String, Double> tenantShares(YamlDocument section) {
     Map<String, Double> shares = new LinkedHashMap<>();
     for (String name : section.keys()) {
@@ -235,13 +204,13 @@
         micros(section.duration("loads_span", Duration.ZERO)));
   }
 
-  private static Scenario.Fault fault(YamlDocument section) {
+  private static ScenarioFault fault(YamlDocument section) {
     FaultType type = section.choice("trouble", FaultType.class, null);
     if (type == null) {
       section.text("trouble"); // reports the missing key
     }
-    Scenario.Fault fault =
-        new Scenario.Fault(
+    ScenarioFault fault =
+        new ScenarioFault(
             micros(section.duration("at")),
             type,
             micros(section.duration("lasts", Duration.ZERO)),
@@ -252,7 +221,8 @@
     return fault;
   }
 
-  private static long micros(Duration duration) {
+  /** A duration in microseconds, the unit of the settings. */
+  static long micros(Duration duration) {
     return duration.toNanos() / NANOS_PER_MICRO;
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
@@ -45,25 +45,25 @@
           CompletableFuture.supplyAsync(
                   () -> {
                     long arrivalsEnd =
-                        testBed.clients.startFor(scenario.settings().timing().length());
+                        testBed.clients().startFor(scenario.settings().timing().length());
                     new FaultScript(testBed).start();
                     return arrivalsEnd;
                   },
-                  testBed.scheduler::post)
+                  testBed.scheduler()::post)
               .join();
       awaitEnd(testBed, end);
       testBed.finish();
       report(testBed, out);
-      return testBed.clients;
+      return testBed.clients();
     }
   }
 
   private static void awaitEnd(TestBed testBed, long end) throws InterruptedException {
-    while (testBed.scheduler.now() < end) {
+    while (testBed.scheduler().now() < end) {
       Thread.sleep(ARRIVALS_POLL_MILLIS);
     }
-    long deadline = end + testBed.scenario.longestTimeout() + DRAIN_MARGIN_MICROS;
-    while (testBed.clients.attemptsInFlight() > 0 && testBed.scheduler.now() < deadline) {
+    long deadline = end + testBed.scenario().longestTimeout() + DRAIN_MARGIN_MICROS;
+    while (testBed.clients().attemptsInFlight() > 0 && testBed.scheduler().now() < deadline) {
       Thread.sleep(DRAIN_POLL_MILLIS);
     }
     Thread.sleep(LATE_RESPONSE_MILLIS);
@@ -82,7 +82,7 @@
         "gave up",
         "unreachable",
         "service");
-    for (var entry : testBed.clients.tallies().entrySet()) {
+    for (var entry : testBed.clients().tallies().entrySet()) {
       RequestTally tally = entry.getValue();
       out.printf(
           "%-16s %6d %6d %8d %6d %8d %7d %7d %11d %8.3f%n",
@@ -99,8 +99,8 @@
     }
     out.printf(
         "service %.3f, worst 10 s %.3f, fetches from the store %d (simulated servers)%n",
-        testBed.clients.service(),
-        testBed.clients.worstWindowService(WORST_WINDOW_SECONDS),
-        testBed.store.fetches());
+        testBed.clients().service(),
+        testBed.clients().worstWindowService(WORST_WINDOW_SECONDS),
+        testBed.store().fetches());
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
+import switchgap.policy.api.Idempotency;
 import switchgap.testbed.emulator.FunctionCatalogue;
 import switchgap.testbed.emulator.RequestClassProfile;
 import switchgap.testbed.emulator.RetryPolicy;
@@ -34,7 +35,7 @@
     Map<String, Double> tenantShares,
     boolean loadsOnMiss,
     InvariantLimits limits,
-    List<Scenario.Fault> faults) {
+    List<ScenarioFault> faults) {
 
   /**
    * {@code slack}: tolerance of the checks for the clocks and threads of one machine; {@code tick}:
@@ -80,7 +81,7 @@
 
   /** A request class as its clients and as its functions see it. */
   record RequestClass(
-      RepeatRule repeatRule,
+      Idempotency idempotency,
       RequestClassProfile profile,
       FunctionCatalogue.FunctionGroup functions) {}
 
--- a/src/main/java/switchgap/testbed/scenario/TestBed.java
+++ b/src/main/java/switchgap/testbed/scenario/TestBed.java
@@ -23,15 +23,16 @@
  */
 final class TestBed implements AutoCloseable {
   private static final int NETWORK_THREADS = 3;
-  final Scenario scenario;
-  final RealTimeScheduler scheduler = new RealTimeScheduler();
-  final SplittableRandom random;
-  final FunctionCatalogue catalogue;
-  final EmulatedStore store;
-  final EndpointListService endpointList;
-  final EmulatedClients clients;
-  final WorkerFleet fleet;
-  final RouterGroup routers;
+
+  private final Scenario scenario;
+  private final RealTimeScheduler scheduler = new RealTimeScheduler();
+  private final SplittableRandom random;
+  private final FunctionCatalogue catalogue;
+  private final EmulatedStore store;
+  private final EndpointListService endpointList;
+  private final EmulatedClients clients;
+  private final WorkerFleet fleet;
+  private final RouterGroup routers;
   private final EventRecorder scriptLog;
   private final EventRecorder fleetLog;
   private final EventRecorder clientLog;
@@ -40,16 +41,20 @@
   private final StoreService storeService;
 
   /**
-   * Starts everything; {@code baseline} names a routing policy in place of the program's own, null
-   * for none.
+   * Starts everything.
+   *
+   * @param scenario what is started
+   * @param directory receives configurations and logs
+   * @param baseline name of a routing policy in place of the program's own, null for none
    */
   TestBed(Scenario scenario, Path directory, String baseline) throws IOException {
     this(scenario, directory, baseline, true);
   }
 
   /**
-   * Without routers only the emulator is started; the routers' configurations are written all the
-   * same.
+   * Starts everything, with or without routers.
+   *
+   * @param withRouters whether routers are started; their configurations are written in any case
    */
   TestBed(Scenario scenario, Path directory, String baseline, boolean withRouters)
       throws IOException {
@@ -113,19 +118,57 @@
     }
   }
 
-  /** Records an event of the fault script. */
+  Scenario scenario() {
+    return scenario;
+  }
+
+  /** The thread that owns the state of clients, workers, store and endpoint list. */
+  RealTimeScheduler scheduler() {
+    return scheduler;
+  }
+
+  /** Draws the targets of faults. */
+  SplittableRandom random() {
+    return random;
+  }
+
+  FunctionCatalogue catalogue() {
+    return catalogue;
+  }
+
+  EmulatedStore store() {
+    return store;
+  }
+
+  EndpointListService endpointList() {
+    return endpointList;
+  }
+
+  EmulatedClients clients() {
+    return clients;
+  }
+
+  WorkerFleet fleet() {
+    return fleet;
+  }
+
+  RouterGroup routers() {
+    return routers;
+  }
+
+  /** Records an event of the fault script that happens now. */
   void recordFault(String what, Object... fields) {
     recordFaultAt(scheduler.now(), what, fields);
   }
 
   /** Records an event of the fault script that began at an earlier time, microseconds. */
-  void recordFaultAt(long at, String what, Object... fields) {
-    scriptLog.record(at, what, fields);
+  void recordFaultAt(long time, String what, Object... fields) {
+    scriptLog.record(time, what, fields);
   }
 
   /**
-   * Ends everything in good order: routers first, so that what is in flight is answered; then the
-   * logs are whole.
+   * Shuts down gracefully and completes the logs: routers first, so that requests in flight receive
+   * their responses.
    */
   void finish() throws IOException {
     routers.stop();
--- a/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
@@ -37,7 +37,7 @@
   }
 
   @Override
-  public boolean inject(Scenario.Fault fault) {
+  public boolean inject(ScenarioFault fault) {
     WorkerFaults.Kind socketFault = SOCKET_FAULTS.get(fault.type());
     if (socketFault != null) {
       spoilResponses(fault, socketFault);
@@ -53,24 +53,26 @@
     return true;
   }
 
-  private void spoilResponses(Scenario.Fault fault, WorkerFaults.Kind kind) {
-    List<EmulatedModelServer> affected = testBed.fleet.drawReady(fault.share());
+  private void spoilResponses(ScenarioFault fault, WorkerFaults.Kind kind) {
+    List<EmulatedModelServer> affected = testBed.fleet().drawReady(fault.share());
     affected.forEach(server -> server.faults().set(kind, fault.strength()));
-    testBed.scheduler.after(
-        fault.duration(), () -> affected.forEach(server -> server.faults().set(kind, 0)));
+    testBed
+        .scheduler()
+        .after(fault.duration(), () -> affected.forEach(server -> server.faults().set(kind, 0)));
   }
 
-  private void slowDown(Scenario.Fault fault) {
-    List<EmulatedModelServer> affected = testBed.fleet.drawReady(fault.share());
+  private void slowDown(ScenarioFault fault) {
+    List<EmulatedModelServer> affected = testBed.fleet().drawReady(fault.share());
     affected.forEach(server -> server.worker().setSlowdown(fault.strength()));
-    testBed.scheduler.after(
-        fault.duration(), () -> affected.forEach(server -> server.worker().setSlowdown(1)));
+    testBed
+        .scheduler()
+        .after(fault.duration(), () -> affected.forEach(server -> server.worker().setSlowdown(1)));
   }
 
-  private void unloadFunctions(Scenario.Fault fault) {
-    for (FunctionModel function : testBed.catalogue.functions()) {
-      if (testBed.random.nextDouble() < fault.share()) {
-        testBed.fleet.servers().forEach(server -> server.worker().unload(function.name()));
+  private void unloadFunctions(ScenarioFault fault) {
+    for (FunctionModel function : testBed.catalogue().functions()) {
+      if (testBed.random().nextDouble() < fault.share()) {
+        testBed.fleet().servers().forEach(server -> server.worker().unload(function.name()));
       }
     }
   }
--- a/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
@@ -14,11 +14,11 @@
 
   WorkerReplacementInjector(TestBed testBed) {
     this.testBed = testBed;
-    this.fleet = testBed.fleet;
+    this.fleet = testBed.fleet();
   }
 
   @Override
-  public boolean inject(Scenario.Fault fault) {
+  public boolean inject(ScenarioFault fault) {
     switch (fault.type()) {
       case DRAIN ->
           fleet.drawReady(fault.share()).forEach(server -> replace(server, drainTime(fault)));
@@ -40,7 +40,7 @@
     return true;
   }
 
-  private static long drainTime(Scenario.Fault fault) {
+  private static long drainTime(ScenarioFault fault) {
     return (long) (fault.strength() * MICROS_PER_SECOND);
   }
 
@@ -51,27 +51,30 @@
 
   private void killAndReplace(EmulatedModelServer server, long outageMicros) {
     server.kill();
-    testBed.scheduler.after(
-        outageMicros,
-        () -> {
-          fleet.setState(server.name(), EndpointState.GONE);
-          fleet.startCold();
-        });
+    testBed
+        .scheduler()
+        .after(
+            outageMicros,
+            () -> {
+              fleet.setState(server.name(), EndpointState.GONE);
+              fleet.startCold();
+            });
   }
 
   /**
    * A rolling release: the workers of this moment are replaced in batches over the fault's
    * duration.
    */
-  private void release(Scenario.Fault fault) {
+  private void release(ScenarioFault fault) {
     List<EmulatedModelServer> affected = fleet.drawReady(fault.share());
     int batchSize = Math.max(1, (int) Math.round(affected.size() * RELEASE_BATCH_SHARE));
     int batches = (affected.size() + batchSize - 1) / batchSize;
     for (int i = 0; i < batches; i++) {
       List<EmulatedModelServer> batch =
           affected.subList(i * batchSize, Math.min(affected.size(), (i + 1) * batchSize));
-      testBed.scheduler.after(
-          fault.duration() * i / batches, () -> replaceRunning(batch, drainTime(fault)));
+      testBed
+          .scheduler()
+          .after(fault.duration() * i / batches, () -> replaceRunning(batch, drainTime(fault)));
     }
   }
 
--- /dev/null
+++ b/src/test/java/switchgap/testbed/scenario/PlayedScenario.java
@@ -0,0 +1,145 @@
+package switchgap.testbed.scenario;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Writes the logs of a made-up scenario of one router and one worker; times are milliseconds since
+ * its start.
+ */
+final class PlayedScenario {
+  /** Index of the idempotent request class. */
+  static final int IDEMPOTENT = 0;
+
+  /** Index of the non-idempotent request class. */
+  static final int NON_IDEMPOTENT = 1;
+
+  private static final String SCENARIO =
+      """
+      day: {length: 5s, seed: 1, slack: 10ms}
+      fleet: {workers: 1, kinds: {k: {share: 1, cores: 1, speed: 1, memory: 100}}}
+      routers: {count: 1}
+      load: {rate: 1}
+      workloads:
+        again: {share: 0.5, start_target: 400ms, time_limit: 1s, repeat: restartable,
+          memory: 1, lanes: 1, load: 1s, work: 100ms}
+        once: {share: 0.5, start_target: 400ms, time_limit: 1s, repeat: run-once,
+          memory: 1, lanes: 1, load: 1s, work: 100ms}
+      customers: {a: {rate: 1, share: 1}}
+      rules: {drain_grace: 500ms, cold_share: 0.2, cold_span: 10s, fall_multiple: 2,
+        fall_span: 1s, loads_free: 1, loads_share: 0.5, loads_span: 5s}
+      """;
+
+  private static final long MICROS_PER_MILLI = 1000;
+  private static final long TIMEOUT_MILLIS = 1000;
+  private static final long END_MILLIS = 9000;
+
+  private final List<String> clients = new ArrayList<>();
+  private final List<String> fleet = new ArrayList<>();
+  private final List<String> list = new ArrayList<>();
+  private final List<String> script = new ArrayList<>();
+
+  private static String line(long atMillis, String what, String rest) {
+    String separator = rest.isEmpty() ? "" : ",";
+    return "{\"t\":%d,\"what\":\"%s\"%s%s}"
+        .formatted(atMillis * MICROS_PER_MILLI, what, separator, rest);
+  }
+
+  /** A client sends an attempt; its id is that of the request, a dot and a number. */
+  PlayedScenario attemptSent(long atMillis, String attempt, int requestClass) {
+    String request = attempt.split("\\.")[0];
+    long deadline = (atMillis + TIMEOUT_MILLIS) * MICROS_PER_MILLI;
+    String fields =
+        "\"call\":\"%s\",\"job\":\"%s\",\"router\":0,\"workload\":%d,\"limit\":%d"
+            .formatted(attempt, request, requestClass, deadline);
+    clients.add(line(atMillis, "call", fields));
+    return this;
+  }
+
+  PlayedScenario attemptEnded(long atMillis, String attempt, String outcome) {
+    clients.add(line(atMillis, "answer", outcomeFields(attempt, outcome)));
+    return this;
+  }
+
+  PlayedScenario lateResponse(long atMillis, String attempt, String outcome) {
+    clients.add(line(atMillis, "late-answer", outcomeFields(attempt, outcome)));
+    return this;
+  }
+
+  private static String outcomeFields(String attempt, String outcome) {
+    return "\"call\":\"%s\",\"end\":\"%s\"".formatted(attempt, outcome);
+  }
+
+  /** The worker receives a request and does not start it. */
+  PlayedScenario executionReceived(long atMillis, String attempt, String execution) {
+    String fields =
+        "\"worker\":\"w0\",\"router\":0,\"run\":\"%s\",\"call\":\"%s\",\"work\":100000"
+            .formatted(execution, attempt);
+    fleet.add(line(atMillis, "infer", fields));
+    return this;
+  }
+
+  /** The worker receives a request and starts it. */
+  PlayedScenario executionStarted(long atMillis, String attempt, String execution) {
+    executionReceived(atMillis, attempt, execution);
+    String fields =
+        "\"worker\":\"w0\",\"run\":\"%s\",\"call\":\"%s\"".formatted(execution, attempt);
+    fleet.add(line(atMillis, "ran", fields));
+    return this;
+  }
+
+  PlayedScenario executionEnded(long atMillis, String execution) {
+    String fields = "\"worker\":\"w0\",\"run\":\"%s\",\"status\":200".formatted(execution);
+    fleet.add(line(atMillis, "answer", fields));
+    return this;
+  }
+
+  /** An attempt that is executed once, in 100 ms, and succeeds. */
+  PlayedScenario successfulAttempt(long atMillis, String attempt, int requestClass) {
+    String execution = attempt + ".0";
+    return attemptSent(atMillis, attempt, requestClass)
+        .executionStarted(atMillis + 1, attempt, execution)
+        .executionEnded(atMillis + 100, execution)
+        .attemptEnded(atMillis + 101, attempt, "finished");
+  }
+
+  PlayedScenario coldWorkerStarted(long atMillis) {
+    String fields = "\"worker\":\"w0\",\"cold\":true,\"cores\":1,\"speed\":1.0";
+    fleet.add(line(atMillis, "started", fields));
+    return this;
+  }
+
+  PlayedScenario replicaLoaded(long atMillis) {
+    String fields = "\"worker\":\"w0\",\"router\":0,\"function\":\"f\",\"copies\":1";
+    fleet.add(line(atMillis, "load", fields));
+    return this;
+  }
+
+  PlayedScenario routerNotifiedOfDraining(long atMillis) {
+    list.add(line(atMillis, "told", "\"router\":0,\"worker\":\"w0\",\"state\":\"draining\""));
+    return this;
+  }
+
+  PlayedScenario routerKilled(long atMillis) {
+    script.add(line(atMillis, "router-killed", "\"router\":0"));
+    return this;
+  }
+
+  /** Writes the scenario and its logs. */
+  void writeTo(Path directory) throws IOException {
+    Files.writeString(directory.resolve("day.yaml"), SCENARIO);
+    write(directory.resolve("clients.jsonl"), clients);
+    write(directory.resolve("fleet.jsonl"), fleet);
+    write(directory.resolve("list.jsonl"), list);
+    write(directory.resolve("script.jsonl"), script);
+  }
+
+  private static void write(Path log, List<String> lines) throws IOException {
+    List<String> withEnd = new ArrayList<>(lines);
+    withEnd.add(line(END_MILLIS, "end", ""));
+    Files.write(log, withEnd);
+  }
+}
