--- a/src/main/java/switchgap/server/platform/AttemptObserver.java
+++ b/src/main/java/switchgap/server/platform/AttemptObserver.java
@@ -8,7 +8,7 @@
 import switchgap.router.RouterEvent;
 import switchgap.router.RouterEvents;
 
-/** Records how attempts end among the router's events. */
+/** Records the outcome of each attempt in the router's events. */
 final class AttemptObserver implements RequestObserver {
   private final RouterEvents events;
 
