--- /dev/null
+++ b/src/test/java/switchgap/policy/RandomFleet.java
@@ -0,0 +1,339 @@
+package switchgap.policy;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static switchgap.policy.PolicyHarness.millis;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.AttemptResult;
+import switchgap.policy.api.EndpointEntry;
+import switchgap.policy.api.LoadCommandResult;
+import switchgap.policy.api.LoadReport;
+import switchgap.policy.api.PolicyActions;
+import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.ProbeResult;
+import switchgap.policy.api.RequestArrival;
+import switchgap.policy.api.WorkerState;
+import switchgap.policy.state.IndexAllocator;
+import switchgap.testing.ReachableObjects;
+
+/**
+ * One router's policy amid random events: outcomes of all kinds at random times, endpoint lists in
+ * which workers drain, leave, return and restart, and clients that disconnect. Each decision is
+ * checked by {@link PolicyRules} when it is taken. All randomness comes from the seed.
+ */
+final class RandomFleet implements PolicyActions {
+  /** Drawn uniformly, so that an outcome is as likely as it is listed often. */
+  private static final AttemptOutcome[] OUTCOMES = {
+    AttemptOutcome.SUCCEEDED,
+    AttemptOutcome.SUCCEEDED,
+    AttemptOutcome.SUCCEEDED,
+    AttemptOutcome.FAILED,
+    AttemptOutcome.REJECTED,
+    AttemptOutcome.TIMED_OUT,
+    AttemptOutcome.CONNECT_FAILED,
+    AttemptOutcome.CONNECTION_LOST,
+    AttemptOutcome.NOT_SENT,
+    AttemptOutcome.NOT_LOADED,
+    AttemptOutcome.NOT_LOADED
+  };
+
+  private static final int WORKERS = 6;
+  private static final long FIRST_WORKER = 1000;
+
+  /** The mean intervals of a run, and the number of functions that requests are for. */
+  record Load(int seconds, int arrivalMillis, int endpointChangeMillis, int functions) {}
+
+  private final IndexAllocator requestIndices = new IndexAllocator();
+  private final IndexAllocator workerIndices = new IndexAllocator();
+  private final IndexAllocator functionIndices = new IndexAllocator();
+  private final TreeMap<Duration, List<Consumer<PolicyEvents>>> due = new TreeMap<>();
+  private final Map<Integer, TrackedRequest> requests = new HashMap<>();
+  private final Map<Long, WorkerState> workerStates = new HashMap<>();
+  private final Map<Long, Duration> startTimes = new HashMap<>();
+  private final RoutingPolicy policy;
+  private final PolicyRules rules;
+  private SplittableRandom random = new SplittableRandom(1);
+  private Duration now = Duration.ZERO;
+  private int attempts;
+  private int retries;
+  private int loadCommands;
+  private long nextRequest;
+
+  RandomFleet(TestSettings settings, long seed) {
+    policy = new RoutingPolicy(settings, seed);
+    rules = new PolicyRules(settings);
+  }
+
+  int attempts() {
+    return attempts;
+  }
+
+  int retries() {
+    return retries;
+  }
+
+  int loadCommands() {
+    return loadCommands;
+  }
+
+  /** The number of elements in all tables of the policy. */
+  long reachableElements() {
+    return ReachableObjects.by(policy, this);
+  }
+
+  // Events.
+
+  /** Runs under load, then lets all requests, commands and functions end. */
+  void run(long seed, Load load) {
+    random = new SplittableRandom(seed);
+    later(
+        0,
+        events -> {
+          for (long worker = FIRST_WORKER; worker < FIRST_WORKER + WORKERS; worker++) {
+            workerStates.putIfAbsent(worker, WorkerState.READY);
+          }
+          listEndpoints(events, true);
+        });
+    long end = load.seconds * 1000L;
+    for (long time = 1; time < end; time += interval(load.arrivalMillis)) {
+      String function = "f" + random.nextInt(load.functions);
+      later(time, events -> requestArrives(events, function));
+    }
+    for (long time = 3000; time < end; time += interval(load.endpointChangeMillis)) {
+      later(time, this::changeEndpoint);
+    }
+    Duration settled = now.plus(millis(end + 40_000));
+    runUntil(settled.minus(millis(1000)));
+    later(
+        0,
+        events -> {
+          for (long worker = FIRST_WORKER; worker < FIRST_WORKER + WORKERS; worker++) {
+            workerStates.put(worker, WorkerState.READY);
+          }
+          listEndpoints(events, true);
+        });
+    runUntil(settled);
+  }
+
+  private int interval(int meanMillis) {
+    return 1 + random.nextInt(2 * meanMillis);
+  }
+
+  private void later(long millis, Consumer<PolicyEvents> event) {
+    due.computeIfAbsent(now.plus(millis(millis)), time -> new ArrayList<>()).add(event);
+  }
+
+  private void runUntil(Duration end) {
+    while (!due.isEmpty() && due.firstKey().compareTo(end) <= 0) {
+      Map.Entry<Duration, List<Consumer<PolicyEvents>>> tick = due.pollFirstEntry();
+      now = tick.getKey();
+      policy.tick(now, events -> tick.getValue().forEach(event -> event.accept(events)), this);
+    }
+  }
+
+  private void requestArrives(PolicyEvents events, String functionName) {
+    int index = requestIndices.allocate(nextRequest++);
+    TrackedRequest request = new TrackedRequest(now.plus(millis(200 + random.nextInt(1800))));
+    requests.put(index, request);
+    rules.requestArrived(now);
+    long hash = functionName.hashCode();
+    int function = functionIndices.allocate(hash);
+    events.requestArrived(
+        new RequestArrival(index, 0, 0, function, hash, request.deadline(), null, 100, 2));
+    if (random.nextInt(40) == 0) {
+      later(random.nextInt(300), later -> disconnect(later, index, request));
+    }
+  }
+
+  private void disconnect(PolicyEvents events, int index, TrackedRequest request) {
+    if (requests.get(index) == request && !request.isClosed()) {
+      request.close();
+      events.clientLeft(index);
+    }
+  }
+
+  private void listEndpoints(PolicyEvents events, boolean complete) {
+    events.endpointListStarted(complete);
+    workerStates.forEach((name, state) -> listEndpoint(events, name, state));
+    events.endpointListEnded();
+  }
+
+  private void listEndpoint(PolicyEvents events, long name, WorkerState state) {
+    if (state == WorkerState.GONE && workerIndices.find(name) < 0) {
+      return;
+    }
+    int worker = workerIndices.allocate(name);
+    int zone = PolicyRules.zone(name);
+    int cell = PolicyRules.cell(name);
+    events.endpointListed(
+        new EndpointEntry(worker, name, state, zone, cell, 0, 1, startTimes.get(name)));
+  }
+
+  private void changeEndpoint(PolicyEvents events) {
+    long name = FIRST_WORKER + random.nextInt(WORKERS);
+    WorkerState state = WorkerState.values()[random.nextInt(3)];
+    workerStates.put(name, state);
+    if (state == WorkerState.READY && random.nextBoolean()) {
+      startTimes.put(name, now.minus(millis(random.nextInt(2000))));
+    }
+    listEndpoints(events, random.nextBoolean());
+  }
+
+  // Decisions.
+
+  @Override
+  public void startAttempt(int index, int worker, Duration timeout) {
+    TrackedRequest request = requests.get(index);
+    long name = workerIndices.idOf(worker);
+    rules.checkAttempt(request, now, timeout);
+    assertReady(worker);
+    if (request.mayHaveExecuted()) {
+      rules.checkRetry(request, now, workerIndices.idOf(request.firstWorker()), name);
+    }
+    rules.checkSlowStart(worker, startTimes.get(name), now);
+    int attempt = request.attempts();
+    retries += attempt > 0 ? 1 : 0;
+    attempts++;
+    request.attemptStarted(worker, now);
+    AttemptOutcome outcome = OUTCOMES[random.nextInt(OUTCOMES.length)];
+    long duration =
+        outcome == AttemptOutcome.TIMED_OUT
+            ? timeout.toMillis()
+            : Math.min(timeout.toMillis(), 1 + random.nextInt(120));
+    later(
+        duration,
+        events -> {
+          request.attemptEnded(attempt, outcome);
+          if (outcome == AttemptOutcome.SUCCEEDED && !request.isClosed()) {
+            request.close();
+            rules.checkResponse(request, now);
+          }
+          LoadReport report = LoadReport.ofConcurrency(random.nextInt(4) - 1);
+          events.attemptEnded(
+              new AttemptResult(
+                  index, attempt, worker, outcome, millis(duration), request.isClosed(), report));
+        });
+  }
+
+  private void assertReady(int worker) {
+    assertThat(workerStates.get(workerIndices.idOf(worker)))
+        .as("rule 3")
+        .isEqualTo(WorkerState.READY);
+  }
+
+  @Override
+  public void reject(int index, Duration retryAfter) {
+    rules.checkRejection(requests.get(index), now);
+    requests.get(index).close();
+  }
+
+  @Override
+  public void fail(int index) {
+    rules.checkFailure(requests.get(index), now);
+    requests.get(index).close();
+  }
+
+  @Override
+  public void load(int worker, int function) {
+    assertReady(worker);
+    loadCommands++;
+    rules.checkLoadCommand(now);
+    commandEndsLater(worker, function);
+  }
+
+  @Override
+  public void queryReplicas(int worker, int function) {
+    commandEndsLater(worker, function);
+  }
+
+  private void commandEndsLater(int worker, int function) {
+    AttemptOutcome outcome = commandOutcome();
+    long duration = outcome == AttemptOutcome.TIMED_OUT ? 10_000 : 5 + random.nextInt(1500);
+    int loaded = outcome == AttemptOutcome.SUCCEEDED ? 1 : 0;
+    later(
+        duration,
+        events ->
+            events.loadCommandEnded(
+                new LoadCommandResult(worker, function, outcome, millis(duration), loaded)));
+  }
+
+  private AttemptOutcome commandOutcome() {
+    if (random.nextInt(3) > 0) {
+      return AttemptOutcome.SUCCEEDED;
+    }
+    return random.nextBoolean() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECTION_LOST;
+  }
+
+  @Override
+  public void cancelAttempt(int index, int attempt) {}
+
+  @Override
+  public void unload(int worker, int function) {}
+
+  @Override
+  public void probe(int worker) {
+    long name = workerIndices.idOf(worker);
+    later(
+        2,
+        events -> {
+          int index = workerIndices.find(name);
+          if (index >= 0) {
+            LoadReport report = new LoadReport(0.3, random.nextInt(5), 0, -1);
+            events.probeEnded(new ProbeResult(index, AttemptOutcome.SUCCEEDED, report));
+          }
+        });
+  }
+
+  @Override
+  public void scheduleWakeUp(Duration delay, long token) {
+    due.computeIfAbsent(now.plus(delay), time -> new ArrayList<>())
+        .add(events -> events.wakeUp(token));
+  }
+
+  @Override
+  public void subscribeToEndpoints() {}
+
+  @Override
+  public void releaseRequest(int index) {
+    TrackedRequest request = requests.remove(index);
+    assertThat(request.isClosed()).isTrue();
+    assertThat(request.inFlight()).isZero();
+    requestIndices.release(index);
+  }
+
+  @Override
+  public void releaseFunction(int function) {
+    functionIndices.release(function);
+  }
+
+  @Override
+  public void releaseWorker(int worker) {
+    startTimes.remove(workerIndices.idOf(worker));
+    rules.workerReleased(worker);
+    workerIndices.release(worker);
+  }
+
+  /** Nothing may be left when all has ended: no request, no function, no count of a worker. */
+  void assertNothingIsLeft() {
+    assertThat(requests).isEmpty();
+    assertThat(requestIndices.size()).isZero();
+    assertThat(functionIndices.size()).isZero();
+    assertThat(ReachableObjects.field(ReachableObjects.field(policy, "loader"), "pendingLoads"))
+        .as("pending loads")
+        .isEqualTo(0);
+    Object state = ReachableObjects.field(policy, "state");
+    for (Object worker : (Iterable<?>) ReachableObjects.field(state, "workers")) {
+      for (String count : List.of("inFlight", "waitingForLoad", "pendingCommands", "queuedAhead")) {
+        assertThat(ReachableObjects.field(worker, count)).as(count).isEqualTo(0);
+      }
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/switchgap/policy/TrackedRequest.java
@@ -0,0 +1,73 @@
+package switchgap.policy;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import switchgap.policy.api.AttemptOutcome;
+
+/** A request and its attempts as the test bed knows them, independent of the policy. */
+final class TrackedRequest {
+  private final Duration deadline;
+  private final List<Integer> workers = new ArrayList<>();
+  private final List<AttemptOutcome> outcomes = new ArrayList<>();
+  private int inFlight;
+  private boolean closed;
+  private Duration firstSentAt;
+
+  TrackedRequest(Duration deadline) {
+    this.deadline = deadline;
+  }
+
+  Duration deadline() {
+    return deadline;
+  }
+
+  boolean isClosed() {
+    return closed;
+  }
+
+  void close() {
+    closed = true;
+  }
+
+  int attempts() {
+    return workers.size();
+  }
+
+  int inFlight() {
+    return inFlight;
+  }
+
+  /** Whether an attempt may have been executed, or may yet be. */
+  boolean mayHaveExecuted() {
+    return inFlight > 0 || outcomes.stream().anyMatch(outcome -> !outcome.neverExecuted());
+  }
+
+  /** When the first attempt that may have been executed was sent. */
+  Duration firstSentAt() {
+    return firstSentAt;
+  }
+
+  /** The worker of the first attempt that may have been executed. */
+  int firstWorker() {
+    int attempt = 0;
+    while (outcomes.get(attempt).neverExecuted()) {
+      attempt++;
+    }
+    return workers.get(attempt);
+  }
+
+  void attemptStarted(int worker, Duration now) {
+    if (!mayHaveExecuted()) {
+      firstSentAt = now;
+    }
+    workers.add(worker);
+    outcomes.add(AttemptOutcome.TIMED_OUT); // until its end is known
+    inFlight++;
+  }
+
+  void attemptEnded(int attempt, AttemptOutcome outcome) {
+    outcomes.set(attempt, outcome);
+    inFlight--;
+  }
+}
