--- a/src/test/java/switchgap/policy/EndpointListTest.java
+++ b/src/test/java/switchgap/policy/EndpointListTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static switchgap.policy.AttemptEnd.succeeded;
-import static switchgap.policy.PolicyHarness.change;
-import static switchgap.policy.PolicyHarness.list;
-import static switchgap.policy.PolicyHarness.listOneStartedAt;
 import static switchgap.policy.PolicyHarness.millis;
-import static switchgap.policy.PolicyHarness.replicaLoaded;
+import static switchgap.policy.TestEvents.change;
+import static switchgap.policy.TestEvents.list;
+import static switchgap.policy.TestEvents.listOneStartedAt;
+import static switchgap.policy.TestEvents.replicaLoaded;
 
 import org.junit.jupiter.api.Test;
 import switchgap.policy.api.WorkerState;
--- a/src/test/java/switchgap/policy/LoadEstimatorTest.java
+++ b/src/test/java/switchgap/policy/LoadEstimatorTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static switchgap.policy.AttemptEnd.succeeded;
-import static switchgap.policy.PolicyHarness.list;
+import static switchgap.policy.TestEvents.list;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- /dev/null
+++ b/src/test/java/switchgap/policy/LoadPaceTest.java
@@ -0,0 +1,153 @@
+package switchgap.policy;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static switchgap.policy.AttemptEnd.notLoaded;
+import static switchgap.policy.TestEvents.list;
+import static switchgap.policy.TestEvents.loadFailed;
+import static switchgap.policy.TestEvents.replicaLoaded;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import switchgap.policy.api.AttemptOutcome;
+
+/** The limit of load commands in flight, and what failed loads do to it. */
+class LoadPaceTest {
+  private record PendingLoad(int endsAt, int worker, int function) {}
+
+  /**
+   * The limit begins at three loads here; it rises while loads are quick and falls to one when they
+   * are slow.
+   */
+  @Test
+  void adaptsPendingLoadsToPaceOfStore() {
+    for (int loadMillis : new int[] {100, 4000}) {
+      PolicyHarness harness = new PolicyHarness(new TestSettings());
+      List<PendingLoad> pending = new ArrayList<>();
+      int[] now = {0};
+      harness.onLoad(
+          (worker, function) ->
+              pending.add(new PendingLoad(now[0] + loadMillis, worker, function)));
+      harness.at(0, events -> list(events, 4));
+      int max = 0;
+      int lastMax = 0;
+      for (int i = 0; i < 3000; i++) {
+        now[0] = 10 + 10 * i;
+        int function = i;
+        harness.at(
+            now[0],
+            events -> {
+              harness.requestArrives(events, function, function);
+              for (PendingLoad load : List.copyOf(pending)) {
+                if (load.endsAt() <= now[0] && pending.remove(load)) {
+                  replicaLoaded(events, load.worker(), load.function(), loadMillis);
+                }
+              }
+            });
+        int worker = harness.sentTo(function);
+        if (worker >= 0) {
+          harness.at(
+              now[0] + 2,
+              events ->
+                  harness.attemptEnds(
+                      events,
+                      notLoaded(function, worker)
+                          .number(harness.attemptsOf(function) - 1)
+                          .after(2)));
+        }
+        max = Math.max(max, pending.size());
+        lastMax = i > 2000 ? Math.max(lastMax, pending.size()) : lastMax;
+        if (i == 8) {
+          assertThat(pending.size()).as("to begin with").isEqualTo(3);
+        }
+      }
+      if (loadMillis == 100) {
+        assertThat(max).isGreaterThan(5);
+      } else {
+        assertThat(lastMax).isEqualTo(1);
+      }
+    }
+  }
+
+  /**
+   * Concurrent load commands for ten new functions, after loads of functions that do not exist
+   * failed.
+   */
+  private static long loadCommandsAfterFailures(int failures) {
+    PolicyHarness harness = new PolicyHarness(new TestSettings());
+    List<PendingLoad> loads = new ArrayList<>();
+    harness.onLoad((worker, function) -> loads.add(new PendingLoad(0, worker, function)));
+    harness.at(0, events -> list(events, 8));
+    for (int i = 0; i < failures; i++) {
+      int request = i;
+      harness.at(10 + 10 * i, events -> harness.requestArrives(events, request, 100 + request));
+      harness.at(
+          12 + 10 * i,
+          events ->
+              harness.attemptEnds(events, notLoaded(request, harness.sentTo(request)).after(2)));
+      PendingLoad load = loads.remove(0);
+      harness.at(
+          14 + 10 * i,
+          events -> {
+            loadFailed(events, load.worker(), load.function(), AttemptOutcome.FAILED);
+            events.clientLeft(request);
+          });
+      loads.forEach(
+          other ->
+              harness.at(
+                  15,
+                  events ->
+                      loadFailed(events, other.worker(), other.function(), AttemptOutcome.FAILED)));
+      loads.clear();
+    }
+    for (int i = 0; i < 10; i++) {
+      int request = 50 + i;
+      harness.at(500, events -> harness.requestArrives(events, request, request));
+      harness.at(
+          502,
+          events ->
+              harness.attemptEnds(events, notLoaded(request, harness.sentTo(request)).after(2)));
+    }
+    return loads.size();
+  }
+
+  @Test
+  void failedLoadsOfMissingFunctionsDoNotSlowOtherLoads() {
+    assertThat(loadCommandsAfterFailures(0)).isGreaterThan(3);
+    assertThat(loadCommandsAfterFailures(6)).isEqualTo(loadCommandsAfterFailures(0));
+  }
+
+  /** Clients may retry requests of a function that does not exist at once. */
+  @Test
+  void loadsFunctionThatNeverLoadedOnlyOnceASecondAfterTwoFailures() {
+    PolicyHarness harness = new PolicyHarness(new TestSettings());
+    List<Integer> pending = new ArrayList<>();
+    int[] commands = {0};
+    harness.onLoad(
+        (worker, function) -> {
+          pending.add(worker);
+          commands[0]++;
+        });
+    harness.at(0, events -> list(events, 4));
+    for (int time = 10; time < 3000; time += 10) {
+      List<Integer> now = List.copyOf(pending);
+      pending.clear();
+      int request = time;
+      harness.at(
+          time,
+          events -> {
+            now.forEach(worker -> loadFailed(events, worker, 0, AttemptOutcome.FAILED));
+            harness.requestArrives(events, request, 0);
+          });
+      if (harness.sentTo(request) >= 0) {
+        harness.at(
+            time,
+            events ->
+                harness.attemptEnds(
+                    events,
+                    notLoaded(request, harness.sentTo(request)).after(2).withConcurrency(0)));
+      }
+    }
+    assertThat(commands[0]).isBetween(3, 2 + 4);
+  }
+}
--- a/src/test/java/switchgap/policy/OutlierDetectorTest.java
+++ b/src/test/java/switchgap/policy/OutlierDetectorTest.java
@@ -4,7 +4,7 @@
 import static switchgap.policy.AttemptEnd.ended;
 import static switchgap.policy.AttemptEnd.succeeded;
 import static switchgap.policy.AttemptEnd.timedOut;
-import static switchgap.policy.PolicyHarness.list;
+import static switchgap.policy.TestEvents.list;
 
 import java.io.IOException;
 import java.util.ArrayList;
--- a/src/test/java/switchgap/policy/PolicyHarness.java
+++ b/src/test/java/switchgap/policy/PolicyHarness.java
@@ -2,6 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static switchgap.policy.AttemptEnd.succeeded;
+import static switchgap.policy.TestEvents.list;
+import static switchgap.policy.TestEvents.replicaLoaded;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -13,14 +15,10 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import switchgap.policy.api.AttemptOutcome;
-import switchgap.policy.api.EndpointEntry;
-import switchgap.policy.api.LoadCommandResult;
 import switchgap.policy.api.PolicyActions;
 import switchgap.policy.api.PolicyEvents;
 import switchgap.policy.api.RequestArrival;
 import switchgap.policy.api.RouterSettings;
-import switchgap.policy.api.WorkerState;
 import switchgap.policy.state.Function;
 import switchgap.policy.state.IndexedTable;
 import switchgap.testing.ReachableObjects;
@@ -70,35 +68,6 @@
 
   // Events.
 
-  /** A complete endpoint list of ready workers, numbered from 0. */
-  static void list(PolicyEvents events, int workers) {
-    events.endpointListStarted(true);
-    for (int worker = 0; worker < workers; worker++) {
-      list(events, worker, WorkerState.READY, null);
-    }
-    events.endpointListEnded();
-  }
-
-  /** A complete endpoint list of worker 0 alone, whose process started at a time. */
-  static void listOneStartedAt(PolicyEvents events, Duration startedAt) {
-    events.endpointListStarted(true);
-    list(events, 0, WorkerState.READY, startedAt);
-    events.endpointListEnded();
-  }
-
-  /** A change of one worker; {@code startedAt} is null if its process started long ago. */
-  static void change(PolicyEvents events, int worker, WorkerState state, Duration startedAt) {
-    events.endpointListStarted(false);
-    list(events, worker, state, startedAt);
-    events.endpointListEnded();
-  }
-
-  /** A worker's zone and cell are its number modulo 2. */
-  private static void list(PolicyEvents events, int worker, WorkerState state, Duration startedAt) {
-    events.endpointListed(
-        new EndpointEntry(worker, 1000 + worker, state, worker % 2, worker % 2, 0, 1, startedAt));
-  }
-
   /** A request arrives that times out after 2 s. */
   void requestArrives(PolicyEvents events, int request, int function) {
     requestArrives(events, request, function, 2000);
@@ -114,16 +83,6 @@
     events.attemptEnded(end.result());
   }
 
-  static void replicaLoaded(PolicyEvents events, int worker, int function, int durationMillis) {
-    events.loadCommandEnded(
-        new LoadCommandResult(
-            worker, function, AttemptOutcome.SUCCEEDED, millis(durationMillis), 1));
-  }
-
-  static void loadFailed(PolicyEvents events, int worker, int function, AttemptOutcome outcome) {
-    events.loadCommandEnded(new LoadCommandResult(worker, function, outcome, millis(2), 0));
-  }
-
   /** Lists four workers and has reported concurrency raise a function to two loaded replicas. */
   Replicas scaleToTwoReplicas(int function) {
     at(0, events -> list(events, 4)).at(10, events -> requestArrives(events, 0, function));
--- a/src/test/java/switchgap/policy/RandomFleet.java
+++ b/src/test/java/switchgap/policy/RandomFleet.java
@@ -13,14 +13,11 @@
 import java.util.function.Consumer;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.policy.api.AttemptResult;
-import switchgap.policy.api.EndpointEntry;
 import switchgap.policy.api.LoadCommandResult;
 import switchgap.policy.api.LoadReport;
-import switchgap.policy.api.PolicyActions;
 import switchgap.policy.api.PolicyEvents;
 import switchgap.policy.api.ProbeResult;
 import switchgap.policy.api.RequestArrival;
-import switchgap.policy.api.WorkerState;
 import switchgap.policy.state.IndexAllocator;
 import switchgap.testing.ReachableObjects;
 
@@ -29,35 +26,15 @@
  * which workers drain, leave, return and restart, and clients that disconnect. Each decision is
  * checked by {@link PolicyRules} when it is taken. All randomness comes from the seed.
  */
-final class RandomFleet implements PolicyActions {
-  /** Drawn uniformly, so that an outcome is as likely as it is listed often. */
-  private static final AttemptOutcome[] OUTCOMES = {
-    AttemptOutcome.SUCCEEDED,
-    AttemptOutcome.SUCCEEDED,
-    AttemptOutcome.SUCCEEDED,
-    AttemptOutcome.FAILED,
-    AttemptOutcome.REJECTED,
-    AttemptOutcome.TIMED_OUT,
-    AttemptOutcome.CONNECT_FAILED,
-    AttemptOutcome.CONNECTION_LOST,
-    AttemptOutcome.NOT_SENT,
-    AttemptOutcome.NOT_LOADED,
-    AttemptOutcome.NOT_LOADED
-  };
-
-  private static final int WORKERS = 6;
-  private static final long FIRST_WORKER = 1000;
-
+final class RandomFleet extends NoActions {
   /** The mean intervals of a run, and the number of functions that requests are for. */
   record Load(int seconds, int arrivalMillis, int endpointChangeMillis, int functions) {}
 
   private final IndexAllocator requestIndices = new IndexAllocator();
-  private final IndexAllocator workerIndices = new IndexAllocator();
+  private final RandomEndpoints endpoints = new RandomEndpoints();
   private final IndexAllocator functionIndices = new IndexAllocator();
   private final TreeMap<Duration, List<Consumer<PolicyEvents>>> due = new TreeMap<>();
   private final Map<Integer, TrackedRequest> requests = new HashMap<>();
-  private final Map<Long, WorkerState> workerStates = new HashMap<>();
-  private final Map<Long, Duration> startTimes = new HashMap<>();
   private final RoutingPolicy policy;
   private final PolicyRules rules;
   private SplittableRandom random = new SplittableRandom(1);
@@ -89,37 +66,21 @@
     return ReachableObjects.by(policy, this);
   }
 
-  // Events.
-
   /** Runs under load, then lets all requests, commands and functions end. */
   void run(long seed, Load load) {
     random = new SplittableRandom(seed);
-    later(
-        0,
-        events -> {
-          for (long worker = FIRST_WORKER; worker < FIRST_WORKER + WORKERS; worker++) {
-            workerStates.putIfAbsent(worker, WorkerState.READY);
-          }
-          listEndpoints(events, true);
-        });
+    later(0, endpoints::listInitial);
     long end = load.seconds * 1000L;
     for (long time = 1; time < end; time += interval(load.arrivalMillis)) {
       String function = "f" + random.nextInt(load.functions);
       later(time, events -> requestArrives(events, function));
     }
     for (long time = 3000; time < end; time += interval(load.endpointChangeMillis)) {
-      later(time, this::changeEndpoint);
+      later(time, events -> endpoints.change(events, random, now));
     }
     Duration settled = now.plus(millis(end + 40_000));
     runUntil(settled.minus(millis(1000)));
-    later(
-        0,
-        events -> {
-          for (long worker = FIRST_WORKER; worker < FIRST_WORKER + WORKERS; worker++) {
-            workerStates.put(worker, WorkerState.READY);
-          }
-          listEndpoints(events, true);
-        });
+    later(0, endpoints::listAllReady);
     runUntil(settled);
   }
 
@@ -160,50 +121,21 @@
     }
   }
 
-  private void listEndpoints(PolicyEvents events, boolean complete) {
-    events.endpointListStarted(complete);
-    workerStates.forEach((name, state) -> listEndpoint(events, name, state));
-    events.endpointListEnded();
-  }
-
-  private void listEndpoint(PolicyEvents events, long name, WorkerState state) {
-    if (state == WorkerState.GONE && workerIndices.find(name) < 0) {
-      return;
-    }
-    int worker = workerIndices.allocate(name);
-    int zone = PolicyRules.zone(name);
-    int cell = PolicyRules.cell(name);
-    events.endpointListed(
-        new EndpointEntry(worker, name, state, zone, cell, 0, 1, startTimes.get(name)));
-  }
-
-  private void changeEndpoint(PolicyEvents events) {
-    long name = FIRST_WORKER + random.nextInt(WORKERS);
-    WorkerState state = WorkerState.values()[random.nextInt(3)];
-    workerStates.put(name, state);
-    if (state == WorkerState.READY && random.nextBoolean()) {
-      startTimes.put(name, now.minus(millis(random.nextInt(2000))));
-    }
-    listEndpoints(events, random.nextBoolean());
-  }
-
-  // Decisions.
-
   @Override
   public void startAttempt(int index, int worker, Duration timeout) {
     TrackedRequest request = requests.get(index);
-    long name = workerIndices.idOf(worker);
+    long name = endpoints.nameOf(worker);
     rules.checkAttempt(request, now, timeout);
-    assertReady(worker);
+    endpoints.assertReady(worker);
     if (request.mayHaveExecuted()) {
-      rules.checkRetry(request, now, workerIndices.idOf(request.firstWorker()), name);
+      rules.checkRetry(request, now, endpoints.nameOf(request.firstWorker()), name);
     }
-    rules.checkSlowStart(worker, startTimes.get(name), now);
+    rules.checkSlowStart(worker, endpoints.startedAt(worker), now);
     int attempt = request.attempts();
     retries += attempt > 0 ? 1 : 0;
     attempts++;
     request.attemptStarted(worker, now);
-    AttemptOutcome outcome = OUTCOMES[random.nextInt(OUTCOMES.length)];
+    AttemptOutcome outcome = RandomOutcomes.ofAttempt(random);
     long duration =
         outcome == AttemptOutcome.TIMED_OUT
             ? timeout.toMillis()
@@ -223,12 +155,6 @@
         });
   }
 
-  private void assertReady(int worker) {
-    assertThat(workerStates.get(workerIndices.idOf(worker)))
-        .as("rule 3")
-        .isEqualTo(WorkerState.READY);
-  }
-
   @Override
   public void reject(int index, Duration retryAfter) {
     rules.checkRejection(requests.get(index), now);
@@ -243,7 +169,7 @@
 
   @Override
   public void load(int worker, int function) {
-    assertReady(worker);
+    endpoints.assertReady(worker);
     loadCommands++;
     rules.checkLoadCommand(now);
     commandEndsLater(worker, function);
@@ -255,7 +181,7 @@
   }
 
   private void commandEndsLater(int worker, int function) {
-    AttemptOutcome outcome = commandOutcome();
+    AttemptOutcome outcome = RandomOutcomes.ofCommand(random);
     long duration = outcome == AttemptOutcome.TIMED_OUT ? 10_000 : 5 + random.nextInt(1500);
     int loaded = outcome == AttemptOutcome.SUCCEEDED ? 1 : 0;
     later(
@@ -265,26 +191,13 @@
                 new LoadCommandResult(worker, function, outcome, millis(duration), loaded)));
   }
 
-  private AttemptOutcome commandOutcome() {
-    if (random.nextInt(3) > 0) {
-      return AttemptOutcome.SUCCEEDED;
-    }
-    return random.nextBoolean() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECTION_LOST;
-  }
-
-  @Override
-  public void cancelAttempt(int index, int attempt) {}
-
-  @Override
-  public void unload(int worker, int function) {}
-
   @Override
   public void probe(int worker) {
-    long name = workerIndices.idOf(worker);
+    long name = endpoints.nameOf(worker);
     later(
         2,
         events -> {
-          int index = workerIndices.find(name);
+          int index = endpoints.indexOf(name);
           if (index >= 0) {
             LoadReport report = new LoadReport(0.3, random.nextInt(5), 0, -1);
             events.probeEnded(new ProbeResult(index, AttemptOutcome.SUCCEEDED, report));
@@ -298,9 +211,6 @@
         .add(events -> events.wakeUp(token));
   }
 
-  @Override
-  public void subscribeToEndpoints() {}
-
   @Override
   public void releaseRequest(int index) {
     TrackedRequest request = requests.remove(index);
@@ -316,9 +226,8 @@
 
   @Override
   public void releaseWorker(int worker) {
-    startTimes.remove(workerIndices.idOf(worker));
     rules.workerReleased(worker);
-    workerIndices.release(worker);
+    endpoints.released(worker);
   }
 
   /** Nothing may be left when all has ended: no request, no function, no count of a worker. */
--- /dev/null
+++ b/src/test/java/switchgap/policy/RandomOutcomes.java
@@ -0,0 +1,35 @@
+package switchgap.policy;
+
+import java.util.SplittableRandom;
+import switchgap.policy.api.AttemptOutcome;
+
+/** Random outcomes of attempts and of load commands. */
+final class RandomOutcomes {
+  /** Drawn uniformly, so that an outcome is as likely as it is listed often. */
+  private static final AttemptOutcome[] OF_ATTEMPTS = {
+    AttemptOutcome.SUCCEEDED,
+    AttemptOutcome.SUCCEEDED,
+    AttemptOutcome.SUCCEEDED,
+    AttemptOutcome.FAILED,
+    AttemptOutcome.REJECTED,
+    AttemptOutcome.TIMED_OUT,
+    AttemptOutcome.CONNECT_FAILED,
+    AttemptOutcome.CONNECTION_LOST,
+    AttemptOutcome.NOT_SENT,
+    AttemptOutcome.NOT_LOADED,
+    AttemptOutcome.NOT_LOADED
+  };
+
+  private RandomOutcomes() {}
+
+  static AttemptOutcome ofAttempt(SplittableRandom random) {
+    return OF_ATTEMPTS[random.nextInt(OF_ATTEMPTS.length)];
+  }
+
+  static AttemptOutcome ofCommand(SplittableRandom random) {
+    if (random.nextInt(3) > 0) {
+      return AttemptOutcome.SUCCEEDED;
+    }
+    return random.nextBoolean() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECTION_LOST;
+  }
+}
--- a/src/test/java/switchgap/policy/RequestQueueTest.java
+++ b/src/test/java/switchgap/policy/RequestQueueTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static switchgap.policy.AttemptEnd.notLoaded;
 import static switchgap.policy.AttemptEnd.succeeded;
-import static switchgap.policy.PolicyHarness.list;
 import static switchgap.policy.PolicyHarness.millis;
+import static switchgap.policy.TestEvents.list;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/switchgap/policy/RequestRouterTest.java
+++ b/src/test/java/switchgap/policy/RequestRouterTest.java
@@ -4,9 +4,9 @@
 import static switchgap.policy.AttemptEnd.failed;
 import static switchgap.policy.AttemptEnd.rejected;
 import static switchgap.policy.AttemptEnd.succeeded;
-import static switchgap.policy.PolicyHarness.list;
 import static switchgap.policy.PolicyHarness.millis;
-import static switchgap.policy.PolicyHarness.replicaLoaded;
+import static switchgap.policy.TestEvents.list;
+import static switchgap.policy.TestEvents.replicaLoaded;
 
 import java.io.IOException;
 import java.util.ArrayList;
--- a/src/test/java/switchgap/policy/RequestSeries.java
+++ b/src/test/java/switchgap/policy/RequestSeries.java
@@ -1,7 +1,7 @@
 package switchgap.policy;
 
 import static switchgap.policy.AttemptEnd.succeeded;
-import static switchgap.policy.PolicyHarness.list;
+import static switchgap.policy.TestEvents.list;
 
 import switchgap.policy.api.PolicyEvents;
 
--- /dev/null
+++ b/src/test/java/switchgap/policy/SlowStartFleet.java
@@ -0,0 +1,244 @@
+package switchgap.policy;
+
+import java.time.Duration;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.PriorityQueue;
+import java.util.function.Consumer;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.AttemptResult;
+import switchgap.policy.api.EndpointEntry;
+import switchgap.policy.api.LoadCommandResult;
+import switchgap.policy.api.LoadReport;
+import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.ProbeResult;
+import switchgap.policy.api.RequestArrival;
+import switchgap.policy.api.WorkerState;
+
+/** Many routers, a fleet of warm workers and one new worker, in simulated time. */
+final class SlowStartFleet {
+  private static final int STEP_MILLIS = 10;
+  private static final int NEW_WORKER = 30; // its index, after as many warm ones
+  private static final int NEW_WORKER_STARTS_AT = 4000;
+  private static final int RESTART_AT = 6350;
+  private static final int ENDS_AT = 14_000;
+  private static final int FUNCTIONS = 12;
+
+  private record Completion(int time, int worker) {}
+
+  private record Event(int time, int router, int incarnation, Consumer<PolicyEvents> event) {}
+
+  private final List<Router> routers = new ArrayList<>();
+  private final PriorityQueue<Event> due =
+      new PriorityQueue<>(Comparator.comparingInt(Event::time));
+  private final ArrayDeque<Completion> completions = new ArrayDeque<>();
+  private final int[] inFlight = new int[NEW_WORKER + 1];
+  private final int workMillis;
+  private final int slots;
+  private final double fullRate; // requests a second of one worker
+  private final SlowStartBudget budget;
+  private int now;
+
+  /** Requests take {@code workMillis}, {@code slots} of them at a time at each worker. */
+  SlowStartFleet(int routerCount, int workMillis, int slots) {
+    this.workMillis = workMillis;
+    this.slots = slots;
+    fullRate = slots * 1000.0 / workMillis;
+    budget = new SlowStartBudget(fullRate);
+    for (int i = 0; i < routerCount; i++) {
+      routers.add(new Router(i, 0, routerCount));
+    }
+  }
+
+  SlowStartBudget budget() {
+    return budget;
+  }
+
+  /** One router's process; a restarted router is another one, with a clock of its own. */
+  private final class Router extends NoActions {
+    private final int index;
+    private final int incarnation;
+    private final int startedAt;
+    private final RoutingPolicy policy;
+    private final List<Consumer<PolicyEvents>> events = new ArrayList<>();
+    private int requests;
+
+    Router(int index, int incarnation, int count) {
+      this.index = index;
+      this.incarnation = incarnation;
+      this.startedAt = now;
+      TestSettings settings = new TestSettings();
+      settings.routerCount = count;
+      settings.routerIndex = index;
+      settings.loadsOnDemand = true;
+      policy = new RoutingPolicy(settings, index * 31L + incarnation);
+      events.add(target -> list(target, true));
+    }
+
+    private Duration sinceStart(int millis) {
+      return Duration.ofMillis(millis - startedAt);
+    }
+
+    void list(PolicyEvents target, boolean complete) {
+      target.endpointListStarted(complete);
+      for (int worker = 0; worker < NEW_WORKER; worker++) {
+        list(target, worker, null);
+      }
+      if (now >= NEW_WORKER_STARTS_AT) {
+        list(target, NEW_WORKER, sinceStart(NEW_WORKER_STARTS_AT));
+      }
+      target.endpointListEnded();
+    }
+
+    private void list(PolicyEvents target, int worker, Duration start) {
+      target.endpointListed(
+          new EndpointEntry(worker, 1000 + worker, WorkerState.READY, 0, 0, 0, 1, start));
+    }
+
+    void arrive() {
+      int request = requests++;
+      int function = (request * 7 + index) % FUNCTIONS;
+      events.add(
+          target ->
+              target.requestArrived(
+                  new RequestArrival(
+                      request,
+                      0,
+                      0,
+                      function,
+                      50 + function,
+                      sinceStart(now + 2000),
+                      null,
+                      100,
+                      2)));
+    }
+
+    void tick() {
+      List<Consumer<PolicyEvents>> batch = List.copyOf(events);
+      events.clear();
+      policy.tick(
+          sinceStart(now),
+          target -> {
+            batch.forEach(event -> event.accept(target));
+            target.wakeUp(Long.MAX_VALUE);
+          },
+          this);
+    }
+
+    private void later(int millis, Consumer<PolicyEvents> event) {
+      due.add(new Event(now + millis, index, incarnation, event));
+    }
+
+    private final List<Integer> attempts = new ArrayList<>();
+
+    @Override
+    public void startAttempt(int request, int worker, Duration timeout) {
+      while (attempts.size() <= request) {
+        attempts.add(0);
+      }
+      int attempt = attempts.get(request);
+      attempts.set(request, attempt + 1);
+      if (worker == NEW_WORKER) {
+        budget.attemptSent(now - NEW_WORKER_STARTS_AT);
+      }
+      boolean saturated = worker != NEW_WORKER && inFlight[worker] >= slots;
+      inFlight[worker] += saturated ? 0 : 1;
+      AttemptOutcome outcome = saturated ? AttemptOutcome.REJECTED : AttemptOutcome.SUCCEEDED;
+      int durationMillis = saturated ? STEP_MILLIS : workMillis;
+      if (!saturated) {
+        completions.add(new Completion(now + durationMillis, worker));
+      }
+      later(
+          durationMillis,
+          target ->
+              target.attemptEnded(
+                  new AttemptResult(
+                      request,
+                      attempt,
+                      worker,
+                      outcome,
+                      Duration.ofMillis(durationMillis),
+                      outcome == AttemptOutcome.SUCCEEDED,
+                      LoadReport.ofConcurrency(0))));
+    }
+
+    @Override
+    public void load(int worker, int function) {
+      queryReplicas(worker, function);
+    }
+
+    @Override
+    public void queryReplicas(int worker, int function) {
+      later(
+          STEP_MILLIS,
+          target ->
+              target.loadCommandEnded(
+                  new LoadCommandResult(
+                      worker,
+                      function,
+                      AttemptOutcome.SUCCEEDED,
+                      Duration.ofMillis(STEP_MILLIS),
+                      1)));
+    }
+
+    @Override
+    public void probe(int worker) {
+      later(
+          STEP_MILLIS,
+          target ->
+              target.probeEnded(
+                  new ProbeResult(worker, AttemptOutcome.SUCCEEDED, LoadReport.NONE)));
+    }
+  }
+
+  /**
+   * Runs the fleet to its end under a load, as a multiple of what the warm workers bear; with
+   * {@code restarts}, seven in ten routers restart on the way.
+   */
+  void run(double load, boolean restarts) {
+    double requestsPerSecond = load * NEW_WORKER * fullRate;
+    double owedRequests = 0;
+    for (now = 0; now < ENDS_AT; now += STEP_MILLIS) {
+      if (restarts && now == RESTART_AT) {
+        restartRouters();
+      }
+      if (now == NEW_WORKER_STARTS_AT) {
+        routers.forEach(router -> router.events.add(target -> router.list(target, false)));
+      }
+      completeAttempts();
+      deliverEvents();
+      owedRequests += requestsPerSecond * STEP_MILLIS / 1000;
+      for (; owedRequests >= 1; owedRequests--) {
+        routers.get((int) (owedRequests * 7919 + now) % routers.size()).arrive();
+      }
+      routers.forEach(Router::tick);
+    }
+  }
+
+  private void restartRouters() {
+    for (int i = 0; i < routers.size(); i++) {
+      if (i % 10 < 7) {
+        routers.set(i, new Router(i, 1, routers.size()));
+      }
+    }
+  }
+
+  private void completeAttempts() {
+    while (!completions.isEmpty() && completions.peekFirst().time <= now) {
+      inFlight[completions.pollFirst().worker]--;
+    }
+  }
+
+  /** Events of a router's earlier incarnation are lost. */
+  private void deliverEvents() {
+    while (!due.isEmpty() && due.peek().time <= now) {
+      Event event = due.poll();
+      Router router = routers.get(event.router);
+      if (router.incarnation == event.incarnation) {
+        router.events.add(event.event);
+      }
+    }
+  }
+}
--- a/src/test/java/switchgap/policy/SlowStartTest.java
+++ b/src/test/java/switchgap/policy/SlowStartTest.java
@@ -1,8 +1,8 @@
 package switchgap.policy;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static switchgap.policy.PolicyHarness.listOneStartedAt;
 import static switchgap.policy.PolicyHarness.millis;
+import static switchgap.policy.TestEvents.listOneStartedAt;
 
 import org.junit.jupiter.api.Test;
 
--- /dev/null
+++ b/src/test/java/switchgap/policy/TestEvents.java
@@ -0,0 +1,54 @@
+package switchgap.policy;
+
+import static switchgap.policy.PolicyHarness.millis;
+
+import java.time.Duration;
+import switchgap.policy.api.AttemptOutcome;
+import switchgap.policy.api.EndpointEntry;
+import switchgap.policy.api.LoadCommandResult;
+import switchgap.policy.api.PolicyEvents;
+import switchgap.policy.api.WorkerState;
+
+/** Endpoint lists and ends of load commands as tests state them. */
+final class TestEvents {
+  private TestEvents() {}
+
+  /** A complete endpoint list of ready workers, numbered from 0. */
+  static void list(PolicyEvents events, int workers) {
+    events.endpointListStarted(true);
+    for (int worker = 0; worker < workers; worker++) {
+      list(events, worker, WorkerState.READY, null);
+    }
+    events.endpointListEnded();
+  }
+
+  /** A complete endpoint list of worker 0 alone, whose process started at a time. */
+  static void listOneStartedAt(PolicyEvents events, Duration startedAt) {
+    events.endpointListStarted(true);
+    list(events, 0, WorkerState.READY, startedAt);
+    events.endpointListEnded();
+  }
+
+  /** A change of one worker; {@code startedAt} is null if its process started long ago. */
+  static void change(PolicyEvents events, int worker, WorkerState state, Duration startedAt) {
+    events.endpointListStarted(false);
+    list(events, worker, state, startedAt);
+    events.endpointListEnded();
+  }
+
+  /** A worker's zone and cell are its number modulo 2. */
+  private static void list(PolicyEvents events, int worker, WorkerState state, Duration startedAt) {
+    events.endpointListed(
+        new EndpointEntry(worker, 1000 + worker, state, worker % 2, worker % 2, 0, 1, startedAt));
+  }
+
+  static void replicaLoaded(PolicyEvents events, int worker, int function, int durationMillis) {
+    events.loadCommandEnded(
+        new LoadCommandResult(
+            worker, function, AttemptOutcome.SUCCEEDED, millis(durationMillis), 1));
+  }
+
+  static void loadFailed(PolicyEvents events, int worker, int function, AttemptOutcome outcome) {
+    events.loadCommandEnded(new LoadCommandResult(worker, function, outcome, millis(2), 0));
+  }
+}
