--- a/src/test/java/switchgap/net/ConnectionCloserTest.java
+++ b/src/test/java/switchgap/net/ConnectionCloserTest.java
@@ -16,7 +16,7 @@
   private final CompletableFuture<TcpConnection> opened = new CompletableFuture<>();
 
   @Test
-  void aCloseDoesNotWaitBehindBytesThatNobodyReads() throws Exception {
+  void closesSocketAlthoughPeerDoesNotRead() throws Exception {
     try (NetworkTransport net = new NetworkTransport(1, "closer-test");
         TcpServer server = TcpServer.listen(net, "127.0.0.1", 0, 10, this);
         Socket client = new Socket()) {
@@ -32,7 +32,7 @@
     }
   }
 
-  /** Whether what is written meets no socket any more. */
+  /** Whether the server side has released its socket, so that writes are reset. */
   private static boolean isReset(Socket client) throws InterruptedException {
     long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_SECONDS);
     while (System.nanoTime() < endNanos) {
--- /dev/null
+++ b/src/test/java/switchgap/planner/UnreliablePlannerLink.java
@@ -0,0 +1,160 @@
+package switchgap.planner;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.time.Duration;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * A queue and a scheduler with a simulated connection between them, on which tests lose, repeat and
+ * delay messages. It checks at each release that the load is not released twice and was not
+ * withdrawn.
+ */
+final class UnreliablePlannerLink implements PendingLoadQueue.Listener {
+  /** What may happen. Random sequences are drawn by index, so the order is part of the tests. */
+  enum Event {
+    /** The router requests a load. */
+    LOAD_REQUESTED,
+    /** The planner receives the next backlog. */
+    BACKLOG_RECEIVED,
+    /** The edge receives the next plan. */
+    PLAN_RECEIVED,
+    /** The next plan is lost. */
+    PLAN_LOST,
+    /** The edge receives the last plan once more. */
+    PLAN_REPEATED,
+    /** A planner connects. */
+    CONNECTED,
+    /** The planner disconnects. */
+    DISCONNECTED,
+    /** Time passes until the oldest pending load times out. */
+    TIMED_OUT,
+    /** The planner loses its state. */
+    PLANNER_RESTARTED,
+    /** The router withdraws its latest load. */
+    LATEST_WITHDRAWN
+  }
+
+  private static final Duration TIMEOUT = Duration.ofMillis(60);
+  private static final int CAPACITY = 4;
+
+  final PendingLoadQueue queue = new PendingLoadQueue(TIMEOUT, CAPACITY, this);
+  final List<Long> released = new ArrayList<>();
+  final List<PlanRejection> rejections = new ArrayList<>();
+  private final Set<Long> withdrawn = new HashSet<>();
+  private final ArrayDeque<LoadBacklog> backlogs = new ArrayDeque<>();
+  private final ArrayDeque<LoadPlan> plans = new ArrayDeque<>();
+  private LoadScheduler planner = new LoadScheduler();
+  private Duration now = Duration.ZERO;
+  private LoadPlan lastPlan;
+  private long epoch;
+  private long sequence;
+
+  @Override
+  public void release(long id) {
+    assertThat(released).as("loads released before").doesNotContain(id);
+    assertThat(withdrawn).as("loads that the router withdrew").doesNotContain(id);
+    released.add(id);
+  }
+
+  @Override
+  public void planRejected(PlanRejection rejection) {
+    rejections.add(rejection);
+  }
+
+  /** Lets one event happen. */
+  void step(Event event) {
+    switch (event) {
+      case LOAD_REQUESTED -> requestLoad();
+      case BACKLOG_RECEIVED -> plannerReceivesBacklog();
+      case PLAN_RECEIVED -> edgeReceivesPlan();
+      case PLAN_LOST -> plans.poll();
+      case PLAN_REPEATED -> repeatLastPlan();
+      case CONNECTED -> connect();
+      case DISCONNECTED -> queue.disconnected();
+      case TIMED_OUT -> passTimeout();
+      case PLANNER_RESTARTED -> planner = new LoadScheduler();
+      case LATEST_WITHDRAWN -> withdrawLatest();
+      default -> throw new IllegalArgumentException(event.name());
+    }
+  }
+
+  void requestLoad() {
+    queue.add(now, PendingLoadBuilder.load(queue.nextId()).loadMicros(1000).build());
+    sendBacklog();
+  }
+
+  void connect() {
+    epoch++;
+    queue.connected(epoch);
+    backlogs.clear(); // plans stay: one of the connection before may still come
+    sequence = 0;
+    sendBacklog();
+  }
+
+  private void sendBacklog() {
+    if (queue.state() != PendingLoadQueue.State.ALONE) {
+      sequence++;
+      backlogs.add(new LoadBacklog(epoch, sequence, queue.waiting(now, function -> 1)));
+    }
+  }
+
+  void plannerReceivesBacklog() {
+    LoadBacklog backlog = backlogs.poll();
+    LoadPlan plan = backlog == null ? null : planner.plan(backlog);
+    if (plan != null) {
+      plans.add(plan);
+    }
+  }
+
+  void plannerReceivesAllBacklogs() {
+    while (!backlogs.isEmpty()) {
+      plannerReceivesBacklog();
+    }
+  }
+
+  private void edgeReceivesPlan() {
+    LoadPlan plan = plans.poll();
+    if (plan != null) {
+      queue.planReceived(plan);
+      lastPlan = plan;
+    }
+  }
+
+  void edgeReceivesAllPlans() {
+    while (!plans.isEmpty()) {
+      edgeReceivesPlan();
+    }
+  }
+
+  private void repeatLastPlan() {
+    if (lastPlan != null) {
+      queue.planReceived(lastPlan);
+    }
+  }
+
+  void passTimeout() {
+    now = now.plus(TIMEOUT).plusMillis(1);
+    queue.tick(now);
+  }
+
+  private void withdrawLatest() {
+    long id = queue.nextId() - 1;
+    if (id >= 0 && queue.withdraw(id)) {
+      withdrawn.add(id);
+    }
+  }
+
+  /** Once all loads have timed out, none may be left pending. */
+  void assertNoneIsLeftPending() {
+    now = now.plusSeconds(1);
+    queue.tick(now);
+    for (long id = 0; id < queue.nextId(); id++) {
+      assertThat(released.contains(id) || withdrawn.contains(id)).as("load " + id).isTrue();
+    }
+  }
+}
--- a/src/test/java/switchgap/policy/PolicyHarness.java
+++ b/src/test/java/switchgap/policy/PolicyHarness.java
@@ -117,7 +117,7 @@
 
   /** The number of elements in all tables of the policy. */
   long reachableElements() {
-    return ReachableObjects.by(policy, this);
+    return ReachableObjects.count(policy, this);
   }
 
   int scheduledWakeUps() {
--- a/src/test/java/switchgap/policy/RandomFleet.java
+++ b/src/test/java/switchgap/policy/RandomFleet.java
@@ -63,7 +63,7 @@
 
   /** The number of elements in all tables of the policy. */
   long reachableElements() {
-    return ReachableObjects.by(policy, this);
+    return ReachableObjects.count(policy, this);
   }
 
   /** Runs under load, then lets all requests, commands and functions end. */
