--- a/src/main/java/switchgap/cli/SoakCommand.java
+++ b/src/main/java/switchgap/cli/SoakCommand.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import switchgap.testbed.soak.SoakFaultType;
 import switchgap.testbed.soak.Soak;
+import switchgap.testbed.soak.SoakFaultType;
 
 /** Runs real router processes on loopback under faults drawn from a seed. */
 @Command(
--- a/src/main/java/switchgap/config/FunctionsSection.java
+++ b/src/main/java/switchgap/config/FunctionsSection.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * The section {@code functions}: entries of one function each, and entries of all functions with a
- * prefix, whose keys end in an asterisk.
+ * The section {@code functions}: entries of single functions, and entries of all functions with a
+ * common prefix, whose keys end in an asterisk.
  *
- * @param byName entries of one function
- * @param byPrefix entries of a prefix, in the order of the document
+ * @param byName entries of single functions
+ * @param byPrefix entries of prefixes, in the order of the document
  */
 record FunctionsSection(Map<String, FunctionSettings> byName, List<FunctionSettings> byPrefix) {
   private static final double MAX_MEMORY_MB = 1e9;
@@ -35,12 +35,7 @@
 
   private static FunctionSettings readFunction(
       String name, YamlDocument section, RequestClassesSection classes, TenantsSection tenants) {
-    String className = section.text("workload");
-    int requestClass = classes.index(className);
-    if (requestClass < 0) {
-      throw section.invalid(
-          "workload", "'" + className + "' must be one of " + String.join(", ", classes.names()));
-    }
+    int requestClass = classes.index(section.choice("workload", classes.names()));
     int tenant = readTenant(section, tenants);
     double memoryMb = section.number("memory", 0, MAX_MEMORY_MB);
     int slots = section.integer("lanes", 1, MAX_SLOTS);
@@ -50,21 +45,14 @@
   }
 
   private static int readTenant(YamlDocument section, TenantsSection tenants) {
-    String name = section.text("customer", null);
-    if (name == null) {
-      return NO_TENANT;
-    }
-    int tenant = tenants.index(name);
-    if (tenant < 0) {
-      throw section.invalid(
-          "customer", "'" + name + "' must be one of " + String.join(", ", tenants.names()));
-    }
-    return tenant;
+    return section.has("customer")
+        ? tenants.index(section.choice("customer", tenants.names()))
+        : NO_TENANT;
   }
 
   /**
-   * The entry of a function, or null: exact names first, then prefixes in the order of the
-   * document.
+   * Returns the entry of a function; null where there is none. An exact name takes precedence over
+   * prefixes, which match in the order of the document.
    */
   FunctionSettings find(String function) {
     FunctionSettings exact = byName.get(function);
--- a/src/main/java/switchgap/config/InvalidConfigException.java
+++ b/src/main/java/switchgap/config/InvalidConfigException.java
@@ -9,7 +9,7 @@
   private static final long serialVersionUID = 1;
 
   /**
-   * A mistake in a file that is read by lines.
+   * An error on a line of a file.
    *
    * @param file the file as the operator named it
    * @param line the line, from 1
@@ -20,7 +20,7 @@
   }
 
   /**
-   * A mistake at a place that is no line.
+   * An error at a place that is no line.
    *
    * @param place a file, a file and the path of a key in it, or an environment variable
    * @param reason what is wrong
--- a/src/main/java/switchgap/config/JsonDocument.java
+++ b/src/main/java/switchgap/config/JsonDocument.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 
 /**
- * Reads a JSON text as maps, lists, strings, numbers, booleans and null; its depth is bounded. It
- * stands on the streaming parser alone, as a router on the platform must not load Jackson's object
+ * Parses JSON text to maps, lists, strings, numbers, booleans and null; its depth is bounded. It
+ * uses the streaming parser alone, as a router on the platform must not load Jackson's object
  * mapper at its start.
  */
 public final class JsonDocument {
@@ -22,10 +22,10 @@
   private JsonDocument() {}
 
   /**
-   * Reads a text that is one object.
+   * Parses a text that is one object.
    *
    * @return its members in their order
-   * @throws IOException if the text is no object, or something stands behind it; names the place
+   * @throws IOException if the text is no object or continues after it; names the place
    */
   public static Map<String, Object> parseObject(String text) throws IOException {
     try (JsonParser parser = FACTORY.createParser(text)) {
@@ -74,9 +74,9 @@
   }
 
   /**
-   * The values of an object by path: members joined by dots, lists of plain values joined by
-   * commas, other lists as {@code path.count}, {@code path.0}, {@code path.1} and so on; null is
-   * left out.
+   * Returns the values of an object by path: members joined by dots, lists of plain values joined
+   * by commas, other lists as {@code path.count}, {@code path.0}, {@code path.1} and so on; null is
+   * omitted.
    */
   public static Map<String, String> flatten(Map<String, Object> members) {
     Map<String, String> valuesByPath = new HashMap<>();
--- a/src/main/java/switchgap/config/LevelsSection.java
+++ b/src/main/java/switchgap/config/LevelsSection.java
@@ -4,14 +4,15 @@
 import switchgap.admission.ServiceLevel;
 
 /**
- * The section {@code levels}: how far service may be degraded under overload.
+ * The section {@code levels}: how far admission control may degrade the service under overload.
  *
- * @param enabled whether levels act at all
- * @param lowestLevel the lowest service that the router may come to by itself
- * @param pinnedLevel the level to hold from the start on, or null
+ * @param enabled whether admission control is enabled
+ * @param lowestLevel the lowest level that the router may choose by itself
+ * @param pinnedLevel the level to hold from the start on; null where it is not fixed
+ * @param pinDuration time from the start for which it is held
  * @param protectedShare share of their latency objectives that the most important request classes
  *     keep
- * @param exempt by request class: whether no level may touch it
+ * @param exempt by request class, whether it is exempt from all levels
  */
 record LevelsSection(
     boolean enabled,
--- a/src/main/java/switchgap/config/PricesSection.java
+++ b/src/main/java/switchgap/config/PricesSection.java
@@ -1,8 +1,8 @@
 package switchgap.config;
 
 /**
- * The section {@code prices}: what resources and requests beyond a quota count; a price not stated
- * is zero.
+ * The section {@code prices}: prices of resources, zero where absent, and the weight of requests
+ * over quota.
  */
 record PricesSection(double idleMemory, double crossZone, double probe, double overQuotaWeight) {
   private static final double MAX_PRICE = 1e3;
--- a/src/main/java/switchgap/config/RequestClassesSection.java
+++ b/src/main/java/switchgap/config/RequestClassesSection.java
@@ -9,8 +9,7 @@
 import switchgap.policy.api.Idempotency;
 
 /**
- * The section {@code workloads}: the request classes in the order of the document, one at the
- * least.
+ * The section {@code workloads}: the request classes in the order of the document, at least one.
  */
 record RequestClassesSection(List<RequestClassSettings> classes) {
   private static final double MAX_PRIORITY_WEIGHT = 1e6;
@@ -45,10 +44,8 @@
     if (timeout.compareTo(latencyObjective) < 0) {
       throw section.invalid("time_limit", "must not be under the start target");
     }
-    Idempotency idempotency = section.choice("repeat", IDEMPOTENCY_WORDS);
-    if (idempotency == null) {
-      section.text("repeat");
-    } // absent: fails with the key's name
+    List<String> idempotencyWords = List.copyOf(IDEMPOTENCY_WORDS.keySet());
+    Idempotency idempotency = IDEMPOTENCY_WORDS.get(section.choice("repeat", idempotencyWords));
     Duration deduplicationWindow = section.duration("memory_span", Duration.ZERO);
     if (idempotency == Idempotency.IDEMPOTENT_WITH_KEY && deduplicationWindow.isZero()) {
       throw section.invalid(
--- a/src/main/java/switchgap/config/RouterSection.java
+++ b/src/main/java/switchgap/config/RouterSection.java
@@ -6,7 +6,11 @@
 /**
  * The section {@code router}: which router this is among all, and what it may do for a request.
  *
- * @param maxRetryAfter zero where a rejection must not say when to retry
+ * @param zone index of the router's zone
+ * @param tickInterval shortest time between two decisions
+ * @param maxAttempts attempts of a request, including the first
+ * @param maxRetryAfter longest time that a rejection may ask a client to wait; zero where a
+ *     rejection must not say when to retry
  */
 record RouterSection(
     int routerCount,
@@ -20,7 +24,7 @@
   private static final int MAX_ATTEMPTS = 64;
   private static final int DEFAULT_ATTEMPTS = 3;
 
-  /** What a router may do beside sending one attempt after the other. */
+  /** What a router may do besides sending one attempt after the other. */
   record Permissions(boolean hedging, boolean probes, boolean cancellation) {
     static Permissions read(YamlDocument section) {
       boolean hedging = section.flag("second_executions", false);
--- a/src/main/java/switchgap/config/RulesSection.java
+++ b/src/main/java/switchgap/config/RulesSection.java
@@ -2,17 +2,22 @@
 
 import java.time.Duration;
 
-/**
- * The section {@code rules}: what workers bear while they warm up, and the quota of load commands.
- */
+/** The section {@code rules}: the slow start of workers, and the quota of load commands. */
 record RulesSection(WarmUp warmUp, LoadQuota loadQuota) {
   private static final double MAX_MULTIPLE = 1e6;
   private static final double MAX_LOADS = 1e6;
 
-  /** The capacity of a worker that has just started, and the overload at which it falls over. */
+  /**
+   * The slow start of workers.
+   *
+   * @param capacityShare share of its capacity that a worker has when it starts
+   * @param duration time in which its capacity rises to all of it
+   * @param overloadMultiple multiple of its capacity at which a worker crashes during slow start
+   * @param overloadWindow time over which that multiple is measured
+   */
   record WarmUp(
       double capacityShare, Duration duration, double overloadMultiple, Duration overloadWindow) {
-    /** So short that a worker is warm from its first moment. */
+    /** So short that a worker has all its capacity from its start. */
     private static final Duration DEFAULT_DURATION = Duration.ofMillis(1);
 
     private static final double DEFAULT_OVERLOAD_MULTIPLE = 3;
@@ -34,7 +39,13 @@
     }
   }
 
-  /** Load commands allowed in a window; a window of zero stands for no quota. */
+  /**
+   * Load commands allowed in a window.
+   *
+   * @param base commands allowed without any request
+   * @param perRequest further commands allowed for each request
+   * @param window time over which commands and requests are counted; zero for no quota
+   */
   record LoadQuota(double base, double perRequest, Duration window) {
     static LoadQuota read(YamlDocument section) {
       double base = section.number("loads_free", 0, MAX_LOADS, 0);
--- a/src/main/java/switchgap/config/TenantsSection.java
+++ b/src/main/java/switchgap/config/TenantsSection.java
@@ -6,7 +6,7 @@
 /**
  * The section {@code customers}: the tenants in the order of the document.
  *
- * @param quotas of each tenant, in requests a second over all routers
+ * @param quotas quota of each tenant, in requests a second over all routers
  */
 record TenantsSection(List<String> names, List<Double> quotas) {
   private static final double MAX_QUOTA = 1e9;
--- a/src/main/java/switchgap/config/WorkersSection.java
+++ b/src/main/java/switchgap/config/WorkersSection.java
@@ -2,10 +2,7 @@
 
 import java.time.Duration;
 
-/**
- * The section {@code workers}: what workers do by themselves, and what the endpoint list says of
- * them.
- */
+/** The section {@code workers}: how workers load replicas, and what the endpoint list states. */
 record WorkersSection(
     boolean loadsOnDemand,
     boolean loadCommandsAllowed,
--- a/src/main/java/switchgap/config/YamlDocument.java
+++ b/src/main/java/switchgap/config/YamlDocument.java
@@ -1,7 +1,6 @@
 package switchgap.config;
 
 import java.io.IOException;
-import java.io.StringReader;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -11,13 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
 import org.yaml.snakeyaml.DumperOptions;
-import org.yaml.snakeyaml.LoaderOptions;
-import org.yaml.snakeyaml.Yaml;
-import org.yaml.snakeyaml.error.MarkedYAMLException;
-import org.yaml.snakeyaml.error.YAMLException;
 import org.yaml.snakeyaml.nodes.MappingNode;
 import org.yaml.snakeyaml.nodes.Node;
 import org.yaml.snakeyaml.nodes.NodeTuple;
@@ -26,54 +19,50 @@
 import org.yaml.snakeyaml.nodes.Tag;
 
 /**
- * A mapping of a YAML document: the whole document or a section of it. Each value is asked for by
- * key and type; a key that nobody asked for is refused by {@link #rejectUnknownKeys()}, with the
- * keys that are allowed. Durations are written 250ms, 1.5s, 2m; shares are numbers. Every method
- * that reads a value throws {@link InvalidConfigException} with file, line and key where the value
- * can't be used. For one thread.
+ * A mapping of a YAML document: the whole document or a section of it. Each value is read by key
+ * and type; a key that was never read is rejected by {@link #rejectUnknownKeys()}, with the keys
+ * that are allowed. Durations are written 250ms, 1.5s, 2m; shares are numbers. Every method that
+ * reads a value throws {@link InvalidConfigException} with file, line and key where the value can't
+ * be used. For one thread.
  */
 public final class YamlDocument {
-  private static final Pattern DURATION = Pattern.compile("(\\d+(?:\\.\\d+)?)\\s*(us|ms|s|m|h)");
-  private static final double MAX_DURATION_NANOS = 1e17;
-  private static final int MAX_DOCUMENT_BYTES = 4 << 20;
-  private static final int MAX_ALIASES = 20;
-  private static final int MAX_DEPTH = 20;
+  private static final String ROOT_NAME = "the page";
 
-  /** Whole numbers below are printed without a decimal point. */
-  private static final double MAX_PRINTED_WHOLE = 1e9;
+  private record Entry(Node value, int line) {}
 
   private final String file;
   private final String name;
   private final int line;
-  private final Map<String, Node> values = new LinkedHashMap<>();
-  private final Map<String, Integer> lines = new LinkedHashMap<>();
+  private final Map<String, Entry> entries = new LinkedHashMap<>();
+
+  /** Keys that were read, whether they are present or not. */
   private final TreeSet<String> knownKeys = new TreeSet<>();
 
   private YamlDocument(String file, String name, Node node) {
     this.file = file;
     this.name = name;
-    this.line = lineOf(node);
+    this.line = YamlParser.lineOf(node);
     if (!(node instanceof MappingNode mapping)) {
       throw new InvalidConfigException(file, line, name + " must be a mapping of keys to values");
     }
-    for (NodeTuple entry : mapping.getValue()) {
-      add(entry);
+    for (NodeTuple tuple : mapping.getValue()) {
+      add(tuple);
     }
   }
 
-  private void add(NodeTuple entry) {
-    int keyLine = lineOf(entry.getKeyNode());
-    if (!(entry.getKeyNode() instanceof ScalarNode scalar)) {
+  private void add(NodeTuple tuple) {
+    int keyLine = YamlParser.lineOf(tuple.getKeyNode());
+    if (!(tuple.getKeyNode() instanceof ScalarNode scalar)) {
       throw new InvalidConfigException(file, keyLine, "a key of " + name + " must be plain text");
     }
     String key = scalar.getValue();
-    if (values.put(key, entry.getValueNode()) != null) {
+    Entry first = entries.putIfAbsent(key, new Entry(tuple.getValueNode(), keyLine));
+    if (first != null) {
       throw new InvalidConfigException(
           file,
           keyLine,
-          "key " + key + " stands twice in " + name + ", first in line " + lines.get(key));
+          "key " + key + " stands twice in " + name + ", first in line " + first.line);
     }
-    lines.put(key, keyLine);
   }
 
   /**
@@ -83,68 +72,59 @@
    * @throws InvalidConfigException if it is too large or no mapping
    */
   public static YamlDocument read(Path path) throws IOException {
-    if (Files.size(path) > MAX_DOCUMENT_BYTES) {
+    if (Files.size(path) > YamlParser.MAX_DOCUMENT_BYTES) {
       throw new InvalidConfigException(
-          path.toString(), 1, "larger than " + MAX_DOCUMENT_BYTES + " bytes");
+          path.toString(), 1, "larger than " + YamlParser.MAX_DOCUMENT_BYTES + " bytes");
     }
     return read(path.toString(), Files.readString(path));
   }
 
-  /** Reads a text; {@code file} is the name by which mistakes are reported. */
+  /**
+   * Parses a text.
+   *
+   * @param file name of the text in errors
+   * @throws InvalidConfigException if it is no mapping
+   */
   public static YamlDocument read(String file, String text) {
-    LoaderOptions bounds = new LoaderOptions();
-    bounds.setMaxAliasesForCollections(MAX_ALIASES);
-    bounds.setNestingDepthLimit(MAX_DEPTH);
-    bounds.setCodePointLimit(MAX_DOCUMENT_BYTES);
-    try {
-      Node root = new Yaml(bounds).compose(new StringReader(text));
-      if (root == null) {
-        throw new InvalidConfigException(file, 1, "the page is empty");
-      }
-      return new YamlDocument(file, "the page", root);
-    } catch (MarkedYAMLException e) {
-      int line = e.getProblemMark() == null ? 1 : e.getProblemMark().getLine() + 1;
-      throw new InvalidConfigException(file, line, "no YAML: " + e.getProblem());
-    } catch (YAMLException e) {
-      throw new InvalidConfigException(file, 1, "no YAML: " + e.getMessage());
-    }
+    return new YamlDocument(file, ROOT_NAME, YamlParser.parse(file, text));
   }
 
-  private static int lineOf(Node node) {
-    return node.getStartMark() == null ? 1 : node.getStartMark().getLine() + 1;
-  }
-
-  /** Whether the key is there; it counts as asked for. */
+  /** Whether the key is present; it is known from now on. */
   public boolean has(String key) {
     knownKeys.add(key);
-    return values.containsKey(key);
+    return entries.containsKey(key);
   }
 
-  /** All keys in the order of the document; they count as asked for. */
+  /** All keys in the order of the document; they are known from now on. */
   public List<String> keys() {
-    knownKeys.addAll(values.keySet());
-    return new ArrayList<>(values.keySet());
+    knownKeys.addAll(entries.keySet());
+    return new ArrayList<>(entries.keySet());
   }
 
-  /** The exception for a value that can't be used, to be thrown by the caller. */
+  /** Returns the exception for a value that can't be used, to be thrown by the caller. */
   public InvalidConfigException invalid(String key, String reason) {
+    Entry entry = entries.get(key);
     return new InvalidConfigException(
-        file, lines.getOrDefault(key, line), name + ": " + key + ": " + reason);
+        file, entry == null ? line : entry.line, name + ": " + key + ": " + reason);
   }
 
-  private InvalidConfigException absent(String key) {
-    return new InvalidConfigException(file, line, name + ": key " + key + " is absent");
-  }
-
-  /** A plain value as it is written. */
-  public String text(String key) {
+  private Node required(String key) {
     if (!has(key)) {
-      throw absent(key);
+      throw new InvalidConfigException(file, line, name + ": key " + key + " is absent");
     }
-    if (!(values.get(key) instanceof ScalarNode scalar)) {
+    return entries.get(key).value;
+  }
+
+  private YamlScalar scalar(String key) {
+    if (!(required(key) instanceof ScalarNode node)) {
       throw invalid(key, "must be one value");
     }
-    return scalar.getValue();
+    return new YamlScalar(this, key, node.getValue());
+  }
+
+  /** A plain value as it is written. */
+  public String text(String key) {
+    return scalar(key).text();
   }
 
   /** A plain value, or the default when the key is absent. */
@@ -152,70 +132,29 @@
     return has(key) ? text(key) : defaultValue;
   }
 
-  /** A number within bounds, both included. */
+  /** A number within bounds, both inclusive. */
   public double number(String key, double min, double max) {
-    String text = text(key);
-    double value;
-    try {
-      value = Double.parseDouble(text);
-    } catch (NumberFormatException e) {
-      throw invalid(key, "'" + text + "' is no number");
-    }
-    if (value >= min && value <= max) {
-      return value;
-    }
-    throw invalid(key, "'" + text + "' must lie from " + print(min) + " to " + print(max));
+    return scalar(key).number(min, max);
   }
 
-  /** A number within bounds, both included, or the default when the key is absent. */
+  /** A number within bounds, both inclusive, or the default when the key is absent. */
   public double number(String key, double min, double max, double defaultValue) {
     return has(key) ? number(key, min, max) : defaultValue;
   }
 
-  /** A whole number within bounds, both included. */
+  /** A whole number within bounds, both inclusive. */
   public int integer(String key, int min, int max) {
-    double value = number(key, min, max);
-    if (value != Math.rint(value)) {
-      throw invalid(key, "'" + text(key) + "' must be a whole number");
-    }
-    return (int) value;
+    return scalar(key).integer(min, max);
   }
 
-  /** A whole number within bounds, both included, or the default when the key is absent. */
+  /** A whole number within bounds, both inclusive, or the default when the key is absent. */
   public int integer(String key, int min, int max, int defaultValue) {
     return has(key) ? integer(key, min, max) : defaultValue;
   }
 
-  private static String print(double value) {
-    boolean whole = value == Math.rint(value) && Math.abs(value) < MAX_PRINTED_WHOLE;
-    return whole ? Long.toString((long) value) : Double.toString(value);
-  }
-
   /** A duration with its unit, or 0. */
   public Duration duration(String key) {
-    String text = text(key);
-    if (text.trim().equals("0")) {
-      return Duration.ZERO;
-    }
-    Matcher matcher = DURATION.matcher(text.trim());
-    if (!matcher.matches()) {
-      throw invalid(key, "'" + text + "' is no span; write 250ms, 1.5s, 2m or 1h");
-    }
-    double nanos = Double.parseDouble(matcher.group(1)) * nanosPerUnit(matcher.group(2));
-    if (nanos > MAX_DURATION_NANOS) {
-      throw invalid(key, "'" + text + "' is too long");
-    }
-    return Duration.ofNanos(Math.round(nanos));
-  }
-
-  private static double nanosPerUnit(String unit) {
-    return switch (unit) {
-      case "us" -> 1e3;
-      case "ms" -> 1e6;
-      case "s" -> 1e9;
-      case "m" -> 60e9;
-      default -> 3600e9;
-    };
+    return scalar(key).duration();
   }
 
   /** A duration with its unit, or the default when the key is absent. */
@@ -230,16 +169,10 @@
 
   /** One of the allowed words. */
   public String choice(String key, List<String> allowed) {
-    String text = text(key);
-    if (!allowed.contains(text)) {
-      throw invalid(key, "'" + text + "' must be one of " + String.join(", ", allowed));
-    }
-    return text;
+    return scalar(key).choice(allowed);
   }
 
-  /**
-   * The constant of an enum by its {@link EnumWords word}, or the default when the key is absent.
-   */
+  /** The constant of an enum by its {@link EnumWords word}; the default when the key is absent. */
   public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
     if (!has(key)) {
       return defaultValue;
@@ -249,20 +182,9 @@
     return constants[words.indexOf(choice(key, words))];
   }
 
-  /**
-   * One of the document's words for a choice, each standing for a value; null where the key is
-   * absent.
-   */
-  public <T> T choice(String key, Map<String, T> words) {
-    return has(key) ? words.get(choice(key, List.copyOf(words.keySet()))) : null;
-  }
-
   /** A mapping under a key. */
   public YamlDocument section(String key) {
-    if (!has(key)) {
-      throw absent(key);
-    }
-    return new YamlDocument(file, key, values.get(key));
+    return new YamlDocument(file, key, required(key));
   }
 
   /** A mapping, or an empty one when the key is absent. */
@@ -287,11 +209,13 @@
   public List<String> textList(String key) {
     List<String> texts = new ArrayList<>();
     for (Node element : elements(key)) {
-      if (!(element instanceof ScalarNode scalar)) {
+      if (!(element instanceof ScalarNode node)) {
         throw new InvalidConfigException(
-            file, lineOf(element), name + ": " + key + " must be a list of plain values");
+            file,
+            YamlParser.lineOf(element),
+            name + ": " + key + " must be a list of plain values");
       }
-      texts.add(scalar.getValue());
+      texts.add(node.getValue());
     }
     return texts;
   }
@@ -300,21 +224,22 @@
     if (!has(key)) {
       return List.of();
     }
-    if (!(values.get(key) instanceof SequenceNode sequence)) {
+    if (!(required(key) instanceof SequenceNode sequence)) {
       throw invalid(key, "must be a list");
     }
     return sequence.getValue();
   }
 
-  /** Refuses keys that nobody asked for; to be called once all values have been read. */
+  /** Rejects keys that were never read; to be called once all values have been read. */
   public void rejectUnknownKeys() {
-    for (String key : values.keySet()) {
-      if (!knownKeys.contains(key)) {
-        throw new InvalidConfigException(
-            file,
-            lines.get(key),
-            name + ": unknown key " + key + "; allowed are " + String.join(", ", knownKeys));
-      }
-    }
+    entries.forEach(
+        (key, entry) -> {
+          if (!knownKeys.contains(key)) {
+            throw new InvalidConfigException(
+                file,
+                entry.line,
+                name + ": unknown key " + key + "; allowed are " + String.join(", ", knownKeys));
+          }
+        });
   }
 }
--- /dev/null
+++ b/src/main/java/switchgap/config/YamlParser.java
@@ -0,0 +1,47 @@
+package switchgap.config;
+
+import java.io.StringReader;
+import org.yaml.snakeyaml.LoaderOptions;
+import org.yaml.snakeyaml.Yaml;
+import org.yaml.snakeyaml.error.MarkedYAMLException;
+import org.yaml.snakeyaml.error.YAMLException;
+import org.yaml.snakeyaml.nodes.Node;
+
+/** Parses YAML text within bounds of size, depth and aliases. */
+final class YamlParser {
+  static final int MAX_DOCUMENT_BYTES = 4 << 20;
+  private static final int MAX_ALIASES = 20;
+  private static final int MAX_DEPTH = 20;
+
+  private YamlParser() {}
+
+  /**
+   * Returns the root node of a text.
+   *
+   * @param file name of the text in errors
+   * @throws InvalidConfigException if it is empty, no YAML, or exceeds a bound
+   */
+  static Node parse(String file, String text) {
+    LoaderOptions bounds = new LoaderOptions();
+    bounds.setMaxAliasesForCollections(MAX_ALIASES);
+    bounds.setNestingDepthLimit(MAX_DEPTH);
+    bounds.setCodePointLimit(MAX_DOCUMENT_BYTES);
+    try {
+      Node root = new Yaml(bounds).compose(new StringReader(text));
+      if (root == null) {
+        throw new InvalidConfigException(file, 1, "the page is empty");
+      }
+      return root;
+    } catch (MarkedYAMLException e) {
+      int line = e.getProblemMark() == null ? 1 : e.getProblemMark().getLine() + 1;
+      throw new InvalidConfigException(file, line, "no YAML: " + e.getProblem());
+    } catch (YAMLException e) {
+      throw new InvalidConfigException(file, 1, "no YAML: " + e.getMessage());
+    }
+  }
+
+  /** The line on which a node begins, from 1; 1 where it is not known. */
+  static int lineOf(Node node) {
+    return node.getStartMark() == null ? 1 : node.getStartMark().getLine() + 1;
+  }
+}
--- a/src/main/java/switchgap/config/YamlRouterSettings.java
+++ b/src/main/java/switchgap/config/YamlRouterSettings.java
@@ -4,75 +4,35 @@
 import java.util.List;
 import switchgap.admission.AdmissionSettings;
 import switchgap.admission.ServiceLevel;
-import switchgap.policy.api.DeduplicationScope;
 import switchgap.policy.api.Idempotency;
-import switchgap.policy.api.RouterSettings;
 
 /**
- * The settings that a YAML document states, with its functions, request classes, tenants and zones
- * by name. What the document leaves out is taken as absent (no quota, no prices), never guessed.
- * Immutable.
+ * The router settings of a YAML document, with its functions, request classes, tenants and zones by
+ * name. What the document leaves out is taken as absent (no quota, no prices), never guessed.
+ * Immutable. The base classes hold the settings about requests and workers.
  */
-public final class YamlRouterSettings implements RouterSettings {
-  /** The only zone where the document names none. */
-  private static final List<String> DEFAULT_ZONES = List.of("zone");
-
+public final class YamlRouterSettings extends YamlWorkerSettings {
   private final List<String> zones;
   private final RouterSection router;
-  private final WorkerKindsSection workerKinds;
-  private final RequestClassesSection requestClasses;
-  private final TenantsSection tenants;
-  private final FunctionsSection functions;
-  private final WorkersSection workers;
-  private final RulesSection rules;
   private final LevelsSection levels;
   private final PricesSection prices;
 
   /**
-   * Reads the sections {@code zones, router, kinds, workloads, customers, functions, workers,
-   * rules, levels, prices} in this order; other keys of the document are left to the caller.
+   * Reads the sections that {@link YamlSections} lists; other keys of the document are left to the
+   * caller.
    *
-   * @throws InvalidConfigException at the first mistake
+   * @throws InvalidConfigException at the first error
    */
   public YamlRouterSettings(YamlDocument document) {
-    zones = document.has("zones") ? document.textList("zones") : DEFAULT_ZONES;
-    router = RouterSection.read(document.section("router"), zones);
-    workerKinds = WorkerKindsSection.read(document.optionalSection("kinds"));
-    requestClasses = RequestClassesSection.read(document);
-    tenants = TenantsSection.read(document.optionalSection("customers"));
-    functions = FunctionsSection.read(document.section("functions"), requestClasses, tenants);
-    workers = WorkersSection.read(document.optionalSection("workers"));
-    rules = RulesSection.read(document.optionalSection("rules"));
-    levels = LevelsSection.read(document.optionalSection("levels"), requestClasses);
-    prices = PricesSection.read(document.optionalSection("prices"));
-  }
-
-  /**
-   * The entry of a function, or null: exact names first, then prefixes in the order of the
-   * document.
-   */
-  public FunctionSettings function(String name) {
-    return functions.find(name);
-  }
-
-  /** The request class of an index. */
-  public RequestClassSettings requestClass(int requestClass) {
-    return requestClasses.classes().get(requestClass);
-  }
-
-  /** The index of a request class, or -1. */
-  public int requestClassIndex(String name) {
-    return requestClasses.index(name);
-  }
-
-  /** The index of a tenant, or -1. */
-  public int tenantIndex(String name) {
-    return tenants.index(name);
+    this(YamlSections.read(document));
   }
 
-  /** The name of a tenant's index. */
-  public String tenantName(int tenant) {
-    return tenants.names().get(tenant);
+  private YamlRouterSettings(YamlSections sections) {
+    super(sections);
+    zones = sections.zones();
+    router = sections.router();
+    levels = sections.levels();
+    prices = sections.prices();
   }
 
   /** The index of a zone, or -1. */
@@ -80,17 +40,12 @@
     return zones.indexOf(name);
   }
 
-  /** The name of a zone's index. */
+  /** The name of the zone with an index. */
   public String zoneName(int zone) {
     return zones.get(zone);
   }
 
-  /** The index of a kind of worker; one past the known ones where it is not known. */
-  public int workerKindIndex(String name) {
-    return workerKinds.index(name);
-  }
-
-  /** What the document states for degraded service levels. */
+  /** The settings of admission control, which degrades the service under overload. */
   public AdmissionSettings admissionSettings() {
     int classCount = requestClassCount();
     double[] priorityWeights = new double[classCount];
@@ -105,24 +60,24 @@
         priorityWeights,
         idempotency,
         latencyObjectives,
-        tenants.quotaArray(),
+        tenantQuotas(),
         levels.exempt().clone(),
         levels.lowestLevel(),
         retryAfterAllowed() ? maxRetryAfter() : null,
         levels.protectedShare());
   }
 
-  /** Whether service levels act at all. */
+  /** Whether admission control is enabled. */
   public boolean admissionControlEnabled() {
     return levels.enabled();
   }
 
-  /** The level that the document pins from the start on, or null. */
+  /** The service level to hold from the start on; null where it is not fixed. */
   public ServiceLevel pinnedLevel() {
     return levels.pinnedLevel();
   }
 
-  /** How long from the start the pinned level is kept. */
+  /** Time from the start for which {@link #pinnedLevel} is held. */
   public Duration pinDuration() {
     return levels.pinDuration();
   }
@@ -147,56 +102,6 @@
     return router.tickInterval();
   }
 
-  @Override
-  public int requestClassCount() {
-    return requestClasses.classes().size();
-  }
-
-  @Override
-  public Duration latencyObjective(int requestClass) {
-    return requestClass(requestClass).latencyObjective();
-  }
-
-  @Override
-  public Duration requestTimeout(int requestClass) {
-    return requestClass(requestClass).timeout();
-  }
-
-  @Override
-  public double priorityWeight(int requestClass) {
-    return requestClass(requestClass).priorityWeight();
-  }
-
-  @Override
-  public double lateValueShare(int requestClass) {
-    return requestClass(requestClass).lateValueShare();
-  }
-
-  @Override
-  public Idempotency idempotency(int requestClass) {
-    return requestClass(requestClass).idempotency();
-  }
-
-  @Override
-  public DeduplicationScope deduplicationScope(int requestClass) {
-    return requestClass(requestClass).deduplicationScope();
-  }
-
-  @Override
-  public Duration deduplicationWindow(int requestClass) {
-    return requestClass(requestClass).deduplicationWindow();
-  }
-
-  @Override
-  public int tenantCount() {
-    return tenants.names().size();
-  }
-
-  @Override
-  public double tenantQuota(int tenant) {
-    return tenants.quotas().get(tenant);
-  }
-
   @Override
   public double overQuotaWeight() {
     return prices.overQuotaWeight();
@@ -232,66 +137,6 @@
     return router.maxRetryAfter();
   }
 
-  @Override
-  public double coldCapacityShare() {
-    return rules.warmUp().capacityShare();
-  }
-
-  @Override
-  public Duration warmUpDuration() {
-    return rules.warmUp().duration();
-  }
-
-  @Override
-  public double coldOverloadMultiple() {
-    return rules.warmUp().overloadMultiple();
-  }
-
-  @Override
-  public Duration coldOverloadWindow() {
-    return rules.warmUp().overloadWindow();
-  }
-
-  @Override
-  public boolean loadsOnDemand() {
-    return workers.loadsOnDemand();
-  }
-
-  @Override
-  public boolean loadCommandsAllowed() {
-    return workers.loadCommandsAllowed();
-  }
-
-  @Override
-  public Duration replicaIdleTimeout() {
-    return workers.replicaIdleTimeout();
-  }
-
-  @Override
-  public double loadQuotaBase() {
-    return rules.loadQuota().base();
-  }
-
-  @Override
-  public double loadQuotaPerRequest() {
-    return rules.loadQuota().perRequest();
-  }
-
-  @Override
-  public Duration loadQuotaWindow() {
-    return rules.loadQuota().window();
-  }
-
-  @Override
-  public double idleMemoryPrice() {
-    return prices.idleMemory();
-  }
-
-  @Override
-  public double[] workerKindMemory() {
-    return workerKinds.memoryMb().clone();
-  }
-
   @Override
   public double crossZonePrice() {
     return prices.crossZone();
@@ -301,19 +146,4 @@
   public double probePrice() {
     return prices.probe();
   }
-
-  @Override
-  public boolean capacityReported() {
-    return workers.capacityReported();
-  }
-
-  @Override
-  public boolean pollsEndpointList() {
-    return workers.pollsEndpointList();
-  }
-
-  @Override
-  public Duration endpointPollInterval() {
-    return workers.endpointPollInterval();
-  }
 }
--- /dev/null
+++ b/src/main/java/switchgap/config/YamlWorkerSettings.java
@@ -0,0 +1,101 @@
+package switchgap.config;
+
+import java.time.Duration;
+
+/**
+ * The settings of a YAML document about workers: their kinds, warm-up, replicas and endpoint list.
+ */
+abstract class YamlWorkerSettings extends YamlRequestSettings {
+  private final WorkerKindsSection workerKinds;
+  private final WorkersSection workers;
+  private final RulesSection rules;
+  private final PricesSection prices;
+
+  YamlWorkerSettings(YamlSections sections) {
+    super(sections);
+    workerKinds = sections.workerKinds();
+    workers = sections.workers();
+    rules = sections.rules();
+    prices = sections.prices();
+  }
+
+  /** The index of a kind of worker; one past the known ones for an unknown kind. */
+  public int workerKindIndex(String name) {
+    return workerKinds.index(name);
+  }
+
+  @Override
+  public double coldCapacityShare() {
+    return rules.warmUp().capacityShare();
+  }
+
+  @Override
+  public Duration warmUpDuration() {
+    return rules.warmUp().duration();
+  }
+
+  @Override
+  public double coldOverloadMultiple() {
+    return rules.warmUp().overloadMultiple();
+  }
+
+  @Override
+  public Duration coldOverloadWindow() {
+    return rules.warmUp().overloadWindow();
+  }
+
+  @Override
+  public boolean loadsOnDemand() {
+    return workers.loadsOnDemand();
+  }
+
+  @Override
+  public boolean loadCommandsAllowed() {
+    return workers.loadCommandsAllowed();
+  }
+
+  @Override
+  public Duration replicaIdleTimeout() {
+    return workers.replicaIdleTimeout();
+  }
+
+  @Override
+  public double loadQuotaBase() {
+    return rules.loadQuota().base();
+  }
+
+  @Override
+  public double loadQuotaPerRequest() {
+    return rules.loadQuota().perRequest();
+  }
+
+  @Override
+  public Duration loadQuotaWindow() {
+    return rules.loadQuota().window();
+  }
+
+  @Override
+  public double idleMemoryPrice() {
+    return prices.idleMemory();
+  }
+
+  @Override
+  public double[] workerKindMemory() {
+    return workerKinds.memoryMb().clone();
+  }
+
+  @Override
+  public boolean capacityReported() {
+    return workers.capacityReported();
+  }
+
+  @Override
+  public boolean pollsEndpointList() {
+    return workers.pollsEndpointList();
+  }
+
+  @Override
+  public Duration endpointPollInterval() {
+    return workers.endpointPollInterval();
+  }
+}
