--- a/src/test/java/switchgap/admission/SheddingRotationTest.java
+++ b/src/test/java/switchgap/admission/SheddingRotationTest.java
@@ -6,9 +6,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/**
- * The share that is shed is the shed fraction, and a client that retries meets the same decision.
- */
+/** The rotation sheds the shed fraction, and a client that retries meets the same decision. */
 class SheddingRotationTest {
   private final SplittableRandom random = new SplittableRandom(7);
   private final SheddingRotation rotation =
@@ -23,7 +21,7 @@
     }
   }
 
-  private double shedShare(int requests, int keys, double shedFraction) {
+  private double measuredShedFraction(int requests, int keys, double shedFraction) {
     int shed = 0;
     for (int i = 0; i < requests; i++) {
       shed +=
@@ -33,19 +31,18 @@
   }
 
   @Test
-  void theShareThatIsShedIsTheShedFraction() {
+  void shedsTheShedFractionOfTheLoad() {
     offerLoad(30, 20);
-    assertThat(shedShare(20_000, 20, 0)).isZero();
-    assertThat(shedShare(20_000, 20, 0.3)).isBetween(0.22, 0.38);
-    assertThat(shedShare(20_000, 20, 0.8)).isBetween(0.72, 0.88);
-    assertThat(shedShare(1000, 20, 1)).isEqualTo(1);
+    assertThat(measuredShedFraction(20_000, 20, 0)).isZero();
+    assertThat(measuredShedFraction(20_000, 20, 0.3)).isBetween(0.22, 0.38);
+    assertThat(measuredShedFraction(20_000, 20, 0.8)).isBetween(0.72, 0.88);
+    assertThat(measuredShedFraction(1000, 20, 1)).isEqualTo(1);
   }
 
   // Guards against late retries: with a draw for each request a third attempt was nearly always
-  // admitted,
-  // and was worth little.
+  // admitted, too late to earn anything.
   @Test
-  void aRetryMeetsTheSameDecision() {
+  void retryMeetsTheSameDecision() {
     offerLoad(30, 20);
     int same = 0;
     for (int key = 0; key < 1000; key++) {
@@ -56,7 +53,7 @@
   }
 
   @Test
-  void eachKeyIsShedInTurnAndNoneForever() {
+  void shedsEachKeyForAPartOfTheTimeAndNoneForEver() {
     offerLoad(30, 20);
     for (int key = 0; key < 20; key++) {
       int shed = 0;
@@ -70,7 +67,7 @@
 
   // All load on one slot: an arc that only knew whole slots would shed all of it or nothing.
   @Test
-  void oneFunctionOfOneTenantIsShedInPart() {
+  void shedsAPartOfASingleFunction() {
     for (int second = 0; second < 60; second++) {
       for (int i = 0; i < 50; i++) {
         rotation.sheds(0, 1, 1, 0, 0.5);
