--- a/src/main/java/switchgap/net/AcceptStall.java
+++ b/src/main/java/switchgap/net/AcceptStall.java
@@ -1,6 +1,7 @@
 package switchgap.net;
 
 import java.time.Duration;
+import java.util.function.LongSupplier;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.Grizzly;
 import org.glassfish.grizzly.attributes.Attribute;
@@ -20,13 +21,24 @@
   private static final long NONE = Long.MIN_VALUE;
 
   private static final Attribute<AcceptStall> OF_LISTENER =
-      Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("switchgap.accept-stall", AcceptStall::new);
+      Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(
+          "switchgap.accept-stall", () -> new AcceptStall(System::nanoTime));
 
+  private final LongSupplier nanoClock;
   private long startedNanos = NONE;
   private long endedNanos = NONE;
   private boolean failing;
   private boolean paused;
 
+  /**
+   * A socket that accepts.
+   *
+   * @param nanoClock monotonic time, nanoseconds
+   */
+  AcceptStall(LongSupplier nanoClock) {
+    this.nanoClock = nanoClock;
+  }
+
   /** The accept stall of a listening socket. */
   static AcceptStall of(Connection<?> listener) {
     return OF_LISTENER.get(listener);
@@ -68,8 +80,8 @@
    */
   synchronized void eventLoopResumed(Duration delay) {
     if (!delay.isZero() && maxAcceptDelay().compareTo(delay) < 0) {
-      startedNanos = System.nanoTime() - delay.toNanos();
-      endedNanos = System.nanoTime();
+      startedNanos = nanoClock.getAsLong() - delay.toNanos();
+      endedNanos = nanoClock.getAsLong();
     }
   }
 
@@ -81,7 +93,7 @@
     if (startedNanos == NONE) {
       return Duration.ZERO;
     }
-    long now = System.nanoTime();
+    long now = nanoClock.getAsLong();
     if (endedNanos != NONE && now - endedNanos > CATCH_UP_NANOS) {
       startedNanos = NONE;
       endedNanos = NONE;
@@ -93,7 +105,7 @@
   /** Starts a stall, or continues one that clients may still be waiting from. */
   private void start() {
     if (maxAcceptDelay().isZero()) {
-      startedNanos = System.nanoTime();
+      startedNanos = nanoClock.getAsLong();
     }
     endedNanos = NONE;
   }
@@ -101,7 +113,7 @@
   private void endUnlessBlocked() {
     boolean open = startedNanos != NONE && endedNanos == NONE;
     if (open && !failing && !paused) {
-      endedNanos = System.nanoTime();
+      endedNanos = nanoClock.getAsLong();
     }
   }
 }
--- a/src/main/java/switchgap/net/EventLoopIterations.java
+++ b/src/main/java/switchgap/net/EventLoopIterations.java
@@ -18,12 +18,16 @@
   private static final Duration NEGLIGIBLE_DELAY = Duration.ofMillis(65);
 
   private static final ThreadLocal<EventLoopIterations> OF_THREAD =
-      ThreadLocal.withInitial(EventLoopIterations::new);
+      ThreadLocal.withInitial(() -> new EventLoopIterations(System.nanoTime()));
 
-  private long latestPollNanos = System.nanoTime();
-  private long previousPollNanos = latestPollNanos;
+  private long latestPollNanos;
+  private long previousPollNanos;
 
-  private EventLoopIterations() {}
+  /** Iterations from this {@link System#nanoTime} on, with no poll before. */
+  EventLoopIterations(long startNanos) {
+    latestPollNanos = startNanos;
+    previousPollNanos = startNanos;
+  }
 
   /** The iterations of the calling selector thread. */
   static EventLoopIterations ofCurrentThread() {
@@ -54,8 +58,12 @@
    * been waiting in their socket, at most; zero unless the thread was stalled.
    */
   static Duration maxReadDelay() {
-    long sincePreviousPoll = System.nanoTime() - ofCurrentThread().previousPollNanos;
-    Duration delay = Duration.ofNanos(sincePreviousPoll);
+    return ofCurrentThread().maxReadDelay(System.nanoTime());
+  }
+
+  /** The same at this {@link System#nanoTime}. */
+  Duration maxReadDelay(long nowNanos) {
+    Duration delay = Duration.ofNanos(nowNanos - previousPollNanos);
     return delay.compareTo(NEGLIGIBLE_DELAY) > 0 ? delay : Duration.ZERO;
   }
 }
