--- a/src/main/java/switchgap/testbed/experiment/ExperimentTables.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentTables.java
@@ -101,7 +101,7 @@
 
   private static void writeChanges(ResultTable table, ExperimentCase experimentCase, Trial trial)
       throws IOException {
-    for (Emulator.RouterLevelChange routerChange : trial.levelChanges) {
+    for (RouterLevelChange routerChange : trial.levelChanges) {
       ServiceLevelChange change = routerChange.change();
       String tenant =
           routerChange.isCommon()
--- a/src/main/java/switchgap/testbed/experiment/LoadRun.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRun.java
@@ -102,12 +102,13 @@
   }
 
   private EmulatedClients emulated() {
-    Emulator emulator =
-        new Emulator(scenario, seed, Variant.LEVELS, micros -> curve.at(micros) * fullRateFactor());
-    observe(emulator.clients, emulator.scheduler);
-    curve.schedule(emulator.scheduler, emulator.clients);
-    emulator.play(curve.seconds(), second -> {});
-    return emulator.clients;
+    VirtualTimeTestBed testBed =
+        new VirtualTimeTestBed(
+            scenario, seed, Variant.LEVELS, micros -> curve.at(micros) * fullRateFactor());
+    observe(testBed.clients(), testBed.scheduler());
+    curve.schedule(testBed.scheduler(), testBed.clients());
+    testBed.play(curve.seconds(), second -> {});
+    return testBed.clients();
   }
 
   private EmulatedClients sockets(List<InetSocketAddress> routers)
--- a/src/main/java/switchgap/testbed/experiment/Trial.java
+++ b/src/main/java/switchgap/testbed/experiment/Trial.java
@@ -44,7 +44,7 @@
   /** Mean over the routers. */
   final Map<ServiceLevel, Double> secondsAtLevel = new TreeMap<>();
 
-  final List<Emulator.RouterLevelChange> levelChanges;
+  final List<RouterLevelChange> levelChanges;
 
   /** Changes of the routers' common levels. */
   final int changeCount;
@@ -71,39 +71,40 @@
     this.seed = seed;
     this.seconds = curve.seconds();
     double fullRateFactor = scenario.fleetCapacity() / scenario.meanWork() / scenario.requestRate();
-    Emulator emulator =
-        new Emulator(scenario, seed, variant, micros -> curve.at(micros) * fullRateFactor);
-    curve.schedule(emulator.scheduler, emulator.clients);
+    VirtualTimeTestBed testBed =
+        new VirtualTimeTestBed(
+            scenario, seed, variant, micros -> curve.at(micros) * fullRateFactor);
+    curve.schedule(testBed.scheduler(), testBed.clients());
     double[] utilizationSum = new double[1];
-    emulator.play(
+    testBed.play(
         seconds,
         second -> {
-          utilizationSum[0] += emulator.meanUtilization();
-          samples.add(sample(emulator, curve.at(second * MICROS_PER_SECOND)));
+          utilizationSum[0] += testBed.meanUtilization();
+          samples.add(sample(testBed, curve.at(second * MICROS_PER_SECOND)));
         });
-    service = emulator.clients.service();
+    service = testBed.clients().service();
     bound = CapacityBound.of(scenario, curve);
-    recordService(emulator.clients);
-    levelChanges = emulator.changes;
-    changeCount = (int) levelChanges.stream().filter(Emulator.RouterLevelChange::isCommon).count();
+    recordService(testBed.clients());
+    levelChanges = testBed.levelChanges();
+    changeCount = (int) levelChanges.stream().filter(RouterLevelChange::isCommon).count();
     levelChanges.stream()
         .filter(change -> !change.isCommon())
         .forEach(
             change ->
                 tenantLevelChanges.merge(
                     tenantName(scenario, change.change().tenant()), 1, Integer::sum));
-    maxChangesInFourStays = maxChangesInFourStays(emulator);
-    recordTimeAtLevels(emulator.routers);
+    maxChangesInFourStays = maxChangesInFourStays(testBed);
+    recordTimeAtLevels(testBed.routers());
     recoverySeconds = recoverySeconds();
-    eventCount = emulator.scheduler.events();
+    eventCount = testBed.scheduler().events();
     meanUtilization = utilizationSum[0] / Math.max(1, seconds);
   }
 
   /** The routers' levels now; the service of the second is known later. */
-  private static SecondSample sample(Emulator emulator, double load) {
+  private static SecondSample sample(VirtualTimeTestBed testBed, double load) {
     double levelSum = 0;
     int belowFull = 0;
-    for (EmulatedRouter router : emulator.routers) {
+    for (VirtualTimeRouter router : testBed.routers()) {
       AdmissionController admission = router.gate().admission();
       if (admission != null) {
         admission.tick(router.now());
@@ -111,7 +112,7 @@
         belowFull += admission.level() == ServiceLevel.FULL ? 0 : 1;
       }
     }
-    int routers = emulator.routers.size();
+    int routers = testBed.routers().size();
     return new SecondSample(load, 0, levelSum / routers, belowFull / (double) routers);
   }
 
@@ -141,8 +142,8 @@
             });
   }
 
-  private void recordTimeAtLevels(List<EmulatedRouter> routers) {
-    for (EmulatedRouter router : routers) {
+  private void recordTimeAtLevels(List<VirtualTimeRouter> routers) {
+    for (VirtualTimeRouter router : routers) {
       AdmissionController admission = router.gate().admission();
       for (ServiceLevel level : admission == null ? new ServiceLevel[0] : ServiceLevel.values()) {
         secondsAtLevel.merge(
@@ -155,29 +156,29 @@
     return List.copyOf(scenario.tenantShares().keySet()).get(index);
   }
 
-  private static int maxChangesInFourStays(Emulator emulator) {
+  private static int maxChangesInFourStays(VirtualTimeTestBed testBed) {
     int maxChanges = 0;
-    for (int i = 0; i < emulator.routers.size(); i++) {
-      AdmissionController admission = emulator.routers.get(i).gate().admission();
+    for (int i = 0; i < testBed.routers().size(); i++) {
+      AdmissionController admission = testBed.routers().get(i).gate().admission();
       if (admission != null) {
         Duration window = admission.minStay().multipliedBy(STAYS);
-        maxChanges = Math.max(maxChanges, maxChangesWithin(window, i, emulator.changes));
+        maxChanges = Math.max(maxChanges, maxChangesWithin(window, i, testBed.levelChanges()));
       }
     }
     return maxChanges;
   }
 
   private static int maxChangesWithin(
-      Duration window, int router, List<Emulator.RouterLevelChange> changes) {
+      Duration window, int router, List<RouterLevelChange> changes) {
     int maxChanges = 0;
     ArrayDeque<Duration> within = new ArrayDeque<>();
-    for (Emulator.RouterLevelChange change : changes) {
+    for (RouterLevelChange change : changes) {
       if (change.router() == router && change.isCommon()) {
-        Duration at = change.change().time();
-        while (!within.isEmpty() && at.minus(within.peek()).compareTo(window) > 0) {
+        Duration changedAt = change.change().time();
+        while (!within.isEmpty() && changedAt.minus(within.peek()).compareTo(window) > 0) {
           within.poll();
         }
-        within.add(at);
+        within.add(changedAt);
         maxChanges = Math.max(maxChanges, within.size());
       }
     }
--- /dev/null
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeExchange.java
@@ -0,0 +1,117 @@
+package switchgap.testbed.experiment;
+
+import java.time.Duration;
+import switchgap.config.FunctionSettings;
+import switchgap.config.YamlRouterSettings;
+import switchgap.router.PendingRequest;
+import switchgap.router.Response;
+import switchgap.router.ResponseListener;
+import switchgap.testbed.emulator.AttemptEnd;
+import switchgap.testbed.emulator.ClientOutcome;
+import switchgap.testbed.emulator.ClientTransport;
+import switchgap.testbed.emulator.FunctionModel;
+
+/**
+ * One attempt of a client at a router in virtual time, a network delay away: it reaches the router,
+ * is admitted or not, and ends once, by a response or by the client's timeout.
+ */
+final class VirtualTimeExchange implements ResponseListener {
+  private static final long DELAY = VirtualTimeTestBed.NETWORK_DELAY_MICROS;
+  private static final long NANOS_PER_MICRO = 1000;
+  private static final int HTTP_OK = 200;
+  private static final int HTTP_UNAVAILABLE = 503;
+  private static final Duration STATIC_RETRY_AFTER = Duration.ofMillis(500);
+
+  private final VirtualTimeScheduler scheduler;
+  private final VirtualTimeRouter router;
+  private final YamlRouterSettings settings;
+  private final StaticThreshold threshold;
+  private final ClientTransport.ClientAttempt attempt;
+  private final ClientTransport.AttemptListener listener;
+  private PendingRequest request;
+  private boolean ended;
+
+  /** {@code threshold}: the baseline that stands before admission, null for none. */
+  VirtualTimeExchange(
+      VirtualTimeScheduler scheduler,
+      VirtualTimeRouter router,
+      YamlRouterSettings settings,
+      StaticThreshold threshold,
+      ClientTransport.ClientAttempt attempt,
+      ClientTransport.AttemptListener listener) {
+    this.scheduler = scheduler;
+    this.router = router;
+    this.settings = settings;
+    this.threshold = threshold;
+    this.attempt = attempt;
+    this.listener = listener;
+  }
+
+  void start() {
+    scheduler.after(DELAY, () -> router.post(core -> arrive()));
+    scheduler.after(attempt.deadline() - scheduler.now(), this::timeOut);
+  }
+
+  private void arrive() {
+    request = pendingRequest();
+    int requestClass = attempt.function().requestClass();
+    if (threshold != null && threshold.rejects(router.gate().core(), settings, requestClass)) {
+      responded(request, Response.rejected(STATIC_RETRY_AFTER));
+    } else if (!router.gate().offer(request)) {
+      endLater(ClientOutcome.REFUSED, HTTP_UNAVAILABLE, AttemptEnd.NO_RETRY_AFTER);
+    }
+  }
+
+  private PendingRequest pendingRequest() {
+    FunctionModel model = attempt.function();
+    FunctionSettings function = settings.function(model.name());
+    Duration timeLeft = Duration.ofNanos((attempt.deadline() - scheduler.now()) * NANOS_PER_MICRO);
+    return PendingRequest.builder(
+            attempt.attemptId(), model.name(), router.now().plus(timeLeft), this)
+        .requestClass(model.requestClass())
+        .tenant(settings.tenantIndex(attempt.tenant()))
+        .durationHint(Duration.ofNanos((long) (model.work() * NANOS_PER_MICRO)))
+        .idempotencyKey(attempt.idempotencyKey())
+        .replica(function.memoryMb(), function.slots())
+        .build();
+  }
+
+  private void timeOut() {
+    if (ended) {
+      return;
+    }
+    end(AttemptEnd.withoutResponse(ClientOutcome.TIMED_OUT));
+    if (request != null) {
+      router.post(core -> core.requestCancelled(request));
+    }
+  }
+
+  @Override
+  public void responded(PendingRequest answered, Response response) {
+    long retryAfter =
+        response.retryAfter() == null
+            ? AttemptEnd.NO_RETRY_AFTER
+            : response.retryAfter().toMillis();
+    switch (response.kind()) {
+      case SUCCEEDED -> endLater(ClientOutcome.SUCCEEDED, HTTP_OK, retryAfter);
+      case REJECTED -> endLater(ClientOutcome.REJECTED, HTTP_UNAVAILABLE, retryAfter);
+      case FAILED -> endLater(ClientOutcome.FAILED, HTTP_UNAVAILABLE, retryAfter);
+    }
+  }
+
+  @Override
+  public void deadlineMissed(PendingRequest overdue, Response late) {}
+
+  /** Ends the attempt when the response has travelled back. */
+  private void endLater(ClientOutcome outcome, int status, long retryAfterMillis) {
+    AttemptEnd response = new AttemptEnd(outcome, outcome.word(), status, retryAfterMillis);
+    scheduler.after(DELAY, () -> end(response));
+  }
+
+  private void end(AttemptEnd end) {
+    if (!ended) {
+      ended = true;
+      listener.attemptEnded(end);
+    }
+  }
+}
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeScheduler.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeScheduler.java
@@ -5,13 +5,13 @@
 
 /** Simulated time: events in order of time, equal ones in the order they were set. */
 final class VirtualTimeScheduler implements Scheduler {
-  private record Event(long at, long number, Runnable action) {}
+  private record Event(long dueAt, long number, Runnable action) {}
 
   private final PriorityQueue<Event> queue =
       new PriorityQueue<>(
           (left, right) ->
-              left.at != right.at
-                  ? Long.compare(left.at, right.at)
+              left.dueAt != right.dueAt
+                  ? Long.compare(left.dueAt, right.dueAt)
                   : Long.compare(left.number, right.number));
   private long now = 1_000_000_000_000L;
   private long count;
@@ -33,9 +33,9 @@
 
   /** Runs everything up to a time. */
   void run(long until) {
-    while (!queue.isEmpty() && queue.peek().at <= until) {
+    while (!queue.isEmpty() && queue.peek().dueAt <= until) {
       Event event = queue.poll();
-      now = event.at;
+      now = event.dueAt;
       event.action.run();
     }
     now = Math.max(now, until);
--- a/src/test/java/switchgap/testbed/experiment/EmulatorAgainstSocketsTest.java
+++ b/src/test/java/switchgap/testbed/experiment/EmulatorAgainstSocketsTest.java
@@ -30,9 +30,9 @@
             f, dir.resolve("run-" + rate), null, new PrintStream(OutputStream.nullOutputStream()));
     assertThat(InvariantChecker.read(dir.resolve("run-" + rate)).violations()).isEmpty();
     Scenario day = Scenario.read(f);
-    Emulator e = new Emulator(day, day.seed(), Variant.LEVELS, t -> 1);
+    VirtualTimeTestBed e = new VirtualTimeTestBed(day, day.seed(), Variant.LEVELS, t -> 1);
     e.play(8, s -> {});
-    for (var t : e.clients.tallies().entrySet()) {
+    for (var t : e.clients().tallies().entrySet()) {
       RequestTally a = t.getValue();
       RequestTally b = sockets.tallies().get(t.getKey());
       assertThat(b.requests()).isEqualTo(a.requests()); // the same arrivals
@@ -43,7 +43,7 @@
       assertThat(b.rejected() / (double) b.attempts())
           .isCloseTo(a.rejected() / (double) a.attempts(), within(2 * BAND));
     }
-    assertThat(sockets.service()).isCloseTo(e.clients.service(), within(BAND));
+    assertThat(sockets.service()).isCloseTo(e.clients().service(), within(BAND));
   }
 
   @Test
