--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeFaults.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeFaults.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.IntConsumer;
-import switchgap.config.YamlDocument;
+import switchgap.config.EnumWords;
 import switchgap.testbed.emulator.EmulatedWorker;
 import switchgap.testbed.scenario.LoadFaults;
 import switchgap.testbed.scenario.Scenario;
@@ -54,7 +54,7 @@
       default ->
           throw new IllegalArgumentException(
               "the emulator does not bring "
-                  + YamlDocument.word(fault.type())
+                  + EnumWords.wordOf(fault.type())
                   + "; it brings what needs no socket");
     }
   }
