--- a/src/main/java/switchgap/testbed/process/LoopbackPorts.java
+++ b/src/main/java/switchgap/testbed/process/LoopbackPorts.java
@@ -13,7 +13,7 @@
 
   private LoopbackPorts() {}
 
-  /** Finds free ports, all bound until all are known: found one by one they may all be the same. */
+  /** Finds free ports. All are bound until the last is found, so that no two are the same. */
   public static int[] free(int count) throws IOException {
     List<ServerSocket> sockets = new ArrayList<>();
     try {
@@ -31,7 +31,7 @@
   /**
    * Waits until a program listens at a port.
    *
-   * @throws IOException when none does in time
+   * @throws IOException if none does in time
    */
   public static void await(int port) throws IOException {
     long deadline = System.nanoTime() + LISTEN_TIMEOUT_NANOS;
--- a/src/main/java/switchgap/testbed/scenario/DemoScenario.java
+++ b/src/main/java/switchgap/testbed/scenario/DemoScenario.java
@@ -7,14 +7,14 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** A small scenario inside one process, from the document that comes with the program. */
+/** A small scenario within one process, from a document that is part of the program. */
 public final class DemoScenario {
   private static final String DOCUMENT = "demo.yaml";
 
   private DemoScenario() {}
 
   /**
-   * Plays it and prints what became of it and whether the invariants held.
+   * Plays the scenario, prints the outcome of its requests and checks the invariants.
    *
    * @param seconds length of the scenario
    * @param keep whether to keep running until interrupted, without an end or a check
--- a/src/main/java/switchgap/testbed/scenario/EventLog.java
+++ b/src/main/java/switchgap/testbed/scenario/EventLog.java
@@ -9,13 +9,23 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads the logs of a played scenario; one that does not end with its last line is refused. */
+/** Reads the logs of a played scenario; one that is cut off is rejected. */
 final class EventLog {
+  /** Copy of the scenario that was played. */
   static final String SCENARIO = "day.yaml";
+
+  /** What workers and the store received and did. */
   static final String FLEET = "fleet.jsonl";
+
+  /** What clients sent and received. */
   static final String CLIENTS = "clients.jsonl";
+
+  /** Changes of the endpoint list, and when routers were notified of them. */
   static final String LIST = "list.jsonl";
+
+  /** Faults that were injected. */
   static final String SCRIPT = "script.jsonl";
+
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private EventLog() {}
@@ -23,7 +33,7 @@
   /**
    * All lines of a log.
    *
-   * @throws IOException when the log is missing, cut off or unreadable
+   * @throws IOException if the log is missing, cut off or unreadable
    */
   static List<LogLine> read(Path file) throws IOException {
     List<LogLine> lines = new ArrayList<>();
--- a/src/main/java/switchgap/testbed/scenario/FaultType.java
+++ b/src/main/java/switchgap/testbed/scenario/FaultType.java
@@ -2,20 +2,20 @@
 
 /**
  * Types of faults that a fault script injects. Their names are the words of scenarios and logs;
- * docs/scenarios.md tells what each stands for.
+ * docs/scenarios.md describes them.
  */
 public enum FaultType {
-  /** Workers run and load more slowly. */
+  /** Workers execute and load more slowly. */
   SLOW,
-  /** Workers answer with an error. */
+  /** Workers respond with an error. */
   ERRORS,
-  /** Workers run requests and never answer. */
+  /** Workers execute requests and never respond. */
   ANSWERS_LOST,
   /** Workers reset the connection amid the response. */
   RESET_MID_ANSWER,
   /** Workers stop amid the response. */
   HALF_ANSWERS,
-  /** Workers answer seconds late. */
+  /** Workers respond seconds late. */
   LATE_ANSWERS,
   /** Workers send the response twice. */
   ANSWERED_TWICE,
@@ -33,7 +33,7 @@
   HAMMERING,
   /** New functions receive a share of the requests. */
   HOT_FUNCTIONS,
-  /** A share of the requests asks for functions that are asked for only once. */
+  /** A share of the requests is for functions that are requested only once. */
   ONE_OFF_FUNCTIONS,
   /** New releases of functions make loaded replicas void. */
   RELEASED_ANEW,
--- a/src/main/java/switchgap/testbed/scenario/InProcessRouter.java
+++ b/src/main/java/switchgap/testbed/scenario/InProcessRouter.java
@@ -5,7 +5,7 @@
 import switchgap.server.gateway.GatewayConfig;
 import switchgap.server.gateway.GatewayRouter;
 
-/** A router inside this process; it can't be paused. */
+/** A router within this process; it can't be suspended and has no planner. */
 final class InProcessRouter implements RouterHost {
   private final Path config;
   private GatewayRouter gateway;
@@ -20,7 +20,7 @@
   }
 
   @Override
-  public boolean runs() {
+  public boolean isRunning() {
     return gateway != null;
   }
 
@@ -33,7 +33,12 @@
   }
 
   @Override
-  public boolean pause(boolean paused) {
+  public boolean suspend() {
+    return false;
+  }
+
+  @Override
+  public boolean resume() {
     return false;
   }
 
--- a/src/main/java/switchgap/testbed/scenario/InvariantChecker.java
+++ b/src/main/java/switchgap/testbed/scenario/InvariantChecker.java
@@ -29,7 +29,7 @@
   /**
    * Checks the directory of a played scenario.
    *
-   * @throws IOException when a log is missing, cut off or unreadable
+   * @throws IOException if a log is missing, cut off or unreadable
    */
   public static InvariantChecker read(Path directory) throws IOException {
     return new InvariantChecker(ScenarioLog.read(directory));
--- a/src/main/java/switchgap/testbed/scenario/LoadFaults.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadFaults.java
@@ -9,8 +9,8 @@
 import switchgap.testbed.emulator.Scheduler;
 
 /**
- * Injects the faults of clients, functions and the store: the same over sockets and in virtual
- * time.
+ * Injects faults of clients, functions and the store, over sockets and in virtual time alike. On
+ * the scheduler's thread.
  */
 public final class LoadFaults {
   private static final int HAMMERING_RETRIES = 12;
@@ -20,33 +20,45 @@
   private final EmulatedStore store;
   private final Map<String, Double> tenants;
 
-  /** {@code customers}: share of the requests by tenant; a fault that names none hits the first. */
+  /**
+   * Injects faults into the parts given.
+   *
+   * @param tenants share of the requests by tenant; a fault without target affects the first
+   */
   public LoadFaults(
       Scheduler scheduler,
       EmulatedClients clients,
       FunctionCatalogue catalogue,
       EmulatedStore store,
-      Map<String, Double> customers) {
+      Map<String, Double> tenants) {
     this.scheduler = scheduler;
     this.clients = clients;
     this.catalogue = catalogue;
     this.store = store;
-    this.tenants = customers;
+    this.tenants = tenants;
   }
 
   /**
-   * Draws a share of a list, one element at the least; elements not drawn are removed from the list
-   * given.
+   * Draws a share of a list.
+   *
+   * @param candidates the list; elements that are not drawn are removed from it
+   * @param share of the elements; one is drawn at the least
+   * @param random draws them
+   * @return the list given
    */
-  public static <T> List<T> drawShare(List<T> candidates, double part, SplittableRandom random) {
-    int count = Math.max(1, (int) Math.round(part * candidates.size()));
+  public static <T> List<T> drawShare(List<T> candidates, double share, SplittableRandom random) {
+    int count = Math.max(1, (int) Math.round(share * candidates.size()));
     while (candidates.size() > count) {
       candidates.remove(random.nextInt(candidates.size()));
     }
     return candidates;
   }
 
-  /** Injects a fault and schedules its end; false where the fault is of another type. */
+  /**
+   * Injects a fault and schedules its end.
+   *
+   * @return false where the fault is of another type
+   */
   public boolean inject(ScenarioFault fault) {
     String tenant = fault.target() == null ? tenants.keySet().iterator().next() : fault.target();
     switch (fault.type()) {
--- a/src/main/java/switchgap/testbed/scenario/LogLine.java
+++ b/src/main/java/switchgap/testbed/scenario/LogLine.java
@@ -2,7 +2,12 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** One line of an event log; {@code number} counts from 1. */
+/**
+ * One line of an event log.
+ *
+ * @param number counts the lines of the log from 1
+ * @param fields the line as JSON
+ */
 record LogLine(int number, JsonNode fields) {
   static final String TIME = "t";
   static final String KIND = "what";
@@ -12,6 +17,7 @@
     return fields.get(TIME).asLong();
   }
 
+  /** The kind of the event. */
   String kind() {
     return text(KIND);
   }
@@ -25,22 +31,22 @@
     return fields.path(name).asText("");
   }
 
-  /** A whole number, -1 where it is absent. */
+  /** An integer, -1 where it is absent. */
   int integer(String name) {
     return fields.path(name).asInt(-1);
   }
 
-  /** A whole number that every line of its kind has. */
+  /** An integer that every line of this kind has. */
   long requiredLong(String name) {
     return fields.get(name).asLong();
   }
 
-  /** A number that every line of its kind has. */
+  /** A number that every line of this kind has. */
   double requiredDouble(String name) {
     return fields.get(name).asDouble();
   }
 
-  /** A truth value, false where it is absent. */
+  /** A boolean, false where it is absent. */
   boolean flag(String name) {
     return fields.path(name).asBoolean();
   }
--- a/src/main/java/switchgap/testbed/scenario/RouterAddress.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterAddress.java
@@ -1,8 +1,8 @@
 package switchgap.testbed.scenario;
 
 /**
- * The loopback address from which each router connects to its workers: it tells the logs who sent a
- * request.
+ * The loopback address from which each router connects to its workers. By it the workers' log names
+ * the sender of a request.
  */
 final class RouterAddress {
   private static final int ROUTERS_PER_SUBNET = 250;
--- a/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
@@ -18,7 +18,7 @@
   private static final List<String> EMULATOR_KEYS =
       List.of("share", "memory", "lanes", "load", "work", "io", "spread");
 
-  /** Sections that are copied as they stand. */
+  /** Sections that are copied unchanged. */
   private static final List<String> COPIED_SECTIONS =
       List.of("workers", "rules", "prices", "holds", "links", "levels");
 
@@ -64,15 +64,15 @@
   }
 
   private Map<String, Object> router(int number) {
-    Map<String, Object> stated = child(document, "routers");
+    Map<String, Object> section = child(document, "routers");
     Map<String, Object> router = new LinkedHashMap<>();
     router.put("number", number);
     router.put("of", settings.routers().count());
     router.put("zone", settings.zones().get(settings.zoneIndex(number)));
     router.put("tick", settings.timing().tick());
     router.put("executions", settings.routers().maxAttempts());
-    router.put("most_come_back", stated.getOrDefault("most_come_back", "1s"));
-    router.put("second_executions", stated.getOrDefault("second_executions", false));
+    router.put("most_come_back", section.getOrDefault("most_come_back", "1s"));
+    router.put("second_executions", section.getOrDefault("second_executions", false));
     return router;
   }
 
@@ -86,10 +86,10 @@
   }
 
   private Map<String, Object> requestClasses() {
-    Map<String, Object> stated = child(document, "workloads");
+    Map<String, Object> section = child(document, "workloads");
     Map<String, Object> requestClasses = new LinkedHashMap<>();
-    for (String name : stated.keySet()) {
-      Map<String, Object> requestClass = new LinkedHashMap<>(child(stated, name));
+    for (String name : section.keySet()) {
+      Map<String, Object> requestClass = new LinkedHashMap<>(child(section, name));
       EMULATOR_KEYS.forEach(requestClass::remove);
       requestClasses.put(name, requestClass);
     }
@@ -97,10 +97,10 @@
   }
 
   private Map<String, Object> tenants() {
-    Map<String, Object> stated = child(document, "customers");
+    Map<String, Object> section = child(document, "customers");
     Map<String, Object> tenants = new LinkedHashMap<>();
-    for (String name : stated.keySet()) {
-      tenants.put(name, Map.of("rate", child(stated, name).get("rate")));
+    for (String name : section.keySet()) {
+      tenants.put(name, Map.of("rate", child(section, name).get("rate")));
     }
     return tenants;
   }
--- a/src/main/java/switchgap/testbed/scenario/RouterFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterFaultInjector.java
@@ -65,11 +65,11 @@
   private void pausePlanners(long durationMicros) {
     for (RouterHost host : routers.hosts()) {
       long time = testBed.scheduler().now();
-      testBed.recordFaultAt(time, "planner-paused", "done", host.pausePlanner(true));
+      testBed.recordFaultAt(time, "planner-paused", "done", host.suspendPlanner());
     }
     testBed
         .scheduler()
-        .after(durationMicros, () -> routers.hosts().forEach(host -> host.pausePlanner(false)));
+        .after(durationMicros, () -> routers.hosts().forEach(host -> host.resumePlanner()));
   }
 
   /**
@@ -77,14 +77,14 @@
    */
   private void pause(int router, long durationMicros) {
     long time = testBed.scheduler().now();
-    boolean done = routers.host(router).pause(true);
+    boolean done = routers.host(router).suspend();
     testBed.recordFaultAt(time, "router-paused", "router", router, "done", done);
     testBed
         .scheduler()
         .after(
             durationMicros,
             () -> {
-              routers.host(router).pause(false);
+              routers.host(router).resume();
               testBed.recordFault("router-resumed", "router", router);
             });
   }
--- a/src/main/java/switchgap/testbed/scenario/RouterGroup.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterGroup.java
@@ -16,19 +16,20 @@
 final class RouterGroup {
   private static final Logger LOG = LoggerFactory.getLogger(RouterGroup.class);
   private static final long STOP_TIMEOUT_MILLIS = 9000;
+
   private final Scenario scenario;
   private final Path directory;
   private final int[] ports;
   private final int[] plannerPorts;
   private final List<RouterHost> hosts = new ArrayList<>();
 
+  /** Finds ports for the routers of a scenario; their files are in the directory. */
   RouterGroup(Scenario scenario, Path directory) throws IOException {
     this.scenario = scenario;
     this.directory = directory;
     boolean ownPlanners = scenario.settings().routers().ownPlanners();
     int count = scenario.routers();
-    // All at once: two searches in turn have returned the same port, and a router ended at its
-    // start.
+    // All at once: two searches in turn may return the same port.
     int[] free = LoopbackPorts.free(ownPlanners ? 2 * count : count);
     ports = Arrays.copyOf(free, count);
     plannerPorts = Arrays.copyOfRange(free, count, free.length);
@@ -67,17 +68,21 @@
     return ports[router];
   }
 
-  /** Waits until all routers listen. */
+  /**
+   * Waits until all routers listen.
+   *
+   * @throws IOException if one does not in time, or has ended
+   */
   void awaitListening() throws IOException {
     for (int i = 0; i < ports.length; i++) {
       LoopbackPorts.await(ports[i]);
-      if (!hosts.get(i).runs()) {
+      if (!hosts.get(i).isRunning()) {
         throw new IOException("router " + i + " has ended, see its log in " + directory);
       }
     }
   }
 
-  /** Starts a router again; false where that failed. */
+  /** Starts a router again; false where it can't be started. */
   boolean start(int router) {
     try {
       hosts.get(router).start();
@@ -88,6 +93,7 @@
     }
   }
 
+  /** Starts the planners that are not running. */
   void startPlanners() {
     for (RouterHost host : hosts) {
       try {
@@ -98,7 +104,7 @@
     }
   }
 
-  /** Asks all routers to stop in good order and waits for their end. */
+  /** Shuts all routers down gracefully and waits for their end. */
   void stop() {
     List<Thread> threads = new ArrayList<>();
     for (int i = 0; i < hosts.size(); i++) {
@@ -115,6 +121,7 @@
     }
   }
 
+  /** Ends all routers and planners at once. */
   void kill() {
     for (RouterHost host : hosts) {
       host.kill();
--- a/src/main/java/switchgap/testbed/scenario/RouterHost.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterHost.java
@@ -2,33 +2,44 @@
 
 import java.io.IOException;
 
-/** Runs one router of a scenario: in a process of its own, or with others in this process. */
+/**
+ * Runs one router of a scenario, with its planner where it has one: in processes of their own, or
+ * within this process.
+ */
 interface RouterHost {
-  /** Starts it; it listens at the port that its configuration states. */
+  /** Starts the router; it listens at the port of its configuration. */
   void start() throws IOException;
 
-  /** Whether it runs. */
-  boolean runs();
+  /** Whether the router was started and has not ended. */
+  boolean isRunning();
 
-  /** Ends it at once. */
+  /** Ends the router at once. */
   void kill();
 
-  /** Stops it by a signal, or lets it go on; false where that is impossible. */
-  boolean pause(boolean paused);
+  /** Suspends the router by a signal; false where that is impossible. */
+  boolean suspend();
 
-  /** Ends its planner at once; false where it has none. */
+  /** Resumes a suspended router; false where that is impossible. */
+  boolean resume();
+
+  /** Ends the planner at once; false where there is none. */
   default boolean killPlanner() {
     return false;
   }
 
-  /** Starts its planner, where it has one that does not run. */
+  /** Starts the planner, where there is one that is not running. */
   default void startPlanner() throws IOException {}
 
-  /** Stops its planner by a signal, or lets it go on; false where that is impossible. */
-  default boolean pausePlanner(boolean paused) {
+  /** Suspends the planner by a signal; false where that is impossible. */
+  default boolean suspendPlanner() {
+    return false;
+  }
+
+  /** Resumes a suspended planner; false where that is impossible. */
+  default boolean resumePlanner() {
     return false;
   }
 
-  /** Asks it to stop in good order and waits for its end. */
+  /** Shuts the router down gracefully and waits for its end. */
   void stop();
 }
--- a/src/main/java/switchgap/testbed/scenario/RouterProcess.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterProcess.java
@@ -8,7 +8,7 @@
 import switchgap.testbed.process.ChildProcess;
 import switchgap.testbed.process.ProcessSignal;
 
-/** A router in a process of its own, started from this program's own class path. */
+/** A {@code router} process, started from this program's own class path, and its planner. */
 final class RouterProcess implements RouterHost {
   private static final List<String> JVM_OPTIONS =
       List.of("-Xmx256m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
@@ -20,7 +20,14 @@
   private Process process;
   private Process planner;
 
-  /** {@code baseline}: name of the routing policy in place of the program's own, null for none. */
+  /**
+   * A router that is not started yet.
+   *
+   * @param config its configuration
+   * @param log receives the output of the router, and in a file beside it that of its planner
+   * @param baseline name of a routing policy in place of the program's own, null for none
+   * @param ownPlanner whether it has a planner, in one more process
+   */
   RouterProcess(Path config, Path log, String baseline, boolean ownPlanner) {
     this.config = config;
     this.log = log;
@@ -55,12 +62,17 @@
   }
 
   @Override
-  public boolean pausePlanner(boolean paused) {
-    return planner != null && signal(planner, paused);
+  public boolean suspendPlanner() {
+    return send(ProcessSignal.STOP, planner);
   }
 
   @Override
-  public boolean runs() {
+  public boolean resumePlanner() {
+    return send(ProcessSignal.CONT, planner);
+  }
+
+  @Override
+  public boolean isRunning() {
     return process != null && process.isAlive();
   }
 
@@ -72,13 +84,21 @@
   }
 
   @Override
-  public boolean pause(boolean paused) {
-    return process != null && signal(process, paused);
+  public boolean suspend() {
+    return send(ProcessSignal.STOP, process);
+  }
+
+  @Override
+  public boolean resume() {
+    return send(ProcessSignal.CONT, process);
   }
 
-  private static boolean signal(Process target, boolean stop) {
+  private static boolean send(ProcessSignal signal, Process receiver) {
+    if (receiver == null) {
+      return false;
+    }
     try {
-      return (stop ? ProcessSignal.STOP : ProcessSignal.CONT).send(target);
+      return signal.send(receiver);
     } catch (IOException e) {
       return false; // no signals on this system: the caller records that the fault was not injected
     } catch (InterruptedException e) {
--- a/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
@@ -74,7 +74,7 @@
     }
     for (String key : document.keys()) {
       if (!SECTIONS.contains(key)) {
-        throw document.invalid(key, "is no part of a day");
+        throw document.invalid(key, "is no part of a scenario");
       }
     }
     return new ScenarioSettings(
--- a/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
@@ -10,22 +10,24 @@
 import switchgap.testbed.emulator.RequestTally;
 
 /**
- * Plays a scenario: starts the test bed, lets clients send while faults are injected, ends all in
- * good order.
+ * Plays a scenario: starts the test bed, lets clients send while faults are injected, and shuts
+ * down gracefully.
  */
 public final class ScenarioRunner {
   private static final long SETTLE_MILLIS = 500;
   private static final long ARRIVALS_POLL_MILLIS = 50;
   private static final long DRAIN_POLL_MILLIS = 20;
-  private static final long LATE_RESPONSE_MILLIS =
-      400; // longer than clients wait for a late response
+
+  /** Longer than clients wait for a late response. */
+  private static final long LATE_RESPONSE_MILLIS = 400;
+
   private static final long DRAIN_MARGIN_MICROS = 2_000_000;
   private static final int WORST_WINDOW_SECONDS = 10;
 
   private ScenarioRunner() {}
 
   /**
-   * Plays a scenario and prints what became of it.
+   * Plays a scenario and prints the outcome of its requests.
    *
    * @param file the scenario
    * @param directory receives the logs and a copy of the scenario
--- a/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
@@ -11,13 +11,13 @@
  * What a scenario's document states. Times in microseconds.
  *
  * @param timing its name, length and seed
- * @param zones names of the zones, one at least
+ * @param zones names of the zones, one at the least
  * @param fleet the workers
  * @param store the store that functions are fetched from
  * @param listLag delay of changes of the endpoint list
  * @param routers the routers
  * @param load what clients send
- * @param requestClasses by index of the request class
+ * @param requestClasses the request classes, by index
  * @param tenantShares share of the requests by tenant, in the document's order
  * @param loadsOnMiss whether a request for a function that is not loaded loads it
  * @param limits what the invariants are checked against
@@ -38,8 +38,13 @@
     List<ScenarioFault> faults) {
 
   /**
-   * {@code slack}: tolerance of the checks for the clocks and threads of one machine; {@code tick}:
-   * a router's.
+   * The scenario as a whole.
+   *
+   * @param name of the scenario
+   * @param length how long clients send
+   * @param seed of all random draws
+   * @param slack tolerance of the checks for the clocks and threads of one machine
+   * @param tick of the routers' event loops
    */
   record Timing(String name, long length, long seed, long slack, String tick) {}
 
@@ -70,12 +75,25 @@
   /** Concurrent fetches at full speed, and how long the store stops for after overload. */
   record Store(double capacity, long outage) {}
 
-  /** {@code busiestShare}: share of the requests that the first router receives. */
+  /**
+   * The routers.
+   *
+   * @param count how many
+   * @param busiestShare share of the requests that the first router receives
+   * @param ownProcesses whether each runs in a process of its own
+   * @param ownPlanners whether each has a planner, in one more process
+   * @param maxAttempts for one request
+   */
   record Routers(
       int count, double busiestShare, boolean ownProcesses, boolean ownPlanners, int maxAttempts) {}
 
   /**
-   * {@code rate}: requests a second; {@code zipf}: exponent of the popularity of {@code functions}.
+   * What clients send.
+   *
+   * @param rate requests a second
+   * @param zipf exponent of the popularity of the functions
+   * @param functions number of functions
+   * @param retries how clients retry
    */
   record Load(double rate, double zipf, int functions, RetryPolicy retries) {}
 
@@ -85,7 +103,18 @@
       RequestClassProfile profile,
       FunctionCatalogue.FunctionGroup functions) {}
 
-  /** Bounds of the invariants: drain grace, cold start and load ration. */
+  /**
+   * Bounds of the invariants.
+   *
+   * @param drainGrace how long requests may be sent to a worker that is listed as draining
+   * @param initialCapacityShare share of its capacity that a worker has when it starts cold
+   * @param warmUpTime until a worker has its full capacity
+   * @param crashMultiple a worker crashes at this multiple of its capacity
+   * @param crashWindow over which the work of a worker is summed up
+   * @param freeLoads load commands within a window that need no requests
+   * @param loadsPerRequest load commands that each request within a window allows
+   * @param loadWindow over which load commands and requests are counted, 0 for no quota
+   */
   record InvariantLimits(
       long drainGrace,
       double initialCapacityShare,
--- a/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
@@ -19,7 +19,7 @@
 import switchgap.testbed.emulator.ModelServerContext;
 
 /**
- * The model servers of a test bed and their lines of the endpoint list. On the scheduler's thread
+ * The model servers of a test bed and their entries in the endpoint list. On the scheduler's thread
  * once started.
  */
 final class WorkerFleet {
@@ -56,7 +56,7 @@
     return servers.values().stream().map(EmulatedModelServer::worker).toList();
   }
 
-  /** Starts a worker of a new name; a cold one tells in the list when it started. */
+  /** Starts a worker under a new name; for a cold one the list states when it started. */
   void start(boolean cold) throws IOException {
     int number = nextNumber++;
     String name = "w" + number;
@@ -72,7 +72,7 @@
     endpointList.put(entry(name, port, number, cold));
   }
 
-  /** Starts a cold worker of a new name. */
+  /** Starts a cold worker under a new name. */
   void startCold() {
     try {
       start(true);
@@ -140,7 +140,7 @@
             });
   }
 
-  /** Draws a share of the running workers that are listed as ready, one at the least. */
+  /** Draws a share of the running workers that are listed as ready; one at the least. */
   List<EmulatedModelServer> drawReady(double share) {
     List<EmulatedModelServer> ready = new ArrayList<>();
     for (EndpointListService.Entry entry : endpointList.entries()) {
@@ -151,6 +151,7 @@
     return LoadFaults.drawShare(ready, share, random);
   }
 
+  /** Ends all workers at once. */
   void kill() {
     servers.values().forEach(EmulatedModelServer::kill);
   }
--- a/src/main/java/switchgap/testbed/soak/WorkerEmulator.java
+++ b/src/main/java/switchgap/testbed/soak/WorkerEmulator.java
@@ -75,7 +75,7 @@
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  /** Misbehaves from now on, until told otherwise. */
+  /** Misbehaves from now on, until the next call. */
   void misbehave(Misbehaviour how) {
     misbehaviour = how;
   }
