--- a/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Map;
 import switchgap.policy.api.Idempotency;
+import switchgap.testbed.emulator.ClientRetryPolicy;
 import switchgap.testbed.emulator.FunctionCatalogue;
 import switchgap.testbed.emulator.RequestClassProfile;
-import switchgap.testbed.emulator.RetryPolicy;
 
 /**
  * What a scenario's document states. Times in microseconds.
@@ -95,7 +95,7 @@
    * @param functions number of functions
    * @param retries how clients retry
    */
-  record Load(double rate, double zipf, int functions, RetryPolicy retries) {}
+  record Load(double rate, double zipf, int functions, ClientRetryPolicy retries) {}
 
   /** A request class as its clients and as its functions see it. */
   record RequestClass(
