--- a/src/main/java/switchgap/testbed/experiment/CapacityBound.java
+++ b/src/main/java/switchgap/testbed/experiment/CapacityBound.java
@@ -20,7 +20,7 @@
     double requested = 0;
     double earned = 0;
     for (long second = 0; second < curve.seconds(); second++) {
-      double load = curve.at(second * MICROS_PER_SECOND);
+      double load = curve.loadAt(second * MICROS_PER_SECOND);
       double capacityLeft = 1;
       for (Scenario.TrafficShare traffic : byEarnings) {
         double work = load * traffic.share() * traffic.relativeWork();
--- /dev/null
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentSummary.java
@@ -0,0 +1,88 @@
+package switchgap.testbed.experiment;
+
+import java.io.PrintStream;
+import java.util.List;
+import switchgap.config.EnumWords;
+
+/** Prints an experiment's cases as tables, one row a variant. */
+final class ExperimentSummary {
+  private ExperimentSummary() {}
+
+  static void print(Experiment experiment, PrintStream out) {
+    experiment.cases().forEach(experimentCase -> printCase(experiment, experimentCase, out));
+  }
+
+  private static void printCase(
+      Experiment experiment, ExperimentCase experimentCase, PrintStream out) {
+    out.printf(
+        "%n%s: %d s of simulated time, %d workers, %d routers, bound from capacity %.3f%n",
+        experimentCase.name(),
+        experimentCase.curve().seconds(),
+        experimentCase.scenario().workers(),
+        experimentCase.scenario().routers(),
+        experimentCase.bound());
+    out.printf(
+        "%-10s %-14s %-15s %-40s %8s %7s %5s %5s %s%n",
+        "variant",
+        "service",
+        "to the first",
+        "start targets met",
+        "changes",
+        "4 stays",
+        "back",
+        "busy",
+        "time at each level, changes of customers' own");
+    for (Variant variant : experiment.variants()) {
+      printRow(experimentCase, variant, experiment.referenceVariant(), out);
+    }
+  }
+
+  private static void printRow(
+      ExperimentCase experimentCase, Variant variant, Variant reference, PrintStream out) {
+    Spread service = experimentCase.service(variant);
+    Spread paired = experimentCase.serviceAgainst(variant, reference);
+    out.printf(
+        "%-10s %.3f ±%.3f   %+.3f ±%.3f   %-40s %8.1f %7d %5d %5.2f %s%n",
+        variant.name(),
+        service.mean(),
+        service.deviation(),
+        paired.mean(),
+        paired.deviation(),
+        objectivesMet(experimentCase, variant),
+        experimentCase.meanChangesPerRouter(variant),
+        experimentCase.maxChangesInFourStays(variant),
+        experimentCase.maxRecoverySeconds(variant),
+        experimentCase.utilization(variant).mean(),
+        levels(experimentCase.of(variant)));
+  }
+
+  private static String objectivesMet(ExperimentCase experimentCase, Variant variant) {
+    StringBuilder text = new StringBuilder();
+    for (String requestClass : experimentCase.requestClasses()) {
+      double mean = experimentCase.objectiveMetShare(variant, requestClass).mean();
+      text.append(String.format("%s %.3f  ", requestClass, mean));
+    }
+    return text.toString();
+  }
+
+  /** Seconds at each level of the first trial, and the tenants' changes of all. */
+  private static String levels(List<Trial> trials) {
+    StringBuilder text = new StringBuilder();
+    trials
+        .get(0)
+        .levels()
+        .secondsAtLevel()
+        .forEach(
+            (level, seconds) -> {
+              if (seconds > 0) {
+                text.append(String.format("%s %.0f s ", EnumWords.wordOf(level), seconds));
+              }
+            });
+    for (Trial trial : trials) {
+      if (!trial.levels().tenantChangeCounts().isEmpty()) {
+        text.append(trial.levels().tenantChangeCounts()).append(' ');
+      }
+    }
+    return text.toString();
+  }
+}
--- a/src/main/java/switchgap/testbed/experiment/ExperimentTables.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentTables.java
@@ -68,14 +68,15 @@
 
   private static void writeTrial(ResultTable table, ExperimentCase experimentCase, Trial trial)
       throws IOException {
-    writeFigure(table, experimentCase, trial, "all", "", "service", trial.service);
-    writeFigure(table, experimentCase, trial, "all", "", "bound", trial.bound);
-    writeFigure(table, experimentCase, trial, "all", "", "changes", trial.changeCount);
-    for (Map.Entry<String, Double> met : trial.objectiveMetShare.entrySet()) {
+    writeFigure(table, experimentCase, trial, "all", "", "service", trial.service().overall());
+    writeFigure(table, experimentCase, trial, "all", "", "bound", trial.service().bound());
+    writeFigure(
+        table, experimentCase, trial, "all", "", "changes", trial.levels().commonChangeCount());
+    for (Map.Entry<String, Double> met : trial.service().objectiveMetShare().entrySet()) {
       writeFigure(
           table, experimentCase, trial, "workload", met.getKey(), "in target", met.getValue());
     }
-    for (Map.Entry<String, Double> service : trial.serviceByTenant.entrySet()) {
+    for (Map.Entry<String, Double> service : trial.service().byTenant().entrySet()) {
       writeFigure(
           table,
           experimentCase,
@@ -96,21 +97,22 @@
       String figure,
       Number value)
       throws IOException {
-    table.row(experimentCase.name(), trial.variant.name(), trial.seed, kind, name, figure, value);
+    table.row(
+        experimentCase.name(), trial.variant().name(), trial.seed(), kind, name, figure, value);
   }
 
   private static void writeChanges(ResultTable table, ExperimentCase experimentCase, Trial trial)
       throws IOException {
-    for (RouterLevelChange routerChange : trial.levelChanges) {
+    for (RouterLevelChange routerChange : trial.levels().changes()) {
       ServiceLevelChange change = routerChange.change();
       String tenant =
           routerChange.isCommon()
               ? "all"
-              : Trial.tenantName(experimentCase.scenario(), change.tenant());
+              : LevelFigures.tenantName(experimentCase.scenario(), change.tenant());
       table.row(
           experimentCase.name(),
-          trial.variant.name(),
-          trial.seed,
+          trial.variant().name(),
+          trial.seed(),
           routerChange.router(),
           change.time().toMillis() / 1e3,
           tenant,
@@ -125,11 +127,11 @@
   private static void writeSeconds(ResultTable table, ExperimentCase experimentCase, Trial trial)
       throws IOException {
     int second = 0;
-    for (SecondSample sample : trial.samples) {
+    for (SecondSample sample : trial.samples()) {
       table.row(
           experimentCase.name(),
-          trial.variant.name(),
-          trial.seed,
+          trial.variant().name(),
+          trial.seed(),
           second++,
           sample.load(),
           sample.service(),
--- a/src/main/java/switchgap/testbed/experiment/LoadRun.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRun.java
@@ -2,27 +2,17 @@
 
 import java.io.IOException;
 import java.io.PrintStream;
-import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
-import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
-import org.HdrHistogram.Histogram;
 import switchgap.config.InvalidConfigException;
 import switchgap.config.YamlDocument;
 import switchgap.net.NetworkTransport;
-import switchgap.testbed.emulator.ClientOutcome;
 import switchgap.testbed.emulator.EmulatedClients;
 import switchgap.testbed.emulator.EventRecorder;
 import switchgap.testbed.emulator.FunctionCatalogue;
 import switchgap.testbed.emulator.RealTimeScheduler;
-import switchgap.testbed.emulator.RequestTally;
-import switchgap.testbed.emulator.Scheduler;
 import switchgap.testbed.emulator.SocketClientTransport;
 import switchgap.testbed.scenario.Scenario;
 
@@ -32,189 +22,132 @@
  * stalled router or a sender that falls behind hides nothing.
  */
 public final class LoadRun {
-  private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
-  private static final long CLOSING_MICROS = 2_000_000;
+  private static final double MAX_SEED = 1L << 50;
+  private static final int SELECTORS = 2;
+  private static final long MICROS_PER_SECOND = 1_000_000;
+  private static final long DRAIN_MARGIN_MICROS = 2_000_000;
+  private static final long ARRIVALS_POLL_MILLIS = 50;
+  private static final long DRAIN_POLL_MILLIS = 20;
+
   private final String name;
   private final Scenario scenario;
   private final LoadCurve curve;
   private final long seed;
-  private final Map<String, Histogram> latencies = new TreeMap<>();
-  private final Map<String, Map<String, Long>> outcomes = new TreeMap<>();
-  private final Histogram sendDelay = new Histogram(MAX_LATENCY_MICROS, 3);
-  private ResultTable requestTable;
-  private long startedAt;
+  private final LoadRecorder recorder;
 
-  private LoadRun(Path file, double within) throws IOException {
-    YamlDocument document = YamlDocument.read(file);
-    YamlDocument loadSection = document.section("load");
-    name = loadSection.text("name");
-    scenario = Scenario.read(file.resolveSibling(loadSection.text("day")).normalize());
-    seed = (long) loadSection.number("seed", 0, (double) (1L << 50), (double) scenario.seed());
-    loadSection.rejectUnknownKeys();
-    curve = LoadCurve.read("curve", document.section("curve"), file).within(within);
-    document.rejectUnknownKeys();
+  private LoadRun(
+      String name, Scenario scenario, LoadCurve curve, long seed, LoadRecorder recorder) {
+    this.name = name;
+    this.scenario = scenario;
+    this.curve = curve;
+    this.seed = seed;
+    this.recorder = recorder;
   }
 
   /**
-   * Plays a load file within a share of its time; with no routers named, against the emulator.
-   * Results go to the directory.
+   * Plays a load file and prints a summary.
+   *
+   * @param file the load
+   * @param timeShare share of the curve's time that it is played in
+   * @param routers addresses of the scenario's routers, in order; none for the emulator
+   * @param directory receives the results
+   * @param out receives the summary
+   * @throws InvalidConfigException for a mistake in the file, or another number of routers than the
+   *     scenario has
    */
   public static void run(
-      Path file, double within, List<InetSocketAddress> routers, Path dir, PrintStream out)
+      Path file, double timeShare, List<InetSocketAddress> routers, Path directory, PrintStream out)
       throws IOException, InterruptedException {
-    LoadRun loadRun = new LoadRun(file, within);
-    if (!routers.isEmpty() && routers.size() != loadRun.scenario.routers()) {
-      throw new InvalidConfigException(
-          file.toString(),
-          1,
-          "its day has "
-              + loadRun.scenario.routers()
-              + " routers, "
-              + routers.size()
-              + " were named");
-    }
-    LinkedHashMap<String, Class<?>> columns = new LinkedHashMap<>();
-    columns.put("at_ms", Double.class);
-    columns.put("workload", String.class);
-    columns.put("customer", String.class);
-    columns.put("router", Long.class);
-    columns.put("took_ms", Double.class);
-    columns.put("tries", Long.class);
-    columns.put("end", String.class);
-    columns.put("earned", Double.class);
-    try (ResultTable table =
-        new ResultTable(Files.createDirectories(dir).resolve("jobs"), columns)) {
-      loadRun.requestTable = table;
-      EmulatedClients clients = routers.isEmpty() ? loadRun.emulated() : loadRun.sockets(routers);
-      loadRun.writeSeconds(clients, dir);
-      loadRun.print(clients, routers.isEmpty(), out);
+    YamlDocument document = YamlDocument.read(file);
+    YamlDocument section = document.section("load");
+    String name = section.text("name");
+    Scenario scenario = Scenario.read(file.resolveSibling(section.text("day")).normalize());
+    long seed = (long) section.number("seed", 0, MAX_SEED, (double) scenario.seed());
+    section.rejectUnknownKeys();
+    LoadCurve curve =
+        LoadCurveReader.read("curve", document.section("curve"), file).within(timeShare);
+    document.rejectUnknownKeys();
+    requireAllRouters(file, scenario, routers);
+    LoadRecorder recorder = new LoadRecorder(directory);
+    try (recorder) {
+      new LoadRun(name, scenario, curve, seed, recorder).play(routers, out);
     }
-    for (var entry : loadRun.latencies.entrySet()) {
-      try (PrintStream output =
-          new PrintStream(Files.newOutputStream(dir.resolve(entry.getKey() + ".hgrm")))) {
-        entry.getValue().outputPercentileDistribution(output, 1000.0);
-      }
+    recorder.writeLatencies();
+  }
+
+  private static void requireAllRouters(
+      Path file, Scenario scenario, List<InetSocketAddress> routers) {
+    if (!routers.isEmpty() && routers.size() != scenario.routers()) {
+      String message =
+          "its day has " + scenario.routers() + " routers, " + routers.size() + " were named";
+      throw new InvalidConfigException(file.toString(), 1, message);
     }
   }
 
-  private double fullRateFactor() {
-    return scenario.fleetCapacity() / scenario.meanWork() / scenario.requestRate();
+  private void play(List<InetSocketAddress> routers, PrintStream out)
+      throws IOException, InterruptedException {
+    boolean emulated = routers.isEmpty();
+    EmulatedClients clients = emulated ? playInVirtualTime() : playOnSockets(routers);
+    recorder.writeSeconds(clients, curve);
+    out.printf(
+        "%s: %d s%s, service %.3f, ",
+        name, curve.seconds(), emulated ? " of simulated time" : " on sockets", clients.service());
+    recorder.printSendDelay(out);
+    recorder.printRequestClasses(clients, out);
   }
 
-  private EmulatedClients emulated() {
+  private EmulatedClients playInVirtualTime() {
     VirtualTimeTestBed testBed =
-        new VirtualTimeTestBed(
-            scenario, seed, Variant.LEVELS, micros -> curve.at(micros) * fullRateFactor());
-    observe(testBed.clients(), testBed.scheduler());
+        new VirtualTimeTestBed(scenario, seed, Variant.LEVELS, curve.rateFactor(scenario));
+    recorder.observe(testBed.clients(), testBed.scheduler());
     curve.schedule(testBed.scheduler(), testBed.clients());
     testBed.play(curve.seconds(), second -> {});
     return testBed.clients();
   }
 
-  private EmulatedClients sockets(List<InetSocketAddress> routers)
+  private EmulatedClients playOnSockets(List<InetSocketAddress> routers)
       throws IOException, InterruptedException {
-    FunctionCatalogue catalogue =
-        scenario.catalogue(scenario.seed()); // as the emulated workers have it
     try (RealTimeScheduler scheduler = new RealTimeScheduler();
-        NetworkTransport network = new NetworkTransport(2, "load")) {
-      SocketClientTransport transport =
-          new SocketClientTransport(scheduler, network, EventRecorder.none(), routers.size());
-      for (int i = 0; i < routers.size(); i++) {
-        transport.setRouter(i, routers.get(i));
-      }
-      EmulatedClients clients = scenario.clients(scheduler, transport, catalogue, seed + 1);
-      clients.setRateCurve(micros -> curve.at(micros) * fullRateFactor());
-      for (int i = 0; i < routers.size(); i++) {
-        clients.setZone(i, scenario.zone(i));
-      }
+        NetworkTransport network = new NetworkTransport(SELECTORS, "load")) {
+      EmulatedClients clients = socketClients(scheduler, network, routers);
       long end =
           CompletableFuture.supplyAsync(
                   () -> {
-                    observe(clients, scheduler);
+                    recorder.observe(clients, scheduler);
                     curve.schedule(scheduler, clients);
-                    return clients.startFor(curve.seconds() * 1_000_000);
+                    return clients.startFor(curve.seconds() * MICROS_PER_SECOND);
                   },
                   scheduler::post)
               .join();
-      while (scheduler.now() < end) {
-        Thread.sleep(50);
-      }
-      long deadline = end + scenario.longestTimeout() * 2 + CLOSING_MICROS;
-      while (clients.attemptsInFlight() > 0 && scheduler.now() < deadline) {
-        Thread.sleep(20);
-      }
+      awaitEnd(clients, scheduler, end);
       return clients;
     }
   }
 
-  private void observe(EmulatedClients clients, Scheduler scheduler) {
-    startedAt = scheduler.now();
-    clients.onRequestEnded(
-        result -> {
-          outcomes
-              .computeIfAbsent(result.requestClass(), key -> new TreeMap<>())
-              .merge(result.lastAttempt().word(), 1L, Long::sum);
-          if (result.lastAttempt().outcome() == ClientOutcome.SUCCEEDED) {
-            latencies
-                .computeIfAbsent(result.requestClass(), key -> new Histogram(MAX_LATENCY_MICROS, 3))
-                .recordValue(Math.min(MAX_LATENCY_MICROS, Math.max(0, result.duration())));
-          }
-          try {
-            requestTable.row(
-                (result.arrivedAt() - startedAt) / 1e3,
-                result.requestClass(),
-                result.tenant(),
-                result.router(),
-                result.duration() / 1e3,
-                result.attempts(),
-                result.lastAttempt().word(),
-                result.earned());
-          } catch (IOException e) {
-            throw new UncheckedIOException(e);
-          }
-        });
-    clients.onRequestSent(late -> sendDelay.recordValue(Math.min(MAX_LATENCY_MICROS, late)));
-  }
-
-  private void writeSeconds(EmulatedClients clients, Path dir) throws IOException {
-    LinkedHashMap<String, Class<?>> columns = new LinkedHashMap<>();
-    columns.put("second", Long.class);
-    List.of("load", "asked", "earned").forEach(column -> columns.put(column, Double.class));
-    try (ResultTable table = new ResultTable(dir.resolve("seconds"), columns)) {
-      for (var entry : clients.weightsBySecond().entrySet()) {
-        table.row(
-            entry.getKey(),
-            curve.at(entry.getKey() * 1_000_000),
-            entry.getValue().requested(),
-            entry.getValue().earned());
-      }
+  private EmulatedClients socketClients(
+      RealTimeScheduler scheduler, NetworkTransport network, List<InetSocketAddress> routers) {
+    SocketClientTransport transport =
+        new SocketClientTransport(scheduler, network, EventRecorder.none(), routers.size());
+    // The scenario's own seed: the functions are those that its emulated workers know.
+    FunctionCatalogue catalogue = scenario.catalogue(scenario.seed());
+    EmulatedClients clients = scenario.clients(scheduler, transport, catalogue, seed + 1);
+    clients.setRateCurve(curve.rateFactor(scenario));
+    for (int i = 0; i < routers.size(); i++) {
+      transport.setRouter(i, routers.get(i));
+      clients.setZone(i, scenario.zone(i));
     }
+    return clients;
   }
 
-  private void print(EmulatedClients clients, boolean emulated, PrintStream out) {
-    out.printf(
-        "%s: %d s%s, service %.3f, jobs sent late by p99 %.2f ms, most %.2f ms%n",
-        name,
-        curve.seconds(),
-        emulated ? " of simulated time" : " on sockets",
-        clients.service(),
-        sendDelay.getValueAtPercentile(99) / 1e3,
-        sendDelay.getMaxValue() / 1e3);
-    out.printf(
-        "%-16s %8s %10s %10s %10s %10s  %s%n",
-        "workload", "jobs", "in target", "p50 ms", "p99 ms", "most ms", "ends");
-    for (var entry : clients.tallies().entrySet()) {
-      RequestTally tally = entry.getValue();
-      Histogram histogram = latencies.getOrDefault(entry.getKey(), new Histogram(3));
-      out.printf(
-          "%-16s %8d %10.3f %10.1f %10.1f %10.1f  %s%n",
-          entry.getKey(),
-          tally.requests(),
-          tally.objectiveMetShare(),
-          histogram.getValueAtPercentile(50) / 1e3,
-          histogram.getValueAtPercentile(99) / 1e3,
-          histogram.getMaxValue() / 1e3,
-          new ArrayList<>(outcomes.getOrDefault(entry.getKey(), Map.of()).entrySet()));
+  /** Waits until arrivals end and what is in flight has ended, or is overdue. */
+  private void awaitEnd(EmulatedClients clients, RealTimeScheduler scheduler, long end)
+      throws InterruptedException {
+    while (scheduler.now() < end) {
+      Thread.sleep(ARRIVALS_POLL_MILLIS);
+    }
+    long deadline = end + scenario.longestTimeout() * 2 + DRAIN_MARGIN_MICROS;
+    while (clients.attemptsInFlight() > 0 && scheduler.now() < deadline) {
+      Thread.sleep(DRAIN_POLL_MILLIS);
     }
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/SecondSample.java
+++ b/src/main/java/switchgap/testbed/experiment/SecondSample.java
@@ -10,7 +10,7 @@
  * @param belowFullShare share of the routers below full service
  */
 record SecondSample(double load, double service, double meanLevel, double belowFullShare) {
-  /** The same second with the service that was found later. */
+  /** The same second with the service that was known later. */
   SecondSample withService(double earnedShare) {
     return new SecondSample(load, earnedShare, meanLevel, belowFullShare);
   }
--- a/src/main/java/switchgap/testbed/experiment/Trial.java
+++ b/src/main/java/switchgap/testbed/experiment/Trial.java
@@ -1,103 +1,55 @@
 package switchgap.testbed.experiment;
 
-import java.time.Duration;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
 import switchgap.admission.AdmissionController;
 import switchgap.admission.ServiceLevel;
 import switchgap.testbed.emulator.EmulatedClients;
 import switchgap.testbed.scenario.Scenario;
 
 /**
- * One variant over one curve with one seed, and what came of it. Plays when it is made; immutable
- * afterwards.
+ * The result of one variant over one curve with one seed.
+ *
+ * @param variant the variant that was played
+ * @param seed seed of all random draws
+ * @param service how clients were served
+ * @param levels how the routers changed their service levels
+ * @param samples one for each second
+ * @param meanUtilization mean share of the fleet's cores at work
+ * @param eventCount events of the virtual-time scheduler
  */
-final class Trial {
-  /** Recovery was not reached, or nothing had to be recovered from. */
-  static final long NO_RECOVERY = -1;
-
-  private static final double CALM_LOAD = 0.7; // of capacity: nothing more is too much
-  private static final int STAYS = 4;
+record Trial(
+    Variant variant,
+    long seed,
+    ServiceFigures service,
+    LevelFigures levels,
+    List<SecondSample> samples,
+    double meanUtilization,
+    long eventCount) {
   private static final long MICROS_PER_SECOND = 1_000_000;
 
-  final Variant variant;
-  final long seed;
-  final long seconds;
-
-  /** Share of the requested weight that was earned. */
-  final double service;
-
-  /** The most that capacity alone allows. */
-  final double bound;
-
-  /** Share of the requests that met their latency objective, by request class. */
-  final Map<String, Double> objectiveMetShare = new TreeMap<>();
-
-  final Map<String, Double> serviceByTenant = new TreeMap<>();
-
-  /** One for each second. */
-  final List<SecondSample> samples = new ArrayList<>();
-
-  /** Mean over the routers. */
-  final Map<ServiceLevel, Double> secondsAtLevel = new TreeMap<>();
-
-  final List<RouterLevelChange> levelChanges;
-
-  /** Changes of the routers' common levels. */
-  final int changeCount;
-
-  /** Changes of tenants' own levels. */
-  final Map<String, Integer> tenantLevelChanges = new TreeMap<>();
-
-  /** The most changes that one router made within four of its shortest stays. */
-  final int maxChangesInFourStays;
-
-  /**
-   * Seconds from the first one after which load stays under 0.7 until all routers stay at full
-   * service, or {@link #NO_RECOVERY}.
-   */
-  final long recoverySeconds;
-
-  final long eventCount;
-
-  /** Mean share of the fleet's cores at work. */
-  final double meanUtilization;
-
-  Trial(Scenario scenario, long seed, Variant variant, LoadCurve curve) {
-    this.variant = variant;
-    this.seed = seed;
-    this.seconds = curve.seconds();
-    double fullRateFactor = scenario.fleetCapacity() / scenario.meanWork() / scenario.requestRate();
+  /** Plays a trial in virtual time. */
+  static Trial play(Scenario scenario, long seed, Variant variant, LoadCurve curve) {
     VirtualTimeTestBed testBed =
-        new VirtualTimeTestBed(
-            scenario, seed, variant, micros -> curve.at(micros) * fullRateFactor);
+        new VirtualTimeTestBed(scenario, seed, variant, curve.rateFactor(scenario));
     curve.schedule(testBed.scheduler(), testBed.clients());
+    List<SecondSample> samples = new ArrayList<>();
     double[] utilizationSum = new double[1];
     testBed.play(
-        seconds,
+        curve.seconds(),
         second -> {
           utilizationSum[0] += testBed.meanUtilization();
-          samples.add(sample(testBed, curve.at(second * MICROS_PER_SECOND)));
+          samples.add(sample(testBed, curve.loadAt(second * MICROS_PER_SECOND)));
         });
-    service = testBed.clients().service();
-    bound = CapacityBound.of(scenario, curve);
-    recordService(testBed.clients());
-    levelChanges = testBed.levelChanges();
-    changeCount = (int) levelChanges.stream().filter(RouterLevelChange::isCommon).count();
-    levelChanges.stream()
-        .filter(change -> !change.isCommon())
-        .forEach(
-            change ->
-                tenantLevelChanges.merge(
-                    tenantName(scenario, change.change().tenant()), 1, Integer::sum));
-    maxChangesInFourStays = maxChangesInFourStays(testBed);
-    recordTimeAtLevels(testBed.routers());
-    recoverySeconds = recoverySeconds();
-    eventCount = testBed.scheduler().events();
-    meanUtilization = utilizationSum[0] / Math.max(1, seconds);
+    addService(samples, testBed.clients());
+    return new Trial(
+        variant,
+        seed,
+        ServiceFigures.of(testBed.clients(), CapacityBound.of(scenario, curve)),
+        LevelFigures.of(scenario, testBed, samples),
+        samples,
+        utilizationSum[0] / Math.max(1, curve.seconds()),
+        testBed.scheduler().events());
   }
 
   /** The routers' levels now; the service of the second is known later. */
@@ -122,15 +74,7 @@
     return rank == 0 ? 0 : rank - 2 + admission.shedFraction();
   }
 
-  private void recordService(EmulatedClients clients) {
-    clients
-        .tallies()
-        .forEach(
-            (requestClass, tally) ->
-                objectiveMetShare.put(requestClass, tally.objectiveMetShare()));
-    clients
-        .weightsByTenant()
-        .forEach((tenant, weights) -> serviceByTenant.put(tenant, weights.service()));
+  private static void addService(List<SecondSample> samples, EmulatedClients clients) {
     clients
         .weightsBySecond()
         .forEach(
@@ -141,62 +85,4 @@
               }
             });
   }
-
-  private void recordTimeAtLevels(List<VirtualTimeRouter> routers) {
-    for (VirtualTimeRouter router : routers) {
-      AdmissionController admission = router.gate().admission();
-      for (ServiceLevel level : admission == null ? new ServiceLevel[0] : ServiceLevel.values()) {
-        secondsAtLevel.merge(
-            level, admission.timeAt(level).toMillis() / 1000.0 / routers.size(), Double::sum);
-      }
-    }
-  }
-
-  static String tenantName(Scenario scenario, int index) {
-    return List.copyOf(scenario.tenantShares().keySet()).get(index);
-  }
-
-  private static int maxChangesInFourStays(VirtualTimeTestBed testBed) {
-    int maxChanges = 0;
-    for (int i = 0; i < testBed.routers().size(); i++) {
-      AdmissionController admission = testBed.routers().get(i).gate().admission();
-      if (admission != null) {
-        Duration window = admission.minStay().multipliedBy(STAYS);
-        maxChanges = Math.max(maxChanges, maxChangesWithin(window, i, testBed.levelChanges()));
-      }
-    }
-    return maxChanges;
-  }
-
-  private static int maxChangesWithin(
-      Duration window, int router, List<RouterLevelChange> changes) {
-    int maxChanges = 0;
-    ArrayDeque<Duration> within = new ArrayDeque<>();
-    for (RouterLevelChange change : changes) {
-      if (change.router() == router && change.isCommon()) {
-        Duration changedAt = change.change().time();
-        while (!within.isEmpty() && changedAt.minus(within.peek()).compareTo(window) > 0) {
-          within.poll();
-        }
-        within.add(changedAt);
-        maxChanges = Math.max(maxChanges, within.size());
-      }
-    }
-    return maxChanges;
-  }
-
-  private long recoverySeconds() {
-    if (samples.stream().noneMatch(sample -> sample.load() > 1)) {
-      return NO_RECOVERY;
-    }
-    int calmFrom = samples.size();
-    while (calmFrom > 0 && samples.get(calmFrom - 1).load() < CALM_LOAD) {
-      calmFrom--;
-    }
-    int fullFrom = samples.size();
-    while (fullFrom > 0 && samples.get(fullFrom - 1).belowFullShare() == 0) {
-      fullFrom--;
-    }
-    return fullFrom >= samples.size() ? NO_RECOVERY : Math.max(0, fullFrom - calmFrom);
-  }
 }
--- a/src/test/java/switchgap/testbed/emulator/ClientOutcomeTest.java
+++ b/src/test/java/switchgap/testbed/emulator/ClientOutcomeTest.java
@@ -8,14 +8,14 @@
 /** The words of outcomes are those of the routers' response header and of the logs. */
 class ClientOutcomeTest {
   @Test
-  void hasTheWordsOfTheWire() {
+  void hasTheWordsOfTheRoutersHeader() {
     assertThat(Stream.of(ClientOutcome.values()).map(ClientOutcome::word))
         .containsExactly(
             "finished", "pushed-back", "killed", "refused", "gave-up", "broken", "unreachable");
   }
 
   @Test
-  void findsTheOutcomeOfAWord() {
+  void parsesItsWordsAndTakesOthersForALostConnection() {
     for (ClientOutcome outcome : ClientOutcome.values()) {
       assertThat(ClientOutcome.of(outcome.word())).isEqualTo(outcome);
     }
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void onlyResponsesOfARouterAreFinal() {
+  void isFinalForResponsesOfARouterOnly() {
     assertThat(Stream.of(ClientOutcome.values()).filter(ClientOutcome::isFinal))
         .containsExactly(
             ClientOutcome.SUCCEEDED,
--- a/src/test/java/switchgap/testbed/emulator/ColdStartTest.java
+++ b/src/test/java/switchgap/testbed/emulator/ColdStartTest.java
@@ -4,6 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Capacity of a worker after a cold start. */
 class ColdStartTest {
   private static ColdStart coldStart(long warmUpTime) {
     WorkerHardware hardware =
@@ -14,14 +15,14 @@
     return new ColdStart(hardware, 5000, true);
   }
 
-  /** A share that is no number had the worker's next step due at once, for ever. */
+  /** A share that is not a number would make the next update due at once, again and again. */
   @Test
-  void aWorkerWithoutAWarmUpHasItsWholeCapacityFromItsStart() {
+  void hasFullCapacityAtOnceWithoutAWarmUp() {
     assertThat(coldStart(0).capacityShare(5000)).isEqualTo(1);
   }
 
   @Test
-  void theCapacityGrowsLinearlyToTheWhole() {
+  void growsLinearlyToFullCapacity() {
     ColdStart start = coldStart(1000);
     assertThat(start.capacityShare(5000)).isEqualTo(0.25);
     assertThat(start.capacityShare(5500)).isEqualTo(0.625);
--- a/src/test/java/switchgap/testbed/emulator/ServiceTallyTest.java
+++ b/src/test/java/switchgap/testbed/emulator/ServiceTallyTest.java
@@ -13,11 +13,11 @@
       new RequestClassProfile("status-refresh", SECOND, 2 * SECOND, 4, 0.25, true, false);
   private final ServiceTally tally = new ServiceTally(List.of(PROFILE));
 
-  private ClientRequest arrive(long at) {
-    FunctionModel model = new FunctionModel("f", 0, 1, 1, 1, 1, 0, 0, 0);
+  private ClientRequest arrive(long arrivedAt) {
+    FunctionModel function = new FunctionModel("f", 0, 1, 1, 1, 1, 0, 0, 0);
     ClientRequest request =
         new ClientRequest(
-            new ClientRequest.Arrival("j0", model, "tenant", 0, at),
+            new ClientRequest.Arrival("j0", function, "tenant", 0, arrivedAt),
             PROFILE,
             0,
             new SplittableRandom(1));
@@ -26,10 +26,12 @@
   }
 
   @Test
-  void earnsAShareForALateResponse() {
+  void earnsAShareOfTheWeightWhenTheResponseIsLate() {
     tally.begin(0, 10 * SECOND);
+
     assertThat(tally.requestSucceeded(arrive(0), SECOND)).isEqualTo(4);
     assertThat(tally.requestSucceeded(arrive(0), SECOND + 1)).isEqualTo(1);
+
     assertThat(tally.service()).isEqualTo(5 / 8.0);
     assertThat(tally.byTenant().get("tenant")).isEqualTo(new ServiceWeights(8, 5));
     assertThat(tally.byRequestClass().get("status-refresh").late()).isEqualTo(1);
@@ -44,15 +46,18 @@
         tally.requestSucceeded(request, request.arrivedAt);
       }
     }
+
     assertThat(tally.worstWindow(1)).isZero();
     assertThat(tally.worstWindow(2)).isEqualTo(0.5);
     assertThat(tally.worstWindow(10)).isEqualTo(0.75); // longer than the run: the run is the window
   }
 
   @Test
-  void aRunUnderASecondHasNoWholeWindow() {
+  void hasNoWindowWhenTheRunIsShorterThanASecond() {
     tally.begin(0, SECOND / 2);
+
     arrive(0);
+
     assertThat(tally.worstWindow(10)).isEqualTo(1);
   }
 }
--- /dev/null
+++ b/src/test/java/switchgap/testbed/experiment/VirtualTimeAgainstSocketsTest.java
@@ -0,0 +1,79 @@
+package switchgap.testbed.experiment;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.within;
+
+import java.io.OutputStream;
+import java.io.PrintStream;
+import java.nio.file.Path;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import switchgap.testbed.emulator.EmulatedClients;
+import switchgap.testbed.emulator.RequestTally;
+import switchgap.testbed.scenario.InvariantChecker;
+import switchgap.testbed.scenario.Scenario;
+import switchgap.testbed.scenario.ScenarioRunner;
+
+/**
+ * The test bed in virtual time and the emulator on sockets serve the same scenario alike: same
+ * arrivals, one worker model, the program's own core. The tolerance is wide enough for a machine
+ * that other work fills, and far narrower than what variants differ by.
+ */
+class VirtualTimeAgainstSocketsTest {
+  private static final double TOLERANCE = 0.08;
+  private static final int SECONDS = 8;
+
+  @TempDir Path directory;
+
+  private EmulatedClients playOnSockets(Path scenario) throws Exception {
+    Path logs = directory.resolve("logs");
+    PrintStream discarded = new PrintStream(OutputStream.nullOutputStream());
+    EmulatedClients clients = ScenarioRunner.play(scenario, logs, null, discarded);
+    assertThat(InvariantChecker.read(logs).violations()).isEmpty();
+    return clients;
+  }
+
+  private static EmulatedClients playInVirtualTime(Path file) throws Exception {
+    Scenario scenario = Scenario.read(file);
+    VirtualTimeTestBed testBed =
+        new VirtualTimeTestBed(scenario, scenario.seed(), Variant.LEVELS, elapsedMicros -> 1);
+    testBed.play(SECONDS, second -> {});
+    return testBed.clients();
+  }
+
+  private void assertSameService(int rate) throws Exception {
+    Path scenario = SmallScenario.write(directory, SECONDS, rate);
+    EmulatedClients sockets = playOnSockets(scenario);
+    EmulatedClients virtualTime = playInVirtualTime(scenario);
+
+    virtualTime
+        .tallies()
+        .forEach((name, expected) -> assertSameTally(sockets.tallies().get(name), expected));
+    assertThat(sockets.service()).isCloseTo(virtualTime.service(), within(TOLERANCE));
+  }
+
+  private static void assertSameTally(RequestTally actual, RequestTally expected) {
+    assertThat(actual.requests()).isEqualTo(expected.requests()); // the same arrivals
+    assertThat(share(actual.succeeded(), actual.requests()))
+        .isCloseTo(share(expected.succeeded(), expected.requests()), within(TOLERANCE));
+    assertThat(share(actual.succeeded() - actual.late(), actual.requests()))
+        .isCloseTo(
+            share(expected.succeeded() - expected.late(), expected.requests()), within(TOLERANCE));
+    assertThat(share(actual.rejected(), actual.attempts()))
+        .isCloseTo(share(expected.rejected(), expected.attempts()), within(2 * TOLERANCE));
+  }
+
+  private static double share(long part, long total) {
+    return part / (double) total;
+  }
+
+  @Test
+  void servesLowLoadAlike() throws Exception {
+    assertSameService(50);
+  }
+
+  @Test
+  void servesOverloadAlike() throws Exception {
+    assertSameService(200);
+  }
+}
