--- a/src/main/java/switchgap/net/FrameDecoder.java
+++ b/src/main/java/switchgap/net/FrameDecoder.java
@@ -6,7 +6,7 @@
 
 /**
  * Decodes a stream of bytes into frames: a length of four bytes (big-endian), then as many bytes. A
- * length out of bounds is refused before any of its bytes are gathered. Not thread-safe: one
+ * length out of bounds is rejected before any of its bytes are gathered. Not thread-safe: one
  * decoder belongs to one connection.
  */
 public final class FrameDecoder {
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Consumes bytes and hands on each frame that they complete.
+   * Consumes bytes and passes on each frame that they complete.
    *
    * @return false at a length out of bounds: the stream can't be decoded any further, and this
    *     decoder must not be used again
@@ -46,24 +46,36 @@
         if (headerBytes < HEADER_BYTES) {
           continue;
         }
-        frameLength = ByteBuffer.wrap(header).getInt();
-        if (frameLength <= 0 || frameLength > maxFrameBytes) {
+        if (!startFrame(input.remaining())) {
           return false;
         }
-        frame = new byte[Math.min(frameLength, Math.max(INITIAL_BUFFER_BYTES, input.remaining()))];
-        frameBytes = 0;
       }
       gather(input);
       if (frameBytes == frameLength) {
-        byte[] complete = frame;
-        frame = null;
-        headerBytes = 0;
-        frameConsumer.accept(complete);
+        frameConsumer.accept(takeFrame());
       }
     }
     return true;
   }
 
+  /** The header is complete. Returns false if its length is out of bounds. */
+  private boolean startFrame(int availableBytes) {
+    frameLength = ByteBuffer.wrap(header).getInt();
+    if (frameLength <= 0 || frameLength > maxFrameBytes) {
+      return false;
+    }
+    frame = new byte[Math.min(frameLength, Math.max(INITIAL_BUFFER_BYTES, availableBytes))];
+    frameBytes = 0;
+    return true;
+  }
+
+  private byte[] takeFrame() {
+    byte[] complete = frame;
+    frame = null;
+    headerBytes = 0;
+    return complete;
+  }
+
   private void gather(ByteBuffer input) {
     int count = Math.min(input.remaining(), frameLength - frameBytes);
     if (frameBytes + count > frame.length) {
@@ -74,7 +86,7 @@
     frameBytes += count;
   }
 
-  /** The length in the header that was read last: after a refusal, the one that was refused. */
+  /** The length in the header that was read last: after a rejection, the one that was rejected. */
   public int frameLength() {
     return frameLength;
   }
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeFaults.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeFaults.java
@@ -7,6 +7,7 @@
 import switchgap.testbed.emulator.EmulatedWorker;
 import switchgap.testbed.scenario.LoadFaults;
 import switchgap.testbed.scenario.Scenario;
+import switchgap.testbed.scenario.ScenarioFault;
 
 /** Injects the faults of a fault script that need no socket into a test bed in virtual time. */
 final class VirtualTimeFaults {
@@ -41,7 +42,7 @@
     scenario.faults().forEach(fault -> scheduler.after(fault.startsAt(), () -> inject(fault)));
   }
 
-  private void inject(Scenario.Fault fault) {
+  private void inject(ScenarioFault fault) {
     if (loadFaults.inject(fault)) {
       return;
     }
@@ -59,7 +60,7 @@
     }
   }
 
-  private void slowDown(List<EmulatedWorker> workers, Scenario.Fault fault) {
+  private void slowDown(List<EmulatedWorker> workers, ScenarioFault fault) {
     workers.forEach(worker -> worker.setSlowdown(fault.strength()));
     scheduler.after(fault.duration(), () -> workers.forEach(worker -> worker.setSlowdown(1)));
   }
--- a/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
@@ -2,9 +2,10 @@
 
 import java.util.List;
 import java.util.Map;
+import switchgap.policy.api.Idempotency;
+import switchgap.testbed.emulator.ClientRetryPolicy;
 import switchgap.testbed.emulator.FunctionCatalogue;
 import switchgap.testbed.emulator.RequestClassProfile;
-import switchgap.testbed.emulator.RetryPolicy;
 
 /**
  * What a scenario's document states. Times in microseconds.
@@ -34,7 +35,7 @@
     Map<String, Double> tenantShares,
     boolean loadsOnMiss,
     InvariantLimits limits,
-    List<Scenario.Fault> faults) {
+    List<ScenarioFault> faults) {
 
   /**
    * {@code slack}: tolerance of the checks for the clocks and threads of one machine; {@code tick}:
@@ -76,11 +77,11 @@
   /**
    * {@code rate}: requests a second; {@code zipf}: exponent of the popularity of {@code functions}.
    */
-  record Load(double rate, double zipf, int functions, RetryPolicy retries) {}
+  record Load(double rate, double zipf, int functions, ClientRetryPolicy retries) {}
 
   /** A request class as its clients and as its functions see it. */
   record RequestClass(
-      RepeatRule repeatRule,
+      Idempotency idempotency,
       RequestClassProfile profile,
       FunctionCatalogue.FunctionGroup functions) {}
 
