--- a/src/main/java/switchgap/config/PropertyWorkerSettings.java
+++ b/src/main/java/switchgap/config/PropertyWorkerSettings.java
@@ -40,7 +40,7 @@
   }
 
   @Override
-  public double coldCapacityShare() {
+  public double slowStartCapacityShare() {
     return values.number(COLD_CAPACITY_SHARE);
   }
 
@@ -50,12 +50,12 @@
   }
 
   @Override
-  public double coldOverloadMultiple() {
+  public double slowStartOverloadMultiple() {
     return values.number(COLD_OVERLOAD_MULTIPLE);
   }
 
   @Override
-  public Duration coldOverloadWindow() {
+  public Duration slowStartOverloadWindow() {
     return values.duration(COLD_OVERLOAD_WINDOW);
   }
 
--- a/src/main/java/switchgap/config/YamlWorkerSettings.java
+++ b/src/main/java/switchgap/config/YamlWorkerSettings.java
@@ -25,7 +25,7 @@
   }
 
   @Override
-  public double coldCapacityShare() {
+  public double slowStartCapacityShare() {
     return rules.warmUp().capacityShare();
   }
 
@@ -35,12 +35,12 @@
   }
 
   @Override
-  public double coldOverloadMultiple() {
+  public double slowStartOverloadMultiple() {
     return rules.warmUp().overloadMultiple();
   }
 
   @Override
-  public Duration coldOverloadWindow() {
+  public Duration slowStartOverloadWindow() {
     return rules.warmUp().overloadWindow();
   }
 
--- a/src/main/java/switchgap/policy/RoutingPolicy.java
+++ b/src/main/java/switchgap/policy/RoutingPolicy.java
@@ -167,7 +167,7 @@
   }
 
   @Override
-  public void clientLeft(int index) {
+  public void clientDisconnected(int index) {
     Request request = state.requests.get(index);
     state.close(request);
     if (state.settings.cancellationAllowed) {
--- a/src/main/java/switchgap/policy/SlowStart.java
+++ b/src/main/java/switchgap/policy/SlowStart.java
@@ -12,7 +12,7 @@
  * together stay within the overload budget in any overload window W:
  *
  * <pre>
- *   share     = coldOverloadMultiple * capacityShare
+ *   share     = slowStartOverloadMultiple * capacityShare
  *   N         = share * W * fullRate
  *   budget(N) = N + 2 sqrt(N) + 2, or N + 3 sqrt(N) + 3 below 30 requests
  * </pre>
@@ -36,7 +36,7 @@
 
   SlowStart(PolicyState state) {
     this.state = state;
-    ownOverloadMultiple = state.settings.coldOverloadMultiple / state.settings.routerCount;
+    ownOverloadMultiple = state.settings.slowStartOverloadMultiple / state.settings.routerCount;
   }
 
   void everySecond() {
@@ -54,10 +54,10 @@
   }
 
   private double capacityShare(Duration age) {
-    double seconds = Math.max(0, toSeconds(age.minus(state.settings.coldOverloadWindow)));
-    double risen = (1 - state.settings.coldCapacityShare) * seconds;
+    double seconds = Math.max(0, toSeconds(age.minus(state.settings.slowStartOverloadWindow)));
+    double risen = (1 - state.settings.slowStartCapacityShare) * seconds;
     double warmUpSeconds = toSeconds(state.settings.warmUpDuration);
-    return Math.min(1, state.settings.coldCapacityShare + risen / warmUpSeconds);
+    return Math.min(1, state.settings.slowStartCapacityShare + risen / warmUpSeconds);
   }
 
   /** Whether this router may send one more attempt to a worker now. */
@@ -65,7 +65,7 @@
     if (!state.isWarmingUp(worker)) {
       return true;
     }
-    Duration window = state.settings.coldOverloadWindow;
+    Duration window = state.settings.slowStartOverloadWindow;
     // An earlier process of this router may have sent its part within the present window.
     if (!state.hasPassed(window)) {
       return false;
@@ -92,7 +92,8 @@
   private boolean admitsInRotation(Worker worker, Duration window) {
     int routers = state.settings.routerCount;
     long slot = state.now().minus(worker.startedAt()).dividedBy(window);
-    double share = state.settings.coldOverloadMultiple * capacityShare(window.multipliedBy(slot));
+    double share =
+        state.settings.slowStartOverloadMultiple * capacityShare(window.multipliedBy(slot));
     double usefulSenders = routers * share / MIN_ROTATION_SLOTS;
     double slotBudget = budget(share * toSeconds(window) * fullRate()) * SLOT_BUDGET_SHARE;
     double slotCount = Math.ceil(routers / Math.min(usefulSenders, slotBudget));
--- a/src/main/java/switchgap/policy/api/AttemptOutcome.java
+++ b/src/main/java/switchgap/policy/api/AttemptOutcome.java
@@ -1,27 +1,27 @@
 package switchgap.policy.api;
 
 /**
- * How an attempt, a probe or a load command ended, and whether that proves that the request was not
- * executed.
+ * The outcome of an attempt, a load probe or a load command, and whether it proves that the request
+ * was not executed.
  */
 public enum AttemptOutcome {
-  /** The worker answered. */
+  /** The worker responded. */
   SUCCEEDED(false),
-  /** The worker answered with an error; it may have executed the request. */
+  /** The worker responded with an error; it may have executed the request. */
   FAILED(false),
-  /** The worker had no capacity and says that it did not execute the request. */
+  /** The worker rejected the request for lack of capacity, without executing it. */
   REJECTED(true),
-  /** No answer came in time. */
+  /** No response arrived before the timeout. */
   TIMED_OUT(false),
   /** No connection could be opened. */
   CONNECT_FAILED(true),
-  /** The connection ended under the request. */
+  /** The connection was lost before the response. */
   CONNECTION_LOST(false),
   /** This router cancelled it. */
   CANCELLED(false),
-  /** No byte of it went out. */
+  /** No byte of the request was sent. */
   NOT_SENT(true),
-  /** The worker has no replica of the function and says that it did not execute the request. */
+  /** The worker has no replica of the function and did not execute the request. */
   NOT_LOADED(true);
 
   private final boolean neverExecuted;
--- a/src/main/java/switchgap/policy/api/AttemptResult.java
+++ b/src/main/java/switchgap/policy/api/AttemptResult.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * How an attempt ended.
+ * The result of an attempt.
  *
- * @param attempt its number, from 0 for each request
+ * @param attempt number of the attempt, from 0 for each request
  * @param duration from its start to its end
  * @param requestClosed whether the request has its final response
- * @param load what the worker reported with it
+ * @param load the load that the worker reported with the response
  */
 public record AttemptResult(
     int request,
--- a/src/main/java/switchgap/policy/api/DeduplicationScope.java
+++ b/src/main/java/switchgap/policy/api/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package switchgap.policy.api;
 
-/** The workers among which the repeat of a request with an idempotency key is dropped. */
+/** The workers among which repeats of a request with an idempotency key are dropped. */
 public enum DeduplicationScope {
   /** All workers. */
   ALL,
--- a/src/main/java/switchgap/policy/api/EndpointEntry.java
+++ b/src/main/java/switchgap/policy/api/EndpointEntry.java
@@ -3,15 +3,15 @@
 import java.time.Duration;
 
 /**
- * One worker of an endpoint list.
+ * One entry of an endpoint list: a worker.
  *
  * @param worker index of the worker, given by the caller
- * @param hash its id as all routers see it
- * @param zone index of its zone in the settings
- * @param cell its cell within the zone
- * @param kind index of its kind in the settings; past them all where the kind is unknown
- * @param capacity its size as the list reports it, 0 where it does not
- * @param startedAt start of its process since the router's start, null if long past
+ * @param hash the worker's id, the same for all routers
+ * @param zone index of the worker's zone in the settings
+ * @param cell the worker's cell within the zone
+ * @param kind index of the worker's kind in the settings; past the last one if the kind is unknown
+ * @param capacity the worker's capacity, 0 if not reported
+ * @param startedAt start of the worker's process since the router's start, null if long ago
  */
 public record EndpointEntry(
     int worker,
--- a/src/main/java/switchgap/policy/api/Idempotency.java
+++ b/src/main/java/switchgap/policy/api/Idempotency.java
@@ -4,7 +4,10 @@
 public enum Idempotency {
   /** May be repeated anywhere. */
   IDEMPOTENT,
-  /** Carries a key by which workers drop a repeat, for a stated time and within a stated scope. */
+  /**
+   * Carries an idempotency key by which workers drop repeats, for the deduplication window and
+   * within the deduplication scope.
+   */
   IDEMPOTENT_WITH_KEY,
   /** Must not be executed twice. */
   NON_IDEMPOTENT
--- a/src/main/java/switchgap/policy/api/PolicyActions.java
+++ b/src/main/java/switchgap/policy/api/PolicyActions.java
@@ -2,10 +2,10 @@
 
 import java.time.Duration;
 
-/** What a policy decides, carried out in the order of the calls. None of them calls back. */
+/** The decisions of a policy, carried out in the order of the calls. None of them calls back. */
 public interface PolicyActions {
   /**
-   * Starts an attempt, given up after {@code timeout}; attempts are numbered from 0 for each
+   * Starts an attempt that times out after {@code timeout}; attempts are numbered from 0 for each
    * request.
    */
   void startAttempt(int request, int worker, Duration timeout);
@@ -13,36 +13,39 @@
   /** Cancels an attempt that is in flight. */
   void cancelAttempt(int request, int attempt);
 
-  /** Final response: a retry is harmless; {@code retryAfter} is null for no advice. */
+  /**
+   * Sends the final response that the client may retry; {@code retryAfter} is null for no advice
+   * when.
+   */
   void reject(int request, Duration retryAfter);
 
-  /** Final response: no promise about the request's effect. */
+  /** Sends the final response that the request failed and may have been executed. */
   void fail(int request);
 
-  /** Commands a worker to load one replica of a function, or to keep the one it has. */
+  /** Commands a worker to load one replica of a function, or to renew the one it has. */
   void load(int worker, int function);
 
-  /** Asks a worker how many replicas of a function it has loaded. */
+  /** Queries how many replicas of a function a worker has loaded. */
   void queryReplicas(int worker, int function);
 
-  /** Has the idle replicas of a function unloaded. */
+  /** Commands a worker to unload the idle replicas of a function. */
   void unload(int worker, int function);
 
-  /** Asks a worker for its load. */
+  /** Sends a load probe to a worker. */
   void probe(int worker);
 
-  /** Asks for {@link PolicyEvents#wakeUp} with this token after a delay. */
+  /** Schedules {@link PolicyEvents#wakeUp} with this token after a delay. */
   void scheduleWakeUp(Duration delay, long token);
 
-  /** Asks for the endpoint list, or for its changes from now on. */
+  /** Requests the endpoint list, or subscribes to its changes. */
   void subscribeToEndpoints();
 
-  /** Nothing refers to this request's index any more. */
+  /** Releases the index of a request, which the caller may reuse. */
   void releaseRequest(int request);
 
-  /** Nothing refers to this function's index any more. */
+  /** Releases the index of a function, which the caller may reuse. */
   void releaseFunction(int function);
 
-  /** Nothing refers to this worker's index any more. */
+  /** Releases the index of a worker, which the caller may reuse. */
   void releaseWorker(int worker);
 }
--- a/src/main/java/switchgap/policy/api/PolicyEvents.java
+++ b/src/main/java/switchgap/policy/api/PolicyEvents.java
@@ -1,43 +1,42 @@
 package switchgap.policy.api;
 
 /**
- * What a policy is told, one call an event, from one thread. Indices are small numbers that the
- * caller assigns and may hand out again once {@link PolicyActions} has released them; times are
- * spans since the router's start. Values that did not come are null, NaN or, for counts, below
- * zero.
+ * The events that a policy decides on, one call for each, from one thread. Indices are small
+ * numbers that the caller assigns and may reuse once {@link PolicyActions} has released them; times
+ * are durations since the router's start. Missing values are null, NaN or, for counts, negative.
  */
 public interface PolicyEvents {
   /**
-   * An endpoint list begins; a complete one replaces what was known. Its entries follow, then its
-   * end.
+   * An endpoint list begins: a complete one, or changes to the last one. Its entries follow, then
+   * its end.
    */
   void endpointListStarted(boolean complete);
 
-  /** One entry of the endpoint list under way. */
+  /** One entry of the endpoint list. */
   void endpointListed(EndpointEntry entry);
 
-  /** The endpoint list under way has come whole. */
+  /** The endpoint list ends. */
   void endpointListEnded();
 
-  /** A poll for the endpoint list failed; the last one stays in force. */
+  /** A poll for the endpoint list failed; the last list stays in force. */
   void endpointListFailed();
 
-  /** A request was taken. */
+  /** A request was accepted. */
   void requestArrived(RequestArrival arrival);
 
-  /** The client has received the first bytes of an attempt's response; its end will come. */
+  /** The first bytes of an attempt's response went to the client; the attempt's end follows. */
   default void responseStarted(int request, int attempt) {}
 
   /** An attempt ended. */
   void attemptEnded(AttemptResult result);
 
-  /** The client left; no response is owed any more. */
-  void clientLeft(int request);
+  /** The client disconnected: the request needs no response any more. */
+  void clientDisconnected(int request);
 
-  /** A wake-up that was scheduled is due. */
+  /** A scheduled wake-up is due. */
   void wakeUp(long token);
 
-  /** A probe ended. */
+  /** A load probe ended. */
   void probeEnded(ProbeResult result);
 
   /** A load command or a replica query ended. */
--- a/src/main/java/switchgap/policy/api/ProbeResult.java
+++ b/src/main/java/switchgap/policy/api/ProbeResult.java
@@ -1,4 +1,4 @@
 package switchgap.policy.api;
 
-/** How a probe of a worker's load ended, with what the worker reported. */
+/** The result of a load probe, with what the worker reported. */
 public record ProbeResult(int worker, AttemptOutcome outcome, LoadReport load) {}
--- a/src/main/java/switchgap/policy/api/RequestArrival.java
+++ b/src/main/java/switchgap/policy/api/RequestArrival.java
@@ -3,15 +3,15 @@
 import java.time.Duration;
 
 /**
- * A request was taken: it is owed one final response before its deadline.
+ * A request that was accepted: it needs one final response before its deadline.
  *
  * @param request index of the request, given by the caller
- * @param requestClass index of its class in the settings
- * @param tenant index of its tenant in the settings; past them all for none
- * @param function index of its function, given by the caller
- * @param functionHash the function's id as all routers see it
- * @param deadline since the router's start
- * @param durationHint how long it should run, null where the client did not say
+ * @param requestClass index of the request class in the settings
+ * @param tenant index of the tenant in the settings; past the last one for none
+ * @param function index of the function, given by the caller
+ * @param functionHash the function's id, the same for all routers
+ * @param deadline time since the router's start
+ * @param durationHint expected duration, null if the client gave none
  * @param memoryMb memory of one replica of the function
  * @param slots requests that one replica runs at a time
  */
--- a/src/main/java/switchgap/policy/api/RouterSettings.java
+++ b/src/main/java/switchgap/policy/api/RouterSettings.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** What the operators state at a router's start. Immutable; indices count from 0. */
+/** The configuration of a router, immutable from its start. Indices count from 0. */
 public interface RouterSettings {
   /** Index of this router among all. */
   int routerIndex();
@@ -19,10 +19,10 @@
   /** Number of request classes. */
   int requestClassCount();
 
-  /** Time within which a response of the class earns its whole weight. */
+  /** Latency up to which a response of the class earns its full weight. */
   Duration latencyObjective(int requestClass);
 
-  /** Time after which a response of the class is owed no more. */
+  /** Timeout of the class's requests. */
   Duration requestTimeout(int requestClass);
 
   /** The longest timeout of all classes. */
@@ -35,7 +35,7 @@
     return longest;
   }
 
-  /** What a response of the class in time is worth. */
+  /** Priority weight that a response of the class earns within the latency objective. */
   double priorityWeight(int requestClass);
 
   /** Share of the weight that a response past the latency objective still earns. */
@@ -44,10 +44,10 @@
   /** Whether requests of the class may be executed more than once. */
   Idempotency idempotency(int requestClass);
 
-  /** Workers among which a repeat with the same idempotency key is dropped. */
+  /** Workers among which repeats with the same idempotency key are dropped. */
   DeduplicationScope deduplicationScope(int requestClass);
 
-  /** Time for which workers know an idempotency key. */
+  /** Time for which workers remember an idempotency key. */
   Duration deduplicationWindow(int requestClass);
 
   /** Number of tenants. */
@@ -59,37 +59,37 @@
   /** Share of the weight that a request beyond its tenant's quota earns. */
   double overQuotaWeight();
 
-  /** Attempts a request may have. */
+  /** Maximum number of attempts of a request. */
   int maxAttempts();
 
-  /** Whether a second attempt may run beside the first. */
+  /** Whether a hedged attempt may run beside the first. */
   boolean hedgingAllowed();
 
-  /** Whether workers may be asked for their load. */
+  /** Whether load probes are allowed. */
   boolean probesAllowed();
 
   /** Whether an attempt in flight may be cancelled. */
   boolean cancellationAllowed();
 
-  /** Whether a rejection may say when to retry. */
+  /** Whether a rejection may carry a retry delay. */
   boolean retryAfterAllowed();
 
-  /** The longest time that a rejection may ask a client to wait. */
+  /** The longest retry delay of a rejection. */
   Duration maxRetryAfter();
 
   /** Share of its capacity that a worker has at its start. */
-  double coldCapacityShare();
+  double slowStartCapacityShare();
 
-  /** Time after its start in which a worker's capacity rises to the whole. */
+  /** Time after its start in which a worker's capacity rises to the full one. */
   Duration warmUpDuration();
 
-  /** Multiple of its capacity at which a worker that warms up falls over. */
-  double coldOverloadMultiple();
+  /** Multiple of its present capacity at which a worker that warms up is overloaded. */
+  double slowStartOverloadMultiple();
 
-  /** Time over which that multiple is counted. */
-  Duration coldOverloadWindow();
+  /** Time over which requests are counted against that multiple. */
+  Duration slowStartOverloadWindow();
 
-  /** Whether a worker without a replica loads it on demand, rather than refusing the request. */
+  /** Whether a worker without a replica loads it on demand instead of rejecting the request. */
   boolean loadsOnDemand();
 
   /** Whether load commands are allowed. */
@@ -98,13 +98,13 @@
   /** Time without a request after which a worker unloads a replica. */
   Duration replicaIdleTimeout();
 
-  /** Load commands allowed in each quota window without any request. */
+  /** Load commands allowed in each quota window regardless of requests. */
   double loadQuotaBase();
 
   /** Further load commands allowed for each request in the window. */
   double loadQuotaPerRequest();
 
-  /** The window over which load commands are counted; zero for no quota. */
+  /** The window of the load quota; zero for no quota. */
   Duration loadQuotaWindow();
 
   /** Price of idle memory. */
--- a/src/main/java/switchgap/policy/api/WorkerState.java
+++ b/src/main/java/switchgap/policy/api/WorkerState.java
@@ -1,11 +1,11 @@
 package switchgap.policy.api;
 
-/** What the endpoint list says of a worker. */
+/** The state of a worker in the endpoint list. */
 public enum WorkerState {
-  /** It takes requests. */
+  /** It accepts requests. */
   READY,
-  /** It finishes what it has and takes nothing new. */
+  /** It finishes its requests and accepts no new ones. */
   DRAINING,
-  /** It is no longer there. */
+  /** It has left the fleet. */
   GONE
 }
--- a/src/main/java/switchgap/policy/api/package-info.java
+++ b/src/main/java/switchgap/policy/api/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a policy is told, what it decides and the settings it goes by: events in, actions out.
- * Immutable values; the callers' indices are small numbers.
+ * The interface of a policy: events in, actions out, and the settings it reads. Values are
+ * immutable; indices are small numbers that the caller assigns.
  */
 package switchgap.policy.api;
--- a/src/main/java/switchgap/policy/state/Durations.java
+++ b/src/main/java/switchgap/policy/state/Durations.java
@@ -11,17 +11,17 @@
 
   private Durations() {}
 
-  /** Whether the first is shorter than the second. */
+  /** Whether the first duration is shorter than the second. */
   public static boolean isShorter(Duration first, Duration second) {
     return first.compareTo(second) < 0;
   }
 
-  /** The shorter of two. */
+  /** The shorter of two durations. */
   public static Duration min(Duration first, Duration second) {
     return isShorter(first, second) ? first : second;
   }
 
-  /** The longer of two. */
+  /** The longer of two durations. */
   public static Duration max(Duration first, Duration second) {
     return isShorter(first, second) ? second : first;
   }
@@ -31,7 +31,7 @@
     return duration.toNanos() / NANOS_PER_SECOND;
   }
 
-  /** A duration times a factor, in whole nanoseconds. */
+  /** A duration multiplied by a factor, truncated to whole nanoseconds. */
   public static Duration scale(Duration duration, double factor) {
     return Duration.ofNanos((long) (duration.toNanos() * factor));
   }
--- a/src/main/java/switchgap/policy/state/Histogram.java
+++ b/src/main/java/switchgap/policy/state/Histogram.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 
 /**
- * Counts of values in a few coarse bins between edges that the caller gives; it fades as the caller
- * says.
+ * Counts of values in coarse bins. The caller gives the edges of the bins and halves the counts so
+ * that old values fade.
  */
 public final class Histogram {
   private final double[] edges;
   private final double[] counts;
 
-  /** Bins: below the first edge, between each two, and from the last on. */
+  /** The bins are: below the first edge, between each two edges, and from the last edge on. */
   public Histogram(double[] edges) {
     this.edges = edges;
     this.counts = new double[edges.length + 1];
@@ -32,19 +32,19 @@
     }
   }
 
-  /** Halves all counts once there are more than so many. */
+  /** Halves all counts if there are more values than this. */
   public void halveAbove(double maxTotal) {
     if (total() > maxTotal) {
       halve();
     }
   }
 
-  /** The mean value, with a prior that weighs as much as so many values. */
+  /** The mean value, with a prior that counts as {@code weight} values. */
   public double meanWithPrior(double prior, double weight) {
     return (sum() + weight * prior) / (total() + weight);
   }
 
-  /** Drops all counts. */
+  /** Sets all counts to zero. */
   public void clear() {
     Arrays.fill(counts, 0);
   }
@@ -58,7 +58,7 @@
     return total;
   }
 
-  /** The number of values in a bin and above. */
+  /** The number of values in a bin and in those above it. */
   public double countFrom(int bin) {
     double sum = 0;
     for (int i = bin; i < counts.length; i++) {
@@ -76,7 +76,10 @@
     return sum;
   }
 
-  /** The value under which this share lies, straight between a bin's edges; NaN when empty. */
+  /**
+   * The quantile of a share, 0 to 1, interpolated linearly within its bin; NaN if there are no
+   * values.
+   */
   public double quantile(double share) {
     double left = total() * share;
     if (left <= 0) {
--- a/src/main/java/switchgap/policy/state/IndexAllocator.java
+++ b/src/main/java/switchgap/policy/state/IndexAllocator.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * Outside ids to small indices and back; a released index is handed out again, the last released
+ * Maps external ids to small indices and back. Released indices are reused, the last released
  * first.
  */
 public final class IndexAllocator {
@@ -18,12 +18,12 @@
   private int releasedCount;
   private int used;
 
-  /** The index of an id, or -1. */
+  /** The index of an id, or -1 if it has none. */
   public int find(long id) {
     return indices.getOrDefault(id, NONE);
   }
 
-  /** The index of an id, a new one where it has none. */
+  /** The index of an id, a new one if it has none. */
   public int allocate(long id) {
     Integer known = indices.get(id);
     if (known != null) {
@@ -43,7 +43,7 @@
     return ids[index];
   }
 
-  /** Frees an index for another id; once is enough. */
+  /** Frees an index for another id. Releasing it again has no effect. */
   public void release(int index) {
     if (indices.remove(ids[index], index)) {
       if (releasedCount == released.length) {
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Ids that have an index. */
+  /** The number of ids that have an index. */
   public int size() {
     return indices.size();
   }
--- a/src/main/java/switchgap/policy/state/IndexedTable.java
+++ b/src/main/java/switchgap/policy/state/IndexedTable.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Elements by small index. Iteration passes over empty places, in the order of the indices, and
- * allows changes on the way.
+ * Elements by small index. Iteration is in the order of the indices, skips empty ones and allows
+ * changes meanwhile.
  */
 public final class IndexedTable<T> implements Iterable<T> {
   private final List<T> elements = new ArrayList<>();
@@ -16,7 +16,7 @@
     return index < elements.size() ? elements.get(index) : null;
   }
 
-  /** Sets the element at an index, null to empty the place; returns it. */
+  /** Sets the element at an index, null to remove it; returns the element. */
   public T set(int index, T element) {
     while (elements.size() <= index) {
       elements.add(null);
--- a/src/main/java/switchgap/policy/state/LoadQuotaUsage.java
+++ b/src/main/java/switchgap/policy/state/LoadQuotaUsage.java
@@ -3,26 +3,26 @@
 import java.time.Duration;
 
 /**
- * Counts load commands and requests over the quota's window. Commands are counted for a margin
- * longer and requests for a margin shorter, since others may count from another moment. Without a
- * quota nothing is kept.
+ * Counts load commands and requests in the window of the load quota. Commands count for a margin
+ * longer and requests for a margin shorter, since whoever checks the quota may take another time
+ * for now. Without a quota nothing is counted.
  */
 public final class LoadQuotaUsage {
-  private final boolean counts;
+  private final boolean enabled;
   private final Duration window;
   private final Duration margin;
   private final SlidingWindow commands = new SlidingWindow();
   private final SlidingWindow requests = new SlidingWindow();
 
   LoadQuotaUsage(SettingsSnapshot settings, Duration margin) {
-    this.counts = settings.hasLoadQuota;
+    this.enabled = settings.hasLoadQuota;
     this.window = settings.loadQuotaWindow;
     this.margin = margin;
   }
 
   /** Counts a load command. */
   public void commandStarted(Duration now) {
-    if (counts) {
+    if (enabled) {
       commands.add(now);
     }
   }
@@ -38,12 +38,12 @@
   }
 
   void requestArrived(Duration now) {
-    if (counts) {
+    if (enabled) {
       requests.add(now);
     }
   }
 
-  /** Drops what has left the window, also where nobody asks for the counts. */
+  /** Drops requests that have left the window, even if the counts are never read. */
   void prune(Duration now) {
     requests.countWithin(now, window);
   }
--- a/src/main/java/switchgap/policy/state/Replica.java
+++ b/src/main/java/switchgap/policy/state/Replica.java
@@ -6,7 +6,7 @@
 public final class Replica {
   /** The believed state. */
   public enum State {
-    /** Nothing was heard of it lately. */
+    /** Neither known to be loaded nor to be absent. */
     UNKNOWN,
     /** The worker does not have it. */
     ABSENT,
@@ -59,7 +59,7 @@
     loadPending = true;
   }
 
-  /** A query for it, or a command to renew it, is sent; what is believed stays until its end. */
+  /** A query for it, or a command to renew it, is sent; the believed state stays until its end. */
   public void queryStarted() {
     queryPending = true;
   }
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Stops using a replica that this router had loaded; false where it had not, or its worker takes
-   * no commands.
+   * Gives up a replica that this router had loaded; returns false if it had not, or if the worker
+   * is not ready.
    */
   public boolean unloadStarted(boolean workerReady) {
     boolean unloads = workerReady && loadCommandedAt != null;
--- a/src/main/java/switchgap/policy/state/Request.java
+++ b/src/main/java/switchgap/policy/state/Request.java
@@ -203,7 +203,10 @@
     failedWorkers.clear(worker);
   }
 
-  /** It failed at a worker, which may be the request's own fault; a success elsewhere will tell. */
+  /**
+   * It failed at a worker, perhaps by its own fault; if it succeeds elsewhere, the worker was at
+   * fault.
+   */
   public void suspect(Worker worker) {
     suspectWorker = worker;
   }
--- a/src/main/java/switchgap/policy/state/RequestClass.java
+++ b/src/main/java/switchgap/policy/state/RequestClass.java
@@ -5,7 +5,7 @@
 import switchgap.policy.api.Idempotency;
 import switchgap.policy.api.RouterSettings;
 
-/** A request class as stated, and what its attempts at loaded replicas usually meet. */
+/** A request class: its settings, and measurements of its attempts at loaded replicas. */
 public final class RequestClass {
   public final Duration latencyObjective;
   public final Duration deduplicationWindow;
@@ -17,7 +17,7 @@
   /** Durations as a ratio to the latency objective. */
   public final Histogram relativeDurations;
 
-  /** Other routers' requests at the workers, one for each duration. */
+  /** Other routers' requests at the workers, one value for each duration. */
   public final Histogram foreignLoads;
 
   RequestClass(RouterSettings settings, int index, HistogramEdges edges) {
@@ -31,13 +31,13 @@
     foreignLoads = new Histogram(edges.foreignLoads());
   }
 
-  /** Counts a response of a loaded replica. */
+  /** Records a response of a loaded replica. */
   public void responded(double relativeDuration, double foreignLoad) {
     relativeDurations.add(relativeDuration);
     foreignLoads.add(foreignLoad);
   }
 
-  /** Halves what was counted once there is more than so much. */
+  /** Halves the counts if there are more responses than this. */
   public void halveAbove(double maxSamples) {
     if (relativeDurations.total() > maxSamples) {
       relativeDurations.halve();
--- a/src/main/java/switchgap/policy/state/SettingsSnapshot.java
+++ b/src/main/java/switchgap/policy/state/SettingsSnapshot.java
@@ -6,9 +6,8 @@
 import switchgap.policy.api.RouterSettings;
 
 /**
- * The settings as read once at the router's start, since some are parsed at each access. What
- * depends on a permission that is not given is null. The fields are those of {@link
- * RouterSettings}.
+ * The settings, read once at the router's start since some are parsed at each access. The fields
+ * are those of {@link RouterSettings}; a setting that depends on a missing permission is null.
  */
 public final class SettingsSnapshot {
   public final int routerIndex;
@@ -32,13 +31,13 @@
   public final boolean probesAllowed;
   public final boolean cancellationAllowed;
 
-  /** Null where a rejection may not say when to retry. */
+  /** Null if a rejection may not carry a retry delay. */
   public final Duration maxRetryAfter;
 
-  public final double coldCapacityShare;
+  public final double slowStartCapacityShare;
   public final Duration warmUpDuration;
-  public final double coldOverloadMultiple;
-  public final Duration coldOverloadWindow;
+  public final double slowStartOverloadMultiple;
+  public final Duration slowStartOverloadWindow;
   public final boolean loadsOnDemand;
   public final boolean loadCommandsAllowed;
   public final Duration replicaIdleTimeout;
@@ -55,7 +54,7 @@
   public final double probePrice;
   public final boolean capacityReported;
 
-  /** The longest time between two polls of the endpoint list, null where it is not polled. */
+  /** The longest time between two polls of the endpoint list, null if it is not polled. */
   public final Duration endpointPollInterval;
 
   /** Reads the settings; the edges are those of the histograms that each request class keeps. */
@@ -81,10 +80,10 @@
     probesAllowed = settings.probesAllowed();
     cancellationAllowed = settings.cancellationAllowed();
     maxRetryAfter = settings.retryAfterAllowed() ? settings.maxRetryAfter() : null;
-    coldCapacityShare = settings.coldCapacityShare();
+    slowStartCapacityShare = settings.slowStartCapacityShare();
     warmUpDuration = settings.warmUpDuration();
-    coldOverloadMultiple = settings.coldOverloadMultiple();
-    coldOverloadWindow = settings.coldOverloadWindow();
+    slowStartOverloadMultiple = settings.slowStartOverloadMultiple();
+    slowStartOverloadWindow = settings.slowStartOverloadWindow();
     loadsOnDemand = settings.loadsOnDemand();
     loadCommandsAllowed = settings.loadCommandsAllowed();
     replicaIdleTimeout = settings.replicaIdleTimeout();
--- a/src/main/java/switchgap/policy/state/SlidingWindow.java
+++ b/src/main/java/switchgap/policy/state/SlidingWindow.java
@@ -3,16 +3,19 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 
-/** The times at which something happened, as far back as the caller asks. */
+/** Counts events in a window that ends now. */
 public final class SlidingWindow {
   private final ArrayDeque<Duration> times = new ArrayDeque<>();
 
-  /** Notes that it happened. */
+  /** Adds an event. */
   public void add(Duration now) {
     times.add(now);
   }
 
-  /** How often it happened in the span up to now; what is older is dropped for good. */
+  /**
+   * The number of events within a span before now; older events are dropped, so the span must not
+   * grow.
+   */
   public int countWithin(Duration now, Duration span) {
     while (!times.isEmpty() && span.compareTo(now.minus(times.peekFirst())) < 0) {
       times.pollFirst();
--- a/src/main/java/switchgap/policy/state/TenantUsage.java
+++ b/src/main/java/switchgap/policy/state/TenantUsage.java
@@ -8,14 +8,14 @@
   private final double[] requests;
   private double allRequests;
 
-  /** The quotas may be in any unit. */
+  /** The quotas may be in any unit: only their ratios count. */
   public TenantUsage(double[] quotas) {
     requests = new double[quotas.length];
     double all = Math.max(Arrays.stream(quotas).sum(), Double.MIN_NORMAL);
     shares = Arrays.stream(quotas).map(quota -> quota / all).toArray();
   }
 
-  /** Counts a request; an unknown tenant counts for nothing. */
+  /** Counts a request; one of an unknown tenant is not counted. */
   public void count(int tenant) {
     if (tenant < requests.length) {
       requests[tenant]++;
@@ -28,9 +28,9 @@
     return allRequests;
   }
 
-  /** Whether a known tenant has more than so many times its share of all requests. */
-  public boolean exceeds(int tenant, double times) {
-    return tenant < requests.length && requests[tenant] > times * shares[tenant] * allRequests;
+  /** Whether a known tenant has more than this multiple of its share of all requests. */
+  public boolean exceeds(int tenant, double multiple) {
+    return tenant < requests.length && requests[tenant] > multiple * shares[tenant] * allRequests;
   }
 
   /** Halves all counts. */
--- a/src/main/java/switchgap/policy/state/WakeUpTimer.java
+++ b/src/main/java/switchgap/policy/state/WakeUpTimer.java
@@ -4,13 +4,14 @@
 import switchgap.policy.api.PolicyActions;
 
 /**
- * The next wake-up of a policy. Wake-ups that were scheduled for later than the next are ignored.
+ * The next wake-up of a policy. Tokens tell the last one scheduled from earlier ones, which are
+ * ignored.
  */
 public final class WakeUpTimer {
   private Duration next; // null while none is scheduled
   private long token;
 
-  /** A wake-up came. */
+  /** A wake-up fired. */
   public void fired(long firedToken) {
     next = firedToken == token ? null : next;
   }
--- a/src/main/java/switchgap/router/RequestLifecycle.java
+++ b/src/main/java/switchgap/router/RequestLifecycle.java
@@ -71,7 +71,7 @@
     }
     requests.end(request, PendingRequest.State.CANCELLED);
     context.observer().requestEnded(request, null);
-    context.policyEvents().clientLeft(request.index());
+    context.policyEvents().clientDisconnected(request.index());
   }
 
   /** Sends the final response; without effect where the request has its final state. */
--- a/src/main/java/switchgap/simulator/EventRecordDecoder.java
+++ b/src/main/java/switchgap/simulator/EventRecordDecoder.java
@@ -89,7 +89,7 @@
 
   private void deliver(EventType type, int offset, PolicyEvents events) {
     switch (type) {
-      case CLIENT_LEFT -> clientLeft(offset, events);
+      case CLIENT_LEFT -> clientDisconnected(offset, events);
       case PROBE_ENDED -> probeEnded(offset, events);
       case ENDPOINT_LIST -> events.endpointListFailed();
       case RESPONSE_STARTED -> responseStarted(offset, events);
@@ -101,10 +101,10 @@
     }
   }
 
-  private void clientLeft(int offset, PolicyEvents events) {
+  private void clientDisconnected(int offset, PolicyEvents events) {
     int request = indices.requests().find(body.getLong(offset + EventLayout.REQUEST_ID));
     if (request >= 0) {
-      events.clientLeft(request);
+      events.clientDisconnected(request);
     }
   }
 
--- a/src/main/java/switchgap/testbed/experiment/BaselinePolicy.java
+++ b/src/main/java/switchgap/testbed/experiment/BaselinePolicy.java
@@ -235,7 +235,7 @@
   }
 
   @Override
-  public void clientLeft(int requestIndex) {
+  public void clientDisconnected(int requestIndex) {
     PendingRequest request = pending.get(requestIndex);
     request.closed = true;
     settle(requestIndex, request);
--- a/src/test/java/switchgap/policy/LoadPaceTest.java
+++ b/src/test/java/switchgap/policy/LoadPaceTest.java
@@ -90,7 +90,7 @@
           14 + 10 * i,
           events -> {
             loadFailed(events, load.worker(), load.function(), AttemptOutcome.FAILED);
-            events.clientLeft(request);
+            events.clientDisconnected(request);
           });
       loads.forEach(
           other ->
--- a/src/test/java/switchgap/policy/OutlierDetectorTest.java
+++ b/src/test/java/switchgap/policy/OutlierDetectorTest.java
@@ -98,7 +98,7 @@
               72 + 5 * i,
               events -> {
                 if (harness.sentTo(request) != failing) {
-                  events.clientLeft(request);
+                  events.clientDisconnected(request);
                 }
                 harness.attemptEnds(
                     events,
--- a/src/test/java/switchgap/policy/PolicyRules.java
+++ b/src/test/java/switchgap/policy/PolicyRules.java
@@ -90,7 +90,7 @@
     ArrayDeque<Duration> attempts =
         slowStartAttempts.computeIfAbsent(worker, index -> new ArrayDeque<>());
     attempts.add(now);
-    dropOlderThan(attempts, settings.coldOverloadWindow(), now);
+    dropOlderThan(attempts, settings.slowStartOverloadWindow(), now);
     assertThat(attempts.size()).as("rule 4").isLessThanOrEqualTo(MAX_SLOW_START_ATTEMPTS);
   }
 
--- a/src/test/java/switchgap/policy/RandomFleet.java
+++ b/src/test/java/switchgap/policy/RandomFleet.java
@@ -117,7 +117,7 @@
   private void disconnect(PolicyEvents events, int index, TrackedRequest request) {
     if (requests.get(index) == request && !request.isClosed()) {
       request.close();
-      events.clientLeft(index);
+      events.clientDisconnected(index);
     }
   }
 
--- a/src/test/java/switchgap/policy/SlowStartBudget.java
+++ b/src/test/java/switchgap/policy/SlowStartBudget.java
@@ -33,8 +33,9 @@
   private double allowedAttempts(int ageMillis) {
     double age = ageMillis / (double) settings.warmUpDuration().toMillis();
     double share =
-        settings.coldCapacityShare() + (1 - settings.coldCapacityShare()) * Math.min(1, age);
-    return settings.coldOverloadMultiple() * share * WINDOW_MILLIS / 1000 * fullRate;
+        settings.slowStartCapacityShare()
+            + (1 - settings.slowStartCapacityShare()) * Math.min(1, age);
+    return settings.slowStartOverloadMultiple() * share * WINDOW_MILLIS / 1000 * fullRate;
   }
 
   int attempts() {
--- a/src/test/java/switchgap/policy/TestSettings.java
+++ b/src/test/java/switchgap/policy/TestSettings.java
@@ -127,7 +127,7 @@
   }
 
   @Override
-  public double coldCapacityShare() {
+  public double slowStartCapacityShare() {
     return 0.2;
   }
 
@@ -137,12 +137,12 @@
   }
 
   @Override
-  public double coldOverloadMultiple() {
+  public double slowStartOverloadMultiple() {
     return 2;
   }
 
   @Override
-  public Duration coldOverloadWindow() {
+  public Duration slowStartOverloadWindow() {
     return millis(1000);
   }
 
--- a/src/test/java/switchgap/protocol/resp/IgnoredEvents.java
+++ b/src/test/java/switchgap/protocol/resp/IgnoredEvents.java
@@ -13,7 +13,7 @@
   public void requestArrived(RequestArrival arrival) {}
 
   @Override
-  public void clientLeft(int request) {}
+  public void clientDisconnected(int request) {}
 
   @Override
   public void attemptEnded(AttemptResult result) {}
