--- a/src/main/java/switchgap/net/HttpServer.java
+++ b/src/main/java/switchgap/net/HttpServer.java
@@ -15,7 +15,7 @@
 import org.glassfish.grizzly.utils.DelayedExecutor;
 
 /**
- * An HTTP/1.1 server that receives complete requests, within {@link ConnectionLimits}, and passes
+ * An HTTP/1.1 server that receives complete requests, within {@link HttpServerLimits}, and passes
  * each to a request handler on a selector thread. Pipelining is not supported: a further request
  * before the response closes the connection.
  */
@@ -45,14 +45,14 @@
           "switchgap.http-server-connection." + System.identityHashCode(this),
           ServerConnectionState::new);
   private final NetworkTransport transport;
-  private final ConnectionLimits limits;
+  private final HttpServerLimits limits;
   private final RequestHandler handler;
   private final Set<Connection<?>> openConnections = ConcurrentHashMap.newKeySet();
   private TCPNIOServerConnection listener;
   private OverdueConnectionSweeper sweeper;
 
   /** A server that does not listen yet. */
-  public HttpServer(NetworkTransport transport, ConnectionLimits limits, RequestHandler handler) {
+  public HttpServer(NetworkTransport transport, HttpServerLimits limits, RequestHandler handler) {
     this.transport = transport;
     this.limits = limits;
     this.handler = handler;
@@ -79,7 +79,7 @@
   }
 
   @SuppressWarnings("deprecation") // the constructors with bounds have no successor in this version
-  private static HttpServerFilter httpFilter(ConnectionLimits limits) {
+  private static HttpServerFilter httpFilter(HttpServerLimits limits) {
     KeepAlive keepAlive = new KeepAlive();
     keepAlive.setMaxRequestsCount(UNLIMITED_REQUESTS);
     return new HttpServerFilter(
--- a/src/main/java/switchgap/net/ConnectionLimits.java
+++ b/src/main/java/switchgap/net/HttpServerLimits.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /**
- * Bounds of one {@link HttpServer}.
+ * Limits of one {@link HttpServer}.
  *
  * @param maxHeaderBytes bytes of a request line together with its headers
  * @param maxBodyBytes bytes of a request's body
@@ -11,14 +11,14 @@
  * @param idleTimeout how long a connection may stay open without a request
  * @param receiveTimeout how long a request may take from its first byte to its last
  */
-public record ConnectionLimits(
+public record HttpServerLimits(
     int maxHeaderBytes,
     int maxBodyBytes,
     int maxConnections,
     Duration idleTimeout,
     Duration receiveTimeout) {
-  /** The bounds of servers whose configuration states none. */
-  public static final ConnectionLimits DEFAULT =
-      new ConnectionLimits(
+  /** The limits of servers that have none configured. */
+  public static final HttpServerLimits DEFAULT =
+      new HttpServerLimits(
           16 << 10, 1 << 20, 20_000, Duration.ofSeconds(75), Duration.ofSeconds(10));
 }
--- a/src/main/java/switchgap/net/OverdueConnectionSweeper.java
+++ b/src/main/java/switchgap/net/OverdueConnectionSweeper.java
@@ -20,7 +20,7 @@
   private static final long MIN_INTERVAL_MILLIS = 10;
 
   private final NetworkTransport transport;
-  private final ConnectionLimits limits;
+  private final HttpServerLimits limits;
   private final Set<Connection<?>> openConnections;
   private final Attribute<ServerConnectionState> states;
   private final StallDetector stallDetector;
@@ -30,7 +30,7 @@
   /** Begins to sweep; the set may change at any time. */
   OverdueConnectionSweeper(
       NetworkTransport transport,
-      ConnectionLimits limits,
+      HttpServerLimits limits,
       Set<Connection<?>> openConnections,
       Attribute<ServerConnectionState> states) {
     this.transport = transport;
--- a/src/main/java/switchgap/net/RequestAssemblyFilter.java
+++ b/src/main/java/switchgap/net/RequestAssemblyFilter.java
@@ -22,13 +22,13 @@
 
   private final Attribute<ServerConnectionState> states;
   private final Set<Connection<?>> openConnections;
-  private final ConnectionLimits limits;
+  private final HttpServerLimits limits;
   private final HttpServer.RequestHandler handler;
 
   RequestAssemblyFilter(
       Attribute<ServerConnectionState> states,
       Set<Connection<?>> openConnections,
-      ConnectionLimits limits,
+      HttpServerLimits limits,
       HttpServer.RequestHandler handler) {
     this.states = states;
     this.openConnections = openConnections;
--- a/src/main/java/switchgap/net/ServerConnectionState.java
+++ b/src/main/java/switchgap/net/ServerConnectionState.java
@@ -28,7 +28,7 @@
   }
 
   /** Whether the request that is being received, or the next one, exceeds its timeout. */
-  boolean isOverdue(Duration now, ConnectionLimits limits, StallHistory stalls) {
+  boolean isOverdue(Duration now, HttpServerLimits limits, StallHistory stalls) {
     long startedNanos = requestStartedNanos;
     if (startedNanos != NONE) {
       return exceeds(limits.receiveTimeout(), startedNanos, now, stalls);
--- a/src/main/java/switchgap/server/gateway/GatewayConfig.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfig.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
-import switchgap.net.ConnectionLimits;
+import switchgap.net.HttpServerLimits;
 import switchgap.protocol.inference.HttpPoolLimits;
 import switchgap.router.EndpointUpdate;
 
@@ -38,7 +38,7 @@
    * @param selectorThreads threads that read requests; as many write responses
    */
   public record ListenerConfig(
-      String host, int port, ConnectionLimits limits, int selectorThreads) {}
+      String host, int port, HttpServerLimits limits, int selectorThreads) {}
 
   /**
    * Bounds of the requests and results that the router keeps in memory.
--- a/src/main/java/switchgap/server/gateway/GatewayConfigReader.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfigReader.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import switchgap.config.YamlDocument;
 import switchgap.config.YamlRouterSettings;
-import switchgap.net.ConnectionLimits;
+import switchgap.net.HttpServerLimits;
 import switchgap.policy.api.WorkerState;
 import switchgap.protocol.inference.HttpPoolLimits;
 import switchgap.router.EndpointUpdate;
@@ -50,8 +50,8 @@
   private static GatewayConfig.ListenerConfig readListener(YamlDocument section) {
     String host = section.text("host", LOOPBACK);
     int port = section.integer("port", 0, MAX_PORT);
-    ConnectionLimits limits =
-        new ConnectionLimits(
+    HttpServerLimits limits =
+        new HttpServerLimits(
             section.integer("header_bytes", KIB, MIB, 16 * KIB),
             section.integer("body_bytes", 1, MAX_BODY_BYTES, MIB),
             section.integer("connections", 1, MAX_COUNT, 20_000),
--- a/src/main/java/switchgap/server/gateway/JvmWarmup.java
+++ b/src/main/java/switchgap/server/gateway/JvmWarmup.java
@@ -10,10 +10,10 @@
 import switchgap.config.YamlRouterSettings;
 import switchgap.net.CloseCause;
 import switchgap.net.ConnectFailure;
-import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpClientConnection;
 import switchgap.net.HttpClientConnector;
 import switchgap.net.HttpServer;
+import switchgap.net.HttpServerLimits;
 import switchgap.net.NetworkTransport;
 
 /**
@@ -44,7 +44,7 @@
     try (HttpServer server =
         new HttpServer(
             network,
-            ConnectionLimits.DEFAULT,
+            HttpServerLimits.DEFAULT,
             exchange -> exchange.respond(200, HEADERS, exchange.body()))) {
       int port = server.listen(LOOPBACK, 0);
       CountDownLatch done = new CountDownLatch(1);
--- a/src/main/java/switchgap/testbed/emulator/EmulatedModelServer.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedModelServer.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 import java.time.Duration;
-import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpExchange;
 import switchgap.net.HttpServer;
+import switchgap.net.HttpServerLimits;
 
 /**
  * A model server that speaks the Open Inference Protocol with its repository extension and load
@@ -16,8 +16,8 @@
   private static final int MAX_HEAD_BYTES = 16 << 10;
   private static final int MAX_BODY_BYTES = 4 << 20;
   private static final int MAX_CONNECTIONS = 10_000;
-  private static final ConnectionLimits LIMITS =
-      new ConnectionLimits(
+  private static final HttpServerLimits LIMITS =
+      new HttpServerLimits(
           MAX_HEAD_BYTES,
           MAX_BODY_BYTES,
           MAX_CONNECTIONS,
--- a/src/main/java/switchgap/testbed/emulator/EndpointListService.java
+++ b/src/main/java/switchgap/testbed/emulator/EndpointListService.java
@@ -7,9 +7,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpExchange;
 import switchgap.net.HttpServer;
+import switchgap.net.HttpServerLimits;
 import switchgap.net.NetworkTransport;
 
 /**
@@ -98,7 +98,7 @@
     this.scheduler = scheduler;
     this.recorder = recorder;
     this.lag = lag;
-    server = new HttpServer(net, ConnectionLimits.DEFAULT, this);
+    server = new HttpServer(net, HttpServerLimits.DEFAULT, this);
     port = server.listen("127.0.0.1", 0);
   }
 
--- a/src/main/java/switchgap/testbed/emulator/StoreService.java
+++ b/src/main/java/switchgap/testbed/emulator/StoreService.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 import java.util.Map;
-import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpExchange;
 import switchgap.net.HttpServer;
+import switchgap.net.HttpServerLimits;
 import switchgap.net.NetworkTransport;
 
 /**
@@ -27,7 +27,7 @@
       throws IOException {
     this.scheduler = scheduler;
     this.store = store;
-    server = new HttpServer(net, ConnectionLimits.DEFAULT, this);
+    server = new HttpServer(net, HttpServerLimits.DEFAULT, this);
     port = server.listen("127.0.0.1", 0);
   }
 
--- a/src/main/java/switchgap/testbed/experiment/BareRelay.java
+++ b/src/main/java/switchgap/testbed/experiment/BareRelay.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import switchgap.net.CloseCause;
 import switchgap.net.ConnectFailure;
-import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpClientConnection;
 import switchgap.net.HttpClientConnector;
 import switchgap.net.HttpExchange;
 import switchgap.net.HttpServer;
+import switchgap.net.HttpServerLimits;
 import switchgap.net.NetworkTransport;
 
 /**
@@ -38,7 +38,7 @@
   /** Listens at the port until the process ends. */
   static void serve(int port, InetSocketAddress[] workers, int selectors) throws IOException {
     NetworkTransport net = new NetworkTransport(selectors, "relay");
-    new HttpServer(net, ConnectionLimits.DEFAULT, new BareRelay(net, workers))
+    new HttpServer(net, HttpServerLimits.DEFAULT, new BareRelay(net, workers))
         .listen("127.0.0.1", port);
   }
 
--- a/src/main/java/switchgap/testbed/experiment/MemoryMeasurement.java
+++ b/src/main/java/switchgap/testbed/experiment/MemoryMeasurement.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import switchgap.config.YamlDocument;
-import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpServer;
+import switchgap.net.HttpServerLimits;
 import switchgap.net.NetworkTransport;
 import switchgap.server.gateway.GatewayConfig;
 import switchgap.server.gateway.GatewayRouter;
@@ -33,7 +33,7 @@
       int port =
           new HttpServer(
                   net,
-                  ConnectionLimits.DEFAULT,
+                  HttpServerLimits.DEFAULT,
                   exchange -> {
                     if (!silent[0]) {
                       exchange.respond(
--- a/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
+++ b/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
@@ -11,9 +11,9 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpExchange;
 import switchgap.net.HttpServer;
+import switchgap.net.HttpServerLimits;
 import switchgap.net.NetworkTransport;
 import switchgap.testbed.process.ChildProcess;
 import switchgap.testbed.process.LoopbackPorts;
@@ -104,7 +104,7 @@
     int[] ports = new int[WORKERS];
     for (int i = 0; i < WORKERS; i++) {
       ports[i] =
-          new HttpServer(net, ConnectionLimits.DEFAULT, SpeedMeasurement::worker)
+          new HttpServer(net, HttpServerLimits.DEFAULT, SpeedMeasurement::worker)
               .listen("127.0.0.1", 0);
     }
     return ports;
--- a/src/test/java/switchgap/net/HttpServerFixture.java
+++ b/src/test/java/switchgap/net/HttpServerFixture.java
@@ -16,8 +16,8 @@
 abstract class HttpServerFixture {
   static final int MAX_BODY_BYTES = 100;
   static final int WAIT_SECONDS = 5;
-  static final ConnectionLimits LIMITS =
-      new ConnectionLimits(1024, MAX_BODY_BYTES, 2, Duration.ofSeconds(1), Duration.ofMillis(200));
+  static final HttpServerLimits LIMITS =
+      new HttpServerLimits(1024, MAX_BODY_BYTES, 2, Duration.ofSeconds(1), Duration.ofMillis(200));
 
   final BlockingQueue<HttpExchange> received = new LinkedBlockingQueue<>();
   final BlockingQueue<HttpExchange> disconnected = new LinkedBlockingQueue<>();
