--- a/src/main/java/switchgap/protocol/inference/AttemptExchange.java
+++ b/src/main/java/switchgap/protocol/inference/AttemptExchange.java
@@ -12,11 +12,8 @@
 
 /** The exchange of an attempt; its end is posted to the event loop. */
 final class AttemptExchange extends InferenceExchange {
-  /**
-   * Headers that concern the worker's connection or this router, and are not passed on to the
-   * client.
-   */
-  private static final Set<String> HOP_HEADERS =
+  /** Headers of the worker's connection or for this router, which the client does not get. */
+  private static final Set<String> HOP_BY_HOP_HEADERS =
       Set.of(
           "content-length",
           "transfer-encoding",
@@ -68,7 +65,7 @@
         core -> core.attemptEnded(attempt, AttemptOutcome.CONNECTION_LOST, LoadReport.NONE, null));
   }
 
-  /** What a response to an attempt means and proves. */
+  /** How an attempt with this response ended, and whether that proves that it was not executed. */
   private static AttemptOutcome outcome(int status, OrcaLoadReport report) {
     if (HttpStatus.isSuccess(status)) {
       return AttemptOutcome.SUCCEEDED;
@@ -86,7 +83,7 @@
     Map<String, String> forwarded = new HashMap<>();
     headers.forEach(
         (name, value) -> {
-          if (!HOP_HEADERS.contains(name)) {
+          if (!HOP_BY_HOP_HEADERS.contains(name)) {
             forwarded.put(name, value);
           }
         });
--- a/src/main/java/switchgap/protocol/inference/CommandExchange.java
+++ b/src/main/java/switchgap/protocol/inference/CommandExchange.java
@@ -6,9 +6,9 @@
 
 /** The exchange of a load command, a query, an unload or a probe. */
 final class CommandExchange extends InferenceExchange {
-  /** Is notified once how an exchange ended, unless it was abandoned. */
+  /** Is notified once of how an exchange ended, or not at all where it was abandoned. */
   interface CommandResultListener {
-    /** It ended; the report is empty where there was none. On any thread. */
+    /** The exchange ended; the report is empty where there was none. On any thread. */
     void exchangeEnded(AttemptOutcome outcome, OrcaLoadReport report);
   }
 
--- a/src/main/java/switchgap/protocol/inference/HttpStatus.java
+++ b/src/main/java/switchgap/protocol/inference/HttpStatus.java
@@ -1,6 +1,6 @@
 package switchgap.protocol.inference;
 
-/** The status codes that mean something in the protocol. */
+/** The status codes to which the protocol gives a meaning. */
 final class HttpStatus {
   private static final int SUCCESS_FIRST = 200;
   private static final int SUCCESS_END = 300;
--- a/src/main/java/switchgap/protocol/inference/InferenceExchange.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceExchange.java
@@ -51,7 +51,7 @@
   /** Its connection was lost after bytes of it may have been sent. */
   abstract void lost();
 
-  /** Gives it to its pool; on the event loop or a writer thread. */
+  /** Submits it to its pool; on the event loop or a writer thread. */
   final void submit() {
     pool.submit(this);
   }
--- a/src/main/java/switchgap/protocol/inference/InferenceRequest.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceRequest.java
@@ -17,7 +17,7 @@
  * @param body content, empty where there is none
  */
 record InferenceRequest(String method, String path, Map<String, String> headers, byte[] body) {
-  /** Names an attempt; a worker may echo it. In lower case as received headers are. */
+  /** Has the id of an attempt; a worker may echo it. In lower case as received headers are. */
   static final String REQUEST_ID_HEADER = "x-request-id";
 
   private static final String GET = "GET";
@@ -53,12 +53,12 @@
         attempt.request().body());
   }
 
-  /** Asks whether a function is loaded. */
+  /** Queries whether a function is loaded. */
   static InferenceRequest functionReady(String function) {
     return new InferenceRequest(GET, MODELS_PATH + encode(function) + READY, Map.of(), NO_BODY);
   }
 
-  /** Loads so many replicas of a function. */
+  /** Loads this number of replicas of a function. */
   static InferenceRequest load(String function, int replicas) {
     return json(
         REPOSITORY_PATH + encode(function) + LOAD,
@@ -70,7 +70,7 @@
     return json(REPOSITORY_PATH + encode(function) + UNLOAD, UNLOAD_IDLE_BODY);
   }
 
-  /** Asks whether the worker is ready; the response reports its load. */
+  /** Checks whether the worker is ready; the response reports its load. */
   static InferenceRequest health() {
     return new InferenceRequest(GET, HEALTH_PATH, Map.of(), NO_BODY);
   }
--- a/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
@@ -15,7 +15,7 @@
 import switchgap.router.WorkerTransport;
 
 /**
- * Carries attempts, load commands and probes to workers by the Open Inference Protocol (version 2,
+ * Sends attempts, load commands and probes to workers by the Open Inference Protocol (version 2,
  * HTTP) with its model repository extension and load reports as response headers.
  *
  * <p>What a response proves: a function that is not loaded is a 404, a worker without capacity a
@@ -37,7 +37,7 @@
    * @param limits bounds of each pool of connections
    * @param writers threads that encode and send attempts
    * @param events posts to the router's event loop
-   * @param endpointListRequester asks for the endpoint list
+   * @param endpointListRequester requests the endpoint list
    */
   public InferenceWorkerTransport(
       HttpClientConnector connectionFactory,
--- a/src/main/java/switchgap/protocol/invoke/ProblemDetails.java
+++ b/src/main/java/switchgap/protocol/invoke/ProblemDetails.java
@@ -31,7 +31,7 @@
     return notAccepted("the router holds " + maxPending + " calls already");
   }
 
-  /** The request names a function that is not known yet, and no further one can be. */
+  /** The request names a further function, and state is stored of as many as may be. */
   static ProblemDetails functionLimitReached() {
     return notAccepted("no room for a further function");
   }
--- a/src/main/java/switchgap/protocol/invoke/ProblemType.java
+++ b/src/main/java/switchgap/protocol/invoke/ProblemType.java
@@ -24,9 +24,9 @@
   REJECTED(503, "pushed-back"),
   /** The request failed; nothing is promised about its effect. */
   FAILED(504, "killed"),
-  /** The id of a deferred request was never given out. */
+  /** The id was never issued for a deferred request. */
   UNKNOWN_REQUEST(404, "unknown-call"),
-  /** The result of a deferred request is no longer kept. */
+  /** The result of a deferred request is no longer stored. */
   RESULT_GONE(410, "result-gone"),
   /** Admission control is off at this router. */
   NO_SERVICE_LEVELS(404, "no-levels"),
--- a/src/main/java/switchgap/protocol/invoke/ResponseWriter.java
+++ b/src/main/java/switchgap/protocol/invoke/ResponseWriter.java
@@ -10,8 +10,8 @@
 import switchgap.router.Response;
 
 /**
- * Writes the router's responses as HTTP. Safe from any thread; an exchange takes its first response
- * only.
+ * Writes the router's responses as HTTP. Safe from any thread; an exchange accepts its first
+ * response only.
  */
 final class ResponseWriter {
   static final String JSON = "application/json";
--- a/src/main/java/switchgap/server/gateway/CoreFactory.java
+++ b/src/main/java/switchgap/server/gateway/CoreFactory.java
@@ -45,7 +45,7 @@
     if (config.plannerLink() != null) {
       planned =
           new PlannedWorkerTransport(
-              workers, config.settings(), config.plannerLink().patience(), loop::post);
+              workers, config.settings(), config.plannerLink().planTimeout(), loop::post);
     }
     WorkerTransport transport = planned == null ? workers : planned;
     return new RouterCore(
@@ -58,7 +58,7 @@
             config.requestLimits().maxFunctions()));
   }
 
-  /** Sets what follows when the core asks for the endpoint list; without it nothing does. */
+  /** Sets what runs when the core requests the endpoint list; before that nothing does. */
   void onEndpointListRequest(Runnable action) {
     endpointListRequest = action;
   }
@@ -68,7 +68,7 @@
     return workers;
   }
 
-  /** The transport in which load commands wait for a planner, or null where none is configured. */
+  /** The transport in which load commands wait for plans, or null without a planner. */
   PlannedWorkerTransport planned() {
     return planned;
   }
--- a/src/main/java/switchgap/server/gateway/EndpointListSource.java
+++ b/src/main/java/switchgap/server/gateway/EndpointListSource.java
@@ -42,7 +42,8 @@
   }
 
   /**
-   * Delivers the configured workers and follows the service, again whenever the core asks for it.
+   * Delivers the configured workers and watches the service; watches it anew at the request of the
+   * core.
    */
   void start(CoreFactory cores) {
     if (!endpoints.staticWorkers().isEmpty()) {
--- a/src/main/java/switchgap/server/gateway/GatewayComponents.java
+++ b/src/main/java/switchgap/server/gateway/GatewayComponents.java
@@ -20,9 +20,8 @@
 import switchgap.router.RouterCore;
 
 /**
- * The parts of one router: creates them, starts them in the order in which they need each other,
- * and closes them in the order in which they hand work on. Whether the router starts, serves or
- * stops is the business of {@link GatewayRouter}.
+ * The parts of one router: creates, starts and closes them, each after the parts that it depends on
+ * or before them. {@link GatewayRouter} decides when.
  */
 final class GatewayComponents implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(GatewayRouter.class);
@@ -56,7 +55,7 @@
     network = new NetworkTransport(threads, "router-" + index);
     JvmWarmup.run(settings, network);
     startedAtMillis = WallClock.unixMillis();
-    writers = new KeyedWriters(threads, "carrier-" + index);
+    writers = new KeyedWriters(threads, "writer-" + index);
     HttpClientConnector connections =
         new HttpClientConnector(
             network, config.workers().sourceAddress(), config.workers().maxResponseBytes());
--- a/src/main/java/switchgap/server/gateway/GatewayConfig.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfig.java
@@ -44,11 +44,11 @@
    * Bounds of the requests and results that the router keeps in memory.
    *
    * @param maxPending requests pending at a time
-   * @param maxFunctions functions known at a time
-   * @param resultRetention for how long the result of a deferred request is kept
+   * @param maxFunctions functions of which state is stored at a time
+   * @param resultRetention time for which the result of a deferred request is stored
    * @param maxDeferred deferred requests, pending ones and results
-   * @param maxDeferredBytes bytes of the results kept
-   * @param maxPollSeconds longest time for which a poll is kept open
+   * @param maxDeferredBytes bytes of the stored results
+   * @param maxPollSeconds longest time that a poll for a result may wait
    */
   public record RequestLimits(
       int maxPending,
@@ -87,9 +87,9 @@
    * The planner that sequences load commands.
    *
    * @param address where the router listens for it
-   * @param patience for how long a load command waits for a plan
+   * @param planTimeout time after which a load command is sent without a plan
    */
-  public record PlannerLink(InetSocketAddress address, Duration patience) {}
+  public record PlannerLink(InetSocketAddress address, Duration planTimeout) {}
 
   /** Reads a YAML file; see {@link #read(YamlDocument)}. */
   public static GatewayConfig read(Path file) throws IOException {
@@ -97,14 +97,15 @@
   }
 
   /**
-   * Reads a whole document; a mistake is a {@link switchgap.config.InvalidConfigException} that
-   * names file, line and key.
+   * Reads a document.
+   *
+   * @throws switchgap.config.InvalidConfigException where it is invalid, with file, line and key
    */
   public static GatewayConfig read(YamlDocument document) {
     return new GatewayConfigReader(document).read();
   }
 
-  /** Where the router listens for its planner, or null. */
+  /** The address at which the router listens for its planner, or null where there is none. */
   public InetSocketAddress planner() {
     return plannerLink == null ? null : plannerLink.address();
   }
--- a/src/main/java/switchgap/server/gateway/GatewayConfigReader.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfigReader.java
@@ -135,11 +135,11 @@
   private GatewayConfig.PlannerLink readPlannerLink(YamlDocument section) {
     InetSocketAddress address =
         new InetSocketAddress(section.text("host", LOOPBACK), section.integer("port", 0, MAX_PORT));
-    Duration patience = section.duration("patience", Duration.ofMillis(60));
+    Duration planTimeout = section.duration("patience", Duration.ofMillis(60));
     section.rejectUnknownKeys();
     if (!settings.loadQuotaWindow().isZero()) {
       throw document.invalid("planner", "is not used where load orders are rationed");
     }
-    return new GatewayConfig.PlannerLink(address, patience);
+    return new GatewayConfig.PlannerLink(address, planTimeout);
   }
 }
--- a/src/main/java/switchgap/server/gateway/JvmWarmup.java
+++ b/src/main/java/switchgap/server/gateway/JvmWarmup.java
@@ -29,7 +29,7 @@
   private static final int BODY_BYTES = 64;
   private static final int MAX_RESPONSE_BYTES = 1 << 16;
   private static final String LOOPBACK = "127.0.0.1";
-  private static final String PATH = "/rehearsal";
+  private static final String PATH = "/warm-up";
   private static final Map<String, String> HEADERS = Map.of("Content-Type", "text/plain");
 
   private JvmWarmup() {}
--- a/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
@@ -17,8 +17,8 @@
 import switchgap.router.WorkerTransport;
 
 /**
- * Delays load commands until the planner's plan names them or their patience is over; forwards all
- * else at once. Belongs to the event loop.
+ * Delays load commands until the planner's plan names them or they time out; forwards all else at
+ * once. Belongs to the event loop.
  */
 final class PlannedWorkerTransport extends ForwardingWorkerTransport {
   private static final Logger LOG = LoggerFactory.getLogger(PlannedWorkerTransport.class);
@@ -48,18 +48,18 @@
   /**
    * Creates the transport; it is not connected to a planner yet, so load commands are sent at once.
    *
-   * @param patience for how long a load command waits for a plan
+   * @param planTimeout time after which a load command is sent without a plan
    * @param events runs an event on the event loop
    */
   PlannedWorkerTransport(
       WorkerTransport delegate,
       YamlRouterSettings settings,
-      Duration patience,
+      Duration planTimeout,
       Consumer<Consumer<RouterCore>> events) {
     super(delegate);
     this.settings = settings;
     this.events = events;
-    this.queue = new PendingLoadQueue(patience, MAX_PENDING_LOADS, new QueueListener());
+    this.queue = new PendingLoadQueue(planTimeout, MAX_PENDING_LOADS, new QueueListener());
     this.publisher = new BacklogPublisher(queue, delayed, events);
   }
 
@@ -82,7 +82,7 @@
 
   /**
    * Carries out a plan. No backlog is sent in response: what a plan left waiting is reported with
-   * the next load command, or is sent when its patience is over.
+   * the next load command, or is sent when it times out.
    */
   void planReceived(LoadPlan plan) {
     queue.planReceived(plan);
@@ -135,7 +135,7 @@
     return new PendingLoad(id, worker.name(), function, memoryMb, loadMicros, 0, 0);
   }
 
-  /** Sends loads whose patience is over, and comes again for as long as any load waits. */
+  /** Sends loads that have timed out; schedules itself while any load waits. */
   private void tick(RouterCore core) {
     Duration next = queue.tick(core.now());
     ticking = next != null;
--- a/src/main/java/switchgap/server/gateway/RoutingWarmup.java
+++ b/src/main/java/switchgap/server/gateway/RoutingWarmup.java
@@ -30,7 +30,7 @@
   private static final long SEED = 1;
   private static final Duration TICK = Duration.ofMillis(2);
   private static final LoadReport WORKER_LOAD = new LoadReport(0.2, 1, 0, 0);
-  private static final String NAME = "rehearsal";
+  private static final String NAME = "warm-up";
 
   private final YamlRouterSettings settings;
   private final RouterCore core;
@@ -82,7 +82,7 @@
         .build();
   }
 
-  /** Nobody waits for a synthetic request. */
+  /** A synthetic request has no client. */
   private static final class IgnoringListener implements ResponseListener {
     @Override
     public void responded(PendingRequest request, Response response) {}
--- a/src/test/java/switchgap/protocol/inference/InferenceExchangeTest.java
+++ b/src/test/java/switchgap/protocol/inference/InferenceExchangeTest.java
@@ -36,7 +36,7 @@
 
   /**
    * Abandoned by the event loop between the writer thread's check and its write: the connection was
-   * kept by an exchange that nobody would end.
+   * occupied by an exchange that nobody would end.
    */
   @Test
   void anExchangeAbandonedJustBeforeItIsSentFreesItsConnection() throws Exception {
--- a/src/test/java/switchgap/protocol/inference/OrcaLoadReportTest.java
+++ b/src/test/java/switchgap/protocol/inference/OrcaLoadReportTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import switchgap.policy.api.LoadReport;
 
-/** Load reports in both forms, and what a worker's nonsense does to them. */
+/** Load reports in both forms, and what invalid figures do to them. */
 class OrcaLoadReportTest {
   private static OrcaLoadReport parse(String header) {
     return OrcaLoadReport.parse(Map.of(OrcaLoadReport.HEADER, header));
@@ -39,7 +39,7 @@
   /** Seen in review: the JSON form let negative and infinite figures through to the policy. */
   @ParameterizedTest
   @ValueSource(strings = {"-1", "1e999", "1e6"})
-  void figuresOutOfReasonAreLeftOutOfEitherForm(String figure) {
+  void figuresOutOfBoundsAreLeftOutOfEitherForm(String figure) {
     String json =
         "JSON {\"cpu_utilization\":%1$s,\"named_metrics\":{\"inflight\":%1$s,\"copies\":%1$s}}";
     String text = "TEXT cpu_utilization=%1$s,named_metrics.inflight=%1$s,named_metrics.copies=%1$s";
--- a/src/test/java/switchgap/server/gateway/ClientConnectionsTest.java
+++ b/src/test/java/switchgap/server/gateway/ClientConnectionsTest.java
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Each kept a connection slot for ever: a part of a request's head and then silence, or no byte
-   * at all.
+   * Each occupied a connection slot for ever: a part of a request's head and then silence, or no
+   * byte at all.
    */
   @Test
   void aClientThatNeverSendsACompleteRequestLosesItsConnection() throws Exception {
--- a/src/test/java/switchgap/server/gateway/EndpointListTest.java
+++ b/src/test/java/switchgap/server/gateway/GatewayEndpointListTest.java
@@ -26,7 +26,7 @@
  * The endpoint list while requests run: workers gone, draining, restarted, and a service that is
  * away.
  */
-class EndpointListTest {
+class GatewayEndpointListTest {
   @TempDir Path dir;
 
   private static EndpointListService.Entry entry(
--- a/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
+++ b/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
@@ -37,7 +37,7 @@
       new YamlRouterSettings(YamlDocument.read("t", GatewayFixture.SETTINGS));
   private final PlannedWorkerTransport transport =
       new PlannedWorkerTransport(
-          new ImmediateTransport(), settings, Duration.ofMillis(60), nextEvents::add);
+          new NextTickWorkers(), settings, Duration.ofMillis(60), nextEvents::add);
   private final PolicyEvents noEvents =
       (PolicyEvents)
           Proxy.newProxyInstance(
@@ -130,7 +130,7 @@
    * Workers that carry out each command in the next tick. An inner class, so that all that the test
    * holds counts as reachable from the transport.
    */
-  private final class ImmediateTransport implements WorkerTransport {
+  private final class NextTickWorkers implements WorkerTransport {
     @Override
     public void requestReplicas(
         WorkerEntry worker, String function, int replicas, WorkerCommand command) {
--- a/src/test/java/switchgap/server/gateway/RouterAndPlannerTest.java
+++ b/src/test/java/switchgap/server/gateway/RouterAndPlannerTest.java
@@ -141,8 +141,7 @@
       assertThat(read(new DataInputStream(silent.getInputStream())))
           .isInstanceOf(PlannerMessage.Hello.class);
       awaitSuccess(fixture);
-      assertThat(fixture.router().loadPlanCounts().timedOut())
-          .isPositive(); // the patience was over
+      assertThat(fixture.router().loadPlanCounts().timedOut()).isPositive(); // sent without a plan
     }
   }
 
