--- a/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
+++ b/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
@@ -39,12 +39,13 @@
   private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
   private final WorkerEntry worker = new WorkerEntry("w", "127.0.0.1", server.getLocalPort(), 0);
   private volatile Duration now = Duration.ZERO;
+  private final RespConnectionManager manager;
   private final RespConnectionPool pool;
   private final RouterDiagnostics diagnostics = TestDiagnostics.create();
 
   RespConnectionPoolTest() throws IOException {
     net = new NetworkTransport(1, "pool-test");
-    RespConnectionManager manager =
+    manager =
         new RespConnectionManager(net, RespTestLimits.SMALL, () -> now, events::add, diagnostics);
     pool = manager.poolFor(worker);
   }
@@ -62,10 +63,14 @@
     return exchange.encodeCommand(now.toNanos(), diagnostics);
   }
 
-  private void runNextEvent() throws InterruptedException {
+  private Consumer<RouterCore> takeNextEvent() throws InterruptedException {
     Consumer<RouterCore> event = events.poll(EVENT_SECONDS, TimeUnit.SECONDS);
     assertThat(event).as("an event within %d s", EVENT_SECONDS).isNotNull();
-    event.accept(null);
+    return event;
+  }
+
+  private void runNextEvent() throws InterruptedException {
+    takeNextEvent().accept(null);
   }
 
   private static String read(Socket socket, int bytes) throws IOException {
@@ -78,6 +83,11 @@
         .isInstanceOf(SocketTimeoutException.class);
   }
 
+  private static void assertClosed(Socket socket) throws IOException {
+    socket.setSoTimeout(EVENT_SECONDS * 1000);
+    assertThat(socket.getInputStream().read()).isNegative();
+  }
+
   @Test
   void waitsForConnectionAndEndsWithReply() throws Exception {
     RespExchange exchange = exchange("1");
@@ -147,6 +157,64 @@
     }
   }
 
+  @Test
+  void abandonsWaitingExchangeAsConnectFailedWhileNoConnectionIsOpen() {
+    RespExchange exchange = exchange("1");
+    pool.submit(exchange);
+    assertThat(pool.abandon(exchange)).isEqualTo(AttemptOutcome.CONNECT_FAILED);
+    assertThat(exchange.state()).isEqualTo(RespExchange.State.ENDED);
+    assertThat(outcomes).isEmpty();
+  }
+
+  @Test
+  void closesConnectionWhoseReplyIsOverdue() throws Exception {
+    RespExchange exchange = exchange("1");
+    pool.submit(exchange);
+    try (Socket socket = server.accept()) {
+      Consumer<RouterCore> connectionOpened = takeNextEvent();
+      now = now.plusMillis(1); // a connection counts as responsive at the moment of its opening
+      connectionOpened.accept(null);
+      int commandBytes = command(exchange).length;
+      now = TIMEOUT;
+      assertThat(pool.abandon(exchange)).isEqualTo(AttemptOutcome.TIMED_OUT);
+      read(socket, commandBytes);
+      assertClosed(socket);
+      runNextEvent();
+      assertThat(manager.connectionCount()).isZero();
+    }
+  }
+
+  @Test
+  void closesConnectionAfterItsIdleTimeout() throws Exception {
+    pool.submit(exchange("1"));
+    try (Socket socket = server.accept()) {
+      runNextEvent();
+      socket.getOutputStream().write(RespCommandEncoder.encode("1", "full", "-", ""));
+      runNextEvent();
+      now = now.plus(RespTestLimits.SMALL.idleTimeout()).minusNanos(1);
+      manager.sweep();
+      assertThat(events.poll(SILENCE_MILLIS, TimeUnit.MILLISECONDS)).isNull();
+      now = now.plusNanos(1);
+      manager.sweep();
+      runNextEvent();
+      assertThat(manager.connectionCount()).isZero();
+    }
+  }
+
+  @Test
+  void endsWaitingExchangeAsNotSentWhenWorkerIsGone() throws Exception {
+    pool.submit(exchange("1"));
+    try (Socket socket = server.accept()) {
+      pool.retire();
+      runNextEvent(); // the connection is open and the exchange has ended, in either order
+      runNextEvent();
+      assertThat(outcomes).containsExactly(AttemptOutcome.NOT_SENT);
+      assertClosed(socket);
+      assertThat(manager.connectionCount()).isZero();
+      assertThat(pool.isDisposable()).isTrue();
+    }
+  }
+
   @Override
   public void responded(PendingRequest request, Response response) {}
 
--- /dev/null
+++ b/src/test/java/switchgap/protocol/resp/WaitingExchangesTest.java
@@ -0,0 +1,57 @@
+package switchgap.protocol.resp;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import switchgap.router.WorkerEntry;
+
+/** The order and the bound of the queue of waiting exchanges. */
+class WaitingExchangesTest {
+  private final WorkerEntry worker = new WorkerEntry("w", "127.0.0.1", 1, 0);
+  private final WaitingExchanges waiting = new WaitingExchanges(3);
+
+  private RespExchange addExchange(String tag) {
+    RespExchange exchange =
+        RespExchange.ofCommand(worker, tag, false, new byte[0], 0, (core, outcome, reply) -> {});
+    waiting.add(exchange);
+    return exchange;
+  }
+
+  private List<String> waitingTags() {
+    List<String> tags = new ArrayList<>();
+    waiting.settleEach(
+        exchange -> {
+          tags.add(exchange.replyId());
+          return false;
+        });
+    return tags;
+  }
+
+  @Test
+  void isFullAtItsBound() {
+    addExchange("first");
+    addExchange("second");
+    assertThat(waiting.isFull()).isFalse();
+    addExchange("third");
+    assertThat(waiting.isFull()).isTrue();
+  }
+
+  @Test
+  void keepsExchangesThatAreNotSettledInOrder() {
+    addExchange("first");
+    RespExchange second = addExchange("second");
+    addExchange("third");
+    waiting.settleEach(exchange -> exchange == second);
+    assertThat(waitingTags()).containsExactly("first", "third");
+  }
+
+  @Test
+  void offersNoExchangeThatWasRemoved() {
+    RespExchange first = addExchange("first");
+    addExchange("second");
+    waiting.remove(first);
+    assertThat(waitingTags()).containsExactly("second");
+  }
+}
