--- a/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
@@ -10,22 +10,24 @@
 import switchgap.testbed.emulator.RequestTally;
 
 /**
- * Plays a scenario: starts the test bed, lets clients send while faults are injected, ends all in
- * good order.
+ * Plays a scenario: starts the test bed, lets clients send while faults are injected, and shuts
+ * down gracefully.
  */
 public final class ScenarioRunner {
   private static final long SETTLE_MILLIS = 500;
   private static final long ARRIVALS_POLL_MILLIS = 50;
   private static final long DRAIN_POLL_MILLIS = 20;
-  private static final long LATE_RESPONSE_MILLIS =
-      400; // longer than clients wait for a late response
+
+  /** Longer than clients wait for a late response. */
+  private static final long LATE_RESPONSE_MILLIS = 400;
+
   private static final long DRAIN_MARGIN_MICROS = 2_000_000;
   private static final int WORST_WINDOW_SECONDS = 10;
 
   private ScenarioRunner() {}
 
   /**
-   * Plays a scenario and prints what became of it.
+   * Plays a scenario and prints the outcome of its requests.
    *
    * @param file the scenario
    * @param directory receives the logs and a copy of the scenario
@@ -45,25 +47,25 @@
           CompletableFuture.supplyAsync(
                   () -> {
                     long arrivalsEnd =
-                        testBed.clients.startFor(scenario.settings().timing().length());
+                        testBed.clients().startFor(scenario.settings().timing().length());
                     new FaultScript(testBed).start();
                     return arrivalsEnd;
                   },
-                  testBed.scheduler::post)
+                  testBed.scheduler()::post)
               .join();
       awaitEnd(testBed, end);
       testBed.finish();
       report(testBed, out);
-      return testBed.clients;
+      return testBed.clients();
     }
   }
 
   private static void awaitEnd(TestBed testBed, long end) throws InterruptedException {
-    while (testBed.scheduler.now() < end) {
+    while (testBed.scheduler().now() < end) {
       Thread.sleep(ARRIVALS_POLL_MILLIS);
     }
-    long deadline = end + testBed.scenario.longestTimeout() + DRAIN_MARGIN_MICROS;
-    while (testBed.clients.attemptsInFlight() > 0 && testBed.scheduler.now() < deadline) {
+    long deadline = end + testBed.scenario().longestTimeout() + DRAIN_MARGIN_MICROS;
+    while (testBed.clients().attemptsInFlight() > 0 && testBed.scheduler().now() < deadline) {
       Thread.sleep(DRAIN_POLL_MILLIS);
     }
     Thread.sleep(LATE_RESPONSE_MILLIS);
@@ -82,7 +84,7 @@
         "gave up",
         "unreachable",
         "service");
-    for (var entry : testBed.clients.tallies().entrySet()) {
+    for (var entry : testBed.clients().tallies().entrySet()) {
       RequestTally tally = entry.getValue();
       out.printf(
           "%-16s %6d %6d %8d %6d %8d %7d %7d %11d %8.3f%n",
@@ -99,8 +101,8 @@
     }
     out.printf(
         "service %.3f, worst 10 s %.3f, fetches from the store %d (simulated servers)%n",
-        testBed.clients.service(),
-        testBed.clients.worstWindowService(WORST_WINDOW_SECONDS),
-        testBed.store.fetches());
+        testBed.clients().service(),
+        testBed.clients().worstWindowService(WORST_WINDOW_SECONDS),
+        testBed.store().fetches());
   }
 }
