--- a/src/main/java/switchgap/admission/AdmissionController.java
+++ b/src/main/java/switchgap/admission/AdmissionController.java
@@ -13,9 +13,6 @@
  * last tick is ignored.
  */
 public final class AdmissionController {
-  /** The tenant of changes that apply to all requests. */
-  private static final int ALL_TENANTS = -1;
-
   /**
    * Pressure from which HOLD, which admits nothing, may be taken: guards against it in a mild
    * overload.
@@ -148,7 +145,7 @@
       Duration now, double seconds, ControlSignal signal, double tenantExcess) {
     LevelTransition expired = common.expirePin(now);
     if (expired != null) {
-      record(now, ALL_TENANTS, expired);
+      record(now, ServiceLevelChange.ALL_TENANTS, expired);
     }
     // Load beyond quotas counts against the tenants' own controllers while these can shed more.
     boolean fromTenants =
@@ -157,7 +154,7 @@
         common.update(
             now, seconds, fromTenants ? signal.withShedRate(0) : signal, lowestLevelNow());
     if (change != null && !common.isPinned()) {
-      record(now, ALL_TENANTS, change);
+      record(now, ServiceLevelChange.ALL_TENANTS, change);
     }
   }
 
@@ -185,7 +182,7 @@
 
   /** Pins a level for all requests until a time, whatever the pressure. */
   public void pin(Duration now, ServiceLevel level, Duration until) {
-    record(now, ALL_TENANTS, common.pin(level, until));
+    record(now, ServiceLevelChange.ALL_TENANTS, common.pin(level, until));
   }
 
   public boolean isPinned() {
--- a/src/main/java/switchgap/eventloop/EventLoop.java
+++ b/src/main/java/switchgap/eventloop/EventLoop.java
@@ -19,6 +19,7 @@
   private static final int MAX_EVENTS_PER_TICK = 512;
 
   private static final long STOP_TIMEOUT_MILLIS = 5000;
+  private static final long NANOS_PER_MICRO = 1000;
 
   /**
    * A tick later than this means that the process was paused: what arrived meanwhile is read first.
@@ -124,17 +125,22 @@
         continue;
       }
       if (isDue) {
-        latenessListener.accept(now.minus(due).toNanos() / 1000);
-      }
-      if (isDue && now.minus(due).compareTo(PAUSE_THRESHOLD) > 0) {
-        pendingReads.run();
-        gather(batch, Integer.MAX_VALUE);
+        catchUp(now.minus(due), batch);
       }
       core.tick(now(), batch);
       batch.clear();
     }
   }
 
+  /** Reports how late a tick is; after a pause also gathers all that arrived meanwhile. */
+  private void catchUp(Duration lateness, List<Consumer<RouterCore>> batch) {
+    latenessListener.accept(lateness.toNanos() / NANOS_PER_MICRO);
+    if (lateness.compareTo(PAUSE_THRESHOLD) > 0) {
+      pendingReads.run();
+      gather(batch, Integer.MAX_VALUE);
+    }
+  }
+
   /** Moves all urgent events to the batch, and others up to a number of events in all. */
   private void gather(List<Consumer<RouterCore>> batch, int maxEvents) {
     Consumer<RouterCore> event = urgent.poll();
--- a/src/main/java/switchgap/protocol/invoke/ServiceLevelReport.java
+++ b/src/main/java/switchgap/protocol/invoke/ServiceLevelReport.java
@@ -63,7 +63,7 @@
 
   private void addChange(ObjectNode node, ServiceLevelChange change) {
     node.put("at_s", seconds(change.time()));
-    node.put("for", change.tenant() < 0 ? "all" : settings.tenantName(change.tenant()));
+    node.put("for", change.appliesToAll() ? "all" : settings.tenantName(change.tenant()));
     node.put("from", EnumWords.wordOf(change.previous()));
     node.put("to", EnumWords.wordOf(change.current()));
     node.put("condition", change.condition());
--- a/src/main/java/switchgap/server/gateway/GatewayAdmission.java
+++ b/src/main/java/switchgap/server/gateway/GatewayAdmission.java
@@ -58,7 +58,7 @@
         "level {} to {} for {}: {} (pressure {}, evidence {} calls)",
         EnumWords.wordOf(change.previous()),
         EnumWords.wordOf(change.current()),
-        change.tenant() < 0 ? "all" : settings.tenantName(change.tenant()),
+        change.appliesToAll() ? "all" : settings.tenantName(change.tenant()),
         change.condition(),
         String.format(Locale.ROOT, "%.3f", change.pressure()),
         Math.round(change.samples()));
--- a/src/main/java/switchgap/testbed/experiment/Emulator.java
+++ b/src/main/java/switchgap/testbed/experiment/Emulator.java
@@ -47,7 +47,7 @@
   record RouterLevelChange(int router, ServiceLevelChange change) {
     /** Whether it concerns all tenants. */
     boolean isCommon() {
-      return change.tenant() < 0;
+      return change.appliesToAll();
     }
   }
 
--- a/src/test/java/switchgap/admission/AdmissionFixture.java
+++ b/src/test/java/switchgap/admission/AdmissionFixture.java
@@ -141,7 +141,7 @@
               Locale.ROOT,
               "%6.1f %s %s to %s: %s%n",
               change.time().toMillis() / 1000.0,
-              change.tenant() < 0 ? "all" : "tenant " + change.tenant(),
+              change.appliesToAll() ? "all" : "tenant " + change.tenant(),
               change.previous(),
               change.current(),
               change.condition()));
