--- a/src/main/java/switchgap/config/PropertyWorkerSettings.java
+++ b/src/main/java/switchgap/config/PropertyWorkerSettings.java
@@ -4,15 +4,16 @@
 import java.util.Map;
 
 /**
- * The settings of a property tree about workers: their kinds, warm-up, replicas and endpoint list.
+ * The settings of a property tree about workers: their kinds, slow start, replicas and endpoint
+ * list.
  */
 abstract class PropertyWorkerSettings extends PropertyRequestSettings {
   private static final String CAPACITY_REPORTS = "Weights";
   private static final String ENDPOINT_DISCOVERY = "Discovery";
-  private static final String COLD_CAPACITY_SHARE = "Guarantees.ColdFrom";
-  private static final String WARM_UP_DURATION = "Guarantees.ColdUs";
-  private static final String COLD_OVERLOAD_MULTIPLE = "Guarantees.FallMultiple";
-  private static final String COLD_OVERLOAD_WINDOW = "Guarantees.OverloadForUs";
+  private static final String SLOW_START_CAPACITY_SHARE = "Guarantees.ColdFrom";
+  private static final String SLOW_START_DURATION = "Guarantees.ColdUs";
+  private static final String SLOW_START_OVERLOAD_MULTIPLE = "Guarantees.FallMultiple";
+  private static final String SLOW_START_OVERLOAD_WINDOW = "Guarantees.OverloadForUs";
   private static final String ENDPOINT_POLL_INTERVAL = "Guarantees.AskWithinUs";
   private static final String LOADS_ON_DEMAND = "Extra.IfCold";
   private static final String LOAD_COMMANDS_ALLOWED = "Extra.PlacementCalls";
@@ -41,22 +42,22 @@
 
   @Override
   public double slowStartCapacityShare() {
-    return values.number(COLD_CAPACITY_SHARE);
+    return values.number(SLOW_START_CAPACITY_SHARE);
   }
 
   @Override
   public Duration warmUpDuration() {
-    return values.duration(WARM_UP_DURATION);
+    return values.duration(SLOW_START_DURATION);
   }
 
   @Override
   public double slowStartOverloadMultiple() {
-    return values.number(COLD_OVERLOAD_MULTIPLE);
+    return values.number(SLOW_START_OVERLOAD_MULTIPLE);
   }
 
   @Override
   public Duration slowStartOverloadWindow() {
-    return values.duration(COLD_OVERLOAD_WINDOW);
+    return values.duration(SLOW_START_OVERLOAD_WINDOW);
   }
 
   @Override
--- a/src/main/java/switchgap/config/RulesSection.java
+++ b/src/main/java/switchgap/config/RulesSection.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /** The section {@code rules}: the slow start of workers, and the quota of load commands. */
-record RulesSection(WarmUp warmUp, LoadQuota loadQuota) {
+record RulesSection(SlowStart slowStart, LoadQuota loadQuota) {
   private static final double MAX_MULTIPLE = 1e6;
   private static final double MAX_LOADS = 1e6;
 
@@ -15,7 +15,7 @@
    * @param overloadMultiple multiple of its capacity at which a worker crashes during slow start
    * @param overloadWindow time over which that multiple is measured
    */
-  record WarmUp(
+  record SlowStart(
       double capacityShare, Duration duration, double overloadMultiple, Duration overloadWindow) {
     /** So short that a worker has all its capacity from its start. */
     private static final Duration DEFAULT_DURATION = Duration.ofMillis(1);
@@ -23,7 +23,7 @@
     private static final double DEFAULT_OVERLOAD_MULTIPLE = 3;
     private static final Duration DEFAULT_OVERLOAD_WINDOW = Duration.ofSeconds(1);
 
-    static WarmUp read(YamlDocument section) {
+    static SlowStart read(YamlDocument section) {
       double capacityShare = section.number("cold_share", 0, 1, 1);
       Duration duration = section.duration("cold_span", DEFAULT_DURATION);
       if (duration.isZero()) {
@@ -35,7 +35,7 @@
       if (overloadWindow.isZero()) {
         throw section.invalid("fall_span", "must be above 0");
       }
-      return new WarmUp(capacityShare, duration, overloadMultiple, overloadWindow);
+      return new SlowStart(capacityShare, duration, overloadMultiple, overloadWindow);
     }
   }
 
@@ -56,9 +56,9 @@
   }
 
   static RulesSection read(YamlDocument section) {
-    WarmUp warmUp = WarmUp.read(section);
+    SlowStart slowStart = SlowStart.read(section);
     LoadQuota loadQuota = LoadQuota.read(section);
     section.rejectUnknownKeys();
-    return new RulesSection(warmUp, loadQuota);
+    return new RulesSection(slowStart, loadQuota);
   }
 }
--- a/src/main/java/switchgap/config/YamlWorkerSettings.java
+++ b/src/main/java/switchgap/config/YamlWorkerSettings.java
@@ -3,7 +3,8 @@
 import java.time.Duration;
 
 /**
- * The settings of a YAML document about workers: their kinds, warm-up, replicas and endpoint list.
+ * The settings of a YAML document about workers: their kinds, slow start, replicas and endpoint
+ * list.
  */
 abstract class YamlWorkerSettings extends YamlRequestSettings {
   private final WorkerKindsSection workerKinds;
@@ -26,22 +27,22 @@
 
   @Override
   public double slowStartCapacityShare() {
-    return rules.warmUp().capacityShare();
+    return rules.slowStart().capacityShare();
   }
 
   @Override
   public Duration warmUpDuration() {
-    return rules.warmUp().duration();
+    return rules.slowStart().duration();
   }
 
   @Override
   public double slowStartOverloadMultiple() {
-    return rules.warmUp().overloadMultiple();
+    return rules.slowStart().overloadMultiple();
   }
 
   @Override
   public Duration slowStartOverloadWindow() {
-    return rules.warmUp().overloadWindow();
+    return rules.slowStart().overloadWindow();
   }
 
   @Override
