--- a/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
@@ -24,7 +24,7 @@
   @Override
   void check() {
     for (LogLine line : log.fleetLines()) {
-      if (line.is("infer") || line.is("load")) {
+      if (line.is(ScenarioEvent.REQUEST_RECEIVED) || line.is(ScenarioEvent.LOAD_RECEIVED)) {
         readListUntil(line.at());
         checkSend(line);
       }
@@ -41,11 +41,11 @@
     latestSend = Math.max(latestSend, delay);
     if (delay > log.settings().limits().drainGrace() + log.slack()) {
       violated(
-          line.text("worker")
+          line.worker()
               + " got "
-              + line.kind()
+              + line.event().word()
               + " from router "
-              + line.integer("router")
+              + line.router()
               + " "
               + delay / MICROS_PER_MILLI
               + " ms after it was told, "
@@ -62,7 +62,7 @@
   }
 
   private void readNotification(LogLine line) {
-    if (!line.is("told")) {
+    if (!line.is(ScenarioEvent.ROUTER_NOTIFIED)) {
       return;
     }
     if (line.text("state").equals(EndpointState.READY.word())) {
@@ -73,7 +73,7 @@
   }
 
   private static String key(LogLine line) {
-    return line.integer("router") + " " + line.text("worker");
+    return line.router() + " " + line.worker();
   }
 
   @Override
--- a/src/main/java/switchgap/testbed/scenario/EventLog.java
+++ b/src/main/java/switchgap/testbed/scenario/EventLog.java
@@ -1,6 +1,5 @@
 package switchgap.testbed.scenario;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -42,7 +41,7 @@
         lines.add(parse(file, lines.size() + 1, text));
       }
     }
-    if (lines.isEmpty() || !lines.get(lines.size() - 1).is("end")) {
+    if (lines.isEmpty() || !lines.get(lines.size() - 1).is(ScenarioEvent.END_OF_LOG)) {
       throw new IOException(
           file + ":" + lines.size() + ": the log is cut off: its last line is not the end");
     }
@@ -51,13 +50,11 @@
 
   private static LogLine parse(Path file, int number, String text) throws IOException {
     try {
-      JsonNode fields = JSON.readTree(text);
-      if (fields == null
-          || !fields.path(LogLine.TIME).isNumber()
-          || !fields.path(LogLine.KIND).isTextual()) {
+      LogLine line = LogLine.of(number, JSON.readTree(text));
+      if (line == null) {
         throw new IOException("no time or kind");
       }
-      return new LogLine(number, fields);
+      return line;
     } catch (IOException e) {
       throw new IOException(file + ":" + number + ": unusable line: " + e.getMessage(), e);
     }
--- a/src/main/java/switchgap/testbed/scenario/LoadQuotaCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadQuotaCheck.java
@@ -27,9 +27,9 @@
       commandsByRouter.add(new WindowedSum(limits.loadWindow()));
     }
     for (LogLine line : log.fleetLines()) {
-      int router = line.integer("router");
+      int router = line.router();
       boolean known = router >= 0 && router < routers;
-      if (!line.is("load") || line.integer("copies") < 1 || !known) {
+      if (!line.is(ScenarioEvent.LOAD_RECEIVED) || line.integer("copies") < 1 || !known) {
         continue;
       }
       loadCommands++;
--- a/src/main/java/switchgap/testbed/scenario/ObservedAttempt.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedAttempt.java
@@ -27,9 +27,9 @@
 
   /** The attempt that a line of the clients' log begins. */
   ObservedAttempt(LogLine line) {
-    id = line.text("call");
-    requestId = line.text("job");
-    router = line.integer("router");
+    id = line.attemptId();
+    requestId = line.requestId();
+    router = line.router();
     requestClass = line.integer("workload");
     sentAt = line.at();
     deadline = line.requiredLong("limit");
@@ -38,7 +38,7 @@
 
   /** The client records how it ended. */
   void ended(LogLine line) {
-    outcomeWord = line.text("end");
+    outcomeWord = line.outcomeWord();
     endedAt = line.at();
     endLine = line.number();
     if (ClientOutcome.of(outcomeWord).isFinal()) {
@@ -53,7 +53,7 @@
 
   /** A late response counts as in time: the attempt ended as the response states. */
   void acceptLateResponse(LogLine line) {
-    outcomeWord = line.text("end");
+    outcomeWord = line.outcomeWord();
   }
 
   /** A worker received a request for it. */
--- a/src/main/java/switchgap/testbed/scenario/ObservedAttempts.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedAttempts.java
@@ -37,10 +37,10 @@
   }
 
   private void read(LogLine line) {
-    switch (line.kind()) {
-      case "call" -> readAttempt(line);
-      case "answer" -> readEnd(line);
-      case "late-answer" -> readLateResponse(line);
+    switch (line.event()) {
+      case ATTEMPT_SENT -> readAttempt(line);
+      case ENDED -> readEnd(line);
+      case LATE_RESPONSE -> readLateResponse(line);
       default -> { // the end of the log
       }
     }
@@ -53,7 +53,7 @@
   }
 
   private void readEnd(LogLine line) {
-    outcomeCounts.merge(line.text("end"), 1, Integer::sum);
+    outcomeCounts.merge(line.outcomeWord(), 1, Integer::sum);
     ObservedAttempt attempt = find(line);
     if (attempt != null) {
       attempt.ended(line);
@@ -77,7 +77,7 @@
 
   /** The attempt that a line names, null where the clients' log has none. */
   ObservedAttempt find(LogLine line) {
-    return attempts.get(line.text("call"));
+    return attempts.get(line.attemptId());
   }
 
   /** All attempts in order of sending. */
--- a/src/main/java/switchgap/testbed/scenario/ObservedExecution.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedExecution.java
@@ -12,7 +12,7 @@
 
   /** The execution that a line of the workers' log begins. */
   ObservedExecution(LogLine logLine) {
-    worker = logLine.text("worker");
+    worker = logLine.worker();
     arrivedAt = logLine.at();
     line = logLine.number();
   }
--- a/src/main/java/switchgap/testbed/scenario/ObservedExecutions.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedExecutions.java
@@ -27,12 +27,12 @@
   }
 
   private void read(LogLine line) {
-    switch (line.kind()) {
-      case "infer" -> readArrival(line);
-      case "ran" -> readStart(line);
-      case "repeat-dropped" -> droppedRepeats++;
-      case "ended" -> readWorkerEnd(line);
-      case "answer", "left" -> readEnd(line);
+    switch (line.event()) {
+      case REQUEST_RECEIVED -> readArrival(line);
+      case EXECUTION_STARTED -> readStart(line);
+      case REPEAT_DROPPED -> droppedRepeats++;
+      case WORKER_ENDED -> readWorkerEnd(line);
+      case ENDED, CONNECTION_CLOSED -> readEnd(line);
       default -> { // loads, probes and the like
       }
     }
@@ -40,7 +40,7 @@
 
   private void readArrival(LogLine line) {
     ObservedExecution execution = new ObservedExecution(line);
-    executions.put(line.text("run"), execution);
+    executions.put(line.executionId(), execution);
     count++;
     ObservedAttempt attempt = attempts.find(line);
     if (attempt != null) {
@@ -53,7 +53,7 @@
 
   private void readStart(LogLine line) {
     startedCount++;
-    ObservedExecution execution = executions.get(line.text("run"));
+    ObservedExecution execution = executions.get(line.executionId());
     if (execution != null) {
       execution.started();
     }
@@ -61,14 +61,14 @@
 
   /** A worker's process died: its connections were cut, so all its executions have ended. */
   private void readWorkerEnd(LogLine line) {
-    List<ObservedExecution> cut = executionsByWorker.remove(line.text("worker"));
+    List<ObservedExecution> cut = executionsByWorker.remove(line.worker());
     if (cut != null) {
       cut.forEach(execution -> execution.endedBy(line.at()));
     }
   }
 
   private void readEnd(LogLine line) {
-    ObservedExecution execution = executions.get(line.text("run"));
+    ObservedExecution execution = executions.get(line.executionId());
     if (execution != null && !FAULTS_WITHOUT_RESPONSE.contains(line.text("fault"))) {
       execution.endedBy(line.at());
     }
--- a/src/main/java/switchgap/testbed/scenario/RequestClassReader.java
+++ b/src/main/java/switchgap/testbed/scenario/RequestClassReader.java
@@ -22,22 +22,22 @@
 
   private RequestClassReader() {}
 
-  static List<ScenarioSettings.RequestClass> readAll(YamlDocument section) {
-    List<ScenarioSettings.RequestClass> requestClasses = new ArrayList<>();
+  static List<ScenarioSettings.RequestClassSpec> readAll(YamlDocument section) {
+    List<ScenarioSettings.RequestClassSpec> requestClasses = new ArrayList<>();
     for (String name : section.keys()) {
       requestClasses.add(read(name, section.section(name)));
     }
     return requestClasses;
   }
 
-  private static ScenarioSettings.RequestClass read(String name, YamlDocument section) {
+  private static ScenarioSettings.RequestClassSpec read(String name, YamlDocument section) {
     Idempotency idempotency = idempotency(section);
     RequestClassProfile profile = profile(name, section, idempotency);
     FunctionCatalogue.FunctionGroup functions = functions(name, section, idempotency);
     section.text("group", "all"); // a router's key, allowed here in any request class
     section.has("memory_span");
     section.rejectUnknownKeys();
-    return new ScenarioSettings.RequestClass(idempotency, profile, functions);
+    return new ScenarioSettings.RequestClassSpec(idempotency, profile, functions);
   }
 
   private static Idempotency idempotency(YamlDocument section) {
--- a/src/main/java/switchgap/testbed/scenario/RouterFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterFaultInjector.java
@@ -41,7 +41,7 @@
   }
 
   private void restart(int router, long outageMicros) {
-    testBed.recordFault("router-killed", "router", router);
+    testBed.recordFault(ScenarioEvent.ROUTER_KILLED.word(), "router", router);
     routers.host(router).kill();
     testBed
         .scheduler()
@@ -49,7 +49,7 @@
             outageMicros,
             () -> {
               if (routers.start(router)) {
-                testBed.recordFault("router-started", "router", router);
+                testBed.recordFault(ScenarioEvent.ROUTER_STARTED.word(), "router", router);
               }
             });
   }
@@ -78,14 +78,14 @@
   private void pause(int router, long durationMicros) {
     long time = testBed.scheduler().now();
     boolean done = routers.host(router).suspend();
-    testBed.recordFaultAt(time, "router-paused", "router", router, "done", done);
+    testBed.recordFaultAt(time, ScenarioEvent.ROUTER_PAUSED.word(), "router", router, "done", done);
     testBed
         .scheduler()
         .after(
             durationMicros,
             () -> {
               routers.host(router).resume();
-              testBed.recordFault("router-resumed", "router", router);
+              testBed.recordFault(ScenarioEvent.ROUTER_RESUMED.word(), "router", router);
             });
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/RouterOutages.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterOutages.java
@@ -31,12 +31,12 @@
       paused.add(new ArrayList<>());
     }
     for (LogLine line : script) {
-      int router = line.integer("router");
-      switch (line.kind()) {
-        case "router-killed" -> dead.get(router).add(new Interval(line.at(), NEVER));
-        case "router-started" -> close(dead.get(router), line.at());
-        case "router-paused" -> paused.get(router).add(new Interval(line.at(), NEVER));
-        case "router-resumed" -> close(paused.get(router), line.at());
+      int router = line.router();
+      switch (line.event()) {
+        case ROUTER_KILLED -> dead.get(router).add(new Interval(line.at(), NEVER));
+        case ROUTER_STARTED -> close(dead.get(router), line.at());
+        case ROUTER_PAUSED -> paused.get(router).add(new Interval(line.at(), NEVER));
+        case ROUTER_RESUMED -> close(paused.get(router), line.at());
         default -> { // other faults stop no router
         }
       }
--- a/src/main/java/switchgap/testbed/scenario/Scenario.java
+++ b/src/main/java/switchgap/testbed/scenario/Scenario.java
@@ -218,7 +218,7 @@
   /** Parts of the traffic, in the order of the request classes. */
   public List<TrafficShare> trafficShares() {
     List<TrafficShare> shares = new ArrayList<>();
-    for (ScenarioSettings.RequestClass requestClass : settings.requestClasses()) {
+    for (ScenarioSettings.RequestClassSpec requestClass : settings.requestClasses()) {
       FunctionCatalogue.FunctionGroup functions = requestClass.functions();
       shares.add(
           new TrafficShare(
--- a/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
@@ -62,7 +62,7 @@
     long listLag = listLag(document.optionalSection("list"));
     ScenarioSettings.Routers routers = routers(document.section("routers"));
     ScenarioSettings.Load load = load(document.section("load"));
-    List<ScenarioSettings.RequestClass> requestClasses =
+    List<ScenarioSettings.RequestClassSpec> requestClasses =
         RequestClassReader.readAll(document.section("workloads"));
     Map<String, Double> tenantShares = tenantShares(document.section("customers"));
     boolean loadsOnMiss =
--- a/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
@@ -31,7 +31,7 @@
     long listLag,
     Routers routers,
     Load load,
-    List<RequestClass> requestClasses,
+    List<RequestClassSpec> requestClasses,
     Map<String, Double> tenantShares,
     boolean loadsOnMiss,
     InvariantLimits limits,
@@ -98,7 +98,7 @@
   record Load(double rate, double zipf, int functions, ClientRetryPolicy retries) {}
 
   /** A request class as its clients and as its functions see it. */
-  record RequestClass(
+  record RequestClassSpec(
       Idempotency idempotency,
       RequestClassProfile profile,
       FunctionCatalogue.FunctionGroup functions) {}
@@ -126,11 +126,11 @@
       long loadWindow) {}
 
   List<RequestClassProfile> profiles() {
-    return requestClasses.stream().map(RequestClass::profile).toList();
+    return requestClasses.stream().map(RequestClassSpec::profile).toList();
   }
 
   List<FunctionCatalogue.FunctionGroup> functionGroups() {
-    return requestClasses.stream().map(RequestClass::functions).toList();
+    return requestClasses.stream().map(RequestClassSpec::functions).toList();
   }
 
   /** The zone of a router or worker. */
--- a/src/main/java/switchgap/testbed/scenario/SlowStartCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/SlowStartCheck.java
@@ -36,10 +36,10 @@
   @Override
   void check() {
     for (LogLine line : log.fleetLines()) {
-      switch (line.kind()) {
-        case "started" -> started(line);
-        case "fell" -> violated(line.text("worker") + " fell over, " + fleetLine(line.number()));
-        case "infer" -> workArrived(line);
+      switch (line.event()) {
+        case WORKER_STARTED -> started(line);
+        case WORKER_CRASHED -> violated(line.worker() + " fell over, " + fleetLine(line.number()));
+        case REQUEST_RECEIVED -> workArrived(line);
         default -> { // other events bring no work
         }
       }
@@ -47,7 +47,7 @@
   }
 
   private void started(LogLine line) {
-    String worker = line.text("worker");
+    String worker = line.worker();
     coldWorkers.remove(worker);
     if (line.flag("cold")) {
       coldStarts++;
@@ -57,7 +57,7 @@
   }
 
   private void workArrived(LogLine line) {
-    String name = line.text("worker");
+    String name = line.worker();
     ColdWorker worker = coldWorkers.get(name);
     if (worker == null) {
       return;
--- a/src/main/java/switchgap/testbed/soak/DeadlinePropagationCheck.java
+++ b/src/main/java/switchgap/testbed/soak/DeadlinePropagationCheck.java
@@ -29,7 +29,7 @@
     }
     long paused =
         records.outageNanos(
-            Outage.Kind.ROUTER_PAUSED,
+            OutageCause.ROUTER_PAUSED,
             request.router(),
             request.sentNanos(),
             attempt.receivedNanos());
@@ -48,7 +48,7 @@
 
   /** No program can account for a pause between the encoding of a command and its write. */
   private long unavoidablePauseNanos(ObservedRequest request) {
-    return records.outages(Outage.Kind.ROUTER_PAUSED).stream()
+    return records.outages(OutageCause.ROUTER_PAUSED).stream()
         .filter(pause -> pause.affects(request.router()))
         .filter(pause -> Math.abs(pause.startNanos() - request.sentNanos()) < HANDLING_NANOS)
         .mapToLong(Outage::durationNanos)
--- a/src/main/java/switchgap/testbed/soak/DrainGraceCheck.java
+++ b/src/main/java/switchgap/testbed/soak/DrainGraceCheck.java
@@ -31,7 +31,7 @@
         GRACE_NANOS
             + CheckTolerances.MEASUREMENT_NANOS
             + records.outageNanos(
-                Outage.Kind.ROUTER_PAUSED,
+                OutageCause.ROUTER_PAUSED,
                 request.router(),
                 drainingNanos,
                 attempt.receivedNanos());
@@ -48,7 +48,7 @@
 
   private boolean eventStreamWasOut(long nanos) {
     long tolerance = CheckTolerances.MEASUREMENT_NANOS;
-    return records.outages(Outage.Kind.EVENT_STREAM).stream()
+    return records.outages(OutageCause.EVENT_STREAM).stream()
         .anyMatch(
             outage ->
                 outage.startNanos() - tolerance <= nanos
--- a/src/main/java/switchgap/testbed/soak/EventStreamFaults.java
+++ b/src/main/java/switchgap/testbed/soak/EventStreamFaults.java
@@ -71,7 +71,7 @@
   }
 
   private Outage beginOutage() {
-    return records.beginOutage(Outage.Kind.EVENT_STREAM, Outage.ALL_ROUTERS, System.nanoTime());
+    return records.beginOutage(OutageCause.EVENT_STREAM, Outage.ALL_ROUTERS, System.nanoTime());
   }
 
   private void silence(int millis) throws InterruptedException {
--- a/src/main/java/switchgap/testbed/soak/LostRequestCheck.java
+++ b/src/main/java/switchgap/testbed/soak/LostRequestCheck.java
@@ -35,7 +35,7 @@
 
   private boolean wasAtKilledRouter(ObservedRequest request) {
     return request.outcome() != ObservedRequest.Outcome.SERVED
-        && records.outages(Outage.Kind.ROUTER_KILLED).stream()
+        && records.outages(OutageCause.ROUTER_KILLED).stream()
             .anyMatch(kill -> kill.affects(request.router()) && wasOpenDuring(request, kill));
   }
 
@@ -61,15 +61,15 @@
     long lateness =
         request.endedNanos()
             - request.deadlineNanos()
-            - outageNanos(Outage.Kind.ROUTER_PAUSED, request)
-            - outageNanos(Outage.Kind.ACCEPT_FAILING, request);
+            - outageNanos(OutageCause.ROUTER_PAUSED, request)
+            - outageNanos(OutageCause.ACCEPT_FAILING, request);
     if (lateness > MAX_LATENESS_NANOS + CheckTolerances.MEASUREMENT_NANOS) {
       violated(name + " was answered " + CheckTolerances.toMillis(lateness) + " ms late");
     }
   }
 
-  private long outageNanos(Outage.Kind kind, ObservedRequest request) {
-    return records.outageNanos(kind, request.router(), request.sentNanos(), request.endedNanos());
+  private long outageNanos(OutageCause cause, ObservedRequest request) {
+    return records.outageNanos(cause, request.router(), request.sentNanos(), request.endedNanos());
   }
 
   private void violated(String description) {
--- a/src/main/java/switchgap/testbed/soak/Outage.java
+++ b/src/main/java/switchgap/testbed/soak/Outage.java
@@ -5,18 +5,6 @@
  * injected fault. Thread-safe. Times are of {@link System#nanoTime}.
  */
 final class Outage {
-  /** What did not work. */
-  enum Kind {
-    /** The process was suspended, from SIGSTOP to SIGCONT. */
-    ROUTER_PAUSED,
-    /** The process was dead, from SIGKILL until its successor was ready. */
-    ROUTER_KILLED,
-    /** The process could accept no connection. */
-    ACCEPT_FAILING,
-    /** The event stream delivered nothing, or delivered it late. */
-    EVENT_STREAM
-  }
-
   /** In place of a router's index: all routers are affected. */
   static final int ALL_ROUTERS = -1;
 
--- a/src/main/java/switchgap/testbed/soak/RouterProcessFaults.java
+++ b/src/main/java/switchgap/testbed/soak/RouterProcessFaults.java
@@ -64,7 +64,7 @@
         return; // it is being restarted
       }
       Outage outage =
-          records.beginOutage(Outage.Kind.ROUTER_KILLED, router.index(), System.nanoTime());
+          records.beginOutage(OutageCause.ROUTER_KILLED, router.index(), System.nanoTime());
       router.signal(ProcessSignal.KILL);
       router.takeOutOfRotation();
       router.awaitKilled();
@@ -86,7 +86,7 @@
         return; // it is being restarted
       }
       Outage outage =
-          records.beginOutage(Outage.Kind.ROUTER_PAUSED, router.index(), System.nanoTime());
+          records.beginOutage(OutageCause.ROUTER_PAUSED, router.index(), System.nanoTime());
       router.signal(ProcessSignal.STOP);
       Thread.sleep(millis);
       router.signal(ProcessSignal.CONT);
--- a/src/main/java/switchgap/testbed/soak/Soak.java
+++ b/src/main/java/switchgap/testbed/soak/Soak.java
@@ -215,9 +215,9 @@
             + ", attempts "
             + records.attempts().size()
             + ", kills "
-            + records.outages(Outage.Kind.ROUTER_KILLED).size()
+            + records.outages(OutageCause.ROUTER_KILLED).size()
             + ", pauses "
-            + records.outages(Outage.Kind.ROUTER_PAUSED).size());
+            + records.outages(OutageCause.ROUTER_PAUSED).size());
     violations.stream().limit(MAX_PRINTED_VIOLATIONS).forEach(this::print);
     out.println(violations.isEmpty() ? "all rules kept" : violations.size() + " violations");
     return violations.isEmpty();
--- a/src/main/java/switchgap/testbed/soak/SoakRecords.java
+++ b/src/main/java/switchgap/testbed/soak/SoakRecords.java
@@ -14,13 +14,13 @@
 final class SoakRecords {
   private final Queue<ObservedRequest> requests = new ConcurrentLinkedQueue<>();
   private final Queue<ReceivedAttempt> attempts = new ConcurrentLinkedQueue<>();
-  private final Map<Outage.Kind, List<Outage>> outages = new EnumMap<>(Outage.Kind.class);
+  private final Map<OutageCause, List<Outage>> outages = new EnumMap<>(OutageCause.class);
   private final Map<String, WorkerTimeline> workers = new ConcurrentHashMap<>();
   private final Queue<String> processFaults = new ConcurrentLinkedQueue<>();
 
   SoakRecords() {
-    for (Outage.Kind kind : Outage.Kind.values()) {
-      outages.put(kind, new CopyOnWriteArrayList<>());
+    for (OutageCause cause : OutageCause.values()) {
+      outages.put(cause, new CopyOnWriteArrayList<>());
     }
   }
 
@@ -35,9 +35,9 @@
   }
 
   /** An outage begins; the caller states its end. */
-  Outage beginOutage(Outage.Kind kind, int router, long nowNanos) {
+  Outage beginOutage(OutageCause cause, int router, long nowNanos) {
     Outage outage = new Outage(router, nowNanos);
-    outages.get(kind).add(outage);
+    outages.get(cause).add(outage);
     return outage;
   }
 
@@ -61,13 +61,13 @@
     return Collections.unmodifiableCollection(attempts);
   }
 
-  List<Outage> outages(Outage.Kind kind) {
-    return Collections.unmodifiableList(outages.get(kind));
+  List<Outage> outages(OutageCause cause) {
+    return Collections.unmodifiableList(outages.get(cause));
   }
 
-  /** How long a router's outages of one kind were within an interval. */
-  long outageNanos(Outage.Kind kind, int router, long fromNanos, long untilNanos) {
-    return outages.get(kind).stream()
+  /** How long a router's outages of one cause were within an interval. */
+  long outageNanos(OutageCause cause, int router, long fromNanos, long untilNanos) {
+    return outages.get(cause).stream()
         .filter(outage -> outage.affects(router))
         .mapToLong(outage -> outage.overlapNanos(fromNanos, untilNanos))
         .sum();
--- a/src/main/java/switchgap/testbed/soak/SystemCallFaultInjectors.java
+++ b/src/main/java/switchgap/testbed/soak/SystemCallFaultInjectors.java
@@ -60,7 +60,7 @@
       return;
     }
     Outage outage =
-        records.beginOutage(Outage.Kind.ACCEPT_FAILING, router.index(), System.nanoTime());
+        records.beginOutage(OutageCause.ACCEPT_FAILING, router.index(), System.nanoTime());
     failCalls(router.systemCallFaults(), failure, millis);
     outage.endedAt(System.nanoTime());
   }
--- a/src/main/java/switchgap/testbed/soak/SystemCallFaults.java
+++ b/src/main/java/switchgap/testbed/soak/SystemCallFaults.java
@@ -55,7 +55,7 @@
   private static final int WORDS_PER_CALL = 5;
   private static final int ERROR_WORD = 1;
   private static final int PORT_WORD = 2;
-  private static final int TOUCHED_WORD = 4;
+  private static final int AFFECTED_WORD = 4;
   private static final int WALL_OFFSET_AT =
       align(Call.values().length * WORDS_PER_CALL * Integer.BYTES);
   private static final int CONTROL_BYTES = WALL_OFFSET_AT + Long.BYTES;
@@ -152,7 +152,7 @@
 
   /** Number of calls that failed or were shortened so far. */
   public int touched(Call call) {
-    return control.getInt((call.ordinal() * WORDS_PER_CALL + TOUCHED_WORD) * Integer.BYTES);
+    return control.getInt((call.ordinal() * WORDS_PER_CALL + AFFECTED_WORD) * Integer.BYTES);
   }
 
   /** Sets the offset of the process's wall clock; its monotonic clock is not affected. */
--- a/src/main/resources/switchgap/testbed/soak/system_call_faults.c
+++ b/src/main/resources/switchgap/testbed/soak/system_call_faults.c
@@ -1,15 +1,15 @@
 /*
- * Loaded into a router by LD_PRELOAD: lets chosen system calls on sockets fail, cuts reads and writes short,
- * and steps the wall clock. What is to fail stands in a control file that the test maps and writes
- * (SystemCallFaults.java has the same layout); nothing is drawn by chance here.
+ * Loaded into a router by LD_PRELOAD: makes chosen system calls on sockets fail, shortens reads and writes,
+ * and steps the wall clock. A control file, which the test maps and writes, states what fails
+ * (SystemCallFaults.java has the same layout); nothing here is random.
  *
  * Control file, 32-bit words in native order: for each call in the order below
- *   0 every      one call in so many is touched; 0 for none
+ *   0 every      one call in so many is affected; 0 for none
  *   1 error      errno of the failure; 0 shortens the transfer to one byte (read and write only)
  *   2 port       0 for any socket, n for peers at port n, -n for sockets bound to port n
  *   3 seen       calls that matched, counted here
- *   4 touched    calls that failed or were cut, counted here
- * and behind them a 64-bit offset of the wall clock in milliseconds.
+ *   4 affected   calls that failed or were shortened, counted here
+ * followed by a 64-bit offset of the wall clock in milliseconds.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -31,7 +31,7 @@
 
 struct fault {
     volatile int32_t every, error, port;
-    int32_t seen, touched;
+    int32_t seen, affected;
 };
 
 struct control {
@@ -73,8 +73,8 @@
     return port == 0 || (port > 0 ? port_of(fd, getpeername) == port : port_of(fd, getsockname) == -port);
 }
 
-/* Whether this call is touched: counts those that match. */
-static int is_touched(enum call call, int fd) {
+/* Whether this call is affected; counts the calls that match. */
+static int is_affected(enum call call, int fd) {
     struct fault *fault = &control->faults[call];
     int32_t every = fault->every;
     if (every <= 0 || (fd >= 0 && (!is_socket(fd) || !has_port(fd, fault->port)))) {
@@ -83,22 +83,23 @@
     if (__atomic_add_fetch(&fault->seen, 1, __ATOMIC_RELAXED) % every != 0) {
         return 0;
     }
-    __atomic_add_fetch(&fault->touched, 1, __ATOMIC_RELAXED);
+    __atomic_add_fetch(&fault->affected, 1, __ATOMIC_RELAXED);
     return 1;
 }
 
-/* Whether this call fails; errno is set. */
+/* Whether this call fails; sets errno. */
 static int fails(enum call call, int fd) {
     int error = control->faults[call].error;
-    if (error == 0 || !is_touched(call, fd)) {
+    if (error == 0 || !is_affected(call, fd)) {
         return 0;
     }
     errno = error;
     return 1;
 }
 
-static int is_cut(enum call call, int fd) {
-    return control->faults[call].error == 0 && is_touched(call, fd);
+/* Whether this transfer is shortened to one byte. */
+static int is_shortened(enum call call, int fd) {
+    return control->faults[call].error == 0 && is_affected(call, fd);
 }
 
 #define REAL(name) ((__typeof__(&name)) dlsym(RTLD_NEXT, #name))
@@ -125,7 +126,7 @@
     if (fails(READ, fd)) {
         return -1;
     }
-    return real(fd, buffer, count > 1 && is_cut(READ, fd) ? 1 : count);
+    return real(fd, buffer, count > 1 && is_shortened(READ, fd) ? 1 : count);
 }
 
 ssize_t write(int fd, const void *buffer, size_t count) {
@@ -134,14 +135,14 @@
     if (fails(WRITE, fd)) {
         return -1;
     }
-    return real(fd, buffer, count > 1 && is_cut(WRITE, fd) ? 1 : count);
+    return real(fd, buffer, count > 1 && is_shortened(WRITE, fd) ? 1 : count);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
     if (fails(WRITE, fd)) {
         return -1;
     }
-    if (count > 0 && parts[0].iov_len > 1 && is_cut(WRITE, fd)) {
+    if (count > 0 && parts[0].iov_len > 1 && is_shortened(WRITE, fd)) {
         return REAL(write)(fd, parts[0].iov_base, 1);
     }
     return REAL(writev)(fd, parts, count);
--- a/src/test/java/switchgap/testbed/soak/RunBuilder.java
+++ b/src/test/java/switchgap/testbed/soak/RunBuilder.java
@@ -37,8 +37,8 @@
     return this;
   }
 
-  RunBuilder outage(Outage.Kind kind, int router, long fromMillis, long untilMillis) {
-    records.beginOutage(kind, router, at(fromMillis)).endedAt(at(untilMillis));
+  RunBuilder outage(OutageCause cause, int router, long fromMillis, long untilMillis) {
+    records.beginOutage(cause, router, at(fromMillis)).endedAt(at(untilMillis));
     return this;
   }
 
--- a/src/test/java/switchgap/testbed/soak/SoakCheckerTest.java
+++ b/src/test/java/switchgap/testbed/soak/SoakCheckerTest.java
@@ -90,8 +90,8 @@
   @Test
   void excusesLostConnectionOfKilledRouterAndLateResponseOfPausedRouter() {
     cutAtRouterZeroAndDelayedAtRouterOne();
-    run.outage(Outage.Kind.ROUTER_KILLED, 0, 49, 900);
-    run.outage(Outage.Kind.ROUTER_PAUSED, 1, 50, 2050);
+    run.outage(OutageCause.ROUTER_KILLED, 0, 49, 900);
+    run.outage(OutageCause.ROUTER_PAUSED, 1, 50, 2050);
 
     assertThat(SoakChecker.check(run.build())).isEmpty();
   }
