--- a/src/test/java/switchgap/LayersTest.java
+++ b/src/test/java/switchgap/LayersTest.java
@@ -7,6 +7,7 @@
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
+import com.tngtech.archunit.library.Architectures.LayeredArchitecture;
 import java.time.Instant;
 import java.time.LocalDateTime;
 import java.time.ZonedDateTime;
@@ -15,21 +16,33 @@
 import switchgap.config.PropertyRouterSettings;
 import switchgap.net.WallClock;
 
-/**
- * Packages depend one way; what decides and what holds calls is free of sockets, threads and clock.
- */
+/** Packages depend one way; decisions and the core are free of sockets, threads and clock. */
 class LayersTest {
   private final JavaClasses all =
       new ClassFileImporter()
           .withImportOption(new ImportOption.DoNotIncludeTests())
           .importPackages("switchgap");
 
-  @Test
-  void packagesDependOneWay() {
-    slices().matching("switchgap.(*)..").should().beFreeOfCycles().check(all);
-    slices().matching("switchgap.testbed.(*)..").should().beFreeOfCycles().check(all);
-    layeredArchitecture()
-        .consideringOnlyDependenciesInAnyPackage("switchgap..")
+  /** Every package by its layer, those of the router first. */
+  private static LayeredArchitecture layers() {
+    return routerLayers(
+            layeredArchitecture().consideringOnlyDependenciesInAnyPackage("switchgap.."))
+        .layer("emulator")
+        .definedBy("switchgap.testbed.emulator")
+        .layer("scenarios")
+        .definedBy("switchgap.testbed.scenario", "switchgap.testbed.experiment")
+        .layer("testbed support")
+        .definedBy("switchgap.testbed.process", "switchgap.testbed.invariant")
+        .layer("soak")
+        .definedBy("switchgap.testbed.soak")
+        .layer("simulator")
+        .definedBy("switchgap.simulator")
+        .layer("cli")
+        .definedBy("switchgap.cli");
+  }
+
+  private static LayeredArchitecture routerLayers(LayeredArchitecture empty) {
+    return empty
         .layer("policy")
         .definedBy("switchgap.policy", "switchgap.policy.api", "switchgap.policy.state")
         .layer("admission")
@@ -55,60 +68,55 @@
         .layer("platform")
         .definedBy("switchgap.server.platform")
         .layer("gateway")
-        .definedBy("switchgap.server.gateway")
-        .layer("emulator")
-        .definedBy("switchgap.testbed.emulator")
-        .layer("scenarios")
-        .definedBy("switchgap.testbed.scenario", "switchgap.testbed.experiment")
-        .layer("testbed support")
-        .definedBy("switchgap.testbed.process", "switchgap.testbed.invariant")
-        .layer("simulator")
-        .definedBy("switchgap.simulator")
-        .layer("cli")
-        .definedBy("switchgap.cli")
-        .layer("soak")
-        .definedBy("switchgap.testbed.soak")
-        .whereLayer("soak")
-        .mayOnlyBeAccessedByLayers("cli")
-        .whereLayer("cli")
-        .mayNotBeAccessedByAnyLayer()
-        .whereLayer("scenarios")
-        .mayOnlyBeAccessedByLayers("cli")
-        .whereLayer("simulator")
-        .mayOnlyBeAccessedByLayers("cli")
-        .whereLayer("emulator")
-        .mayOnlyBeAccessedByLayers("scenarios")
-        .whereLayer("testbed support")
-        .mayOnlyBeAccessedByLayers("scenarios", "soak", "cli")
-        .whereLayer("testbed support")
-        .mayNotAccessAnyLayer()
-        .whereLayer("gateway")
-        .mayOnlyBeAccessedByLayers("scenarios", "cli")
-        .whereLayer("platform")
-        .mayOnlyBeAccessedByLayers("cli")
-        .whereLayer("platform protocols")
-        .mayOnlyBeAccessedByLayers("platform", "gateway protocols")
+        .definedBy("switchgap.server.gateway");
+  }
+
+  private void assertOnlyAccessedBy(String layer, String... accessors) {
+    layers().whereLayer(layer).mayOnlyBeAccessedByLayers(accessors).check(all);
+  }
+
+  @Test
+  void packagesHaveNoCycles() {
+    slices().matching("switchgap.(*)..").should().beFreeOfCycles().check(all);
+    slices().matching("switchgap.testbed.(*)..").should().beFreeOfCycles().check(all);
+  }
+
+  @Test
+  void packagesDependOneWay() {
+    assertOnlyAccessedBy("event loop", "gateway", "platform");
+    assertOnlyAccessedBy("platform protocols", "platform", "gateway protocols");
+    layers()
         .whereLayer("platform protocols")
         .mayOnlyAccessLayers("policy", "router", "net")
-        .whereLayer("event loop")
-        .mayOnlyBeAccessedByLayers("gateway", "platform")
-        .whereLayer("gateway protocols")
-        .mayOnlyBeAccessedByLayers("gateway", "platform", "cli")
-        .whereLayer("net")
-        .mayOnlyBeAccessedByLayers(
-            "soak",
-            "gateway protocols",
-            "platform protocols",
-            "platform",
-            "gateway",
-            "emulator",
-            "scenarios",
-            "cli")
         .check(all);
+    assertOnlyAccessedBy("gateway protocols", "gateway", "platform", "cli");
+    assertOnlyAccessedBy("gateway", "scenarios", "cli");
+    assertOnlyAccessedBy("platform", "cli");
+    assertOnlyAccessedBy(
+        "net",
+        "soak",
+        "gateway protocols",
+        "platform protocols",
+        "platform",
+        "gateway",
+        "emulator",
+        "scenarios",
+        "cli");
+  }
+
+  @Test
+  void routersUseNoTestbed() {
+    assertOnlyAccessedBy("emulator", "scenarios");
+    assertOnlyAccessedBy("scenarios", "cli");
+    assertOnlyAccessedBy("soak", "cli");
+    assertOnlyAccessedBy("simulator", "cli");
+    assertOnlyAccessedBy("testbed support", "scenarios", "soak", "cli");
+    layers().whereLayer("testbed support").mayNotAccessAnyLayer().check(all);
+    layers().whereLayer("cli").mayNotBeAccessedByAnyLayer().check(all);
   }
 
   @Test
-  void jsonAndStatedSettingsAreReadOnlyWhereTheyAreWritten() {
+  void jsonAndPropertySettingsAreReadOnlyByTheirOwners() {
     noClasses()
         .that()
         .resideOutsideOfPackages(
