--- a/src/main/java/switchgap/policy/LoadEstimator.java
+++ b/src/main/java/switchgap/policy/LoadEstimator.java
@@ -28,7 +28,8 @@
   private static final double PRIOR_RATIOS = 4; // at the fleet's ratio, for a worker little known
   private static final double MIN_LATENCY_RATIO = 0.5; // of the fleet's
   private static final double MIN_CONCURRENCY = 2; // below it rejections cause more rejections
-  private static final double WINDOW_SECONDS = 1.5; // of a worker's durations: one to two, mean
+  private static final double WINDOW_SECONDS =
+      1.5; // that a worker's durations are of: the mean of 1 and 2
   private static final double REJECTED_LOAD = 2; // times its capacity, at a worker that rejects
   private static final double MAX_REPORTS = 64; // above it halved each second
   private static final double MAX_SAMPLES = 256; // above it halved, so that old ones fade
@@ -140,7 +141,7 @@
     return usualForeignLoad + (worker.report.foreignLoad() - usualForeignLoad) * decay;
   }
 
-  /** Requests of all routers that a worker bears: those observed by their relative duration. */
+  /** Requests of all routers that a worker bears: those observed, divided by relative duration. */
   double capacity(RequestClass requestClass) {
     Histogram durations = requestClass.relativeDurations;
     if (durations.total() < 1) {
@@ -160,7 +161,7 @@
     return Math.max(min, max * Math.min(warm, FAST_DURATION / usual));
   }
 
-  /** A request's hint, scaled as other hints proved wrong; without one, what its class takes. */
+  /** A request's hint, scaled by the median error of hints; without one, its class's duration. */
   Duration expectedDuration(Request request) {
     double ratio = state.fleet.latencyRatios.quantile(0.5);
     boolean hinted = request.hasDurationHint() && !Double.isNaN(ratio);
--- a/src/main/java/switchgap/policy/OutlierDetector.java
+++ b/src/main/java/switchgap/policy/OutlierDetector.java
@@ -48,7 +48,7 @@
     }
   }
 
-  /** A hung worker answers nothing; where single responses are lost, others arrive meanwhile. */
+  /** A hung worker responds to nothing; if single responses are lost, others arrive meanwhile. */
   private void attemptTimedOut(Request request, Worker worker, AttemptResult result) {
     boolean slow = !isShorter(result.duration(), request.requestClass.latencyObjective);
     if (slow && isShorter(worker.lastResponse(), state.now().minus(result.duration()))) {
--- a/src/main/java/switchgap/policy/ReplicaLoader.java
+++ b/src/main/java/switchgap/policy/ReplicaLoader.java
@@ -52,7 +52,7 @@
     return true;
   }
 
-  /** Whether a function that nobody may have at all failed to load more than once just now. */
+  /** Whether a function that may not exist failed to load more than once within the last second. */
   private boolean failsEverywhere(Function function) {
     return !function.everLoaded()
         && function.failedLoads() > MAX_FAILED_LOADS
--- a/src/main/java/switchgap/policy/ReplicaScaler.java
+++ b/src/main/java/switchgap/policy/ReplicaScaler.java
@@ -120,7 +120,7 @@
         || (saturated > 0 && saturated * SATURATED_ONE_IN >= function.recentArrivals());
   }
 
-  /** Adds one replica or, the more routers there are, nearly all that the concurrency asks for. */
+  /** Adds one replica or, with many routers, nearly all that the concurrency requires. */
   private void scaleUp(Function function, double concurrency, int maxReplicas) {
     int target = function.targetReplicas();
     double wanted = Math.min(maxReplicas, target * concurrency / LOAD_THRESHOLD);
--- a/src/main/java/switchgap/policy/RequestQueue.java
+++ b/src/main/java/switchgap/policy/RequestQueue.java
@@ -12,8 +12,8 @@
 import switchgap.policy.state.Worker;
 
 /**
- * Holds the requests that could not be sent. Each is tried again at every step, the most valuable
- * first, and rejected as soon as it cannot be worth its place.
+ * Holds the requests that could not be sent. Each is placed again at every step, in descending
+ * order of weight, and rejected once it cannot meet its latency objective or deadline any more.
  */
 final class RequestQueue {
   private static final double MIN_LENGTH = 2; // requests that may wait for one worker
@@ -45,7 +45,7 @@
     return queue.isEmpty() ? latest : Durations.min(state.now().plus(router.queueStep), latest);
   }
 
-  /** Tries each queued request again, by descending weight, then by age. */
+  /** Places each queued request again, by descending weight, then by age. */
   void sendQueued() {
     if (queue.isEmpty()) {
       return;
@@ -57,13 +57,13 @@
     queue.clear();
     for (Request request : waiting) {
       if (request.isQueued()) {
-        retry(request);
+        placeAgain(request);
       }
     }
     state.workers.forEach(Worker::queuePlaced);
   }
 
-  private void retry(Request request) {
+  private void placeAgain(Request request) {
     if (request.isWaitingForProbes(state.now())) {
       queue.add(request);
       return;
@@ -94,9 +94,7 @@
         && retries.endsInTime(request, usual);
   }
 
-  /**
-   * Adds a request to a worker's queue, which holds what the worker serves in half an objective.
-   */
+  /** Adds a request to a worker's queue, limited to what the worker serves in half an objective. */
   private boolean isQueueFull(Request request, Worker worker) {
     RequestClass requestClass = request.requestClass;
     double rate = worker.relativeDurations.total() / 2;
--- a/src/main/java/switchgap/policy/RequestRouter.java
+++ b/src/main/java/switchgap/policy/RequestRouter.java
@@ -25,7 +25,7 @@
   private final ReplicaLoader loader;
   private final ReplicaScaler scaler;
   private final boolean probes;
-  final Duration queueStep; // after which a request that could not be sent is tried again
+  final Duration queueStep; // after which a queued request is placed again
 
   RequestRouter(
       PolicyState state, LoadEstimator estimator, ReplicaLoader loader, ReplicaScaler scaler) {
--- a/src/main/java/switchgap/policy/RoutingPolicy.java
+++ b/src/main/java/switchgap/policy/RoutingPolicy.java
@@ -38,7 +38,8 @@
           new double[] {0.5}, // errors
           new double[] {0.25, 0.5, 1, 1.5, 2, 3, 4, 6, 8, 12, 16, 24, 32, 48}); // concurrency
   private static final int MARGIN_TICKS = 2; // before a deadline, or responses would be late
-  private static final double HOPELESS_DURATION = 1.5; // times the expected, for a nearer deadline
+  private static final double HOPELESS_DURATION =
+      1.5; // times the expected: a nearer deadline fails
   private static final double OVER_QUOTA = 1.25; // times a tenant's share of the requests
   private static final double MIN_TENANT_REQUESTS = 20; // below it the shares are not compared
   private static final int POLLS_PER_INTERVAL = 4; // of the endpoint list
--- a/src/main/java/switchgap/policy/state/ActionDispatcher.java
+++ b/src/main/java/switchgap/policy/state/ActionDispatcher.java
@@ -71,7 +71,7 @@
     state.actions().load(worker.id, function.id);
   }
 
-  /** Asks a worker whether it has a replica of a function. */
+  /** Queries a worker whether it has a replica of a function. */
   public void queryReplicas(Function function, Worker worker) {
     function.replicaAt(worker).queryStarted();
     function.commandStarted(worker);
--- a/src/main/java/switchgap/policy/state/Replica.java
+++ b/src/main/java/switchgap/policy/state/Replica.java
@@ -83,7 +83,7 @@
     loadRejectedAt = rejected ? now : null;
   }
 
-  /** The worker answered that it does not have the replica; a load in flight may still bring it. */
+  /** The worker reported that it does not have the replica; a load in flight may still bring it. */
   public void reportedAbsent() {
     state = state == State.LOADING ? State.LOADING : State.ABSENT;
   }
--- a/src/main/java/switchgap/policy/state/Request.java
+++ b/src/main/java/switchgap/policy/state/Request.java
@@ -78,7 +78,7 @@
     phase = Phase.OPEN;
   }
 
-  /** Returns false where it was closed before. */
+  /** Returns false if it was closed before. */
   boolean close() {
     boolean wasOpen = phase != Phase.CLOSED;
     phase = Phase.CLOSED;
--- a/src/main/java/switchgap/policy/state/Worker.java
+++ b/src/main/java/switchgap/policy/state/Worker.java
@@ -6,7 +6,10 @@
 import switchgap.policy.api.EndpointEntry;
 import switchgap.policy.api.WorkerState;
 
-/** A worker: its entry of the endpoint list and what this router has measured of it. */
+/**
+ * A worker: its entry of the endpoint list and what this router has measured of it. The histograms
+ * are public, as the policy decides what they count and when they fade.
+ */
 public final class Worker {
   public final int id;
 
@@ -204,12 +207,12 @@
 
   // Health and load.
 
-  /** When it last answered anything. */
+  /** When it last responded to an attempt or a load probe. */
   public Duration lastResponse() {
     return lastResponse;
   }
 
-  /** It answered an attempt or a probe. */
+  /** It responded to an attempt or a load probe. */
   public void responded(Duration now) {
     lastResponse = now;
   }
--- a/src/test/java/switchgap/policy/EndpointListTest.java
+++ b/src/test/java/switchgap/policy/EndpointListTest.java
@@ -70,7 +70,7 @@
             })
         .until(11_000)
         .at(3_600_000, events -> harness.requestArrives(events, 0, 0));
-    assertThat(harness.count("send")).isEqualTo(1); // tried, not loaded: others may have loaded it
+    assertThat(harness.count("send")).isEqualTo(1); // not loaded: others may have loaded it
     assertThat(harness.count("load")).isZero();
   }
 
--- a/src/test/java/switchgap/policy/LoadEstimatorTest.java
+++ b/src/test/java/switchgap/policy/LoadEstimatorTest.java
@@ -52,7 +52,7 @@
     assertThat(harness.count("send")).isEqualTo(2);
   }
 
-  /** A worker that has just started may answer without a report. */
+  /** A worker that has just started may respond without a report. */
   @Test
   void probesLoadAgainAfterProbeWithoutReport() {
     TestSettings settings = new TestSettings();
@@ -71,12 +71,12 @@
     assertThat(harness.count("probe")).isPositive();
     long probed = harness.count("probe");
     for (int worker = 0; worker < 4; worker++) {
-      int answering = worker;
+      int responding = worker;
       harness.at(
           1202,
           events ->
               events.probeEnded(
-                  new ProbeResult(answering, AttemptOutcome.SUCCEEDED, LoadReport.NONE)));
+                  new ProbeResult(responding, AttemptOutcome.SUCCEEDED, LoadReport.NONE)));
     }
     harness
         .until(1300)
--- a/src/test/java/switchgap/policy/LoadQuotaTest.java
+++ b/src/test/java/switchgap/policy/LoadQuotaTest.java
@@ -33,7 +33,7 @@
     assertThat(harness.count("load")).isGreaterThan(2);
   }
 
-  /** The quota counts arrivals in its window, also while no load command asks for the count. */
+  /** The quota counts arrivals in its window, even while no load command reads the count. */
   @Test
   void dropsOldArrivalsWhenNoLoadIsNeeded() {
     TestSettings settings = new TestSettings();
--- a/src/test/java/switchgap/policy/OutlierDetectorTest.java
+++ b/src/test/java/switchgap/policy/OutlierDetectorTest.java
@@ -153,9 +153,9 @@
   }
 
   @Test
-  void ejectsWorkerThatAnswersNothing() {
+  void ejectsWorkerThatRespondsToNothing() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
-    int silent = harness.scaleToTwoReplicas(0).first();
+    int unresponsive = harness.scaleToTwoReplicas(0).first();
     List<Integer> workers = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       int start = 2000 + 700 * i;
@@ -163,15 +163,15 @@
       int worker = harness.sentTo(2);
       workers.add(worker);
       AttemptOutcome outcome =
-          worker == silent ? AttemptOutcome.TIMED_OUT : AttemptOutcome.SUCCEEDED;
+          worker == unresponsive ? AttemptOutcome.TIMED_OUT : AttemptOutcome.SUCCEEDED;
       harness.at(
           start + 500,
           events ->
               harness.attemptEnds(events, ended(2, worker, outcome).after(500).withConcurrency(3)));
       succeedRetry(harness, start + 650, 150);
     }
-    assertThat(workers.subList(0, 2)).containsOnly(silent);
-    assertThat(workers.subList(2, 4)).doesNotContain(silent);
+    assertThat(workers.subList(0, 2)).containsOnly(unresponsive);
+    assertThat(workers.subList(2, 4)).doesNotContain(unresponsive);
   }
 
   /** The second attempt of request 2 succeeds, if there is one. */
--- a/src/test/java/switchgap/policy/PolicyHarness.java
+++ b/src/test/java/switchgap/policy/PolicyHarness.java
@@ -103,7 +103,7 @@
     return new Replicas(first, second[0]);
   }
 
-  // What the policy holds and did.
+  // The policy's state and its recorded actions.
 
   int targetReplicas(int function) {
     return functions().get(function).targetReplicas();
--- a/src/test/java/switchgap/policy/RetryPolicyTest.java
+++ b/src/test/java/switchgap/policy/RetryPolicyTest.java
@@ -109,7 +109,7 @@
     harness
         .at(12, events -> harness.attemptEnds(events, notLoaded(0, primary).after(2)))
         .until(2500);
-    harness.assertTrace("answered-in-time");
+    harness.assertTrace("rejected-before-deadline");
   }
 
   /**
