--- a/src/main/java/switchgap/testbed/experiment/BareRelay.java
+++ b/src/main/java/switchgap/testbed/experiment/BareRelay.java
@@ -16,18 +16,21 @@
 import switchgap.net.NetworkTransport;
 
 /**
- * The baseline: forwards each request to one of the workers in turn, through the same filter
- * chains, without decisions.
+ * The baseline: forwards requests to the workers round robin, through the same filter chains,
+ * without decisions.
  */
 final class BareRelay implements HttpServer.RequestHandler {
-  private final HttpClientConnector factory;
+  private static final int MAX_BODY_BYTES = 4 << 20;
+  private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
+  private static final Map<String, String> HEADERS = Map.of("Content-Type", "application/json");
+  private final HttpClientConnector connector;
   private final InetSocketAddress[] workers;
   private final ConcurrentLinkedDeque<HttpClientConnection>[] idle;
-  private final AtomicInteger turn = new AtomicInteger();
+  private final AtomicInteger nextWorker = new AtomicInteger();
 
-  @SuppressWarnings({"unchecked"})
+  @SuppressWarnings("unchecked") // an array of a generic type can only be made unchecked
   private BareRelay(NetworkTransport net, InetSocketAddress[] workers) {
-    this.factory = new HttpClientConnector(net, null, 4 << 20);
+    this.connector = new HttpClientConnector(net, null, MAX_BODY_BYTES);
     this.workers = workers;
     this.idle = new ConcurrentLinkedDeque[workers.length];
     for (int i = 0; i < idle.length; i++) {
@@ -44,19 +47,19 @@
 
   @Override
   public void handle(HttpExchange exchange) {
-    int workerIndex = Math.floorMod(turn.getAndIncrement(), workers.length);
+    int workerIndex = Math.floorMod(nextWorker.getAndIncrement(), workers.length);
     HttpClientConnection idleConnection = idle[workerIndex].poll();
     if (idleConnection != null && idleConnection.isUsable()) {
-      pass(exchange, idleConnection, workerIndex);
+      forward(exchange, idleConnection, workerIndex);
       return;
     }
-    factory.connect(
+    connector.connect(
         workers[workerIndex],
-        Duration.ofSeconds(1),
+        CONNECT_TIMEOUT,
         new HttpClientConnection.ConnectCallback() {
           @Override
           public void connected(HttpClientConnection connection) {
-            pass(exchange, connection, workerIndex);
+            forward(exchange, connection, workerIndex);
           }
 
           @Override
@@ -66,12 +69,12 @@
         });
   }
 
-  private void pass(HttpExchange exchange, HttpClientConnection connection, int workerIndex) {
+  private void forward(HttpExchange exchange, HttpClientConnection connection, int workerIndex) {
     boolean sent =
         connection.send(
             "POST",
             "/v2/models/f/infer",
-            Map.of("Content-Type", "application/json"),
+            HEADERS,
             exchange.body(),
             new HttpClientConnection.ResponseHandler() {
               @Override
@@ -80,7 +83,7 @@
                 if (reusable) {
                   idle[workerIndex].push(connection);
                 }
-                exchange.respond(status, Map.of("Content-Type", "application/json"), body);
+                exchange.respond(status, HEADERS, body);
               }
 
               @Override
--- a/src/main/java/switchgap/testbed/experiment/BaselinePolicy.java
+++ b/src/main/java/switchgap/testbed/experiment/BaselinePolicy.java
@@ -5,7 +5,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.SplittableRandom;
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.policy.api.AttemptResult;
 import switchgap.policy.api.EndpointEntry;
@@ -17,153 +16,127 @@
 import switchgap.policy.api.ProbeResult;
 import switchgap.policy.api.RequestArrival;
 import switchgap.policy.api.RouterSettings;
-import switchgap.policy.api.WorkerState;
 import switchgap.router.RouterCore;
 
 /**
- * Textbook choices to measure the routing policy against: any ready worker by chance, or each in
- * turn. Where no replica is loaded one is, and the request waits for it; what may be retried is,
- * elsewhere; the rest is given up as the rules ask.
+ * Textbook policies to measure the routing policy against: any ready worker at random, or round
+ * robin. Where no replica is loaded it loads one and the request waits for it; it retries elsewhere
+ * what may be retried, and rejects or fails the rest before the deadline, as the invariants demand.
  */
 final class BaselinePolicy implements RouterCore.Policy, PolicyEvents {
-  private static final class PendingRequest {
-    final int requestIndex;
-    final int requestClass;
-    final int function;
-    final Duration deadline;
-    int attempts;
-    int inFlight;
-    int possiblyExecuted;
-    boolean closed;
-
-    PendingRequest(int requestIndex, int requestClass, int function, Duration deadline) {
-      this.requestIndex = requestIndex;
-      this.requestClass = requestClass;
-      this.function = function;
-      this.deadline = deadline;
-    }
-  }
+  /** A load command in flight: at most one for a function at a worker. */
+  private record LoadKey(int worker, int function) {}
 
   private final RouterSettings settings;
-  private final boolean roundRobin;
-  private final SplittableRandom random;
   private final Duration margin;
-  private final List<Integer> ready = new ArrayList<>();
-  private final Map<Integer, WorkerState> workerStates = new HashMap<>();
-  private final Map<Integer, PendingRequest> pending = new HashMap<>();
-  private final Map<Long, List<PendingRequest>> loading = new HashMap<>();
-  private final Map<Integer, Integer> attemptsByWorker = new HashMap<>();
+  private final BaselineWorkers workers;
+  private final Map<Integer, BaselineRequest> pending = new HashMap<>();
+  private final Map<LoadKey, List<BaselineRequest>> waitingForLoad = new HashMap<>();
   private Duration now = Duration.ZERO;
   private PolicyActions actions;
-  private int nextWorker;
   private boolean wakeUpScheduled;
 
-  BaselinePolicy(RouterSettings settings, boolean roundRobin, long seed) {
+  BaselinePolicy(RouterSettings settings, BaselineChoice choice, long seed) {
     this.settings = settings;
-    this.roundRobin = roundRobin;
-    this.random = new SplittableRandom(seed);
+    this.workers = new BaselineWorkers(choice, seed);
     this.margin = settings.tickInterval().multipliedBy(2);
   }
 
   @Override
-  public void tick(Duration at, EventBatch in, PolicyActions to) {
-    now = at;
-    actions = to;
-    in.deliverTo(this);
-    List<Integer> due = new ArrayList<>();
-    pending.forEach(
-        (requestIndex, request) -> {
-          if (!request.closed
-              && request.inFlight == 0
-              && now.plus(margin.multipliedBy(2)).compareTo(request.deadline) >= 0) {
-            due.add(requestIndex);
-          }
-        });
-    due.forEach(requestIndex -> giveUp(requestIndex, pending.get(requestIndex)));
+  public void tick(Duration time, EventBatch events, PolicyActions tickActions) {
+    now = time;
+    actions = tickActions;
+    events.deliverTo(this);
+    requestsDue().forEach(this::closeUnserved);
     if (!wakeUpScheduled) {
       wakeUpScheduled = true;
       actions.scheduleWakeUp(margin, 0);
     }
   }
 
-  private void place(int requestIndex, PendingRequest request) {
-    if (request.closed) {
+  /** Open requests without an attempt in flight whose deadline is near. */
+  private List<BaselineRequest> requestsDue() {
+    List<BaselineRequest> due = new ArrayList<>();
+    for (BaselineRequest request : pending.values()) {
+      if (!request.isClosed()
+          && !request.hasAttemptInFlight()
+          && isWithin(margin.multipliedBy(2), request.deadline())) {
+        due.add(request);
+      }
+    }
+    return due;
+  }
+
+  private boolean isWithin(Duration distance, Duration deadline) {
+    return now.plus(distance).compareTo(deadline) >= 0;
+  }
+
+  private boolean mayStartAttempt(BaselineRequest request) {
+    return request.attempts() < settings.maxAttempts() && !isWithin(margin, request.deadline());
+  }
+
+  private void route(BaselineRequest request) {
+    if (request.isClosed()) {
       return;
     }
-    if (ready.isEmpty()
-        || request.attempts >= settings.maxAttempts()
-        || now.plus(margin).compareTo(request.deadline) >= 0) {
-      giveUp(requestIndex, request);
+    if (workers.noneReady() || !mayStartAttempt(request)) {
+      closeUnserved(request);
       return;
     }
-    send(
-        requestIndex,
-        request,
-        ready.get(roundRobin ? nextWorker++ % ready.size() : random.nextInt(ready.size())));
+    startAttempt(request, workers.chooseReady());
   }
 
-  private void send(int requestIndex, PendingRequest request, int worker) {
-    request.attempts++;
-    request.inFlight++;
-    attemptsByWorker.merge(worker, 1, Integer::sum);
-    actions.startAttempt(requestIndex, worker, request.deadline.minus(now).minus(margin));
+  private void startAttempt(BaselineRequest request, int worker) {
+    request.attemptStarted();
+    workers.attemptStarted(worker);
+    Duration timeout = request.deadline().minus(now).minus(margin);
+    actions.startAttempt(request.requestIndex(), worker, timeout);
   }
 
-  private void giveUp(int requestIndex, PendingRequest request) {
-    if (request.closed) {
+  /** Rejects the request where a retry is harmless, else fails it. */
+  private void closeUnserved(BaselineRequest request) {
+    if (request.isClosed()) {
       return;
     }
-    request.closed = true;
-    if (settings.idempotency(request.requestClass) == Idempotency.IDEMPOTENT
-        || request.possiblyExecuted + request.inFlight == 0) {
-      actions.reject(requestIndex, null);
+    request.close();
+    boolean executed = request.isPossiblyExecuted() || request.hasAttemptInFlight();
+    if (isIdempotent(request) || !executed) {
+      actions.reject(request.requestIndex(), null);
     } else {
-      actions.fail(requestIndex);
+      actions.fail(request.requestIndex());
     }
-    settle(requestIndex, request);
+    releaseIfSettled(request);
+  }
+
+  private boolean isIdempotent(BaselineRequest request) {
+    return settings.idempotency(request.requestClass()) == Idempotency.IDEMPOTENT;
   }
 
-  private void settle(int requestIndex, PendingRequest request) {
-    if (request.closed && request.inFlight == 0 && pending.remove(requestIndex) != null) {
-      actions.releaseRequest(requestIndex);
+  private void releaseIfSettled(BaselineRequest request) {
+    if (request.isSettled() && pending.remove(request.requestIndex()) != null) {
+      actions.releaseRequest(request.requestIndex());
     }
   }
 
   @Override
   public void endpointListStarted(boolean complete) {
-    if (complete) {
-      workerStates.replaceAll((worker, state) -> WorkerState.GONE);
-    }
+    workers.listStarted(complete);
   }
 
   @Override
   public void endpointListed(EndpointEntry entry) {
-    workerStates.put(entry.worker(), entry.state());
+    workers.listed(entry);
   }
 
   @Override
   public void endpointListEnded() {
-    ready.clear();
-    workerStates.forEach(
-        (worker, state) -> {
-          if (state == WorkerState.READY) {
-            ready.add(worker);
-          }
-        });
-    List<Integer> gone = new ArrayList<>();
-    workerStates.forEach(
-        (worker, state) -> {
-          if (state == WorkerState.GONE
-              && attemptsByWorker.getOrDefault(worker, 0) == 0
-              && loading.keySet().stream().noneMatch(key -> (int) (key >> 32) == worker)) {
-            gone.add(worker);
-          }
-        });
-    gone.forEach(
-        worker -> {
-          workerStates.remove(worker);
-          actions.releaseWorker(worker);
-        });
+    workers.listEnded();
+    for (int worker : workers.goneAndIdle()) {
+      if (waitingForLoad.keySet().stream().noneMatch(load -> load.worker == worker)) {
+        workers.forget(worker);
+        actions.releaseWorker(worker);
+      }
+    }
   }
 
   @Override
@@ -171,74 +144,70 @@
 
   @Override
   public void requestArrived(RequestArrival arrival) {
-    PendingRequest request =
-        new PendingRequest(
-            arrival.request(), arrival.requestClass(), arrival.function(), arrival.deadline());
-    pending.put(request.requestIndex, request);
-    place(request.requestIndex, request);
+    BaselineRequest request = new BaselineRequest(arrival);
+    pending.put(request.requestIndex(), request);
+    route(request);
   }
 
   @Override
   public void attemptEnded(AttemptResult result) {
-    int requestIndex = result.request();
-    int worker = result.worker();
-    AttemptOutcome end = result.outcome();
-    PendingRequest request = pending.get(requestIndex);
-    request.inFlight--;
-    attemptsByWorker.merge(worker, -1, Integer::sum);
-    request.possiblyExecuted += end.neverExecuted() ? 0 : 1;
-    request.closed |= result.requestClosed();
-    if (!request.closed
-        && end == AttemptOutcome.NOT_LOADED
-        && workerStates.get(worker) == WorkerState.READY) {
-      long key = (long) worker << 32 | request.function;
-      List<PendingRequest> waiting = loading.get(key);
-      if (waiting == null) {
-        waiting = new ArrayList<>();
-        loading.put(key, waiting);
-        actions.load(worker, request.function);
-      }
-      waiting.add(request);
-    } else if (!request.closed) {
-      if (request.possiblyExecuted == 0
-          || settings.idempotency(request.requestClass) == Idempotency.IDEMPOTENT) {
-        place(requestIndex, request);
+    BaselineRequest request = pending.get(result.request());
+    request.attemptEnded(result);
+    workers.attemptEnded(result.worker());
+    if (!request.isClosed()) {
+      if (result.outcome() == AttemptOutcome.NOT_LOADED && workers.isReady(result.worker())) {
+        awaitLoad(request, result.worker());
+      } else if (isIdempotent(request) || !request.isPossiblyExecuted()) {
+        route(request);
       } else {
-        giveUp(requestIndex, request);
+        closeUnserved(request);
       }
     }
-    settle(requestIndex, request);
+    releaseIfSettled(request);
+  }
+
+  private void awaitLoad(BaselineRequest request, int worker) {
+    LoadKey key = new LoadKey(worker, request.function());
+    List<BaselineRequest> waiting = waitingForLoad.get(key);
+    if (waiting == null) {
+      waiting = new ArrayList<>();
+      waitingForLoad.put(key, waiting);
+      actions.load(worker, request.function());
+    }
+    waiting.add(request);
   }
 
   @Override
   public void loadCommandEnded(LoadCommandResult result) {
     int worker = result.worker();
-    List<PendingRequest> waiting = loading.remove((long) worker << 32 | result.function());
+    List<BaselineRequest> waiting = waitingForLoad.remove(new LoadKey(worker, result.function()));
     if (waiting == null) {
       return;
     }
-    for (PendingRequest request :
-        waiting) { // one given up meanwhile may have left its index to another
-      int requestIndex = request.requestIndex;
-      if (pending.get(requestIndex) != request || request.closed || request.inFlight > 0) {
+    for (BaselineRequest request : waiting) {
+      if (!isStillWaiting(request)) {
         continue;
       }
-      if (result.loadedReplicas() > 0
-          && workerStates.get(worker) == WorkerState.READY
-          && request.attempts < settings.maxAttempts()
-          && now.plus(margin).compareTo(request.deadline) < 0) {
-        send(requestIndex, request, worker);
+      if (result.loadedReplicas() > 0 && workers.isReady(worker) && mayStartAttempt(request)) {
+        startAttempt(request, worker);
       } else {
-        place(requestIndex, request);
+        route(request);
       }
     }
   }
 
+  /** A request that was closed meanwhile may have left its index to another one. */
+  private boolean isStillWaiting(BaselineRequest request) {
+    return pending.get(request.requestIndex()) == request
+        && !request.isClosed()
+        && !request.hasAttemptInFlight();
+  }
+
   @Override
   public void clientLeft(int requestIndex) {
-    PendingRequest request = pending.get(requestIndex);
-    request.closed = true;
-    settle(requestIndex, request);
+    BaselineRequest request = pending.get(requestIndex);
+    request.close();
+    releaseIfSettled(request);
   }
 
   @Override
--- a/src/main/java/switchgap/testbed/experiment/BaselineRouter.java
+++ b/src/main/java/switchgap/testbed/experiment/BaselineRouter.java
@@ -5,7 +5,7 @@
 import switchgap.server.gateway.GatewayConfig;
 import switchgap.server.gateway.GatewayRouter;
 
-/** A router under a textbook choice in place of the routing policy. */
+/** A router under a textbook policy in place of the program's own. */
 public final class BaselineRouter {
   private BaselineRouter() {}
 
@@ -13,6 +13,6 @@
   public static GatewayRouter start(Path page, String choice) throws IOException {
     GatewayConfig config = GatewayConfig.read(page);
     return new GatewayRouter(
-        config, new BaselinePolicy(config.settings(), choice.equals("turns"), config.seed()));
+        config, new BaselinePolicy(config.settings(), BaselineChoice.of(choice), config.seed()));
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/MemoryMeasurement.java
+++ b/src/main/java/switchgap/testbed/experiment/MemoryMeasurement.java
@@ -8,7 +8,9 @@
 import java.net.http.HttpResponse;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.atomic.AtomicBoolean;
 import switchgap.config.YamlDocument;
 import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpServer;
@@ -20,6 +22,10 @@
 public final class MemoryMeasurement {
   private static final int WORKERS = 81;
   private static final int FUNCTIONS = 2000;
+  private static final int BATCH = 100;
+  private static final long SETTLE_MILLIS = 1500;
+  private static final int COLLECTIONS = 4;
+  private static final long COLLECTION_PAUSE_MILLIS = 100;
 
   private MemoryMeasurement() {}
 
@@ -27,43 +33,43 @@
    * Measures in this process and prints; requests are deferred, with a small body, at workers that
    * are silent.
    */
-  public static void run(int calls, PrintStream out) throws IOException, InterruptedException {
+  public static void run(int requests, PrintStream out) throws IOException, InterruptedException {
     try (NetworkTransport net = new NetworkTransport(2, "lab")) {
-      boolean[] silent = {false};
+      AtomicBoolean silent = new AtomicBoolean();
       int port =
           new HttpServer(
                   net,
                   ConnectionLimits.DEFAULT,
                   exchange -> {
-                    if (!silent[0]) {
+                    if (!silent.get()) {
                       exchange.respond(
-                          200, java.util.Map.of("Content-Type", "application/json"), new byte[2]);
+                          200, Map.of("Content-Type", "application/json"), new byte[2]);
                     }
                   })
               .listen("127.0.0.1", 0);
       HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-      long before = used();
+      long before = usedHeapBytes();
       try (GatewayRouter router =
-          new GatewayRouter(GatewayConfig.read(YamlDocument.read("memory", page(port))))) {
-        send(client, router, FUNCTIONS, true);
-        Thread.sleep(1500);
-        long known = used();
-        silent[0] = true;
-        send(client, router, calls, true);
-        long held = used();
+          new GatewayRouter(GatewayConfig.read(YamlDocument.read("memory", config(port))))) {
+        invokeDeferred(client, router, FUNCTIONS);
+        Thread.sleep(SETTLE_MILLIS);
+        long withFunctions = usedHeapBytes();
+        silent.set(true);
+        invokeDeferred(client, router, requests);
+        long withRequests = usedHeapBytes();
         int pendingRequests = router.pendingRequests();
         out.printf(
             "%d workers and %d functions known: %.1f MB over the process before the router%n",
-            WORKERS, FUNCTIONS, (known - before) / 1e6);
+            WORKERS, FUNCTIONS, (withFunctions - before) / 1e6);
         out.printf(
             "%d calls held: %.0f bytes each%n",
-            pendingRequests, (held - known) / (double) Math.max(1, pendingRequests));
+            pendingRequests,
+            (withRequests - withFunctions) / (double) Math.max(1, pendingRequests));
       }
     }
   }
 
-  private static void send(
-      HttpClient client, GatewayRouter router, int requests, boolean deferred) {
+  private static void invokeDeferred(HttpClient client, GatewayRouter router, int requests) {
     List<CompletableFuture<HttpResponse<Void>>> responses = new ArrayList<>();
     for (int i = 0; i < requests; i++) {
       HttpRequest.Builder request =
@@ -75,11 +81,9 @@
                           + i % FUNCTIONS
                           + "/invoke"))
               .POST(HttpRequest.BodyPublishers.ofString("{\"inputs\":[]}"));
-      if (deferred) {
-        request.header("Prefer", "respond-async");
-      }
+      request.header("Prefer", "respond-async");
       responses.add(client.sendAsync(request.build(), HttpResponse.BodyHandlers.discarding()));
-      if (i % 100 == 99) {
+      if (i % BATCH == BATCH - 1) {
         responses.forEach(CompletableFuture::join);
         responses.clear();
       }
@@ -87,16 +91,17 @@
     responses.forEach(CompletableFuture::join);
   }
 
-  private static long used() throws InterruptedException {
-    for (int i = 0; i < 4; i++) {
+  /** Heap in use after collections. */
+  private static long usedHeapBytes() throws InterruptedException {
+    for (int i = 0; i < COLLECTIONS; i++) {
       System.gc();
-      Thread.sleep(100);
+      Thread.sleep(COLLECTION_PAUSE_MILLIS);
     }
     Runtime runtime = Runtime.getRuntime();
     return runtime.totalMemory() - runtime.freeMemory();
   }
 
-  private static String page(int port) {
+  private static String config(int workerPort) {
     StringBuilder yaml =
         new StringBuilder(
             """
@@ -114,7 +119,7 @@
       yaml.append("    - {name: w")
           .append(i)
           .append(", port: ")
-          .append(port)
+          .append(workerPort)
           .append(", kind: k}\n");
     }
     return yaml.toString();
--- a/src/main/java/switchgap/testbed/experiment/SmallRequestLoad.java
+++ b/src/main/java/switchgap/testbed/experiment/SmallRequestLoad.java
@@ -9,6 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.locks.LockSupport;
+import java.util.function.Consumer;
 import java.util.function.IntFunction;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
@@ -19,17 +20,21 @@
 import switchgap.net.NetworkTransport;
 
 /**
- * A load of small requests: closed (so many connections, each sends again at once) or open (so many
- * requests a second).
+ * A load of small requests, measured once after a warm-up: closed-loop (each of so many connections
+ * sends again when its response came) or open-loop (so many requests a second).
  */
 final class SmallRequestLoad {
   /**
-   * Requests answered well and otherwise, a second, and microseconds from the time a request was
-   * due.
+   * What was measured.
+   *
+   * @param succeeded requests answered with status 200
+   * @param failed all others
+   * @param perSecond requests that ended a second
+   * @param latencyMicros time from when a request was due to its response
    */
-  record Result(long good, long bad, double perSecond, Histogram micros) {
-    double quantile(double percentile) {
-      return micros.getValueAtPercentile(percentile) / 1000.0;
+  record Result(long succeeded, long failed, double perSecond, Histogram latencyMicros) {
+    double percentileMillis(double percentile) {
+      return latencyMicros.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
     }
   }
 
@@ -37,137 +42,161 @@
       ("{\"id\":\"x\",\"inputs\":[{\"name\":\"a\",\"shape\":[4],"
               + "\"datatype\":\"FP32\",\"data\":[1,2,3,4]}]}")
           .getBytes(StandardCharsets.US_ASCII);
-  private final HttpClientConnector factory;
-  private final InetSocketAddress[] to;
+  private static final Map<String, String> HEADERS = Map.of("Content-Type", "application/json");
+  private static final int MAX_BODY_BYTES = 1 << 20;
+  private static final int STATUS_OK = 200;
+  private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
+  private static final long CONNECT_ALL_SECONDS = 5;
+  private static final long HISTOGRAM_MAX_MICROS = 60_000_000;
+  private static final long MAX_LATENCY_MICROS = 59_000_000;
+  private static final double MICROS_PER_MILLI = 1000.0;
+  private static final long NANOS_PER_MICRO = 1000;
+  private static final long NANOS_PER_SECOND = 1_000_000_000;
+
+  private final HttpClientConnector connector;
+  private final InetSocketAddress[] targets;
   private final IntFunction<String> path;
-  private final AtomicLong good = new AtomicLong();
-  private final AtomicLong bad = new AtomicLong();
-  private final ConcurrentHistogram micros = new ConcurrentHistogram(60_000_000, 3);
-  private final AtomicLong number = new AtomicLong();
+  private final AtomicLong succeeded = new AtomicLong();
+  private final AtomicLong failed = new AtomicLong();
+  private final ConcurrentHistogram latencyMicros =
+      new ConcurrentHistogram(HISTOGRAM_MAX_MICROS, 3);
+  private final AtomicLong nextNumber = new AtomicLong();
   private volatile boolean measuring;
   private volatile boolean over;
 
-  SmallRequestLoad(NetworkTransport net, InetSocketAddress[] to, IntFunction<String> path) {
-    this.factory = new HttpClientConnector(net, null, 1 << 20);
-    this.to = to;
+  /** {@code path}: the path of a request by its number. */
+  SmallRequestLoad(NetworkTransport net, InetSocketAddress[] targets, IntFunction<String> path) {
+    this.connector = new HttpClientConnector(net, null, MAX_BODY_BYTES);
+    this.targets = targets;
     this.path = path;
   }
 
-  /** So many connections, after a warm-up. */
-  Result closed(int connections, Duration warm, Duration span) throws InterruptedException {
-    CountDownLatch open = new CountDownLatch(connections);
+  /** Sends over so many connections, each again as soon as its response came. */
+  Result runClosedLoop(int connections, Duration warmUp, Duration duration)
+      throws InterruptedException {
+    CountDownLatch connected = new CountDownLatch(connections);
     for (int i = 0; i < connections; i++) {
-      factory.connect(
-          to[i % to.length],
-          Duration.ofSeconds(2),
-          new HttpClientConnection.ConnectCallback() {
-            @Override
-            public void connected(HttpClientConnection connection) {
-              open.countDown();
-              again(connection);
-            }
-
-            @Override
-            public void failed(ConnectFailure failure) {
-              open.countDown();
-            }
-          });
+      connect(
+          i,
+          connection -> {
+            connected.countDown();
+            sendRepeatedly(connection);
+          },
+          connected::countDown);
     }
-    open.await(5, TimeUnit.SECONDS);
-    return measure(warm, span);
-  }
-
-  private Result measure(Duration warm, Duration span) throws InterruptedException {
-    Thread.sleep(warm.toMillis());
-    good.set(0);
-    bad.set(0);
-    measuring = true;
-    long startedAt = System.nanoTime();
-    Thread.sleep(span.toMillis());
-    measuring = false;
-    double seconds = (System.nanoTime() - startedAt) / 1e9;
-    Result result =
-        new Result(good.get(), bad.get(), (good.get() + bad.get()) / seconds, micros.copy());
-    over = true;
-    return result;
+    connected.await(CONNECT_ALL_SECONDS, TimeUnit.SECONDS);
+    return measure(warmUp, duration);
   }
 
-  private void again(HttpClientConnection connection) {
+  private void sendRepeatedly(HttpClientConnection connection) {
     if (over) {
       connection.close();
       return;
     }
-    ask(connection, System.nanoTime(), () -> again(connection));
+    send(connection, System.nanoTime(), () -> sendRepeatedly(connection));
+  }
+
+  /** Sends so many requests a second at even distances; latency counts from when one was due. */
+  Result runOpenLoop(int requestsPerSecond, Duration warmUp, Duration duration)
+      throws InterruptedException {
+    Thread pacer = new Thread(() -> sendAtRate(requestsPerSecond), "pacer");
+    pacer.setDaemon(true);
+    pacer.start();
+    return measure(warmUp, duration);
+  }
+
+  private void sendAtRate(int requestsPerSecond) {
+    ConcurrentLinkedDeque<HttpClientConnection> idle = new ConcurrentLinkedDeque<>();
+    long dueNanos = System.nanoTime();
+    for (int i = 0; !over; i++) {
+      dueNanos += NANOS_PER_SECOND / requestsPerSecond;
+      long wait = dueNanos - System.nanoTime();
+      if (wait > 0) {
+        LockSupport.parkNanos(wait);
+      }
+      sendOverIdle(idle, i, dueNanos);
+    }
+  }
+
+  /** Sends over an idle connection, else over a new one. */
+  private void sendOverIdle(
+      ConcurrentLinkedDeque<HttpClientConnection> idle, int number, long dueNanos) {
+    HttpClientConnection connection = idle.poll();
+    if (connection != null && connection.isUsable()) {
+      send(connection, dueNanos, () -> idle.push(connection));
+    } else {
+      connect(
+          number,
+          opened -> send(opened, dueNanos, () -> idle.push(opened)),
+          failed::incrementAndGet);
+    }
   }
 
-  private void ask(HttpClientConnection connection, long due, Runnable then) {
+  private void connect(int number, Consumer<HttpClientConnection> onConnected, Runnable onFailure) {
+    connector.connect(
+        targets[number % targets.length],
+        CONNECT_TIMEOUT,
+        new HttpClientConnection.ConnectCallback() {
+          @Override
+          public void connected(HttpClientConnection connection) {
+            onConnected.accept(connection);
+          }
+
+          @Override
+          public void failed(ConnectFailure failure) {
+            onFailure.run();
+          }
+        });
+  }
+
+  /** Sends one request; the callback runs when the connection is free for the next one. */
+  private void send(HttpClientConnection connection, long dueNanos, Runnable onFree) {
     boolean sent =
         connection.send(
             "POST",
-            path.apply((int) number.getAndIncrement()),
-            Map.of("Content-Type", "application/json"),
+            path.apply((int) nextNumber.getAndIncrement()),
+            HEADERS,
             BODY,
             new HttpClientConnection.ResponseHandler() {
               @Override
               public void responded(
                   int status, Map<String, String> headers, byte[] body, boolean reusable) {
-                (status == 200 ? good : bad).incrementAndGet();
-                if (measuring) {
-                  micros.recordValue(Math.min(59_000_000, (System.nanoTime() - due) / 1000));
-                }
+                countResponse(status, dueNanos);
                 if (reusable) {
-                  then.run();
+                  onFree.run();
                 }
               }
 
               @Override
               public void connectionLost(CloseCause cause) {
-                bad.incrementAndGet();
+                failed.incrementAndGet();
               }
             });
     if (!sent) {
-      bad.incrementAndGet();
+      failed.incrementAndGet();
     }
   }
 
-  /** So many requests a second at even distances; latency counts from when a request was due. */
-  Result open(int rate, Duration warm, Duration span) throws InterruptedException {
-    ConcurrentLinkedDeque<HttpClientConnection> idle = new ConcurrentLinkedDeque<>();
-    Thread pacer =
-        new Thread(
-            () -> {
-              long due = System.nanoTime();
-              for (int i = 0; !over; i++) {
-                due += 1_000_000_000L / rate;
-                long wait = due - System.nanoTime();
-                if (wait > 0) {
-                  LockSupport.parkNanos(wait);
-                }
-                long dueAt = due;
-                HttpClientConnection idleConnection = idle.poll();
-                if (idleConnection != null && idleConnection.isUsable()) {
-                  ask(idleConnection, dueAt, () -> idle.push(idleConnection));
-                } else {
-                  factory.connect(
-                      to[i % to.length],
-                      Duration.ofSeconds(2),
-                      new HttpClientConnection.ConnectCallback() {
-                        @Override
-                        public void connected(HttpClientConnection connection) {
-                          ask(connection, dueAt, () -> idle.push(connection));
-                        }
-
-                        @Override
-                        public void failed(ConnectFailure failure) {
-                          bad.incrementAndGet();
-                        }
-                      });
-                }
-              }
-            },
-            "pacer");
-    pacer.setDaemon(true);
-    pacer.start();
-    return measure(warm, span);
+  private void countResponse(int status, long dueNanos) {
+    (status == STATUS_OK ? succeeded : failed).incrementAndGet();
+    if (measuring) {
+      long latency = (System.nanoTime() - dueNanos) / NANOS_PER_MICRO;
+      latencyMicros.recordValue(Math.min(MAX_LATENCY_MICROS, latency));
+    }
+  }
+
+  private Result measure(Duration warmUp, Duration duration) throws InterruptedException {
+    Thread.sleep(warmUp.toMillis());
+    succeeded.set(0);
+    failed.set(0);
+    measuring = true;
+    long startedAt = System.nanoTime();
+    Thread.sleep(duration.toMillis());
+    measuring = false;
+    double seconds = (System.nanoTime() - startedAt) / (double) NANOS_PER_SECOND;
+    double perSecond = (succeeded.get() + failed.get()) / seconds;
+    Result result = new Result(succeeded.get(), failed.get(), perSecond, latencyMicros.copy());
+    over = true;
+    return result;
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
+++ b/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
@@ -20,8 +20,8 @@
 
 /**
  * Latency that the router adds, and the most requests it passes, beside a relay of the same filter
- * chains and a direct request, all on this machine in one run. Workers answer at once: only the way
- * is measured.
+ * chains and a direct request, all on this machine in one run. Workers respond at once, so that
+ * only the path to them is measured.
  */
 public final class SpeedMeasurement {
   private static final int WORKERS = 4;
@@ -29,15 +29,7 @@
   private static final int SELECTORS = 3;
   private static final int CLOSED_ROUNDS = 2;
   private static final Duration WARM_UP = Duration.ofSeconds(4);
-  private static final List<String> JVM = List.of("-Xmx1g");
-
-  private static String invokePath(int number) {
-    return "/v1/functions/f" + number % FUNCTIONS + "/invoke";
-  }
-
-  private static String inferPath(int number) {
-    return "/v2/models/f" + number % FUNCTIONS + "/infer";
-  }
+  private static final List<String> JVM_OPTIONS = List.of("-Xmx1g");
 
   private static final byte[] WORKER_OUTPUT =
       "{\"id\":\"x\",\"outputs\":[]}".getBytes(StandardCharsets.US_ASCII);
@@ -46,7 +38,8 @@
           "Content-Type",
           "application/json",
           "endpoint-load-metrics",
-          "TEXT cpu_utilization=0.1,named_metrics.inflight=1,named_metrics.crowd=0,named_metrics.copies=1");
+          "TEXT cpu_utilization=0.1,named_metrics.inflight=1,"
+              + "named_metrics.crowd=0,named_metrics.copies=1");
 
   private SpeedMeasurement() {}
 
@@ -59,11 +52,11 @@
   /**
    * Measures and prints.
    *
-   * @param span time that each load is measured, after its warm-up
+   * @param duration time that each load is measured, after its warm-up
    * @param connections of the closed load
    * @param rate requests a second of the open load
    */
-  public static void run(Duration span, int connections, int rate, PrintStream out)
+  public static void run(Duration duration, int connections, int rate, PrintStream out)
       throws IOException, InterruptedException {
     Path directory = Files.createTempDirectory("switchgap-speed");
     List<Process> children = new ArrayList<>();
@@ -75,22 +68,22 @@
       children.add(
           ChildProcess.start(
               directory.resolve("relay.log"),
-              JVM,
+              JVM_OPTIONS,
               List.of(
                   "benchmark",
                   "relay",
                   "--port",
                   String.valueOf(ports[0]),
                   "--workers",
-                  joined(workers))));
+                  commaSeparated(workers))));
       children.add(
           ChildProcess.start(
-              directory.resolve("router.log"), JVM, List.of("router", config.toString())));
+              directory.resolve("router.log"), JVM_OPTIONS, List.of("router", config.toString())));
       LoopbackPorts.await(ports[0]);
       LoopbackPorts.await(ports[1]);
       Targets targets = new Targets(addresses(workers), addresses(ports[0]), addresses(ports[1]));
-      measureClosed(net, targets, connections, span, out);
-      measureOpen(net, targets, rate, span, out);
+      measureClosed(net, targets, connections, duration, out);
+      measureOpen(net, targets, rate, duration, out);
     } finally {
       children.forEach(Process::destroyForcibly);
     }
@@ -100,17 +93,25 @@
   private record Targets(
       InetSocketAddress[] direct, InetSocketAddress[] relay, InetSocketAddress[] router) {}
 
+  private static String invokePath(int number) {
+    return "/v1/functions/f" + number % FUNCTIONS + "/invoke";
+  }
+
+  private static String inferPath(int number) {
+    return "/v2/models/f" + number % FUNCTIONS + "/infer";
+  }
+
   private static int[] startWorkers(NetworkTransport net) throws IOException {
     int[] ports = new int[WORKERS];
     for (int i = 0; i < WORKERS; i++) {
       ports[i] =
-          new HttpServer(net, ConnectionLimits.DEFAULT, SpeedMeasurement::worker)
+          new HttpServer(net, ConnectionLimits.DEFAULT, SpeedMeasurement::respond)
               .listen("127.0.0.1", 0);
     }
     return ports;
   }
 
-  private static String joined(int[] ports) {
+  private static String commaSeparated(int[] ports) {
     return String.join(",", Arrays.stream(ports).mapToObj(String::valueOf).toList());
   }
 
@@ -120,70 +121,70 @@
         .toArray(InetSocketAddress[]::new);
   }
 
-  /** The most requests a second, relay and router in turn. */
+  /** Measures the most requests a second, of relay and router alternately. */
   private static void measureClosed(
-      NetworkTransport net, Targets targets, int connections, Duration span, PrintStream out)
+      NetworkTransport net, Targets targets, int connections, Duration duration, PrintStream out)
       throws InterruptedException {
     out.printf(
         "closed load, %d connections, %d s each, workers and load on the same machine%n",
-        connections, span.toSeconds());
+        connections, duration.toSeconds());
     out.printf(
         "%-8s %10s %8s %8s %8s %8s%n", "way", "calls/s", "p50 ms", "p99 ms", "bad", "of relay");
-    SmallRequestLoad.Result first = null;
+    SmallRequestLoad.Result baseline = null;
     for (int i = 0; i < CLOSED_ROUNDS; i++) {
       SmallRequestLoad.Result relay =
           new SmallRequestLoad(net, targets.relay, SpeedMeasurement::invokePath)
-              .closed(connections, WARM_UP, span);
-      first = first == null ? relay : first;
-      row(out, "relay", relay, first);
+              .runClosedLoop(connections, WARM_UP, duration);
+      baseline = baseline == null ? relay : baseline;
+      row(out, "relay", relay, baseline);
       row(
           out,
           "router",
           new SmallRequestLoad(net, targets.router, SpeedMeasurement::invokePath)
-              .closed(connections, WARM_UP, span),
-          first);
+              .runClosedLoop(connections, WARM_UP, duration),
+          baseline);
     }
   }
 
-  /** Latency at a rate that all bear. */
+  /** Measures latency at a rate that all of them sustain. */
   private static void measureOpen(
-      NetworkTransport net, Targets targets, int rate, Duration span, PrintStream out)
+      NetworkTransport net, Targets targets, int rate, Duration duration, PrintStream out)
       throws InterruptedException {
     out.printf("open load, %d calls a second%n", rate);
     SmallRequestLoad.Result direct =
         new SmallRequestLoad(net, targets.direct, SpeedMeasurement::inferPath)
-            .open(rate, WARM_UP, span);
+            .runOpenLoop(rate, WARM_UP, duration);
     row(out, "direct", direct, direct);
     SmallRequestLoad.Result relay =
         new SmallRequestLoad(net, targets.relay, SpeedMeasurement::invokePath)
-            .open(rate, WARM_UP, span);
+            .runOpenLoop(rate, WARM_UP, duration);
     row(out, "relay", relay, relay);
     SmallRequestLoad.Result router =
         new SmallRequestLoad(net, targets.router, SpeedMeasurement::invokePath)
-            .open(rate, WARM_UP, span);
+            .runOpenLoop(rate, WARM_UP, duration);
     row(out, "router", router, relay);
     out.printf(
         "the router adds %.3f ms at p50 and %.3f ms at p99 over a direct call (relay %.3f and"
             + " %.3f)%n",
-        router.quantile(50) - direct.quantile(50),
-        router.quantile(99) - direct.quantile(99),
-        relay.quantile(50) - direct.quantile(50),
-        relay.quantile(99) - direct.quantile(99));
+        router.percentileMillis(50) - direct.percentileMillis(50),
+        router.percentileMillis(99) - direct.percentileMillis(99),
+        relay.percentileMillis(50) - direct.percentileMillis(50),
+        relay.percentileMillis(99) - direct.percentileMillis(99));
   }
 
   private static void row(
-      PrintStream out, String way, SmallRequestLoad.Result result, SmallRequestLoad.Result base) {
+      PrintStream out, String path, SmallRequestLoad.Result result, SmallRequestLoad.Result base) {
     out.printf(
         "%-8s %10.0f %8.3f %8.3f %8d %8.2f%n",
-        way,
+        path,
         result.perSecond(),
-        result.quantile(50),
-        result.quantile(99),
-        result.bad(),
+        result.percentileMillis(50),
+        result.percentileMillis(99),
+        result.failed(),
         result.perSecond() / base.perSecond());
   }
 
-  private static void worker(HttpExchange exchange) {
+  private static void respond(HttpExchange exchange) {
     exchange.respond(200, WORKER_HEADERS, WORKER_OUTPUT);
   }
 
