--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeExchange.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeExchange.java
@@ -92,11 +92,14 @@
         response.retryAfter() == null
             ? AttemptEnd.NO_RETRY_AFTER
             : response.retryAfter().toMillis();
-    switch (response.kind()) {
-      case SUCCEEDED -> endLater(ClientOutcome.SUCCEEDED, HTTP_OK, retryAfter);
-      case REJECTED -> endLater(ClientOutcome.REJECTED, HTTP_UNAVAILABLE, retryAfter);
-      case FAILED -> endLater(ClientOutcome.FAILED, HTTP_UNAVAILABLE, retryAfter);
-    }
+    ClientOutcome outcome =
+        switch (response.kind()) {
+          case SUCCEEDED -> ClientOutcome.SUCCEEDED;
+          case REJECTED -> ClientOutcome.REJECTED;
+          case FAILED -> ClientOutcome.FAILED;
+        };
+    endLater(
+        outcome, outcome == ClientOutcome.SUCCEEDED ? HTTP_OK : HTTP_UNAVAILABLE, retryAfter);
   }
 
   @Override
