--- a/src/main/java/switchgap/config/YamlWorkerSettings.java
+++ b/src/main/java/switchgap/config/YamlWorkerSettings.java
@@ -3,7 +3,8 @@
 import java.time.Duration;
 
 /**
- * The settings of a YAML document about workers: their kinds, warm-up, replicas and endpoint list.
+ * The settings of a YAML document about workers: their kinds, slow start, replicas and endpoint
+ * list.
  */
 abstract class YamlWorkerSettings extends YamlRequestSettings {
   private final WorkerKindsSection workerKinds;
@@ -25,23 +26,23 @@
   }
 
   @Override
-  public double coldCapacityShare() {
-    return rules.warmUp().capacityShare();
+  public double slowStartCapacityShare() {
+    return rules.slowStart().capacityShare();
   }
 
   @Override
   public Duration warmUpDuration() {
-    return rules.warmUp().duration();
+    return rules.slowStart().duration();
   }
 
   @Override
-  public double coldOverloadMultiple() {
-    return rules.warmUp().overloadMultiple();
+  public double slowStartOverloadMultiple() {
+    return rules.slowStart().overloadMultiple();
   }
 
   @Override
-  public Duration coldOverloadWindow() {
-    return rules.warmUp().overloadWindow();
+  public Duration slowStartOverloadWindow() {
+    return rules.slowStart().overloadWindow();
   }
 
   @Override
--- a/src/main/java/switchgap/testbed/experiment/BaselinePolicy.java
+++ b/src/main/java/switchgap/testbed/experiment/BaselinePolicy.java
@@ -204,7 +204,7 @@
   }
 
   @Override
-  public void clientLeft(int requestIndex) {
+  public void clientDisconnected(int requestIndex) {
     BaselineRequest request = pending.get(requestIndex);
     request.close();
     releaseIfSettled(request);
--- a/src/main/java/switchgap/testbed/experiment/MemoryMeasurement.java
+++ b/src/main/java/switchgap/testbed/experiment/MemoryMeasurement.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicBoolean;
 import switchgap.config.YamlDocument;
-import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpServer;
+import switchgap.net.HttpServerLimits;
 import switchgap.net.NetworkTransport;
 import switchgap.server.gateway.GatewayConfig;
 import switchgap.server.gateway.GatewayRouter;
@@ -39,7 +39,7 @@
       int port =
           new HttpServer(
                   net,
-                  ConnectionLimits.DEFAULT,
+                  HttpServerLimits.DEFAULT,
                   exchange -> {
                     if (!silent.get()) {
                       exchange.respond(
--- a/src/main/java/switchgap/testbed/experiment/RouterLevelChange.java
+++ b/src/main/java/switchgap/testbed/experiment/RouterLevelChange.java
@@ -6,6 +6,6 @@
 record RouterLevelChange(int router, ServiceLevelChange change) {
   /** Whether it concerns all tenants. */
   boolean isCommon() {
-    return change.tenant() < 0;
+    return change.appliesToAll();
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeExchange.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeExchange.java
@@ -98,8 +98,7 @@
           case REJECTED -> ClientOutcome.REJECTED;
           case FAILED -> ClientOutcome.FAILED;
         };
-    endLater(
-        outcome, outcome == ClientOutcome.SUCCEEDED ? HTTP_OK : HTTP_UNAVAILABLE, retryAfter);
+    endLater(outcome, outcome == ClientOutcome.SUCCEEDED ? HTTP_OK : HTTP_UNAVAILABLE, retryAfter);
   }
 
   @Override
