--- a/src/test/java/switchgap/endpoints/EventStreamClientTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientTest.java
@@ -136,7 +136,7 @@
       client.follow(feed.address());
       await(() -> received.size() >= 5);
       assertThat(received).containsExactly(2L, 3L, 4L, 5L, 6L);
-      assertThat(feed.requestedEventIds).startsWith(1L, 2L, 3L, 3L);
+      assertThat(feed.requestedEventIds()).startsWith(1L, 2L, 3L, 3L);
     }
   }
 
@@ -167,10 +167,10 @@
                 line -> {})) {
       client.follow(firstFeed.address());
       await(() -> received.size() == 1); // on the second connection, as the first was silent
-      assertThat(firstFeed.requestedEventIds).containsExactly(1L, 1L);
+      assertThat(firstFeed.requestedEventIds()).containsExactly(1L, 1L);
       client.follow(secondFeed.address());
       await(() -> received.size() == 2);
-      assertThat(secondFeed.requestedEventIds).containsExactly(2L);
+      assertThat(secondFeed.requestedEventIds()).containsExactly(2L);
     }
   }
 
@@ -259,19 +259,19 @@
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(oldFeed.address());
-      await(() -> oldFeed.requestedEventIds.size() == 1);
+      await(() -> oldFeed.requestedEventIds().size() == 1);
       oldFeed.sendEvent(event(2));
       await(() -> received.size() == 1);
       client.follow(newFeed.address());
-      await(() -> newFeed.requestedEventIds.size() == 1);
+      await(() -> newFeed.requestedEventIds().size() == 1);
       oldFeed.sendEvent(event(3));
       await(() -> received.size() == 2);
       release.countDown();
       await(() -> received.size() == 3);
       assertThat(received).containsExactly(2L, 3L, 4L);
       assertThat(oldFeed.awaitClientClose(0)).isTrue();
-      assertThat(oldFeed.requestedEventIds).hasSize(1);
-      assertThat(newFeed.requestedEventIds).containsExactly(2L);
+      assertThat(oldFeed.requestedEventIds()).hasSize(1);
+      assertThat(newFeed.requestedEventIds()).containsExactly(2L);
     }
   }
 
@@ -300,15 +300,15 @@
                 event -> received.add(event.sequence()),
                 line -> {})) {
       client.follow(oldFeed.address());
-      await(() -> oldFeed.requestedEventIds.size() == 1);
+      await(() -> oldFeed.requestedEventIds().size() == 1);
       oldFeed.sendEvent(event(2));
       await(() -> received.size() == 1);
       client.follow(newFeed.address());
-      await(() -> newFeed.requestedEventIds.size() == 1);
+      await(() -> newFeed.requestedEventIds().size() == 1);
       oldFeed.close();
       release.countDown();
       await(() -> received.size() == 2);
-      assertThat(newFeed.requestedEventIds).containsExactly(2L);
+      assertThat(newFeed.requestedEventIds()).containsExactly(2L);
     }
   }
 
@@ -357,7 +357,7 @@
       client.follow(feed.address());
       await(() -> received.size() == 3);
       assertThat(received).containsExactly("5same", "8ahead", "9w9");
-      assertThat(feed.requestedEventIds).containsExactly(5L); // a gap before a whole list is none
+      assertThat(feed.requestedEventIds()).containsExactly(5L); // a gap before a whole list is none
     }
   }
 }
--- a/src/test/java/switchgap/protocol/thrift/ThriftCodecTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftCodecTest.java
@@ -4,9 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import java.nio.ByteBuffer;
-import java.time.Duration;
 import java.util.Arrays;
-import java.util.HashMap;
 import java.util.Map;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -22,45 +20,9 @@
 import org.apache.thrift.protocol.TType;
 import org.apache.thrift.transport.TMemoryBuffer;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
-import switchgap.router.PendingRequest;
-import switchgap.server.platform.TestPlatformSettings;
-import switchgap.server.platform.ThriftTestClient;
 
-/** The client protocol against Apache Thrift's own codec, and against bytes that are no message. */
+/** The codec against Apache Thrift's own, and against bytes that are no message. */
 class ThriftCodecTest {
-  static final Map<String, String> FIELDS =
-      Map.of(
-          "service",
-          "again",
-          "ref",
-          "9b1f03aa5c7e2d41",
-          "allow",
-          "900",
-          "project",
-          "shop",
-          "lookup",
-          "7f3a9c21e0b4d655",
-          "effort",
-          "8.2",
-          "extras",
-          "memory_mb:512;lanes:2;colour:3");
-
-  /** A submit with a further argument, as a later version of the protocol may have. */
-  private static byte[] submitFrame(Map<String, String> fields, byte[] body, int sequenceId)
-      throws Exception {
-    TMemoryBuffer buffer = new TMemoryBuffer(256);
-    TBinaryProtocol protocol = new TBinaryProtocol(buffer);
-    ThriftTestClient.writeSubmitArguments(protocol, sequenceId, fields, body);
-    protocol.writeFieldBegin(new TField("later", TType.LIST, (short) 9));
-    protocol.writeListBegin(new TList(TType.I32, 2));
-    protocol.writeI32(1);
-    protocol.writeI32(2);
-    protocol.writeFieldStop();
-    return Arrays.copyOf(buffer.getArray(), buffer.length());
-  }
-
   private static TProtocol readerOf(byte[] framedReply) throws Exception {
     assertThat(ByteBuffer.wrap(framedReply).getInt()).isEqualTo(framedReply.length - 4);
     TMemoryBuffer buffer = new TMemoryBuffer(framedReply.length);
@@ -69,13 +31,14 @@
   }
 
   @Test
-  void decodesWhatThriftWrites() throws Exception {
+  void decodesMessageWrittenByThriftLibrary() throws Exception {
     ThriftMessage message =
-        ThriftMessageDecoder.decode(submitFrame(FIELDS, new byte[] {0, 1, 2}, 7));
+        ThriftMessageDecoder.decode(
+            ThriftTestFrames.submitFrame(ThriftTestFrames.FIELDS, new byte[] {0, 1, 2}, 7));
     assertThat(message.type()).isEqualTo(MessageType.CALL);
     assertThat(message.method()).isEqualTo("submit");
     assertThat(message.sequenceId()).isEqualTo(7);
-    assertThat(message.fields()).isEqualTo(FIELDS);
+    assertThat(message.fields()).isEqualTo(ThriftTestFrames.FIELDS);
     assertThat(message.body()).containsExactly(0, 1, 2);
   }
 
@@ -123,7 +86,7 @@
   }
 
   @Test
-  void thriftReadsTheResponse() throws Exception {
+  void thriftLibraryReadsEncodedResponse() throws Exception {
     TProtocol reader =
         readerOf(ThriftResponseEncoder.response("submit", 9, new byte[] {5, 6}, true));
     TMessage header = reader.readMessageBegin();
@@ -141,7 +104,7 @@
   }
 
   @Test
-  void thriftReadsDeclaredAndApplicationExceptions() throws Exception {
+  void thriftLibraryReadsEncodedExceptions() throws Exception {
     TProtocol declared =
         readerOf(
             ThriftResponseEncoder.declaredException(
@@ -158,8 +121,8 @@
   }
 
   @Test
-  void everyTruncationAndATrailingByteAreMalformed() throws Exception {
-    byte[] frame = submitFrame(FIELDS, new byte[40], 1);
+  void rejectsTruncatedFrameAndTrailingByte() throws Exception {
+    byte[] frame = ThriftTestFrames.submitFrame(ThriftTestFrames.FIELDS, new byte[40], 1);
     for (int length = 0; length < frame.length; length++) {
       byte[] truncated = Arrays.copyOf(frame, length);
       assertThatThrownBy(() -> ThriftMessageDecoder.decode(truncated))
@@ -170,13 +133,13 @@
         .isInstanceOf(MalformedMessageException.class);
   }
 
-  /** Also with bytes of a good message changed: it is decoded or refused, never anything else. */
+  /** Arbitrary bytes, alone and over a valid message. */
   @Property(tries = 2000, seed = "41")
-  void anyBytesAreDecodedOrMalformed(@ForAll @Size(max = 200) byte[] noise, @ForAll int at)
+  void decodesOrRejectsArbitraryBytes(@ForAll @Size(max = 200) byte[] noise, @ForAll int start)
       throws Exception {
-    byte[] changed = submitFrame(FIELDS, new byte[4], 1);
+    byte[] changed = ThriftTestFrames.submitFrame(ThriftTestFrames.FIELDS, new byte[4], 1);
     for (int i = 0; i < noise.length; i++) {
-      changed[Math.floorMod(at + 7 * i, changed.length)] = noise[i];
+      changed[Math.floorMod(start + 7 * i, changed.length)] = noise[i];
     }
     for (byte[] frame : new byte[][] {noise, changed}) {
       try {
@@ -187,84 +150,4 @@
       }
     }
   }
-
-  /**
-   * The request of the usual fields with one of them replaced, or without it where the value is
-   * null.
-   */
-  private static PendingRequest requestWith(String field, String value) throws Exception {
-    Map<String, String> fields = new HashMap<>(FIELDS);
-    if (value == null) {
-      fields.remove(field);
-    } else {
-      fields.put(field, value);
-    }
-    NameDirectory names =
-        new NameDirectory(
-            TestPlatformSettings.routerSettings(),
-            Map.of("again", 0, "once", 1),
-            Map.of("shop", 0));
-    return SubmitRequestDecoder.decode(
-        ThriftMessageDecoder.decode(submitFrame(fields, new byte[0], 1)),
-        names,
-        Duration.ofSeconds(1),
-        null);
-  }
-
-  @Test
-  void fieldsBecomeARequest() throws Exception {
-    PendingRequest request = requestWith("effort", "8.2");
-    assertThat(request.deadline()).isEqualTo(Duration.ofMillis(1900));
-    assertThat(request.durationHint()).isEqualTo(Duration.ofNanos(8_200_000));
-    assertThat(request.memoryMb()).isEqualTo(512);
-    assertThat(request.slots()).isEqualTo(2);
-    assertThat(requestWith("effort", null).durationHint()).isNull();
-  }
-
-  /** Usual clients round: a hint of next to no work reads 0.0, and is a hint all the same. */
-  @ParameterizedTest
-  @CsvSource({
-    "effort,0",
-    "effort,0.0",
-    "extras,load_ms:0.0;memory_mb:100",
-    "extras,memory_mb:0;lanes:2"
-  })
-  void aFigureThatWasRoundedToZeroIsNoMistake(String field, String value) throws Exception {
-    assertThat(requestWith(field, value)).isNotNull();
-  }
-
-  @ParameterizedTest
-  @CsvSource(
-      nullValues = "null",
-      value = {
-        "service,null",
-        "service,other",
-        "ref,null",
-        "ref,12",
-        "ref,9b1f03aa5c7e2d4g",
-        "allow,null",
-        "allow,0",
-        "allow,-5",
-        "allow,NaN",
-        "allow,1e300",
-        "allow,2001",
-        "allow,Infinity",
-        "allow,0x1p3",
-        "project,null",
-        "project,nobody",
-        "lookup,null",
-        "lookup,7f3a9c21e0b4d65500",
-        "effort,-1",
-        "effort,many",
-        "effort,1e99",
-        "extras,memory_mb",
-        "extras,lanes:1e9",
-        "extras,memory_mb:-3",
-        "extras,load_ms:soon"
-      })
-  void anUnusableFieldIsNamed(String field, String value) {
-    assertThatThrownBy(() -> requestWith(field, value))
-        .isInstanceOf(InvalidSubmitException.class)
-        .hasMessage(field);
-  }
 }
--- a/src/test/java/switchgap/protocol/thrift/ThriftServerFloodTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftServerFloodTest.java
@@ -17,13 +17,13 @@
 import switchgap.server.platform.TestPlatformSettings;
 import switchgap.testing.TestDiagnostics;
 
-/** Messages that come faster than the event loop takes them. */
+/** Messages that come faster than the event loop handles them. */
 class ThriftServerFloodTest {
   private static final int QUEUE_BYTES = 1000;
   private static final int STRICT_CALL = 0x80010001;
   private static final int STRING_TYPE = 11;
 
-  /** A submit call with a body of so many bytes and no fields. */
+  /** Sends a submit with a body of this size and no fields. */
   private static void submit(Socket socket, int sequenceId, int bodyBytes) throws IOException {
     byte[] method = "submit".getBytes(StandardCharsets.US_ASCII);
     DataOutputStream out = new DataOutputStream(socket.getOutputStream());
@@ -65,51 +65,45 @@
         TestDiagnostics.create());
   }
 
-  /**
-   * The event loop stands still behind another client's message: what was read has an answer, not a
-   * close.
-   */
+  /** The queue is full of another client's message: the reply is a rejection, not a close. */
   @Test
-  void aUsualClientBesideAFloodIsRefusedWithAnAnswer() throws Exception {
+  void rejectsSubmitWithReplyWhenQueueIsFull() throws Exception {
     ConcurrentLinkedQueue<Consumer<RouterCore>> events = new ConcurrentLinkedQueue<>();
     try (NetworkTransport net = new NetworkTransport(1, "flood-test");
         ThriftServer server = server(events)) {
       server.listen(net, "127.0.0.1", 0);
       try (Socket flooding = new Socket("127.0.0.1", server.port());
-          Socket usual = new Socket("127.0.0.1", server.port())) {
+          Socket other = new Socket("127.0.0.1", server.port())) {
         submit(flooding, 1, 600);
         assertThat(isClosed(flooding)).isFalse(); // and it has been read by now
-        submit(usual, 7, 600);
-        usual.setSoTimeout(1000);
-        DataInputStream in = new DataInputStream(usual.getInputStream());
-        byte[] reply = in.readNBytes(in.readInt());
+        submit(other, 7, 600);
+        other.setSoTimeout(1000);
+        DataInputStream input = new DataInputStream(other.getInputStream());
+        byte[] reply = input.readNBytes(input.readInt());
         assertThat(reply).as("sequence id of a reply").containsSequence(0, 0, 0, 7);
-        assertThat(isClosed(usual)).isFalse();
+        assertThat(isClosed(other)).isFalse();
       }
     }
   }
 
-  /**
-   * The event loop stands still: one message is queued, the next does not fit and is refused, and
-   * one of another client does.
-   */
+  /** One message is queued, the next does not fit, and a shorter one of another client does. */
   @Test
-  void aMessageThatWasRefusedTakesNothingOfTheQueuesBytes() throws Exception {
+  void rejectedMessageReservesNoQueueBytes() throws Exception {
     ConcurrentLinkedQueue<Consumer<RouterCore>> events = new ConcurrentLinkedQueue<>();
     try (NetworkTransport net = new NetworkTransport(1, "flood-test");
         ThriftServer server = server(events)) {
       server.listen(net, "127.0.0.1", 0);
       try (Socket flooding = new Socket("127.0.0.1", server.port());
-          Socket usual = new Socket("127.0.0.1", server.port())) {
+          Socket other = new Socket("127.0.0.1", server.port())) {
         submit(flooding, 1, 600);
         submit(flooding, 2, 600);
         flooding.setSoTimeout(1000);
-        DataInputStream in = new DataInputStream(flooding.getInputStream());
-        assertThat(in.readNBytes(in.readInt())).containsSequence(0, 0, 0, 2);
+        DataInputStream input = new DataInputStream(flooding.getInputStream());
+        assertThat(input.readNBytes(input.readInt())).containsSequence(0, 0, 0, 2);
         int queued = events.size();
-        submit(usual, 1, 300);
-        assertThat(isClosed(usual)).isFalse();
-        assertThat(events.size()).as("it is queued, not refused").isEqualTo(queued + 1);
+        submit(other, 1, 300);
+        assertThat(isClosed(other)).isFalse();
+        assertThat(events.size()).as("it is queued, not rejected").isEqualTo(queued + 1);
       }
     }
   }
--- a/src/test/java/switchgap/server/platform/DescriptorLimitTest.java
+++ b/src/test/java/switchgap/server/platform/DescriptorLimitTest.java
@@ -6,66 +6,64 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/**
- * The shares of the descriptors: clients, workers, and a quarter that is nobody's, each at its
- * bound.
- */
+/** The quotas of the descriptors: clients and workers each stay within theirs. */
 class DescriptorLimitTest extends PlatformFixture {
-  /** The longest that the settings allow: a machine that others use may need it. */
-  private static final int ALLOW_MILLIS = 1950;
+  /** The longest timeout that the settings allow, in case the machine is busy. */
+  private static final int LONGEST_TIMEOUT_MILLIS = 1950;
 
   private static final int SOCKETS = 48; // sixteen for clients, sixteen for workers
 
   @Test
-  void clientsStayWithinTheirsWhileTheLoopStandsStill() throws Exception {
-    serve(SOCKETS, new RespTestServer(RespTestServer::serveAll));
-    int most = 0;
-    try (AutoCloseable gate = holdLoop()) {
+  void boundsClientConnectionsWhileEventLoopIsBlocked() throws Exception {
+    startRouter(SOCKETS, RespTestServer.executingAll());
+    int maxOpen = 0;
+    try (AutoCloseable gate = blockEventLoop()) {
       for (int i = 0; i < 60; i++) {
-        ThriftTestClient client = client();
-        await(() -> client.socket.isConnected());
-        most = Math.max(most, platform.openClientConnections());
+        ThriftTestClient waiting = connectClient();
+        await(waiting::isConnected);
+        maxOpen = Math.max(maxOpen, router.openClientConnections());
       }
-      await(() -> platform.openClientConnections() == SOCKETS / 3 + SOCKETS / 12);
-      most = Math.max(most, platform.openClientConnections());
+      await(() -> router.openClientConnections() == SOCKETS / 3 + SOCKETS / 12);
+      maxOpen = Math.max(maxOpen, router.openClientConnections());
     }
-    assertThat(most)
+    assertThat(maxOpen)
         .isLessThanOrEqualTo(
-            SOCKETS / 3 + SOCKETS / 12 + 1); // one is counted while it is being turned away
-    await(() -> platform.openClientConnections() <= SOCKETS / 3);
-    ThriftTestClient usual = client();
-    usual.ask(1, ThriftTestClient.fields("again", id(), ALLOW_MILLIS, FUNCTION), "x");
-    assertThat(usual.reply().field()).isZero();
+            SOCKETS / 3 + SOCKETS / 12 + 1); // one is counted while it is being closed
+    await(() -> router.openClientConnections() <= SOCKETS / 3);
+    ThriftTestClient client = connectClient();
+    client.submit(1, TestSubmit.idempotent(nextId()).timeoutMillis(LONGEST_TIMEOUT_MILLIS));
+    assertThat(client.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
   }
 
-  /** The fleet grows to three times as many workers as their share of the descriptors. */
+  /** There are three times as many workers as their quota of the descriptors. */
   @Test
-  void workersShareTheirsHoweverManyTheyAre() throws Exception {
-    List<RespTestServer> peers = new ArrayList<>();
-    List<String> lines = new ArrayList<>();
+  void boundsWorkerConnectionsWhenWorkersExceedTheirQuota() throws Exception {
+    List<RespTestServer> workers = new ArrayList<>();
+    List<String> endpoints = new ArrayList<>();
     for (int i = 0; i < SOCKETS; i++) {
-      RespTestServer worker = new RespTestServer(RespTestServer::serveAll);
+      RespTestServer worker = RespTestServer.executingAll();
       resources.add(worker);
-      peers.add(worker);
-      lines.add(EventStreamTestServer.endpoint("n" + i, worker.at(), "SERVING", 0));
+      workers.add(worker);
+      endpoints.add(EventStreamTestServer.servingEndpoint("n" + i, worker.address()));
     }
-    serve(SOCKETS, new RespTestServer(RespTestServer::serveAll));
-    await(() -> !feed.requestedEventIds.isEmpty());
-    feed.sendEvent(EventStreamTestServer.endpointListEvent(2, false, lines.toArray(new String[0])));
-    ThriftTestClient client = client();
-    int most = 0;
+    startRouter(SOCKETS, RespTestServer.executingAll());
+    await(() -> eventStream.hasClient());
+    eventStream.sendEvent(
+        EventStreamTestServer.endpointListEvent(2, false, endpoints.toArray(new String[0])));
+    ThriftTestClient client = connectClient();
+    int maxOpen = 0;
     for (int number = 1; number <= 400; number++) {
-      client.ask(
+      client.submit(
           number,
-          ThriftTestClient.fields("again", id(), ALLOW_MILLIS, String.format("%016x", number)),
-          "x");
-      assertThat(client.reply().field()).as("call %d", number).isZero();
-      most = Math.max(most, platform.resourceUsage().workerConnections());
+          TestSubmit.idempotent(nextId()).timeoutMillis(LONGEST_TIMEOUT_MILLIS).function(number));
+      assertThat(client.receiveReply().outcome())
+          .as("request %d", number)
+          .isEqualTo(ReplyOutcome.SUCCEEDED);
+      maxOpen = Math.max(maxOpen, router.resourceUsage().workerConnections());
     }
-    assertThat(peers.stream().filter(worker -> !worker.commands("DO").isEmpty()).count())
+    assertThat(workers.stream().filter(worker -> !worker.executions().isEmpty()).count())
         .isGreaterThan(SOCKETS / 2);
-    assertThat(most)
-        .isBetween(
-            SOCKETS / 4, SOCKETS / 3 + 2); // one that makes room is closed as the next is opened
+    assertThat(maxOpen)
+        .isBetween(SOCKETS / 4, SOCKETS / 3 + 2); // one is evicted while the next is opened
   }
 }
--- a/src/test/java/switchgap/server/platform/EventStreamTestServer.java
+++ b/src/test/java/switchgap/server/platform/EventStreamTestServer.java
@@ -10,58 +10,65 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A scripted control feed on a plain socket. */
+/** A scripted server of the event stream, on a plain socket. */
 public final class EventStreamTestServer implements AutoCloseable {
-  /** Delivers on a connection, counted from 0; false closes it. */
+  private static final int ACCEPT_BACKLOG = 50;
+  private static final int CLOSE_TIMEOUT_MILLIS = 5000;
+  private static final String LAST_EVENT_ID = "last-event-id:";
+  private static final String RESPONSE_HEAD =
+      "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n";
+
+  /** Sends the events of a connection. */
   public interface StreamHandler {
-    boolean handle(int connection, long last, OutputStream out) throws IOException;
+    /**
+     * Handles a request for the event stream.
+     *
+     * @param connection number of the connection, counted from 0
+     * @param lastEventId the last event that the client has, or -1
+     * @param output the response's body
+     * @return false to close the connection
+     */
+    boolean handle(int connection, long lastEventId, OutputStream output) throws IOException;
   }
 
-  public final List<Long> requestedEventIds = new CopyOnWriteArrayList<>();
+  private final List<Long> requestedEventIds = new CopyOnWriteArrayList<>();
   private final List<Socket> open = new CopyOnWriteArrayList<>();
   private final ServerSocket listener;
 
+  /** A server on any free port. */
   public EventStreamTestServer(StreamHandler handler) throws IOException {
     this(0, handler);
   }
 
+  /** A server on a port. */
   public EventStreamTestServer(int port, StreamHandler handler) throws IOException {
-    listener = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-    Thread thread =
-        new Thread(
-            () -> {
-              try {
-                for (int connection = 0; ; connection++) {
-                  serve(listener.accept(), connection, handler);
-                }
-              } catch (IOException e) {
-                return; // the server was closed
-              }
-            });
+    listener = new ServerSocket(port, ACCEPT_BACKLOG, InetAddress.getLoopbackAddress());
+    Thread thread = new Thread(() -> acceptConnections(handler));
     thread.setDaemon(true);
     thread.start();
   }
 
+  private void acceptConnections(StreamHandler handler) {
+    try {
+      for (int connection = 0; ; connection++) {
+        serve(listener.accept(), connection, handler);
+      }
+    } catch (IOException e) {
+      return; // this server was closed
+    }
+  }
+
   private void serve(Socket socket, int connection, StreamHandler handler) throws IOException {
     open.add(socket);
     try {
-      BufferedReader in =
-          new BufferedReader(
-              new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-      long last = -1;
-      for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
-        if (line.toLowerCase(java.util.Locale.ROOT).startsWith("last-event-id:")) {
-          last = Long.parseLong(line.substring(14).trim());
-        }
-      }
-      requestedEventIds.add(last);
-      OutputStream out = socket.getOutputStream();
-      out.write(
-          "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
-              .getBytes(StandardCharsets.US_ASCII));
-      if (!handler.handle(connection, last, out)) {
+      long lastEventId = readLastEventId(socket);
+      OutputStream output = socket.getOutputStream();
+      output.write(RESPONSE_HEAD.getBytes(StandardCharsets.US_ASCII));
+      requestedEventIds.add(lastEventId); // behind the head: a test sends events from now on
+      if (!handler.handle(connection, lastEventId, output)) {
         socket.close();
       }
     } catch (IOException e) {
@@ -69,44 +76,78 @@
     }
   }
 
-  public static void sendEvent(OutputStream out, String event) throws IOException {
-    out.write(("id: 0\ndata: " + event + "\n\n").getBytes(StandardCharsets.UTF_8));
-    out.flush();
+  private static long readLastEventId(Socket socket) throws IOException {
+    BufferedReader reader =
+        new BufferedReader(
+            new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+    long lastEventId = -1;
+    String line = reader.readLine();
+    while (line != null && !line.isEmpty()) {
+      if (line.toLowerCase(Locale.ROOT).startsWith(LAST_EVENT_ID)) {
+        lastEventId = Long.parseLong(line.substring(LAST_EVENT_ID.length()).trim());
+      }
+      line = reader.readLine();
+    }
+    return lastEventId;
+  }
+
+  /** The last event that the client had at each request so far, -1 for none. */
+  public List<Long> requestedEventIds() {
+    return requestedEventIds;
+  }
+
+  /** Whether any client has requested the stream; events can be sent to it. */
+  public boolean hasClient() {
+    return !requestedEventIds.isEmpty();
   }
 
-  /** To the connection opened last. */
+  /** Sends an event on a connection. */
+  public static void sendEvent(OutputStream output, String event) throws IOException {
+    output.write(("id: 0\ndata: " + event + "\n\n").getBytes(StandardCharsets.UTF_8));
+    output.flush();
+  }
+
+  /** Sends an event on the connection opened last. */
   public void sendEvent(String event) throws IOException {
     sendEvent(open.get(open.size() - 1).getOutputStream(), event);
   }
 
-  /** Whether the client has closed a connection, counted from 0; waits for that. */
+  /** Waits until the client closes a connection, counted from 0; returns whether it did. */
   public boolean awaitClientClose(int connection) throws IOException {
-    open.get(connection).setSoTimeout(5000);
+    open.get(connection).setSoTimeout(CLOSE_TIMEOUT_MILLIS);
     return open.get(connection).getInputStream().read() < 0;
   }
 
-  public static String endpointListEvent(long sequence, boolean all, String... workers) {
+  /** An event with some endpoints, or with the complete list. */
+  public static String endpointListEvent(long sequence, boolean isComplete, String... endpoints) {
     return "{\"n\":"
         + sequence
         + ",\"members\":{\"rev\":7,\"all\":"
-        + all
+        + isComplete
         + ",\"targets\":["
-        + String.join(",", workers)
+        + String.join(",", endpoints)
         + "]}}";
   }
 
-  public static String endpoint(String id, String at, String state, long boot) {
+  /** An endpoint in an event. */
+  public static String endpoint(String id, String address, String state, long bootMillis) {
     return "{\"uid\":\""
         + id
         + "\",\"endpoint\":\""
-        + at
+        + address
         + "\",\"az\":\"east\",\"model\":\"std\",\"pod_group\":2,\"state\":\""
         + state
         + "\",\"capacity_hint\":4,\"boot_ms\":"
-        + boot
+        + bootMillis
         + "}";
   }
 
+  /** An endpoint that serves, started long ago. */
+  public static String servingEndpoint(String id, String address) {
+    return endpoint(id, address, "SERVING", 0);
+  }
+
+  /** The address that clients connect to. */
   public InetSocketAddress address() {
     return (InetSocketAddress) listener.getLocalSocketAddress();
   }
--- a/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
+++ b/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
@@ -1,154 +1,173 @@
 package switchgap.server.platform;
 
-import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import java.io.IOException;
 import java.util.Arrays;
-import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/**
- * A graceful shutdown with something under way in each place that a request or a response can be.
- */
+/** A graceful shutdown with work in each place that a request or a response can be. */
 class GracefulShutdownTest extends PlatformFixture {
-  private Thread stopping() throws Exception {
-    Thread thread = stop();
-    try (ThriftTestClient client = new ThriftTestClient(platform.port())) {
-      for (int number = 1; ; number++) { // it is told by a heartbeat
-        client.heartbeat(number);
-        if (!client.reply().good()) {
+  @Test
+  void answersRequestsFromBeforeAndDuringShutdown() throws Exception {
+    RespTestServer worker =
+        new RespTestServer(
+            (command, output) -> {
+              if (command.isExecution()) {
+                Thread.sleep(300);
+              }
+              return RespTestServer.executeAll(command, output);
+            });
+    PlatformRouter router = startRouter(MANY_SOCKETS, worker);
+    ThriftTestClient client = connectClient();
+    client.submit(1, TestSubmit.idempotent(nextId()).body("before"));
+    Thread shutdown = beginShutdown();
+    Thread.sleep(500); // within the minimum drain duration
+    ThriftTestClient late = connectClient();
+    late.heartbeat(1);
+    assertThat(late.receiveReply().healthy()).isFalse();
+    late.submit(2, TestSubmit.idempotent(nextId()).body("after"));
+    assertThat(client.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
+    assertThat(late.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
+    assertEnds(shutdown);
+    assertThatThrownBy(() -> new ThriftTestClient(router.port())).isInstanceOf(IOException.class);
+  }
+
+  private Thread beginShutdownAndAwaitUnhealthy() throws Exception {
+    Thread thread = beginShutdown();
+    try (ThriftTestClient client = new ThriftTestClient(router.port())) {
+      for (int sequenceId = 1; ; sequenceId++) {
+        client.heartbeat(sequenceId);
+        if (!client.receiveReply().healthy()) {
           return thread;
         }
       }
     }
   }
 
-  private static void ended(Thread stopping) throws InterruptedException {
-    stopping.join(5000);
-    assertThat(stopping.isAlive()).isFalse();
+  private static void assertEnds(Thread shutdown) throws InterruptedException {
+    shutdown.join(5000);
+    assertThat(shutdown.isAlive()).isFalse();
   }
 
-  /** The rest of a request that came in pieces comes later than the last new one may. */
+  /** The rest of a message comes after the minimum drain duration. */
   @Test
-  void waitsForTheRestOfAPartialRequest() throws Exception {
-    serve(256, new RespTestServer(RespTestServer::serveAll));
-    ThriftTestClient client = client();
-    read(client, 1);
-    String id = id();
-    byte[] frame =
-        ThriftTestClient.submit(
-            2, ThriftTestClient.fields("again", id, 900, FUNCTION), "x".getBytes(UTF_8));
-    client.raw(Arrays.copyOf(frame, 30));
-    Thread stopping = stopping();
-    Thread.sleep(1400); // requests are taken for 1 s, and a message may take 2 s
-    client.raw(Arrays.copyOfRange(frame, 30, frame.length));
-    assertThat(text(client.reply())).isEqualTo(id + ":x");
-    ended(stopping);
+  void waitsForRestOfPartialRequest() throws Exception {
+    startRouter(MANY_SOCKETS, RespTestServer.executingAll());
+    ThriftTestClient client = connectClient();
+    awaitMessagesRead(client, 1);
+    String id = nextId();
+    byte[] frame = ThriftTestClient.submitFrame(2, TestSubmit.idempotent(id));
+    client.sendBytes(Arrays.copyOf(frame, 30));
+    Thread shutdown = beginShutdownAndAwaitUnhealthy();
+    Thread.sleep(1400); // past the minimum drain duration, within the receive timeout
+    client.sendBytes(Arrays.copyOfRange(frame, 30, frame.length));
+    assertThat(client.receiveReply().bodyText()).isEqualTo(id + ":x");
+    assertEnds(shutdown);
   }
 
-  /** Responses that their client reads slowly are written whole before the end. */
   @Test
-  void writesResponsesToTheirEnd() throws Exception {
+  void writesCompleteResponsesToSlowClient() throws Exception {
     RespTestServer worker =
         new RespTestServer(
-            (command, out) -> {
-              if (command.word().equals("DO")) {
-                RespTestServer.say(out, command.id(), "data", "-", "y".repeat(16000));
+            (command, output) -> {
+              if (command.isExecution()) {
+                RespTestServer.sendReply(
+                    output,
+                    command.id(),
+                    RespTestServer.SUCCEEDED,
+                    RespTestServer.NO_REPORT,
+                    "y".repeat(16000));
                 return true;
               }
-              return RespTestServer.serveAll(command, out);
+              return RespTestServer.executeAll(command, output);
             });
-    serve(256, worker);
+    startRouter(MANY_SOCKETS, worker);
     ThriftTestClient client =
         new ThriftTestClient(
-            platform.port(), 4096); // its system takes little of what it does not read
+            router.port(), 4096); // its system buffers little of what it does not read
     resources.add(client);
-    int calls = 0;
-    while (platform.resourceUsage().activeClientConnections() == 0
-        || platform.resourceUsage().pendingRequests() > 0) { // until responses wait to be written
-      assertThat(++calls).isLessThan(2000);
-      int asked = calls;
-      client.ask(asked, ThriftTestClient.fields("again", id(), 900, FUNCTION), "x");
-      await(() -> worker.commands("DO").size() == asked);
+    int sent = 0;
+    while (router.resourceUsage().activeClientConnections() == 0
+        || router.resourceUsage().pendingRequests() > 0) { // until responses wait to be written
+      assertThat(++sent).isLessThan(2000);
+      int sequenceId = sent;
+      client.submit(sequenceId, TestSubmit.idempotent(nextId()));
+      await(() -> worker.executions().size() == sequenceId);
     }
-    Thread stopping = stopping();
-    Thread.sleep(1300); // past the time in which requests are taken
-    for (int number = 1; number <= calls; number++) {
-      ThriftTestClient.Reply reply = client.reply();
-      assertThat(reply).as("answer %d", number).isNotNull();
+    Thread shutdown = beginShutdownAndAwaitUnhealthy();
+    Thread.sleep(1300); // past the minimum drain duration
+    for (int number = 1; number <= sent; number++) {
+      ThriftTestClient.Reply reply = client.receiveReply();
+      assertThat(reply).as("reply %d", number).isNotNull();
       assertThat(reply.body()).hasSize(16000);
     }
-    ended(stopping);
+    assertEnds(shutdown);
   }
 
-  /**
-   * A request that may wait for longer than the platform lets a router live is failed, not dropped.
-   */
+  /** Requests whose timeout ends after SIGKILL may come are failed before. */
   @Test
-  void failsInTimeWhatCannotBeWaitedFor() throws Exception {
+  void failsRequestsPastShutdownDeadline() throws Exception {
     settings = settings.replace("\"DeadlineUs\":1000000", "\"DeadlineUs\":2900000");
-    RespTestServer worker =
-        new RespTestServer(
-            (command, out) -> command.word().equals("DO") || RespTestServer.serveAll(command, out));
-    serve(256, worker);
-    ThriftTestClient client = client();
-    client.ask(1, ThriftTestClient.fields("again", id(), 5800, FUNCTION), "x");
-    await(() -> worker.commands("DO").size() == 1);
+    RespTestServer worker = RespTestServer.neverReplying();
+    startRouter(MANY_SOCKETS, worker);
+    ThriftTestClient client = connectClient();
+    client.submit(1, TestSubmit.idempotent(nextId()).timeoutMillis(5800));
+    await(() -> worker.executions().size() == 1);
     long startedNanos = System.nanoTime();
     Thread.sleep(100);
-    Thread stopping = stopping();
-    Thread.sleep(500);
-    ThriftTestClient late = client();
-    late.ask(
-        1,
-        ThriftTestClient.fields("again", id(), 5800, FUNCTION),
-        "x"); // beyond its end: answered by then
-    assertThat(client.reply().field()).isPositive();
-    assertThat(late.reply().field()).isPositive();
-    ended(stopping);
+    Thread shutdown = beginShutdownAndAwaitUnhealthy();
+    Thread.sleep(500); // within the minimum drain duration
+    ThriftTestClient late = connectClient();
+    late.submit(
+        1, TestSubmit.idempotent(nextId()).timeoutMillis(5800)); // past the end of the process
+    assertThat(client.receiveReply().outcome()).isIn(ReplyOutcome.REJECTED, ReplyOutcome.FAILED);
+    assertThat(late.receiveReply().outcome()).isIn(ReplyOutcome.REJECTED, ReplyOutcome.FAILED);
+    assertEnds(shutdown);
     assertThat((System.nanoTime() - startedNanos) / 1_000_000)
         .isLessThan(3700 + 100); // SIGKILL may come then
   }
 
-  /** With nothing under way nothing is waited for; a connection that idles does not count. */
   @Test
   void doesNotWaitForIdleConnections() throws Exception {
-    serve(256, new RespTestServer(RespTestServer::serveAll));
-    ThriftTestClient client = client();
-    client.ask(1, ThriftTestClient.fields("again", id(), 60, FUNCTION), "pushed back as it comes");
-    assertThat(client.reply().field()).isEqualTo(1);
+    startRouter(MANY_SOCKETS, RespTestServer.executingAll());
+    ThriftTestClient client = connectClient();
+    client.submit(1, TestSubmit.idempotent(nextId()).timeoutMillis(60).body("rejected on arrival"));
+    assertThat(client.receiveReply().outcome()).isEqualTo(ReplyOutcome.REJECTED);
     long startedNanos = System.nanoTime();
-    ended(stopping());
+    assertEnds(beginShutdownAndAwaitUnhealthy());
     assertThat((System.nanoTime() - startedNanos) / 1_000_000).isLessThan(2000);
-    assertThat(client.reply()).isNull();
+    assertThat(client.receiveReply()).isNull();
   }
 
-  /** Read by the selector and not yet taken by the loop as the shutdown checks. */
+  /** A request has been read, and waits for the event loop while the shutdown checks for work. */
   @Test
-  void handlesWhatWaitsForTheLoop() throws Exception {
-    CountDownLatch answer = new CountDownLatch(1);
+  void handlesRequestsQueuedForEventLoop() throws Exception {
+    CountDownLatch allowReply = new CountDownLatch(1);
     RespTestServer worker =
         new RespTestServer(
-            (command, out) -> {
-              if (command.word().equals("DO")) {
-                answer.await();
+            (command, output) -> {
+              if (command.isExecution()) {
+                allowReply.await();
               }
-              return RespTestServer.serveAll(command, out);
+              return RespTestServer.executeAll(command, output);
             });
-    serve(256, worker);
-    ThriftTestClient one = client();
-    ThriftTestClient two = client();
-    read(two, 1);
-    one.ask(1, ThriftTestClient.fields("again", id(), 900, FUNCTION), "x");
-    await(() -> worker.commands("DO").size() == 1);
-    Thread stopping = stopping();
-    try (AutoCloseable gate = holdLoop()) {
-      two.ask(2, ThriftTestClient.fields("again", id(), 900, FUNCTION), "y");
-      read(two, 3);
+    startRouter(MANY_SOCKETS, worker);
+    ThriftTestClient first = connectClient();
+    ThriftTestClient second = connectClient();
+    awaitMessagesRead(second, 1);
+    first.submit(1, TestSubmit.idempotent(nextId()));
+    await(() -> worker.executions().size() == 1);
+    Thread shutdown = beginShutdownAndAwaitUnhealthy();
+    try (AutoCloseable gate = blockEventLoop()) {
+      second.submit(2, TestSubmit.idempotent(nextId()).body("y"));
+      awaitMessagesRead(second, 3);
     }
-    answer.countDown();
-    assertThat(List.of(one.reply().field(), two.reply().field())).containsOnly(0);
-    ended(stopping);
+    allowReply.countDown();
+    assertThat(first.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
+    assertThat(second.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
+    assertEnds(shutdown);
   }
 }
--- a/src/test/java/switchgap/server/platform/PlatformFixture.java
+++ b/src/test/java/switchgap/server/platform/PlatformFixture.java
@@ -3,118 +3,156 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
+import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A router on the platform between scripted clients, workers and a feed; what is checked is what
+ * A router on the platform between scripted clients, workers and an event stream; tests check what
  * these received.
  */
 abstract class PlatformFixture {
-  static final String FUNCTION = "00000000000000f1";
-  @TempDir Path dir;
-  final List<AutoCloseable> resources = new ArrayList<>();
-  EventStreamTestServer feed;
-  PlatformRouter platform;
+  static final String FUNCTION = TestSubmit.DEFAULT_FUNCTION;
+
+  /** Enough descriptors that no test reaches the limits by accident. */
+  static final int MANY_SOCKETS = 256;
+
+  private static final int AWAIT_CHECKS = 5000;
+
+  @TempDir Path directory;
+
+  /** Closed after the test in this order; threads of a test may add to it. */
+  final List<AutoCloseable> resources = new CopyOnWriteArrayList<>();
+
+  EventStreamTestServer eventStream;
+  PlatformRouter router;
   String settings = TestPlatformSettings.SETTINGS;
   private int lastId;
 
   @BeforeEach
-  void feed() throws Exception {
-    feed = new EventStreamTestServer((connection, last, out) -> true);
-    resources.add(feed);
+  void startEventStream() throws Exception {
+    eventStream = new EventStreamTestServer((connection, lastEventId, output) -> true);
+    resources.add(eventStream);
   }
 
   @AfterEach
-  void close() throws Exception {
-    long violations = platform == null ? 0 : platform.violations();
-    Object events = platform == null ? "" : platform.events().counts();
+  void closeResources() throws Exception {
+    long violations = router == null ? 0 : router.violations();
+    Object events = router == null ? "" : router.events().counts();
     for (AutoCloseable resource : resources) {
       resource.close();
     }
-    assertThat(violations).as("the router's own checks: %s", events).isZero();
+    assertThat(violations).as("violated invariants: %s", events).isZero();
   }
 
-  String id() {
+  /** An id that no request of this test has had. */
+  String nextId() {
     return String.format("%016x", ++lastId);
   }
 
+  // ------------------------------------------------------------------ the router
+
+  /** Starts a router with workers that are closed after the test. */
+  PlatformRouter startRouter(int maxSockets, RespTestServer... workers) throws Exception {
+    resources.addAll(List.of(workers));
+    return startRouterWithWorkersAt(maxSockets, addresses(workers));
+  }
+
+  PlatformRouter startRouterWithWorkersAt(int maxSockets, String... workerAddresses)
+      throws Exception {
+    Map<String, String> environment = environment(configJson(maxSockets, workerAddresses));
+    PlatformConfig config = PlatformConfig.read(environment, System.currentTimeMillis());
+    router = new PlatformRouter(config, new RateLimitedLog());
+    resources.add(0, router);
+    return router;
+  }
+
+  /** The environment of a router whose configuration file has this text. */
   Map<String, String> environment(String config) throws IOException {
-    Path file = Files.writeString(dir.resolve("config.json"), config);
+    Path file = Files.writeString(directory.resolve("config.json"), config);
     return Map.of("NODE_NAME", "n1", "NODE_LISTEN", "127.0.0.1:0", "NODE_CONFIG", file.toString());
   }
 
-  String config(int sockets, RespTestServer... peers) {
-    return config(
-        sockets, java.util.Arrays.stream(peers).map(RespTestServer::at).toArray(String[]::new));
+  String configJson(int maxSockets, RespTestServer... workers) {
+    return configJson(maxSockets, addresses(workers));
   }
 
-  private String config(int sockets, String... addresses) {
-    List<String> workers = new ArrayList<>();
-    for (int i = 0; i < addresses.length; i++) {
-      workers.add(EventStreamTestServer.endpoint("w" + i, addresses[i], "SERVING", 0));
+  private String configJson(int maxSockets, String... workerAddresses) {
+    List<String> endpoints = new ArrayList<>();
+    for (int i = 0; i < workerAddresses.length; i++) {
+      endpoints.add(EventStreamTestServer.servingEndpoint("w" + i, workerAddresses[i]));
     }
-    return "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":64,\"sockets\":"
-        + sockets
+    return "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"seed\":\"8c1f30d27a5be964\","
+        + "\"limits\":{\"cores\":1.0,\"memory_mb\":64,\"sockets\":"
+        + maxSockets
         + "},\"feed\":\"127.0.0.1:"
-        + feed.address().getPort()
+        + eventStream.address().getPort()
         + "\",\"known\":{\"n\":1,\"events\":["
-        + EventStreamTestServer.endpointListEvent(1, true, workers.toArray(new String[0]))
+        + EventStreamTestServer.endpointListEvent(1, true, endpoints.toArray(new String[0]))
         + "]},\"settings\":"
         + settings
         + "}";
   }
 
-  PlatformRouter serve(int sockets, RespTestServer... peers) throws Exception {
-    resources.addAll(List.of(peers));
-    return serveAt(
-        sockets, java.util.Arrays.stream(peers).map(RespTestServer::at).toArray(String[]::new));
+  private static String[] addresses(RespTestServer... workers) {
+    return Arrays.stream(workers).map(RespTestServer::address).toArray(String[]::new);
   }
 
-  PlatformRouter serveAt(int sockets, String... workers) throws Exception {
-    platform =
-        new PlatformRouter(
-            PlatformConfig.read(environment(config(sockets, workers)), System.currentTimeMillis()),
-            new RateLimitedLog());
-    resources.add(0, platform);
-    return platform;
+  /** What the router holds now; usable as a condition to await. */
+  ResourceUsage usage() {
+    try {
+      return router.resourceUsage();
+    } catch (InterruptedException e) {
+      throw new IllegalStateException(e);
+    }
   }
 
-  ThriftTestClient client() throws Exception {
-    ThriftTestClient client = new ThriftTestClient(platform.port());
-    resources.add(client);
-    return client;
+  /** Begins the router's shutdown; the thread ends with it. */
+  Thread beginShutdown() {
+    return startThread(router::stop);
   }
 
-  static void await(java.util.function.BooleanSupplier condition) throws InterruptedException {
-    for (int i = 0; i < 5000; i++) {
-      if (condition.getAsBoolean()) {
-        return;
-      } // once is enough: it may change again
-      Thread.sleep(1);
-    }
-    assertThat(condition.getAsBoolean()).isTrue();
+  /**
+   * Blocks the router's event loop until the returned gate is closed: messages that come meanwhile
+   * are read and queued.
+   */
+  AutoCloseable blockEventLoop() throws InterruptedException {
+    CountDownLatch blocked = new CountDownLatch(1);
+    CountDownLatch release = new CountDownLatch(1);
+    Thread thread =
+        startThread(
+            () ->
+                router.runOnEventLoop(
+                    core -> {
+                      blocked.countDown();
+                      awaitUninterrupted(release);
+                    }));
+    blocked.await();
+    return () -> {
+      release.countDown();
+      thread.join();
+    };
   }
 
-  static String text(ThriftTestClient.Reply reply) {
-    return new String(reply.body(), StandardCharsets.ISO_8859_1);
+  private interface InterruptibleTask {
+    void run() throws InterruptedException;
   }
 
-  /** Begins the router's shutdown; the thread ends with it. */
-  Thread stop() {
+  private static Thread startThread(InterruptibleTask task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                platform.stop();
+                task.run();
               } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
               }
@@ -123,44 +161,40 @@
     return thread;
   }
 
-  /**
-   * Blocks the router's loop until the returned gate is closed: what comes meanwhile is read, and
-   * waits.
-   */
-  AutoCloseable holdLoop() throws InterruptedException {
-    CountDownLatch held = new CountDownLatch(1);
-    CountDownLatch release = new CountDownLatch(1);
-    Thread thread =
-        new Thread(
-            () -> {
-              try {
-                platform.runOnEventLoop(
-                    core -> {
-                      held.countDown();
-                      try {
-                        release.await();
-                      } catch (InterruptedException e) {
-                        throw new IllegalStateException(e);
-                      }
-                    });
-              } catch (InterruptedException e) {
-                throw new IllegalStateException(e);
-              }
-            });
-    thread.start();
-    held.await();
-    return () -> {
-      release.countDown();
-      thread.join();
-    };
+  private static void awaitUninterrupted(CountDownLatch latch) {
+    try {
+      latch.await();
+    } catch (InterruptedException e) {
+      throw new IllegalStateException(e);
+    }
+  }
+
+  // ------------------------------------------------------------------ clients
+
+  /** A client that is closed after the test. */
+  ThriftTestClient connectClient() throws Exception {
+    ThriftTestClient client = new ThriftTestClient(router.port());
+    resources.add(client);
+    return client;
   }
 
   /**
-   * All that this client sent so far has been read: the answer to a heartbeat does not pass through
-   * the loop.
+   * Waits until the router has read all that this client has sent: heartbeats are answered without
+   * the event loop.
    */
-  static void read(ThriftTestClient client, int number) throws Exception {
-    client.heartbeat(number);
-    assertThat(client.reply().number()).isEqualTo(number);
+  static void awaitMessagesRead(ThriftTestClient client, int sequenceId) throws Exception {
+    client.heartbeat(sequenceId);
+    assertThat(client.receiveReply().sequenceId()).isEqualTo(sequenceId);
+  }
+
+  /** Waits until the condition has held once, for 5 s at most. */
+  static void await(BooleanSupplier condition) throws InterruptedException {
+    for (int i = 0; i < AWAIT_CHECKS; i++) {
+      if (condition.getAsBoolean()) {
+        return;
+      }
+      Thread.sleep(1);
+    }
+    assertThat(condition.getAsBoolean()).isTrue();
   }
 }
--- a/src/test/java/switchgap/server/platform/PlatformProcessFixture.java
+++ b/src/test/java/switchgap/server/platform/PlatformProcessFixture.java
@@ -11,92 +11,116 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.BeforeEach;
 
-/** A router as a process of its own between scripted clients, workers and a feed. */
+/** A router as a process between scripted clients, workers and an event stream. */
 abstract class PlatformProcessFixture extends PlatformFixture {
-  Path file;
+  private static final int MAX_CONNECTS = 50;
+  private static final long CONNECT_INTERVAL_MILLIS = 20;
+  private static final long EXIT_TIMEOUT_SECONDS = 5;
+  private static final String SERVING = " serves at ";
+
+  Path configFile;
   Process process;
-  final Map<String, String> variables = new HashMap<>();
-  private Path log;
 
-  static void shell(String command) throws IOException, InterruptedException {
+  /** Variables of the process besides the usual ones. */
+  final Map<String, String> environmentVariables = new HashMap<>();
+
+  private Path logFile;
+
+  @BeforeEach
+  void chooseFiles() {
+    configFile = directory.resolve("config.json");
+    logFile = directory.resolve("log");
+  }
+
+  static void runShell(String command) throws IOException, InterruptedException {
     assertThat(new ProcessBuilder("sh", "-c", command).inheritIO().start().waitFor())
         .as(command)
         .isZero();
   }
 
-  void start(String before, String... options) throws IOException {
-    log = dir.resolve("log");
+  /** Starts a router with the configuration that its workers need. */
+  void startProcess(int maxSockets, RespTestServer... workers) throws IOException {
+    Files.writeString(configFile, configJson(maxSockets, workers));
+    startProcess("");
+  }
+
+  /**
+   * Starts a router with the configuration file as it is.
+   *
+   * @param shellPrefix commands that the shell runs before
+   */
+  void startProcess(String shellPrefix) throws IOException {
     List<String> command =
         new ArrayList<>(
             List.of(
                 "exec",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1"));
-    command.addAll(List.of(options));
-    command.addAll(
-        List.of(
-            "-cp",
-            "'" + System.getProperty("java.class.path") + "'",
-            "switchgap.cli.Main",
-            "serve"));
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                "'" + System.getProperty("java.class.path") + "'",
+                "switchgap.cli.Main",
+                "serve"));
     ProcessBuilder builder =
-        new ProcessBuilder("sh", "-c", before + String.join(" ", command))
+        new ProcessBuilder("sh", "-c", shellPrefix + String.join(" ", command))
             .redirectErrorStream(true)
-            .redirectOutput(log.toFile());
-    builder
-        .environment()
-        .putAll(
-            Map.of(
-                "NODE_NAME", "n1", "NODE_LISTEN", "127.0.0.1:0", "NODE_CONFIG", file.toString()));
-    builder.environment().putAll(variables);
+            .redirectOutput(logFile.toFile());
+    Map<String, String> environment = builder.environment();
+    environment.put("NODE_NAME", "n1");
+    environment.put("NODE_LISTEN", "127.0.0.1:0");
+    environment.put("NODE_CONFIG", configFile.toString());
+    environment.putAll(environmentVariables);
     process = builder.start();
     resources.add(() -> process.destroyForcibly().waitFor());
   }
 
-  String log() {
+  /** What the process has logged so far. */
+  String processLog() {
     try {
-      return Files.readString(log);
+      return Files.readString(logFile);
     } catch (IOException e) {
-      return ""; // not begun
+      return ""; // it has logged nothing yet
     }
   }
 
+  /** Sends a signal to the process. */
   void signal(String name) throws Exception {
-    shell("kill -" + name + " " + process.pid());
+    runShell("kill -" + name + " " + process.pid());
+  }
+
+  /** Waits until the router serves; returns its port. */
+  int awaitServingPort() throws Exception {
+    await(() -> processLog().contains(SERVING) || !process.isAlive());
+    assertThat(process.isAlive()).as(processLog()).isTrue();
+    String address = processLog().substring(processLog().indexOf(SERVING) + SERVING.length());
+    return Integer.parseInt(
+        address.substring(address.indexOf(':') + 1, address.indexOf('\n')).trim());
   }
 
   /**
-   * A connection that has its answer; one that came while the router made room was closed, and is
+   * A connection that has been served; one that was closed, as the router evicted connections, is
    * opened again as clients do.
    */
-  ThriftTestClient answered(int port) throws Exception {
-    for (int i = 0; i < 50; i++) {
+  ThriftTestClient connectUntilServed(int port) throws Exception {
+    for (int i = 0; i < MAX_CONNECTS; i++) {
       ThriftTestClient client = new ThriftTestClient(port);
       resources.add(client);
       try {
         client.heartbeat(1);
-        if (client.reply() != null) {
+        if (client.receiveReply() != null) {
           return client;
         }
       } catch (IOException e) {
-        Thread.sleep(20); // it was reset
+        Thread.sleep(CONNECT_INTERVAL_MILLIS); // it was reset
       }
     }
-    throw new AssertionError("no connection was answered: " + log());
-  }
-
-  int serves() throws Exception {
-    await(() -> log().contains(" serves at ") || !process.isAlive());
-    assertThat(process.isAlive()).as(log()).isTrue();
-    String address = log().substring(log().indexOf(" serves at ") + 11);
-    return Integer.parseInt(
-        address.substring(address.indexOf(':') + 1, address.indexOf('\n')).trim());
+    throw new AssertionError("no connection was served: " + processLog());
   }
 
-  void endsWell() throws Exception {
-    assertThat(process.waitFor(5, TimeUnit.SECONDS)).as(log()).isTrue();
-    assertThat(process.exitValue()).as(log()).isZero();
+  void awaitCleanExit() throws Exception {
+    assertThat(process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).as(processLog()).isTrue();
+    assertThat(process.exitValue()).as(processLog()).isZero();
   }
 
   /** Processor time that the process has used so far. */
--- a/src/test/java/switchgap/server/platform/PlatformProcessTest.java
+++ b/src/test/java/switchgap/server/platform/PlatformProcessTest.java
@@ -7,188 +7,180 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
+import java.time.Duration;
+import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/**
- * The router as a process, with signals as signals. Its configuration is a pipe where its start has
- * to be held.
- */
+/** The router as a process that receives signals. */
 class PlatformProcessTest extends PlatformProcessFixture {
-  private void pipe() throws Exception {
-    file = dir.resolve("config.json");
-    shell("mkfifo " + file);
+  /** Lets a test hold the process in its start, until the pipe is written and closed. */
+  private void makeConfigFileAPipe() throws Exception {
+    runShell("mkfifo " + configFile);
   }
 
-  /**
-   * The new configuration and its SIGHUP come while the old one is being read; the signal counted
-   * for nothing.
-   */
+  /** The new configuration and its SIGHUP come while the process reads the old one. */
   @Test
-  void aSighupDuringTheStartCounts() throws Exception {
-    pipe();
-    try (RespTestServer worker = new RespTestServer(RespTestServer::serveAll);
-        EventStreamTestServer newFeed = new EventStreamTestServer((number, last, out) -> true)) {
-      String config = config(256, worker);
-      start("");
-      try (OutputStream held =
-          Files.newOutputStream(file)) { // opened: the router reads, and its handlers stand
+  void followsEventStreamOfSighupDuringStart() throws Exception {
+    makeConfigFileAPipe();
+    try (RespTestServer worker = RespTestServer.executingAll();
+        EventStreamTestServer newStream =
+            new EventStreamTestServer((connection, lastEventId, output) -> true)) {
+      String config = configJson(MANY_SOCKETS, worker);
+      startProcess("");
+      try (OutputStream pipe =
+          Files.newOutputStream(
+              configFile)) { // opened: the router reads, and its handlers are installed
         Path next =
             Files.writeString(
-                dir.resolve("next.json"),
-                config.replace(":" + feed.address().getPort(), ":" + newFeed.address().getPort()));
-        Files.move(next, file, StandardCopyOption.REPLACE_EXISTING);
+                directory.resolve("next.json"),
+                config.replace(
+                    ":" + eventStream.address().getPort(), ":" + newStream.address().getPort()));
+        Files.move(next, configFile, StandardCopyOption.REPLACE_EXISTING);
         signal("HUP");
         signal("HUP");
-        await(() -> log().contains("SIGHUP") || process.isAlive());
-        held.write(config.getBytes(StandardCharsets.UTF_8));
+        assertThat(process.isAlive()).as(processLog()).isTrue();
+        pipe.write(config.getBytes(StandardCharsets.UTF_8));
       }
-      serves();
-      await(() -> !newFeed.requestedEventIds.isEmpty());
-      Files.writeString(file, "{"); // and one that is of no use keeps what there is
+      awaitServingPort();
+      await(() -> newStream.hasClient());
+      Files.writeString(configFile, "{"); // an unusable one
       signal("HUP");
-      await(() -> log().contains("the old feed is kept"));
+      await(() -> processLog().contains("the old feed is kept"));
       signal("TERM");
-      endsWell();
+      awaitCleanExit();
     }
   }
 
   @Test
-  void aSigtermDuringTheStartEndsItWell() throws Exception {
-    pipe();
-    try (RespTestServer worker = new RespTestServer(RespTestServer::serveAll)) {
-      String config = config(256, worker);
-      start("");
-      try (OutputStream held = Files.newOutputStream(file)) {
+  void exitsCleanlyOnSigtermDuringStart() throws Exception {
+    makeConfigFileAPipe();
+    try (RespTestServer worker = RespTestServer.executingAll()) {
+      String config = configJson(MANY_SOCKETS, worker);
+      startProcess("");
+      try (OutputStream pipe = Files.newOutputStream(configFile)) {
         signal("TERM");
-        held.write(config.getBytes(StandardCharsets.UTF_8));
+        pipe.write(config.getBytes(StandardCharsets.UTF_8));
       }
-      endsWell();
+      awaitCleanExit();
     }
   }
 
   @Test
-  void aSecondSigtermAndASighupDuringTheStopHarmNobody() throws Exception {
-    file = dir.resolve("config.json");
-    java.util.concurrent.CountDownLatch answer = new java.util.concurrent.CountDownLatch(1);
+  void answersRequestsDespiteSecondSigtermAndSighupDuringShutdown() throws Exception {
+    CountDownLatch allowReply = new CountDownLatch(1);
     try (RespTestServer worker =
         new RespTestServer(
-            (command, out) -> {
-              if (command.word().equals("DO")) {
-                answer.await();
+            (command, output) -> {
+              if (command.isExecution()) {
+                allowReply.await();
               }
-              return RespTestServer.serveAll(command, out);
+              return RespTestServer.executeAll(command, output);
             })) {
-      Files.writeString(file, config(256, worker));
-      start("");
-      ThriftTestClient client = new ThriftTestClient(serves());
+      startProcess(MANY_SOCKETS, worker);
+      ThriftTestClient client = new ThriftTestClient(awaitServingPort());
       resources.add(client);
-      client.ask(1, ThriftTestClient.fields("again", id(), 900, FUNCTION), "x");
-      await(() -> worker.commands("DO").size() == 1);
+      client.submit(1, TestSubmit.idempotent(nextId()));
+      await(() -> worker.executions().size() == 1);
       signal("TERM");
       int number = 1;
       do {
         client.heartbeat(++number);
-      } while (client.reply().good());
+      } while (client.receiveReply().healthy());
       signal("HUP");
       signal("TERM");
-      await(() -> log().contains("SIGHUP"));
-      answer.countDown();
-      assertThat(client.reply().field()).isZero();
-      endsWell();
+      await(() -> processLog().contains("SIGHUP"));
+      allowReply.countDown();
+      assertThat(client.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
+      awaitCleanExit();
     }
   }
 
-  /**
-   * With its descriptors taken by idle clients as far as it lets them, the feed comes back and jobs
-   * are served.
-   */
+  /** The event stream comes back while idle clients use their quota of the descriptors. */
   @Test
-  void idleClientsLeaveRoomForTheFeedAndTheWorkers() throws Exception {
-    file = dir.resolve("config.json");
-    try (RespTestServer worker = new RespTestServer(RespTestServer::serveAll)) {
-      int port = feed.address().getPort();
-      Files.writeString(file, config(120, worker));
-      feed.close(); // discovery is down
-      start("ulimit -n 120; ");
-      int servedPort = serves();
+  void idleClientsLeaveDescriptorsForEventStreamAndWorkers() throws Exception {
+    try (RespTestServer worker = RespTestServer.executingAll()) {
+      int port = eventStream.address().getPort();
+      Files.writeString(configFile, configJson(120, worker));
+      eventStream.close(); // the event stream is down
+      startProcess("ulimit -n 120; ");
+      int servedPort = awaitServingPort();
       for (int i = 0; i < 300; i++) {
         resources.add(new ThriftTestClient(servedPort));
       }
-      java.time.Duration before = process.info().totalCpuDuration().orElseThrow();
-      ThriftTestClient usual = answered(servedPort);
+      Duration before = processorTime();
+      ThriftTestClient active = connectUntilServed(servedPort);
       for (int number = 2; number <= 6; number++) {
-        usual.ask(number, ThriftTestClient.fields("again", id(), 900, FUNCTION), "x");
-        assertThat(usual.reply().field()).as(log()).isZero();
+        active.submit(number, TestSubmit.idempotent(nextId()));
+        assertThat(active.receiveReply().outcome())
+            .as(processLog())
+            .isEqualTo(ReplyOutcome.SUCCEEDED);
       }
-      try (EventStreamTestServer back =
-          new EventStreamTestServer(port, (number, last, out) -> true)) {
-        await(() -> !back.requestedEventIds.isEmpty());
+      try (EventStreamTestServer restarted =
+          new EventStreamTestServer(port, (connection, lastEventId, output) -> true)) {
+        await(() -> restarted.hasClient());
       }
-      assertThat(process.info().totalCpuDuration().orElseThrow().minus(before).toMillis())
-          .isLessThan(1500); // nothing spins
+      assertThat(processorTime().minus(before).toMillis()).isLessThan(1500); // nothing spins
       signal("TERM");
-      endsWell();
+      awaitCleanExit();
     }
   }
 
-  /** A file that is written in place is read again: the signal came in the middle of it. */
+  /** The file is written in place, and the signal comes in between. */
   @Test
-  void aConfigurationThatIsHalfWrittenAtSighupIsReadAgain() throws Exception {
-    file = dir.resolve("config.json");
-    try (RespTestServer worker = new RespTestServer(RespTestServer::serveAll);
-        EventStreamTestServer newFeed = new EventStreamTestServer((number, last, out) -> true)) {
-      String config = config(256, worker);
+  void rereadsConfigurationHalfWrittenAtSighup() throws Exception {
+    try (RespTestServer worker = RespTestServer.executingAll();
+        EventStreamTestServer newStream =
+            new EventStreamTestServer((connection, lastEventId, output) -> true)) {
+      String config = configJson(MANY_SOCKETS, worker);
       String next =
-          config.replace(":" + feed.address().getPort(), ":" + newFeed.address().getPort());
-      Files.writeString(file, config);
-      start("");
-      serves();
-      Files.writeString(file, next.substring(0, next.length() / 2));
+          config.replace(
+              ":" + eventStream.address().getPort(), ":" + newStream.address().getPort());
+      Files.writeString(configFile, config);
+      startProcess("");
+      awaitServingPort();
+      Files.writeString(configFile, next.substring(0, next.length() / 2));
       signal("HUP");
-      await(() -> log().contains("the old feed is kept"));
-      Files.writeString(file, next);
-      await(() -> !newFeed.requestedEventIds.isEmpty());
+      await(() -> processLog().contains("the old feed is kept"));
+      Files.writeString(configFile, next);
+      await(() -> newStream.hasClient());
     }
   }
 
   @Test
-  void aFeedThatHasNoAddressReplacesNoGoodOne() throws Exception {
-    file = dir.resolve("config.json");
-    try (RespTestServer worker = new RespTestServer(RespTestServer::serveAll)) {
-      String config = config(256, worker);
-      Files.writeString(file, config);
-      start("");
-      serves();
+  void keepsEventStreamWhenNewNameDoesNotResolve() throws Exception {
+    try (RespTestServer worker = RespTestServer.executingAll()) {
+      String config = configJson(MANY_SOCKETS, worker);
+      Files.writeString(configFile, config);
+      startProcess("");
+      awaitServingPort();
       Files.writeString(
-          file, config.replace("\"feed\":\"127.0.0.1:", "\"feed\":\"no-such-host.invalid:"));
+          configFile, config.replace("\"feed\":\"127.0.0.1:", "\"feed\":\"no-such-host.invalid:"));
       signal("HUP");
-      await(() -> log().contains("SIGHUP"));
-      assertThat(log())
+      await(() -> processLog().contains("SIGHUP"));
+      assertThat(processLog())
           .contains("the old feed is kept")
           .doesNotContain("is followed at no-such-host");
     }
   }
 
   @Test
-  void oneSearchFindsARequestsWholeWay() throws Exception {
-    file = dir.resolve("config.json");
-    variables.put("SWITCHGAP_TRACE", "1");
-    try (RespTestServer worker = new RespTestServer(RespTestServer::serveAll)) {
-      Files.writeString(file, config(256, worker));
-      start("");
-      try (ThriftTestClient client = new ThriftTestClient(serves())) {
-        client.ask(1, ThriftTestClient.fields("again", "00000000000000ab", 900, FUNCTION), "x");
-        assertThat(client.reply().field()).isZero();
+  void tracesRequestByItsId() throws Exception {
+    environmentVariables.put("SWITCHGAP_TRACE", "1");
+    try (RespTestServer worker = RespTestServer.executingAll()) {
+      startProcess(MANY_SOCKETS, worker);
+      try (ThriftTestClient client = new ThriftTestClient(awaitServingPort())) {
+        client.submit(1, TestSubmit.idempotent("00000000000000ab"));
+        assertThat(client.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
       }
       signal("TERM");
-      endsWell();
+      awaitCleanExit();
       assertThat(
-              log()
+              processLog()
                   .lines()
                   .filter(line -> line.contains("00000000000000ab"))
                   .map(line -> line.split(" ")[1]))
           .containsExactly("REQUEST_RECEIVED", "ATTEMPT_SENT", "ATTEMPT_ENDED", "REQUEST_ANSWERED");
-      assertThat(log())
+      assertThat(processLog())
           .containsPattern("CLIENT_CLOSED PEER_CLOSED c\\d+")
           .contains("count REQUEST_ANSWERED SUCCEEDED 1");
     }
--- a/src/test/java/switchgap/server/platform/RespTestServer.java
+++ b/src/test/java/switchgap/server/platform/RespTestServer.java
@@ -12,120 +12,190 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A scripted worker on a plain socket that keeps what came. */
+/** A scripted worker on a plain socket that records the commands it receives. */
 final class RespTestServer implements AutoCloseable {
-  /** What came, in words, and on which connection. */
+  // Names of commands on the wire.
+  static final String EXECUTE = "DO";
+  static final String CANCEL = "UNDO";
+  static final String LOAD = "PIN";
+  static final String LOAD_PROBE = "METER";
+  private static final String HEALTH_CHECK = "ECHO";
+
+  // Statuses of replies on the wire.
+  static final String SUCCEEDED = "data";
+  static final String FAILED = "failed";
+  static final String REJECTED = "full";
+  static final String NOT_LOADED = "absent";
+  private static final String HEALTHY = "well";
+  static final String NO_REPORT = "-";
+
+  private static final int ACCEPT_BACKLOG = 50;
+
+  /**
+   * A command that was received.
+   *
+   * @param connection number of its connection, counted from 0
+   * @param words its name and arguments
+   */
   record Command(int connection, List<String> words) {
-    String word() {
+    String name() {
       return words.get(0);
     }
 
+    boolean isExecution() {
+      return name().equals(EXECUTE);
+    }
+
+    /** The request's id, or nothing where the command has none. */
     String id() {
       return words.size() > 1 ? words.get(1) : "";
     }
+
+    String options() {
+      return words.get(2);
+    }
+
+    /** The body of an execution. */
+    String body() {
+      return words.get(3);
+    }
   }
 
-  /** Answers on the raw connection, or not at all; false closes it. */
-  interface Behaviour {
-    boolean answer(Command command, OutputStream out) throws IOException, InterruptedException;
+  /** Replies to commands. */
+  interface CommandHandler {
+    /** Replies on the raw connection, or not at all; false closes the connection. */
+    boolean handle(Command command, OutputStream output) throws IOException, InterruptedException;
   }
 
-  final List<Command> received = new CopyOnWriteArrayList<>();
+  private final CommandHandler handler;
+  private final List<Command> received = new CopyOnWriteArrayList<>();
   private final List<Socket> open = new CopyOnWriteArrayList<>();
-  private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-  volatile Behaviour manner;
-
-  RespTestServer(Behaviour behaviour) throws IOException {
-    this.manner = behaviour;
-    Thread thread =
-        new Thread(
-            () -> {
-              try {
-                for (int connection = 0; ; connection++) {
-                  Socket socket = listener.accept();
-                  int number = connection;
-                  socket.setTcpNoDelay(true);
-                  open.add(socket);
-                  Thread each = new Thread(() -> serve(socket, number));
-                  each.setDaemon(true);
-                  each.start();
-                }
-              } catch (IOException e) {
-                return; // closed
-              }
-            });
+  private final ServerSocket listener =
+      new ServerSocket(0, ACCEPT_BACKLOG, InetAddress.getLoopbackAddress());
+
+  RespTestServer(CommandHandler handler) throws IOException {
+    this.handler = handler;
+    startDaemon(this::acceptConnections);
+  }
+
+  /** A worker that executes every request. */
+  static RespTestServer executingAll() throws IOException {
+    return new RespTestServer(RespTestServer::executeAll);
+  }
+
+  /** A worker that never replies to an execution. */
+  static RespTestServer neverReplying() throws IOException {
+    return new RespTestServer(
+        (command, output) -> command.isExecution() || executeAll(command, output));
+  }
+
+  private static void startDaemon(Runnable task) {
+    Thread thread = new Thread(task);
     thread.setDaemon(true);
     thread.start();
   }
 
+  private void acceptConnections() {
+    try {
+      for (int connection = 0; ; connection++) {
+        Socket socket = listener.accept();
+        int number = connection;
+        socket.setTcpNoDelay(true);
+        open.add(socket);
+        startDaemon(() -> serve(socket, number));
+      }
+    } catch (IOException e) {
+      return; // this server was closed
+    }
+  }
+
   private void serve(Socket socket, int connection) {
     try (socket) {
-      InputStream in = new BufferedInputStream(socket.getInputStream());
-      while (true) {
-        String[] words = new String[(int) number(in, '*')];
-        for (int i = 0; i < words.length; i++) {
-          words[i] = new String(in.readNBytes((int) number(in, '$')), StandardCharsets.ISO_8859_1);
-          in.skipNBytes(2);
-        }
-        Command command = new Command(connection, List.of(words));
+      InputStream input = new BufferedInputStream(socket.getInputStream());
+      boolean isOpen = true;
+      while (isOpen) {
+        Command command = new Command(connection, readWords(input));
         received.add(command);
-        if (!manner.answer(command, socket.getOutputStream())) {
-          return;
-        }
+        isOpen = handler.handle(command, socket.getOutputStream());
       }
     } catch (IOException | InterruptedException e) {
       return; // the router closed the connection
     }
   }
 
-  private static long number(InputStream in, char sign) throws IOException {
-    int next = in.read();
+  private static List<String> readWords(InputStream input) throws IOException {
+    String[] words = new String[(int) readLength(input, '*')];
+    for (int i = 0; i < words.length; i++) {
+      byte[] word = input.readNBytes((int) readLength(input, '$'));
+      words[i] = new String(word, StandardCharsets.ISO_8859_1);
+      input.skipNBytes(2); // the line's end
+    }
+    return List.of(words);
+  }
+
+  private static long readLength(InputStream input, char prefix) throws IOException {
+    int next = input.read();
     if (next < 0) {
       throw new EOFException();
     }
-    if (next != sign) {
-      throw new IOException("no " + sign);
+    if (next != prefix) {
+      throw new IOException("no " + prefix);
     }
-    long number = 0;
-    for (next = in.read(); next != '\r'; next = in.read()) {
-      number = number * 10 + next - '0';
+    long length = 0;
+    for (next = input.read(); next != '\r'; next = input.read()) {
+      length = length * 10 + next - '0';
     }
-    in.read();
-    return number;
+    input.read();
+    return length;
   }
 
-  static void say(OutputStream out, String... parts) throws IOException {
-    StringBuilder reply = new StringBuilder("*" + parts.length + "\r\n");
-    for (String part : parts) {
-      reply.append('$').append(part.length()).append("\r\n").append(part).append("\r\n");
+  static void sendReply(OutputStream output, String... words) throws IOException {
+    StringBuilder reply = new StringBuilder("*" + words.length + "\r\n");
+    for (String word : words) {
+      reply.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
     }
-    out.write(reply.toString().getBytes(StandardCharsets.ISO_8859_1));
-    out.flush();
+    output.write(reply.toString().getBytes(StandardCharsets.ISO_8859_1));
+    output.flush();
   }
 
-  /** Serves all: a request's body comes back behind its id. */
-  static boolean serveAll(Command command, OutputStream out) throws IOException {
-    switch (command.word()) {
-      case "DO" ->
-          say(
-              out,
+  /** Executes every request; the response is the request's id and body. */
+  static boolean executeAll(Command command, OutputStream output) throws IOException {
+    switch (command.name()) {
+      case EXECUTE ->
+          sendReply(
+              output,
               command.id(),
-              "data",
+              SUCCEEDED,
               "report=load_share:0.1;concurrent:1",
-              command.id() + ":" + command.words().get(3));
-      case "PIN" -> say(out, command.id(), "data", "count=1", "");
-      case "ECHO", "METER" -> say(out, command.id(), "well", "-", "");
+              command.id() + ":" + command.body());
+      case LOAD -> sendReply(output, command.id(), SUCCEEDED, "count=1", "");
+      case HEALTH_CHECK, LOAD_PROBE -> sendReply(output, command.id(), HEALTHY, NO_REPORT, "");
       default -> {}
     }
     return true;
   }
 
-  List<Command> commands(String word) {
-    return received.stream().filter(command -> command.word().equals(word)).toList();
+  /** All commands so far. */
+  List<Command> received() {
+    return received;
+  }
+
+  /** The commands so far that have a name. */
+  List<Command> received(String name) {
+    return received.stream().filter(command -> command.name().equals(name)).toList();
+  }
+
+  /** The executions so far. */
+  List<Command> executions() {
+    return received(EXECUTE);
+  }
+
+  int port() {
+    return listener.getLocalPort();
   }
 
-  String at() {
-    return "127.0.0.1:" + listener.getLocalPort();
+  String address() {
+    return "127.0.0.1:" + port();
   }
 
   @Override
--- a/src/test/java/switchgap/server/platform/ThriftTestClient.java
+++ b/src/test/java/switchgap/server/platform/ThriftTestClient.java
@@ -1,85 +1,101 @@
 package switchgap.server.platform;
 
-import static java.nio.charset.StandardCharsets.UTF_8;
-
 import java.io.DataInputStream;
+import java.io.EOFException;
 import java.io.IOException;
 import java.io.OutputStream;
+import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
+import org.apache.thrift.TException;
 import org.apache.thrift.protocol.TBinaryProtocol;
 import org.apache.thrift.protocol.TField;
 import org.apache.thrift.protocol.TMap;
 import org.apache.thrift.protocol.TMessage;
+import org.apache.thrift.protocol.TMessageType;
 import org.apache.thrift.protocol.TType;
 import org.apache.thrift.transport.TMemoryBuffer;
 
 /** A client on a plain socket, with Apache Thrift's codec. */
 public final class ThriftTestClient implements AutoCloseable {
+  private static final int RECEIVE_TIMEOUT_MILLIS = 5000;
+
   /**
-   * What came: the message's type and number; of a reply the result's field (0 Answer, 1 Full, 2
-   * Error), fields and body.
+   * What the router replied.
+   *
+   * @param sequenceId the number of the message that it replies to
+   * @param fields of a declared exception
+   * @param body of a response
+   * @param healthy of a heartbeat's response
    */
   record Reply(
-      int type, int number, int field, Map<String, String> fields, byte[] body, boolean good) {}
+      ReplyOutcome outcome,
+      int sequenceId,
+      Map<String, String> fields,
+      byte[] body,
+      boolean healthy) {
+    /** The body as text, one character a byte. */
+    String bodyText() {
+      return new String(body, StandardCharsets.ISO_8859_1);
+    }
+  }
 
-  final Socket socket;
-  private final DataInputStream in;
-  private final OutputStream out;
+  private final Socket socket;
+  private final DataInputStream input;
+  private final OutputStream output;
 
   ThriftTestClient(int port) throws IOException {
     this(port, 0);
   }
 
-  /** {@code unread}: bytes that its system takes without its reading them, about; 0: as usual. */
-  ThriftTestClient(int port, int unread) throws IOException {
+  /**
+   * Connects to a router.
+   *
+   * @param receiveBufferBytes bytes that the system takes without this client's reading them,
+   *     roughly; 0 for the usual size
+   */
+  ThriftTestClient(int port, int receiveBufferBytes) throws IOException {
     socket = new Socket();
-    if (unread > 0) {
-      socket.setReceiveBufferSize(unread);
+    if (receiveBufferBytes > 0) {
+      socket.setReceiveBufferSize(receiveBufferBytes);
     }
-    socket.connect(new java.net.InetSocketAddress("127.0.0.1", port));
+    socket.connect(new InetSocketAddress("127.0.0.1", port));
     socket.setTcpNoDelay(true);
-    socket.setSoTimeout(5000);
-    in = new DataInputStream(socket.getInputStream());
-    out = socket.getOutputStream();
-  }
-
-  static Map<String, String> fields(String service, String ref, long allow, String function) {
-    return new HashMap<>(
-        Map.of(
-            "service",
-            service,
-            "ref",
-            ref,
-            "allow",
-            String.valueOf(allow),
-            "project",
-            "shop",
-            "lookup",
-            function,
-            "extras",
-            "memory_mb:100;lanes:2"));
-  }
-
-  static byte[] framed(byte[] frame) {
+    socket.setSoTimeout(RECEIVE_TIMEOUT_MILLIS);
+    input = new DataInputStream(socket.getInputStream());
+    output = socket.getOutputStream();
+  }
+
+  boolean isConnected() {
+    return socket.isConnected();
+  }
+
+  // ------------------------------------------------------------------ frames
+
+  /** A frame with its length before it. */
+  static byte[] withLength(byte[] frame) {
     return ByteBuffer.allocate(4 + frame.length).putInt(frame.length).put(frame).array();
   }
 
-  static byte[] submit(int number, Map<String, String> fields, byte[] body) throws Exception {
+  /** A submit as a frame with its length. */
+  static byte[] submitFrame(int sequenceId, TestSubmit submit) throws TException {
     TMemoryBuffer buffer = new TMemoryBuffer(256);
     TBinaryProtocol protocol = new TBinaryProtocol(buffer);
-    writeSubmitArguments(protocol, number, fields, body);
+    writeSubmitArguments(protocol, sequenceId, submit.fields(), submit.bodyBytes());
     protocol.writeFieldStop();
-    return framed(java.util.Arrays.copyOf(buffer.getArray(), buffer.length()));
+    return withLength(Arrays.copyOf(buffer.getArray(), buffer.length()));
   }
 
-  /** A submit up to its last argument. */
+  /** Writes a submit up to its last argument. */
   public static void writeSubmitArguments(
-      TBinaryProtocol protocol, int number, Map<String, String> fields, byte[] body)
-      throws Exception {
-    protocol.writeMessageBegin(new TMessage("submit", (byte) 1, number));
+      TBinaryProtocol protocol, int sequenceId, Map<String, String> fields, byte[] body)
+      throws TException {
+    protocol.writeMessageBegin(new TMessage("submit", TMessageType.CALL, sequenceId));
     protocol.writeFieldBegin(new TField("fields", TType.MAP, (short) 1));
     protocol.writeMapBegin(new TMap(TType.STRING, TType.STRING, fields.size()));
     for (Map.Entry<String, String> field : fields.entrySet()) {
@@ -90,79 +106,101 @@
     protocol.writeBinary(ByteBuffer.wrap(body));
   }
 
-  private static byte[] one(String method, int type, int number, byte kind, int value)
-      throws Exception {
+  private static byte[] booleanCallFrame(String method, int sequenceId) throws TException {
     TMemoryBuffer buffer = new TMemoryBuffer(64);
     TBinaryProtocol protocol = new TBinaryProtocol(buffer);
-    protocol.writeMessageBegin(new TMessage(method, (byte) type, number));
-    protocol.writeFieldBegin(new TField("x", kind, (short) 1));
-    if (kind == TType.BOOL) {
-      protocol.writeBool(value != 0);
-    } else {
-      protocol.writeI32(value);
-    }
+    protocol.writeMessageBegin(new TMessage(method, TMessageType.CALL, sequenceId));
+    protocol.writeFieldBegin(new TField("flag", TType.BOOL, (short) 1));
+    protocol.writeBool(true);
+    protocol.writeFieldStop();
+    return withLength(Arrays.copyOf(buffer.getArray(), buffer.length()));
+  }
+
+  private static byte[] revokeFrame(int sequenceId, int revokedSequenceId) throws TException {
+    TMemoryBuffer buffer = new TMemoryBuffer(64);
+    TBinaryProtocol protocol = new TBinaryProtocol(buffer);
+    protocol.writeMessageBegin(new TMessage("revoke", TMessageType.ONEWAY, sequenceId));
+    protocol.writeFieldBegin(new TField("number", TType.I32, (short) 1));
+    protocol.writeI32(revokedSequenceId);
     protocol.writeFieldStop();
-    return framed(java.util.Arrays.copyOf(buffer.getArray(), buffer.length()));
+    return withLength(Arrays.copyOf(buffer.getArray(), buffer.length()));
   }
 
-  void raw(byte[] bytes) throws IOException {
-    out.write(bytes);
-    out.flush();
+  // ------------------------------------------------------------------ sending
+
+  void sendBytes(byte[] bytes) throws IOException {
+    output.write(bytes);
+    output.flush();
   }
 
-  void ask(int number, Map<String, String> fields, String body) throws Exception {
-    raw(submit(number, fields, body.getBytes(UTF_8)));
+  void submit(int sequenceId, TestSubmit submit) throws Exception {
+    sendBytes(submitFrame(sequenceId, submit));
   }
 
-  void revoke(int number, int which) throws Exception {
-    raw(one("revoke", 4, number, TType.I32, which));
+  void revoke(int sequenceId, int revokedSequenceId) throws Exception {
+    sendBytes(revokeFrame(sequenceId, revokedSequenceId));
   }
 
-  void heartbeat(int number) throws Exception {
-    raw(one("heartbeat", 1, number, TType.BOOL, 1));
+  void heartbeat(int sequenceId) throws Exception {
+    sendBytes(booleanCallFrame("heartbeat", sequenceId));
   }
 
-  void nonsense(int number) throws Exception {
-    raw(one("nonsense", 1, number, TType.BOOL, 1));
+  void callUnknownMethod(int sequenceId) throws Exception {
+    sendBytes(booleanCallFrame("nonsense", sequenceId));
   }
 
-  /** The next reply, or null where the router closed. */
-  Reply reply() throws Exception {
+  // ------------------------------------------------------------------ receiving
+
+  /** The next reply, or null if the router closed the connection. */
+  Reply receiveReply() throws Exception {
     byte[] frame;
     try {
-      frame = new byte[in.readInt()];
-      in.readFully(frame);
-    } catch (java.io.EOFException | java.net.SocketException e) {
+      frame = new byte[input.readInt()];
+      input.readFully(frame);
+    } catch (EOFException | SocketException e) {
       return null;
     }
+    return decodeReply(frame);
+  }
+
+  private static Reply decodeReply(byte[] frame) throws TException {
     TMemoryBuffer buffer = new TMemoryBuffer(frame.length);
     buffer.write(frame);
     TBinaryProtocol protocol = new TBinaryProtocol(buffer, true, true);
-    TMessage head = protocol.readMessageBegin();
-    if (head.type == 3) {
-      return new Reply(3, head.seqid, -1, Map.of(), new byte[0], false);
+    TMessage header = protocol.readMessageBegin();
+    if (header.type == TMessageType.EXCEPTION) {
+      return new Reply(
+          ReplyOutcome.APPLICATION_EXCEPTION, header.seqid, Map.of(), new byte[0], false);
     }
-    int field = protocol.readFieldBegin().id;
+    ReplyOutcome outcome = ReplyOutcome.ofResultField(protocol.readFieldBegin().id);
     Map<String, String> fields = new HashMap<>();
-    byte[] body = new byte[0];
-    boolean good = false;
-    for (TField resultField = protocol.readFieldBegin();
-        resultField.type != TType.STOP;
-        resultField = protocol.readFieldBegin()) {
-      if (resultField.type == TType.STRING) {
-        ByteBuffer bytes = protocol.readBinary();
-        body = new byte[bytes.remaining()];
-        bytes.get(body);
-      } else if (resultField.type == TType.BOOL) {
-        good = protocol.readBool();
-      } else {
-        int length = protocol.readMapBegin().size;
-        for (int i = 0; i < length; i++) {
-          fields.put(protocol.readString(), protocol.readString());
-        }
+    byte[] body = {};
+    boolean healthy = false;
+    TField field = protocol.readFieldBegin();
+    while (field.type != TType.STOP) {
+      switch (field.type) {
+        case TType.STRING -> body = readBytes(protocol);
+        case TType.BOOL -> healthy = protocol.readBool();
+        default -> readFields(protocol, fields);
       }
+      field = protocol.readFieldBegin();
+    }
+    return new Reply(outcome, header.seqid, fields, body, healthy);
+  }
+
+  private static byte[] readBytes(TBinaryProtocol protocol) throws TException {
+    ByteBuffer buffer = protocol.readBinary();
+    byte[] bytes = new byte[buffer.remaining()];
+    buffer.get(bytes);
+    return bytes;
+  }
+
+  private static void readFields(TBinaryProtocol protocol, Map<String, String> fields)
+      throws TException {
+    int count = protocol.readMapBegin().size;
+    for (int i = 0; i < count; i++) {
+      fields.put(protocol.readString(), protocol.readString());
     }
-    return new Reply(head.type, head.seqid, field, fields, body, good);
   }
 
   @Override
