--- a/src/main/java/switchgap/testbed/emulator/ClientRequest.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientRequest.java
@@ -5,14 +5,14 @@
 /** A client's request through all its attempts. Belongs to the scheduler's thread. */
 final class ClientRequest {
   final String id;
-  final FunctionModel model;
+  final FunctionModel function;
   final String tenant;
   final int router;
   final long arrivedAt;
-  final EmulatedClients.RequestClassProfile profile;
+  final RequestClassProfile profile;
 
-  /** Retries of a hammering client, 0 for a client that behaves. */
-  final int hammeringRetries;
+  /** Retries without backoff in a retry storm; 0 for a client that follows the retry policy. */
+  final int stormRetries;
 
   /**
    * A generator of its own, so that how responses come affects no other request: the same seed
@@ -20,27 +20,33 @@
    */
   final SplittableRandom random;
 
-  int attempts;
+  private int attempts;
 
   ClientRequest(
-      Arrival arrival,
-      EmulatedClients.RequestClassProfile profile,
-      int hammeringRetries,
-      SplittableRandom random) {
+      Arrival arrival, RequestClassProfile profile, int stormRetries, SplittableRandom random) {
     this.id = arrival.id;
-    this.model = arrival.model;
+    this.function = arrival.function;
     this.tenant = arrival.tenant;
     this.router = arrival.router;
-    this.arrivedAt = arrival.at;
+    this.arrivedAt = arrival.arrivedAt;
     this.profile = profile;
-    this.hammeringRetries = hammeringRetries;
+    this.stormRetries = stormRetries;
     this.random = random;
   }
 
-  /** What is drawn when a request arrives; {@code at} in microseconds. */
-  record Arrival(String id, FunctionModel model, String tenant, int router, long at) {}
+  /** What is drawn when a request arrives; {@code arrivedAt} in microseconds. */
+  record Arrival(String id, FunctionModel function, String tenant, int router, long arrivedAt) {}
 
-  boolean isHammering() {
-    return hammeringRetries > 0;
+  /** Attempts made so far, the present one included. */
+  int attempts() {
+    return attempts;
+  }
+
+  void attemptStarted() {
+    attempts++;
+  }
+
+  boolean isRetryStorm() {
+    return stormRetries > 0;
   }
 }
