--- a/src/test/java/switchgap/endpoints/EventStreamClientFixture.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientFixture.java
@@ -69,7 +69,7 @@
   }
 
   static void awaitRequests(EventStreamTestServer feed, int requests) throws InterruptedException {
-    await(() -> feed.requestedEventIds.size() == requests);
+    await(() -> feed.requestedEventIds().size() == requests);
   }
 
   private static void await(BooleanSupplier condition) throws InterruptedException {
--- a/src/test/java/switchgap/endpoints/EventStreamHandoverTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamHandoverTest.java
@@ -46,8 +46,8 @@
       fixture.awaitReceived(3);
       assertThat(fixture.receivedSequences()).containsExactly(2L, 3L, 4L);
       assertThat(oldFeed.awaitClientClose(0)).isTrue();
-      assertThat(oldFeed.requestedEventIds).hasSize(1);
-      assertThat(newFeed.requestedEventIds).containsExactly(2L);
+      assertThat(oldFeed.requestedEventIds()).hasSize(1);
+      assertThat(newFeed.requestedEventIds()).containsExactly(2L);
     }
   }
 
@@ -67,7 +67,7 @@
       oldFeed.close();
       release.countDown();
       fixture.awaitReceived(2);
-      assertThat(newFeed.requestedEventIds).containsExactly(2L);
+      assertThat(newFeed.requestedEventIds()).containsExactly(2L);
     }
   }
 }
