--- a/src/test/java/switchgap/testbed/soak/FaultPlanTest.java
+++ b/src/test/java/switchgap/testbed/soak/FaultPlanTest.java
@@ -19,4 +19,19 @@
     assertThat(again).isEqualTo(all);
     assertThat(others).isEqualTo(all.stream().filter(fault -> fault.type() != leftOut).toList());
   }
+
+  /** A seed in an old report is played again as it was. */
+  @Test
+  void drawsSameFaultsAsEarlierVersions() {
+    List<PlannedFault> faults = FaultPlan.draw(2, 10, Set.of());
+
+    assertThat(faults).hasSize(16);
+    assertThat(faults.subList(0, 4))
+        .extracting(PlannedFault::toString)
+        .containsExactly(
+            "WORKER_ACCEPTS_LATE at 203 ms for 2755 ms",
+            "SOCKET_FAILS at 945 ms for 1206 ms",
+            "READ_INTERRUPTED at 1049 ms for 808 ms",
+            "WALL_CLOCK_STEP at 1320 ms for 2566 ms");
+  }
 }
