--- a/src/main/java/switchgap/server/gateway/JvmWarmup.java
+++ b/src/main/java/switchgap/server/gateway/JvmWarmup.java
@@ -10,10 +10,10 @@
 import switchgap.config.YamlRouterSettings;
 import switchgap.net.CloseCause;
 import switchgap.net.ConnectFailure;
-import switchgap.net.ConnectionLimits;
 import switchgap.net.HttpClientConnection;
 import switchgap.net.HttpClientConnector;
 import switchgap.net.HttpServer;
+import switchgap.net.HttpServerLimits;
 import switchgap.net.NetworkTransport;
 
 /**
@@ -29,7 +29,7 @@
   private static final int BODY_BYTES = 64;
   private static final int MAX_RESPONSE_BYTES = 1 << 16;
   private static final String LOOPBACK = "127.0.0.1";
-  private static final String PATH = "/rehearsal";
+  private static final String PATH = "/warm-up";
   private static final Map<String, String> HEADERS = Map.of("Content-Type", "text/plain");
 
   private JvmWarmup() {}
@@ -44,7 +44,7 @@
     try (HttpServer server =
         new HttpServer(
             network,
-            ConnectionLimits.DEFAULT,
+            HttpServerLimits.DEFAULT,
             exchange -> exchange.respond(200, HEADERS, exchange.body()))) {
       int port = server.listen(LOOPBACK, 0);
       CountDownLatch done = new CountDownLatch(1);
