--- a/src/main/java/switchgap/cli/PlannerSupervisor.java
+++ b/src/main/java/switchgap/cli/PlannerSupervisor.java
@@ -8,7 +8,7 @@
 import switchgap.testbed.process.ChildProcess;
 
 /**
- * Runs the planner as a child process, restarted with back-off when it ends; never touches the
+ * Runs the planner as a child process, restarted with backoff when it ends; never touches the
  * router.
  */
 final class PlannerSupervisor implements AutoCloseable {
@@ -16,7 +16,7 @@
   private static final long MIN_BACKOFF_MILLIS = 200;
   private static final long MAX_BACKOFF_MILLIS = 5000;
 
-  /** A planner that ran for longer had a good start: the back-off begins anew. */
+  /** After a longer uptime the backoff is reset. */
   private static final long HEALTHY_UPTIME_MILLIS = 10_000;
 
   private final Path configFile;
--- a/src/main/java/switchgap/cli/ScenarioRunCommand.java
+++ b/src/main/java/switchgap/cli/ScenarioRunCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Parameters;
 import switchgap.testbed.scenario.ScenarioRunner;
 
-/** Runs a scenario over loopback sockets and leaves its logs. */
+/** Runs a scenario over loopback sockets and writes its logs. */
 @Command(
     name = "run",
     mixinStandardHelpOptions = true,
--- a/src/main/java/switchgap/cli/SoakCommand.java
+++ b/src/main/java/switchgap/cli/SoakCommand.java
@@ -63,7 +63,7 @@
         logs == null ? Files.createTempDirectory("soak") : Files.createDirectories(logs);
     Set<SoakFaultType> without = EnumSet.noneOf(SoakFaultType.class);
     without.addAll(leftOut);
-    boolean kept =
+    boolean invariantsHeld =
         Soak.run(
             new Soak.Options(
                 seed,
@@ -73,9 +73,9 @@
                 Soak.runCommand(deployFile),
                 directory.toAbsolutePath()),
             System.out);
-    if (!kept) {
+    if (!invariantsHeld) {
       System.out.println("logs in " + directory);
     }
-    return kept ? ExitCode.OK : ExitCode.FAILURE;
+    return invariantsHeld ? ExitCode.OK : ExitCode.FAILURE;
   }
 }
--- a/src/main/java/switchgap/testbed/emulator/ClientTransport.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientTransport.java
@@ -7,7 +7,7 @@
    *
    * @param attemptId identifier of this attempt
    * @param requestId identifier of the request that it belongs to
-   * @param function function asked for
+   * @param function function to invoke
    * @param tenant name of the tenant
    * @param router index of the router
    * @param deadline time at which the client cancels it, microseconds of the scheduler's clock
--- a/src/main/java/switchgap/testbed/emulator/ColdStart.java
+++ b/src/main/java/switchgap/testbed/emulator/ColdStart.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 
 /**
- * The warm-up of a worker: its capacity grows linearly from a share to the whole, and while it is
+ * The warm-up of a worker: its capacity grows linearly from a share to all of it, and while it is
  * cold more work than a multiple of its capacity within a window crashes it. Times in microseconds.
  */
 final class ColdStart {
--- a/src/main/java/switchgap/testbed/emulator/ConnectionPool.java
+++ b/src/main/java/switchgap/testbed/emulator/ConnectionPool.java
@@ -9,7 +9,8 @@
 import switchgap.net.HttpClientConnector;
 
 /**
- * Kept connections to one server: each carries one exchange at a time. On the scheduler's thread.
+ * Persistent connections to one server: each carries one exchange at a time. On the scheduler's
+ * thread.
  */
 final class ConnectionPool {
   private final Scheduler scheduler;
--- a/src/main/java/switchgap/testbed/emulator/EmulatedStore.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedStore.java
@@ -43,7 +43,7 @@
     slowdown = factor;
   }
 
-  /** Number of fetches asked for, refused ones included. */
+  /** Number of fetches requested, refused ones included. */
   public long fetches() {
     return fetches;
   }
--- a/src/main/java/switchgap/testbed/emulator/EmulatedWorker.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedWorker.java
@@ -69,7 +69,7 @@
     slots.setSlowdown(factor);
   }
 
-  /** Ends the process at once: nothing that is in flight is answered. */
+  /** Ends the process at once: nothing that is in flight gets a response. */
   public void kill() {
     dead = true;
     slots.stop();
@@ -171,7 +171,8 @@
   }
 
   /**
-   * Cancels an execution whose client left: it is removed from the queue, but goes on when it runs.
+   * Cancels an execution whose client disconnected: it is removed from the queue, but goes on when
+   * it runs.
    */
   public void cancel(EmulatedExecution execution) {
     slots.cancel(execution);
--- a/src/main/java/switchgap/testbed/emulator/EndpointListService.java
+++ b/src/main/java/switchgap/testbed/emulator/EndpointListService.java
@@ -13,8 +13,8 @@
 import switchgap.net.NetworkTransport;
 
 /**
- * Streams the endpoint list to watching routers: the whole list first, then each change, delayed by
- * a lag. On the scheduler's thread.
+ * Streams the endpoint list to watching routers: the complete list first, then each change, delayed
+ * by a lag. On the scheduler's thread.
  */
 public final class EndpointListService implements HttpServer.RequestHandler {
   private static final long MICROS_PER_MILLI = 1000;
@@ -149,10 +149,10 @@
     send(watcher, false, List.of(entry));
   }
 
-  private void send(Watcher watcher, boolean whole, Collection<Entry> changes) {
+  private void send(Watcher watcher, boolean complete, Collection<Entry> changes) {
     StringBuilder json =
         new StringBuilder("{\"whole\":")
-            .append(whole)
+            .append(complete)
             .append(",\"version\":")
             .append(watcher.version++)
             .append(",\"workers\":[");
--- a/src/main/java/switchgap/testbed/emulator/FunctionCatalogue.java
+++ b/src/main/java/switchgap/testbed/emulator/FunctionCatalogue.java
@@ -140,7 +140,7 @@
     return "hot-" + groups.get(requestClass).requestClass() + "-" + hotGeneration + "-" + number;
   }
 
-  /** Makes a share of the requests ask for functions that are asked for only once; 0 ends it. */
+  /** Sets the share of requests for functions that are requested only once; 0 ends it. */
   public synchronized void setOneOffShare(double share) {
     oneOffShare = share;
   }
--- a/src/main/java/switchgap/testbed/emulator/ProcessorSharing.java
+++ b/src/main/java/switchgap/testbed/emulator/ProcessorSharing.java
@@ -80,7 +80,7 @@
         / slowdown;
   }
 
-  /** Schedules the next completion; a later call makes this one void. */
+  /** Schedules the next completion; a later one replaces it. */
   void scheduleUpdate() {
     updateNumber++;
     long number = updateNumber;
--- a/src/main/java/switchgap/testbed/emulator/RequestTally.java
+++ b/src/main/java/switchgap/testbed/emulator/RequestTally.java
@@ -51,12 +51,12 @@
     return attempts;
   }
 
-  /** Requests answered with success. */
+  /** Requests that succeeded. */
   public long succeeded() {
     return succeeded;
   }
 
-  /** Requests answered with success past their latency objective. */
+  /** Requests that succeeded past their latency objective. */
   public long late() {
     return late;
   }
--- a/src/main/java/switchgap/testbed/emulator/StoreClient.java
+++ b/src/main/java/switchgap/testbed/emulator/StoreClient.java
@@ -10,8 +10,8 @@
 import switchgap.net.NetworkTransport;
 
 /**
- * A worker's client of the store: one kept connection for each fetch in flight. On the scheduler's
- * thread.
+ * A worker's client of the store: one persistent connection for each fetch in flight. On the
+ * scheduler's thread.
  */
 public final class StoreClient implements FunctionFetcher {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
--- a/src/main/java/switchgap/testbed/emulator/WorkerFaults.java
+++ b/src/main/java/switchgap/testbed/emulator/WorkerFaults.java
@@ -12,15 +12,15 @@
 public final class WorkerFaults {
   /** One way to fail on the socket; docs/router.md tells how a router tells them apart. */
   public enum Kind {
-    /** Answers with status 500. */
+    /** Responds with status 500. */
     ERROR,
-    /** Runs the request and never answers. */
+    /** Runs the request and never responds. */
     LOST,
     /** Resets the connection amid the response. */
     RESET,
     /** Stops amid the response and keeps the connection open. */
     HALF,
-    /** Answers seconds late. */
+    /** Responds seconds late. */
     LATE,
     /** Sends the response twice. */
     TWICE,
--- a/src/main/java/switchgap/testbed/experiment/BaselineRouter.java
+++ b/src/main/java/switchgap/testbed/experiment/BaselineRouter.java
@@ -9,9 +9,9 @@
 public final class BaselineRouter {
   private BaselineRouter() {}
 
-  /** Serves as the configuration says; {@code choice} is random or turns. */
-  public static GatewayRouter start(Path page, String choice) throws IOException {
-    GatewayConfig config = GatewayConfig.read(page);
+  /** Starts a router by its configuration; {@code choice} is random or turns. */
+  public static GatewayRouter start(Path configFile, String choice) throws IOException {
+    GatewayConfig config = GatewayConfig.read(configFile);
     return new GatewayRouter(
         config, new BaselinePolicy(config.settings(), BaselineChoice.of(choice), config.seed()));
   }
--- a/src/main/java/switchgap/testbed/experiment/ExperimentReport.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentReport.java
@@ -81,7 +81,7 @@
     for (String requestClass : experimentCase.requestClasses()) {
       append("<td>%.3f", experimentCase.objectiveMetShare(variant, requestClass).mean());
     }
-    boolean hasLevels = variant.before() == Variant.Before.LEVELS;
+    boolean hasLevels = variant.admission() == Variant.AdmissionMode.LEVELS;
     append(
         "<td>%.1f<td>%d<td>%s<td>%s",
         experimentCase.meanChangesPerRouter(variant),
--- a/src/main/java/switchgap/testbed/experiment/ExperimentTables.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentTables.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.LinkedHashMap;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import switchgap.admission.ServiceLevelChange;
@@ -17,53 +17,58 @@
 final class ExperimentTables {
   private ExperimentTables() {}
 
-  /** Writes the tables into a directory, which is made if it is not there. */
+  /** Writes the tables into a directory, which is created where it is absent. */
   static void write(Path directory, List<ExperimentCase> cases) throws IOException {
     Files.createDirectories(directory);
     try (ResultTable changes = new ResultTable(directory.resolve("changes"), changeColumns());
         ResultTable trials = new ResultTable(directory.resolve("trials"), trialColumns());
         ResultTable seconds = new ResultTable(directory.resolve("seconds"), secondColumns())) {
-      for (ExperimentCase each : cases) {
-        for (Trial trial : each.trials()) {
-          writeTrial(trials, each, trial);
-          writeChanges(changes, each, trial);
-          writeSeconds(seconds, each, trial);
+      for (ExperimentCase experimentCase : cases) {
+        for (Trial trial : experimentCase.trials()) {
+          writeTrial(trials, experimentCase, trial);
+          writeChanges(changes, experimentCase, trial);
+          writeSeconds(seconds, experimentCase, trial);
         }
       }
     }
   }
 
-  private static Map<String, Class<?>> keyColumns() {
-    Map<String, Class<?>> columns = new LinkedHashMap<>();
-    columns.put("case", String.class);
-    columns.put("variant", String.class);
-    columns.put("seed", Long.class);
-    return columns;
+  private static List<ResultColumn> withKeyColumns(ResultColumn... columns) {
+    List<ResultColumn> all = new ArrayList<>();
+    all.add(ResultColumn.text("case"));
+    all.add(ResultColumn.text("variant"));
+    all.add(ResultColumn.integer("seed"));
+    all.addAll(List.of(columns));
+    return all;
   }
 
-  private static Map<String, Class<?>> trialColumns() {
-    Map<String, Class<?>> columns = keyColumns();
-    List.of("of", "name", "figure").forEach(column -> columns.put(column, String.class));
-    columns.put("value", Double.class);
-    return columns;
+  private static List<ResultColumn> trialColumns() {
+    return withKeyColumns(
+        ResultColumn.text("of"),
+        ResultColumn.text("name"),
+        ResultColumn.text("figure"),
+        ResultColumn.real("value"));
   }
 
-  private static Map<String, Class<?>> secondColumns() {
-    Map<String, Class<?>> columns = keyColumns();
-    columns.put("second", Long.class);
-    List.of("load", "service", "level", "below_full")
-        .forEach(column -> columns.put(column, Double.class));
-    return columns;
+  private static List<ResultColumn> secondColumns() {
+    return withKeyColumns(
+        ResultColumn.integer("second"),
+        ResultColumn.real("load"),
+        ResultColumn.real("service"),
+        ResultColumn.real("level"),
+        ResultColumn.real("below_full"));
   }
 
-  private static Map<String, Class<?>> changeColumns() {
-    Map<String, Class<?>> columns = keyColumns();
-    columns.put("router", Long.class);
-    columns.put("at", Double.class);
-    List.of("customer", "from", "to", "condition")
-        .forEach(column -> columns.put(column, String.class));
-    List.of("pressure", "evidence").forEach(column -> columns.put(column, Double.class));
-    return columns;
+  private static List<ResultColumn> changeColumns() {
+    return withKeyColumns(
+        ResultColumn.integer("router"),
+        ResultColumn.real("at"),
+        ResultColumn.text("customer"),
+        ResultColumn.text("from"),
+        ResultColumn.text("to"),
+        ResultColumn.text("condition"),
+        ResultColumn.real("pressure"),
+        ResultColumn.real("evidence"));
   }
 
   private static void writeTrial(ResultTable table, ExperimentCase experimentCase, Trial trial)
--- a/src/main/java/switchgap/testbed/experiment/LoadRecorder.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRecorder.java
@@ -6,7 +6,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -28,6 +27,23 @@
   private static final long MICROS_PER_SECOND = 1_000_000;
   private static final double MICROS_PER_MILLI = 1000;
 
+  private static final List<ResultColumn> REQUEST_COLUMNS =
+      List.of(
+          ResultColumn.real("at_ms"),
+          ResultColumn.text("workload"),
+          ResultColumn.text("customer"),
+          ResultColumn.integer("router"),
+          ResultColumn.real("took_ms"),
+          ResultColumn.integer("tries"),
+          ResultColumn.text("end"),
+          ResultColumn.real("earned"));
+  private static final List<ResultColumn> SECOND_COLUMNS =
+      List.of(
+          ResultColumn.integer("second"),
+          ResultColumn.real("load"),
+          ResultColumn.real("asked"),
+          ResultColumn.real("earned"));
+
   private final Path directory;
   private final ResultTable requests;
   private final Map<String, Histogram> latencies = new TreeMap<>();
@@ -38,16 +54,7 @@
   /** Writes to a directory, which is created where it is absent. */
   LoadRecorder(Path directory) throws IOException {
     this.directory = Files.createDirectories(directory);
-    LinkedHashMap<String, Class<?>> columns = new LinkedHashMap<>();
-    columns.put("at_ms", Double.class);
-    columns.put("workload", String.class);
-    columns.put("customer", String.class);
-    columns.put("router", Long.class);
-    columns.put("took_ms", Double.class);
-    columns.put("tries", Long.class);
-    columns.put("end", String.class);
-    columns.put("earned", Double.class);
-    this.requests = new ResultTable(directory.resolve("jobs"), columns);
+    this.requests = new ResultTable(directory.resolve("jobs"), REQUEST_COLUMNS);
   }
 
   /** Records what these clients do from now on. */
@@ -86,10 +93,7 @@
 
   /** Writes the weights requested and earned in each second beside the curve's load. */
   void writeSeconds(EmulatedClients clients, LoadCurve curve) throws IOException {
-    LinkedHashMap<String, Class<?>> columns = new LinkedHashMap<>();
-    columns.put("second", Long.class);
-    List.of("load", "asked", "earned").forEach(column -> columns.put(column, Double.class));
-    try (ResultTable table = new ResultTable(directory.resolve("seconds"), columns)) {
+    try (ResultTable table = new ResultTable(directory.resolve("seconds"), SECOND_COLUMNS)) {
       for (var entry : clients.weightsBySecond().entrySet()) {
         table.row(
             entry.getKey(),
--- a/src/main/java/switchgap/testbed/experiment/ResultTable.java
+++ b/src/main/java/switchgap/testbed/experiment/ResultTable.java
@@ -9,7 +9,6 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import org.apache.arrow.memory.BufferAllocator;
 import org.apache.arrow.memory.RootAllocator;
 import org.apache.arrow.vector.BigIntVector;
@@ -28,13 +27,12 @@
 
 /**
  * A table of results, written as it grows: {@code STEM.csv}, and {@code STEM.arrow} in the Arrow
- * file format, in batches of {@value #BATCH} rows. Columns are text, whole numbers or reals, by the
- * class given.
+ * file format, in batches of {@value #BATCH} rows. One thread.
  */
 final class ResultTable implements AutoCloseable {
   private static final int BATCH = 8192;
   private static final long MAX_BUFFER_BYTES = 256L << 20;
-  private final Map<String, Class<?>> columns;
+  private final List<ResultColumn> columns;
   private final CSVPrinter csv;
   private final OutputStream file;
   private final BufferAllocator memory = new RootAllocator(MAX_BUFFER_BYTES);
@@ -42,20 +40,18 @@
   private final ArrowFileWriter arrow;
   private int row;
 
-  ResultTable(Path stem, Map<String, Class<?>> columns) throws IOException {
-    this.columns = columns;
+  ResultTable(Path stem, List<ResultColumn> columns) throws IOException {
+    this.columns = List.copyOf(columns);
     csv =
         new CSVPrinter(
             Files.newBufferedWriter(withSuffix(stem, ".csv")),
             CSVFormat.DEFAULT
                 .builder()
                 .setRecordSeparator('\n')
-                .setHeader(columns.keySet().toArray(new String[0]))
+                .setHeader(columns.stream().map(ResultColumn::name).toArray(String[]::new))
                 .get());
     List<Field> fields = new ArrayList<>();
-    columns.forEach(
-        (column, type) ->
-            fields.add(new Field(column, FieldType.notNullable(arrowType(type)), null)));
+    columns.forEach(column -> fields.add(arrowField(column)));
     root = VectorSchemaRoot.create(new Schema(fields), memory);
     file = new BufferedOutputStream(Files.newOutputStream(withSuffix(stem, ".arrow")));
     arrow = new ArrowFileWriter(root, null, Channels.newChannel(file));
@@ -66,16 +62,17 @@
     return stem.resolveSibling(stem.getFileName() + suffix);
   }
 
-  private static ArrowType arrowType(Class<?> columnType) {
-    if (columnType == String.class) {
-      return ArrowType.Utf8.INSTANCE;
-    }
-    return columnType == Long.class
-        ? new ArrowType.Int(Long.SIZE, true)
-        : new ArrowType.FloatingPoint(FloatingPointPrecision.DOUBLE);
+  private static Field arrowField(ResultColumn column) {
+    ArrowType type =
+        switch (column.type()) {
+          case TEXT -> ArrowType.Utf8.INSTANCE;
+          case INTEGER -> new ArrowType.Int(Long.SIZE, true);
+          case REAL -> new ArrowType.FloatingPoint(FloatingPointPrecision.DOUBLE);
+        };
+    return new Field(column.name(), FieldType.notNullable(type), null);
   }
 
-  /** One row, a value for each column. */
+  /** Adds a row: a value for each column, a string or a number by its type. */
   void row(Object... values) throws IOException {
     if (values.length != columns.size()) {
       throw new IllegalArgumentException(
--- a/src/main/java/switchgap/testbed/experiment/SmallRequestLoad.java
+++ b/src/main/java/switchgap/testbed/experiment/SmallRequestLoad.java
@@ -27,7 +27,7 @@
   /**
    * What was measured.
    *
-   * @param succeeded requests answered with status 200
+   * @param succeeded requests with a response of status 200
    * @param failed all others
    * @param perSecond requests that ended a second
    * @param latencyMicros time from when a request was due to its response
--- a/src/main/java/switchgap/testbed/experiment/StaticThreshold.java
+++ b/src/main/java/switchgap/testbed/experiment/StaticThreshold.java
@@ -4,8 +4,8 @@
 import switchgap.router.RouterCore;
 
 /**
- * The baseline of load shedding by a static limit: past so many pending requests at a router, it
- * rejects all request classes but those of the highest priority weight.
+ * The baseline of load shedding by a static threshold: past so many pending requests at a router,
+ * it rejects all request classes but those of the highest priority weight.
  *
  * @param maxPending pending requests at which it begins to reject
  */
--- a/src/main/java/switchgap/testbed/experiment/Variant.java
+++ b/src/main/java/switchgap/testbed/experiment/Variant.java
@@ -11,20 +11,24 @@
  * One way to run the routers of an experiment.
  *
  * @param name in tables and plots
- * @param before what stands before the policy
- * @param pinned a level held the whole time, or null
- * @param terms values put into the routers' documents, by {@code section.key}
+ * @param admission what decides on admission before the policy
+ * @param pinned a service level that never changes, or null
+ * @param settingOverrides values put into the routers' documents, by {@code section.key}
  */
-record Variant(String name, Before before, ServiceLevel pinned, Map<String, String> terms) {
-  /** What stands before the policy; words of experiment files. */
-  enum Before {
+record Variant(
+    String name,
+    AdmissionMode admission,
+    ServiceLevel pinned,
+    Map<String, String> settingOverrides) {
+  /** What decides on admission before the policy; words of experiment files. */
+  enum AdmissionMode {
     NOTHING,
     STATIC,
     LEVELS
   }
 
-  static final Variant OFF = new Variant("off", Before.NOTHING, null, Map.of());
-  static final Variant LEVELS = new Variant("levels", Before.LEVELS, null, Map.of());
+  static final Variant OFF = new Variant("off", AdmissionMode.NOTHING, null, Map.of());
+  static final Variant LEVELS = new Variant("levels", AdmissionMode.LEVELS, null, Map.of());
 
   /**
    * Reads {@code - {name: off, before: nothing, pin: least, terms: {levels.keep: 0.985}}} and its
@@ -33,22 +37,13 @@
   static List<Variant> read(YamlDocument under) {
     List<Variant> all = new ArrayList<>();
     for (YamlDocument document : under.sections("variants")) {
-      Map<String, String> terms = new LinkedHashMap<>();
-      if (document.has("terms")) {
-        YamlDocument section = document.section("terms");
-        for (String key : section.keys()) {
-          if (key.split("\\.").length != 2) {
-            throw section.invalid(key, "must be written part.key");
-          }
-          terms.put(key, section.text(key));
-        }
-      }
+      Map<String, String> overrides = settingOverrides(document);
       all.add(
           new Variant(
               document.text("name"),
-              document.choice("before", Before.class, Before.LEVELS),
+              document.choice("before", AdmissionMode.class, AdmissionMode.LEVELS),
               document.choice("pin", ServiceLevel.class, null),
-              Map.copyOf(terms)));
+              overrides));
       document.rejectUnknownKeys();
     }
     if (all.isEmpty()) {
@@ -56,4 +51,19 @@
     }
     return all;
   }
+
+  private static Map<String, String> settingOverrides(YamlDocument document) {
+    if (!document.has("terms")) {
+      return Map.of();
+    }
+    Map<String, String> overrides = new LinkedHashMap<>();
+    YamlDocument section = document.section("terms");
+    for (String key : section.keys()) {
+      if (key.split("\\.").length != 2) {
+        throw section.invalid(key, "must be written part.key");
+      }
+      overrides.put(key, section.text(key));
+    }
+    return Map.copyOf(overrides);
+  }
 }
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeFaults.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeFaults.java
@@ -37,7 +37,7 @@
     this.routerRestart = routerRestart;
   }
 
-  /** Schedules the whole fault script from now on. */
+  /** Schedules the fault script from now on. */
   void start() {
     scenario.faults().forEach(fault -> scheduler.after(fault.startsAt(), () -> inject(fault)));
   }
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeTestBed.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeTestBed.java
@@ -58,7 +58,7 @@
     this.seed = seed;
     this.variant = variant;
     this.threshold =
-        variant.before() == Variant.Before.STATIC
+        variant.admission() == Variant.AdmissionMode.STATIC
             ? new StaticThreshold(scenario.staticPendingLimit())
             : null;
     this.catalogue = scenario.catalogue(seed);
@@ -94,7 +94,8 @@
       settings.add(
           new YamlRouterSettings(
               YamlDocument.read(
-                  "router " + i, scenario.routerConfig(i, 1, 1, catalogue, variant.terms()))));
+                  "router " + i,
+                  scenario.routerConfig(i, 1, 1, catalogue, variant.settingOverrides()))));
       clients.setZone(i, scenario.zone(i));
       routers.add(null);
       startRouter(i);
@@ -130,7 +131,7 @@
   /** The variant's admission control, null for none. */
   private AdmissionController admissionController(
       VirtualTimeRouter router, YamlRouterSettings routerSettings, long admissionSeed) {
-    if (variant.before() != Variant.Before.LEVELS) {
+    if (variant.admission() != Variant.AdmissionMode.LEVELS) {
       return null;
     }
     AdmissionController admission =
--- a/src/test/java/switchgap/testbed/experiment/TrialTest.java
+++ b/src/test/java/switchgap/testbed/experiment/TrialTest.java
@@ -56,7 +56,8 @@
 
   @Test
   void leastLevelServesTheImportantRequestClassAlone() throws Exception {
-    Variant pinned = new Variant("pinned", Variant.Before.LEVELS, ServiceLevel.LEAST, Map.of());
+    Variant pinned =
+        new Variant("pinned", Variant.AdmissionMode.LEVELS, ServiceLevel.LEAST, Map.of());
     Map<String, Double> least = play(SEED, pinned, OVERLOAD).service().objectiveMetShare();
     Map<String, Double> off = play(SEED, Variant.OFF, OVERLOAD).service().objectiveMetShare();
 
