--- a/src/main/java/switchgap/net/Connector.java
+++ b/src/main/java/switchgap/net/Connector.java
@@ -38,7 +38,7 @@
    * @param wrap makes the connection
    * @param close closes one that opened only after its timeout
    */
-  @SuppressWarnings("rawtypes")
+  @SuppressWarnings("rawtypes") // Grizzly declares its connections raw
   record ConnectionAdapter<C>(Function<Connection, C> wrap, Consumer<C> close) {}
 
   /** Time within which an event loop polls its sockets after a stall of the process. */
@@ -51,7 +51,7 @@
    *
    * @param local the local address to connect from, or null for any
    */
-  @SuppressWarnings("rawtypes")
+  @SuppressWarnings("rawtypes") // Grizzly declares its connections raw
   static <C> void connect(
       TCPNIOConnectorHandler connector,
       InetSocketAddress remote,
@@ -69,7 +69,7 @@
    * One attempt to connect. Whoever takes the callback out of its reference has decided the
    * outcome.
    */
-  @SuppressWarnings("rawtypes")
+  @SuppressWarnings("rawtypes") // Grizzly declares its connections raw
   private static final class Attempt<C> extends EmptyCompletionHandler<Connection> {
     private final AtomicReference<ConnectCallback<C>> pendingCallback;
     private final AtomicReference<GrizzlyFuture<Connection>> pendingFuture =
--- a/src/main/java/switchgap/net/SelectorThreadStrategy.java
+++ b/src/main/java/switchgap/net/SelectorThreadStrategy.java
@@ -17,7 +17,7 @@
  * 4.0.2 ({@code TCPNIOTransport.fireIOEvent}, {@code SERVER_ACCEPT}) drops the failure and leaves
  * the event ready, so that the selector would spin for as long as descriptors or memory are short.
  */
-@SuppressWarnings("rawtypes")
+@SuppressWarnings("rawtypes") // Grizzly declares its connections raw
 final class SelectorThreadStrategy implements IOStrategy {
   private static final long ACCEPT_RETRY_DELAY_MILLIS = 20;
 
--- a/src/main/java/switchgap/testbed/emulator/RealTimeScheduler.java
+++ b/src/main/java/switchgap/testbed/emulator/RealTimeScheduler.java
@@ -16,8 +16,8 @@
   private final ScheduledThreadPoolExecutor executor =
       new ScheduledThreadPoolExecutor(1, RealTimeScheduler::newThread);
 
-  @SuppressWarnings(
-      "ThreadPriorityCheck") // asks for no more than the usual share of a busy machine
+  // The JVM ignores a thread's priority unless it is started with a policy for it.
+  @SuppressWarnings("ThreadPriorityCheck")
   private static Thread newThread(Runnable task) {
     Thread thread = new Thread(task, "emulator");
     thread.setDaemon(true);
--- a/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
@@ -165,7 +165,7 @@
   }
 
   /** A mapping within a document; the scenario's document was checked when it was read. */
-  @SuppressWarnings("unchecked")
+  @SuppressWarnings("unchecked") // checked when the document was read
   private static Map<String, Object> child(Map<String, Object> parent, String name) {
     return (Map<String, Object>) parent.get(name);
   }
--- a/src/test/java/switchgap/server/platform/PlatformSettingsTest.java
+++ b/src/test/java/switchgap/server/platform/PlatformSettingsTest.java
@@ -2,82 +2,99 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import java.util.function.UnaryOperator;
+import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
+import org.junit.jupiter.params.provider.MethodSource;
 
 /** Settings of other operators: requests are served under each. */
 class PlatformSettingsTest extends PlatformFixture {
-  @ParameterizedTest
-  @ValueSource(
-      strings = {
-        "no tenants",
-        "tenants not stated",
-        "no zones",
-        "one class",
-        "no costs",
-        "no reports",
-        "no retry-after",
-        "timeouts of minutes",
-        "timeouts of tenths of a second",
-        "no warm-up",
-        "no load commands",
-        "a hundred routers"
-      })
-  void servesRequestsUnderVariedSettings(String variant) throws Exception {
-    String requestClass = TestSubmit.IDEMPOTENT_CLASS;
-    long timeoutMillis = 450;
-    switch (variant) {
-      case "no tenants" ->
-          settings = settings.replaceAll("\"Tenants\":\\[[^]]*]", "\"Tenants\":[]");
-      case "tenants not stated" -> settings = settings.replaceAll("\"Tenants\":\\[[^]]*],", "");
-      case "no zones" -> settings = settings.replace("[\"east\",\"west\"]", "[]");
-      case "one class" -> {
-        settings = settings.replaceAll("(?s)\\{\"Name\":\"again\"[^}]*},", "");
-        requestClass = TestSubmit.NON_IDEMPOTENT_CLASS;
-      }
-      case "no costs" ->
-          settings =
-              settings.replaceAll("\"Costs\":\\{[^}]*},", "").replaceAll("\"MemoryPrice\":0,", "");
-      case "no reports" ->
-          settings =
-              settings
-                  .replaceAll("(?s),\\s*\"Telemetry\":\\{[^}]*}", "")
-                  .replace(",\"SaysCompany\":true", "");
-      case "no retry-after" ->
-          settings =
-              settings.replace(
-                  "\"RetryAfter\":true,\"MaxRetryAfterUs\":900000,", "\"RetryAfter\":false,");
-      case "timeouts of minutes" -> {
-        timeoutMillis = 300_000;
-        settings =
-            settings.replace(
-                "\"AimUs\":300000,\"DeadlineUs\":1000000",
-                "\"AimUs\":60000000,\"DeadlineUs\":600000000");
-      }
-      case "timeouts of tenths of a second" ->
-          settings =
-              settings.replace(
-                  "\"AimUs\":300000,\"DeadlineUs\":1000000",
-                  "\"AimUs\":40000,\"DeadlineUs\":450000");
-      case "no warm-up" ->
-          settings =
-              settings.replace(
-                  "\"ColdUs\":2000000,\"FallMultiple\":3,\"OverloadForUs\":1000000",
-                  "\"ColdUs\":0,\"FallMultiple\":0,\"OverloadForUs\":0");
-      case "no load commands" ->
-          settings =
-              settings.replace(
-                  "\"IfCold\":\"miss\",\"PlacementCalls\":true",
-                  "\"IfCold\":\"load\",\"PlacementCalls\":false");
-      default ->
-          settings = settings.replace("\"Balancers\":1,\"Me\":0", "\"Balancers\":100,\"Me\":99");
+  private static final String DEFAULT_TIMES = "\"AimUs\":300000,\"DeadlineUs\":1000000";
+  private static final long TIMEOUT_MILLIS = 450;
+  private static final long LONG_TIMEOUT_MILLIS = 300_000;
+
+  /**
+   * One operator's settings.
+   *
+   * @param name what differs from the test settings
+   * @param change makes them of the test settings
+   * @param requestClass a class that they have
+   * @param timeoutMillis a timeout within their deadlines
+   */
+  private record Variant(
+      String name, UnaryOperator<String> change, String requestClass, long timeoutMillis) {
+    static Variant of(String name, UnaryOperator<String> change) {
+      return new Variant(name, change, TestSubmit.IDEMPOTENT_CLASS, TIMEOUT_MILLIS);
     }
+
+    @Override
+    public String toString() {
+      return name;
+    }
+  }
+
+  private static Stream<Variant> variants() {
+    return Stream.of(
+        Variant.of(
+            "no tenants", json -> json.replaceAll("\"Tenants\":\\[[^]]*]", "\"Tenants\":[]")),
+        Variant.of("tenants not stated", json -> json.replaceAll("\"Tenants\":\\[[^]]*],", "")),
+        Variant.of("no zones", json -> json.replace("[\"east\",\"west\"]", "[]")),
+        new Variant(
+            "one class",
+            json -> json.replaceAll("(?s)\\{\"Name\":\"again\"[^}]*},", ""),
+            TestSubmit.NON_IDEMPOTENT_CLASS,
+            TIMEOUT_MILLIS),
+        Variant.of(
+            "no costs",
+            json ->
+                json.replaceAll("\"Costs\":\\{[^}]*},", "").replaceAll("\"MemoryPrice\":0,", "")),
+        Variant.of(
+            "no reports",
+            json ->
+                json.replaceAll("(?s),\\s*\"Telemetry\":\\{[^}]*}", "")
+                    .replace(",\"SaysCompany\":true", "")),
+        Variant.of(
+            "no retry-after",
+            json ->
+                json.replace(
+                    "\"RetryAfter\":true,\"MaxRetryAfterUs\":900000,", "\"RetryAfter\":false,")),
+        new Variant(
+            "timeouts of minutes",
+            json -> json.replace(DEFAULT_TIMES, "\"AimUs\":60000000,\"DeadlineUs\":600000000"),
+            TestSubmit.IDEMPOTENT_CLASS,
+            LONG_TIMEOUT_MILLIS),
+        Variant.of(
+            "timeouts of tenths of a second",
+            json -> json.replace(DEFAULT_TIMES, "\"AimUs\":40000,\"DeadlineUs\":450000")),
+        Variant.of(
+            "no warm-up",
+            json ->
+                json.replace(
+                    "\"ColdUs\":2000000,\"FallMultiple\":3,\"OverloadForUs\":1000000",
+                    "\"ColdUs\":0,\"FallMultiple\":0,\"OverloadForUs\":0")),
+        Variant.of(
+            "no load commands",
+            json ->
+                json.replace(
+                    "\"IfCold\":\"miss\",\"PlacementCalls\":true",
+                    "\"IfCold\":\"load\",\"PlacementCalls\":false")),
+        Variant.of(
+            "a hundred routers",
+            json -> json.replace("\"Balancers\":1,\"Me\":0", "\"Balancers\":100,\"Me\":99")));
+  }
+
+  @ParameterizedTest
+  @MethodSource("variants")
+  void servesRequestsUnderVariedSettings(Variant variant) throws Exception {
+    settings = variant.change().apply(settings);
     assertThat(settings).isNotEqualTo(TestPlatformSettings.SETTINGS);
     startRouter(MANY_SOCKETS, RespTestServer.executingAll());
     ThriftTestClient client = connectClient();
     for (int number = 1; number <= 3; number++) {
       client.submit(
-          number, TestSubmit.ofClass(requestClass, nextId()).timeoutMillis(timeoutMillis));
+          number,
+          TestSubmit.ofClass(variant.requestClass(), nextId())
+              .timeoutMillis(variant.timeoutMillis()));
       assertThat(client.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
     }
   }
