--- a/src/test/java/switchgap/server/gateway/ClientConnectionsTest.java
+++ b/src/test/java/switchgap/server/gateway/ClientConnectionsTest.java
@@ -86,7 +86,9 @@
       for (Socket client : clients) {
         client.close();
       }
-      until(() -> fixture.invokeForEndAsync(IDEMPOTENT, "1").join().equals(SUCCEEDED));
+      until(
+          Duration.ofMillis(100),
+          () -> fixture.invokeForEndAsync(IDEMPOTENT, "1").join().equals(SUCCEEDED));
     }
   }
 
--- a/src/test/java/switchgap/server/gateway/GatewayEndpointListTest.java
+++ b/src/test/java/switchgap/server/gateway/GatewayEndpointListTest.java
@@ -88,7 +88,7 @@
             .sections("list: {port: " + list.port() + ", ask_again: 50ms}\n")
             .start()) {
       until(() -> list.entries().size() == 1);
-      until(() -> ends(fixture, NON_IDEMPOTENT, SUCCEEDED));
+      until(Duration.ofMillis(200), () -> ends(fixture, NON_IDEMPOTENT, SUCCEEDED));
 
       assertRequestSurvivesWorkerThatIsGone(fixture);
       assertDrainingWorkerGetsNoRequest(fixture);
@@ -115,7 +115,7 @@
   /** The only worker that is left drains. */
   private void assertDrainingWorkerGetsNoRequest(GatewayFixture fixture) throws Exception {
     scheduler.post(() -> list.put(entry("w1", otherWorker, EndpointState.DRAINING)));
-    until(() -> ends(fixture, NON_IDEMPOTENT, REJECTED));
+    until(Duration.ofMillis(100), () -> ends(fixture, NON_IDEMPOTENT, REJECTED));
     int before = otherWorker.receivedRequests().size();
     assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "4"))).isEqualTo(REJECTED);
     assertThat(otherWorker.receivedRequests()).hasSize(before);
@@ -174,7 +174,9 @@
       // the last list stays meanwhile
       assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
       until(Duration.ofSeconds(3), () -> listRequests.get() >= 3);
-      until(() -> ends(fixture, NON_IDEMPOTENT, REJECTED)); // the drain was noticed
+      until(
+          Duration.ofMillis(100),
+          () -> ends(fixture, NON_IDEMPOTENT, REJECTED)); // the drain was noticed
       assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "2"))).isEqualTo(REJECTED);
     }
   }
