--- a/src/test/java/switchgap/endpoints/EventStreamClientTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientTest.java
@@ -54,7 +54,7 @@
       fixture.client.follow(feed.address());
       fixture.awaitReceived(5);
       assertThat(fixture.receivedSequences()).containsExactly(2L, 3L, 4L, 5L, 6L);
-      assertThat(feed.requestedEventIds).startsWith(1L, 2L, 3L, 3L);
+      assertThat(feed.requestedEventIds()).startsWith(1L, 2L, 3L, 3L);
     }
   }
 
@@ -77,10 +77,10 @@
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
       fixture.client.follow(firstFeed.address());
       fixture.awaitReceived(1); // on the second connection, as the first was silent
-      assertThat(firstFeed.requestedEventIds).containsExactly(1L, 1L);
+      assertThat(firstFeed.requestedEventIds()).containsExactly(1L, 1L);
       fixture.client.follow(secondFeed.address());
       fixture.awaitReceived(2);
-      assertThat(secondFeed.requestedEventIds).containsExactly(2L);
+      assertThat(secondFeed.requestedEventIds()).containsExactly(2L);
     }
   }
 
@@ -146,7 +146,7 @@
       fixture.awaitReceived(3);
       assertThat(fixture.receivedWorkers()).containsExactly("5same", "8ahead", "9w9");
       // no event is missing before a complete list, so it is requested once
-      assertThat(feed.requestedEventIds).containsExactly(5L);
+      assertThat(feed.requestedEventIds()).containsExactly(5L);
     }
   }
 }
