--- a/src/test/java/switchgap/testbed/scenario/InvariantCheckerTest.java
+++ b/src/test/java/switchgap/testbed/scenario/InvariantCheckerTest.java
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void excusesMissingResponseWhenRouterWasKilled() throws IOException {
+  void excusesMissingResponseWhenRouterWasTerminated() throws IOException {
     scenario
         .attemptSent(100, "j0.1", IDEMPOTENT)
         .attemptEnded(300, "j0.1", "broken")
--- a/src/test/java/switchgap/testbed/soak/SoakCheckerTest.java
+++ b/src/test/java/switchgap/testbed/soak/SoakCheckerTest.java
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void excusesLostConnectionOfKilledRouterAndLateResponseOfPausedRouter() {
+  void excusesLostConnectionOfTerminatedRouterAndLateResponseOfPausedRouter() {
     cutAtRouterZeroAndDelayedAtRouterOne();
     run.outage(OutageCause.ROUTER_KILLED, 0, 49, 900);
     run.outage(OutageCause.ROUTER_PAUSED, 1, 50, 2050);
