--- /dev/null
+++ b/src/test/java/switchgap/testbed/experiment/LoadCurveReaderTest.java
@@ -0,0 +1,79 @@
+package switchgap.testbed.experiment;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+import static org.assertj.core.api.Assertions.within;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import switchgap.config.InvalidConfigException;
+import switchgap.config.YamlDocument;
+
+/** Load curves from documents and CSV files, and the place and reason of each mistake. */
+class LoadCurveReaderTest {
+  private static final long SECOND = 1_000_000;
+
+  @TempDir Path directory;
+
+  private LoadCurve read(String document) throws Exception {
+    return LoadCurveReader.read(
+        "curve", YamlDocument.read("document", document), directory.resolve("document.yaml"));
+  }
+
+  private LoadCurve readCsv(String rows) throws Exception {
+    Files.writeString(directory.resolve("curve.csv"), rows);
+    return read("csv: curve.csv");
+  }
+
+  @Test
+  void interpolatesBetweenPointsAndStaysAtTheLastOne() throws Exception {
+    LoadCurve curve = read("points: [{at: 0s, load: 0.5}, {at: 10s, load: 1.5}]");
+
+    assertThat(curve.seconds()).isEqualTo(10);
+    assertThat(curve.loadAt(0)).isEqualTo(0.5);
+    assertThat(curve.loadAt(5 * SECOND)).isCloseTo(1.0, within(1e-9));
+    assertThat(curve.loadAt(20 * SECOND)).isEqualTo(1.5);
+  }
+
+  @Test
+  void readsTheSameCurveFromCsv() throws Exception {
+    LoadCurve curve = readCsv("seconds, load\n0, 0.5\n10, 1.5\n");
+
+    assertThat(curve).isEqualTo(read("points: [{at: 0s, load: 0.5}, {at: 10s, load: 1.5}]"));
+  }
+
+  @Test
+  void addsWavesAndNeverFallsBelowZero() throws Exception {
+    LoadCurve curve =
+        read(
+            "points: [{at: 0s, load: 0.1}, {at: 40s, load: 0.1}]\n"
+                + "waves: {every: 8s, by: 0.5}");
+
+    assertThat(curve.loadAt(2 * SECOND)).isCloseTo(0.6, within(1e-9));
+    assertThat(curve.loadAt(6 * SECOND)).isZero();
+  }
+
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "seconds;0                     | curve.csv:1: has no column load",
+        "seconds,load;0,x              | curve.csv:2: load: 'x' is no number",
+        "seconds,load;0,1;5            | curve.csv:3: load: absent",
+        "seconds,load;0,NaN            | curve.csv:2: load: must be a number",
+        "seconds,load;0,101            | curve.csv:2: load: 101.0 must lie from 0 to 100",
+        "seconds,load;5,1;3,1          | curve.csv:3: seconds: must not go back in time",
+        "seconds,load;0,1              | points: needs two points or more, or a csv file",
+      })
+  void rejectsMalformedCsvWithItsPlaceAndReason(String rows, String message) {
+    String csv = rows.strip().replace(';', '\n') + "\n";
+
+    assertThatThrownBy(() -> readCsv(csv))
+        .isInstanceOf(InvalidConfigException.class)
+        .hasMessageEndingWith(message);
+  }
+}
