--- a/src/test/java/switchgap/server/platform/ClientEvictionTest.java
+++ b/src/test/java/switchgap/server/platform/ClientEvictionTest.java
@@ -127,14 +127,7 @@
   @Test
   void neverEvictsConnectionWithRequestInFlight() throws Exception {
     CountDownLatch allowReply = new CountDownLatch(1);
-    RespTestServer worker =
-        new RespTestServer(
-            (command, output) -> {
-              if (command.isExecution()) {
-                allowReply.await();
-              }
-              return RespTestServer.executeAll(command, output);
-            });
+    RespTestServer worker = RespTestServer.executingAfter(allowReply);
     startRouter(30, worker); // ten of them for clients
     List<ThriftTestClient> all = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
--- a/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
+++ b/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
@@ -155,14 +155,7 @@
   @Test
   void handlesRequestsQueuedForEventLoop() throws Exception {
     CountDownLatch allowReply = new CountDownLatch(1);
-    RespTestServer worker =
-        new RespTestServer(
-            (command, output) -> {
-              if (command.isExecution()) {
-                allowReply.await();
-              }
-              return RespTestServer.executeAll(command, output);
-            });
+    RespTestServer worker = RespTestServer.executingAfter(allowReply);
     startRouter(MANY_SOCKETS, worker);
     ThriftTestClient first = connectClient();
     ThriftTestClient second = connectClient();
--- a/src/test/java/switchgap/server/platform/InvalidClientTest.java
+++ b/src/test/java/switchgap/server/platform/InvalidClientTest.java
@@ -12,14 +12,7 @@
   @Test
   void failsUnusableSubmitWithoutAffectingRequestInFlight() throws Exception {
     CountDownLatch allowReply = new CountDownLatch(1);
-    RespTestServer worker =
-        new RespTestServer(
-            (command, output) -> {
-              if (command.isExecution()) {
-                allowReply.await();
-              }
-              return RespTestServer.executeAll(command, output);
-            });
+    RespTestServer worker = RespTestServer.executingAfter(allowReply);
     startRouter(MANY_SOCKETS, worker);
     ThriftTestClient client = connectClient();
     ThriftTestClient invalid = connectClient();
--- a/src/test/java/switchgap/server/platform/RespTestServer.java
+++ b/src/test/java/switchgap/server/platform/RespTestServer.java
@@ -11,6 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.CountDownLatch;
 
 /** A scripted worker on a plain socket that records the commands it receives. */
 final class RespTestServer implements AutoCloseable {
@@ -83,6 +84,17 @@
     return new RespTestServer(RespTestServer::executeAll);
   }
 
+  /** A worker that replies to executions only once the latch is open. */
+  static RespTestServer executingAfter(CountDownLatch allowReply) throws IOException {
+    return new RespTestServer(
+        (command, output) -> {
+          if (command.isExecution()) {
+            allowReply.await();
+          }
+          return executeAll(command, output);
+        });
+  }
+
   /** A worker that never replies to an execution. */
   static RespTestServer neverReplying() throws IOException {
     return new RespTestServer(
