--- a/src/main/java/switchgap/testbed/experiment/ExperimentCase.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentCase.java
@@ -22,8 +22,9 @@
   }
 
   /** The trials of a variant, in the order of the seeds. */
+  @SuppressWarnings("ReferenceEquality") // a list may hold two variants that are alike
   List<Trial> of(Variant variant) {
-    return trials.stream().filter(trial -> trial.variant().equals(variant)).toList();
+    return trials.stream().filter(trial -> trial.variant() == variant).toList();
   }
 
   /** One trial of each variant: those of the first seed. */
