--- a/src/main/java/switchgap/protocol/inference/AttemptExchange.java
+++ b/src/main/java/switchgap/protocol/inference/AttemptExchange.java
@@ -10,9 +10,9 @@
 import switchgap.router.Response;
 import switchgap.router.RouterCore;
 
-/** The exchange of an attempt; its end is posted to the event loop. */
+/** The exchange of an attempt. Its outcome is posted to the event loop. */
 final class AttemptExchange extends InferenceExchange {
-  /** Headers of the worker's connection or for this router, which the client does not get. */
+  /** Response headers that concern the worker's connection or this router, not the client. */
   private static final Set<String> HOP_BY_HOP_HEADERS =
       Set.of(
           "content-length",
@@ -22,32 +22,35 @@
           "date",
           "server",
           OrcaLoadReport.HEADER,
-          InferenceRequest.REQUEST_ID_HEADER);
+          InferenceRequest.RECEIVED_REQUEST_ID_HEADER);
 
   private final Attempt attempt;
-  private final Consumer<Consumer<RouterCore>> events;
+  private final Consumer<Consumer<RouterCore>> eventLoop;
 
-  /** An exchange that is not sent after {@code deadlineNanos} of System.nanoTime. */
+  /**
+   * Creates an exchange that is not sent after {@code deadlineNanos} of {@link System#nanoTime}.
+   */
   AttemptExchange(
       Attempt attempt,
       HttpConnectionPool pool,
       long deadlineNanos,
-      Consumer<Consumer<RouterCore>> events) {
+      Consumer<Consumer<RouterCore>> eventLoop) {
     super(attempt.worker(), pool, InferenceRequest.infer(attempt), deadlineNanos);
     this.attempt = attempt;
-    this.events = events;
+    this.eventLoop = eventLoop;
   }
 
   @Override
-  void notSent(AttemptOutcome outcome) {
-    events.accept(core -> core.attemptEnded(attempt, outcome, LoadReport.NONE, null));
+  void onNotSent(AttemptOutcome outcome) {
+    eventLoop.accept(core -> core.attemptEnded(attempt, outcome, LoadReport.NONE, null));
   }
 
   @Override
-  void replied(int status, Map<String, String> headers, byte[] body) {
-    String echoedId = headers.get(InferenceRequest.REQUEST_ID_HEADER);
+  void onReply(int status, Map<String, String> headers, byte[] body) {
+    String echoedId = headers.get(InferenceRequest.RECEIVED_REQUEST_ID_HEADER);
     if (echoedId != null && !echoedId.equals(attempt.attemptId())) {
-      lost(); // a response to another request: this one may have been executed
+      // The response belongs to another request, so whether this one was executed is unknown.
+      onConnectionLost();
       return;
     }
     OrcaLoadReport report = OrcaLoadReport.parse(headers);
@@ -56,24 +59,27 @@
         outcome == AttemptOutcome.SUCCEEDED
             ? Response.succeeded(status, forwardedHeaders(headers), body)
             : null;
-    events.accept(core -> core.attemptEnded(attempt, outcome, report.toLoadReport(), response));
+    eventLoop.accept(core -> core.attemptEnded(attempt, outcome, report.toLoadReport(), response));
   }
 
   @Override
-  void lost() {
-    events.accept(
+  void onConnectionLost() {
+    eventLoop.accept(
         core -> core.attemptEnded(attempt, AttemptOutcome.CONNECTION_LOST, LoadReport.NONE, null));
   }
 
-  /** How an attempt with this response ended, and whether that proves that it was not executed. */
+  /**
+   * Returns NOT_LOADED or REJECTED only if the worker reports that the attempt was not executed;
+   * any other error may have followed an execution.
+   */
   private static AttemptOutcome outcome(int status, OrcaLoadReport report) {
     if (HttpStatus.isSuccess(status)) {
       return AttemptOutcome.SUCCEEDED;
     }
-    if (report.provesNotExecuted() && HttpStatus.isNotFound(status)) {
+    if (report.reportsNotExecuted() && HttpStatus.isNotFound(status)) {
       return AttemptOutcome.NOT_LOADED;
     }
-    if (report.provesNotExecuted() && HttpStatus.isOverloaded(status)) {
+    if (report.reportsNotExecuted() && HttpStatus.isOverloaded(status)) {
       return AttemptOutcome.REJECTED;
     }
     return AttemptOutcome.FAILED;
--- a/src/main/java/switchgap/protocol/inference/CommandExchange.java
+++ b/src/main/java/switchgap/protocol/inference/CommandExchange.java
@@ -4,17 +4,17 @@
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.router.WorkerEntry;
 
-/** The exchange of a load command, a query, an unload or a probe. */
+/** The exchange of a load command, a query for loaded replicas, an unload command or a probe. */
 final class CommandExchange extends InferenceExchange {
-  /** Is notified once of how an exchange ended, or not at all where it was abandoned. */
+  /** Receives the result of an exchange once, or never if the exchange was abandoned. */
   interface CommandResultListener {
-    /** The exchange ended; the report is empty where there was none. On any thread. */
+    /** Called on any thread; the report is empty if the worker sent none. */
     void exchangeEnded(AttemptOutcome outcome, OrcaLoadReport report);
   }
 
   private final CommandResultListener listener;
 
-  /** An exchange without a deadline of its own: the core abandons it. */
+  /** Creates an exchange without a deadline; the core abandons it when it times out. */
   CommandExchange(
       WorkerEntry worker,
       HttpConnectionPool pool,
@@ -25,17 +25,17 @@
   }
 
   @Override
-  void notSent(AttemptOutcome outcome) {
+  void onNotSent(AttemptOutcome outcome) {
     listener.exchangeEnded(outcome, OrcaLoadReport.EMPTY);
   }
 
   @Override
-  void replied(int status, Map<String, String> headers, byte[] body) {
+  void onReply(int status, Map<String, String> headers, byte[] body) {
     listener.exchangeEnded(outcome(status), OrcaLoadReport.parse(headers));
   }
 
   @Override
-  void lost() {
+  void onConnectionLost() {
     listener.exchangeEnded(AttemptOutcome.CONNECTION_LOST, OrcaLoadReport.EMPTY);
   }
 
--- a/src/main/java/switchgap/protocol/inference/ExchangeQueue.java
+++ b/src/main/java/switchgap/protocol/inference/ExchangeQueue.java
@@ -4,51 +4,51 @@
 import java.util.List;
 
 /**
- * The exchanges of one pool that wait for a connection, first in first out, up to a bound. An
- * exchange may end while it waits; it is then passed over. Guarded by the lock of its pool.
+ * Bounded FIFO queue of the exchanges of one pool that wait for a connection. Exchanges that ended
+ * while they waited are skipped. Guarded by the lock of the pool.
  */
 final class ExchangeQueue {
-  private final ArrayDeque<InferenceExchange> waiting = new ArrayDeque<>();
+  private final ArrayDeque<InferenceExchange> exchanges = new ArrayDeque<>();
   private final int capacity;
 
   ExchangeQueue(int capacity) {
     this.capacity = capacity;
   }
 
-  /** Adds an exchange; returns false where the queue is full. */
+  /** Adds an exchange; returns false if the queue is full. */
   boolean offer(InferenceExchange exchange) {
-    if (waiting.size() >= capacity) {
+    if (exchanges.size() >= capacity) {
       removeEnded();
     }
-    return waiting.size() < capacity && waiting.add(exchange);
+    return exchanges.size() < capacity && exchanges.add(exchange);
   }
 
-  /** Removes the first exchange that still waits and returns it, or null. */
+  /** Removes and returns the first exchange that has not ended, or null if there is none. */
   InferenceExchange poll() {
-    InferenceExchange exchange = waiting.pollFirst();
+    InferenceExchange exchange = exchanges.pollFirst();
     while (exchange != null && !exchange.isWaiting()) {
-      exchange = waiting.pollFirst();
+      exchange = exchanges.pollFirst();
     }
     return exchange;
   }
 
-  /** Removes all exchanges and returns them, among them those that have ended. */
+  /** Removes and returns all exchanges, including any that have ended. */
   List<InferenceExchange> drain() {
-    List<InferenceExchange> drained = List.copyOf(waiting);
-    waiting.clear();
+    List<InferenceExchange> drained = List.copyOf(exchanges);
+    exchanges.clear();
     return drained;
   }
 
   void removeEnded() {
-    waiting.removeIf(exchange -> !exchange.isWaiting());
+    exchanges.removeIf(exchange -> !exchange.isWaiting());
   }
 
-  /** Exchanges in the queue, among them those that have ended since {@link #removeEnded}. */
+  /** Length of the queue, including exchanges that ended since {@link #removeEnded} was called. */
   int size() {
-    return waiting.size();
+    return exchanges.size();
   }
 
   boolean isEmpty() {
-    return waiting.isEmpty();
+    return exchanges.isEmpty();
   }
 }
--- a/src/main/java/switchgap/protocol/inference/ExchangeState.java
+++ b/src/main/java/switchgap/protocol/inference/ExchangeState.java
@@ -2,15 +2,17 @@
 
 /** The states of an {@link InferenceExchange}. */
 enum ExchangeState {
-  /** It has no connection, and no byte of it has been sent. */
+  /** The exchange has no connection, and no byte of it has been sent. */
   WAITING,
-  /** It has a connection, and bytes of it may have been sent. */
+  /** The exchange has a connection, and bytes of it may have been sent. */
   IN_FLIGHT,
-  /** It was completed or abandoned. */
+  /** The exchange was completed or abandoned. */
   ENDED;
 
-  /** An exchange in flight waits again only where its connection took no byte. */
-  boolean mayBecome(ExchangeState next) {
+  /**
+   * Allows a return from in flight to waiting, for an exchange whose connection accepted no byte.
+   */
+  boolean canTransitionTo(ExchangeState next) {
     return switch (this) {
       case WAITING -> next == IN_FLIGHT || next == ENDED;
       case IN_FLIGHT -> next == WAITING || next == ENDED;
--- a/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
+++ b/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
@@ -12,62 +12,67 @@
 import switchgap.policy.api.AttemptOutcome;
 
 /**
- * Persistent connections to one worker: opened as needed up to a limit, the most recently used
- * first, closed when idle. The pool never retries: an exchange whose connection took bytes and was
- * lost is lost, and only one of which no byte was sent is sent on another connection.
+ * Persistent connections to one worker. They are opened on demand up to a limit, reused most
+ * recently used first, and closed after an idle timeout. The pool never sends a request twice: if a
+ * connection is lost after it accepted bytes, the exchange ends as lost; only an exchange of which
+ * no byte was sent moves to another connection.
  *
- * <p>It shares no code with the pool of the RESP protocol: that one belongs to the event loop alone
- * and multiplexes exchanges over a connection, this one is guarded by its lock as writer threads
- * use it, and has one exchange at a time on a connection. Callbacks are called without the lock.
+ * <p>It shares no code with the pool of the RESP protocol, which is confined to the event loop and
+ * multiplexes exchanges over a connection. This pool is also used by writer threads, so its state
+ * is guarded by its lock, and a connection carries one exchange at a time. Callbacks are called
+ * without holding the lock.
  */
 final class HttpConnectionPool {
-  private final HttpClientConnector connectionFactory;
+  private final HttpClientConnector connector;
   private final InetSocketAddress address;
   private final HttpPoolLimits limits;
-  private final IdleConnections idle = new IdleConnections();
-  private final ExchangeQueue waiting;
+  private final IdleConnections idleConnections = new IdleConnections();
+  private final ExchangeQueue waitingExchanges;
 
-  /** Closed connections that have been counted: a connection may report its end more than once. */
-  private final Set<HttpClientConnection> closed = Collections.newSetFromMap(new WeakHashMap<>());
+  /**
+   * Connections whose close has been counted, since a connection may report its close repeatedly.
+   */
+  private final Set<HttpClientConnection> closedConnections =
+      Collections.newSetFromMap(new WeakHashMap<>());
 
-  private int open;
-  private int opening;
+  private int openCount;
+  private int openingCount;
   private boolean retired;
 
   HttpConnectionPool(
-      HttpClientConnector connectionFactory, InetSocketAddress address, HttpPoolLimits limits) {
-    this.connectionFactory = connectionFactory;
+      HttpClientConnector connector, InetSocketAddress address, HttpPoolLimits limits) {
+    this.connector = connector;
     this.address = address;
     this.limits = limits;
-    this.waiting = new ExchangeQueue(limits.maxPendingExchanges());
+    this.waitingExchanges = new ExchangeQueue(limits.maxPendingExchanges());
   }
 
-  /** Connections that are open, idle or in use. */
+  /** Number of open connections, both idle and in use. */
   synchronized int openConnections() {
-    return open;
+    return openCount;
   }
 
-  /** Sends an exchange of this pool, has it wait for a connection, or ends it as not sent. */
+  /** Sends an exchange or queues it; if neither is possible, ends it as not sent. */
   void submit(InferenceExchange exchange) {
     HttpClientConnection connection = null;
-    boolean waits = false;
+    boolean queued = false;
     synchronized (this) {
-      if (exchange.maySend()) {
-        connection = idle.pollUsable();
-        waits = connection == null && waiting.offer(exchange);
+      if (exchange.canBeSent()) {
+        connection = idleConnections.pollUsable();
+        queued = connection == null && waitingExchanges.offer(exchange);
       }
     }
     if (connection != null) {
       send(exchange, connection);
-    } else if (waits || !exchange.endNotSent(AttemptOutcome.NOT_SENT)) {
+    } else if (queued || !exchange.endNotSent(AttemptOutcome.NOT_SENT)) {
       openConnectionsForWaiting();
     }
   }
 
-  /** Sends an exchange on a connection; where that takes no byte, on another one. */
+  /** Sends an exchange on a connection; submits it again if the connection accepts no byte. */
   private void send(InferenceExchange exchange, HttpClientConnection connection) {
     if (!exchange.assign(connection)) {
-      // Ended at once: what is known not to have been executed can still go to another worker.
+      // Ending it now, not at its timeout, leaves the router time for an attempt at another worker.
       exchange.endNotSent(AttemptOutcome.NOT_SENT);
       release(connection);
     } else if (!exchange.sendOn(connection)) {
@@ -75,21 +80,24 @@
         submit(exchange);
       }
     } else if (exchange.isEnded()) {
-      // Abandoned just before it was sent: nobody else would end it and free its connection.
+      // It was abandoned between assign() and sendOn(), when the connection did not carry it yet,
+      // so
+      // abandon() could not release the connection.
       connection.abandon(exchange);
     }
   }
 
   private void openConnectionsForWaiting() {
-    int needed;
+    int connectionsToOpen;
     synchronized (this) {
-      waiting.removeEnded();
-      int allowed = limits.maxConnections() - open - opening;
-      needed = Math.max(0, Math.min(waiting.size() - opening, allowed));
-      opening += needed;
+      waitingExchanges.removeEnded();
+      int remainingCapacity = limits.maxConnections() - openCount - openingCount;
+      connectionsToOpen =
+          Math.max(0, Math.min(waitingExchanges.size() - openingCount, remainingCapacity));
+      openingCount += connectionsToOpen;
     }
-    for (int i = 0; i < needed; i++) {
-      connectionFactory.connect(address, limits.connectTimeout(), new ConnectListener());
+    for (int i = 0; i < connectionsToOpen; i++) {
+      connector.connect(address, limits.connectTimeout(), new ConnectListener());
     }
   }
 
@@ -97,8 +105,8 @@
     @Override
     public void connected(HttpClientConnection connection) {
       synchronized (HttpConnectionPool.this) {
-        opening--;
-        open++;
+        openingCount--;
+        openCount++;
       }
       connection.onClose(() -> connectionClosed(connection));
       release(connection);
@@ -108,60 +116,61 @@
     public void failed(ConnectFailure failure) {
       InferenceExchange exchange;
       synchronized (HttpConnectionPool.this) {
-        opening--;
-        exchange = waiting.size() > opening ? waiting.poll() : null;
+        openingCount--;
+        exchange = waitingExchanges.size() > openingCount ? waitingExchanges.poll() : null;
       }
       if (exchange != null) {
         exchange.endNotSent(AttemptOutcome.CONNECT_FAILED);
       }
-      // More may wait than connections may be open: each is tried, and notified, in its turn.
+      // More exchanges may wait than connections may be open, so each failure starts another try
+      // until all exchanges have been sent or notified.
       openConnectionsForWaiting();
     }
   }
 
   private void connectionClosed(HttpClientConnection connection) {
-    boolean othersWait;
+    boolean exchangesWait;
     synchronized (this) {
-      if (!closed.add(connection)) {
+      if (!closedConnections.add(connection)) {
         return;
       }
-      open--;
-      idle.remove(connection);
-      othersWait = !waiting.isEmpty();
+      openCount--;
+      idleConnections.remove(connection);
+      exchangesWait = !waitingExchanges.isEmpty();
     }
-    if (othersWait) {
+    if (exchangesWait) {
       openConnectionsForWaiting();
     }
   }
 
-  /** A connection is free: the next exchange that waits takes it. */
+  /** Takes back a connection that is no longer in use and assigns it to the next exchange. */
   void release(HttpClientConnection connection) {
-    InferenceExchange next;
-    boolean unneeded;
+    InferenceExchange nextExchange;
+    boolean closeConnection;
     synchronized (this) {
-      next = waiting.poll();
-      unneeded = next == null && retired;
-      if (next == null && !retired && connection.isUsable()) {
-        idle.add(connection);
+      nextExchange = waitingExchanges.poll();
+      closeConnection = nextExchange == null && retired;
+      if (nextExchange == null && !retired && connection.isUsable()) {
+        idleConnections.add(connection);
       }
     }
-    if (next != null) {
-      send(next, connection);
-    } else if (unneeded) {
+    if (nextExchange != null) {
+      send(nextExchange, connection);
+    } else if (closeConnection) {
       connection.close();
     }
   }
 
-  /** The worker accepts nothing new: what waits ends at once, what is in flight goes on. */
+  /** Ends all waiting exchanges as not sent; exchanges in flight continue. */
   void rejectWaiting() {
     List<InferenceExchange> rejected;
     synchronized (this) {
-      rejected = waiting.drain();
+      rejected = waitingExchanges.drain();
     }
     rejected.forEach(exchange -> exchange.endNotSent(AttemptOutcome.NOT_SENT));
   }
 
-  /** The worker is gone for good: as above, and connections are closed as they become idle. */
+  /** Ends all waiting exchanges as not sent, and closes each connection once it is idle. */
   void retire() {
     synchronized (this) {
       retired = true;
@@ -170,22 +179,22 @@
     closeIdle();
   }
 
-  /** Closes connections that have been idle for longer than the timeout. */
-  void sweep(Duration idleTimeout) {
+  /** Closes all connections that have been idle for longer than the timeout. */
+  void closeExpired(Duration idleTimeout) {
     List<HttpClientConnection> expired;
     long now = System.nanoTime();
     synchronized (this) {
-      expired = idle.drainExpired(now, idleTimeout);
+      expired = idleConnections.drainExpired(now, idleTimeout);
     }
     expired.forEach(HttpClientConnection::close);
   }
 
   /** Closes all idle connections. */
   void closeIdle() {
-    List<HttpClientConnection> unused;
+    List<HttpClientConnection> drained;
     synchronized (this) {
-      unused = idle.drain();
+      drained = idleConnections.drain();
     }
-    unused.forEach(HttpClientConnection::close);
+    drained.forEach(HttpClientConnection::close);
   }
 }
--- a/src/main/java/switchgap/protocol/inference/HttpPoolLimits.java
+++ b/src/main/java/switchgap/protocol/inference/HttpPoolLimits.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 
 /**
- * Bounds of one pool of connections to a worker; each worker has a pool for attempts and one for
+ * Limits of one pool of connections to a worker. Each worker has a pool for attempts and one for
  * commands.
  *
- * @param maxConnections connections that are open or being opened
- * @param maxPendingExchanges exchanges that wait for a connection
+ * @param maxConnections largest number of connections that are open or being opened
+ * @param maxPendingExchanges largest number of exchanges that wait for a connection
  * @param connectTimeout time within which a connection must be open
  * @param idleTimeout time after which an idle connection is closed
  */
--- a/src/main/java/switchgap/protocol/inference/HttpStatus.java
+++ b/src/main/java/switchgap/protocol/inference/HttpStatus.java
@@ -1,6 +1,6 @@
 package switchgap.protocol.inference;
 
-/** The status codes to which the protocol gives a meaning. */
+/** Status codes that have a defined meaning in the inference protocol. */
 final class HttpStatus {
   private static final int SUCCESS_FIRST = 200;
   private static final int SUCCESS_END = 300;
@@ -14,12 +14,12 @@
     return status >= SUCCESS_FIRST && status < SUCCESS_END;
   }
 
-  /** Whether the worker says that it does not know the function. */
+  /** Whether the status means that the worker does not have the function. */
   static boolean isNotFound(int status) {
     return status == NOT_FOUND;
   }
 
-  /** Whether the worker says that it has no capacity. */
+  /** Whether the status means that the worker has no capacity. */
   static boolean isOverloaded(int status) {
     return status == SERVICE_UNAVAILABLE || status == TOO_MANY_REQUESTS;
   }
--- a/src/main/java/switchgap/protocol/inference/IdleConnections.java
+++ b/src/main/java/switchgap/protocol/inference/IdleConnections.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import switchgap.net.HttpClientConnection;
 
-/** The idle connections of one pool, last in first out. Guarded by the lock of its pool. */
+/** LIFO stack of the idle connections of one pool. Guarded by the lock of the pool. */
 final class IdleConnections {
-  /** The most recently used first. */
+  /** Ordered by last use, the most recently used connection first. */
   private final ArrayDeque<HttpClientConnection> connections = new ArrayDeque<>();
 
   void add(HttpClientConnection connection) {
@@ -19,7 +19,7 @@
     connections.remove(connection);
   }
 
-  /** Removes the usable connection that was used last and returns it, or null. */
+  /** Removes and returns the most recently used connection that is usable, or null. */
   HttpClientConnection pollUsable() {
     HttpClientConnection connection = connections.pollFirst();
     while (connection != null && !connection.isUsable()) {
@@ -28,7 +28,7 @@
     return connection;
   }
 
-  /** Removes the connections that have been idle for longer than the timeout and returns them. */
+  /** Removes and returns the connections that have been idle for longer than the timeout. */
   List<HttpClientConnection> drainExpired(long nowNanos, Duration idleTimeout) {
     List<HttpClientConnection> expired = new ArrayList<>();
     while (!connections.isEmpty()
@@ -38,7 +38,7 @@
     return expired;
   }
 
-  /** Removes all connections and returns them. */
+  /** Removes and returns all connections. */
   List<HttpClientConnection> drain() {
     List<HttpClientConnection> drained = List.copyOf(connections);
     connections.clear();
--- a/src/main/java/switchgap/protocol/inference/InferenceExchange.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceExchange.java
@@ -7,16 +7,16 @@
 import switchgap.router.WorkerEntry;
 
 /**
- * One exchange with a worker. It ends once: with exactly one call of {@link #notSent}, {@link
- * #replied} and {@link #lost}, or with none where it was abandoned. Its lock guards its state,
- * since the event loop, writer threads and selector threads all change it.
+ * One request to a worker and its response. It ends once: exactly one of {@link #onNotSent}, {@link
+ * #onReply} and {@link #onConnectionLost} is called, or none if it was abandoned. The event loop,
+ * writer threads and selector threads all change its state, which is guarded by its lock.
  *
- * <p>It shares no code with the exchange of the RESP protocol: that one belongs to the event loop
- * alone, needs no lock, and shares its connection with others; this one has its connection to
- * itself.
+ * <p>It shares no code with the exchange of the RESP protocol, which is confined to the event loop,
+ * needs no lock and shares its connection with other exchanges. This one has exclusive use of its
+ * connection.
  */
 abstract class InferenceExchange implements HttpClientConnection.ResponseHandler {
-  /** The deadline of an exchange that may wait for any time. */
+  /** Deadline of an exchange that may wait for a connection without a time limit. */
   static final long NO_DEADLINE = Long.MAX_VALUE;
 
   private final InferenceRequest request;
@@ -24,15 +24,17 @@
   private final HttpConnectionPool pool;
   private final long deadlineNanos;
   private ExchangeState state = ExchangeState.WAITING;
-  private HttpClientConnection connection; // null unless in flight, or ended in flight
+
+  /** Null while waiting, and if the exchange ended while waiting. */
+  private HttpClientConnection connection;
 
   /**
-   * An exchange that waits. Its pool is known before it is submitted, since it may be abandoned
-   * before that.
+   * Creates an exchange in the state WAITING. It needs its pool already here, since it may be
+   * abandoned before it is submitted.
    *
-   * @param deadlineNanos System.nanoTime after which it is not sent any more, or {@link
-   *     #NO_DEADLINE}; guards against a pause of the process, in which it may have waited past its
-   *     timeout
+   * @param deadlineNanos {@link System#nanoTime} after which it must not be sent, or {@link
+   *     #NO_DEADLINE}; without it, an exchange that waited while the process was paused would be
+   *     sent after its timeout
    */
   InferenceExchange(
       WorkerEntry worker, HttpConnectionPool pool, InferenceRequest request, long deadlineNanos) {
@@ -42,22 +44,22 @@
     this.deadlineNanos = deadlineNanos;
   }
 
-  /** It ended and no byte of it was sent. */
-  abstract void notSent(AttemptOutcome outcome);
+  /** Called when the exchange ended and no byte of it was sent. */
+  abstract void onNotSent(AttemptOutcome outcome);
 
-  /** The worker replied; header names are in lower case. */
-  abstract void replied(int status, Map<String, String> headers, byte[] body);
+  /** Called with the worker's response; header names are in lower case. */
+  abstract void onReply(int status, Map<String, String> headers, byte[] body);
 
-  /** Its connection was lost after bytes of it may have been sent. */
-  abstract void lost();
+  /** Called when the connection was lost after bytes of the request may have been sent. */
+  abstract void onConnectionLost();
 
-  /** Submits it to its pool; on the event loop or a writer thread. */
+  /** Submits the exchange to its pool; on the event loop or a writer thread. */
   final void submit() {
     pool.submit(this);
   }
 
   private synchronized boolean transition(ExchangeState next) {
-    boolean allowed = state.mayBecome(next);
+    boolean allowed = state.canTransitionTo(next);
     if (allowed) {
       state = next;
     }
@@ -65,30 +67,31 @@
   }
 
   /**
-   * Takes a connection, unless it is too late: what waited here while its worker began to drain
-   * must not be sent.
+   * Assigns a connection to the exchange. Returns false if it ended, missed its deadline or its
+   * worker stopped accepting requests while it waited; it must not be sent then.
    */
-  synchronized boolean assign(HttpClientConnection free) {
-    if (!maySend() || !transition(ExchangeState.IN_FLIGHT)) {
+  synchronized boolean assign(HttpClientConnection idleConnection) {
+    if (!canBeSent() || !transition(ExchangeState.IN_FLIGHT)) {
       return false;
     }
-    connection = free;
+    connection = idleConnection;
     return true;
   }
 
-  /** Whether it may still be sent: its worker accepts requests, and its deadline has not passed. */
-  final synchronized boolean maySend() {
+  /** Whether the worker accepts requests and the deadline has not passed. */
+  final synchronized boolean canBeSent() {
     return worker.isAccepting()
         && (deadlineNanos == NO_DEADLINE || System.nanoTime() - deadlineNanos < 0);
   }
 
-  /** Sends its request on the connection it was assigned; returns false where no byte was sent. */
+  /** Sends the request on the assigned connection; returns false if no byte was sent. */
   final boolean sendOn(HttpClientConnection assigned) {
     return assigned.send(request.method(), request.path(), request.headers(), request.body(), this);
   }
 
   /**
-   * Its connection took no byte: it waits again. Returns false where it was abandoned meanwhile.
+   * Returns to the state WAITING after the connection accepted no byte. Returns false if the
+   * exchange was abandoned in the meantime.
    */
   final synchronized boolean unassign() {
     if (!transition(ExchangeState.WAITING)) {
@@ -106,32 +109,34 @@
     return state == ExchangeState.ENDED;
   }
 
-  /** Ends it as not sent; returns false where it had ended before. */
+  /** Ends the exchange as not sent; returns false if it had already ended. */
   final boolean endNotSent(AttemptOutcome outcome) {
-    boolean ends = transition(ExchangeState.ENDED);
-    if (ends) {
-      notSent(outcome);
+    boolean endedNow = transition(ExchangeState.ENDED);
+    if (endedNow) {
+      onNotSent(outcome);
     }
-    return ends;
+    return endedNow;
   }
 
   /**
-   * Ends it without notifying anybody; returns what that proves. Whether it was sent is decided in
-   * the step that ends it: between two steps a writer thread could send it, and a request that may
-   * have been executed would count as not sent (seen in a scenario with few connections).
+   * Ends the exchange without a callback and returns the outcome: NOT_SENT or CONNECT_FAILED if no
+   * byte was sent, TIMED_OUT if the request may have been executed. The state is read and changed
+   * under one lock. Otherwise a writer thread could send the request in between, and a request that
+   * may have been executed would be reported as not sent; that happened when a pool had few
+   * connections.
    */
   final AttemptOutcome abandon() {
-    ExchangeState before;
-    HttpClientConnection used;
+    ExchangeState previousState;
+    HttpClientConnection usedConnection;
     synchronized (this) {
-      before = state;
-      used = connection;
+      previousState = state;
+      usedConnection = connection;
       transition(ExchangeState.ENDED);
     }
-    if (before == ExchangeState.IN_FLIGHT && used != null) {
-      used.abandon(this);
+    if (previousState == ExchangeState.IN_FLIGHT && usedConnection != null) {
+      usedConnection.abandon(this);
     }
-    if (before != ExchangeState.WAITING) {
+    if (previousState != ExchangeState.WAITING) {
       return AttemptOutcome.TIMED_OUT;
     }
     boolean allConnectionsBusy = pool.openConnections() > 0;
@@ -141,21 +146,22 @@
   @Override
   public final void responded(
       int status, Map<String, String> headers, byte[] body, boolean reusable) {
-    HttpClientConnection used =
-        connection; // assigned before it was sent, hence before its response
-    boolean ends = transition(ExchangeState.ENDED);
+    // Safe without the lock: assign() happens before the request is sent and thus before its
+    // response arrives.
+    HttpClientConnection usedConnection = connection;
+    boolean endedNow = transition(ExchangeState.ENDED);
     if (reusable) {
-      pool.release(used);
+      pool.release(usedConnection);
     }
-    if (ends) {
-      replied(status, headers, body);
+    if (endedNow) {
+      onReply(status, headers, body);
     }
   }
 
   @Override
   public final void connectionLost(CloseCause cause) {
     if (transition(ExchangeState.ENDED)) {
-      lost();
+      onConnectionLost();
     }
   }
 }
--- a/src/main/java/switchgap/protocol/inference/InferenceRequest.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceRequest.java
@@ -8,17 +8,17 @@
 import switchgap.router.Attempt;
 
 /**
- * One HTTP request to a worker: a method of the Open Inference Protocol or of its model repository
+ * One HTTP request to a worker, as defined by the Open Inference Protocol or its model repository
  * extension.
  *
  * @param method HTTP method
  * @param path path on the worker
- * @param headers headers by name, without those of the connection
- * @param body content, empty where there is none
+ * @param headers headers by name, without connection headers
+ * @param body request body, empty if there is none
  */
 record InferenceRequest(String method, String path, Map<String, String> headers, byte[] body) {
-  /** Has the id of an attempt; a worker may echo it. In lower case as received headers are. */
-  static final String REQUEST_ID_HEADER = "x-request-id";
+  /** Header in which a worker may echo the id of an attempt; received names are in lower case. */
+  static final String RECEIVED_REQUEST_ID_HEADER = "x-request-id";
 
   private static final String GET = "GET";
   private static final String POST = "POST";
@@ -36,7 +36,7 @@
   private static final String UNLOAD_IDLE_BODY = "{\"parameters\":{\"idle_only\":true}}";
   private static final byte[] NO_BODY = {};
 
-  /** Executes an attempt. */
+  /** Creates the request that executes an attempt. */
   static InferenceRequest infer(Attempt attempt) {
     Map<String, String> headers = new HashMap<>();
     headers.put(SENT_REQUEST_ID_HEADER, attempt.attemptId());
@@ -53,24 +53,24 @@
         attempt.request().body());
   }
 
-  /** Queries whether a function is loaded. */
+  /** Creates the request that queries whether a function is loaded. */
   static InferenceRequest functionReady(String function) {
     return new InferenceRequest(GET, MODELS_PATH + encode(function) + READY, Map.of(), NO_BODY);
   }
 
-  /** Loads this number of replicas of a function. */
+  /** Creates the request that loads a number of replicas of a function. */
   static InferenceRequest load(String function, int replicas) {
     return json(
         REPOSITORY_PATH + encode(function) + LOAD,
         String.format(Locale.ROOT, "{\"parameters\":{\"copies\":%d}}", replicas));
   }
 
-  /** Unloads the idle replicas of a function. */
+  /** Creates the request that unloads the idle replicas of a function. */
   static InferenceRequest unload(String function) {
     return json(REPOSITORY_PATH + encode(function) + UNLOAD, UNLOAD_IDLE_BODY);
   }
 
-  /** Checks whether the worker is ready; the response reports its load. */
+  /** Creates the request that checks whether a worker is ready; the response reports its load. */
   static InferenceRequest health() {
     return new InferenceRequest(GET, HEALTH_PATH, Map.of(), NO_BODY);
   }
--- a/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
@@ -15,47 +15,48 @@
 import switchgap.router.WorkerTransport;
 
 /**
- * Sends attempts, load commands and probes to workers by the Open Inference Protocol (version 2,
- * HTTP) with its model repository extension and load reports as response headers.
+ * Sends attempts, load commands and probes to workers over the Open Inference Protocol (version 2
+ * over HTTP) with its model repository extension. Load reports are read from response headers.
  *
- * <p>What a response proves: a function that is not loaded is a 404, a worker without capacity a
- * 429 or 503, each only with {@code named_metrics.executed=0} in its load report; after any other
- * response that is no 2xx the request may have been executed. See docs/router.md.
+ * <p>A response other than 2xx shows that a request was not executed only if its load report has
+ * {@code named_metrics.executed=0}: with 404 the function is not loaded, with 429 or 503 the worker
+ * has no capacity. After any other such response the request may have been executed. See
+ * docs/router.md.
  */
 public final class InferenceWorkerTransport implements WorkerTransport {
-  private final HttpClientConnector connectionFactory;
-  private final HttpPoolLimits limits;
+  private final HttpClientConnector connector;
+  private final HttpPoolLimits poolLimits;
   private final KeyedWriters writers;
-  private final Consumer<Consumer<RouterCore>> events;
+  private final Consumer<Consumer<RouterCore>> eventLoop;
   private final Runnable endpointListRequester;
   private final Set<HttpConnectionPool> pools = ConcurrentHashMap.newKeySet();
 
   /**
-   * A transport without connections.
+   * Creates a transport without connections; they are opened on demand.
    *
-   * @param connectionFactory opens connections
-   * @param limits bounds of each pool of connections
+   * @param connector opens connections
+   * @param poolLimits limits of each connection pool
    * @param writers threads that encode and send attempts
-   * @param events posts to the router's event loop
-   * @param endpointListRequester requests the endpoint list
+   * @param eventLoop posts an event to the router's event loop
+   * @param endpointListRequester called to request the endpoint list
    */
   public InferenceWorkerTransport(
-      HttpClientConnector connectionFactory,
-      HttpPoolLimits limits,
+      HttpClientConnector connector,
+      HttpPoolLimits poolLimits,
       KeyedWriters writers,
-      Consumer<Consumer<RouterCore>> events,
+      Consumer<Consumer<RouterCore>> eventLoop,
       Runnable endpointListRequester) {
-    this.connectionFactory = connectionFactory;
-    this.limits = limits;
+    this.connector = connector;
+    this.poolLimits = poolLimits;
     this.writers = writers;
-    this.events = events;
+    this.eventLoop = eventLoop;
     this.endpointListRequester = endpointListRequester;
   }
 
   private WorkerPools poolsOf(WorkerEntry worker) {
-    WorkerPools known = (WorkerPools) worker.attachment();
-    if (known != null) {
-      return known;
+    WorkerPools existing = (WorkerPools) worker.attachment();
+    if (existing != null) {
+      return existing;
     }
     WorkerPools created = new WorkerPools(newPool(worker), newPool(worker));
     worker.attach(created);
@@ -65,12 +66,12 @@
 
   private HttpConnectionPool newPool(WorkerEntry worker) {
     return new HttpConnectionPool(
-        connectionFactory, new InetSocketAddress(worker.host(), worker.port()), limits);
+        connector, new InetSocketAddress(worker.host(), worker.port()), poolLimits);
   }
 
-  /** Closes connections that have been idle for too long; to be called regularly, on any thread. */
-  public void sweep() {
-    pools.forEach(pool -> pool.sweep(limits.idleTimeout()));
+  /** Closes connections past their idle timeout; to be called periodically, on any thread. */
+  public void closeExpiredConnections() {
+    pools.forEach(pool -> pool.closeExpired(poolLimits.idleTimeout()));
   }
 
   /** Closes all idle connections; on any thread. */
@@ -80,10 +81,10 @@
 
   @Override
   public void stopAccepting(WorkerEntry worker, boolean forGood) {
-    if (!(worker.attachment() instanceof WorkerPools known)) {
+    if (!(worker.attachment() instanceof WorkerPools workerPools)) {
       return;
     }
-    for (HttpConnectionPool pool : known.all()) {
+    for (HttpConnectionPool pool : workerPools.all()) {
       if (forGood) {
         pools.remove(pool);
         pool.retire();
@@ -100,7 +101,7 @@
             attempt,
             poolsOf(attempt.worker()).attempts(),
             System.nanoTime() + timeout.toNanos(),
-            events);
+            eventLoop);
     attempt.attach(exchange);
     writers.execute(attempt.worker().port(), exchange::submit);
   }
@@ -142,18 +143,18 @@
         command,
         request,
         (outcome, report) -> {
-          int loaded = loadedReplicas(outcome, report);
-          events.accept(core -> core.loadCommandEnded(command, outcome, loaded));
+          int loadedReplicas = loadedReplicas(outcome, report);
+          eventLoop.accept(core -> core.loadCommandEnded(command, outcome, loadedReplicas));
         });
   }
 
-  /** A worker that reports no number and succeeds has one replica. */
+  /** A worker that succeeds without reporting a number has loaded one replica. */
   private static int loadedReplicas(AttemptOutcome outcome, OrcaLoadReport report) {
-    double reported = report.namedMetric(OrcaLoadReport.REPLICAS);
-    if (Double.isNaN(reported)) {
+    double reportedReplicas = report.namedMetric(OrcaLoadReport.REPLICAS);
+    if (Double.isNaN(reportedReplicas)) {
       return outcome == AttemptOutcome.SUCCEEDED ? 1 : 0;
     }
-    return (int) reported;
+    return (int) reportedReplicas;
   }
 
   @Override
@@ -162,7 +163,7 @@
         worker,
         command,
         InferenceRequest.unload(function),
-        (outcome, report) -> events.accept(core -> core.unloadEnded(command)));
+        (outcome, report) -> eventLoop.accept(core -> core.unloadEnded(command)));
   }
 
   @Override
@@ -172,7 +173,7 @@
         command,
         InferenceRequest.health(),
         (outcome, report) ->
-            events.accept(core -> core.probeEnded(command, outcome, report.toLoadReport())));
+            eventLoop.accept(core -> core.probeEnded(command, outcome, report.toLoadReport())));
   }
 
   @Override
--- a/src/main/java/switchgap/protocol/inference/OrcaLoadReport.java
+++ b/src/main/java/switchgap/protocol/inference/OrcaLoadReport.java
@@ -4,20 +4,21 @@
 import switchgap.policy.api.LoadReport;
 
 /**
- * A load report in a response header, of the Open Request Cost Aggregation format in its TEXT and
- * JSON forms. A figure that is invalid is left out; a report never fails a response. Immutable.
+ * A load report from a response header in the Open Request Cost Aggregation (ORCA) format, in TEXT
+ * or JSON form. Invalid metrics are ignored; a malformed report never causes a response to fail.
+ * Immutable.
  */
 final class OrcaLoadReport {
-  /** Name of the header. */
+  /** Name of the response header, in lower case. */
   static final String HEADER = "endpoint-load-metrics";
 
-  /** Named metric: 0 where the request was not executed. */
+  /** Named metric: 0 if the request was not executed. */
   static final String EXECUTED = "executed";
 
-  /** Named metric: replicas of the function that are loaded. */
+  /** Named metric: number of loaded replicas of the function. */
   static final String REPLICAS = "copies";
 
-  /** The report of a response that has none. */
+  /** Stands in for the report of a response without one; has no metrics. */
   static final OrcaLoadReport EMPTY = new OrcaLoadReport(Map.of());
 
   private static final String IN_FLIGHT = "inflight";
@@ -33,7 +34,7 @@
     this.metrics = Map.copyOf(metrics);
   }
 
-  /** The report in a response's headers, by names in lower case; empty where there is none. */
+  /** Parses the report in a response's headers, whose names are in lower case; may be empty. */
   static OrcaLoadReport parse(Map<String, String> headers) {
     String header = headers.get(HEADER);
     if (header == null || header.length() > MAX_HEADER_CHARS) {
@@ -42,17 +43,17 @@
     return new OrcaLoadReport(OrcaLoadReportParser.parse(header));
   }
 
-  /** A named metric, NaN where it was not reported. */
+  /** Returns a named metric, or NaN if it was not reported. */
   double namedMetric(String name) {
     return metrics.getOrDefault(NAMED_METRICS_PREFIX + name, Double.NaN);
   }
 
-  /** Whether the worker says that it did not execute the request. */
-  boolean provesNotExecuted() {
+  /** Whether the worker reports that it did not execute the request. */
+  boolean reportsNotExecuted() {
     return namedMetric(EXECUTED) == 0;
   }
 
-  /** The part of the report that the policy uses. */
+  /** Converts the metrics that the routing policy uses. */
   LoadReport toLoadReport() {
     double concurrency = namedMetric(CONCURRENCY);
     return new LoadReport(
--- a/src/main/java/switchgap/protocol/inference/OrcaLoadReportParser.java
+++ b/src/main/java/switchgap/protocol/inference/OrcaLoadReportParser.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /**
- * Parses one load report header in its TEXT or JSON form. A figure that is invalid or out of bounds
- * is left out; no header fails.
+ * Parses a load report header in TEXT or JSON form. Invalid and out-of-range metrics are ignored;
+ * no input causes an exception.
  */
 final class OrcaLoadReportParser {
   private static final String TEXT_FORM = "TEXT";
   private static final String JSON_FORM = "JSON";
 
-  /** Figures are below this, as those of the RESP protocol are. */
-  private static final double FIGURE_BOUND = 1e6;
+  /** Exclusive upper limit of a metric's value, the same as in the RESP protocol. */
+  private static final double METRIC_VALUE_LIMIT = 1e6;
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -23,7 +23,9 @@
 
   private OrcaLoadReportParser() {}
 
-  /** The metrics in a header; those of nested objects are named with a dot, as in the TEXT form. */
+  /**
+   * Returns the metrics by name. Names of nested objects are joined by dots, as in the TEXT form.
+   */
   static Map<String, Double> parse(String header) {
     OrcaLoadReportParser parser = new OrcaLoadReportParser();
     if (header.startsWith(JSON_FORM)) {
@@ -39,7 +41,8 @@
   private void parseJson(String text) {
     try {
       addObject("", JSON.readTree(text));
-    } catch (IOException e) { // unreadable: as if nothing had been reported
+    } catch (IOException e) {
+      // A report that is not valid JSON is treated as absent.
       metrics.clear();
     }
   }
@@ -62,22 +65,23 @@
     for (String metric : text.split(",")) {
       int separator = metric.indexOf('=');
       if (separator > 0) {
-        addText(metric.substring(0, separator).trim(), metric.substring(separator + 1).trim());
+        addParsed(metric.substring(0, separator).trim(), metric.substring(separator + 1).trim());
       }
     }
   }
 
-  private void addText(String name, String text) {
+  private void addParsed(String name, String text) {
     try {
       add(name, Double.parseDouble(text));
-    } catch (NumberFormatException e) { // voids an earlier value of the same name too
+    } catch (NumberFormatException e) {
+      // An invalid value also discards an earlier value of the same name.
       metrics.remove(name);
     }
   }
 
-  /** Adds a figure within its bounds: an invalid one must not reach the policy. */
+  /** Adds a metric if it is in range; NaN, negative and huge values must not reach the policy. */
   private void add(String name, double value) {
-    if (value >= 0 && value < FIGURE_BOUND) {
+    if (value >= 0 && value < METRIC_VALUE_LIMIT) {
       metrics.put(name, value);
     }
   }
--- a/src/main/java/switchgap/protocol/inference/WorkerPools.java
+++ b/src/main/java/switchgap/protocol/inference/WorkerPools.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The connections to one worker. A load command occupies its connection for as long as loading
- * takes, so commands have a pool of their own.
+ * The connection pools of one worker. Commands have a separate pool, since a load command occupies
+ * its connection until loading has finished.
  */
 record WorkerPools(HttpConnectionPool attempts, HttpConnectionPool commands) {
   List<HttpConnectionPool> all() {
--- a/src/main/java/switchgap/protocol/inference/package-info.java
+++ b/src/main/java/switchgap/protocol/inference/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Exchanges with workers that speak the Open Inference Protocol (version 2 over HTTP): persistent
- * connections, and what a response proves about the execution of a request.
+ * connections, and whether a response shows that a request was executed.
  */
 package switchgap.protocol.inference;
--- a/src/main/java/switchgap/protocol/invoke/DeferredRequestHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/DeferredRequestHandler.java
@@ -12,8 +12,8 @@
 import switchgap.router.RouterCore;
 
 /**
- * Requests whose responses are stored, for their clients to poll for by id. All methods run on the
- * event loop, which owns the results.
+ * Handles requests whose responses are stored until their clients poll for them by id. All methods
+ * run on the event loop, which owns the results.
  */
 final class DeferredRequestHandler {
   private final RouterContext router;
@@ -26,7 +26,7 @@
     this.results = results;
   }
 
-  /** Submits a request that the tracker counts as pending. */
+  /** Submits a request that the tracker already counts as pending. */
   void submit(HttpExchange exchange, InvokeRequest request, Duration deadline) {
     results.tick(router.now());
     DeferredResults.Entry entry = results.reserve();
@@ -51,9 +51,10 @@
   }
 
   /**
-   * Responds with the result as soon as there is one.
+   * Responds with the result as soon as it is available.
    *
-   * @param waitSeconds time after which the response says that the request is still pending
+   * @param waitSeconds longest wait, after which the response reports that the request is still
+   *     pending
    */
   void poll(HttpExchange exchange, String id, int waitSeconds) {
     results.tick(router.now());
@@ -76,7 +77,7 @@
 
   private void await(HttpExchange exchange, String id, int waitSeconds) {
     DeferredResults.Entry entry = results.find(id);
-    Consumer<DeferredResults.Entry> waiter = ended -> writeResult(exchange, ended);
+    Consumer<DeferredResults.Entry> waiter = endedEntry -> writeResult(exchange, endedEntry);
     if (waitSeconds == 0 || !results.await(entry, waiter)) {
       ResponseWriter.writePending(exchange, id);
       return;
@@ -94,7 +95,8 @@
   }
 
   /**
-   * An ended request without a response missed its deadline: nothing is promised about its effect.
+   * Writes the response of a request that has ended. Without a response it missed its deadline; it
+   * is reported as failed, since it may have been executed.
    */
   private void writeResult(HttpExchange exchange, DeferredResults.Entry entry) {
     Response response = entry.response() == null ? Response.failed() : entry.response();
@@ -118,7 +120,7 @@
     ResponseWriter.writeDeleted(exchange, id);
   }
 
-  /** Counts how a request ended and stores its response. */
+  /** Counts the outcome of a request and stores its response. */
   private final class ResultRecorder implements ResponseListener {
     private final DeferredResults.Entry entry;
 
@@ -133,9 +135,9 @@
     }
 
     @Override
-    public void deadlineMissed(PendingRequest request, Response late) {
+    public void deadlineMissed(PendingRequest request, Response lateResponse) {
       tracker.deadlineMissed();
-      entry.deadlineMissed(request, late);
+      entry.deadlineMissed(request, lateResponse);
     }
   }
 }
--- a/src/main/java/switchgap/protocol/invoke/DisconnectListener.java
+++ b/src/main/java/switchgap/protocol/invoke/DisconnectListener.java
@@ -2,8 +2,8 @@
 
 import switchgap.router.RouterCore;
 
-/** Attached to an exchange whose client waits for a response. */
+/** Attached to an exchange while its client waits for a response. */
 interface DisconnectListener {
-  /** The client closed its connection before the response; on the event loop. */
+  /** Called on the event loop when the client closed its connection before the response. */
   void clientDisconnected(RouterCore core);
 }
--- a/src/main/java/switchgap/protocol/invoke/HeaderNames.java
+++ b/src/main/java/switchgap/protocol/invoke/HeaderNames.java
@@ -2,39 +2,39 @@
 
 /** Names of the HTTP headers of the invoke API. */
 final class HeaderNames {
-  // Requests: what is invoked, for whom, until when.
+  // Request headers
   static final String REQUEST_CLASS = "Switchgap-Workload";
   static final String TENANT = "Switchgap-Customer";
 
-  /** Timeout in milliseconds. */
+  /** Timeout of the request, in milliseconds. */
   static final String TIMEOUT = "Switchgap-Time-Limit";
 
-  /** Deadline in milliseconds of wall time. */
+  /** Deadline of the request, in milliseconds since the epoch. */
   static final String DEADLINE = "Switchgap-Deadline";
 
-  /** The client's estimate of the duration, in milliseconds. */
+  /** The client's estimate of the execution time, in milliseconds. */
   static final String DURATION_HINT = "Switchgap-Cost-Hint";
 
   static final String IDEMPOTENCY_KEY = "Idempotency-Key";
   static final String PREFER = "Prefer";
 
-  // Requests and responses.
-  /** The client's own id of a request, which its responses echo. */
+  // Headers of both requests and responses
+  /** The client's own id of a request; the response echoes it. */
   static final String CLIENT_REQUEST_ID = "Switchgap-Call";
 
   static final String CONTENT_TYPE = "Content-Type";
 
-  // Responses.
-  /** The router's id of a request. */
+  // Response headers
+  /** The id that the router assigned to a request. */
   static final String REQUEST_ID = "Switchgap-Id";
 
-  /** How a request ended. */
+  /** Outcome of a request, as a {@link ProblemType} or as success. */
   static final String END = "Switchgap-End";
 
   /** The service level that rejected a request. */
   static final String SERVICE_LEVEL = "Switchgap-Level";
 
-  /** When a rejected client may retry, in milliseconds. */
+  /** Time after which a rejected request may be retried, in milliseconds. */
   static final String RETRY_AFTER_MILLIS = "Switchgap-Come-Back";
 
   static final String RETRY_AFTER = "Retry-After";
--- a/src/main/java/switchgap/protocol/invoke/InvalidRequestException.java
+++ b/src/main/java/switchgap/protocol/invoke/InvalidRequestException.java
@@ -1,8 +1,8 @@
 package switchgap.protocol.invoke;
 
 /**
- * A request that can't be accepted; the problem says why. Has no stack trace: bad input is no fault
- * of ours.
+ * Thrown for a request that can't be accepted, with the problem to respond with. It has no stack
+ * trace, since invalid input is not a fault of the router and must be cheap to reject.
  */
 final class InvalidRequestException extends Exception {
   private static final long serialVersionUID = 1;
--- a/src/main/java/switchgap/protocol/invoke/InvokeApi.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeApi.java
@@ -10,9 +10,9 @@
 import switchgap.router.RouterCore;
 
 /**
- * The invoke API. Requests are routed and validated on the selector thread that read them; what
- * concerns pending requests and deferred results is posted to the router's event loop. Accepts a
- * bounded number of requests at a time.
+ * The invoke API. Requests are routed and validated on the selector thread that read them; work on
+ * pending requests and deferred results is posted to the router's event loop. The number of pending
+ * requests is bounded.
  */
 public final class InvokeApi implements HttpServer.RequestHandler {
   private static final String METHOD_GET = "GET";
@@ -22,9 +22,9 @@
   private final YamlRouterSettings settings;
   private final RouterContext router;
   private final RequestTracker tracker;
-  private final SynchronousRequestHandler synchronousRequests;
-  private final DeferredRequestHandler deferredRequests;
-  private final OperatorHandler operators;
+  private final SynchronousRequestHandler synchronousHandler;
+  private final DeferredRequestHandler deferredHandler;
+  private final OperatorHandler operatorHandler;
   private final int maxPollSeconds;
   private volatile boolean stopping;
 
@@ -33,7 +33,7 @@
    *
    * @param writers the threads that write responses
    * @param deferred the deferred results; used on the event loop only
-   * @param idPrefix of request ids: unlike that of any other start of any router
+   * @param idPrefix prefix of request ids, unique for each start of each router
    */
   public InvokeApi(
       YamlRouterSettings settings,
@@ -45,28 +45,28 @@
     this.settings = settings;
     this.router = router;
     tracker = new RequestTracker(limits.maxPendingRequests());
-    synchronousRequests = new SynchronousRequestHandler(router, tracker, writers, idPrefix);
-    deferredRequests = new DeferredRequestHandler(router, tracker, deferred);
-    operators = new OperatorHandler(settings, router, tracker);
+    synchronousHandler = new SynchronousRequestHandler(router, tracker, writers, idPrefix);
+    deferredHandler = new DeferredRequestHandler(router, tracker, deferred);
+    operatorHandler = new OperatorHandler(settings, router, tracker);
     maxPollSeconds = limits.maxPollSeconds();
   }
 
-  /** Accepts no further requests; pending ones get their responses. */
+  /** Stops accepting requests; pending requests still get their responses. */
   public void stopAccepting() {
     stopping = true;
   }
 
-  /** Sets what {@code GET /v1/status} responds with, as JSON; it is run on the event loop. */
+  /** Sets the source of the JSON body of {@code GET /v1/status}; it is called on the event loop. */
   public void setStatusSource(Function<RouterCore, byte[]> source) {
-    operators.setStatusSource(source);
+    operatorHandler.setStatusSource(source);
   }
 
-  /** Requests that were accepted and have not ended. */
+  /** Number of requests that were accepted and have not ended. */
   public int pendingRequests() {
     return tracker.pending();
   }
 
-  /** Requests that have ended since the start. */
+  /** Numbers of requests that have ended since the start, by outcome. */
   public RequestCounts requestCounts() {
     return tracker.counts();
   }
@@ -90,7 +90,7 @@
   }
 
   private void handleOperatorRequest(HttpExchange exchange) throws InvalidRequestException {
-    if (!operators.handle(exchange, stopping)) {
+    if (!operatorHandler.handle(exchange, stopping)) {
       throw new InvalidRequestException(
           ProblemType.UNKNOWN_PATH, "nothing is at " + RequestHeaders.quoted(exchange.path()));
     }
@@ -108,12 +108,12 @@
   private void handleDeferredRequest(String id, HttpExchange exchange)
       throws InvalidRequestException {
     if (exchange.method().equals(METHOD_DELETE)) {
-      router.post(core -> deferredRequests.delete(exchange, id, core));
+      router.post(core -> deferredHandler.delete(exchange, id, core));
       return;
     }
     requireMethod(exchange, METHOD_GET);
     int waitSeconds = Math.min(maxPollSeconds, new RequestHeaders(exchange).preferredWaitSeconds());
-    router.post(core -> deferredRequests.poll(exchange, id, waitSeconds));
+    router.post(core -> deferredHandler.poll(exchange, id, waitSeconds));
   }
 
   private void invoke(String function, HttpExchange exchange) throws InvalidRequestException {
@@ -127,9 +127,9 @@
     }
     Duration deadline = router.now().plus(request.timeout());
     if (request.deferred()) {
-      router.post(core -> deferredRequests.submit(exchange, request, deadline));
+      router.post(core -> deferredHandler.submit(exchange, request, deadline));
     } else {
-      synchronousRequests.submit(exchange, request, deadline);
+      synchronousHandler.submit(exchange, request, deadline);
     }
   }
 
--- a/src/main/java/switchgap/protocol/invoke/InvokeLimits.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeLimits.java
@@ -1,9 +1,9 @@
 package switchgap.protocol.invoke;
 
 /**
- * Bounds of the invoke API.
+ * Limits of the invoke API.
  *
- * @param maxPendingRequests requests pending at a time; a further one is not accepted
- * @param maxPollSeconds longest time that a poll for a deferred response may wait
+ * @param maxPendingRequests largest number of pending requests; further ones are not accepted
+ * @param maxPollSeconds longest time that a poll for a deferred response may wait, in seconds
  */
 public record InvokeLimits(int maxPendingRequests, int maxPollSeconds) {}
--- a/src/main/java/switchgap/protocol/invoke/InvokeRequest.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeRequest.java
@@ -9,13 +9,13 @@
 /**
  * An invoke request, validated against the settings by {@link InvokeRequestReader}.
  *
- * @param requestClass index in the settings
- * @param tenant index in the settings, below zero for none
- * @param timeout time from its arrival until its deadline, above zero
- * @param durationHint the client's estimate of the duration, or null
+ * @param requestClass index of the request class in the settings
+ * @param tenant index of the tenant in the settings, negative if there is none
+ * @param timeout positive time from the arrival of the request until its deadline
+ * @param durationHint the client's estimate of the execution time, or null
  * @param idempotencyKey the key by which workers detect a retry, or null
- * @param clientRequestId the client's own id of the request, which responses echo, or null
- * @param deferred whether the client polls for the response
+ * @param clientRequestId the client's own id of the request, which the response echoes, or null
+ * @param deferred whether the response is stored for the client to poll for
  */
 record InvokeRequest(
     String function,
@@ -28,7 +28,7 @@
     String clientRequestId,
     boolean deferred) {
 
-  /** The request in the form of the router's core; the exchange has its body. */
+  /** Converts the request for the router's core, with the content type and body of the exchange. */
   PendingRequest toPendingRequest(
       String id, Duration deadline, HttpExchange exchange, ResponseListener listener) {
     return PendingRequest.builder(id, function, deadline, listener)
--- a/src/main/java/switchgap/protocol/invoke/InvokeRequestReader.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeRequestReader.java
@@ -9,9 +9,9 @@
 import switchgap.policy.api.Idempotency;
 
 /**
- * Reads an invoke request from its headers, in a fixed order: the first mistake is the one named.
- * The headers are those of {@link HeaderNames}; {@code Switchgap-Repeat} is allowed and has no
- * effect.
+ * Reads and validates the headers of an invoke request. The order is fixed and the first invalid
+ * header is reported, so that the same request always gets the same problem. {@link HeaderNames}
+ * lists the headers; {@code Switchgap-Repeat} is accepted and ignored.
  */
 final class InvokeRequestReader {
   private final RequestHeaders headers;
@@ -30,7 +30,7 @@
     Duration timeout = readTimeout(classSettings);
     Duration durationHint = headers.millis(HeaderNames.DURATION_HINT, null);
     String idempotencyKey = readIdempotencyKey(classSettings);
-    String clientRequestId = headers.boundedText(HeaderNames.CLIENT_REQUEST_ID);
+    String clientRequestId = headers.boundedValue(HeaderNames.CLIENT_REQUEST_ID);
     return new InvokeRequest(
         function,
         functionSettings,
@@ -54,7 +54,7 @@
   }
 
   private int readRequestClass(FunctionSettings functionSettings) throws InvalidRequestException {
-    String name = headers.text(HeaderNames.REQUEST_CLASS);
+    String name = headers.value(HeaderNames.REQUEST_CLASS);
     int index = name == null ? functionSettings.requestClass() : settings.requestClassIndex(name);
     if (index < 0) {
       throw new InvalidRequestException(
@@ -65,7 +65,7 @@
   }
 
   private int readTenant(FunctionSettings functionSettings) throws InvalidRequestException {
-    String name = headers.text(HeaderNames.TENANT);
+    String name = headers.value(HeaderNames.TENANT);
     if (name == null) {
       return functionSettings.tenant();
     }
@@ -77,7 +77,7 @@
     return index;
   }
 
-  /** The client may shorten the timeout of the request class, never extend it. */
+  /** A client may shorten the timeout of the request class but not extend it. */
   private Duration readTimeout(RequestClassSettings classSettings) throws InvalidRequestException {
     Duration timeout = headers.millis(HeaderNames.TIMEOUT, classSettings.timeout());
     if (timeout.isZero()) {
@@ -88,8 +88,9 @@
   }
 
   /**
-   * Guards against a request that lay in the socket while the router was paused: a duration alone
-   * would begin anew when it is read. The wall clock may only shorten the timeout.
+   * Limits the timeout to the client's deadline in wall time. A timeout alone starts when the
+   * request is read, so a request that was in the socket buffer while the process was paused would
+   * be executed too late. The wall clock can only shorten the timeout.
    */
   private Duration shortenToDeadline(Duration timeout) throws InvalidRequestException {
     Long deadlineMillis = headers.epochMillis(HeaderNames.DEADLINE);
@@ -106,7 +107,7 @@
 
   private String readIdempotencyKey(RequestClassSettings classSettings)
       throws InvalidRequestException {
-    String key = headers.boundedText(HeaderNames.IDEMPOTENCY_KEY);
+    String key = headers.boundedValue(HeaderNames.IDEMPOTENCY_KEY);
     if (key == null && classSettings.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
       throw new InvalidRequestException(
           ProblemType.IDEMPOTENCY_KEY_MISSING,
--- a/src/main/java/switchgap/protocol/invoke/PinRequest.java
+++ b/src/main/java/switchgap/protocol/invoke/PinRequest.java
@@ -6,9 +6,9 @@
 import switchgap.net.HttpExchange;
 
 /**
- * An operator's request to pin a service level of all tenants.
+ * An operator's request to pin the service level of all tenants.
  *
- * @param duration for how long, from one second to a day
+ * @param duration time for which the level stays pinned, from one second to one day
  */
 record PinRequest(ServiceLevel level, Duration duration) {
   private static final long MAX_SECONDS = 86_400;
@@ -25,19 +25,23 @@
     return new PinRequest(level, Duration.ofSeconds(seconds));
   }
 
-  /** Returns null for no level, and for the one that applies to single tenants. */
-  private static ServiceLevel parseLevel(String word) {
+  /**
+   * Returns null if the text names no level, or {@code SHARE}, which applies to single tenants
+   * only.
+   */
+  private static ServiceLevel parseLevel(String text) {
     for (ServiceLevel level : ServiceLevel.values()) {
-      if (level != ServiceLevel.SHARE && EnumWords.wordOf(level).equals(word)) {
+      if (level != ServiceLevel.SHARE && EnumWords.wordOf(level).equals(text)) {
         return level;
       }
     }
     return null;
   }
 
-  private static long parseSeconds(String digits) {
+  /** Returns -1 if the text is absent or not a number. */
+  private static long parseSeconds(String text) {
     try {
-      return digits == null ? -1 : Long.parseLong(digits);
+      return text == null ? -1 : Long.parseLong(text);
     } catch (NumberFormatException e) {
       return -1;
     }
--- a/src/main/java/switchgap/protocol/invoke/ProblemDetails.java
+++ b/src/main/java/switchgap/protocol/invoke/ProblemDetails.java
@@ -6,42 +6,42 @@
 import switchgap.config.EnumWords;
 
 /**
- * Problem details by RFC 9457.
+ * The body of an error response: problem details as defined by RFC 9457.
  *
- * @param detail the explanation for a reader
- * @param outcome how the request ended, or null where there was none that could be accepted
+ * @param detail explanation for a human reader
+ * @param outcome how the request ended, or null if the problem is not about a valid request
  */
 record ProblemDetails(ProblemType type, String detail, ProblemOutcome outcome) {
   static final String MEDIA_TYPE = "application/problem+json";
   private static final String TYPE_PREFIX = "urn:switchgap:problem:";
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** A problem of a path, or of a request that is malformed. */
+  /** Creates a problem without an outcome, for an invalid path or a malformed request. */
   ProblemDetails(ProblemType type, String detail) {
     this(type, detail, null);
   }
 
-  /** The router shuts down. */
+  /** The problem of a request that arrives while the router is shutting down. */
   static ProblemDetails routerStopping() {
     return notAccepted("the router is stopping");
   }
 
-  /** As many requests are pending as may be. */
+  /** The problem of a request that exceeds the limit of pending requests. */
   static ProblemDetails pendingLimitReached(int maxPending) {
     return notAccepted("the router holds " + maxPending + " calls already");
   }
 
-  /** The request names a further function, and state is stored of as many as may be. */
+  /** The problem of a request for a new function when the limit of functions is reached. */
   static ProblemDetails functionLimitReached() {
     return notAccepted("no room for a further function");
   }
 
-  /** As many deferred requests are pending as may be. */
+  /** The problem of a deferred request that exceeds the limit of stored deferred requests. */
   static ProblemDetails deferredLimitReached() {
     return notAccepted("no room for a further deferred call");
   }
 
-  /** The problem of a request that was not accepted: never executed, so a retry is harmless. */
+  /** The problem of a request that was not accepted. It was never executed, so a retry is safe. */
   private static ProblemDetails notAccepted(String detail) {
     return new ProblemDetails(
         ProblemType.NOT_ACCEPTED, detail, ProblemOutcome.rejected(null, null));
@@ -51,11 +51,11 @@
     return type.status();
   }
 
-  /** The body of the response, JSON in UTF-8. */
+  /** Returns the response body as JSON in UTF-8. */
   byte[] toJson() {
     ObjectNode members = JSON.createObjectNode();
-    members.put("type", TYPE_PREFIX + type.word());
-    members.put("title", type.word().replace('-', ' '));
+    members.put("type", TYPE_PREFIX + type.wireName());
+    members.put("title", type.wireName().replace('-', ' '));
     members.put("status", status());
     members.put("detail", detail);
     if (outcome != null) {
@@ -69,8 +69,8 @@
   }
 
   private void addOutcome(ObjectNode members) {
-    members.put("end", outcome.end().word());
-    members.put("repeat_harmless", outcome.retryHarmless());
+    members.put("end", outcome.end().wireName());
+    members.put("repeat_harmless", outcome.safeToRetry());
     if (outcome.shedBy() != null) {
       members.put("level", EnumWords.wordOf(outcome.shedBy()));
     }
--- a/src/main/java/switchgap/protocol/invoke/RequestCounts.java
+++ b/src/main/java/switchgap/protocol/invoke/RequestCounts.java
@@ -1,15 +1,15 @@
 package switchgap.protocol.invoke;
 
 /**
- * Requests that have ended since the router's start, by how they ended.
+ * Numbers of requests that have ended since the router's start, by outcome.
  *
- * @param succeeded a worker's response was passed on
- * @param rejected rejected; a retry is harmless
- * @param failed nothing is promised about the effect
- * @param overdue the deadline passed without a response
+ * @param succeeded requests whose client got the response of a worker
+ * @param rejected requests that were never executed, so that a retry is safe
+ * @param failed requests that got a failure as response and may have been executed
+ * @param overdue requests whose deadline passed without a response
  */
 public record RequestCounts(long succeeded, long rejected, long failed, long overdue) {
-  /** All requests that have ended. */
+  /** Number of all requests that have ended. */
   public long total() {
     return succeeded + rejected + failed + overdue;
   }
--- a/src/main/java/switchgap/protocol/invoke/RequestHeaders.java
+++ b/src/main/java/switchgap/protocol/invoke/RequestHeaders.java
@@ -4,14 +4,13 @@
 import switchgap.net.HttpExchange;
 
 /**
- * Typed access to the headers of one request; a malformed value is rejected with the name of its
- * header.
+ * Typed access to the headers of one request. The exception for a malformed value names its header.
  */
 final class RequestHeaders {
-  /** Longest value of a key or id, and longest name of a function, characters. */
+  /** Maximum length of a key, an id or the name of a function, in characters. */
   static final int MAX_VALUE_LENGTH = 256;
 
-  /** The preference of a client that polls for its response (RFC 7240). */
+  /** The value of {@code Prefer} that requests a deferred response (RFC 7240). */
   static final String DEFERRED_PREFERENCE = "respond-async";
 
   private static final int MAX_QUOTED_LENGTH = 60;
@@ -26,23 +25,23 @@
     this.exchange = exchange;
   }
 
-  /** A header's value, or null. */
-  String text(String header) {
+  /** Returns the value of a header, or null if it is absent. */
+  String value(String header) {
     return exchange.header(header);
   }
 
-  /** A header's value of bounded length, or null. */
-  String boundedText(String header) throws InvalidRequestException {
-    String value = text(header);
+  /** Like {@link #value}, but rejects a value longer than {@link #MAX_VALUE_LENGTH}. */
+  String boundedValue(String header) throws InvalidRequestException {
+    String value = value(header);
     if (value != null && value.length() > MAX_VALUE_LENGTH) {
       throw malformed(header + " is longer than " + MAX_VALUE_LENGTH + " characters");
     }
     return value;
   }
 
-  /** A duration in milliseconds, fractions allowed; zero for a value below zero. */
+  /** Parses a duration in milliseconds, with or without a fraction; a negative one becomes zero. */
   Duration millis(String header, Duration defaultValue) throws InvalidRequestException {
-    String value = text(header);
+    String value = value(header);
     if (value == null) {
       return defaultValue;
     }
@@ -58,12 +57,13 @@
     if (millis <= MAX_MILLIS) {
       return Duration.ofNanos((long) (millis * NANOS_PER_MILLI));
     }
-    throw malformed(header + " is out of range: " + quoted(value)); // not a number too
+    // NaN fails both comparisons and gets here as well.
+    throw malformed(header + " is out of range: " + quoted(value));
   }
 
-  /** A time in milliseconds since the epoch, or null. */
+  /** Parses a time in milliseconds since the epoch; returns null if the header is absent. */
   Long epochMillis(String header) throws InvalidRequestException {
-    String value = text(header);
+    String value = value(header);
     if (value == null) {
       return null;
     }
@@ -74,18 +74,17 @@
     }
   }
 
-  /** Whether the client prefers a deferred response. */
   boolean prefersDeferred() {
-    String prefer = text(HeaderNames.PREFER);
+    String prefer = value(HeaderNames.PREFER);
     return prefer != null && prefer.contains(DEFERRED_PREFERENCE);
   }
 
   /**
-   * For how many seconds the client prefers to wait for a deferred response; 0 where it doesn't
-   * say.
+   * How many seconds the client prefers to wait for a deferred response, 0 if it states no
+   * preference.
    */
   int preferredWaitSeconds() throws InvalidRequestException {
-    String prefer = text(HeaderNames.PREFER);
+    String prefer = value(HeaderNames.PREFER);
     int start = prefer == null ? -1 : prefer.indexOf(WAIT_PREFERENCE);
     if (start < 0) {
       return 0;
@@ -97,7 +96,7 @@
     return Integer.parseInt(digits);
   }
 
-  /** Bad input as it is quoted in a problem: shortened, and without what could break a line. */
+  /** Quotes invalid input for an error message: shortened, with control characters replaced. */
   static String quoted(String input) {
     String shortened =
         input.length() > MAX_QUOTED_LENGTH ? input.substring(0, MAX_QUOTED_LENGTH) + "..." : input;
--- a/src/main/java/switchgap/protocol/invoke/RequestTracker.java
+++ b/src/main/java/switchgap/protocol/invoke/RequestTracker.java
@@ -7,8 +7,8 @@
 import switchgap.router.RouterCore;
 
 /**
- * Bounds the requests that are pending at a time and counts how requests ended. Safe from any
- * thread.
+ * Limits the number of pending requests and counts the outcomes of requests. Safe from any thread,
+ * except for {@link #cancel}.
  */
 final class RequestTracker {
   private final int maxPending;
@@ -22,7 +22,7 @@
     this.maxPending = maxPending;
   }
 
-  /** Counts one more pending request; returns false where as many are pending as may be. */
+  /** Counts a further pending request; returns false if the limit is reached. */
   boolean tryAcquire() {
     if (pending.incrementAndGet() > maxPending) {
       pending.decrementAndGet();
@@ -31,12 +31,12 @@
     return true;
   }
 
-  /** A request that was counted as pending was not accepted after all. */
+  /** Decrements the number of pending requests, for one that was not accepted or was cancelled. */
   void release() {
     pending.decrementAndGet();
   }
 
-  /** Cancels a request whose client has left, unless it has ended; on the event loop. */
+  /** Cancels a request whose client no longer waits, unless it has ended; on the event loop. */
   void cancel(RouterCore core, PendingRequest request) {
     if (request.state() == PendingRequest.State.PENDING) {
       core.requestCancelled(request);
@@ -44,7 +44,7 @@
     }
   }
 
-  /** A pending request has its response. */
+  /** Counts the response of a pending request. */
   void responded(Response response) {
     release();
     AtomicLong counter =
@@ -56,13 +56,13 @@
     counter.incrementAndGet();
   }
 
-  /** The deadline of a pending request passed without a response. */
+  /** Counts a pending request whose deadline passed without a response. */
   void deadlineMissed() {
     release();
     overdue.incrementAndGet();
   }
 
-  /** A response that was counted already came too late to be written. */
+  /** Counts a response that was too late to be written, after {@link #responded} counted it. */
   void responseSuppressed() {
     overdue.incrementAndGet();
   }
--- a/src/main/java/switchgap/protocol/invoke/ResourcePath.java
+++ b/src/main/java/switchgap/protocol/invoke/ResourcePath.java
@@ -1,18 +1,18 @@
 package switchgap.protocol.invoke;
 
 /**
- * The resource that the path of a request addresses.
+ * The resource addressed by the path of a request.
  *
- * @param name name of the function or id of the deferred request, empty for another resource
+ * @param name name of the function or id of the deferred request, empty for other resources
  */
 record ResourcePath(Resource resource, String name) {
-  /** The resources that requests of clients address. */
+  /** Kinds of resources. */
   enum Resource {
     /** {@code /v1/functions/NAME/invoke}. */
     FUNCTION_INVOCATION,
     /** {@code /v1/calls/ID}. */
     DEFERRED_REQUEST,
-    /** Anything else: a resource for operators, or none. */
+    /** Any other path: a page for operators, or no resource. */
     OTHER
   }
 
@@ -22,7 +22,7 @@
   private static final String DEFERRED_REQUESTS = "calls";
   private static final ResourcePath OTHER = new ResourcePath(Resource.OTHER, "");
 
-  /** Parses an absolute path; its first segment is empty. */
+  /** Parses an absolute path. It starts with a slash, so the first segment is empty. */
   static ResourcePath parse(String path) {
     String[] segments = path.split("/", -1);
     if (segments.length < 4 || !segments[1].equals(VERSION)) {
@@ -39,7 +39,7 @@
     return OTHER;
   }
 
-  /** The path of a deferred request. */
+  /** Returns the path at which to poll for a deferred request. */
   static String ofDeferredRequest(String id) {
     return "/" + VERSION + "/" + DEFERRED_REQUESTS + "/" + id;
   }
--- a/src/main/java/switchgap/protocol/invoke/ResponseWriter.java
+++ b/src/main/java/switchgap/protocol/invoke/ResponseWriter.java
@@ -10,13 +10,13 @@
 import switchgap.router.Response;
 
 /**
- * Writes the router's responses as HTTP. Safe from any thread; an exchange accepts its first
- * response only.
+ * Writes the router's responses over HTTP. Safe from any thread; an exchange ignores all responses
+ * after its first.
  */
 final class ResponseWriter {
   static final String JSON = "application/json";
   static final int STATUS_OK = 200;
-  private static final String SUCCEEDED_WORD = "finished";
+  private static final String SUCCEEDED_END = "finished";
   private static final int STATUS_ACCEPTED = 202;
   private static final int STATUS_NO_CONTENT = 204;
   private static final int MILLIS_PER_SECOND = 1000;
@@ -32,9 +32,9 @@
   /**
    * Writes the final response of a request.
    *
-   * @param id the router's id of the request
-   * @param clientRequestId the client's id of it, or null
-   * @param shedBy the service level that rejected it, or null
+   * @param id the id that the router assigned to the request
+   * @param clientRequestId the client's own id of the request, or null
+   * @param shedBy the service level that rejected the request, or null
    */
   static void writeFinal(
       HttpExchange exchange,
@@ -56,7 +56,7 @@
   private static void writeSuccess(
       HttpExchange exchange, Response response, Map<String, String> headers) {
     headers.putAll(response.headers());
-    headers.put(HeaderNames.END, SUCCEEDED_WORD);
+    headers.put(HeaderNames.END, SUCCEEDED_END);
     exchange.respond(response.status(), headers, response.body());
   }
 
@@ -67,8 +67,8 @@
       ServiceLevel shedBy) {
     if (retryAfter != null) {
       long millis = retryAfter.toMillis();
-      long seconds = (millis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND; // rounded up
-      headers.put(HeaderNames.RETRY_AFTER, String.valueOf(seconds));
+      long secondsRoundedUp = (millis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
+      headers.put(HeaderNames.RETRY_AFTER, String.valueOf(secondsRoundedUp));
       headers.put(HeaderNames.RETRY_AFTER_MILLIS, String.valueOf(millis));
     }
     ProblemDetails problem =
@@ -86,12 +86,12 @@
     writeProblem(exchange, headers, problem);
   }
 
-  /** Writes the problem of a request that was never accepted, or of a path that is no request. */
+  /** Writes the problem of a request that was not accepted, or of an invalid path. */
   static void writeProblem(HttpExchange exchange, ProblemDetails problem) {
     writeProblem(exchange, problem, null);
   }
 
-  /** The same with the client's id of the request, which may be null. */
+  /** Writes a problem with the client's own id of the request, which may be null. */
   static void writeProblem(HttpExchange exchange, ProblemDetails problem, String clientRequestId) {
     writeProblem(exchange, requestHeaders(null, clientRequestId), problem);
   }
@@ -99,20 +99,22 @@
   private static void writeProblem(
       HttpExchange exchange, Map<String, String> headers, ProblemDetails problem) {
     if (problem.outcome() != null) {
-      headers.put(HeaderNames.END, problem.outcome().end().word());
+      headers.put(HeaderNames.END, problem.outcome().end().wireName());
     }
     headers.put(HeaderNames.CONTENT_TYPE, ProblemDetails.MEDIA_TYPE);
     exchange.respond(problem.status(), headers, problem.toJson());
   }
 
-  /** A deferred request was accepted; its client polls for the response by its id. */
+  /**
+   * Writes that a deferred request was accepted, with the path at which to poll for its response.
+   */
   static void writeAccepted(HttpExchange exchange, String id, String clientRequestId) {
     Map<String, String> headers = locationHeaders(id, clientRequestId);
     headers.put(HeaderNames.PREFERENCE_APPLIED, RequestHeaders.DEFERRED_PREFERENCE);
     writePending(exchange, id, headers);
   }
 
-  /** A deferred request has no response yet. */
+  /** Writes that a deferred request has no response yet. */
   static void writePending(HttpExchange exchange, String id) {
     writePending(exchange, id, locationHeaders(id, null));
   }
@@ -123,7 +125,7 @@
     exchange.respond(STATUS_ACCEPTED, headers, state.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** A deferred request was cancelled by its client, or its result deleted. */
+  /** Writes that a deferred request was cancelled by its client or its result deleted. */
   static void writeDeleted(HttpExchange exchange, String id) {
     exchange.respond(STATUS_NO_CONTENT, requestHeaders(id, null), NO_BODY);
   }
--- a/src/main/java/switchgap/protocol/invoke/RouterContext.java
+++ b/src/main/java/switchgap/protocol/invoke/RouterContext.java
@@ -7,11 +7,11 @@
 import switchgap.router.RouterCore;
 
 /**
- * The API's access to the router that it serves.
+ * Gives the invoke API access to the router that it belongs to.
  *
- * @param clock time since the router's start; from any thread
- * @param eventLoop runs an event on the router's event loop; from any thread
- * @param admissionGate the gate to which requests are offered; only on the event loop
+ * @param clock returns the time since the router's start; safe from any thread
+ * @param eventLoop posts an event to the router's event loop; safe from any thread
+ * @param admissionGate returns the gate to which requests are offered; on the event loop only
  */
 public record RouterContext(
     Supplier<Duration> clock,
--- a/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
@@ -5,7 +5,7 @@
 import switchgap.net.HttpExchange;
 import switchgap.router.AdmissionGate;
 
-/** Shows the service levels of a router and pins them; on the event loop. */
+/** Reports and pins the service level of a router; on the event loop. */
 final class ServiceLevelHandler {
   private final ServiceLevelReport report;
 
@@ -14,8 +14,8 @@
   }
 
   /**
-   * Responds with the service levels. {@code GET /v1/levels} changes nothing; {@code POST
-   * /v1/levels?pin=LEVEL&seconds=N} pins a level first, for a time.
+   * Responds with the report of the service levels. {@code POST /v1/levels?pin=LEVEL&seconds=N}
+   * pins a level for that time first; {@code GET /v1/levels} only reads.
    */
   void handle(HttpExchange exchange, AdmissionGate gate) {
     try {
--- a/src/main/java/switchgap/protocol/invoke/ServiceLevelReport.java
+++ b/src/main/java/switchgap/protocol/invoke/ServiceLevelReport.java
@@ -11,7 +11,9 @@
 import switchgap.config.EnumWords;
 import switchgap.config.YamlRouterSettings;
 
-/** The service levels of a router as JSON: now, so far, and their last changes. */
+/**
+ * Reports a router's service levels as JSON: the current ones, totals since the start, and changes.
+ */
 final class ServiceLevelReport {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final double MILLIS_PER_SECOND = 1000.0;
@@ -22,7 +24,7 @@
     this.settings = settings;
   }
 
-  /** The report now, in UTF-8; on the event loop. */
+  /** Returns the current report in UTF-8; on the event loop. */
   byte[] toJson(AdmissionController admission) {
     ObjectNode root = JSON.createObjectNode();
     root.put("level", EnumWords.wordOf(admission.level()));
@@ -42,12 +44,12 @@
     ObjectNode seconds = root.putObject("seconds_at");
     ObjectNode rejections = root.putObject("pushed_back");
     for (ServiceLevel level : ServiceLevel.values()) {
-      String word = EnumWords.wordOf(level);
-      seconds.put(word, seconds(admission.timeAt(level)));
+      String levelName = EnumWords.wordOf(level);
+      seconds.put(levelName, seconds(admission.timeAt(level)));
       for (int i = 0; i < settings.requestClassCount(); i++) {
         long count = admission.rejections(level, i);
         if (count > 0) {
-          rejections.withObject("/" + word).put(settings.requestClass(i).name(), count);
+          rejections.withObject("/" + levelName).put(settings.requestClass(i).name(), count);
         }
       }
     }
--- a/src/main/java/switchgap/protocol/invoke/SynchronousRequestHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/SynchronousRequestHandler.java
@@ -8,7 +8,7 @@
 import switchgap.router.Response;
 import switchgap.router.ResponseListener;
 
-/** Requests whose clients wait for the response on the connection that carried the request. */
+/** Handles requests whose response is sent on the connection that carried the request. */
 final class SynchronousRequestHandler {
   private final RouterContext router;
   private final RequestTracker tracker;
@@ -24,7 +24,7 @@
     this.idPrefix = idPrefix;
   }
 
-  /** Submits a request that the tracker counts as pending; from the thread that read it. */
+  /** Submits a request that the tracker already counts as pending, on the thread that read it. */
   void submit(HttpExchange exchange, InvokeRequest request, Duration deadline) {
     String clientRequestId = request.clientRequestId();
     PendingRequest pending =
@@ -32,7 +32,7 @@
             idPrefix + nextId.getAndIncrement(),
             deadline,
             exchange,
-            new WaitingClient(exchange, clientRequestId));
+            new ExchangeResponder(exchange, clientRequestId));
     exchange.attach((DisconnectListener) core -> tracker.cancel(core, pending));
     router.post(
         core -> {
@@ -46,12 +46,12 @@
         });
   }
 
-  /** The client of one request. */
-  private final class WaitingClient implements ResponseListener {
+  /** Writes the response of one request to its exchange. */
+  private final class ExchangeResponder implements ResponseListener {
     private final HttpExchange exchange;
     private final String clientRequestId;
 
-    WaitingClient(HttpExchange exchange, String clientRequestId) {
+    ExchangeResponder(HttpExchange exchange, String clientRequestId) {
       this.exchange = exchange;
       this.clientRequestId = clientRequestId;
     }
@@ -66,14 +66,16 @@
       if (router.now().compareTo(request.deadline()) < 0) {
         ResponseWriter.writeFinal(
             exchange, response, request.id(), clientRequestId, request.shedBy());
-      } else { // paused between the decision and the write: silence, not a late response
+      } else {
+        // The process was paused between the response and this write. A response after the
+        // deadline must not reach the client, so the connection is closed without one.
         tracker.responseSuppressed();
         exchange.drop();
       }
     }
 
     @Override
-    public void deadlineMissed(PendingRequest request, Response late) {
+    public void deadlineMissed(PendingRequest request, Response lateResponse) {
       tracker.deadlineMissed();
       exchange.drop();
     }
--- a/src/main/java/switchgap/server/gateway/BacklogPublisher.java
+++ b/src/main/java/switchgap/server/gateway/BacklogPublisher.java
@@ -7,39 +7,40 @@
 import switchgap.router.RouterCore;
 
 /**
- * Sends the planner the backlog of load commands that wait for its plans: one backlog for all that
- * changes in a tick. Belongs to the event loop.
+ * Sends the planner the backlog of load commands that wait for its plans, at most once per tick.
+ * Confined to the event loop.
  */
 final class BacklogPublisher {
   /** Sends a backlog to the planner. */
   interface Sender {
-    /** Returns false where it was not sent. */
+    /** Returns false if the backlog was not sent. */
     boolean send(LoadBacklog backlog);
   }
 
   private final PendingLoadQueue queue;
-  private final DelayedLoads delayed;
-  private final Consumer<Consumer<RouterCore>> events;
+  private final DelayedLoads delayedLoads;
+  private final Consumer<Consumer<RouterCore>> eventLoop;
   private Sender sender = backlog -> false;
   private long lastSequence;
-  private boolean scheduled;
+  private boolean publishScheduled;
 
   /**
-   * Creates a publisher that sends nothing yet.
+   * Creates a publisher without a sender; backlogs are discarded until {@link #setSender} is
+   * called.
    *
-   * @param queue the loads that the planner decides on
-   * @param delayed their commands
-   * @param events runs an event on the event loop
+   * @param queue the loads whose order the planner decides
+   * @param delayedLoads the commands of these loads
+   * @param eventLoop posts an event to the event loop
    */
   BacklogPublisher(
-      PendingLoadQueue queue, DelayedLoads delayed, Consumer<Consumer<RouterCore>> events) {
+      PendingLoadQueue queue, DelayedLoads delayedLoads, Consumer<Consumer<RouterCore>> eventLoop) {
     this.queue = queue;
-    this.delayed = delayed;
-    this.events = events;
+    this.delayedLoads = delayedLoads;
+    this.eventLoop = eventLoop;
   }
 
-  void setSender(Sender next) {
-    sender = next;
+  void setSender(Sender newSender) {
+    sender = newSender;
   }
 
   /** Sends the whole backlog to a planner that has just connected. */
@@ -48,21 +49,21 @@
     publish(core);
   }
 
-  /** The backlog has changed: schedules one that covers all changes of this tick. */
+  /** Schedules the next backlog, which covers all changes of this tick. */
   void backlogChanged() {
-    if (!scheduled && queue.state() != PendingLoadQueue.State.ALONE) {
-      scheduled = true;
-      events.accept(this::publish);
+    if (!publishScheduled && queue.state() != PendingLoadQueue.State.ALONE) {
+      publishScheduled = true;
+      eventLoop.accept(this::publish);
     }
   }
 
   private void publish(RouterCore core) {
-    scheduled = false;
+    publishScheduled = false;
     if (queue.state() == PendingLoadQueue.State.ALONE) {
       return;
     }
-    Map<String, Double> weights =
-        delayed.isEmpty() ? Map.of() : core.queuedWeightByFunction(); // costly
+    // The weights are computed only if needed, since that iterates over all queued requests.
+    Map<String, Double> weights = delayedLoads.isEmpty() ? Map.of() : core.queuedWeightByFunction();
     lastSequence++;
     sender.send(
         new LoadBacklog(
--- a/src/main/java/switchgap/server/gateway/CoreFactory.java
+++ b/src/main/java/switchgap/server/gateway/CoreFactory.java
@@ -10,44 +10,47 @@
 import switchgap.router.WorkerTransport;
 
 /**
- * Makes a router's core with the transports through which it reaches the workers. Used once, by the
- * constructor of the event loop.
+ * Creates a router's core and its transports to the workers. Used once, by the constructor of the
+ * event loop.
  */
 final class CoreFactory implements Function<EventLoop, RouterCore> {
   private final GatewayConfig config;
   private final RouterCore.Policy policy;
-  private final HttpClientConnector connections;
+  private final HttpClientConnector connector;
   private final KeyedWriters writers;
-  private volatile Runnable endpointListRequest = () -> {};
-  private InferenceWorkerTransport workers;
-  private PlannedWorkerTransport planned;
+  private volatile Runnable endpointListRequester = () -> {};
+  private InferenceWorkerTransport inferenceTransport;
+  private PlannedWorkerTransport plannedTransport;
 
   CoreFactory(
       GatewayConfig config,
       RouterCore.Policy policy,
-      HttpClientConnector connections,
+      HttpClientConnector connector,
       KeyedWriters writers) {
     this.config = config;
     this.policy = policy;
-    this.connections = connections;
+    this.connector = connector;
     this.writers = writers;
   }
 
   @Override
   public RouterCore apply(EventLoop loop) {
-    workers =
+    inferenceTransport =
         new InferenceWorkerTransport(
-            connections,
+            connector,
             config.workers().limits(),
             writers,
             loop::post,
-            () -> endpointListRequest.run());
+            () -> endpointListRequester.run());
     if (config.plannerLink() != null) {
-      planned =
+      plannedTransport =
           new PlannedWorkerTransport(
-              workers, config.settings(), config.plannerLink().planTimeout(), loop::post);
+              inferenceTransport,
+              config.settings(),
+              config.plannerLink().planTimeout(),
+              loop::post);
     }
-    WorkerTransport transport = planned == null ? workers : planned;
+    WorkerTransport transport = plannedTransport == null ? inferenceTransport : plannedTransport;
     return new RouterCore(
         config.settings(),
         policy,
@@ -58,18 +61,20 @@
             config.requestLimits().maxFunctions()));
   }
 
-  /** Sets what runs when the core requests the endpoint list; before that nothing does. */
-  void onEndpointListRequest(Runnable action) {
-    endpointListRequest = action;
+  /**
+   * Sets the action for the core's requests for the endpoint list, which are ignored until then.
+   */
+  void onEndpointListRequest(Runnable requester) {
+    endpointListRequester = requester;
   }
 
-  /** The transport to the workers. */
-  InferenceWorkerTransport workers() {
-    return workers;
+  /** The transport that exchanges requests with the workers; null before {@link #apply}. */
+  InferenceWorkerTransport inferenceTransport() {
+    return inferenceTransport;
   }
 
-  /** The transport in which load commands wait for plans, or null without a planner. */
-  PlannedWorkerTransport planned() {
-    return planned;
+  /** The transport in which load commands wait for plans, or null if no planner is configured. */
+  PlannedWorkerTransport plannedTransport() {
+    return plannedTransport;
   }
 }
--- a/src/main/java/switchgap/server/gateway/DelayedLoads.java
+++ b/src/main/java/switchgap/server/gateway/DelayedLoads.java
@@ -6,11 +6,11 @@
 import switchgap.router.WorkerEntry;
 
 /**
- * Load commands that wait for a plan, with all that is needed to send them later. Found by the id
- * under which the planner knows them, or by their command. Belongs to the event loop.
+ * Load commands that wait for a plan, with the arguments needed to send them later. Indexed by the
+ * id that the planner uses and by command. Confined to the event loop.
  */
 final class DelayedLoads {
-  /** The arguments of a load command that waits. */
+  /** The arguments of a load command that waits for a plan. */
   record DelayedLoad(WorkerEntry worker, String function, int replicas, WorkerCommand command) {}
 
   private final Map<Long, DelayedLoad> loadsById = new HashMap<>();
@@ -21,14 +21,14 @@
     idsByCommand.put(load.command(), id);
   }
 
-  /** Removes the load with this id, which must wait, and returns it. */
+  /** Removes and returns the load with this id, which must be present. */
   DelayedLoad remove(long id) {
     DelayedLoad load = loadsById.remove(id);
     idsByCommand.remove(load.command());
     return load;
   }
 
-  /** The id of the load that this command waits for, or null where it does not wait. */
+  /** Returns the id of the load that the command belongs to, or null if it does not wait. */
   Long idOf(WorkerCommand command) {
     return idsByCommand.get(command);
   }
--- a/src/main/java/switchgap/server/gateway/EndpointListSource.java
+++ b/src/main/java/switchgap/server/gateway/EndpointListSource.java
@@ -6,51 +6,53 @@
 import switchgap.net.HttpClientConnector;
 
 /**
- * Where a router learns its workers: from the endpoint list service, from its configuration, or
- * from both.
+ * Provides the router with its workers: from the endpoint list service, from the configuration, or
+ * both.
  */
 final class EndpointListSource implements AutoCloseable {
-  private final GatewayConfig.EndpointList endpoints;
+  private final GatewayConfig.EndpointList endpointConfig;
   private final EventLoop loop;
-  private final EndpointListWatcher watcher; // null: the configuration names all workers
+
+  /** Null if all workers are named in the configuration. */
+  private final EndpointListWatcher watcher;
 
   /**
-   * Creates the source, which requests nothing before {@link #start}.
+   * Creates the source; it sends no request before {@link #start}.
    *
-   * @param startedAtMillis wall time of the router's start
+   * @param startedAtMillis wall time of the router's start, in milliseconds since the epoch
    */
   EndpointListSource(
-      GatewayConfig config, HttpClientConnector connections, EventLoop loop, long startedAtMillis) {
-    this.endpoints = config.endpoints();
+      GatewayConfig config, HttpClientConnector connector, EventLoop loop, long startedAtMillis) {
+    this.endpointConfig = config.endpoints();
     this.loop = loop;
     this.watcher =
-        endpoints.service() == null ? null : createWatcher(config, connections, startedAtMillis);
+        endpointConfig.service() == null ? null : createWatcher(config, connector, startedAtMillis);
   }
 
   private EndpointListWatcher createWatcher(
-      GatewayConfig config, HttpClientConnector connections, long startedAtMillis) {
+      GatewayConfig config, HttpClientConnector connector, long startedAtMillis) {
     EndpointNames names =
         new EndpointNames(
             config.settings()::zoneIndex, config.settings()::workerKindIndex, startedAtMillis);
     return new EndpointListWatcher(
-        connections,
-        endpoints.service(),
+        connector,
+        endpointConfig.service(),
         config.settings().routerIndex(),
-        endpoints.retryInterval(),
+        endpointConfig.retryInterval(),
         names,
         loop::postUrgent);
   }
 
   /**
-   * Delivers the configured workers and watches the service; watches it anew at the request of the
-   * core.
+   * Delivers the configured workers and starts to watch the service. If the watch has ended, a
+   * request of the core starts it again.
    */
-  void start(CoreFactory cores) {
-    if (!endpoints.staticWorkers().isEmpty()) {
-      loop.post(core -> core.endpointListReceived(true, endpoints.staticWorkers()));
+  void start(CoreFactory coreFactory) {
+    if (!endpointConfig.staticWorkers().isEmpty()) {
+      loop.post(core -> core.endpointListReceived(true, endpointConfig.staticWorkers()));
     }
     if (watcher != null) {
-      cores.onEndpointListRequest(watcher::follow);
+      coreFactory.onEndpointListRequest(watcher::follow);
       watcher.follow();
     }
   }
--- a/src/main/java/switchgap/server/gateway/ForwardingWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/ForwardingWorkerTransport.java
@@ -7,7 +7,7 @@
 import switchgap.router.WorkerEntry;
 import switchgap.router.WorkerTransport;
 
-/** Forwards everything to another transport; subclasses override what they treat otherwise. */
+/** Forwards all calls to another transport; subclasses override the calls that they intercept. */
 abstract class ForwardingWorkerTransport implements WorkerTransport {
   private final WorkerTransport delegate;
 
--- a/src/main/java/switchgap/server/gateway/GatewayAdmission.java
+++ b/src/main/java/switchgap/server/gateway/GatewayAdmission.java
@@ -12,19 +12,22 @@
 import switchgap.router.RouterCore;
 
 /**
- * Admission control of one router: its controller where the settings enable it, the gate to which
- * requests are offered, and the log of service level changes. Belongs to the event loop, except for
- * {@link #gate} and {@link #controller}.
+ * Admission control of one router: the controller if the settings enable it, the gate to which
+ * requests are offered, and the logging of service level changes. Confined to the event loop,
+ * except for {@link #gate} and {@link #controller}.
  */
 final class GatewayAdmission {
-  /** Under the router's name, by which operators filter the changes of service levels. */
+  /** Uses the name of {@link GatewayRouter}, since operators filter log lines by it. */
   private static final Logger LOG = LoggerFactory.getLogger(GatewayRouter.class);
 
   private final YamlRouterSettings settings;
-  private final AdmissionController controller; // null: admission control is off
+
+  /** Null if admission control is off. */
+  private final AdmissionController controller;
+
   private final AtomicReference<AdmissionGate> gate = new AtomicReference<>();
 
-  /** Creates the controller, but no gate yet; {@code seed} is that of the controller's draws. */
+  /** Creates the controller, but no gate yet; {@code seed} is for the controller's random draws. */
   GatewayAdmission(YamlRouterSettings settings, long seed) {
     this.settings = settings;
     controller =
@@ -33,16 +36,18 @@
             : null;
   }
 
-  /** Creates the gate, with the service level that the settings pin; called in the first tick. */
+  /**
+   * Creates the gate and pins the service level if the settings say so; called in the first tick.
+   */
   void createGate(RouterCore core) {
-    AdmissionGate created = new AdmissionGate(core, settings, controller, this::logLevelChange);
-    gate.set(created);
+    AdmissionGate newGate = new AdmissionGate(core, settings, controller, this::logLevelChange);
+    gate.set(newGate);
     if (controller != null && settings.pinnedLevel() != null) {
-      created.pin(settings.pinnedLevel(), settings.pinDuration());
+      newGate.pin(settings.pinnedLevel(), settings.pinDuration());
     }
   }
 
-  /** The controller, or null where admission control is off. */
+  /** The controller, or null if admission control is off. */
   AdmissionController controller() {
     return controller;
   }
@@ -52,10 +57,12 @@
     return gate.get();
   }
 
-  /** Logs the figures that met the condition too: an operator acts on a change of level. */
+  /**
+   * Logs the change with its condition and measurements, so that an operator can judge the cause.
+   */
   private void logLevelChange(ServiceLevelChange change) {
     LOG.warn(
-        "level {} to {} for {}: {} (pressure {}, evidence {} calls)",
+        "service level changed from {} to {} for {}: {} (pressure {}, {} samples)",
         EnumWords.wordOf(change.previous()),
         EnumWords.wordOf(change.current()),
         change.appliesToAll() ? "all" : settings.tenantName(change.tenant()),
--- a/src/main/java/switchgap/server/gateway/GatewayComponents.java
+++ b/src/main/java/switchgap/server/gateway/GatewayComponents.java
@@ -21,69 +21,76 @@
 import switchgap.router.RouterCore;
 
 /**
- * The parts of one router: creates, starts and closes them, each after the parts that it depends on
- * or before them. {@link GatewayRouter} decides when.
+ * Creates, starts and closes the components of one router in the order of their dependencies.
+ * {@link GatewayRouter} controls the life cycle.
  */
 final class GatewayComponents implements AutoCloseable {
-  /** For the writes of a shutdown. */
+  /** Longest wait for pending response writes during a shutdown. */
   private static final Duration MAX_WRITE_WAIT = Duration.ofSeconds(1);
 
   private static final Logger LOG = LoggerFactory.getLogger(GatewayRouter.class);
   private static final int EXIT_CODE_TICK_FAILED = 70;
-  private static final long SWEEP_INTERVAL_SECONDS = 1;
-  private static final int ID_RADIX = 36;
+  private static final long PERIODIC_TASK_INTERVAL_SECONDS = 1;
+  private static final int REQUEST_ID_RADIX = 36;
   private static final int SEED_MULTIPLIER = 31;
 
   private final GatewayConfig config;
   private final YamlRouterSettings settings;
-  private final long startedAtMillis; // wall time
+
+  /** Wall time of the router's start, in milliseconds since the epoch. */
+  private final long startedAtMillis;
+
   private final LatenessRecorder lateness = new LatenessRecorder();
   private final NetworkTransport network;
   private final KeyedWriters writers;
-  private final CoreFactory cores;
+  private final CoreFactory coreFactory;
   private final EventLoop loop;
   private final GatewayAdmission admission;
   private final InvokeApi api;
   private final RouterStatus status;
   private final HttpServer server;
-  private final EndpointListSource endpoints;
-  private ScheduledFuture<?> sweeper;
-  private PlannerEndpoint planner; // null: load commands are sent without a plan
+  private final EndpointListSource endpointListSource;
+  private ScheduledFuture<?> periodicTasks;
+
+  /** Null if no planner is configured; load commands are sent without a plan then. */
+  private PlannerEndpoint plannerEndpoint;
 
-  /** Creates all parts and warms up the JVM; nothing is accepted before {@link #start}. */
+  /** Creates all components and warms up the JVM; no port is opened before {@link #start}. */
   GatewayComponents(GatewayConfig config, RouterCore.Policy policy) throws IOException {
     this.config = config;
     settings = config.settings();
-    int index = settings.routerIndex();
-    int threads = config.listener().selectorThreads();
-    network = new NetworkTransport(threads, "router-" + index);
+    int routerIndex = settings.routerIndex();
+    int threadCount = config.listener().selectorThreads();
+    network = new NetworkTransport(threadCount, "router-" + routerIndex);
     JvmWarmup.run(settings, network);
     startedAtMillis = WallClock.unixMillis();
-    writers = new KeyedWriters(threads, "writer-" + index);
-    HttpClientConnector connections =
+    writers = new KeyedWriters(threadCount, "writer-" + routerIndex);
+    HttpClientConnector connector =
         new HttpClientConnector(
             network, config.workers().sourceAddress(), config.workers().maxResponseBytes());
-    cores = new CoreFactory(config, policy, connections, writers);
+    coreFactory = new CoreFactory(config, policy, connector, writers);
     loop =
         new EventLoop(
-            cores,
-            "loop-" + index,
+            coreFactory,
+            "loop-" + routerIndex,
             lateness::record,
-            GatewayComponents::tickFailed,
+            GatewayComponents::haltAfterFailedTick,
             network::awaitPendingReads);
     admission = new GatewayAdmission(settings, config.seed() * SEED_MULTIPLIER + startedAtMillis);
     loop.post(admission::createGate);
     api = createApi();
-    status = new RouterStatus(index, api, admission.controller(), cores.planned(), lateness);
+    status =
+        new RouterStatus(
+            routerIndex, api, admission.controller(), coreFactory.plannedTransport(), lateness);
     api.setStatusSource(status::toJson);
     server = new HttpServer(network, config.listener().limits(), api);
-    endpoints = new EndpointListSource(config, connections, loop, startedAtMillis);
+    endpointListSource = new EndpointListSource(config, connector, loop, startedAtMillis);
   }
 
   private InvokeApi createApi() {
     GatewayConfig.RequestLimits limits = config.requestLimits();
     String idPrefix =
-        "r" + settings.routerIndex() + "-" + Long.toString(startedAtMillis, ID_RADIX) + "-";
+        "r" + settings.routerIndex() + "-" + Long.toString(startedAtMillis, REQUEST_ID_RADIX) + "-";
     DeferredResults deferred =
         new DeferredResults(
             idPrefix + "d",
@@ -99,73 +106,85 @@
         new InvokeLimits(limits.maxPending(), limits.maxPollSeconds()));
   }
 
-  private static void tickFailed(Throwable failure) {
-    LOG.error("a tick failed; the router stops, its clients may retry", failure);
+  private static void haltAfterFailedTick(Throwable failure) {
+    LOG.error(
+        "event loop tick failed, its state may be inconsistent; exiting with code 70, pending"
+            + " requests get no response",
+        failure);
     Runtime.getRuntime().halt(EXIT_CODE_TICK_FAILED);
   }
 
   /**
-   * Starts all parts but the clients' port; called once.
+   * Starts all components without opening the port for clients; called once.
    *
-   * @throws IOException where the planner's port can't be opened
+   * @throws IOException if the port for the planner can't be opened
    */
   void start() throws IOException {
-    endpoints.start(cores);
-    sweeper =
+    endpointListSource.start(coreFactory);
+    periodicTasks =
         TimerThread.EXECUTOR.scheduleAtFixedRate(
-            this::sweep, SWEEP_INTERVAL_SECONDS, SWEEP_INTERVAL_SECONDS, TimeUnit.SECONDS);
+            this::runPeriodicTasks,
+            PERIODIC_TASK_INTERVAL_SECONDS,
+            PERIODIC_TASK_INTERVAL_SECONDS,
+            TimeUnit.SECONDS);
     loop.start();
-    if (cores.planned() != null) {
-      planner =
+    if (coreFactory.plannedTransport() != null) {
+      plannerEndpoint =
           new PlannerEndpoint(
-              network, config.planner(), settings.routerIndex(), loop, cores.planned());
+              network,
+              config.planner(),
+              settings.routerIndex(),
+              loop,
+              coreFactory.plannedTransport());
     }
   }
 
-  private void sweep() {
-    cores.workers().sweep();
+  private void runPeriodicTasks() {
+    coreFactory.inferenceTransport().closeExpiredConnections();
     loop.post(core -> admission.gate().tick());
   }
 
-  /** Opens the clients' port and returns its number. */
+  /** Opens the port for clients and returns its number. */
   int listen() throws IOException {
     return server.listen(config.listener().host(), config.listener().port());
   }
 
-  /** Closes the clients' port and accepts no further requests; pending ones get their responses. */
+  /**
+   * Closes the port for clients and rejects new requests; pending ones still get their responses.
+   */
   void stopAccepting() {
     api.stopAccepting();
     server.stopListening();
   }
 
-  /** Waits until the responses decided on so far are written, for a bounded time. */
+  /** Waits until all responses so far have been written, for a bounded time. */
   void awaitWrites() throws InterruptedException {
     if (!writers.awaitPending(MAX_WRITE_WAIT)) {
-      LOG.warn("responses were not written within {}", MAX_WRITE_WAIT);
+      LOG.warn(
+          "some responses were not written within {}; closing their connections", MAX_WRITE_WAIT);
     }
   }
 
-  /** The port at which the planner is expected, 0 where none is. */
+  /** The port to which the planner connects, 0 if no planner is configured. */
   int plannerPort() {
-    return planner == null ? 0 : planner.port();
+    return plannerEndpoint == null ? 0 : plannerEndpoint.port();
   }
 
-  /** What the router reports of itself. */
   RouterStatus status() {
     return status;
   }
 
-  /** Closes all parts at once; pending requests get no response. After {@link #start} only. */
+  /** Closes all components; pending requests get no response. Must follow {@link #start}. */
   @Override
   public void close() {
-    sweeper.cancel(false);
-    endpoints.close();
+    periodicTasks.cancel(false);
+    endpointListSource.close();
     server.close();
-    if (planner != null) {
-      planner.close();
+    if (plannerEndpoint != null) {
+      plannerEndpoint.close();
     }
     loop.stop();
-    cores.workers().close();
+    coreFactory.inferenceTransport().close();
     writers.close();
     network.close();
   }
--- a/src/main/java/switchgap/server/gateway/GatewayConfig.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfig.java
@@ -12,15 +12,15 @@
 import switchgap.router.EndpointUpdate;
 
 /**
- * The configuration of a router, one record for each section of its YAML document.
+ * The configuration of a router, with one record for each section of its YAML document.
  *
  * @param settings the settings of the router's policy
- * @param seed of the policy's random draws
+ * @param seed seed of the random draws of routing policy and admission control
  * @param listener the section {@code listen}
  * @param requestLimits the section {@code holds}
  * @param workers the section {@code links}
  * @param endpoints the section {@code list}
- * @param plannerLink the section {@code planner}, or null
+ * @param plannerLink the section {@code planner}, or null if no planner is configured
  */
 public record GatewayConfig(
     YamlRouterSettings settings,
@@ -32,23 +32,25 @@
     PlannerLink plannerLink) {
 
   /**
-   * Where and how the router accepts client connections.
+   * Address and limits of the port for clients.
    *
-   * @param port 0 for any free one
-   * @param selectorThreads threads that read requests; as many write responses
+   * @param port port number, 0 for any free port
+   * @param selectorThreads number of threads that read requests, and of threads that write
+   *     responses
    */
   public record ListenerConfig(
       String host, int port, HttpServerLimits limits, int selectorThreads) {}
 
   /**
-   * Bounds of the requests and results that the router keeps in memory.
+   * Limits of the requests and results that the router holds in memory.
    *
-   * @param maxPending requests pending at a time
-   * @param maxFunctions functions of which state is stored at a time
+   * @param maxPending largest number of pending requests
+   * @param maxFunctions largest number of functions whose state is stored
    * @param resultRetention time for which the result of a deferred request is stored
-   * @param maxDeferred deferred requests, pending ones and results
-   * @param maxDeferredBytes bytes of the stored results
-   * @param maxPollSeconds longest time that a poll for a result may wait
+   * @param maxDeferred largest number of deferred requests, both pending and ended with a stored
+   *     result
+   * @param maxDeferredBytes largest total size of the stored results
+   * @param maxPollSeconds longest time that a poll for a result may wait, in seconds
    */
   public record RequestLimits(
       int maxPending,
@@ -59,12 +61,12 @@
       int maxPollSeconds) {}
 
   /**
-   * Connections to the workers.
+   * Limits and timeouts of the connections to the workers.
    *
-   * @param sourceAddress local address to connect from, or null for any
-   * @param maxResponseBytes largest body of a response
-   * @param commandTimeout of load commands
-   * @param probeTimeout of probes
+   * @param sourceAddress local address to connect from, or null for the system's choice
+   * @param maxResponseBytes largest response body
+   * @param commandTimeout timeout of load commands
+   * @param probeTimeout timeout of load probes
    */
   public record WorkerConnections(
       HttpPoolLimits limits,
@@ -74,38 +76,38 @@
       Duration probeTimeout) {}
 
   /**
-   * Where the endpoint list comes from: a service, the configuration itself, or both.
+   * Source of the endpoint list: a service, the configuration itself, or both.
    *
-   * @param service the endpoint list service, or null
-   * @param retryInterval pause before the service is requested again
-   * @param staticWorkers workers that the configuration names
+   * @param service address of the endpoint list service, or null
+   * @param retryInterval pause before the next request to the service after a failed one
+   * @param staticWorkers workers that are named in the configuration
    */
   public record EndpointList(
       InetSocketAddress service, Duration retryInterval, List<EndpointUpdate> staticWorkers) {}
 
   /**
-   * The planner that sequences load commands.
+   * Connection to the planner, which decides the order of load commands.
    *
-   * @param address where the router listens for it
+   * @param address address at which the router listens for the planner
    * @param planTimeout time after which a load command is sent without a plan
    */
   public record PlannerLink(InetSocketAddress address, Duration planTimeout) {}
 
-  /** Reads a YAML file; see {@link #read(YamlDocument)}. */
+  /** Reads a YAML file like {@link #read(YamlDocument)}. */
   public static GatewayConfig read(Path file) throws IOException {
     return read(YamlDocument.read(file));
   }
 
   /**
-   * Reads a document.
+   * Reads and validates a document.
    *
-   * @throws switchgap.config.InvalidConfigException where it is invalid, with file, line and key
+   * @throws switchgap.config.InvalidConfigException if it is invalid, with file, line and key
    */
   public static GatewayConfig read(YamlDocument document) {
     return new GatewayConfigReader(document).read();
   }
 
-  /** The address at which the router listens for its planner, or null where there is none. */
+  /** The address at which the router listens for its planner, or null if none is configured. */
   public InetSocketAddress planner() {
     return plannerLink == null ? null : plannerLink.address();
   }
--- a/src/main/java/switchgap/server/gateway/GatewayConfigReader.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfigReader.java
@@ -12,8 +12,7 @@
 import switchgap.router.EndpointUpdate;
 
 /**
- * Reads a router's configuration section by section, in a fixed order: the first mistake is the one
- * named.
+ * Reads a router's configuration section by section in a fixed order; the first error is reported.
  */
 final class GatewayConfigReader {
   private static final String LOOPBACK = "127.0.0.1";
@@ -23,7 +22,9 @@
   private static final int MIB = 1 << 20;
   private static final int MAX_BODY_BYTES = 256 * MIB;
   private static final int MAX_DEFERRED_MB = 1 << 20;
-  private static final long MAX_SEED = 1L << 52; // exact as a double
+
+  /** Seeds are read as a double, which represents integers up to this value exactly. */
+  private static final long MAX_SEED = 1L << 52;
 
   private final YamlDocument document;
   private final YamlRouterSettings settings;
@@ -111,7 +112,8 @@
   private EndpointUpdate readWorker(YamlDocument section) {
     int zone = settings.zoneIndex(section.text("zone", settings.zoneName(0)));
     if (zone < 0) {
-      throw section.invalid("zone", "'" + section.text("zone") + "' is not among zones");
+      throw section.invalid(
+          "zone", "'" + section.text("zone") + "' is not one of the configured zones");
     }
     EndpointUpdate worker =
         new EndpointUpdate(
@@ -129,8 +131,9 @@
   }
 
   /**
-   * Guards against a quota that is overrun: a load command that waits for a plan would be counted
-   * in another window than the one in which it is sent.
+   * Rejects a planner together with a quota on load commands. A command that waits for a plan would
+   * be counted in an earlier window than the one in which it is sent, so the quota could be
+   * exceeded.
    */
   private GatewayConfig.PlannerLink readPlannerLink(YamlDocument section) {
     InetSocketAddress address =
@@ -138,7 +141,8 @@
     Duration planTimeout = section.duration("patience", Duration.ofMillis(60));
     section.rejectUnknownKeys();
     if (!settings.loadQuotaWindow().isZero()) {
-      throw document.invalid("planner", "is not used where load orders are rationed");
+      throw document.invalid(
+          "planner", "can't be combined with a quota on load commands (rules: loads_span)");
     }
     return new GatewayConfig.PlannerLink(address, planTimeout);
   }
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -12,19 +12,18 @@
 import switchgap.router.RouterCore;
 
 /**
- * A running router: serves from the end of its constructor until {@link #stop} or {@link #close}.
- * Its public methods are safe from any thread. {@link GatewayComponents} has its parts, {@link
- * RouterStatus} what it reports.
+ * A running router, which accepts requests from the end of its constructor until {@link #stop} or
+ * {@link #close}. Its public methods are safe from any thread.
  */
 public final class GatewayRouter implements AutoCloseable {
   private enum Lifecycle {
-    /** The constructor has not ended. */
+    /** The constructor has not returned. */
     STARTING,
     /** Accepts requests. */
     SERVING,
-    /** Accepts nothing more; pending requests get their responses. */
+    /** Accepts no new requests; pending requests still get their responses. */
     STOPPING,
-    /** Closed. */
+    /** All components are closed. */
     STOPPED
   }
 
@@ -37,18 +36,18 @@
   private final int port;
 
   /**
-   * Starts a router with the routing policy.
+   * Starts a router with the default {@link RoutingPolicy}.
    *
-   * @throws IOException where it can't listen
+   * @throws IOException if a port can't be opened
    */
   public GatewayRouter(GatewayConfig config) throws IOException {
     this(config, new RoutingPolicy(config.settings(), config.seed())::tick);
   }
 
   /**
-   * Starts a router with any policy: to measure the routing policy against a baseline.
+   * Starts a router with another policy, such as a baseline for benchmarks.
    *
-   * @throws IOException where it can't listen
+   * @throws IOException if a port can't be opened
    */
   public GatewayRouter(GatewayConfig config, RouterCore.Policy policy) throws IOException {
     settings = config.settings();
@@ -74,43 +73,43 @@
     }
   }
 
-  /** The port at which it serves. */
+  /** The port for clients. */
   public int port() {
     return port;
   }
 
-  /** The port at which the planner is expected, 0 where none is. */
+  /** The port to which the planner connects, 0 if no planner is configured. */
   public int plannerPort() {
     return components.plannerPort();
   }
 
   /**
-   * Load commands and plans so far; null where no planner is expected. The event loop counts
-   * without synchronization, so another thread may see counts of a moment ago.
+   * Counts of load commands and plans since the start; null if no planner is configured. The event
+   * loop updates them without synchronization, so another thread may see slightly outdated values.
    */
   public LoadPlanCounts loadPlanCounts() {
     return components.status().loadPlanCounts();
   }
 
-  /** Requests that were accepted and have no response yet. */
+  /** Number of requests that were accepted and have no response yet. */
   public int pendingRequests() {
     return components.status().pendingRequests();
   }
 
-  /** Requests that have ended so far. */
+  /** Numbers of requests that have ended since the start, by outcome. */
   public RequestCounts requestCounts() {
     return components.status().requestCounts();
   }
 
-  /** A copy of the event loop's lateness, microseconds. */
+  /** Returns a copy of the histogram of the event loop's lateness, in microseconds. */
   public Histogram lateness() {
     return components.status().lateness();
   }
 
   /**
-   * Shuts down gracefully: accepts nothing more, waits until all pending requests have their
-   * responses, at most for the longest timeout of a request, then closes. Does nothing unless the
-   * router serves.
+   * Shuts down gracefully: stops accepting requests, waits until all pending requests have their
+   * responses, at most for the longest request timeout, then closes. Has no effect unless the
+   * router is serving.
    */
   public void stop() {
     if (!lifecycle.compareAndSet(Lifecycle.SERVING, Lifecycle.STOPPING)) {
@@ -129,13 +128,14 @@
       while (pendingRequests() > 0 && System.nanoTime() - deadlineNanos < 0) {
         Thread.sleep(STOP_POLL_MILLIS);
       }
-      components.awaitWrites(); // a request has ended before its response is written
+      // A request no longer counts as pending when its response is queued for writing.
+      components.awaitWrites();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Closes at once: pending requests get no response. */
+  /** Closes the router without waiting; pending requests get no response. */
   @Override
   public void close() {
     if (lifecycle.getAndSet(Lifecycle.STOPPED) != Lifecycle.STOPPED) {
--- a/src/main/java/switchgap/server/gateway/JvmWarmup.java
+++ b/src/main/java/switchgap/server/gateway/JvmWarmup.java
@@ -17,15 +17,15 @@
 import switchgap.net.NetworkTransport;
 
 /**
- * Runs synthetic requests through a core and a server of its own before the router serves. Guards
- * against responses that come late in the first second, while the JVM still interprets the code
- * that must meet deadlines.
+ * Runs synthetic requests through a separate core and server before the router accepts requests.
+ * Without it, responses in the first second are late, since the JVM still interprets the code that
+ * must meet deadlines.
  */
 final class JvmWarmup {
-  /** Longest time of each of the two parts. */
-  static final Duration MAX_DURATION = Duration.ofSeconds(2);
+  /** Longest duration of each of the two steps, routing and sockets. */
+  static final Duration MAX_STEP_DURATION = Duration.ofSeconds(2);
 
-  private static final int EXCHANGES = 600;
+  private static final int EXCHANGE_COUNT = 600;
   private static final int BODY_BYTES = 64;
   private static final int MAX_RESPONSE_BYTES = 1 << 16;
   private static final String LOOPBACK = "127.0.0.1";
@@ -34,7 +34,7 @@
 
   private JvmWarmup() {}
 
-  /** Warms up the routing of requests and the sockets; takes about four seconds at most. */
+  /** Warms up routing, then sockets; blocks for about four seconds at most. */
   static void run(YamlRouterSettings settings, NetworkTransport network) throws IOException {
     new RoutingWarmup(settings).run();
     warmUpSockets(network);
@@ -49,18 +49,20 @@
       int port = server.listen(LOOPBACK, 0);
       CountDownLatch done = new CountDownLatch(1);
       new HttpClientConnector(network, null, MAX_RESPONSE_BYTES)
-          .connect(new InetSocketAddress(LOOPBACK, port), MAX_DURATION, new Connected(done));
-      done.await(MAX_DURATION.toMillis(), TimeUnit.MILLISECONDS);
+          .connect(
+              new InetSocketAddress(LOOPBACK, port), MAX_STEP_DURATION, new ExchangeStarter(done));
+      done.await(MAX_STEP_DURATION.toMillis(), TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Begins the exchanges once the connection is open; counts down when there are to be no more. */
-  private record Connected(CountDownLatch done) implements HttpClientConnection.ConnectCallback {
+  /** Starts the exchanges once the connection is open; counts down at once if it fails to open. */
+  private record ExchangeStarter(CountDownLatch done)
+      implements HttpClientConnection.ConnectCallback {
     @Override
     public void connected(HttpClientConnection connection) {
-      new Exchanges(connection, done).sendNext();
+      new SequentialExchanges(connection, done).sendNext();
     }
 
     @Override
@@ -69,13 +71,13 @@
     }
   }
 
-  /** One exchange after the other on one connection. */
-  private static final class Exchanges implements HttpClientConnection.ResponseHandler {
+  /** Sends exchanges one after the other on one connection; counts down after the last one. */
+  private static final class SequentialExchanges implements HttpClientConnection.ResponseHandler {
     private final HttpClientConnection connection;
     private final CountDownLatch done;
-    private final AtomicInteger remaining = new AtomicInteger(EXCHANGES);
+    private final AtomicInteger remaining = new AtomicInteger(EXCHANGE_COUNT);
 
-    Exchanges(HttpClientConnection connection, CountDownLatch done) {
+    SequentialExchanges(HttpClientConnection connection, CountDownLatch done) {
       this.connection = connection;
       this.done = done;
     }
--- a/src/main/java/switchgap/server/gateway/LatenessRecorder.java
+++ b/src/main/java/switchgap/server/gateway/LatenessRecorder.java
@@ -2,7 +2,7 @@
 
 import org.HdrHistogram.Histogram;
 
-/** Records by how much the event loop's ticks were late, in microseconds. Safe from any thread. */
+/** Records how late the ticks of the event loop were, in microseconds. Safe from any thread. */
 final class LatenessRecorder {
   private static final long MAX_TRACKED_MICROS = 60_000_000;
   private static final int SIGNIFICANT_DIGITS = 2;
@@ -13,7 +13,7 @@
     histogram.recordValue(Math.min(micros, histogram.getHighestTrackableValue()));
   }
 
-  /** A copy that no longer changes. */
+  /** Returns a copy, which later ticks do not change. */
   synchronized Histogram snapshot() {
     return histogram.copy();
   }
--- a/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
@@ -17,63 +17,65 @@
 import switchgap.router.WorkerTransport;
 
 /**
- * Delays load commands until the planner's plan names them or they time out; forwards all else at
- * once. Belongs to the event loop.
+ * Delays load commands until a plan of the planner names them or they time out; forwards all other
+ * calls immediately. Confined to the event loop.
  */
 final class PlannedWorkerTransport extends ForwardingWorkerTransport {
   private static final Logger LOG = LoggerFactory.getLogger(PlannedWorkerTransport.class);
   private static final int MAX_PENDING_LOADS = 1024;
   private static final long NANOS_PER_MICRO = 1000;
 
-  /** Carries out what the queue decides. */
+  /** Sends the loads that the queue releases. */
   private final class QueueListener implements PendingLoadQueue.Listener {
     @Override
     public void release(long id) {
-      sendDelayed(delayed.remove(id));
+      sendDelayed(delayedLoads.remove(id));
     }
 
     @Override
     public void planRejected(PlanRejection rejection) {
-      LOG.warn("the planner is wrong: {}", rejection.detail());
+      LOG.warn("rejected a plan or a part of it from the planner: {}", rejection.detail());
     }
   }
 
   private final YamlRouterSettings settings;
-  private final Consumer<Consumer<RouterCore>> events;
+  private final Consumer<Consumer<RouterCore>> eventLoop;
   private final PendingLoadQueue queue;
-  private final DelayedLoads delayed = new DelayedLoads();
+  private final DelayedLoads delayedLoads = new DelayedLoads();
   private final BacklogPublisher publisher;
-  private boolean ticking;
+  private boolean tickScheduled;
 
   /**
-   * Creates the transport; it is not connected to a planner yet, so load commands are sent at once.
+   * Creates the transport. Load commands are sent immediately until a planner is connected.
    *
    * @param planTimeout time after which a load command is sent without a plan
-   * @param events runs an event on the event loop
+   * @param eventLoop posts an event to the event loop
    */
   PlannedWorkerTransport(
       WorkerTransport delegate,
       YamlRouterSettings settings,
       Duration planTimeout,
-      Consumer<Consumer<RouterCore>> events) {
+      Consumer<Consumer<RouterCore>> eventLoop) {
     super(delegate);
     this.settings = settings;
-    this.events = events;
+    this.eventLoop = eventLoop;
     this.queue = new PendingLoadQueue(planTimeout, MAX_PENDING_LOADS, new QueueListener());
-    this.publisher = new BacklogPublisher(queue, delayed, events);
+    this.publisher = new BacklogPublisher(queue, delayedLoads, eventLoop);
   }
 
   void setBacklogSender(BacklogPublisher.Sender sender) {
     publisher.setSender(sender);
   }
 
-  /** A planner is connected; plans must name this epoch. */
+  /** Called when a planner has connected; its plans must name this epoch. */
   void plannerConnected(RouterCore core, long epoch) {
     queue.connected(epoch);
     publisher.plannerConnected(core);
   }
 
-  /** The planner of this epoch is gone; that of a later one may be connected already. */
+  /**
+   * Called when the planner of this epoch has disconnected; a later one may be connected by then.
+   */
   void plannerDisconnected(long epoch) {
     if (queue.epoch() == epoch) {
       queue.disconnected();
@@ -81,29 +83,30 @@
   }
 
   /**
-   * Carries out a plan. No backlog is sent in response: what a plan left waiting is reported with
-   * the next load command, or is sent when it times out.
+   * Sends the load commands that a plan names. No backlog is sent in response: load commands that
+   * the plan does not name are included in the backlog after the next load command, or are sent
+   * when they time out.
    */
   void planReceived(LoadPlan plan) {
     queue.planReceived(plan);
   }
 
-  /** Whether a planner decides when load commands are sent. */
+  /** Whether a planner currently decides when load commands are sent. */
   PendingLoadQueue.State state() {
     return queue.state();
   }
 
-  /** The epoch of the last connection of a planner, 0 before the first. */
+  /** The epoch of the last planner connection, 0 before the first. */
   long epoch() {
     return queue.epoch();
   }
 
-  /** Load commands that wait for a plan now. */
+  /** Number of load commands that currently wait for a plan. */
   int pendingLoads() {
-    return delayed.size();
+    return delayedLoads.size();
   }
 
-  /** Load commands and parts of plans so far. */
+  /** Counts of load commands and parts of plans since the start. */
   LoadPlanCounts counts() {
     return queue.counts();
   }
@@ -111,49 +114,50 @@
   @Override
   public void requestReplicas(
       WorkerEntry worker, String function, int replicas, WorkerCommand command) {
-    if (replicas == 0) { // a query, no load
+    if (replicas == 0) {
+      // It only queries the loaded replicas, which needs no plan.
       super.requestReplicas(worker, function, replicas, command);
       return;
     }
     long id = queue.nextId();
-    delayed.add(id, new DelayedLoads.DelayedLoad(worker, function, replicas, command));
+    delayedLoads.add(id, new DelayedLoads.DelayedLoad(worker, function, replicas, command));
     queue.add(command.sentAt(), pendingLoad(id, worker, function));
     publisher.backlogChanged();
-    if (!ticking && delayed.contains(id)) {
-      ticking = true;
-      events.accept(this::tick);
+    if (!tickScheduled && delayedLoads.contains(id)) {
+      tickScheduled = true;
+      eventLoop.accept(this::tick);
     }
   }
 
   private PendingLoad pendingLoad(long id, WorkerEntry worker, String function) {
-    FunctionSettings known = settings.function(function);
-    double memoryMb = known == null ? 0 : known.memoryMb();
+    FunctionSettings functionSettings = settings.function(function);
+    double memoryMb = functionSettings == null ? 0 : functionSettings.memoryMb();
     long loadMicros =
-        known == null || known.loadTime() == null
+        functionSettings == null || functionSettings.loadTime() == null
             ? 0
-            : known.loadTime().toNanos() / NANOS_PER_MICRO;
+            : functionSettings.loadTime().toNanos() / NANOS_PER_MICRO;
     return new PendingLoad(id, worker.name(), function, memoryMb, loadMicros, 0, 0);
   }
 
-  /** Sends loads that have timed out; schedules itself while any load waits. */
+  /** Sends loads that have timed out, and schedules the next call while any load waits. */
   private void tick(RouterCore core) {
-    Duration next = queue.tick(core.now());
-    ticking = next != null;
-    if (ticking) {
-      core.schedule(next, () -> tick(core));
+    Duration nextTimeout = queue.tick(core.now());
+    tickScheduled = nextTimeout != null;
+    if (tickScheduled) {
+      core.schedule(nextTimeout, () -> tick(core));
     }
   }
 
-  /** The delegate itself rejects a load for a worker that has begun to drain meanwhile. */
+  /** If the worker has started to drain in the meantime, the delegate rejects the load. */
   private void sendDelayed(DelayedLoads.DelayedLoad load) {
     super.requestReplicas(load.worker(), load.function(), load.replicas(), load.command());
   }
 
   @Override
   public void abandon(WorkerCommand command) {
-    Long id = delayed.idOf(command);
+    Long id = delayedLoads.idOf(command);
     if (id != null && queue.withdraw(id)) {
-      delayed.remove(id);
+      delayedLoads.remove(id);
     } else {
       super.abandon(command);
     }
--- a/src/main/java/switchgap/server/gateway/PlannerEndpoint.java
+++ b/src/main/java/switchgap/server/gateway/PlannerEndpoint.java
@@ -8,17 +8,17 @@
 import switchgap.planner.link.PlannerServer;
 
 /**
- * Where the planner connects to its router. Posts the planner's plans to the event loop and sends
- * it the backlog of load commands.
+ * The port to which the planner connects. Posts the planner's plans to the event loop and sends it
+ * the backlog of load commands.
  */
 final class PlannerEndpoint implements AutoCloseable {
   private final PlannerServer server;
 
   /**
-   * Listens for the planner.
+   * Opens the port for the planner.
    *
    * @param transport the transport in which load commands wait for plans; used on the event loop
-   * @throws IOException where it can't listen
+   * @throws IOException if the port can't be opened
    */
   PlannerEndpoint(
       NetworkTransport network,
@@ -37,7 +37,7 @@
     loop.post(core -> transport.setBacklogSender(server::send));
   }
 
-  /** Posts what selector threads hear from the planner to the event loop. */
+  /** Forwards the planner's events from selector threads to the event loop. */
   private record EventLoopForwarder(EventLoop loop, PlannedWorkerTransport transport)
       implements PlannerServer.Listener {
     @Override
@@ -56,7 +56,6 @@
     }
   }
 
-  /** The port at which it listens. */
   int port() {
     return server.port();
   }
--- a/src/main/java/switchgap/server/gateway/RouterStatus.java
+++ b/src/main/java/switchgap/server/gateway/RouterStatus.java
@@ -14,12 +14,11 @@
 import switchgap.router.RouterCore;
 
 /**
- * What a router reports of itself: counts of requests and load plans, the status page for
- * operators, and its totals when it stops. All methods but {@link #toJson} are safe from any
- * thread.
+ * Reports the state of a router: counts of requests and load plans, the status page for operators,
+ * and the totals logged at shutdown. All methods except {@link #toJson} are safe from any thread.
  */
 final class RouterStatus {
-  /** Under the router's name, by which operators filter the lines of start and stop. */
+  /** Uses the name of {@link GatewayRouter}, since operators filter log lines by it. */
   private static final Logger LOG = LoggerFactory.getLogger(GatewayRouter.class);
 
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -28,56 +27,58 @@
   private final int routerIndex;
   private final InvokeApi api;
   private final AdmissionController admission;
-  private final PlannedWorkerTransport planned;
+  private final PlannedWorkerTransport plannedTransport;
   private final LatenessRecorder lateness;
 
   /**
-   * Creates the reports of one router.
+   * Creates the status of one router.
    *
-   * @param admission the admission controller, or null where admission control is off
-   * @param planned the transport in which load commands wait, or null where there is no planner
-   * @param lateness the lateness of the event loop
+   * @param admission the admission controller, or null if admission control is off
+   * @param plannedTransport the transport in which load commands wait for plans, or null if no
+   *     planner is configured
+   * @param lateness recorder of the event loop's lateness
    */
   RouterStatus(
       int routerIndex,
       InvokeApi api,
       AdmissionController admission,
-      PlannedWorkerTransport planned,
+      PlannedWorkerTransport plannedTransport,
       LatenessRecorder lateness) {
     this.routerIndex = routerIndex;
     this.api = api;
     this.admission = admission;
-    this.planned = planned;
+    this.plannedTransport = plannedTransport;
     this.lateness = lateness;
   }
 
-  /** Requests that were accepted and have no response yet. */
+  /** Number of requests that were accepted and have no response yet. */
   int pendingRequests() {
     return api.pendingRequests();
   }
 
-  /** Requests that have ended so far. */
+  /** Numbers of requests that have ended since the start, by outcome. */
   RequestCounts requestCounts() {
     return api.requestCounts();
   }
 
   /**
-   * Load commands and plans so far, or null where there is no planner. The event loop counts
-   * without synchronization, so another thread may see counts of a moment ago.
+   * Counts of load commands and plans since the start, or null if no planner is configured. The
+   * event loop updates them without synchronization, so another thread may see slightly outdated
+   * values.
    */
   LoadPlanCounts loadPlanCounts() {
-    return planned == null ? null : planned.counts();
+    return plannedTransport == null ? null : plannedTransport.counts();
   }
 
-  /** A copy of the event loop's lateness, microseconds. */
+  /** Returns a copy of the histogram of the event loop's lateness, in microseconds. */
   Histogram lateness() {
     return lateness.snapshot();
   }
 
-  /** Logs how all requests ended and how late the event loop was. */
+  /** Logs the outcomes of all requests and percentiles of the event loop's lateness. */
   void logTotals() {
     RequestCounts counts = requestCounts();
-    Histogram late = lateness();
+    Histogram tickLateness = lateness();
     LOG.info(
         "stopped: {} succeeded, {} rejected, {} failed, {} overdue; loop lateness in us: p50 {} p99"
             + " {} p99.9 {} max {}",
@@ -85,20 +86,20 @@
         counts.rejected(),
         counts.failed(),
         counts.overdue(),
-        late.getValueAtPercentile(50),
-        late.getValueAtPercentile(99),
-        late.getValueAtPercentile(99.9),
-        late.getMaxValue());
+        tickLateness.getValueAtPercentile(50),
+        tickLateness.getValueAtPercentile(99),
+        tickLateness.getValueAtPercentile(99.9),
+        tickLateness.getMaxValue());
   }
 
-  /** The status now, as JSON in UTF-8; on the event loop. */
+  /** Returns the current status as JSON in UTF-8; on the event loop. */
   byte[] toJson(RouterCore core) {
     ObjectNode root = JSON.createObjectNode();
     root.put("router", routerIndex);
     root.put("up_s", core.now().toMillis() / MILLIS_PER_SECOND);
     addRequests(root.putObject("calls"));
     root.put("level", admission == null ? "none" : EnumWords.wordOf(admission.level()));
-    if (planned == null) {
+    if (plannedTransport == null) {
       root.put("planner", "none: one program");
     } else {
       addPlanner(root.putObject("planner"));
@@ -116,10 +117,10 @@
   }
 
   private void addPlanner(ObjectNode node) {
-    LoadPlanCounts counts = planned.counts();
-    node.put("state", EnumWords.wordOf(planned.state()));
-    node.put("epoch", planned.epoch());
-    node.put("orders_waiting", planned.pendingLoads());
+    LoadPlanCounts counts = plannedTransport.counts();
+    node.put("state", EnumWords.wordOf(plannedTransport.state()));
+    node.put("epoch", plannedTransport.epoch());
+    node.put("orders_waiting", plannedTransport.pendingLoads());
     node.put("led", counts.planned());
     node.put("patience_over", counts.timedOut());
     node.put("stale", counts.stale());
--- a/src/main/java/switchgap/server/gateway/RoutingWarmup.java
+++ b/src/main/java/switchgap/server/gateway/RoutingWarmup.java
@@ -20,21 +20,24 @@
 import switchgap.router.WorkerEntry;
 import switchgap.router.WorkerTransport;
 
-/** Routes synthetic requests to workers that respond in the next tick, by a clock of its own. */
+/**
+ * Routes synthetic requests to simulated workers that respond in the next tick of a simulated
+ * clock.
+ */
 final class RoutingWarmup {
-  private static final int REQUESTS = 3000;
-  private static final int FUNCTIONS = 20;
-  private static final int WORKERS = 8;
+  private static final int REQUEST_COUNT = 3000;
+  private static final int FUNCTION_COUNT = 20;
+  private static final int WORKER_COUNT = 8;
   private static final int MAX_FUNCTIONS = 100;
-  private static final int SLOTS = 2;
+  private static final int SLOTS_PER_REPLICA = 2;
   private static final long SEED = 1;
-  private static final Duration TICK = Duration.ofMillis(2);
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(2);
   private static final LoadReport WORKER_LOAD = new LoadReport(0.2, 1, 0, 0);
-  private static final String NAME = "warm-up";
+  private static final String NAME_PREFIX = "warm-up";
 
   private final YamlRouterSettings settings;
   private final RouterCore core;
-  private List<Consumer<RouterCore>> nextEvents = new ArrayList<>();
+  private List<Consumer<RouterCore>> nextTickEvents = new ArrayList<>();
 
   RoutingWarmup(YamlRouterSettings settings) {
     this.settings = settings;
@@ -46,28 +49,29 @@
             new CoreLimits(Duration.ofSeconds(1), Duration.ofSeconds(1), MAX_FUNCTIONS));
   }
 
-  /** Routes all requests, or as many as the longest time allows. */
+  /** Routes all requests, or fewer if {@link JvmWarmup#MAX_STEP_DURATION} is over. */
   void run() {
     List<EndpointUpdate> workers = workers();
-    nextEvents.add(router -> router.endpointListReceived(true, workers));
+    nextTickEvents.add(router -> router.endpointListReceived(true, workers));
     long startNanos = System.nanoTime();
     for (int i = 0;
-        i < REQUESTS && System.nanoTime() - startNanos < JvmWarmup.MAX_DURATION.toNanos();
+        i < REQUEST_COUNT && System.nanoTime() - startNanos < JvmWarmup.MAX_STEP_DURATION.toNanos();
         i++) {
-      Duration now = TICK.multipliedBy(i);
+      Duration now = TICK_INTERVAL.multipliedBy(i);
       PendingRequest request = request(i, now);
-      nextEvents.add(router -> router.accept(request));
-      List<Consumer<RouterCore>> events = nextEvents;
-      nextEvents = new ArrayList<>();
+      nextTickEvents.add(router -> router.accept(request));
+      List<Consumer<RouterCore>> events = nextTickEvents;
+      nextTickEvents = new ArrayList<>();
       core.tick(now, events);
     }
   }
 
   private static List<EndpointUpdate> workers() {
     List<EndpointUpdate> workers = new ArrayList<>();
-    for (int i = 0; i < WORKERS; i++) {
+    for (int i = 0; i < WORKER_COUNT; i++) {
       workers.add(
-          new EndpointUpdate(NAME + "-" + i, "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null));
+          new EndpointUpdate(
+              NAME_PREFIX + "-" + i, "127.0.0.1", 1, WorkerState.READY, 0, 0, 0, 1, null));
     }
     return workers;
   }
@@ -76,26 +80,29 @@
     int requestClass = number % settings.requestClassCount();
     Duration deadline = now.plus(settings.requestTimeout(requestClass));
     return PendingRequest.builder(
-            NAME, NAME + "-" + number % FUNCTIONS, deadline, new IgnoringListener())
+            NAME_PREFIX,
+            NAME_PREFIX + "-" + number % FUNCTION_COUNT,
+            deadline,
+            new IgnoringListener())
         .requestClass(requestClass)
-        .replica(1, SLOTS)
+        .replica(1, SLOTS_PER_REPLICA)
         .build();
   }
 
-  /** A synthetic request has no client. */
+  /** Discards responses, since synthetic requests have no client. */
   private static final class IgnoringListener implements ResponseListener {
     @Override
     public void responded(PendingRequest request, Response response) {}
 
     @Override
-    public void deadlineMissed(PendingRequest request, Response late) {}
+    public void deadlineMissed(PendingRequest request, Response lateResponse) {}
   }
 
-  /** Workers that carry out everything by the next tick. */
+  /** Simulates workers that complete each attempt and command by the next tick. */
   private final class ImmediateTransport implements WorkerTransport {
     @Override
     public void startAttempt(Attempt attempt, Duration timeout) {
-      nextEvents.add(
+      nextTickEvents.add(
           router ->
               router.attemptEnded(
                   attempt,
@@ -112,7 +119,7 @@
     @Override
     public void requestReplicas(
         WorkerEntry worker, String function, int replicas, WorkerCommand command) {
-      nextEvents.add(
+      nextTickEvents.add(
           router -> router.loadCommandEnded(command, AttemptOutcome.SUCCEEDED, replicas));
     }
 
@@ -121,7 +128,7 @@
 
     @Override
     public void probe(WorkerEntry worker, WorkerCommand command) {
-      nextEvents.add(
+      nextTickEvents.add(
           router -> router.probeEnded(command, AttemptOutcome.SUCCEEDED, LoadReport.NONE));
     }
 
--- a/src/main/java/switchgap/server/gateway/package-info.java
+++ b/src/main/java/switchgap/server/gateway/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Assembles a router: its configuration, its event loop and core, its sockets, its start and its
- * orderly stop. {@link switchgap.server.gateway.GatewayRouter} is the entry point.
+ * Assembles a router: its configuration, event loop, core and sockets, its start and its graceful
+ * shutdown. {@link switchgap.server.gateway.GatewayRouter} is the entry point.
  */
 package switchgap.server.gateway;
--- a/src/test/java/switchgap/protocol/inference/InferenceExchangeTest.java
+++ b/src/test/java/switchgap/protocol/inference/InferenceExchangeTest.java
@@ -99,17 +99,17 @@
     }
 
     @Override
-    void notSent(AttemptOutcome outcome) {
+    void onNotSent(AttemptOutcome outcome) {
       outcomes.add("not sent " + outcome);
     }
 
     @Override
-    void replied(int status, Map<String, String> headers, byte[] body) {
+    void onReply(int status, Map<String, String> headers, byte[] body) {
       outcomes.add("replied " + status);
     }
 
     @Override
-    void lost() {
+    void onConnectionLost() {
       outcomes.add("lost");
     }
   }
--- a/src/test/java/switchgap/protocol/inference/OrcaLoadReportTest.java
+++ b/src/test/java/switchgap/protocol/inference/OrcaLoadReportTest.java
@@ -23,7 +23,7 @@
     String json = "{\"cpu_utilization\":0.5,\"named_metrics\":" + named + "}";
     for (String header : new String[] {"TEXT " + metrics, metrics, "JSON " + json}) {
       assertThat(parse(header).toLoadReport()).as(header).isEqualTo(new LoadReport(0.5, 3, 1, 2));
-      assertThat(parse(header).provesNotExecuted()).as(header).isFalse();
+      assertThat(parse(header).reportsNotExecuted()).as(header).isFalse();
     }
   }
 
@@ -31,9 +31,9 @@
   @ValueSource(
       strings = {"TEXT named_metrics.executed=0", "JSON {\"named_metrics\":{\"executed\":0}}"})
   void onlyAReportedZeroProvesNotExecuted(String header) {
-    assertThat(parse(header).provesNotExecuted()).isTrue();
-    assertThat(parse(header.replace('0', '1')).provesNotExecuted()).isFalse();
-    assertThat(OrcaLoadReport.EMPTY.provesNotExecuted()).isFalse();
+    assertThat(parse(header).reportsNotExecuted()).isTrue();
+    assertThat(parse(header.replace('0', '1')).reportsNotExecuted()).isFalse();
+    assertThat(OrcaLoadReport.EMPTY.reportsNotExecuted()).isFalse();
   }
 
   /** Seen in review: the JSON form let negative and infinite figures through to the policy. */
