--- a/src/main/java/switchgap/server/gateway/BacklogPublisher.java
+++ b/src/main/java/switchgap/server/gateway/BacklogPublisher.java
@@ -62,7 +62,7 @@
     if (queue.state() == PendingLoadQueue.State.ALONE) {
       return;
     }
-    // The weights are computed only if needed, since that iterates over all queued requests.
+    // Computed only if a load waits, since it iterates over all pending requests.
     Map<String, Double> weights = delayedLoads.isEmpty() ? Map.of() : core.queuedWeightByFunction();
     lastSequence++;
     sender.send(
--- a/src/main/java/switchgap/server/gateway/GatewayComponents.java
+++ b/src/main/java/switchgap/server/gateway/GatewayComponents.java
@@ -55,7 +55,10 @@
   /** Null if no planner is configured; load commands are sent without a plan then. */
   private PlannerEndpoint plannerEndpoint;
 
-  /** Creates all components and warms up the JVM; no port is opened before {@link #start}. */
+  /**
+   * Creates all components and warms up the JVM; its ports stay closed until {@link #start} and
+   * {@link #listen}.
+   */
   GatewayComponents(GatewayConfig config, RouterCore.Policy policy) throws IOException {
     this.config = config;
     settings = config.settings();
--- a/src/test/java/switchgap/protocol/inference/InferenceExchangeTest.java
+++ b/src/test/java/switchgap/protocol/inference/InferenceExchangeTest.java
@@ -19,8 +19,8 @@
 import switchgap.server.gateway.HttpTestServer;
 
 /**
- * Steps of an exchange that two threads can take at once, taken one after the other in the worst
- * order.
+ * Checks race conditions of an exchange: steps that two threads can run concurrently are run here
+ * one after the other, in the order that causes a failure.
  */
 class InferenceExchangeTest {
   private static final int MAX_BODY_BYTES = 1024;
@@ -35,11 +35,12 @@
   }
 
   /**
-   * Abandoned by the event loop between the writer thread's check and its write: the connection was
-   * occupied by an exchange that nobody would end.
+   * Guards against a connection that stays occupied for ever. The event loop abandons the exchange
+   * between the writer thread's check and its write, so no later event would release the
+   * connection.
    */
   @Test
-  void anExchangeAbandonedJustBeforeItIsSentFreesItsConnection() throws Exception {
+  void anExchangeAbandonedJustBeforeItIsSentReleasesItsConnection() throws Exception {
     List<String> outcomes = new CopyOnWriteArrayList<>();
     try (NetworkTransport net = new NetworkTransport(1, "exchange-test");
         HttpTestServer worker =
@@ -49,19 +50,19 @@
                         ? HttpTestServer.silent(request, out)
                         : HttpTestServer.echo(request, out))) {
       HttpConnectionPool pool = pool(net, worker);
-      CompletableFuture<AttemptOutcome> abandoned = new CompletableFuture<>();
+      CompletableFuture<AttemptOutcome> abandonOutcome = new CompletableFuture<>();
       InferenceExchange first =
           new RecordingExchange(pool, outcomes, "/first") {
             @Override
             synchronized boolean assign(HttpClientConnection free) {
               boolean assigned = super.assign(free);
-              abandoned.complete(abandon());
+              abandonOutcome.complete(abandon());
               return assigned;
             }
           };
       first.submit();
-      // It may have been sent, and counts so.
-      assertThat(abandoned.get(2, TimeUnit.SECONDS)).isEqualTo(AttemptOutcome.TIMED_OUT);
+      // TIMED_OUT, since the exchange may have been sent.
+      assertThat(abandonOutcome.get(2, TimeUnit.SECONDS)).isEqualTo(AttemptOutcome.TIMED_OUT);
       new RecordingExchange(pool, outcomes, "/second").submit();
       until(() -> !outcomes.isEmpty());
       assertThat(outcomes).containsExactly("replied 200");
@@ -69,11 +70,11 @@
   }
 
   /**
-   * Abandoned while it still waits for a writer thread: a worker with an open connection counted as
-   * one that can't be connected to.
+   * Guards against a worker that is reported as unreachable although it has an open connection. The
+   * exchange is abandoned while it still waits for a writer thread.
    */
   @Test
-  void anExchangeAbandonedBeforeItsWriterComesIsNotAConnectFailure() throws Exception {
+  void anExchangeAbandonedBeforeItIsSubmittedIsNotAConnectFailure() throws Exception {
     List<String> outcomes = new CopyOnWriteArrayList<>();
     try (NetworkTransport net = new NetworkTransport(1, "exchange-test");
         HttpTestServer worker = new HttpTestServer(HttpTestServer::echo)) {
--- a/src/test/java/switchgap/protocol/invoke/ProblemDetailsTest.java
+++ b/src/test/java/switchgap/protocol/invoke/ProblemDetailsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import switchgap.admission.ServiceLevel;
 
-/** Problems as JSON on the wire: names and order of their members. */
+/** Checks the JSON form of problem details: names, values and order of the members. */
 class ProblemDetailsTest {
   private static String json(ProblemDetails problem) {
     return new String(problem.toJson(), StandardCharsets.UTF_8);
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void failureMakesNoPromiseAboutARetry() {
+  void failureReportsThatARetryIsNotSafe() {
     ProblemDetails problem =
         new ProblemDetails(ProblemType.FAILED, "unknown", ProblemOutcome.failed());
 
--- a/src/test/java/switchgap/protocol/invoke/ResourcePathTest.java
+++ b/src/test/java/switchgap/protocol/invoke/ResourcePathTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import switchgap.protocol.invoke.ResourcePath.Resource;
 
-/** The resources that paths address. */
+/** Checks which resource each path addresses. */
 class ResourcePathTest {
   @Test
   void parsesInvocationOfAFunction() {
@@ -34,7 +34,7 @@
         "/v1/calls/r0-d1/",
         "/v1/other/r0-d1"
       })
-  void otherPathsAddressNeither(String path) {
+  void otherPathsAddressNoInvocationAndNoDeferredRequest(String path) {
     assertThat(ResourcePath.parse(path).resource()).isEqualTo(Resource.OTHER);
   }
 }
--- a/src/test/java/switchgap/server/gateway/ClientConnectionsTest.java
+++ b/src/test/java/switchgap/server/gateway/ClientConnectionsTest.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Connections of clients and planners that are slow, oversized, silent or too many. */
+/** Checks connections of clients and planners that are slow, silent, too many or send too much. */
 class ClientConnectionsTest {
   private static void write(Socket client, String text) throws IOException {
     OutputStream out = client.getOutputStream();
@@ -27,7 +27,7 @@
     out.flush();
   }
 
-  /** Sends bytes and returns all that the router sends until it closes; empty where that fails. */
+  /** Sends text and returns all that the router sends until it closes; empty if that fails. */
   private static String exchangeRaw(GatewayFixture fixture, String request) {
     try (Socket client = fixture.connect()) {
       client.setSoTimeout(1500);
@@ -79,7 +79,8 @@
       assertSlowRequestIsClosedAtItsTimeout(fixture);
 
       List<Socket> clients = connect(fixture, 8);
-      // well before the arrival timeout, at which the router closes the others too
+      // This must be over well before the arrival timeout of 300 ms, at which the router closes the
+      // other connections as well.
       until(
           Duration.ofMillis(200),
           () -> clients.stream().filter(ClientConnectionsTest::isClosedByRouter).count() >= 4);
@@ -106,11 +107,11 @@
   }
 
   /**
-   * Each occupied a connection slot for ever: a part of a request's head and then silence, or no
-   * byte at all.
+   * Guards against a client that occupies a connection slot for ever by sending a part of a
+   * request's head, or nothing at all, and then staying silent.
    */
   @Test
-  void aClientThatNeverSendsACompleteRequestLosesItsConnection() throws Exception {
+  void aConnectionWithoutACompleteRequestIsClosed() throws Exception {
     List<List<String>> partialRequests =
         List.of(
             List.of("POST /v1/functions/once-1/inv"),
@@ -133,10 +134,11 @@
         }
       }
       try (Socket excess = fixture.connect()) {
-        assertThat(excess.getInputStream().read()).isEqualTo(-1); // all connections are taken
+        // The three clients occupy all connections, so this one is closed.
+        assertThat(excess.getInputStream().read()).isEqualTo(-1);
       }
       for (Socket client : clients) {
-        // a response to the complete request, then the end
+        // Reads the response to a complete request, if there is one, until the router closes.
         while (client.getInputStream().read() >= 0) {}
         client.close();
       }
@@ -159,7 +161,7 @@
   }
 
   @Test
-  void aClientThatDisconnectsAtAnyTimeLeavesNothingPending() throws Exception {
+  void aClientThatDisconnectsAtAnyTimeLeavesNoPendingRequest() throws Exception {
     try (HttpTestServer worker =
             new HttpTestServer(
                 (request, out) -> {
--- a/src/test/java/switchgap/server/gateway/ConnectionFaultsTest.java
+++ b/src/test/java/switchgap/server/gateway/ConnectionFaultsTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** Connections to workers that are half open, idle for long, or closed at the worst moment. */
+/** Checks connections to workers that are half open, or closed while idle, busy or loading. */
 class ConnectionFaultsTest {
   private static final String NOT_EXECUTED =
       "endpoint-load-metrics: TEXT named_metrics.executed=0\r\n";
@@ -32,9 +32,9 @@
     out.flush();
   }
 
-  /** The final response follows an interim one on the same connection. */
+  /** The worker sends two interim responses (1xx), one in two parts, before the final response. */
   @Test
-  void anInterimResponseIsNotFinal() throws Exception {
+  void interimResponsesAreIgnored() throws Exception {
     HttpTestServer.Responder interimFirst =
         (request, out) -> {
           write(out, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 10");
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Responds to a part of a request's head and closes with bytes unread. */
+  /** Responds after 64 bytes of a request and closes the connection with bytes unread. */
   private static void respondEarly(ServerSocket listener) {
     try {
       while (true) {
@@ -66,7 +66,7 @@
         }
       }
     } catch (IOException | InterruptedException e) {
-      // the test is over
+      // The test has ended and closed the listener.
     }
   }
 
@@ -86,7 +86,7 @@
               .formatted(listener.getLocalPort());
       try (GatewayFixture fixture = GatewayFixture.builder().sections(sections).start()) {
         String largeBody = "\"" + "x".repeat(4_000_000) + "\"";
-        // either the response counts or the broken connection, and only one of them
+        // The router sees either the response or the broken connection first; both are correct.
         for (int i = 0; i < 3; i++) {
           assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, largeBody))).isIn(SUCCEEDED, FAILED);
         }
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void aCloseBetweenHeadAndBodyMayHaveExecutedTheRequest() throws Exception {
+  void onlyAnIdempotentRequestIsRetriedAfterACloseBetweenHeadAndBody() throws Exception {
     AtomicInteger requests = new AtomicInteger();
     HttpTestServer.Responder closeAfterFirstHead =
         (request, out) -> {
@@ -119,8 +119,8 @@
   }
 
   /**
-   * Closed while idle: the router sees it before it writes, and sends a non-idempotent request on a
-   * new one.
+   * The worker closes idle connections. The router must notice before it writes and send a
+   * non-idempotent request on a new connection.
    */
   @Test
   void anIdleConnectionThatTheWorkerClosedIsNotReused() throws Exception {
@@ -129,37 +129,41 @@
       for (int i = 0; i < 5; i++) {
         assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
         worker.closeConnections();
-        Thread.sleep(60); // no view from here shows when the router has seen the close
+        // The test can't observe when the router has noticed the close.
+        Thread.sleep(60);
       }
       assertThat(worker.inferenceRequestCount()).isEqualTo(5);
     }
   }
 
   /**
-   * Closed during a load: the command ends at once, and the load is not retried there in a loop.
+   * Guards against a loop of load commands to a worker that closes the connection during each load.
    */
   @Test
   void aCloseDuringALoadEndsTheCommandAndTheLoadMovesToAnotherWorker() throws Exception {
-    LoadableWorker failing = new LoadableWorker(false);
-    LoadableWorker healthy = new LoadableWorker(true);
-    try (HttpTestServer worker = new HttpTestServer(failing);
-        HttpTestServer otherWorker = new HttpTestServer(healthy);
+    LoadableWorker failingLoader = new LoadableWorker(false);
+    LoadableWorker healthyLoader = new LoadableWorker(true);
+    try (HttpTestServer worker = new HttpTestServer(failingLoader);
+        HttpTestServer otherWorker = new HttpTestServer(healthyLoader);
         GatewayFixture fixture =
             GatewayFixture.builder()
                 .sections("workers: {miss: answers, orders: true}\n")
                 .workers(worker, otherWorker)
                 .start()) {
       for (int i = 0; i < 4; i++) {
-        String function = "once-" + i; // some prefer the one worker, some the other
+        // Several functions, since each prefers one of the two workers.
+        String function = "once-" + i;
         until(() -> endOf(fixture.invokeAsync(function, "1").join()).equals(SUCCEEDED));
       }
-      assertThat(failing.loadCount()).isLessThanOrEqualTo(8);
+      assertThat(failingLoader.loadCount()).isLessThanOrEqualTo(8);
       assertThat(fixture.router().pendingRequests()).isZero();
     }
   }
 
   /**
-   * Loads functions on command; an unhealthy one closes the connection in place of the response.
+   * Loads functions on command. If it is not healthy, it closes the connection instead of
+   * responding to the load command, and responds to inference requests that the function is not
+   * loaded.
    */
   private static final class LoadableWorker implements HttpTestServer.Responder {
     private static final long LOAD_MILLIS = 50;
@@ -195,28 +199,31 @@
   }
 
   /**
-   * Half open: connects, reads, never responds, stays listed. It must not go on attracting the
-   * requests placed there.
+   * Guards against a half-open worker that keeps getting requests: it accepts connections and reads
+   * requests but never responds, and stays in the endpoint list.
    */
   @Test
-  void aHalfOpenWorkerIsDetectedByItsSilence() throws Exception {
-    try (HttpTestServer silent = new HttpTestServer(HttpTestServer::silent);
+  void aWorkerThatNeverRespondsGetsFewRequests() throws Exception {
+    try (HttpTestServer silentWorker = new HttpTestServer(HttpTestServer::silent);
         HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
         HttpTestServer otherWorker = new HttpTestServer(HttpTestServer::echo);
         HttpTestServer thirdWorker = new HttpTestServer(HttpTestServer::echo);
-        GatewayFixture fixture = GatewayFixture.start(silent, worker, otherWorker, thirdWorker)) {
-      long lastSucceeded = 0;
+        GatewayFixture fixture =
+            GatewayFixture.start(silentWorker, worker, otherWorker, thirdWorker)) {
+      long succeededInLastBatch = 0;
       for (int batch = 0; batch < 5; batch++) {
-        lastSucceeded = invokeConcurrently(fixture, 20);
+        succeededInLastBatch = invokeConcurrently(fixture, 20);
       }
-      assertThat(silent.inferenceRequestCount())
-          .as("of 100 requests at the half-open worker")
+      assertThat(silentWorker.inferenceRequestCount())
+          .as("requests sent to the half-open worker, out of 100")
           .isLessThanOrEqualTo(12);
-      assertThat(lastSucceeded).as("of the last twenty").isGreaterThanOrEqualTo(18);
+      assertThat(succeededInLastBatch)
+          .as("requests that succeeded, out of the last 20")
+          .isGreaterThanOrEqualTo(18);
     }
   }
 
-  /** Invokes as many functions at once; returns how many requests succeeded. */
+  /** Invokes {@code count} functions concurrently; returns how many of the requests succeeded. */
   private static long invokeConcurrently(GatewayFixture fixture, int count) {
     List<CompletableFuture<String>> ends = new ArrayList<>();
     for (int i = 0; i < count; i++) {
--- a/src/test/java/switchgap/server/gateway/DeferredRequestsTest.java
+++ b/src/test/java/switchgap/server/gateway/DeferredRequestsTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.Test;
 import switchgap.protocol.invoke.RequestCounts;
 
-/** Deferred requests: their clients poll for the response. */
+/** Checks deferred requests, whose clients poll for the response. */
 class DeferredRequestsTest {
   @Test
-  void aDeferredRequestIsAcceptedPolledAndExpires() throws Exception {
+  void theResultOfADeferredRequestIsPolledAndExpires() throws Exception {
     try (HttpTestServer worker =
             new HttpTestServer(
                 (request, out) -> {
@@ -39,7 +39,7 @@
       assertThat(response.body()).isEqualTo("{\"echo\":5}");
       assertThat(fixture.get(location).body()).isEqualTo("{\"echo\":5}");
 
-      Thread.sleep(700); // past the retention
+      Thread.sleep(700); // longer than results_kept
       assertThat(fixture.get(location).statusCode()).isEqualTo(410);
       assertThat(fixture.get("/v1/calls/other").statusCode()).isEqualTo(404);
       assertThat(fixture.get(location.replaceAll("d0$", "d99")).statusCode()).isEqualTo(404);
@@ -76,7 +76,8 @@
       until(() -> fixture.router().pendingRequests() == 0);
       RequestCounts counts = fixture.router().requestCounts();
       assertThat(counts.rejected() + counts.failed() + counts.overdue()).isEqualTo(10_000);
-      // a machine that pauses for longer than a response's margin leaves some overdue
+      // If the machine pauses for longer than the margin before the deadline, some requests end
+      // without a response.
       assertThat(counts.overdue()).isLessThan(500);
     }
   }
--- a/src/test/java/switchgap/server/gateway/GatewayEndpointListTest.java
+++ b/src/test/java/switchgap/server/gateway/GatewayEndpointListTest.java
@@ -25,8 +25,8 @@
 import switchgap.testbed.emulator.RealTimeScheduler;
 
 /**
- * The endpoint list while requests run: workers gone, draining, restarted, and a service that is
- * away.
+ * Checks changes of the endpoint list while requests are pending: workers that are gone, drain or
+ * restart, and an endpoint list service that is unavailable.
  */
 class GatewayEndpointListTest {
   private static final long RESPONSE_MILLIS = 150;
@@ -38,7 +38,7 @@
   private EventRecorder recorder;
   private HttpTestServer worker;
   private HttpTestServer otherWorker;
-  private EndpointListService list;
+  private EndpointListService listService;
 
   @BeforeEach
   void startServices() throws Exception {
@@ -52,12 +52,12 @@
     recorder = new EventRecorder(directory.resolve("events"));
     worker = new HttpTestServer(slow);
     otherWorker = new HttpTestServer(slow);
-    list = new EndpointListService(scheduler, network, recorder, 0);
+    listService = new EndpointListService(scheduler, network, recorder, 0);
   }
 
   @AfterEach
   void closeServices() throws Exception {
-    list.close();
+    listService.close();
     otherWorker.close();
     worker.close();
     recorder.close();
@@ -76,69 +76,74 @@
     return entry(name, server, state, 0);
   }
 
-  private static boolean ends(GatewayFixture fixture, String function, String end) {
-    return fixture.invokeForEndAsync(function, "0").join().equals(end);
+  private static boolean invocationEndsWith(
+      GatewayFixture fixture, String function, String expectedEnd) {
+    return fixture.invokeForEndAsync(function, "0").join().equals(expectedEnd);
   }
 
   @Test
-  void followsWorkersThatAreGoneDrainAndReturn() throws Exception {
-    scheduler.post(() -> list.put(entry("w0", worker, EndpointState.READY)));
+  void appliesListChangesOfGoneDrainingAndReturnedWorkers() throws Exception {
+    scheduler.post(() -> listService.put(entry("w0", worker, EndpointState.READY)));
     try (GatewayFixture fixture =
         GatewayFixture.builder()
-            .sections("list: {port: " + list.port() + ", ask_again: 50ms}\n")
+            .sections("list: {port: " + listService.port() + ", ask_again: 50ms}\n")
             .start()) {
-      until(() -> list.entries().size() == 1);
-      until(Duration.ofMillis(200), () -> ends(fixture, NON_IDEMPOTENT, SUCCEEDED));
+      until(() -> listService.entries().size() == 1);
+      until(Duration.ofMillis(200), () -> invocationEndsWith(fixture, NON_IDEMPOTENT, SUCCEEDED));
 
-      assertRequestSurvivesWorkerThatIsGone(fixture);
+      assertPendingRequestSucceedsAfterItsWorkerIsGone(fixture);
       assertDrainingWorkerGetsNoRequest(fixture);
-      assertListOutlivesItsService(fixture);
+      assertListStaysValidWhileItsServiceIsUnavailable(fixture);
       assertReturnedWorkerGetsRequests(fixture);
     }
   }
 
-  /** The worker is gone with an attempt in flight, and another one is ready. */
-  private void assertRequestSurvivesWorkerThatIsGone(GatewayFixture fixture) throws Exception {
+  /** The list replaces a worker by another one while an attempt is in flight. */
+  private void assertPendingRequestSucceedsAfterItsWorkerIsGone(GatewayFixture fixture)
+      throws Exception {
     CompletableFuture<HttpResponse<String>> pending = fixture.invokeAsync(NON_IDEMPOTENT, "2");
     until(() -> worker.inferenceRequestCount() == 2);
     scheduler.post(
         () -> {
-          list.put(entry("w0", worker, EndpointState.GONE));
-          list.put(entry("w1", otherWorker, EndpointState.READY));
+          listService.put(entry("w0", worker, EndpointState.GONE));
+          listService.put(entry("w1", otherWorker, EndpointState.READY));
         });
-    assertThat(endOf(pending.get())).isEqualTo(SUCCEEDED); // its connection still responds
-    Thread.sleep(100); // nothing visible here shows when the router has applied the change
+    // The worker still responds on its open connection.
+    assertThat(endOf(pending.get())).isEqualTo(SUCCEEDED);
+    // The test can't observe when the router has applied the change.
+    Thread.sleep(100);
     assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "3"))).isEqualTo(SUCCEEDED);
     assertThat(worker.inferenceRequestCount()).isEqualTo(2);
   }
 
-  /** The only worker that is left drains. */
+  /** The only remaining worker starts to drain. */
   private void assertDrainingWorkerGetsNoRequest(GatewayFixture fixture) throws Exception {
-    scheduler.post(() -> list.put(entry("w1", otherWorker, EndpointState.DRAINING)));
-    until(Duration.ofMillis(100), () -> ends(fixture, NON_IDEMPOTENT, REJECTED));
-    int before = otherWorker.receivedRequests().size();
+    scheduler.post(() -> listService.put(entry("w1", otherWorker, EndpointState.DRAINING)));
+    until(Duration.ofMillis(100), () -> invocationEndsWith(fixture, NON_IDEMPOTENT, REJECTED));
+    int requestsBefore = otherWorker.receivedRequests().size();
     assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "4"))).isEqualTo(REJECTED);
-    assertThat(otherWorker.receivedRequests()).hasSize(before);
+    assertThat(otherWorker.receivedRequests()).hasSize(requestsBefore);
   }
 
-  private void assertListOutlivesItsService(GatewayFixture fixture) throws Exception {
-    scheduler.post(() -> list.setUnavailable(true));
+  private void assertListStaysValidWhileItsServiceIsUnavailable(GatewayFixture fixture)
+      throws Exception {
+    scheduler.post(() -> listService.setUnavailable(true));
     Thread.sleep(200);
     assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "5"))).isEqualTo(REJECTED);
   }
 
-  /** A known name with a new process. */
+  /** A worker returns under its old name with a later start time, as after a restart. */
   private void assertReturnedWorkerGetsRequests(GatewayFixture fixture) throws Exception {
     scheduler.post(
         () -> {
-          list.put(entry("w0", worker, EndpointState.READY, System.currentTimeMillis()));
-          list.setUnavailable(false);
+          listService.put(entry("w0", worker, EndpointState.READY, System.currentTimeMillis()));
+          listService.setUnavailable(false);
         });
-    until(() -> ends(fixture, IDEMPOTENT, SUCCEEDED));
+    until(() -> invocationEndsWith(fixture, IDEMPOTENT, SUCCEEDED));
     assertThat(worker.inferenceRequestCount()).isGreaterThan(2);
   }
 
-  /** The head of a chunked response with the first line of an endpoint list of one worker. */
+  /** Returns the start of a chunked response: a complete endpoint list with one worker. */
   private static byte[] listStart(int version, int workerPort, EndpointState state) {
     String worker =
         "{\"name\":\"w0\",\"port\":%d,\"state\":\"%s\",\"zone\":\"zone\"}"
@@ -150,8 +155,8 @@
   }
 
   /**
-   * Half open: the service's host is gone without closing. That looked like a list in which nothing
-   * changes.
+   * Guards against an outdated list: if the service's host disappears without closing the
+   * connection, the router must not take the silence for a list without changes.
    */
   @Test
   void aSilentEndpointListServiceIsRequestedAgain() throws Exception {
@@ -171,12 +176,11 @@
                 .sections("list: {port: " + service.port() + ", ask_again: 20ms}\n")
                 .start()) {
       until(() -> listRequests.get() == 1);
-      // the last list stays meanwhile
+      // The router continues to use the last list.
       assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
+      // From the third request on, the list has the worker as draining.
       until(Duration.ofSeconds(3), () -> listRequests.get() >= 3);
-      until(
-          Duration.ofMillis(100),
-          () -> ends(fixture, NON_IDEMPOTENT, REJECTED)); // the drain was noticed
+      until(Duration.ofMillis(100), () -> invocationEndsWith(fixture, NON_IDEMPOTENT, REJECTED));
       assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "2"))).isEqualTo(REJECTED);
     }
   }
--- a/src/test/java/switchgap/server/gateway/GatewayFixture.java
+++ b/src/test/java/switchgap/server/gateway/GatewayFixture.java
@@ -10,18 +10,24 @@
 import java.util.concurrent.CompletableFuture;
 import switchgap.config.YamlDocument;
 
-/** A router whose workers are test servers, and a client of it. */
+/** Runs a router with test servers as workers, and an HTTP client for it. */
 final class GatewayFixture implements AutoCloseable {
-  /** Functions whose requests may be executed again, at most once, and again with a key. */
+  /** A function whose requests are idempotent. */
   static final String IDEMPOTENT = "again-1";
 
+  /** A function whose requests must be executed at most once. */
   static final String NON_IDEMPOTENT = "once-1";
+
+  /** A function whose requests are idempotent if they have an idempotency key. */
   static final String KEYED = "known-1";
 
-  /** How requests end, as the header {@code Switchgap-End} says. */
+  /** Value of the header {@code Switchgap-End} for a request that succeeded. */
   static final String SUCCEEDED = "finished";
 
+  /** Value of the header {@code Switchgap-End} for a request that was rejected. */
   static final String REJECTED = "pushed-back";
+
+  /** Value of the header {@code Switchgap-End} for a request that failed. */
   static final String FAILED = "killed";
 
   static final String SETTINGS =
@@ -46,7 +52,7 @@
     this.client = client;
   }
 
-  /** Starts a router with the settings above and these workers. */
+  /** Starts a router with {@link #SETTINGS} and these workers. */
   static GatewayFixture start(HttpTestServer... workers) throws IOException {
     return builder().workers(workers).start();
   }
@@ -55,7 +61,7 @@
     return new Builder();
   }
 
-  /** Composes the configuration of a router. */
+  /** Builds the configuration of a router and starts it. */
   static final class Builder {
     private String settings = SETTINGS;
     private String sections = "";
@@ -67,13 +73,13 @@
       return this;
     }
 
-    /** Adds sections, such as {@code listen}; a section {@code list} excludes workers. */
+    /** Adds sections such as {@code listen}; with a section {@code list}, workers are ignored. */
     Builder sections(String yaml) {
       sections = yaml;
       return this;
     }
 
-    /** The workers that the configuration names, as w0, w1 and so on. */
+    /** Sets the workers in the configuration, with the names w0, w1 and so on. */
     Builder workers(HttpTestServer... servers) {
       workers = List.of(servers);
       return this;
@@ -92,7 +98,8 @@
         }
       }
       YamlDocument document = YamlDocument.read("test.yaml", yaml.toString());
-      // first, so that it takes no time of what begins with the router, such as a pin
+      // The client is created first, since it takes time that would shorten timers which start with
+      // the router, such as a pin of the service level.
       HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
       return new GatewayFixture(new GatewayRouter(GatewayConfig.read(document)), client);
     }
@@ -102,18 +109,18 @@
     return router;
   }
 
-  /** A request of any path, without a method yet. */
+  /** Returns a builder for a request to any path, without a method. */
   HttpRequest.Builder request(String path) {
     return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + router.port() + path));
   }
 
-  /** A request that invokes a function. */
+  /** Returns a builder for a request that invokes a function. */
   HttpRequest.Builder invocation(String function, String body) {
     return request("/v1/functions/" + function + "/invoke")
         .POST(HttpRequest.BodyPublishers.ofString(body));
   }
 
-  /** Invokes a function and waits for the response; headers are names and values in turn. */
+  /** Invokes a function and waits for the response; headers alternate between name and value. */
   HttpResponse<String> invoke(String function, String body, String... headers) throws Exception {
     return invokeAsync(function, body, headers).get();
   }
@@ -127,13 +134,13 @@
     return client.sendAsync(builder.build(), HttpResponse.BodyHandlers.ofString());
   }
 
-  /** Invokes a function; tells how that ended, or "none" where there was no response. */
+  /** Invokes a function; the result is how the request ended, or "none" without a response. */
   CompletableFuture<String> invokeForEndAsync(String function, String body) {
     return invokeAsync(function, body)
         .handle((response, failure) -> failure == null ? endOf(response) : "none");
   }
 
-  /** Invokes a function that defers its response; returns where to poll for it. */
+  /** Invokes a function with a deferred response; returns the path at which to poll for it. */
   String invokeDeferred(String function, String body) throws Exception {
     return locationOf(invoke(function, body, "Prefer", "respond-async"));
   }
@@ -150,12 +157,12 @@
     return client.send(builder.build(), HttpResponse.BodyHandlers.ofString());
   }
 
-  /** Opens a plain connection to the router. */
+  /** Opens a TCP connection to the router. */
   Socket connect() throws IOException {
     return new Socket("127.0.0.1", router.port());
   }
 
-  /** How a request ended, or "none" where the response does not say so. */
+  /** Returns how a request ended, or "none" if the response has no such header. */
   static String endOf(HttpResponse<?> response) {
     return response.headers().firstValue("Switchgap-End").orElse("none");
   }
--- a/src/test/java/switchgap/server/gateway/GatewayServiceLevelsTest.java
+++ b/src/test/java/switchgap/server/gateway/GatewayServiceLevelsTest.java
@@ -13,7 +13,7 @@
 import java.net.http.HttpResponse;
 import org.junit.jupiter.api.Test;
 
-/** Service levels as clients and operators see them at the router. */
+/** Checks service levels in the responses to clients and in the pages for operators. */
 class GatewayServiceLevelsTest {
   private static HttpResponse<String> pin(GatewayFixture fixture, String level, int seconds)
       throws Exception {
@@ -35,7 +35,7 @@
       assertThat(response.body())
           .contains("\"level\":\"least\"")
           .contains("\"repeat_harmless\":true");
-      // of the highest priority weight
+      // This request class has the highest priority weight, so the level does not reject it.
       assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
       assertThat(worker.receivedRequests())
           .noneMatch(request -> request.line().contains(IDEMPOTENT));
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Its response was delayed until two latency objectives before the deadline, to be offered again
-   * and again.
+   * Guards against a delayed rejection: the request was offered to the admission gate repeatedly
+   * until two latency objectives before its deadline, and only then got its response.
    */
   @Test
   void aDeferredRequestRejectedByALevelEndsAtOnce() throws Exception {
@@ -70,7 +70,7 @@
       HttpResponse<String> response = fixture.get(fixture.invokeDeferred(IDEMPOTENT, "9"));
 
       assertThat(endOf(response)).isEqualTo(REJECTED);
-      // the first level that rejects it
+      // The response names the first level that rejects the request, not the pinned one.
       assertThat(response.headers().firstValue("Switchgap-Level")).hasValue("least");
       assertThat(worker.inferenceRequestCount()).isZero();
       assertThat(fixture.router().pendingRequests()).isZero();
@@ -85,14 +85,14 @@
                 .sections("levels: {pin: hold, pin_for: 300ms, spare: [known]}\n")
                 .workers(worker)
                 .start()) {
-      // the configuration's pin
+      // The configuration pins the level HOLD.
       assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(REJECTED);
-      // exempt
+      // The setting spare exempts this request class.
       assertThat(endOf(fixture.invoke(KEYED, "1", "Idempotency-Key", "k"))).isEqualTo(SUCCEEDED);
       assertThat(pin(fixture, "share", 5).statusCode()).isEqualTo(400);
       assertThat(pin(fixture, "least", 0).statusCode()).isEqualTo(400);
       assertThat(pin(fixture, "least", 99_999_999).statusCode()).isEqualTo(400);
-      Thread.sleep(500); // past the pin
+      Thread.sleep(500); // longer than pin_for
       assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
     }
     try (HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
--- a/src/test/java/switchgap/server/gateway/HttpTestServer.java
+++ b/src/test/java/switchgap/server/gateway/HttpTestServer.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A worker on a plain socket: records the requests that it receives and responds as a test says.
- * One thread serves each connection, one request after the other.
+ * A worker on a plain socket that records the requests it receives and responds as a test defines.
+ * A thread for each connection serves one request after the other.
  */
 public final class HttpTestServer implements AutoCloseable {
   private static final String CONTENT_LENGTH = "content-length:";
@@ -24,12 +24,12 @@
   private static final long SILENCE_MILLIS = 20_000;
 
   /**
-   * A request as it was received.
+   * A received request.
    *
    * @param line the request line
-   * @param attemptId id of the attempt, empty where the request has none
-   * @param body content in UTF-8
-   * @param connection number of the connection, from 1
+   * @param attemptId id of the attempt, empty if the request has none
+   * @param body request body, decoded as UTF-8
+   * @param connection number of the connection, counted from 1
    */
   public record ReceivedRequest(String line, String attemptId, String body, int connection) {
     /** Whether this is an inference request, not a load command or a probe. */
@@ -38,56 +38,56 @@
     }
   }
 
-  /** Responds to requests. */
+  /** Defines the response to each request; may be called on several threads at once. */
   public interface Responder {
-    /** Writes the response to the raw connection; returns false to have the connection closed. */
+    /** Writes the response to the raw connection; returns false to close the connection. */
     boolean respond(ReceivedRequest request, OutputStream out)
         throws IOException, InterruptedException;
   }
 
   private final List<ReceivedRequest> received = new CopyOnWriteArrayList<>();
   private final ServerSocket listener;
-  private final List<Socket> sockets = new CopyOnWriteArrayList<>();
+  private final List<Socket> connections = new CopyOnWriteArrayList<>();
   private final AtomicInteger connectionCount = new AtomicInteger();
   private volatile Responder responder;
 
-  /** Starts a server at any free port. */
+  /** Starts a server on a free port of the loopback address. */
   public HttpTestServer(Responder responder) throws IOException {
     this.responder = responder;
     listener = new ServerSocket();
     listener.setReuseAddress(true);
     listener.bind(new InetSocketAddress("127.0.0.1", 0));
-    startDaemon("test-server-accept", this::accept);
+    startDaemon("test-server-accept", this::acceptConnections);
   }
 
-  /** The port at which the server listens. */
+  /** The port on which the server listens. */
   public int port() {
     return listener.getLocalPort();
   }
 
-  /** Replaces the responder; requests that are being responded to keep the former one. */
-  public void setResponder(Responder next) {
-    responder = next;
+  /** Replaces the responder for requests that arrive later. */
+  public void setResponder(Responder newResponder) {
+    responder = newResponder;
   }
 
-  /** A view of all requests received so far, in the order of their arrival. */
+  /** Returns an unmodifiable live view of all received requests, in order of arrival. */
   public List<ReceivedRequest> receivedRequests() {
     return Collections.unmodifiableList(received);
   }
 
-  /** Inference requests received so far. */
+  /** Number of inference requests received so far. */
   public long inferenceRequestCount() {
     return received.stream().filter(ReceivedRequest::isInference).count();
   }
 
-  /** Connections that neither side has closed. */
+  /** Number of connections that neither side has closed. */
   public long openConnections() {
-    return sockets.stream().filter(socket -> !socket.isClosed()).count();
+    return connections.stream().filter(socket -> !socket.isClosed()).count();
   }
 
-  /** Closes all connections and goes on listening. */
+  /** Closes all connections; the server continues to accept new ones. */
   public void closeConnections() throws IOException {
-    for (Socket socket : sockets) {
+    for (Socket socket : connections) {
       socket.close();
     }
   }
@@ -104,12 +104,12 @@
     thread.start();
   }
 
-  private void accept() {
+  private void acceptConnections() {
     while (!listener.isClosed()) {
       try {
         Socket socket = listener.accept();
         socket.setTcpNoDelay(true);
-        sockets.add(socket);
+        connections.add(socket);
         int number = connectionCount.incrementAndGet();
         startDaemon("test-server-" + number, () -> serve(socket, number));
       } catch (IOException e) {
@@ -131,11 +131,11 @@
         request = readRequest(input, connection);
       }
     } catch (IOException | InterruptedException e) {
-      // the router closed its side
+      // The router closed the connection.
     }
   }
 
-  /** Reads one request; null at the end of the connection. */
+  /** Reads one request; returns null at the end of the connection. */
   private static ReceivedRequest readRequest(InputStream input, int connection) throws IOException {
     String line = readLine(input);
     if (line == null) {
@@ -170,7 +170,7 @@
     return text.toString();
   }
 
-  /** The bytes of a response; each header ends with CR LF. */
+  /** Returns the bytes of a response; each header line in {@code headers} must end with CR LF. */
   public static byte[] response(int status, String headers, String body) {
     String head =
         "HTTP/1.1 %d x\r\n%sContent-Length: %d\r\n\r\n".formatted(status, headers, body.length());
@@ -178,20 +178,21 @@
   }
 
   /**
-   * The bytes of a successful response, with the id of the request as a correct worker sends it.
+   * Returns the bytes of a successful response that echoes the attempt's id, as a correct worker
+   * does.
    */
   public static byte[] okResponse(ReceivedRequest request, String body) {
     return response(200, "X-Request-Id: " + request.attemptId() + "\r\n", body);
   }
 
-  /** A correct worker, which responds at once with the body that it received. */
+  /** Responds like a correct worker, immediately and with the body that it received. */
   public static boolean echo(ReceivedRequest request, OutputStream out) throws IOException {
     String content = request.body().isEmpty() ? "0" : request.body();
     out.write(okResponse(request, "{\"echo\":" + content + "}"));
     return true;
   }
 
-  /** A worker that never responds within a test. */
+  /** Sends no response for longer than any test runs. */
   public static boolean silent(ReceivedRequest request, OutputStream out)
       throws InterruptedException {
     Thread.sleep(SILENCE_MILLIS);
--- a/src/test/java/switchgap/server/gateway/InvokeApiTest.java
+++ b/src/test/java/switchgap/server/gateway/InvokeApiTest.java
@@ -16,11 +16,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The invoke API: which requests it accepts and rejects, and how. */
+/** Checks which requests the invoke API accepts and how it rejects others. */
 class InvokeApiTest {
   private static final Duration CLIENT_TIMEOUT = Duration.ofSeconds(3);
 
-  /** A request with one header, and the status and problem that it gets. */
+  /** A request with one header, and the expected status and problem type of its response. */
   private record InvalidRequest(
       String function, String header, String value, int status, String problem) {}
 
@@ -68,8 +68,8 @@
   }
 
   /**
-   * A client of HTTP/2 offers an upgrade with its first request, and the HTTP filters then never
-   * saw it as complete.
+   * Guards against a request without a response: an HTTP/2 client offers an upgrade with its first
+   * request, and the HTTP filters then never treated that request as complete.
    */
   @Test
   void aRequestThatOffersAnHttp2UpgradeIsHandledAsHttp1() throws Exception {
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Fails with the router's counts where there is no response: was the request overdue? */
+  /** If there is no response, fails with the router's counts, which show overdue requests. */
   private static String bodyOfResponse(
       HttpClient client, HttpRequest request, GatewayFixture fixture) throws InterruptedException {
     try {
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void requestsBeyondTheMaximumPendingAreNotAccepted() throws Exception {
+  void requestsBeyondThePendingLimitAreNotAccepted() throws Exception {
     try (HttpTestServer worker =
             new HttpTestServer(
                 (request, out) -> {
--- a/src/test/java/switchgap/server/gateway/LostResponsesTest.java
+++ b/src/test/java/switchgap/server/gateway/LostResponsesTest.java
@@ -17,12 +17,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/**
- * Responses that are lost, partial or late on the socket, and how the router ends their requests.
- */
+/** Checks how requests end whose responses are lost, partial or late. */
 class LostResponsesTest {
-  /** The timeout of a request, and time for a busy machine. */
-  private static final long MAX_FAILURE_MILLIS = 2500;
+  /** The request timeout of 900 ms, with a margin for a busy machine. */
+  private static final long MAX_MILLIS_UNTIL_FAILURE = 2500;
 
   private static long millisSince(long startNanos) {
     return (System.nanoTime() - startNanos) / 1_000_000;
@@ -38,30 +36,30 @@
       assertThat(endOf(response)).isEqualTo(FAILED);
       assertThat(response.statusCode()).isEqualTo(504);
       assertThat(response.body()).contains("\"repeat_harmless\":false");
-      assertThat(millisSince(startNanos)).isLessThan(MAX_FAILURE_MILLIS);
+      assertThat(millisSince(startNanos)).isLessThan(MAX_MILLIS_UNTIL_FAILURE);
       assertThat(worker.inferenceRequestCount() + otherWorker.inferenceRequestCount()).isEqualTo(1);
     }
   }
 
-  /** Closes the connection in place of the response to the second request. */
+  /** Closes the connection instead of responding to the second request. */
   private static HttpTestServer.Responder closeAtSecondRequest() {
     AtomicInteger requests = new AtomicInteger();
     return (request, out) -> requests.incrementAndGet() != 2 && HttpTestServer.echo(request, out);
   }
 
   @Test
-  void aConnectionClosedDuringTheWriteMayHaveExecutedTheRequest() throws Exception {
+  void onlyAnIdempotentRequestIsRetriedAfterItsConnectionIsClosed() throws Exception {
     try (HttpTestServer worker = new HttpTestServer(closeAtSecondRequest());
         GatewayFixture fixture = GatewayFixture.start(worker)) {
       assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
-      // on the idle connection, which closes
+      // It is sent on the idle connection, which the worker then closes.
       assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "2"))).isEqualTo(FAILED);
       assertThat(worker.inferenceRequestCount()).isEqualTo(2);
     }
     try (HttpTestServer worker = new HttpTestServer(closeAtSecondRequest());
         GatewayFixture fixture = GatewayFixture.start(worker)) {
       assertThat(endOf(fixture.invoke(IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
-      // an idempotent one is retried
+      // An idempotent request is retried.
       assertThat(endOf(fixture.invoke(IDEMPOTENT, "2"))).isEqualTo(SUCCEEDED);
       assertThat(worker.inferenceRequestCount()).isEqualTo(3);
     }
@@ -81,12 +79,12 @@
         GatewayFixture fixture = GatewayFixture.start(worker)) {
       long startNanos = System.nanoTime();
       assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "{}"))).isEqualTo(FAILED);
-      assertThat(millisSince(startNanos)).isLessThan(MAX_FAILURE_MILLIS);
+      assertThat(millisSince(startNanos)).isLessThan(MAX_MILLIS_UNTIL_FAILURE);
     }
   }
 
   @Test
-  void aLateResponseReachesNobody() throws Exception {
+  void aLateResponseIsDiscarded() throws Exception {
     HttpTestServer.Responder sometimesSlow =
         (request, out) -> {
           if (request.body().contains("slow")) {
@@ -107,7 +105,7 @@
 
   @Test
   void withRandomResponseLossEachRequestEndsOnceAndNonIdempotentOnesExecuteOnce() throws Exception {
-    HttpTestServer.Responder lossy = losingOneInFour(new Random(5));
+    HttpTestServer.Responder lossy = losingOneResponseInFour(new Random(5));
     try (HttpTestServer worker = new HttpTestServer(lossy);
         HttpTestServer otherWorker = new HttpTestServer(lossy);
         HttpTestServer thirdWorker = new HttpTestServer(lossy);
@@ -135,7 +133,7 @@
     }
   }
 
-  private static HttpTestServer.Responder losingOneInFour(Random random) {
+  private static HttpTestServer.Responder losingOneResponseInFour(Random random) {
     return (request, out) -> {
       boolean lost;
       synchronized (random) {
@@ -145,7 +143,7 @@
     };
   }
 
-  /** A non-idempotent request is executed at most once, and never where it was rejected. */
+  /** A non-idempotent request is executed at most once, and never if it was rejected. */
   private static void assertExecutedAsReported(
       List<HttpTestServer> workers, String body, String end) {
     long executions =
--- a/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
+++ b/src/test/java/switchgap/server/gateway/PlannedWorkerTransportTest.java
@@ -28,17 +28,17 @@
 import switchgap.testing.ReachableObjects;
 
 /**
- * Many load commands through the planned transport: without a planner, with a silent one, with a
- * working one.
+ * Sends many load commands through the transport without a planner, with a silent planner and with
+ * a working one.
  */
 class PlannedWorkerTransportTest {
-  private final List<Consumer<RouterCore>> nextEvents = new ArrayList<>();
+  private final List<Consumer<RouterCore>> nextTickEvents = new ArrayList<>();
   private final YamlRouterSettings settings =
       new YamlRouterSettings(YamlDocument.read("t", GatewayFixture.SETTINGS));
   private final PlannedWorkerTransport transport =
       new PlannedWorkerTransport(
-          new NextTickWorkers(), settings, Duration.ofMillis(60), nextEvents::add);
-  private final PolicyEvents noEvents =
+          new NextTickWorkers(), settings, Duration.ofMillis(60), nextTickEvents::add);
+  private final PolicyEvents ignoredEvents =
       (PolicyEvents)
           Proxy.newProxyInstance(
               PolicyEvents.class.getClassLoader(),
@@ -49,7 +49,7 @@
       new RouterCore(
           settings,
           (now, events, actions) -> {
-            events.deliverTo(noEvents);
+            events.deliverTo(ignoredEvents);
             if (requestedLoads > 0) {
               actions.load(0, 0);
             }
@@ -57,10 +57,10 @@
           transport,
           new CoreLimits(Duration.ofSeconds(1), Duration.ofSeconds(1), 10));
 
-  private void ticks(int count, long fromMillis) {
+  private void runTicks(int count, long fromMillis) {
     for (int i = 0; i < count; i++) {
-      List<Consumer<RouterCore>> events = List.copyOf(nextEvents);
-      nextEvents.clear();
+      List<Consumer<RouterCore>> events = List.copyOf(nextTickEvents);
+      nextTickEvents.clear();
       core.tick(Duration.ofMillis(fromMillis + i), events);
     }
   }
@@ -77,64 +77,67 @@
 
   @Test
   void endedLoadCommandsAreNotRetained() {
-    nextEvents.add(
+    nextTickEvents.add(
         router -> {
           addWorkerWithRequest(router);
         });
-    ticks(1, 0);
-    long before = ReachableObjects.count(transport);
+    runTicks(1, 0);
+    long reachableBefore = ReachableObjects.count(transport);
     requestedLoads = 1;
-    ticks(20_000, 1); // no planner
-    assertThat(ReachableObjects.count(transport)).isLessThan(before + 100);
-    nextEvents.add(router -> transport.plannerConnected(router, 1));
-    ticks(20_000, 30_000); // one that is silent
-    nextEvents.add(router -> transport.plannerDisconnected(1));
-    ticks(20_000, 60_000);
+    runTicks(20_000, 1);
+    assertThat(ReachableObjects.count(transport)).isLessThan(reachableBefore + 100);
+    // A planner connects that never sends a plan.
+    nextTickEvents.add(router -> transport.plannerConnected(router, 1));
+    runTicks(20_000, 30_000);
+    nextTickEvents.add(router -> transport.plannerDisconnected(1));
+    runTicks(20_000, 60_000);
     requestedLoads = 0;
-    ticks(100, 90_000);
-    assertThat(ReachableObjects.count(transport)).isLessThan(before + 100);
+    runTicks(100, 90_000);
+    assertThat(ReachableObjects.count(transport)).isLessThan(reachableBefore + 100);
     assertThat(transport.pendingLoads()).isZero();
   }
 
   /**
-   * Each plan was answered by a further backlog, and each backlog by a plan: an idle router and its
-   * planner took most of a core.
+   * Guards against an endless exchange: a backlog in response to each plan, and a plan in response
+   * to each backlog, kept an idle router and its planner busy with most of a CPU core.
    */
   @Test
-  void noBacklogIsSentWhereNothingHasChanged() {
-    AtomicInteger backlogs = new AtomicInteger();
+  void noBacklogIsSentIfNothingHasChanged() {
+    AtomicInteger backlogCount = new AtomicInteger();
     LoadScheduler planner = new LoadScheduler();
-    nextEvents.add(
+    nextTickEvents.add(
         router -> {
           transport.setBacklogSender(
               backlog -> {
-                backlogs.incrementAndGet();
+                backlogCount.incrementAndGet();
                 LoadPlan plan = planner.plan(backlog);
-                return plan != null && nextEvents.add(anyRouter -> transport.planReceived(plan));
+                return plan != null
+                    && nextTickEvents.add(anyRouter -> transport.planReceived(plan));
               });
           addWorkerWithRequest(router);
           transport.plannerConnected(router, 1);
         });
-    ticks(1000, 0);
-    assertThat(backlogs.get()).isLessThanOrEqualTo(2);
+    runTicks(1000, 0);
+    assertThat(backlogCount.get()).isLessThanOrEqualTo(2);
     requestedLoads = 1;
-    ticks(1, 1000);
+    runTicks(1, 1000);
     requestedLoads = 0;
-    ticks(1000, 1001);
-    assertThat(backlogs.get()).isBetween(2, 5);
+    runTicks(1000, 1001);
+    assertThat(backlogCount.get()).isBetween(2, 5);
     assertThat(transport.pendingLoads()).isZero();
-    assertThat(transport.counts().planned()).isEqualTo(1); // sent as the plan said
+    // The load command was sent because of the plan, not of a timeout.
+    assertThat(transport.counts().planned()).isEqualTo(1);
   }
 
   /**
-   * Workers that carry out each command in the next tick. An inner class, so that all that the test
-   * holds counts as reachable from the transport.
+   * Simulates workers that complete each command in the next tick. It is an inner class so that the
+   * test's own state is counted as reachable from the transport as well.
    */
   private final class NextTickWorkers implements WorkerTransport {
     @Override
     public void requestReplicas(
         WorkerEntry worker, String function, int replicas, WorkerCommand command) {
-      nextEvents.add(router -> router.loadCommandEnded(command, AttemptOutcome.SUCCEEDED, 1));
+      nextTickEvents.add(router -> router.loadCommandEnded(command, AttemptOutcome.SUCCEEDED, 1));
     }
 
     @Override
@@ -150,7 +153,7 @@
 
     @Override
     public void probe(WorkerEntry worker, WorkerCommand command) {
-      nextEvents.add(
+      nextTickEvents.add(
           router -> router.probeEnded(command, AttemptOutcome.SUCCEEDED, LoadReport.NONE));
     }
 
--- a/src/test/java/switchgap/server/gateway/RouterAndPlannerTest.java
+++ b/src/test/java/switchgap/server/gateway/RouterAndPlannerTest.java
@@ -21,8 +21,8 @@
 import switchgap.planner.link.PlannerMessageCodec;
 
 /**
- * Router and planner over a socket: load commands follow plans; a planner that fails affects no
- * request.
+ * Connects a router and a planner over a socket: load commands follow plans, and a failing planner
+ * affects no request.
  */
 class RouterAndPlannerTest {
   private static final String PLANNER_CONFIG =
@@ -31,7 +31,7 @@
       workers: {miss: answers, orders: true}
       """;
 
-  /** A worker that has no function loaded until it is commanded to load one. */
+  /** A worker that responds 404 to inference requests until it gets its first load command. */
   private static final class LoadCountingWorker implements AutoCloseable {
     private final AtomicInteger loads = new AtomicInteger();
     private final HttpTestServer server = new HttpTestServer(this::respond);
@@ -73,8 +73,8 @@
   }
 
   /**
-   * The function is loaded at the first miss: requests are rejected until it is loaded, then one
-   * succeeds.
+   * Sends requests until one succeeds. The function is loaded on the first miss, and requests are
+   * rejected with 503 until it is loaded.
    */
   private static void awaitSuccess(GatewayFixture fixture) throws Exception {
     AtomicInteger status = new AtomicInteger();
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void aLoadCommandIsSentWhenThePlanSaysSo() throws Exception {
+  void aLoadCommandIsSentWhenAPlanNamesIt() throws Exception {
     try (LoadCountingWorker worker = new LoadCountingWorker();
         GatewayFixture fixture = start(worker);
         NetworkTransport net = network();
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void requestsSucceedWithoutAPlanner() throws Exception {
+  void requestsSucceedAfterThePlannerDisconnected() throws Exception {
     try (LoadCountingWorker worker = new LoadCountingWorker();
         GatewayFixture fixture = start(worker);
         NetworkTransport net = network()) {
@@ -132,20 +132,21 @@
   }
 
   @Test
-  void aSilentPlannerDelaysLoadCommandsByThePatienceAtMost() throws Exception {
+  void aSilentPlannerDelaysLoadCommandsByThePlanTimeoutAtMost() throws Exception {
     try (LoadCountingWorker worker = new LoadCountingWorker();
         GatewayFixture fixture = start(worker);
-        Socket silent = new Socket("127.0.0.1", fixture.router().plannerPort())) {
-      DataOutputStream out = new DataOutputStream(silent.getOutputStream());
+        Socket silentPlanner = new Socket("127.0.0.1", fixture.router().plannerPort())) {
+      DataOutputStream out = new DataOutputStream(silentPlanner.getOutputStream());
       send(out, new PlannerMessage.Hello(PlannerMessageCodec.VERSION, "planner", 0, 0));
-      assertThat(read(new DataInputStream(silent.getInputStream())))
+      assertThat(read(new DataInputStream(silentPlanner.getInputStream())))
           .isInstanceOf(PlannerMessage.Hello.class);
       awaitSuccess(fixture);
-      assertThat(fixture.router().loadPlanCounts().timedOut()).isPositive(); // sent without a plan
+      // The load command was sent without a plan.
+      assertThat(fixture.router().loadPlanCounts().timedOut()).isPositive();
     }
   }
 
-  /** Sends the first message of a connection of its own, which is rejected for this reason. */
+  /** Sends the first message on a new connection and checks that it is rejected for this reason. */
   private static void assertRejected(
       GatewayFixture fixture, PlannerMessage firstMessage, String reason) throws Exception {
     try (Socket client = new Socket("127.0.0.1", fixture.router().plannerPort())) {
@@ -180,7 +181,7 @@
         GatewayFixture fixture = start(worker)) {
       int port = fixture.router().plannerPort();
       try (Socket client = new Socket("127.0.0.1", port)) {
-        // a frame of 1 GB
+        // The first four bytes are read as the length of a frame, more than 1 GB.
         client
             .getOutputStream()
             .write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -202,7 +203,8 @@
         send(out, new LoadPlan(hello.epoch(), 1, new long[] {99, -4}));
         send(out, new LoadPlan(hello.epoch() + 1, 1, new long[] {0}));
         until(() -> fixture.router().loadPlanCounts().rejected() == 3);
-        out.writeInt(400); // half a frame, then the end
+        // An incomplete frame, then the end of the connection.
+        out.writeInt(400);
         out.write(new byte[17]);
       }
       awaitSuccess(fixture);
--- a/src/test/java/switchgap/server/gateway/UnexpectedResponsesTest.java
+++ b/src/test/java/switchgap/server/gateway/UnexpectedResponsesTest.java
@@ -16,19 +16,19 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** Responses that no correct worker sends, and what a response proves about execution. */
+/** Checks incorrect responses, and which responses show that a request was not executed. */
 class UnexpectedResponsesTest {
   private static final String NOT_EXECUTED =
       "endpoint-load-metrics: TEXT named_metrics.executed=0\r\n";
 
-  private static void assertOwnResponse(HttpResponse<String> response, String body) {
+  private static void assertBodyIfSucceeded(HttpResponse<String> response, String body) {
     if (endOf(response).equals(SUCCEEDED)) {
       assertThat(response.body()).isEqualTo(body);
     }
   }
 
   @Test
-  void aDuplicateResponseIsNeverReadAsThatOfTheNextRequest() throws Exception {
+  void aDuplicateResponseIsNeverAssignedToTheNextRequest() throws Exception {
     HttpTestServer.Responder respondTwice =
         (request, out) -> {
           byte[] single = HttpTestServer.okResponse(request, request.body());
@@ -41,20 +41,20 @@
         GatewayFixture fixture = GatewayFixture.start(worker)) {
       for (int i = 0; i < 40; i++) {
         String body = "\"single " + i + "\"";
-        assertOwnResponse(fixture.invoke(IDEMPOTENT, body), body);
+        assertBodyIfSucceeded(fixture.invoke(IDEMPOTENT, body), body);
       }
       List<CompletableFuture<HttpResponse<String>>> responses = new ArrayList<>();
       for (int i = 0; i < 60; i++) {
         responses.add(fixture.invokeAsync(IDEMPOTENT, "\"concurrent " + i + "\""));
       }
       for (int i = 0; i < 60; i++) {
-        assertOwnResponse(responses.get(i).get(), "\"concurrent " + i + "\"");
+        assertBodyIfSucceeded(responses.get(i).get(), "\"concurrent " + i + "\"");
       }
     }
   }
 
   @Test
-  void aResponseLongerThanItsContentLengthIsCutAndTheNextRequestGetsItsOwn() throws Exception {
+  void aResponseLongerThanItsContentLengthIsTruncatedAndItsConnectionNotReused() throws Exception {
     byte[] tooLong =
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}{\"more\":1}"
             .getBytes(StandardCharsets.US_ASCII);
@@ -66,7 +66,8 @@
     try (HttpTestServer worker = new HttpTestServer(respondTooMuch);
         GatewayFixture fixture = GatewayFixture.start(worker)) {
       assertThat(fixture.invoke(IDEMPOTENT, "1").body()).isEqualTo("{}");
-      Thread.sleep(50); // the rest of the response would arrive by now
+      // Long enough for the rest of the response to arrive.
+      Thread.sleep(50);
       assertThat(fixture.invoke(IDEMPOTENT, "2").body()).isEqualTo("{}");
       assertThat(
               worker.receivedRequests().stream()
@@ -92,7 +93,7 @@
   }
 
   @Test
-  void aMissIsRetriedOnlyWhereTheWorkerReportsThatNothingExecuted() throws Exception {
+  void anErrorResponseIsRetriedOnlyIfItReportsThatNothingWasExecuted() throws Exception {
     AtomicInteger requests = new AtomicInteger();
     HttpTestServer.Responder missFirst =
         (request, out) -> {
@@ -109,12 +110,12 @@
           .anyMatch(line -> line.contains("/v2/repository/models/once-1/load"));
     }
     for (int status : new int[] {404, 429, 500, 503}) {
-      assertFailsWithoutProof(status);
+      assertFailsWithoutLoadReport(status);
     }
   }
 
-  /** Without the proof any of these responses may come from a request that was executed. */
-  private static void assertFailsWithoutProof(int status) throws Exception {
+  /** Without a load report, an error response may come from a request that was executed. */
+  private static void assertFailsWithoutLoadReport(int status) throws Exception {
     HttpTestServer.Responder unproven =
         (request, out) -> {
           out.write(HttpTestServer.response(status, "", "{}"));
@@ -130,7 +131,7 @@
   }
 
   @Test
-  void anUnreachableWorkerProvesThatNothingExecuted() throws Exception {
+  void aRequestToAnUnreachableWorkerIsRetriedElsewhere() throws Exception {
     int closedPort;
     try (HttpTestServer gone = new HttpTestServer(HttpTestServer::silent)) {
       closedPort = gone.port();
