--- a/src/main/java/switchgap/protocol/inference/ExchangeState.java
+++ b/src/main/java/switchgap/protocol/inference/ExchangeState.java
@@ -10,7 +10,8 @@
   ENDED;
 
   /**
-   * Allows a return from in flight to waiting, for an exchange whose connection accepted no byte.
+   * Whether the transition is allowed. An exchange returns from in flight to waiting only if its
+   * connection accepted no byte.
    */
   boolean canTransitionTo(ExchangeState next) {
     return switch (this) {
--- a/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
+++ b/src/main/java/switchgap/protocol/inference/HttpConnectionPool.java
@@ -72,7 +72,7 @@
   /** Sends an exchange on a connection; submits it again if the connection accepts no byte. */
   private void send(InferenceExchange exchange, HttpClientConnection connection) {
     if (!exchange.assign(connection)) {
-      // Ending it now, not at its timeout, leaves the router time for an attempt at another worker.
+      // The request was not executed, so the router can send it to another worker without delay.
       exchange.endNotSent(AttemptOutcome.NOT_SENT);
       release(connection);
     } else if (!exchange.sendOn(connection)) {
@@ -80,8 +80,7 @@
         submit(exchange);
       }
     } else if (exchange.isEnded()) {
-      // It was abandoned between assign() and sendOn(), when the connection did not carry it yet,
-      // so
+      // It was abandoned between assign() and sendOn(). The connection did not carry it yet, so
       // abandon() could not release the connection.
       connection.abandon(exchange);
     }
--- a/src/main/java/switchgap/protocol/inference/OrcaLoadReport.java
+++ b/src/main/java/switchgap/protocol/inference/OrcaLoadReport.java
@@ -18,7 +18,7 @@
   /** Named metric: number of loaded replicas of the function. */
   static final String REPLICAS = "copies";
 
-  /** Stands in for the report of a response without one; has no metrics. */
+  /** A report without metrics, used if a response has no report. */
   static final OrcaLoadReport EMPTY = new OrcaLoadReport(Map.of());
 
   private static final String IN_FLIGHT = "inflight";
--- a/src/main/java/switchgap/protocol/invoke/HeaderNames.java
+++ b/src/main/java/switchgap/protocol/invoke/HeaderNames.java
@@ -28,7 +28,7 @@
   /** The id that the router assigned to a request. */
   static final String REQUEST_ID = "Switchgap-Id";
 
-  /** Outcome of a request, as a {@link ProblemType} or as success. */
+  /** Outcome of a request: {@code finished}, or the wire name of a {@link ProblemType}. */
   static final String END = "Switchgap-End";
 
   /** The service level that rejected a request. */
--- a/src/main/java/switchgap/protocol/invoke/InvalidRequestException.java
+++ b/src/main/java/switchgap/protocol/invoke/InvalidRequestException.java
@@ -2,7 +2,7 @@
 
 /**
  * Thrown for a request that can't be accepted, with the problem to respond with. It has no stack
- * trace, since invalid input is not a fault of the router and must be cheap to reject.
+ * trace, since invalid input does not point to a fault in the router.
  */
 final class InvalidRequestException extends Exception {
   private static final long serialVersionUID = 1;
--- a/src/main/java/switchgap/protocol/invoke/InvokeRequestReader.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeRequestReader.java
@@ -9,9 +9,9 @@
 import switchgap.policy.api.Idempotency;
 
 /**
- * Reads and validates the headers of an invoke request. The order is fixed and the first invalid
- * header is reported, so that the same request always gets the same problem. {@link HeaderNames}
- * lists the headers; {@code Switchgap-Repeat} is accepted and ignored.
+ * Reads and validates the headers of an invoke request in a fixed order, and reports the first
+ * invalid one. {@link HeaderNames} lists the headers; {@code Switchgap-Repeat} is accepted and
+ * ignored.
  */
 final class InvokeRequestReader {
   private final RequestHeaders headers;
--- a/src/main/java/switchgap/protocol/invoke/PinRequest.java
+++ b/src/main/java/switchgap/protocol/invoke/PinRequest.java
@@ -26,8 +26,8 @@
   }
 
   /**
-   * Returns null if the text names no level, or {@code SHARE}, which applies to single tenants
-   * only.
+   * Returns null if the text names no level, or {@link ServiceLevel#SHARE}, which applies to single
+   * tenants only.
    */
   private static ServiceLevel parseLevel(String text) {
     for (ServiceLevel level : ServiceLevel.values()) {
--- a/src/main/java/switchgap/protocol/invoke/RouterContext.java
+++ b/src/main/java/switchgap/protocol/invoke/RouterContext.java
@@ -7,7 +7,7 @@
 import switchgap.router.RouterCore;
 
 /**
- * Gives the invoke API access to the router that it belongs to.
+ * The invoke API's access to the router that it belongs to.
  *
  * @param clock returns the time since the router's start; safe from any thread
  * @param eventLoop posts an event to the router's event loop; safe from any thread
--- a/src/main/java/switchgap/protocol/invoke/ServiceLevelReport.java
+++ b/src/main/java/switchgap/protocol/invoke/ServiceLevelReport.java
@@ -12,7 +12,8 @@
 import switchgap.config.YamlRouterSettings;
 
 /**
- * Reports a router's service levels as JSON: the current ones, totals since the start, and changes.
+ * Reports a router's service levels as JSON: the current ones, totals since the start, and recent
+ * changes.
  */
 final class ServiceLevelReport {
   private static final ObjectMapper JSON = new ObjectMapper();
--- a/src/main/java/switchgap/server/gateway/GatewayComponents.java
+++ b/src/main/java/switchgap/server/gateway/GatewayComponents.java
@@ -111,7 +111,7 @@
 
   private static void haltAfterFailedTick(Throwable failure) {
     LOG.error(
-        "event loop tick failed, its state may be inconsistent; exiting with code 70, pending"
+        "event loop tick failed, its state may be inconsistent; halting the process, pending"
             + " requests get no response",
         failure);
     Runtime.getRuntime().halt(EXIT_CODE_TICK_FAILED);
--- a/src/test/java/switchgap/protocol/inference/InferenceExchangeTest.java
+++ b/src/test/java/switchgap/protocol/inference/InferenceExchangeTest.java
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Guards against a connection that stays occupied for ever. The event loop abandons the exchange
+   * Guards against a connection that stays occupied forever. The event loop abandons the exchange
    * between the writer thread's check and its write, so no later event would release the
    * connection.
    */
--- a/src/test/java/switchgap/server/gateway/ClientConnectionsTest.java
+++ b/src/test/java/switchgap/server/gateway/ClientConnectionsTest.java
@@ -107,7 +107,7 @@
   }
 
   /**
-   * Guards against a client that occupies a connection slot for ever by sending a part of a
+   * Guards against a client that occupies a connection slot forever by sending a part of a
    * request's head, or nothing at all, and then staying silent.
    */
   @Test
