--- a/src/main/java/switchgap/server/gateway/GatewayConfig.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfig.java
@@ -79,7 +79,8 @@
    * Source of the endpoint list: a service, the configuration itself, or both.
    *
    * @param service address of the endpoint list service, or null
-   * @param retryInterval pause before the next request to the service after a failed one
+   * @param retryInterval time between the loss of the connection to the service and the next
+   *     attempt to connect
    * @param staticWorkers workers that are named in the configuration
    */
   public record EndpointList(
