--- a/src/main/java/switchgap/protocol/invoke/InvalidRequestException.java
+++ b/src/main/java/switchgap/protocol/invoke/InvalidRequestException.java
@@ -1,8 +1,8 @@
 package switchgap.protocol.invoke;
 
 /**
- * A request that can't be accepted; the problem says why. Has no stack trace: bad input is no fault
- * of ours.
+ * Thrown for a request that can't be accepted, with the problem to respond with. It has no stack
+ * trace, since invalid input does not point to a fault in the router.
  */
 final class InvalidRequestException extends Exception {
   private static final long serialVersionUID = 1;
