--- a/src/main/java/switchgap/policy/CandidateSelector.java
+++ b/src/main/java/switchgap/policy/CandidateSelector.java
@@ -8,15 +8,25 @@
 import switchgap.policy.state.Worker;
 
 /**
- * Chooses the worker for a request: the first of the target replicas in hash order below its
- * concurrency limit, unless another one is clearly less loaded; else a loaded replica past them.
+ * Selects the worker for a request: the first target replica in hash order that is below its
+ * concurrency limit, unless another one is clearly less loaded. If no target replica is available,
+ * selects a loaded replica further on in hash order.
  */
 final class CandidateSelector {
-  private static final double OVERFLOW_LOAD = 1; // requests: a smaller difference does not matter
-  private static final double CROSS_ZONE_LOAD = 1.5; // as much as that many overflow loads
-  private static final int OVERFLOW_WORKERS = 4; // visited past the target, and as many more
-  private static final double BUSY_CPU = 0.9; // utilization below which no request waits for cores
-  private static final double MAX_OVERCOMMIT = 3; // times the limit, with those waiting for loads
+  /** Load difference in requests up to which replicas are considered equally loaded. */
+  private static final double OVERFLOW_LOAD = 1;
+
+  /** Cost of another zone, as a multiple of {@link #OVERFLOW_LOAD}. */
+  private static final double CROSS_ZONE_LOAD = 1.5;
+
+  /** Number of workers to visit beyond twice the target replica count. */
+  private static final int OVERFLOW_WORKERS = 4;
+
+  /** CPU utilization below which no request waits for a core. */
+  private static final double BUSY_CPU = 0.9;
+
+  /** Limit of attempts in flight, including those that wait for a load, in concurrency limits. */
+  private static final double MAX_OVERCOMMIT = 3;
 
   private final PolicyState state;
   private final OutlierDetector outliers;
@@ -37,7 +47,10 @@
     this.retries = retries;
   }
 
-  /** Visits workers in hash order until an available replica is found past the target. */
+  /**
+   * Visits workers in hash order: all target replicas and, if none of them is available, further
+   * workers until an available replica is found.
+   */
   CandidateSurvey survey(Request request) {
     Function function = request.function;
     CandidateSurvey survey = new CandidateSurvey();
@@ -92,18 +105,25 @@
     }
   }
 
-  /** With many routers another may have loaded the replica; a miss must leave one more attempt. */
+  /**
+   * Whether to send to a replica in unknown state. With many routers, another router may have
+   * loaded it; the request must have an attempt left in case it is missing.
+   */
   private boolean triesUnknown(Request request) {
     boolean lastAttempt = request.hasUsedUp(state.settings.maxAttempts - 1);
     return state.ownShare < 1 && !state.settings.loadsOnDemand && !lastAttempt;
   }
 
-  /** Load to compare replicas by; the more routers, the more of it is random, to spread them. */
+  /**
+   * The load by which replicas are compared. It has a random part, which grows with the number of
+   * routers so that they do not all choose the same replica.
+   */
   private double comparableLoad(Worker worker, Replica.State replica) {
     boolean crosses = state.settings.crossZonePrice > 0 && worker.zone() != state.settings.zone;
     double crossing = crosses ? CROSS_ZONE_LOAD * OVERFLOW_LOAD : 0;
     double guess = replica == Replica.State.UNKNOWN ? OVERFLOW_LOAD : 0;
-    double probe = leases.holds(worker) ? 0 : OVERFLOW_LOAD; // for which the request would wait
+    // Without a lease the request would wait for a probe.
+    double probe = leases.holds(worker) ? 0 : OVERFLOW_LOAD;
     double chance = state.random.nextDouble() * OVERFLOW_LOAD * (1 - state.ownShare);
     return estimator.load(worker) + guess + probe + crossing + chance;
   }
@@ -115,7 +135,10 @@
         && worker.inFlight() < MAX_OVERCOMMIT * limit;
   }
 
-  /** Whether other routers leave capacity; a request of more weight gives way to less of theirs. */
+  /**
+   * Whether other routers leave capacity for a request. The greater its weight, the less of their
+   * load counts against it.
+   */
   private boolean hasForeignCapacity(Request request, Worker worker) {
     double yielding = Math.min(1, request.capacityDraw());
     return state.ownShare == 1
--- a/src/main/java/switchgap/policy/LoadEstimator.java
+++ b/src/main/java/switchgap/policy/LoadEstimator.java
@@ -15,29 +15,53 @@
 import switchgap.policy.state.Worker;
 
 /**
- * Measures the workers' load and the requests' durations; derives the workers' capacity and this
- * router's concurrency limits. Relative durations are ratios to a class's latency objective.
+ * Measures the load of workers and the durations of requests, and derives from them the capacity of
+ * a worker and this router's concurrency limit at it. A relative duration is the ratio of a
+ * duration to the latency objective of the request class.
  */
 final class LoadEstimator {
-  /** Requests, of all routers, that a worker is assumed to bear at a time until one is measured. */
+  /** Assumed capacity of a worker in concurrent requests of all routers, until it is measured. */
   static final double DEFAULT_CAPACITY = 10;
 
-  private static final double FAST_DURATION = 0.15; // relative; above it the limit shrinks
-  private static final double DEFAULT_DURATION = 0.25; // relative, until one is measured
-  private static final double REPORT_HALF_LIFE = 1; // seconds until a report counts half
-  private static final double PRIOR_RATIOS = 4; // at the fleet's ratio, for a worker little known
-  private static final double MIN_LATENCY_RATIO = 0.5; // of the fleet's
-  private static final double MIN_CONCURRENCY = 2; // below it rejections cause more rejections
-  private static final double WINDOW_SECONDS =
-      1.5; // that a worker's durations are of: the mean of 1 and 2
-  private static final double REJECTED_LOAD = 2; // times its capacity, at a worker that rejects
-  private static final double MAX_REPORTS = 64; // above it halved each second
-  private static final double MAX_SAMPLES = 256; // above it halved, so that old ones fade
-  private static final int PROBE_RETRY_SECONDS = 64; // until probes without a report are retried
+  /** Median relative duration above which the concurrency limit of a worker shrinks. */
+  private static final double FAST_DURATION = 0.15;
+
+  /** Relative duration assumed for a request class until one is measured. */
+  private static final double DEFAULT_DURATION = 0.25;
+
+  /** Time after which the weight of a load report has halved. */
+  private static final double REPORT_HALF_LIFE = 1;
+
+  /** Weight of the fleet's mean latency ratio in that of a worker, in samples. */
+  private static final double PRIOR_RATIOS = 4;
+
+  /** Lower bound of a worker's latency ratio, relative to the fleet's mean. */
+  private static final double MIN_LATENCY_RATIO = 0.5;
+
+  /** Lower bound of the concurrency limit; below it rejections cause further rejections. */
+  private static final double MIN_CONCURRENCY = 2;
+
+  /** Mean span of a worker's duration histogram, which covers the last one to two seconds. */
+  private static final double WINDOW_SECONDS = 1.5;
+
+  /** Load assumed at a worker that rejected an attempt, as a multiple of its capacity. */
+  private static final double REJECTED_LOAD = 2;
+
+  /** Number of load reports above which the fleet's counts are halved each second. */
+  private static final double MAX_REPORTS = 64;
+
+  /** Number of durations above which the counts of a request class are halved each second. */
+  private static final double MAX_SAMPLES = 256;
+
+  /** Interval at which probing is tried again after workers replied without a load report. */
+  private static final int PROBE_RETRY_SECONDS = 64;
 
   private final PolicyState state;
   private final SlowStart slowStart;
-  private final double ownCapacity; // this router's equal part of the default capacity
+
+  /** This router's equal share of the default capacity of a worker. */
+  private final double ownCapacity;
+
   private double usualForeignLoad = 1;
   private boolean probesReportLoad = true;
 
@@ -66,7 +90,7 @@
     probesReportLoad |= state.seconds() % PROBE_RETRY_SECONDS == 0;
   }
 
-  /** Whether the last successful probe reported a load, as far as known. */
+  /** Whether the last successful probe reported a load; true again after the retry interval. */
   boolean probesReportLoad() {
     return probesReportLoad;
   }
@@ -85,8 +109,8 @@
     Duration usual = request.hasDurationHint() ? request.durationHint : usualDuration(requestClass);
     double ratio = toSeconds(duration) / toSeconds(usual);
     worker.relativeDurations.add(relative);
-    if (!attempt.replicaLoaded()) { // the duration includes the load
-      return;
+    if (!attempt.replicaLoaded()) {
+      return; // the duration includes the time to load the replica
     }
     worker.latencyRatios.add(ratio);
     state.fleet.latencyRatios.add(ratio);
@@ -100,7 +124,7 @@
     }
   }
 
-  /** Records the load of a worker that rejected an attempt: all cores, and more than it bears. */
+  /** Records full CPU utilization and a load above its capacity for a worker that rejected. */
   void workerRejected(RequestClass requestClass, Worker worker, LoadReport report) {
     double overload = REJECTED_LOAD * capacity(requestClass);
     record(worker, report, Math.max(reportedForeignLoad(worker, report), overload), 1);
@@ -109,12 +133,15 @@
   private void record(Worker worker, LoadReport report, double load, double cpuUtilization) {
     double foreignLoad = Math.max(0, load);
     worker.report.update(foreignLoad, cpuUtilization, state.now());
-    // An estimate is kept out of the fleet's usual load, which would only grow by it.
+    // The fleet's mean takes no estimates: it enters the estimates and would drive itself up.
     boolean reported = reportsForeignLoad(report);
     state.fleet.foreignLoads.add(reported ? foreignLoad : Math.max(0, report.concurrency()));
   }
 
-  /** With few routers most of what a report counts are this router's own, by now ended requests. */
+  /**
+   * Whether to derive other routers' load from the report. With few routers most of the reported
+   * requests are this router's own, which may have ended since.
+   */
   private boolean reportsForeignLoad(LoadReport report) {
     return state.ownShare < 1 && !Double.isNaN(report.inFlight());
   }
@@ -125,13 +152,16 @@
         : Math.max(report.concurrency(), foreignLoad(worker));
   }
 
-  /** Requests at a worker with one more, of all routers, weighted by its latency and warm-up. */
+  /**
+   * Load of a worker with one more request: the requests of all routers there, multiplied by its
+   * latency ratio and divided by its share of the full capacity.
+   */
   double load(Worker worker) {
     double requests = worker.running() + 1 + foreignLoad(worker);
     return requests * worker.latencyRatio() / slowStart.capacityShare(worker);
   }
 
-  /** Other routers' requests at a worker: its last report, which decays to the usual. */
+  /** Other routers' requests at a worker: its last report, which decays to the fleet's mean. */
   double foreignLoad(Worker worker) {
     Duration reportedAt = worker.report.reportedAt();
     if (reportedAt == null) {
@@ -141,7 +171,10 @@
     return usualForeignLoad + (worker.report.foreignLoad() - usualForeignLoad) * decay;
   }
 
-  /** Requests of all routers that a worker bears: those observed, divided by relative duration. */
+  /**
+   * Capacity of a worker in concurrent requests of all routers: the mean number observed, divided
+   * by the mean relative duration.
+   */
   double capacity(RequestClass requestClass) {
     Histogram durations = requestClass.relativeDurations;
     if (durations.total() < 1) {
@@ -150,9 +183,12 @@
     return (durations.total() + requestClass.foreignLoads.sum()) / durations.sum();
   }
 
-  /** This router's limit at a worker: its equal part, and half an objective at its present rate. */
+  /**
+   * Maximum number of this router's concurrent requests at a worker: its equal share of the default
+   * capacity, plus the requests that complete in half a latency objective at the current rate.
+   */
   double concurrencyLimit(Worker worker) {
-    Histogram durations = worker.relativeDurations; // of loads on demand, too
+    Histogram durations = worker.relativeDurations; // includes attempts that waited for a load
     double usual = durations.total() < 1 ? 0 : durations.quantile(0.5);
     double rate = durations.total() / WINDOW_SECONDS;
     double max = ownCapacity + rate * toSeconds(state.settings.shortestObjective) / 2;
@@ -161,14 +197,17 @@
     return Math.max(min, max * Math.min(warm, FAST_DURATION / usual));
   }
 
-  /** A request's hint, scaled by the median error of hints; without one, its class's duration. */
+  /**
+   * The duration hint of a request, multiplied by the median ratio of actual to expected durations;
+   * without a hint, the median duration of its class.
+   */
   Duration expectedDuration(Request request) {
     double ratio = state.fleet.latencyRatios.quantile(0.5);
     boolean hinted = request.hasDurationHint() && !Double.isNaN(ratio);
     return hinted ? scale(request.durationHint, ratio) : usualDuration(request.requestClass);
   }
 
-  /** The median duration of a class's requests. */
+  /** The median duration of the requests of a class, or a default before any is measured. */
   static Duration usualDuration(RequestClass requestClass) {
     Histogram durations = requestClass.relativeDurations;
     double relative = durations.total() == 0 ? DEFAULT_DURATION : durations.quantile(0.5);
--- a/src/main/java/switchgap/policy/OutlierDetector.java
+++ b/src/main/java/switchgap/policy/OutlierDetector.java
@@ -9,16 +9,34 @@
 import switchgap.policy.state.Request;
 import switchgap.policy.state.Worker;
 
-/** Ejects a worker for a while that surely failed, or with more errors than the fleet's rate. */
+/**
+ * Ejects workers temporarily: after an error that only the worker can have caused, or when its
+ * error rate is well above that of the fleet.
+ */
 final class OutlierDetector {
-  private static final double MAX_EJECTED_SHARE = 1 / 3.; // of the ready workers
-  private static final double ENOUGH_OUTCOMES = 4; // of one worker: above it halved each second
-  private static final int HALVING_SECONDS = 8; // fewer outcomes are halved this often
-  private static final double MAX_FLEET_OUTCOMES = 64; // above it halved each second
-  private static final double PRIOR_OUTCOMES = 10; // one of them an error: the fleet's prior
-  private static final double MIN_ERRORS = 2; // an outlier has at least so many
-  private static final double ERROR_RATE_FACTOR = 2; // and so many times the fleet's error rate
-  private static final int MAX_DOUBLINGS = 3; // of an ejection's second: 1, 2, 4, then 8 s
+  /** Maximum number of ejected workers, as a share of the ready workers. */
+  private static final double MAX_EJECTED_SHARE = 1 / 3.;
+
+  /** Number of outcomes above which the counts of a worker are halved each second. */
+  private static final double ENOUGH_OUTCOMES = 4;
+
+  /** Interval at which the counts of workers with fewer outcomes are halved. */
+  private static final int HALVING_SECONDS = 8;
+
+  /** Number of outcomes above which the counts of the fleet are halved each second. */
+  private static final double MAX_FLEET_OUTCOMES = 64;
+
+  /** Outcomes added to the fleet's counts as a prior; one of them is an error. */
+  private static final double PRIOR_OUTCOMES = 10;
+
+  /** Minimum number of errors of an outlier. */
+  private static final double MIN_ERRORS = 2;
+
+  /** Minimum error rate of an outlier, as a multiple of the fleet's error rate. */
+  private static final double ERROR_RATE_FACTOR = 2;
+
+  /** Successive ejections last 1, 2, 4 and then always 8 seconds. */
+  private static final int MAX_DOUBLINGS = 3;
 
   private final PolicyState state;
 
@@ -36,7 +54,7 @@
     state.fleet.errors.halveAbove(MAX_FLEET_OUTCOMES);
   }
 
-  /** Records how an attempt ended; outcomes that prove nothing of the worker are not counted. */
+  /** Records the outcome of an attempt, unless it says nothing about the worker's health. */
   void attemptEnded(Request request, Worker worker, AttemptResult result) {
     switch (result.outcome()) {
       case SUCCEEDED -> attemptSucceeded(request, worker);
@@ -48,7 +66,10 @@
     }
   }
 
-  /** A hung worker responds to nothing; if single responses are lost, others arrive meanwhile. */
+  /**
+   * Counts a time-out as an error only if the worker sent no other response during the attempt: a
+   * hung worker responds to nothing, whereas other responses still arrive if single ones are lost.
+   */
   private void attemptTimedOut(Request request, Worker worker, AttemptResult result) {
     boolean slow = !isShorter(result.duration(), request.requestClass.latencyObjective);
     if (slow && isShorter(worker.lastResponse(), state.now().minus(result.duration()))) {
@@ -56,7 +77,7 @@
     }
   }
 
-  /** While a function was never loaded, an error may be the request's own fault. */
+  /** Does not count an error of a function that never loaded: the request may be at fault. */
   private void attemptFailed(Request request, Worker worker) {
     if (request.function.everLoaded()) {
       failed(worker);
@@ -69,12 +90,13 @@
     worker.attemptSucceeded();
     state.fleet.errors.add(0);
     Worker suspect = request.takeSuspect();
-    if (suspect != null) { // the request is sound, so the worker was at fault
+    if (suspect != null) {
+      // The request succeeded elsewhere, so the earlier error was the fault of that worker.
       failed(suspect);
     }
   }
 
-  /** Counts an error that may have another cause; ejects the worker if it is an outlier by now. */
+  /** Counts an error that may have another cause, and ejects the worker if it is an outlier. */
   private void failed(Worker worker) {
     countError(worker);
     Histogram fleet = state.fleet.errors;
@@ -85,7 +107,7 @@
     }
   }
 
-  /** Counts an error that has no other cause than the worker, and ejects it. */
+  /** Counts an error that only the worker can have caused, and ejects the worker. */
   void failedSurely(Worker worker) {
     countError(worker);
     eject(worker);
@@ -96,7 +118,7 @@
     state.fleet.errors.add(1);
   }
 
-  /** Ejects a worker, longer each time, unless too many are ejected already. */
+  /** Ejects a worker, for longer each time, unless too many workers are ejected already. */
   private void eject(Worker worker) {
     int ejected = 1;
     for (Worker other : state.workers) {
@@ -109,7 +131,10 @@
     worker.eject(state.now().plus(SECOND.multipliedBy(1L << doublings)));
   }
 
-  /** Whether a worker gets nothing now: ejected, or on probation with an attempt in flight. */
+  /**
+   * Whether to send nothing to a worker: it is ejected, or it is on probation and has an attempt in
+   * flight.
+   */
   boolean isEjected(Worker worker) {
     return worker.ejection.until() != null
         && (!state.hasPassed(worker.ejection.until())
--- a/src/main/java/switchgap/policy/ReplicaLoader.java
+++ b/src/main/java/switchgap/policy/ReplicaLoader.java
@@ -12,18 +12,23 @@
 import switchgap.policy.state.Worker;
 
 /**
- * Rule 5: sends load commands, within the load quota and within the pace of the store that replicas
- * come from. The limit of commands in flight follows additive increase, multiplicative decrease.
+ * Sends load commands within the load quota. Limits the commands in flight by additive increase,
+ * multiplicative decrease (AIMD), to adapt to the throughput of the store that replicas come from.
  */
 final class ReplicaLoader {
-  private static final int QUICK_LOADS = 3; // in an idle timeout; a slower load halves the limit
-  private static final int MAX_FAILED_LOADS = 1; // of a function never loaded, in quick succession
+  /** A load that takes more than this fraction (1/3) of the idle timeout halves the limit. */
+  private static final int QUICK_LOADS = 3;
+
+  /** Failed loads after which a function that was never loaded is not loaded for one second. */
+  private static final int MAX_FAILED_LOADS = 1;
 
   private final PolicyState state;
   private final OutlierDetector outliers;
   private final WorkerLeases leases;
   private int pendingLoads;
-  private double maxPendingLoads; // 0 before the first endpoint list
+
+  /** 0 before the first endpoint list. */
+  private double maxPendingLoads;
 
   ReplicaLoader(PolicyState state, OutlierDetector outliers, WorkerLeases leases) {
     this.state = state;
@@ -36,7 +41,7 @@
     maxPendingLoads = maxPendingLoads == 0 ? fairShare : maxPendingLoads;
   }
 
-  /** Sends a load command if one is allowed now; returns whether it did. */
+  /** Sends a load command if one is allowed now; returns whether it was sent. */
   boolean load(Function function, Worker worker) {
     Replica replica = function.replicaAt(worker);
     if (!state.settings.loadCommandsAllowed
@@ -58,7 +63,7 @@
     return true;
   }
 
-  /** Whether a function that may not exist failed to load more than once within the last second. */
+  /** Whether a function that may not exist has failed to load repeatedly, last within a second. */
   private boolean failsEverywhere(Function function) {
     return !function.everLoaded()
         && function.failedLoads() > MAX_FAILED_LOADS
@@ -71,12 +76,18 @@
         && state.loadQuota.commands(state.now()) + 1 > state.settings.loadQuotaBase + earned;
   }
 
-  /** Whether the worker has no memory, or drains and the endpoint list does not say so yet. */
+  /**
+   * Whether the worker rejected a load within the last second: it is out of memory, or it is
+   * draining and the endpoint list does not report that yet.
+   */
   private boolean wasRejectedLately(Replica replica) {
     return replica.loadRejectedAt() != null && state.isWithin(SECOND, replica.loadRejectedAt());
   }
 
-  /** Loads the first missing target replica; one of many routers first queries it, quota-free. */
+  /**
+   * Loads the first missing target replica. With many routers, another one may have loaded it: then
+   * first queries the worker, which does not count against the load quota.
+   */
   void loadFirstMissing(Function function) {
     boolean queries = state.ownShare < 1 && state.settings.loadCommandsAllowed;
     int visited = 0;
@@ -104,7 +115,9 @@
     }
   }
 
-  /** Learns from an attempt whether its worker has the replica; loads it if not. */
+  /**
+   * Updates the replica state from the outcome of an attempt; loads the replica if it is missing.
+   */
   void attemptEnded(Function function, Worker worker, AttemptOutcome outcome) {
     if (outcome == AttemptOutcome.SUCCEEDED) {
       function.attemptSucceeded(worker, state.now());
@@ -114,7 +127,10 @@
     }
   }
 
-  /** A load command, query or renewal ended; a query's end comes before that of a later load. */
+  /**
+   * Handles the end of a load command, replica query or renewal. If a query and a later load are in
+   * flight for the same replica, the query ends first.
+   */
   void loadCommandEnded(Function function, Worker worker, LoadCommandResult result) {
     AttemptOutcome outcome = result.outcome();
     int loaded = result.loadedReplicas();
@@ -132,7 +148,10 @@
     }
   }
 
-  /** A function never loaded may not exist: its failures say nothing of the store's pace. */
+  /**
+   * Adapts the limit of loads in flight. Ignores failures of a function that was never loaded: it
+   * may not exist, so they say nothing about the store's throughput.
+   */
   private void adaptPace(Function function, LoadCommandResult result) {
     pendingLoads--;
     if (result.loadedReplicas() > 0) {
--- a/src/main/java/switchgap/policy/ReplicaScaler.java
+++ b/src/main/java/switchgap/policy/ReplicaScaler.java
@@ -9,33 +9,67 @@
 import switchgap.policy.state.Worker;
 
 /**
- * Sets functions' target replica counts once a second: up above the load threshold, down after an
- * idle timeout below the unload threshold. Between the two the target stays as it is.
+ * Adjusts the target replica count of each function once a second. The target rises when the mean
+ * concurrency per slot exceeds {@link #LOAD_THRESHOLD}; it falls when the concurrency has stayed at
+ * or below {@link #UNLOAD_THRESHOLD} for an idle timeout.
  */
 final class ReplicaScaler {
-  private static final double LOAD_THRESHOLD = 0.25; // mean concurrency for each slot, on arrival
+  /** Mean concurrency per slot, as reported on arrival of attempts, above which to scale up. */
+  private static final double LOAD_THRESHOLD = 0.25;
+
+  /** Mean concurrency per slot at or below which a replica is surplus. */
   private static final double UNLOAD_THRESHOLD = 0.15;
-  private static final double MAX_COUNTED_SLOTS = 2; // further slots share the same cores
-  private static final double MIN_REPORTS = 2; // below it the concurrency is not known
-  private static final double MIN_REPORTS_OF_FEW = 0.5; // ... where this router sees few requests
-  private static final double ENOUGH_REPORTS = 4; // above it halved each second in any case
-  private static final double MAX_REPLICA_SHARE = 0.5; // of the ready workers
-  private static final double MAX_MEMORY_SHARE = 0.5; // of the ready workers' memory
-  private static final int SATURATED_ONE_IN = 4; // arrivals: so many saturated ones scale up
-  private static final int MIN_REQUESTS_KEPT = 2; // of a function whose last replica is kept
-  private static final double TIMEOUTS_KEPT = 4; // idle timeouts for which that replica is kept
-  private static final double TIMEOUTS_KNOWN = 2; // idle timeouts until another is released
-  private static final double RENEWAL_AGE = 0.6; // of an idle timeout, when a kept one is renewed
+
+  /** Slots of a replica beyond this number share the same cores and add no capacity. */
+  private static final double MAX_COUNTED_SLOTS = 2;
+
+  /** Number of reports below which the mean concurrency is not reliable. */
+  private static final double MIN_REPORTS = 2;
+
+  /** The same limit with many routers, each of which sees few requests of a function. */
+  private static final double MIN_REPORTS_OF_FEW = 0.5;
+
+  /** Number of reports above which the counts are halved each second even with many routers. */
+  private static final double ENOUGH_REPORTS = 4;
+
+  /** Maximum target replica count of a function, as a share of the ready workers. */
+  private static final double MAX_REPLICA_SHARE = 0.5;
+
+  /** Maximum memory of all target replicas, as a share of the memory of the ready workers. */
+  private static final double MAX_MEMORY_SHARE = 0.5;
+
+  /** A function is overloaded if at least one in this many arrivals found only full replicas. */
+  private static final int SATURATED_ONE_IN = 4;
+
+  /** Number of requests from which on a function keeps one replica while it is idle. */
+  private static final int MIN_REQUESTS_KEPT = 2;
+
+  /** Number of idle timeouts after which an idle function with a kept replica is released. */
+  private static final double TIMEOUTS_KEPT = 4;
+
+  /** Number of idle timeouts after which any other idle function is released. */
+  private static final double TIMEOUTS_KNOWN = 2;
+
+  /** Age at which a kept replica is renewed, as a share of the idle timeout. */
+  private static final double RENEWAL_AGE = 0.6;
 
   private final PolicyState state;
   private final OutlierDetector outliers;
   private final ReplicaLoader loader;
   private final WorkerLeases leases;
   private final Duration idleTimeout;
-  private final boolean unloads; // only where idle memory has a price; otherwise replicas expire
-  private final boolean keepsReplica; // only where cheap: no quota, no memory price, few routers
-  private double plannedMemoryMb; // of all target replicas of active functions
-  private double keptMemoryMb; // of the kept replicas of idle functions
+
+  /** Only if idle memory has a price; otherwise idle replicas expire at the workers. */
+  private final boolean unloads;
+
+  /** Only if it costs little: without a load quota or a memory price, and with few routers. */
+  private final boolean keepsReplica;
+
+  /** Memory of all target replicas of active functions. */
+  private double plannedMemoryMb;
+
+  /** Memory of the replicas that idle functions keep. */
+  private double keptMemoryMb;
 
   ReplicaScaler(
       PolicyState state, OutlierDetector outliers, ReplicaLoader loader, WorkerLeases leases) {
@@ -50,7 +84,7 @@
     keepsReplica = commands && !priced && !state.settings.hasLoadQuota && state.ownShare == 1;
   }
 
-  /** Records the concurrency reported at one replica as the sum over all target replicas. */
+  /** Records the concurrency that one replica reported, extrapolated to all target replicas. */
   void concurrencyReported(Function function, int concurrency) {
     double slots = Math.min(function.slots(), MAX_COUNTED_SLOTS);
     if (concurrency >= 0) {
@@ -58,7 +92,7 @@
     }
   }
 
-  /** Whether one more replica of a function fits the memory that replicas may take. */
+  /** Whether one more replica of a function fits into the memory available for replicas. */
   boolean fitsMemory(Function function) {
     return plannedMemoryMb + function.memoryMb() <= MAX_MEMORY_SHARE * state.readyMemoryMb();
   }
@@ -108,7 +142,7 @@
     function.restartArrivalCounts();
   }
 
-  /** Concurrency for each slot of a target replica; 0 without reports. */
+  /** Mean concurrency per slot of the target replicas; 0 if there are too few reports. */
   private double meanConcurrency(Function function) {
     double reports = function.concurrency.total();
     double mean = function.concurrency.sum() / (reports + 1 - state.ownShare);
@@ -123,7 +157,10 @@
         || (saturated > 0 && saturated * SATURATED_ONE_IN >= function.recentArrivals());
   }
 
-  /** Adds one replica or, with many routers, nearly all that the concurrency requires. */
+  /**
+   * Adds one replica or, with many routers, almost as many as the concurrency requires, because
+   * each router gets few reports.
+   */
   private void scaleUp(Function function, double concurrency, int maxReplicas) {
     int target = function.targetReplicas();
     double wanted = Math.min(maxReplicas, target * concurrency / LOAD_THRESHOLD);
@@ -141,7 +178,7 @@
     }
   }
 
-  /** Loads a missing target replica, unless a request that finds none will cause the load. */
+  /** Loads a missing target replica, unless the next request that finds none triggers the load. */
   private void loadAhead(Function function) {
     boolean loadsAhead =
         state.settings.loadsOnDemand ? function.targetReplicas() > 1 : state.ownShare >= 1;
@@ -150,7 +187,10 @@
     }
   }
 
-  /** Halves the reports; the few that one of many routers gets last until the function is idle. */
+  /**
+   * Halves the report counts so that old reports fade. With many routers each gets few reports,
+   * which are kept until the function is idle.
+   */
   private void ageReports(Function function) {
     boolean unused =
         function.recentArrivals() == 0 && !state.isWithin(idleTimeout, function.lastRequest());
@@ -163,11 +203,11 @@
     if (leases.holds(worker)) {
       state.dispatcher.renew(function, worker);
     } else {
-      leases.acquire(worker); // it is renewed in the next second
+      leases.acquire(worker); // the next call of everySecond renews the replica
     }
   }
 
-  /** Renews the first replica of an idle function before its idle timeout, if the memory allows. */
+  /** Renews the first replica of a function before it expires as idle, if memory allows. */
   private void keepOneReplica(Function function) {
     if (plannedMemoryMb + keptMemoryMb > MAX_MEMORY_SHARE * state.readyMemoryMb()) {
       return;
--- a/src/main/java/switchgap/policy/RequestQueue.java
+++ b/src/main/java/switchgap/policy/RequestQueue.java
@@ -12,11 +12,13 @@
 import switchgap.policy.state.Worker;
 
 /**
- * Holds the requests that could not be sent. Each is placed again at every step, in descending
- * order of weight, and rejected once it cannot meet its latency objective or deadline any more.
+ * Holds the requests that could not be sent at once. At each step the queue tries to send them in
+ * descending order of weight. A request that can no longer meet its latency objective or its
+ * deadline gets its final response.
  */
 final class RequestQueue {
-  private static final double MIN_LENGTH = 2; // requests that may wait for one worker
+  /** Number of requests that may always wait for one worker, however slow it is. */
+  private static final double MIN_LENGTH = 2;
 
   private final PolicyState state;
   private final CandidateSelector selector;
@@ -40,12 +42,14 @@
     }
   }
 
-  /** When the queue is due again, or {@code latest} if that is earlier. */
+  /**
+   * Time of the next step of the queue, or {@code latest} if the queue is empty or that is earlier.
+   */
   Duration nextStep(Duration latest) {
     return queue.isEmpty() ? latest : Durations.min(state.now().plus(router.queueStep), latest);
   }
 
-  /** Places each queued request again, by descending weight, then by age. */
+  /** Tries to send each queued request, by descending weight, then by arrival time. */
   void sendQueued() {
     if (queue.isEmpty()) {
       return;
@@ -78,9 +82,7 @@
     }
   }
 
-  /**
-   * Whether a request may go on waiting; counts it in the queue of the worker that it waits for.
-   */
+  /** Whether a request may stay queued. Counts it in the queue of the worker that it waits for. */
   private boolean mayWait(Request request, CandidateSurvey survey) {
     boolean queueFull = survey.anyLoaded() && isQueueFull(request, survey.first());
     RequestClass requestClass = request.requestClass;
@@ -94,7 +96,11 @@
         && retries.endsInTime(request, usual);
   }
 
-  /** Adds a request to a worker's queue, limited to what the worker serves in half an objective. */
+  /**
+   * Counts a request in a worker's queue and returns whether the queue exceeds its limit: the
+   * number of requests that the worker completes in half a latency objective, scaled by the
+   * request's weight.
+   */
   private boolean isQueueFull(Request request, Worker worker) {
     RequestClass requestClass = request.requestClass;
     double rate = worker.relativeDurations.total() / 2;
--- a/src/main/java/switchgap/policy/RequestRouter.java
+++ b/src/main/java/switchgap/policy/RequestRouter.java
@@ -12,13 +12,18 @@
 import switchgap.policy.state.Worker;
 
 /**
- * Sends a request to the worker that its survey found, after load probes where reports are rare;
- * has replicas loaded where the survey found too few.
+ * Sends a request to the worker that its survey found, after load probes if no recent load report
+ * is available. Loads replicas if the survey found too few.
  */
 final class RequestRouter {
-  private static final double MAX_PROBE_PRICE = 0.03; // of a request's weight, for both probes
-  private static final int FRESH_REPORT = 4; // in an objective: a younger report needs no probe
-  private static final int STEPS = 20; // of the queue, within the shortest objective
+  /** Price of the two probes for a request, as a share of its weight, above which none are sent. */
+  private static final double MAX_PROBE_PRICE = 0.03;
+
+  /** A load report is recent for this fraction (1/4) of the shortest latency objective. */
+  private static final int FRESH_REPORT = 4;
+
+  /** Number of queue steps within the shortest latency objective. */
+  private static final int STEPS = 20;
 
   private final PolicyState state;
   private final LoadEstimator estimator;
@@ -44,12 +49,12 @@
     queueStep = queueStep(state);
   }
 
-  /** The time after which a queued request is placed again. */
+  /** Interval at which the queue tries again to send its requests. */
   static Duration queueStep(PolicyState state) {
     return max(state.settings.tickInterval, state.settings.shortestObjective.dividedBy(STEPS));
   }
 
-  /** Sends a request to what its survey found; returns false if it has to wait. */
+  /** Sends a request to the worker that its survey found; returns false if it has to wait. */
   boolean send(Request request, CandidateSurvey survey) {
     boolean comparable = survey.alternative() != null && !request.hasWaitedForProbes();
     if (comparable && sendProbes(request, survey)) {
@@ -70,7 +75,11 @@
     return true;
   }
 
-  /** A worker that loads on demand is the last resort; one with an unknown replica comes first. */
+  /**
+   * Returns the worker to send to, or null. Without an available target replica, a worker whose
+   * replica state is unknown precedes a loaded replica past the target, unless workers load on
+   * demand: then the attempt would wait for the load.
+   */
   private Worker choose(CandidateSurvey survey) {
     if (survey.best() != null) {
       return survey.best();
@@ -79,7 +88,10 @@
     return overflows || survey.unknown() == null ? survey.overflow() : survey.unknown();
   }
 
-  /** No target replica is available: loads one past the saturated ones, or the first missing. */
+  /**
+   * Loads a replica if no target replica is available: the next one in hash order if target
+   * replicas are saturated, else the first missing one.
+   */
   private void loadReplicas(Function function, CandidateSurvey survey, Worker choice) {
     if (survey.anySaturated()) {
       function.placementSaturated();
@@ -88,7 +100,8 @@
           && next != null
           && !survey.anyLoading()
           && scaler.fitsMemory(function)
-          && state.replicaState(function, next) != Replica.State.LOADED) { // but warming up
+          && state.replicaState(function, next) != Replica.State.LOADED) {
+        // A loaded replica gets no attempts yet if its worker is warming up.
         loader.load(function, next);
       }
     } else if (survey.unknown() == null && !survey.anyLoading()) {
@@ -96,7 +109,10 @@
     }
   }
 
-  /** Probes two replicas' load unless they reported it lately; returns whether to wait for it. */
+  /**
+   * Probes the load of the two candidates that have not reported it recently; returns whether the
+   * request has to wait for the replies.
+   */
   private boolean sendProbes(Request request, CandidateSurvey survey) {
     if (!probes || !estimator.probesReportLoad()) {
       return false;
--- a/src/main/java/switchgap/policy/RetryPolicy.java
+++ b/src/main/java/switchgap/policy/RetryPolicy.java
@@ -6,7 +6,11 @@
 import switchgap.policy.state.Request;
 import switchgap.policy.state.Worker;
 
-/** Rules 1 to 4: whether a request may be attempted, retried or hedged; its final response. */
+/**
+ * Decides whether a request may be attempted, retried or hedged, and which final response it gets.
+ * Attempts end before the deadline, go only to ready workers, respect idempotency, and are admitted
+ * by slow start.
+ */
 final class RetryPolicy {
   private final PolicyState state;
   private final SlowStart slowStart;
@@ -16,7 +20,7 @@
     this.slowStart = slowStart;
   }
 
-  /** Whether a request may be sent to a worker now. */
+  /** Whether an attempt of the request may be sent to the worker now. */
   boolean mayAttempt(Request request, Worker worker) {
     boolean hedgeable = state.settings.hedgingAllowed && request.isRepeatable();
     if (request.isClosed()
@@ -29,33 +33,37 @@
     return (request.neverExecuted() || isRepeatableAt(request, worker)) && slowStart.admits(worker);
   }
 
-  /** Whether a repeat does no harm at a worker, or is dropped there by its idempotency key. */
+  /**
+   * Whether the request may be executed again at a worker: it is idempotent, or the worker drops a
+   * repeat by its idempotency key.
+   */
   private boolean isRepeatableAt(Request request, Worker worker) {
     Duration window = request.requestClass.deduplicationWindow.minus(state.deadlineMargin);
     boolean dropped = state.isWithin(window, request.firstSentAt()) && request.isInScope(worker);
     return request.isIdempotent() || (request.isRepeatable() && dropped);
   }
 
-  /** Whether a request without an attempt in flight may wait for another one. */
+  /** Whether a request without an attempt in flight may be attempted again. */
   boolean mayRetry(Request request) {
     return !request.hasUsedUp(state.settings.maxAttempts)
         && (request.neverExecuted() || request.isRepeatable())
         && endsInTime(request, LoadEstimator.usualDuration(request.requestClass));
   }
 
-  /** Whether an attempt of this duration would end before the request's deadline. */
+  /** Whether an attempt of this duration would end in time before the request's deadline. */
   boolean endsInTime(Request request, Duration duration) {
     return Durations.isShorter(
         state.now().plus(duration).plus(state.deadlineMargin), request.deadline);
   }
 
-  /** Sends the final response at once: a rejection if a repeat does no harm, else a failure. */
+  /** Sends the final response: a rejection if the client may safely retry, else a failure. */
   void giveUp(Request request) {
     if (request.isClosed()) {
       return;
     }
     Duration retryAfter = state.settings.maxRetryAfter;
-    if (retryAfter != null) { // with jitter, so that not all clients return at once
+    if (retryAfter != null) {
+      // Jitter prevents all clients from retrying at the same time.
       retryAfter = Durations.min(retryAfter, state.settings.shortestObjective);
       retryAfter = Durations.scale(retryAfter, 0.5 + state.random.nextDouble() / 2);
     }
--- a/src/main/java/switchgap/policy/RoutingPolicy.java
+++ b/src/main/java/switchgap/policy/RoutingPolicy.java
@@ -25,9 +25,9 @@
 import switchgap.policy.state.Worker;
 
 /**
- * The entry to all decisions of one router, which the other classes of this package share by
- * concern. One thread calls {@link #tick} with the events since the last tick; the decisions go to
- * {@link PolicyActions}. docs/design.md explains them.
+ * The entry point of the routing policy of one router; each other class of this package handles one
+ * concern. A single thread calls {@link #tick} with the events since the last tick, and the policy
+ * calls {@link PolicyActions} with its decisions. See docs/design.md for the design.
  */
 public final class RoutingPolicy implements PolicyEvents {
   private static final HistogramEdges EDGES =
@@ -37,12 +37,24 @@
           new double[] {1, 2, 3, 4, 6, 8, 12, 16, 24}, // foreign loads
           new double[] {0.5}, // errors
           new double[] {0.25, 0.5, 1, 1.5, 2, 3, 4, 6, 8, 12, 16, 24, 32, 48}); // concurrency
-  private static final int MARGIN_TICKS = 2; // before a deadline, or responses would be late
-  private static final double HOPELESS_DURATION =
-      1.5; // times the expected: a nearer deadline fails
-  private static final double OVER_QUOTA = 1.25; // times a tenant's share of the requests
-  private static final double MIN_TENANT_REQUESTS = 20; // below it the shares are not compared
-  private static final int POLLS_PER_INTERVAL = 4; // of the endpoint list
+
+  /** Ticks before a deadline at which attempts time out, so that the response is not late. */
+  private static final int MARGIN_TICKS = 2;
+
+  /**
+   * Minimum time to the deadline of a new request, as a multiple of its expected duration. With
+   * less time it would probably fail and only load the workers.
+   */
+  private static final double HOPELESS_DURATION = 1.5;
+
+  /** Multiple of its share of all requests above which a tenant is over quota. */
+  private static final double OVER_QUOTA = 1.25;
+
+  /** Number of requests below which the tenants' shares are too uncertain to compare. */
+  private static final double MIN_TENANT_REQUESTS = 20;
+
+  /** Polls of the endpoint list within the longest permitted poll interval. */
+  private static final int POLLS_PER_INTERVAL = 4;
 
   private final PolicyState state;
   private final SlowStart slowStart;
@@ -54,11 +66,14 @@
   private final RetryPolicy retries;
   private final RequestQueue queue;
   private final WakeUpTimer wakeUps = new WakeUpTimer();
-  private final Duration pollInterval; // null where the endpoint list is not polled
+
+  /** Null if the endpoint list is not polled. */
+  private final Duration pollInterval;
+
   private Duration nextSecond = Duration.ZERO;
   private Duration nextPoll = Duration.ZERO;
 
-  /** A policy whose random draws come from the seed alone. */
+  /** Creates a policy that takes all its random numbers from a generator with this seed. */
   public RoutingPolicy(RouterSettings configured, long seed) {
     SettingsSnapshot settings = new SettingsSnapshot(configured, EDGES);
     double ownShare = Math.min(1, LoadEstimator.DEFAULT_CAPACITY / settings.routerCount);
@@ -78,7 +93,10 @@
     pollInterval = longest == null ? null : longest.dividedBy(POLLS_PER_INTERVAL);
   }
 
-  /** Applies the events since the last tick and decides; the other methods are for the batch. */
+  /**
+   * Applies the events since the last tick and calls {@code actions} with the decisions. The other
+   * public methods are for the event batch to call.
+   */
   public void tick(Duration now, EventBatch events, PolicyActions actions) {
     state.beginTick(now, actions);
     events.deliverTo(this);
@@ -117,7 +135,7 @@
     double weight = request.weight() * (overQuota ? state.settings.overQuotaWeight : 1);
     double draw = state.random.nextDouble() * state.settings.maxPriorityWeight / weight;
     request.prioritize(weight, draw);
-    // A request that times out before its response only loads the workers, and so do its retries.
+    // A request that would time out before its response, and its retries, only load the workers.
     Duration shortest = scale(estimator.expectedDuration(request), HOPELESS_DURATION);
     sendOrGiveUp(request, retries.endsInTime(request, shortest));
   }
--- a/src/main/java/switchgap/policy/SlowStart.java
+++ b/src/main/java/switchgap/policy/SlowStart.java
@@ -8,8 +8,8 @@
 import switchgap.policy.state.Worker;
 
 /**
- * Rule 4, slow start: limits what this router sends to a worker that warms up, so that all routers
- * together stay within the overload budget in any overload window W:
+ * Slow start: limits what this router sends to a worker that is warming up, so that all routers
+ * together stay within the overload budget in any overload window of length W:
  *
  * <pre>
  *   share     = slowStartOverloadMultiple * capacityShare
@@ -17,22 +17,35 @@
  *   budget(N) = N + 2 sqrt(N) + 2, or N + 3 sqrt(N) + 3 below 30 requests
  * </pre>
  *
- * Each router may send two thirds of its equal part of N in a window. Where that part is below one
- * request, the routers rotate: time since the worker's start is cut into slots of length W, and in
- * slot s the routers with {@code (s + routerIndex) % slots == 0} may send one request each:
+ * Each router may send two thirds of its equal share of N per window. If that is less than one
+ * request, the routers take turns: the time since the worker's start is divided into slots of
+ * length W, and in slot s each router with {@code (s + routerIndex) % slots == 0} may send one
+ * request:
  *
  * <pre>
  *   slots = ceil(routers / min(routers * share / MIN_ROTATION_SLOTS, budget(N) / 2)), 1 to routers
  * </pre>
  */
 final class SlowStart {
-  private static final double FEW_REQUESTS = 30; // below it the budget has more slack
-  private static final double SLOT_BUDGET_SHARE = 0.5; // as one window can overlap two slots
-  private static final double MIN_ROTATION_SLOTS = 3; // or one router alone would starve a worker
+  /** Number of requests per window below which the budget has more slack. */
+  private static final double FEW_REQUESTS = 30;
+
+  /** Share of the budget that one slot may use, since a window can overlap two slots. */
+  private static final double SLOT_BUDGET_SHARE = 0.5;
+
+  /**
+   * Minimum number of slots in a rotation at a share of 1. Several routers send in the same slot: a
+   * rotation with one router per slot would starve a new worker.
+   */
+  private static final double MIN_ROTATION_SLOTS = 3;
 
   private final PolicyState state;
-  private final double ownOverloadMultiple; // this router's equal part
-  private double averageWorkerRate; // requests a second from this router to an average worker
+
+  /** This router's equal share of the overload multiple. */
+  private final double ownOverloadMultiple;
+
+  /** Mean rate at which this router's requests complete per ready worker, in requests/s. */
+  private double averageWorkerRate;
 
   SlowStart(PolicyState state) {
     this.state = state;
@@ -41,13 +54,16 @@
 
   void everySecond() {
     averageWorkerRate = 0;
-    for (Worker worker : state.workers) { // the durations are those of the last one to two seconds
+    for (Worker worker : state.workers) {
+      // The histogram covers the last one to two seconds.
       double rate = worker.relativeDurations.total() / 2;
       averageWorkerRate += worker.isReady() ? rate / state.readyWorkers() : 0;
     }
   }
 
-  /** The least share of its capacity that a worker had during the last overload window, 0 to 1. */
+  /**
+   * The lowest share of its full capacity that a worker had in the last overload window, 0 to 1.
+   */
   double capacityShare(Worker worker) {
     Duration startedAt = worker.startedAt();
     return startedAt == null ? 1 : capacityShare(state.now().minus(startedAt));
@@ -60,25 +76,28 @@
     return Math.min(1, state.settings.slowStartCapacityShare + risen / warmUpSeconds);
   }
 
-  /** Whether this router may send one more attempt to a worker now. */
+  /** Whether slow start permits this router one more attempt at a worker now. */
   boolean admits(Worker worker) {
     if (!state.isWarmingUp(worker)) {
       return true;
     }
     Duration window = state.settings.slowStartOverloadWindow;
-    // An earlier process of this router may have sent its part within the present window.
+    // A previous process of this router may have used its share of the current window.
     if (!state.hasPassed(window)) {
       return false;
     }
     double fullLoad = ownOverloadMultiple * capacityShare(worker) * toSeconds(window) * fullRate();
-    double allowed = fullLoad * 2 / 3; // a third is left for chance
+    double allowed = fullLoad * 2 / 3; // one third is reserve for random variation
     if (allowed >= 1) {
       return worker.slowStartSends.countWithin(state.now(), window) < Math.floor(allowed);
     }
     return admitsInRotation(worker, window);
   }
 
-  /** Requests a second of a warm worker: serial ones of the slowest class, or the average rate. */
+  /**
+   * Estimated rate of a warm worker in requests/s: the greater of the rate at which it executes
+   * requests of the slowest class one at a time and the mean rate of all routers.
+   */
   private double fullRate() {
     double serialRate =
         Arrays.stream(state.settings.requestClasses)
@@ -88,7 +107,7 @@
     return Math.max(serialRate, averageWorkerRate * state.settings.routerCount);
   }
 
-  /** Whether this router may send one request in the present slot of the rotation. */
+  /** Whether it is this router's turn to send one request in the current slot of the rotation. */
   private boolean admitsInRotation(Worker worker, Duration window) {
     int routers = state.settings.routerCount;
     long slot = state.now().minus(worker.startedAt()).dividedBy(window);
@@ -102,7 +121,7 @@
     return sent == 0 && (slot + state.settings.routerIndex) % slots == 0;
   }
 
-  /** What all routers may send in a window where this many requests are due on average. */
+  /** Maximum number of requests of all routers in a window, for a mean of this many requests. */
   private static double budget(double requests) {
     boolean few = requests < FEW_REQUESTS;
     double slack = few ? 3 * Math.sqrt(requests) + 3 : 2 * Math.sqrt(requests) + 2;
--- a/src/main/java/switchgap/policy/WorkerLeases.java
+++ b/src/main/java/switchgap/policy/WorkerLeases.java
@@ -12,26 +12,34 @@
 import switchgap.policy.state.WorkerLease;
 
 /**
- * Rules 3 and 4 while the endpoint list is unconfirmed, when drains and starts count as notified
- * although no list tells them. A worker then gets attempts and load commands only under a lease:
- * for the drain grace after the send of a command whose reply proves that it accepted. A success
- * renews the lease; where it has lapsed, a load probe does, for which the request waits. A worker
- * that may have restarted warms up from then on, as the list would have told its start. Where the
- * settings allow no probes, a worker stays in use until it rejects something or ends its
- * connections.
+ * Keeps the drain and slow-start guarantees while the endpoint list is unconfirmed. During that
+ * time a drain or a start takes effect although this router may not have received the notification,
+ * so a worker gets attempts and load commands only under a lease. A lease lasts for the drain grace
+ * period, counted from the time at which a command was sent that the worker accepted. A successful
+ * attempt renews the lease; once it has expired, the request waits for a load probe that renews it.
+ * A worker that may have restarted is treated as warming up. If the settings forbid probes, a
+ * worker stays in use until it rejects an attempt or closes its connections.
  */
 final class WorkerLeases {
-  private static final Duration RETRY_INTERVAL = SECOND; // of probes of a worker without a lease
+  /** Minimum interval between two probes of a worker that has no lease. */
+  private static final Duration RETRY_INTERVAL = SECOND;
 
-  /** A shorter one ends before anything that it hides counts as notified. */
+  /**
+   * An outage of the endpoint list that is shorter than this ends before any change that it hides
+   * takes effect.
+   */
   private static final Duration MIN_OUTAGE = SECOND;
 
-  /** The platform's longest delay between a worker's start and its notification. */
+  /** Maximum delay between the start of a worker and its appearance in the endpoint list. */
   private static final Duration MAX_LISTING_DELAY = SECOND.multipliedBy(4);
 
   private final PolicyState state;
-  private final Duration maxWait; // for a probe's reply, before another worker is taken
-  private final Duration validity; // of a lease; the grace, or time to send where there is none
+
+  /** Time that a request waits for the reply to a probe before it goes to another worker. */
+  private final Duration maxWait;
+
+  /** The drain grace period, but at least {@link #maxWait}, so that a probe leaves time to send. */
+  private final Duration validity;
 
   WorkerLeases(PolicyState state, Duration maxWait) {
     this.state = state;
@@ -40,8 +48,9 @@
   }
 
   /**
-   * Once the list has been unconfirmed for a while, restarts that it has not told count as well;
-   * once it is confirmed again, those that it does not tell in time have not happened.
+   * Presumes that workers restarted whose reconnection the endpoint list does not explain, once the
+   * list has been unconfirmed for {@link #MIN_OUTAGE}. After the list is confirmed again, withdraws
+   * each presumed restart that it does not report within {@link #MAX_LISTING_DELAY}.
    */
   void everySecond() {
     if (isLongUnconfirmed()) {
@@ -76,7 +85,7 @@
     }
   }
 
-  /** Whether the worker may be sent an attempt or a load command now. */
+  /** Whether an attempt or a load command may be sent to the worker now. */
   boolean holds(Worker worker) {
     if (!state.requiresLeases()) {
       return true;
@@ -86,7 +95,8 @@
   }
 
   /**
-   * Whether the worker is to be passed over, as if it were not ready; it is probed now and then.
+   * Whether to skip the worker as if it were not ready. Probes it again from time to time, so that
+   * it returns to use once it accepts requests.
    */
   boolean isUnavailable(Worker worker) {
     if (!state.isListUnconfirmed()) {
@@ -107,29 +117,29 @@
     return state.requiresLeases() && !state.isWithin(RETRY_INTERVAL, worker.lease.probedAt());
   }
 
-  /** Probes a worker without a lease; the request waits for the reply. */
+  /** Probes a worker that has no lease and makes the request wait for the reply. */
   void acquire(Worker worker, Request request) {
     request.waitForProbes(state.now().plus(maxWait));
     state.dispatcher.probe(worker, request);
   }
 
-  /** Probes a worker without a lease, for which no request waits. */
+  /** Probes a worker that has no lease, without a request that waits for the reply. */
   void acquire(Worker worker) {
     if (!worker.isProbed() && !worker.lease.isDenied()) {
       state.dispatcher.probe(worker);
     }
   }
 
-  /** An attempt ended: a success renews the lease, a rejection or a lost connection ends it. */
+  /** Renews the lease after a success; ends it after a rejection or a lost connection. */
   void attemptEnded(Worker worker, AttemptResult result) {
     switch (result.outcome()) {
       case SUCCEEDED -> worker.lease.granted(state.now().minus(result.duration()), validity);
       case REJECTED, CONNECTION_LOST, CONNECT_FAILED -> refused(worker);
-      default -> {} // proves nothing
+      default -> {} // does not show whether the worker accepts requests
     }
   }
 
-  /** The next probe tells whether the worker accepts; where none is allowed, nothing does. */
+  /** Ends the lease until the next probe succeeds; without probes, stops using the worker. */
   private void refused(Worker worker) {
     if (state.settings.probesAllowed) {
       worker.lease.revoked(state.now());
@@ -138,27 +148,28 @@
     }
   }
 
-  /** A probe of the worker ended. */
+  /** Updates the lease by the outcome of a probe. */
   void probeEnded(Worker worker, AttemptOutcome outcome) {
     WorkerLease lease = worker.lease;
     if (lease.probedAt() == null) {
-      return; // the probe was of another process under the same index
+      return; // the probe was sent to an earlier worker that had the same index
     }
     switch (outcome) {
       case SUCCEEDED -> {
         boolean hasDrained = lease.drains();
         lease.granted(lease.probedAt(), validity);
-        if (hasDrained && state.isListUnconfirmed()) { // only another process accepts again
+        // A draining process never accepts requests again, so this must be a new process.
+        if (hasDrained && state.isListUnconfirmed()) {
           state.presumeRestarted(worker, state.now());
         }
       }
       case FAILED -> lease.denied(state.now(), true);
-      case NOT_SENT, CANCELLED -> {} // proves nothing
+      case NOT_SENT, CANCELLED -> {} // does not show whether the worker accepts requests
       default -> lease.denied(state.now(), false);
     }
   }
 
-  /** The worker ended its connections and accepts new ones. */
+  /** Handles a new connection to a worker that had closed or refused its earlier ones. */
   void workerReconnected(Worker worker) {
     worker.lease.reconnected(state.now());
     if (isLongUnconfirmed()) {
--- a/src/main/java/switchgap/policy/api/AttemptOutcome.java
+++ b/src/main/java/switchgap/policy/api/AttemptOutcome.java
@@ -1,11 +1,11 @@
 package switchgap.policy.api;
 
 /**
- * The outcome of an attempt, a load probe or a load command, and whether it proves that the request
- * was not executed.
+ * The outcome of an attempt, a load probe or a load command. Each constant states whether the
+ * outcome excludes that the request was executed.
  */
 public enum AttemptOutcome {
-  /** The worker responded. */
+  /** The worker responded without an error. */
   SUCCEEDED(false),
   /** The worker responded with an error; it may have executed the request. */
   FAILED(false),
@@ -17,7 +17,7 @@
   CONNECT_FAILED(true),
   /** The connection was lost before the response. */
   CONNECTION_LOST(false),
-  /** This router cancelled it. */
+  /** This router cancelled the attempt. */
   CANCELLED(false),
   /** No byte of the request was sent. */
   NOT_SENT(true),
@@ -30,7 +30,7 @@
     this.neverExecuted = neverExecuted;
   }
 
-  /** Whether the request is known not to have been executed. */
+  /** Whether the request was certainly not executed. */
   public boolean neverExecuted() {
     return neverExecuted;
   }
--- a/src/main/java/switchgap/policy/api/AttemptResult.java
+++ b/src/main/java/switchgap/policy/api/AttemptResult.java
@@ -6,8 +6,11 @@
  * The result of an attempt.
  *
  * @param attempt number of the attempt, from 0 for each request
- * @param duration from its start to its end
- * @param requestClosed whether the request has its final response
+ * @param request index of the request
+ * @param worker index of the worker
+ * @param outcome how the attempt ended
+ * @param duration time from the start of the attempt to its end
+ * @param requestClosed whether the client has received the final response
  * @param load the load that the worker reported with the response
  */
 public record AttemptResult(
--- a/src/main/java/switchgap/policy/api/DeduplicationScope.java
+++ b/src/main/java/switchgap/policy/api/DeduplicationScope.java
@@ -1,11 +1,11 @@
 package switchgap.policy.api;
 
-/** The workers among which repeats of a request with an idempotency key are dropped. */
+/** The set of workers within which repeats of a request with an idempotency key are dropped. */
 public enum DeduplicationScope {
-  /** All workers. */
+  /** A repeat is dropped at any worker. */
   ALL,
-  /** The workers of one zone. */
+  /** A repeat is dropped at workers of the same zone. */
   ZONE,
-  /** The workers of one cell of a zone. */
+  /** A repeat is dropped at workers of the same cell of the same zone. */
   CELL
 }
--- a/src/main/java/switchgap/policy/api/EndpointEntry.java
+++ b/src/main/java/switchgap/policy/api/EndpointEntry.java
@@ -3,15 +3,18 @@
 import java.time.Duration;
 
 /**
- * One entry of an endpoint list: a worker.
+ * One worker in an endpoint list.
  *
- * @param worker index of the worker, given by the caller
- * @param hash the worker's id, the same for all routers
+ * @param worker index of the worker, assigned by the caller
+ * @param hash id of the worker, identical at all routers
+ * @param state state of the worker in the list
  * @param zone index of the worker's zone in the settings
- * @param cell the worker's cell within the zone
- * @param kind index of the worker's kind in the settings; past the last one if the kind is unknown
- * @param capacity the worker's capacity, 0 if not reported
- * @param startedAt start of the worker's process since the router's start, null if long ago
+ * @param cell number of the worker's cell within its zone
+ * @param kind index of the worker's kind in the settings; beyond the last one if the kind is
+ *     unknown
+ * @param capacity capacity of the worker, 0 if not reported
+ * @param startedAt when the worker's process started, as time since the router's start; null if
+ *     that was long ago
  */
 public record EndpointEntry(
     int worker,
--- a/src/main/java/switchgap/policy/api/EventBatch.java
+++ b/src/main/java/switchgap/policy/api/EventBatch.java
@@ -2,6 +2,6 @@
 
 /** All events since the last tick, in order of arrival. */
 public interface EventBatch {
-  /** Delivers each event to {@code events}. */
+  /** Calls the method of {@code events} for each event. */
   void deliverTo(PolicyEvents events);
 }
--- a/src/main/java/switchgap/policy/api/PolicyEvents.java
+++ b/src/main/java/switchgap/policy/api/PolicyEvents.java
@@ -3,14 +3,16 @@
 import java.time.Duration;
 
 /**
- * The events that a policy decides on, one call for each, from one thread. Indices are small
- * numbers that the caller assigns and may reuse once {@link PolicyActions} has released them; times
- * are durations since the router's start. Missing values are null, NaN or, for counts, negative.
+ * The input events of a policy, one method per event; a single thread calls them. Indices are small
+ * numbers that the caller assigns and may reuse after {@link PolicyActions} has released them.
+ * Times are durations since the router's start. Missing values are null, NaN or, for counts,
+ * negative.
  */
 public interface PolicyEvents {
   /**
-   * An endpoint list begins: a complete one, or changes to the last one. Its entries follow, then
-   * its end.
+   * An endpoint list begins. Its entries follow, then its end.
+   *
+   * @param complete whether the list names all workers; otherwise it contains only changes
    */
   void endpointListStarted(boolean complete);
 
@@ -20,32 +22,34 @@
   /** The endpoint list ends. */
   void endpointListEnded();
 
-  /** A poll for the endpoint list failed; the last list stays in force. */
+  /** A poll for the endpoint list failed; the last list remains valid. */
   void endpointListFailed();
 
   /**
-   * The endpoint list is confirmed to be complete until a time. From then on changes of it count as
-   * notified although they may not have been received, until it is confirmed again. Without this
-   * event the list counts as confirmed for ever.
+   * The endpoint list is confirmed to be up to date until a time. After that time, until it is
+   * confirmed again, changes may take effect that this router has not received. Without this event
+   * the list is considered confirmed at all times.
    */
   default void endpointListConfirmedUntil(Duration time) {}
 
   /**
-   * A connection to a worker was opened after the worker had refused one, or had ended all that
-   * were open: its process may be a new one.
+   * A connection to a worker was opened after the worker had refused one or had closed all open
+   * ones. The worker's process may be a new one.
    */
   default void workerReconnected(int worker) {}
 
-  /** A request was accepted. */
+  /** A request was accepted; the policy has to cause exactly one final response to it. */
   void requestArrived(RequestArrival arrival);
 
-  /** The first bytes of an attempt's response went to the client; the attempt's end follows. */
+  /**
+   * The first bytes of an attempt's response were sent to the client; the attempt's end follows.
+   */
   default void responseStarted(int request, int attempt) {}
 
   /** An attempt ended. */
   void attemptEnded(AttemptResult result);
 
-  /** The client disconnected: the request needs no response any more. */
+  /** The client disconnected, so the request no longer needs a response. */
   void clientDisconnected(int request);
 
   /** A scheduled wake-up is due. */
--- a/src/main/java/switchgap/policy/api/RouterSettings.java
+++ b/src/main/java/switchgap/policy/api/RouterSettings.java
@@ -2,9 +2,9 @@
 
 import java.time.Duration;
 
-/** The configuration of a router, immutable from its start. Indices count from 0. */
+/** The settings of a router, which do not change while it runs. Indices start at 0. */
 public interface RouterSettings {
-  /** Index of this router among all. */
+  /** Index of this router among all routers. */
   int routerIndex();
 
   /** Number of routers. */
@@ -13,19 +13,19 @@
   /** Index of this router's zone. */
   int zone();
 
-  /** Shortest time between two wake-ups. */
+  /** Minimum time between two wake-ups. */
   Duration tickInterval();
 
   /** Number of request classes. */
   int requestClassCount();
 
-  /** Latency up to which a response of the class earns its full weight. */
+  /** Latency up to which a response to a request of the class earns the full priority weight. */
   Duration latencyObjective(int requestClass);
 
-  /** Timeout of the class's requests. */
+  /** Timeout of requests of the class. */
   Duration requestTimeout(int requestClass);
 
-  /** The longest timeout of all classes. */
+  /** The longest request timeout of all classes. */
   default Duration longestTimeout() {
     Duration longest = Duration.ZERO;
     for (int requestClass = 0; requestClass < requestClassCount(); requestClass++) {
@@ -35,64 +35,64 @@
     return longest;
   }
 
-  /** Priority weight that a response of the class earns within the latency objective. */
+  /** Weight that a response to a request of the class earns within the latency objective. */
   double priorityWeight(int requestClass);
 
-  /** Share of the weight that a response past the latency objective still earns. */
+  /** Share of the weight that a response after the latency objective still earns. */
   double lateValueShare(int requestClass);
 
-  /** Whether requests of the class may be executed more than once. */
+  /** Whether and where requests of the class may be executed more than once. */
   Idempotency idempotency(int requestClass);
 
-  /** Workers among which repeats with the same idempotency key are dropped. */
+  /** The set of workers within which repeats with the same idempotency key are dropped. */
   DeduplicationScope deduplicationScope(int requestClass);
 
-  /** Time for which workers remember an idempotency key. */
+  /** How long workers remember an idempotency key. */
   Duration deduplicationWindow(int requestClass);
 
   /** Number of tenants. */
   int tenantCount();
 
-  /** Requests a second within the tenant's quota, all routers together. */
+  /** The tenant's quota in requests per second at all routers together. */
   double tenantQuota(int tenant);
 
-  /** Share of the weight that a request beyond its tenant's quota earns. */
+  /** Share of its weight that a request earns while its tenant is over quota. */
   double overQuotaWeight();
 
   /** Maximum number of attempts of a request. */
   int maxAttempts();
 
-  /** Whether a hedged attempt may run beside the first. */
+  /** Whether a hedged attempt may run concurrently with the first. */
   boolean hedgingAllowed();
 
   /** Whether load probes are allowed. */
   boolean probesAllowed();
 
-  /** Whether an attempt in flight may be cancelled. */
+  /** Whether attempts in flight may be cancelled. */
   boolean cancellationAllowed();
 
   /** Whether a rejection may carry a retry delay. */
   boolean retryAfterAllowed();
 
-  /** The longest retry delay of a rejection. */
+  /** Maximum retry delay that a rejection may carry. */
   Duration maxRetryAfter();
 
   /**
-   * Time after the notification that a worker drains or is gone in which attempts and load commands
-   * to it must cease; zero where none is stated.
+   * Time after the notification that a worker is draining or gone within which attempts and load
+   * commands to it must cease; zero if not configured.
    */
   Duration drainGrace();
 
-  /** Share of its capacity that a worker has at its start. */
+  /** Share of its full capacity that a worker has when its process starts. */
   double slowStartCapacityShare();
 
-  /** Time after its start in which a worker's capacity rises to the full one. */
+  /** Time from the start of a worker's process until it has its full capacity. */
   Duration warmUpDuration();
 
-  /** Multiple of its present capacity at which a worker that warms up is overloaded. */
+  /** Multiple of its current capacity above which a worker that is warming up is overloaded. */
   double slowStartOverloadMultiple();
 
-  /** Time over which requests are counted against that multiple. */
+  /** Window over which requests are counted against {@link #slowStartOverloadMultiple()}. */
   Duration slowStartOverloadWindow();
 
   /** Whether a worker without a replica loads it on demand instead of rejecting the request. */
@@ -104,16 +104,16 @@
   /** Time without a request after which a worker unloads a replica. */
   Duration replicaIdleTimeout();
 
-  /** Load commands allowed in each quota window regardless of requests. */
+  /** Load commands allowed per quota window regardless of the number of requests. */
   double loadQuotaBase();
 
-  /** Further load commands allowed for each request in the window. */
+  /** Additional load commands allowed per request in the window. */
   double loadQuotaPerRequest();
 
-  /** The window of the load quota; zero for no quota. */
+  /** Window of the load quota; zero if there is no quota. */
   Duration loadQuotaWindow();
 
-  /** Price of idle memory. */
+  /** Price of the memory that idle replicas occupy; zero if it costs nothing. */
   double idleMemoryPrice();
 
   /** Memory of each kind of worker, in MB. */
@@ -125,12 +125,12 @@
   /** Price of a probe, as a share of a request's weight. */
   double probePrice();
 
-  /** Whether the endpoint list reports capacities that stay as they are and can be compared. */
+  /** Whether the endpoint list reports capacities that are constant and comparable. */
   boolean capacityReported();
 
-  /** Whether the endpoint list must be polled. */
+  /** Whether the router has to poll the endpoint list. */
   boolean pollsEndpointList();
 
-  /** The longest time between two polls. */
+  /** Maximum time between two polls of the endpoint list. */
   Duration endpointPollInterval();
 }
--- a/src/main/java/switchgap/policy/api/WorkerState.java
+++ b/src/main/java/switchgap/policy/api/WorkerState.java
@@ -1,11 +1,11 @@
 package switchgap.policy.api;
 
-/** The state of a worker in the endpoint list. */
+/** The state of a worker according to the endpoint list. */
 public enum WorkerState {
-  /** It accepts requests. */
+  /** The worker accepts requests. */
   READY,
-  /** It finishes its requests and accepts no new ones. */
+  /** The worker finishes the requests that it has and accepts no new ones. */
   DRAINING,
-  /** It has left the fleet. */
+  /** The worker has left the fleet. */
   GONE
 }
--- a/src/main/java/switchgap/policy/api/package-info.java
+++ b/src/main/java/switchgap/policy/api/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The interface of a policy: events in, actions out, and the settings it reads. Values are
- * immutable; indices are small numbers that the caller assigns.
+ * The interface of a routing policy: its input events, its output actions and its settings. Value
+ * types are immutable; indices are small numbers that the caller assigns.
  */
 package switchgap.policy.api;
--- a/src/main/java/switchgap/policy/state/ActionDispatcher.java
+++ b/src/main/java/switchgap/policy/state/ActionDispatcher.java
@@ -4,8 +4,8 @@
 import java.util.Objects;
 
 /**
- * Carries out decisions: records each in the state and passes it to the actions of the tick. It
- * decides nothing.
+ * Carries out the decisions of a policy: records each one in the state and passes it to the {@code
+ * PolicyActions} of the current tick.
  */
 public final class ActionDispatcher {
   private final PolicyState state;
@@ -14,7 +14,7 @@
     this.state = state;
   }
 
-  /** Sends a request to a worker. */
+  /** Starts an attempt of a request at a worker; it times out at the deadline less the margin. */
   public void startAttempt(Request request, Worker worker) {
     boolean loaded = state.replicaState(request.function, worker) == Replica.State.LOADED;
     AttemptState attempt = new AttemptState(loaded, state.settings.loadsOnDemand);
@@ -36,21 +36,25 @@
     }
   }
 
-  /** Sends the final response that a retry is harmless, null for no advice when to retry. */
+  /**
+   * Sends the final response that the client may safely retry, and closes the request.
+   *
+   * @param retryAfter delay that the client should wait before it retries, or null for none
+   */
   public void reject(Request request, Duration retryAfter) {
     state.actions().reject(request.id, retryAfter);
     state.close(request);
     state.releaseIfSettled(request);
   }
 
-  /** Sends the final response that promises nothing about the request's effect. */
+  /** Sends the final response that the request may have been executed, and closes the request. */
   public void fail(Request request) {
     state.actions().fail(request.id);
     state.close(request);
     state.releaseIfSettled(request);
   }
 
-  /** Sends a load probe to a worker for a request, or has it wait for the one in flight. */
+  /** Makes a request wait for a load probe of a worker; sends one unless one is in flight. */
   public void probe(Worker worker, Request request) {
     if (!worker.isProbed()) {
       probe(worker);
@@ -58,13 +62,13 @@
     worker.awaitProbe(request);
   }
 
-  /** Sends a load probe to a worker that has none in flight, for which no request waits. */
+  /** Sends a load probe to a worker that has none in flight; no request waits for it. */
   public void probe(Worker worker) {
     worker.probeStarted(state.now());
     state.actions().probe(worker.id);
   }
 
-  /** Has the worker's lease, if it needs one, hold for what is about to be sent to it. */
+  /** Limits sends to a worker to the current lease, if leases are required and it has changed. */
   private void limitSends(Worker worker) {
     Duration limit = state.sendLimit(worker);
     if (!Objects.equals(limit, worker.lease.sendLimit())) {
@@ -73,7 +77,7 @@
     }
   }
 
-  /** Sends a load command, which counts for the load quota. */
+  /** Sends a load command, which counts against the load quota. */
   public void load(Function function, Worker worker) {
     state.loadQuota.commandStarted(state.now());
     function.replicaAt(worker).loadStarted(state.now());
@@ -82,7 +86,7 @@
     state.actions().load(worker.id, function.id);
   }
 
-  /** Sends a load command for a loaded replica, so that its idle timeout begins anew. */
+  /** Sends a load command for a loaded replica, which restarts its idle timeout. */
   public void renew(Function function, Worker worker) {
     function.replicaAt(worker).queryStarted();
     function.commandStarted(worker);
@@ -90,14 +94,14 @@
     state.actions().load(worker.id, function.id);
   }
 
-  /** Queries a worker whether it has a replica of a function. */
+  /** Queries a worker for the replicas of a function that it has loaded. */
   public void queryReplicas(Function function, Worker worker) {
     function.replicaAt(worker).queryStarted();
     function.commandStarted(worker);
     state.actions().queryReplicas(worker.id, function.id);
   }
 
-  /** Unloads a replica if this router had it loaded and its worker is ready. */
+  /** Unloads a replica if this router commanded its load and its worker is ready. */
   public void unload(Function function, Worker worker) {
     if (function.replicaAt(worker).unloadStarted(worker.isReady())) {
       state.actions().unload(worker.id, function.id);
--- a/src/main/java/switchgap/policy/state/AttemptState.java
+++ b/src/main/java/switchgap/policy/state/AttemptState.java
@@ -1,13 +1,13 @@
 package switchgap.policy.state;
 
-/** One attempt of a request at a worker, from its start to its end. */
+/** The state of one attempt of a request at a worker. */
 public final class AttemptState {
   private final boolean replicaLoaded;
   private final boolean waitsForLoad;
   private boolean ended;
 
   /**
-   * An attempt that is about to be sent.
+   * Creates the state of an attempt that is about to be sent.
    *
    * @param replicaLoaded whether a replica is believed to be loaded at the worker
    * @param loadsOnDemand whether workers load a missing replica on demand
--- a/src/main/java/switchgap/policy/state/CandidateSurvey.java
+++ b/src/main/java/switchgap/policy/state/CandidateSurvey.java
@@ -1,8 +1,9 @@
 package switchgap.policy.state;
 
 /**
- * The workers that a walk along a function's hash order found for one request. A worker is null
- * where none was found. It records and decides nothing but which of two loads is less.
+ * The result of visiting workers in a function's hash order to find candidates for one request. The
+ * target replicas are the first ones in that order, as many as the function's target replica count.
+ * Each getter of a worker returns null if none was found.
  */
 public final class CandidateSurvey {
   private Worker first;
@@ -16,7 +17,7 @@
   private boolean anySaturated;
   private double leastLoad = Double.MAX_VALUE;
 
-  /** Records a worker on the way and the believed state of its replica. */
+  /** Records a visited worker and the presumed state of its replica. */
   public void visited(Worker worker, Replica.State replica) {
     first = first == null ? worker : first;
     anyLoaded |= replica == Replica.State.LOADED;
@@ -24,8 +25,8 @@
   }
 
   /**
-   * Records an available target replica: it becomes the best one if its load is less than the best
-   * one's by more than a difference.
+   * Records an available target replica. It replaces the best one if its load is lower by more than
+   * {@code difference}.
    */
   public void foundAvailable(Worker worker, double load, double difference) {
     if (load < leastLoad - (best == null ? 0 : difference)) {
@@ -37,22 +38,22 @@
     }
   }
 
-  /** Records an available target worker whose replica is unknown or loaded on demand. */
+  /** Records an available worker among the targets whose replica may have to be loaded first. */
   public void foundUnknown(Worker worker) {
     unknown = unknown == null ? worker : unknown;
   }
 
-  /** Records a target replica that is at its limit. */
+  /** Records a target replica that is at its concurrency limit. */
   public void foundSaturated() {
     anySaturated = true;
   }
 
-  /** Records an available loaded replica past the target. */
+  /** Records an available loaded replica beyond the target replicas. */
   public void foundOverflow(Worker worker) {
     overflow = worker;
   }
 
-  /** Records a worker past the target where a replica could be loaded. */
+  /** Records a worker beyond the target replicas where a replica could be loaded. */
   public void foundNext(Worker worker) {
     next = worker;
   }
@@ -62,7 +63,7 @@
     return first;
   }
 
-  /** The target replica to take. */
+  /** The target replica to prefer. */
   public Worker best() {
     return best;
   }
@@ -72,17 +73,17 @@
     return alternative;
   }
 
-  /** The first available target worker whose replica is unknown or loaded on demand. */
+  /** The first available worker among the targets whose replica may have to be loaded first. */
   public Worker unknown() {
     return unknown;
   }
 
-  /** The available loaded replica past the target. */
+  /** The available loaded replica beyond the target replicas. */
   public Worker overflow() {
     return overflow;
   }
 
-  /** The first worker past the target where a replica could be loaded. */
+  /** The first worker beyond the target replicas where a replica could be loaded. */
   public Worker next() {
     return next;
   }
@@ -102,7 +103,7 @@
     return anyLoading;
   }
 
-  /** Whether any target replica is at its limit. */
+  /** Whether any target replica is at its concurrency limit. */
   public boolean anySaturated() {
     return anySaturated;
   }
--- a/src/main/java/switchgap/policy/state/Durations.java
+++ b/src/main/java/switchgap/policy/state/Durations.java
@@ -26,12 +26,12 @@
     return isShorter(first, second) ? second : first;
   }
 
-  /** A duration in seconds. */
+  /** Converts a duration to seconds. */
   public static double toSeconds(Duration duration) {
     return duration.toNanos() / NANOS_PER_SECOND;
   }
 
-  /** A duration multiplied by a factor, truncated to whole nanoseconds. */
+  /** Multiplies a duration by a factor and truncates the product to whole nanoseconds. */
   public static Duration scale(Duration duration, double factor) {
     return Duration.ofNanos((long) (duration.toNanos() * factor));
   }
--- a/src/main/java/switchgap/policy/state/EjectionState.java
+++ b/src/main/java/switchgap/policy/state/EjectionState.java
@@ -2,18 +2,18 @@
 
 import java.time.Duration;
 
-/** The ejections of one worker as an outlier, and the probation that follows each. */
+/** The ejections of one worker and the probation that follows each ejection. */
 public final class EjectionState {
   private int count;
   private boolean onProbation;
   private Duration until;
 
-  /** Ejections since the last success on probation. */
+  /** Number of ejections since the worker last passed a probation. */
   public int count() {
     return count;
   }
 
-  /** Whether the worker was ejected and has not succeeded since. */
+  /** Whether the worker was ejected and no attempt at it has succeeded since. */
   public boolean isOnProbation() {
     return onProbation;
   }
@@ -23,7 +23,7 @@
     return until;
   }
 
-  /** A probation ends, and the ejections before it count no more. */
+  /** Ends a probation and resets the count of ejections. */
   void attemptSucceeded() {
     count = onProbation ? 0 : count;
     onProbation = false;
--- a/src/main/java/switchgap/policy/state/FleetStatistics.java
+++ b/src/main/java/switchgap/policy/state/FleetStatistics.java
@@ -1,14 +1,14 @@
 package switchgap.policy.state;
 
-/** What this router measured of all workers together. */
+/** This router's measurements over all workers. */
 public final class FleetStatistics {
-  /** Other routers' requests at a worker, as reported. */
+  /** Other routers' requests at a worker, one value per report. */
   public final Histogram foreignLoads;
 
-  /** Durations as a ratio to the usual one. */
+  /** Ratios of actual to expected durations. */
   public final Histogram latencyRatios;
 
-  /** Outcomes: 0 for a success, 1 for an error. */
+  /** Outcomes of attempts: 0 for a success, 1 for an error. */
   public final Histogram errors;
 
   FleetStatistics(HistogramEdges edges) {
--- a/src/main/java/switchgap/policy/state/Function.java
+++ b/src/main/java/switchgap/policy/state/Function.java
@@ -4,16 +4,16 @@
 import switchgap.policy.api.RequestArrival;
 
 /**
- * A function: its target replica count, its workers in hash order and the believed states of its
+ * A function: its target replica count, its workers in hash order and the presumed states of its
  * replicas.
  */
 public final class Function {
   public final int id;
 
-  /** The function's id as all routers see it. */
+  /** Id of the function, identical at all routers. */
   public final long hash;
 
-  /** Reported concurrency at its replicas, scaled to the sum over the target replicas. */
+  /** Reported concurrency per slot, extrapolated to the sum over all target replicas. */
   public final Histogram concurrency;
 
   private int slots = 1;
@@ -40,7 +40,7 @@
     this.lastBusy = now;
   }
 
-  /** What is believed of the replica at a worker. */
+  /** The presumed state of the replica at a worker. */
   public Replica replicaAt(Worker worker) {
     Replica replica = replicas.get(worker.id);
     if (replica == null) {
@@ -51,123 +51,125 @@
     return replica;
   }
 
-  /** Requests that one replica runs at a time. */
+  /** Number of requests that one replica executes concurrently. */
   public int slots() {
     return slots;
   }
 
-  /** Memory of one replica. */
+  /** Memory of one replica in MB. */
   public double memoryMb() {
     return memoryMb;
   }
 
-  /** The number of replicas that should be loaded, at least 1. */
+  /** Number of replicas that should be loaded, at least 1. */
   public int targetReplicas() {
     return targetReplicas;
   }
 
-  /** Requests since the target was last set. */
+  /** Requests since {@link #restartArrivalCounts()} was last called. */
   public int recentArrivals() {
     return recentArrivals;
   }
 
-  /** Placements since the target was last set that found only saturated replicas. */
+  /** Placements that found only saturated replicas since the counts were last restarted. */
   public int saturatedArrivals() {
     return saturatedArrivals;
   }
 
-  /** Requests since the function is known. */
+  /** Requests since this router first received one for the function. */
   public int totalRequests() {
     return totalRequests;
   }
 
-  /** Whether a replica of it was ever known to be loaded. */
+  /** Whether any replica of it has ever been loaded, as far as this router knows. */
   public boolean everLoaded() {
     return everLoaded;
   }
 
-  /** Loads that failed while no replica of it had ever been loaded. */
+  /** Number of loads that failed before any replica of it had been loaded. */
   public int failedLoads() {
     return failedLoads;
   }
 
-  /** When the last of {@link #failedLoads()} failed; null if there is none. */
+  /** Time of the last failure counted in {@link #failedLoads()}; null if there is none. */
   public Duration lastLoadFailure() {
     return lastLoadFailure;
   }
 
-  /** When its last request arrived. */
+  /** Arrival time of its last request. */
   public Duration lastRequest() {
     return lastRequest;
   }
 
-  /** When its concurrency was last above the unload threshold, or its target was last lowered. */
+  /**
+   * When its concurrency was last above the scale-down threshold, or its target was last lowered.
+   */
   public Duration lastBusy() {
     return lastBusy;
   }
 
-  /** Its concurrency is above the unload threshold. */
+  /** Records that its concurrency is above the scale-down threshold. */
   public void busy(Duration now) {
     lastBusy = now;
   }
 
-  /** The target rises by a number of replicas. */
+  /** Raises the target by a number of replicas. */
   public void scaleUp(int replicasMore) {
     targetReplicas += replicasMore;
   }
 
-  /** The target falls by one replica. */
+  /** Lowers the target by one replica. */
   public void scaleDown(Duration now) {
     targetReplicas--;
     lastBusy = now;
   }
 
-  /** The target is at most this. */
+  /** Lowers the target to a maximum if it is above it. */
   public void limitTarget(int maxReplicas) {
     targetReplicas = Math.min(targetReplicas, maxReplicas);
   }
 
-  /** The target was set: arrivals count from here. */
+  /** Resets the counts of arrivals and of saturated placements. */
   public void restartArrivalCounts() {
     recentArrivals = 0;
     saturatedArrivals = 0;
   }
 
-  /** The placement of a request found only saturated replicas. */
+  /** Counts a placement that found only saturated replicas. */
   public void placementSaturated() {
     saturatedArrivals++;
   }
 
-  /** A load command or a query is sent to a worker. */
+  /** Counts a load command or a replica query as in flight at a worker. */
   public void commandStarted(Worker worker) {
     worker.commandStarted();
     pendingCommands++;
   }
 
-  /** A load command or a query at a worker ended. */
+  /** Counts a load command or a replica query at a worker as ended. */
   public void commandEnded(Worker worker) {
     worker.commandEnded();
     pendingCommands--;
   }
 
-  /** A load failed, and none ever succeeded. */
+  /** Counts a failed load of a function that has never been loaded. */
   public void loadFailed(Duration now) {
     failedLoads++;
     lastLoadFailure = now;
   }
 
-  /** A replica of it is known to be loaded. */
+  /** Records that a replica of it has been loaded. */
   public void loaded() {
     everLoaded = true;
   }
 
-  /** A worker served a request for it, so its replica there is loaded. */
+  /** Records that a worker served a request for it, so that its replica there is loaded. */
   public void attemptSucceeded(Worker worker, Duration now) {
     replicaAt(worker).served(now);
     loaded();
   }
 
-  /** Whether no request and no command of it is open. */
+  /** Whether it has no open request and no command in flight. */
   public boolean isIdle() {
     return openRequests == 0 && pendingCommands == 0;
   }
@@ -189,7 +191,7 @@
     replicas.set(worker, null);
   }
 
-  /** The ready workers in hash order, computed once for each version of the endpoint list. */
+  /** The ready workers in hash order, cached per version of the endpoint list. */
   Worker[] hashOrder(Iterable<Worker> workers, int listVersion) {
     if (hashOrderVersion != listVersion) {
       workersByHash = RendezvousHash.order(this, workers);
--- a/src/main/java/switchgap/policy/state/Histogram.java
+++ b/src/main/java/switchgap/policy/state/Histogram.java
@@ -3,20 +3,23 @@
 import java.util.Arrays;
 
 /**
- * Counts of values in coarse bins. The caller gives the edges of the bins and halves the counts so
- * that old values fade.
+ * A histogram with coarse bins. The caller specifies the bin edges and halves the counts
+ * periodically, so that old values lose weight.
  */
 public final class Histogram {
   private final double[] edges;
   private final double[] counts;
 
-  /** The bins are: below the first edge, between each two edges, and from the last edge on. */
+  /**
+   * Creates an empty histogram. The first bin is below the first edge, the last one starts at the
+   * last edge, and each other bin lies between two adjacent edges.
+   */
   public Histogram(double[] edges) {
     this.edges = edges;
     this.counts = new double[edges.length + 1];
   }
 
-  /** Counts a value. */
+  /** Adds a value. */
   public void add(double value) {
     int bin = 0;
     while (bin < edges.length && value >= edges[bin]) {
@@ -32,14 +35,14 @@
     }
   }
 
-  /** Halves all counts if there are more values than this. */
+  /** Halves all counts if their total exceeds a maximum. */
   public void halveAbove(double maxTotal) {
     if (total() > maxTotal) {
       halve();
     }
   }
 
-  /** The mean value, with a prior that counts as {@code weight} values. */
+  /** The mean value, with a prior that has the weight of {@code weight} values. */
   public double meanWithPrior(double prior, double weight) {
     return (sum() + weight * prior) / (total() + weight);
   }
@@ -49,7 +52,7 @@
     Arrays.fill(counts, 0);
   }
 
-  /** The number of values counted. */
+  /** The sum of all counts. */
   public double total() {
     double total = 0;
     for (double count : counts) {
@@ -58,7 +61,7 @@
     return total;
   }
 
-  /** The number of values in a bin and in those above it. */
+  /** The sum of the counts of a bin and of all bins above it. */
   public double countFrom(int bin) {
     double sum = 0;
     for (int i = bin; i < counts.length; i++) {
@@ -67,7 +70,9 @@
     return sum;
   }
 
-  /** The sum of all values, each taken at the middle of its bin. */
+  /**
+   * The sum of all values, each estimated as the middle of its bin, or the edge of the last bin.
+   */
   public double sum() {
     double sum = counts[0] * edges[0] / 2 + counts[edges.length] * edges[edges.length - 1];
     for (int i = 1; i < edges.length; i++) {
@@ -77,7 +82,7 @@
   }
 
   /**
-   * The quantile of a share, 0 to 1, interpolated linearly within its bin; NaN if there are no
+   * The quantile for a share from 0 to 1, interpolated linearly within its bin; NaN if there are no
    * values.
    */
   public double quantile(double share) {
--- a/src/main/java/switchgap/policy/state/HistogramEdges.java
+++ b/src/main/java/switchgap/policy/state/HistogramEdges.java
@@ -1,13 +1,13 @@
 package switchgap.policy.state;
 
 /**
- * The edges of a policy's histograms.
+ * The bin edges of a policy's histograms.
  *
  * @param relativeDurations durations as a ratio to the latency objective
- * @param latencyRatios durations as a ratio to the usual one
+ * @param latencyRatios ratios of actual to expected durations
  * @param foreignLoads requests of other routers at a worker
- * @param errors outcomes: 0 for a success, 1 for an error
- * @param concurrency reported requests in flight at a worker, for each slot of a replica
+ * @param errors outcomes of attempts: 0 for a success, 1 for an error
+ * @param concurrency reported concurrency per slot, summed over the target replicas of a function
  */
 public record HistogramEdges(
     double[] relativeDurations,
--- a/src/main/java/switchgap/policy/state/IndexAllocator.java
+++ b/src/main/java/switchgap/policy/state/IndexAllocator.java
@@ -5,8 +5,7 @@
 import java.util.Map;
 
 /**
- * Maps external ids to small indices and back. Released indices are reused, the last released
- * first.
+ * Assigns small indices to external ids. Released indices are reused, the last released one first.
  */
 public final class IndexAllocator {
   private static final int INITIAL_CAPACITY = 16;
@@ -23,7 +22,7 @@
     return indices.getOrDefault(id, NONE);
   }
 
-  /** The index of an id, a new one if it has none. */
+  /** Returns the index of an id; assigns one if it has none. */
   public int allocate(long id) {
     Integer known = indices.get(id);
     if (known != null) {
@@ -38,12 +37,12 @@
     return index;
   }
 
-  /** The id that has an index. */
+  /** The id that an index was last assigned to. */
   public long idOf(int index) {
     return ids[index];
   }
 
-  /** Frees an index for another id. Releasing it again has no effect. */
+  /** Makes an index available for another id. Has no effect if the index is already released. */
   public void release(int index) {
     if (indices.remove(ids[index], index)) {
       if (releasedCount == released.length) {
--- a/src/main/java/switchgap/policy/state/IndexedTable.java
+++ b/src/main/java/switchgap/policy/state/IndexedTable.java
@@ -5,18 +5,18 @@
 import java.util.List;
 
 /**
- * Elements by small index. Iteration is in the order of the indices, skips empty ones and allows
- * changes meanwhile.
+ * A table of elements by small index. Iteration follows the order of the indices and skips those
+ * without an element; the table may be modified during an iteration.
  */
 public final class IndexedTable<T> implements Iterable<T> {
   private final List<T> elements = new ArrayList<>();
 
-  /** The element at an index, or null. */
+  /** The element at an index, or null if there is none. */
   public T get(int index) {
     return index < elements.size() ? elements.get(index) : null;
   }
 
-  /** Sets the element at an index, null to remove it; returns the element. */
+  /** Sets the element at an index, or removes it if {@code element} is null; returns it. */
   public T set(int index, T element) {
     while (elements.size() <= index) {
       elements.add(null);
--- a/src/main/java/switchgap/policy/state/LoadQuotaUsage.java
+++ b/src/main/java/switchgap/policy/state/LoadQuotaUsage.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 
 /**
- * Counts load commands and requests in the window of the load quota. Commands count for a margin
- * longer and requests for a margin shorter, since whoever checks the quota may take another time
- * for now. Without a quota nothing is counted.
+ * Counts load commands and requests in the window of the load quota. The window for commands is
+ * longer by a margin and that for requests is shorter by it, since the platform that checks the
+ * quota may see the events at slightly different times. Without a quota nothing is counted.
  */
 public final class LoadQuotaUsage {
   private final boolean enabled;
@@ -20,19 +20,19 @@
     this.margin = margin;
   }
 
-  /** Counts a load command. */
+  /** Counts a load command that is sent now. */
   public void commandStarted(Duration now) {
     if (enabled) {
       commands.add(now);
     }
   }
 
-  /** Load commands in the window. */
+  /** Number of load commands in the window. */
   public int commands(Duration now) {
     return commands.countWithin(now, window.plus(margin));
   }
 
-  /** Requests in the window. */
+  /** Number of requests in the window. */
   public int requests(Duration now) {
     return requests.countWithin(now, window.minus(margin));
   }
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Drops requests that have left the window, even if the counts are never read. */
+  /** Drops requests that have left the window, to bound memory even if the counts are not read. */
   void prune(Duration now) {
     requests.countWithin(now, window);
   }
--- a/src/main/java/switchgap/policy/state/PolicyState.java
+++ b/src/main/java/switchgap/policy/state/PolicyState.java
@@ -7,9 +7,9 @@
 import switchgap.policy.api.RequestArrival;
 
 /**
- * What the parts of one router's policy share: settings, tables of workers, functions and requests,
- * and the time and actions of the current tick. It records and decides nothing. Not thread-safe:
- * one thread calls the policy.
+ * The state that the classes of one router's policy share: settings, tables of workers, functions
+ * and requests, and the time and actions of the current tick. Not thread-safe: a single thread
+ * calls the policy.
  */
 public final class PolicyState {
   public final SettingsSnapshot settings;
@@ -21,10 +21,13 @@
   public final TenantUsage tenants;
   public final LoadQuotaUsage loadQuota;
 
-  /** This router's part of one request at each worker, at most 1. */
+  /**
+   * This router's equal share of a worker's default capacity, in requests and at most 1. It is 1
+   * with few routers and below 1 with many.
+   */
   public final double ownShare;
 
-  /** Time before a deadline at which no attempt may be in flight any more. */
+  /** Time before the deadline of a request by which all its attempts have to end. */
   public final Duration deadlineMargin;
 
   /** Carries out decisions in the current tick. */
@@ -37,18 +40,18 @@
   private double readyMemoryMb;
   private final HistogramEdges edges;
 
-  /** Counts endpoint lists: what was derived from an earlier one is outdated. */
+  /** Number of endpoint lists received; values derived from an earlier list are outdated. */
   private int listVersion;
 
   private boolean listComplete;
 
-  /** Until when the endpoint list is confirmed; null for ever. */
+  /** Until when the endpoint list is confirmed; null if at all times. */
   private Duration listConfirmedUntil;
 
-  /** Since when the endpoint list is unconfirmed, or will be unless it is confirmed again. */
+  /** Since when the endpoint list is unconfirmed, or from when on unless it is confirmed again. */
   private Duration listUnconfirmedSince;
 
-  /** Empty tables; the random draws come from the seed alone. */
+  /** Creates empty tables and a random number generator with this seed. */
   public PolicyState(
       SettingsSnapshot settings,
       HistogramEdges edges,
@@ -65,13 +68,13 @@
     this.deadlineMargin = deadlineMargin;
   }
 
-  /** A tick begins: its time, and what carries out its decisions. */
+  /** Sets the time of a new tick and the receiver of its decisions. */
   public void beginTick(Duration tickTime, PolicyActions tickActions) {
     now = tickTime;
     actions = tickActions;
   }
 
-  /** The time of the tick, since the router's start. */
+  /** Time of the current tick since the router's start. */
   public Duration now() {
     return now;
   }
@@ -90,34 +93,36 @@
     return readyWorkers;
   }
 
-  /** Memory of the ready workers, as of the last endpoint list. */
+  /** Memory of all ready workers in MB, as of the last endpoint list. */
   public double readyMemoryMb() {
     return readyMemoryMb;
   }
 
-  /** Ages the counts of requests by tenant and of the load quota. */
+  /**
+   * Halves the request counts of the tenants and drops old requests from those of the load quota.
+   */
   public void everySecond() {
     seconds++;
     loadQuota.prune(now);
     tenants.halve();
   }
 
-  /** Whether a time has come. */
+  /** Whether a time is not in the future. */
   public boolean hasPassed(Duration time) {
     return now.compareTo(time) >= 0;
   }
 
-  /** Whether less than a span has passed since a time. */
+  /** Whether less time than {@code span} has passed since a time. */
   public boolean isWithin(Duration span, Duration since) {
     return now.minus(since).compareTo(span) < 0;
   }
 
-  /** Whether a worker's process started less than the configured warm-up ago. */
+  /** Whether a worker's process started less than the warm-up duration ago. */
   public boolean isWarmingUp(Worker worker) {
     return worker.startedAt() != null && isWithin(settings.warmUpDuration, worker.startedAt());
   }
 
-  /** Sets until when the endpoint list is confirmed. */
+  /** Sets the time until which the endpoint list is confirmed. */
   public void endpointListConfirmedUntil(Duration time) {
     boolean wasConfirmed = !isListUnconfirmed();
     listConfirmedUntil = time;
@@ -126,32 +131,34 @@
     }
   }
 
-  /** Since when the endpoint list is unconfirmed; meaningless while it is confirmed. */
+  /** Since when the endpoint list is unconfirmed; undefined while it is confirmed. */
   public Duration listUnconfirmedSince() {
     return listUnconfirmedSince;
   }
 
-  /** Whether changes of the endpoint list may count as notified that have not been received. */
+  /** Whether changes of the endpoint list may be in effect that have not been received. */
   public boolean isListUnconfirmed() {
     return listConfirmedUntil != null && hasPassed(listConfirmedUntil);
   }
 
-  /** Whether a worker's own replies must prove its state, as the endpoint list cannot. */
+  /** Whether sends to a worker require a lease, since the endpoint list may be out of date. */
   public boolean requiresLeases() {
     return isListUnconfirmed() && settings.probesAllowed;
   }
 
-  /** When a worker's lease ends, past which nothing new is written to it; null for no limit. */
+  /** When a worker's lease ends, after which nothing may be written to it; null for no limit. */
   Duration sendLimit(Worker worker) {
     return requiresLeases() ? worker.lease.expiresAt() : null;
   }
 
-  /** All ready workers in the function's rendezvous order: the same at every router. */
+  /**
+   * All ready workers in the function's rendezvous hash order, which is the same at all routers.
+   */
   public Worker[] hashOrder(Function function) {
     return function.hashOrder(workers, listVersion);
   }
 
-  /** The believed state of a replica; unknown once it may have been unloaded as idle. */
+  /** The presumed state of a replica; unknown once the worker may have unloaded it as idle. */
   public Replica.State replicaState(Function function, Worker worker) {
     Replica replica = function.replicaAt(worker);
     if (replica.state() == Replica.State.LOADED
@@ -161,7 +168,7 @@
     return replica.state();
   }
 
-  /** Adds a request that arrived, and its function where that is new. */
+  /** Adds a request that arrived, and its function if it is new. */
   public Request add(RequestArrival arrival) {
     Function function = functions.get(arrival.function());
     if (function == null) {
@@ -177,7 +184,7 @@
     return requests.set(arrival.request(), new Request(arrival, requestClass, function, now));
   }
 
-  /** A request has its final response or its client left: no attempt is started for it any more. */
+  /** Closes a request that has its final response or whose client disconnected. */
   public void close(Request request) {
     if (request.close()) {
       request.function.requestClosed();
@@ -192,21 +199,21 @@
     }
   }
 
-  /** Releases a function. */
+  /** Removes a function and releases its index. */
   public void release(Function function) {
     functions.set(function.id, null);
     actions.releaseFunction(function.id);
   }
 
-  /** An endpoint list begins; a complete one names all workers there are. */
+  /** Handles the start of an endpoint list; a complete one names all workers. */
   public void endpointListStarted(boolean complete) {
     listComplete = complete;
     workers.forEach(Worker::listStarted);
   }
 
   /**
-   * Applies one entry of the endpoint list; a worker whose process started anew has no replicas and
-   * warms up.
+   * Applies one entry of the endpoint list. A worker whose process has restarted has no replicas
+   * and is warming up.
    */
   public void endpointListed(EndpointEntry entry) {
     Worker worker = workers.get(entry.worker());
@@ -223,7 +230,7 @@
     worker.update(entry, memoryMb, comparable ? entry.capacity() : Math.max(1, memoryMb));
   }
 
-  /** A worker's process seems to have started anew, and no endpoint list can tell. */
+  /** Presumes that a worker's process restarted, while the endpoint list cannot report it. */
   public void presumeRestarted(Worker worker, Duration processStart) {
     worker.start().presume(processStart);
     workerRestarted(worker);
@@ -238,8 +245,8 @@
   }
 
   /**
-   * The endpoint list is complete: releases workers that are gone and idle, and counts the ready
-   * ones.
+   * Handles the end of an endpoint list: releases workers that are gone and idle, and counts the
+   * ready ones.
    */
   public void endpointListEnded() {
     readyWorkers = 0;
--- a/src/main/java/switchgap/policy/state/ProcessStart.java
+++ b/src/main/java/switchgap/policy/state/ProcessStart.java
@@ -3,47 +3,47 @@
 import java.time.Duration;
 
 /**
- * When a worker's process started: as the endpoint list tells it, or as presumed while the list
- * cannot tell. It records and decides nothing.
+ * The time when a worker's process started: as reported by the endpoint list, or as presumed while
+ * the list cannot report it.
  */
 public final class ProcessStart {
   private Duration listed;
   private Duration presumed;
 
-  /** A start as listed, null if long past. */
+  /** Creates an instance with the listed start, null if that was long ago. */
   ProcessStart(Duration listed) {
     this.listed = listed;
   }
 
-  /** The start that counts, null if long past: the presumed one until the list tells another. */
+  /** The presumed start if there is one, else the listed start; null if that was long ago. */
   Duration at() {
     return presumed == null ? listed : presumed;
   }
 
-  /** The presumed start; null where none counts. */
+  /** The presumed start; null if none is presumed. */
   public Duration presumed() {
     return presumed;
   }
 
-  /** The endpoint list tells the start, null if long past. */
+  /** Sets the start that the endpoint list reports, null if that was long ago. */
   void listed(Duration start) {
     listed = start;
     presumed = null;
   }
 
-  /** The process seems to have started anew at a time that no endpoint list has told. */
+  /** Presumes a restart that no endpoint list has reported. */
   void presume(Duration start) {
     presumed = start;
   }
 
-  /** The endpoint list would have told the presumed start by now: the process is the old one. */
+  /** Withdraws the presumed start, because the endpoint list would have reported it by now. */
   public void notListed() {
     presumed = null;
   }
 
   /**
-   * Whether a listed start is that of a process unknown so far: neither the known start nor, as the
-   * process of a presumed start had started by then, an earlier one.
+   * Whether a listed start belongs to a new process. It does not if it equals the current start, or
+   * if it is not after the presumed start, since that process was running by then.
    */
   boolean isNews(Duration start) {
     boolean isPresumed = presumed != null && start.compareTo(presumed) <= 0;
--- a/src/main/java/switchgap/policy/state/RendezvousHash.java
+++ b/src/main/java/switchgap/policy/state/RendezvousHash.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * Weighted rendezvous (highest random weight) hashing: ranks workers for a function by a number
- * drawn from both ids, so that all routers rank alike and a worker that joins or leaves changes the
- * rank of no other.
+ * Weighted rendezvous (highest random weight) hashing. Ranks the workers for a function by a hash
+ * of both ids, so that all routers compute the same order, and a worker that joins or leaves does
+ * not change the relative order of the others.
  */
 final class RendezvousHash {
   private RendezvousHash() {}
 
-  /** The ready workers in a function's order. */
+  /** Returns the ready workers in a function's hash order. */
   static Worker[] order(Function function, Iterable<Worker> workers) {
     List<Worker> ready = new ArrayList<>();
     for (Worker worker : workers) {
@@ -26,7 +26,7 @@
     return ready.toArray(new Worker[0]);
   }
 
-  /** A worker of half the weight comes first for half as many functions. */
+  /** Scores a worker; one with half the weight ranks first for half as many functions. */
   private static double score(Function function, Worker worker) {
     double uniform = ((mix(worker.hash ^ mix(function.hash)) >>> 11) + 0.5) / (1L << 53);
     return -worker.hashWeight() / Math.log(uniform);
--- a/src/main/java/switchgap/policy/state/Replica.java
+++ b/src/main/java/switchgap/policy/state/Replica.java
@@ -2,17 +2,17 @@
 
 import java.time.Duration;
 
-/** What this router believes of a function's replica at one worker. */
+/** The state of a function's replica at one worker, as this router presumes it. */
 public final class Replica {
-  /** The believed state. */
+  /** The presumed state. */
   public enum State {
-    /** Neither known to be loaded nor to be absent. */
+    /** The replica may be loaded or not. */
     UNKNOWN,
-    /** The worker does not have it. */
+    /** The worker does not have the replica. */
     ABSENT,
-    /** A command to load it is in flight. */
+    /** A command to load the replica is in flight. */
     LOADING,
-    /** The worker has it. */
+    /** The worker has the replica. */
     LOADED
   }
 
@@ -27,17 +27,22 @@
     state = initial;
   }
 
-  /** The state believed last; it may be outdated, see {@link PolicyState#replicaState}. */
+  /** The last presumed state; it may be outdated, see {@link PolicyState#replicaState}. */
   public State state() {
     return state;
   }
 
-  /** When it was last known to serve, or was last renewed. */
+  /**
+   * When a use, load, query or renewal of it was last recorded, which restarts its idle timeout.
+   */
   public Duration lastUsed() {
     return lastUsed;
   }
 
-  /** When a load was rejected, as the worker has no memory or drains; null otherwise. */
+  /**
+   * When the last load was rejected because the worker is out of memory or draining; null if it was
+   * not rejected.
+   */
   public Duration loadRejectedAt() {
     return loadRejectedAt;
   }
@@ -47,24 +52,27 @@
     return queryPending;
   }
 
-  /** Whether a command to load it is in flight, whatever is believed meanwhile. */
+  /** Whether a command to load it is in flight, whatever its presumed state. */
   public boolean isLoadPending() {
     return loadPending;
   }
 
-  /** A command to load it is sent. */
+  /** Records that a command to load it is sent. */
   public void loadStarted(Duration now) {
     state = State.LOADING;
     loadCommandedAt = now;
     loadPending = true;
   }
 
-  /** A query for it, or a command to renew it, is sent; the believed state stays until its end. */
+  /** Records that a query or a renewal is sent; the presumed state stays as it is until it ends. */
   public void queryStarted() {
     queryPending = true;
   }
 
-  /** A query or renewal ended; it counts unless the belief has changed meanwhile. */
+  /**
+   * Records the end of a query or renewal. Its result is applied only if the state is still unknown
+   * or the worker rejected it.
+   */
   public void queryEnded(int loadedReplicas, boolean rejected, Duration now) {
     queryPending = false;
     lastUsed = now;
@@ -73,24 +81,28 @@
     }
   }
 
-  /** A load command ended; its result counts unless the belief has changed meanwhile. */
+  /**
+   * Records the end of a load command. Its result is applied only if the replica is still presumed
+   * to be loading.
+   */
   public void loadEnded(int loadedReplicas, boolean rejected, Duration now) {
     lastUsed = now;
     if (state == State.LOADING) {
       state = loadedReplicas > 0 ? State.LOADED : State.ABSENT;
     }
-    loadPending = false; // whatever the state is by now: otherwise it would stay pending for ever
+    // Cleared in every state; otherwise the load would be considered pending for ever.
+    loadPending = false;
     loadRejectedAt = rejected ? now : null;
   }
 
-  /** The worker reported that it does not have the replica; a load in flight may still bring it. */
+  /** Records that the worker does not have the replica, unless a load of it is in flight. */
   public void reportedAbsent() {
     state = state == State.LOADING ? State.LOADING : State.ABSENT;
   }
 
   /**
-   * Gives up a replica that this router had loaded; returns false if it had not, or if the worker
-   * is not ready.
+   * Records that a replica is to be unloaded; returns false, and changes nothing, if this router
+   * did not command its load or the worker is not ready.
    */
   public boolean unloadStarted(boolean workerReady) {
     boolean unloads = workerReady && loadCommandedAt != null;
@@ -101,23 +113,25 @@
     return unloads;
   }
 
-  /** An attempt is sent to it. */
+  /** Records that an attempt is sent to it. */
   void used(Duration now) {
     lastUsed = now;
   }
 
-  /** It served an attempt. */
+  /** Records that it served an attempt. */
   void served(Duration now) {
     state = State.LOADED;
     lastUsed = now;
   }
 
-  /** It may have been unloaded as idle. */
+  /** Records that the worker may have unloaded it as idle. */
   void expired() {
     state = State.UNKNOWN;
   }
 
-  /** The worker's process is a new one, which has only the replicas it is commanded to load. */
+  /**
+   * Records a restart of the worker; the new process has only replicas that it loads on command.
+   */
   void workerRestarted() {
     reportedAbsent();
   }
--- a/src/main/java/switchgap/policy/state/Request.java
+++ b/src/main/java/switchgap/policy/state/Request.java
@@ -12,11 +12,11 @@
 /** An accepted request and its attempts. */
 public final class Request {
   private enum Phase {
-    /** Accepted, or with an attempt. */
+    /** Accepted and not queued. */
     OPEN,
-    /** Waits to be placed. */
+    /** Waits in the queue to be sent. */
     QUEUED,
-    /** Has its final response, or its client left. */
+    /** Has its final response, or its client disconnected. */
     CLOSED
   }
 
@@ -26,7 +26,7 @@
   public final Duration arrivedAt;
   public final Duration deadline;
 
-  /** Expected duration, null or zero where the client did not say. */
+  /** Expected duration, null or zero if the client gave none. */
   public final Duration durationHint;
 
   private final List<AttemptState> attempts = new ArrayList<>(2);
@@ -53,77 +53,80 @@
     this.weight = requestClass.priorityWeight;
   }
 
-  /** Whether the client said how long it should run. */
+  /** Whether the client gave an expected duration. */
   public boolean hasDurationHint() {
     return durationHint != null && !durationHint.isZero();
   }
 
-  /** Whether it has its final response, or its client left. */
+  /** Whether it has its final response, or its client disconnected. */
   public boolean isClosed() {
     return phase == Phase.CLOSED;
   }
 
-  /** Whether it waits to be placed. */
+  /** Whether it waits in the queue. */
   public boolean isQueued() {
     return phase == Phase.QUEUED;
   }
 
-  /** It waits to be placed. */
+  /** Records that it was added to the queue. */
   public void queued() {
     phase = Phase.QUEUED;
   }
 
-  /** It waits no more: an attempt was sent. */
+  /** Records that it left the queue because an attempt was sent. */
   public void dequeued() {
     phase = Phase.OPEN;
   }
 
-  /** Returns false if it was closed before. */
+  /** Closes the request; returns false if it was closed before. */
   boolean close() {
     boolean wasOpen = phase != Phase.CLOSED;
     phase = Phase.CLOSED;
     return wasOpen;
   }
 
-  /** The priority weight that a response in time earns. */
+  /** The weight that a response within the latency objective earns. */
   public double weight() {
     return weight;
   }
 
-  /** Drawn once, by weight: the part of other routers' load at a worker that it gives way to. */
+  /**
+   * Share of other routers' load at a worker that counts against this request, if below 1. Drawn at
+   * random on arrival; the greater the weight, the smaller on average.
+   */
   public double capacityDraw() {
     return capacityDraw;
   }
 
-  /** Sets the weight and the draw that depends on it. */
+  /** Sets the weight and the {@link #capacityDraw()} that was drawn for it. */
   public void prioritize(double priorityWeight, double draw) {
     weight = priorityWeight;
     capacityDraw = draw;
   }
 
-  /** The weight that a response now would earn. */
+  /** The weight that a response at this time would earn. */
   public double weightAt(Duration now) {
     boolean inTime = now.minus(arrivedAt).compareTo(requestClass.latencyObjective) < 0;
     return inTime ? weight : weight * requestClass.lateValueShare;
   }
 
-  /** Whether a repeat does no harm at any worker, key or not. */
+  /** Whether it may be executed again at any worker without an idempotency key. */
   public boolean isIdempotent() {
     return requestClass.idempotency == Idempotency.IDEMPOTENT;
   }
 
-  /** Whether a repeat does no harm, at least where its idempotency key is known. */
+  /** Whether it may be executed again, at least where workers drop repeats by idempotency key. */
   public boolean isRepeatable() {
     return requestClass.idempotency != Idempotency.NON_IDEMPOTENT;
   }
 
-  /** Whether a repeat does no harm whoever sends it and to whichever worker. */
+  /** Whether it may be sent again to any worker by anyone, including the client. */
   public boolean isRepeatableAnywhere() {
     return isIdempotent()
         || (isRepeatable() && requestClass.deduplicationScope == DeduplicationScope.ALL);
   }
 
-  /** Whether a worker drops repeats of what the first executed attempt may have done. */
+  /** Whether a worker is in the deduplication scope of the first attempt that may have executed. */
   public boolean isInScope(Worker worker) {
     boolean sameZone = worker.zone() == firstWorker.zone();
     return switch (requestClass.deduplicationScope) {
@@ -133,27 +136,27 @@
     };
   }
 
-  /** When the first attempt that may have been executed was sent. */
+  /** When the first attempt that may have executed was sent. */
   public Duration firstSentAt() {
     return firstSentAt;
   }
 
-  /** Attempts in flight. */
+  /** Number of its attempts in flight. */
   public int inFlight() {
     return inFlight;
   }
 
-  /** Whether no attempt was executed, nor can be. */
+  /** Whether no attempt can have executed and none is in flight. */
   public boolean neverExecuted() {
     return possibleExecutions + inFlight == 0;
   }
 
-  /** Whether it has had so many attempts. */
+  /** Whether it has had at least this many attempts. */
   public boolean hasUsedUp(int maxAttempts) {
     return attempts.size() >= maxAttempts;
   }
 
-  /** An attempt is sent to a worker. */
+  /** Records the start of an attempt at a worker. */
   public void attemptStarted(Worker worker, AttemptState attempt, Duration now) {
     attempts.add(attempt);
     inFlight++;
@@ -165,7 +168,7 @@
     function.replicaAt(worker).used(now);
   }
 
-  /** An attempt at a worker ended; returns it. */
+  /** Records the end of an attempt at a worker; returns the attempt. */
   public AttemptState attemptEnded(int index, Worker worker, AttemptOutcome outcome) {
     AttemptState attempt = attempts.get(index);
     attempt.ended();
@@ -175,7 +178,7 @@
     return attempt;
   }
 
-  /** The number of attempts so far. */
+  /** Number of attempts so far. */
   int attemptCount() {
     return attempts.size();
   }
@@ -184,17 +187,17 @@
     return attempts.get(index).isInFlight();
   }
 
-  /** An attempt at a worker ended without a response. */
+  /** Records that an attempt at a worker ended without a successful response. */
   public void failedAt(Worker worker) {
     failedWorkers.set(worker.id);
   }
 
-  /** Whether an attempt at a worker ended without a response. */
+  /** Whether an attempt at a worker ended without a successful response. */
   public boolean hasFailedAt(Worker worker) {
     return failedWorkers.get(worker.id);
   }
 
-  /** The number of workers at which an attempt ended without a response. */
+  /** Number of workers at which an attempt ended without a successful response. */
   public int failedWorkerCount() {
     return failedWorkers.cardinality();
   }
@@ -204,36 +207,36 @@
   }
 
   /**
-   * It failed at a worker, perhaps by its own fault; if it succeeds elsewhere, the worker was at
-   * fault.
+   * Records that it failed at a worker but may have caused the error itself. If it succeeds at
+   * another worker, the error was the fault of the suspected worker.
    */
   public void suspect(Worker worker) {
     suspectWorker = worker;
   }
 
-  /** The worker suspected last, null for none; it is suspected no more. */
+  /** Returns the worker suspected last, or null, and clears the suspicion. */
   public Worker takeSuspect() {
     Worker suspect = suspectWorker;
     suspectWorker = null;
     return suspect;
   }
 
-  /** Whether it ever waited for load probes. */
+  /** Whether it has ever waited for load probes. */
   public boolean hasWaitedForProbes() {
     return probeDeadline != null;
   }
 
-  /** It waits until a time for the load probes that are sent for it. */
+  /** Sets the time until which it waits for load probes. */
   public void waitForProbes(Duration until) {
     probeDeadline = until;
   }
 
-  /** Whether it waits for load probes: some are in flight and the wait is not over. */
+  /** Whether it still waits for load probes: one is in flight and the time is not over. */
   public boolean isWaitingForProbes(Duration now) {
     return pendingProbes > 0 && now.compareTo(probeDeadline) < 0;
   }
 
-  /** Load probes in flight that it waits for. */
+  /** Number of load probes in flight that it waits for. */
   public int pendingProbes() {
     return pendingProbes;
   }
--- a/src/main/java/switchgap/policy/state/RequestClass.java
+++ b/src/main/java/switchgap/policy/state/RequestClass.java
@@ -5,7 +5,7 @@
 import switchgap.policy.api.Idempotency;
 import switchgap.policy.api.RouterSettings;
 
-/** A request class: its settings, and measurements of its attempts at loaded replicas. */
+/** The settings of a request class, and measurements of its attempts at loaded replicas. */
 public final class RequestClass {
   public final Duration latencyObjective;
   public final Duration deduplicationWindow;
@@ -14,10 +14,10 @@
   public final Idempotency idempotency;
   public final DeduplicationScope deduplicationScope;
 
-  /** Durations as a ratio to the latency objective. */
+  /** Ratios of durations to the latency objective. */
   public final Histogram relativeDurations;
 
-  /** Other routers' requests at the workers, one value for each duration. */
+  /** Other routers' requests at the worker of each attempt, one value per duration. */
   public final Histogram foreignLoads;
 
   RequestClass(RouterSettings settings, int index, HistogramEdges edges) {
@@ -31,13 +31,13 @@
     foreignLoads = new Histogram(edges.foreignLoads());
   }
 
-  /** Records a response of a loaded replica. */
+  /** Records a response from a loaded replica. */
   public void responded(double relativeDuration, double foreignLoad) {
     relativeDurations.add(relativeDuration);
     foreignLoads.add(foreignLoad);
   }
 
-  /** Halves the counts if there are more responses than this. */
+  /** Halves the counts if there are more responses than a maximum. */
   public void halveAbove(double maxSamples) {
     if (relativeDurations.total() > maxSamples) {
       relativeDurations.halve();
--- a/src/main/java/switchgap/policy/state/SettingsSnapshot.java
+++ b/src/main/java/switchgap/policy/state/SettingsSnapshot.java
@@ -6,8 +6,9 @@
 import switchgap.policy.api.RouterSettings;
 
 /**
- * The settings, read once at the router's start since some are parsed at each access. The fields
- * are those of {@link RouterSettings}; a setting that depends on a missing permission is null.
+ * The settings of a router, read once at its start because some are parsed at each access. The
+ * fields correspond to the methods of {@link RouterSettings}; a setting that requires a permission
+ * that is not granted is null.
  */
 public final class SettingsSnapshot {
   public final int routerIndex;
@@ -16,13 +17,13 @@
   public final Duration tickInterval;
   public final RequestClass[] requestClasses;
 
-  /** The highest weight of all request classes. */
+  /** The highest priority weight of all request classes. */
   public final double maxPriorityWeight;
 
   /** The shortest latency objective of all request classes. */
   public final Duration shortestObjective;
 
-  /** Quota of each tenant. */
+  /** Quota of each tenant in requests per second. */
   public final double[] tenantQuotas;
 
   public final double overQuotaWeight;
@@ -31,7 +32,7 @@
   public final boolean probesAllowed;
   public final boolean cancellationAllowed;
 
-  /** Null if a rejection may not carry a retry delay. */
+  /** Maximum retry delay of a rejection; null if rejections may not carry one. */
   public final Duration maxRetryAfter;
 
   public final Duration drainGrace;
@@ -46,7 +47,7 @@
   public final double loadQuotaPerRequest;
   public final Duration loadQuotaWindow;
 
-  /** Whether load commands are counted over a window. */
+  /** Whether load commands are limited by a quota. */
   public final boolean hasLoadQuota;
 
   public final double idleMemoryPrice;
@@ -55,10 +56,10 @@
   public final double probePrice;
   public final boolean capacityReported;
 
-  /** The longest time between two polls of the endpoint list, null if it is not polled. */
+  /** Maximum time between two polls of the endpoint list; null if it is not polled. */
   public final Duration endpointPollInterval;
 
-  /** Reads the settings; the edges are those of the histograms that each request class keeps. */
+  /** Reads the settings and creates the request classes, whose histograms have these bin edges. */
   public SettingsSnapshot(RouterSettings settings, HistogramEdges edges) {
     routerIndex = settings.routerIndex();
     routerCount = Math.max(1, settings.routerCount());
--- a/src/main/java/switchgap/policy/state/TenantUsage.java
+++ b/src/main/java/switchgap/policy/state/TenantUsage.java
@@ -2,20 +2,20 @@
 
 import java.util.Arrays;
 
-/** Counts requests by tenant against the tenants' shares of all quotas. */
+/** Counts requests by tenant and compares them with the tenants' shares of the sum of quotas. */
 public final class TenantUsage {
   private final double[] shares;
   private final double[] requests;
   private double allRequests;
 
-  /** The quotas may be in any unit: only their ratios count. */
+  /** Creates empty counts; only the ratios between the quotas are used, so any unit will do. */
   public TenantUsage(double[] quotas) {
     requests = new double[quotas.length];
     double all = Math.max(Arrays.stream(quotas).sum(), Double.MIN_NORMAL);
     shares = Arrays.stream(quotas).map(quota -> quota / all).toArray();
   }
 
-  /** Counts a request; one of an unknown tenant is not counted. */
+  /** Counts a request, unless its tenant is unknown. */
   public void count(int tenant) {
     if (tenant < requests.length) {
       requests[tenant]++;
@@ -23,12 +23,12 @@
     }
   }
 
-  /** Requests of all tenants. */
+  /** Sum of the counts of all tenants. */
   public double total() {
     return allRequests;
   }
 
-  /** Whether a known tenant has more than this multiple of its share of all requests. */
+  /** Whether a tenant has more than a multiple of its share of requests; false if unknown. */
   public boolean exceeds(int tenant, double multiple) {
     return tenant < requests.length && requests[tenant] > multiple * shares[tenant] * allRequests;
   }
--- a/src/main/java/switchgap/policy/state/WakeUpTimer.java
+++ b/src/main/java/switchgap/policy/state/WakeUpTimer.java
@@ -4,19 +4,21 @@
 import switchgap.policy.api.PolicyActions;
 
 /**
- * The next wake-up of a policy. Tokens tell the last one scheduled from earlier ones, which are
- * ignored.
+ * Schedules the next wake-up of a policy. A token identifies the last wake-up that was scheduled;
+ * earlier ones are ignored when they fire.
  */
 public final class WakeUpTimer {
-  private Duration next; // null while none is scheduled
+  /** Time of the scheduled wake-up; null if none is scheduled. */
+  private Duration next;
+
   private long token;
 
-  /** A wake-up fired. */
+  /** Records that a wake-up fired. */
   public void fired(long firedToken) {
     next = firedToken == token ? null : next;
   }
 
-  /** Schedules a wake-up, unless an earlier one is scheduled that is not overdue. */
+  /** Schedules a wake-up, unless one is already scheduled that is no later and not overdue. */
   public void schedule(Duration due, Duration now, PolicyActions actions) {
     boolean overdue = next != null && Durations.isShorter(next, now);
     if (next == null || overdue || Durations.isShorter(due, next)) {
--- a/src/main/java/switchgap/policy/state/Worker.java
+++ b/src/main/java/switchgap/policy/state/Worker.java
@@ -7,36 +7,37 @@
 import switchgap.policy.api.WorkerState;
 
 /**
- * A worker: its entry of the endpoint list and what this router has measured of it. The histograms
- * are public, as the policy decides what they count and when they fade.
+ * A worker: its entry in the endpoint list and this router's measurements of it. The histograms are
+ * public because the policy classes decide what to add to them and when to halve them.
  */
 public final class Worker {
   public final int id;
 
-  /** The worker's id as all routers see it. */
+  /** Id of the worker, identical at all routers. */
   public final long hash;
 
-  /** Durations there as a ratio to the usual one. */
+  /** Ratios of actual to expected durations at this worker. */
   public final Histogram latencyRatios;
 
-  /** Outcomes there: 0 for a success, 1 for an error. */
+  /** Outcomes of attempts at this worker: 0 for a success, 1 for an error. */
   public final Histogram errors;
 
   /**
-   * Durations there as a ratio to the latency objective, halved each second: the last one to two.
+   * Ratios of durations at this worker to the latency objective. Since the counts are halved each
+   * second, they cover the last one to two seconds.
    */
   public final Histogram relativeDurations;
 
-  /** Attempts sent while it warms up. */
+  /** Attempts that this router sent while the worker was warming up. */
   public final SlidingWindow slowStartSends = new SlidingWindow();
 
-  /** Its ejections as an outlier. */
+  /** Its ejections by outlier detection. */
   public final EjectionState ejection = new EjectionState();
 
-  /** What its replies prove while the endpoint list is unconfirmed. */
+  /** Its lease, which is required for sends while the endpoint list is unconfirmed. */
   public final WorkerLease lease = new WorkerLease();
 
-  /** Its load as of its last report. */
+  /** Its load according to its last report. */
   public final ReportedLoad report = new ReportedLoad();
 
   private final List<Request> awaitingProbe = new ArrayList<>();
@@ -65,9 +66,9 @@
     this.relativeDurations = new Histogram(edges.relativeDurations());
   }
 
-  // The endpoint list.
+  // Endpoint list
 
-  /** Whether it takes requests. */
+  /** Whether it accepts requests, according to the endpoint list. */
   public boolean isReady() {
     return state == WorkerState.READY;
   }
@@ -76,17 +77,17 @@
     return state == WorkerState.GONE;
   }
 
-  /** Whether the endpoint list in progress has named it. */
+  /** Whether the endpoint list that is being processed has an entry for it. */
   boolean isListed() {
     return listed;
   }
 
-  /** An endpoint list begins. */
+  /** Prepares for a new endpoint list. */
   void listStarted() {
     listed = false;
   }
 
-  /** Applies its entry of the endpoint list. */
+  /** Applies its entry in the endpoint list. */
   void update(EndpointEntry entry, double memory, double weight) {
     listed = true;
     state = entry.state();
@@ -97,19 +98,19 @@
     start.listed(entry.startedAt());
   }
 
-  /** A complete endpoint list does not name it. */
+  /** Records that a complete endpoint list has no entry for it. */
   void gone() {
     state = WorkerState.GONE;
   }
 
-  /** Its process started anew: the old one's errors, latencies and ejections do not count. */
+  /** Discards the latencies, errors and ejections of the previous process after a restart. */
   public void restarted() {
     latencyRatios.clear();
     errors.clear();
     ejection.clear();
   }
 
-  /** Whether only this router can have loaded replicas there: its process has just started. */
+  /** Whether only this router can have loaded replicas there, because its process is new. */
   public boolean isPresumedEmpty() {
     return presumedEmpty;
   }
@@ -118,7 +119,7 @@
     presumedEmpty = empty;
   }
 
-  /** Its warm-up is over: other routers may have loaded replicas there. */
+  /** Records the end of its warm-up: other routers may have loaded replicas there by now. */
   public void warmedUp() {
     presumedEmpty = false;
   }
@@ -128,7 +129,7 @@
     return zone;
   }
 
-  /** Its cell within the zone. */
+  /** Number of its cell within the zone. */
   public int cell() {
     return cell;
   }
@@ -141,24 +142,24 @@
     return hashWeight;
   }
 
-  /** The start of its process, as listed or as presumed. */
+  /** The start of its process, listed or presumed. */
   public ProcessStart start() {
     return start;
   }
 
-  /** Start of its process, null if long past. */
+  /** Time when its process started, null if that was long ago. */
   public Duration startedAt() {
     return start.at();
   }
 
-  // This router's attempts, commands, queue and probes.
+  // This router's attempts, commands, queue and probes
 
-  /** This router's attempts in flight there. */
+  /** Number of this router's attempts in flight there. */
   public int inFlight() {
     return inFlight;
   }
 
-  /** This router's attempts in flight there that do not wait for a replica to be loaded. */
+  /** Number of this router's attempts in flight there that do not wait for a replica to load. */
   public int running() {
     return inFlight - waitingForLoad;
   }
@@ -181,17 +182,17 @@
     pendingCommands--;
   }
 
-  /** Whether this router has no attempt, load command or query in flight there. */
+  /** Whether this router has no attempt, load command or replica query in flight there. */
   boolean isIdle() {
     return inFlight + pendingCommands == 0;
   }
 
-  /** Queues one more request for it while the queue is placed; returns how many are ahead. */
+  /** Counts a request that waits for it in this queue step; returns the number counted before. */
   public int enqueue() {
     return queuedAhead++;
   }
 
-  /** The queue has been placed. */
+  /** Resets the count of waiting requests at the end of a queue step. */
   public void queuePlaced() {
     queuedAhead = 0;
   }
@@ -201,62 +202,65 @@
     return probeInFlight;
   }
 
-  /** A load probe is sent. */
+  /** Records that a load probe is sent. */
   void probeStarted(Duration now) {
     probeInFlight = true;
     lease.probed(now);
   }
 
-  /** A request waits for the load probe that is in flight. */
+  /** Makes a request wait for the load probe in flight. */
   public void awaitProbe(Request request) {
     awaitingProbe.add(request);
     request.probeStarted();
   }
 
-  /** The load probe that was in flight ended. */
+  /** Records the end of the load probe in flight and notifies the requests that wait for it. */
   public void probeEnded() {
     probeInFlight = false;
     awaitingProbe.forEach(Request::probeEnded);
     awaitingProbe.clear();
   }
 
-  // Health and load.
+  // Health and load
 
   /** When it last responded to an attempt or a load probe. */
   public Duration lastResponse() {
     return lastResponse;
   }
 
-  /** It responded to an attempt or a load probe. */
+  /** Records a response to an attempt or a load probe. */
   public void responded(Duration now) {
     lastResponse = now;
   }
 
-  /** Halves the counts of outcomes and latencies. */
+  /** Halves the counts of latency ratios and outcomes. */
   public void halveHealth() {
     latencyRatios.halve();
     errors.halve();
   }
 
-  /** It gets nothing until a time, and then one attempt at a time until one succeeds. */
+  /**
+   * Ejects it until a time, after which it is on probation: it gets one attempt at a time until one
+   * succeeds.
+   */
   public void eject(Duration until) {
     ejection.ejected(until);
     latencyRatios.clear();
     errors.clear();
   }
 
-  /** An attempt there succeeded. */
+  /** Records a successful attempt. */
   public void attemptSucceeded() {
     errors.add(0);
     ejection.attemptSucceeded();
   }
 
-  /** Its usual latency as a ratio to the fleet's. */
+  /** Its mean latency ratio relative to that of the fleet. */
   public double latencyRatio() {
     return latencyRatio;
   }
 
-  /** Its usual latency was measured anew. */
+  /** Sets its mean latency ratio relative to that of the fleet. */
   public void latencyRatioMeasured(double ratio) {
     latencyRatio = ratio;
   }
--- a/src/main/java/switchgap/policy/state/WorkerLease.java
+++ b/src/main/java/switchgap/policy/state/WorkerLease.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 
 /**
- * What a worker's replies prove of whether it accepts requests, for the time in which the endpoint
- * list cannot tell. All times are of commands' sends, as a reply proves the state at the earliest
- * then. It records and decides nothing.
+ * A time-limited permission to send to a worker while the endpoint list is unconfirmed, granted by
+ * the worker's own replies. A reply only shows that the worker accepted requests at some time after
+ * the command was sent, so leases count from the time of the send.
  */
 public final class WorkerLease {
   private Duration grantedAt;
@@ -17,50 +17,52 @@
   private boolean drains;
   private Duration sendLimit;
 
-  /** When the lease ends; null where there is none. */
+  /** When the lease ends; null if there is none. */
   public Duration expiresAt() {
     return expiresAt;
   }
 
-  /** When the worker was last probed; null for never. */
+  /** When the worker was last probed; null if never. */
   public Duration probedAt() {
     return probedAt;
   }
 
-  /** When the worker was reconnected to, see {@code PolicyEvents}; null for never. */
+  /** Time of the last {@code PolicyEvents.workerReconnected} event; null if there was none. */
   public Duration reconnectedAt() {
     return reconnectedAt;
   }
 
-  /** Whether the last probe was not answered, or answered that the worker does not accept. */
+  /** Whether the last probe got no reply or showed that the worker does not accept requests. */
   public boolean isDenied() {
     return deniedAt != null;
   }
 
-  /** Whether the last answer to a probe was that the worker drains. */
+  /** Whether a reply to a probe showed that the worker drains, and no lease was granted since. */
   public boolean drains() {
     return drains;
   }
 
-  /** The end of the lease that was last passed on with something sent; null for no limit. */
+  /** The send limit that was last passed to the actions; null for no limit. */
   Duration sendLimit() {
     return sendLimit;
   }
 
-  /** Something is sent that must be written by then; null for no limit. */
+  /** Records the send limit that is passed to the actions; null for no limit. */
   void sendsLimited(Duration until) {
     sendLimit = until;
   }
 
-  /** A probe is sent. */
+  /** Records that a probe is sent. */
   void probed(Duration now) {
     probedAt = now;
   }
 
   /**
-   * A reply proves that the worker accepted when the command was sent, unless it denied since.
+   * Grants a lease for a successful reply, unless a lease was granted for a later command or was
+   * denied or revoked since the command was sent.
    *
-   * @param validity length of the lease from then on
+   * @param sentAt when the command was sent
+   * @param validity length of the lease from {@code sentAt} on
    */
   public void granted(Duration sentAt, Duration validity) {
     boolean isLatest = grantedAt == null || grantedAt.compareTo(sentAt) <= 0;
@@ -74,20 +76,20 @@
     }
   }
 
-  /** A probe proved that the worker drains, or was not answered. */
+  /** Ends the lease because a probe got no reply or showed that the worker drains. */
   public void denied(Duration now, boolean isDraining) {
     expiresAt = null;
     deniedAt = now;
     drains |= isDraining;
   }
 
-  /** What was proved before may hold no longer; the next probe tells. */
+  /** Ends the lease because the worker may have stopped accepting requests. */
   public void revoked(Duration now) {
     expiresAt = null;
     revokedAt = now;
   }
 
-  /** The worker was reconnected to. */
+  /** Records a new connection to the worker, which ends the lease. */
   public void reconnected(Duration now) {
     revoked(now);
     reconnectedAt = now;
--- a/src/test/java/switchgap/policy/AttemptEnd.java
+++ b/src/test/java/switchgap/policy/AttemptEnd.java
@@ -6,8 +6,8 @@
 import switchgap.policy.api.LoadReport;
 
 /**
- * The end of an attempt, by default of a request's first attempt, at once and without a reported
- * concurrency.
+ * The end of an attempt. By default it is the first attempt of its request, its duration is zero,
+ * and the worker reports no concurrency.
  */
 final class AttemptEnd {
   private final int request;
@@ -47,19 +47,19 @@
     return ended(request, worker, AttemptOutcome.TIMED_OUT);
   }
 
-  /** The attempt's number, from 0 for each request. */
+  /** Sets the number of the attempt, counted from 0 for each request. */
   AttemptEnd number(int attempt) {
     number = attempt;
     return this;
   }
 
-  /** The attempt's duration. */
+  /** Sets the duration of the attempt. */
   AttemptEnd after(int millis) {
     durationMillis = millis;
     return this;
   }
 
-  /** The concurrency that the worker reported. */
+  /** Sets the concurrency that the worker reports. */
   AttemptEnd withConcurrency(int reported) {
     concurrency = reported;
     return this;
--- a/src/test/java/switchgap/policy/EndpointListTest.java
+++ b/src/test/java/switchgap/policy/EndpointListTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import switchgap.policy.api.WorkerState;
 
-/** What the endpoint list changes: draining, gone and restarted workers. */
+/** Workers that the endpoint list reports as draining, gone or restarted. */
 class EndpointListTest {
   @Test
   void sendsNothingToDrainingWorkerFromTheTickOfItsUpdate() {
@@ -56,7 +56,7 @@
         .contains("release request 0", "release worker " + primary, "release function 0");
   }
 
-  /** Later, other routers may have loaded any function there. */
+  /** After the warm-up, other routers may have loaded any function there. */
   @Test
   void presumesWorkerEmptyOnlyWhileItWarmsUp() {
     TestSettings settings = new TestSettings();
@@ -70,7 +70,8 @@
             })
         .until(11_000)
         .at(3_600_000, events -> harness.requestArrives(events, 0, 0));
-    assertThat(harness.count("send")).isEqualTo(1); // not loaded: others may have loaded it
+    // The replica state is unknown, since another router may have loaded it.
+    assertThat(harness.count("send")).isEqualTo(1);
     assertThat(harness.count("load")).isZero();
   }
 
--- a/src/test/java/switchgap/policy/LoadEstimatorTest.java
+++ b/src/test/java/switchgap/policy/LoadEstimatorTest.java
@@ -11,7 +11,7 @@
 import switchgap.policy.api.LoadReport;
 import switchgap.policy.api.ProbeResult;
 
-/** Usual durations and load probes. */
+/** Expected durations of requests, and load probes. */
 class LoadEstimatorTest {
   @Test
   void usualDurationFollowsRecentDurations() {
@@ -20,17 +20,14 @@
     int time = series.run(100, 20_000, 60, 40);
     time = series.run(time, 400, 400, 390);
     int arrival = time;
-    harness.at(
-        arrival,
-        events ->
-            harness.requestArrives(
-                events, 99, 0, 420)); // less than one and a half of the present duration
+    // The time-out is less than 1.5 times the recent durations of 390 ms.
+    harness.at(arrival, events -> harness.requestArrives(events, 99, 0, 420));
     String all = harness.trace();
     assertThat(all.substring(Math.max(0, all.length() - 300)))
         .contains(arrival + " reject request 99");
   }
 
-  /** Probed or not, the request is sent. */
+  /** The request is sent whether the workers are probed or not. */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.01, 0.08})
   void probesLoadOnlyWhereItsPriceIsLow(double price) {
@@ -52,7 +49,7 @@
     assertThat(harness.count("send")).isEqualTo(2);
   }
 
-  /** A worker that has just started may respond without a report. */
+  /** A worker that has just started may reply to a probe without a load report. */
   @Test
   void probesLoadAgainAfterProbeWithoutReport() {
     TestSettings settings = new TestSettings();
--- a/src/test/java/switchgap/policy/LoadPaceTest.java
+++ b/src/test/java/switchgap/policy/LoadPaceTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 import switchgap.policy.api.AttemptOutcome;
 
-/** The limit of load commands in flight, and what failed loads do to it. */
+/** The limit of load commands in flight and its reaction to slow and failed loads. */
 class LoadPaceTest {
   private record PendingLoad(int endsAt, int worker, int function) {}
 
   /**
-   * The limit begins at three loads here; it rises while loads are quick and falls to one when they
-   * are slow.
+   * The initial limit is three loads: one plus four workers divided by two routers. It rises while
+   * loads are quick and falls to one when they are slow.
    */
   @Test
   void adaptsPendingLoadsToPaceOfStore() {
@@ -58,7 +58,7 @@
         max = Math.max(max, pending.size());
         lastMax = i > 2000 ? Math.max(lastMax, pending.size()) : lastMax;
         if (i == 8) {
-          assertThat(pending.size()).as("to begin with").isEqualTo(3);
+          assertThat(pending.size()).as("initial limit").isEqualTo(3);
         }
       }
       if (loadMillis == 100) {
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Concurrent load commands for ten new functions, after loads of functions that do not exist
-   * failed.
+   * Returns the number of concurrent load commands for ten new functions, after loads of functions
+   * that do not exist have failed.
    */
   private static long loadCommandsAfterFailures(int failures) {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
@@ -117,7 +117,7 @@
     assertThat(loadCommandsAfterFailures(6)).isEqualTo(loadCommandsAfterFailures(0));
   }
 
-  /** Clients may retry requests of a function that does not exist at once. */
+  /** Clients may immediately retry requests for a function that does not exist. */
   @Test
   void loadsFunctionThatNeverLoadedOnlyOnceASecondAfterTwoFailures() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
--- a/src/test/java/switchgap/policy/LoadQuotaTest.java
+++ b/src/test/java/switchgap/policy/LoadQuotaTest.java
@@ -8,7 +8,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Rule 5: the quota of load commands. */
+/** The quota of load commands. */
 class LoadQuotaTest {
   @Test
   void keepsLoadCommandsWithinQuota() {
@@ -33,7 +33,7 @@
     assertThat(harness.count("load")).isGreaterThan(2);
   }
 
-  /** The quota counts arrivals in its window, even while no load command reads the count. */
+  /** Arrivals older than the window are dropped even if no load command reads their count. */
   @Test
   void dropsOldArrivalsWhenNoLoadIsNeeded() {
     TestSettings settings = new TestSettings();
--- a/src/test/java/switchgap/policy/NoActions.java
+++ b/src/test/java/switchgap/policy/NoActions.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import switchgap.policy.api.PolicyActions;
 
-/** Actions that do nothing; a test overrides those that matter to it. */
+/** Actions that do nothing; subclasses override those that they need. */
 class NoActions implements PolicyActions {
   @Override
   public void startAttempt(int request, int worker, Duration timeout) {}
--- a/src/test/java/switchgap/policy/OutlierDetectorTest.java
+++ b/src/test/java/switchgap/policy/OutlierDetectorTest.java
@@ -16,11 +16,11 @@
 import switchgap.policy.api.LoadReport;
 import switchgap.policy.api.ProbeResult;
 
-/** Ejection of outliers. */
+/** Ejection of failing workers. */
 class OutlierDetectorTest {
   /**
-   * Fast failures look like an idle worker: it is ejected after two errors, until one attempt
-   * succeeds.
+   * A worker that fails fast appears to be idle and would attract requests. It is ejected after two
+   * errors; after the ejection a single attempt tests whether it has recovered.
    */
   @Test
   void ejectsFailingWorkerAndRetestsItAfterEjection() throws IOException {
@@ -52,7 +52,7 @@
     harness.assertTrace("ejected");
   }
 
-  /** The worker may only be busy. */
+  /** A worker that does not reply to a probe in time may merely be busy. */
   @Test
   void doesNotEjectWorkerWhenLoadProbeTimesOut() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
@@ -70,8 +70,8 @@
   }
 
   /**
-   * The workers that requests of eight functions are sent to after so many requests of missing
-   * functions failed at one worker.
+   * Returns the workers that requests of eight functions are sent to, after {@code errors} requests
+   * of functions that do not exist have failed at one worker.
    */
   private static List<Integer> workersAfterErrors(int errors) {
     TestSettings settings = new TestSettings();
@@ -79,7 +79,8 @@
     PolicyHarness harness = new PolicyHarness(settings);
     harness.at(0, events -> list(events, 4));
     int sentTo = -1;
-    for (int i = 0; i < 60; i++) { // successes, as a fleet that only fails has no outlier
+    // A fleet that only returns errors has no outlier, so there are successes first.
+    for (int i = 0; i < 60; i++) {
       int request = 200 + i;
       harness.at(1 + i, events -> harness.requestArrives(events, request, request % 8));
       sentTo = request == 206 ? harness.sentTo(request) : sentTo;
@@ -130,7 +131,8 @@
   void doesNotEjectWorkerThatLosesSomeResponses() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
     int first = harness.scaleToTwoReplicas(0).first();
-    for (int i = 0; i < 6; i++) { // one of three responses is lost
+    // One of three responses is lost.
+    for (int i = 0; i < 6; i++) {
       int start = 2000 + 700 * i;
       harness
           .at(start, events -> harness.requestArrives(events, 2, 0))
@@ -174,7 +176,7 @@
     assertThat(workers.subList(2, 4)).doesNotContain(unresponsive);
   }
 
-  /** The second attempt of request 2 succeeds, if there is one. */
+  /** Ends the second attempt of request 2, if there is one, with success. */
   private static void succeedRetry(PolicyHarness harness, int time, int durationMillis) {
     harness.at(
         time,
--- a/src/test/java/switchgap/policy/PolicyHarness.java
+++ b/src/test/java/switchgap/policy/PolicyHarness.java
@@ -23,12 +23,12 @@
 import switchgap.policy.state.IndexedTable;
 import switchgap.testing.ReachableObjects;
 
-/** Drives the policy of one router with the events of a test and records its actions as a trace. */
+/** Passes the events of a test to the policy of one router and records its actions as a trace. */
 final class PolicyHarness implements PolicyActions {
   private static final int SEED = 7;
   private static final int TICK_MILLIS = 20;
 
-  /** The workers of a function with two target replicas, in hash order. */
+  /** The two workers with the replicas of a function, in hash order. */
   record Replicas(int first, int second) {}
 
   private final RoutingPolicy policy;
@@ -46,19 +46,19 @@
     return Duration.ofMillis(count);
   }
 
-  /** Is notified of each load command: its worker and its function. */
+  /** Sets the listener to call with the worker and the function of each load command. */
   void onLoad(BiConsumer<Integer, Integer> listener) {
     loadListener = listener;
   }
 
-  /** One tick at this time with these events. */
+  /** Runs one tick at this time with these events. */
   PolicyHarness at(int millis, Consumer<PolicyEvents> events) {
     nowMillis = millis;
     policy.tick(millis(millis), events::accept, this);
     return this;
   }
 
-  /** Ticks without an event but a wake-up, up to this time. */
+  /** Runs ticks whose only event is a wake-up, up to this time. */
   PolicyHarness until(int millis) {
     for (int time = nowMillis + TICK_MILLIS; time <= millis; time += TICK_MILLIS) {
       at(time, events -> events.wakeUp(0));
@@ -66,9 +66,9 @@
     return this;
   }
 
-  // Events.
+  // Events
 
-  /** A request arrives that times out after 2 s. */
+  /** Delivers the arrival of a request that times out after 2 s. */
   void requestArrives(PolicyEvents events, int request, int function) {
     requestArrives(events, request, function, 2000);
   }
@@ -83,7 +83,7 @@
     events.attemptEnded(end.result());
   }
 
-  /** Lists four workers and has reported concurrency raise a function to two loaded replicas. */
+  /** Lists four workers and reports concurrency until a function has two loaded replicas. */
   Replicas scaleToTwoReplicas(int function) {
     at(0, events -> list(events, 4)).at(10, events -> requestArrives(events, 0, function));
     int first = sentTo(0);
@@ -103,7 +103,7 @@
     return new Replicas(first, second[0]);
   }
 
-  // The policy's state and its recorded actions.
+  // The policy's state and its recorded actions
 
   int targetReplicas(int function) {
     return functions().get(function).targetReplicas();
@@ -138,7 +138,7 @@
     }
   }
 
-  /** The number of recorded actions that begin with these words. */
+  /** The number of recorded actions that start with this text. */
   long count(String action) {
     return trace.stream().filter(line -> line.contains(" " + action)).count();
   }
@@ -147,17 +147,17 @@
     return (int) count("send request " + request + " ");
   }
 
-  /** The worker that a request was sent to last, -1 if none or released. */
+  /** The worker that a request was last sent to, -1 if none or if the request is released. */
   int sentTo(int request) {
     return lastWorkers.getOrDefault(request, -1);
   }
 
-  /** The worker that the first attempt of all was sent to: the first in hash order. */
+  /** The worker of the very first attempt, which is the first one in hash order. */
   int firstWorker() {
     return workersSentTo().get(0);
   }
 
-  /** The workers of all attempts, in their order. */
+  /** The workers of all attempts, in the order of the attempts. */
   List<Integer> workersSentTo() {
     return trace.stream()
         .filter(line -> line.contains(" send "))
@@ -165,12 +165,12 @@
         .toList();
   }
 
-  /** The worker that function 0 was last loaded at. */
+  /** The worker of the last load command for function 0. */
   int lastLoadedAt() {
     return Integer.parseInt(trace().replaceAll("(?s).*load function 0 at worker (\\d).*", "$1"));
   }
 
-  // Actions.
+  // Actions
 
   private void record(String action) {
     trace.add(nowMillis + " " + action);
--- a/src/test/java/switchgap/policy/PolicyRules.java
+++ b/src/test/java/switchgap/policy/PolicyRules.java
@@ -10,11 +10,19 @@
 import switchgap.policy.api.DeduplicationScope;
 import switchgap.policy.api.Idempotency;
 
-/** Asserts the five rules for each decision at the time when it is taken. */
+/**
+ * Asserts the invariants of the policy for each decision when it is made: one response before the
+ * deadline, no harmful repeat, slow start and the load quota. {@link RandomEndpoints#assertReady}
+ * asserts that only ready workers get attempts and load commands.
+ */
 final class PolicyRules {
-  private static final Duration DEADLINE_MARGIN = millis(10); // two ticks
+  /** Two ticks of the router. */
+  private static final Duration DEADLINE_MARGIN = millis(10);
 
-  /** Far above the budget, which SlowStartFleetTest holds: shows only that a limit acts at all. */
+  /**
+   * Far above the overload budget, which {@link SlowStartFleetTest} checks: only shows that slow
+   * start limits attempts at all.
+   */
   private static final int MAX_SLOW_START_ATTEMPTS = 25;
 
   private final TestSettings settings;
@@ -26,31 +34,31 @@
     this.settings = settings;
   }
 
-  /** Rule 1: one response before the deadline, and nothing after it. */
+  /** Checks that the attempt ends before the deadline and is not sent after the final response. */
   void checkAttempt(TrackedRequest request, Duration now, Duration timeout) {
-    assertThat(request.isClosed()).as("rule 1: sent after the response").isFalse();
+    assertThat(request.isClosed()).as("attempt after the final response").isFalse();
     assertThat(now.plus(timeout))
-        .as("rule 1: two ticks before the deadline")
+        .as("end of the attempt, at most two ticks before the deadline")
         .isLessThanOrEqualTo(request.deadline().minus(DEADLINE_MARGIN));
-    assertThat(request.inFlight()).as("one attempt at a time").isZero();
+    assertThat(request.inFlight()).as("other attempts in flight").isZero();
   }
 
-  /** Rule 2: nothing is executed twice but where that does no harm. */
+  /** Checks that the request may be executed again at this time and worker. */
   void checkRetry(TrackedRequest request, Duration now, long firstWorker, long worker) {
     assertThat(settings.idempotency)
-        .as("rule 2: non-idempotent")
+        .as("idempotency of a retried request")
         .isNotEqualTo(Idempotency.NON_IDEMPOTENT);
     if (settings.idempotency != Idempotency.IDEMPOTENT_WITH_KEY) {
       return;
     }
     if (settings.deduplicationScope != DeduplicationScope.ALL) {
-      assertThat(zone(worker)).as("rule 2: zone").isEqualTo(zone(firstWorker));
+      assertThat(zone(worker)).as("zone of the retry").isEqualTo(zone(firstWorker));
     }
     if (settings.deduplicationScope == DeduplicationScope.CELL) {
-      assertThat(cell(worker)).as("rule 2: cell").isEqualTo(cell(firstWorker));
+      assertThat(cell(worker)).as("cell of the retry").isEqualTo(cell(firstWorker));
     }
     assertThat(now.minus(request.firstSentAt()))
-        .as("rule 2: deduplication window")
+        .as("time of the retry in the deduplication window")
         .isLessThan(settings.deduplicationWindow(0).minus(DEADLINE_MARGIN));
   }
 
@@ -63,26 +71,32 @@
   }
 
   void checkResponse(TrackedRequest request, Duration now) {
-    assertThat(now).as("rule 1: before the deadline").isLessThan(request.deadline());
+    assertThat(now).as("time of the final response").isLessThan(request.deadline());
   }
 
   void checkRejection(TrackedRequest request, Duration now) {
-    assertThat(request.isClosed()).as("rule 1: responded twice").isFalse();
+    assertThat(request.isClosed()).as("second final response").isFalse();
     boolean repeatable =
         settings.idempotency == Idempotency.IDEMPOTENT
             || (settings.idempotency == Idempotency.IDEMPOTENT_WITH_KEY
                 && settings.deduplicationScope == DeduplicationScope.ALL);
-    assertThat(request.mayHaveExecuted() && !repeatable).as("rule 2: rejected").isFalse();
+    assertThat(request.mayHaveExecuted() && !repeatable)
+        .as("rejection of a request that a retry may execute again")
+        .isFalse();
     checkResponse(request, now);
   }
 
   void checkFailure(TrackedRequest request, Duration now) {
-    assertThat(request.isClosed()).as("rule 1: responded twice").isFalse();
-    assertThat(request.mayHaveExecuted()).as("failed without an execution").isTrue();
+    assertThat(request.isClosed()).as("second final response").isFalse();
+    assertThat(request.mayHaveExecuted()).as("failed request may have executed").isTrue();
     checkResponse(request, now);
   }
 
-  /** Rule 4: attempts in an overload window at a worker whose process started at a time or null. */
+  /**
+   * Checks the number of attempts in the last overload window at a worker that is warming up.
+   *
+   * @param startedAt when the worker's process started, null if long ago
+   */
   void checkSlowStart(int worker, Duration startedAt, Duration now) {
     if (startedAt == null || now.minus(startedAt).compareTo(settings.warmUpDuration()) >= 0) {
       return;
@@ -91,20 +105,22 @@
         slowStartAttempts.computeIfAbsent(worker, index -> new ArrayDeque<>());
     attempts.add(now);
     dropOlderThan(attempts, settings.slowStartOverloadWindow(), now);
-    assertThat(attempts.size()).as("rule 4").isLessThanOrEqualTo(MAX_SLOW_START_ATTEMPTS);
+    assertThat(attempts.size())
+        .as("attempts in the overload window")
+        .isLessThanOrEqualTo(MAX_SLOW_START_ATTEMPTS);
   }
 
   void requestArrived(Duration now) {
     arrivals.add(now);
   }
 
-  /** Rule 5: load commands within the quota. */
+  /** Checks that load commands stay within the quota. */
   void checkLoadCommand(Duration now) {
     loads.add(now);
     dropOlderThan(loads, settings.loadQuotaWindow, now);
     dropOlderThan(arrivals, settings.loadQuotaWindow, now);
     assertThat((double) loads.size())
-        .as("rule 5")
+        .as("load commands in the quota window")
         .isLessThanOrEqualTo(
             settings.loadQuotaBase + settings.loadQuotaPerRequest * arrivals.size());
   }
--- a/src/test/java/switchgap/policy/RandomEndpoints.java
+++ b/src/test/java/switchgap/policy/RandomEndpoints.java
@@ -12,7 +12,7 @@
 import switchgap.policy.api.WorkerState;
 import switchgap.policy.state.IndexAllocator;
 
-/** An endpoint list whose workers drain, leave, return and restart at random. */
+/** Endpoint lists in which workers drain, leave, return and restart at random. */
 final class RandomEndpoints {
   private static final int WORKERS = 6;
   private static final long FIRST_WORKER = 1000;
@@ -21,7 +21,7 @@
   private final Map<Long, WorkerState> states = new HashMap<>();
   private final Map<Long, Duration> startTimes = new HashMap<>();
 
-  /** Lists all workers; those that were never listed are ready. */
+  /** Lists all workers; those that have never been listed are ready. */
   void listInitial(PolicyEvents events) {
     for (long worker = FIRST_WORKER; worker < FIRST_WORKER + WORKERS; worker++) {
       states.putIfAbsent(worker, WorkerState.READY);
@@ -37,7 +37,7 @@
     list(events, true);
   }
 
-  /** Changes one worker's state or has it restart. */
+  /** Changes the state of a random worker, which may also restart, and lists all workers. */
   void change(PolicyEvents events, SplittableRandom random, Duration now) {
     long name = FIRST_WORKER + random.nextInt(WORKERS);
     WorkerState state = WorkerState.values()[random.nextInt(3)];
@@ -65,21 +65,21 @@
         new EndpointEntry(worker, name, state, zone, cell, 0, 1, startTimes.get(name)));
   }
 
-  /** Rule 3. */
+  /** Asserts that a worker that gets an attempt or a load command is ready. */
   void assertReady(int worker) {
-    assertThat(states.get(nameOf(worker))).as("rule 3").isEqualTo(WorkerState.READY);
+    assertThat(states.get(nameOf(worker))).as("state of the worker").isEqualTo(WorkerState.READY);
   }
 
   long nameOf(int worker) {
     return indices.idOf(worker);
   }
 
-  /** The index of a worker, negative if it is released. */
+  /** The index of a worker, negative if it has none. */
   int indexOf(long name) {
     return indices.find(name);
   }
 
-  /** When a worker's process started, null if long ago. */
+  /** When a worker's process started, null if that was long ago. */
   Duration startedAt(int worker) {
     return startTimes.get(nameOf(worker));
   }
--- a/src/test/java/switchgap/policy/RandomFleet.java
+++ b/src/test/java/switchgap/policy/RandomFleet.java
@@ -22,12 +22,12 @@
 import switchgap.testing.ReachableObjects;
 
 /**
- * One router's policy amid random events: outcomes of all kinds at random times, endpoint lists in
- * which workers drain, leave, return and restart, and clients that disconnect. Each decision is
- * checked by {@link PolicyRules} when it is taken. All randomness comes from the seed.
+ * Runs the policy of one router with random events: outcomes of all kinds at random times, endpoint
+ * lists in which workers drain, leave, return and restart, and clients that disconnect. {@link
+ * PolicyRules} checks each decision when it is made. All random numbers come from the seed.
  */
 final class RandomFleet extends NoActions {
-  /** The mean intervals of a run, and the number of functions that requests are for. */
+  /** Length of a run, mean intervals of its events and number of its functions. */
   record Load(int seconds, int arrivalMillis, int endpointChangeMillis, int functions) {}
 
   private final IndexAllocator requestIndices = new IndexAllocator();
@@ -66,7 +66,7 @@
     return ReachableObjects.count(policy, this);
   }
 
-  /** Runs under load, then lets all requests, commands and functions end. */
+  /** Runs under load, and then until all requests and commands have ended. */
   void run(long seed, Load load) {
     random = new SplittableRandom(seed);
     later(0, endpoints::listInitial);
@@ -230,13 +230,13 @@
     endpoints.released(worker);
   }
 
-  /** Nothing may be left when all has ended: no request, no function, no count of a worker. */
+  /** Asserts that no request, function or non-zero worker count is left after a run. */
   void assertNothingIsLeft() {
     assertThat(requests).isEmpty();
     assertThat(requestIndices.size()).isZero();
     assertThat(functionIndices.size()).isZero();
     assertThat(ReachableObjects.field(ReachableObjects.field(policy, "loader"), "pendingLoads"))
-        .as("pending loads")
+        .as("pendingLoads")
         .isEqualTo(0);
     Object state = ReachableObjects.field(policy, "state");
     for (Object worker : (Iterable<?>) ReachableObjects.field(state, "workers")) {
--- a/src/test/java/switchgap/policy/RandomOutcomes.java
+++ b/src/test/java/switchgap/policy/RandomOutcomes.java
@@ -5,7 +5,7 @@
 
 /** Random outcomes of attempts and of load commands. */
 final class RandomOutcomes {
-  /** Drawn uniformly, so that an outcome is as likely as it is listed often. */
+  /** Outcomes to draw from uniformly; an outcome that is listed more often is more likely. */
   private static final AttemptOutcome[] OF_ATTEMPTS = {
     AttemptOutcome.SUCCEEDED,
     AttemptOutcome.SUCCEEDED,
--- a/src/test/java/switchgap/policy/ReplicaLoaderTest.java
+++ b/src/test/java/switchgap/policy/ReplicaLoaderTest.java
@@ -43,7 +43,7 @@
     harness.assertTrace("miss");
   }
 
-  /** Another router may have loaded it already. */
+  /** With many routers, another one may have loaded the replica already. */
   @Test
   void queriesReplicaBeforeLoadingItWithManyRouters() {
     TestSettings settings = new TestSettings();
@@ -64,7 +64,9 @@
     assertThat(harness.count("load function 0")).isZero();
   }
 
-  /** A worker may drain before the endpoint list says so; each load command has its price. */
+  /**
+   * A worker may drain before the endpoint list reports it, and each load command uses up quota.
+   */
   @ParameterizedTest
   @ValueSource(ints = {2, 100})
   void doesNotRepeatRejectedLoadCommandWithinOneSecond(int routers) {
@@ -100,18 +102,22 @@
                     events, notLoaded(0, harness.sentTo(0)).number(1).after(2).withConcurrency(0)));
       }
     }
-    assertThat(all).isNotEmpty().doesNotHaveDuplicates(); // each worker once a second
-    assertThat(all.size() + harness.count("query"))
-        .isGreaterThan(1); // others are tried, with many routers by a query
+    // Each worker gets at most one load command within the second.
+    assertThat(all).isNotEmpty().doesNotHaveDuplicates();
+    // Other workers are tried as well, with many routers by a replica query.
+    assertThat(all.size() + harness.count("query")).isGreaterThan(1);
   }
 
-  /** A replica past the target may be loaded while its worker is still warming up. */
+  /**
+   * A replica beyond the target may already be loaded at a worker that is still warming up. For
+   * these functions the first worker in hash order is the warm one.
+   */
   @ParameterizedTest
-  @ValueSource(ints = {7, 10, 24}) // functions whose first worker in hash order is the warm one
+  @ValueSource(ints = {7, 10, 24})
   void doesNotReloadReplicaAtWorkerInSlowStart(int function) {
     TestSettings settings = new TestSettings();
     settings.routerCount = 100;
-    settings.routerIndex = 50; // its slot of the rotation comes later
+    settings.routerIndex = 50; // its turn in the rotation comes after the end of this test
     PolicyHarness harness = new PolicyHarness(settings);
     List<Integer> pending = new ArrayList<>();
     int[] commands = {0};
@@ -131,7 +137,8 @@
     harness.at(
         1030,
         events -> {
-          change(events, 1, WorkerState.READY, millis(1030)); // warming up
+          // Two more workers, which are warming up.
+          change(events, 1, WorkerState.READY, millis(1030));
           change(events, 2, WorkerState.READY, millis(1030));
         });
     for (int time = 1040; time < 3000; time += 10) {
@@ -143,7 +150,7 @@
           events -> {
             now.forEach(worker -> replicaLoaded(events, worker, function, 2));
             harness.requestArrives(
-                events, request, function); // more than the one warm worker takes
+                events, request, function); // exceeds the one warm worker's capacity
           });
     }
     assertThat(commands[0]).isBetween(1, 2);
--- a/src/test/java/switchgap/policy/ReplicaScalerTest.java
+++ b/src/test/java/switchgap/policy/ReplicaScalerTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 import switchgap.policy.api.RequestArrival;
 
-/** Target replica counts and the replicas kept for idle functions. */
+/** Target replica counts, and replicas that idle functions keep. */
 class ReplicaScalerTest {
-  /** The target rises with the concurrency at the replicas and falls when it ends. */
+  /** The target rises with the concurrency at the replicas and falls when there is none. */
   @Test
   void scalesUpUnderLoadAndUnloadsWhereIdleMemoryIsPriced() throws IOException {
     TestSettings settings = new TestSettings();
@@ -37,7 +37,7 @@
     harness.assertTrace("target");
   }
 
-  /** Below the unload threshold the target falls after an idle timeout, to one replica. */
+  /** The target falls to one replica after an idle timeout below the unload threshold. */
   @Test
   void keepsTargetBetweenLoadAndUnloadThresholds() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
@@ -46,7 +46,8 @@
     for (int i = 0; i < 2400; i++) {
       int time = 20 + 40 * i;
       int request = i % 50;
-      int phase = i < 100 ? 0 : i < 1300 ? 1 : 2; // 4 s loaded, 48 s at 0.2 of a slot, 44 s idle
+      // 4 s of high load, 48 s at a concurrency of 0.2 per slot, 44 s without concurrency
+      int phase = i < 100 ? 0 : i < 1300 ? 1 : 2;
       int concurrency = phase == 0 ? 3 : phase == 1 && i % 4 == 0 ? 1 : 0;
       harness.at(time, events -> harness.requestArrives(events, request, 0));
       if (harness.sentTo(request) >= 0) {
@@ -64,7 +65,7 @@
     assertThat(after).containsExactly(2, 2, 1);
   }
 
-  /** Six workers of 4,000 MB, half of which replicas may use, under the highest load. */
+  /** There are six workers of 4,000 MB; replicas may use half of the workers and of the memory. */
   @Test
   void limitsTargetToHalfOfWorkersAndToTheirMemory() {
     for (int memoryMb : new int[] {100, 9000}) {
@@ -92,7 +93,10 @@
     }
   }
 
-  /** One of 200 routers sees few requests of a function; all must not prefer its first replica. */
+  /**
+   * Each of 200 routers sees few requests of a function. They must not all send these to its first
+   * replica.
+   */
   @Test
   void raisesTargetAfterOneReportAndSpreadsRequestsWithManyRouters() {
     TestSettings settings = new TestSettings();
@@ -110,7 +114,7 @@
     assertThat(harness.workersSentTo().stream().distinct().count()).isGreaterThan(1);
   }
 
-  /** Two requests, then none for a minute; load commands succeed after 20 ms. */
+  /** Has two requests served, then waits for a minute; load commands succeed after 20 ms. */
   private static PolicyHarness afterTwoRequests(TestSettings settings) {
     PolicyHarness harness = new PolicyHarness(settings);
     harness.at(0, events -> list(events, 4)).at(10, events -> harness.requestArrives(events, 0, 0));
@@ -138,7 +142,8 @@
   @Test
   void renewsOneReplicaOfIdleFunctionForFourIdleTimeouts() {
     PolicyHarness harness = afterTwoRequests(new TestSettings());
-    assertThat(harness.count("load")).isEqualTo(5); // every 7 s until 40 s after the last request
+    // One renewal every 7 s until 40 s after the last request.
+    assertThat(harness.count("load")).isEqualTo(5);
     assertThat(harness.count("release function")).isEqualTo(1);
   }
 
--- a/src/test/java/switchgap/policy/RequestQueueTest.java
+++ b/src/test/java/switchgap/policy/RequestQueueTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import switchgap.policy.api.RequestArrival;
 
-/** The order of queued requests and the wake-ups for them. */
+/** The order in which queued requests are sent, and the wake-ups for the queue. */
 class RequestQueueTest {
   @Test
   void queuesRequestsOfTenantOverQuotaBehindOthers() {
@@ -69,23 +69,20 @@
     assertThat(List.of(harness.sentTo(40), harness.sentTo(41), harness.sentTo(42))).containsOnly(0);
   }
 
-  /** Otherwise queued requests would be placed only as other events arrive. */
+  /** Otherwise queued requests would only be sent when other events arrive. */
   @Test
   void schedulesWakeUpAgainWhenOneIsLost() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
-    harness.at(0, events -> list(events, 1)); // schedules the first, which is lost
+    harness.at(0, events -> list(events, 1)); // schedules a wake-up, which is never delivered
     int scheduled = harness.scheduledWakeUps();
     harness
         .at(5000, events -> harness.requestArrives(events, 0, 0))
-        .at(
-            5002,
-            events ->
-                harness.attemptEnds(events, notLoaded(0, 0).after(2))); // now the request is queued
+        .at(5002, events -> harness.attemptEnds(events, notLoaded(0, 0).after(2)));
+    // Now the request is queued.
     assertThat(harness.scheduledWakeUps()).isGreaterThan(scheduled);
     int before = harness.scheduledWakeUps();
-    harness
-        .at(5500, events -> events.wakeUp(1))
-        .at(5520, events -> events.wakeUp(1)); // late, and twice
+    // The overdue wake-up is delivered after all, twice.
+    harness.at(5500, events -> events.wakeUp(1)).at(5520, events -> events.wakeUp(1));
     assertThat(harness.scheduledWakeUps()).isBetween(before, before + 2);
   }
 }
--- a/src/test/java/switchgap/policy/RequestRouterTest.java
+++ b/src/test/java/switchgap/policy/RequestRouterTest.java
@@ -19,7 +19,7 @@
 import switchgap.policy.api.AttemptResult;
 import switchgap.policy.api.LoadReport;
 
-/** The choice of a worker for a request. */
+/** Selection of the worker that a request is sent to. */
 class RequestRouterTest {
   @Test
   void overflowsToReplicaPastTargetWhenTargetReplicaIsSaturated() throws IOException {
@@ -72,7 +72,7 @@
         .trace();
   }
 
-  /** A worker that rejects counts as loaded with twice its capacity. */
+  /** The load of a worker that rejected an attempt is taken as twice its capacity. */
   @Test
   void avoidsWorkerThatRejectedAnAttempt() {
     TestSettings settings = new TestSettings();
@@ -85,7 +85,8 @@
             90,
             events ->
                 harness.attemptEnds(events, succeeded(0, primary).after(80).withConcurrency(8)))
-        .until(1100); // the target rises to two
+        .until(1100);
+    // Now the target is two replicas.
     harness.at(1110, events -> harness.requestArrives(events, 1, 0)).until(1200);
     int rejecting = harness.sentTo(1);
     harness.at(
@@ -97,7 +98,7 @@
   }
 
   /**
-   * Whatever their index and seed, all routers send the requests of a function to the same workers.
+   * All routers rank the workers for a function alike, so that their requests share its replicas.
    */
   @Test
   void allRoutersHaveTheSameHashOrder() {
@@ -119,8 +120,8 @@
   }
 
   /**
-   * A report counts mostly this router's own requests, of a moment ago: it would empty idle
-   * workers.
+   * With few routers, most requests in a load report are this router's own, and they may have ended
+   * since. If they were taken as other routers' load, idle workers would get no requests.
    */
   @Test
   void ignoresReportedInFlightRequestsWithFewRouters() {
@@ -128,7 +129,7 @@
     Set<Integer> loading = new HashSet<>();
     harness.onLoad((worker, function) -> loading.add(worker));
     harness.at(0, events -> list(events, 4));
-    for (int i = 0; i < 200; i++) { // until the target is at two
+    for (int i = 0; i < 200; i++) {
       int request = i;
       harness.at(10 + 20 * i, events -> harness.requestArrives(events, request, 0));
       harness.at(
@@ -187,7 +188,8 @@
       }
     }
     assertThat(early).isGreaterThanOrEqualTo(3);
-    assertThat(late).isLessThan(15); // of 40
+    // At most 15 of the last 40 requests go to the slow worker.
+    assertThat(late).isLessThan(15);
   }
 
   @Test
@@ -202,7 +204,8 @@
     int function = 0;
     PolicyHarness harness = new PolicyHarness(settings);
     PolicyHarness.Replicas replicas = harness.scaleToTwoReplicas(function);
-    while (replicas.first() % 2 == replicas.second() % 2) { // the same zone
+    while (replicas.first() % 2 == replicas.second() % 2) {
+      // Both replicas are in the same zone, so try the next function.
       harness = new PolicyHarness(settings);
       replicas = harness.scaleToTwoReplicas(++function);
     }
--- a/src/test/java/switchgap/policy/RequestSeries.java
+++ b/src/test/java/switchgap/policy/RequestSeries.java
@@ -5,14 +5,14 @@
 
 import switchgap.policy.api.PolicyEvents;
 
-/** A long series of requests of function 0 at three workers, each of which succeeds. */
+/** A long series of successful requests for function 0 with three workers. */
 final class RequestSeries {
   private static final int REQUEST_INDICES = 50;
 
   private final PolicyHarness harness;
   private int requests;
 
-  /** Lists the workers and has a first request served. */
+  /** Lists the workers and serves a first request. */
   RequestSeries(PolicyHarness harness) {
     this.harness = harness;
     harness
@@ -21,7 +21,7 @@
         .at(50, events -> succeed(events, 0, 45));
   }
 
-  /** Requests at an interval, each served after its duration; returns the time after the last. */
+  /** Serves requests that arrive at an interval; returns the arrival time of the next one. */
   int run(int startMillis, int count, int intervalMillis, int durationMillis) {
     int time = startMillis;
     for (int i = 0; i < count; i++, time += intervalMillis) {
--- a/src/test/java/switchgap/policy/RetryPolicyTest.java
+++ b/src/test/java/switchgap/policy/RetryPolicyTest.java
@@ -16,13 +16,13 @@
 import switchgap.policy.api.Idempotency;
 import switchgap.policy.api.LoadReport;
 
-/** Retries, idempotency and the final response of a request. */
+/** Retries of a request, its idempotency and its final response. */
 class RetryPolicyTest {
   private static PolicyHarness afterError(Idempotency idempotency, DeduplicationScope scope) {
     return afterError(idempotency, scope, 0);
   }
 
-  /** The first attempt fails; the rest depends on the idempotency of the request. */
+  /** Fails the first attempt of request 0 and runs until after its deadline. */
   private static PolicyHarness afterError(
       Idempotency idempotency, DeduplicationScope scope, int function) {
     TestSettings settings = new TestSettings();
@@ -53,11 +53,12 @@
     afterError(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE)
         .assertTrace("idempotency-key-zone");
     for (int function = 1; function < 8; function++) {
+      // The zone of a worker is its number modulo 2.
       assertThat(
               afterError(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, function)
                   .workersSentTo()
                   .stream()
-                  .map(worker -> worker % 2) // the zone
+                  .map(worker -> worker % 2)
                   .distinct())
           .hasSize(1);
     }
@@ -78,8 +79,9 @@
   }
 
   /**
-   * The window is 1,000 ms less two ticks: a retry is allowed 980 ms after the first attempt, not
-   * after 994 ms, whichever attempt ended.
+   * The window is 1,000 ms less two ticks of 5 ms. A retry is allowed 980 ms after the first
+   * attempt but not after 994 ms, whichever attempt ended. The last number of each array is the
+   * expected number of attempts, the others are the times at which attempts end.
    */
   @Test
   void countsDeduplicationWindowFromFirstAttemptThatMayHaveExecuted() {
@@ -113,8 +115,8 @@
   }
 
   /**
-   * The replica is loaded after a pause of the router: at 2003 ms, with a deadline of 2010 ms less
-   * two ticks of 5 ms.
+   * The load of the replica ends at 2,003 ms, within the margin of two ticks of 5 ms before the
+   * deadline at 2,010 ms.
    */
   @Test
   void doesNotSendRequestWithinDeadlineMargin() {
@@ -128,7 +130,7 @@
     assertThat(harness.count("reject request 0")).isEqualTo(1);
   }
 
-  /** Clients that time out before a response is possible, and retry, would occupy every worker. */
+  /** Requests that cannot be served in time, and their retries, would occupy all workers. */
   @Test
   void rejectsRequestOnArrivalWhenDeadlineIsTooNear() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
--- a/src/test/java/switchgap/policy/RoutingInvariantsTest.java
+++ b/src/test/java/switchgap/policy/RoutingInvariantsTest.java
@@ -9,7 +9,7 @@
 import switchgap.policy.api.DeduplicationScope;
 import switchgap.policy.api.Idempotency;
 
-/** The five rules amid random events, and that the policy forgets all that has ended. */
+/** The invariants of the policy under random events, and its release of state that has ended. */
 class RoutingInvariantsTest {
   private static TestSettings settingsWithQuota() {
     TestSettings settings = new TestSettings();
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Requests, functions and workers come and go for three days. */
+  /** Requests, functions and workers arrive and leave for three simulated days. */
   @Test
   void holdsNoMoreAfterThreeDaysThanAfterOne() {
     RandomFleet fleet = new RandomFleet(settingsWithQuota(), 0);
--- a/src/test/java/switchgap/policy/SlowStartBudget.java
+++ b/src/test/java/switchgap/policy/SlowStartBudget.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** Measures attempts at a worker that warms up against the overload budget of each window. */
+/** Compares the attempts at a worker that is warming up with the overload budget of each window. */
 final class SlowStartBudget {
   private static final int WINDOW_MILLIS = 1000;
 
@@ -12,12 +12,16 @@
   private int attempts;
   private double maxShare;
 
-  /** For a worker that bears this many requests a second when it is warm. */
+  /**
+   * Creates the budget of a worker.
+   *
+   * @param fullRate rate of the worker in requests/s when it is warm
+   */
   SlowStartBudget(double fullRate) {
     this.fullRate = fullRate;
   }
 
-  /** An attempt was sent at a time since the start of the worker's process. */
+  /** Records an attempt that was sent when the worker's process had this age. */
   void attemptSent(int ageMillis) {
     attempts++;
     attemptsInWindow.addLast(ageMillis);
@@ -29,7 +33,7 @@
     maxShare = Math.max(maxShare, attemptsInWindow.size() / (allowed + slack));
   }
 
-  /** Attempts that the settings allow on average in a window that ends at this age. */
+  /** Mean number of attempts that the settings allow in a window that ends at this age. */
   private double allowedAttempts(int ageMillis) {
     double age = ageMillis / (double) settings.warmUpDuration().toMillis();
     double share =
@@ -42,7 +46,7 @@
     return attempts;
   }
 
-  /** The most that was sent in any window, as a share of its budget. */
+  /** The highest share of its budget that was used in any window. */
   double maxShare() {
     return maxShare;
   }
--- a/src/test/java/switchgap/policy/SlowStartFleet.java
+++ b/src/test/java/switchgap/policy/SlowStartFleet.java
@@ -17,10 +17,13 @@
 import switchgap.policy.api.RequestArrival;
 import switchgap.policy.api.WorkerState;
 
-/** Many routers, a fleet of warm workers and one new worker, in simulated time. */
+/** Simulates many routers, a fleet of warm workers and one worker that starts later. */
 final class SlowStartFleet {
   private static final int STEP_MILLIS = 10;
-  private static final int NEW_WORKER = 30; // its index, after as many warm ones
+
+  /** Index of the new worker, and the number of warm workers before it. */
+  private static final int NEW_WORKER = 30;
+
   private static final int NEW_WORKER_STARTS_AT = 4000;
   private static final int RESTART_AT = 6350;
   private static final int ENDS_AT = 14_000;
@@ -37,11 +40,14 @@
   private final int[] inFlight = new int[NEW_WORKER + 1];
   private final int workMillis;
   private final int slots;
-  private final double fullRate; // requests a second of one worker
+
+  /** Rate of one warm worker in requests/s. */
+  private final double fullRate;
+
   private final SlowStartBudget budget;
   private int now;
 
-  /** Requests take {@code workMillis}, {@code slots} of them at a time at each worker. */
+  /** Each worker executes up to {@code slots} requests at a time, each for {@code workMillis}. */
   SlowStartFleet(int routerCount, int workMillis, int slots) {
     this.workMillis = workMillis;
     this.slots = slots;
@@ -56,7 +62,7 @@
     return budget;
   }
 
-  /** One router's process; a restarted router is another one, with a clock of its own. */
+  /** The process of one router. A restarted router is a new instance, whose time starts at zero. */
   private final class Router extends NoActions {
     private final int index;
     private final int incarnation;
@@ -194,8 +200,8 @@
   }
 
   /**
-   * Runs the fleet to its end under a load, as a multiple of what the warm workers bear; with
-   * {@code restarts}, seven in ten routers restart on the way.
+   * Runs the simulation. The request rate is {@code load} times the full rate of all warm workers.
+   * If {@code restarts} is true, 7 in 10 routers restart while the new worker is warming up.
    */
   void run(double load, boolean restarts) {
     double requestsPerSecond = load * NEW_WORKER * fullRate;
@@ -231,7 +237,7 @@
     }
   }
 
-  /** Events of a router's earlier incarnation are lost. */
+  /** Delivers the events that are due; those for an earlier process of a router are lost. */
   private void deliverEvents() {
     while (!due.isEmpty() && due.peek().time <= now) {
       Event event = due.poll();
--- a/src/test/java/switchgap/policy/SlowStartFleetTest.java
+++ b/src/test/java/switchgap/policy/SlowStartFleetTest.java
@@ -6,8 +6,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Rule 4 over a fleet: what all routers together send to a worker that warms up stays within N + 2
- * sqrt(N) + 2 in any window (N + 3 sqrt(N) + 3 below 30), whichever routers restart.
+ * Slow start over a whole fleet: in any overload window, all routers together send at most N + 2
+ * sqrt(N) + 2 attempts (N + 3 sqrt(N) + 3 if N is below 30) to a worker that is warming up, even if
+ * routers restart. N is the mean number of attempts that the settings allow.
  */
 class SlowStartFleetTest {
   @ParameterizedTest(
@@ -31,7 +32,7 @@
     SlowStartFleet fleet = new SlowStartFleet(routers, workMillis, slots);
     fleet.run(load, restarts);
     SlowStartBudget budget = fleet.budget();
-    assertThat(budget.attempts()).as("attempts at the new worker").isGreaterThan(5);
+    assertThat(budget.attempts()).as("number of attempts at the new worker").isGreaterThan(5);
     assertThat(budget.maxShare())
         .as("share of the budget, %d attempts", budget.attempts())
         .isLessThanOrEqualTo(1);
--- a/src/test/java/switchgap/policy/SlowStartTest.java
+++ b/src/test/java/switchgap/policy/SlowStartTest.java
@@ -6,9 +6,9 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Rule 4 at one router: what a worker that warms up is sent. */
+/** Slow start at a single router: the limit of attempts at a worker that is warming up. */
 class SlowStartTest {
-  /** All routers share one budget; attempts that miss a replica count, too. */
+  /** Each router uses only its share of the budget; attempts without a loaded replica count too. */
   @Test
   void limitsAttemptsAtWorkerInSlowStart() {
     TestSettings settings = new TestSettings();
@@ -24,12 +24,12 @@
       int request = i;
       harness.at(1010 + 20 * i, events -> harness.requestArrives(events, request, 0));
     }
-    // A warm worker bears ten requests a second: 2 x 0.2 x 10 / 4 routers is one a second.
+    // Full rate 10/s, capacity share 0.2, overload multiple 2: 2 x 0.2 x 10 / 4 routers = 1/s.
     assertThat(harness.count("send")).isBetween(1L, 2L);
   }
 
   /**
-   * In one slot of the rotation several of 200 routers may send one request each: with one a slot,
+   * Several of 200 routers may send a request in the same slot of the rotation. If only one could,
    * new workers would starve.
    */
   @Test
--- a/src/test/java/switchgap/policy/TestEvents.java
+++ b/src/test/java/switchgap/policy/TestEvents.java
@@ -9,11 +9,11 @@
 import switchgap.policy.api.PolicyEvents;
 import switchgap.policy.api.WorkerState;
 
-/** Endpoint lists and ends of load commands as tests state them. */
+/** Delivers endpoint lists and ends of load commands to a policy. */
 final class TestEvents {
   private TestEvents() {}
 
-  /** A complete endpoint list of ready workers, numbered from 0. */
+  /** Delivers a complete endpoint list of ready workers, numbered from 0. */
   static void list(PolicyEvents events, int workers) {
     events.endpointListStarted(true);
     for (int worker = 0; worker < workers; worker++) {
@@ -22,21 +22,21 @@
     events.endpointListEnded();
   }
 
-  /** A complete endpoint list of worker 0 alone, whose process started at a time. */
+  /** Delivers a complete endpoint list with only worker 0, whose process started at this time. */
   static void listOneStartedAt(PolicyEvents events, Duration startedAt) {
     events.endpointListStarted(true);
     list(events, 0, WorkerState.READY, startedAt);
     events.endpointListEnded();
   }
 
-  /** A change of one worker; {@code startedAt} is null if its process started long ago. */
+  /** Delivers a change of one worker; {@code startedAt} is null if its process started long ago. */
   static void change(PolicyEvents events, int worker, WorkerState state, Duration startedAt) {
     events.endpointListStarted(false);
     list(events, worker, state, startedAt);
     events.endpointListEnded();
   }
 
-  /** A worker's zone and cell are its number modulo 2. */
+  /** Delivers the entry of one worker, whose zone and cell are its number modulo 2. */
   private static void list(PolicyEvents events, int worker, WorkerState state, Duration startedAt) {
     events.endpointListed(
         new EndpointEntry(worker, 1000 + worker, state, worker % 2, worker % 2, 0, 1, startedAt));
--- a/src/test/java/switchgap/policy/TestSettings.java
+++ b/src/test/java/switchgap/policy/TestSettings.java
@@ -7,7 +7,10 @@
 import switchgap.policy.api.Idempotency;
 import switchgap.policy.api.RouterSettings;
 
-/** Settings of one of two routers with one request class; a test sets fields before it starts. */
+/**
+ * Settings of one of two routers with one request class. A test changes the fields before it
+ * creates the policy.
+ */
 class TestSettings implements RouterSettings {
   Idempotency idempotency = Idempotency.IDEMPOTENT;
   DeduplicationScope deduplicationScope = DeduplicationScope.ALL;
--- a/src/test/java/switchgap/policy/TrackedRequest.java
+++ b/src/test/java/switchgap/policy/TrackedRequest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import switchgap.policy.api.AttemptOutcome;
 
-/** A request and its attempts as the test bed knows them, independent of the policy. */
+/** A request and its attempts as the test records them, independently of the policy. */
 final class TrackedRequest {
   private final Duration deadline;
   private final List<Integer> workers = new ArrayList<>();
@@ -38,17 +38,17 @@
     return inFlight;
   }
 
-  /** Whether an attempt may have been executed, or may yet be. */
+  /** Whether an attempt may have executed or may still execute. */
   boolean mayHaveExecuted() {
     return inFlight > 0 || outcomes.stream().anyMatch(outcome -> !outcome.neverExecuted());
   }
 
-  /** When the first attempt that may have been executed was sent. */
+  /** When the first attempt that may have executed was sent. */
   Duration firstSentAt() {
     return firstSentAt;
   }
 
-  /** The worker of the first attempt that may have been executed. */
+  /** The worker of the first attempt that may have executed. */
   int firstWorker() {
     int attempt = 0;
     while (outcomes.get(attempt).neverExecuted()) {
@@ -62,7 +62,7 @@
       firstSentAt = now;
     }
     workers.add(worker);
-    outcomes.add(AttemptOutcome.TIMED_OUT); // until its end is known
+    outcomes.add(AttemptOutcome.TIMED_OUT); // placeholder; attemptEnded replaces it
     inFlight++;
   }
 
