--- a/src/test/java/switchgap/policy/WorkerLeasesTest.java
+++ b/src/test/java/switchgap/policy/WorkerLeasesTest.java
@@ -18,7 +18,7 @@
 import switchgap.policy.api.ProbeResult;
 import switchgap.policy.api.WorkerState;
 
-/** What workers are sent while the endpoint list is unconfirmed. */
+/** Leases of workers while the endpoint list is unconfirmed. */
 class WorkerLeasesTest {
   private static final int WORKERS = 4;
   private static final int CONFIRMED_UNTIL_MILLIS = 1000;
@@ -27,7 +27,10 @@
   private PolicyHarness harness;
   private int primary;
 
-  /** Function 0 has a replica at the primary worker; the list is confirmed for a second. */
+  /**
+   * Confirms the endpoint list for one second, and has one request of function 0 served, so that
+   * the primary worker is known to have its replica.
+   */
   private void serveOnceWhileConfirmed() {
     harness = new PolicyHarness(settings);
     harness
@@ -63,7 +66,9 @@
   void probesWorkerBeforeAttemptOnceListIsUnconfirmed() {
     serveOnceWhileConfirmed();
     harness.at(1200, events -> harness.requestArrives(events, 1, 0));
-    assertThat(harness.sentTo(1)).as("sent before the reply").isEqualTo(-1);
+    assertThat(harness.sentTo(1))
+        .as("worker of the request before the reply to the probe")
+        .isEqualTo(-1);
     assertThat(probesOf(primary)).isEqualTo(1);
 
     harness.at(1203, events -> probeEnds(events, primary, AttemptOutcome.SUCCEEDED));
@@ -72,7 +77,7 @@
     assertThat(harness.trace()).contains("1203 limit worker " + primary + " to 1700 ms");
   }
 
-  /** The lease lasts for the drain grace from the send of what the worker replied to. */
+  /** The lease lasts for the drain grace period from the time at which the attempt was sent. */
   @Test
   void successRenewsLeaseForDrainGrace() {
     serveOnceWhileConfirmed();
@@ -81,11 +86,11 @@
         .at(1203, events -> probeEnds(events, primary, AttemptOutcome.SUCCEEDED))
         .at(1253, events -> harness.attemptEnds(events, succeeded(1, primary).after(50)))
         .at(1690, events -> harness.requestArrives(events, 2, 0));
-    assertThat(harness.sentTo(2)).as("within the grace").isEqualTo(primary);
+    assertThat(harness.sentTo(2)).as("within the drain grace period").isEqualTo(primary);
 
     harness.at(1704, events -> harness.requestArrives(events, 3, 0));
 
-    assertThat(harness.sentTo(3)).as("past the grace").isEqualTo(-1);
+    assertThat(harness.sentTo(3)).as("after the drain grace period").isEqualTo(-1);
     assertThat(probesOf(primary)).isEqualTo(2);
   }
 
@@ -99,12 +104,12 @@
 
     assertThat(harness.attemptsOf(1)).isZero();
     for (int worker = 0; worker < WORKERS; worker++) {
-      assertThat(probesOf(worker)).as("worker %d", worker).isLessThanOrEqualTo(1);
+      assertThat(probesOf(worker)).as("probes of worker %d", worker).isLessThanOrEqualTo(1);
     }
-    assertThat(harness.count("probe")).as("another worker is probed").isEqualTo(2);
+    assertThat(harness.count("probe")).as("probes, including one of another worker").isEqualTo(2);
   }
 
-  /** A hung worker does not hold the request for the whole timeout of its probe. */
+  /** A request does not wait for the whole probe timeout of a hung worker. */
   @Test
   void passesOverWorkerThatDoesNotReplySoon() {
     serveOnceWhileConfirmed();
@@ -144,7 +149,7 @@
     assertThat(probesOf(primary)).isEqualTo(2);
   }
 
-  /** What was sent before a worker replied that it drains proves nothing after it. */
+  /** The success of an attempt that was sent before a worker reported its drain grants no lease. */
   @Test
   void lateSuccessOfEarlierAttemptGrantsNoLease() {
     serveOnceWhileConfirmed();
@@ -168,7 +173,9 @@
         .at(1204, events -> harness.requestArrives(events, 2, 0))
         .at(1206, events -> harness.attemptEnds(events, rejected(2, primary).after(2)))
         .at(1208, events -> harness.attemptEnds(events, notLoaded(1, primary).after(5)));
-    assertThat(harness.count("load")).as("the rejection has ended the lease").isZero();
+    assertThat(harness.count("load"))
+        .as("load commands after the rejection has ended the lease")
+        .isZero();
     assertThat(probesOf(primary)).isEqualTo(2);
 
     harness.at(1210, events -> probeEnds(events, primary, AttemptOutcome.SUCCEEDED)).until(1250);
@@ -176,7 +183,7 @@
     assertThat(harness.count("load function 0 at worker " + primary)).isEqualTo(1);
   }
 
-  /** Its process may be a new one, cold and empty, whose start no list has told. */
+  /** The process may be new, without replicas, and its start missing from the endpoint list. */
   @Test
   void reconnectedWorkerWarmsUp() {
     serveOnceWhileConfirmed();
@@ -185,10 +192,10 @@
         .at(2200, events -> harness.requestArrives(events, 1, 0))
         .at(2203, events -> probeEnds(events, primary, AttemptOutcome.SUCCEEDED))
         .until(2300);
-    assertThat(harness.sentTo(1)).as("it has no replica").isNotEqualTo(primary);
+    assertThat(harness.sentTo(1)).as("the restarted worker has no replica").isNotEqualTo(primary);
   }
 
-  /** A break of the stream that ends at once hides no start. */
+  /** An interruption of the event stream that ends at once cannot hide the start of a process. */
   @Test
   void reconnectionInShortOutageMeansNothing() {
     serveOnceWhileConfirmed();
@@ -200,7 +207,7 @@
     assertThat(harness.sentTo(1)).isEqualTo(primary);
   }
 
-  /** In time for the list to tell it: once the list is unconfirmed, nothing else will. */
+  /** The list became unconfirmed before it had to report a restart, so one has to be presumed. */
   @Test
   void workerReconnectedShortlyBeforeListIsUnconfirmedWarmsUp() {
     serveOnceWhileConfirmed();
@@ -210,7 +217,7 @@
         .at(2200, events -> harness.requestArrives(events, 1, 0))
         .at(2203, events -> probeEnds(events, primary, AttemptOutcome.SUCCEEDED))
         .until(2300);
-    assertThat(harness.sentTo(1)).as("it has no replica").isNotEqualTo(primary);
+    assertThat(harness.sentTo(1)).as("the restarted worker has no replica").isNotEqualTo(primary);
   }
 
   @Test
@@ -223,7 +230,7 @@
     assertThat(harness.sentTo(1)).isEqualTo(primary);
   }
 
-  /** The list tells the start that was presumed: what was learned since then still holds. */
+  /** If the list confirms a presumed restart, the replicas found since then stay known. */
   @Test
   void listedStartOfRestartedWorkerKeepsItsReplicas() {
     serveOnceWhileConfirmed();
@@ -242,10 +249,12 @@
             })
         .at(3500, events -> harness.requestArrives(events, 1, 0));
 
-    assertThat(harness.count("load")).as("it is known to have the replica").isZero();
+    assertThat(harness.count("load"))
+        .as("load commands, since the replica is known to be loaded")
+        .isZero();
   }
 
-  /** The list is confirmed again, and does not tell the start that was presumed. */
+  /** If the list is confirmed again and does not report a presumed restart, slow start ends. */
   @Test
   void restartThatTheListDoesNotTellHasNotHappened() {
     serveOnceWhileConfirmed();
@@ -263,7 +272,7 @@
     }
 
     assertThat(harness.workersSentTo().size() - sent)
-        .as("no slow start holds requests back")
+        .as("requests sent without the limits of slow start")
         .isGreaterThan(3);
   }
 
@@ -279,7 +288,7 @@
     assertThat(harness.sentTo(2)).isEqualTo(primary);
   }
 
-  /** Without probes nothing proves that a worker accepts, but a rejection that it does not. */
+  /** Without probes there are no leases, so a worker is used until it rejects an attempt. */
   @Test
   void servesWithoutProbesUntilWorkerRejects() {
     TestSettings withoutProbes =
