--- a/src/main/java/switchgap/policy/CandidateSelector.java
+++ b/src/main/java/switchgap/policy/CandidateSelector.java
@@ -14,16 +14,16 @@
  */
 final class CandidateSelector {
   /** Load difference in requests up to which replicas are considered equally loaded. */
-  private static final double OVERFLOW_LOAD = 1;
+  private static final double MIN_LOAD_DIFFERENCE = 1;
 
-  /** Cost of another zone, as a multiple of {@link #OVERFLOW_LOAD}. */
-  private static final double CROSS_ZONE_LOAD = 1.5;
+  /** Cost of another zone, as a multiple of {@link #MIN_LOAD_DIFFERENCE}. */
+  private static final double CROSS_ZONE_FACTOR = 1.5;
 
   /** Number of workers to visit beyond twice the target replica count. */
-  private static final int OVERFLOW_WORKERS = 4;
+  private static final int EXTRA_VISITED_WORKERS = 4;
 
   /** CPU utilization below which no request waits for a core. */
-  private static final double BUSY_CPU = 0.9;
+  private static final double BUSY_CPU_UTILIZATION = 0.9;
 
   /** Limit of attempts in flight, including those that wait for a load, in concurrency limits. */
   private static final double MAX_OVERCOMMIT = 3;
@@ -55,7 +55,7 @@
     Function function = request.function;
     CandidateSurvey survey = new CandidateSurvey();
     boolean avoidsFailed = request.failedWorkerCount() < state.readyWorkers();
-    int maxVisited = 2 * function.targetReplicas() + OVERFLOW_WORKERS;
+    int maxVisited = 2 * function.targetReplicas() + EXTRA_VISITED_WORKERS;
     int visited = 0;
     for (Worker worker : state.hashOrder(function)) {
       if (outliers.isEjected(worker)
@@ -68,7 +68,7 @@
       } else if (survey.hasAvailableReplica() || visited > maxVisited) {
         break;
       } else {
-        visitPastTarget(survey, request, worker);
+        visitBeyondTarget(survey, request, worker);
       }
     }
     return survey;
@@ -77,31 +77,31 @@
   private void visitTarget(CandidateSurvey survey, Request request, Worker worker) {
     Replica.State replica = state.replicaState(request.function, worker);
     survey.visited(worker, replica);
-    boolean unknown = replica == Replica.State.UNKNOWN;
-    boolean loaded = replica == Replica.State.LOADED;
+    boolean isUnknown = replica == Replica.State.UNKNOWN;
+    boolean isLoaded = replica == Replica.State.LOADED;
     if (!retries.mayAttempt(request, worker)) {
       return;
     }
     if (!hasCapacity(request, worker)) {
-      if (loaded || unknown) {
+      if (isLoaded || isUnknown) {
         survey.foundSaturated();
       }
-    } else if (loaded || (unknown && triesUnknown(request))) {
-      double difference = OVERFLOW_LOAD * state.ownShare;
-      survey.foundAvailable(worker, comparableLoad(worker, replica), difference);
-    } else if (unknown || state.settings.loadsOnDemand) {
-      survey.foundUnknown(worker);
+    } else if (isLoaded || (isUnknown && maySendToUnknown(request))) {
+      double minDifference = MIN_LOAD_DIFFERENCE * state.ownShare;
+      survey.foundAvailable(worker, comparableLoad(worker, replica), minDifference);
+    } else if (isUnknown || state.settings.loadsOnDemand) {
+      survey.foundUnknownReplica(worker);
     }
   }
 
-  private void visitPastTarget(CandidateSurvey survey, Request request, Worker worker) {
+  private void visitBeyondTarget(CandidateSurvey survey, Request request, Worker worker) {
     Replica.State replica = state.replicaState(request.function, worker);
     survey.visited(worker, replica);
-    boolean capacity = hasCapacity(request, worker);
-    if (replica == Replica.State.LOADED && capacity && retries.mayAttempt(request, worker)) {
+    boolean hasCapacity = hasCapacity(request, worker);
+    if (replica == Replica.State.LOADED && hasCapacity && retries.mayAttempt(request, worker)) {
       survey.foundOverflow(worker);
-    } else if (replica != Replica.State.LOADING && capacity && survey.next() == null) {
-      survey.foundNext(worker);
+    } else if (replica != Replica.State.LOADING && hasCapacity && survey.nextToLoad() == null) {
+      survey.foundNextToLoad(worker);
     }
   }
 
@@ -109,9 +109,9 @@
    * Whether to send to a replica in unknown state. With many routers, another router may have
    * loaded it; the request must have an attempt left in case it is missing.
    */
-  private boolean triesUnknown(Request request) {
-    boolean lastAttempt = request.hasUsedUp(state.settings.maxAttempts - 1);
-    return state.ownShare < 1 && !state.settings.loadsOnDemand && !lastAttempt;
+  private boolean maySendToUnknown(Request request) {
+    boolean isLastAttempt = request.hasReachedAttempts(state.settings.maxAttempts - 1);
+    return state.ownShare < 1 && !state.settings.loadsOnDemand && !isLastAttempt;
   }
 
   /**
@@ -119,13 +119,13 @@
    * routers so that they do not all choose the same replica.
    */
   private double comparableLoad(Worker worker, Replica.State replica) {
-    boolean crosses = state.settings.crossZonePrice > 0 && worker.zone() != state.settings.zone;
-    double crossing = crosses ? CROSS_ZONE_LOAD * OVERFLOW_LOAD : 0;
-    double guess = replica == Replica.State.UNKNOWN ? OVERFLOW_LOAD : 0;
+    boolean isCrossZone = state.settings.crossZonePrice > 0 && worker.zone() != state.settings.zone;
+    double crossZoneCost = isCrossZone ? CROSS_ZONE_FACTOR * MIN_LOAD_DIFFERENCE : 0;
+    double unknownReplicaCost = replica == Replica.State.UNKNOWN ? MIN_LOAD_DIFFERENCE : 0;
     // Without a lease the request would wait for a probe.
-    double probe = leases.holds(worker) ? 0 : OVERFLOW_LOAD;
-    double chance = state.random.nextDouble() * OVERFLOW_LOAD * (1 - state.ownShare);
-    return estimator.load(worker) + guess + probe + crossing + chance;
+    double probeCost = leases.maySendTo(worker) ? 0 : MIN_LOAD_DIFFERENCE;
+    double randomLoad = state.random.nextDouble() * MIN_LOAD_DIFFERENCE * (1 - state.ownShare);
+    return estimator.load(worker) + unknownReplicaCost + probeCost + crossZoneCost + randomLoad;
   }
 
   private boolean hasCapacity(Request request, Worker worker) {
@@ -140,10 +140,10 @@
    * load counts against it.
    */
   private boolean hasForeignCapacity(Request request, Worker worker) {
-    double yielding = Math.min(1, request.capacityDraw());
+    double countedShare = Math.min(1, request.capacityDraw());
     return state.ownShare == 1
-        || worker.report.cpuUtilization() < BUSY_CPU
-        || estimator.foreignLoad(worker) * worker.latencyRatio() * yielding
+        || worker.report.cpuUtilization() < BUSY_CPU_UTILIZATION
+        || estimator.foreignLoad(worker) * worker.latencyRatio() * countedShare
             < estimator.capacity(request.requestClass);
   }
 }
--- a/src/main/java/switchgap/policy/LoadEstimator.java
+++ b/src/main/java/switchgap/policy/LoadEstimator.java
@@ -24,16 +24,16 @@
   static final double DEFAULT_CAPACITY = 10;
 
   /** Median relative duration above which the concurrency limit of a worker shrinks. */
-  private static final double FAST_DURATION = 0.15;
+  private static final double FAST_RELATIVE_DURATION = 0.15;
 
   /** Relative duration assumed for a request class until one is measured. */
-  private static final double DEFAULT_DURATION = 0.25;
+  private static final double DEFAULT_RELATIVE_DURATION = 0.25;
 
   /** Time after which the weight of a load report has halved. */
-  private static final double REPORT_HALF_LIFE = 1;
+  private static final double REPORT_HALF_LIFE_SECONDS = 1;
 
   /** Weight of the fleet's mean latency ratio in that of a worker, in samples. */
-  private static final double PRIOR_RATIOS = 4;
+  private static final double PRIOR_SAMPLES = 4;
 
   /** Lower bound of a worker's latency ratio, relative to the fleet's mean. */
   private static final double MIN_LATENCY_RATIO = 0.5;
@@ -42,16 +42,16 @@
   private static final double MIN_CONCURRENCY = 2;
 
   /** Mean span of a worker's duration histogram, which covers the last one to two seconds. */
-  private static final double WINDOW_SECONDS = 1.5;
+  private static final double DURATION_WINDOW_SECONDS = 1.5;
 
   /** Load assumed at a worker that rejected an attempt, as a multiple of its capacity. */
-  private static final double REJECTED_LOAD = 2;
+  private static final double REJECTION_LOAD_FACTOR = 2;
 
   /** Number of load reports above which the fleet's counts are halved each second. */
   private static final double MAX_REPORTS = 64;
 
   /** Number of durations above which the counts of a request class are halved each second. */
-  private static final double MAX_SAMPLES = 256;
+  private static final double MAX_CLASS_SAMPLES = 256;
 
   /** Interval at which probing is tried again after workers replied without a load report. */
   private static final int PROBE_RETRY_SECONDS = 64;
@@ -62,7 +62,7 @@
   /** This router's equal share of the default capacity of a worker. */
   private final double ownCapacity;
 
-  private double usualForeignLoad = 1;
+  private double meanForeignLoad = 1;
   private boolean probesReportLoad = true;
 
   LoadEstimator(PolicyState state, SlowStart slowStart) {
@@ -72,20 +72,20 @@
   }
 
   void everySecond() {
-    double fleetRatio = state.fleet.latencyRatios.meanWithPrior(1, PRIOR_RATIOS);
+    double fleetRatio = state.fleet.latencyRatios.meanWithPrior(1, PRIOR_SAMPLES);
     for (Worker worker : state.workers) {
-      double ratio = worker.latencyRatios.meanWithPrior(fleetRatio, PRIOR_RATIOS) / fleetRatio;
-      worker.latencyRatioMeasured(Math.max(MIN_LATENCY_RATIO, ratio));
+      double ratio = worker.latencyRatios.meanWithPrior(fleetRatio, PRIOR_SAMPLES) / fleetRatio;
+      worker.setLatencyRatio(Math.max(MIN_LATENCY_RATIO, ratio));
       if (!state.isWarmingUp(worker)) {
         worker.warmedUp();
       }
       worker.relativeDurations.halve();
     }
-    usualForeignLoad = state.fleet.foreignLoads.meanWithPrior(1, 1);
+    meanForeignLoad = state.fleet.foreignLoads.meanWithPrior(1, 1);
     state.fleet.foreignLoads.halveAbove(MAX_REPORTS);
     state.fleet.latencyRatios.halve();
     for (RequestClass requestClass : state.settings.requestClasses) {
-      requestClass.halveAbove(MAX_SAMPLES);
+      requestClass.halveAbove(MAX_CLASS_SAMPLES);
     }
     probesReportLoad |= state.seconds() % PROBE_RETRY_SECONDS == 0;
   }
@@ -105,16 +105,17 @@
 
   void attemptSucceeded(Request request, AttemptState attempt, Worker worker, Duration duration) {
     RequestClass requestClass = request.requestClass;
-    double relative = toSeconds(duration) / toSeconds(requestClass.latencyObjective);
-    Duration usual = request.hasDurationHint() ? request.durationHint : usualDuration(requestClass);
-    double ratio = toSeconds(duration) / toSeconds(usual);
-    worker.relativeDurations.add(relative);
+    double relativeDuration = toSeconds(duration) / toSeconds(requestClass.latencyObjective);
+    Duration expected =
+        request.hasDurationHint() ? request.durationHint : medianDuration(requestClass);
+    double latencyRatio = toSeconds(duration) / toSeconds(expected);
+    worker.relativeDurations.add(relativeDuration);
     if (!attempt.replicaLoaded()) {
       return; // the duration includes the time to load the replica
     }
-    worker.latencyRatios.add(ratio);
-    state.fleet.latencyRatios.add(ratio);
-    requestClass.responded(relative, worker.report.foreignLoad());
+    worker.latencyRatios.add(latencyRatio);
+    state.fleet.latencyRatios.add(latencyRatio);
+    requestClass.responded(relativeDuration, worker.report.foreignLoad());
   }
 
   /** Records the load that a worker reported with an attempt or a probe. */
@@ -126,16 +127,16 @@
 
   /** Records full CPU utilization and a load above its capacity for a worker that rejected. */
   void workerRejected(RequestClass requestClass, Worker worker, LoadReport report) {
-    double overload = REJECTED_LOAD * capacity(requestClass);
-    record(worker, report, Math.max(reportedForeignLoad(worker, report), overload), 1);
+    double assumedLoad = REJECTION_LOAD_FACTOR * capacity(requestClass);
+    record(worker, report, Math.max(reportedForeignLoad(worker, report), assumedLoad), 1);
   }
 
   private void record(Worker worker, LoadReport report, double load, double cpuUtilization) {
     double foreignLoad = Math.max(0, load);
     worker.report.update(foreignLoad, cpuUtilization, state.now());
     // The fleet's mean takes no estimates: it enters the estimates and would drive itself up.
-    boolean reported = reportsForeignLoad(report);
-    state.fleet.foreignLoads.add(reported ? foreignLoad : Math.max(0, report.concurrency()));
+    boolean isReported = reportsForeignLoad(report);
+    state.fleet.foreignLoads.add(isReported ? foreignLoad : Math.max(0, report.concurrency()));
   }
 
   /**
@@ -165,10 +166,11 @@
   double foreignLoad(Worker worker) {
     Duration reportedAt = worker.report.reportedAt();
     if (reportedAt == null) {
-      return usualForeignLoad;
+      return meanForeignLoad;
     }
-    double decay = Math.pow(0.5, toSeconds(state.now().minus(reportedAt)) / REPORT_HALF_LIFE);
-    return usualForeignLoad + (worker.report.foreignLoad() - usualForeignLoad) * decay;
+    double decay =
+        Math.pow(0.5, toSeconds(state.now().minus(reportedAt)) / REPORT_HALF_LIFE_SECONDS);
+    return meanForeignLoad + (worker.report.foreignLoad() - meanForeignLoad) * decay;
   }
 
   /**
@@ -189,12 +191,13 @@
    */
   double concurrencyLimit(Worker worker) {
     Histogram durations = worker.relativeDurations; // includes attempts that waited for a load
-    double usual = durations.total() < 1 ? 0 : durations.quantile(0.5);
-    double rate = durations.total() / WINDOW_SECONDS;
-    double max = ownCapacity + rate * toSeconds(state.settings.shortestObjective) / 2;
-    double warm = slowStart.capacityShare(worker);
-    double min = Math.max(1, Math.min(MIN_CONCURRENCY, ownCapacity) * warm);
-    return Math.max(min, max * Math.min(warm, FAST_DURATION / usual));
+    double medianDuration = durations.total() < 1 ? 0 : durations.quantile(0.5);
+    double rate = durations.total() / DURATION_WINDOW_SECONDS;
+    double fullLimit = ownCapacity + rate * toSeconds(state.settings.shortestObjective) / 2;
+    double capacityShare = slowStart.capacityShare(worker);
+    double minLimit = Math.max(1, Math.min(MIN_CONCURRENCY, ownCapacity) * capacityShare);
+    return Math.max(
+        minLimit, fullLimit * Math.min(capacityShare, FAST_RELATIVE_DURATION / medianDuration));
   }
 
   /**
@@ -202,15 +205,18 @@
    * without a hint, the median duration of its class.
    */
   Duration expectedDuration(Request request) {
-    double ratio = state.fleet.latencyRatios.quantile(0.5);
-    boolean hinted = request.hasDurationHint() && !Double.isNaN(ratio);
-    return hinted ? scale(request.durationHint, ratio) : usualDuration(request.requestClass);
+    double medianRatio = state.fleet.latencyRatios.quantile(0.5);
+    boolean usesHint = request.hasDurationHint() && !Double.isNaN(medianRatio);
+    return usesHint
+        ? scale(request.durationHint, medianRatio)
+        : medianDuration(request.requestClass);
   }
 
   /** The median duration of the requests of a class, or a default before any is measured. */
-  static Duration usualDuration(RequestClass requestClass) {
+  static Duration medianDuration(RequestClass requestClass) {
     Histogram durations = requestClass.relativeDurations;
-    double relative = durations.total() == 0 ? DEFAULT_DURATION : durations.quantile(0.5);
-    return scale(requestClass.latencyObjective, relative);
+    double relativeDuration =
+        durations.total() == 0 ? DEFAULT_RELATIVE_DURATION : durations.quantile(0.5);
+    return scale(requestClass.latencyObjective, relativeDuration);
   }
 }
--- a/src/main/java/switchgap/policy/OutlierDetector.java
+++ b/src/main/java/switchgap/policy/OutlierDetector.java
@@ -18,10 +18,10 @@
   private static final double MAX_EJECTED_SHARE = 1 / 3.;
 
   /** Number of outcomes above which the counts of a worker are halved each second. */
-  private static final double ENOUGH_OUTCOMES = 4;
+  private static final double MAX_WORKER_OUTCOMES = 4;
 
   /** Interval at which the counts of workers with fewer outcomes are halved. */
-  private static final int HALVING_SECONDS = 8;
+  private static final int SLOW_HALVING_SECONDS = 8;
 
   /** Number of outcomes above which the counts of the fleet are halved each second. */
   private static final double MAX_FLEET_OUTCOMES = 64;
@@ -45,10 +45,10 @@
   }
 
   void everySecond() {
-    boolean halvesFew = state.seconds() % HALVING_SECONDS == 0;
+    boolean halvesAll = state.seconds() % SLOW_HALVING_SECONDS == 0;
     for (Worker worker : state.workers) {
-      if (halvesFew || worker.errors.total() > ENOUGH_OUTCOMES) {
-        worker.halveHealth();
+      if (halvesAll || worker.errors.total() > MAX_WORKER_OUTCOMES) {
+        worker.halveHealthCounts();
       }
     }
     state.fleet.errors.halveAbove(MAX_FLEET_OUTCOMES);
@@ -59,8 +59,8 @@
     switch (result.outcome()) {
       case SUCCEEDED -> attemptSucceeded(request, worker);
       case FAILED -> attemptFailed(request, worker);
-      case CONNECTION_LOST -> failed(worker);
-      case CONNECT_FAILED -> failedSurely(worker);
+      case CONNECTION_LOST -> recordPossibleFault(worker);
+      case CONNECT_FAILED -> recordFault(worker);
       case TIMED_OUT -> attemptTimedOut(request, worker, result);
       default -> {}
     }
@@ -71,18 +71,19 @@
    * hung worker responds to nothing, whereas other responses still arrive if single ones are lost.
    */
   private void attemptTimedOut(Request request, Worker worker, AttemptResult result) {
-    boolean slow = !isShorter(result.duration(), request.requestClass.latencyObjective);
-    if (slow && isShorter(worker.lastResponse(), state.now().minus(result.duration()))) {
-      failed(worker);
+    boolean exceedsObjective = !isShorter(result.duration(), request.requestClass.latencyObjective);
+    if (exceedsObjective
+        && isShorter(worker.lastResponse(), state.now().minus(result.duration()))) {
+      recordPossibleFault(worker);
     }
   }
 
   /** Does not count an error of a function that never loaded: the request may be at fault. */
   private void attemptFailed(Request request, Worker worker) {
     if (request.function.everLoaded()) {
-      failed(worker);
+      recordPossibleFault(worker);
     } else {
-      request.suspect(worker);
+      request.recordSuspect(worker);
     }
   }
 
@@ -92,23 +93,23 @@
     Worker suspect = request.takeSuspect();
     if (suspect != null) {
       // The request succeeded elsewhere, so the earlier error was the fault of that worker.
-      failed(suspect);
+      recordPossibleFault(suspect);
     }
   }
 
   /** Counts an error that may have another cause, and ejects the worker if it is an outlier. */
-  private void failed(Worker worker) {
+  private void recordPossibleFault(Worker worker) {
     countError(worker);
-    Histogram fleet = state.fleet.errors;
-    double fleetRate = (fleet.countFrom(1) + 1) / (fleet.total() + PRIOR_OUTCOMES);
-    double allowed = Math.max(MIN_ERRORS, ERROR_RATE_FACTOR * fleetRate * worker.errors.total());
-    if (worker.ejection.isOnProbation() || worker.errors.countFrom(1) >= allowed) {
+    Histogram fleetErrors = state.fleet.errors;
+    double fleetRate = (fleetErrors.countFrom(1) + 1) / (fleetErrors.total() + PRIOR_OUTCOMES);
+    double minErrors = Math.max(MIN_ERRORS, ERROR_RATE_FACTOR * fleetRate * worker.errors.total());
+    if (worker.ejection.isOnProbation() || worker.errors.countFrom(1) >= minErrors) {
       eject(worker);
     }
   }
 
   /** Counts an error that only the worker can have caused, and ejects the worker. */
-  void failedSurely(Worker worker) {
+  void recordFault(Worker worker) {
     countError(worker);
     eject(worker);
   }
@@ -120,11 +121,11 @@
 
   /** Ejects a worker, for longer each time, unless too many workers are ejected already. */
   private void eject(Worker worker) {
-    int ejected = 1;
+    int ejectedWorkers = 1;
     for (Worker other : state.workers) {
-      ejected += other.isReady() && isEjected(other) ? 1 : 0;
+      ejectedWorkers += other.isReady() && isEjected(other) ? 1 : 0;
     }
-    if (isEjected(worker) || ejected > state.readyWorkers() * MAX_EJECTED_SHARE) {
+    if (isEjected(worker) || ejectedWorkers > state.readyWorkers() * MAX_EJECTED_SHARE) {
       return;
     }
     int doublings = Math.min(MAX_DOUBLINGS, worker.ejection.count());
--- a/src/main/java/switchgap/policy/ReplicaLoader.java
+++ b/src/main/java/switchgap/policy/ReplicaLoader.java
@@ -16,8 +16,8 @@
  * multiplicative decrease (AIMD), to adapt to the throughput of the store that replicas come from.
  */
 final class ReplicaLoader {
-  /** A load that takes more than this fraction (1/3) of the idle timeout halves the limit. */
-  private static final int QUICK_LOADS = 3;
+  /** A load halves the limit unless it takes less than the idle timeout divided by this. */
+  private static final int QUICK_LOADS_PER_IDLE_TIMEOUT = 3;
 
   /** Failed loads after which a function that was never loaded is not loaded for one second. */
   private static final int MAX_FAILED_LOADS = 1;
@@ -48,14 +48,14 @@
         || !worker.isReady()
         || outliers.isEjected(worker)
         || replica.isLoadPending()
-        || wasRejectedLately(replica)
-        || failsEverywhere(function)
+        || wasRejectedRecently(replica)
+        || isProbablyMissing(function)
         || pendingLoads >= Math.max(1, maxPendingLoads)
         || isQuotaUsedUp()) {
       return false;
     }
-    if (!leases.holds(worker)) {
-      leases.acquire(worker);
+    if (!leases.maySendTo(worker)) {
+      leases.requestLease(worker);
       return false;
     }
     pendingLoads++;
@@ -64,23 +64,25 @@
   }
 
   /** Whether a function that may not exist has failed to load repeatedly, last within a second. */
-  private boolean failsEverywhere(Function function) {
+  private boolean isProbablyMissing(Function function) {
     return !function.everLoaded()
         && function.failedLoads() > MAX_FAILED_LOADS
         && state.isWithin(SECOND, function.lastLoadFailure());
   }
 
   private boolean isQuotaUsedUp() {
-    double earned = state.settings.loadQuotaPerRequest * state.loadQuota.requests(state.now());
+    double requestAllowance =
+        state.settings.loadQuotaPerRequest * state.loadQuota.requests(state.now());
     return state.settings.hasLoadQuota
-        && state.loadQuota.commands(state.now()) + 1 > state.settings.loadQuotaBase + earned;
+        && state.loadQuota.commands(state.now()) + 1
+            > state.settings.loadQuotaBase + requestAllowance;
   }
 
   /**
    * Whether the worker rejected a load within the last second: it is out of memory, or it is
    * draining and the endpoint list does not report that yet.
    */
-  private boolean wasRejectedLately(Replica replica) {
+  private boolean wasRejectedRecently(Replica replica) {
     return replica.loadRejectedAt() != null && state.isWithin(SECOND, replica.loadRejectedAt());
   }
 
@@ -89,23 +91,23 @@
    * first queries the worker, which does not count against the load quota.
    */
   void loadFirstMissing(Function function) {
-    boolean queries = state.ownShare < 1 && state.settings.loadCommandsAllowed;
+    boolean queriesFirst = state.ownShare < 1 && state.settings.loadCommandsAllowed;
     int visited = 0;
     for (Worker worker : state.hashOrder(function)) {
       Replica replica = function.replicaAt(worker);
       if (outliers.isEjected(worker)
           || leases.isUnavailable(worker)
-          || wasRejectedLately(replica)) {
+          || wasRejectedRecently(replica)) {
         continue;
       }
       if (visited++ >= function.targetReplicas()) {
         return;
       }
-      Replica.State believed = state.replicaState(function, worker);
-      if (replica.isQueryPending() || believed == Replica.State.LOADED) {
+      Replica.State presumedState = state.replicaState(function, worker);
+      if (replica.isQueryPending() || presumedState == Replica.State.LOADED) {
         continue;
       }
-      if (queries && believed == Replica.State.UNKNOWN) {
+      if (queriesFirst && presumedState == Replica.State.UNKNOWN) {
         state.dispatcher.queryReplicas(function, worker);
         return;
       }
@@ -122,7 +124,7 @@
     if (outcome == AttemptOutcome.SUCCEEDED) {
       function.attemptSucceeded(worker, state.now());
     } else if (outcome == AttemptOutcome.NOT_LOADED) {
-      function.replicaAt(worker).reportedAbsent();
+      function.replicaAt(worker).markAbsent();
       load(function, worker);
     }
   }
@@ -133,18 +135,18 @@
    */
   void loadCommandEnded(Function function, Worker worker, LoadCommandResult result) {
     AttemptOutcome outcome = result.outcome();
-    int loaded = result.loadedReplicas();
-    boolean rejected = loaded == 0 && outcome == AttemptOutcome.REJECTED;
+    int loadedReplicas = result.loadedReplicas();
+    boolean isRejected = loadedReplicas == 0 && outcome == AttemptOutcome.REJECTED;
     Replica replica = function.replicaAt(worker);
     function.commandEnded(worker);
     if (replica.isQueryPending()) {
-      replica.queryEnded(loaded, rejected, state.now());
+      replica.queryEnded(loadedReplicas, isRejected, state.now());
       return;
     }
-    replica.loadEnded(loaded, rejected, state.now());
-    adaptPace(function, result);
+    replica.loadEnded(loadedReplicas, isRejected, state.now());
+    adaptLimit(function, result);
     if (outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.CONNECTION_LOST) {
-      outliers.failedSurely(worker);
+      outliers.recordFault(worker);
     }
   }
 
@@ -152,18 +154,19 @@
    * Adapts the limit of loads in flight. Ignores failures of a function that was never loaded: it
    * may not exist, so they say nothing about the store's throughput.
    */
-  private void adaptPace(Function function, LoadCommandResult result) {
+  private void adaptLimit(Function function, LoadCommandResult result) {
     pendingLoads--;
     if (result.loadedReplicas() > 0) {
-      function.loaded();
+      function.markLoaded();
     }
     if (result.outcome() == AttemptOutcome.FAILED && !function.everLoaded()) {
       function.loadFailed(state.now());
       return;
     }
-    Duration slow = state.settings.replicaIdleTimeout.dividedBy(QUICK_LOADS);
-    boolean quick = isShorter(result.duration(), slow);
-    if (result.outcome() == AttemptOutcome.SUCCEEDED && quick) {
+    Duration maxQuickDuration =
+        state.settings.replicaIdleTimeout.dividedBy(QUICK_LOADS_PER_IDLE_TIMEOUT);
+    boolean isQuick = isShorter(result.duration(), maxQuickDuration);
+    if (result.outcome() == AttemptOutcome.SUCCEEDED && isQuick) {
       maxPendingLoads += 1 / maxPendingLoads;
     } else {
       maxPendingLoads = Math.max(1, maxPendingLoads / 2);
--- a/src/main/java/switchgap/policy/ReplicaScaler.java
+++ b/src/main/java/switchgap/policy/ReplicaScaler.java
@@ -10,15 +10,15 @@
 
 /**
  * Adjusts the target replica count of each function once a second. The target rises when the mean
- * concurrency per slot exceeds {@link #LOAD_THRESHOLD}; it falls when the concurrency has stayed at
- * or below {@link #UNLOAD_THRESHOLD} for an idle timeout.
+ * concurrency per slot exceeds {@link #SCALE_UP_CONCURRENCY}; it falls when the concurrency has
+ * stayed at or below {@link #SCALE_DOWN_CONCURRENCY} for an idle timeout.
  */
 final class ReplicaScaler {
   /** Mean concurrency per slot, as reported on arrival of attempts, above which to scale up. */
-  private static final double LOAD_THRESHOLD = 0.25;
+  private static final double SCALE_UP_CONCURRENCY = 0.25;
 
   /** Mean concurrency per slot at or below which a replica is surplus. */
-  private static final double UNLOAD_THRESHOLD = 0.15;
+  private static final double SCALE_DOWN_CONCURRENCY = 0.15;
 
   /** Slots of a replica beyond this number share the same cores and add no capacity. */
   private static final double MAX_COUNTED_SLOTS = 2;
@@ -27,10 +27,10 @@
   private static final double MIN_REPORTS = 2;
 
   /** The same limit with many routers, each of which sees few requests of a function. */
-  private static final double MIN_REPORTS_OF_FEW = 0.5;
+  private static final double MIN_REPORTS_MANY_ROUTERS = 0.5;
 
   /** Number of reports above which the counts are halved each second even with many routers. */
-  private static final double ENOUGH_REPORTS = 4;
+  private static final double MAX_REPORTS = 4;
 
   /** Maximum target replica count of a function, as a share of the ready workers. */
   private static final double MAX_REPLICA_SHARE = 0.5;
@@ -39,19 +39,19 @@
   private static final double MAX_MEMORY_SHARE = 0.5;
 
   /** A function is overloaded if at least one in this many arrivals found only full replicas. */
-  private static final int SATURATED_ONE_IN = 4;
+  private static final int ARRIVALS_PER_SATURATED = 4;
 
   /** Number of requests from which on a function keeps one replica while it is idle. */
-  private static final int MIN_REQUESTS_KEPT = 2;
+  private static final int MIN_REQUESTS_TO_KEEP_REPLICA = 2;
 
   /** Number of idle timeouts after which an idle function with a kept replica is released. */
-  private static final double TIMEOUTS_KEPT = 4;
+  private static final double RELEASE_TIMEOUTS_WITH_REPLICA = 4;
 
   /** Number of idle timeouts after which any other idle function is released. */
-  private static final double TIMEOUTS_KNOWN = 2;
+  private static final double RELEASE_TIMEOUTS = 2;
 
   /** Age at which a kept replica is renewed, as a share of the idle timeout. */
-  private static final double RENEWAL_AGE = 0.6;
+  private static final double RENEWAL_AGE_SHARE = 0.6;
 
   private final PolicyState state;
   private final OutlierDetector outliers;
@@ -60,10 +60,10 @@
   private final Duration idleTimeout;
 
   /** Only if idle memory has a price; otherwise idle replicas expire at the workers. */
-  private final boolean unloads;
+  private final boolean unloadsSurplusReplicas;
 
   /** Only if it costs little: without a load quota or a memory price, and with few routers. */
-  private final boolean keepsReplica;
+  private final boolean keepsIdleReplicas;
 
   /** Memory of all target replicas of active functions. */
   private double plannedMemoryMb;
@@ -78,10 +78,11 @@
     this.loader = loader;
     this.leases = leases;
     idleTimeout = state.settings.replicaIdleTimeout;
-    boolean commands = state.settings.loadCommandsAllowed;
-    boolean priced = state.settings.idleMemoryPrice > 0;
-    unloads = commands && priced;
-    keepsReplica = commands && !priced && !state.settings.hasLoadQuota && state.ownShare == 1;
+    boolean commandsAllowed = state.settings.loadCommandsAllowed;
+    boolean idleMemoryPriced = state.settings.idleMemoryPrice > 0;
+    unloadsSurplusReplicas = commandsAllowed && idleMemoryPriced;
+    keepsIdleReplicas =
+        commandsAllowed && !idleMemoryPriced && !state.settings.hasLoadQuota && state.ownShare == 1;
   }
 
   /** Records the concurrency that one replica reported, extrapolated to all target replicas. */
@@ -102,12 +103,14 @@
     int maxReplicas = (int) Math.max(1, Math.ceil(state.readyWorkers() * MAX_REPLICA_SHARE));
     for (Function function : state.functions) {
       rescale(function, maxReplicas);
-      boolean keeps = keepsReplica && function.totalRequests() >= MIN_REQUESTS_KEPT;
-      if (keeps) {
+      boolean keepsReplica =
+          keepsIdleReplicas && function.totalRequests() >= MIN_REQUESTS_TO_KEEP_REPLICA;
+      if (keepsReplica) {
         keepOneReplica(function);
       }
-      Duration known = scale(idleTimeout, keeps ? TIMEOUTS_KEPT : TIMEOUTS_KNOWN);
-      if (!state.isWithin(known, function.lastRequest()) && function.isIdle()) {
+      Duration releaseAfter =
+          scale(idleTimeout, keepsReplica ? RELEASE_TIMEOUTS_WITH_REPLICA : RELEASE_TIMEOUTS);
+      if (!state.isWithin(releaseAfter, function.lastRequest()) && function.isIdle()) {
         state.release(function);
       }
     }
@@ -119,7 +122,7 @@
     for (Function function : state.functions) {
       if (state.isWithin(idleTimeout, function.lastRequest())) {
         plannedMemoryMb += function.targetReplicas() * function.memoryMb();
-      } else if (function.totalRequests() >= MIN_REQUESTS_KEPT) {
+      } else if (function.totalRequests() >= MIN_REQUESTS_TO_KEEP_REPLICA) {
         keptMemoryMb += function.memoryMb();
       }
     }
@@ -128,17 +131,17 @@
   private void rescale(Function function, int maxReplicas) {
     double concurrency = meanConcurrency(function);
     boolean overloaded = isOverloaded(function, concurrency);
-    if (overloaded || concurrency > UNLOAD_THRESHOLD) {
-      function.busy(state.now());
+    if (overloaded || concurrency > SCALE_DOWN_CONCURRENCY) {
+      function.markBusy(state.now());
     }
     if (overloaded && function.targetReplicas() < maxReplicas && fitsMemory(function)) {
       scaleUp(function, concurrency, maxReplicas);
     } else if (function.targetReplicas() > 1 && !state.isWithin(idleTimeout, function.lastBusy())) {
       scaleDown(function);
     }
-    function.limitTarget(maxReplicas);
-    loadAhead(function);
-    ageReports(function);
+    function.capTarget(maxReplicas);
+    preloadMissingReplica(function);
+    decayReports(function);
     function.restartArrivalCounts();
   }
 
@@ -146,15 +149,16 @@
   private double meanConcurrency(Function function) {
     double reports = function.concurrency.total();
     double mean = function.concurrency.sum() / (reports + 1 - state.ownShare);
-    return reports >= MIN_REPORTS_OF_FEW ? mean / function.targetReplicas() : 0;
+    return reports >= MIN_REPORTS_MANY_ROUTERS ? mean / function.targetReplicas() : 0;
   }
 
   private boolean isOverloaded(Function function, double concurrency) {
-    double minReports = state.ownShare < 1 ? MIN_REPORTS_OF_FEW : MIN_REPORTS;
-    boolean reported = function.concurrency.total() >= minReports;
-    int saturated = function.saturatedArrivals();
-    return (reported && concurrency > LOAD_THRESHOLD)
-        || (saturated > 0 && saturated * SATURATED_ONE_IN >= function.recentArrivals());
+    double minReports = state.ownShare < 1 ? MIN_REPORTS_MANY_ROUTERS : MIN_REPORTS;
+    boolean hasEnoughReports = function.concurrency.total() >= minReports;
+    int saturatedArrivals = function.saturatedArrivals();
+    return (hasEnoughReports && concurrency > SCALE_UP_CONCURRENCY)
+        || (saturatedArrivals > 0
+            && saturatedArrivals * ARRIVALS_PER_SATURATED >= function.recentArrivals());
   }
 
   /**
@@ -162,27 +166,29 @@
    * each router gets few reports.
    */
   private void scaleUp(Function function, double concurrency, int maxReplicas) {
-    int target = function.targetReplicas();
-    double wanted = Math.min(maxReplicas, target * concurrency / LOAD_THRESHOLD);
-    int steps = (int) Math.max(1, (wanted - target) * (1 - state.ownShare));
-    function.scaleUp(steps);
-    plannedMemoryMb += steps * function.memoryMb();
+    int currentReplicas = function.targetReplicas();
+    double requiredReplicas =
+        Math.min(maxReplicas, currentReplicas * concurrency / SCALE_UP_CONCURRENCY);
+    int addedReplicas =
+        (int) Math.max(1, (requiredReplicas - currentReplicas) * (1 - state.ownShare));
+    function.scaleUp(addedReplicas);
+    plannedMemoryMb += addedReplicas * function.memoryMb();
   }
 
   private void scaleDown(Function function) {
     function.scaleDown(state.now());
     plannedMemoryMb -= function.memoryMb();
     Worker[] order = state.hashOrder(function);
-    if (unloads && function.targetReplicas() < order.length) {
+    if (unloadsSurplusReplicas && function.targetReplicas() < order.length) {
       state.dispatcher.unload(function, order[function.targetReplicas()]);
     }
   }
 
   /** Loads a missing target replica, unless the next request that finds none triggers the load. */
-  private void loadAhead(Function function) {
-    boolean loadsAhead =
+  private void preloadMissingReplica(Function function) {
+    boolean preloads =
         state.settings.loadsOnDemand ? function.targetReplicas() > 1 : state.ownShare >= 1;
-    if (function.recentArrivals() > 0 && loadsAhead) {
+    if (function.recentArrivals() > 0 && preloads) {
       loader.loadFirstMissing(function);
     }
   }
@@ -191,19 +197,19 @@
    * Halves the report counts so that old reports fade. With many routers each gets few reports,
    * which are kept until the function is idle.
    */
-  private void ageReports(Function function) {
-    boolean unused =
+  private void decayReports(Function function) {
+    boolean isIdle =
         function.recentArrivals() == 0 && !state.isWithin(idleTimeout, function.lastRequest());
-    if (state.ownShare == 1 || function.concurrency.total() > ENOUGH_REPORTS || unused) {
+    if (state.ownShare == 1 || function.concurrency.total() > MAX_REPORTS || isIdle) {
       function.concurrency.halve();
     }
   }
 
   private void renew(Function function, Worker worker) {
-    if (leases.holds(worker)) {
+    if (leases.maySendTo(worker)) {
       state.dispatcher.renew(function, worker);
     } else {
-      leases.acquire(worker); // the next call of everySecond renews the replica
+      leases.requestLease(worker); // the next call of everySecond renews the replica
     }
   }
 
@@ -216,10 +222,12 @@
       if (outliers.isEjected(worker) || leases.isUnavailable(worker)) {
         continue;
       }
-      boolean loaded = state.replicaState(function, worker) == Replica.State.LOADED;
+      boolean isLoaded = state.replicaState(function, worker) == Replica.State.LOADED;
       Replica replica = function.replicaAt(worker);
-      Duration renewalAge = scale(idleTimeout, RENEWAL_AGE);
-      if (loaded && !replica.isQueryPending() && !state.isWithin(renewalAge, replica.lastUsed())) {
+      Duration renewalAge = scale(idleTimeout, RENEWAL_AGE_SHARE);
+      if (isLoaded
+          && !replica.isQueryPending()
+          && !state.isWithin(renewalAge, replica.lastUsed())) {
         renew(function, worker);
       }
       return;
--- a/src/main/java/switchgap/policy/RequestQueue.java
+++ b/src/main/java/switchgap/policy/RequestQueue.java
@@ -18,7 +18,7 @@
  */
 final class RequestQueue {
   /** Number of requests that may always wait for one worker, however slow it is. */
-  private static final double MIN_LENGTH = 2;
+  private static final double MIN_QUEUE_LENGTH = 2;
 
   private final PolicyState state;
   private final CandidateSelector selector;
@@ -37,7 +37,7 @@
   /** Sends a request now or queues it. */
   void sendOrQueue(Request request) {
     if (!router.send(request, selector.survey(request))) {
-      request.queued();
+      request.markQueued();
       queue.add(request);
     }
   }
@@ -54,28 +54,28 @@
     if (queue.isEmpty()) {
       return;
     }
-    List<Request> waiting = new ArrayList<>(queue);
-    waiting.sort(
+    List<Request> queuedRequests = new ArrayList<>(queue);
+    queuedRequests.sort(
         Comparator.comparingDouble((Request request) -> -request.weightAt(state.now()))
             .thenComparing(request -> request.arrivedAt));
     queue.clear();
-    for (Request request : waiting) {
+    for (Request request : queuedRequests) {
       if (request.isQueued()) {
-        placeAgain(request);
+        retryOrGiveUp(request);
       }
     }
-    state.workers.forEach(Worker::queuePlaced);
+    state.workers.forEach(Worker::resetQueued);
   }
 
-  private void placeAgain(Request request) {
+  private void retryOrGiveUp(Request request) {
     if (request.isWaitingForProbes(state.now())) {
       queue.add(request);
       return;
     }
     CandidateSurvey survey = selector.survey(request);
     if (router.send(request, survey)) {
-      request.dequeued();
-    } else if (mayWait(request, survey)) {
+      request.markDequeued();
+    } else if (mayStayQueued(request, survey)) {
       queue.add(request);
     } else {
       retries.giveUp(request);
@@ -83,17 +83,17 @@
   }
 
   /** Whether a request may stay queued. Counts it in the queue of the worker that it waits for. */
-  private boolean mayWait(Request request, CandidateSurvey survey) {
-    boolean queueFull = survey.anyLoaded() && isQueueFull(request, survey.first());
+  private boolean mayStayQueued(Request request, CandidateSurvey survey) {
+    boolean isQueueFull = survey.anyLoaded() && enqueueExceedsLimit(request, survey.first());
     RequestClass requestClass = request.requestClass;
-    Duration usual = LoadEstimator.usualDuration(requestClass);
-    Duration latency = state.now().minus(request.arrivedAt).plus(usual);
-    boolean late = !Durations.isShorter(latency, requestClass.latencyObjective);
-    boolean loading = !survey.anyLoaded() && survey.anyLoading();
-    return !queueFull
-        && (loading || !late)
-        && !request.hasUsedUp(state.settings.maxAttempts)
-        && retries.endsInTime(request, usual);
+    Duration expectedDuration = LoadEstimator.medianDuration(requestClass);
+    Duration expectedLatency = state.now().minus(request.arrivedAt).plus(expectedDuration);
+    boolean missesObjective = !Durations.isShorter(expectedLatency, requestClass.latencyObjective);
+    boolean waitsForLoad = !survey.anyLoaded() && survey.anyLoading();
+    return !isQueueFull
+        && (waitsForLoad || !missesObjective)
+        && !request.hasReachedAttempts(state.settings.maxAttempts)
+        && retries.endsInTime(request, expectedDuration);
   }
 
   /**
@@ -101,11 +101,11 @@
    * number of requests that the worker completes in half a latency objective, scaled by the
    * request's weight.
    */
-  private boolean isQueueFull(Request request, Worker worker) {
+  private boolean enqueueExceedsLimit(Request request, Worker worker) {
     RequestClass requestClass = request.requestClass;
     double rate = worker.relativeDurations.total() / 2;
-    double length =
-        Math.max(MIN_LENGTH, rate * Durations.toSeconds(requestClass.latencyObjective) / 2);
-    return worker.enqueue() >= length * request.weight() / requestClass.priorityWeight;
+    double maxLength =
+        Math.max(MIN_QUEUE_LENGTH, rate * Durations.toSeconds(requestClass.latencyObjective) / 2);
+    return worker.countQueued() >= maxLength * request.weight() / requestClass.priorityWeight;
   }
 }
--- a/src/main/java/switchgap/policy/RequestRouter.java
+++ b/src/main/java/switchgap/policy/RequestRouter.java
@@ -19,18 +19,18 @@
   /** Price of the two probes for a request, as a share of its weight, above which none are sent. */
   private static final double MAX_PROBE_PRICE = 0.03;
 
-  /** A load report is recent for this fraction (1/4) of the shortest latency objective. */
-  private static final int FRESH_REPORT = 4;
+  /** Maximum age of a recent load report: the shortest latency objective divided by this. */
+  private static final int REPORT_AGES_PER_OBJECTIVE = 4;
 
   /** Number of queue steps within the shortest latency objective. */
-  private static final int STEPS = 20;
+  private static final int QUEUE_STEPS_PER_OBJECTIVE = 20;
 
   private final PolicyState state;
   private final LoadEstimator estimator;
   private final ReplicaLoader loader;
   private final ReplicaScaler scaler;
   private final WorkerLeases leases;
-  private final boolean probes;
+  private final boolean usesProbes;
   final Duration queueStep;
 
   RequestRouter(
@@ -45,58 +45,63 @@
     this.loader = loader;
     this.scaler = scaler;
     double probePrice = state.settings.probePrice;
-    probes = state.settings.probesAllowed && state.ownShare < 1 && 2 * probePrice < MAX_PROBE_PRICE;
+    usesProbes =
+        state.settings.probesAllowed && state.ownShare < 1 && 2 * probePrice < MAX_PROBE_PRICE;
     queueStep = queueStep(state);
   }
 
   /** Interval at which the queue tries again to send its requests. */
   static Duration queueStep(PolicyState state) {
-    return max(state.settings.tickInterval, state.settings.shortestObjective.dividedBy(STEPS));
+    return max(
+        state.settings.tickInterval,
+        state.settings.shortestObjective.dividedBy(QUEUE_STEPS_PER_OBJECTIVE));
   }
 
   /** Sends a request to the worker that its survey found; returns false if it has to wait. */
   boolean send(Request request, CandidateSurvey survey) {
-    boolean comparable = survey.alternative() != null && !request.hasWaitedForProbes();
-    if (comparable && sendProbes(request, survey)) {
+    boolean mayProbe = survey.alternative() != null && !request.hasWaitedForProbes();
+    if (mayProbe && sendProbes(request, survey)) {
       return false;
     }
-    Worker choice = choose(survey);
+    Worker worker = selectWorker(survey);
     if (survey.best() == null) {
-      loadReplicas(request.function, survey, choice);
+      loadReplicas(request.function, survey, worker);
     }
-    if (choice == null) {
+    if (worker == null) {
       return false;
     }
-    if (!leases.holds(choice)) {
-      leases.acquire(choice, request);
+    if (!leases.maySendTo(worker)) {
+      leases.requestLease(worker, request);
       return false;
     }
-    state.dispatcher.startAttempt(request, choice);
+    state.dispatcher.startAttempt(request, worker);
     return true;
   }
 
   /**
    * Returns the worker to send to, or null. Without an available target replica, a worker whose
-   * replica state is unknown precedes a loaded replica past the target, unless workers load on
-   * demand: then the attempt would wait for the load.
+   * replica state is unknown precedes a loaded replica beyond the targets, unless workers load on
+   * demand, since the attempt would then wait for the load.
    */
-  private Worker choose(CandidateSurvey survey) {
+  private Worker selectWorker(CandidateSurvey survey) {
     if (survey.best() != null) {
       return survey.best();
     }
-    boolean overflows = survey.overflow() != null && state.settings.loadsOnDemand;
-    return overflows || survey.unknown() == null ? survey.overflow() : survey.unknown();
+    boolean prefersOverflow = survey.overflow() != null && state.settings.loadsOnDemand;
+    return prefersOverflow || survey.unknownReplica() == null
+        ? survey.overflow()
+        : survey.unknownReplica();
   }
 
   /**
    * Loads a replica if no target replica is available: the next one in hash order if target
    * replicas are saturated, else the first missing one.
    */
-  private void loadReplicas(Function function, CandidateSurvey survey, Worker choice) {
+  private void loadReplicas(Function function, CandidateSurvey survey, Worker selected) {
     if (survey.anySaturated()) {
       function.placementSaturated();
-      Worker next = survey.next();
-      if (choice == null
+      Worker next = survey.nextToLoad();
+      if (selected == null
           && next != null
           && !survey.anyLoading()
           && scaler.fitsMemory(function)
@@ -104,7 +109,7 @@
         // A loaded replica gets no attempts yet if its worker is warming up.
         loader.load(function, next);
       }
-    } else if (survey.unknown() == null && !survey.anyLoading()) {
+    } else if (survey.unknownReplica() == null && !survey.anyLoading()) {
       loader.loadFirstMissing(function);
     }
   }
@@ -114,14 +119,14 @@
    * request has to wait for the replies.
    */
   private boolean sendProbes(Request request, CandidateSurvey survey) {
-    if (!probes || !estimator.probesReportLoad()) {
+    if (!usesProbes || !estimator.probesReportLoad()) {
       return false;
     }
     request.waitForProbes(state.now().plus(queueStep));
-    Duration fresh = state.settings.shortestObjective.dividedBy(FRESH_REPORT);
+    Duration maxReportAge = state.settings.shortestObjective.dividedBy(REPORT_AGES_PER_OBJECTIVE);
     for (Worker worker : List.of(survey.best(), survey.alternative())) {
       Duration reportedAt = worker.report.reportedAt();
-      if (reportedAt == null || !state.isWithin(fresh, reportedAt)) {
+      if (reportedAt == null || !state.isWithin(maxReportAge, reportedAt)) {
         state.dispatcher.probe(worker, request);
       }
     }
--- a/src/main/java/switchgap/policy/RetryPolicy.java
+++ b/src/main/java/switchgap/policy/RetryPolicy.java
@@ -22,11 +22,11 @@
 
   /** Whether an attempt of the request may be sent to the worker now. */
   boolean mayAttempt(Request request, Worker worker) {
-    boolean hedgeable = state.settings.hedgingAllowed && request.isRepeatable();
+    boolean mayHedge = state.settings.hedgingAllowed && request.isRepeatable();
     if (request.isClosed()
         || !worker.isReady()
-        || request.hasUsedUp(state.settings.maxAttempts)
-        || (request.inFlight() > 0 && !hedgeable)
+        || request.hasReachedAttempts(state.settings.maxAttempts)
+        || (request.inFlight() > 0 && !mayHedge)
         || !endsInTime(request, Duration.ZERO)) {
       return false;
     }
@@ -39,15 +39,16 @@
    */
   private boolean isRepeatableAt(Request request, Worker worker) {
     Duration window = request.requestClass.deduplicationWindow.minus(state.deadlineMargin);
-    boolean dropped = state.isWithin(window, request.firstSentAt()) && request.isInScope(worker);
-    return request.isIdempotent() || (request.isRepeatable() && dropped);
+    boolean isRepeatDropped =
+        state.isWithin(window, request.firstSentAt()) && request.isInDeduplicationScope(worker);
+    return request.isIdempotent() || (request.isRepeatable() && isRepeatDropped);
   }
 
   /** Whether a request without an attempt in flight may be attempted again. */
   boolean mayRetry(Request request) {
-    return !request.hasUsedUp(state.settings.maxAttempts)
+    return !request.hasReachedAttempts(state.settings.maxAttempts)
         && (request.neverExecuted() || request.isRepeatable())
-        && endsInTime(request, LoadEstimator.usualDuration(request.requestClass));
+        && endsInTime(request, LoadEstimator.medianDuration(request.requestClass));
   }
 
   /** Whether an attempt of this duration would end in time before the request's deadline. */
--- a/src/main/java/switchgap/policy/RoutingPolicy.java
+++ b/src/main/java/switchgap/policy/RoutingPolicy.java
@@ -30,7 +30,7 @@
  * calls {@link PolicyActions} with its decisions. See docs/design.md for the design.
  */
 public final class RoutingPolicy implements PolicyEvents {
-  private static final HistogramEdges EDGES =
+  private static final HistogramEdges HISTOGRAM_EDGES =
       new HistogramEdges(
           new double[] {1 / 16., 1 / 8., 1 / 4., 1 / 2., 1, 2, 4}, // relative durations
           new double[] {0.5, 1, 1.5, 2, 3, 5, 8}, // latency ratios
@@ -39,16 +39,16 @@
           new double[] {0.25, 0.5, 1, 1.5, 2, 3, 4, 6, 8, 12, 16, 24, 32, 48}); // concurrency
 
   /** Ticks before a deadline at which attempts time out, so that the response is not late. */
-  private static final int MARGIN_TICKS = 2;
+  private static final int DEADLINE_MARGIN_TICKS = 2;
 
   /**
    * Minimum time to the deadline of a new request, as a multiple of its expected duration. With
    * less time it would probably fail and only load the workers.
    */
-  private static final double HOPELESS_DURATION = 1.5;
+  private static final double MIN_TIME_FACTOR = 1.5;
 
   /** Multiple of its share of all requests above which a tenant is over quota. */
-  private static final double OVER_QUOTA = 1.25;
+  private static final double OVER_QUOTA_FACTOR = 1.25;
 
   /** Number of requests below which the tenants' shares are too uncertain to compare. */
   private static final double MIN_TENANT_REQUESTS = 20;
@@ -74,11 +74,11 @@
   private Duration nextPoll = Duration.ZERO;
 
   /** Creates a policy that takes all its random numbers from a generator with this seed. */
-  public RoutingPolicy(RouterSettings configured, long seed) {
-    SettingsSnapshot settings = new SettingsSnapshot(configured, EDGES);
+  public RoutingPolicy(RouterSettings routerSettings, long seed) {
+    SettingsSnapshot settings = new SettingsSnapshot(routerSettings, HISTOGRAM_EDGES);
     double ownShare = Math.min(1, LoadEstimator.DEFAULT_CAPACITY / settings.routerCount);
-    Duration margin = settings.tickInterval.multipliedBy(MARGIN_TICKS);
-    state = new PolicyState(settings, EDGES, seed, ownShare, margin);
+    Duration margin = settings.tickInterval.multipliedBy(DEADLINE_MARGIN_TICKS);
+    state = new PolicyState(settings, HISTOGRAM_EDGES, seed, ownShare, margin);
     slowStart = new SlowStart(state);
     outliers = new OutlierDetector(state);
     estimator = new LoadEstimator(state, slowStart);
@@ -89,8 +89,8 @@
     CandidateSelector selector = new CandidateSelector(state, outliers, leases, estimator, retries);
     RequestRouter router = new RequestRouter(state, estimator, loader, scaler, leases);
     queue = new RequestQueue(state, selector, router, retries);
-    Duration longest = settings.endpointPollInterval;
-    pollInterval = longest == null ? null : longest.dividedBy(POLLS_PER_INTERVAL);
+    Duration maxPollInterval = settings.endpointPollInterval;
+    pollInterval = maxPollInterval == null ? null : maxPollInterval.dividedBy(POLLS_PER_INTERVAL);
   }
 
   /**
@@ -129,19 +129,19 @@
   @Override
   public void requestArrived(RequestArrival arrival) {
     Request request = state.add(arrival);
-    boolean overQuota =
+    boolean isOverQuota =
         state.tenants.total() > MIN_TENANT_REQUESTS
-            && state.tenants.exceeds(arrival.tenant(), OVER_QUOTA);
-    double weight = request.weight() * (overQuota ? state.settings.overQuotaWeight : 1);
-    double draw = state.random.nextDouble() * state.settings.maxPriorityWeight / weight;
-    request.prioritize(weight, draw);
+            && state.tenants.exceeds(arrival.tenant(), OVER_QUOTA_FACTOR);
+    double weight = request.weight() * (isOverQuota ? state.settings.overQuotaWeight : 1);
+    double capacityDraw = state.random.nextDouble() * state.settings.maxPriorityWeight / weight;
+    request.prioritize(weight, capacityDraw);
     // A request that would time out before its response, and its retries, only load the workers.
-    Duration shortest = scale(estimator.expectedDuration(request), HOPELESS_DURATION);
-    sendOrGiveUp(request, retries.endsInTime(request, shortest));
+    Duration minTime = scale(estimator.expectedDuration(request), MIN_TIME_FACTOR);
+    sendOrGiveUp(request, retries.endsInTime(request, minTime));
   }
 
-  private void sendOrGiveUp(Request request, boolean allowed) {
-    if (allowed) {
+  private void sendOrGiveUp(Request request, boolean maySend) {
+    if (maySend) {
       queue.sendOrQueue(request);
     } else {
       retries.giveUp(request);
@@ -173,7 +173,7 @@
       state.close(request);
     } else if (!request.isClosed() && request.inFlight() == 0) {
       if (outcome != AttemptOutcome.NOT_LOADED) {
-        request.failedAt(worker);
+        request.markFailedAt(worker);
       }
       sendOrGiveUp(request, retries.mayRetry(request));
     }
@@ -210,7 +210,7 @@
     estimator.probeEnded(worker, result);
     switch (result.outcome()) {
       case SUCCEEDED -> worker.responded(state.now());
-      case CONNECT_FAILED, CONNECTION_LOST -> outliers.failedSurely(worker);
+      case CONNECT_FAILED, CONNECTION_LOST -> outliers.recordFault(worker);
       default -> {}
     }
   }
@@ -246,7 +246,7 @@
 
   @Override
   public void endpointListFailed() {
-    Duration retry = pollInterval == null ? SECOND : min(pollInterval, SECOND);
-    nextPoll = state.now().plus(retry);
+    Duration retryInterval = pollInterval == null ? SECOND : min(pollInterval, SECOND);
+    nextPoll = state.now().plus(retryInterval);
   }
 }
--- a/src/main/java/switchgap/policy/SlowStart.java
+++ b/src/main/java/switchgap/policy/SlowStart.java
@@ -28,7 +28,7 @@
  */
 final class SlowStart {
   /** Number of requests per window below which the budget has more slack. */
-  private static final double FEW_REQUESTS = 30;
+  private static final double SMALL_BUDGET_REQUESTS = 30;
 
   /** Share of the budget that one slot may use, since a window can overlap two slots. */
   private static final double SLOT_BUDGET_SHARE = 0.5;
@@ -70,10 +70,11 @@
   }
 
   private double capacityShare(Duration age) {
-    double seconds = Math.max(0, toSeconds(age.minus(state.settings.slowStartOverloadWindow)));
-    double risen = (1 - state.settings.slowStartCapacityShare) * seconds;
+    double risingSeconds =
+        Math.max(0, toSeconds(age.minus(state.settings.slowStartOverloadWindow)));
+    double gainedShare = (1 - state.settings.slowStartCapacityShare) * risingSeconds;
     double warmUpSeconds = toSeconds(state.settings.warmUpDuration);
-    return Math.min(1, state.settings.slowStartCapacityShare + risen / warmUpSeconds);
+    return Math.min(1, state.settings.slowStartCapacityShare + gainedShare / warmUpSeconds);
   }
 
   /** Whether slow start permits this router one more attempt at a worker now. */
@@ -86,10 +87,11 @@
     if (!state.hasPassed(window)) {
       return false;
     }
-    double fullLoad = ownOverloadMultiple * capacityShare(worker) * toSeconds(window) * fullRate();
-    double allowed = fullLoad * 2 / 3; // one third is reserve for random variation
-    if (allowed >= 1) {
-      return worker.slowStartSends.countWithin(state.now(), window) < Math.floor(allowed);
+    double ownRequests =
+        ownOverloadMultiple * capacityShare(worker) * toSeconds(window) * fullRate();
+    double allowedRequests = ownRequests * 2 / 3; // one third is reserve for random variation
+    if (allowedRequests >= 1) {
+      return worker.slowStartSends.countWithin(state.now(), window) < Math.floor(allowedRequests);
     }
     return admitsInRotation(worker, window);
   }
@@ -101,7 +103,7 @@
   private double fullRate() {
     double serialRate =
         Arrays.stream(state.settings.requestClasses)
-            .mapToDouble(each -> 1 / toSeconds(LoadEstimator.usualDuration(each)))
+            .mapToDouble(requestClass -> 1 / toSeconds(LoadEstimator.medianDuration(requestClass)))
             .min()
             .orElse(0);
     return Math.max(serialRate, averageWorkerRate * state.settings.routerCount);
@@ -111,20 +113,20 @@
   private boolean admitsInRotation(Worker worker, Duration window) {
     int routers = state.settings.routerCount;
     long slot = state.now().minus(worker.startedAt()).dividedBy(window);
-    double share =
+    double overloadShare =
         state.settings.slowStartOverloadMultiple * capacityShare(window.multipliedBy(slot));
-    double usefulSenders = routers * share / MIN_ROTATION_SLOTS;
-    double slotBudget = budget(share * toSeconds(window) * fullRate()) * SLOT_BUDGET_SHARE;
-    double slotCount = Math.ceil(routers / Math.min(usefulSenders, slotBudget));
+    double maxSendersPerSlot = routers * overloadShare / MIN_ROTATION_SLOTS;
+    double slotBudget = budget(overloadShare * toSeconds(window) * fullRate()) * SLOT_BUDGET_SHARE;
+    double slotCount = Math.ceil(routers / Math.min(maxSendersPerSlot, slotBudget));
     long slots = (long) Math.max(1, Math.min(routers, slotCount));
-    int sent = worker.slowStartSends.countWithin(state.now(), window);
-    return sent == 0 && (slot + state.settings.routerIndex) % slots == 0;
+    int sentInWindow = worker.slowStartSends.countWithin(state.now(), window);
+    return sentInWindow == 0 && (slot + state.settings.routerIndex) % slots == 0;
   }
 
   /** Maximum number of requests of all routers in a window, for a mean of this many requests. */
   private static double budget(double requests) {
-    boolean few = requests < FEW_REQUESTS;
-    double slack = few ? 3 * Math.sqrt(requests) + 3 : 2 * Math.sqrt(requests) + 2;
+    boolean isSmall = requests < SMALL_BUDGET_REQUESTS;
+    double slack = isSmall ? 3 * Math.sqrt(requests) + 3 : 2 * Math.sqrt(requests) + 2;
     return requests + slack;
   }
 }
--- a/src/main/java/switchgap/policy/WorkerLeases.java
+++ b/src/main/java/switchgap/policy/WorkerLeases.java
@@ -22,13 +22,13 @@
  */
 final class WorkerLeases {
   /** Minimum interval between two probes of a worker that has no lease. */
-  private static final Duration RETRY_INTERVAL = SECOND;
+  private static final Duration PROBE_RETRY_INTERVAL = SECOND;
 
   /**
    * An outage of the endpoint list that is shorter than this ends before any change that it hides
    * takes effect.
    */
-  private static final Duration MIN_OUTAGE = SECOND;
+  private static final Duration MIN_LIST_OUTAGE = SECOND;
 
   /** Maximum delay between the start of a worker and its appearance in the endpoint list. */
   private static final Duration MAX_LISTING_DELAY = SECOND.multipliedBy(4);
@@ -36,57 +36,63 @@
   private final PolicyState state;
 
   /** Time that a request waits for the reply to a probe before it goes to another worker. */
-  private final Duration maxWait;
+  private final Duration maxProbeWait;
 
-  /** The drain grace period, but at least {@link #maxWait}, so that a probe leaves time to send. */
-  private final Duration validity;
+  /**
+   * The drain grace period, but at least {@link #maxProbeWait}, so that a probe leaves time to
+   * send.
+   */
+  private final Duration leaseDuration;
 
-  WorkerLeases(PolicyState state, Duration maxWait) {
+  WorkerLeases(PolicyState state, Duration maxProbeWait) {
     this.state = state;
-    this.maxWait = maxWait;
-    this.validity = Durations.max(state.settings.drainGrace, maxWait);
+    this.maxProbeWait = maxProbeWait;
+    this.leaseDuration = Durations.max(state.settings.drainGrace, maxProbeWait);
   }
 
   /**
    * Presumes that workers restarted whose reconnection the endpoint list does not explain, once the
-   * list has been unconfirmed for {@link #MIN_OUTAGE}. After the list is confirmed again, withdraws
-   * each presumed restart that it does not report within {@link #MAX_LISTING_DELAY}.
+   * list has been unconfirmed for {@link #MIN_LIST_OUTAGE}. After the list is confirmed again,
+   * withdraws each presumed restart that it does not report within {@link #MAX_LISTING_DELAY}.
    */
   void everySecond() {
     if (isLongUnconfirmed()) {
       state.workers.forEach(this::presumeRestartUnlessListed);
     } else if (!state.isListUnconfirmed()) {
-      state.workers.forEach(this::dropUnlistedRestart);
+      state.workers.forEach(this::withdrawUnlistedRestart);
     }
   }
 
   private boolean isLongUnconfirmed() {
     return state.isListUnconfirmed()
-        && state.hasPassed(state.listUnconfirmedSince().plus(MIN_OUTAGE));
+        && state.hasPassed(state.listUnconfirmedSince().plus(MIN_LIST_OUTAGE));
   }
 
-  private void dropUnlistedRestart(Worker worker) {
+  private void withdrawUnlistedRestart(Worker worker) {
     Duration presumed = worker.start().presumed();
     if (presumed != null && !state.isWithin(MAX_LISTING_DELAY, presumed)) {
-      worker.start().notListed();
+      worker.start().withdrawPresumed();
     }
   }
 
   private void presumeRestartUnlessListed(Worker worker) {
     Duration reconnectedAt = worker.lease.reconnectedAt();
-    Duration earliest = state.listUnconfirmedSince().minus(MAX_LISTING_DELAY);
-    if (reconnectedAt == null || reconnectedAt.compareTo(earliest) < 0) {
+    Duration earliestUnlisted = state.listUnconfirmedSince().minus(MAX_LISTING_DELAY);
+    if (reconnectedAt == null || reconnectedAt.compareTo(earliestUnlisted) < 0) {
       return;
     }
-    Duration known = worker.startedAt();
-    boolean isKnown = known != null && known.compareTo(reconnectedAt.minus(MAX_LISTING_DELAY)) > 0;
-    if (!isKnown) {
+    Duration knownStart = worker.startedAt();
+    boolean isRestartListed =
+        knownStart != null && knownStart.compareTo(reconnectedAt.minus(MAX_LISTING_DELAY)) > 0;
+    if (!isRestartListed) {
       state.presumeRestarted(worker, reconnectedAt);
     }
   }
 
-  /** Whether an attempt or a load command may be sent to the worker now. */
-  boolean holds(Worker worker) {
+  /**
+   * Whether the worker has a lease now, or needs none, so that an attempt or a load may be sent.
+   */
+  boolean maySendTo(Worker worker) {
     if (!state.requiresLeases()) {
       return true;
     }
@@ -102,30 +108,30 @@
     if (!state.isListUnconfirmed()) {
       return false;
     }
-    boolean denied = worker.lease.isDenied();
-    if (worker.isProbed()) {
-      boolean repliesLate = !state.isWithin(maxWait, worker.lease.probedAt());
-      return denied || (repliesLate && !holds(worker));
+    boolean isDenied = worker.lease.isDenied();
+    if (worker.isProbeInFlight()) {
+      boolean isReplyOverdue = !state.isWithin(maxProbeWait, worker.lease.probedAt());
+      return isDenied || (isReplyOverdue && !maySendTo(worker));
     }
-    if (denied && mayProbeAgain(worker)) {
+    if (isDenied && mayProbeAgain(worker)) {
       state.dispatcher.probe(worker);
     }
-    return denied;
+    return isDenied;
   }
 
   private boolean mayProbeAgain(Worker worker) {
-    return state.requiresLeases() && !state.isWithin(RETRY_INTERVAL, worker.lease.probedAt());
+    return state.requiresLeases() && !state.isWithin(PROBE_RETRY_INTERVAL, worker.lease.probedAt());
   }
 
   /** Probes a worker that has no lease and makes the request wait for the reply. */
-  void acquire(Worker worker, Request request) {
-    request.waitForProbes(state.now().plus(maxWait));
+  void requestLease(Worker worker, Request request) {
+    request.waitForProbes(state.now().plus(maxProbeWait));
     state.dispatcher.probe(worker, request);
   }
 
   /** Probes a worker that has no lease, without a request that waits for the reply. */
-  void acquire(Worker worker) {
-    if (!worker.isProbed() && !worker.lease.isDenied()) {
+  void requestLease(Worker worker) {
+    if (!worker.isProbeInFlight() && !worker.lease.isDenied()) {
       state.dispatcher.probe(worker);
     }
   }
@@ -133,18 +139,18 @@
   /** Renews the lease after a success; ends it after a rejection or a lost connection. */
   void attemptEnded(Worker worker, AttemptResult result) {
     switch (result.outcome()) {
-      case SUCCEEDED -> worker.lease.granted(state.now().minus(result.duration()), validity);
-      case REJECTED, CONNECTION_LOST, CONNECT_FAILED -> refused(worker);
+      case SUCCEEDED -> worker.lease.grant(state.now().minus(result.duration()), leaseDuration);
+      case REJECTED, CONNECTION_LOST, CONNECT_FAILED -> endLease(worker);
       default -> {} // does not show whether the worker accepts requests
     }
   }
 
   /** Ends the lease until the next probe succeeds; without probes, stops using the worker. */
-  private void refused(Worker worker) {
+  private void endLease(Worker worker) {
     if (state.settings.probesAllowed) {
-      worker.lease.revoked(state.now());
+      worker.lease.revoke(state.now());
     } else if (state.isListUnconfirmed()) {
-      worker.lease.denied(state.now(), false);
+      worker.lease.deny(state.now(), false);
     }
   }
 
@@ -156,16 +162,16 @@
     }
     switch (outcome) {
       case SUCCEEDED -> {
-        boolean hasDrained = lease.drains();
-        lease.granted(lease.probedAt(), validity);
+        boolean wasDraining = lease.isDraining();
+        lease.grant(lease.probedAt(), leaseDuration);
         // A draining process never accepts requests again, so this must be a new process.
-        if (hasDrained && state.isListUnconfirmed()) {
+        if (wasDraining && state.isListUnconfirmed()) {
           state.presumeRestarted(worker, state.now());
         }
       }
-      case FAILED -> lease.denied(state.now(), true);
+      case FAILED -> lease.deny(state.now(), true);
       case NOT_SENT, CANCELLED -> {} // does not show whether the worker accepts requests
-      default -> lease.denied(state.now(), false);
+      default -> lease.deny(state.now(), false);
     }
   }
 
--- a/src/main/java/switchgap/policy/state/ActionDispatcher.java
+++ b/src/main/java/switchgap/policy/state/ActionDispatcher.java
@@ -56,7 +56,7 @@
 
   /** Makes a request wait for a load probe of a worker; sends one unless one is in flight. */
   public void probe(Worker worker, Request request) {
-    if (!worker.isProbed()) {
+    if (!worker.isProbeInFlight()) {
       probe(worker);
     }
     worker.awaitProbe(request);
--- a/src/main/java/switchgap/policy/state/AttemptState.java
+++ b/src/main/java/switchgap/policy/state/AttemptState.java
@@ -9,7 +9,7 @@
   /**
    * Creates the state of an attempt that is about to be sent.
    *
-   * @param replicaLoaded whether a replica is believed to be loaded at the worker
+   * @param replicaLoaded whether the replica at the worker is presumed to be loaded
    * @param loadsOnDemand whether workers load a missing replica on demand
    */
   public AttemptState(boolean replicaLoaded, boolean loadsOnDemand) {
@@ -17,7 +17,7 @@
     this.waitsForLoad = !replicaLoaded && loadsOnDemand;
   }
 
-  /** Whether a replica was believed to be loaded at the worker when the attempt was sent. */
+  /** Whether the replica at the worker was presumed to be loaded when the attempt was sent. */
   public boolean replicaLoaded() {
     return replicaLoaded;
   }
--- a/src/main/java/switchgap/policy/state/CandidateSurvey.java
+++ b/src/main/java/switchgap/policy/state/CandidateSurvey.java
@@ -9,9 +9,9 @@
   private Worker first;
   private Worker best;
   private Worker alternative;
-  private Worker unknown;
+  private Worker unknownReplica;
   private Worker overflow;
-  private Worker next;
+  private Worker nextToLoad;
   private boolean anyLoaded;
   private boolean anyLoading;
   private boolean anySaturated;
@@ -26,10 +26,10 @@
 
   /**
    * Records an available target replica. It replaces the best one if its load is lower by more than
-   * {@code difference}.
+   * {@code minDifference}.
    */
-  public void foundAvailable(Worker worker, double load, double difference) {
-    if (load < leastLoad - (best == null ? 0 : difference)) {
+  public void foundAvailable(Worker worker, double load, double minDifference) {
+    if (load < leastLoad - (best == null ? 0 : minDifference)) {
       alternative = best;
       best = worker;
       leastLoad = load;
@@ -39,8 +39,8 @@
   }
 
   /** Records an available worker among the targets whose replica may have to be loaded first. */
-  public void foundUnknown(Worker worker) {
-    unknown = unknown == null ? worker : unknown;
+  public void foundUnknownReplica(Worker worker) {
+    unknownReplica = unknownReplica == null ? worker : unknownReplica;
   }
 
   /** Records a target replica that is at its concurrency limit. */
@@ -54,8 +54,8 @@
   }
 
   /** Records a worker beyond the target replicas where a replica could be loaded. */
-  public void foundNext(Worker worker) {
-    next = worker;
+  public void foundNextToLoad(Worker worker) {
+    nextToLoad = worker;
   }
 
   /** The first worker visited. */
@@ -74,8 +74,8 @@
   }
 
   /** The first available worker among the targets whose replica may have to be loaded first. */
-  public Worker unknown() {
-    return unknown;
+  public Worker unknownReplica() {
+    return unknownReplica;
   }
 
   /** The available loaded replica beyond the target replicas. */
@@ -84,8 +84,8 @@
   }
 
   /** The first worker beyond the target replicas where a replica could be loaded. */
-  public Worker next() {
-    return next;
+  public Worker nextToLoad() {
+    return nextToLoad;
   }
 
   /** Whether an available loaded replica was found. */
--- a/src/main/java/switchgap/policy/state/Function.java
+++ b/src/main/java/switchgap/policy/state/Function.java
@@ -109,13 +109,13 @@
   }
 
   /** Records that its concurrency is above the scale-down threshold. */
-  public void busy(Duration now) {
+  public void markBusy(Duration now) {
     lastBusy = now;
   }
 
   /** Raises the target by a number of replicas. */
-  public void scaleUp(int replicasMore) {
-    targetReplicas += replicasMore;
+  public void scaleUp(int addedReplicas) {
+    targetReplicas += addedReplicas;
   }
 
   /** Lowers the target by one replica. */
@@ -125,7 +125,7 @@
   }
 
   /** Lowers the target to a maximum if it is above it. */
-  public void limitTarget(int maxReplicas) {
+  public void capTarget(int maxReplicas) {
     targetReplicas = Math.min(targetReplicas, maxReplicas);
   }
 
@@ -159,14 +159,14 @@
   }
 
   /** Records that a replica of it has been loaded. */
-  public void loaded() {
+  public void markLoaded() {
     everLoaded = true;
   }
 
   /** Records that a worker served a request for it, so that its replica there is loaded. */
   public void attemptSucceeded(Worker worker, Duration now) {
     replicaAt(worker).served(now);
-    loaded();
+    markLoaded();
   }
 
   /** Whether it has no open request and no command in flight. */
@@ -187,7 +187,7 @@
     openRequests--;
   }
 
-  void forget(int worker) {
+  void removeReplica(int worker) {
     replicas.set(worker, null);
   }
 
--- a/src/main/java/switchgap/policy/state/Histogram.java
+++ b/src/main/java/switchgap/policy/state/Histogram.java
@@ -86,16 +86,16 @@
    * values.
    */
   public double quantile(double share) {
-    double left = total() * share;
-    if (left <= 0) {
+    double remaining = total() * share;
+    if (remaining <= 0) {
       return Double.NaN;
     }
     for (int i = 0; i < edges.length; i++) {
-      if (left <= counts[i]) {
+      if (remaining <= counts[i]) {
         double low = i == 0 ? 0 : edges[i - 1];
-        return low + (edges[i] - low) * left / counts[i];
+        return low + (edges[i] - low) * remaining / counts[i];
       }
-      left -= counts[i];
+      remaining -= counts[i];
     }
     return edges[edges.length - 1];
   }
--- a/src/main/java/switchgap/policy/state/IndexAllocator.java
+++ b/src/main/java/switchgap/policy/state/IndexAllocator.java
@@ -9,26 +9,26 @@
  */
 public final class IndexAllocator {
   private static final int INITIAL_CAPACITY = 16;
-  private static final int NONE = -1;
+  private static final int NO_INDEX = -1;
 
   private final Map<Long, Integer> indices = new HashMap<>();
   private long[] ids = new long[INITIAL_CAPACITY];
-  private int[] released = new int[INITIAL_CAPACITY];
+  private int[] releasedIndices = new int[INITIAL_CAPACITY];
   private int releasedCount;
-  private int used;
+  private int allocatedCount;
 
   /** The index of an id, or -1 if it has none. */
   public int find(long id) {
-    return indices.getOrDefault(id, NONE);
+    return indices.getOrDefault(id, NO_INDEX);
   }
 
   /** Returns the index of an id; assigns one if it has none. */
   public int allocate(long id) {
-    Integer known = indices.get(id);
-    if (known != null) {
-      return known;
+    Integer existing = indices.get(id);
+    if (existing != null) {
+      return existing;
     }
-    int index = releasedCount > 0 ? released[--releasedCount] : used++;
+    int index = releasedCount > 0 ? releasedIndices[--releasedCount] : allocatedCount++;
     if (index >= ids.length) {
       ids = Arrays.copyOf(ids, ids.length * 2);
     }
@@ -45,10 +45,10 @@
   /** Makes an index available for another id. Has no effect if the index is already released. */
   public void release(int index) {
     if (indices.remove(ids[index], index)) {
-      if (releasedCount == released.length) {
-        released = Arrays.copyOf(released, releasedCount * 2);
+      if (releasedCount == releasedIndices.length) {
+        releasedIndices = Arrays.copyOf(releasedIndices, releasedCount * 2);
       }
-      released[releasedCount++] = index;
+      releasedIndices[releasedCount++] = index;
     }
   }
 
--- a/src/main/java/switchgap/policy/state/PolicyState.java
+++ b/src/main/java/switchgap/policy/state/PolicyState.java
@@ -163,7 +163,7 @@
     Replica replica = function.replicaAt(worker);
     if (replica.state() == Replica.State.LOADED
         && !isWithin(settings.replicaIdleTimeout, replica.lastUsed())) {
-      replica.expired();
+      replica.markExpired();
     }
     return replica.state();
   }
@@ -219,15 +219,16 @@
     Worker worker = workers.get(entry.worker());
     if (worker == null) {
       worker = workers.set(entry.worker(), new Worker(entry, edges));
-      worker.presumeEmpty(isWarmingUp(worker));
-    } else if (entry.startedAt() != null && worker.start().isNews(entry.startedAt())) {
+      worker.setPresumedEmpty(isWarmingUp(worker));
+    } else if (entry.startedAt() != null && worker.start().isNewProcess(entry.startedAt())) {
       worker.start().listed(entry.startedAt());
       workerRestarted(worker);
     }
     double[] memory = settings.workerKindMemory;
     double memoryMb = entry.kind() < memory.length ? memory[entry.kind()] : 0;
-    boolean comparable = settings.capacityReported && entry.capacity() > 0;
-    worker.update(entry, memoryMb, comparable ? entry.capacity() : Math.max(1, memoryMb));
+    boolean hasComparableCapacity = settings.capacityReported && entry.capacity() > 0;
+    worker.update(
+        entry, memoryMb, hasComparableCapacity ? entry.capacity() : Math.max(1, memoryMb));
   }
 
   /** Presumes that a worker's process restarted, while the endpoint list cannot report it. */
@@ -237,8 +238,8 @@
   }
 
   private void workerRestarted(Worker worker) {
-    worker.restarted();
-    worker.presumeEmpty(isWarmingUp(worker));
+    worker.discardMeasurements();
+    worker.setPresumedEmpty(isWarmingUp(worker));
     for (Function function : functions) {
       function.replicaAt(worker).workerRestarted();
     }
@@ -253,7 +254,7 @@
     readyMemoryMb = 0;
     for (Worker worker : workers) {
       if (listComplete && !worker.isListed()) {
-        worker.gone();
+        worker.markGone();
       }
       if (worker.isGone() && worker.isIdle()) {
         release(worker);
@@ -268,8 +269,8 @@
 
   private void release(Worker worker) {
     workers.set(worker.id, null);
-    functions.forEach(function -> function.forget(worker.id));
-    requests.forEach(request -> request.forgetWorker(worker.id));
+    functions.forEach(function -> function.removeReplica(worker.id));
+    requests.forEach(request -> request.removeWorker(worker.id));
     actions.releaseWorker(worker.id);
   }
 }
--- a/src/main/java/switchgap/policy/state/ProcessStart.java
+++ b/src/main/java/switchgap/policy/state/ProcessStart.java
@@ -16,7 +16,7 @@
   }
 
   /** The presumed start if there is one, else the listed start; null if that was long ago. */
-  Duration at() {
+  Duration effective() {
     return presumed == null ? listed : presumed;
   }
 
@@ -37,7 +37,7 @@
   }
 
   /** Withdraws the presumed start, because the endpoint list would have reported it by now. */
-  public void notListed() {
+  public void withdrawPresumed() {
     presumed = null;
   }
 
@@ -45,8 +45,8 @@
    * Whether a listed start belongs to a new process. It does not if it equals the current start, or
    * if it is not after the presumed start, since that process was running by then.
    */
-  boolean isNews(Duration start) {
-    boolean isPresumed = presumed != null && start.compareTo(presumed) <= 0;
-    return !start.equals(at()) && !isPresumed;
+  boolean isNewProcess(Duration start) {
+    boolean isCoveredByPresumed = presumed != null && start.compareTo(presumed) <= 0;
+    return !start.equals(effective()) && !isCoveredByPresumed;
   }
 }
--- a/src/main/java/switchgap/policy/state/Replica.java
+++ b/src/main/java/switchgap/policy/state/Replica.java
@@ -90,13 +90,13 @@
     if (state == State.LOADING) {
       state = loadedReplicas > 0 ? State.LOADED : State.ABSENT;
     }
-    // Cleared in every state; otherwise the load would be considered pending for ever.
+    // Cleared in every state; otherwise the load would be considered pending indefinitely.
     loadPending = false;
     loadRejectedAt = rejected ? now : null;
   }
 
   /** Records that the worker does not have the replica, unless a load of it is in flight. */
-  public void reportedAbsent() {
+  public void markAbsent() {
     state = state == State.LOADING ? State.LOADING : State.ABSENT;
   }
 
@@ -105,16 +105,16 @@
    * did not command its load or the worker is not ready.
    */
   public boolean unloadStarted(boolean workerReady) {
-    boolean unloads = workerReady && loadCommandedAt != null;
-    if (unloads) {
+    boolean mayUnload = workerReady && loadCommandedAt != null;
+    if (mayUnload) {
       loadCommandedAt = null;
       state = State.UNKNOWN;
     }
-    return unloads;
+    return mayUnload;
   }
 
   /** Records that an attempt is sent to it. */
-  void used(Duration now) {
+  void markUsed(Duration now) {
     lastUsed = now;
   }
 
@@ -125,7 +125,7 @@
   }
 
   /** Records that the worker may have unloaded it as idle. */
-  void expired() {
+  void markExpired() {
     state = State.UNKNOWN;
   }
 
@@ -133,6 +133,6 @@
    * Records a restart of the worker; the new process has only replicas that it loads on command.
    */
   void workerRestarted() {
-    reportedAbsent();
+    markAbsent();
   }
 }
--- a/src/main/java/switchgap/policy/state/Request.java
+++ b/src/main/java/switchgap/policy/state/Request.java
@@ -69,12 +69,12 @@
   }
 
   /** Records that it was added to the queue. */
-  public void queued() {
+  public void markQueued() {
     phase = Phase.QUEUED;
   }
 
   /** Records that it left the queue because an attempt was sent. */
-  public void dequeued() {
+  public void markDequeued() {
     phase = Phase.OPEN;
   }
 
@@ -127,7 +127,7 @@
   }
 
   /** Whether a worker is in the deduplication scope of the first attempt that may have executed. */
-  public boolean isInScope(Worker worker) {
+  public boolean isInDeduplicationScope(Worker worker) {
     boolean sameZone = worker.zone() == firstWorker.zone();
     return switch (requestClass.deduplicationScope) {
       case ALL -> true;
@@ -152,7 +152,7 @@
   }
 
   /** Whether it has had at least this many attempts. */
-  public boolean hasUsedUp(int maxAttempts) {
+  public boolean hasReachedAttempts(int maxAttempts) {
     return attempts.size() >= maxAttempts;
   }
 
@@ -165,7 +165,7 @@
       firstSentAt = now;
     }
     worker.attemptStarted(attempt);
-    function.replicaAt(worker).used(now);
+    function.replicaAt(worker).markUsed(now);
   }
 
   /** Records the end of an attempt at a worker; returns the attempt. */
@@ -188,7 +188,7 @@
   }
 
   /** Records that an attempt at a worker ended without a successful response. */
-  public void failedAt(Worker worker) {
+  public void markFailedAt(Worker worker) {
     failedWorkers.set(worker.id);
   }
 
@@ -202,7 +202,7 @@
     return failedWorkers.cardinality();
   }
 
-  void forgetWorker(int worker) {
+  void removeWorker(int worker) {
     failedWorkers.clear(worker);
   }
 
@@ -210,7 +210,7 @@
    * Records that it failed at a worker but may have caused the error itself. If it succeeds at
    * another worker, the error was the fault of the suspected worker.
    */
-  public void suspect(Worker worker) {
+  public void recordSuspect(Worker worker) {
     suspectWorker = worker;
   }
 
--- a/src/main/java/switchgap/policy/state/SettingsSnapshot.java
+++ b/src/main/java/switchgap/policy/state/SettingsSnapshot.java
@@ -68,10 +68,13 @@
     requestClasses = new RequestClass[settings.requestClassCount()];
     Arrays.setAll(requestClasses, index -> new RequestClass(settings, index, edges));
     maxPriorityWeight =
-        Arrays.stream(requestClasses).mapToDouble(each -> each.priorityWeight).max().orElse(1);
+        Arrays.stream(requestClasses)
+            .mapToDouble(requestClass -> requestClass.priorityWeight)
+            .max()
+            .orElse(1);
     shortestObjective =
         Arrays.stream(requestClasses)
-            .map(each -> each.latencyObjective)
+            .map(requestClass -> requestClass.latencyObjective)
             .min(Comparator.naturalOrder())
             .orElseThrow();
     tenantQuotas = new double[settings.tenantCount()];
--- a/src/main/java/switchgap/policy/state/TenantUsage.java
+++ b/src/main/java/switchgap/policy/state/TenantUsage.java
@@ -6,36 +6,36 @@
 public final class TenantUsage {
   private final double[] shares;
   private final double[] requests;
-  private double allRequests;
+  private double totalRequests;
 
   /** Creates empty counts; only the ratios between the quotas are used, so any unit will do. */
   public TenantUsage(double[] quotas) {
     requests = new double[quotas.length];
-    double all = Math.max(Arrays.stream(quotas).sum(), Double.MIN_NORMAL);
-    shares = Arrays.stream(quotas).map(quota -> quota / all).toArray();
+    double quotaSum = Math.max(Arrays.stream(quotas).sum(), Double.MIN_NORMAL);
+    shares = Arrays.stream(quotas).map(quota -> quota / quotaSum).toArray();
   }
 
   /** Counts a request, unless its tenant is unknown. */
   public void count(int tenant) {
     if (tenant < requests.length) {
       requests[tenant]++;
-      allRequests++;
+      totalRequests++;
     }
   }
 
   /** Sum of the counts of all tenants. */
   public double total() {
-    return allRequests;
+    return totalRequests;
   }
 
   /** Whether a tenant has more than a multiple of its share of requests; false if unknown. */
   public boolean exceeds(int tenant, double multiple) {
-    return tenant < requests.length && requests[tenant] > multiple * shares[tenant] * allRequests;
+    return tenant < requests.length && requests[tenant] > multiple * shares[tenant] * totalRequests;
   }
 
   /** Halves all counts. */
   public void halve() {
     Arrays.setAll(requests, tenant -> requests[tenant] / 2);
-    allRequests /= 2;
+    totalRequests /= 2;
   }
 }
--- a/src/main/java/switchgap/policy/state/WakeUpTimer.java
+++ b/src/main/java/switchgap/policy/state/WakeUpTimer.java
@@ -9,21 +9,21 @@
  */
 public final class WakeUpTimer {
   /** Time of the scheduled wake-up; null if none is scheduled. */
-  private Duration next;
+  private Duration scheduledAt;
 
   private long token;
 
   /** Records that a wake-up fired. */
   public void fired(long firedToken) {
-    next = firedToken == token ? null : next;
+    scheduledAt = firedToken == token ? null : scheduledAt;
   }
 
   /** Schedules a wake-up, unless one is already scheduled that is no later and not overdue. */
   public void schedule(Duration due, Duration now, PolicyActions actions) {
-    boolean overdue = next != null && Durations.isShorter(next, now);
-    if (next == null || overdue || Durations.isShorter(due, next)) {
+    boolean isOverdue = scheduledAt != null && Durations.isShorter(scheduledAt, now);
+    if (scheduledAt == null || isOverdue || Durations.isShorter(due, scheduledAt)) {
       actions.scheduleWakeUp(due.minus(now), ++token);
-      next = due;
+      scheduledAt = due;
     }
   }
 }
--- a/src/main/java/switchgap/policy/state/Worker.java
+++ b/src/main/java/switchgap/policy/state/Worker.java
@@ -99,12 +99,12 @@
   }
 
   /** Records that a complete endpoint list has no entry for it. */
-  void gone() {
+  void markGone() {
     state = WorkerState.GONE;
   }
 
   /** Discards the latencies, errors and ejections of the previous process after a restart. */
-  public void restarted() {
+  public void discardMeasurements() {
     latencyRatios.clear();
     errors.clear();
     ejection.clear();
@@ -115,7 +115,7 @@
     return presumedEmpty;
   }
 
-  void presumeEmpty(boolean empty) {
+  void setPresumedEmpty(boolean empty) {
     presumedEmpty = empty;
   }
 
@@ -149,7 +149,7 @@
 
   /** Time when its process started, null if that was long ago. */
   public Duration startedAt() {
-    return start.at();
+    return start.effective();
   }
 
   // This router's attempts, commands, queue and probes
@@ -188,17 +188,17 @@
   }
 
   /** Counts a request that waits for it in this queue step; returns the number counted before. */
-  public int enqueue() {
+  public int countQueued() {
     return queuedAhead++;
   }
 
   /** Resets the count of waiting requests at the end of a queue step. */
-  public void queuePlaced() {
+  public void resetQueued() {
     queuedAhead = 0;
   }
 
   /** Whether a load probe is in flight. */
-  public boolean isProbed() {
+  public boolean isProbeInFlight() {
     return probeInFlight;
   }
 
@@ -234,7 +234,7 @@
   }
 
   /** Halves the counts of latency ratios and outcomes. */
-  public void halveHealth() {
+  public void halveHealthCounts() {
     latencyRatios.halve();
     errors.halve();
   }
@@ -261,7 +261,7 @@
   }
 
   /** Sets its mean latency ratio relative to that of the fleet. */
-  public void latencyRatioMeasured(double ratio) {
+  public void setLatencyRatio(double ratio) {
     latencyRatio = ratio;
   }
 }
--- a/src/main/java/switchgap/policy/state/WorkerLease.java
+++ b/src/main/java/switchgap/policy/state/WorkerLease.java
@@ -14,7 +14,7 @@
   private Duration revokedAt;
   private Duration probedAt;
   private Duration reconnectedAt;
-  private boolean drains;
+  private boolean draining;
   private Duration sendLimit;
 
   /** When the lease ends; null if there is none. */
@@ -38,8 +38,8 @@
   }
 
   /** Whether a reply to a probe showed that the worker drains, and no lease was granted since. */
-  public boolean drains() {
-    return drains;
+  public boolean isDraining() {
+    return draining;
   }
 
   /** The send limit that was last passed to the actions; null for no limit. */
@@ -62,36 +62,36 @@
    * denied or revoked since the command was sent.
    *
    * @param sentAt when the command was sent
-   * @param validity length of the lease from {@code sentAt} on
+   * @param duration length of the lease from {@code sentAt} on
    */
-  public void granted(Duration sentAt, Duration validity) {
+  public void grant(Duration sentAt, Duration duration) {
     boolean isLatest = grantedAt == null || grantedAt.compareTo(sentAt) <= 0;
-    boolean isDeniedSince = deniedAt != null && deniedAt.compareTo(sentAt) > 0;
-    boolean isRevokedSince = revokedAt != null && revokedAt.compareTo(sentAt) > 0;
-    if (isLatest && !isDeniedSince && !isRevokedSince) {
+    boolean wasDeniedSince = deniedAt != null && deniedAt.compareTo(sentAt) > 0;
+    boolean wasRevokedSince = revokedAt != null && revokedAt.compareTo(sentAt) > 0;
+    if (isLatest && !wasDeniedSince && !wasRevokedSince) {
       grantedAt = sentAt;
-      expiresAt = sentAt.plus(validity);
+      expiresAt = sentAt.plus(duration);
       deniedAt = null;
-      drains = false;
+      draining = false;
     }
   }
 
   /** Ends the lease because a probe got no reply or showed that the worker drains. */
-  public void denied(Duration now, boolean isDraining) {
+  public void deny(Duration now, boolean isDraining) {
     expiresAt = null;
     deniedAt = now;
-    drains |= isDraining;
+    draining |= isDraining;
   }
 
   /** Ends the lease because the worker may have stopped accepting requests. */
-  public void revoked(Duration now) {
+  public void revoke(Duration now) {
     expiresAt = null;
     revokedAt = now;
   }
 
   /** Records a new connection to the worker, which ends the lease. */
   public void reconnected(Duration now) {
-    revoked(now);
+    revoke(now);
     reconnectedAt = now;
   }
 }
--- a/src/test/java/switchgap/policy/AttemptEnd.java
+++ b/src/test/java/switchgap/policy/AttemptEnd.java
@@ -48,13 +48,13 @@
   }
 
   /** Sets the number of the attempt, counted from 0 for each request. */
-  AttemptEnd number(int attempt) {
+  AttemptEnd withNumber(int attempt) {
     number = attempt;
     return this;
   }
 
   /** Sets the duration of the attempt. */
-  AttemptEnd after(int millis) {
+  AttemptEnd withDuration(int millis) {
     durationMillis = millis;
     return this;
   }
--- a/src/test/java/switchgap/policy/EndpointListTest.java
+++ b/src/test/java/switchgap/policy/EndpointListTest.java
@@ -20,7 +20,8 @@
     int primary = harness.firstWorker();
     harness.at(
         100,
-        events -> harness.attemptEnds(events, succeeded(0, primary).after(90).withConcurrency(0)));
+        events ->
+            harness.attemptEnds(events, succeeded(0, primary).withDuration(90).withConcurrency(0)));
     harness
         .at(
             110,
@@ -48,7 +49,8 @@
     int primary = harness.firstWorker();
     harness.at(
         90,
-        events -> harness.attemptEnds(events, succeeded(0, primary).after(80).withConcurrency(0)));
+        events ->
+            harness.attemptEnds(events, succeeded(0, primary).withDuration(80).withConcurrency(0)));
     harness.at(100, events -> change(events, primary, WorkerState.GONE, null)).until(1100);
     int next = harness.lastLoadedAt();
     harness.at(1200, events -> replicaLoaded(events, next, 0, 200)).until(31_000);
--- a/src/test/java/switchgap/policy/LoadEstimatorTest.java
+++ b/src/test/java/switchgap/policy/LoadEstimatorTest.java
@@ -14,7 +14,7 @@
 /** Expected durations of requests, and load probes. */
 class LoadEstimatorTest {
   @Test
-  void usualDurationFollowsRecentDurations() {
+  void expectedDurationFollowsRecentDurations() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
     RequestSeries series = new RequestSeries(harness);
     int time = series.run(100, 20_000, 60, 40);
@@ -22,8 +22,8 @@
     int arrival = time;
     // The time-out is less than 1.5 times the recent durations of 390 ms.
     harness.at(arrival, events -> harness.requestArrives(events, 99, 0, 420));
-    String all = harness.trace();
-    assertThat(all.substring(Math.max(0, all.length() - 300)))
+    String trace = harness.trace();
+    assertThat(trace.substring(Math.max(0, trace.length() - 300)))
         .contains(arrival + " reject request 99");
   }
 
@@ -42,7 +42,7 @@
             90,
             events ->
                 harness.attemptEnds(
-                    events, succeeded(0, harness.sentTo(0)).after(80).withConcurrency(8)))
+                    events, succeeded(0, harness.sentTo(0)).withDuration(80).withConcurrency(8)))
         .until(1100);
     harness.at(1200, events -> harness.requestArrives(events, 1, 0)).until(1300);
     assertThat(harness.count("probe") > 0).isEqualTo(price < 0.015);
@@ -62,11 +62,11 @@
             90,
             events ->
                 harness.attemptEnds(
-                    events, succeeded(0, harness.sentTo(0)).after(80).withConcurrency(8)))
+                    events, succeeded(0, harness.sentTo(0)).withDuration(80).withConcurrency(8)))
         .until(1100);
     harness.at(1200, events -> harness.requestArrives(events, 1, 0));
     assertThat(harness.count("probe")).isPositive();
-    long probed = harness.count("probe");
+    long probesBefore = harness.count("probe");
     for (int worker = 0; worker < 4; worker++) {
       int responding = worker;
       harness.at(
@@ -81,7 +81,7 @@
             1320,
             events ->
                 harness.attemptEnds(
-                    events, succeeded(1, harness.sentTo(1)).after(80).withConcurrency(8)))
+                    events, succeeded(1, harness.sentTo(1)).withDuration(80).withConcurrency(8)))
         .until(3000);
     for (int i = 0; i < 20; i++) {
       int request = 2 + i;
@@ -94,12 +94,14 @@
             events ->
                 harness.attemptEnds(
                     events,
-                    succeeded(request, harness.sentTo(request)).after(80).withConcurrency(8)));
+                    succeeded(request, harness.sentTo(request))
+                        .withDuration(80)
+                        .withConcurrency(8)));
       }
       harness.until(8980 + 6000 * i);
     }
     assertThat(harness.count("probe"))
         .as(harness.trace().substring(Math.max(0, harness.trace().length() - 1500)))
-        .isGreaterThan(probed + 1);
+        .isGreaterThan(probesBefore + 1);
   }
 }
--- a/src/test/java/switchgap/policy/LoadPaceTest.java
+++ b/src/test/java/switchgap/policy/LoadPaceTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import switchgap.policy.api.AttemptOutcome;
 
-/** The limit of load commands in flight and its reaction to slow and failed loads. */
+/** Adaptation of the limit of load commands in flight to slow and failed loads. */
 class LoadPaceTest {
   private record PendingLoad(int endsAt, int worker, int function) {}
 
@@ -20,7 +20,7 @@
    * loads are quick and falls to one when they are slow.
    */
   @Test
-  void adaptsPendingLoadsToPaceOfStore() {
+  void adaptsLoadLimitToThroughputOfStore() {
     for (int loadMillis : new int[] {100, 4000}) {
       PolicyHarness harness = new PolicyHarness(new TestSettings());
       List<PendingLoad> pending = new ArrayList<>();
@@ -29,8 +29,8 @@
           (worker, function) ->
               pending.add(new PendingLoad(now[0] + loadMillis, worker, function)));
       harness.at(0, events -> list(events, 4));
-      int max = 0;
-      int lastMax = 0;
+      int maxPending = 0;
+      int finalMaxPending = 0;
       for (int i = 0; i < 3000; i++) {
         now[0] = 10 + 10 * i;
         int function = i;
@@ -52,19 +52,19 @@
                   harness.attemptEnds(
                       events,
                       notLoaded(function, worker)
-                          .number(harness.attemptsOf(function) - 1)
-                          .after(2)));
+                          .withNumber(harness.attemptsOf(function) - 1)
+                          .withDuration(2)));
         }
-        max = Math.max(max, pending.size());
-        lastMax = i > 2000 ? Math.max(lastMax, pending.size()) : lastMax;
+        maxPending = Math.max(maxPending, pending.size());
+        finalMaxPending = i > 2000 ? Math.max(finalMaxPending, pending.size()) : finalMaxPending;
         if (i == 8) {
           assertThat(pending.size()).as("initial limit").isEqualTo(3);
         }
       }
       if (loadMillis == 100) {
-        assertThat(max).isGreaterThan(5);
+        assertThat(maxPending).isGreaterThan(5);
       } else {
-        assertThat(lastMax).isEqualTo(1);
+        assertThat(finalMaxPending).isEqualTo(1);
       }
     }
   }
@@ -84,7 +84,8 @@
       harness.at(
           12 + 10 * i,
           events ->
-              harness.attemptEnds(events, notLoaded(request, harness.sentTo(request)).after(2)));
+              harness.attemptEnds(
+                  events, notLoaded(request, harness.sentTo(request)).withDuration(2)));
       PendingLoad load = loads.remove(0);
       harness.at(
           14 + 10 * i,
@@ -106,7 +107,8 @@
       harness.at(
           502,
           events ->
-              harness.attemptEnds(events, notLoaded(request, harness.sentTo(request)).after(2)));
+              harness.attemptEnds(
+                  events, notLoaded(request, harness.sentTo(request)).withDuration(2)));
     }
     return loads.size();
   }
@@ -145,7 +147,9 @@
             events ->
                 harness.attemptEnds(
                     events,
-                    notLoaded(request, harness.sentTo(request)).after(2).withConcurrency(0)));
+                    notLoaded(request, harness.sentTo(request))
+                        .withDuration(2)
+                        .withConcurrency(0)));
       }
     }
     assertThat(commands[0]).isBetween(3, 2 + 4);
--- a/src/test/java/switchgap/policy/LoadQuotaTest.java
+++ b/src/test/java/switchgap/policy/LoadQuotaTest.java
@@ -25,7 +25,7 @@
       if (worker >= 0) {
         harness.at(
             15 + 50 * i,
-            events -> harness.attemptEnds(events, notLoaded(request, worker).after(2)));
+            events -> harness.attemptEnds(events, notLoaded(request, worker).withDuration(2)));
         harness.at(20 + 50 * i, events -> replicaLoaded(events, worker, request, 5));
       }
       assertThat((double) harness.count("load")).isLessThanOrEqualTo(2 + 0.25 * (i + 1));
--- a/src/test/java/switchgap/policy/OutlierDetectorTest.java
+++ b/src/test/java/switchgap/policy/OutlierDetectorTest.java
@@ -37,7 +37,7 @@
               harness.attemptEnds(
                   events,
                   ended(request, worker, fails ? AttemptOutcome.FAILED : AttemptOutcome.SUCCEEDED)
-                      .after(5)
+                      .withDuration(5)
                       .withConcurrency(0)));
       harness.at(
           40 + 300 * i,
@@ -45,7 +45,8 @@
             if (fails) {
               int other = harness.sentTo(request);
               harness.attemptEnds(
-                  events, succeeded(request, other).number(1).after(20).withConcurrency(0));
+                  events,
+                  succeeded(request, other).withNumber(1).withDuration(20).withConcurrency(0));
             }
           });
     }
@@ -60,7 +61,8 @@
     int primary = harness.firstWorker();
     harness.at(
         90,
-        events -> harness.attemptEnds(events, succeeded(0, primary).after(80).withConcurrency(0)));
+        events ->
+            harness.attemptEnds(events, succeeded(0, primary).withDuration(80).withConcurrency(0)));
     harness.at(
         100,
         events ->
@@ -78,19 +80,20 @@
     settings.idempotency = Idempotency.NON_IDEMPOTENT;
     PolicyHarness harness = new PolicyHarness(settings);
     harness.at(0, events -> list(events, 4));
-    int sentTo = -1;
+    int workerOfRequest206 = -1;
     // A fleet that only returns errors has no outlier, so there are successes first.
     for (int i = 0; i < 60; i++) {
       int request = 200 + i;
       harness.at(1 + i, events -> harness.requestArrives(events, request, request % 8));
-      sentTo = request == 206 ? harness.sentTo(request) : sentTo;
+      workerOfRequest206 = request == 206 ? harness.sentTo(request) : workerOfRequest206;
       harness.at(
           1 + i,
           events ->
               harness.attemptEnds(
-                  events, succeeded(request, harness.sentTo(request)).after(5).withConcurrency(0)));
+                  events,
+                  succeeded(request, harness.sentTo(request)).withDuration(5).withConcurrency(0)));
     }
-    int failing = sentTo;
+    int failing = workerOfRequest206;
     for (int i = 0; i < errors; i++) {
       int request = i;
       harness
@@ -109,7 +112,7 @@
                             harness.sentTo(request) == failing
                                 ? AttemptOutcome.FAILED
                                 : AttemptOutcome.CANCELLED)
-                        .after(2));
+                        .withDuration(2));
               });
     }
     harness.at(
@@ -145,11 +148,12 @@
             start + 60 + request,
             events ->
                 harness.attemptEnds(
-                    events, succeeded(request, worker).after(60).withConcurrency(3)));
+                    events, succeeded(request, worker).withDuration(60).withConcurrency(3)));
       }
       int losing = harness.sentTo(2);
       harness.at(
-          start + 500, events -> harness.attemptEnds(events, timedOut(2, losing).after(500)));
+          start + 500,
+          events -> harness.attemptEnds(events, timedOut(2, losing).withDuration(500)));
       succeedRetry(harness, start + 600, 500);
     }
   }
@@ -158,22 +162,23 @@
   void ejectsWorkerThatRespondsToNothing() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
     int unresponsive = harness.scaleToTwoReplicas(0).first();
-    List<Integer> workers = new ArrayList<>();
+    List<Integer> workersUsed = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       int start = 2000 + 700 * i;
       harness.at(start, events -> harness.requestArrives(events, 2, 0));
       int worker = harness.sentTo(2);
-      workers.add(worker);
+      workersUsed.add(worker);
       AttemptOutcome outcome =
           worker == unresponsive ? AttemptOutcome.TIMED_OUT : AttemptOutcome.SUCCEEDED;
       harness.at(
           start + 500,
           events ->
-              harness.attemptEnds(events, ended(2, worker, outcome).after(500).withConcurrency(3)));
+              harness.attemptEnds(
+                  events, ended(2, worker, outcome).withDuration(500).withConcurrency(3)));
       succeedRetry(harness, start + 650, 150);
     }
-    assertThat(workers.subList(0, 2)).containsOnly(unresponsive);
-    assertThat(workers.subList(2, 4)).doesNotContain(unresponsive);
+    assertThat(workersUsed.subList(0, 2)).containsOnly(unresponsive);
+    assertThat(workersUsed.subList(2, 4)).doesNotContain(unresponsive);
   }
 
   /** Ends the second attempt of request 2, if there is one, with success. */
@@ -184,7 +189,8 @@
           int worker = harness.sentTo(2);
           if (worker >= 0) {
             harness.attemptEnds(
-                events, succeeded(2, worker).number(1).after(durationMillis).withConcurrency(3));
+                events,
+                succeeded(2, worker).withNumber(1).withDuration(durationMillis).withConcurrency(3));
           }
         });
   }
--- a/src/test/java/switchgap/policy/PolicyHarness.java
+++ b/src/test/java/switchgap/policy/PolicyHarness.java
@@ -89,14 +89,14 @@
     int first = sentTo(0);
     int[] second = {-1};
     onLoad((worker, loaded) -> second[0] = worker);
-    at(60, events -> attemptEnds(events, succeeded(0, first).after(50).withConcurrency(3)));
+    at(60, events -> attemptEnds(events, succeeded(0, first).withDuration(50).withConcurrency(3)));
     for (int i = 0; i < 20; i++) {
       int time = 100 + 60 * i;
       at(time, events -> requestArrives(events, 1, function));
       int worker = sentTo(1);
       at(
           time + 50,
-          events -> attemptEnds(events, succeeded(1, worker).after(50).withConcurrency(3)));
+          events -> attemptEnds(events, succeeded(1, worker).withDuration(50).withConcurrency(3)));
     }
     assertThat(targetReplicas(function)).isEqualTo(2);
     at(1400, events -> replicaLoaded(events, second[0], function, 100));
--- a/src/test/java/switchgap/policy/PolicyRules.java
+++ b/src/test/java/switchgap/policy/PolicyInvariants.java
@@ -15,7 +15,7 @@
  * deadline, no harmful repeat, slow start and the load quota. {@link RandomEndpoints#assertReady}
  * asserts that only ready workers get attempts and load commands.
  */
-final class PolicyRules {
+final class PolicyInvariants {
   /** Two ticks of the router. */
   private static final Duration DEADLINE_MARGIN = millis(10);
 
@@ -30,7 +30,7 @@
   private final ArrayDeque<Duration> loads = new ArrayDeque<>();
   private final ArrayDeque<Duration> arrivals = new ArrayDeque<>();
 
-  PolicyRules(TestSettings settings) {
+  PolicyInvariants(TestSettings settings) {
     this.settings = settings;
   }
 
@@ -44,7 +44,7 @@
   }
 
   /** Checks that the request may be executed again at this time and worker. */
-  void checkRetry(TrackedRequest request, Duration now, long firstWorker, long worker) {
+  void checkRetry(TrackedRequest request, Duration now, long firstWorkerId, long workerId) {
     assertThat(settings.idempotency)
         .as("idempotency of a retried request")
         .isNotEqualTo(Idempotency.NON_IDEMPOTENT);
@@ -52,22 +52,22 @@
       return;
     }
     if (settings.deduplicationScope != DeduplicationScope.ALL) {
-      assertThat(zone(worker)).as("zone of the retry").isEqualTo(zone(firstWorker));
+      assertThat(zone(workerId)).as("zone of the retry").isEqualTo(zone(firstWorkerId));
     }
     if (settings.deduplicationScope == DeduplicationScope.CELL) {
-      assertThat(cell(worker)).as("cell of the retry").isEqualTo(cell(firstWorker));
+      assertThat(cell(workerId)).as("cell of the retry").isEqualTo(cell(firstWorkerId));
     }
     assertThat(now.minus(request.firstSentAt()))
         .as("time of the retry in the deduplication window")
         .isLessThan(settings.deduplicationWindow(0).minus(DEADLINE_MARGIN));
   }
 
-  static int zone(long worker) {
-    return (int) (worker % 2);
+  static int zone(long workerId) {
+    return (int) (workerId % 2);
   }
 
-  static int cell(long worker) {
-    return (int) (worker % 3);
+  static int cell(long workerId) {
+    return (int) (workerId % 3);
   }
 
   void checkResponse(TrackedRequest request, Duration now) {
--- a/src/test/java/switchgap/policy/RandomFleet.java
+++ b/src/test/java/switchgap/policy/RandomFleet.java
@@ -24,7 +24,7 @@
 /**
  * Runs the policy of one router with random events: outcomes of all kinds at random times, endpoint
  * lists in which workers drain, leave, return and restart, and clients that disconnect. {@link
- * PolicyRules} checks each decision when it is made. All random numbers come from the seed.
+ * PolicyInvariants} checks each decision when it is made. All random numbers come from the seed.
  */
 final class RandomFleet extends NoActions {
   /** Length of a run, mean intervals of its events and number of its functions. */
@@ -36,7 +36,7 @@
   private final TreeMap<Duration, List<Consumer<PolicyEvents>>> due = new TreeMap<>();
   private final Map<Integer, TrackedRequest> requests = new HashMap<>();
   private final RoutingPolicy policy;
-  private final PolicyRules rules;
+  private final PolicyInvariants invariants;
   private SplittableRandom random = new SplittableRandom(1);
   private Duration now = Duration.ZERO;
   private int attempts;
@@ -46,7 +46,7 @@
 
   RandomFleet(TestSettings settings, long seed) {
     policy = new RoutingPolicy(settings, seed);
-    rules = new PolicyRules(settings);
+    invariants = new PolicyInvariants(settings);
   }
 
   int attempts() {
@@ -69,26 +69,26 @@
   /** Runs under load, and then until all requests and commands have ended. */
   void run(long seed, Load load) {
     random = new SplittableRandom(seed);
-    later(0, endpoints::listInitial);
+    schedule(0, endpoints::listAll);
     long end = load.seconds * 1000L;
-    for (long time = 1; time < end; time += interval(load.arrivalMillis)) {
+    for (long time = 1; time < end; time += randomInterval(load.arrivalMillis)) {
       String function = "f" + random.nextInt(load.functions);
-      later(time, events -> requestArrives(events, function));
+      schedule(time, events -> requestArrives(events, function));
     }
-    for (long time = 3000; time < end; time += interval(load.endpointChangeMillis)) {
-      later(time, events -> endpoints.change(events, random, now));
+    for (long time = 3000; time < end; time += randomInterval(load.endpointChangeMillis)) {
+      schedule(time, events -> endpoints.change(events, random, now));
     }
-    Duration settled = now.plus(millis(end + 40_000));
-    runUntil(settled.minus(millis(1000)));
-    later(0, endpoints::listAllReady);
-    runUntil(settled);
+    Duration endTime = now.plus(millis(end + 40_000));
+    runUntil(endTime.minus(millis(1000)));
+    schedule(0, endpoints::listAllReady);
+    runUntil(endTime);
   }
 
-  private int interval(int meanMillis) {
+  private int randomInterval(int meanMillis) {
     return 1 + random.nextInt(2 * meanMillis);
   }
 
-  private void later(long millis, Consumer<PolicyEvents> event) {
+  private void schedule(long millis, Consumer<PolicyEvents> event) {
     due.computeIfAbsent(now.plus(millis(millis)), time -> new ArrayList<>()).add(event);
   }
 
@@ -104,13 +104,13 @@
     int index = requestIndices.allocate(nextRequest++);
     TrackedRequest request = new TrackedRequest(now.plus(millis(200 + random.nextInt(1800))));
     requests.put(index, request);
-    rules.requestArrived(now);
+    invariants.requestArrived(now);
     long hash = functionName.hashCode();
     int function = functionIndices.allocate(hash);
     events.requestArrived(
         new RequestArrival(index, 0, 0, function, hash, request.deadline(), null, 100, 2));
     if (random.nextInt(40) == 0) {
-      later(random.nextInt(300), later -> disconnect(later, index, request));
+      schedule(random.nextInt(300), later -> disconnect(later, index, request));
     }
   }
 
@@ -124,29 +124,29 @@
   @Override
   public void startAttempt(int index, int worker, Duration timeout) {
     TrackedRequest request = requests.get(index);
-    long name = endpoints.nameOf(worker);
-    rules.checkAttempt(request, now, timeout);
+    long workerId = endpoints.idOf(worker);
+    invariants.checkAttempt(request, now, timeout);
     endpoints.assertReady(worker);
     if (request.mayHaveExecuted()) {
-      rules.checkRetry(request, now, endpoints.nameOf(request.firstWorker()), name);
+      invariants.checkRetry(request, now, endpoints.idOf(request.firstWorker()), workerId);
     }
-    rules.checkSlowStart(worker, endpoints.startedAt(worker), now);
+    invariants.checkSlowStart(worker, endpoints.startedAt(worker), now);
     int attempt = request.attempts();
     retries += attempt > 0 ? 1 : 0;
     attempts++;
     request.attemptStarted(worker, now);
-    AttemptOutcome outcome = RandomOutcomes.ofAttempt(random);
+    AttemptOutcome outcome = RandomOutcomes.nextForAttempt(random);
     long duration =
         outcome == AttemptOutcome.TIMED_OUT
             ? timeout.toMillis()
             : Math.min(timeout.toMillis(), 1 + random.nextInt(120));
-    later(
+    schedule(
         duration,
         events -> {
           request.attemptEnded(attempt, outcome);
           if (outcome == AttemptOutcome.SUCCEEDED && !request.isClosed()) {
             request.close();
-            rules.checkResponse(request, now);
+            invariants.checkResponse(request, now);
           }
           LoadReport report = LoadReport.ofConcurrency(random.nextInt(4) - 1);
           events.attemptEnded(
@@ -157,13 +157,13 @@
 
   @Override
   public void reject(int index, Duration retryAfter) {
-    rules.checkRejection(requests.get(index), now);
+    invariants.checkRejection(requests.get(index), now);
     requests.get(index).close();
   }
 
   @Override
   public void fail(int index) {
-    rules.checkFailure(requests.get(index), now);
+    invariants.checkFailure(requests.get(index), now);
     requests.get(index).close();
   }
 
@@ -171,20 +171,20 @@
   public void load(int worker, int function) {
     endpoints.assertReady(worker);
     loadCommands++;
-    rules.checkLoadCommand(now);
-    commandEndsLater(worker, function);
+    invariants.checkLoadCommand(now);
+    scheduleCommandEnd(worker, function);
   }
 
   @Override
   public void queryReplicas(int worker, int function) {
-    commandEndsLater(worker, function);
+    scheduleCommandEnd(worker, function);
   }
 
-  private void commandEndsLater(int worker, int function) {
-    AttemptOutcome outcome = RandomOutcomes.ofCommand(random);
+  private void scheduleCommandEnd(int worker, int function) {
+    AttemptOutcome outcome = RandomOutcomes.nextForCommand(random);
     long duration = outcome == AttemptOutcome.TIMED_OUT ? 10_000 : 5 + random.nextInt(1500);
     int loaded = outcome == AttemptOutcome.SUCCEEDED ? 1 : 0;
-    later(
+    schedule(
         duration,
         events ->
             events.loadCommandEnded(
@@ -193,11 +193,11 @@
 
   @Override
   public void probe(int worker) {
-    long name = endpoints.nameOf(worker);
-    later(
+    long workerId = endpoints.idOf(worker);
+    schedule(
         2,
         events -> {
-          int index = endpoints.indexOf(name);
+          int index = endpoints.indexOf(workerId);
           if (index >= 0) {
             LoadReport report = new LoadReport(0.3, random.nextInt(5), 0, -1);
             events.probeEnded(new ProbeResult(index, AttemptOutcome.SUCCEEDED, report));
@@ -226,12 +226,12 @@
 
   @Override
   public void releaseWorker(int worker) {
-    rules.workerReleased(worker);
+    invariants.workerReleased(worker);
     endpoints.released(worker);
   }
 
   /** Asserts that no request, function or non-zero worker count is left after a run. */
-  void assertNothingIsLeft() {
+  void assertNoStateIsLeft() {
     assertThat(requests).isEmpty();
     assertThat(requestIndices.size()).isZero();
     assertThat(functionIndices.size()).isZero();
--- a/src/test/java/switchgap/policy/RandomOutcomes.java
+++ b/src/test/java/switchgap/policy/RandomOutcomes.java
@@ -6,7 +6,7 @@
 /** Random outcomes of attempts and of load commands. */
 final class RandomOutcomes {
   /** Outcomes to draw from uniformly; an outcome that is listed more often is more likely. */
-  private static final AttemptOutcome[] OF_ATTEMPTS = {
+  private static final AttemptOutcome[] ATTEMPT_OUTCOMES = {
     AttemptOutcome.SUCCEEDED,
     AttemptOutcome.SUCCEEDED,
     AttemptOutcome.SUCCEEDED,
@@ -22,11 +22,11 @@
 
   private RandomOutcomes() {}
 
-  static AttemptOutcome ofAttempt(SplittableRandom random) {
-    return OF_ATTEMPTS[random.nextInt(OF_ATTEMPTS.length)];
+  static AttemptOutcome nextForAttempt(SplittableRandom random) {
+    return ATTEMPT_OUTCOMES[random.nextInt(ATTEMPT_OUTCOMES.length)];
   }
 
-  static AttemptOutcome ofCommand(SplittableRandom random) {
+  static AttemptOutcome nextForCommand(SplittableRandom random) {
     if (random.nextInt(3) > 0) {
       return AttemptOutcome.SUCCEEDED;
     }
--- a/src/test/java/switchgap/policy/ReplicaLoaderTest.java
+++ b/src/test/java/switchgap/policy/ReplicaLoaderTest.java
@@ -27,7 +27,7 @@
     harness.at(0, events -> list(events, 3)).at(10, events -> harness.requestArrives(events, 0, 0));
     int primary = harness.firstWorker();
     harness
-        .at(12, events -> harness.attemptEnds(events, notLoaded(0, primary).after(2)))
+        .at(12, events -> harness.attemptEnds(events, notLoaded(0, primary).withDuration(2)))
         .at(
             15,
             events ->
@@ -39,7 +39,8 @@
             380,
             events ->
                 harness.attemptEnds(
-                    events, succeeded(0, primary).number(1).after(80).withConcurrency(0)));
+                    events,
+                    succeeded(0, primary).withNumber(1).withDuration(80).withConcurrency(0)));
     harness.assertTrace("miss");
   }
 
@@ -56,7 +57,8 @@
         .at(
             90,
             events ->
-                harness.attemptEnds(events, succeeded(0, primary).after(80).withConcurrency(8)))
+                harness.attemptEnds(
+                    events, succeeded(0, primary).withDuration(80).withConcurrency(8)))
         .until(1900)
         .at(1950, events -> harness.requestArrives(events, 1, 0))
         .until(2100);
@@ -73,12 +75,12 @@
     TestSettings settings = new TestSettings();
     settings.routerCount = routers;
     PolicyHarness harness = new PolicyHarness(settings);
-    List<Integer> rejected = new ArrayList<>();
-    List<Integer> all = new ArrayList<>();
+    List<Integer> pendingWorkers = new ArrayList<>();
+    List<Integer> commandedWorkers = new ArrayList<>();
     harness.onLoad(
         (worker, function) -> {
-          rejected.add(worker);
-          all.add(worker);
+          pendingWorkers.add(worker);
+          commandedWorkers.add(worker);
         });
     harness
         .at(0, events -> list(events, 4))
@@ -87,25 +89,31 @@
             20,
             events ->
                 harness.attemptEnds(
-                    events, notLoaded(0, harness.sentTo(0)).after(2).withConcurrency(0)));
+                    events, notLoaded(0, harness.sentTo(0)).withDuration(2).withConcurrency(0)));
     for (int time = 30; time < 900; time += 10) {
-      List<Integer> now = List.copyOf(rejected);
-      rejected.clear();
+      List<Integer> rejectingWorkers = List.copyOf(pendingWorkers);
+      pendingWorkers.clear();
       harness.at(
           time,
-          events -> now.forEach(worker -> loadFailed(events, worker, 0, AttemptOutcome.REJECTED)));
+          events ->
+              rejectingWorkers.forEach(
+                  worker -> loadFailed(events, worker, 0, AttemptOutcome.REJECTED)));
       if (harness.sentTo(0) >= 0 && harness.attemptsOf(0) == 2) {
         harness.at(
             time,
             events ->
                 harness.attemptEnds(
-                    events, notLoaded(0, harness.sentTo(0)).number(1).after(2).withConcurrency(0)));
+                    events,
+                    notLoaded(0, harness.sentTo(0))
+                        .withNumber(1)
+                        .withDuration(2)
+                        .withConcurrency(0)));
       }
     }
     // Each worker gets at most one load command within the second.
-    assertThat(all).isNotEmpty().doesNotHaveDuplicates();
+    assertThat(commandedWorkers).isNotEmpty().doesNotHaveDuplicates();
     // Other workers are tried as well, with many routers by a replica query.
-    assertThat(all.size() + harness.count("query")).isGreaterThan(1);
+    assertThat(commandedWorkers.size() + harness.count("query")).isGreaterThan(1);
   }
 
   /**
@@ -119,12 +127,12 @@
     settings.routerCount = 100;
     settings.routerIndex = 50; // its turn in the rotation comes after the end of this test
     PolicyHarness harness = new PolicyHarness(settings);
-    List<Integer> pending = new ArrayList<>();
-    int[] commands = {0};
+    List<Integer> pendingWorkers = new ArrayList<>();
+    int[] commandCount = {0};
     harness.onLoad(
         (worker, loaded) -> {
-          pending.add(worker);
-          commands[0]++;
+          pendingWorkers.add(worker);
+          commandCount[0]++;
         });
     harness
         .at(1000, events -> list(events, 1))
@@ -133,7 +141,7 @@
             1020,
             events ->
                 harness.attemptEnds(
-                    events, succeeded(0, harness.sentTo(0)).after(10).withConcurrency(0)));
+                    events, succeeded(0, harness.sentTo(0)).withDuration(10).withConcurrency(0)));
     harness.at(
         1030,
         events -> {
@@ -142,17 +150,17 @@
           change(events, 2, WorkerState.READY, millis(1030));
         });
     for (int time = 1040; time < 3000; time += 10) {
-      List<Integer> now = List.copyOf(pending);
-      pending.clear();
+      List<Integer> loadedWorkers = List.copyOf(pendingWorkers);
+      pendingWorkers.clear();
       int request = time;
       harness.at(
           time,
           events -> {
-            now.forEach(worker -> replicaLoaded(events, worker, function, 2));
+            loadedWorkers.forEach(worker -> replicaLoaded(events, worker, function, 2));
             harness.requestArrives(
                 events, request, function); // exceeds the one warm worker's capacity
           });
     }
-    assertThat(commands[0]).isBetween(1, 2);
+    assertThat(commandCount[0]).isBetween(1, 2);
   }
 }
--- a/src/test/java/switchgap/policy/ReplicaScalerTest.java
+++ b/src/test/java/switchgap/policy/ReplicaScalerTest.java
@@ -28,7 +28,7 @@
           90 + 150 * i,
           events ->
               harness.attemptEnds(
-                  events, succeeded(request, primary).after(80).withConcurrency(3)));
+                  events, succeeded(request, primary).withDuration(80).withConcurrency(3)));
     }
     harness.until(1100);
     int next = harness.lastLoadedAt();
@@ -37,12 +37,12 @@
     harness.assertTrace("target");
   }
 
-  /** The target falls to one replica after an idle timeout below the unload threshold. */
+  /** The target falls to one replica after an idle timeout below the scale-down threshold. */
   @Test
-  void keepsTargetBetweenLoadAndUnloadThresholds() {
+  void keepsTargetBetweenScaleUpAndScaleDownThresholds() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
     harness.at(0, events -> list(events, 4));
-    int[] after = new int[3];
+    int[] targetAfterPhase = new int[3];
     for (int i = 0; i < 2400; i++) {
       int time = 20 + 40 * i;
       int request = i % 50;
@@ -57,17 +57,17 @@
                 harness.attemptEnds(
                     events,
                     succeeded(request, harness.sentTo(request))
-                        .after(30)
+                        .withDuration(30)
                         .withConcurrency(concurrency)));
       }
-      after[phase] = harness.targetReplicas(0);
+      targetAfterPhase[phase] = harness.targetReplicas(0);
     }
-    assertThat(after).containsExactly(2, 2, 1);
+    assertThat(targetAfterPhase).containsExactly(2, 2, 1);
   }
 
   /** There are six workers of 4,000 MB; replicas may use half of the workers and of the memory. */
   @Test
-  void limitsTargetToHalfOfWorkersAndToTheirMemory() {
+  void limitsTargetToHalfOfWorkersAndOfTheirMemory() {
     for (int memoryMb : new int[] {100, 9000}) {
       PolicyHarness harness = new PolicyHarness(new TestSettings());
       harness.at(0, events -> list(events, 6));
@@ -86,7 +86,9 @@
               events ->
                   harness.attemptEnds(
                       events,
-                      succeeded(request, harness.sentTo(request)).after(30).withConcurrency(30)));
+                      succeeded(request, harness.sentTo(request))
+                          .withDuration(30)
+                          .withConcurrency(30)));
         }
       }
       assertThat(harness.targetReplicas(0)).isEqualTo(memoryMb == 100 ? 3 : 1);
@@ -106,7 +108,8 @@
     int primary = harness.firstWorker();
     harness.at(
         90,
-        events -> harness.attemptEnds(events, succeeded(0, primary).after(80).withConcurrency(8)));
+        events ->
+            harness.attemptEnds(events, succeeded(0, primary).withDuration(80).withConcurrency(8)));
     for (int i = 1; i < 9; i++) {
       int request = i;
       harness.at(3000 + 500 * i, events -> harness.requestArrives(events, request, 0));
@@ -124,11 +127,13 @@
         .at(
             60,
             events ->
-                harness.attemptEnds(events, succeeded(0, primary).after(50).withConcurrency(0)))
+                harness.attemptEnds(
+                    events, succeeded(0, primary).withDuration(50).withConcurrency(0)))
         .at(100, events -> harness.requestArrives(events, 1, 0));
     harness.at(
         150,
-        events -> harness.attemptEnds(events, succeeded(1, primary).after(50).withConcurrency(0)));
+        events ->
+            harness.attemptEnds(events, succeeded(1, primary).withDuration(50).withConcurrency(0)));
     for (int time = 1000; time <= 60_000; time += 1000) {
       long loads = harness.count("load");
       harness.at(time, events -> events.wakeUp(0));
@@ -152,20 +157,23 @@
     TestSettings withQuota = new TestSettings();
     withQuota.loadQuotaWindow = millis(5000);
     withQuota.loadQuotaBase = 3;
-    TestSettings priced = new TestSettings();
-    priced.idleMemoryPrice = 0.05;
-    TestSettings many = new TestSettings();
-    many.routerCount = 40;
-    for (TestSettings settings : List.of(withQuota, priced, many)) {
+    TestSettings withMemoryPrice = new TestSettings();
+    withMemoryPrice.idleMemoryPrice = 0.05;
+    TestSettings withManyRouters = new TestSettings();
+    withManyRouters.routerCount = 40;
+    for (TestSettings settings : List.of(withQuota, withMemoryPrice, withManyRouters)) {
       assertThat(afterTwoRequests(settings).count("load")).isZero();
     }
-    PolicyHarness once = new PolicyHarness(new TestSettings());
-    once.at(0, events -> list(events, 4)).at(10, events -> once.requestArrives(events, 0, 0));
-    int primary = once.firstWorker();
-    once.at(
+    PolicyHarness harness = new PolicyHarness(new TestSettings());
+    harness.at(0, events -> list(events, 4)).at(10, events -> harness.requestArrives(events, 0, 0));
+    int primary = harness.firstWorker();
+    harness
+        .at(
             60,
-            events -> once.attemptEnds(events, succeeded(0, primary).after(50).withConcurrency(0)))
+            events ->
+                harness.attemptEnds(
+                    events, succeeded(0, primary).withDuration(50).withConcurrency(0)))
         .until(30_000);
-    assertThat(once.count("load")).isZero();
+    assertThat(harness.count("load")).isZero();
   }
 }
--- a/src/test/java/switchgap/policy/RequestQueueTest.java
+++ b/src/test/java/switchgap/policy/RequestQueueTest.java
@@ -32,14 +32,16 @@
         .at(10, events -> harness.requestArrives(events, 0, 0))
         .at(
             60,
-            events -> harness.attemptEnds(events, succeeded(0, 0).after(50).withConcurrency(0)));
+            events ->
+                harness.attemptEnds(events, succeeded(0, 0).withDuration(50).withConcurrency(0)));
     for (int i = 0; i < 40; i++) {
       int time = 100 + 10 * i;
       harness.at(time, events -> harness.requestArrives(events, 1, 0));
       if (harness.sentTo(1) >= 0) {
         harness.at(
             time + 8,
-            events -> harness.attemptEnds(events, succeeded(1, 0).after(8).withConcurrency(0)));
+            events ->
+                harness.attemptEnds(events, succeeded(1, 0).withDuration(8).withConcurrency(0)));
       }
     }
     harness.at(
@@ -63,7 +65,7 @@
         640,
         events -> {
           for (int request = 2; request < 5; request++) {
-            harness.attemptEnds(events, succeeded(request, 0).after(40).withConcurrency(3));
+            harness.attemptEnds(events, succeeded(request, 0).withDuration(40).withConcurrency(3));
           }
         });
     assertThat(List.of(harness.sentTo(40), harness.sentTo(41), harness.sentTo(42))).containsOnly(0);
@@ -77,7 +79,7 @@
     int scheduled = harness.scheduledWakeUps();
     harness
         .at(5000, events -> harness.requestArrives(events, 0, 0))
-        .at(5002, events -> harness.attemptEnds(events, notLoaded(0, 0).after(2)));
+        .at(5002, events -> harness.attemptEnds(events, notLoaded(0, 0).withDuration(2)));
     // Now the request is queued.
     assertThat(harness.scheduledWakeUps()).isGreaterThan(scheduled);
     int before = harness.scheduledWakeUps();
--- a/src/test/java/switchgap/policy/RequestRouterTest.java
+++ b/src/test/java/switchgap/policy/RequestRouterTest.java
@@ -28,7 +28,8 @@
     int primary = harness.firstWorker();
     harness.at(
         90,
-        events -> harness.attemptEnds(events, succeeded(0, primary).after(80).withConcurrency(0)));
+        events ->
+            harness.attemptEnds(events, succeeded(0, primary).withDuration(80).withConcurrency(0)));
     harness.at(
         100,
         events -> {
@@ -67,7 +68,7 @@
     harness.at(0, events -> list(events, 4)).at(10, events -> harness.requestArrives(events, 0, 0));
     int first = harness.firstWorker();
     return harness
-        .at(60, events -> harness.attemptEnds(events, failed(0, first).after(50)))
+        .at(60, events -> harness.attemptEnds(events, failed(0, first).withDuration(50)))
         .until(2100)
         .trace();
   }
@@ -84,14 +85,16 @@
         .at(
             90,
             events ->
-                harness.attemptEnds(events, succeeded(0, primary).after(80).withConcurrency(8)))
+                harness.attemptEnds(
+                    events, succeeded(0, primary).withDuration(80).withConcurrency(8)))
         .until(1100);
     // Now the target is two replicas.
     harness.at(1110, events -> harness.requestArrives(events, 1, 0)).until(1200);
     int rejecting = harness.sentTo(1);
     harness.at(
         1210,
-        events -> harness.attemptEnds(events, rejected(1, rejecting).after(2).withConcurrency(5)));
+        events ->
+            harness.attemptEnds(events, rejected(1, rejecting).withDuration(2).withConcurrency(5)));
     assertThat(harness.sentTo(1)).isNotEqualTo(rejecting);
     harness.at(1220, events -> harness.requestArrives(events, 2, 0)).until(1260);
     assertThat(harness.sentTo(2)).isNotEqualTo(rejecting);
@@ -103,8 +106,8 @@
   @Test
   void allRoutersHaveTheSameHashOrder() {
     for (int function = 0; function < 30; function++) {
-      int requested = function;
-      List<Integer> first = new ArrayList<>();
+      int requestedFunction = function;
+      List<Integer> firstWorkers = new ArrayList<>();
       for (int routerIndex = 0; routerIndex < 4; routerIndex++) {
         TestSettings settings = new TestSettings();
         settings.routerIndex = routerIndex;
@@ -112,10 +115,10 @@
         PolicyHarness harness = new PolicyHarness(settings);
         harness
             .at(0, events -> list(events, 9))
-            .at(10, events -> harness.requestArrives(events, 0, requested));
-        first.add(harness.sentTo(0));
+            .at(10, events -> harness.requestArrives(events, 0, requestedFunction));
+        firstWorkers.add(harness.sentTo(0));
       }
-      assertThat(first).containsOnly(first.get(0));
+      assertThat(firstWorkers).containsOnly(firstWorkers.get(0));
     }
   }
 
@@ -136,7 +139,8 @@
           15 + 20 * i,
           events ->
               harness.attemptEnds(
-                  events, succeeded(request, harness.sentTo(request)).after(5).withConcurrency(4)));
+                  events,
+                  succeeded(request, harness.sentTo(request)).withDuration(5).withConcurrency(4)));
     }
     assertThat(harness.targetReplicas(0)).isEqualTo(2);
     harness.at(4500, events -> loading.forEach(worker -> replicaLoaded(events, worker, 0, 200)));
@@ -162,8 +166,8 @@
   void avoidsSlowWorker() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
     PolicyHarness.Replicas replicas = harness.scaleToTwoReplicas(0);
-    int early = 0;
-    int late = 0;
+    int earlyRequestsToSlow = 0;
+    int lateRequestsToSlow = 0;
     for (int i = 0; i < 60; i++) {
       int time = 1500 + 450 * i;
       harness.at(
@@ -175,21 +179,21 @@
       for (int index = 2; index < 4; index++) {
         int worker = harness.sentTo(index);
         int request = index;
-        early += i < 3 && worker == replicas.first() ? 1 : 0;
-        late += i >= 40 && worker == replicas.first() ? 1 : 0;
+        earlyRequestsToSlow += i < 3 && worker == replicas.first() ? 1 : 0;
+        lateRequestsToSlow += i >= 40 && worker == replicas.first() ? 1 : 0;
         harness.at(
             time + (worker == replicas.first() ? 400 : 30 + index),
             events ->
                 harness.attemptEnds(
                     events,
                     succeeded(request, worker)
-                        .after(worker == replicas.first() ? 400 : 30)
+                        .withDuration(worker == replicas.first() ? 400 : 30)
                         .withConcurrency(3)));
       }
     }
-    assertThat(early).isGreaterThanOrEqualTo(3);
+    assertThat(earlyRequestsToSlow).isGreaterThanOrEqualTo(3);
     // At most 15 of the last 40 requests go to the slow worker.
-    assertThat(late).isLessThan(15);
+    assertThat(lateRequestsToSlow).isLessThan(15);
   }
 
   @Test
@@ -209,19 +213,19 @@
       harness = new PolicyHarness(settings);
       replicas = harness.scaleToTwoReplicas(++function);
     }
-    int own = replicas.first() % 2 == 0 ? replicas.first() : replicas.second();
-    int requested = function;
-    PolicyHarness zoned = harness;
-    zoned.at(1500, events -> zoned.requestArrives(events, 2, requested));
-    assertThat(zoned.sentTo(2)).isEqualTo(own);
-    zoned.at(
+    int ownZoneWorker = replicas.first() % 2 == 0 ? replicas.first() : replicas.second();
+    int finalFunction = function;
+    PolicyHarness finalHarness = harness;
+    finalHarness.at(1500, events -> finalHarness.requestArrives(events, 2, finalFunction));
+    assertThat(finalHarness.sentTo(2)).isEqualTo(ownZoneWorker);
+    finalHarness.at(
         1501,
         events -> {
           for (int request = 3; request < 9; request++) {
-            zoned.requestArrives(events, request, requested);
+            finalHarness.requestArrives(events, request, finalFunction);
           }
         });
-    assertThat(IntStream.range(3, 9).map(zoned::sentTo).boxed().toList())
+    assertThat(IntStream.range(3, 9).map(finalHarness::sentTo).boxed().toList())
         .contains(replicas.first(), replicas.second());
   }
 }
--- a/src/test/java/switchgap/policy/RequestSeries.java
+++ b/src/test/java/switchgap/policy/RequestSeries.java
@@ -10,7 +10,7 @@
   private static final int REQUEST_INDICES = 50;
 
   private final PolicyHarness harness;
-  private int requests;
+  private int requestCount;
 
   /** Lists the workers and serves a first request. */
   RequestSeries(PolicyHarness harness) {
@@ -25,7 +25,7 @@
   int run(int startMillis, int count, int intervalMillis, int durationMillis) {
     int time = startMillis;
     for (int i = 0; i < count; i++, time += intervalMillis) {
-      int request = requests++ % REQUEST_INDICES;
+      int request = requestCount++ % REQUEST_INDICES;
       harness.at(time, events -> harness.requestArrives(events, request, 0));
       harness.at(
           time + durationMillis,
@@ -41,6 +41,6 @@
   private void succeed(PolicyEvents events, int request, int durationMillis) {
     int worker = harness.sentTo(request);
     harness.attemptEnds(
-        events, succeeded(request, worker).after(durationMillis).withConcurrency(0));
+        events, succeeded(request, worker).withDuration(durationMillis).withConcurrency(0));
   }
 }
--- a/src/test/java/switchgap/policy/RetryPolicyTest.java
+++ b/src/test/java/switchgap/policy/RetryPolicyTest.java
@@ -34,7 +34,7 @@
         .at(10, events -> harness.requestArrives(events, 0, function));
     int primary = harness.firstWorker();
     return harness
-        .at(60, events -> harness.attemptEnds(events, failed(0, primary).after(50)))
+        .at(60, events -> harness.attemptEnds(events, failed(0, primary).withDuration(50)))
         .until(2100);
   }
 
@@ -72,7 +72,7 @@
     harness.at(0, events -> list(events, 4)).at(10, events -> harness.requestArrives(events, 0, 0));
     int primary = harness.firstWorker();
     harness
-        .at(1050, events -> harness.attemptEnds(events, failed(0, primary).after(1040)))
+        .at(1050, events -> harness.attemptEnds(events, failed(0, primary).withDuration(1040)))
         .until(2100);
     assertThat(harness.count("send")).isEqualTo(1);
     assertThat(harness.count("reject") + harness.count("fail")).isEqualTo(1);
@@ -97,7 +97,9 @@
         int worker = harness.sentTo(0);
         harness.at(
             10 + ends[i],
-            events -> harness.attemptEnds(events, failed(0, worker).number(attempt).after(50)));
+            events ->
+                harness.attemptEnds(
+                    events, failed(0, worker).withNumber(attempt).withDuration(50)));
       }
       assertThat(harness.count("send")).as(Arrays.toString(ends)).isEqualTo(ends[ends.length - 1]);
     }
@@ -109,7 +111,7 @@
     harness.at(0, events -> list(events, 3)).at(10, events -> harness.requestArrives(events, 0, 0));
     int primary = harness.firstWorker();
     harness
-        .at(12, events -> harness.attemptEnds(events, notLoaded(0, primary).after(2)))
+        .at(12, events -> harness.attemptEnds(events, notLoaded(0, primary).withDuration(2)))
         .until(2500);
     harness.assertTrace("rejected-before-deadline");
   }
@@ -124,7 +126,7 @@
     harness
         .at(0, events -> list(events, 1))
         .at(10, events -> harness.requestArrives(events, 0, 0))
-        .at(12, events -> harness.attemptEnds(events, notLoaded(0, 0).after(2)));
+        .at(12, events -> harness.attemptEnds(events, notLoaded(0, 0).withDuration(2)));
     harness.at(2003, events -> replicaLoaded(events, 0, 0, 1990));
     assertThat(harness.count("send")).isEqualTo(1);
     assertThat(harness.count("reject request 0")).isEqualTo(1);
--- a/src/test/java/switchgap/policy/RoutingInvariantsTest.java
+++ b/src/test/java/switchgap/policy/RoutingInvariantsTest.java
@@ -30,7 +30,7 @@
     "IDEMPOTENT_WITH_KEY,ALL,200,false",
     "IDEMPOTENT,ALL,200,true"
   })
-  void keepsTheRulesAmidRandomEvents(
+  void maintainsInvariantsUnderRandomEvents(
       Idempotency idempotency, DeduplicationScope scope, int routers, boolean loadsOnDemand) {
     TestSettings settings = settingsWithQuota();
     settings.idempotency = idempotency;
@@ -41,7 +41,7 @@
     RandomFleet fleet = new RandomFleet(settings, 1);
     for (int seed = 1; seed <= 6; seed++) {
       fleet.run(seed, new RandomFleet.Load(60, 15, 3000, 12));
-      fleet.assertNothingIsLeft();
+      fleet.assertNoStateIsLeft();
     }
     assertThat(fleet.attempts()).isGreaterThan(1500);
     assertThat(fleet.loadCommands()).isGreaterThan(20);
@@ -52,12 +52,12 @@
 
   /** Requests, functions and workers arrive and leave for three simulated days. */
   @Test
-  void holdsNoMoreAfterThreeDaysThanAfterOne() {
+  void stateDoesNotGrowOverThreeDays() {
     RandomFleet fleet = new RandomFleet(settingsWithQuota(), 0);
     long[] elements = new long[3];
     for (int day = 0; day < 3; day++) {
       fleet.run(day, new RandomFleet.Load(24 * 3600, 5000, 60_000, 40 + 40 * day));
-      fleet.assertNothingIsLeft();
+      fleet.assertNoStateIsLeft();
       elements[day] = fleet.reachableElements();
     }
     assertThat(elements[2]).isLessThan(elements[0] + 200);
--- a/src/test/java/switchgap/policy/SlowStartBudget.java
+++ b/src/test/java/switchgap/policy/SlowStartBudget.java
@@ -28,13 +28,14 @@
     while (attemptsInWindow.peekFirst() <= ageMillis - WINDOW_MILLIS) {
       attemptsInWindow.removeFirst();
     }
-    double allowed = allowedAttempts(ageMillis);
-    double slack = allowed < 30 ? 3 * Math.sqrt(allowed) + 3 : 2 * Math.sqrt(allowed) + 2;
-    maxShare = Math.max(maxShare, attemptsInWindow.size() / (allowed + slack));
+    double meanAttempts = meanAllowedAttempts(ageMillis);
+    double slack =
+        meanAttempts < 30 ? 3 * Math.sqrt(meanAttempts) + 3 : 2 * Math.sqrt(meanAttempts) + 2;
+    maxShare = Math.max(maxShare, attemptsInWindow.size() / (meanAttempts + slack));
   }
 
   /** Mean number of attempts that the settings allow in a window that ends at this age. */
-  private double allowedAttempts(int ageMillis) {
+  private double meanAllowedAttempts(int ageMillis) {
     double age = ageMillis / (double) settings.warmUpDuration().toMillis();
     double share =
         settings.slowStartCapacityShare()
--- a/src/test/java/switchgap/policy/SlowStartFleet.java
+++ b/src/test/java/switchgap/policy/SlowStartFleet.java
@@ -24,18 +24,18 @@
   /** Index of the new worker, and the number of warm workers before it. */
   private static final int NEW_WORKER = 30;
 
-  private static final int NEW_WORKER_STARTS_AT = 4000;
-  private static final int RESTART_AT = 6350;
-  private static final int ENDS_AT = 14_000;
+  private static final int NEW_WORKER_START_MILLIS = 4000;
+  private static final int ROUTER_RESTART_MILLIS = 6350;
+  private static final int END_MILLIS = 14_000;
   private static final int FUNCTIONS = 12;
 
-  private record Completion(int time, int worker) {}
+  private record Completion(int timeMillis, int worker) {}
 
-  private record Event(int time, int router, int incarnation, Consumer<PolicyEvents> event) {}
+  private record Event(int timeMillis, int router, int incarnation, Consumer<PolicyEvents> event) {}
 
   private final List<Router> routers = new ArrayList<>();
-  private final PriorityQueue<Event> due =
-      new PriorityQueue<>(Comparator.comparingInt(Event::time));
+  private final PriorityQueue<Event> scheduledEvents =
+      new PriorityQueue<>(Comparator.comparingInt(Event::timeMillis));
   private final ArrayDeque<Completion> completions = new ArrayDeque<>();
   private final int[] inFlight = new int[NEW_WORKER + 1];
   private final int workMillis;
@@ -45,7 +45,7 @@
   private final double fullRate;
 
   private final SlowStartBudget budget;
-  private int now;
+  private int nowMillis;
 
   /** Each worker executes up to {@code slots} requests at a time, each for {@code workMillis}. */
   SlowStartFleet(int routerCount, int workMillis, int slots) {
@@ -66,25 +66,25 @@
   private final class Router extends NoActions {
     private final int index;
     private final int incarnation;
-    private final int startedAt;
+    private final int startedAtMillis;
     private final RoutingPolicy policy;
-    private final List<Consumer<PolicyEvents>> events = new ArrayList<>();
-    private int requests;
+    private final List<Consumer<PolicyEvents>> pendingEvents = new ArrayList<>();
+    private int requestCount;
 
     Router(int index, int incarnation, int count) {
       this.index = index;
       this.incarnation = incarnation;
-      this.startedAt = now;
+      this.startedAtMillis = nowMillis;
       TestSettings settings = new TestSettings();
       settings.routerCount = count;
       settings.routerIndex = index;
       settings.loadsOnDemand = true;
       policy = new RoutingPolicy(settings, index * 31L + incarnation);
-      events.add(target -> list(target, true));
+      pendingEvents.add(target -> list(target, true));
     }
 
     private Duration sinceStart(int millis) {
-      return Duration.ofMillis(millis - startedAt);
+      return Duration.ofMillis(millis - startedAtMillis);
     }
 
     void list(PolicyEvents target, boolean complete) {
@@ -92,8 +92,8 @@
       for (int worker = 0; worker < NEW_WORKER; worker++) {
         list(target, worker, null);
       }
-      if (now >= NEW_WORKER_STARTS_AT) {
-        list(target, NEW_WORKER, sinceStart(NEW_WORKER_STARTS_AT));
+      if (nowMillis >= NEW_WORKER_START_MILLIS) {
+        list(target, NEW_WORKER, sinceStart(NEW_WORKER_START_MILLIS));
       }
       target.endpointListEnded();
     }
@@ -104,9 +104,9 @@
     }
 
     void arrive() {
-      int request = requests++;
+      int request = requestCount++;
       int function = (request * 7 + index) % FUNCTIONS;
-      events.add(
+      pendingEvents.add(
           target ->
               target.requestArrived(
                   new RequestArrival(
@@ -115,17 +115,17 @@
                       0,
                       function,
                       50 + function,
-                      sinceStart(now + 2000),
+                      sinceStart(nowMillis + 2000),
                       null,
                       100,
                       2)));
     }
 
     void tick() {
-      List<Consumer<PolicyEvents>> batch = List.copyOf(events);
-      events.clear();
+      List<Consumer<PolicyEvents>> batch = List.copyOf(pendingEvents);
+      pendingEvents.clear();
       policy.tick(
-          sinceStart(now),
+          sinceStart(nowMillis),
           target -> {
             batch.forEach(event -> event.accept(target));
             target.wakeUp(Long.MAX_VALUE);
@@ -133,30 +133,30 @@
           this);
     }
 
-    private void later(int millis, Consumer<PolicyEvents> event) {
-      due.add(new Event(now + millis, index, incarnation, event));
+    private void schedule(int delayMillis, Consumer<PolicyEvents> event) {
+      scheduledEvents.add(new Event(nowMillis + delayMillis, index, incarnation, event));
     }
 
-    private final List<Integer> attempts = new ArrayList<>();
+    private final List<Integer> attemptCounts = new ArrayList<>();
 
     @Override
     public void startAttempt(int request, int worker, Duration timeout) {
-      while (attempts.size() <= request) {
-        attempts.add(0);
+      while (attemptCounts.size() <= request) {
+        attemptCounts.add(0);
       }
-      int attempt = attempts.get(request);
-      attempts.set(request, attempt + 1);
+      int attempt = attemptCounts.get(request);
+      attemptCounts.set(request, attempt + 1);
       if (worker == NEW_WORKER) {
-        budget.attemptSent(now - NEW_WORKER_STARTS_AT);
+        budget.attemptSent(nowMillis - NEW_WORKER_START_MILLIS);
       }
       boolean saturated = worker != NEW_WORKER && inFlight[worker] >= slots;
       inFlight[worker] += saturated ? 0 : 1;
       AttemptOutcome outcome = saturated ? AttemptOutcome.REJECTED : AttemptOutcome.SUCCEEDED;
       int durationMillis = saturated ? STEP_MILLIS : workMillis;
       if (!saturated) {
-        completions.add(new Completion(now + durationMillis, worker));
+        completions.add(new Completion(nowMillis + durationMillis, worker));
       }
-      later(
+      schedule(
           durationMillis,
           target ->
               target.attemptEnded(
@@ -177,7 +177,7 @@
 
     @Override
     public void queryReplicas(int worker, int function) {
-      later(
+      schedule(
           STEP_MILLIS,
           target ->
               target.loadCommandEnded(
@@ -191,7 +191,7 @@
 
     @Override
     public void probe(int worker) {
-      later(
+      schedule(
           STEP_MILLIS,
           target ->
               target.probeEnded(
@@ -205,19 +205,19 @@
    */
   void run(double load, boolean restarts) {
     double requestsPerSecond = load * NEW_WORKER * fullRate;
-    double owedRequests = 0;
-    for (now = 0; now < ENDS_AT; now += STEP_MILLIS) {
-      if (restarts && now == RESTART_AT) {
+    double dueRequests = 0;
+    for (nowMillis = 0; nowMillis < END_MILLIS; nowMillis += STEP_MILLIS) {
+      if (restarts && nowMillis == ROUTER_RESTART_MILLIS) {
         restartRouters();
       }
-      if (now == NEW_WORKER_STARTS_AT) {
-        routers.forEach(router -> router.events.add(target -> router.list(target, false)));
+      if (nowMillis == NEW_WORKER_START_MILLIS) {
+        routers.forEach(router -> router.pendingEvents.add(target -> router.list(target, false)));
       }
       completeAttempts();
       deliverEvents();
-      owedRequests += requestsPerSecond * STEP_MILLIS / 1000;
-      for (; owedRequests >= 1; owedRequests--) {
-        routers.get((int) (owedRequests * 7919 + now) % routers.size()).arrive();
+      dueRequests += requestsPerSecond * STEP_MILLIS / 1000;
+      for (; dueRequests >= 1; dueRequests--) {
+        routers.get((int) (dueRequests * 7919 + nowMillis) % routers.size()).arrive();
       }
       routers.forEach(Router::tick);
     }
@@ -232,18 +232,18 @@
   }
 
   private void completeAttempts() {
-    while (!completions.isEmpty() && completions.peekFirst().time <= now) {
+    while (!completions.isEmpty() && completions.peekFirst().timeMillis <= nowMillis) {
       inFlight[completions.pollFirst().worker]--;
     }
   }
 
   /** Delivers the events that are due; those for an earlier process of a router are lost. */
   private void deliverEvents() {
-    while (!due.isEmpty() && due.peek().time <= now) {
-      Event event = due.poll();
+    while (!scheduledEvents.isEmpty() && scheduledEvents.peek().timeMillis <= nowMillis) {
+      Event event = scheduledEvents.poll();
       Router router = routers.get(event.router);
       if (router.incarnation == event.incarnation) {
-        router.events.add(event.event);
+        router.pendingEvents.add(event.event);
       }
     }
   }
--- a/src/test/java/switchgap/policy/SlowStartTest.java
+++ b/src/test/java/switchgap/policy/SlowStartTest.java
@@ -33,7 +33,7 @@
    * new workers would starve.
    */
   @Test
-  void rotatesManyRoutersThroughSlotsOfSlowStart() {
+  void manyRoutersTakeTurnsInSlowStart() {
     long sent = 0;
     for (int routerIndex = 0; routerIndex < 200; routerIndex++) {
       TestSettings settings = new TestSettings();
--- a/src/test/java/switchgap/policy/WorkerLeasesTest.java
+++ b/src/test/java/switchgap/policy/WorkerLeasesTest.java
@@ -42,7 +42,7 @@
             })
         .at(10, events -> harness.requestArrives(events, 0, 0));
     primary = harness.firstWorker();
-    harness.at(60, events -> harness.attemptEnds(events, succeeded(0, primary).after(50)));
+    harness.at(60, events -> harness.attemptEnds(events, succeeded(0, primary).withDuration(50)));
   }
 
   private static void probeEnds(PolicyEvents events, int worker, AttemptOutcome outcome) {
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void needsNoProbeWhileListIsConfirmed() {
+  void sendsNoProbeWhileListIsConfirmed() {
     serveOnceWhileConfirmed();
     harness.at(900, events -> harness.requestArrives(events, 1, 0));
 
@@ -84,7 +84,7 @@
     harness
         .at(1200, events -> harness.requestArrives(events, 1, 0))
         .at(1203, events -> probeEnds(events, primary, AttemptOutcome.SUCCEEDED))
-        .at(1253, events -> harness.attemptEnds(events, succeeded(1, primary).after(50)))
+        .at(1253, events -> harness.attemptEnds(events, succeeded(1, primary).withDuration(50)))
         .at(1690, events -> harness.requestArrives(events, 2, 0));
     assertThat(harness.sentTo(2)).as("within the drain grace period").isEqualTo(primary);
 
@@ -96,7 +96,7 @@
 
   @ParameterizedTest
   @EnumSource(names = {"FAILED", "CONNECT_FAILED", "CONNECTION_LOST", "TIMED_OUT"})
-  void passesOverWorkerWhoseProbeDoesNotSucceed(AttemptOutcome outcome) {
+  void skipsWorkerWhoseProbeDoesNotSucceed(AttemptOutcome outcome) {
     serveOnceWhileConfirmed();
     harness
         .at(1200, events -> harness.requestArrives(events, 1, 0))
@@ -111,7 +111,7 @@
 
   /** A request does not wait for the whole probe timeout of a hung worker. */
   @Test
-  void passesOverWorkerThatDoesNotReplySoon() {
+  void skipsWorkerThatDoesNotReplyInTime() {
     serveOnceWhileConfirmed();
     harness.at(1200, events -> harness.requestArrives(events, 1, 0)).until(1260);
 
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void drainingWorkerIsProbedOnceASecondAndUsedAgainAsRestarted() {
+  void probesDrainingWorkerOnceASecondAndThenPresumesRestart() {
     serveOnceWhileConfirmed();
     harness
         .at(1200, events -> harness.requestArrives(events, 1, 0))
@@ -142,7 +142,7 @@
     harness
         .at(1200, events -> harness.requestArrives(events, 1, 0))
         .at(1203, events -> probeEnds(events, primary, AttemptOutcome.SUCCEEDED))
-        .at(1204, events -> harness.attemptEnds(events, rejected(1, primary).after(1)))
+        .at(1204, events -> harness.attemptEnds(events, rejected(1, primary).withDuration(1)))
         .at(1210, events -> harness.requestArrives(events, 2, 0));
 
     assertThat(harness.sentTo(2)).isEqualTo(-1);
@@ -158,21 +158,21 @@
         .at(1203, events -> probeEnds(events, primary, AttemptOutcome.SUCCEEDED))
         .at(1710, events -> harness.requestArrives(events, 2, 0))
         .at(1713, events -> probeEnds(events, primary, AttemptOutcome.FAILED))
-        .at(1720, events -> harness.attemptEnds(events, succeeded(1, primary).after(517)))
+        .at(1720, events -> harness.attemptEnds(events, succeeded(1, primary).withDuration(517)))
         .at(1730, events -> harness.requestArrives(events, 3, 0));
 
     assertThat(harness.sentTo(3)).isEqualTo(-1);
   }
 
   @Test
-  void loadCommandNeedsLease() {
+  void loadCommandRequiresLease() {
     serveOnceWhileConfirmed();
     harness
         .at(1200, events -> harness.requestArrives(events, 1, 0))
         .at(1203, events -> probeEnds(events, primary, AttemptOutcome.SUCCEEDED))
         .at(1204, events -> harness.requestArrives(events, 2, 0))
-        .at(1206, events -> harness.attemptEnds(events, rejected(2, primary).after(2)))
-        .at(1208, events -> harness.attemptEnds(events, notLoaded(1, primary).after(5)));
+        .at(1206, events -> harness.attemptEnds(events, rejected(2, primary).withDuration(2)))
+        .at(1208, events -> harness.attemptEnds(events, notLoaded(1, primary).withDuration(5)));
     assertThat(harness.count("load"))
         .as("load commands after the rejection has ended the lease")
         .isZero();
@@ -185,7 +185,7 @@
 
   /** The process may be new, without replicas, and its start missing from the endpoint list. */
   @Test
-  void reconnectedWorkerWarmsUp() {
+  void presumesRestartOfReconnectedWorker() {
     serveOnceWhileConfirmed();
     harness
         .at(2100, events -> events.workerReconnected(primary))
@@ -197,7 +197,7 @@
 
   /** An interruption of the event stream that ends at once cannot hide the start of a process. */
   @Test
-  void reconnectionInShortOutageMeansNothing() {
+  void doesNotPresumeRestartForReconnectionInShortOutage() {
     serveOnceWhileConfirmed();
     harness
         .at(1100, events -> events.workerReconnected(primary))
@@ -209,7 +209,7 @@
 
   /** The list became unconfirmed before it had to report a restart, so one has to be presumed. */
   @Test
-  void workerReconnectedShortlyBeforeListIsUnconfirmedWarmsUp() {
+  void presumesRestartOfWorkerReconnectedShortlyBeforeListIsUnconfirmed() {
     serveOnceWhileConfirmed();
     harness
         .at(700, events -> events.workerReconnected(primary))
@@ -221,7 +221,7 @@
   }
 
   @Test
-  void reconnectionMeansNothingWhileListIsConfirmed() {
+  void doesNotPresumeRestartForReconnectionWhileListIsConfirmed() {
     serveOnceWhileConfirmed();
     harness
         .at(100, events -> events.workerReconnected(primary))
@@ -239,7 +239,7 @@
         .at(1990, events -> harness.requestArrives(events, 5, 0))
         .at(1993, events -> probeEnds(events, primary, AttemptOutcome.SUCCEEDED))
         .at(2100, events -> events.workerReconnected(primary))
-        .at(2102, events -> harness.attemptEnds(events, succeeded(5, primary).after(109)))
+        .at(2102, events -> harness.attemptEnds(events, succeeded(5, primary).withDuration(109)))
         .at(
             2200,
             events -> {
@@ -256,7 +256,7 @@
 
   /** If the list is confirmed again and does not report a presumed restart, slow start ends. */
   @Test
-  void restartThatTheListDoesNotTellHasNotHappened() {
+  void withdrawsPresumedRestartThatConfirmedListDoesNotReport() {
     serveOnceWhileConfirmed();
     harness
         .at(2100, events -> events.workerReconnected(primary))
@@ -265,19 +265,19 @@
         .at(7210, events -> harness.requestArrives(events, 1, 0))
         .at(7220, events -> TestEvents.replicaLoaded(events, primary, 0, 10))
         .until(7300);
-    long sent = harness.workersSentTo().size();
+    long sentBefore = harness.workersSentTo().size();
     for (int request = 2; request < 22; request++) {
-      int number = request;
-      harness.at(7300 + request, events -> harness.requestArrives(events, number, 0));
+      int requestIndex = request;
+      harness.at(7300 + request, events -> harness.requestArrives(events, requestIndex, 0));
     }
 
-    assertThat(harness.workersSentTo().size() - sent)
+    assertThat(harness.workersSentTo().size() - sentBefore)
         .as("requests sent without the limits of slow start")
         .isGreaterThan(3);
   }
 
   @Test
-  void confirmedListNeedsNoLeaseAgain() {
+  void requiresNoLeaseOnceListIsConfirmedAgain() {
     serveOnceWhileConfirmed();
     harness
         .at(1200, events -> harness.requestArrives(events, 1, 0))
@@ -290,7 +290,7 @@
 
   /** Without probes there are no leases, so a worker is used until it rejects an attempt. */
   @Test
-  void servesWithoutProbesUntilWorkerRejects() {
+  void usesWorkerWithoutProbesUntilItRejects() {
     TestSettings withoutProbes =
         new TestSettings() {
           @Override
@@ -311,7 +311,7 @@
     assertThat(primary).isNotNegative();
 
     harness
-        .at(11, events -> harness.attemptEnds(events, rejected(0, primary).after(1)))
+        .at(11, events -> harness.attemptEnds(events, rejected(0, primary).withDuration(1)))
         .at(20, events -> harness.requestArrives(events, 1, 0));
 
     assertThat(harness.sentTo(1)).isNotEqualTo(primary);
