--- a/src/main/java/switchgap/policy/LoadEstimator.java
+++ b/src/main/java/switchgap/policy/LoadEstimator.java
@@ -38,7 +38,7 @@
   /** Lower bound of a worker's latency ratio, relative to the fleet's mean. */
   private static final double MIN_LATENCY_RATIO = 0.5;
 
-  /** Lower bound of the concurrency limit; below it rejections cause further rejections. */
+  /** Lower bound of the limit of a warm worker; below it rejections cause further rejections. */
   private static final double MIN_CONCURRENCY = 2;
 
   /** Mean span of a worker's duration histogram, which covers the last one to two seconds. */
@@ -125,7 +125,10 @@
     }
   }
 
-  /** Records full CPU utilization and a load above its capacity for a worker that rejected. */
+  /**
+   * Records full CPU utilization and a load of at least {@link #REJECTION_LOAD_FACTOR} times the
+   * capacity for a worker that rejected an attempt.
+   */
   void workerRejected(RequestClass requestClass, Worker worker, LoadReport report) {
     double assumedLoad = REJECTION_LOAD_FACTOR * capacity(requestClass);
     record(worker, report, Math.max(reportedForeignLoad(worker, report), assumedLoad), 1);
@@ -187,7 +190,9 @@
 
   /**
    * Maximum number of this router's concurrent requests at a worker: its equal share of the default
-   * capacity, plus the requests that complete in half a latency objective at the current rate.
+   * capacity, plus the requests that complete in half a latency objective at the current rate. The
+   * sum is reduced while the worker is warming up or its median relative duration exceeds {@link
+   * #FAST_RELATIVE_DURATION}, but not below a minimum.
    */
   double concurrencyLimit(Worker worker) {
     Histogram durations = worker.relativeDurations; // includes attempts that waited for a load
--- a/src/main/java/switchgap/policy/ReplicaScaler.java
+++ b/src/main/java/switchgap/policy/ReplicaScaler.java
@@ -59,10 +59,16 @@
   private final WorkerLeases leases;
   private final Duration idleTimeout;
 
-  /** Only if idle memory has a price; otherwise idle replicas expire at the workers. */
+  /**
+   * Whether surplus replicas are unloaded by command. This requires a price of idle memory; without
+   * one, idle replicas simply expire at the workers.
+   */
   private final boolean unloadsSurplusReplicas;
 
-  /** Only if it costs little: without a load quota or a memory price, and with few routers. */
+  /**
+   * Whether idle functions may keep one replica. This is restricted to cases in which it costs
+   * little: no load quota, no price of idle memory, and few routers.
+   */
   private final boolean keepsIdleReplicas;
 
   /** Memory of all target replicas of active functions. */
--- a/src/main/java/switchgap/policy/RequestQueue.java
+++ b/src/main/java/switchgap/policy/RequestQueue.java
@@ -17,7 +17,9 @@
  * deadline gets its final response.
  */
 final class RequestQueue {
-  /** Number of requests that may always wait for one worker, however slow it is. */
+  /**
+   * Lower bound of the queue limit of a worker, in requests; applies however slow the worker is.
+   */
   private static final double MIN_QUEUE_LENGTH = 2;
 
   private final PolicyState state;
@@ -97,9 +99,9 @@
   }
 
   /**
-   * Counts a request in a worker's queue and returns whether the queue exceeds its limit: the
-   * number of requests that the worker completes in half a latency objective, scaled by the
-   * request's weight.
+   * Counts a request in a worker's queue and returns whether the queue was already at its limit:
+   * the number of requests that the worker completes in half a latency objective, scaled by the
+   * request's weight relative to that of its class.
    */
   private boolean enqueueExceedsLimit(Request request, Worker worker) {
     RequestClass requestClass = request.requestClass;
--- a/src/main/java/switchgap/policy/RequestRouter.java
+++ b/src/main/java/switchgap/policy/RequestRouter.java
@@ -16,7 +16,9 @@
  * is available. Loads replicas if the survey found too few.
  */
 final class RequestRouter {
-  /** Price of the two probes for a request, as a share of its weight, above which none are sent. */
+  /**
+   * Price of the two probes for a request, as a share of its weight, from which on none are sent.
+   */
   private static final double MAX_PROBE_PRICE = 0.03;
 
   /** Maximum age of a recent load report: the shortest latency objective divided by this. */
@@ -101,12 +103,12 @@
     if (survey.anySaturated()) {
       function.placementSaturated();
       Worker next = survey.nextToLoad();
+      // If the next replica is already loaded, its worker is warming up and admits no attempt yet.
       if (selected == null
           && next != null
           && !survey.anyLoading()
           && scaler.fitsMemory(function)
           && state.replicaState(function, next) != Replica.State.LOADED) {
-        // A loaded replica gets no attempts yet if its worker is warming up.
         loader.load(function, next);
       }
     } else if (survey.unknownReplica() == null && !survey.anyLoading()) {
@@ -115,8 +117,8 @@
   }
 
   /**
-   * Probes the load of the two candidates that have not reported it recently; returns whether the
-   * request has to wait for the replies.
+   * Probes the load of the best and the alternative candidate, except where a recent report is
+   * available; returns whether the request has to wait for a reply.
    */
   private boolean sendProbes(Request request, CandidateSurvey survey) {
     if (!usesProbes || !estimator.probesReportLoad()) {
--- a/src/main/java/switchgap/policy/WorkerLeases.java
+++ b/src/main/java/switchgap/policy/WorkerLeases.java
@@ -35,12 +35,12 @@
 
   private final PolicyState state;
 
-  /** Time that a request waits for the reply to a probe before it goes to another worker. */
+  /** Maximum time that a request waits for the reply to a probe before another worker is tried. */
   private final Duration maxProbeWait;
 
   /**
-   * The drain grace period, but at least {@link #maxProbeWait}, so that a probe leaves time to
-   * send.
+   * The drain grace period, or {@link #maxProbeWait} if that is longer, so that there is time to
+   * send after a probe even if no grace period is configured.
    */
   private final Duration leaseDuration;
 
@@ -89,9 +89,7 @@
     }
   }
 
-  /**
-   * Whether the worker has a lease now, or needs none, so that an attempt or a load may be sent.
-   */
+  /** Whether an attempt or a load command may be sent now: the worker has a lease or needs none. */
   boolean maySendTo(Worker worker) {
     if (!state.requiresLeases()) {
       return true;
--- a/src/test/java/switchgap/policy/LoadPaceTest.java
+++ b/src/test/java/switchgap/policy/LoadPaceTest.java
@@ -24,22 +24,22 @@
     for (int loadMillis : new int[] {100, 4000}) {
       PolicyHarness harness = new PolicyHarness(new TestSettings());
       List<PendingLoad> pending = new ArrayList<>();
-      int[] now = {0};
+      int[] nowMillis = {0};
       harness.onLoad(
           (worker, function) ->
-              pending.add(new PendingLoad(now[0] + loadMillis, worker, function)));
+              pending.add(new PendingLoad(nowMillis[0] + loadMillis, worker, function)));
       harness.at(0, events -> list(events, 4));
       int maxPending = 0;
       int finalMaxPending = 0;
       for (int i = 0; i < 3000; i++) {
-        now[0] = 10 + 10 * i;
+        nowMillis[0] = 10 + 10 * i;
         int function = i;
         harness.at(
-            now[0],
+            nowMillis[0],
             events -> {
               harness.requestArrives(events, function, function);
               for (PendingLoad load : List.copyOf(pending)) {
-                if (load.endsAt() <= now[0] && pending.remove(load)) {
+                if (load.endsAt() <= nowMillis[0] && pending.remove(load)) {
                   replicaLoaded(events, load.worker(), load.function(), loadMillis);
                 }
               }
@@ -47,7 +47,7 @@
         int worker = harness.sentTo(function);
         if (worker >= 0) {
           harness.at(
-              now[0] + 2,
+              nowMillis[0] + 2,
               events ->
                   harness.attemptEnds(
                       events,
@@ -75,8 +75,8 @@
    */
   private static long loadCommandsAfterFailures(int failures) {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
-    List<PendingLoad> loads = new ArrayList<>();
-    harness.onLoad((worker, function) -> loads.add(new PendingLoad(0, worker, function)));
+    List<PendingLoad> pendingLoads = new ArrayList<>();
+    harness.onLoad((worker, function) -> pendingLoads.add(new PendingLoad(0, worker, function)));
     harness.at(0, events -> list(events, 8));
     for (int i = 0; i < failures; i++) {
       int request = i;
@@ -86,20 +86,20 @@
           events ->
               harness.attemptEnds(
                   events, notLoaded(request, harness.sentTo(request)).withDuration(2)));
-      PendingLoad load = loads.remove(0);
+      PendingLoad load = pendingLoads.remove(0);
       harness.at(
           14 + 10 * i,
           events -> {
             loadFailed(events, load.worker(), load.function(), AttemptOutcome.FAILED);
             events.clientDisconnected(request);
           });
-      loads.forEach(
+      pendingLoads.forEach(
           other ->
               harness.at(
                   15,
                   events ->
                       loadFailed(events, other.worker(), other.function(), AttemptOutcome.FAILED)));
-      loads.clear();
+      pendingLoads.clear();
     }
     for (int i = 0; i < 10; i++) {
       int request = 50 + i;
@@ -110,7 +110,7 @@
               harness.attemptEnds(
                   events, notLoaded(request, harness.sentTo(request)).withDuration(2)));
     }
-    return loads.size();
+    return pendingLoads.size();
   }
 
   @Test
@@ -123,22 +123,22 @@
   @Test
   void loadsFunctionThatNeverLoadedOnlyOnceASecondAfterTwoFailures() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
-    List<Integer> pending = new ArrayList<>();
-    int[] commands = {0};
+    List<Integer> pendingWorkers = new ArrayList<>();
+    int[] commandCount = {0};
     harness.onLoad(
         (worker, function) -> {
-          pending.add(worker);
-          commands[0]++;
+          pendingWorkers.add(worker);
+          commandCount[0]++;
         });
     harness.at(0, events -> list(events, 4));
     for (int time = 10; time < 3000; time += 10) {
-      List<Integer> now = List.copyOf(pending);
-      pending.clear();
+      List<Integer> failingWorkers = List.copyOf(pendingWorkers);
+      pendingWorkers.clear();
       int request = time;
       harness.at(
           time,
           events -> {
-            now.forEach(worker -> loadFailed(events, worker, 0, AttemptOutcome.FAILED));
+            failingWorkers.forEach(worker -> loadFailed(events, worker, 0, AttemptOutcome.FAILED));
             harness.requestArrives(events, request, 0);
           });
       if (harness.sentTo(request) >= 0) {
@@ -152,6 +152,6 @@
                         .withConcurrency(0)));
       }
     }
-    assertThat(commands[0]).isBetween(3, 2 + 4);
+    assertThat(commandCount[0]).isBetween(3, 2 + 4);
   }
 }
--- a/src/test/java/switchgap/policy/RequestRouterTest.java
+++ b/src/test/java/switchgap/policy/RequestRouterTest.java
@@ -192,7 +192,7 @@
       }
     }
     assertThat(earlyRequestsToSlow).isGreaterThanOrEqualTo(3);
-    // At most 15 of the last 40 requests go to the slow worker.
+    // Of the last 40 requests, fewer than 15 go to the slow worker.
     assertThat(lateRequestsToSlow).isLessThan(15);
   }
 
--- a/src/test/java/switchgap/policy/RetryPolicyTest.java
+++ b/src/test/java/switchgap/policy/RetryPolicyTest.java
@@ -81,7 +81,8 @@
   /**
    * The window is 1,000 ms less two ticks of 5 ms. A retry is allowed 980 ms after the first
    * attempt but not after 994 ms, whichever attempt ended. The last number of each array is the
-   * expected number of attempts, the others are the times at which attempts end.
+   * expected number of attempts; the others are the times in ms, from the first attempt on, at
+   * which attempts end.
    */
   @Test
   void countsDeduplicationWindowFromFirstAttemptThatMayHaveExecuted() {
