--- a/src/main/java/switchgap/policy/RequestQueue.java
+++ b/src/main/java/switchgap/policy/RequestQueue.java
@@ -12,11 +12,15 @@
 import switchgap.policy.state.Worker;
 
 /**
- * Holds the requests that could not be sent. Each is placed again at every step, in descending
- * order of weight, and rejected once it cannot meet its latency objective or deadline any more.
+ * Holds the requests that could not be sent at once. At each step the queue tries to send them in
+ * descending order of weight. A request that can no longer meet its latency objective or its
+ * deadline gets its final response.
  */
 final class RequestQueue {
-  private static final double MIN_LENGTH = 2; // requests that may wait for one worker
+  /**
+   * Lower bound of the queue limit of a worker, in requests; applies however slow the worker is.
+   */
+  private static final double MIN_QUEUE_LENGTH = 2;
 
   private final PolicyState state;
   private final CandidateSelector selector;
@@ -35,71 +39,75 @@
   /** Sends a request now or queues it. */
   void sendOrQueue(Request request) {
     if (!router.send(request, selector.survey(request))) {
-      request.queued();
+      request.markQueued();
       queue.add(request);
     }
   }
 
-  /** When the queue is due again, or {@code latest} if that is earlier. */
+  /**
+   * Time of the next step of the queue, or {@code latest} if the queue is empty or that is earlier.
+   */
   Duration nextStep(Duration latest) {
     return queue.isEmpty() ? latest : Durations.min(state.now().plus(router.queueStep), latest);
   }
 
-  /** Places each queued request again, by descending weight, then by age. */
+  /** Tries to send each queued request, by descending weight, then by arrival time. */
   void sendQueued() {
     if (queue.isEmpty()) {
       return;
     }
-    List<Request> waiting = new ArrayList<>(queue);
-    waiting.sort(
+    List<Request> queuedRequests = new ArrayList<>(queue);
+    queuedRequests.sort(
         Comparator.comparingDouble((Request request) -> -request.weightAt(state.now()))
             .thenComparing(request -> request.arrivedAt));
     queue.clear();
-    for (Request request : waiting) {
+    for (Request request : queuedRequests) {
       if (request.isQueued()) {
-        placeAgain(request);
+        retryOrGiveUp(request);
       }
     }
-    state.workers.forEach(Worker::queuePlaced);
+    state.workers.forEach(Worker::resetQueued);
   }
 
-  private void placeAgain(Request request) {
+  private void retryOrGiveUp(Request request) {
     if (request.isWaitingForProbes(state.now())) {
       queue.add(request);
       return;
     }
     CandidateSurvey survey = selector.survey(request);
     if (router.send(request, survey)) {
-      request.dequeued();
-    } else if (mayWait(request, survey)) {
+      request.markDequeued();
+    } else if (mayStayQueued(request, survey)) {
       queue.add(request);
     } else {
       retries.giveUp(request);
     }
   }
 
-  /**
-   * Whether a request may go on waiting; counts it in the queue of the worker that it waits for.
-   */
-  private boolean mayWait(Request request, CandidateSurvey survey) {
-    boolean queueFull = survey.anyLoaded() && isQueueFull(request, survey.first());
+  /** Whether a request may stay queued. Counts it in the queue of the worker that it waits for. */
+  private boolean mayStayQueued(Request request, CandidateSurvey survey) {
+    boolean isQueueFull = survey.anyLoaded() && enqueueExceedsLimit(request, survey.first());
     RequestClass requestClass = request.requestClass;
-    Duration usual = LoadEstimator.usualDuration(requestClass);
-    Duration latency = state.now().minus(request.arrivedAt).plus(usual);
-    boolean late = !Durations.isShorter(latency, requestClass.latencyObjective);
-    boolean loading = !survey.anyLoaded() && survey.anyLoading();
-    return !queueFull
-        && (loading || !late)
-        && !request.hasUsedUp(state.settings.maxAttempts)
-        && retries.endsInTime(request, usual);
+    Duration expectedDuration = LoadEstimator.medianDuration(requestClass);
+    Duration expectedLatency = state.now().minus(request.arrivedAt).plus(expectedDuration);
+    boolean missesObjective = !Durations.isShorter(expectedLatency, requestClass.latencyObjective);
+    boolean waitsForLoad = !survey.anyLoaded() && survey.anyLoading();
+    return !isQueueFull
+        && (waitsForLoad || !missesObjective)
+        && !request.hasReachedAttempts(state.settings.maxAttempts)
+        && retries.endsInTime(request, expectedDuration);
   }
 
-  /** Adds a request to a worker's queue, limited to what the worker serves in half an objective. */
-  private boolean isQueueFull(Request request, Worker worker) {
+  /**
+   * Counts a request in a worker's queue and returns whether the queue was already at its limit:
+   * the number of requests that the worker completes in half a latency objective, scaled by the
+   * request's weight relative to that of its class.
+   */
+  private boolean enqueueExceedsLimit(Request request, Worker worker) {
     RequestClass requestClass = request.requestClass;
     double rate = worker.relativeDurations.total() / 2;
-    double length =
-        Math.max(MIN_LENGTH, rate * Durations.toSeconds(requestClass.latencyObjective) / 2);
-    return worker.enqueue() >= length * request.weight() / requestClass.priorityWeight;
+    double maxLength =
+        Math.max(MIN_QUEUE_LENGTH, rate * Durations.toSeconds(requestClass.latencyObjective) / 2);
+    return worker.countQueued() >= maxLength * request.weight() / requestClass.priorityWeight;
   }
 }
--- a/src/main/java/switchgap/policy/RequestRouter.java
+++ b/src/main/java/switchgap/policy/RequestRouter.java
@@ -12,20 +12,27 @@
 import switchgap.policy.state.Worker;
 
 /**
- * Sends a request to the worker that its survey found, after load probes where reports are rare;
- * has replicas loaded where the survey found too few.
+ * Sends a request to the worker that its survey found, after load probes if no recent load report
+ * is available. Loads replicas if the survey found too few.
  */
 final class RequestRouter {
-  private static final double MAX_PROBE_PRICE = 0.03; // of a request's weight, for both probes
-  private static final int FRESH_REPORT = 4; // in an objective: a younger report needs no probe
-  private static final int STEPS = 20; // of the queue, within the shortest objective
+  /**
+   * Price of the two probes for a request, as a share of its weight, from which on none are sent.
+   */
+  private static final double MAX_PROBE_PRICE = 0.03;
+
+  /** Maximum age of a recent load report: the shortest latency objective divided by this. */
+  private static final int REPORT_AGES_PER_OBJECTIVE = 4;
+
+  /** Number of queue steps within the shortest latency objective. */
+  private static final int QUEUE_STEPS_PER_OBJECTIVE = 20;
 
   private final PolicyState state;
   private final LoadEstimator estimator;
   private final ReplicaLoader loader;
   private final ReplicaScaler scaler;
   private final WorkerLeases leases;
-  private final boolean probes;
+  private final boolean usesProbes;
   final Duration queueStep;
 
   RequestRouter(
@@ -40,72 +47,88 @@
     this.loader = loader;
     this.scaler = scaler;
     double probePrice = state.settings.probePrice;
-    probes = state.settings.probesAllowed && state.ownShare < 1 && 2 * probePrice < MAX_PROBE_PRICE;
+    usesProbes =
+        state.settings.probesAllowed && state.ownShare < 1 && 2 * probePrice < MAX_PROBE_PRICE;
     queueStep = queueStep(state);
   }
 
-  /** The time after which a queued request is placed again. */
+  /** Interval at which the queue tries again to send its requests. */
   static Duration queueStep(PolicyState state) {
-    return max(state.settings.tickInterval, state.settings.shortestObjective.dividedBy(STEPS));
+    return max(
+        state.settings.tickInterval,
+        state.settings.shortestObjective.dividedBy(QUEUE_STEPS_PER_OBJECTIVE));
   }
 
-  /** Sends a request to what its survey found; returns false if it has to wait. */
+  /** Sends a request to the worker that its survey found; returns false if it has to wait. */
   boolean send(Request request, CandidateSurvey survey) {
-    boolean comparable = survey.alternative() != null && !request.hasWaitedForProbes();
-    if (comparable && sendProbes(request, survey)) {
+    boolean mayProbe = survey.alternative() != null && !request.hasWaitedForProbes();
+    if (mayProbe && sendProbes(request, survey)) {
       return false;
     }
-    Worker choice = choose(survey);
+    Worker worker = selectWorker(survey);
     if (survey.best() == null) {
-      loadReplicas(request.function, survey, choice);
+      loadReplicas(request.function, survey, worker);
     }
-    if (choice == null) {
+    if (worker == null) {
       return false;
     }
-    if (!leases.holds(choice)) {
-      leases.acquire(choice, request);
+    if (!leases.maySendTo(worker)) {
+      leases.requestLease(worker, request);
       return false;
     }
-    state.dispatcher.startAttempt(request, choice);
+    state.dispatcher.startAttempt(request, worker);
     return true;
   }
 
-  /** A worker that loads on demand is the last resort; one with an unknown replica comes first. */
-  private Worker choose(CandidateSurvey survey) {
+  /**
+   * Returns the worker to send to, or null. Without an available target replica, a worker whose
+   * replica state is unknown precedes a loaded replica beyond the targets, unless workers load on
+   * demand, since the attempt would then wait for the load.
+   */
+  private Worker selectWorker(CandidateSurvey survey) {
     if (survey.best() != null) {
       return survey.best();
     }
-    boolean overflows = survey.overflow() != null && state.settings.loadsOnDemand;
-    return overflows || survey.unknown() == null ? survey.overflow() : survey.unknown();
+    boolean prefersOverflow = survey.overflow() != null && state.settings.loadsOnDemand;
+    return prefersOverflow || survey.unknownReplica() == null
+        ? survey.overflow()
+        : survey.unknownReplica();
   }
 
-  /** No target replica is available: loads one past the saturated ones, or the first missing. */
-  private void loadReplicas(Function function, CandidateSurvey survey, Worker choice) {
+  /**
+   * Loads a replica if no target replica is available: the next one in hash order if target
+   * replicas are saturated, else the first missing one.
+   */
+  private void loadReplicas(Function function, CandidateSurvey survey, Worker selected) {
     if (survey.anySaturated()) {
       function.placementSaturated();
-      Worker next = survey.next();
-      if (choice == null
+      Worker next = survey.nextToLoad();
+      // If the next replica is already loaded, its worker is warming up and admits no attempt yet.
+      if (selected == null
           && next != null
           && !survey.anyLoading()
           && scaler.fitsMemory(function)
-          && state.replicaState(function, next) != Replica.State.LOADED) { // but warming up
+          && state.replicaState(function, next) != Replica.State.LOADED) {
         loader.load(function, next);
       }
-    } else if (survey.unknown() == null && !survey.anyLoading()) {
+    } else if (survey.unknownReplica() == null && !survey.anyLoading()) {
       loader.loadFirstMissing(function);
     }
   }
 
-  /** Probes two replicas' load unless they reported it lately; returns whether to wait for it. */
+  /**
+   * Probes the load of the best and the alternative candidate, except where a recent report is
+   * available; returns whether the request has to wait for a reply.
+   */
   private boolean sendProbes(Request request, CandidateSurvey survey) {
-    if (!probes || !estimator.probesReportLoad()) {
+    if (!usesProbes || !estimator.probesReportLoad()) {
       return false;
     }
     request.waitForProbes(state.now().plus(queueStep));
-    Duration fresh = state.settings.shortestObjective.dividedBy(FRESH_REPORT);
+    Duration maxReportAge = state.settings.shortestObjective.dividedBy(REPORT_AGES_PER_OBJECTIVE);
     for (Worker worker : List.of(survey.best(), survey.alternative())) {
       Duration reportedAt = worker.report.reportedAt();
-      if (reportedAt == null || !state.isWithin(fresh, reportedAt)) {
+      if (reportedAt == null || !state.isWithin(maxReportAge, reportedAt)) {
         state.dispatcher.probe(worker, request);
       }
     }
--- a/src/main/java/switchgap/policy/WorkerLeases.java
+++ b/src/main/java/switchgap/policy/WorkerLeases.java
@@ -12,72 +12,85 @@
 import switchgap.policy.state.WorkerLease;
 
 /**
- * Rules 3 and 4 while the endpoint list is unconfirmed, when drains and starts count as notified
- * although no list tells them. A worker then gets attempts and load commands only under a lease:
- * for the drain grace after the send of a command whose reply proves that it accepted. A success
- * renews the lease; where it has lapsed, a load probe does, for which the request waits. A worker
- * that may have restarted warms up from then on, as the list would have told its start. Where the
- * settings allow no probes, a worker stays in use until it rejects something or ends its
- * connections.
+ * Keeps the drain and slow-start guarantees while the endpoint list is unconfirmed. During that
+ * time a drain or a start takes effect although this router may not have received the notification,
+ * so a worker gets attempts and load commands only under a lease. A lease lasts for the drain grace
+ * period, counted from the time at which a command was sent that the worker accepted. A successful
+ * attempt renews the lease; once it has expired, the request waits for a load probe that renews it.
+ * A worker that may have restarted is treated as warming up. If the settings forbid probes, a
+ * worker stays in use until it rejects an attempt or closes its connections.
  */
 final class WorkerLeases {
-  private static final Duration RETRY_INTERVAL = SECOND; // of probes of a worker without a lease
+  /** Minimum interval between two probes of a worker that has no lease. */
+  private static final Duration PROBE_RETRY_INTERVAL = SECOND;
 
-  /** A shorter one ends before anything that it hides counts as notified. */
-  private static final Duration MIN_OUTAGE = SECOND;
+  /**
+   * An outage of the endpoint list that is shorter than this ends before any change that it hides
+   * takes effect.
+   */
+  private static final Duration MIN_LIST_OUTAGE = SECOND;
 
-  /** The platform's longest delay between a worker's start and its notification. */
+  /** Maximum delay between the start of a worker and its appearance in the endpoint list. */
   private static final Duration MAX_LISTING_DELAY = SECOND.multipliedBy(4);
 
   private final PolicyState state;
-  private final Duration maxWait; // for a probe's reply, before another worker is taken
-  private final Duration validity; // of a lease; the grace, or time to send where there is none
 
-  WorkerLeases(PolicyState state, Duration maxWait) {
+  /** Maximum time that a request waits for the reply to a probe before another worker is tried. */
+  private final Duration maxProbeWait;
+
+  /**
+   * The drain grace period, or {@link #maxProbeWait} if that is longer, so that there is time to
+   * send after a probe even if no grace period is configured.
+   */
+  private final Duration leaseDuration;
+
+  WorkerLeases(PolicyState state, Duration maxProbeWait) {
     this.state = state;
-    this.maxWait = maxWait;
-    this.validity = Durations.max(state.settings.drainGrace, maxWait);
+    this.maxProbeWait = maxProbeWait;
+    this.leaseDuration = Durations.max(state.settings.drainGrace, maxProbeWait);
   }
 
   /**
-   * Once the list has been unconfirmed for a while, restarts that it has not told count as well;
-   * once it is confirmed again, those that it does not tell in time have not happened.
+   * Presumes that workers restarted whose reconnection the endpoint list does not explain, once the
+   * list has been unconfirmed for {@link #MIN_LIST_OUTAGE}. After the list is confirmed again,
+   * withdraws each presumed restart that it does not report within {@link #MAX_LISTING_DELAY}.
    */
   void everySecond() {
     if (isLongUnconfirmed()) {
       state.workers.forEach(this::presumeRestartUnlessListed);
     } else if (!state.isListUnconfirmed()) {
-      state.workers.forEach(this::dropUnlistedRestart);
+      state.workers.forEach(this::withdrawUnlistedRestart);
     }
   }
 
   private boolean isLongUnconfirmed() {
     return state.isListUnconfirmed()
-        && state.hasPassed(state.listUnconfirmedSince().plus(MIN_OUTAGE));
+        && state.hasPassed(state.listUnconfirmedSince().plus(MIN_LIST_OUTAGE));
   }
 
-  private void dropUnlistedRestart(Worker worker) {
+  private void withdrawUnlistedRestart(Worker worker) {
     Duration presumed = worker.start().presumed();
     if (presumed != null && !state.isWithin(MAX_LISTING_DELAY, presumed)) {
-      worker.start().notListed();
+      worker.start().withdrawPresumed();
     }
   }
 
   private void presumeRestartUnlessListed(Worker worker) {
     Duration reconnectedAt = worker.lease.reconnectedAt();
-    Duration earliest = state.listUnconfirmedSince().minus(MAX_LISTING_DELAY);
-    if (reconnectedAt == null || reconnectedAt.compareTo(earliest) < 0) {
+    Duration earliestUnlisted = state.listUnconfirmedSince().minus(MAX_LISTING_DELAY);
+    if (reconnectedAt == null || reconnectedAt.compareTo(earliestUnlisted) < 0) {
       return;
     }
-    Duration known = worker.startedAt();
-    boolean isKnown = known != null && known.compareTo(reconnectedAt.minus(MAX_LISTING_DELAY)) > 0;
-    if (!isKnown) {
+    Duration knownStart = worker.startedAt();
+    boolean isRestartListed =
+        knownStart != null && knownStart.compareTo(reconnectedAt.minus(MAX_LISTING_DELAY)) > 0;
+    if (!isRestartListed) {
       state.presumeRestarted(worker, reconnectedAt);
     }
   }
 
-  /** Whether the worker may be sent an attempt or a load command now. */
-  boolean holds(Worker worker) {
+  /** Whether an attempt or a load command may be sent now: the worker has a lease or needs none. */
+  boolean maySendTo(Worker worker) {
     if (!state.requiresLeases()) {
       return true;
     }
@@ -86,79 +99,81 @@
   }
 
   /**
-   * Whether the worker is to be passed over, as if it were not ready; it is probed now and then.
+   * Whether to skip the worker as if it were not ready. Probes it again from time to time, so that
+   * it returns to use once it accepts requests.
    */
   boolean isUnavailable(Worker worker) {
     if (!state.isListUnconfirmed()) {
       return false;
     }
-    boolean denied = worker.lease.isDenied();
-    if (worker.isProbed()) {
-      boolean repliesLate = !state.isWithin(maxWait, worker.lease.probedAt());
-      return denied || (repliesLate && !holds(worker));
+    boolean isDenied = worker.lease.isDenied();
+    if (worker.isProbeInFlight()) {
+      boolean isReplyOverdue = !state.isWithin(maxProbeWait, worker.lease.probedAt());
+      return isDenied || (isReplyOverdue && !maySendTo(worker));
     }
-    if (denied && mayProbeAgain(worker)) {
+    if (isDenied && mayProbeAgain(worker)) {
       state.dispatcher.probe(worker);
     }
-    return denied;
+    return isDenied;
   }
 
   private boolean mayProbeAgain(Worker worker) {
-    return state.requiresLeases() && !state.isWithin(RETRY_INTERVAL, worker.lease.probedAt());
+    return state.requiresLeases() && !state.isWithin(PROBE_RETRY_INTERVAL, worker.lease.probedAt());
   }
 
-  /** Probes a worker without a lease; the request waits for the reply. */
-  void acquire(Worker worker, Request request) {
-    request.waitForProbes(state.now().plus(maxWait));
+  /** Probes a worker that has no lease and makes the request wait for the reply. */
+  void requestLease(Worker worker, Request request) {
+    request.waitForProbes(state.now().plus(maxProbeWait));
     state.dispatcher.probe(worker, request);
   }
 
-  /** Probes a worker without a lease, for which no request waits. */
-  void acquire(Worker worker) {
-    if (!worker.isProbed() && !worker.lease.isDenied()) {
+  /** Probes a worker that has no lease, without a request that waits for the reply. */
+  void requestLease(Worker worker) {
+    if (!worker.isProbeInFlight() && !worker.lease.isDenied()) {
       state.dispatcher.probe(worker);
     }
   }
 
-  /** An attempt ended: a success renews the lease, a rejection or a lost connection ends it. */
+  /** Renews the lease after a success; ends it after a rejection or a lost connection. */
   void attemptEnded(Worker worker, AttemptResult result) {
     switch (result.outcome()) {
-      case SUCCEEDED -> worker.lease.granted(state.now().minus(result.duration()), validity);
-      case REJECTED, CONNECTION_LOST, CONNECT_FAILED -> refused(worker);
-      default -> {} // proves nothing
+      case SUCCEEDED -> worker.lease.grant(state.now().minus(result.duration()), leaseDuration);
+      case REJECTED, CONNECTION_LOST, CONNECT_FAILED -> endLease(worker);
+      default -> {} // does not show whether the worker accepts requests
     }
   }
 
-  /** The next probe tells whether the worker accepts; where none is allowed, nothing does. */
-  private void refused(Worker worker) {
+  /** Ends the lease until the next probe succeeds; without probes, stops using the worker. */
+  private void endLease(Worker worker) {
     if (state.settings.probesAllowed) {
-      worker.lease.revoked(state.now());
+      worker.lease.revoke(state.now());
     } else if (state.isListUnconfirmed()) {
-      worker.lease.denied(state.now(), false);
+      worker.lease.deny(state.now(), false);
     }
   }
 
-  /** A probe of the worker ended. */
+  /** Updates the lease by the outcome of a probe. */
   void probeEnded(Worker worker, AttemptOutcome outcome) {
     WorkerLease lease = worker.lease;
     if (lease.probedAt() == null) {
-      return; // the probe was of another process under the same index
+      return; // the probe was sent to an earlier worker that had the same index
     }
     switch (outcome) {
       case SUCCEEDED -> {
-        boolean hasDrained = lease.drains();
-        lease.granted(lease.probedAt(), validity);
-        if (hasDrained && state.isListUnconfirmed()) { // only another process accepts again
+        boolean wasDraining = lease.isDraining();
+        lease.grant(lease.probedAt(), leaseDuration);
+        // A draining process never accepts requests again, so this must be a new process.
+        if (wasDraining && state.isListUnconfirmed()) {
           state.presumeRestarted(worker, state.now());
         }
       }
-      case FAILED -> lease.denied(state.now(), true);
-      case NOT_SENT, CANCELLED -> {} // proves nothing
-      default -> lease.denied(state.now(), false);
+      case FAILED -> lease.deny(state.now(), true);
+      case NOT_SENT, CANCELLED -> {} // does not show whether the worker accepts requests
+      default -> lease.deny(state.now(), false);
     }
   }
 
-  /** The worker ended its connections and accepts new ones. */
+  /** Handles a new connection to a worker that had closed or refused its earlier ones. */
   void workerReconnected(Worker worker) {
     worker.lease.reconnected(state.now());
     if (isLongUnconfirmed()) {
--- a/src/test/java/switchgap/policy/LoadEstimatorTest.java
+++ b/src/test/java/switchgap/policy/LoadEstimatorTest.java
@@ -11,26 +11,23 @@
 import switchgap.policy.api.LoadReport;
 import switchgap.policy.api.ProbeResult;
 
-/** Usual durations and load probes. */
+/** Expected durations of requests, and load probes. */
 class LoadEstimatorTest {
   @Test
-  void usualDurationFollowsRecentDurations() {
+  void expectedDurationFollowsRecentDurations() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
     RequestSeries series = new RequestSeries(harness);
     int time = series.run(100, 20_000, 60, 40);
     time = series.run(time, 400, 400, 390);
     int arrival = time;
-    harness.at(
-        arrival,
-        events ->
-            harness.requestArrives(
-                events, 99, 0, 420)); // less than one and a half of the present duration
-    String all = harness.trace();
-    assertThat(all.substring(Math.max(0, all.length() - 300)))
+    // The time-out is less than 1.5 times the recent durations of 390 ms.
+    harness.at(arrival, events -> harness.requestArrives(events, 99, 0, 420));
+    String trace = harness.trace();
+    assertThat(trace.substring(Math.max(0, trace.length() - 300)))
         .contains(arrival + " reject request 99");
   }
 
-  /** Probed or not, the request is sent. */
+  /** The request is sent whether the workers are probed or not. */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.01, 0.08})
   void probesLoadOnlyWhereItsPriceIsLow(double price) {
@@ -45,14 +42,14 @@
             90,
             events ->
                 harness.attemptEnds(
-                    events, succeeded(0, harness.sentTo(0)).after(80).withConcurrency(8)))
+                    events, succeeded(0, harness.sentTo(0)).withDuration(80).withConcurrency(8)))
         .until(1100);
     harness.at(1200, events -> harness.requestArrives(events, 1, 0)).until(1300);
     assertThat(harness.count("probe") > 0).isEqualTo(price < 0.015);
     assertThat(harness.count("send")).isEqualTo(2);
   }
 
-  /** A worker that has just started may respond without a report. */
+  /** A worker that has just started may reply to a probe without a load report. */
   @Test
   void probesLoadAgainAfterProbeWithoutReport() {
     TestSettings settings = new TestSettings();
@@ -65,11 +62,11 @@
             90,
             events ->
                 harness.attemptEnds(
-                    events, succeeded(0, harness.sentTo(0)).after(80).withConcurrency(8)))
+                    events, succeeded(0, harness.sentTo(0)).withDuration(80).withConcurrency(8)))
         .until(1100);
     harness.at(1200, events -> harness.requestArrives(events, 1, 0));
     assertThat(harness.count("probe")).isPositive();
-    long probed = harness.count("probe");
+    long probesBefore = harness.count("probe");
     for (int worker = 0; worker < 4; worker++) {
       int responding = worker;
       harness.at(
@@ -84,7 +81,7 @@
             1320,
             events ->
                 harness.attemptEnds(
-                    events, succeeded(1, harness.sentTo(1)).after(80).withConcurrency(8)))
+                    events, succeeded(1, harness.sentTo(1)).withDuration(80).withConcurrency(8)))
         .until(3000);
     for (int i = 0; i < 20; i++) {
       int request = 2 + i;
@@ -97,12 +94,14 @@
             events ->
                 harness.attemptEnds(
                     events,
-                    succeeded(request, harness.sentTo(request)).after(80).withConcurrency(8)));
+                    succeeded(request, harness.sentTo(request))
+                        .withDuration(80)
+                        .withConcurrency(8)));
       }
       harness.until(8980 + 6000 * i);
     }
     assertThat(harness.count("probe"))
         .as(harness.trace().substring(Math.max(0, harness.trace().length() - 1500)))
-        .isGreaterThan(probed + 1);
+        .isGreaterThan(probesBefore + 1);
   }
 }
--- a/src/test/java/switchgap/policy/LoadPaceTest.java
+++ b/src/test/java/switchgap/policy/LoadPaceTest.java
@@ -11,35 +11,35 @@
 import org.junit.jupiter.api.Test;
 import switchgap.policy.api.AttemptOutcome;
 
-/** The limit of load commands in flight, and what failed loads do to it. */
+/** Adaptation of the limit of load commands in flight to slow and failed loads. */
 class LoadPaceTest {
   private record PendingLoad(int endsAt, int worker, int function) {}
 
   /**
-   * The limit begins at three loads here; it rises while loads are quick and falls to one when they
-   * are slow.
+   * The initial limit is three loads: one plus four workers divided by two routers. It rises while
+   * loads are quick and falls to one when they are slow.
    */
   @Test
-  void adaptsPendingLoadsToPaceOfStore() {
+  void adaptsLoadLimitToThroughputOfStore() {
     for (int loadMillis : new int[] {100, 4000}) {
       PolicyHarness harness = new PolicyHarness(new TestSettings());
       List<PendingLoad> pending = new ArrayList<>();
-      int[] now = {0};
+      int[] nowMillis = {0};
       harness.onLoad(
           (worker, function) ->
-              pending.add(new PendingLoad(now[0] + loadMillis, worker, function)));
+              pending.add(new PendingLoad(nowMillis[0] + loadMillis, worker, function)));
       harness.at(0, events -> list(events, 4));
-      int max = 0;
-      int lastMax = 0;
+      int maxPending = 0;
+      int finalMaxPending = 0;
       for (int i = 0; i < 3000; i++) {
-        now[0] = 10 + 10 * i;
+        nowMillis[0] = 10 + 10 * i;
         int function = i;
         harness.at(
-            now[0],
+            nowMillis[0],
             events -> {
               harness.requestArrives(events, function, function);
               for (PendingLoad load : List.copyOf(pending)) {
-                if (load.endsAt() <= now[0] && pending.remove(load)) {
+                if (load.endsAt() <= nowMillis[0] && pending.remove(load)) {
                   replicaLoaded(events, load.worker(), load.function(), loadMillis);
                 }
               }
@@ -47,36 +47,36 @@
         int worker = harness.sentTo(function);
         if (worker >= 0) {
           harness.at(
-              now[0] + 2,
+              nowMillis[0] + 2,
               events ->
                   harness.attemptEnds(
                       events,
                       notLoaded(function, worker)
-                          .number(harness.attemptsOf(function) - 1)
-                          .after(2)));
+                          .withNumber(harness.attemptsOf(function) - 1)
+                          .withDuration(2)));
         }
-        max = Math.max(max, pending.size());
-        lastMax = i > 2000 ? Math.max(lastMax, pending.size()) : lastMax;
+        maxPending = Math.max(maxPending, pending.size());
+        finalMaxPending = i > 2000 ? Math.max(finalMaxPending, pending.size()) : finalMaxPending;
         if (i == 8) {
-          assertThat(pending.size()).as("to begin with").isEqualTo(3);
+          assertThat(pending.size()).as("initial limit").isEqualTo(3);
         }
       }
       if (loadMillis == 100) {
-        assertThat(max).isGreaterThan(5);
+        assertThat(maxPending).isGreaterThan(5);
       } else {
-        assertThat(lastMax).isEqualTo(1);
+        assertThat(finalMaxPending).isEqualTo(1);
       }
     }
   }
 
   /**
-   * Concurrent load commands for ten new functions, after loads of functions that do not exist
-   * failed.
+   * Returns the number of concurrent load commands for ten new functions, after loads of functions
+   * that do not exist have failed.
    */
   private static long loadCommandsAfterFailures(int failures) {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
-    List<PendingLoad> loads = new ArrayList<>();
-    harness.onLoad((worker, function) -> loads.add(new PendingLoad(0, worker, function)));
+    List<PendingLoad> pendingLoads = new ArrayList<>();
+    harness.onLoad((worker, function) -> pendingLoads.add(new PendingLoad(0, worker, function)));
     harness.at(0, events -> list(events, 8));
     for (int i = 0; i < failures; i++) {
       int request = i;
@@ -84,21 +84,22 @@
       harness.at(
           12 + 10 * i,
           events ->
-              harness.attemptEnds(events, notLoaded(request, harness.sentTo(request)).after(2)));
-      PendingLoad load = loads.remove(0);
+              harness.attemptEnds(
+                  events, notLoaded(request, harness.sentTo(request)).withDuration(2)));
+      PendingLoad load = pendingLoads.remove(0);
       harness.at(
           14 + 10 * i,
           events -> {
             loadFailed(events, load.worker(), load.function(), AttemptOutcome.FAILED);
             events.clientDisconnected(request);
           });
-      loads.forEach(
+      pendingLoads.forEach(
           other ->
               harness.at(
                   15,
                   events ->
                       loadFailed(events, other.worker(), other.function(), AttemptOutcome.FAILED)));
-      loads.clear();
+      pendingLoads.clear();
     }
     for (int i = 0; i < 10; i++) {
       int request = 50 + i;
@@ -106,9 +107,10 @@
       harness.at(
           502,
           events ->
-              harness.attemptEnds(events, notLoaded(request, harness.sentTo(request)).after(2)));
+              harness.attemptEnds(
+                  events, notLoaded(request, harness.sentTo(request)).withDuration(2)));
     }
-    return loads.size();
+    return pendingLoads.size();
   }
 
   @Test
@@ -117,26 +119,26 @@
     assertThat(loadCommandsAfterFailures(6)).isEqualTo(loadCommandsAfterFailures(0));
   }
 
-  /** Clients may retry requests of a function that does not exist at once. */
+  /** Clients may immediately retry requests for a function that does not exist. */
   @Test
   void loadsFunctionThatNeverLoadedOnlyOnceASecondAfterTwoFailures() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
-    List<Integer> pending = new ArrayList<>();
-    int[] commands = {0};
+    List<Integer> pendingWorkers = new ArrayList<>();
+    int[] commandCount = {0};
     harness.onLoad(
         (worker, function) -> {
-          pending.add(worker);
-          commands[0]++;
+          pendingWorkers.add(worker);
+          commandCount[0]++;
         });
     harness.at(0, events -> list(events, 4));
     for (int time = 10; time < 3000; time += 10) {
-      List<Integer> now = List.copyOf(pending);
-      pending.clear();
+      List<Integer> failingWorkers = List.copyOf(pendingWorkers);
+      pendingWorkers.clear();
       int request = time;
       harness.at(
           time,
           events -> {
-            now.forEach(worker -> loadFailed(events, worker, 0, AttemptOutcome.FAILED));
+            failingWorkers.forEach(worker -> loadFailed(events, worker, 0, AttemptOutcome.FAILED));
             harness.requestArrives(events, request, 0);
           });
       if (harness.sentTo(request) >= 0) {
@@ -145,9 +147,11 @@
             events ->
                 harness.attemptEnds(
                     events,
-                    notLoaded(request, harness.sentTo(request)).after(2).withConcurrency(0)));
+                    notLoaded(request, harness.sentTo(request))
+                        .withDuration(2)
+                        .withConcurrency(0)));
       }
     }
-    assertThat(commands[0]).isBetween(3, 2 + 4);
+    assertThat(commandCount[0]).isBetween(3, 2 + 4);
   }
 }
--- a/src/test/java/switchgap/policy/LoadQuotaTest.java
+++ b/src/test/java/switchgap/policy/LoadQuotaTest.java
@@ -8,7 +8,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Rule 5: the quota of load commands. */
+/** The quota of load commands. */
 class LoadQuotaTest {
   @Test
   void keepsLoadCommandsWithinQuota() {
@@ -25,7 +25,7 @@
       if (worker >= 0) {
         harness.at(
             15 + 50 * i,
-            events -> harness.attemptEnds(events, notLoaded(request, worker).after(2)));
+            events -> harness.attemptEnds(events, notLoaded(request, worker).withDuration(2)));
         harness.at(20 + 50 * i, events -> replicaLoaded(events, worker, request, 5));
       }
       assertThat((double) harness.count("load")).isLessThanOrEqualTo(2 + 0.25 * (i + 1));
@@ -33,7 +33,7 @@
     assertThat(harness.count("load")).isGreaterThan(2);
   }
 
-  /** The quota counts arrivals in its window, even while no load command reads the count. */
+  /** Arrivals older than the window are dropped even if no load command reads their count. */
   @Test
   void dropsOldArrivalsWhenNoLoadIsNeeded() {
     TestSettings settings = new TestSettings();
--- a/src/test/java/switchgap/policy/ReplicaScalerTest.java
+++ b/src/test/java/switchgap/policy/ReplicaScalerTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 import switchgap.policy.api.RequestArrival;
 
-/** Target replica counts and the replicas kept for idle functions. */
+/** Target replica counts, and replicas that idle functions keep. */
 class ReplicaScalerTest {
-  /** The target rises with the concurrency at the replicas and falls when it ends. */
+  /** The target rises with the concurrency at the replicas and falls when there is none. */
   @Test
   void scalesUpUnderLoadAndUnloadsWhereIdleMemoryIsPriced() throws IOException {
     TestSettings settings = new TestSettings();
@@ -28,7 +28,7 @@
           90 + 150 * i,
           events ->
               harness.attemptEnds(
-                  events, succeeded(request, primary).after(80).withConcurrency(3)));
+                  events, succeeded(request, primary).withDuration(80).withConcurrency(3)));
     }
     harness.until(1100);
     int next = harness.lastLoadedAt();
@@ -37,16 +37,17 @@
     harness.assertTrace("target");
   }
 
-  /** Below the unload threshold the target falls after an idle timeout, to one replica. */
+  /** The target falls to one replica after an idle timeout below the scale-down threshold. */
   @Test
-  void keepsTargetBetweenLoadAndUnloadThresholds() {
+  void keepsTargetBetweenScaleUpAndScaleDownThresholds() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
     harness.at(0, events -> list(events, 4));
-    int[] after = new int[3];
+    int[] targetAfterPhase = new int[3];
     for (int i = 0; i < 2400; i++) {
       int time = 20 + 40 * i;
       int request = i % 50;
-      int phase = i < 100 ? 0 : i < 1300 ? 1 : 2; // 4 s loaded, 48 s at 0.2 of a slot, 44 s idle
+      // 4 s of high load, 48 s at a concurrency of 0.2 per slot, 44 s without concurrency
+      int phase = i < 100 ? 0 : i < 1300 ? 1 : 2;
       int concurrency = phase == 0 ? 3 : phase == 1 && i % 4 == 0 ? 1 : 0;
       harness.at(time, events -> harness.requestArrives(events, request, 0));
       if (harness.sentTo(request) >= 0) {
@@ -56,17 +57,17 @@
                 harness.attemptEnds(
                     events,
                     succeeded(request, harness.sentTo(request))
-                        .after(30)
+                        .withDuration(30)
                         .withConcurrency(concurrency)));
       }
-      after[phase] = harness.targetReplicas(0);
+      targetAfterPhase[phase] = harness.targetReplicas(0);
     }
-    assertThat(after).containsExactly(2, 2, 1);
+    assertThat(targetAfterPhase).containsExactly(2, 2, 1);
   }
 
-  /** Six workers of 4,000 MB, half of which replicas may use, under the highest load. */
+  /** There are six workers of 4,000 MB; replicas may use half of the workers and of the memory. */
   @Test
-  void limitsTargetToHalfOfWorkersAndToTheirMemory() {
+  void limitsTargetToHalfOfWorkersAndOfTheirMemory() {
     for (int memoryMb : new int[] {100, 9000}) {
       PolicyHarness harness = new PolicyHarness(new TestSettings());
       harness.at(0, events -> list(events, 6));
@@ -85,14 +86,19 @@
               events ->
                   harness.attemptEnds(
                       events,
-                      succeeded(request, harness.sentTo(request)).after(30).withConcurrency(30)));
+                      succeeded(request, harness.sentTo(request))
+                          .withDuration(30)
+                          .withConcurrency(30)));
         }
       }
       assertThat(harness.targetReplicas(0)).isEqualTo(memoryMb == 100 ? 3 : 1);
     }
   }
 
-  /** One of 200 routers sees few requests of a function; all must not prefer its first replica. */
+  /**
+   * Each of 200 routers sees few requests of a function. They must not all send these to its first
+   * replica.
+   */
   @Test
   void raisesTargetAfterOneReportAndSpreadsRequestsWithManyRouters() {
     TestSettings settings = new TestSettings();
@@ -102,7 +108,8 @@
     int primary = harness.firstWorker();
     harness.at(
         90,
-        events -> harness.attemptEnds(events, succeeded(0, primary).after(80).withConcurrency(8)));
+        events ->
+            harness.attemptEnds(events, succeeded(0, primary).withDuration(80).withConcurrency(8)));
     for (int i = 1; i < 9; i++) {
       int request = i;
       harness.at(3000 + 500 * i, events -> harness.requestArrives(events, request, 0));
@@ -110,7 +117,7 @@
     assertThat(harness.workersSentTo().stream().distinct().count()).isGreaterThan(1);
   }
 
-  /** Two requests, then none for a minute; load commands succeed after 20 ms. */
+  /** Has two requests served, then waits for a minute; load commands succeed after 20 ms. */
   private static PolicyHarness afterTwoRequests(TestSettings settings) {
     PolicyHarness harness = new PolicyHarness(settings);
     harness.at(0, events -> list(events, 4)).at(10, events -> harness.requestArrives(events, 0, 0));
@@ -120,11 +127,13 @@
         .at(
             60,
             events ->
-                harness.attemptEnds(events, succeeded(0, primary).after(50).withConcurrency(0)))
+                harness.attemptEnds(
+                    events, succeeded(0, primary).withDuration(50).withConcurrency(0)))
         .at(100, events -> harness.requestArrives(events, 1, 0));
     harness.at(
         150,
-        events -> harness.attemptEnds(events, succeeded(1, primary).after(50).withConcurrency(0)));
+        events ->
+            harness.attemptEnds(events, succeeded(1, primary).withDuration(50).withConcurrency(0)));
     for (int time = 1000; time <= 60_000; time += 1000) {
       long loads = harness.count("load");
       harness.at(time, events -> events.wakeUp(0));
@@ -138,7 +147,8 @@
   @Test
   void renewsOneReplicaOfIdleFunctionForFourIdleTimeouts() {
     PolicyHarness harness = afterTwoRequests(new TestSettings());
-    assertThat(harness.count("load")).isEqualTo(5); // every 7 s until 40 s after the last request
+    // One renewal every 7 s until 40 s after the last request.
+    assertThat(harness.count("load")).isEqualTo(5);
     assertThat(harness.count("release function")).isEqualTo(1);
   }
 
@@ -147,20 +157,23 @@
     TestSettings withQuota = new TestSettings();
     withQuota.loadQuotaWindow = millis(5000);
     withQuota.loadQuotaBase = 3;
-    TestSettings priced = new TestSettings();
-    priced.idleMemoryPrice = 0.05;
-    TestSettings many = new TestSettings();
-    many.routerCount = 40;
-    for (TestSettings settings : List.of(withQuota, priced, many)) {
+    TestSettings withMemoryPrice = new TestSettings();
+    withMemoryPrice.idleMemoryPrice = 0.05;
+    TestSettings withManyRouters = new TestSettings();
+    withManyRouters.routerCount = 40;
+    for (TestSettings settings : List.of(withQuota, withMemoryPrice, withManyRouters)) {
       assertThat(afterTwoRequests(settings).count("load")).isZero();
     }
-    PolicyHarness once = new PolicyHarness(new TestSettings());
-    once.at(0, events -> list(events, 4)).at(10, events -> once.requestArrives(events, 0, 0));
-    int primary = once.firstWorker();
-    once.at(
+    PolicyHarness harness = new PolicyHarness(new TestSettings());
+    harness.at(0, events -> list(events, 4)).at(10, events -> harness.requestArrives(events, 0, 0));
+    int primary = harness.firstWorker();
+    harness
+        .at(
             60,
-            events -> once.attemptEnds(events, succeeded(0, primary).after(50).withConcurrency(0)))
+            events ->
+                harness.attemptEnds(
+                    events, succeeded(0, primary).withDuration(50).withConcurrency(0)))
         .until(30_000);
-    assertThat(once.count("load")).isZero();
+    assertThat(harness.count("load")).isZero();
   }
 }
--- a/src/test/java/switchgap/policy/RetryPolicyTest.java
+++ b/src/test/java/switchgap/policy/RetryPolicyTest.java
@@ -16,13 +16,13 @@
 import switchgap.policy.api.Idempotency;
 import switchgap.policy.api.LoadReport;
 
-/** Retries, idempotency and the final response of a request. */
+/** Retries of a request, its idempotency and its final response. */
 class RetryPolicyTest {
   private static PolicyHarness afterError(Idempotency idempotency, DeduplicationScope scope) {
     return afterError(idempotency, scope, 0);
   }
 
-  /** The first attempt fails; the rest depends on the idempotency of the request. */
+  /** Fails the first attempt of request 0 and runs until after its deadline. */
   private static PolicyHarness afterError(
       Idempotency idempotency, DeduplicationScope scope, int function) {
     TestSettings settings = new TestSettings();
@@ -34,7 +34,7 @@
         .at(10, events -> harness.requestArrives(events, 0, function));
     int primary = harness.firstWorker();
     return harness
-        .at(60, events -> harness.attemptEnds(events, failed(0, primary).after(50)))
+        .at(60, events -> harness.attemptEnds(events, failed(0, primary).withDuration(50)))
         .until(2100);
   }
 
@@ -53,11 +53,12 @@
     afterError(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE)
         .assertTrace("idempotency-key-zone");
     for (int function = 1; function < 8; function++) {
+      // The zone of a worker is its number modulo 2.
       assertThat(
               afterError(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, function)
                   .workersSentTo()
                   .stream()
-                  .map(worker -> worker % 2) // the zone
+                  .map(worker -> worker % 2)
                   .distinct())
           .hasSize(1);
     }
@@ -71,15 +72,17 @@
     harness.at(0, events -> list(events, 4)).at(10, events -> harness.requestArrives(events, 0, 0));
     int primary = harness.firstWorker();
     harness
-        .at(1050, events -> harness.attemptEnds(events, failed(0, primary).after(1040)))
+        .at(1050, events -> harness.attemptEnds(events, failed(0, primary).withDuration(1040)))
         .until(2100);
     assertThat(harness.count("send")).isEqualTo(1);
     assertThat(harness.count("reject") + harness.count("fail")).isEqualTo(1);
   }
 
   /**
-   * The window is 1,000 ms less two ticks: a retry is allowed 980 ms after the first attempt, not
-   * after 994 ms, whichever attempt ended.
+   * The window is 1,000 ms less two ticks of 5 ms. A retry is allowed 980 ms after the first
+   * attempt but not after 994 ms, whichever attempt ended. The last number of each array is the
+   * expected number of attempts; the others are the times in ms, from the first attempt on, at
+   * which attempts end.
    */
   @Test
   void countsDeduplicationWindowFromFirstAttemptThatMayHaveExecuted() {
@@ -95,7 +98,9 @@
         int worker = harness.sentTo(0);
         harness.at(
             10 + ends[i],
-            events -> harness.attemptEnds(events, failed(0, worker).number(attempt).after(50)));
+            events ->
+                harness.attemptEnds(
+                    events, failed(0, worker).withNumber(attempt).withDuration(50)));
       }
       assertThat(harness.count("send")).as(Arrays.toString(ends)).isEqualTo(ends[ends.length - 1]);
     }
@@ -107,14 +112,14 @@
     harness.at(0, events -> list(events, 3)).at(10, events -> harness.requestArrives(events, 0, 0));
     int primary = harness.firstWorker();
     harness
-        .at(12, events -> harness.attemptEnds(events, notLoaded(0, primary).after(2)))
+        .at(12, events -> harness.attemptEnds(events, notLoaded(0, primary).withDuration(2)))
         .until(2500);
     harness.assertTrace("rejected-before-deadline");
   }
 
   /**
-   * The replica is loaded after a pause of the router: at 2003 ms, with a deadline of 2010 ms less
-   * two ticks of 5 ms.
+   * The load of the replica ends at 2,003 ms, within the margin of two ticks of 5 ms before the
+   * deadline at 2,010 ms.
    */
   @Test
   void doesNotSendRequestWithinDeadlineMargin() {
@@ -122,13 +127,13 @@
     harness
         .at(0, events -> list(events, 1))
         .at(10, events -> harness.requestArrives(events, 0, 0))
-        .at(12, events -> harness.attemptEnds(events, notLoaded(0, 0).after(2)));
+        .at(12, events -> harness.attemptEnds(events, notLoaded(0, 0).withDuration(2)));
     harness.at(2003, events -> replicaLoaded(events, 0, 0, 1990));
     assertThat(harness.count("send")).isEqualTo(1);
     assertThat(harness.count("reject request 0")).isEqualTo(1);
   }
 
-  /** Clients that time out before a response is possible, and retry, would occupy every worker. */
+  /** Requests that cannot be served in time, and their retries, would occupy all workers. */
   @Test
   void rejectsRequestOnArrivalWhenDeadlineIsTooNear() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
