--- a/src/main/java/switchgap/admission/AdmissionController.java
+++ b/src/main/java/switchgap/admission/AdmissionController.java
@@ -6,29 +6,32 @@
 
 /**
  * Decides which offered requests are admitted to the router. One degradation controller acts on all
- * requests and one on each tenant. Conditions are ratios to the settings and to what this router
- * measures; names of tenants or request classes play no part. The router's own rejections, bounds
- * and choice of workers are not touched: the controllers only see requests that found no capacity,
- * as pressure. Not thread-safe; times are durations since the router's start, and one before the
- * last tick is ignored.
+ * requests and one on each tenant. All conditions are ratios to the settings and to values measured
+ * by this router; they do not depend on names of tenants or request classes. The routing policy's
+ * own rejections, limits and choice of workers are not changed: the controllers only observe
+ * requests that found no capacity, as pressure. Not thread-safe. Times are durations since the
+ * router's start; a time before the last tick is ignored.
  */
 public final class AdmissionController {
   /**
-   * Pressure from which HOLD, which admits nothing, may be taken: guards against it in a mild
-   * overload.
+   * Minimum pressure for entering HOLD, which admits no request. Prevents HOLD in a mild overload.
    */
-  private static final double HOLD_PRESSURE = 0.5;
+  private static final double MIN_HOLD_PRESSURE = 0.5;
 
   /**
-   * Fraction of the pressure that the tenants' load beyond their quotas must exceed to count
-   * against these tenants alone: guards against reducing the service of all for the load of a few.
+   * Fraction of the pressure that the load beyond tenants' quotas must exceed for the overload to
+   * be attributed to these tenants only. Prevents reducing the service of all tenants because of
+   * the load of a few.
    */
   private static final double TENANT_PRESSURE_FRACTION = 0.5;
 
-  /** Ticks closer than this are skipped: guards against the cost of an update for each request. */
+  /**
+   * Minimum time between two ticks; earlier ticks are skipped. Avoids the cost of an update for
+   * each request.
+   */
   private static final double MIN_TICK_SECONDS = 0.1;
 
-  /** Time that a tick counts at most: guards against a clock that jumps. */
+  /** Maximum time that one tick accounts for. Limits the effect of a clock that jumps. */
   private static final double MAX_TICK_SECONDS = 1;
 
   private final AdmissionSettings settings;
@@ -36,15 +39,18 @@
   private final RejectionRules rules;
   private final Duration minStay;
   private final SheddingRotation rotation;
-  private final DegradationController common;
-  private final TenantControllers tenants;
-  private final PressureMonitor monitor;
-  private final ShedRateControl control;
-  private final RetryAfterPolicy retryAfter;
+  private final DegradationController globalController;
+  private final TenantControllers tenantControllers;
+  private final PressureMonitor pressureMonitor;
+  private final ShedRateControl shedRateControl;
+  private final RetryAfterPolicy retryAfterPolicy;
   private final ServiceLevelHistory history;
-  private Duration tickedAt = Duration.ZERO;
+  private Duration lastTickAt = Duration.ZERO;
 
-  /** Equal seeds make equal decisions. The order of draws from the generator is part of that. */
+  /**
+   * Creates a controller. Controllers with equal seeds and inputs make equal decisions, which also
+   * requires a fixed order of draws from the generator.
+   */
   public AdmissionController(AdmissionSettings settings, long seed) {
     this.settings = settings;
     this.random = new SplittableRandom(seed);
@@ -52,115 +58,133 @@
     AdmissionTiming timing = AdmissionTiming.draw(settings, random);
     this.minStay = timing.minStay();
     this.rotation = new SheddingRotation(timing.rotationPeriod(), random.split());
-    this.common = new DegradationController(minStay, random.split(), rules.effectiveLevels());
-    this.tenants = new TenantControllers(settings, minStay, timing.rotationPeriod(), random);
-    this.monitor = new PressureMonitor(settings);
-    this.control = new ShedRateControl(monitor, settings.protectedFraction());
-    this.retryAfter = new RetryAfterPolicy(settings.maxRetryAfter());
+    this.globalController =
+        new DegradationController(minStay, random.split(), rules.effectiveLevels());
+    this.tenantControllers =
+        new TenantControllers(settings, minStay, timing.rotationPeriod(), random);
+    this.pressureMonitor = new PressureMonitor(settings);
+    this.shedRateControl = new ShedRateControl(pressureMonitor, settings.protectedFraction());
+    this.retryAfterPolicy = new RetryAfterPolicy(settings.maxRetryAfter());
     this.history = new ServiceLevelHistory(settings.priorityWeights().length);
   }
 
-  /** A worker's response reported its CPU utilization, 0 to 1; NaN where it reported none. */
+  /**
+   * Records the CPU utilization that a worker reported with a response, 0 to 1; NaN if it reported
+   * none.
+   */
   public void workerReported(double utilization) {
-    monitor.workerReported(utilization);
+    pressureMonitor.workerReported(utilization);
   }
 
   /**
-   * Decides on an offered request. What is rejected here was never executed.
+   * Decides whether an offered request is admitted. A rejected request was never executed.
    *
-   * @param tenant its index; below 0 for none
-   * @param requestClass its index
-   * @param key equal for requests for the same function, so that a retry meets the same decision
+   * @param tenant index of the tenant; negative for none
+   * @param requestClass index of the request class
+   * @param key equal for requests for the same function, so that a retry gets the same decision
    */
   public AdmissionDecision decide(Duration now, int tenant, int requestClass, long key) {
     tick(now);
     if (tenant >= 0) {
-      tenants.offered(tenant, settings.priorityWeights()[requestClass]);
+      tenantControllers.offered(tenant, settings.priorityWeights()[requestClass]);
     }
     ServiceLevel level = rejectingLevel(tenant, requestClass, key);
     if (level == null) {
       return AdmissionDecision.ADMITTED;
     }
     history.countRejection(level, requestClass);
-    // Drawn also without a delay, so that the order of draws does not depend on that setting.
+    // Drawn even if no delay is returned, so that the order of draws does not depend on the
+    // setting.
     double draw = random.nextDouble();
-    return new AdmissionDecision(false, level, retryAfter.retryAfter(level, draw));
+    return new AdmissionDecision(false, level, retryAfterPolicy.retryAfter(level, draw));
   }
 
-  /** The level that rejects this request, or null where it is admitted. */
+  /** The level that rejects a request, or null if it is admitted. */
   private ServiceLevel rejectingLevel(int tenant, int requestClass, long key) {
-    ServiceLevel first = rules.firstRejecting(requestClass);
-    if (first == null) {
+    ServiceLevel firstRejecting = rules.firstRejecting(requestClass);
+    if (firstRejecting == null) {
       return null;
     }
-    ServiceLevel current = common.level();
-    if (current.compareTo(first) > 0) {
-      return first;
+    ServiceLevel current = globalController.level();
+    if (current.compareTo(firstRejecting) > 0) {
+      return firstRejecting;
     }
     double weight = settings.priorityWeights()[requestClass];
-    if (current == first
-        && rotation.sheds(tenant, key, weight, common.shedFraction(), random.nextDouble())) {
-      return first;
+    if (current == firstRejecting
+        && rotation.sheds(
+            tenant, key, weight, globalController.shedFraction(), random.nextDouble())) {
+      return firstRejecting;
     }
     boolean tenantSheds =
         tenant >= 0
             && settings.isIdempotent(requestClass)
-            && tenants.level(tenant) == ServiceLevel.SHARE
-            && tenants.sheds(tenant, key, weight, random.nextDouble());
+            && tenantControllers.level(tenant) == ServiceLevel.SHARE
+            && tenantControllers.sheds(tenant, key, weight, random.nextDouble());
     return tenantSheds ? ServiceLevel.SHARE : null;
   }
 
-  /** An admitted request has ended. */
+  /** Records the outcome of an admitted request. */
   public void requestEnded(Duration now, int requestClass, RequestOutcome outcome) {
     tick(now);
-    monitor.requestEnded(settings.priorityWeights()[requestClass], outcome);
+    pressureMonitor.requestEnded(settings.priorityWeights()[requestClass], outcome);
   }
 
   /**
-   * Advances to a time; a tick counts a second at most, so that a clock that jumps changes nothing
-   * at once. Without effect within {@value #MIN_TICK_SECONDS} s of the last tick.
+   * Advances the controllers to a time. A tick accounts for at most one second, so that a clock
+   * that jumps has little effect at once. No effect within {@value #MIN_TICK_SECONDS} s after the
+   * last tick.
    */
   public void tick(Duration now) {
-    double elapsed = (now.toNanos() - tickedAt.toNanos()) / 1e9;
-    if (elapsed < MIN_TICK_SECONDS) {
+    double elapsedSeconds = (now.toNanos() - lastTickAt.toNanos()) / 1e9;
+    if (elapsedSeconds < MIN_TICK_SECONDS) {
       return;
     }
-    history.addTime(common.level(), now.minus(tickedAt));
-    tickedAt = now;
-    double seconds = Math.min(MAX_TICK_SECONDS, elapsed);
-    tenants.updateLoads();
-    double rotationRetained = monitor.retainedAtMost(seconds);
-    rotation.advance(seconds, rotationRetained);
-    ControlSignal signal = control.signal();
+    history.addTime(globalController.level(), now.minus(lastTickAt));
+    lastTickAt = now;
+    double accountedSeconds = Math.min(MAX_TICK_SECONDS, elapsedSeconds);
+    tenantControllers.updateLoads();
+    double rotationRetainedFraction = pressureMonitor.maxRetainedFraction(accountedSeconds);
+    rotation.advance(accountedSeconds, rotationRetainedFraction);
+    ControlSignal signal = shedRateControl.signal();
     double tenantExcess =
-        tenants.update(
-            now, seconds, rotationRetained, signal, settings.lowestLevel(), this::record);
-    updateCommon(now, seconds, signal, tenantExcess);
-    double retained = monitor.retained(seconds);
-    monitor.decay(retained);
-    tenants.decay(retained);
+        tenantControllers.update(
+            now,
+            accountedSeconds,
+            rotationRetainedFraction,
+            signal,
+            settings.lowestLevel(),
+            this::record);
+    updateGlobalLevel(now, accountedSeconds, signal, tenantExcess);
+    double retainedFraction = pressureMonitor.retainedFraction(accountedSeconds);
+    pressureMonitor.decay(retainedFraction);
+    tenantControllers.decay(retainedFraction);
   }
 
-  private void updateCommon(
+  private void updateGlobalLevel(
       Duration now, double seconds, ControlSignal signal, double tenantExcess) {
-    LevelTransition expired = common.expirePin(now);
+    LevelTransition expired = globalController.expirePin(now);
     if (expired != null) {
       record(now, ServiceLevelChange.ALL_TENANTS, expired);
     }
-    // Load beyond quotas counts against the tenants' own controllers while these can shed more.
-    boolean fromTenants =
+    // Load beyond quotas is handled by the tenants' own controllers while these can shed more.
+    boolean isCausedByTenants =
         signal.shedRate() > 0 && tenantExcess > TENANT_PRESSURE_FRACTION * pressure();
     LevelTransition change =
-        common.update(
-            now, seconds, fromTenants ? signal.withShedRate(0) : signal, lowestLevelNow());
-    if (change != null && !common.isPinned()) {
+        globalController.update(
+            now,
+            seconds,
+            isCausedByTenants ? signal.withShedRate(0) : signal,
+            currentLowestLevel());
+    if (change != null && !globalController.isPinned()) {
       record(now, ServiceLevelChange.ALL_TENANTS, change);
     }
   }
 
-  private ServiceLevel lowestLevelNow() {
-    boolean holdAllowed = settings.lowestLevel() == ServiceLevel.HOLD;
-    return holdAllowed && pressure() < HOLD_PRESSURE ? ServiceLevel.MOST : settings.lowestLevel();
+  private ServiceLevel currentLowestLevel() {
+    boolean isHoldAllowed = settings.lowestLevel() == ServiceLevel.HOLD;
+    return isHoldAllowed && pressure() < MIN_HOLD_PRESSURE
+        ? ServiceLevel.MOST
+        : settings.lowestLevel();
   }
 
   private void record(Duration now, int tenant, LevelTransition transition) {
@@ -171,65 +195,69 @@
             transition.previous(),
             transition.current(),
             transition.condition().text(),
-            monitor.pressure(),
-            monitor.samples()));
+            pressureMonitor.pressure(),
+            pressureMonitor.samples()));
   }
 
-  /** Fraction of the admitted priority weight that found no capacity. */
+  /** Fraction of the admitted priority weight that found no capacity, 0 to 1. */
   public double pressure() {
-    return monitor.pressure();
+    return pressureMonitor.pressure();
   }
 
-  /** Pins a level for all requests until a time, whatever the pressure. */
+  /** Pins a level for all requests until a time, regardless of the pressure. */
   public void pin(Duration now, ServiceLevel level, Duration until) {
-    record(now, ServiceLevelChange.ALL_TENANTS, common.pin(level, until));
+    record(now, ServiceLevelChange.ALL_TENANTS, globalController.pin(level, until));
   }
 
+  /** Whether a level is pinned for all requests. */
   public boolean isPinned() {
-    return common.isPinned();
+    return globalController.isPinned();
   }
 
-  /** The level for all requests. */
+  /** The current level for all requests. */
   public ServiceLevel level() {
-    return common.level();
+    return globalController.level();
   }
 
-  /** Fraction rejected of what the level for all requests may reject, 0 to 1. */
+  /**
+   * The fraction that is rejected of the requests that the level for all requests may reject, 0 to
+   * 1.
+   */
   public double shedFraction() {
-    return common.shedFraction();
+    return globalController.shedFraction();
   }
 
-  /** The level of a tenant: FULL or SHARE. */
+  /** The current level of a tenant: FULL or SHARE. */
   public ServiceLevel level(int tenant) {
-    return tenants.level(tenant);
+    return tenantControllers.level(tenant);
   }
 
-  /** Fraction rejected of a tenant's load beyond its quota, 0 to 1. */
+  /** The fraction that is rejected of a tenant's load beyond its quota, 0 to 1. */
   public double shedFraction(int tenant) {
-    return tenants.shedFraction(tenant);
+    return tenantControllers.shedFraction(tenant);
   }
 
-  /** The last changes, oldest first; 64 at most. */
+  /** The last changes of level, oldest first; at most 64. */
   public List<ServiceLevelChange> changes() {
     return history.changes();
   }
 
-  /** The changes since the last call of this method, oldest first; the last 64 at most. */
+  /** The changes of level since the last call of this method, oldest first; at most the last 64. */
   public List<ServiceLevelChange> drainChanges() {
     return history.drain();
   }
 
-  /** The shortest stay on a level. */
+  /** The minimum time that a level stays in effect. */
   public Duration minStay() {
     return minStay;
   }
 
-  /** Time spent at a level for all requests. */
+  /** The total time during which a level was in effect for all requests. */
   public Duration timeAt(ServiceLevel level) {
     return history.timeAt(level);
   }
 
-  /** Number of requests of a class that a level rejected. */
+  /** The number of requests of a class that a level rejected. */
   public long rejections(ServiceLevel level, int requestClass) {
     return history.rejections(level, requestClass);
   }
--- a/src/main/java/switchgap/admission/AdmissionSettings.java
+++ b/src/main/java/switchgap/admission/AdmissionSettings.java
@@ -4,19 +4,18 @@
 import switchgap.policy.api.Idempotency;
 
 /**
- * The operator's settings for admission control. Arrays of request classes share one index, as do
- * those of tenants.
+ * The operator's settings for admission control. Arrays are indexed by request class or by tenant.
  *
- * @param priorityWeights of each request class
- * @param idempotency of each request class
- * @param latencyObjectives of each request class
- * @param tenantQuotas of each tenant, in any unit
- * @param exempt request classes that no level may reject
- * @param lowestLevel the lowest level that the controller may come to by itself
- * @param maxRetryAfter the longest delay that rejected clients are given; null for none
- * @param protectedFraction fraction of the top priority requests that are to meet their latency
- *     objectives, at the cost of all idempotent requests of lower priority; 0 where all requests
- *     count alike
+ * @param priorityWeights priority weight of each request class
+ * @param idempotency idempotency of each request class
+ * @param latencyObjectives latency objective of each request class
+ * @param tenantQuotas quota of each tenant, in any unit; only the ratios matter
+ * @param exempt whether a request class may not be rejected by any level
+ * @param lowestLevel the lowest level that the controller may enter without a pin
+ * @param maxRetryAfter the longest retry delay sent to rejected clients; null to send none
+ * @param protectedFraction fraction of the top priority requests that should meet their latency
+ *     objectives, at the cost of all idempotent requests of lower priority; 0 to disable this
+ *     protection
  */
 public record AdmissionSettings(
     double[] priorityWeights,
@@ -38,7 +37,7 @@
     return max;
   }
 
-  /** Whether no class has a larger priority weight. */
+  /** Whether no other class has a larger priority weight. */
   boolean isTopPriority(int requestClass) {
     return priorityWeights[requestClass] >= maxPriorityWeight();
   }
@@ -52,8 +51,8 @@
   }
 
   /**
-   * The longest latency objective, at least a millisecond: the unit of the controllers' time
-   * constants.
+   * The longest latency objective, at least 1 ms. The controllers' time constants are multiples of
+   * it.
    */
   Duration longestObjective() {
     Duration longest = MIN_OBJECTIVE;
--- a/src/main/java/switchgap/admission/ChangeCondition.java
+++ b/src/main/java/switchgap/admission/ChangeCondition.java
@@ -1,16 +1,22 @@
 package switchgap.admission;
 
-/** Why a service level changes. The texts are shown to operators and kept in traces. */
+/**
+ * The condition for a change of service level. The texts are shown to operators and written to
+ * traces.
+ */
 enum ChangeCondition {
-  /** Service is reduced: the pressure is above its threshold. */
+  /** The pressure is above its threshold, so service is reduced. */
   PRESSURE_HIGH("pressure past the enter mark"),
-  /** The level already rejects all that it may, and the pressure is still above its threshold. */
+  /**
+   * The level rejects all requests that it may reject, and the pressure is still above its
+   * threshold.
+   */
   LEVEL_EXHAUSTED("the rung gives all it has and pressure stays"),
-  /** The level rejects nothing any more, and the pressure is low. */
+  /** The level no longer rejects any request, and the pressure is low. */
   PRESSURE_LOW("pressure under the leave mark"),
-  /** An operator pins a level. */
+  /** An operator pinned a level. */
   PINNED("pinned"),
-  /** The time of an operator's pin is over. */
+  /** The duration of an operator's pin is over. */
   PIN_EXPIRED("the pin has expired");
 
   private final String text;
--- a/src/main/java/switchgap/admission/ControlSignal.java
+++ b/src/main/java/switchgap/admission/ControlSignal.java
@@ -1,15 +1,14 @@
 package switchgap.admission;
 
 /**
- * What the measured pressure requires of a degradation controller.
+ * The input of a degradation controller, derived from the measured pressure.
  *
- * @param shedRate wanted change of the shed fraction a second; below 0 less is to be shed
- * @param enoughSamples whether enough requests were measured to shed more
- * @param severe whether the pressure is far above its thresholds
+ * @param shedRate required change of the shed fraction per second; negative to shed less
+ * @param hasEnoughSamples whether enough requests were measured to increase the shed fraction
+ * @param isSevere whether the pressure is far above its threshold
  */
-record ControlSignal(double shedRate, boolean enoughSamples, boolean severe) {
-  /** The same signal with another rate. */
+record ControlSignal(double shedRate, boolean hasEnoughSamples, boolean isSevere) {
   ControlSignal withShedRate(double rate) {
-    return new ControlSignal(rate, enoughSamples, severe);
+    return new ControlSignal(rate, hasEnoughSamples, isSevere);
   }
 }
--- a/src/main/java/switchgap/admission/DegradationController.java
+++ b/src/main/java/switchgap/admission/DegradationController.java
@@ -4,64 +4,75 @@
 import java.util.SplittableRandom;
 
 /**
- * Steps through a list of service levels, and sets the shed fraction of the current one: the
- * fraction that is rejected of what the level may reject. The shed fraction follows the pressure at
- * a bounded rate, so that service is reduced and restored in a ramp. A level is left only when the
- * shed fraction has reached 0 or 1 and has stayed there.
+ * Steps through a list of service levels and controls the shed fraction of the current level: the
+ * fraction that is rejected of the requests that the level may reject. The shed fraction follows
+ * the pressure at a bounded rate, so that service is reduced and restored gradually. The level
+ * changes only after the shed fraction has stayed at 0 or 1 for some time.
  */
 final class DegradationController {
-  /** Largest change of the shed fraction a second: guards against a jump on one burst. */
-  private static final double MAX_SHED_RATE = 0.1;
+  /** Maximum change of the shed fraction per second. Prevents a jump because of a single burst. */
+  private static final double MAX_SHED_RATE_PER_SECOND = 0.1;
 
   /**
-   * How much slower service is restored than reduced: guards against restoring into the same
-   * overload.
+   * Ratio of the maximum rates at which service is reduced and restored. Restoring more slowly
+   * avoids running into the same overload again.
    */
   private static final double RESTORE_SLOWDOWN = 1.5;
 
   /**
-   * Shortest stays on a level before it is restored, and after that before mild pressure takes it
-   * again: guards against a level that oscillates with each wave of load.
+   * Multiple of the minimum stay for which a level stays in effect before the level above is
+   * restored, and for which full service, once restored, stays in effect under mild pressure.
+   * Prevents oscillation with each wave of load.
    */
-  private static final int STAYS_PER_LEVEL = 4;
+  private static final int LONG_STAY_FACTOR = 4;
 
   /**
-   * Shortest stays (times the jitter) of pressure before service is first reduced, which is
-   * reversible and cheap.
+   * Duration of pressure before service is reduced from FULL, as a multiple of the minimum stay and
+   * the jitter factor. Short, because this step is cheap and reversible.
    */
-  private static final double FIRST_DEGRADE_STAYS = 0.35;
+  private static final double FIRST_DEGRADE_WAIT_FACTOR = 0.35;
 
   /**
-   * Shortest stays (times the jitter) without pressure before a level is restored: guards against a
-   * short lull.
+   * Duration without pressure before the level above is restored, as a multiple of the minimum stay
+   * and the jitter factor. Prevents restoring in a short lull.
    */
-  private static final double RESTORE_STAYS = 0.5;
+  private static final double RESTORE_WAIT_FACTOR = 0.5;
 
-  /** Range of the jitter factor on waits: guards against many routers that change in step. */
+  /**
+   * Smallest jitter factor on wait times. The jitter prevents routers from changing levels
+   * simultaneously.
+   */
   private static final double MIN_JITTER = 0.5;
 
+  /** Width of the range of the jitter factor. */
   private static final double JITTER_RANGE = 2;
 
   private final ServiceLevel[] levels;
   private final Duration minStay;
   private final SplittableRandom random;
-  private double jitter; // drawn anew at each change
+
+  /** Drawn again at each change of level. */
+  private double jitter;
+
   private int index;
   private double shedFraction;
   private Duration changedAt = Duration.ZERO;
 
-  /** Once true, full service is reduced again only after STAYS_PER_LEVEL. */
-  private boolean restoredBefore;
+  /**
+   * Whether a level has been restored. If so, mild pressure reduces full service only after {@link
+   * #LONG_STAY_FACTOR} minimum stays.
+   */
+  private boolean wasRestored;
 
-  /** Since when the shed fraction has required another level; null while it does not. */
-  private Duration atBoundSince;
+  /** The time since which a change of level has been required; null if none is required. */
+  private Duration changeRequiredSince;
 
   private ServiceLevel pinned;
   private Duration pinnedUntil;
 
   /**
-   * Steps through {@code levels}, which begin with FULL, and stays on each for {@code minStay} at
-   * least.
+   * Creates a controller at the first of {@code levels}, which must be FULL. Each level stays in
+   * effect for at least {@code minStay}.
    */
   DegradationController(Duration minStay, SplittableRandom random, ServiceLevel... levels) {
     this.levels = levels;
@@ -70,22 +81,25 @@
     this.jitter = drawJitter();
   }
 
-  /** The pinned level, else the one that the pressure requires. */
+  /** The pinned level if there is one, otherwise the level required by the pressure. */
   ServiceLevel level() {
     return pinned != null ? pinned : levels[index];
   }
 
-  /** Fraction rejected of what the level may reject; a pinned level rejects all of it. */
+  /**
+   * The fraction that is rejected of the requests that the level may reject; 1 for a pinned level.
+   */
   double shedFraction() {
     return pinned != null ? 1 : shedFraction;
   }
 
-  /** Whether a pinned level is in force. */
   boolean isPinned() {
     return pinned != null;
   }
 
-  /** Pins a level until a time. The controller continues to follow the pressure under the pin. */
+  /**
+   * Pins a level until a time. While it is pinned, the controller continues to follow the pressure.
+   */
   LevelTransition pin(ServiceLevel level, Duration until) {
     ServiceLevel previous = level();
     pinned = level;
@@ -93,7 +107,10 @@
     return new LevelTransition(previous, level, ChangeCondition.PINNED);
   }
 
-  /** Ends a pin whose time is over, and returns the transition back; null where none ends. */
+  /**
+   * Ends a pin that has expired and returns the transition to the controller's level; null if no
+   * pin expired.
+   */
   LevelTransition expirePin(Duration now) {
     if (pinned == null || now.compareTo(pinnedUntil) < 0) {
       return null;
@@ -101,19 +118,19 @@
     ServiceLevel previous = pinned;
     pinned = null;
     changedAt = now;
-    atBoundSince = null;
+    changeRequiredSince = null;
     return new LevelTransition(previous, level(), ChangeCondition.PIN_EXPIRED);
   }
 
   /**
-   * Applies a control signal for the given seconds. Never goes below {@code lowestLevel} by itself.
-   * Returns the change of level, or null.
+   * Applies a control signal for a number of seconds. Does not enter a level below {@code
+   * lowestLevel}. Returns the change of level, or null if there is none.
    */
   LevelTransition update(
       Duration now, double seconds, ControlSignal signal, ServiceLevel lowestLevel) {
     double rate = boundedRate(signal);
     if (index == 0) {
-      boolean mayDegrade = signal.severe() || !restoredBefore || stayedLong(now);
+      boolean mayDegrade = signal.isSevere() || !wasRestored || hasStayedLong(now);
       return degrade(now, rate > 0 && mayDegrade, lowestLevel, ChangeCondition.PRESSURE_HIGH);
     }
     shedFraction = Math.max(0, Math.min(1, shedFraction + rate * seconds));
@@ -123,44 +140,49 @@
     if (shedFraction <= 0 && rate <= 0) {
       return restore(now);
     }
-    atBoundSince = null;
+    changeRequiredSince = null;
     return null;
   }
 
   private static double boundedRate(ControlSignal signal) {
     double rate =
-        Math.max(-MAX_SHED_RATE / RESTORE_SLOWDOWN, Math.min(MAX_SHED_RATE, signal.shedRate()));
-    return rate > 0 && !signal.enoughSamples() ? 0 : rate;
+        Math.max(
+            -MAX_SHED_RATE_PER_SECOND / RESTORE_SLOWDOWN,
+            Math.min(MAX_SHED_RATE_PER_SECOND, signal.shedRate()));
+    return rate > 0 && !signal.hasEnoughSamples() ? 0 : rate;
   }
 
   private LevelTransition degrade(
-      Duration now, boolean wanted, ServiceLevel lowestLevel, ChangeCondition condition) {
-    if (!wanted || index + 1 >= levels.length || levels[index + 1].compareTo(lowestLevel) > 0) {
-      atBoundSince = null;
+      Duration now, boolean isRequired, ServiceLevel lowestLevel, ChangeCondition condition) {
+    if (!isRequired || index + 1 >= levels.length || levels[index + 1].compareTo(lowestLevel) > 0) {
+      changeRequiredSince = null;
       return null;
     }
-    if (atBoundSince == null) {
-      atBoundSince = now;
+    if (changeRequiredSince == null) {
+      changeRequiredSince = now;
     }
-    Duration wait = index == 0 ? jittered(FIRST_DEGRADE_STAYS) : minStay;
-    boolean waited = now.minus(atBoundSince).compareTo(wait) >= 0;
-    boolean stayed = index == 0 || now.minus(changedAt).compareTo(minStay) >= 0;
-    return waited && stayed ? change(now, index + 1, 0, condition) : null;
+    Duration wait = index == 0 ? jittered(FIRST_DEGRADE_WAIT_FACTOR) : minStay;
+    boolean hasWaited = now.minus(changeRequiredSince).compareTo(wait) >= 0;
+    boolean hasStayed = index == 0 || now.minus(changedAt).compareTo(minStay) >= 0;
+    return hasWaited && hasStayed ? change(now, index + 1, 0, condition) : null;
   }
 
   /**
-   * Until the level above is taken, this one stays at a shed fraction of 0, which rejects nothing.
+   * Restores the level above after a wait, during which the current level has a shed fraction of 0
+   * and rejects nothing.
    */
   private LevelTransition restore(Duration now) {
-    if (atBoundSince == null) {
-      atBoundSince = now;
+    if (changeRequiredSince == null) {
+      changeRequiredSince = now;
     }
-    boolean waited = now.minus(atBoundSince).compareTo(jittered(RESTORE_STAYS)) >= 0;
-    if (!waited || !stayedLong(now)) {
+    boolean hasWaited =
+        now.minus(changeRequiredSince).compareTo(jittered(RESTORE_WAIT_FACTOR)) >= 0;
+    if (!hasWaited || !hasStayedLong(now)) {
       return null;
     }
-    restoredBefore = true;
-    // The level above starts where it was when this one was taken, and is restored next.
+    wasRestored = true;
+    // The level above resumes with the shed fraction it had when this level was entered, and is
+    // restored next.
     double fraction = index - 1 == 0 ? 0 : 1;
     return change(now, index - 1, fraction, ChangeCondition.PRESSURE_LOW);
   }
@@ -172,16 +194,16 @@
     shedFraction = fraction;
     jitter = drawJitter();
     changedAt = now;
-    atBoundSince = null;
+    changeRequiredSince = null;
     return new LevelTransition(previous, level(), condition);
   }
 
-  private boolean stayedLong(Duration now) {
-    return now.minus(changedAt).compareTo(minStay.multipliedBy(STAYS_PER_LEVEL)) >= 0;
+  private boolean hasStayedLong(Duration now) {
+    return now.minus(changedAt).compareTo(minStay.multipliedBy(LONG_STAY_FACTOR)) >= 0;
   }
 
-  private Duration jittered(double stays) {
-    return Duration.ofNanos((long) (minStay.toNanos() * stays * jitter));
+  private Duration jittered(double minStayFactor) {
+    return Duration.ofNanos((long) (minStay.toNanos() * minStayFactor * jitter));
   }
 
   private double drawJitter() {
--- a/src/main/java/switchgap/admission/LevelTransition.java
+++ b/src/main/java/switchgap/admission/LevelTransition.java
@@ -1,4 +1,4 @@
 package switchgap.admission;
 
-/** A step of a degradation controller between two levels, and the condition that was met. */
+/** A change between two levels of a degradation controller, and the condition that caused it. */
 record LevelTransition(ServiceLevel previous, ServiceLevel current, ChangeCondition condition) {}
--- a/src/main/java/switchgap/admission/PressureMonitor.java
+++ b/src/main/java/switchgap/admission/PressureMonitor.java
@@ -1,67 +1,75 @@
 package switchgap.admission;
 
 /**
- * Measures the overload on the admitted requests: how much of their priority weight found no
- * capacity or missed its latency objective, and the CPU utilization that workers report. Older
- * evidence decays, faster the more there is.
+ * Measures overload from the outcomes of admitted requests (the fraction of their priority weight
+ * that found no capacity or missed the latency objective) and from the CPU utilization that workers
+ * report. Measurements decay exponentially; the more there are, the faster.
  */
 final class PressureMonitor {
   /**
-   * Weight of a late request, as a fraction of one that found no capacity. Guards against taking
-   * misses, which also come from loading functions, for an overload.
+   * Weight of a late request relative to a request that found no capacity. Lower, because requests
+   * may also be late because of function loads, without an overload.
    */
   private static final double LATE_WEIGHT = 0.5;
 
-  /** Requests measured before service is reduced: guards against acting on a single one. */
+  /**
+   * Minimum number of measured requests to reduce service. Prevents reacting to a single request.
+   */
   private static final double MIN_SAMPLES = 8;
 
   /**
-   * Requests of top priority measured before their pressure counts; also the utilization reports
-   * received before these count.
+   * Minimum number of top priority requests to use their pressure, and of utilization reports to
+   * use the utilization.
    */
-  private static final double MIN_PARTIAL_SAMPLES = MIN_SAMPLES / 2;
+  private static final double MIN_TOP_PRIORITY_SAMPLES = MIN_SAMPLES / 2;
 
   /**
-   * Fewer requests: guards against a level that admits nothing and so never sees that the overload
-   * is gone.
+   * Minimum number of measured requests to use the pressure at all; with fewer, service is
+   * restored. Otherwise a level that admits no request would never detect the end of the overload.
    */
-  private static final double MIN_ANY_SAMPLES = MIN_SAMPLES / 4;
+  private static final double MIN_SAMPLES_FOR_PRESSURE = MIN_SAMPLES / 4;
 
   /**
-   * Half-life of evidence, in longest latency objectives: guards against acting on what is over.
+   * Half-life of measurements, as a multiple of the longest latency objective. Prevents reacting to
+   * a past overload.
    */
-  private static final double HALF_LIFE_OBJECTIVES = 4;
+  private static final double HALF_LIFE_OBJECTIVE_FACTOR = 4;
 
   /**
-   * Factor on the half-life where there is little evidence: guards against losing the little there
-   * is.
+   * Maximum factor on the half-life, used when there are few measurements, which must not be lost
+   * too early.
    */
   private static final double MAX_HALF_LIFE_FACTOR = 6;
 
-  /** Factor on the half-life where there is much: what was a second ago hardly counts. */
+  /**
+   * Minimum factor on the half-life, used when there are many measurements, so that recent ones
+   * dominate.
+   */
   private static final double MIN_HALF_LIFE_FACTOR = 0.2;
 
-  /** The factor is 1 at so many requests. */
+  /** Number of measured requests at which the factor on the half-life is 1. */
   private static final double REFERENCE_SAMPLES = 4 * MIN_SAMPLES;
 
   private final double maxWeight;
   private final double halfLifeSeconds;
-  private double requests;
+  private double sampleCount;
   private double admittedWeight;
   private double saturatedWeight;
   private double topAdmittedWeight;
   private double topSaturatedWeight;
-  private double topMissedWeight;
+  private double topMissedObjectiveWeight;
   private double utilizationReports;
   private double utilizationSum;
 
   PressureMonitor(AdmissionSettings settings) {
     this.maxWeight = settings.maxPriorityWeight();
     double longestObjectiveSeconds = settings.longestObjective().toNanos() / 1e9;
-    this.halfLifeSeconds = longestObjectiveSeconds * HALF_LIFE_OBJECTIVES;
+    this.halfLifeSeconds = longestObjectiveSeconds * HALF_LIFE_OBJECTIVE_FACTOR;
   }
 
-  /** A worker's CPU utilization, 0 to 1; NaN, which is ignored, where it reports none. */
+  /**
+   * Records a worker's CPU utilization, 0 to 1; NaN, for a response without a report, is ignored.
+   */
   void workerReported(double utilization) {
     if (Double.isNaN(utilization)) {
       return;
@@ -70,7 +78,7 @@
     utilizationSum += utilization;
   }
 
-  /** An admitted request of a priority weight ended. */
+  /** Records the outcome of an admitted request with a priority weight. */
   void requestEnded(double weight, RequestOutcome outcome) {
     double saturated =
         switch (outcome) {
@@ -78,86 +86,91 @@
           case LATE -> weight * LATE_WEIGHT;
           case IN_TIME, OTHER -> 0;
         };
-    requests++;
+    sampleCount++;
     admittedWeight += weight;
     saturatedWeight += saturated;
     if (weight >= maxWeight) {
       topAdmittedWeight += weight;
       topSaturatedWeight += saturated;
-      topMissedWeight += outcome == RequestOutcome.IN_TIME ? 0 : weight;
+      topMissedObjectiveWeight += outcome == RequestOutcome.IN_TIME ? 0 : weight;
     }
   }
 
-  /** Fraction of the admitted priority weight that found no capacity. */
+  /** The fraction of the admitted priority weight that found no capacity, 0 to 1. */
   double pressure() {
     return saturatedWeight / Math.max(admittedWeight, Double.MIN_NORMAL);
   }
 
-  /** Number of requests that the pressure is measured on; older ones count less. */
+  /** The number of requests on which the pressure is measured; older requests count less. */
   double samples() {
-    return requests;
+    return sampleCount;
   }
 
-  /** The same among the requests of top priority. */
+  /** The fraction of the admitted weight of top priority that found no capacity, 0 to 1. */
   double topPriorityPressure() {
     return topSaturatedWeight / Math.max(topAdmittedWeight, Double.MIN_NORMAL);
   }
 
-  /** Fraction of the requests of top priority that missed their objectives; NaN without any. */
+  /**
+   * The fraction of the top priority requests that missed their latency objectives; NaN if none
+   * were measured.
+   */
   double topPriorityMisses() {
-    return topMissedWeight / topAdmittedWeight;
+    return topMissedObjectiveWeight / topAdmittedWeight;
   }
 
-  /** Whether enough requests were measured for any judgement. */
-  boolean hasAnySamples() {
-    return requests >= MIN_ANY_SAMPLES;
+  /** Whether enough requests were measured to use the pressure at all. */
+  boolean hasSamplesForPressure() {
+    return sampleCount >= MIN_SAMPLES_FOR_PRESSURE;
   }
 
   /** Whether enough requests were measured to reduce service. */
   boolean hasEnoughSamples() {
-    return requests >= MIN_SAMPLES;
+    return sampleCount >= MIN_SAMPLES;
   }
 
-  /** Whether enough requests of top priority were measured to judge these alone. */
+  /** Whether enough top priority requests were measured to use their pressure. */
   boolean hasTopPrioritySamples() {
-    return topAdmittedWeight >= MIN_PARTIAL_SAMPLES * maxWeight;
+    return topAdmittedWeight >= MIN_TOP_PRIORITY_SAMPLES * maxWeight;
   }
 
-  /** Whether enough utilization reports were received to judge the workers. */
-  boolean hasReports() {
-    return utilizationReports >= MIN_PARTIAL_SAMPLES;
+  /** Whether enough utilization reports were received to use the utilization. */
+  boolean hasUtilizationReports() {
+    return utilizationReports >= MIN_TOP_PRIORITY_SAMPLES;
   }
 
-  /** Mean of the reported CPU utilization, 0 to 1; NaN without reports. */
+  /** The mean of the reported CPU utilizations, 0 to 1; NaN without reports. */
   double meanUtilization() {
     return utilizationSum / utilizationReports;
   }
 
-  /** Fraction of the evidence that is retained after this time; the less, the more there is. */
-  double retained(double seconds) {
+  /** The fraction of the measurements that is retained after a time; smaller the more there are. */
+  double retainedFraction(double seconds) {
     return Math.pow(
         0.5,
         seconds
             / halfLifeSeconds
             / Math.max(
                 MIN_HALF_LIFE_FACTOR,
-                Math.min(MAX_HALF_LIFE_FACTOR, REFERENCE_SAMPLES / requests)));
+                Math.min(MAX_HALF_LIFE_FACTOR, REFERENCE_SAMPLES / sampleCount)));
   }
 
-  /** Fraction retained after this time where there is little evidence: the slowest decay. */
-  double retainedAtMost(double seconds) {
+  /**
+   * The fraction retained after a time with the slowest decay, which applies to few measurements.
+   */
+  double maxRetainedFraction(double seconds) {
     return Math.pow(0.5, seconds / halfLifeSeconds / MAX_HALF_LIFE_FACTOR);
   }
 
-  /** Lets evidence decay to a fraction. */
-  void decay(double retained) {
-    requests *= retained;
-    utilizationReports *= retained;
-    utilizationSum *= retained;
-    admittedWeight *= retained;
-    saturatedWeight *= retained;
-    topAdmittedWeight *= retained;
-    topSaturatedWeight *= retained;
-    topMissedWeight *= retained;
+  /** Multiplies all measurements by {@code retainedFraction}. */
+  void decay(double retainedFraction) {
+    sampleCount *= retainedFraction;
+    utilizationReports *= retainedFraction;
+    utilizationSum *= retainedFraction;
+    admittedWeight *= retainedFraction;
+    saturatedWeight *= retainedFraction;
+    topAdmittedWeight *= retainedFraction;
+    topSaturatedWeight *= retainedFraction;
+    topMissedObjectiveWeight *= retainedFraction;
   }
 }
--- a/src/main/java/switchgap/admission/RejectionRules.java
+++ b/src/main/java/switchgap/admission/RejectionRules.java
@@ -3,7 +3,7 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** Which service level may reject which request class, as the settings imply it. Immutable. */
+/** The request classes that each service level may reject, derived from the settings. Immutable. */
 final class RejectionRules {
   private final ServiceLevel[] firstRejecting;
 
@@ -24,12 +24,15 @@
     return settings.isIdempotent(requestClass) ? ServiceLevel.LEAST : ServiceLevel.MOST;
   }
 
-  /** The first level that may reject a request class; null where the class is exempt. */
+  /** The first level that may reject a request class; null if the class is exempt. */
   ServiceLevel firstRejecting(int requestClass) {
     return firstRejecting[requestClass];
   }
 
-  /** The levels that reject any request class, from FULL down. */
+  /**
+   * FULL, HOLD and the levels at which a request class is first rejected, in descending order of
+   * service.
+   */
   ServiceLevel[] effectiveLevels() {
     Set<ServiceLevel> levels = EnumSet.of(ServiceLevel.FULL, ServiceLevel.HOLD);
     for (ServiceLevel level : firstRejecting) {
--- a/src/main/java/switchgap/admission/RequestOutcome.java
+++ b/src/main/java/switchgap/admission/RequestOutcome.java
@@ -1,13 +1,16 @@
 package switchgap.admission;
 
-/** How an admitted request ended. */
+/** The outcome of an admitted request, as used to measure the load. */
 public enum RequestOutcome {
-  /** Succeeded within its latency objective. */
+  /** The request succeeded within its latency objective. */
   IN_TIME,
-  /** Succeeded after its latency objective. */
+  /** The request succeeded after its latency objective. */
   LATE,
-  /** Rejected, never executed, before its latency objective was over: no capacity was found. */
+  /**
+   * The request was rejected without being executed, within or shortly after its latency objective:
+   * no capacity was found.
+   */
   SATURATED,
-  /** Ended in any other way, which says nothing about the load. */
+  /** Any other outcome, which does not indicate the load. */
   OTHER
 }
--- a/src/main/java/switchgap/admission/RetryAfterPolicy.java
+++ b/src/main/java/switchgap/admission/RetryAfterPolicy.java
@@ -3,37 +3,41 @@
 import java.time.Duration;
 
 /**
- * The retry delay given to rejected clients: longer the lower the level, and spread at random so
- * that clients rejected together do not retry together.
+ * Computes the retry delay for rejected clients: longer for lower levels, and randomized so that
+ * clients rejected simultaneously do not retry simultaneously.
  */
 final class RetryAfterPolicy {
-  /** Fraction of the longest delay, for a tenant over its quota. */
+  /** Fraction of the maximum delay for tenants over their quota. */
   private static final double TENANT_FRACTION = 0.5;
 
   /**
-   * The same, for the other levels: the base, and what each level below the first adds, up to the
-   * third.
+   * Fraction of the maximum delay for the other levels: the base value, to which {@link
+   * #FRACTION_PER_LEVEL} is added for up to {@link #MAX_LEVEL_STEPS} levels.
    */
   private static final double BASE_FRACTION = 0.4;
 
   private static final double FRACTION_PER_LEVEL = 0.2;
   private static final int MAX_LEVEL_STEPS = 3;
 
-  /** Range of the factor drawn for each rejection. */
-  private static final double MIN_SPREAD = 0.6;
+  /** Smallest random factor on the delay; drawn for each rejection. */
+  private static final double MIN_SPREAD_FACTOR = 0.6;
 
+  /** Width of the range of the random factor. */
   private static final double SPREAD_RANGE = 0.8;
 
-  private final Duration max;
+  private final Duration maxDelay;
 
-  /** {@code max} is null where clients are given no delay. */
-  RetryAfterPolicy(Duration max) {
-    this.max = max;
+  /** Creates a policy; {@code maxDelay} is null if no delay is sent to clients. */
+  RetryAfterPolicy(Duration maxDelay) {
+    this.maxDelay = maxDelay;
   }
 
-  /** The delay for a rejection by {@code level}, null for none; {@code draw} is 0 to 1. */
+  /**
+   * The delay for a rejection by {@code level}, or null for none; {@code draw} is a random number,
+   * 0 to 1.
+   */
   Duration retryAfter(ServiceLevel level, double draw) {
-    if (max == null) {
+    if (maxDelay == null) {
       return null;
     }
     double fraction =
@@ -41,6 +45,8 @@
             ? TENANT_FRACTION
             : BASE_FRACTION + FRACTION_PER_LEVEL * Math.min(MAX_LEVEL_STEPS, level.ordinal() - 1);
     return Duration.ofNanos(
-        (long) (max.toNanos() * Math.min(1, fraction * (MIN_SPREAD + SPREAD_RANGE * draw))));
+        (long)
+            (maxDelay.toNanos()
+                * Math.min(1, fraction * (MIN_SPREAD_FACTOR + SPREAD_RANGE * draw))));
   }
 }
--- a/src/main/java/switchgap/admission/ServiceLevelHistory.java
+++ b/src/main/java/switchgap/admission/ServiceLevelHistory.java
@@ -5,25 +5,30 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** History of the service levels for operators: last changes, time at each level, rejections. */
+/**
+ * History of the service levels for operators: the last changes, the time at each level and the
+ * number of rejections.
+ */
 final class ServiceLevelHistory {
-  /** Bound of each of the two lists of changes; older changes are dropped. */
+  /** Maximum length of each of the two lists of changes; the oldest changes are dropped. */
   private static final int MAX_CHANGES = 64;
 
-  private final List<ServiceLevelChange> recent = new ArrayList<>();
-  private final List<ServiceLevelChange> undrained = new ArrayList<>();
+  private final List<ServiceLevelChange> recentChanges = new ArrayList<>();
+  private final List<ServiceLevelChange> undrainedChanges = new ArrayList<>();
   private final Duration[] timeAtLevel = new Duration[ServiceLevel.values().length];
-  private final long[][] rejections; // by level, by request class
+
+  /** Indexed by level and request class. */
+  private final long[][] rejections;
 
   ServiceLevelHistory(int requestClasses) {
     this.rejections = new long[ServiceLevel.values().length][requestClasses];
     Arrays.fill(timeAtLevel, Duration.ZERO);
   }
 
-  /** Adds a change to both lists. */
+  /** Adds a change to the recent and the undrained changes. */
   void add(ServiceLevelChange change) {
-    append(recent, change);
-    append(undrained, change);
+    append(recentChanges, change);
+    append(undrainedChanges, change);
   }
 
   private static void append(List<ServiceLevelChange> changes, ServiceLevelChange change) {
@@ -35,32 +40,30 @@
 
   /** The last changes, oldest first. */
   List<ServiceLevelChange> changes() {
-    return List.copyOf(recent);
+    return List.copyOf(recentChanges);
   }
 
   /** The changes since the last drain, oldest first. */
   List<ServiceLevelChange> drain() {
-    List<ServiceLevelChange> drained = List.copyOf(undrained);
-    undrained.clear();
+    List<ServiceLevelChange> drained = List.copyOf(undrainedChanges);
+    undrainedChanges.clear();
     return drained;
   }
 
-  /** Counts time spent at a level. */
+  /** Adds time spent at a level. */
   void addTime(ServiceLevel level, Duration spent) {
     timeAtLevel[level.ordinal()] = timeAtLevel[level.ordinal()].plus(spent);
   }
 
-  /** Total time at a level. */
   Duration timeAt(ServiceLevel level) {
     return timeAtLevel[level.ordinal()];
   }
 
-  /** Counts a request of a class that a level rejected. */
+  /** Counts a rejected request. */
   void countRejection(ServiceLevel level, int requestClass) {
     rejections[level.ordinal()][requestClass]++;
   }
 
-  /** Number of requests of a class that a level rejected. */
   long rejections(ServiceLevel level, int requestClass) {
     return rejections[level.ordinal()][requestClass];
   }
--- a/src/main/java/switchgap/admission/SheddingRotation.java
+++ b/src/main/java/switchgap/admission/SheddingRotation.java
@@ -5,36 +5,38 @@
 
 /**
  * Chooses which requests are shed at a given shed fraction. Requests are hashed by tenant and key
- * to the slots of a ring; each slot is as wide as the priority weight that was offered to it
- * lately. An arc as wide as the shed fraction rotates, and what lies in it is shed. So a client
- * that retries finds the same decision for most of the time, in place of being admitted at its
- * second or third attempt, when its latency objective is over and the work that it then causes
- * earns little. A wide slot is covered by the ends of the arc in part.
+ * to the slots of a ring; the width of a slot is proportional to the priority weight recently
+ * offered to it. An arc whose width is the shed fraction rotates around the ring, and requests
+ * within it are shed. A client that retries therefore gets the same decision most of the time. With
+ * independent decisions it would often be admitted at its second or third retry, after its latency
+ * objective, when its execution has little value. An end of the arc may cover a slot partially.
  */
 final class SheddingRotation {
   private static final int SLOT_BITS = 6;
-  private static final int SLOTS = 1 << SLOT_BITS;
+  private static final int SLOT_COUNT = 1 << SLOT_BITS;
 
-  /** Weight that each slot has at least: guards against slots of no width. */
+  /** Weight added to each slot, so that no slot has a width of 0. */
   private static final double MIN_SLOT_WEIGHT = 1e-3;
 
   private static final long KEY_MULTIPLIER = 31;
 
-  /** Two rounds of multiplication by these spread neighbouring keys over the slots. */
+  /**
+   * Multiplier of the first round of hashing. Two rounds distribute adjacent keys over the slots.
+   */
   private static final long FIRST_HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
   private static final long SECOND_HASH_MULTIPLIER = 0xBF58476D1CE4E5B9L;
   private static final int HASH_SHIFT = 29;
 
-  private final double[] offeredWeight = new double[SLOTS];
-  private final double[] slotStart = new double[SLOTS];
-  private final double[] slotWidth = new double[SLOTS];
-  private final int[] slotOrder = new int[SLOTS];
+  private final double[] offeredWeight = new double[SLOT_COUNT];
+  private final double[] slotStart = new double[SLOT_COUNT];
+  private final double[] slotWidth = new double[SLOT_COUNT];
+  private final int[] slotOrder = new int[SLOT_COUNT];
   private final long salt;
   private final double periodSeconds;
   private double arcStart;
 
-  /** The arc rotates once in each {@code period}. */
+  /** Creates a rotation; the arc rotates once per {@code period}. */
   SheddingRotation(Duration period, SplittableRandom random) {
     this.periodSeconds = period.toNanos() / 1e9;
     this.salt = random.nextLong();
@@ -43,23 +45,23 @@
     layOutSlots();
   }
 
-  /** Neighbours on the ring differ from router to router. */
+  /** Shuffles the order of the slots on the ring, which thereby differs between routers. */
   private void shuffleSlots(SplittableRandom random) {
-    for (int i = 0; i < SLOTS; i++) {
-      int swapped = random.nextInt(i + 1);
-      slotOrder[i] = slotOrder[swapped];
-      slotOrder[swapped] = i;
+    for (int i = 0; i < SLOT_COUNT; i++) {
+      int swapIndex = random.nextInt(i + 1);
+      slotOrder[i] = slotOrder[swapIndex];
+      slotOrder[swapIndex] = i;
     }
   }
 
   /**
-   * Whether a request is shed.
+   * Counts an offered request and returns whether it is shed.
    *
    * @param key equal for requests for the same function
    * @param weight priority weight of the request
    * @param shedFraction width of the arc, 0 to 1
-   * @param positionInSlot 0 to 1, drawn for each request: a slot that lies in the arc in part is
-   *     shed in part
+   * @param positionInSlot 0 to 1, drawn at random for each request, so that a slot that lies
+   *     partially in the arc is shed partially
    */
   boolean sheds(int tenant, long key, double weight, double shedFraction, double positionInSlot) {
     int slot = slot(tenant, key);
@@ -79,14 +81,14 @@
   }
 
   /**
-   * Rotates the arc, and lays out the slots by the weight offered, of which the fraction {@code
-   * retained} remains.
+   * Rotates the arc, multiplies the offered weights by {@code retainedFraction} and updates the
+   * widths of the slots.
    */
-  void advance(double seconds, double retained) {
+  void advance(double seconds, double retainedFraction) {
     arcStart += seconds / periodSeconds;
     arcStart -= Math.floor(arcStart);
-    for (int slot = 0; slot < SLOTS; slot++) {
-      offeredWeight[slot] *= retained;
+    for (int slot = 0; slot < SLOT_COUNT; slot++) {
+      offeredWeight[slot] *= retainedFraction;
     }
     layOutSlots();
   }
--- a/src/main/java/switchgap/admission/TenantControllers.java
+++ b/src/main/java/switchgap/admission/TenantControllers.java
@@ -5,10 +5,11 @@
 import java.util.SplittableRandom;
 
 /**
- * The degradation controllers of single tenants: each sheds what its tenant sends beyond its quota.
+ * The degradation controllers of the single tenants. Each sheds the load of its tenant beyond the
+ * quota.
  */
 final class TenantControllers {
-  /** Notified of each change of a tenant's level, at its time. */
+  /** Receives each change of a tenant's level, with its time since the router's start. */
   interface TransitionListener {
     void levelChanged(Duration time, int tenant, LevelTransition transition);
   }
@@ -17,7 +18,10 @@
   private final DegradationController[] controllers;
   private final SheddingRotation[] rotations;
 
-  /** Draws one generator for each controller, then one for each rotation. */
+  /**
+   * Creates a controller and a rotation for each tenant. Splits one generator for each controller,
+   * then one for each rotation.
+   */
   TenantControllers(
       AdmissionSettings settings,
       Duration minStay,
@@ -39,12 +43,12 @@
     return controllers[tenant].level();
   }
 
-  /** Fraction shed of a tenant's load beyond its quota, 0 to 1. */
+  /** The fraction that is shed of a tenant's load beyond its quota, 0 to 1. */
   double shedFraction(int tenant) {
     return controllers[tenant].shedFraction();
   }
 
-  /** A request of a priority weight was offered, admitted or not. */
+  /** Counts the priority weight of an offered request, admitted or not. */
   void offered(int tenant, double weight) {
     loads.offered(tenant, weight);
   }
@@ -55,48 +59,48 @@
     return rotations[tenant].sheds(tenant, key, weight, fraction, positionInSlot);
   }
 
-  /** Determines anew which tenants exceed their quotas. */
+  /** Updates which tenants exceed their quotas. */
   void updateLoads() {
     loads.update();
   }
 
   /**
-   * Applies a control signal for the given seconds to the tenants over their quota; the others are
-   * restored.
+   * Applies a control signal for a number of seconds to the tenants over their quotas; the service
+   * of the other tenants is restored.
    *
-   * @param retained what the rotations retain of the loads
-   * @return the fraction of the total load that is beyond tenants' quotas; 0 where the controllers
-   *     of all such tenants shed all that they may already
+   * @param retainedFraction fraction of the offered weights that the rotations retain
+   * @return the fraction of the total load that is beyond tenants' quotas; 0 if the controllers of
+   *     all these tenants already have a shed fraction of 1
    */
   double update(
       Duration now,
       double seconds,
-      double retained,
+      double retainedFraction,
       ControlSignal signal,
       ServiceLevel lowestLevel,
       TransitionListener listener) {
-    double excess = 0;
+    double excessWeight = 0;
     boolean canShedMore = false;
-    double total = loads.totalWeight();
+    double totalWeight = loads.totalWeight();
     ControlSignal restore = ShedRateControl.restoreTenant(signal);
     for (int i = 0; i < controllers.length; i++) {
-      boolean over = loads.excessFraction(i) > 0;
+      boolean isOverQuota = loads.excessFraction(i) > 0;
       if (controllers[i].level() == ServiceLevel.SHARE) {
-        rotations[i].advance(seconds, retained);
+        rotations[i].advance(seconds, retainedFraction);
       }
       LevelTransition change =
-          controllers[i].update(now, seconds, over ? signal : restore, lowestLevel);
+          controllers[i].update(now, seconds, isOverQuota ? signal : restore, lowestLevel);
       if (change != null) {
         listener.levelChanged(now, i, change);
       }
-      excess += loads.excessWeight(i);
-      canShedMore |= over && controllers[i].shedFraction() < 1;
+      excessWeight += loads.excessWeight(i);
+      canShedMore |= isOverQuota && controllers[i].shedFraction() < 1;
     }
-    return canShedMore ? excess / total : 0;
+    return canShedMore ? excessWeight / totalWeight : 0;
   }
 
-  /** Lets the tenants' loads decay to a fraction. */
-  void decay(double retained) {
-    loads.decay(retained);
+  /** Multiplies the tenants' measured loads by {@code retainedFraction}. */
+  void decay(double retainedFraction) {
+    loads.decay(retainedFraction);
   }
 }
--- a/src/main/java/switchgap/admission/TenantLoads.java
+++ b/src/main/java/switchgap/admission/TenantLoads.java
@@ -4,33 +4,37 @@
 import java.util.Comparator;
 
 /**
- * Loads of the tenants, and which of them exceed their quota. A tenant exceeds it when its load per
- * unit of quota stands out from the usual one, the median over the tenants weighted by quota. A few
- * tenants that send far too much don't move it as long as they hold less than half of the quotas.
+ * Measures the loads of the tenants and determines which of them exceed their quotas. A tenant
+ * exceeds its quota if its load per unit of quota is clearly above the median of all tenants,
+ * weighted by quota. A few tenants with an extreme load do not shift the median while they hold
+ * less than half of the total quota.
  */
 final class TenantLoads {
   /**
-   * Multiple of the usual load from which a tenant exceeds its quota. Guards against shedding for
-   * ordinary differences between tenants.
+   * Multiple of the median load above which a tenant exceeds its quota. Prevents shedding because
+   * of normal differences between tenants.
    */
   private static final double OVER_QUOTA_FACTOR = 1.3;
 
   /**
-   * Added to it for a load of one request, and less by the square root of its load: guards against
-   * judging a tenant by a handful of requests.
+   * Added to {@link #OVER_QUOTA_FACTOR} after division by the square root of the tenant's number of
+   * requests. Accounts for the sampling error of tenants with few requests.
    */
-  private static final double SAMPLING_ERROR = 3;
+  private static final double SAMPLING_ERROR_FACTOR = 3;
 
   /**
-   * Multiple of the usual load that is admitted of a tenant over its quota. Guards against leaving
-   * it worse off than a tenant within its quota.
+   * Multiple of the median load up to which a tenant over its quota is admitted. Above 1, so that
+   * it is not treated worse than a tenant within its quota.
    */
   private static final double ADMITTED_QUOTA_FACTOR = 1.1;
 
   private final double[] quotas;
   private final double totalQuota;
   private final double maxWeight;
-  private final double[] offeredWeight; // admitted or not
+
+  /** Decaying priority weight of the offered requests of each tenant, admitted or not. */
+  private final double[] offeredWeight;
+
   private final double[] excessFraction;
 
   TenantLoads(AdmissionSettings settings) {
@@ -45,61 +49,67 @@
     this.totalQuota = sum;
   }
 
-  /** A request of a priority weight was offered, admitted or not. */
+  /** Counts the priority weight of an offered request, admitted or not. */
   void offered(int tenant, double weight) {
     offeredWeight[tenant] += weight;
   }
 
-  /** Fraction of the tenant's load beyond its quota, as of the last update; 0 within the quota. */
+  /**
+   * The fraction of a tenant's load that is beyond its quota, as of the last update; 0 within the
+   * quota.
+   */
   double excessFraction(int tenant) {
     return excessFraction[tenant];
   }
 
-  /** The tenant's load beyond its quota, in priority weight. */
+  /** The load of a tenant beyond its quota, in priority weight. */
   double excessWeight(int tenant) {
     return offeredWeight[tenant] * excessFraction[tenant];
   }
 
-  /** The load of all tenants, above 0. */
+  /** The total load of all tenants in priority weight; always positive. */
   double totalWeight() {
     return Math.max(Arrays.stream(offeredWeight).sum(), Double.MIN_NORMAL);
   }
 
-  /** Determines anew which tenants exceed their quotas. */
+  /** Updates which tenants exceed their quotas. */
   void update() {
-    double[] loads = new double[quotas.length]; // per unit of quota
+    double[] loadsPerQuota = new double[quotas.length];
     for (int i = 0; i < quotas.length; i++) {
-      loads[i] = offeredWeight[i] / Math.max(quotas[i], Double.MIN_NORMAL);
+      loadsPerQuota[i] = offeredWeight[i] / Math.max(quotas[i], Double.MIN_NORMAL);
     }
-    double usual = usualLoad(loads);
+    double medianLoad = weightedMedian(loadsPerQuota);
     for (int i = 0; i < quotas.length; i++) {
-      double doubt = SAMPLING_ERROR / Math.sqrt(Math.max(1, offeredWeight[i] / maxWeight));
-      boolean over = usual > 0 && loads[i] > (OVER_QUOTA_FACTOR + doubt) * usual;
-      excessFraction[i] = over ? 1 - ADMITTED_QUOTA_FACTOR * usual / loads[i] : 0;
+      double samplingMargin =
+          SAMPLING_ERROR_FACTOR / Math.sqrt(Math.max(1, offeredWeight[i] / maxWeight));
+      boolean isOverQuota =
+          medianLoad > 0 && loadsPerQuota[i] > (OVER_QUOTA_FACTOR + samplingMargin) * medianLoad;
+      excessFraction[i] =
+          isOverQuota ? 1 - ADMITTED_QUOTA_FACTOR * medianLoad / loadsPerQuota[i] : 0;
     }
   }
 
-  /** The median of the loads, weighted by quota. */
-  private double usualLoad(double[] loads) {
-    Integer[] byLoad = new Integer[loads.length];
+  /** The median of the loads per unit of quota, weighted by quota. */
+  private double weightedMedian(double[] loadsPerQuota) {
+    Integer[] byLoad = new Integer[loadsPerQuota.length];
     Arrays.setAll(byLoad, tenant -> tenant);
-    Arrays.sort(byLoad, Comparator.comparingDouble(tenant -> loads[tenant]));
-    double usual = 0;
-    double sum = 0;
+    Arrays.sort(byLoad, Comparator.comparingDouble(tenant -> loadsPerQuota[tenant]));
+    double medianLoad = 0;
+    double quotaSum = 0;
     for (int tenant : byLoad) {
-      sum += quotas[tenant];
-      usual = loads[tenant];
-      if (sum >= totalQuota / 2) {
+      quotaSum += quotas[tenant];
+      medianLoad = loadsPerQuota[tenant];
+      if (quotaSum >= totalQuota / 2) {
         break;
       }
     }
-    return usual;
+    return medianLoad;
   }
 
-  /** Lets the loads decay to a fraction. */
-  void decay(double retained) {
+  /** Multiplies the measured loads by {@code retainedFraction}. */
+  void decay(double retainedFraction) {
     for (int i = 0; i < offeredWeight.length; i++) {
-      offeredWeight[i] *= retained;
+      offeredWeight[i] *= retainedFraction;
     }
   }
 }
--- a/src/main/java/switchgap/eventloop/EventLoop.java
+++ b/src/main/java/switchgap/eventloop/EventLoop.java
@@ -11,52 +11,56 @@
 import switchgap.router.RouterCore;
 
 /**
- * * The thread that owns a router's core: gathers events, runs ticks, sleeps until the next is due.
- * The queues are not bounded here: whoever posts events must bound them.
+ * The thread that owns a router's core. It collects posted events, runs ticks and sleeps until the
+ * next tick is due. The queues are unbounded: the callers that post events must limit their number.
  */
 public final class EventLoop implements Runnable {
-  /** Events of one tick; the others wait for the next, so that timers stay on time. */
+  /**
+   * Maximum events per tick; further events wait for the next tick, so that timers are not delayed.
+   */
   private static final int MAX_EVENTS_PER_TICK = 512;
 
   private static final long STOP_TIMEOUT_MILLIS = 5000;
   private static final long NANOS_PER_MICRO = 1000;
 
   /**
-   * A tick later than this means that the process was paused: what arrived meanwhile is read first.
+   * Delay of a tick above which the process is assumed to have been paused. Messages that arrived
+   * during the pause are read before timers run.
    */
   private static final Duration PAUSE_THRESHOLD = Duration.ofMillis(100);
 
   private final long startedNanos = System.nanoTime();
   private final ConcurrentLinkedQueue<Consumer<RouterCore>> queue = new ConcurrentLinkedQueue<>();
-  private final ConcurrentLinkedQueue<Consumer<RouterCore>> urgent = new ConcurrentLinkedQueue<>();
+  private final ConcurrentLinkedQueue<Consumer<RouterCore>> urgentQueue =
+      new ConcurrentLinkedQueue<>();
   private final RouterCore core;
   private final Thread thread;
   private final LongConsumer latenessListener;
   private final Consumer<Throwable> failureListener;
-  private final Runnable pendingReads;
-  private volatile boolean stopped;
-  private volatile boolean asleep;
+  private final Runnable pendingReadsBarrier;
+  private volatile boolean isStopped;
+  private volatile boolean isAsleep;
 
   /**
-   * Creates a loop that is not started yet.
+   * Creates a loop; {@link #start} starts its thread.
    *
-   * @param coreFactory creates the core, which may post to this loop
+   * @param coreFactory creates the core; it may keep the loop to post events to it
    * @param threadName name of the loop's thread
-   * @param latenessListener receives the microseconds by which a tick was late
-   * @param failureListener receives the cause of a tick that failed; the loop ends there, as its
-   *     state may be inconsistent
-   * @param pendingReads blocks, for a bounded time, until what is in the sockets has been read and
-   *     posted; called after a pause, before any deadline is judged
+   * @param latenessListener receives the delay of each timed tick in microseconds
+   * @param failureListener receives the exception of a tick that failed; the loop then ends,
+   *     because its state may be inconsistent
+   * @param pendingReadsBarrier blocks for a bounded time until the data in the sockets' receive
+   *     buffers has been read and posted; called after a pause, before deadlines are evaluated
    */
   public EventLoop(
       Function<EventLoop, RouterCore> coreFactory,
       String threadName,
       LongConsumer latenessListener,
       Consumer<Throwable> failureListener,
-      Runnable pendingReads) {
+      Runnable pendingReadsBarrier) {
     this.latenessListener = latenessListener;
     this.failureListener = failureListener;
-    this.pendingReads = pendingReads;
+    this.pendingReadsBarrier = pendingReadsBarrier;
     core = coreFactory.apply(this);
     thread = new Thread(this, threadName);
   }
@@ -66,35 +70,38 @@
     thread.start();
   }
 
-  /** Time since the loop was created. Any thread. */
+  /** The time since the loop was created. May be called from any thread. */
   public Duration now() {
     return Duration.ofNanos(System.nanoTime() - startedNanos);
   }
 
   /**
-   * Runs an event in the next tick, before all others posted: a draining worker must not wait for
-   * its turn. Any thread.
+   * Queues an event to run in the next tick, before all events of {@link #post}. For example, the
+   * draining of a worker must not wait behind other events. May be called from any thread.
    */
   public void postUrgent(Consumer<RouterCore> event) {
-    urgent.add(event);
+    urgentQueue.add(event);
     wakeUp();
   }
 
-  /** Runs an event in one of the next ticks, in order of posting. Any thread. */
+  /**
+   * Queues an event to run in one of the next ticks, in the order of posting. May be called from
+   * any thread.
+   */
   public void post(Consumer<RouterCore> event) {
     queue.add(event);
     wakeUp();
   }
 
   private void wakeUp() {
-    if (asleep) {
+    if (isAsleep) {
       LockSupport.unpark(thread);
     }
   }
 
-  /** Ends the thread after the current tick, and waits for that a bounded time. */
+  /** Ends the thread after the current tick, and waits for its end for at most 5 s. */
   public void stop() {
-    stopped = true;
+    isStopped = true;
     LockSupport.unpark(thread);
     try {
       thread.join(STOP_TIMEOUT_MILLIS);
@@ -107,16 +114,16 @@
   public void run() {
     try {
       runTicks();
-    } catch (Throwable e) { // errors too: without the thread no request is served
+    } catch (Throwable e) { // includes errors: without this thread no request is served
       failureListener.accept(e);
     }
   }
 
   private void runTicks() {
     List<Consumer<RouterCore>> batch = new ArrayList<>();
-    core.tick(now(), batch); // the policy schedules its first wake-up
-    while (!stopped) {
-      gather(batch, MAX_EVENTS_PER_TICK);
+    core.tick(now(), batch); // lets the policy schedule its first wake-up
+    while (!isStopped) {
+      collectEvents(batch, MAX_EVENTS_PER_TICK);
       Duration due = core.nextDue();
       Duration now = now();
       boolean isDue = due != null && due.compareTo(now) <= 0;
@@ -125,28 +132,33 @@
         continue;
       }
       if (isDue) {
-        catchUp(now.minus(due), batch);
+        handleLateness(now.minus(due), batch);
       }
       core.tick(now(), batch);
       batch.clear();
     }
   }
 
-  /** Reports how late a tick is; after a pause also gathers all that arrived meanwhile. */
-  private void catchUp(Duration lateness, List<Consumer<RouterCore>> batch) {
+  /**
+   * Reports the delay of a tick and, after a pause of the process, collects all events that arrived
+   * during it.
+   */
+  private void handleLateness(Duration lateness, List<Consumer<RouterCore>> batch) {
     latenessListener.accept(lateness.toNanos() / NANOS_PER_MICRO);
     if (lateness.compareTo(PAUSE_THRESHOLD) > 0) {
-      pendingReads.run();
-      gather(batch, Integer.MAX_VALUE);
+      pendingReadsBarrier.run();
+      collectEvents(batch, Integer.MAX_VALUE);
     }
   }
 
-  /** Moves all urgent events to the batch, and others up to a number of events in all. */
-  private void gather(List<Consumer<RouterCore>> batch, int maxEvents) {
-    Consumer<RouterCore> event = urgent.poll();
+  /**
+   * Moves all urgent events to the batch, then other events until the batch has {@code maxEvents}.
+   */
+  private void collectEvents(List<Consumer<RouterCore>> batch, int maxEvents) {
+    Consumer<RouterCore> event = urgentQueue.poll();
     while (event != null) {
       batch.add(event);
-      event = urgent.poll();
+      event = urgentQueue.poll();
     }
     while (batch.size() < maxEvents) {
       event = queue.poll();
@@ -158,14 +170,14 @@
   }
 
   private void sleep(Duration due, Duration now) {
-    asleep = true;
-    if (queue.isEmpty() && urgent.isEmpty() && !stopped) {
+    isAsleep = true;
+    if (queue.isEmpty() && urgentQueue.isEmpty() && !isStopped) {
       if (due == null) {
         LockSupport.park(this);
       } else {
         LockSupport.parkNanos(this, due.minus(now).toNanos());
       }
     }
-    asleep = false;
+    isAsleep = false;
   }
 }
--- a/src/main/java/switchgap/eventloop/package-info.java
+++ b/src/main/java/switchgap/eventloop/package-info.java
@@ -1,2 +1,2 @@
-/** The one thread that owns a router's state and runs its ticks. */
+/** The thread that owns a router's state and runs its ticks. */
 package switchgap.eventloop;
--- a/src/main/java/switchgap/router/ActionExecutor.java
+++ b/src/main/java/switchgap/router/ActionExecutor.java
@@ -4,8 +4,8 @@
 import switchgap.policy.api.PolicyActions;
 
 /**
- * Carries out the policy's decisions in the order in which it makes them; translates its indices to
- * requests, workers and functions. Belongs to the event loop.
+ * Executes the policy's decisions in the order in which the policy makes them, and resolves its
+ * indices to requests, workers and functions. Confined to the event loop thread.
  */
 final class ActionExecutor implements PolicyActions {
   private final CoreContext context;
--- a/src/main/java/switchgap/router/AdmissionGate.java
+++ b/src/main/java/switchgap/router/AdmissionGate.java
@@ -11,25 +11,29 @@
 import switchgap.policy.api.RouterSettings;
 
 /**
- * Applies admission control to offered requests: the core accepts what the controller admits. What
- * it rejects was never executed, so a retry is harmless. Event loop only, within the core's ticks.
+ * Applies admission control to offered requests: requests that the controller admits are passed to
+ * the core. Requests that it rejects were never executed and are safe to retry. Called on the event
+ * loop thread only, during the core's ticks.
  */
 public final class AdmissionGate {
   /**
-   * A rejection within this multiple of the latency objective counts as no capacity; a later one
-   * may have other causes.
+   * A request rejected within this multiple of its latency objective is classified as saturated; a
+   * later rejection may have causes other than missing capacity.
    */
-  private static final double SATURATED_OBJECTIVES = 1.2;
+  private static final double SATURATION_OBJECTIVE_FACTOR = 1.2;
 
   private final RouterCore core;
   private final RouterSettings settings;
-  private final AdmissionController admission; // null: every request is admitted
+
+  /** Null if every request is admitted. */
+  private final AdmissionController admission;
+
   private final Consumer<ServiceLevelChange> changeListener;
 
   /**
-   * Creates the gate; with a controller it observes the core.
+   * Creates the gate and, if there is a controller, registers as the core's observer.
    *
-   * @param admission null to admit every request
+   * @param admission the controller, or null to admit every request
    * @param changeListener notified of each change of service level
    */
   public AdmissionGate(
@@ -46,7 +50,7 @@
     }
   }
 
-  /** Reports to the controller how admitted requests end. */
+  /** Reports the outcomes of admitted requests and the load of workers to the controller. */
   private final class Observer implements RequestObserver {
     @Override
     public void requestEnded(PendingRequest request, Response response) {
@@ -65,14 +69,14 @@
     return core;
   }
 
-  /** The controller, or null. */
+  /** The controller, or null if every request is admitted. */
   public AdmissionController admission() {
     return admission;
   }
 
   /**
-   * Offers a request. Returns true where it gets its final response, which may be a rejection now;
-   * false where it was not accepted, see {@link RouterCore#accept}.
+   * Offers a request. Returns true if its listener receives the final response, which may be an
+   * immediate rejection; false if the core did not accept it, see {@link RouterCore#accept}.
    */
   public boolean offer(PendingRequest request) {
     if (admission == null) {
@@ -110,21 +114,22 @@
       case SUCCEEDED ->
           duration.compareTo(objective) <= 0 ? RequestOutcome.IN_TIME : RequestOutcome.LATE;
       case REJECTED -> {
-        boolean neverExecuted = request.attempts().stream().noneMatch(Attempt::mayHaveExecuted);
-        boolean early = duration.toNanos() <= objective.toNanos() * SATURATED_OBJECTIVES;
-        yield neverExecuted && early ? RequestOutcome.SATURATED : RequestOutcome.OTHER;
+        boolean wasNeverExecuted = request.attempts().stream().noneMatch(Attempt::mayHaveExecuted);
+        boolean isWithinFactor =
+            duration.toNanos() <= objective.toNanos() * SATURATION_OBJECTIVE_FACTOR;
+        yield wasNeverExecuted && isWithinFactor ? RequestOutcome.SATURATED : RequestOutcome.OTHER;
       }
       case FAILED -> RequestOutcome.OTHER;
     };
   }
 
-  /** Pins a service level for all tenants; needs a controller. */
+  /** Pins a service level for all tenants. Must not be called without a controller. */
   public void pin(ServiceLevel level, Duration duration) {
     admission.pin(core.now(), level, core.now().plus(duration));
     reportChanges();
   }
 
-  /** Advances the controller to the current time; needed only while no request is offered. */
+  /** Advances the controller to the current time. Only needed while no requests are offered. */
   public void tick() {
     if (admission != null) {
       admission.tick(core.now());
--- a/src/main/java/switchgap/router/AnswerReason.java
+++ b/src/main/java/switchgap/router/AnswerReason.java
@@ -1,29 +1,32 @@
 package switchgap.router;
 
-/** Why a request got its final answer. */
+/** The reason for a request's final answer. */
 public enum AnswerReason implements EventReason {
-  /** A worker served it. */
+  /** A worker served the request. */
   SUCCEEDED,
-  /** The policy rejected it. */
+  /** The policy rejected the request. */
   REJECTED,
-  /** The policy failed it. */
+  /** The policy failed the request. */
   FAILED,
   /** The router is shutting down. */
   SHUTDOWN,
-  /** Its client revoked it after the deadline; an answer is still required. */
+  /** The client revoked the request after its deadline; the protocol still requires an answer. */
   REVOKED_LATE,
-  /** The core did not accept it: its deadline has passed or too many functions are known. */
+  /**
+   * The core did not accept the request: its deadline had passed or the limit of functions was
+   * reached.
+   */
   NOT_ACCEPTED,
-  /** Too many requests, or bytes of requests, are in flight at this router. */
+  /** The router's limit of requests in flight, or of their bytes, was reached. */
   NO_CAPACITY,
-  /** Too many requests are in flight on its connection. */
+  /** The limit of requests in flight on the request's connection was reached. */
   TOO_MANY_OPEN,
-  /** It does not fit into the event loop's queue. */
+  /** The event loop's queue was full. */
   QUEUE_FULL,
-  /** It was read and is invalid. */
+  /** The request was read but is invalid. */
   UNUSABLE;
 
-  /** The reason for a response that the policy decided on. */
+  /** Returns the reason that corresponds to a response of the policy. */
   public static AnswerReason of(Response.Kind kind) {
     return switch (kind) {
       case SUCCEEDED -> SUCCEEDED;
--- a/src/main/java/switchgap/router/Attempt.java
+++ b/src/main/java/switchgap/router/Attempt.java
@@ -4,8 +4,9 @@
 import switchgap.policy.api.AttemptOutcome;
 
 /**
- * One attempt of a request at a worker; it ends once, by whichever comes first of its response, its
- * timeout and its cancellation. Belongs to the event loop, but for the attachment.
+ * One attempt of a request at a worker. It ends once: on its response, its timeout or its
+ * cancellation, whichever comes first. Confined to the event loop thread, except for the
+ * attachment, which any thread may access.
  */
 public final class Attempt {
   private final PendingRequest request;
@@ -13,11 +14,14 @@
   private final WorkerEntry worker;
   private final Duration sentAt;
   private volatile Object attachment;
-  private boolean ended;
+  private boolean hasEnded;
   private boolean mayHaveExecuted = true;
-  private TimerQueue.Timer timeout;
+  private TimerQueue.Timer timeoutTimer;
 
-  /** The attempt with this number, at a worker, from a time since the router's start on. */
+  /**
+   * Creates an attempt in flight. {@code number} counts the request's attempts from 0; {@code
+   * sentAt} is measured from the router's start.
+   */
   public Attempt(PendingRequest request, int number, WorkerEntry worker, Duration sentAt) {
     this.request = request;
     this.number = number;
@@ -25,63 +29,66 @@
     this.sentAt = sentAt;
   }
 
-  /** The request that it is an attempt of. */
+  /** The request to which this attempt belongs. */
   public PendingRequest request() {
     return request;
   }
 
-  /** Counts the request's attempts from 0. */
+  /** The attempt's number within its request, from 0. */
   public int number() {
     return number;
   }
 
-  /** The worker that it was sent to. */
+  /** The worker to which it is sent. */
   public WorkerEntry worker() {
     return worker;
   }
 
-  /** Its name on the wire: the request's id and its number. */
+  /** The attempt's id on the wire: the request's id and the attempt's number. */
   public String attemptId() {
     return request.id() + "." + number;
   }
 
-  /** What the transport attached to it, or null. Any thread. */
+  /** The state that the transport attached, or null. May be called from any thread. */
   public Object attachment() {
     return attachment;
   }
 
-  /** Keeps state of the transport with it; the core does not read it. Any thread. */
+  /**
+   * Attaches state of the transport, which the core does not read. May be called from any thread.
+   */
   public void attach(Object transportState) {
     attachment = transportState;
   }
 
-  /** When the policy started it, since the router's start. */
+  /** The time at which the policy started the attempt, since the router's start. */
   Duration sentAt() {
     return sentAt;
   }
 
-  /** Its timeout was scheduled with this timer. */
-  void timeoutScheduled(TimerQueue.Timer timer) {
-    timeout = timer;
+  void setTimeoutTimer(TimerQueue.Timer timer) {
+    timeoutTimer = timer;
   }
 
-  /** The timer of its timeout; null before that was scheduled. */
-  TimerQueue.Timer timeout() {
-    return timeout;
+  /** The timer of the timeout; null until it is scheduled. */
+  TimerQueue.Timer timeoutTimer() {
+    return timeoutTimer;
   }
 
-  /** It ended with an outcome. Called once. */
+  /** Records the outcome. Called once. */
   void end(AttemptOutcome outcome) {
-    ended = true;
+    hasEnded = true;
     mayHaveExecuted = !outcome.neverExecuted();
   }
 
-  /** Whether it has ended. */
   boolean hasEnded() {
-    return ended;
+    return hasEnded;
   }
 
-  /** False only where its outcome proves that no worker executed it; true while it is in flight. */
+  /**
+   * Returns false only if the outcome proves that no worker executed the attempt; true while it is
+   * in flight.
+   */
   boolean mayHaveExecuted() {
     return mayHaveExecuted;
   }
--- a/src/main/java/switchgap/router/AttemptLifecycle.java
+++ b/src/main/java/switchgap/router/AttemptLifecycle.java
@@ -6,8 +6,8 @@
 import switchgap.policy.api.LoadReport;
 
 /**
- * Attempts from their start to their one end: by a response, the timeout or a cancellation. Belongs
- * to the event loop.
+ * Starts attempts and ends each exactly once, on a response, a timeout or a cancellation. Confined
+ * to the event loop thread.
  */
 final class AttemptLifecycle {
   private final CoreContext context;
@@ -23,14 +23,14 @@
   /** Starts the next attempt of a request. */
   void start(PendingRequest request, WorkerEntry worker, Duration timeout) {
     Attempt attempt = request.addAttempt(worker, context.now());
-    attempt.timeoutScheduled(
+    attempt.setTimeoutTimer(
         context.timers().schedule(context.now().plus(timeout), () -> timeOut(attempt)));
     transport.startAttempt(attempt, timeout);
   }
 
   /**
-   * Asks what the abandoned exchange proves and ends the attempt in one step: see {@link
-   * WorkerTransport#abandon(Attempt)}.
+   * Abandons the exchange and ends the attempt, in the same tick, with the outcome that {@link
+   * WorkerTransport#abandon(Attempt)} returns.
    */
   private void timeOut(Attempt attempt) {
     if (!attempt.hasEnded()) {
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Cancels an attempt, unless it has ended. The policy, which is deciding, is notified with the
-   * next events.
+   * Cancels an attempt unless it has ended. The policy calls this while it makes decisions and
+   * cannot receive events then, so it is notified in the next tick.
    */
   void cancel(Attempt attempt) {
     if (!attempt.hasEnded()) {
@@ -59,7 +59,7 @@
     }
     attempt.end(outcome);
     context.observer().attemptEnded(attempt, outcome);
-    context.timers().cancel(attempt.timeout());
+    context.timers().cancel(attempt.timeoutTimer());
     context.observer().workerReported(report);
     if (outcome == AttemptOutcome.SUCCEEDED) {
       requests.respond(attempt.request(), response);
--- a/src/main/java/switchgap/router/CoreContext.java
+++ b/src/main/java/switchgap/router/CoreContext.java
@@ -4,8 +4,8 @@
 import switchgap.policy.api.PolicyEvents;
 
 /**
- * What the parts of one core share: the time of the current tick, the timers, and whom they notify.
- * Belongs to the event loop.
+ * State shared by the components of a core: the time of the current tick, the timers, the receiver
+ * of policy events and the observer. Confined to the event loop thread.
  */
 final class CoreContext {
   private final TimerQueue timers = new TimerQueue();
@@ -13,37 +13,36 @@
   private PolicyEvents policyEvents;
   private RequestObserver observer = (request, response) -> {};
 
-  /** A tick begins at a time since the router's start. */
-  void tickStarted(Duration time) {
+  /** Starts a tick. {@code time} is measured from the router's start. */
+  void startTick(Duration time) {
     now = time;
   }
 
-  /** The policy takes events from now on, until {@link #eventsClosed}. */
-  void eventsOpened(PolicyEvents events) {
+  /** Sets the receiver of policy events, which accepts events until {@link #closeEvents}. */
+  void openEvents(PolicyEvents events) {
     policyEvents = events;
   }
 
-  /** The policy has all events of the tick. */
-  void eventsClosed() {
+  /** Marks the end of the events of the tick. */
+  void closeEvents() {
     policyEvents = null;
   }
 
-  /** Replaces the observer. */
-  void observe(RequestObserver replacement) {
-    observer = replacement;
+  void observe(RequestObserver newObserver) {
+    observer = newObserver;
   }
 
-  /** Time of the current tick, since the router's start. */
+  /** The time of the current tick, since the router's start. */
   Duration now() {
     return now;
   }
 
-  /** The timers of the core; what they run may notify the policy. */
+  /** The timers of the core. Their tasks run while the policy accepts events. */
   TimerQueue timers() {
     return timers;
   }
 
-  /** Notifies the policy; null while it decides and between ticks. */
+  /** The receiver of policy events; null between ticks and while the policy makes decisions. */
   PolicyEvents policyEvents() {
     return policyEvents;
   }
--- a/src/main/java/switchgap/router/DeferredResults.java
+++ b/src/main/java/switchgap/router/DeferredResults.java
@@ -9,26 +9,27 @@
 import java.util.function.Consumer;
 
 /**
- * Deferred requests of one router: pending ones, and the responses of ended ones, which are cached
- * for a configured time. Bounded by the number of entries and by the bytes of the cached responses;
- * when full, the responses cached longest are evicted, and no new request is accepted while pending
- * ones have all entries. Belongs to the event loop.
+ * The deferred requests of one router: pending requests, and the responses of ended requests, which
+ * are cached for a configured time. Bounded by the number of entries and by the bytes of the cached
+ * responses. When full, the oldest responses are evicted; if pending requests occupy all entries,
+ * no new request is accepted. Confined to the event loop thread.
  */
 public final class DeferredResults {
-  /** What is known of an id. */
+  /** The status of an id of a deferred request. */
   public enum Status {
-    /** Its request has no response yet. */
+    /** The request has no response yet. */
     PENDING,
-    /** Its request has ended, and the result is cached. */
+    /** The request has ended and its result is cached. */
     ENDED,
-    /** This router assigned it, and its result is not cached any more. */
+    /** This router assigned the id, but the result is no longer cached. */
     GONE,
-    /** This router never assigned it. */
+    /** This router never assigned the id. */
     UNKNOWN
   }
 
   /**
-   * A deferred request; it has no response while pending, and when its deadline passed without one.
+   * A deferred request. It has no response while it is pending, or if its deadline passed without
+   * one.
    */
   public static final class Entry implements ResponseListener {
     private final DeferredResults owner;
@@ -36,7 +37,7 @@
     private final List<Consumer<Entry>> waiters = new ArrayList<>(1);
     private PendingRequest request;
     private Response response;
-    private boolean ended;
+    private boolean isEnded;
     private Duration expiresAt;
 
     private Entry(DeferredResults owner, long number) {
@@ -44,52 +45,55 @@
       this.number = number;
     }
 
-    /** The request; null before it was accepted. */
+    /** The request; null until it is accepted. */
     public PendingRequest request() {
       return request;
     }
 
-    /** Whether the request has ended, with a response or without. */
+    /** Whether the request has ended, with or without a response. */
     public boolean isEnded() {
-      return ended;
+      return isEnded;
     }
 
-    /** The response, or null. */
+    /** The response, or null if there is none. */
     public Response response() {
       return response;
     }
 
     @Override
-    public void responded(PendingRequest answered, Response result) {
+    public void responded(PendingRequest answeredRequest, Response result) {
       owner.end(this, result);
     }
 
     @Override
-    public void deadlineMissed(PendingRequest overdue, Response late) {
+    public void deadlineMissed(PendingRequest missedRequest, Response lateResponse) {
       owner.end(this, null);
     }
   }
 
-  private static final int MAX_WAITERS = 8;
-  private static final long NO_NUMBER = -1;
+  private static final int MAX_WAITERS_PER_ENTRY = 8;
+  private static final long INVALID_NUMBER = -1;
 
   private final String idPrefix;
   private final Duration retention;
   private final int maxEntries;
   private final long maxBytes;
   private final Map<Long, Entry> entries = new HashMap<>();
-  private final ArrayDeque<Entry> endedEntries = new ArrayDeque<>(); // by their end, oldest first
+
+  /** In the order in which their requests ended, oldest first. */
+  private final ArrayDeque<Entry> endedEntries = new ArrayDeque<>();
+
   private Duration now = Duration.ZERO;
   private long nextNumber;
   private long cachedBytes;
 
   /**
-   * Creates it without entries.
+   * Creates an empty table.
    *
-   * @param idPrefix what ids begin with; must differ from one start of a router to the next
+   * @param idPrefix prefix of all ids; must be different for each start of a router
    * @param retention how long a response is cached
-   * @param maxEntries bound of the entries, pending and ended
-   * @param maxBytes bound of the bodies of the cached responses
+   * @param maxEntries maximum number of pending and ended entries together
+   * @param maxBytes maximum total size of the bodies of the cached responses
    */
   public DeferredResults(String idPrefix, Duration retention, int maxEntries, long maxBytes) {
     this.idPrefix = idPrefix;
@@ -98,7 +102,7 @@
     this.maxBytes = maxBytes;
   }
 
-  /** Reserves an entry; null when pending requests have them all. */
+  /** Reserves an entry; returns null if pending requests occupy all entries. */
   public Entry reserve() {
     while (entries.size() >= maxEntries && !endedEntries.isEmpty()) {
       forget(endedEntries.poll());
@@ -116,17 +120,20 @@
     return idPrefix + entry.number;
   }
 
-  /** The request of a reserved entry was accepted. */
+  /** Records that the request of a reserved entry was accepted. */
   public void accepted(Entry entry, PendingRequest request) {
     entry.request = request;
   }
 
-  /** The request of a reserved entry was not accepted; the entry is free again. */
+  /** Frees a reserved entry whose request was not accepted. */
   public void notAccepted(Entry entry) {
     entries.remove(entry.number);
   }
 
-  /** Drops the responses whose retention has expired at a time since the router's start. */
+  /**
+   * Removes the responses whose retention has expired at {@code time}, measured from the router's
+   * start.
+   */
   public void tick(Duration time) {
     now = time;
     while (!endedEntries.isEmpty() && endedEntries.peek().expiresAt.compareTo(time) <= 0) {
@@ -134,9 +141,9 @@
     }
   }
 
-  /** What is known of an id, as of the last tick. */
+  /** The status of an id, as of the last tick. */
   public Status status(String id) {
-    long number = numberOf(id);
+    long number = parseNumber(id);
     if (number < 0 || number >= nextNumber) {
       return Status.UNKNOWN;
     }
@@ -144,25 +151,28 @@
     if (entry == null) {
       return Status.GONE;
     }
-    return entry.ended ? Status.ENDED : Status.PENDING;
+    return entry.isEnded ? Status.ENDED : Status.PENDING;
   }
 
-  /** The entry of an id that is pending or ended, else null. */
+  /** The pending or ended entry of an id, or null if there is none. */
   public Entry find(String id) {
-    return entries.get(numberOf(id));
+    return entries.get(parseNumber(id));
   }
 
-  /** Notifies the waiter of the end of an entry; false when too many wait already. */
+  /**
+   * Registers a waiter that is notified when the entry ends. Returns false if the entry has the
+   * maximum number of waiters.
+   */
   public boolean await(Entry entry, Consumer<Entry> waiter) {
-    return entry.waiters.size() < MAX_WAITERS && entry.waiters.add(waiter);
+    return entry.waiters.size() < MAX_WAITERS_PER_ENTRY && entry.waiters.add(waiter);
   }
 
-  /** Does not notify a waiter any more. */
+  /** Removes a waiter, which is then not notified. */
   public void stopAwaiting(Entry entry, Consumer<Entry> waiter) {
     entry.waiters.remove(waiter);
   }
 
-  /** Removes an entry with its response; its waiters are not notified. */
+  /** Removes an entry and its response without notifying its waiters. */
   public void forget(Entry entry) {
     if (entries.remove(entry.number) != null && entry.response != null) {
       cachedBytes -= entry.response.body().length;
@@ -176,14 +186,14 @@
     return entries.size();
   }
 
-  private long numberOf(String id) {
+  private long parseNumber(String id) {
     if (!id.startsWith(idPrefix)) {
-      return NO_NUMBER;
+      return INVALID_NUMBER;
     }
     try {
       return Long.parseLong(id, idPrefix.length(), id.length(), 10);
     } catch (NumberFormatException e) {
-      return NO_NUMBER;
+      return INVALID_NUMBER;
     }
   }
 
@@ -192,7 +202,7 @@
       return;
     }
     entry.response = response;
-    entry.ended = true;
+    entry.isEnded = true;
     entry.expiresAt = now.plus(retention);
     endedEntries.add(entry);
     cachedBytes += response == null ? 0 : response.body().length;
--- a/src/main/java/switchgap/router/EndpointEvent.java
+++ b/src/main/java/switchgap/router/EndpointEvent.java
@@ -2,7 +2,7 @@
 
 import switchgap.policy.api.AttemptOutcome;
 
-/** Something that happened to a worker or to the endpoint list, rather than to a request. */
+/** An event of a worker or of the endpoint list, not of a request. */
 public sealed interface EndpointEvent extends RouterEvent {
   /** A load probe of a worker ended. */
   record WorkerProbed(String subjectId, AttemptOutcome outcome) implements EndpointEvent {
@@ -17,7 +17,7 @@
     }
   }
 
-  /** A worker that had ended its connections, or refused one, accepted one. */
+  /** A worker accepted a connection after it had closed all its connections or refused one. */
   record WorkerReconnected(String subjectId) implements EndpointEvent {
     private static final String ACCEPTED = "ACCEPTED";
 
@@ -32,15 +32,15 @@
     }
   }
 
-  /** What the endpoint list can become. */
+  /** State of the endpoint list. */
   enum ListState {
     /** All events of the stream so far have been received. */
     CONFIRMED,
-    /** The stream may have events that have not been received. */
+    /** Events of the stream may be missing. */
     UNCONFIRMED
   }
 
-  /** The endpoint list became confirmed or unconfirmed; the subject is the event stream. */
+  /** The state of the endpoint list changed; the subject is the event stream. */
   record ListChanged(ListState state) implements EndpointEvent {
     private static final String SUBJECT = "stream";
 
--- a/src/main/java/switchgap/router/EndpointTable.java
+++ b/src/main/java/switchgap/router/EndpointTable.java
@@ -11,8 +11,9 @@
 import switchgap.policy.api.WorkerState;
 
 /**
- * The workers of the endpoint list by name and by index. Bounded by the list, which its codec
- * bounds, and by what is in flight at workers that are gone. Belongs to the event loop.
+ * The workers of the endpoint list, by name and by index. Its size is bounded by the list, whose
+ * length the decoder limits, and by workers that are gone but still have attempts or commands in
+ * flight. Confined to the event loop thread.
  */
 final class EndpointTable {
   private final WorkerTransport transport;
@@ -20,7 +21,8 @@
   private final IndexAllocatingTable<WorkerEntry> byIndex = new IndexAllocatingTable<>();
 
   /**
-   * Time of the first list, null before; a configuration may provide it in parts, all at one time.
+   * Time of the first endpoint list, or null before it. A configuration may deliver the first list
+   * as several updates, which all have the same time.
    */
   private Duration firstListAt;
 
@@ -28,29 +30,35 @@
     this.transport = transport;
   }
 
-  /** The worker of an index, null once it was released. */
+  /** The worker with an index; null after the index is released. */
   WorkerEntry get(int index) {
     return byIndex.get(index);
   }
 
-  /** Whether the policy still knows a worker: its index may have been assigned again. */
-  boolean isKnown(WorkerEntry worker) {
+  /**
+   * Whether the policy still tracks this worker. The index may have been reassigned to another
+   * worker.
+   */
+  boolean isTracked(WorkerEntry worker) {
     WorkerEntry current =
-        worker.index() == WorkerEntry.FORGOTTEN ? null : byIndex.get(worker.index());
+        worker.index() == WorkerEntry.NO_INDEX ? null : byIndex.get(worker.index());
     return current != null && current.name().equals(worker.name());
   }
 
-  /** Applies a version of the list, complete or as its changes, and notifies the policy. */
+  /**
+   * Applies a new version of the list, either complete or as changes to the previous version, and
+   * notifies the policy.
+   */
   void update(boolean complete, List<EndpointUpdate> updates, Duration now, PolicyEvents policy) {
     firstListAt = firstListAt == null ? now : firstListAt;
     policy.endpointListStarted(complete);
-    Set<String> listed = new HashSet<>();
+    Set<String> listedNames = new HashSet<>();
     for (EndpointUpdate update : updates) {
       if (update.state() == WorkerState.GONE && !byName.containsKey(update.name())) {
         continue;
       }
       WorkerEntry worker = entryFor(update);
-      listed.add(update.name());
+      listedNames.add(update.name());
       if (update.state() == WorkerState.READY) {
         worker.startAccepting();
       } else {
@@ -69,45 +77,49 @@
               worker.startedAt()));
     }
     if (complete) {
-      byIndex.stream().filter(worker -> !listed.contains(worker.name())).forEach(this::drain);
+      byIndex.stream().filter(worker -> !listedNames.contains(worker.name())).forEach(this::drain);
     }
     policy.endpointListEnded();
   }
 
   /**
-   * Takes a listed start only as far as it is possible, as wall clocks step, here and where the
-   * list is made. No process starts in the future, and one that was in none of the first lists did
-   * not start before this router: it is warming up as of now.
+   * Validates the listed start time of a worker's process, because the wall clocks of this router
+   * and of the service that generates the list may step. A start time in the future is impossible.
+   * So is a start time before this router's start for a worker that was not in the first list. In
+   * both cases the worker is treated as started now, so that slow start applies.
    */
-  private void updateStart(WorkerEntry worker, Duration listed, Duration now) {
-    if (listed == null || listed.equals(worker.listedStart())) {
+  private void updateStart(WorkerEntry worker, Duration listedStart, Duration now) {
+    if (listedStart == null || listedStart.equals(worker.listedStart())) {
       return;
     }
     boolean isFirstList = now.equals(firstListAt);
-    boolean isPossible = listed.compareTo(now) <= 0 && (isFirstList || !listed.isNegative());
-    worker.startListed(listed, isPossible ? listed : now);
+    boolean isPlausible =
+        listedStart.compareTo(now) <= 0 && (isFirstList || !listedStart.isNegative());
+    worker.setStartTimes(listedStart, isPlausible ? listedStart : now);
   }
 
   /**
-   * A worker with another address is another process: whatever listens at the old one is not this
-   * worker.
+   * Returns the worker of an update. A worker whose address changed is a new process, so its
+   * previous entry is retired: any process at the old address is not this worker.
    */
   private WorkerEntry entryFor(EndpointUpdate update) {
-    WorkerEntry known = byName.get(update.name());
-    if (known != null && known.port() == update.port() && known.host().equals(update.host())) {
-      return known;
+    WorkerEntry existing = byName.get(update.name());
+    if (existing != null
+        && existing.port() == update.port()
+        && existing.host().equals(update.host())) {
+      return existing;
     }
-    if (known != null) {
-      retire(known);
+    if (existing != null) {
+      retire(existing);
     }
-    int index = known == null ? byIndex.add(null) : known.index();
+    int index = existing == null ? byIndex.add(null) : existing.index();
     WorkerEntry worker = new WorkerEntry(update.name(), update.host(), update.port(), index);
     byName.put(worker.name(), worker);
     byIndex.set(index, worker);
     return worker;
   }
 
-  /** Notifies the transport only of a worker that accepted until now. */
+  /** Drains a worker; the transport is notified only if the worker was accepting. */
   private void drain(WorkerEntry worker) {
     if (worker.isAccepting()) {
       worker.stopAccepting();
@@ -120,12 +132,12 @@
     transport.stopAccepting(worker, true);
   }
 
-  /** Frees the index of a worker that nothing refers to any more. */
+  /** Frees the index of a worker that is no longer referenced. */
   void release(int index) {
     WorkerEntry worker = byIndex.get(index);
     retire(worker);
     byName.remove(worker.name());
-    worker.forget();
+    worker.clearIndex();
     byIndex.set(index, null);
     byIndex.release(index);
   }
--- a/src/main/java/switchgap/router/EndpointUpdate.java
+++ b/src/main/java/switchgap/router/EndpointUpdate.java
@@ -4,14 +4,14 @@
 import switchgap.policy.api.WorkerState;
 
 /**
- * One worker of an endpoint list.
+ * The state of one worker in an endpoint list.
  *
  * @param zone index of its zone in the settings
  * @param cell its cell within the zone
- * @param kind index of its kind in the settings; beyond the last one where the kind is unknown
- * @param capacity its capacity, 0 where it is not listed
- * @param startedAt start of its process since the router's start (below zero before it), null where
- *     it is not listed; must be the same in each version for the same process
+ * @param kind index of its kind in the settings; greater than the last index if the kind is unknown
+ * @param capacity its capacity; 0 if not listed
+ * @param startedAt start time of its process relative to the router's start (negative if earlier),
+ *     or null if not listed; must be equal in all versions of the list for the same process
  */
 public record EndpointUpdate(
     String name,
--- a/src/main/java/switchgap/router/EventReason.java
+++ b/src/main/java/switchgap/router/EventReason.java
@@ -1,7 +1,10 @@
 package switchgap.router;
 
-/** Why an event happened: a constant of an enum, so that the counters by reason are bounded. */
+/**
+ * The reason for an event. Implemented by enums only, so that the number of counters by reason is
+ * bounded.
+ */
 public interface EventReason {
-  /** The constant's name, as it appears in counters and trace lines. */
+  /** The name of the enum constant, as it appears in counters and trace lines. */
   String name();
 }
--- a/src/main/java/switchgap/router/IndexAllocatingTable.java
+++ b/src/main/java/switchgap/router/IndexAllocatingTable.java
@@ -6,20 +6,20 @@
 import java.util.stream.Stream;
 
 /**
- * Elements by small indices, assigned from 0; a released index is assigned again, the one released
- * last first. Not bounded: its owner limits the elements. Not thread-safe.
+ * A table that assigns indices from 0 to its elements and reuses released indices, the most
+ * recently released first. Unbounded: the owner must limit the number of elements. Not thread-safe.
  */
 final class IndexAllocatingTable<T> {
   private final List<T> elements = new ArrayList<>();
-  private final List<Integer> freeIndices = new ArrayList<>();
+  private final List<Integer> releasedIndices = new ArrayList<>();
 
-  /** Adds an element, which may be null until it is set, and returns its index. */
+  /** Adds an element and returns its index. The element may be null and set later. */
   int add(T element) {
-    if (freeIndices.isEmpty()) {
+    if (releasedIndices.isEmpty()) {
       elements.add(element);
       return elements.size() - 1;
     }
-    int index = freeIndices.remove(freeIndices.size() - 1);
+    int index = releasedIndices.remove(releasedIndices.size() - 1);
     elements.set(index, element);
     return index;
   }
@@ -29,22 +29,25 @@
     elements.set(index, element);
   }
 
-  /** The element of an index; after a release the last one, until the index is assigned again. */
+  /** The element at an index. A released index keeps its element until the index is reused. */
   T get(int index) {
     return elements.get(index);
   }
 
-  /** Frees an assigned index. The element stays; set it to null first to drop it. */
+  /**
+   * Frees an assigned index. The table keeps a reference to the element; to drop it, set it to null
+   * first.
+   */
   void release(int index) {
-    freeIndices.add(index);
+    releasedIndices.add(index);
   }
 
-  /** Number of indices assigned and not released. */
+  /** The number of assigned indices. */
   int size() {
-    return elements.size() - freeIndices.size();
+    return elements.size() - releasedIndices.size();
   }
 
-  /** The elements that are not null, by index. */
+  /** The elements that are not null, in the order of their indices. */
   Stream<T> stream() {
     return elements.stream().filter(Objects::nonNull);
   }
--- a/src/main/java/switchgap/router/InvariantMonitor.java
+++ b/src/main/java/switchgap/router/InvariantMonitor.java
@@ -6,20 +6,24 @@
 import switchgap.policy.api.RouterSettings;
 
 /**
- * Checks the invariants right before an attempt, load, answer or close. A check does not prevent
- * the action; a violation is a fault of this program. It is counted among the router's events and
- * logged, at most one line a second, and makes tests and the soak fail. Event loop only.
+ * Checks the {@linkplain RouterInvariant invariants} immediately before an attempt, a load command
+ * or an answer is sent, when a connection is closed and before health checks succeed. A check does
+ * not prevent the action. A violation is a defect of this program: it is counted as a router event,
+ * logged (at most one line per second), and fails tests and soak runs. Called on the event loop
+ * thread only.
  */
 public final class InvariantMonitor {
   private static final Duration LOG_INTERVAL = Duration.ofSeconds(1);
 
-  /** An attempt may start this long after its client was seen to have disconnected. */
+  /**
+   * Maximum time between the detection of a client's disconnect and the start of an attempt for it.
+   */
   private static final Duration DISCONNECT_SLACK = Duration.ofMillis(100);
 
-  /** A worker's timeout may exceed the time until the client's deadline by this much. */
+  /** Maximum time by which a worker's timeout may exceed the time until the client's deadline. */
   private static final Duration DEADLINE_SLACK = Duration.ofMillis(150);
 
-  private static final String STARTUP = "start";
+  private static final String STARTUP_SUBJECT = "start";
 
   private final RouterSettings settings;
   private final RouterEvents events;
@@ -29,8 +33,8 @@
   /**
    * Creates a monitor without violations.
    *
-   * @param events violations are counted among them
-   * @param log receives a line for a violation
+   * @param events counts the violations
+   * @param log receives a line per violation, at most one per second
    */
   public InvariantMonitor(RouterSettings settings, RouterEvents events, Consumer<String> log) {
     this.settings = settings;
@@ -44,9 +48,9 @@
   }
 
   /**
-   * An attempt is about to be sent.
+   * Checks an attempt that is about to be sent.
    *
-   * @param timeout the time that the worker has for it
+   * @param timeout the timeout that is sent to the worker
    */
   public void beforeAttempt(Attempt attempt, Duration timeout, Duration now) {
     PendingRequest request = attempt.request();
@@ -58,9 +62,10 @@
     Duration maxTimeout = request.deadline().minus(now).plus(DEADLINE_SLACK);
     check(timeout.compareTo(maxTimeout) <= 0, RouterInvariant.TIMEOUT_PAST_DEADLINE, id, now);
     check(!attempt.hasEnded(), RouterInvariant.ATTEMPT_SENT_TWICE, id, now);
-    boolean mayRetry = settings.idempotency(request.requestClass()) != Idempotency.NON_IDEMPOTENT;
+    boolean isRetryAllowed =
+        settings.idempotency(request.requestClass()) != Idempotency.NON_IDEMPOTENT;
     check(
-        mayRetry || !mayHaveExecutedBefore(attempt),
+        isRetryAllowed || !earlierAttemptMayHaveExecuted(attempt),
         RouterInvariant.RETRY_OF_NON_IDEMPOTENT,
         id,
         now);
@@ -71,40 +76,42 @@
     return disconnectedAt != null && now.minus(disconnectedAt).compareTo(DISCONNECT_SLACK) > 0;
   }
 
-  private static boolean mayHaveExecutedBefore(Attempt attempt) {
+  private static boolean earlierAttemptMayHaveExecuted(Attempt attempt) {
     return attempt.request().attempts().stream()
         .anyMatch(other -> other != attempt && other.mayHaveExecuted() && other.hasEnded());
   }
 
-  /** A load command is about to be sent. */
+  /** Checks a load command that is about to be sent. */
   public void beforeLoad(WorkerEntry worker, Duration now) {
     check(worker.isAccepting(now), RouterInvariant.LOAD_TO_DRAINING_WORKER, worker.name(), now);
   }
 
-  /** A request is about to be answered. */
+  /** Checks an answer that is about to be sent, and records it. */
   public void beforeAnswer(PendingRequest request, Duration now) {
     check(!request.isAnswerSent(), RouterInvariant.SECOND_ANSWER, request.id(), now);
     request.recordAnswerSent();
   }
 
   /**
-   * A client's connection was closed.
+   * Checks that a client's connection was not closed with unanswered requests.
    *
-   * @param subjectId id that a violation is reported with
-   * @param isClientFault whether the client caused it; then requests may be unanswered
-   * @param unanswered requests that were read on it and have no answer
+   * @param subjectId id of the connection, with which a violation is reported
+   * @param isClientFault whether the client caused the close; requests may be unanswered in this
+   *     case
+   * @param unanswered number of requests that were read from the connection and not answered
    */
   public void afterClose(String subjectId, boolean isClientFault, int unanswered, Duration now) {
     check(isClientFault || unanswered == 0, RouterInvariant.CLOSED_UNANSWERED, subjectId, now);
   }
 
-  /** Health checks are about to succeed. */
-  public void beforeHealthy(boolean isEndpointListKnown, Duration now) {
-    check(isEndpointListKnown, RouterInvariant.HEALTHY_WITHOUT_WORKERS, STARTUP, now);
+  /** Checks that the endpoint list is known before health checks succeed. */
+  public void beforeHealthy(boolean hasEndpointList, Duration now) {
+    check(hasEndpointList, RouterInvariant.HEALTHY_WITHOUT_WORKERS, STARTUP_SUBJECT, now);
   }
 
-  private void check(boolean holds, RouterInvariant invariant, String subjectId, Duration now) {
-    if (holds) {
+  private void check(
+      boolean isSatisfied, RouterInvariant invariant, String subjectId, Duration now) {
+    if (isSatisfied) {
       return;
     }
     events.record(new RouterEvent.InvariantViolated(invariant, subjectId, now));
--- a/src/main/java/switchgap/router/NameIndex.java
+++ b/src/main/java/switchgap/router/NameIndex.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * Names to small indices and back; a released index is assigned again. Not bounded: its owner
- * limits the names. Belongs to the event loop.
+ * Assigns indices to names, and maps in both directions; released indices are reused. Unbounded:
+ * the owner must limit the number of names. Confined to the event loop thread.
  */
 final class NameIndex {
-  /** The index of a name that has none. */
+  /** Returned for a name without an index. */
   static final int NOT_FOUND = -1;
 
   private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
   private static final long FNV_PRIME = 0x100000001b3L;
-  private static final long MIX_MULTIPLIER = 0xff51afd7ed558ccdL; // of MurmurHash3's finalizer
-  private static final long HASH_BITS = 0xffffffffffL;
+  private static final long MURMUR3_FINALIZER_MULTIPLIER = 0xff51afd7ed558ccdL;
+  private static final long HASH_MASK = 0xffffffffffL;
 
   private final Map<String, Integer> indices = new HashMap<>();
   private final IndexAllocatingTable<String> names = new IndexAllocatingTable<>();
@@ -24,41 +24,43 @@
     return indices.getOrDefault(name, NOT_FOUND);
   }
 
-  /** The index of a name, a new one where it has none. */
+  /** Returns the index of a name; assigns one if the name has none. */
   int allocate(String name) {
-    Integer known = indices.get(name);
-    if (known != null) {
-      return known;
+    Integer existingIndex = indices.get(name);
+    if (existingIndex != null) {
+      return existingIndex;
     }
     int index = names.add(name);
     indices.put(name, index);
     return index;
   }
 
-  /** The name of an index; after a release until the index is assigned again. */
+  /** The name with an index. A released index keeps its name until the index is reused. */
   String nameOf(int index) {
     return names.get(index);
   }
 
-  /** Frees an index for another name. */
+  /** Releases an index for reuse. */
   void release(int index) {
     if (indices.remove(names.get(index), index)) {
       names.release(index);
     }
   }
 
-  /** Number of names that have an index. */
   int size() {
     return indices.size();
   }
 
-  /** A hash of 40 bits that is equal at every router: FNV-1a, then the finalizer of MurmurHash3. */
+  /**
+   * Computes a 40-bit hash that is the same on every router: FNV-1a, followed by a step of the
+   * MurmurHash3 finalizer.
+   */
   static long hash(String name) {
     long hash = FNV_OFFSET_BASIS;
     for (int i = 0; i < name.length(); i++) {
       hash = (hash ^ name.charAt(i)) * FNV_PRIME;
     }
-    hash = (hash ^ (hash >>> 33)) * MIX_MULTIPLIER;
-    return (hash ^ (hash >>> 33)) & HASH_BITS;
+    hash = (hash ^ (hash >>> 33)) * MURMUR3_FINALIZER_MULTIPLIER;
+    return (hash ^ (hash >>> 33)) & HASH_MASK;
   }
 }
--- a/src/main/java/switchgap/router/PendingRequest.java
+++ b/src/main/java/switchgap/router/PendingRequest.java
@@ -7,28 +7,28 @@
 import switchgap.admission.ServiceLevel;
 
 /**
- * A client's request as the router holds it, with its state. All times are durations since the
- * router's start. What the client sent is immutable; the rest belongs to the event loop.
+ * A client's request and its state in the router. All times are durations since the router's start.
+ * The data that the client sent is immutable; all other state is confined to the event loop thread.
  */
 public final class PendingRequest {
-  /** State of a request; all but the first are final. */
+  /** State of a request; all states except {@link #PENDING} are final. */
   public enum State {
-    /** Offered or accepted, and without its response. */
+    /** The request has been offered or accepted and has no response yet. */
     PENDING,
-    /** It has its response. */
+    /** The request has its response. */
     ANSWERED,
-    /** Its client disconnected or cancelled it. */
+    /** The client disconnected or cancelled the request. */
     CANCELLED,
-    /** Its deadline passed without a response. */
+    /** The deadline passed without a response. */
     DEADLINE_EXCEEDED,
-    /** It was never accepted. */
+    /** The core did not accept the request. */
     NOT_ACCEPTED
   }
 
-  /** The tenant of a request that has none. */
+  /** The tenant index of a request without a tenant. */
   public static final int NO_TENANT = -1;
 
-  /** The index of a request that the policy does not know. */
+  /** The index of a request that the policy does not track. */
   private static final int NO_INDEX = -1;
 
   private final RequestSpec spec;
@@ -36,7 +36,7 @@
   private final List<Attempt> attempts = new ArrayList<>(1);
   private State state = State.PENDING;
   private ServiceLevel shedBy;
-  private boolean answerSent;
+  private boolean isAnswerSent;
   private Duration acceptedAt = Duration.ZERO;
   private int index = NO_INDEX;
 
@@ -45,7 +45,10 @@
     this.listener = listener;
   }
 
-  /** Builds a request; by default of the first class, without tenant, hint, key and body. */
+  /**
+   * Returns a builder. By default a request is of the first request class and has no tenant,
+   * duration hint, idempotency key or body.
+   */
   public static PendingRequestBuilder builder(
       String id, String function, Duration deadline, ResponseListener listener) {
     return new PendingRequestBuilder(id, function, deadline, listener);
@@ -56,32 +59,32 @@
     return spec.id();
   }
 
-  /** Name of the function that it invokes. */
+  /** Name of the invoked function. */
   public String function() {
     return spec.function();
   }
 
-  /** Index of its class in the settings. */
+  /** Index of the request class in the settings. */
   public int requestClass() {
     return spec.requestClass();
   }
 
-  /** Index of its tenant in the settings, or {@link #NO_TENANT}. */
+  /** Index of the tenant in the settings, or {@link #NO_TENANT}. */
   public int tenant() {
     return spec.tenant();
   }
 
-  /** When the client stops waiting. */
+  /** The time at which the client stops waiting. */
   public Duration deadline() {
     return spec.deadline();
   }
 
-  /** How long it should run, or null. */
+  /** The expected execution time, or null if the client sent no hint. */
   public Duration durationHint() {
     return spec.durationHint();
   }
 
-  /** The key by which workers recognize a retry, or null. */
+  /** The key by which workers detect repeated executions, or null. */
   public String idempotencyKey() {
     return spec.idempotencyKey();
   }
@@ -91,108 +94,107 @@
     return spec.contentType();
   }
 
-  /** The body as received; not to be changed. */
+  /** The body as received. Callers must not modify it. */
   public byte[] body() {
     return spec.body();
   }
 
-  /** Memory of one replica of its function, in MB. */
+  /** Memory of one replica of the function, in MB. */
   public double memoryMb() {
     return spec.memoryMb();
   }
 
-  /** Requests that one replica of its function runs at a time. */
+  /** Maximum concurrent requests of one replica of the function. */
   public int slots() {
     return spec.slots();
   }
 
-  /** Notified of its end. */
+  /** The listener that is notified when the request ends. */
   public ResponseListener listener() {
     return listener;
   }
 
-  /** The service level that rejected it; null where none did. */
+  /** The service level that rejected the request, or null if none did. */
   public ServiceLevel shedBy() {
     return shedBy;
   }
 
-  /** Its state now. */
+  /** The current state. */
   public State state() {
     return state;
   }
 
-  /** Whether it has no final state yet. */
+  /** Whether the request has not reached a final state. */
   public boolean isPending() {
     return state == State.PENDING;
   }
 
   /**
-   * Whether anybody still waits for its response; if not, attempts that were not sent yet need not
-   * be.
+   * Whether a client still waits for the response. If not, attempts that have not been sent are
+   * dropped.
    */
   public boolean isAwaited() {
     return isPending() && !listener.isDisconnected();
   }
 
-  /** Its attempts so far, by number; a view that can't be changed. */
+  /** An unmodifiable view of the attempts so far, by number. */
   public List<Attempt> attempts() {
     return Collections.unmodifiableList(attempts);
   }
 
-  /** Adds its next attempt, at a worker. */
   Attempt addAttempt(WorkerEntry worker, Duration now) {
     Attempt attempt = new Attempt(this, attempts.size(), worker, now);
     attempts.add(attempt);
     return attempt;
   }
 
-  /** The core accepted it. */
+  /** Records when the core accepted the request. */
   void accept(Duration now) {
     acceptedAt = now;
   }
 
-  /** When the core accepted it; zero before. */
+  /** The time at which the core accepted the request; zero before. */
   Duration acceptedAt() {
     return acceptedAt;
   }
 
-  /** It reached a final state. */
+  /** Sets the final state. */
   void end(State finalState) {
     state = finalState;
   }
 
-  /** A service level rejected it, which is its response. */
+  /** Records that a service level rejected the request; the rejection is its final response. */
   void shed(ServiceLevel level) {
     shedBy = level;
     end(State.ANSWERED);
   }
 
-  /** Its final answer goes to its connection; for {@link InvariantMonitor} alone. */
+  /**
+   * Records that the final answer is passed to the connection. Used by {@link InvariantMonitor}
+   * only.
+   */
   void recordAnswerSent() {
-    answerSent = true;
+    isAnswerSent = true;
   }
 
-  /** Whether its final answer went to its connection. */
   boolean isAnswerSent() {
-    return answerSent;
+    return isAnswerSent;
   }
 
-  /** The policy knows it by this index from now on. */
-  void indexAs(int policyIndex) {
+  void assignIndex(int policyIndex) {
     index = policyIndex;
   }
 
-  /** The policy does not know it any more. */
-  void forgetIndex() {
+  void clearIndex() {
     index = NO_INDEX;
   }
 
-  /** Whether the policy knows it. */
+  /** Whether the policy tracks the request. */
   boolean hasIndex() {
     return index != NO_INDEX;
   }
 
-  /** Index by which the policy calls it; below 0 where it does not know it. */
+  /** The policy's index of the request; negative if the policy does not track it. */
   int index() {
     return index;
   }
--- a/src/main/java/switchgap/router/PendingRequestBuilder.java
+++ b/src/main/java/switchgap/router/PendingRequestBuilder.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** Builds a request from what a client sent. */
+/** Builds a request from the data that a client sent. */
 public final class PendingRequestBuilder {
   private final String id;
   private final String function;
@@ -24,45 +24,45 @@
     this.listener = listener;
   }
 
-  /** Index of its class in the settings. */
+  /** Sets the index of the request class in the settings; 0 by default. */
   public PendingRequestBuilder requestClass(int index) {
     requestClass = index;
     return this;
   }
 
-  /** Index of its tenant in the settings, or {@link PendingRequest#NO_TENANT}. */
+  /** Sets the index of the tenant in the settings; {@link PendingRequest#NO_TENANT} by default. */
   public PendingRequestBuilder tenant(int index) {
     tenant = index;
     return this;
   }
 
-  /** How long it should run, null for no hint. */
+  /** Sets the expected execution time; null for no hint. */
   public PendingRequestBuilder durationHint(Duration hint) {
     durationHint = hint;
     return this;
   }
 
-  /** The key by which workers recognize a retry, null for none. */
+  /** Sets the key by which workers detect repeated executions; null for none. */
   public PendingRequestBuilder idempotencyKey(String key) {
     idempotencyKey = key;
     return this;
   }
 
-  /** Its body with the media type, which may be null. */
+  /** Sets the body and its media type, which may be null. */
   public PendingRequestBuilder payload(String type, byte[] bytes) {
     contentType = type;
     body = bytes;
     return this;
   }
 
-  /** Memory in MB and concurrent requests of one replica of its function. */
+  /** Sets the memory in MB and the maximum concurrent requests of one replica of the function. */
   public PendingRequestBuilder replica(double memory, int concurrentRequests) {
     memoryMb = memory;
     slots = concurrentRequests;
     return this;
   }
 
-  /** The request. */
+  /** Creates the request in state PENDING. */
   public PendingRequest build() {
     RequestSpec spec =
         new RequestSpec(
--- a/src/main/java/switchgap/router/PendingRequestTable.java
+++ b/src/main/java/switchgap/router/PendingRequestTable.java
@@ -5,48 +5,51 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Requests that the policy knows, by index. Bounded by whoever accepts requests. Belongs to the
- * event loop.
+ * The requests that the policy tracks, by index. Unbounded: the caller that accepts requests must
+ * limit them. Confined to the event loop thread.
  */
 final class PendingRequestTable {
   private final IndexAllocatingTable<PendingRequest> requests = new IndexAllocatingTable<>();
-  private int pending;
+  private int pendingCount;
 
-  /** The request of an index, null once it was released. */
+  /** The request with an index; null after the index is released. */
   PendingRequest get(int index) {
     return requests.get(index);
   }
 
-  /** Adds a pending request and gives it its index. */
+  /** Adds a pending request and assigns its index. */
   void add(PendingRequest request) {
-    request.indexAs(requests.add(request));
-    pending++;
+    request.assignIndex(requests.add(request));
+    pendingCount++;
   }
 
-  /** A request that was added reached a final state. */
+  /** Sets the final state of a request in this table. */
   void end(PendingRequest request, PendingRequest.State finalState) {
     request.end(finalState);
-    pending--;
+    pendingCount--;
   }
 
-  /** Frees the index of a request that nothing refers to any more. */
+  /** Frees the index of a request that is no longer referenced. */
   void release(int index) {
-    requests.get(index).forgetIndex();
+    requests.get(index).clearIndex();
     requests.set(index, null);
     requests.release(index);
   }
 
-  /** Requests without their final state. */
-  int pending() {
-    return pending;
+  /** The number of requests that have not reached a final state. */
+  int pendingCount() {
+    return pendingCount;
   }
 
-  /** Requests that the policy knows: also those with attempts in flight after their end. */
-  int unsettled() {
+  /**
+   * The number of requests that the policy tracks, including ended requests with attempts in
+   * flight.
+   */
+  int trackedCount() {
     return requests.size();
   }
 
-  /** Sum of the weights of pending requests without an attempt in flight, by function. */
+  /** Sums the weights of pending requests without an attempt in flight, by function. */
   Map<String, Double> queuedWeightByFunction(ToDoubleFunction<PendingRequest> weight) {
     Map<String, Double> weights = new HashMap<>();
     requests.stream()
--- a/src/main/java/switchgap/router/RequestLifecycle.java
+++ b/src/main/java/switchgap/router/RequestLifecycle.java
@@ -5,8 +5,8 @@
 import switchgap.policy.api.RouterSettings;
 
 /**
- * Requests from acceptance to their final state: one response each, and none past the deadline.
- * Belongs to the event loop.
+ * Manages requests from their acceptance to their final state. Each request gets at most one
+ * response, and none after its deadline. Confined to the event loop thread.
  */
 final class RequestLifecycle {
   private final CoreContext context;
@@ -16,10 +16,10 @@
   private final PendingRequestTable requests = new PendingRequestTable();
 
   /**
-   * Creates it without requests.
+   * Creates a lifecycle without requests.
    *
-   * @param functions indices of the functions that the policy knows
-   * @param maxFunctions functions known at a time
+   * @param functions indices of the functions that the policy tracks
+   * @param maxFunctions limit of the functions that the policy tracks
    */
   RequestLifecycle(
       CoreContext context, RouterSettings settings, NameIndex functions, int maxFunctions) {
@@ -31,7 +31,8 @@
 
   /** See {@link RouterCore#accept}. */
   boolean accept(PendingRequest request) {
-    if (request.deadline().compareTo(context.now()) <= 0 || exceedsFunctions(request.function())) {
+    if (request.deadline().compareTo(context.now()) <= 0
+        || exceedsMaxFunctions(request.function())) {
       request.end(PendingRequest.State.NOT_ACCEPTED);
       return false;
     }
@@ -41,7 +42,7 @@
     return true;
   }
 
-  private boolean exceedsFunctions(String function) {
+  private boolean exceedsMaxFunctions(String function) {
     return functions.find(function) == NameIndex.NOT_FOUND && functions.size() >= maxFunctions;
   }
 
@@ -60,12 +61,14 @@
         request.slots());
   }
 
-  /** Its client disconnected or cancelled it; without effect where it has its final state. */
+  /**
+   * Handles a client's disconnect or cancellation. No effect if the request is in a final state.
+   */
   void cancel(PendingRequest request) {
     if (!request.isPending()) {
       return;
     }
-    if (!request.hasIndex()) { // cancelled before it was offered to the policy
+    if (!request.hasIndex()) { // the policy does not track it yet
       request.end(PendingRequest.State.CANCELLED);
       return;
     }
@@ -74,7 +77,7 @@
     context.policyEvents().clientDisconnected(request.index());
   }
 
-  /** Sends the final response; without effect where the request has its final state. */
+  /** Passes the final response to the listener. No effect if the request is in a final state. */
   void respond(PendingRequest request, Response response) {
     if (!request.isPending()) {
       return;
@@ -90,27 +93,27 @@
     }
   }
 
-  /** The request that the policy calls by this index. */
+  /** The request with an index of the policy. */
   PendingRequest get(int index) {
     return requests.get(index);
   }
 
-  /** Frees the index of a request that nothing refers to any more. */
+  /** Frees the index of a request that is no longer referenced. */
   void release(int index) {
     requests.release(index);
   }
 
-  /** Requests accepted and without their final state. */
-  int pending() {
-    return requests.pending();
+  /** The number of accepted requests that have not reached a final state. */
+  int pendingCount() {
+    return requests.pendingCount();
   }
 
-  /** Requests that the policy knows, pending or with attempts in flight. */
-  int unsettled() {
-    return requests.unsettled();
+  /** The number of requests that the policy tracks: pending or with attempts in flight. */
+  int trackedCount() {
+    return requests.trackedCount();
   }
 
-  /** Priority weight of the pending requests that are at no worker, by function. */
+  /** Total priority weight of the pending requests without an attempt in flight, by function. */
   Map<String, Double> queuedWeightByFunction() {
     return requests.queuedWeightByFunction(
         request -> settings.priorityWeight(request.requestClass()));
--- a/src/main/java/switchgap/router/RequestObserver.java
+++ b/src/main/java/switchgap/router/RequestObserver.java
@@ -3,20 +3,23 @@
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.policy.api.LoadReport;
 
-/** Notified, on the event loop, of how accepted requests, their attempts and probes end. */
+/**
+ * Receives the outcomes of accepted requests, attempts and load probes. Called on the event loop
+ * thread.
+ */
 public interface RequestObserver {
-  /** An accepted request reached its final state; the response is null where it got none. */
+  /** An accepted request reached its final state; {@code response} is null if it got none. */
   void requestEnded(PendingRequest request, Response response);
 
-  /** An attempt ended; called before what it does to its request. */
+  /** An attempt ended. Called before the state of its request changes. */
   default void attemptEnded(Attempt attempt, AttemptOutcome outcome) {}
 
   /** A load probe of a worker ended. */
   default void probeEnded(WorkerEntry worker, AttemptOutcome outcome) {}
 
-  /** A worker that had ended its connections, or refused one, accepted one. */
+  /** A worker accepted a connection after it had closed all its connections or refused one. */
   default void workerReconnected(WorkerEntry worker) {}
 
-  /** A worker reported its load with the end of an attempt. */
+  /** An attempt ended with this load report; {@link LoadReport#NONE} if the worker sent none. */
   default void workerReported(LoadReport report) {}
 }
--- a/src/main/java/switchgap/router/ResponseListener.java
+++ b/src/main/java/switchgap/router/ResponseListener.java
@@ -2,28 +2,28 @@
 
 import java.time.Duration;
 
-/** Notified once, on the event loop, of how an accepted request ended. */
+/** Receives the end of an accepted request, once. Called on the event loop thread. */
 public interface ResponseListener {
-  /** The request has its final response. */
+  /** The request ended with its final response. */
   void responded(PendingRequest request, Response response);
 
   /**
-   * The deadline passed before this response could be sent; whether it may still be sent depends on
-   * the protocol.
+   * The deadline passed before this response could be sent. The protocol determines whether it may
+   * still be sent.
    */
-  void deadlineMissed(PendingRequest request, Response late);
+  void deadlineMissed(PendingRequest request, Response lateResponse);
 
   /**
-   * Whether the client is known to have disconnected, possibly before the core was notified: no
-   * attempt is sent for it any more. Any thread.
+   * Whether the client has disconnected, possibly before the core was notified. If true, no further
+   * attempt is sent. May be called from any thread.
    */
   default boolean isDisconnected() {
     return false;
   }
 
   /**
-   * When the client was seen to have disconnected, since the router's start; null where it was not,
-   * or only just was.
+   * The time at which the client's disconnect was detected, since the router's start; null if the
+   * client is connected or the time is not recorded yet.
    */
   default Duration disconnectedAt() {
     return null;
--- a/src/main/java/switchgap/router/RouterCore.java
+++ b/src/main/java/switchgap/router/RouterCore.java
@@ -12,15 +12,19 @@
 import switchgap.policy.api.RouterSettings;
 
 /**
- * One router under one policy. Its owner calls {@link #tick} from one thread, the event loop, with
- * the events since the last tick; the event methods below are to be called by those events only.
- * The policy makes all decisions; the core carries them out and guarantees one response a request,
- * none past its deadline, and one end an attempt.
+ * The core of one router, which executes the decisions of one policy. The owner calls {@link #tick}
+ * from a single thread, the event loop, with the events since the last tick; the event methods may
+ * be called by these events only. The policy makes all decisions. The core executes them and
+ * guarantees at most one response per request, no response after the deadline, and exactly one end
+ * per attempt.
  */
 public final class RouterCore {
-  /** Makes the decisions: the routing policy, or in measurements a baseline. */
+  /**
+   * Makes the decisions. Implemented by the routing policy, and by baseline policies for
+   * comparison.
+   */
   public interface Policy {
-    /** Takes in the events since the last tick and decides, through the actions. */
+    /** Consumes the events since the last tick and issues decisions as calls of {@code actions}. */
     void tick(Duration now, EventBatch events, PolicyActions actions);
   }
 
@@ -32,13 +36,15 @@
   private final WorkerCommandLifecycle commands;
   private final PolicyActions actions;
 
-  /** A core under the routing policy; its random draws come from the seed alone. */
+  /**
+   * Creates a core with the routing policy. The policy's random numbers depend on the seed only.
+   */
   public RouterCore(
       RouterSettings settings, long seed, WorkerTransport transport, CoreLimits limits) {
     this(settings, new RoutingPolicy(settings, seed)::tick, transport, limits);
   }
 
-  /** A core under any policy. */
+  /** Creates a core with any policy. */
   public RouterCore(
       RouterSettings settings, Policy policy, WorkerTransport transport, CoreLimits limits) {
     this.policy = policy;
@@ -51,93 +57,106 @@
         new ActionExecutor(context, transport, requests, attempts, commands, endpoints, functions);
   }
 
-  // ------------------------------------------------------------------ the owner's side
+  // ------------------------------------------------------------------ methods for the owner
 
-  /** One tick of the policy at a time since the router's start: new events, then timers due. */
+  /**
+   * Runs one tick: processes the events, then the due timers, then the policy's decisions. {@code
+   * time} is measured from the router's start.
+   */
   public void tick(Duration time, Iterable<Consumer<RouterCore>> events) {
-    context.tickStarted(time);
+    context.startTick(time);
     policy.tick(
         time,
         policyEvents -> {
-          context.eventsOpened(policyEvents);
+          context.openEvents(policyEvents);
           events.forEach(event -> event.accept(this));
           context.timers().runDue(time);
-          context.eventsClosed();
+          context.closeEvents();
         },
         actions);
   }
 
-  /** When the next tick is due without an event, since the router's start; null for never. */
+  /**
+   * The time at which the next tick is due if no event arrives, since the router's start; null if
+   * no timer is scheduled.
+   */
   public Duration nextDue() {
     return context.timers().nextDue();
   }
 
-  /** Time of the current or last tick, since the router's start. */
+  /** The time of the current or last tick, since the router's start. */
   public Duration now() {
     return context.now();
   }
 
-  /** Runs a task in the first tick at this time or later. */
+  /**
+   * Schedules a task for the first tick at or after {@code due}, measured from the router's start.
+   */
   public void schedule(Duration due, Runnable task) {
     context.timers().schedule(due, task);
   }
 
-  /** Notifies an observer from now on, in place of the last one. */
+  /** Replaces the observer. */
   public void observe(RequestObserver observer) {
     context.observe(observer);
   }
 
-  /** Requests accepted and without their final state. */
+  /** The number of accepted requests that have not reached a final state. */
   public int pendingRequests() {
-    return requests.pending();
+    return requests.pendingCount();
   }
 
   /**
-   * Requests that the policy knows, pending or with attempts in flight; zero once all have ended.
+   * The number of requests that the policy tracks: pending or with attempts in flight. Zero when no
+   * request is in progress.
    */
-  public int unsettledRequests() {
-    return requests.unsettled();
+  public int trackedRequests() {
+    return requests.trackedCount();
   }
 
-  /** Priority weight of the pending requests that are at no worker, by function. */
+  /** Total priority weight of the pending requests without an attempt in flight, by function. */
   public Map<String, Double> queuedWeightByFunction() {
     return requests.queuedWeightByFunction();
   }
 
-  // ------------------------------------------------------------------ events
+  // ------------------------------------------------------------------ event methods
 
   /**
-   * A request arrived. Returns whether it is accepted and so gets one final response; false where
-   * its deadline has passed or too many functions are known.
+   * A request arrived. Returns true if it is accepted; its listener is then notified once of its
+   * end. Returns false if its deadline has passed or the limit of functions is reached.
    */
   public boolean accept(PendingRequest request) {
     return requests.accept(request);
   }
 
-  /** A request's client disconnected or cancelled it; without effect once it has ended. */
+  /** A client disconnected or cancelled its request. No effect if the request has ended. */
   public void requestCancelled(PendingRequest request) {
     requests.cancel(request);
   }
 
   /**
-   * An attempt ended. The first end counts; a later one is a late response, which is discarded. A
-   * response after the deadline (the process paused) is passed to {@link
-   * ResponseListener#deadlineMissed}, as most protocols send nothing then.
+   * An attempt ended. Only the first call for an attempt has an effect; later calls are late
+   * responses and are discarded. A response after the deadline, for example because the process was
+   * paused, is passed to {@link ResponseListener#deadlineMissed}, because most protocols send
+   * nothing after the deadline.
    *
-   * @param report the worker's load, {@link LoadReport#NONE} where it reported none
-   * @param response the worker's response where it succeeded, else null
+   * @param report the worker's load, or {@link LoadReport#NONE}
+   * @param response the worker's response if the attempt succeeded, otherwise null
    */
   public void attemptEnded(
       Attempt attempt, AttemptOutcome outcome, LoadReport report, Response response) {
     attempts.ended(attempt, outcome, report, response);
   }
 
-  /** A load command or a query ended; {@code loadedReplicas} are loaded now. */
+  /**
+   * A load command or a replica query ended; {@code loadedReplicas} is the number of replicas that
+   * are loaded now.
+   */
   public void loadCommandEnded(WorkerCommand command, AttemptOutcome outcome, int loadedReplicas) {
     commands.loadEnded(command, outcome, loadedReplicas);
   }
 
-  /** An unload ended, with any outcome. */
+  /** An unload ended; its outcome does not matter. */
   public void unloadEnded(WorkerCommand command) {
     commands.unloadEnded(command);
   }
@@ -147,31 +166,34 @@
     commands.probeEnded(command, outcome, report);
   }
 
-  /** A version of the endpoint list was received, complete or as its changes. */
+  /**
+   * A version of the endpoint list was received, complete or as changes to the previous version.
+   */
   public void endpointListReceived(boolean complete, List<EndpointUpdate> updates) {
     endpoints.update(complete, updates, context.now(), context.policyEvents());
   }
 
   /**
-   * The endpoint list is confirmed until a time since the router's start: from then on changes may
-   * count as notified that have not been received. {@link Duration#ZERO} where it is not now.
+   * Sets the time, since the router's start, until which the endpoint list is confirmed to be
+   * complete. After this time, the sender may treat changes as delivered although this router has
+   * not received them. {@link Duration#ZERO} if the list is not confirmed now.
    */
   public void endpointListConfirmedUntil(Duration time) {
     context.policyEvents().endpointListConfirmedUntil(time);
   }
 
   /**
-   * A connection to a worker was opened after the worker had refused one, or had ended all that
-   * were open.
+   * A connection to a worker was opened after the worker had refused one or closed all its
+   * connections.
    */
   public void workerReconnected(WorkerEntry worker) {
-    if (endpoints.isKnown(worker)) {
+    if (endpoints.isTracked(worker)) {
       context.observer().workerReconnected(worker);
       context.policyEvents().workerReconnected(worker.index());
     }
   }
 
-  /** A poll of the endpoint list failed; the last one stays in force. */
+  /** A request for the endpoint list failed; the last received list remains in effect. */
   public void endpointListFailed() {
     context.policyEvents().endpointListFailed();
   }
--- a/src/main/java/switchgap/router/RouterDiagnostics.java
+++ b/src/main/java/switchgap/router/RouterDiagnostics.java
@@ -4,18 +4,18 @@
 import switchgap.policy.api.RouterSettings;
 
 /**
- * Observability of a running router; without influence on its decisions.
+ * Counters, trace and log of a running router. They do not influence its decisions.
  *
- * @param events counts and traces events
- * @param invariants checks actions right before they happen
- * @param log receives log lines for the operators
+ * @param events counts events and writes the trace
+ * @param invariants checks the invariants before actions
+ * @param log receives log lines for operators
  */
 public record RouterDiagnostics(
     RouterEvents events, InvariantMonitor invariants, Consumer<String> log) {
   /**
-   * Creates the diagnostics of a router under these settings.
+   * Creates the diagnostics of a router.
    *
-   * @param traceLines receives a line for each event; null for counters alone
+   * @param traceLines receives a line for each event; null to disable the trace
    */
   public static RouterDiagnostics of(
       RouterSettings settings, Consumer<String> log, Consumer<String> traceLines) {
--- a/src/main/java/switchgap/router/RouterEvent.java
+++ b/src/main/java/switchgap/router/RouterEvent.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import switchgap.policy.api.AttemptOutcome;
 
-/** Something that happened to a request, an attempt or a connection, for counters and the trace. */
+/** An event of a request, an attempt or a connection, for the counters and the trace. */
 public sealed interface RouterEvent
     permits EndpointEvent,
         RouterEvent.WithReason,
@@ -13,15 +13,15 @@
         RouterEvent.AttemptEnded,
         RouterEvent.ClientConnected,
         RouterEvent.InvariantViolated {
-  /** What happened. */
+  /** The kind of an event. */
   enum Kind {
     /** A request was read. */
     REQUEST_RECEIVED,
-    /** A request has its final answer. */
+    /** A request received its final answer. */
     REQUEST_ANSWERED,
-    /** A request's client cancelled it or disconnected. */
+    /** A client cancelled its request or disconnected. */
     REQUEST_ABANDONED,
-    /** An attempt is sent. */
+    /** An attempt was sent. */
     ATTEMPT_SENT,
     /** An attempt ended. */
     ATTEMPT_ENDED,
@@ -33,31 +33,34 @@
     WORKER_CLOSED,
     /** A load probe of a worker ended. */
     WORKER_PROBED,
-    /** A worker that had ended its connections, or refused one, accepted one. */
+    /** A worker accepted a connection after it had closed all its connections or refused one. */
     WORKER_RECONNECTED,
     /** The endpoint list became confirmed or unconfirmed. */
     ENDPOINT_LIST,
-    /** An invariant was violated: a fault of this program. */
+    /** An invariant was violated, which is a defect of this program. */
     INVARIANT_VIOLATED
   }
 
-  /** What happened. */
+  /** The kind of this event. */
   Kind kind();
 
-  /** Why: the name of an enum's constant, by which events of one kind are counted. */
+  /**
+   * The reason: the name of an enum constant or a fixed text. Events of a kind are counted by
+   * reason.
+   */
   String reasonName();
 
-  /** Id of the request or connection that it happened to. */
+  /** The id of the request, connection or worker that the event concerns. */
   String subjectId();
 
-  /** Further text of the trace line, empty for none; made only where lines are wanted. */
+  /** Additional text of the trace line, or an empty string. Only called if tracing is enabled. */
   default String detail() {
     return "";
   }
 
-  /** An event that happens for one of several reasons. */
+  /** An event with one of several reasons. */
   sealed interface WithReason extends RouterEvent {
-    /** Why it happened. */
+    /** The reason of this event. */
     EventReason reason();
 
     @Override
@@ -92,10 +95,10 @@
   }
 
   /**
-   * A request has its final answer.
+   * A request received its final answer.
    *
-   * @param subjectId the request, or its connection where the request's id is not known
-   * @param context when it was answered, or what else says which request it was
+   * @param subjectId id of the request, or of its connection if the request's id is unknown
+   * @param context the time of the answer, or other data that identifies the request
    */
   record RequestAnswered(AnswerReason reason, String subjectId, Object context)
       implements WithReason {
@@ -110,7 +113,7 @@
     }
   }
 
-  /** A request's client cancelled it or disconnected. */
+  /** A client cancelled its request or disconnected. */
   record RequestAbandoned(EventReason reason, String requestId) implements WithReason {
     @Override
     public Kind kind() {
@@ -124,9 +127,9 @@
   }
 
   /**
-   * An attempt is sent.
+   * An attempt was sent.
    *
-   * @param timeout time that the worker has for it
+   * @param timeout the timeout that is sent to the worker
    */
   record AttemptSent(Attempt attempt, Duration timeout) implements RouterEvent {
     private enum Order {
@@ -200,7 +203,10 @@
     }
   }
 
-  /** A client's connection ended with this many requests that were read and have no answer. */
+  /**
+   * A client's connection ended; {@code unanswered} is the number of requests that were read from
+   * it and not answered.
+   */
   record ClientClosed(EventReason reason, String connectionId, int unanswered)
       implements WithReason {
     @Override
@@ -219,7 +225,7 @@
     }
   }
 
-  /** A connection to a worker ended; the description says what it was in this case. */
+  /** A connection to a worker ended; {@code description} has the details of the cause. */
   record WorkerClosed(EventReason reason, String connectionId, String description)
       implements WithReason {
     @Override
@@ -238,7 +244,7 @@
     }
   }
 
-  /** An invariant was violated at a time since the router's start. */
+  /** An invariant was violated at {@code time}, measured from the router's start. */
   record InvariantViolated(RouterInvariant invariant, String subjectId, Duration time)
       implements RouterEvent {
     @Override
--- a/src/main/java/switchgap/router/RouterEvents.java
+++ b/src/main/java/switchgap/router/RouterEvents.java
@@ -7,40 +7,45 @@
 import java.util.function.Consumer;
 
 /**
- * Counts what happens to requests and connections by kind and reason, and writes a trace line for
- * each event where lines are wanted. A line is {@code kind reason id detail}, so that a search for
- * a request's id finds its complete history. Thread-safe.
+ * Counts events by kind and reason and, if tracing is enabled, writes a trace line for each event.
+ * A line has the format {@code kind reason id detail}, so that a search for a request's id finds
+ * its complete history. Thread-safe.
  */
 public final class RouterEvents {
   private static final String SEPARATOR = " ";
 
   private final Consumer<String> traceLines;
 
-  /** By kind and reason; reasons are names of enum constants, so the table is bounded. */
-  private final Map<RouterEvent.Kind, Map<String, long[]>> counts =
+  /**
+   * Counts by kind and reason. Bounded, because reasons are names of enum constants or fixed texts.
+   */
+  private final Map<RouterEvent.Kind, Map<String, long[]>> countsByKind =
       new EnumMap<>(RouterEvent.Kind.class);
 
   private RouterEvents(Consumer<String> traceLines) {
     this.traceLines = traceLines;
     for (RouterEvent.Kind kind : RouterEvent.Kind.values()) {
-      counts.put(kind, new HashMap<>());
+      countsByKind.put(kind, new HashMap<>());
     }
   }
 
-  /** Creates a recorder that only counts. */
+  /** Creates a recorder that counts events and writes no trace. */
   public static RouterEvents counting() {
     return new RouterEvents(null);
   }
 
-  /** Creates a recorder that counts, and writes a trace line for each event. */
+  /**
+   * Creates a recorder that counts events and passes a trace line for each event to {@code
+   * traceLines}.
+   */
   public static RouterEvents tracing(Consumer<String> traceLines) {
     return new RouterEvents(traceLines);
   }
 
-  /** Counts an event, and writes its trace line where events are traced. */
+  /** Counts an event and, if tracing is enabled, writes its trace line. */
   public void record(RouterEvent event) {
-    synchronized (counts) {
-      counts.get(event.kind()).computeIfAbsent(event.reasonName(), name -> new long[1])[0]++;
+    synchronized (countsByKind) {
+      countsByKind.get(event.kind()).computeIfAbsent(event.reasonName(), name -> new long[1])[0]++;
     }
     if (traceLines != null) {
       traceLines.accept(traceLine(event));
@@ -52,21 +57,21 @@
         SEPARATOR, event.kind().name(), event.reasonName(), event.subjectId(), event.detail());
   }
 
-  /** How often each kind happened for each reason, in the order of their names. */
+  /** The number of events by {@code kind reason}, sorted by this key. */
   public Map<String, Long> counts() {
-    Map<String, Long> all = new TreeMap<>();
-    synchronized (counts) {
-      counts.forEach(
+    Map<String, Long> sorted = new TreeMap<>();
+    synchronized (countsByKind) {
+      countsByKind.forEach(
           (kind, reasons) ->
-              reasons.forEach((reason, count) -> all.put(kind + SEPARATOR + reason, count[0])));
+              reasons.forEach((reason, count) -> sorted.put(kind + SEPARATOR + reason, count[0])));
     }
-    return all;
+    return sorted;
   }
 
-  /** How often a kind happened, whatever the reason. */
+  /** The number of events of a kind, for all reasons. */
   public long count(RouterEvent.Kind kind) {
-    synchronized (counts) {
-      return counts.get(kind).values().stream().mapToLong(count -> count[0]).sum();
+    synchronized (countsByKind) {
+      return countsByKind.get(kind).values().stream().mapToLong(count -> count[0]).sum();
     }
   }
 }
--- a/src/main/java/switchgap/router/TimerQueue.java
+++ b/src/main/java/switchgap/router/TimerQueue.java
@@ -5,66 +5,66 @@
 import java.util.PriorityQueue;
 
 /**
- * Timers by due time; equal times in the order in which they were scheduled. Belongs to the event
- * loop.
+ * Timers ordered by due time; timers with equal due times run in the order in which they were
+ * scheduled. Confined to the event loop thread.
  */
 final class TimerQueue {
   /**
-   * Beyond this number cancelled timers are removed once they are the larger part of the queue:
-   * they must not accumulate until due.
+   * Number of cancelled timers above which they are removed once they make up more than half of the
+   * queue. Without this limit, cancelled timers would accumulate until they are due.
    */
-  private static final int MIN_CANCELLED_TO_REMOVE = 1024;
+  private static final int MAX_CANCELLED_TO_KEEP = 1024;
 
-  /** A scheduled timer; its task is null once it ran or was cancelled. */
+  /** A scheduled timer; its task is null after it has run or was cancelled. */
   static final class Timer {
-    private final Duration due;
-    private final long number;
+    private final Duration dueTime;
+    private final long sequenceNumber;
     private Runnable task;
 
     private Timer(Duration due, long number, Runnable task) {
-      this.due = due;
-      this.number = number;
+      this.dueTime = due;
+      this.sequenceNumber = number;
       this.task = task;
     }
   }
 
   private final PriorityQueue<Timer> queue =
       new PriorityQueue<>(
-          Comparator.comparing((Timer timer) -> timer.due)
-              .thenComparingLong(timer -> timer.number));
-  private long count;
-  private int cancelled;
+          Comparator.comparing((Timer timer) -> timer.dueTime)
+              .thenComparingLong(timer -> timer.sequenceNumber));
+  private long nextSequenceNumber;
+  private int cancelledCount;
 
-  /** Schedules a task for the first run at this time or later. */
+  /** Schedules a task for the first call of {@link #runDue} at or after {@code due}. */
   Timer schedule(Duration due, Runnable task) {
-    Timer timer = new Timer(due, count++, task);
+    Timer timer = new Timer(due, nextSequenceNumber++, task);
     queue.add(timer);
     return timer;
   }
 
-  /** Cancels a timer; without effect on null, timers that ran and cancelled ones. */
+  /** Cancels a timer. No effect if it is null, has run or is cancelled already. */
   void cancel(Timer timer) {
     if (timer == null || timer.task == null) {
       return;
     }
     timer.task = null;
-    cancelled++;
-    if (cancelled > MIN_CANCELLED_TO_REMOVE && cancelled > queue.size() / 2) {
-      queue.removeIf(each -> each.task == null);
-      cancelled = 0;
+    cancelledCount++;
+    if (cancelledCount > MAX_CANCELLED_TO_KEEP && cancelledCount > queue.size() / 2) {
+      queue.removeIf(queued -> queued.task == null);
+      cancelledCount = 0;
     }
   }
 
-  /** Due time of the next timer, or null. */
+  /** The due time of the next timer, or null if there is none. */
   Duration nextDue() {
     while (!queue.isEmpty() && queue.peek().task == null) {
       queue.poll();
-      cancelled--;
+      cancelledCount--;
     }
-    return queue.isEmpty() ? null : queue.peek().due;
+    return queue.isEmpty() ? null : queue.peek().dueTime;
   }
 
-  /** Runs the timers due at this time, also those that they schedule meanwhile. */
+  /** Runs all timers due at {@code now}, including those scheduled by the tasks it runs. */
   void runDue(Duration now) {
     for (Duration due = nextDue(); due != null && due.compareTo(now) <= 0; due = nextDue()) {
       Timer timer = queue.poll();
@@ -74,8 +74,8 @@
     }
   }
 
-  /** Number of scheduled timers that neither ran nor were cancelled. */
+  /** The number of timers that have neither run nor been cancelled. */
   int size() {
-    return queue.size() - cancelled;
+    return queue.size() - cancelledCount;
   }
 }
--- a/src/main/java/switchgap/router/WorkerCommand.java
+++ b/src/main/java/switchgap/router/WorkerCommand.java
@@ -3,66 +3,67 @@
 import java.time.Duration;
 
 /**
- * A load command, a query of replicas, an unload or a probe in flight at a worker; it ends once.
- * Belongs to the event loop, but for the attachment.
+ * A load command, replica query, unload or load probe in flight at a worker. It ends once. Confined
+ * to the event loop thread, except for the attachment, which any thread may access.
  */
 public final class WorkerCommand {
-  /** The function of a command that concerns none. */
+  /** The function index of a command without a function. */
   static final int NO_FUNCTION = -1;
 
   private final WorkerEntry worker;
   private final int function;
   private final Duration sentAt;
   private volatile Object attachment;
-  private boolean ended;
-  private TimerQueue.Timer timeout;
+  private boolean hasEnded;
+  private TimerQueue.Timer timeoutTimer;
 
-  /** A command to a worker, for a function's index or {@link #NO_FUNCTION}. */
+  /** Creates a command in flight; {@code function} is an index or {@link #NO_FUNCTION}. */
   WorkerCommand(WorkerEntry worker, int function, Duration sentAt) {
     this.worker = worker;
     this.function = function;
     this.sentAt = sentAt;
   }
 
-  /** When the policy gave it, since the router's start. */
+  /** The time at which the policy issued the command, since the router's start. */
   public Duration sentAt() {
     return sentAt;
   }
 
-  /** What the transport attached to it, or null. Any thread. */
+  /** The state that the transport attached, or null. May be called from any thread. */
   public Object attachment() {
     return attachment;
   }
 
-  /** Keeps state of the transport with it; the core does not read it. Any thread. */
+  /**
+   * Attaches state of the transport, which the core does not read. May be called from any thread.
+   */
   public void attach(Object transportState) {
     attachment = transportState;
   }
 
-  /** The worker that it was sent to. */
+  /** The worker to which it is sent. */
   WorkerEntry worker() {
     return worker;
   }
 
-  /** Index of its function, or {@link #NO_FUNCTION}. */
+  /** Index of the function, or {@link #NO_FUNCTION}. */
   int function() {
     return function;
   }
 
-  /** Its timeout was scheduled with this timer. */
-  void timeoutScheduled(TimerQueue.Timer timer) {
-    timeout = timer;
+  void setTimeoutTimer(TimerQueue.Timer timer) {
+    timeoutTimer = timer;
   }
 
-  /** The timer of its timeout; null before that was scheduled. */
-  TimerQueue.Timer timeout() {
-    return timeout;
+  /** The timer of the timeout; null until it is scheduled. */
+  TimerQueue.Timer timeoutTimer() {
+    return timeoutTimer;
   }
 
-  /** Ends it; returns whether this is its first end, the one that counts. */
+  /** Ends the command; returns false if it had ended already. */
   boolean end() {
-    boolean first = !ended;
-    ended = true;
-    return first;
+    boolean isFirstEnd = !hasEnded;
+    hasEnded = true;
+    return isFirstEnd;
   }
 }
--- a/src/main/java/switchgap/router/WorkerCommandLifecycle.java
+++ b/src/main/java/switchgap/router/WorkerCommandLifecycle.java
@@ -8,8 +8,8 @@
 import switchgap.policy.api.ProbeResult;
 
 /**
- * Load commands, queries, unloads and probes from their start to their one end: by a response or
- * the timeout. Belongs to the event loop.
+ * Starts load commands, replica queries, unloads and load probes, and ends each exactly once, on a
+ * response or a timeout. Confined to the event loop thread.
  */
 final class WorkerCommandLifecycle {
   private final CoreContext context;
@@ -31,52 +31,56 @@
     this.limits = limits;
   }
 
-  /** Has a worker load replicas of a function; with 0 asks how many are loaded. */
+  /**
+   * Commands a worker to load replicas of a function; with 0 replicas, queries how many are loaded.
+   */
   void requestReplicas(WorkerEntry worker, int function, int replicas) {
     WorkerCommand command =
         start(
             worker,
             function,
             limits.commandTimeout(),
-            late -> loadEnded(late, AttemptOutcome.TIMED_OUT, 0));
+            timedOutCommand -> loadEnded(timedOutCommand, AttemptOutcome.TIMED_OUT, 0));
     transport.requestReplicas(worker, functions.nameOf(function), replicas, command);
   }
 
   /**
-   * Has idle replicas of a function unloaded. The timeout is needed although nobody waits for the
-   * end: an unload at a silent worker would occupy its connection for ever.
+   * Commands a worker to unload idle replicas of a function. The timeout is needed although the
+   * policy does not use the result: without it, an unload at an unresponsive worker would occupy
+   * its connection indefinitely.
    */
   void unload(WorkerEntry worker, int function) {
     WorkerCommand command = start(worker, function, limits.commandTimeout(), this::unloadEnded);
     transport.unload(worker, functions.nameOf(function), command);
   }
 
-  /** Asks a worker for its load. */
+  /** Sends a load probe to a worker. */
   void probe(WorkerEntry worker) {
     WorkerCommand command =
         start(
             worker,
             WorkerCommand.NO_FUNCTION,
             limits.probeTimeout(),
-            late -> probeEnded(late, AttemptOutcome.TIMED_OUT, LoadReport.NONE));
+            timedOutCommand ->
+                probeEnded(timedOutCommand, AttemptOutcome.TIMED_OUT, LoadReport.NONE));
     transport.probe(worker, command);
   }
 
   private WorkerCommand start(
-      WorkerEntry worker, int function, Duration timeout, Consumer<WorkerCommand> timedOut) {
+      WorkerEntry worker, int function, Duration timeout, Consumer<WorkerCommand> timeoutHandler) {
     WorkerCommand command = new WorkerCommand(worker, function, context.now());
-    Runnable timeOut =
+    Runnable timeoutTask =
         () -> {
           transport.abandon(command);
-          timedOut.accept(command);
+          timeoutHandler.accept(command);
         };
-    command.timeoutScheduled(context.timers().schedule(context.now().plus(timeout), timeOut));
+    command.setTimeoutTimer(context.timers().schedule(context.now().plus(timeout), timeoutTask));
     return command;
   }
 
   /** See {@link RouterCore#loadCommandEnded}. */
   void loadEnded(WorkerCommand command, AttemptOutcome outcome, int loadedReplicas) {
-    if (endsFirst(command) && endpoints.isKnown(command.worker())) {
+    if (endOnce(command) && endpoints.isTracked(command.worker())) {
       Duration duration = context.now().minus(command.sentAt());
       context
           .policyEvents()
@@ -88,21 +92,21 @@
 
   /** See {@link RouterCore#unloadEnded}. */
   void unloadEnded(WorkerCommand command) {
-    endsFirst(command);
+    endOnce(command);
   }
 
   /** See {@link RouterCore#probeEnded}. */
   void probeEnded(WorkerCommand command, AttemptOutcome outcome, LoadReport report) {
-    if (endsFirst(command) && endpoints.isKnown(command.worker())) {
+    if (endOnce(command) && endpoints.isTracked(command.worker())) {
       context.observer().probeEnded(command.worker(), outcome);
       context.policyEvents().probeEnded(new ProbeResult(command.worker().index(), outcome, report));
     }
   }
 
-  /** Ends a command; returns whether this is its first end, the one that counts. */
-  private boolean endsFirst(WorkerCommand command) {
-    boolean first = command.end();
-    context.timers().cancel(command.timeout());
-    return first;
+  /** Ends a command and cancels its timeout; returns false if it had ended already. */
+  private boolean endOnce(WorkerCommand command) {
+    boolean isFirstEnd = command.end();
+    context.timers().cancel(command.timeoutTimer());
+    return isFirstEnd;
   }
 }
--- a/src/main/java/switchgap/router/WorkerEntry.java
+++ b/src/main/java/switchgap/router/WorkerEntry.java
@@ -3,24 +3,24 @@
 import java.time.Duration;
 
 /**
- * A worker of the endpoint list at one address. Changed on the event loop; whether it accepts and
- * its attachment may be read from any thread.
+ * A worker of the endpoint list at one address. Modified on the event loop thread only, except for
+ * the attachment; {@link #isAccepting()} and the attachment may be read from any thread.
  */
 public final class WorkerEntry {
-  /** The index of a worker that the policy does not know any more. */
-  static final int FORGOTTEN = -1;
+  /** The index of a worker that the policy no longer tracks. */
+  static final int NO_INDEX = -1;
 
   private final String name;
   private final String host;
   private final int port;
-  private volatile boolean accepting = true;
+  private volatile boolean isAccepting = true;
   private volatile Object attachment;
   private volatile Duration sendLimit;
   private Duration listedStart;
   private Duration startedAt;
   private int index;
 
-  /** An accepting worker that the policy calls by this index. */
+  /** Creates a worker that accepts requests; {@code index} is the policy's index of it. */
   public WorkerEntry(String name, String host, int port, int index) {
     this.name = name;
     this.host = host;
@@ -28,86 +28,100 @@
     this.index = index;
   }
 
-  /** Its name in the endpoint list. */
+  /** The worker's name in the endpoint list. */
   public String name() {
     return name;
   }
 
-  /** Host name or IP address. */
+  /** The worker's host name or IP address. */
   public String host() {
     return host;
   }
 
-  /** TCP port. */
+  /** The worker's TCP port. */
   public int port() {
     return port;
   }
 
   /**
-   * Whether anything new may be sent to it. To be asked right before sending: what was decided
-   * before it drained may still wait for a connection. Any thread.
+   * Whether new attempts and commands may be sent to the worker. Check this immediately before
+   * sending, because attempts that were started before the worker drained may still wait for a
+   * connection. May be called from any thread.
    */
   public boolean isAccepting() {
-    return accepting;
+    return isAccepting;
   }
 
   /**
-   * Whether an attempt or a load command may be written to it at this time since the router's
-   * start: it accepts, and the limit of {@link #limitSends} has not passed. Any thread.
+   * Whether an attempt or a load command may be written at {@code now}, measured from the router's
+   * start: the worker accepts requests and the limit of {@link #limitSends} has not passed. May be
+   * called from any thread.
    */
   public boolean isAccepting(Duration now) {
     Duration limit = sendLimit;
-    return accepting && (limit == null || now.compareTo(limit) <= 0);
+    return isAccepting && (limit == null || now.compareTo(limit) <= 0);
   }
 
-  /** Nothing new is written to it after a time since the router's start; null for no limit. */
+  /**
+   * Sets the time, since the router's start, after which no attempt or load command may be written
+   * to the worker; null for no limit.
+   */
   void limitSends(Duration until) {
     sendLimit = until;
   }
 
-  /** What the transport attached to it, or null. Any thread. */
+  /** The state that the transport attached, or null. May be called from any thread. */
   public Object attachment() {
     return attachment;
   }
 
-  /** Keeps state of the transport with it; the core does not read it. Any thread. */
+  /**
+   * Attaches state of the transport, which the core does not read. May be called from any thread.
+   */
   public void attach(Object transportState) {
     attachment = transportState;
   }
 
-  /** The endpoint list says that it is ready. */
+  /** Called when the endpoint list reports the worker as ready. */
   void startAccepting() {
-    accepting = true;
+    isAccepting = true;
   }
 
-  /** It drains, has another address now, or is not in the endpoint list any more. */
+  /** Called when the worker drains, its address changes or it is no longer in the endpoint list. */
   void stopAccepting() {
-    accepting = false;
+    isAccepting = false;
   }
 
-  /** Index by which the policy calls it, or {@link #FORGOTTEN}. */
+  /** The policy's index of the worker, or {@link #NO_INDEX}. */
   int index() {
     return index;
   }
 
-  /** The policy does not know it any more. */
-  void forget() {
-    index = FORGOTTEN;
+  void clearIndex() {
+    index = NO_INDEX;
   }
 
-  /** The start of its process as last listed, since the router's start; null before any was. */
+  /**
+   * The last listed start time of the worker's process, since the router's start; null if none was
+   * listed.
+   */
   Duration listedStart() {
     return listedStart;
   }
 
-  /** The start of its process that counts, since the router's start; null where it is unknown. */
+  /**
+   * The validated start time of the worker's process, since the router's start; null if unknown.
+   */
   Duration startedAt() {
     return startedAt;
   }
 
-  /** Another start of its process was listed; {@code effective} is the time that counts. */
-  void startListed(Duration listed, Duration effective) {
-    listedStart = listed;
-    startedAt = effective;
+  /**
+   * Sets the listed start time of the worker's process and the validated one, {@code
+   * validatedTime}.
+   */
+  void setStartTimes(Duration listedTime, Duration validatedTime) {
+    listedStart = listedTime;
+    startedAt = validatedTime;
   }
 }
--- a/src/main/java/switchgap/router/package-info.java
+++ b/src/main/java/switchgap/router/package-info.java
@@ -1,6 +1,6 @@
 /**
- * One router's core: holds requests, notifies the policy of events and carries out its decisions.
- * Free of sockets, threads and clocks; the outside is reached through {@link
- * switchgap.router.WorkerTransport} and the events of a tick.
+ * The core of a router: holds requests, notifies the policy of events and executes its decisions.
+ * The package uses no sockets, threads or clocks. It communicates with workers through {@link
+ * switchgap.router.WorkerTransport} and receives input as the events of a tick.
  */
 package switchgap.router;
--- a/src/test/java/switchgap/LayersTest.java
+++ b/src/test/java/switchgap/LayersTest.java
@@ -16,14 +16,17 @@
 import switchgap.config.PropertyRouterSettings;
 import switchgap.net.WallClock;
 
-/** Packages depend one way; decisions and the core are free of sockets, threads and clock. */
+/**
+ * Checks that package dependencies follow the layers, and that the packages of the policy and the
+ * core use no sockets, threads or clocks.
+ */
 class LayersTest {
-  private final JavaClasses all =
+  private final JavaClasses allClasses =
       new ClassFileImporter()
           .withImportOption(new ImportOption.DoNotIncludeTests())
           .importPackages("switchgap");
 
-  /** Every package by its layer, those of the router first. */
+  /** Assigns each package to a layer. */
   private static LayeredArchitecture layers() {
     return routerLayers(
             layeredArchitecture().consideringOnlyDependenciesInAnyPackage("switchgap.."))
@@ -41,8 +44,8 @@
         .definedBy("switchgap.cli");
   }
 
-  private static LayeredArchitecture routerLayers(LayeredArchitecture empty) {
-    return empty
+  private static LayeredArchitecture routerLayers(LayeredArchitecture architecture) {
+    return architecture
         .layer("policy")
         .definedBy("switchgap.policy", "switchgap.policy.api", "switchgap.policy.state")
         .layer("admission")
@@ -72,23 +75,23 @@
   }
 
   private void assertOnlyAccessedBy(String layer, String... accessors) {
-    layers().whereLayer(layer).mayOnlyBeAccessedByLayers(accessors).check(all);
+    layers().whereLayer(layer).mayOnlyBeAccessedByLayers(accessors).check(allClasses);
   }
 
   @Test
   void packagesHaveNoCycles() {
-    slices().matching("switchgap.(*)..").should().beFreeOfCycles().check(all);
-    slices().matching("switchgap.testbed.(*)..").should().beFreeOfCycles().check(all);
+    slices().matching("switchgap.(*)..").should().beFreeOfCycles().check(allClasses);
+    slices().matching("switchgap.testbed.(*)..").should().beFreeOfCycles().check(allClasses);
   }
 
   @Test
-  void packagesDependOneWay() {
+  void layersAreAccessedOnlyFromTheAllowedLayers() {
     assertOnlyAccessedBy("event loop", "gateway", "platform");
     assertOnlyAccessedBy("platform protocols", "platform", "gateway protocols");
     layers()
         .whereLayer("platform protocols")
         .mayOnlyAccessLayers("policy", "router", "net")
-        .check(all);
+        .check(allClasses);
     assertOnlyAccessedBy("gateway protocols", "gateway", "platform", "cli");
     assertOnlyAccessedBy("gateway", "scenarios", "cli");
     assertOnlyAccessedBy("platform", "cli");
@@ -105,14 +108,14 @@
   }
 
   @Test
-  void routersUseNoTestbed() {
+  void routerDoesNotDependOnTheTestbed() {
     assertOnlyAccessedBy("emulator", "scenarios");
     assertOnlyAccessedBy("scenarios", "cli");
     assertOnlyAccessedBy("soak", "cli");
     assertOnlyAccessedBy("simulator", "cli");
     assertOnlyAccessedBy("testbed support", "scenarios", "soak", "cli");
-    layers().whereLayer("testbed support").mayNotAccessAnyLayer().check(all);
-    layers().whereLayer("cli").mayNotBeAccessedByAnyLayer().check(all);
+    layers().whereLayer("testbed support").mayNotAccessAnyLayer().check(allClasses);
+    layers().whereLayer("cli").mayNotBeAccessedByAnyLayer().check(allClasses);
   }
 
   @Test
@@ -124,7 +127,7 @@
         .should()
         .dependOnClassesThat()
         .haveFullyQualifiedName(JsonDocument.class.getName())
-        .check(all);
+        .check(allClasses);
     noClasses()
         .that()
         .resideOutsideOfPackages(
@@ -132,11 +135,11 @@
         .should()
         .dependOnClassesThat()
         .haveFullyQualifiedName(PropertyRouterSettings.class.getName())
-        .check(all);
+        .check(allClasses);
   }
 
   @Test
-  void decisionsAndCoreTouchNoSocketThreadOrClock() {
+  void policyAndCoreUseNoSocketThreadOrClock() {
     noClasses()
         .that()
         .resideInAnyPackage(
@@ -163,12 +166,12 @@
         .orShould()
         .dependOnClassesThat()
         .areAssignableTo(Thread.class)
-        .check(all);
+        .check(allClasses);
   }
 
-  /** Spans are of monotonic time: a wall clock may be stepped at any moment. */
+  /** Durations must be measured with the monotonic clock, because the wall clock may be stepped. */
   @Test
-  void theWallClockIsReadInOnePlace() {
+  void wallClockIsReadInOneClassOnly() {
     noClasses()
         .that()
         .doNotHaveFullyQualifiedName(WallClock.class.getName())
@@ -189,6 +192,6 @@
         .callMethod(LocalDateTime.class, "now")
         .orShould()
         .callMethod(ZonedDateTime.class, "now")
-        .check(all);
+        .check(allClasses);
   }
 }
--- a/src/test/java/switchgap/admission/AdmissionControllerTest.java
+++ b/src/test/java/switchgap/admission/AdmissionControllerTest.java
@@ -11,7 +11,10 @@
 import switchgap.admission.AdmissionFixture.Load;
 import switchgap.testing.ReachableObjects;
 
-/** The level for all requests under generated loads: overload, recovery, pins, clocks, bounds. */
+/**
+ * Tests the service level for all requests under generated loads: overload, recovery, pins, clock
+ * jumps and bounded memory.
+ */
 class AdmissionControllerTest {
   private static final Load OVERLOAD = Load.ofRate(120).capacity(60).utilization(0.97);
 
@@ -49,19 +52,20 @@
       fixture.offer(10, Load.ofRate(rate).capacity(60).utilization(0.95));
     }
 
-    int changesAtMost = 600 / (4 * 8); // one in four shortest stays
-    assertThat(controller.changes().size()).isLessThanOrEqualTo(changesAtMost);
+    // At most one change per four minimum stays of 8 s.
+    int maxChanges = 600 / (4 * 8);
+    assertThat(controller.changes().size()).isLessThanOrEqualTo(maxChanges);
   }
 
   @Test
-  void changesNoLevelForSaturationWhileWorkersAreIdle() {
+  void keepsTheLevelOnSaturationWhileWorkersAreUnderutilized() {
     fixture.offer(60, Load.ofRate(80).capacity(60).utilization(0.5));
 
     assertThat(controller.changes()).isEmpty();
   }
 
   @Test
-  void atTwoRequestsASecondNeitherReactsToOneSampleNorStaysDegraded() {
+  void lowRateNeitherReactsToOneSampleNorStaysDegraded() {
     controller.decide(AdmissionFixture.seconds(1), 0, TOP_PRIORITY, 0);
     controller.workerReported(1);
     controller.requestEnded(AdmissionFixture.seconds(1.1), TOP_PRIORITY, RequestOutcome.SATURATED);
@@ -77,7 +81,7 @@
   }
 
   @Test
-  void findsTheLevelAfterARestartInOverload() {
+  void reachesTheLevelAgainAfterARestartInOverload() {
     fixture.restart(9);
 
     fixture.offer(15, OVERLOAD);
@@ -89,7 +93,9 @@
   void followsTheMeasuredPressureAfterAPinInOverload() {
     controller.pin(fixture.now(), ServiceLevel.HOLD, AdmissionFixture.seconds(20));
     int[] rejected = fixture.offer(19, Load.ofRate(100).capacity(60).utilization(0.97));
-    assertThat(rejected[0] + rejected[1]).as("all requests").isGreaterThan(1800);
+    assertThat(rejected[0] + rejected[1])
+        .as("rejected requests of all tenants")
+        .isGreaterThan(1800);
     controller.pin(fixture.now(), ServiceLevel.FULL, AdmissionFixture.seconds(40));
     assertThat(controller.decide(fixture.now(), 0, LOW_PRIORITY, 0).admitted()).isTrue();
 
@@ -101,7 +107,7 @@
   }
 
   @Test
-  void aClockThatJumpsChangesNothingAtOnce() {
+  void clockJumpDoesNotChangeTheLevel() {
     fixture.offer(40, OVERLOAD);
     double shedFraction = controller.shedFraction();
     double jumpedSeconds = fixture.nowSeconds() + 7;
@@ -115,7 +121,7 @@
   }
 
   @Test
-  void routersDoNotChangeLevelsInStep() {
+  void routersDoNotChangeLevelsSimultaneously() {
     TreeSet<Long> halfSecondsOfFirstChange = new TreeSet<>();
 
     for (int seed = 0; seed < 40; seed++) {
@@ -129,9 +135,12 @@
     assertThat(halfSecondsOfFirstChange).hasSizeGreaterThan(5);
   }
 
-  /** Days of pins and loads: what is kept is bounded, whether anybody reads it or not. */
+  /**
+   * Simulates days of pins and loads. Guards against unbounded growth of the history, also if no
+   * caller drains the changes.
+   */
   @Test
-  void boundsChangesAndCountsOverDays() {
+  void keepsBoundedHistoryOverDays() {
     AdmissionController longRunning =
         new AdmissionController(new AdmissionSettingsBuilder().tenants(3).build(), 1);
 
--- a/src/test/java/switchgap/admission/AdmissionFixture.java
+++ b/src/test/java/switchgap/admission/AdmissionFixture.java
@@ -10,15 +10,18 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 
-/** A controller under generated load: workers reject what is admitted beyond their capacity. */
+/**
+ * A controller under generated load. Simulated workers reject admitted requests that exceed their
+ * capacity.
+ */
 final class AdmissionFixture {
   /**
-   * A load of random requests.
+   * The parameters of a random load.
    *
-   * @param rate requests offered a second
-   * @param capacity requests a second that the workers can serve
+   * @param rate offered requests per second
+   * @param capacity requests per second that the workers can serve
    * @param utilization CPU utilization that the workers report
-   * @param tenantWeights how often requests are of each tenant, relative to the others
+   * @param tenantWeights relative frequency of the requests of each tenant
    */
   record Load(double rate, double capacity, double utilization, double[] tenantWeights) {
     static Load ofRate(double rate) {
@@ -39,9 +42,9 @@
   }
 
   private static final double LOW_PRIORITY_FRACTION = 0.7;
-  private static final int KEYS = 40;
+  private static final int KEY_COUNT = 40;
 
-  /** Time constant of the moving average of the admitted rate. */
+  /** Time constant of the exponential moving average of the admitted rate. */
   private static final double ADMITTED_RATE_SECONDS = 0.5;
 
   private final AdmissionSettings settings;
@@ -59,7 +62,7 @@
     return controller;
   }
 
-  /** The router restarts: a new controller at time 0. */
+  /** Simulates a restart of the router: creates a new controller at time 0. */
   void restart(long seed) {
     controller = new AdmissionController(settings, seed);
     nowSeconds = 0;
@@ -85,7 +88,7 @@
     return random.nextDouble();
   }
 
-  /** Offers a load for some time; returns how many requests were rejected, by tenant. */
+  /** Offers a load for a number of seconds; returns the number of rejected requests by tenant. */
   int[] offer(double seconds, Load load) {
     int[] rejected = new int[load.tenantWeights().length];
     double interval = 1 / load.rate();
@@ -96,7 +99,7 @@
               ? AdmissionSettingsBuilder.LOW_PRIORITY
               : AdmissionSettingsBuilder.TOP_PRIORITY;
       admittedRate *= Math.exp(-interval / ADMITTED_RATE_SECONDS);
-      if (controller.decide(now(), tenant, requestClass, random.nextInt(KEYS)).admitted()) {
+      if (controller.decide(now(), tenant, requestClass, random.nextInt(KEY_COUNT)).admitted()) {
         serve(requestClass, load);
       } else {
         rejected[tenant]++;
@@ -124,10 +127,10 @@
         now(), requestClass, saturated ? RequestOutcome.SATURATED : RequestOutcome.IN_TIME);
   }
 
-  /** Asserts that the changes of level are those of the trace kept under this name. */
+  /** Asserts that the changes of level equal those of the resource file {@code name}.txt. */
   void assertChangesMatchTrace(String name) throws IOException {
     try (InputStream trace = AdmissionFixture.class.getResourceAsStream(name + ".txt")) {
-      assertThat(trace).as("the trace " + name).isNotNull();
+      assertThat(trace).as("resource file of the trace " + name).isNotNull();
       String expected = new String(trace.readAllBytes(), StandardCharsets.UTF_8);
       assertThat(traceOfChanges()).isEqualTo(expected);
     }
--- a/src/test/java/switchgap/admission/AdmissionSettingsBuilder.java
+++ b/src/test/java/switchgap/admission/AdmissionSettingsBuilder.java
@@ -5,12 +5,16 @@
 import switchgap.policy.api.Idempotency;
 
 /**
- * Builds settings with two request classes: by default one of low priority that is idempotent and
- * one of top priority that is not, without tenants.
+ * Builds settings with two request classes. By default, the low priority class is idempotent, the
+ * top priority class is not, and there are no tenants.
  */
 final class AdmissionSettingsBuilder {
-  static final int LOW_PRIORITY = 0; // indices of the classes
+  /** Index of the request class of low priority. */
+  static final int LOW_PRIORITY = 0;
+
+  /** Index of the request class of top priority. */
   static final int TOP_PRIORITY = 1;
+
   private static final Duration[] LATENCY_OBJECTIVES = {
     Duration.ofMillis(400), Duration.ofMillis(800)
   };
@@ -33,7 +37,7 @@
     return this;
   }
 
-  /** Tenants of equal quotas. */
+  /** Sets a number of tenants with equal quotas. */
   AdmissionSettingsBuilder tenants(int count) {
     tenantQuotas = new double[count];
     Arrays.fill(tenantQuotas, 1.0 / count);
--- a/src/test/java/switchgap/admission/DegradationControllerTest.java
+++ b/src/test/java/switchgap/admission/DegradationControllerTest.java
@@ -17,7 +17,9 @@
           Duration.ofSeconds(8), new SplittableRandom(1), ServiceLevel.FULL, ServiceLevel.LEAST);
   private double nowSeconds;
 
-  /** Applies a signal until the controller is not at this level any more; returns the seconds. */
+  /**
+   * Applies a signal until the controller leaves a level; returns the simulated seconds until then.
+   */
   private double secondsUntilLeaving(ServiceLevel level, ControlSignal signal) {
     double start = nowSeconds;
     while (controller.level() == level) {
@@ -28,9 +30,9 @@
     return nowSeconds - start;
   }
 
-  // Guards against a level that oscillates with each wave of load.
+  // Guards against oscillation between levels with each wave of load.
   @Test
-  void restoredLevelIsTakenAgainOnlyAfterFourStaysOfMildPressure() {
+  void mildPressureReducesRestoredServiceOnlyAfterFourMinimumStays() {
     secondsUntilLeaving(ServiceLevel.FULL, MILD_PRESSURE);
     assertThat(secondsUntilLeaving(ServiceLevel.LEAST, NO_PRESSURE)).isBetween(31.9, 40.0);
 
--- a/src/test/java/switchgap/admission/RejectionRulesTest.java
+++ b/src/test/java/switchgap/admission/RejectionRulesTest.java
@@ -8,10 +8,13 @@
 import switchgap.admission.AdmissionFixture.Load;
 import switchgap.policy.api.Idempotency;
 
-/** Which request classes a controller rejects under which settings. */
+/** Tests which request classes a controller rejects under various settings. */
 class RejectionRulesTest {
-  /** Workers at 60% where a tenth is late. */
-  private static int rejectionsWhereATenthIsLate(double protectedFraction) {
+  /**
+   * Returns the number of rejections at a worker utilization of 60% if a tenth of the requests is
+   * late.
+   */
+  private static int rejectionsWithATenthLate(double protectedFraction) {
     AdmissionSettings settings =
         new AdmissionSettingsBuilder()
             .tenants(1)
@@ -41,18 +44,18 @@
 
   @Test
   void rejectsLowPriorityForMissedObjectivesOnlyWithAProtectedFraction() {
-    assertThat(rejectionsWhereATenthIsLate(0)).isZero();
-    assertThat(rejectionsWhereATenthIsLate(0.97)).isPositive();
+    assertThat(rejectionsWithATenthLate(0)).isZero();
+    assertThat(rejectionsWithATenthLate(0.97)).isPositive();
   }
 
   @Test
-  void equalPrioritiesLeaveNothingToShedBeforeHold() {
+  void equalPrioritiesAreShedOnlyByHold() {
     AdmissionSettings settings =
         new AdmissionSettingsBuilder().priorityWeights(1, 1).tenants(2).build();
     AdmissionFixture fixture = new AdmissionFixture(settings, 1);
 
     fixture.offer(40, Load.ofRate(90).capacity(60).utilization(0.97));
-    // a third too much is left to the router to reject
+    // The router itself rejects the third of the load that exceeds the capacity.
     assertThat(fixture.controller().level()).isEqualTo(ServiceLevel.FULL);
 
     fixture.offer(60, Load.ofRate(300).capacity(60).utilization(0.99));
@@ -60,7 +63,7 @@
   }
 
   @Test
-  void takesTheNextLevelWhereNoRequestClassIsIdempotent() {
+  void skipsLeastIfNoRequestClassIsIdempotent() {
     AdmissionSettings settings =
         new AdmissionSettingsBuilder()
             .idempotency(Idempotency.NON_IDEMPOTENT, Idempotency.NON_IDEMPOTENT)
@@ -95,7 +98,7 @@
     for (ServiceLevel level : ServiceLevel.values()) {
       assertThat(fixture.controller().rejections(level, LOW_PRIORITY)).isZero();
     }
-    // no class remains that a level down to LEAST may reject
+    // No class is left that a level down to LEAST may reject.
     assertThat(fixture.controller().level()).isEqualTo(ServiceLevel.FULL);
   }
 }
--- a/src/test/java/switchgap/admission/SheddingRotationTest.java
+++ b/src/test/java/switchgap/admission/SheddingRotationTest.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The rotation sheds the shed fraction, and a client that retries meets the same decision. */
+/** Checks that the rotation sheds the given fraction and that a retry gets the same decision. */
 class SheddingRotationTest {
   private final SplittableRandom random = new SplittableRandom(7);
   private final SheddingRotation rotation =
@@ -39,21 +39,21 @@
     assertThat(measuredShedFraction(1000, 20, 1)).isEqualTo(1);
   }
 
-  // Guards against late retries: with a draw for each request a third attempt was nearly always
-  // admitted, too late to earn anything.
+  // Guards against the admission of late retries. With an independent decision for each request,
+  // the third attempt was nearly always admitted, too late to be useful.
   @Test
-  void retryMeetsTheSameDecision() {
+  void retryGetsTheSameDecision() {
     offerLoad(30, 20);
-    int same = 0;
+    int sameDecisions = 0;
     for (int key = 0; key < 1000; key++) {
       boolean first = rotation.sheds(1, key, 1e-9, 0.5, 0.5);
-      same += first == rotation.sheds(1, key, 1e-9, 0.5, 0.5) ? 1 : 0;
+      sameDecisions += first == rotation.sheds(1, key, 1e-9, 0.5, 0.5) ? 1 : 0;
     }
-    assertThat(same).isEqualTo(1000);
+    assertThat(sameDecisions).isEqualTo(1000);
   }
 
   @Test
-  void shedsEachKeyForAPartOfTheTimeAndNoneForEver() {
+  void shedsEachKeyForPartOfTheTimeOnly() {
     offerLoad(30, 20);
     for (int key = 0; key < 20; key++) {
       int shed = 0;
@@ -65,9 +65,9 @@
     }
   }
 
-  // All load on one slot: an arc that only knew whole slots would shed all of it or nothing.
+  // All load is on one slot. An arc that covered whole slots only would shed all of it or nothing.
   @Test
-  void shedsAPartOfASingleFunction() {
+  void shedsPartOfTheLoadOfASingleFunction() {
     for (int second = 0; second < 60; second++) {
       for (int i = 0; i < 50; i++) {
         rotation.sheds(0, 1, 1, 0, 0.5);
--- a/src/test/java/switchgap/admission/TenantQuotaTest.java
+++ b/src/test/java/switchgap/admission/TenantQuotaTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import switchgap.admission.AdmissionFixture.Load;
 
-/** Tenants over their quotas are shed alone. */
+/** Checks that only the load of tenants over their quotas is shed. */
 class TenantQuotaTest {
   private static final Load BALANCED_LOAD =
       Load.ofRate(50).capacity(100).utilization(0.7).tenantWeights(1, 1, 1, 1, 1);
--- a/src/test/java/switchgap/eventloop/EventLoopTest.java
+++ b/src/test/java/switchgap/eventloop/EventLoopTest.java
@@ -15,7 +15,10 @@
 import switchgap.server.platform.TestPlatformSettings;
 import switchgap.testing.RecordingProxy;
 
-/** Without its thread a loop serves nothing: whatever ends the thread is reported. */
+/**
+ * Checks that any error that ends the loop's thread is reported, because no request is served
+ * without it.
+ */
 class EventLoopTest {
   private static final String ERROR_MESSAGE = "injected by the test";
   private static final CoreLimits LIMITS =
@@ -42,7 +45,8 @@
     CompletableFuture<Throwable> failure = new CompletableFuture<>();
     RouterCore core = coreThatFailsInTick(failingTick);
     EventLoop loop =
-        new EventLoop(self -> core, "failing-loop", late -> {}, failure::complete, () -> {});
+        new EventLoop(
+            self -> core, "failing-loop", latenessMicros -> {}, failure::complete, () -> {});
 
     loop.start();
     loop.post(router -> {});
--- a/src/test/java/switchgap/router/DeferredResultsTest.java
+++ b/src/test/java/switchgap/router/DeferredResultsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import switchgap.testing.ReachableObjects;
 
-/** Deferred results at their bounds: entries, bytes, waiters. */
+/** Tests the limits of the deferred results: entries, cached bytes, waiters per entry. */
 class DeferredResultsTest {
   private static final int MAX_WAITERS = 8;
 
@@ -27,12 +27,12 @@
   }
 
   @Test
-  void evictsTheOldestResultAndNoPendingRequestWhenEntriesAreFull() {
+  void evictsTheOldestResultButNoPendingRequestWhenEntriesAreFull() {
     DeferredResults results = resultsWithEntries(3);
     DeferredResults.Entry endedLast = results.reserve();
     DeferredResults.Entry endedFirst = results.reserve();
     DeferredResults.Entry pending = results.reserve();
-    assertThat(results.reserve()).as("an entry while all are pending").isNull();
+    assertThat(results.reserve()).as("entry reserved while all entries are pending").isNull();
     endedFirst.responded(null, responseOf(10));
     endedLast.responded(null, responseOf(10));
 
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void boundsTheCachedBytesAndReturnsToNoneAfterTheRetention() {
+  void limitsTheCachedBytesAndRemovesAllResultsAfterTheRetention() {
     DeferredResults results = resultsWithEntries(100);
     List<DeferredResults.Entry> entries = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void notifiesAsManyWaitersAsTheBoundAndDeclinesOneMore() {
+  void acceptsAndNotifiesNoMoreWaitersThanTheLimit() {
     DeferredResults results = resultsWithEntries(3);
     DeferredResults.Entry entry = results.reserve();
     List<DeferredResults.Entry> notified = new ArrayList<>();
