--- a/src/test/java/switchgap/router/InvariantMonitorTest.java
+++ b/src/test/java/switchgap/router/InvariantMonitorTest.java
@@ -11,11 +11,15 @@
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.server.platform.TestPlatformSettings;
 
-/** Each invariant has a violation that its check reports; correct behaviour violates none. */
+/**
+ * Checks that a violation of each invariant is reported, and that correct behaviour violates none.
+ */
 class InvariantMonitorTest implements ResponseListener {
   private static final Duration NOW = Duration.ofMillis(100);
   private static final Duration DEADLINE = Duration.ofSeconds(1);
-  private static final int NON_IDEMPOTENT = 1; // index of the class in the settings
+
+  /** Index of the non-idempotent request class in the settings. */
+  private static final int NON_IDEMPOTENT = 1;
 
   private final List<String> logLines = new ArrayList<>();
   private final RouterEvents events = RouterEvents.counting();
@@ -39,7 +43,7 @@
     monitor.beforeAttempt(attempt, Duration.ofMillis(500), NOW);
   }
 
-  /** Does what a program with a fault would do. */
+  /** Calls the monitor as a defective program would, which violates an invariant. */
   private void violate(RouterInvariant invariant) {
     Attempt first = addAttempt();
     switch (invariant) {
@@ -58,7 +62,8 @@
       case ATTEMPT_AFTER_DEADLINE -> monitor.beforeAttempt(first, Duration.ofMillis(1), DEADLINE);
       case TIMEOUT_PAST_DEADLINE -> monitor.beforeAttempt(first, Duration.ofMillis(1051), NOW);
       case RETRY_OF_NON_IDEMPOTENT -> {
-        first.end(AttemptOutcome.TIMED_OUT); // and may have been executed
+        // An attempt that timed out may have been executed.
+        first.end(AttemptOutcome.TIMED_OUT);
         checkBeforeSending(addAttempt());
       }
       case ATTEMPT_SENT_TWICE -> {
@@ -75,7 +80,7 @@
       }
       case CLOSED_UNANSWERED -> monitor.afterClose("c1", false, 1, NOW);
       case HEALTHY_WITHOUT_WORKERS -> monitor.beforeHealthy(false, NOW);
-      default -> throw new IllegalArgumentException(invariant + " has no violation here");
+      default -> throw new IllegalArgumentException(invariant + " has no violation in this test");
     }
   }
 
@@ -92,7 +97,8 @@
   @Test
   void reportsNoViolationWithinTheSlack() {
     Attempt first = addAttempt();
-    monitor.beforeAttempt(first, Duration.ofMillis(1050), NOW); // with the allowed slack
+    // Exceeds the 900 ms until the deadline by the allowed 150 ms.
+    monitor.beforeAttempt(first, Duration.ofMillis(1050), NOW);
     first.end(AttemptOutcome.NOT_SENT);
     checkBeforeSending(addAttempt());
     monitor.beforeLoad(worker, NOW);
@@ -122,5 +128,5 @@
   public void responded(PendingRequest answered, Response response) {}
 
   @Override
-  public void deadlineMissed(PendingRequest answered, Response late) {}
+  public void deadlineMissed(PendingRequest answered, Response lateResponse) {}
 }
--- a/src/test/java/switchgap/router/NameIndexTest.java
+++ b/src/test/java/switchgap/router/NameIndexTest.java
@@ -7,7 +7,7 @@
 
 class NameIndexTest {
   @Test
-  void releasedIndicesAreAssignedAgain() {
+  void reusesReleasedIndices() {
     NameIndex names = new NameIndex();
 
     for (int i = 0; i < 100_000; i++) {
--- a/src/test/java/switchgap/router/RouterCoreHarness.java
+++ b/src/test/java/switchgap/router/RouterCoreHarness.java
@@ -12,11 +12,11 @@
 import switchgap.testing.EndpointUpdateBuilder;
 
 /**
- * A core under the routing policy on a clock that the test moves. Attempts and probes do not end by
- * themselves; load commands succeed in the next tick.
+ * A core with the routing policy and a clock that is advanced by the test. Attempts and probes get
+ * no response unless the test posts it; load commands succeed in the next tick.
  */
 final class RouterCoreHarness implements WorkerTransport, ResponseListener {
-  /** What happened to a request or an attempt, as this harness observed it. */
+  /** An event of a request or an attempt, as recorded by this harness. */
   enum Observation {
     ACCEPTED,
     NOT_ACCEPTED,
@@ -27,8 +27,12 @@
     DEADLINE_MISSED
   }
 
-  static final int IDEMPOTENT = 0; // indices of the classes in the settings
+  /** Index of the idempotent request class in the settings. */
+  static final int IDEMPOTENT = 0;
+
+  /** Index of the non-idempotent request class in the settings. */
   static final int NON_IDEMPOTENT = 1;
+
   static final int MAX_FUNCTIONS = 2;
   private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(900);
   private static final String SETTINGS =
@@ -68,12 +72,12 @@
     return observations.stream().filter(kind::equals).count();
   }
 
-  /** Abandoned attempts prove this outcome from now on. */
-  void proveOnAbandon(AttemptOutcome outcome) {
+  /** Sets the outcome that is returned for attempts abandoned from now on. */
+  void setAbandonOutcome(AttemptOutcome outcome) {
     abandonOutcome = outcome;
   }
 
-  /** One tick at a time since the start, with the events posted so far. */
+  /** Runs a tick at a time since the start, with the events posted so far. */
   void tickAt(long millis) {
     now = Duration.ofMillis(millis);
     List<Consumer<RouterCore>> events = List.copyOf(nextEvents);
@@ -81,7 +85,7 @@
     core.tick(now, events);
   }
 
-  /** Ticks whenever a timer is due, at whole milliseconds, until a time since the start. */
+  /** Runs a tick for each due timer, at whole milliseconds, until a time since the start. */
   void runUntil(long millis) {
     Duration due = core.nextDue();
     while (due != null && due.compareTo(Duration.ofMillis(millis)) <= 0) {
@@ -95,8 +99,8 @@
     nextEvents.add(event);
   }
 
-  /** Drops the events that were not delivered yet, as if they never happened. */
-  void dropPostedEvents() {
+  /** Discards all posted events that have not been delivered. */
+  void discardPostedEvents() {
     nextEvents.clear();
   }
 
@@ -166,7 +170,7 @@
   }
 
   @Override
-  public void deadlineMissed(PendingRequest request, Response late) {
+  public void deadlineMissed(PendingRequest request, Response lateResponse) {
     observations.add(Observation.DEADLINE_MISSED);
   }
 }
--- a/src/test/java/switchgap/router/RouterCoreLongRunTest.java
+++ b/src/test/java/switchgap/router/RouterCoreLongRunTest.java
@@ -18,8 +18,9 @@
 import switchgap.testing.ReachableObjects;
 
 /**
- * The core under the routing policy for simulated days: workers are replaced for ever, functions
- * are requested once, clients cancel.
+ * Runs the core with the routing policy for two simulated days, in which workers are replaced
+ * continually, many functions are requested once only, and clients cancel requests. Guards against
+ * memory leaks.
  */
 class RouterCoreLongRunTest implements WorkerTransport, ResponseListener {
   private static final String SETTINGS =
@@ -45,7 +46,7 @@
           new CoreLimits(Duration.ofSeconds(10), Duration.ofMillis(250), 500));
   private final List<String> workers = new ArrayList<>(List.of("w0", "w1", "w2", "w3"));
   private Duration now = Duration.ZERO;
-  private int workersSoFar = 4;
+  private int totalWorkers = 4;
   private int accepted;
   private int notAccepted;
   private int answered;
@@ -72,12 +73,12 @@
   private Duration nextTick() {
     Duration nextEvent = eventsByTime.isEmpty() ? null : eventsByTime.firstKey();
     Duration nextTimer = core.nextDue();
-    boolean timerFirst =
+    boolean isTimerNext =
         nextEvent == null || (nextTimer != null && nextTimer.compareTo(nextEvent) < 0);
-    return timerFirst ? nextTimer : nextEvent;
+    return isTimerNext ? nextTimer : nextEvent;
   }
 
-  /** Some workers also change their address from list to list. */
+  /** Delivers a complete endpoint list, in which workers may have other addresses than before. */
   private void receiveList(RouterCore router) {
     List<EndpointUpdate> updates = new ArrayList<>();
     for (String name : workers) {
@@ -89,8 +90,8 @@
 
   private void replaceWorker(RouterCore router) {
     workers.remove(random.nextInt(workers.size()));
-    workers.add("w" + workersSoFar);
-    workersSoFar++;
+    workers.add("w" + totalWorkers);
+    totalWorkers++;
     receiveList(router);
   }
 
@@ -102,7 +103,7 @@
     }
     accepted++;
     if (random.nextInt(30) == 0) {
-      postLater(random.nextInt(200), later -> cancel(later, request));
+      postLater(random.nextInt(200), routerAtCancel -> cancel(routerAtCancel, request));
     }
   }
 
@@ -133,17 +134,17 @@
   }
 
   @Test
-  void keepsNothingOfEndedRequestsAndForgottenWorkersAndFunctions() {
+  void releasesEndedRequestsAndRemovedWorkersAndUnusedFunctions() {
     postLater(0, this::receiveList);
     runHours(12);
-    long elementsAfterHalfADay = ReachableObjects.count(core, this);
+    long elementsAfter12Hours = ReachableObjects.count(core, this);
 
     runHours(36);
 
-    assertThat(workersSoFar).isGreaterThan(3000);
-    assertThat(ReachableObjects.count(core, this)).isLessThan(elementsAfterHalfADay + 300);
+    assertThat(totalWorkers).isGreaterThan(3000);
+    assertThat(ReachableObjects.count(core, this)).isLessThan(elementsAfter12Hours + 300);
     assertThat(core.pendingRequests()).isZero();
-    assertThat(core.unsettledRequests()).isZero();
+    assertThat(core.trackedRequests()).isZero();
     assertThat(answered + deadlinesMissed + cancelled).isEqualTo(accepted);
     assertThat(deadlinesMissed).isZero();
     assertThat(notAccepted).isZero();
@@ -153,7 +154,10 @@
     assertThat((Map<?, ?>) ReachableObjects.field(endpoints, "byName")).hasSizeLessThan(8);
   }
 
-  /** Ends with a random outcome, mostly success; an attempt that is to time out never ends. */
+  /**
+   * Posts a random outcome, mostly success. For TIMED_OUT it posts nothing, so that the core's
+   * timeout ends the attempt.
+   */
   @Override
   public void startAttempt(Attempt attempt, Duration timeout) {
     AttemptOutcome outcome =
@@ -174,7 +178,7 @@
     return AttemptOutcome.TIMED_OUT;
   }
 
-  /** One in twenty never ends by itself. */
+  /** Posts no result for one command in twenty, which therefore times out. */
   @Override
   public void requestReplicas(
       WorkerEntry worker, String function, int replicas, WorkerCommand command) {
@@ -186,7 +190,7 @@
         router -> router.loadCommandEnded(command, AttemptOutcome.SUCCEEDED, 1));
   }
 
-  /** Every other one never ends by itself. */
+  /** Posts no result for half of the unloads, which therefore time out. */
   @Override
   public void unload(WorkerEntry worker, String function, WorkerCommand command) {
     if (random.nextBoolean()) {
@@ -211,7 +215,7 @@
   }
 
   @Override
-  public void deadlineMissed(PendingRequest request, Response late) {
+  public void deadlineMissed(PendingRequest request, Response lateResponse) {
     deadlinesMissed++;
   }
 }
--- a/src/test/java/switchgap/router/RouterCoreTest.java
+++ b/src/test/java/switchgap/router/RouterCoreTest.java
@@ -19,15 +19,18 @@
 import switchgap.policy.api.WorkerState;
 import switchgap.testing.EndpointUpdateBuilder;
 
-/** Deadlines, pauses, late ends and cancellations; nothing stays behind. */
+/**
+ * Tests deadlines, pauses of the process, late results and cancellations, and that the core keeps
+ * no request that has ended.
+ */
 class RouterCoreTest {
   private static final String FUNCTION = "f";
 
   private final RouterCoreHarness harness = new RouterCoreHarness();
 
-  private void assertNoRequestStaysBehind() {
+  private void assertNoRequestRemains() {
     assertThat(harness.core().pendingRequests()).isZero();
-    assertThat(harness.core().unsettledRequests()).isZero();
+    assertThat(harness.core().trackedRequests()).isZero();
   }
 
   @Test
@@ -37,7 +40,8 @@
     harness.tickAt(0);
     assertThat(harness.sentAttempts()).hasSize(1);
     PendingRequest offeredBeforePause = harness.postRequest(IDEMPOTENT, FUNCTION);
-    harness.postSuccess(harness.sentAttempts().get(0)); // received during the pause
+    // The response arrives during the pause.
+    harness.postSuccess(harness.sentAttempts().get(0));
 
     harness.tickAt(2000);
 
@@ -48,7 +52,7 @@
     assertThat(offeredBeforePause.state())
         .isIn(PendingRequest.State.DEADLINE_EXCEEDED, PendingRequest.State.NOT_ACCEPTED);
     assertThat(harness.sentAttempts()).hasSize(1);
-    assertNoRequestStaysBehind();
+    assertNoRequestRemains();
   }
 
   @Test
@@ -63,7 +67,7 @@
     harness.tickAt(1100);
 
     assertThat(harness.observations()).containsExactly(ACCEPTED, ATTEMPT_ABANDONED, FAILED);
-    assertThat(harness.core().unsettledRequests()).isZero();
+    assertThat(harness.core().trackedRequests()).isZero();
   }
 
   @Test
@@ -79,12 +83,13 @@
 
     assertThat(harness.count(ACCEPTED)).isEqualTo(10_000);
     assertThat(harness.count(FAILED) + harness.count(REJECTED)).isEqualTo(10_000);
-    assertNoRequestStaysBehind();
+    assertNoRequestRemains();
   }
 
   @Test
   void rejectsWhenTheAttemptWasNeverSent() {
-    harness.proveOnAbandon(AttemptOutcome.NOT_SENT); // waits for a connection until the timeout
+    // The attempt waits for a connection until its timeout.
+    harness.setAbandonOutcome(AttemptOutcome.NOT_SENT);
     harness.postReadyWorkers("a");
     harness.postRequest(NON_IDEMPOTENT, FUNCTION);
     harness.tickAt(0);
@@ -105,11 +110,11 @@
     harness.tickAt(6);
 
     assertThat(harness.observations()).containsExactly(ACCEPTED, ATTEMPT_ABANDONED);
-    assertNoRequestStaysBehind();
+    assertNoRequestRemains();
   }
 
   @Test
-  void rejectsRequestsThatAwaitALoadWhenTheOnlyWorkerDrains() {
+  void rejectsRequestWaitingForALoadWhenTheOnlyWorkerDrains() {
     harness.postReadyWorkers("a");
     harness.tickAt(0);
     harness.postRequest(NON_IDEMPOTENT, FUNCTION);
@@ -117,8 +122,9 @@
     Attempt notLoaded = harness.sentAttempts().get(0);
     harness.post(
         router -> router.attemptEnded(notLoaded, AttemptOutcome.NOT_LOADED, LoadReport.NONE, null));
-    harness.tickAt(2); // sends a load command
-    harness.dropPostedEvents(); // the load command does not end
+    // The tick sends a load command, whose result is discarded so that the command does not end.
+    harness.tickAt(2);
+    harness.discardPostedEvents();
     EndpointUpdate draining = EndpointUpdateBuilder.worker("a").state(WorkerState.DRAINING).build();
     harness.post(router -> router.endpointListReceived(false, List.of(draining)));
     harness.tickAt(10);
@@ -126,13 +132,13 @@
     harness.runUntil(890);
 
     assertThat(harness.sentAttempts()).hasSize(1);
-    // NOT_LOADED proves that it was not executed
+    // NOT_LOADED proves that the request was not executed.
     assertThat(harness.observations()).contains(REJECTED).doesNotContain(FAILED);
     assertThat(harness.core().pendingRequests()).isZero();
   }
 
   @Test
-  void declinesRequestsForMoreFunctionsThanTheLimit() {
+  void doesNotAcceptRequestsForMoreFunctionsThanTheLimit() {
     harness.postReadyWorkers("a");
     harness.postRequest(IDEMPOTENT, "f1");
     harness.postRequest(IDEMPOTENT, "f2");
@@ -144,11 +150,13 @@
   }
 
   @Test
-  void ignoresTheProbeResultOfAForgottenWorkerWhoseIndexIsReassigned() {
+  void ignoresTheProbeResultOfARemovedWorkerWhoseIndexIsReassigned() {
     harness.postReadyWorkers("a");
     harness.tickAt(0);
-    WorkerEntry forgotten = new WorkerEntry("gone", "h", 1, 0); // index 0 is another worker's now
-    WorkerCommand probe = new WorkerCommand(forgotten, WorkerCommand.NO_FUNCTION, Duration.ZERO);
+    // Index 0 has been reassigned to another worker.
+    WorkerEntry removedWorker = new WorkerEntry("gone", "h", 1, 0);
+    WorkerCommand probe =
+        new WorkerCommand(removedWorker, WorkerCommand.NO_FUNCTION, Duration.ZERO);
     LoadReport overloaded = new LoadReport(1, 99, 99, -1);
     harness.post(router -> router.probeEnded(probe, AttemptOutcome.SUCCEEDED, overloaded));
     harness.tickAt(1);
--- a/src/test/java/switchgap/router/SocketCoreFixture.java
+++ b/src/test/java/switchgap/router/SocketCoreFixture.java
@@ -32,11 +32,11 @@
 import switchgap.testing.RecordingProxy;
 
 /**
- * A core with its connections to workers on real sockets, ticked by the test's thread. The policy
- * decides what the test says; results are recorded.
+ * A core with connections to workers on real sockets. Ticks run on the test's thread. The policy
+ * makes the decisions that the test passes in and records the results.
  */
 final class SocketCoreFixture implements AutoCloseable {
-  /** The end of an attempt, a probe or a load command. */
+  /** The result of an attempt, a load probe or a load command. */
   record Result(Kind kind, int request, AttemptOutcome outcome) {
     enum Kind {
       ATTEMPT,
@@ -61,8 +61,13 @@
 
   static final Duration COMMAND_TIMEOUT = Duration.ofSeconds(1);
   static final Duration PROBE_TIMEOUT = Duration.ofMillis(200);
-  static final int WORKER = 0; // index of the only worker
-  static final int FUNCTION = 0; // index of the only function
+
+  /** Index of the only worker. */
+  static final int WORKER = 0;
+
+  /** Index of the only function. */
+  static final int FUNCTION = 0;
+
   private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(4);
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
   private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(250);
@@ -123,12 +128,12 @@
     return results.contains(result);
   }
 
-  /** Pools of connections that the transport knows. */
+  /** The connection pools that the transport holds. */
   Set<?> connectionPools() {
     return (Set<?>) ReachableObjects.field(transport, "pools");
   }
 
-  /** Has the policy make this decision in the next tick. */
+  /** Makes the policy issue a decision in the next tick. */
   void decide(Consumer<PolicyActions> decision) {
     decisions.add(decision);
   }
@@ -163,7 +168,7 @@
     core.tick(now(), batch);
   }
 
-  /** Ticks until the condition holds; returns false where it does not within the time. */
+  /** Runs ticks until the condition holds; returns false if it does not hold within the timeout. */
   boolean tickUntil(Duration timeout, BooleanSupplier condition) throws InterruptedException {
     long endNanos = System.nanoTime() + timeout.toNanos();
     while (System.nanoTime() < endNanos) {
@@ -176,10 +181,12 @@
     return false;
   }
 
-  /** Ticks until the condition holds; fails the test where it does not within the time. */
+  /**
+   * Runs ticks until the condition holds; fails the test if it does not hold within the timeout.
+   */
   void awaitWithin(long timeoutMillis, BooleanSupplier condition) throws InterruptedException {
     assertThat(tickUntil(Duration.ofMillis(timeoutMillis), condition))
-        .as("condition within %d ms; results %s", timeoutMillis, results)
+        .as("condition holds within %d ms; results so far: %s", timeoutMillis, results)
         .isTrue();
   }
 
@@ -187,7 +194,7 @@
     awaitWithin(timeoutMillis, () -> hasResult(result));
   }
 
-  /** The endpoint list has this worker alone. */
+  /** Delivers a complete endpoint list with this worker only. */
   void receiveWorker(String host, int port, WorkerState state) {
     EndpointUpdate update =
         EndpointUpdateBuilder.worker("worker").address(host, port).state(state).build();
@@ -228,6 +235,6 @@
     public void responded(PendingRequest request, Response response) {}
 
     @Override
-    public void deadlineMissed(PendingRequest request, Response late) {}
+    public void deadlineMissed(PendingRequest request, Response lateResponse) {}
   }
 }
--- a/src/test/java/switchgap/router/WorkerConnectionsTest.java
+++ b/src/test/java/switchgap/router/WorkerConnectionsTest.java
@@ -9,7 +9,10 @@
 import switchgap.router.SocketCoreFixture.Result;
 import switchgap.server.gateway.HttpTestServer;
 
-/** The core and its connections to workers on real sockets, under decisions of the test. */
+/**
+ * Tests the core and its connections to workers on real sockets. The tests make the policy's
+ * decisions.
+ */
 class WorkerConnectionsTest {
   @Test
   void rejectsWaitingAttemptsAtOnceWhenTheWorkerDrains() throws Exception {
@@ -18,13 +21,14 @@
       fixture.receiveWorker(worker.port(), WorkerState.READY);
       fixture.startRequest();
       fixture.awaitWithin(2000, () -> worker.inferenceRequestCount() == 1);
-      int waiting = fixture.startRequest();
+      int waitingRequest = fixture.startRequest();
 
       fixture.receiveWorker(worker.port(), WorkerState.DRAINING);
 
-      fixture.awaitResultWithin(300, Result.attempt(waiting, AttemptOutcome.NOT_SENT));
+      fixture.awaitResultWithin(300, Result.attempt(waitingRequest, AttemptOutcome.NOT_SENT));
       assertThat(worker.inferenceRequestCount()).isEqualTo(1);
-      fixture.receiveWorker(worker.port(), WorkerState.READY); // and its connection serves again
+      // The connection can be used again when the worker is ready again.
+      fixture.receiveWorker(worker.port(), WorkerState.READY);
       worker.setResponder(HttpTestServer::echo);
       fixture.decide(actions -> actions.probe(SocketCoreFixture.WORKER));
       fixture.awaitResultWithin(1000, Result.probe(AttemptOutcome.SUCCEEDED));
@@ -42,23 +46,23 @@
         HttpTestServer formerAddress = new HttpTestServer(slowEcho);
         HttpTestServer newAddress = new HttpTestServer(HttpTestServer::echo)) {
       fixture.receiveWorker(formerAddress.port(), WorkerState.READY);
-      int inFlight = fixture.startRequest();
+      int requestInFlight = fixture.startRequest();
       fixture.awaitWithin(2000, () -> formerAddress.inferenceRequestCount() == 1);
-      int waiting = fixture.startRequest();
+      int waitingRequest = fixture.startRequest();
 
       fixture.receiveWorker(newAddress.port(), WorkerState.READY);
 
-      fixture.awaitResultWithin(200, Result.attempt(waiting, AttemptOutcome.NOT_SENT));
-      fixture.awaitResultWithin(2000, Result.attempt(inFlight, AttemptOutcome.SUCCEEDED));
+      fixture.awaitResultWithin(200, Result.attempt(waitingRequest, AttemptOutcome.NOT_SENT));
+      fixture.awaitResultWithin(2000, Result.attempt(requestInFlight, AttemptOutcome.SUCCEEDED));
       assertThat(formerAddress.inferenceRequestCount()).isEqualTo(1);
-      int next = fixture.startRequest();
-      fixture.awaitResultWithin(2000, Result.attempt(next, AttemptOutcome.SUCCEEDED));
+      int requestAfterMove = fixture.startRequest();
+      fixture.awaitResultWithin(2000, Result.attempt(requestAfterMove, AttemptOutcome.SUCCEEDED));
       assertThat(newAddress.inferenceRequestCount()).isEqualTo(1);
     }
   }
 
   @Test
-  void failsAllAttemptsToConnectWhenMoreThanTheConnectionsWaitForAClosedPort() throws Exception {
+  void failsAllAttemptsAtAClosedPortWhenMoreWaitThanConnectionsAreAllowed() throws Exception {
     int closedPort;
     try (HttpTestServer closed = new HttpTestServer(HttpTestServer::silent)) {
       closedPort = closed.port();
@@ -86,17 +90,17 @@
       for (int i = 0; i < 3; i++) {
         fixture.startRequest();
       }
-      Duration shortWhile = Duration.ofMillis(100);
-      assertThat(fixture.tickUntil(shortWhile, () -> !fixture.results().isEmpty())).isFalse();
+      Duration observationTime = Duration.ofMillis(100);
+      assertThat(fixture.tickUntil(observationTime, () -> !fixture.results().isEmpty())).isFalse();
 
-      int tooMany = fixture.startRequest();
+      int attemptOverLimit = fixture.startRequest();
 
-      fixture.awaitResultWithin(300, Result.attempt(tooMany, AttemptOutcome.NOT_SENT));
+      fixture.awaitResultWithin(300, Result.attempt(attemptOverLimit, AttemptOutcome.NOT_SENT));
     }
   }
 
   @Test
-  void failsToConnectToAnInvalidAddressAndNothingElseEnds() throws Exception {
+  void reportsConnectFailedOnceForEachExchangeWithAnInvalidAddress() throws Exception {
     try (SocketCoreFixture fixture = SocketCoreFixture.withConnections(2)) {
       fixture.receiveWorker("::g", 80, WorkerState.READY);
 
@@ -128,10 +132,10 @@
           actions -> actions.unload(SocketCoreFixture.WORKER, SocketCoreFixture.FUNCTION));
       fixture.awaitWithin(2000, () -> hasReceivedUnload(worker));
 
-      Duration pastTheTimeout = SocketCoreFixture.COMMAND_TIMEOUT.plusMillis(200);
-      assertThat(fixture.tickUntil(pastTheTimeout, () -> false)).isFalse();
+      Duration timeoutWithMargin = SocketCoreFixture.COMMAND_TIMEOUT.plusMillis(200);
+      assertThat(fixture.tickUntil(timeoutWithMargin, () -> false)).isFalse();
 
-      assertThat(probeSucceedsOnABusyMachine(fixture)).isTrue();
+      assertThat(probeSucceedsEventually(fixture)).isTrue();
     }
   }
 
@@ -140,24 +144,25 @@
         .anyMatch(received -> received.line().contains("/unload"));
   }
 
-  /** A busy machine may take longer than one probe's timeout: probes until one succeeds. */
-  private static boolean probeSucceedsOnABusyMachine(SocketCoreFixture fixture)
+  /** Sends probes until one succeeds, because a single probe may time out on a busy machine. */
+  private static boolean probeSucceedsEventually(SocketCoreFixture fixture)
       throws InterruptedException {
     Result success = Result.probe(AttemptOutcome.SUCCEEDED);
-    Duration pastTheTimeout = SocketCoreFixture.PROBE_TIMEOUT.plusMillis(50);
+    Duration timeoutWithMargin = SocketCoreFixture.PROBE_TIMEOUT.plusMillis(50);
     for (int i = 0; i < 120 && !fixture.hasResult(success); i++) {
       fixture.decide(actions -> actions.probe(SocketCoreFixture.WORKER));
-      fixture.tickUntil(pastTheTimeout, () -> fixture.hasResult(success));
+      fixture.tickUntil(timeoutWithMargin, () -> fixture.hasResult(success));
     }
     return fixture.hasResult(success);
   }
 
   @Test
-  void closesAndForgetsConnectionsOfAWorkerThatMovedOrIsForgotten() throws Exception {
+  void closesConnectionsOfAWorkerWhoseAddressChangedOrThatWasRemoved() throws Exception {
     try (SocketCoreFixture fixture = SocketCoreFixture.withConnections(4);
         HttpTestServer firstAddress = new HttpTestServer(HttpTestServer::echo);
         HttpTestServer secondAddress = new HttpTestServer(HttpTestServer::echo)) {
-      for (int i = 0; i < 6; i++) { // a name that moves between two processes
+      // The worker's name moves between two processes.
+      for (int i = 0; i < 6; i++) {
         HttpTestServer address = i % 2 == 0 ? firstAddress : secondAddress;
         fixture.receiveWorker(address.port(), WorkerState.READY);
         int request = fixture.startRequest();
--- a/src/test/java/switchgap/router/WorkerStartTimesTest.java
+++ b/src/test/java/switchgap/router/WorkerStartTimesTest.java
@@ -16,8 +16,9 @@
 import switchgap.testing.RecordingProxy;
 
 /**
- * Wall clocks step, here and at the platform: a worker's listed start counts only as far as it
- * agrees with when this router was notified of the worker.
+ * Tests the validation of the listed start times of workers. The wall clocks of the router and of
+ * the platform may step, so a listed start time is used only if it is consistent with the time at
+ * which the router was first notified of the worker.
  */
 class WorkerStartTimesTest {
   private static final Duration ONE_HOUR = Duration.ofHours(1);
@@ -62,7 +63,7 @@
   }
 
   @Test
-  void newWorkerStartsNoEarlierThanItsFirstListing() {
+  void startOfANewWorkerIsNotBeforeItsFirstListing() {
     receiveList(seconds(0), readyWorker("old", ONE_HOUR.negated()));
 
     receiveChanges(seconds(30), readyWorker("new", ONE_HOUR.negated()));
@@ -71,8 +72,8 @@
   }
 
   @Test
-  void listedStartInTheFutureCountsAsNow() {
-    receiveList(seconds(0), readyWorker("known", ONE_HOUR));
+  void listedStartInTheFutureIsReplacedByTheCurrentTime() {
+    receiveList(seconds(0), readyWorker("first", ONE_HOUR));
 
     receiveChanges(seconds(30), readyWorker("new", ONE_HOUR));
 
@@ -80,8 +81,8 @@
   }
 
   @Test
-  void possibleStartCountsAsListed() {
-    receiveList(seconds(0), readyWorker("known", seconds(-2)));
+  void plausibleListedStartIsUsed() {
+    receiveList(seconds(0), readyWorker("first", seconds(-2)));
 
     receiveChanges(seconds(30), readyWorker("new", seconds(29)));
 
@@ -98,6 +99,8 @@
 
     receiveChanges(seconds(33), readyWorker("new", seconds(-3599)));
 
-    assertThat(startsByWorker).as("its process was replaced").containsEntry(0, seconds(33));
+    assertThat(startsByWorker)
+        .as("start time after the process was replaced")
+        .containsEntry(0, seconds(33));
   }
 }
--- a/src/test/java/switchgap/testing/BoundedWait.java
+++ b/src/test/java/switchgap/testing/BoundedWait.java
@@ -5,21 +5,21 @@
 import java.time.Duration;
 import java.util.function.BooleanSupplier;
 
-/** Waits until a condition holds, for a bounded time. */
+/** Polls a condition for a bounded time. */
 public final class BoundedWait {
   private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(1);
   private static final long POLL_MILLIS = 10;
 
   private BoundedWait() {}
 
-  /** Returns as soon as the condition holds; fails the test where it does not within a second. */
+  /** Returns as soon as the condition holds; fails the test if it does not hold within a second. */
   public static void until(BooleanSupplier condition) throws InterruptedException {
     until(DEFAULT_TIMEOUT, condition);
   }
 
   /**
-   * Returns as soon as the condition holds; fails the test where it does not within the timeout, to
-   * which the time that evaluating the condition takes is added.
+   * Returns as soon as the condition holds; fails the test if it does not hold within the timeout.
+   * The time for evaluating the condition is not included in the timeout.
    */
   public static void until(Duration timeout, BooleanSupplier condition)
       throws InterruptedException {
@@ -30,6 +30,6 @@
       }
       Thread.sleep(POLL_MILLIS);
     }
-    assertThat(condition.getAsBoolean()).as("the condition within " + timeout).isTrue();
+    assertThat(condition.getAsBoolean()).as("condition holds within " + timeout).isTrue();
   }
 }
--- a/src/test/java/switchgap/testing/EndpointUpdateBuilder.java
+++ b/src/test/java/switchgap/testing/EndpointUpdateBuilder.java
@@ -4,7 +4,7 @@
 import switchgap.policy.api.WorkerState;
 import switchgap.router.EndpointUpdate;
 
-/** Builds a line of an endpoint list; by default a ready worker of unknown start. */
+/** Builds an update of an endpoint list; by default a ready worker with an unknown start time. */
 public final class EndpointUpdateBuilder {
   private final String name;
   private String host = "127.0.0.1";
--- a/src/test/java/switchgap/testing/ReachableObjects.java
+++ b/src/test/java/switchgap/testing/ReachableObjects.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 
 /**
- * Counts the elements of all collections and arrays that an object of this project reaches: a
- * measure of its memory that must not grow for ever.
+ * Counts the elements of all collections and arrays that are reachable from an object of this
+ * project. Tests use the number to detect memory that grows without bound.
  */
 public final class ReachableObjects {
   private static final String PROJECT_PACKAGE = "switchgap.";
@@ -25,7 +25,7 @@
 
   private ReachableObjects() {}
 
-  /** Counts the elements reached from a root, except through the excluded objects. */
+  /** Counts the elements reachable from a root, except through the excluded objects. */
   public static long count(Object root, Object... excluded) {
     ReachableObjects search = new ReachableObjects();
     Collections.addAll(search.visited, excluded);
@@ -39,7 +39,7 @@
     return search.elements;
   }
 
-  /** A field's value by its name: for counters that must return to zero. */
+  /** Returns the value of a private field, for example of a counter that must return to zero. */
   public static Object field(Object object, String name) {
     try {
       return read(object.getClass().getDeclaredField(name), object);
--- a/src/test/java/switchgap/testing/RecordingProxy.java
+++ b/src/test/java/switchgap/testing/RecordingProxy.java
@@ -3,16 +3,22 @@
 import java.lang.reflect.Proxy;
 import java.util.function.Consumer;
 
-/** Implementations of an interface that do nothing but record what they are called with. */
+/** Creates implementations of an interface that only record the arguments of calls. */
 public final class RecordingProxy {
   private RecordingProxy() {}
 
-  /** Ignores every call; methods return null, so none may return a primitive. */
+  /**
+   * Returns an implementation that ignores every call. Methods return null, so the interface must
+   * not have methods that return primitives.
+   */
   public static <T> T ignoring(Class<T> type) {
     return recording(type, argument -> {});
   }
 
-  /** Passes the first argument of every call that has one to the recorder, else like ignoring. */
+  /**
+   * Returns an implementation that passes the first argument of each call to the recorder, if there
+   * is one. Methods return null, as with {@link #ignoring}.
+   */
   public static <T> T recording(Class<T> type, Consumer<Object> recorder) {
     Object proxy =
         Proxy.newProxyInstance(
--- a/src/test/java/switchgap/testing/TestDiagnostics.java
+++ b/src/test/java/switchgap/testing/TestDiagnostics.java
@@ -5,11 +5,11 @@
 import switchgap.router.RouterDiagnostics;
 import switchgap.server.platform.TestPlatformSettings;
 
-/** Diagnostics for parts that are tested by themselves. */
+/** Creates diagnostics for unit tests. */
 public final class TestDiagnostics {
   private TestDiagnostics() {}
 
-  /** Diagnostics under the platform's test settings; events are only counted. */
+  /** Creates diagnostics with the platform's test settings, without a trace. */
   public static RouterDiagnostics create() {
     try {
       return RouterDiagnostics.of(TestPlatformSettings.routerSettings(), line -> {}, null);
