--- a/src/main/java/switchgap/admission/AdmissionController.java
+++ b/src/main/java/switchgap/admission/AdmissionController.java
@@ -14,7 +14,8 @@
  */
 public final class AdmissionController {
   /**
-   * Minimum pressure for entering HOLD, which admits no request. Prevents HOLD in a mild overload.
+   * Minimum pressure for entering HOLD, which rejects all requests except those of exempt classes.
+   * Prevents HOLD in a mild overload.
    */
   private static final double MIN_HOLD_PRESSURE = 0.5;
 
--- a/src/main/java/switchgap/admission/RetryAfterPolicy.java
+++ b/src/main/java/switchgap/admission/RetryAfterPolicy.java
@@ -11,12 +11,14 @@
   private static final double TENANT_FRACTION = 0.5;
 
   /**
-   * Fraction of the maximum delay for the other levels: the base value, to which {@link
-   * #FRACTION_PER_LEVEL} is added for up to {@link #MAX_LEVEL_STEPS} levels.
+   * Fraction of the maximum delay for the levels below SHARE, before {@link #FRACTION_PER_LEVEL} is
+   * added.
    */
   private static final double BASE_FRACTION = 0.4;
 
+  /** Fraction added per level below SHARE, for at most {@link #MAX_LEVEL_STEPS} levels. */
   private static final double FRACTION_PER_LEVEL = 0.2;
+
   private static final int MAX_LEVEL_STEPS = 3;
 
   /** Smallest random factor on the delay; drawn for each rejection. */
--- a/src/main/java/switchgap/router/RequestLifecycle.java
+++ b/src/main/java/switchgap/router/RequestLifecycle.java
@@ -68,7 +68,7 @@
     if (!request.isPending()) {
       return;
     }
-    if (!request.hasIndex()) { // the policy does not track it yet
+    if (!request.hasIndex()) { // not offered to the policy yet
       request.end(PendingRequest.State.CANCELLED);
       return;
     }
--- a/src/main/java/switchgap/router/ResponseListener.java
+++ b/src/main/java/switchgap/router/ResponseListener.java
@@ -2,7 +2,11 @@
 
 import java.time.Duration;
 
-/** Receives the end of an accepted request, once. Called on the event loop thread. */
+/**
+ * Notified of the end of a request, unless its client cancelled it or the core did not accept it.
+ * Exactly one of {@link #responded} and {@link #deadlineMissed} is called, once, on the event loop
+ * thread.
+ */
 public interface ResponseListener {
   /** The request ended with its final response. */
   void responded(PendingRequest request, Response response);
--- a/src/main/java/switchgap/router/RouterCore.java
+++ b/src/main/java/switchgap/router/RouterCore.java
@@ -122,8 +122,9 @@
   // ------------------------------------------------------------------ event methods
 
   /**
-   * A request arrived. Returns true if it is accepted; its listener is then notified once of its
-   * end. Returns false if its deadline has passed or the limit of functions is reached.
+   * A request arrived. Returns true if it is accepted; its listener is then notified once when it
+   * ends, unless the client cancels it. Returns false if its deadline has passed or the limit of
+   * functions is reached.
    */
   public boolean accept(PendingRequest request) {
     return requests.accept(request);
