--- a/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -19,14 +19,14 @@
 
 /**
  * Sends attempts, load commands and probes to workers as RESP commands. Selector threads read and
- * decode the replies; every method here belongs to the event loop.
+ * decode the replies. All methods must be called on the event loop.
  */
 public final class RespWorkerTransport implements WorkerTransport {
-  /** Begins with a letter that is no hexadecimal digit, so that no tag equals a request's id. */
+  /** Prefix of each tag. It is not a hexadecimal digit, so that no tag equals a request's id. */
   private static final String TAG_PREFIX = "t";
 
-  private final RespConnectionManager connections;
-  private final RespProtocolSettings protocol;
+  private final RespConnectionManager connectionManager;
+  private final RespProtocolSettings protocolSettings;
   private final Duration loadCommandTimeout;
   private final Duration probeTimeout;
   private long lastTag;
@@ -34,35 +34,38 @@
   /**
    * Creates a transport without connections.
    *
-   * @param limits bounds of the connections
-   * @param protocol what commands and replies depend on
+   * @param limits limits on the connections
+   * @param protocolSettings settings of commands and replies
    * @param coreLimits timeouts of load commands and probes, after which the core abandons them
    * @param clock the router's clock
-   * @param events posts to the router's event loop
-   * @param diagnostics is notified of each command sent and each connection closed
+   * @param events posts events to the router's event loop
+   * @param diagnostics records each command sent and each connection closed
    */
   public RespWorkerTransport(
       NetworkTransport net,
       RespConnectionLimits limits,
-      RespProtocolSettings protocol,
+      RespProtocolSettings protocolSettings,
       CoreLimits coreLimits,
       Supplier<Duration> clock,
       Consumer<Consumer<RouterCore>> events,
       RouterDiagnostics diagnostics) {
-    this.connections = new RespConnectionManager(net, limits, clock, events, diagnostics);
-    this.protocol = protocol;
+    this.connectionManager = new RespConnectionManager(net, limits, clock, events, diagnostics);
+    this.protocolSettings = protocolSettings;
     this.loadCommandTimeout = coreLimits.commandTimeout();
     this.probeTimeout = coreLimits.probeTimeout();
   }
 
-  /** Closes idle connections and forgets workers that are gone; to be called at an interval. */
+  /**
+   * Closes idle connections and removes the pools of workers that have left the endpoint list. Must
+   * be called at regular intervals.
+   */
   public void sweep() {
-    connections.sweep();
+    connectionManager.sweep();
   }
 
   /** The number of connections to workers that are open or being opened. */
   public int connections() {
-    return connections.connectionCount();
+    return connectionManager.connectionCount();
   }
 
   @Override
@@ -75,11 +78,11 @@
             deadlineNanos,
             (core, outcome, reply) -> attemptEnded(core, attempt, outcome, reply));
     attempt.attach(exchange);
-    connections.poolFor(attempt.worker()).submit(exchange);
+    connectionManager.poolFor(attempt.worker()).submit(exchange);
   }
 
   private byte[] executeCommand(PendingRequest request, Duration remaining) {
-    String requestClassName = protocol.requestClassNames().get(request.requestClass());
+    String requestClassName = protocolSettings.requestClassNames().get(request.requestClass());
     long maxMillis = Math.max(1, remaining.toMillis());
     return RespCommand.execute(
         request.id(), requestClassName, request.function(), maxMillis, request.body());
@@ -88,7 +91,7 @@
   private void attemptEnded(
       RouterCore core, Attempt attempt, AttemptOutcome outcome, WorkerReply reply) {
     LoadReport loadReport =
-        reply == null ? LoadReport.NONE : reply.loadReport(protocol.reportsConcurrency());
+        reply == null ? LoadReport.NONE : reply.loadReport(protocolSettings.reportsConcurrency());
     Response response =
         outcome == AttemptOutcome.SUCCEEDED ? Response.succeeded(0, Map.of(), reply.body()) : null;
     core.attemptEnded(attempt, outcome, loadReport, response);
@@ -97,7 +100,7 @@
   @Override
   public AttemptOutcome abandon(Attempt attempt) {
     return attempt.attachment() instanceof RespExchange exchange
-        ? connections.poolFor(attempt.worker()).abandon(exchange)
+        ? connectionManager.poolFor(attempt.worker()).abandon(exchange)
         : AttemptOutcome.TIMED_OUT;
   }
 
@@ -149,18 +152,18 @@
 
   private void submit(WorkerCommand command, RespExchange exchange) {
     command.attach(exchange);
-    connections.poolFor(exchange.worker()).submit(exchange);
+    connectionManager.poolFor(exchange.worker()).submit(exchange);
   }
 
   @Override
   public void abandon(WorkerCommand command) {
     if (command.attachment() instanceof RespExchange exchange) {
-      connections.poolFor(exchange.worker()).abandon(exchange);
+      connectionManager.poolFor(exchange.worker()).abandon(exchange);
     }
   }
 
   private long deadlineNanos(Duration timeout) {
-    return connections.nowNanos() + timeout.toNanos();
+    return connectionManager.nowNanos() + timeout.toNanos();
   }
 
   private String nextTag() {
@@ -180,7 +183,7 @@
     }
   }
 
-  /** Does nothing: the control feed delivers the endpoint list without being polled. */
+  /** Does nothing, because the control feed pushes the endpoint list. */
   @Override
   public void requestEndpointList() {}
 }
--- a/src/main/java/switchgap/protocol/resp/WaitingExchanges.java
+++ b/src/main/java/switchgap/protocol/resp/WaitingExchanges.java
@@ -4,8 +4,8 @@
 import java.util.function.Predicate;
 
 /**
- * The bounded queue of exchanges that wait for a connection to one worker, oldest first. Belongs to
- * the event loop.
+ * The bounded queue of exchanges that wait for a connection to one worker, oldest first. Must be
+ * used on the event loop only.
  */
 final class WaitingExchanges {
   private final int maxWaiting;
@@ -28,15 +28,16 @@
   }
 
   /**
-   * Offers each exchange that waits now to the handler, oldest first. One that the handler does not
-   * settle keeps waiting, in the same order.
+   * Passes each waiting exchange to the handler, oldest first, and removes those that the handler
+   * has processed. The others keep waiting in the same order.
    *
-   * @param settles sends or ends an exchange, or returns false where it must keep waiting
+   * @param handler sends or ends an exchange and returns true, or returns false if the exchange
+   *     must keep waiting
    */
-  void settleEach(Predicate<RespExchange> settles) {
+  void removeIfHandled(Predicate<RespExchange> handler) {
     for (int remaining = queue.size(); remaining > 0; remaining--) {
       RespExchange exchange = queue.poll();
-      if (!settles.test(exchange)) {
+      if (!handler.test(exchange)) {
         queue.add(exchange);
       }
     }
--- a/src/main/java/switchgap/protocol/resp/WorkerCloseReason.java
+++ b/src/main/java/switchgap/protocol/resp/WorkerCloseReason.java
@@ -3,27 +3,27 @@
 import switchgap.net.CloseReason;
 import switchgap.router.EventReason;
 
-/** Why a connection to a worker ends. */
+/** The reason why a connection to a worker was closed. */
 enum WorkerCloseReason implements CloseReason, EventReason {
-  /** The worker closed or reset it, or it broke. */
+  /** The worker closed or reset the connection, or the connection broke. */
   PEER_CLOSED(CloseReason.Transport.PEER_CLOSED.description()),
-  /** A command could not be written, as the connection broke. */
+  /** A command could not be written because the connection broke. */
   WRITE_FAILED(CloseReason.Transport.WRITE_FAILED.description()),
-  /** It was opened after its connect timeout. */
+  /** The connection was opened after its connect timeout. */
   OPENED_TOO_LATE(CloseReason.Transport.OPENED_TOO_LATE.description()),
-  /** Another worker needs a connection, and all are in use. */
+  /** The connection limit was reached and another connection was needed. */
   EVICTED("evicted for another connection"),
   /** The worker has left the endpoint list. */
-  WORKER_GONE("worker is gone"),
-  /** A reply bears a status that the protocol does not know. */
+  WORKER_GONE("worker left the endpoint list"),
+  /** A reply has a status that the protocol does not define. */
   UNKNOWN_STATUS("reply with an unknown status"),
-  /** No reply came within a timeout, and nothing is in flight any more. */
-  UNRESPONSIVE("worker does not reply"),
-  /** Nothing was sent on it for the idle timeout. */
+  /** No reply arrived within a timeout, and nothing is in flight any more. */
+  UNRESPONSIVE("no reply from the worker within the timeout"),
+  /** Nothing was sent for the duration of the idle timeout. */
   IDLE("idle"),
-  /** The worker sent something before the first command. */
-  UNEXPECTED_BYTES("bytes before the first command"),
-  /** What was read is no reply; where the next one would begin is not known. */
+  /** The worker sent bytes before the first command. */
+  UNEXPECTED_BYTES("worker sent bytes before the first command"),
+  /** The received bytes are not a valid reply, so the start of the next reply is unknown. */
   MALFORMED_REPLY("malformed reply");
 
   private final String description;
@@ -32,8 +32,8 @@
     this.description = description;
   }
 
-  /** Whether the worker ended it, perhaps as its process ended. */
-  boolean isByWorker() {
+  /** Whether the worker closed the connection, for example because its process ended. */
+  boolean isInitiatedByWorker() {
     return this == PEER_CLOSED || this == WRITE_FAILED;
   }
 
@@ -42,10 +42,10 @@
     return description;
   }
 
-  /** The reason for which a connection to a worker was closed, by this package or the transport. */
+  /** Maps a reason of this enum or of the transport to a constant of this enum. */
   static WorkerCloseReason of(CloseReason reason) {
-    if (reason instanceof WorkerCloseReason own) {
-      return own;
+    if (reason instanceof WorkerCloseReason workerReason) {
+      return workerReason;
     }
     if (reason == CloseReason.Transport.WRITE_FAILED) {
       return WRITE_FAILED;
--- a/src/main/java/switchgap/protocol/resp/WorkerReply.java
+++ b/src/main/java/switchgap/protocol/resp/WorkerReply.java
@@ -5,35 +5,41 @@
 import switchgap.policy.api.LoadReport;
 
 /**
- * One reply of a worker: an array of id, status word, fields and body.
+ * A reply from a worker: an array of id, status word, fields and body.
  *
- * @param id the id or tag of the command that it replies to
- * @param status its status; null where the protocol does not have the word
- * @param fields its named fields
- * @param body the result of an execution, else empty
+ * @param id the id or tag of the command that this is the reply to
+ * @param status the status, or null if the protocol does not define the status word
+ * @param fields the named fields
+ * @param body the result of an execution, otherwise empty
  */
 record WorkerReply(String id, ReplyStatus status, ReplyFields fields, byte[] body) {
-  private static final int PARTS = 4;
+  private static final int PART_COUNT = 4;
   private static final int ID_PART = 0;
   private static final int STATUS_PART = 1;
   private static final int FIELDS_PART = 2;
   private static final int BODY_PART = 3;
 
-  /** The longest id, tag or status word. */
+  /** Maximum length of an id, a tag or a status word. */
   private static final int MAX_NAME_BYTES = 64;
 
   /**
    * Parses the parts of an array.
    *
-   * @throws MalformedReplyException where the number of parts differs, the id or the status is too
-   *     long, or a field has no name
+   * @throws MalformedReplyException if the array does not have four parts, the id or the status is
+   *     too long, or a field has no name
    */
   static WorkerReply parse(byte[][] parts) throws MalformedReplyException {
-    if (parts.length != PARTS
+    if (parts.length != PART_COUNT
         || parts[ID_PART].length > MAX_NAME_BYTES
         || parts[STATUS_PART].length > MAX_NAME_BYTES) {
       throw new MalformedReplyException(
-          "reply of " + parts.length + " parts, or with an id or a status that is too long");
+          "reply has "
+              + parts.length
+              + " parts instead of "
+              + PART_COUNT
+              + ", or its id or status is longer than "
+              + MAX_NAME_BYTES
+              + " bytes");
     }
     return new WorkerReply(
         text(parts[ID_PART]),
@@ -46,26 +52,32 @@
     return new String(bytes, StandardCharsets.ISO_8859_1);
   }
 
-  /** The outcome that the status proves; null where the protocol does not have the status word. */
+  /**
+   * The outcome that corresponds to the status, or null if the protocol does not define the status
+   * word.
+   */
   AttemptOutcome outcome() {
     return status == null ? null : status.outcome();
   }
 
-  /** The number of loaded replicas in the reply to a load command; 0 where it is not stated. */
+  /**
+   * The number of loaded replicas in the reply to a load command, or 0 if the reply does not state
+   * it.
+   */
   int replicas() {
     return fields.replicas();
   }
 
   /**
-   * Returns the load that the reply reports of its worker.
+   * Returns the worker's load as reported in the reply.
    *
    * @param reportsConcurrency whether workers report their concurrency, so that a reply to an
    *     execution without the field means a concurrency of 0
    */
   LoadReport loadReport(boolean reportsConcurrency) {
-    boolean repliesToExecution = status == ReplyStatus.DATA || status == ReplyStatus.FULL;
+    boolean isExecutionReply = status == ReplyStatus.DATA || status == ReplyStatus.FULL;
     int concurrency =
-        reportsConcurrency && repliesToExecution
+        reportsConcurrency && isExecutionReply
             ? fields.concurrency()
             : LoadReport.NONE.concurrency();
     return fields.loadReport(concurrency);
--- a/src/test/java/switchgap/endpoints/EndpointListLineTest.java
+++ b/src/test/java/switchgap/endpoints/EndpointListLineTest.java
@@ -6,7 +6,10 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** A line of the list is accepted as a whole or rejected with its reason; its size is bounded. */
+/**
+ * A line is either accepted completely or rejected with a reason, and the number of workers is
+ * limited.
+ */
 class EndpointListLineTest {
   private static final String WORKER =
       "{\"name\":\"w\",\"port\":80,\"state\":\"ready\",\"zone\":\"a\"}";
@@ -27,25 +30,29 @@
   }
 
   @Test
-  void acceptsAsManyWorkersAsTheBoundAndRejectsOneMore() throws Exception {
+  void acceptsMaximumNumberOfWorkersAndRejectsOneMore() throws Exception {
     StringBuilder workers = new StringBuilder(WORKER);
     for (int i = 1; i < MAX_WORKERS; i++) {
       workers.append(',').append(WORKER.replace("\"w\"", "\"w" + i + "\""));
     }
     assertThat(parse(workers.toString()).updates()).hasSize(MAX_WORKERS);
-    assertRejected(workers.append(',').append(WORKER).toString(), "more than 100000 workers");
+    assertRejected(
+        workers.append(',').append(WORKER).toString(),
+        "endpoint list has more than 100000 workers");
   }
 
   @Test
-  void namesTheWorkerAndTheReasonOfEachError() {
-    assertRejected(WORKER + "," + WORKER, "worker w stands twice");
-    assertRejected(WORKER.replace("80", "0"), "worker w: port 0");
+  void rejectionNamesWorkerAndReason() {
+    assertRejected(WORKER + "," + WORKER, "worker w is listed twice");
+    assertRejected(WORKER.replace("80", "0"), "worker w: port 0 is not in the range 1 to 65535");
     assertRejected(
         WORKER.replace("ready", "tired"),
         "worker w: state \"tired\" is not ready, draining or gone");
     assertRejected(WORKER.replace("\"a\"", "\"q\""), "worker w: unknown zone \"q\"");
-    assertRejected(WORKER.replace("\"w\"", "\"\""), "without a usable name");
-    assertRejected(WORKER.replace("}", ",\"size\":-1}"), "worker w: size -1.0");
+    assertRejected(
+        WORKER.replace("\"w\"", "\"\""), "worker name is empty or longer than 200 characters");
+    assertRejected(
+        WORKER.replace("}", ",\"size\":-1}"), "worker w: size -1.0 is not in the range 0 to 1.0E9");
     assertThatThrownBy(() -> EndpointListLine.parse("{\"whole\":true,\"workers\":[]}", ANY_ZONE))
         .hasMessageContaining("version");
     assertThatThrownBy(() -> EndpointListLine.parse("{\"whole\":tr", ANY_ZONE))
--- a/src/test/java/switchgap/endpoints/EventSequenceTest.java
+++ b/src/test/java/switchgap/endpoints/EventSequenceTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which events of the control feed are delivered, by their numbers. */
+/** Which events of the control feed are delivered, depending on their sequence numbers. */
 class EventSequenceTest {
   private final EventSequence sequence = new EventSequence(5);
 
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void deliversCompleteListUnderTheLastNumberAndPastGap() {
+  void deliversCompleteListWithLastSequenceNumberAndAfterGap() {
     assertThat(advance(5, true)).isEqualTo(EventSequence.Verdict.DELIVER);
     assertThat(advance(9, true)).isEqualTo(EventSequence.Verdict.DELIVER);
     assertThat(sequence.lastSequence()).isEqualTo(9);
--- a/src/test/java/switchgap/endpoints/EventStreamClientFixture.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientFixture.java
@@ -12,7 +12,7 @@
 import switchgap.server.platform.EventStreamTestServer;
 import switchgap.testing.BoundedWait;
 
-/** A client on a network of its own that records the events which it delivers. */
+/** A client with its own network transport that records the events that it delivers. */
 final class EventStreamClientFixture implements AutoCloseable {
   static final EndpointNames NAMES =
       EndpointNames.ofIndices(Map.of("east", 0), Map.of("std", 0), 1000);
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Waits until the list is confirmed, or until it is not. */
+  /** Waits until the list is confirmed or, if {@code expected} is false, unconfirmed. */
   void awaitConfirmed(boolean expected) throws InterruptedException {
     await(() -> confirmed == expected);
   }
@@ -62,7 +62,7 @@
     return confirmed;
   }
 
-  /** The event with this number, which changes one worker. */
+  /** Returns an event with this sequence number that changes one worker. */
   static String event(long sequence) {
     return EventStreamTestServer.endpointListEvent(
         sequence, false, worker("w" + sequence, "SERVING"));
@@ -74,7 +74,7 @@
 
   /** Sends a heartbeat and leaves the connection open. */
   static EventStreamTestServer.StreamHandler heartbeatOnly() {
-    return (connection, last, out) -> {
+    return (connectionIndex, lastEventId, out) -> {
       out.write(": beat\n\n".getBytes(StandardCharsets.UTF_8));
       return true;
     };
@@ -84,7 +84,7 @@
     return received.stream().map(EndpointListEvent::sequence).toList();
   }
 
-  /** Number and first worker of each event. */
+  /** Returns the sequence number and first worker of each received event. */
   List<String> receivedWorkers() {
     return received.stream()
         .map(event -> event.sequence() + event.updates().get(0).name())
--- a/src/test/java/switchgap/endpoints/EventStreamClientTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientTest.java
@@ -11,26 +11,29 @@
 import org.junit.jupiter.api.Test;
 import switchgap.server.platform.EventStreamTestServer;
 
-/** Delivery of the control feed's events through breaks, repeats, gaps and silence. */
+/** Delivery of the control feed's events despite lost connections, duplicates, gaps and silence. */
 class EventStreamClientTest {
   private static final int TRICKLED_BYTES = 100;
   private static final int TRICKLE_INTERVAL_MILLIS = 50;
 
-  /** Cut within an event; an event twice and then a gap; an invalid event; then all that is due. */
-  private static boolean deliverWithFaults(int connection, long last, OutputStream out)
+  /**
+   * The first connection ends within an event. The second repeats events and then has a gap. The
+   * third sends an invalid event. The fourth sends all remaining events.
+   */
+  private static boolean deliverWithFaults(int connectionIndex, long lastEventId, OutputStream out)
       throws IOException {
-    switch (connection) {
+    switch (connectionIndex) {
       case 0 -> {
-        EventStreamTestServer.sendEvent(out, event(last + 1));
-        String cutEvent = "data: " + event(last + 2).substring(0, 20);
+        EventStreamTestServer.sendEvent(out, event(lastEventId + 1));
+        String cutEvent = "data: " + event(lastEventId + 2).substring(0, 20);
         out.write(cutEvent.getBytes(StandardCharsets.UTF_8));
         return false;
       }
       case 1 -> {
-        EventStreamTestServer.sendEvent(out, event(last));
-        EventStreamTestServer.sendEvent(out, event(last + 1));
-        EventStreamTestServer.sendEvent(out, event(last + 1));
-        EventStreamTestServer.sendEvent(out, event(last + 3));
+        EventStreamTestServer.sendEvent(out, event(lastEventId));
+        EventStreamTestServer.sendEvent(out, event(lastEventId + 1));
+        EventStreamTestServer.sendEvent(out, event(lastEventId + 1));
+        EventStreamTestServer.sendEvent(out, event(lastEventId + 3));
         return true;
       }
       case 2 -> {
@@ -38,7 +41,7 @@
         return false;
       }
       default -> {
-        for (long sequence = last + 1; sequence <= 6; sequence++) {
+        for (long sequence = lastEventId + 1; sequence <= 6; sequence++) {
           EventStreamTestServer.sendEvent(out, event(sequence));
         }
         return true;
@@ -47,7 +50,7 @@
   }
 
   @Test
-  void deliversEachEventOnceAndInOrderThroughBreaksRepeatsAndGaps() throws Exception {
+  void deliversEachEventOnceAndInOrderDespiteLostConnectionsDuplicatesAndGaps() throws Exception {
     try (EventStreamTestServer feed =
             new EventStreamTestServer(EventStreamClientTest::deliverWithFaults);
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
@@ -61,22 +64,22 @@
   @Test
   void reconnectsToSilentFeedAndResumesAtAnotherAddress() throws Exception {
     EventStreamTestServer.StreamHandler silentAtFirst =
-        (connection, last, out) -> {
-          if (connection == 1) {
-            EventStreamTestServer.sendEvent(out, event(last + 1));
+        (connectionIndex, lastEventId, out) -> {
+          if (connectionIndex == 1) {
+            EventStreamTestServer.sendEvent(out, event(lastEventId + 1));
           }
-          return true; // and then sends nothing
+          return true; // The connection stays open and silent.
         };
     EventStreamTestServer.StreamHandler deliversOne =
-        (connection, last, out) -> {
-          EventStreamTestServer.sendEvent(out, event(last + 1));
+        (connectionIndex, lastEventId, out) -> {
+          EventStreamTestServer.sendEvent(out, event(lastEventId + 1));
           return true;
         };
     try (EventStreamTestServer firstFeed = new EventStreamTestServer(silentAtFirst);
         EventStreamTestServer secondFeed = new EventStreamTestServer(deliversOne);
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
       fixture.client.follow(firstFeed.address());
-      fixture.awaitReceived(1); // on the second connection, as the first was silent
+      fixture.awaitReceived(1); // The first connection was silent; the second one delivers.
       assertThat(firstFeed.requestedEventIds()).containsExactly(1L, 1L);
       fixture.client.follow(secondFeed.address());
       fixture.awaitReceived(2);
@@ -84,7 +87,7 @@
     }
   }
 
-  /** Sends single bytes of an event that never ends, on a thread of its own. */
+  /** Starts a thread that sends an endless event one byte at a time. */
   private static void trickle(OutputStream out) {
     Thread thread =
         new Thread(
@@ -96,7 +99,7 @@
                   Thread.sleep(TRICKLE_INTERVAL_MILLIS);
                 }
               } catch (IOException | InterruptedException e) {
-                return; // the client closed the connection
+                return; // The client closed the connection.
               }
             });
     thread.setDaemon(true);
@@ -106,11 +109,11 @@
   @Test
   void reconnectsWhenEventNeverEnds() throws Exception {
     EventStreamTestServer.StreamHandler behaviour =
-        (connection, last, out) -> {
-          if (connection == 0) {
+        (connectionIndex, lastEventId, out) -> {
+          if (connectionIndex == 0) {
             trickle(out);
           } else {
-            EventStreamTestServer.sendEvent(out, event(last + 1));
+            EventStreamTestServer.sendEvent(out, event(lastEventId + 1));
           }
           return true;
         };
@@ -118,22 +121,25 @@
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
       long startedNanos = System.nanoTime();
       fixture.client.follow(feed.address());
-      fixture.awaitReceived(1); // from the second connection
+      fixture.awaitReceived(1); // The second connection delivers.
       assertThat(Duration.ofNanos(System.nanoTime() - startedNanos))
           .isLessThan(Duration.ofSeconds(4));
     }
   }
 
   @Test
-  void acceptsCompleteListUnderTheLastNumberAndNoOlderOne() throws Exception {
+  void acceptsCompleteListWithLastSequenceNumberButNoOlderOne() throws Exception {
     EventStreamTestServer.StreamHandler behaviour =
-        (connection, last, out) -> {
+        (connectionIndex, lastEventId, out) -> {
           String[] events = {
-            EventStreamTestServer.endpointListEvent(last - 1, true, worker("older", "SERVING")),
-            EventStreamTestServer.endpointListEvent(last, true, worker("same", "DRAINING")),
-            EventStreamTestServer.endpointListEvent(last, false, worker("repeated", "SERVING")),
-            EventStreamTestServer.endpointListEvent(last + 3, true, worker("ahead", "SERVING")),
-            event(last + 4)
+            EventStreamTestServer.endpointListEvent(
+                lastEventId - 1, true, worker("older", "SERVING")),
+            EventStreamTestServer.endpointListEvent(lastEventId, true, worker("same", "DRAINING")),
+            EventStreamTestServer.endpointListEvent(
+                lastEventId, false, worker("repeated", "SERVING")),
+            EventStreamTestServer.endpointListEvent(
+                lastEventId + 3, true, worker("ahead", "SERVING")),
+            event(lastEventId + 4)
           };
           for (String event : events) {
             EventStreamTestServer.sendEvent(out, event);
@@ -145,7 +151,7 @@
       fixture.client.follow(feed.address());
       fixture.awaitReceived(3);
       assertThat(fixture.receivedWorkers()).containsExactly("5same", "8ahead", "9w9");
-      // no event is missing before a complete list, so it is requested once
+      // A complete list has no gap before it, so the client does not reconnect.
       assertThat(feed.requestedEventIds()).containsExactly(5L);
     }
   }
--- a/src/test/java/switchgap/endpoints/EventStreamConfirmationTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamConfirmationTest.java
@@ -10,14 +10,16 @@
 import org.junit.jupiter.api.Test;
 import switchgap.server.platform.EventStreamTestServer;
 
-/** The list counts as confirmed only while the stream is known to have told all that it has. */
+/**
+ * The list must be confirmed only while all events of the stream are known to have been received.
+ */
 class EventStreamConfirmationTest {
-  /** Time in which a confirmation would be seen. */
-  private static final long OBSERVED_MILLIS = 300;
+  /** Time within which a confirmation would be observed. */
+  private static final long OBSERVATION_MILLIS = 300;
 
   private static void assertStaysUnconfirmed(EventStreamClientFixture fixture)
       throws InterruptedException {
-    Thread.sleep(OBSERVED_MILLIS);
+    Thread.sleep(OBSERVATION_MILLIS);
     assertThat(fixture.isConfirmed()).isFalse();
   }
 
@@ -26,7 +28,7 @@
   }
 
   @Test
-  void heartbeatConfirmsAndBreakDoesNot() throws Exception {
+  void heartbeatConfirmsListUntilConnectionIsLost() throws Exception {
     try (EventStreamTestServer feed = new EventStreamTestServer(heartbeatOnly());
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
       fixture.client.follow(feed.address());
@@ -37,12 +39,14 @@
     }
   }
 
-  /** It may be the first of several that were missed. */
+  /**
+   * An event alone does not confirm the list, because it may be the first of several missed events.
+   */
   @Test
-  void eventConfirmsOnlyWithHeartbeatBehindIt() throws Exception {
+  void eventConfirmsListOnlyWhenHeartbeatFollows() throws Exception {
     EventStreamTestServer.StreamHandler oneEvent =
-        (connection, last, out) -> {
-          EventStreamTestServer.sendEvent(out, event(last + 1));
+        (connectionIndex, lastEventId, out) -> {
+          EventStreamTestServer.sendEvent(out, event(lastEventId + 1));
           return true;
         };
     try (EventStreamTestServer feed = new EventStreamTestServer(oneEvent);
@@ -56,8 +60,9 @@
   }
 
   @Test
-  void openConnectionWithoutDeliveryDoesNotConfirm() throws Exception {
-    try (EventStreamTestServer feed = new EventStreamTestServer((connection, last, out) -> true);
+  void openConnectionWithoutDataDoesNotConfirmList() throws Exception {
+    try (EventStreamTestServer feed =
+            new EventStreamTestServer((connectionIndex, lastEventId, out) -> true);
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
       fixture.client.follow(feed.address());
       EventStreamClientFixture.awaitRequests(feed, 1);
@@ -68,8 +73,8 @@
   @Test
   void silenceLeavesListUnconfirmed() throws Exception {
     EventStreamTestServer.StreamHandler heartbeatOnce =
-        (connection, last, out) -> {
-          if (connection == 0) {
+        (connectionIndex, lastEventId, out) -> {
+          if (connectionIndex == 0) {
             write(out, ":\n\n");
           }
           return true;
@@ -83,14 +88,15 @@
     }
   }
 
-  /** The stream has an event that cannot be read: heartbeats behind it prove nothing. */
+  /** Heartbeats after an event that can't be parsed do not show that all events were received. */
   @Test
-  void heartbeatsAfterInvalidEventDoNotConfirm() throws Exception {
+  void heartbeatsAfterInvalidEventDoNotConfirmList() throws Exception {
     EventStreamTestServer.StreamHandler invalidAtFirst =
-        (connection, last, out) -> {
-          boolean isValid = connection > 2;
+        (connectionIndex, lastEventId, out) -> {
+          boolean isValid = connectionIndex > 2;
           write(out, ":\n\n");
-          EventStreamTestServer.sendEvent(out, isValid ? event(last + 1) : "{\"n\":\"none\"}");
+          EventStreamTestServer.sendEvent(
+              out, isValid ? event(lastEventId + 1) : "{\"n\":\"none\"}");
           write(out, ":\n\n");
           return true;
         };
@@ -105,9 +111,9 @@
   }
 
   @Test
-  void partOfEventDoesNotConfirm() throws Exception {
+  void heartbeatWithinIncompleteEventDoesNotConfirmList() throws Exception {
     EventStreamTestServer.StreamHandler endless =
-        (connection, last, out) -> {
+        (connectionIndex, lastEventId, out) -> {
           write(out, "id: 2\ndata: {\"n\":2,\n:\n");
           return true;
         };
@@ -119,11 +125,12 @@
     }
   }
 
-  /** The old address tells nothing further, whatever it sends until it closes. */
+  /** After the migration, heartbeats from the old address no longer confirm the list. */
   @Test
-  void newAddressConfirmsOnceItDelivers() throws Exception {
+  void newAddressConfirmsListOnceItSendsHeartbeats() throws Exception {
     try (EventStreamTestServer oldFeed = new EventStreamTestServer(heartbeatOnly());
-        EventStreamTestServer newFeed = new EventStreamTestServer((connection, last, out) -> true);
+        EventStreamTestServer newFeed =
+            new EventStreamTestServer((connectionIndex, lastEventId, out) -> true);
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
       fixture.client.follow(oldFeed.address());
       fixture.awaitConfirmed(true);
--- a/src/test/java/switchgap/endpoints/EventStreamHandoverTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamHandoverTest.java
@@ -7,19 +7,19 @@
 import org.junit.jupiter.api.Test;
 import switchgap.server.platform.EventStreamTestServer;
 
-/** A client that a new configuration migrates to another address of the control feed. */
+/** Migration of a client to another address of the control feed by a new configuration. */
 class EventStreamHandoverTest {
-  /** Delivers so many further events, once it is released. */
+  /** Sends this number of further events after the latch is released. */
   private static EventStreamTestServer.StreamHandler afterRelease(
       CountDownLatch release, int events) {
-    return (connection, last, out) -> {
+    return (connectionIndex, lastEventId, out) -> {
       try {
         release.await();
       } catch (InterruptedException e) {
         return false;
       }
       for (int i = 1; i <= events; i++) {
-        EventStreamTestServer.sendEvent(out, event(last + i));
+        EventStreamTestServer.sendEvent(out, event(lastEventId + i));
       }
       return true;
     };
@@ -28,7 +28,7 @@
   @Test
   void deliversFromOldAddressUntilNewOneDelivers() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    // the old address delivers the first of the two events as well
+    // The old address delivers the first of these two events as well.
     EventStreamTestServer.StreamHandler deliversTwo = afterRelease(release, 2);
     try (EventStreamTestServer oldFeed =
             new EventStreamTestServer(EventStreamClientFixture.heartbeatOnly());
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void requestsNewAddressOnceWhenOldOneEndsBeforeItDelivers() throws Exception {
+  void requestsNewAddressOnceWhenOldConnectionEndsBeforeNewOneDelivers() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
     EventStreamTestServer oldFeed =
         new EventStreamTestServer(EventStreamClientFixture.heartbeatOnly());
--- a/src/test/java/switchgap/endpoints/LineDecoderTest.java
+++ b/src/test/java/switchgap/endpoints/LineDecoderTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Splits and the bound of a stream of lines. */
+/** Lines that are split at any byte, and the maximum line length. */
 class LineDecoderTest {
   private static final int MAX_LINE_BYTES = 4;
 
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void decodesLinesWhereverTheStreamIsSplit() {
+  void decodesLinesForAnySplitOfTheStream() {
     assertThat(decode("on")).isTrue();
     assertThat(decode("e\n\ntw")).isTrue();
     assertThat(decode("o\n")).isTrue();
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void rejectsLineLongerThanTheBound() {
+  void rejectsLineLongerThanMaximum() {
     assertThat(decode("four\n")).isTrue();
     assertThat(decode("fives\n")).isFalse();
     assertThat(lines).containsExactly("four");
--- a/src/test/java/switchgap/net/AcceptStallTest.java
+++ b/src/test/java/switchgap/net/AcceptStallTest.java
@@ -5,12 +5,14 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** How long a client may have waited to be accepted, after each cause of a stall. */
+/**
+ * The maximum time for which a client may have waited to be accepted, for each cause of a stall.
+ */
 class AcceptStallTest {
   private static final Duration STALL_LENGTH = Duration.ofSeconds(2);
 
-  /** Longer than it takes to work off a full accept queue. */
-  private static final Duration CATCH_UP = StallDetector.THRESHOLD.plusMillis(1);
+  /** Longer than the time within which a full accept queue is processed. */
+  private static final Duration CATCH_UP_TIME = StallDetector.THRESHOLD.plusMillis(1);
 
   private long nowNanos = 1;
   private final AcceptStall stall = new AcceptStall(() -> nowNanos);
@@ -27,16 +29,18 @@
   }
 
   @Test
-  void reportsDelaySincePauseUntilAcceptQueueIsWorkedOff() {
+  void reportsDelaySincePauseUntilAcceptQueueIsProcessed() {
     stall.pause();
     assertThat(stall.isPaused()).isTrue();
     passTime(STALL_LENGTH);
     assertThat(stall.maxAcceptDelay()).isEqualTo(STALL_LENGTH);
     stall.resume();
     assertThat(stall.isPaused()).isFalse();
-    assertThat(stall.maxAcceptDelay()).as("clients still wait").isEqualTo(STALL_LENGTH);
-    passTime(CATCH_UP);
-    assertThat(stall.maxAcceptDelay()).as("worked off").isZero();
+    assertThat(stall.maxAcceptDelay())
+        .as("clients from the stall may still be waiting")
+        .isEqualTo(STALL_LENGTH);
+    passTime(CATCH_UP_TIME);
+    assertThat(stall.maxAcceptDelay()).as("accept queue processed").isZero();
   }
 
   @Test
@@ -44,15 +48,15 @@
     stall.acceptFailed();
     stall.pause();
     stall.resume();
-    passTime(CATCH_UP);
-    assertThat(stall.maxAcceptDelay()).isEqualTo(CATCH_UP);
+    passTime(CATCH_UP_TIME);
+    assertThat(stall.maxAcceptDelay()).isEqualTo(CATCH_UP_TIME);
     stall.acceptSucceeded();
-    passTime(CATCH_UP);
+    passTime(CATCH_UP_TIME);
     assertThat(stall.maxAcceptDelay()).isZero();
   }
 
   @Test
-  void continuesStallThatClientsStillWaitFrom() {
+  void continuesStallWhileItsClientsMayBeWaiting() {
     stall.pause();
     passTime(STALL_LENGTH);
     stall.resume();
@@ -66,8 +70,8 @@
     stall.eventLoopResumed(STALL_LENGTH);
     assertThat(stall.maxAcceptDelay()).isEqualTo(STALL_LENGTH);
     stall.eventLoopResumed(STALL_LENGTH.dividedBy(2));
-    assertThat(stall.maxAcceptDelay()).as("the longer one counts").isEqualTo(STALL_LENGTH);
-    passTime(CATCH_UP);
+    assertThat(stall.maxAcceptDelay()).as("the longer of two stalls").isEqualTo(STALL_LENGTH);
+    passTime(CATCH_UP_TIME);
     assertThat(stall.maxAcceptDelay()).isZero();
   }
 }
--- a/src/test/java/switchgap/net/ConnectionCloserTest.java
+++ b/src/test/java/switchgap/net/ConnectionCloserTest.java
@@ -10,9 +10,12 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A connection that is closed gives its descriptor back, whatever its peer does not read. */
+/**
+ * Guards against leaking a file descriptor: closing a connection must release its socket even if
+ * the peer does not read the pending bytes.
+ */
 class ConnectionCloserTest implements TcpConnection.Listener {
-  private static final int MAX_SECONDS = 3;
+  private static final int RESET_TIMEOUT_SECONDS = 3;
   private final CompletableFuture<TcpConnection> opened = new CompletableFuture<>();
 
   @Test
@@ -26,16 +29,20 @@
       for (int i = 0; i < 16; i++) {
         connection.send(new byte[1 << 20]);
       }
-      assertThat(connection.unsentBytes()).as("the client does not read").isPositive();
+      assertThat(connection.unsentBytes())
+          .as("unsent bytes while the client does not read")
+          .isPositive();
       connection.close(CloseReason.Transport.WRITE_FAILED);
-      assertThat(isReset(client)).as("the socket is still there").isTrue();
+      assertThat(isReset(client)).as("server side has released the socket").isTrue();
     }
   }
 
-  /** Whether the server side has released its socket, so that writes are reset. */
+  /**
+   * Returns whether the server side releases its socket in time, so that writes by the client fail.
+   */
   private static boolean isReset(Socket client) throws InterruptedException {
-    long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_SECONDS);
-    while (System.nanoTime() < endNanos) {
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(RESET_TIMEOUT_SECONDS);
+    while (System.nanoTime() < deadlineNanos) {
       try {
         client.getOutputStream().write(1);
       } catch (IOException e) {
--- a/src/test/java/switchgap/net/ConnectorTest.java
+++ b/src/test/java/switchgap/net/ConnectorTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Opening a connection ends in exactly one outcome, within its timeout. */
+/** Opening a connection has exactly one outcome, within its timeout. */
 class ConnectorTest {
   private static final int WAIT_SECONDS = 5;
 
@@ -57,7 +57,7 @@
       assertThat(connect(transport, listener.getLocalPort(), Duration.ofMillis(500)))
           .isEqualTo("connected");
       assertThat(outcomes.poll(700, TimeUnit.MILLISECONDS))
-          .as("nothing after the timeout")
+          .as("further outcome after the timeout")
           .isNull();
     }
   }
@@ -74,7 +74,10 @@
     }
   }
 
-  /** A listener whose backlog is full drops further attempts without a reply. */
+  /**
+   * The peer is a listener with a full backlog, which drops further connection attempts without a
+   * reply.
+   */
   @Test
   void failsAtTimeoutWhenPeerNeverReplies() throws Exception {
     List<Socket> backlog = new ArrayList<>();
@@ -84,7 +87,7 @@
         backlog.add(new Socket(InetAddress.getLoopbackAddress(), listener.getLocalPort()));
       }
       assertThat(connect(transport, listener.getLocalPort(), Duration.ofMillis(300)))
-          .isEqualTo("failed: no connection within 300 ms");
+          .isEqualTo("failed: connection not opened within 300 ms");
       assertThat(outcomes.poll(100, TimeUnit.MILLISECONDS)).isNull();
     } finally {
       for (Socket socket : backlog) {
--- a/src/test/java/switchgap/net/EventLoopIterationsTest.java
+++ b/src/test/java/switchgap/net/EventLoopIterationsTest.java
@@ -5,7 +5,10 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** How long bytes that are read may have waited, by the times at which the loop polled. */
+/**
+ * The maximum time for which bytes may have waited before they are read, derived from the times of
+ * the loop's polls.
+ */
 class EventLoopIterationsTest {
   private static final Duration STALL = Duration.ofSeconds(3);
   private static final Duration ITERATION = Duration.ofMillis(1);
@@ -13,14 +16,14 @@
   private long nowNanos = 1;
   private final EventLoopIterations iterations = new EventLoopIterations(nowNanos);
 
-  /** Lets a call of select take this long. */
+  /** Simulates a select call of this duration. */
   private void select(Duration length, boolean foundReady) {
     long startedNanos = nowNanos;
     nowNanos += length.toNanos();
     iterations.selectReturned(startedNanos, nowNanos, foundReady);
   }
 
-  /** Lets the loop do anything else for this long, such as handling events. */
+  /** Simulates other work of the loop for this duration, such as handling events. */
   private void passTime(Duration length) {
     nowNanos += length.toNanos();
   }
@@ -50,7 +53,7 @@
     assertThat(iterations.maxReadDelay(nowNanos)).isZero();
   }
 
-  /** A select that a signal interrupted finds nothing, whatever is ready. */
+  /** A select call that is interrupted by a signal returns no keys even if sockets are ready. */
   @Test
   void ignoresSelectThatStalledAndFoundNothing() {
     select(ITERATION, true);
@@ -59,7 +62,10 @@
     assertThat(iterations.maxReadDelay(nowNanos)).isEqualTo(STALL.plus(ITERATION));
   }
 
-  /** The loop may have stalled behind the poll: what came in the stall is found by the next one. */
+  /**
+   * The loop may have stalled after the poll; bytes that arrived during the stall are then found
+   * only by the next poll.
+   */
   @Test
   void countsSelectThatStalledAndFoundReadySocketsAsPollAtItsStart() {
     select(ITERATION, true);
--- a/src/test/java/switchgap/net/FrameDecoderTest.java
+++ b/src/test/java/switchgap/net/FrameDecoderTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Frames are complete, however the bytes are split, and a length out of bounds is rejected. */
+/**
+ * Frames are decoded completely regardless of how the bytes are split, and a length out of bounds
+ * is rejected.
+ */
 class FrameDecoderTest {
   private static final int MAX_FRAME_BYTES = 3000;
 
@@ -34,7 +37,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 3, 4, 5, 700, 10_000})
-  void decodesFramesWhateverTheSizeOfPieces(int pieceBytes) {
+  void decodesFramesForAnySizeOfPieces(int pieceBytes) {
     ByteBuffer encoded = encode(payload(1), payload(MAX_FRAME_BYTES), payload(600));
     while (encoded.hasRemaining()) {
       int length = Math.min(pieceBytes, encoded.remaining());
--- a/src/test/java/switchgap/net/HttpClientConnectionTest.java
+++ b/src/test/java/switchgap/net/HttpClientConnectionTest.java
@@ -18,9 +18,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/**
- * What a client connection makes of the bytes that a server sends; the server is a plain socket.
- */
+/** The handling of a server's bytes by a client connection. The server is a plain socket. */
 class HttpClientConnectionTest {
   private static final int MAX_BODY_BYTES = 100;
   private static final int WAIT_SECONDS = 5;
@@ -112,7 +110,7 @@
     StringBuilder received = new StringBuilder();
     while (received.indexOf(end) < 0) {
       int next = server.getInputStream().read();
-      assertThat(next).as("after " + received).isNotNegative();
+      assertThat(next).as("next byte after " + received).isNotNegative();
       received.append((char) next);
     }
     return received.toString();
@@ -141,7 +139,7 @@
       Outcomes outcomes = send("/", "body");
       receiveRequest("body");
       assertThat(client.send("GET", "/", Map.of(), NO_BODY, new Outcomes()))
-          .as("while busy")
+          .as("second exchange while one is pending")
           .isFalse();
       reply(OK);
       assertThat(outcomes.next()).isEqualTo("200 One hi true");
@@ -180,7 +178,7 @@
   }
 
   @Test
-  void losesExchangeWhenBodyExceedsLimit() throws Exception {
+  void reportsConnectionLostWhenBodyExceedsLimit() throws Exception {
     Outcomes outcomes = send("/", "body");
     receiveRequest("body");
     reply("HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n" + "x".repeat(MAX_BODY_BYTES + 1));
@@ -212,7 +210,7 @@
   }
 
   @Test
-  void losesExchangeWhenResponseIsNotHttp() throws Exception {
+  void reportsConnectionLostWhenResponseIsNotHttp() throws Exception {
     Outcomes outcomes = send("/", "body");
     receiveRequest("body");
     reply("SPDY/9.9 no number\r\n\r\n");
@@ -224,7 +222,7 @@
   void closesConnectionOfAbandonedExchangeWithoutNotifyingIt() throws Exception {
     Outcomes outcomes = send("/", "body");
     receiveRequest("body");
-    client.abandon(new Outcomes()); // another exchange's handler: nothing happens
+    client.abandon(new Outcomes()); // This handler has no pending exchange.
     assertThat(client.isUsable()).isTrue();
     client.abandon(outcomes);
     assertServerSeesEnd();
--- a/src/test/java/switchgap/net/HttpServerFixture.java
+++ b/src/test/java/switchgap/net/HttpServerFixture.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** An HTTP server with short limits, its received exchanges, and plain sockets as its clients. */
+/**
+ * A fixture with an HTTP server with low limits, which records the exchanges that it receives. The
+ * clients are plain sockets.
+ */
 abstract class HttpServerFixture {
   static final int MAX_BODY_BYTES = 100;
   static final int WAIT_SECONDS = 5;
@@ -70,7 +73,7 @@
     StringBuilder bytes = new StringBuilder();
     while (bytes.indexOf(end) < 0) {
       int next = client.getInputStream().read();
-      assertThat(next).as("after " + bytes).isNotNegative();
+      assertThat(next).as("next byte after " + bytes).isNotNegative();
       bytes.append((char) next);
     }
     return bytes.toString();
@@ -84,7 +87,10 @@
     return text.getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** Gives the server time to read what was sent, so that the next bytes come in a further read. */
+  /**
+   * Gives the server time to read the bytes that were sent, so that the next bytes arrive in a
+   * separate read.
+   */
   static void awaitSeparateRead() throws InterruptedException {
     Thread.sleep(20);
   }
--- a/src/test/java/switchgap/net/HttpServerLimitsTest.java
+++ b/src/test/java/switchgap/net/HttpServerLimitsTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The limits on bodies, connections and the time that a request takes. */
+/** The limits on body sizes, connections and the duration of a request. */
 class HttpServerLimitsTest extends HttpServerFixture {
   @Test
   void rejectsBodyWhenContentLengthExceedsLimit() throws Exception {
--- a/src/test/java/switchgap/net/HttpServerTest.java
+++ b/src/test/java/switchgap/net/HttpServerTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Requests, responses and disconnects on the bytes of plain sockets. */
+/** Requests, responses and disconnects, tested with plain sockets as clients. */
 class HttpServerTest extends HttpServerFixture {
   @Test
   void passesCompleteRequestAndSendsOneResponse() throws Exception {
--- a/src/test/java/switchgap/net/KeyedWritersShutdownTest.java
+++ b/src/test/java/switchgap/net/KeyedWritersShutdownTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** A shutdown waits for what was given to the writers before. */
+/** A shutdown waits, up to a timeout, for the tasks that were added before it. */
 class KeyedWritersShutdownTest {
   private static final int THREADS = 3;
   private static final int TASKS = 30;
@@ -15,17 +15,17 @@
   @Test
   void awaitsAllTasksAddedBefore() throws Exception {
     try (KeyedWriters writers = new KeyedWriters(THREADS, "test")) {
-      AtomicInteger run = new AtomicInteger();
+      AtomicInteger completedTasks = new AtomicInteger();
       for (int key = 0; key < TASKS; key++) {
-        writers.execute(key, () -> slowly(run));
+        writers.execute(key, () -> incrementAfterPause(completedTasks));
       }
       assertThat(writers.awaitPending(Duration.ofSeconds(5))).isTrue();
-      assertThat(run.get()).isEqualTo(TASKS);
+      assertThat(completedTasks.get()).isEqualTo(TASKS);
     }
   }
 
   @Test
-  void doesNotWaitLongerThanItsBound() throws Exception {
+  void stopsWaitingAtTimeout() throws Exception {
     try (KeyedWriters writers = new KeyedWriters(1, "test")) {
       CountDownLatch release = new CountDownLatch(1);
       writers.execute(0, () -> awaitUninterrupted(release));
@@ -34,9 +34,9 @@
     }
   }
 
-  private static void slowly(AtomicInteger run) {
+  private static void incrementAfterPause(AtomicInteger completedTasks) {
     awaitMillis(5);
-    run.incrementAndGet();
+    completedTasks.incrementAndGet();
   }
 
   private static void awaitMillis(long millis) {
--- a/src/test/java/switchgap/net/KeyedWritersTest.java
+++ b/src/test/java/switchgap/net/KeyedWritersTest.java
@@ -8,13 +8,16 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Tasks of one key run in order on one thread, and a task that throws does not end its thread. */
+/**
+ * Tasks with the same key run in order on one thread, and an exception in a task does not end the
+ * thread.
+ */
 class KeyedWritersTest {
   private static final int TASKS = 1000;
 
   @Test
   void runsTasksOfOneKeyInOrderOnOneThread() throws Exception {
-    List<Integer> ran = new CopyOnWriteArrayList<>();
+    List<Integer> executedTaskNumbers = new CopyOnWriteArrayList<>();
     List<String> threads = new CopyOnWriteArrayList<>();
     CountDownLatch done = new CountDownLatch(TASKS);
     try (KeyedWriters writers = new KeyedWriters(3, "writer")) {
@@ -23,14 +26,14 @@
         writers.execute(
             -1,
             () -> {
-              ran.add(number);
+              executedTaskNumbers.add(number);
               threads.add(Thread.currentThread().getName());
               done.countDown();
             });
       }
       assertThat(done.await(10, TimeUnit.SECONDS)).isTrue();
     }
-    assertThat(ran).hasSize(TASKS).isSorted();
+    assertThat(executedTaskNumbers).hasSize(TASKS).isSorted();
     assertThat(threads).containsOnly("writer-2");
   }
 
--- a/src/test/java/switchgap/net/SelectorThreadsTest.java
+++ b/src/test/java/switchgap/net/SelectorThreadsTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A selector thread outlives whatever a listener throws: otherwise a process is up that serves
- * nobody.
+ * Guards against a listener's exception or error ending a selector thread. The process would then
+ * keep running without serving any connection.
  */
 class SelectorThreadsTest {
   private static final int SOCKET_TIMEOUT_MILLIS = 3000;
   private static final int END_OF_STREAM = -1;
 
-  /** Throws at the byte x and replies y to any other. */
+  /** Throws on the byte x and replies with y to any other byte. */
   private static final class FaultyListener implements TcpConnection.Listener {
     private final boolean throwsError;
 
@@ -61,7 +61,7 @@
     }
   }
 
-  /** The next byte, or {@link #END_OF_STREAM} when the connection ended or was reset. */
+  /** Returns the next byte, or {@link #END_OF_STREAM} if the connection was closed or reset. */
   private static int readByte(Socket socket) throws IOException {
     socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
     try {
--- a/src/test/java/switchgap/net/StallHistoryTest.java
+++ b/src/test/java/switchgap/net/StallHistoryTest.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** Elapsed time excludes the stalls of the process. */
+/** Elapsed time excludes stalls of the process. */
 class StallHistoryTest {
   private final StallHistory stalls = new StallHistory();
 
@@ -23,7 +23,7 @@
     stalls.add(millis(3200), Duration.ZERO);
     assertThat(elapsed(500, 3500)).isEqualTo(millis(1000));
     assertThat(elapsed(2500, 3500)).as("started during the stall").isEqualTo(millis(500));
-    assertThat(elapsed(3100, 3500)).as("started after it").isEqualTo(millis(400));
+    assertThat(elapsed(3100, 3500)).as("started after the stall").isEqualTo(millis(400));
   }
 
   @Test
--- a/src/test/java/switchgap/protocol/resp/AttemptDeadlineTest.java
+++ b/src/test/java/switchgap/protocol/resp/AttemptDeadlineTest.java
@@ -25,14 +25,15 @@
 import switchgap.testing.TestDiagnostics;
 
 /**
- * The deadline of an attempt at its worker is the time that the client has left when the command is
- * sent, not when the attempt was decided.
+ * The deadline that a worker receives must be the client's remaining time when the command is sent.
+ * It would be too long if it was computed when the attempt was started, since opening a connection
+ * can take long.
  */
 class AttemptDeadlineTest implements ResponseListener {
   private static final Duration TIMEOUT = Duration.ofMillis(900);
   private static final Duration CONNECT_DURATION = Duration.ofMillis(700);
   private static final CoreLimits CORE_LIMITS = new CoreLimits(TIMEOUT, TIMEOUT, 10);
-  private static final int EVENT_SECONDS = 5;
+  private static final int EVENT_TIMEOUT_SECONDS = 5;
   private static final int READ_TIMEOUT_MILLIS = 5000;
   private static final int COMMAND_PREFIX_BYTES = 60;
   private static final Pattern MAX_MILLIS_FIELD = Pattern.compile("max=(\\d+)");
@@ -40,7 +41,10 @@
   private final LinkedBlockingQueue<Consumer<RouterCore>> events = new LinkedBlockingQueue<>();
   private volatile Duration now = Duration.ZERO;
 
-  /** A core that starts one attempt at the only worker as soon as a request has arrived. */
+  /**
+   * Creates a core whose policy starts a single attempt at the only worker on the first batch of
+   * events.
+   */
   private RouterCore core(NetworkTransport net) throws Exception {
     RespProtocolSettings protocol = new RespProtocolSettings(List.of("again"), false);
     RespWorkerTransport transport =
@@ -85,10 +89,10 @@
       core.tick(
           now,
           List.of(
-              each -> each.endpointListReceived(true, List.of(worker)),
-              each -> each.accept(request)));
+              routerCore -> routerCore.endpointListReceived(true, List.of(worker)),
+              routerCore -> routerCore.accept(request)));
       try (Socket socket = server.accept()) {
-        Consumer<RouterCore> opened = events.poll(EVENT_SECONDS, TimeUnit.SECONDS);
+        Consumer<RouterCore> opened = events.poll(EVENT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         now = CONNECT_DURATION;
         core.tick(now, List.of(opened));
         assertThat(readMaxMillis(socket))
@@ -101,5 +105,5 @@
   public void responded(PendingRequest request, Response response) {}
 
   @Override
-  public void deadlineMissed(PendingRequest request, Response late) {}
+  public void deadlineMissed(PendingRequest request, Response lateResponse) {}
 }
--- a/src/test/java/switchgap/protocol/resp/RespCommandTest.java
+++ b/src/test/java/switchgap/protocol/resp/RespCommandTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The wire form of each command. */
+/** The wire format of each command. */
 class RespCommandTest {
   @Test
   void encodesEachCommandWithItsWordsOnTheWire() throws Exception {
--- a/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
+++ b/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
@@ -27,11 +27,14 @@
 import switchgap.router.WorkerEntry;
 import switchgap.testing.TestDiagnostics;
 
-/** A pool on real sockets; the test runs the event loop's events one by one and sets its clock. */
+/**
+ * Tests a pool on real sockets. The test runs the event loop's events one by one and controls the
+ * clock.
+ */
 class RespConnectionPoolTest implements ResponseListener {
   private static final Duration TIMEOUT = Duration.ofMillis(100);
-  private static final int EVENT_SECONDS = 5;
-  private static final int SILENCE_MILLIS = 200;
+  private static final int EVENT_TIMEOUT_SECONDS = 5;
+  private static final int OBSERVATION_MILLIS = 200;
 
   private final LinkedBlockingQueue<Consumer<RouterCore>> events = new LinkedBlockingQueue<>();
   private final List<AttemptOutcome> outcomes = new ArrayList<>();
@@ -64,8 +67,8 @@
   }
 
   private Consumer<RouterCore> takeNextEvent() throws InterruptedException {
-    Consumer<RouterCore> event = events.poll(EVENT_SECONDS, TimeUnit.SECONDS);
-    assertThat(event).as("an event within %d s", EVENT_SECONDS).isNotNull();
+    Consumer<RouterCore> event = events.poll(EVENT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    assertThat(event).as("event within %d s", EVENT_TIMEOUT_SECONDS).isNotNull();
     return event;
   }
 
@@ -78,13 +81,13 @@
   }
 
   private static void assertSilent(Socket socket) throws IOException {
-    socket.setSoTimeout(SILENCE_MILLIS);
+    socket.setSoTimeout(OBSERVATION_MILLIS);
     assertThatThrownBy(() -> socket.getInputStream().read())
         .isInstanceOf(SocketTimeoutException.class);
   }
 
   private static void assertClosed(Socket socket) throws IOException {
-    socket.setSoTimeout(EVENT_SECONDS * 1000);
+    socket.setSoTimeout(EVENT_TIMEOUT_SECONDS * 1000);
     assertThat(socket.getInputStream().read()).isNegative();
   }
 
@@ -140,8 +143,8 @@
   }
 
   /**
-   * When the process was paused while a connection was being opened, the exchange was once sent
-   * after its deadline, and so counted as possibly executed.
+   * Guards against sending an exchange after its deadline, when the process is paused while a
+   * connection is being opened. The request would then be treated as possibly executed.
    */
   @Test
   void doesNotSendExchangeThatWaitedPastItsDeadline() throws Exception {
@@ -172,7 +175,7 @@
     pool.submit(exchange);
     try (Socket socket = server.accept()) {
       Consumer<RouterCore> connectionOpened = takeNextEvent();
-      now = now.plusMillis(1); // a connection counts as responsive at the moment of its opening
+      now = now.plusMillis(1); // The exchange must be sent later than the connection was opened.
       connectionOpened.accept(null);
       int commandBytes = command(exchange).length;
       now = TIMEOUT;
@@ -193,7 +196,7 @@
       runNextEvent();
       now = now.plus(RespTestLimits.SMALL.idleTimeout()).minusNanos(1);
       manager.sweep();
-      assertThat(events.poll(SILENCE_MILLIS, TimeUnit.MILLISECONDS)).isNull();
+      assertThat(events.poll(OBSERVATION_MILLIS, TimeUnit.MILLISECONDS)).isNull();
       now = now.plusNanos(1);
       manager.sweep();
       runNextEvent();
@@ -206,7 +209,7 @@
     pool.submit(exchange("1"));
     try (Socket socket = server.accept()) {
       pool.retire();
-      runNextEvent(); // the connection is open and the exchange has ended, in either order
+      runNextEvent(); // Events: connection opened and exchange ended, in any order.
       runNextEvent();
       assertThat(outcomes).containsExactly(AttemptOutcome.NOT_SENT);
       assertClosed(socket);
@@ -219,7 +222,7 @@
   public void responded(PendingRequest request, Response response) {}
 
   @Override
-  public void deadlineMissed(PendingRequest request, Response late) {}
+  public void deadlineMissed(PendingRequest request, Response lateResponse) {}
 
   @AfterEach
   void close() throws IOException {
--- a/src/test/java/switchgap/protocol/resp/RespDecoderTest.java
+++ b/src/test/java/switchgap/protocol/resp/RespDecoderTest.java
@@ -13,10 +13,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The decoder on streams that are split at every byte, and at and past each bound. */
+/**
+ * Tests the decoder with streams that are split at every byte, and with lengths at and beyond each
+ * limit.
+ */
 class RespDecoderTest {
   @Test
-  void decodesTheSameArraysWhereverTheStreamIsSplit() throws Exception {
+  void decodesSameArraysForAnySplitOfTheStream() throws Exception {
     byte[] twoArrays =
         bytes("*4\r\n$2\r\nid\r\n$4\r\ndata\r\n$1\r\n-\r\n$6\r\n\r\n$3\r\n\r\n*1\r\n$0\r\n\r\n");
     for (int i = 0; i <= twoArrays.length; i++) {
@@ -34,7 +37,7 @@
   }
 
   @Test
-  void rejectsStringLongerThanTheBound() throws Exception {
+  void rejectsStringLongerThanMaximum() throws Exception {
     assertThat(decodeInTwoParts(bytes("*1\r\n$64\r\n" + "x".repeat(64) + "\r\n"), 3)).hasSize(1);
     assertThatThrownBy(() -> decodeInTwoParts(bytes("*1\r\n$65\r\n"), 3))
         .isInstanceOf(MalformedReplyException.class);
--- a/src/test/java/switchgap/protocol/resp/RespTestStrings.java
+++ b/src/test/java/switchgap/protocol/resp/RespTestStrings.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Converts between text and RESP bytes, in the protocol's character set. */
+/** Converts between text and RESP bytes in the protocol's character set, ISO 8859-1. */
 final class RespTestStrings {
   static final int MAX_STRING_BYTES = 64;
 
@@ -19,12 +19,12 @@
     return new String(bytes, StandardCharsets.ISO_8859_1);
   }
 
-  /** The strings of all arrays in a stream that arrives as one part. */
+  /** Returns the strings of all arrays in a stream that arrives as one part. */
   static List<String> decode(byte[] stream) throws MalformedReplyException {
     return decodeInTwoParts(stream, 0);
   }
 
-  /** The strings of all arrays in a stream that arrives in two parts. */
+  /** Returns the strings of all arrays in a stream that arrives in two parts. */
   static List<String> decodeInTwoParts(byte[] stream, int firstPartBytes)
       throws MalformedReplyException {
     RespDecoder decoder = new RespDecoder(MAX_STRING_BYTES);
--- a/src/test/java/switchgap/protocol/resp/WaitingExchangesTest.java
+++ b/src/test/java/switchgap/protocol/resp/WaitingExchangesTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import switchgap.router.WorkerEntry;
 
-/** The order and the bound of the queue of waiting exchanges. */
+/** The order and the maximum size of the queue of waiting exchanges. */
 class WaitingExchangesTest {
   private final WorkerEntry worker = new WorkerEntry("w", "127.0.0.1", 1, 0);
   private final WaitingExchanges waiting = new WaitingExchanges(3);
@@ -21,7 +21,7 @@
 
   private List<String> waitingTags() {
     List<String> tags = new ArrayList<>();
-    waiting.settleEach(
+    waiting.removeIfHandled(
         exchange -> {
           tags.add(exchange.replyId());
           return false;
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void isFullAtItsBound() {
+  void isFullAtMaximumSize() {
     addExchange("first");
     addExchange("second");
     assertThat(waiting.isFull()).isFalse();
@@ -39,16 +39,16 @@
   }
 
   @Test
-  void keepsExchangesThatAreNotSettledInOrder() {
+  void keepsUnhandledExchangesInOrder() {
     addExchange("first");
     RespExchange second = addExchange("second");
     addExchange("third");
-    waiting.settleEach(exchange -> exchange == second);
+    waiting.removeIfHandled(exchange -> exchange == second);
     assertThat(waitingTags()).containsExactly("first", "third");
   }
 
   @Test
-  void offersNoExchangeThatWasRemoved() {
+  void doesNotPassRemovedExchangeToHandler() {
     RespExchange first = addExchange("first");
     addExchange("second");
     waiting.remove(first);
--- a/src/test/java/switchgap/protocol/resp/WorkerReplyTest.java
+++ b/src/test/java/switchgap/protocol/resp/WorkerReplyTest.java
@@ -10,7 +10,7 @@
 import switchgap.policy.api.AttemptOutcome;
 import switchgap.policy.api.LoadReport;
 
-/** What the status and the load report of a reply mean. */
+/** The interpretation of a reply's status and load report. */
 class WorkerReplyTest {
   private static WorkerReply reply(String status, String fields) throws MalformedReplyException {
     return WorkerReply.parse(new byte[][] {bytes("id"), bytes(status), bytes(fields), {}});
@@ -26,7 +26,7 @@
     "well,SUCCEEDED,false",
     "ill,FAILED,false"
   })
-  void statusProvesWhetherTheRequestWasExecuted(
+  void statusDeterminesWhetherRequestWasExecuted(
       String status, AttemptOutcome outcome, boolean neverExecuted) throws Exception {
     assertThat(reply(status, "-").outcome()).isEqualTo(outcome);
     assertThat(outcome.neverExecuted()).isEqualTo(neverExecuted);
@@ -34,8 +34,9 @@
   }
 
   /**
-   * In a scenario without faults, reports had the metric names of the settings rather than those of
-   * the protocol's description, and the policy received no load at all.
+   * Guards against ignoring load reports: workers may use the metric names of the platform's
+   * settings instead of those of the protocol specification, and the policy would then receive no
+   * load at all.
    */
   @Test
   void readsLoadReportWithEitherNameOfEachMetric() throws Exception {
