--- a/src/main/java/switchgap/endpoints/EndpointListWatcher.java
+++ b/src/main/java/switchgap/endpoints/EndpointListWatcher.java
@@ -40,7 +40,7 @@
   /** The connect timeout, as a multiple of the reconnect delay. */
   private static final int RECONNECT_DELAYS_PER_CONNECT_TIMEOUT = 4;
 
-  /** Requests the complete list, since no version precedes the first one. */
+  /** Precedes every version: the service responds to this version with the complete list. */
   private static final long NO_VERSION = -1;
 
   private final HttpClientConnector connector;
@@ -119,17 +119,17 @@
   }
 
   private void requestList(HttpClientConnection newConnection) {
-    HttpClientConnection previous;
+    HttpClientConnection previousConnection;
     synchronized (this) {
       if (state == SubscriptionState.CLOSED) {
         newConnection.close();
         return;
       }
-      previous = connection;
+      previousConnection = connection;
       connection = newConnection;
     }
-    if (previous != null) {
-      previous.close();
+    if (previousConnection != null) {
+      previousConnection.close();
     }
     String path = "/v1/workers?watch=1&router=" + routerIndex + "&from=" + version;
     newConnection.send("GET", path, Map.of(), new byte[0], new LineHandler(newConnection));
@@ -162,11 +162,11 @@
 
   /** Receives the lines of one connection on its selector thread. */
   private final class LineHandler implements HttpClientConnection.ResponseHandler {
-    private final HttpClientConnection source;
+    private final HttpClientConnection sourceConnection;
     private final LineDecoder decoder = new LineDecoder(MAX_LINE_BYTES);
 
-    LineHandler(HttpClientConnection source) {
-      this.source = source;
+    LineHandler(HttpClientConnection sourceConnection) {
+      this.sourceConnection = sourceConnection;
     }
 
     @Override
@@ -174,13 +174,13 @@
       lastByteNanos = System.nanoTime();
       if (!decoder.decode(bytes, this::lineReceived)) {
         LOG.warn("endpoint list line exceeds {} bytes, closing the connection", MAX_LINE_BYTES);
-        source.close();
+        sourceConnection.close();
       }
       return true;
     }
 
     private void lineReceived(String text) {
-      if (text.isBlank() || source != connection) {
+      if (text.isBlank() || sourceConnection != connection) {
         return;
       }
       EndpointListLine list;
@@ -209,12 +209,12 @@
     /** Closes the connection; the next one requests the complete list. */
     private void requestCompleteList() {
       version = NO_VERSION;
-      source.close();
+      sourceConnection.close();
     }
 
     @Override
     public void responded(int status, Map<String, String> headers, byte[] body, boolean reusable) {
-      source.close();
+      sourceConnection.close();
       ended(SubscriptionEndReason.RESPONSE_ENDED.with("status " + status));
     }
 
@@ -224,7 +224,7 @@
     }
 
     private void ended(CloseCause cause) {
-      boolean isReplaced = source != connection;
+      boolean isReplaced = sourceConnection != connection;
       if (!isReplaced) {
         disconnected(cause);
       }
--- a/src/main/java/switchgap/endpoints/EventStreamClient.java
+++ b/src/main/java/switchgap/endpoints/EventStreamClient.java
@@ -24,8 +24,8 @@
  *
  * <p>The list is confirmed while heartbeats arrive on the latest connection, because a heartbeat
  * shows that no event is missing. It is unconfirmed after an unanswered request for the stream, a
- * lost connection, an invalid or incomplete event, or silence. The platform considers events that
- * the stream would have delivered after that moment as notified, at the earliest at that moment.
+ * lost connection, an invalid or incomplete event, or silence. The platform considers an event that
+ * the stream would have delivered afterwards as notified at that moment at the earliest.
  *
  * <p>Unlike the service of {@link EndpointListWatcher}, the feed has heartbeats and can be resumed
  * at a sequence number, and the platform migrates routers from one feed to another. Therefore two
@@ -257,8 +257,9 @@
     }
     lastDataNanos = System.nanoTime();
     state = state.onDelivery();
+    // A connection that breaks immediately must not be reopened without a delay.
     if (lastDataNanos - requestedAtNanos > MIN_STABLE_TIME.toNanos()) {
-      backoff.reset(); // A connection that breaks immediately must not be reopened without delay.
+      backoff.reset();
     }
     connections.activateLatest();
     if (heartbeat && !eventMissing) {
--- a/src/main/java/switchgap/net/AcceptStall.java
+++ b/src/main/java/switchgap/net/AcceptStall.java
@@ -16,7 +16,7 @@
  * accepting.
  */
 final class AcceptStall {
-  /** Time after a stall within which a full accept queue has been processed. */
+  /** Time after a stall within which even a full accept queue is processed. */
   private static final long CATCH_UP_NANOS = StallDetector.THRESHOLD.toNanos();
 
   /** Marks a time as not set. */
--- a/src/main/java/switchgap/net/Connector.java
+++ b/src/main/java/switchgap/net/Connector.java
@@ -42,7 +42,7 @@
   record ConnectionAdapter<C>(Function<Connection, C> wrap, Consumer<C> close) {}
 
   /** Maximum time that an event loop needs to poll its sockets after a stall of the process. */
-  private static final Duration POLL_AFTER_STALL = Duration.ofMillis(50);
+  private static final Duration MAX_POLL_DELAY_AFTER_STALL = Duration.ofMillis(50);
 
   private Connector() {}
 
@@ -107,7 +107,7 @@
       } else if (pendingCallback.get() != null) {
         timer =
             TimerThread.EXECUTOR.schedule(
-                this::timedOut, POLL_AFTER_STALL.toMillis(), TimeUnit.MILLISECONDS);
+                this::timedOut, MAX_POLL_DELAY_AFTER_STALL.toMillis(), TimeUnit.MILLISECONDS);
       }
     }
 
--- a/src/main/java/switchgap/net/EventLoopIterations.java
+++ b/src/main/java/switchgap/net/EventLoopIterations.java
@@ -4,9 +4,8 @@
 
 /**
  * Records when the event loop of one selector thread last polled its sockets for readiness. This
- * gives an upper bound on the time for which bytes that are read now were waiting in the socket:
- * they cannot have arrived before the poll of the previous iteration, which would have led to
- * reading them.
+ * gives an upper bound on the time for which bytes that are read now were waiting in the socket: if
+ * they had arrived before the poll of the previous iteration, that iteration would have read them.
  *
  * <p>Each selector thread has its own instance, and no other thread uses it.
  */
--- a/src/main/java/switchgap/net/FramedConnection.java
+++ b/src/main/java/switchgap/net/FramedConnection.java
@@ -9,8 +9,8 @@
  */
 public final class FramedConnection {
   /**
-   * Receives the events of connections. {@code opened} and {@code frame} run on the connection's
-   * selector thread, {@code closed} on the thread that closes the connection first, as its last
+   * Receives the events of connections. {@link #opened} and {@link #frame} run on the connection's
+   * selector thread, {@link #closed} on the thread that closes the connection first, as its last
    * event.
    */
   public interface Listener {
--- a/src/main/java/switchgap/net/HttpClientConnection.java
+++ b/src/main/java/switchgap/net/HttpClientConnection.java
@@ -9,8 +9,8 @@
 import org.glassfish.grizzly.http.HttpResponsePacket;
 
 /**
- * The client side of an HTTP/1.1 connection. It carries one exchange at a time. A response is only
- * ever delivered to the handler of the pending exchange.
+ * The client side of an HTTP/1.1 connection. It carries one exchange at a time. A response is
+ * delivered to the handler of the pending exchange and to no other.
  */
 public final class HttpClientConnection {
   /**
--- a/src/main/java/switchgap/net/HttpServer.java
+++ b/src/main/java/switchgap/net/HttpServer.java
@@ -78,7 +78,7 @@
     return ((InetSocketAddress) listener.getLocalAddress()).getPort();
   }
 
-  @SuppressWarnings("deprecation") // Grizzly has no other constructor with header limits.
+  @SuppressWarnings("deprecation") // Grizzly 4.0.2 has no replacement with limits.
   private static HttpServerFilter httpFilter(HttpServerLimits limits) {
     KeepAlive keepAlive = new KeepAlive();
     keepAlive.setMaxRequestsCount(UNLIMITED_REQUESTS);
--- a/src/main/java/switchgap/net/ResponseBodyBuffer.java
+++ b/src/main/java/switchgap/net/ResponseBodyBuffer.java
@@ -10,7 +10,7 @@
   private final int maxBytes;
 
   /** Null until the first part arrives, because most responses have a short body or none. */
-  private ByteArrayOutputStream gathered;
+  private ByteArrayOutputStream collectedBytes;
 
   ResponseBodyBuffer(int maxBytes) {
     this.maxBytes = maxBytes;
@@ -18,7 +18,7 @@
 
   /** Discards the collected bytes. */
   void clear() {
-    gathered = null;
+    collectedBytes = null;
   }
 
   /**
@@ -27,21 +27,21 @@
    * @return false if the body would exceed the maximum size; nothing is added then
    */
   boolean append(byte[] part) {
-    int size = gathered == null ? 0 : gathered.size();
+    int size = collectedBytes == null ? 0 : collectedBytes.size();
     if (size + part.length > maxBytes) {
       return false;
     }
-    if (gathered == null) {
-      gathered = new ByteArrayOutputStream(part.length);
+    if (collectedBytes == null) {
+      collectedBytes = new ByteArrayOutputStream(part.length);
     }
-    gathered.write(part, 0, part.length);
+    collectedBytes.write(part, 0, part.length);
     return true;
   }
 
   /** Returns the collected body and clears the buffer. */
   byte[] take() {
-    byte[] body = gathered == null ? new byte[0] : gathered.toByteArray();
-    gathered = null;
+    byte[] body = collectedBytes == null ? new byte[0] : collectedBytes.toByteArray();
+    collectedBytes = null;
     return body;
   }
 }
--- a/src/main/java/switchgap/net/SelectorThreadStrategy.java
+++ b/src/main/java/switchgap/net/SelectorThreadStrategy.java
@@ -24,7 +24,7 @@
 
   /**
    * Maximum number of connections accepted in one iteration. With only one per iteration, clients
-   * that connect simultaneously would wait for many iterations.
+   * that connect simultaneously would wait for one iteration each.
    */
   private static final int MAX_ACCEPTS_PER_ITERATION = 8;
 
--- a/src/main/java/switchgap/net/SocketMessage.java
+++ b/src/main/java/switchgap/net/SocketMessage.java
@@ -16,7 +16,8 @@
  */
 final class SocketMessage implements FileChunk {
   /**
-   * Maximum number of bytes per system call, because the JDK copies them to a direct buffer first.
+   * Maximum number of bytes per system call. It is limited because the JDK first copies the bytes
+   * to a direct buffer.
    */
   private static final int MAX_WRITE_BYTES = 64 << 10;
 
--- a/src/main/java/switchgap/protocol/resp/RespConnection.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnection.java
@@ -146,7 +146,7 @@
    * Ends all exchanges in flight after the connection was closed. Each of them may have been
    * executed.
    */
-  void closed(RouterCore core) {
+  void endExchangesInFlight(RouterCore core) {
     List<RespExchange> lostExchanges = List.copyOf(inFlightByReplyId.values());
     inFlightByReplyId.clear();
     lostExchanges.forEach(
--- a/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
@@ -16,7 +16,7 @@
 import switchgap.router.WorkerEntry;
 
 /**
- * Manages the connection pools of all workers and enforces the total number of connections. All
+ * Manages the connection pools of all workers and limits their total number of connections. All
  * methods must be called on the event loop, except for {@link #nowNanos} and {@link #post}, which
  * any thread may call.
  */
@@ -82,8 +82,8 @@
   }
 
   /**
-   * The maximum number of connections to one worker: an equal share of the total, but at least
-   * {@link #MIN_CONNECTIONS_PER_WORKER}, and at most the configured limit per worker.
+   * The maximum number of connections to one worker: an equal share of the total limit, but at
+   * least {@link #MIN_CONNECTIONS_PER_WORKER}, and at most the configured limit per worker.
    */
   int maxConnectionsPerWorker() {
     int share = limits.maxConnections() / Math.max(1, pools.size());
--- a/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
@@ -19,7 +19,7 @@
   private final WorkerEntry worker;
   private final InetSocketAddress address;
   private final OpenConnections connections = new OpenConnections();
-  private final WaitingExchanges waiting;
+  private final WaitingExchanges waitingExchanges;
   private final int maxInFlightPerConnection;
 
   /** The number of connections that are being opened. */
@@ -29,9 +29,9 @@
    * Whether the worker refused a connection or closed the last open one, and no connection has been
    * opened since.
    */
-  private boolean endedByWorker;
+  private boolean disconnectedByWorker;
 
-  /** Whether the worker has left the endpoint list for good. */
+  /** Whether the worker has left the endpoint list permanently. */
   private boolean retired;
 
   RespConnectionPool(
@@ -39,7 +39,7 @@
     this.manager = manager;
     this.worker = worker;
     this.address = new InetSocketAddress(worker.host(), worker.port());
-    this.waiting = new WaitingExchanges(limits.maxWaitingPerWorker());
+    this.waitingExchanges = new WaitingExchanges(limits.maxWaitingPerWorker());
     this.maxInFlightPerConnection = limits.maxInFlightPerConnection();
   }
 
@@ -56,8 +56,8 @@
     }
     if (connection != null) {
       send(exchange, connection);
-    } else if (maySend(exchange) && openingCount > 0 && !waiting.isFull()) {
-      waiting.add(exchange);
+    } else if (maySend(exchange) && openingCount > 0 && !waitingExchanges.isFull()) {
+      waitingExchanges.add(exchange);
     } else {
       endLater(exchange, AttemptOutcome.NOT_SENT);
     }
@@ -115,8 +115,8 @@
   }
 
   private void notifyIfReconnected(RouterCore core) {
-    if (endedByWorker) {
-      endedByWorker = false;
+    if (disconnectedByWorker) {
+      disconnectedByWorker = false;
       core.workerReconnected(worker);
     }
   }
@@ -124,7 +124,7 @@
   /** Handles the failure to open a connection. */
   void connectFailed(RouterCore core) {
     openingCount--;
-    endedByWorker |= connections.isEmpty();
+    disconnectedByWorker |= connections.isEmpty();
     manager.connectionEnded();
     sendWaiting(core, AttemptOutcome.CONNECT_FAILED);
   }
@@ -136,7 +136,8 @@
    * @param outcomeWithoutConnection the outcome of exchanges that end while no connection is open
    */
   private void sendWaiting(RouterCore core, AttemptOutcome outcomeWithoutConnection) {
-    waiting.removeIfHandled(exchange -> sendOrEnd(core, exchange, outcomeWithoutConnection));
+    waitingExchanges.removeIfHandled(
+        exchange -> sendOrEnd(core, exchange, outcomeWithoutConnection));
   }
 
   private boolean sendOrEnd(
@@ -162,9 +163,9 @@
   void connectionClosed(RouterCore core, RespConnection connection, WorkerCloseReason reason) {
     if (connections.remove(connection)) {
       manager.connectionEnded();
-      endedByWorker |= connections.isEmpty() && reason.isInitiatedByWorker();
+      disconnectedByWorker |= connections.isEmpty() && reason.isInitiatedByWorker();
     }
-    connection.closed(core);
+    connection.endExchangesInFlight(core);
   }
 
   /** Handles a reply that arrived on a connection. */
@@ -180,7 +181,7 @@
   AttemptOutcome abandon(RespExchange exchange) {
     RespExchange.State previousState = exchange.abandon();
     if (previousState == RespExchange.State.WAITING) {
-      waiting.remove(exchange);
+      waitingExchanges.remove(exchange);
       return connections.isEmpty() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT;
     }
     if (previousState == RespExchange.State.IN_FLIGHT) {
@@ -194,7 +195,7 @@
    * in flight continue.
    */
   void rejectWaiting() {
-    waiting.removeIfHandled(
+    waitingExchanges.removeIfHandled(
         exchange -> {
           boolean rejected = !maySend(exchange);
           if (rejected) {
@@ -205,12 +206,12 @@
   }
 
   /**
-   * Retires the pool after the worker has left the endpoint list for good. Waiting exchanges end as
-   * not sent, and connections are closed as soon as they are idle.
+   * Retires the pool after the worker has left the endpoint list permanently. Waiting exchanges end
+   * as not sent, and connections are closed as soon as they are idle.
    */
   void retire() {
     retired = true;
-    waiting.removeIfHandled(
+    waitingExchanges.removeIfHandled(
         exchange -> {
           endLater(exchange, AttemptOutcome.NOT_SENT);
           return true;
--- a/src/main/java/switchgap/protocol/resp/WorkerReply.java
+++ b/src/main/java/switchgap/protocol/resp/WorkerReply.java
@@ -7,7 +7,7 @@
 /**
  * A reply from a worker: an array of id, status word, fields and body.
  *
- * @param id the id or tag of the command that this is the reply to
+ * @param id the id or tag of the command that the worker replied to
  * @param status the status, or null if the protocol does not define the status word
  * @param fields the named fields
  * @param body the result of an execution, otherwise empty
--- a/src/test/java/switchgap/net/ConnectorTest.java
+++ b/src/test/java/switchgap/net/ConnectorTest.java
@@ -17,7 +17,7 @@
 
 /** Opening a connection has exactly one outcome, within its timeout. */
 class ConnectorTest {
-  private static final int WAIT_SECONDS = 5;
+  private static final int WAIT_TIMEOUT_SECONDS = 5;
 
   private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
 
@@ -47,7 +47,7 @@
   private String connect(NetworkTransport transport, int port, Duration timeout) throws Exception {
     new TcpConnector(transport, new SilentListener())
         .connect(new InetSocketAddress("127.0.0.1", port), timeout, new OutcomeCallback());
-    return outcomes.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+    return outcomes.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   @Test
--- a/src/test/java/switchgap/net/EventLoopIterationsTest.java
+++ b/src/test/java/switchgap/net/EventLoopIterationsTest.java
@@ -10,8 +10,8 @@
  * the loop's polls.
  */
 class EventLoopIterationsTest {
-  private static final Duration STALL = Duration.ofSeconds(3);
-  private static final Duration ITERATION = Duration.ofMillis(1);
+  private static final Duration STALL_DURATION = Duration.ofSeconds(3);
+  private static final Duration ITERATION_DURATION = Duration.ofMillis(1);
 
   private long nowNanos = 1;
   private final EventLoopIterations iterations = new EventLoopIterations(nowNanos);
@@ -30,36 +30,38 @@
 
   @Test
   void reportsNoDelayWhileLoopPollsRegularly() {
-    select(ITERATION, false);
-    select(ITERATION, true);
-    select(ITERATION, true);
+    select(ITERATION_DURATION, false);
+    select(ITERATION_DURATION, true);
+    select(ITERATION_DURATION, true);
     assertThat(iterations.maxReadDelay(nowNanos)).isZero();
   }
 
   @Test
   void reportsTimeSincePreviousPollWhenLoopWasStalledBetweenPolls() {
-    select(ITERATION, true);
-    passTime(STALL);
-    select(ITERATION, true);
-    assertThat(iterations.maxReadDelay(nowNanos)).isEqualTo(STALL.plus(ITERATION));
+    select(ITERATION_DURATION, true);
+    passTime(STALL_DURATION);
+    select(ITERATION_DURATION, true);
+    assertThat(iterations.maxReadDelay(nowNanos))
+        .isEqualTo(STALL_DURATION.plus(ITERATION_DURATION));
   }
 
   @Test
   void reportsNoDelayOnceLoopHasPolledTwiceAfterStall() {
-    select(ITERATION, true);
-    passTime(STALL);
-    select(ITERATION, true);
-    select(ITERATION, true);
+    select(ITERATION_DURATION, true);
+    passTime(STALL_DURATION);
+    select(ITERATION_DURATION, true);
+    select(ITERATION_DURATION, true);
     assertThat(iterations.maxReadDelay(nowNanos)).isZero();
   }
 
   /** A select call that is interrupted by a signal returns no keys even if sockets are ready. */
   @Test
   void ignoresSelectThatStalledAndFoundNothing() {
-    select(ITERATION, true);
-    select(STALL, false);
-    select(ITERATION, true);
-    assertThat(iterations.maxReadDelay(nowNanos)).isEqualTo(STALL.plus(ITERATION));
+    select(ITERATION_DURATION, true);
+    select(STALL_DURATION, false);
+    select(ITERATION_DURATION, true);
+    assertThat(iterations.maxReadDelay(nowNanos))
+        .isEqualTo(STALL_DURATION.plus(ITERATION_DURATION));
   }
 
   /**
@@ -68,11 +70,12 @@
    */
   @Test
   void countsSelectThatStalledAndFoundReadySocketsAsPollAtItsStart() {
-    select(ITERATION, true);
-    select(STALL, true);
-    select(ITERATION, true);
-    assertThat(iterations.maxReadDelay(nowNanos)).isEqualTo(STALL.plus(ITERATION));
-    select(ITERATION, true);
+    select(ITERATION_DURATION, true);
+    select(STALL_DURATION, true);
+    select(ITERATION_DURATION, true);
+    assertThat(iterations.maxReadDelay(nowNanos))
+        .isEqualTo(STALL_DURATION.plus(ITERATION_DURATION));
+    select(ITERATION_DURATION, true);
     assertThat(iterations.maxReadDelay(nowNanos)).isZero();
   }
 }
--- a/src/test/java/switchgap/net/HttpClientConnectionTest.java
+++ b/src/test/java/switchgap/net/HttpClientConnectionTest.java
@@ -21,9 +21,10 @@
 /** The handling of a server's bytes by a client connection. The server is a plain socket. */
 class HttpClientConnectionTest {
   private static final int MAX_BODY_BYTES = 100;
-  private static final int WAIT_SECONDS = 5;
+  private static final int WAIT_TIMEOUT_SECONDS = 5;
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
-  private static final String OK = "HTTP/1.1 200 OK\r\nX-Part: One\r\nContent-Length: 2\r\n\r\nhi";
+  private static final String OK_RESPONSE =
+      "HTTP/1.1 200 OK\r\nX-Part: One\r\nContent-Length: 2\r\n\r\nhi";
   private static final byte[] NO_BODY = new byte[0];
 
   private NetworkTransport transport;
@@ -53,7 +54,7 @@
     }
 
     String next() throws InterruptedException {
-      return queue.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+      return queue.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     boolean isEmpty() {
@@ -82,8 +83,8 @@
               }
             });
     server = listener.accept();
-    server.setSoTimeout(WAIT_SECONDS * 1000);
-    client = connected.get(WAIT_SECONDS, TimeUnit.SECONDS);
+    server.setSoTimeout(WAIT_TIMEOUT_SECONDS * 1000);
+    client = connected.get(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   @AfterEach
@@ -141,7 +142,7 @@
       assertThat(client.send("GET", "/", Map.of(), NO_BODY, new Outcomes()))
           .as("second exchange while one is pending")
           .isFalse();
-      reply(OK);
+      reply(OK_RESPONSE);
       assertThat(outcomes.next()).isEqualTo("200 One hi true");
     }
     assertThat(client.isUsable()).isTrue();
@@ -153,7 +154,7 @@
     receiveRequest("body");
     reply("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 10");
     reply("2 Processing\r\nX-Part: Zero\r\n\r\n");
-    reply("HTTP/1.1 102 Processing\r\n\r\n" + OK);
+    reply("HTTP/1.1 102 Processing\r\n\r\n" + OK_RESPONSE);
     assertThat(outcomes.next()).isEqualTo("200 One hi true");
     assertThat(outcomes.isEmpty()).isTrue();
   }
@@ -162,7 +163,7 @@
   void closesConnectionOnSecondResponseInSameRead() throws Exception {
     Outcomes outcomes = send("/", "body");
     receiveRequest("body");
-    reply(OK + OK);
+    reply(OK_RESPONSE + OK_RESPONSE);
     assertThat(outcomes.next()).isEqualTo("200 One hi false");
     assertServerSeesEnd();
     assertThat(client.isUsable()).isFalse();
@@ -172,7 +173,7 @@
 
   @Test
   void closesConnectionOnBytesWhileIdle() throws Exception {
-    reply(OK);
+    reply(OK_RESPONSE);
     assertServerSeesEnd();
     assertThat(client.isUsable()).isFalse();
   }
@@ -205,7 +206,7 @@
     reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh");
     server.close();
     assertThat(outcomes.next()).startsWith("lost: ");
-    closed.get(WAIT_SECONDS, TimeUnit.SECONDS);
+    closed.get(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertThat(outcomes.isEmpty()).isTrue();
   }
 
--- a/src/test/java/switchgap/net/HttpServerFixture.java
+++ b/src/test/java/switchgap/net/HttpServerFixture.java
@@ -18,7 +18,7 @@
  */
 abstract class HttpServerFixture {
   static final int MAX_BODY_BYTES = 100;
-  static final int WAIT_SECONDS = 5;
+  static final int WAIT_TIMEOUT_SECONDS = 5;
   static final HttpServerLimits LIMITS =
       new HttpServerLimits(1024, MAX_BODY_BYTES, 2, Duration.ofSeconds(1), Duration.ofMillis(200));
 
@@ -55,7 +55,7 @@
 
   final Socket connect() throws IOException {
     Socket client = new Socket("127.0.0.1", port);
-    client.setSoTimeout(WAIT_SECONDS * 1000);
+    client.setSoTimeout(WAIT_TIMEOUT_SECONDS * 1000);
     return client;
   }
 
@@ -64,7 +64,7 @@
   }
 
   final HttpExchange nextExchange() throws InterruptedException {
-    HttpExchange exchange = received.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+    HttpExchange exchange = received.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertThat(exchange).isNotNull();
     return exchange;
   }
--- a/src/test/java/switchgap/net/HttpServerTest.java
+++ b/src/test/java/switchgap/net/HttpServerTest.java
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void gathersChunkedBody() throws Exception {
+  void collectsChunkedBody() throws Exception {
     try (Socket client = connect()) {
       send(client, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
       awaitSeparateRead();
@@ -71,7 +71,7 @@
       HttpExchange exchange = nextExchange();
       send(client, "GET /2 HTTP/1.1\r\nHost: x\r\n\r\n");
       assertEnds(client);
-      assertThat(disconnected.poll(WAIT_SECONDS, TimeUnit.SECONDS)).isSameAs(exchange);
+      assertThat(disconnected.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isSameAs(exchange);
     }
     assertThat(received).isEmpty();
   }
@@ -83,7 +83,7 @@
       send(client, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
       exchange = nextExchange();
     }
-    assertThat(disconnected.poll(WAIT_SECONDS, TimeUnit.SECONDS)).isSameAs(exchange);
+    assertThat(disconnected.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isSameAs(exchange);
     assertThat(exchange.isOpen()).isFalse();
   }
 
@@ -100,7 +100,7 @@
       exchange.sendPart(ascii("two"));
       receive(client, "two");
     }
-    assertThat(disconnected.poll(WAIT_SECONDS, TimeUnit.SECONDS)).isSameAs(exchange);
+    assertThat(disconnected.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isSameAs(exchange);
   }
 
   @Test
--- a/src/test/java/switchgap/protocol/resp/AttemptDeadlineTest.java
+++ b/src/test/java/switchgap/protocol/resp/AttemptDeadlineTest.java
@@ -27,7 +27,7 @@
 /**
  * The deadline that a worker receives must be the client's remaining time when the command is sent.
  * It would be too long if it was computed when the attempt was started, since opening a connection
- * can take long.
+ * may take a long time.
  */
 class AttemptDeadlineTest implements ResponseListener {
   private static final Duration TIMEOUT = Duration.ofMillis(900);
--- a/src/test/java/switchgap/protocol/resp/RespDecoderTest.java
+++ b/src/test/java/switchgap/protocol/resp/RespDecoderTest.java
@@ -60,7 +60,7 @@
         "noise",
         "*1\r\n$-1\r\n"
       })
-  void rejectsBytesThatAreNoArrayOfBulkStrings(String stream) {
+  void rejectsBytesThatAreNotAnArrayOfBulkStrings(String stream) {
     assertThatThrownBy(() -> decode(bytes(stream))).isInstanceOf(MalformedReplyException.class);
   }
 
--- a/src/test/java/switchgap/protocol/resp/WaitingExchangesTest.java
+++ b/src/test/java/switchgap/protocol/resp/WaitingExchangesTest.java
@@ -10,18 +10,18 @@
 /** The order and the maximum size of the queue of waiting exchanges. */
 class WaitingExchangesTest {
   private final WorkerEntry worker = new WorkerEntry("w", "127.0.0.1", 1, 0);
-  private final WaitingExchanges waiting = new WaitingExchanges(3);
+  private final WaitingExchanges waitingExchanges = new WaitingExchanges(3);
 
   private RespExchange addExchange(String tag) {
     RespExchange exchange =
         RespExchange.ofCommand(worker, tag, false, new byte[0], 0, (core, outcome, reply) -> {});
-    waiting.add(exchange);
+    waitingExchanges.add(exchange);
     return exchange;
   }
 
   private List<String> waitingTags() {
     List<String> tags = new ArrayList<>();
-    waiting.removeIfHandled(
+    waitingExchanges.removeIfHandled(
         exchange -> {
           tags.add(exchange.replyId());
           return false;
@@ -33,9 +33,9 @@
   void isFullAtMaximumSize() {
     addExchange("first");
     addExchange("second");
-    assertThat(waiting.isFull()).isFalse();
+    assertThat(waitingExchanges.isFull()).isFalse();
     addExchange("third");
-    assertThat(waiting.isFull()).isTrue();
+    assertThat(waitingExchanges.isFull()).isTrue();
   }
 
   @Test
@@ -43,7 +43,7 @@
     addExchange("first");
     RespExchange second = addExchange("second");
     addExchange("third");
-    waiting.removeIfHandled(exchange -> exchange == second);
+    waitingExchanges.removeIfHandled(exchange -> exchange == second);
     assertThat(waitingTags()).containsExactly("first", "third");
   }
 
@@ -51,7 +51,7 @@
   void doesNotPassRemovedExchangeToHandler() {
     RespExchange first = addExchange("first");
     addExchange("second");
-    waiting.remove(first);
+    waitingExchanges.remove(first);
     assertThat(waitingTags()).containsExactly("second");
   }
 }
