--- a/src/test/java/switchgap/net/HttpClientConnectionTest.java
+++ b/src/test/java/switchgap/net/HttpClientConnectionTest.java
@@ -18,14 +18,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/**
- * What a client connection makes of the bytes that a server sends; the server is a plain socket.
- */
+/** The handling of a server's bytes by a client connection. The server is a plain socket. */
 class HttpClientConnectionTest {
   private static final int MAX_BODY_BYTES = 100;
-  private static final int WAIT_SECONDS = 5;
+  private static final int WAIT_TIMEOUT_SECONDS = 5;
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
-  private static final String OK = "HTTP/1.1 200 OK\r\nX-Part: One\r\nContent-Length: 2\r\n\r\nhi";
+  private static final String OK_RESPONSE =
+      "HTTP/1.1 200 OK\r\nX-Part: One\r\nContent-Length: 2\r\n\r\nhi";
   private static final byte[] NO_BODY = new byte[0];
 
   private NetworkTransport transport;
@@ -55,7 +54,7 @@
     }
 
     String next() throws InterruptedException {
-      return queue.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+      return queue.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     boolean isEmpty() {
@@ -84,8 +83,8 @@
               }
             });
     server = listener.accept();
-    server.setSoTimeout(WAIT_SECONDS * 1000);
-    client = connected.get(WAIT_SECONDS, TimeUnit.SECONDS);
+    server.setSoTimeout(WAIT_TIMEOUT_SECONDS * 1000);
+    client = connected.get(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   @AfterEach
@@ -112,7 +111,7 @@
     StringBuilder received = new StringBuilder();
     while (received.indexOf(end) < 0) {
       int next = server.getInputStream().read();
-      assertThat(next).as("after " + received).isNotNegative();
+      assertThat(next).as("next byte after " + received).isNotNegative();
       received.append((char) next);
     }
     return received.toString();
@@ -141,9 +140,9 @@
       Outcomes outcomes = send("/", "body");
       receiveRequest("body");
       assertThat(client.send("GET", "/", Map.of(), NO_BODY, new Outcomes()))
-          .as("while busy")
+          .as("second exchange while one is pending")
           .isFalse();
-      reply(OK);
+      reply(OK_RESPONSE);
       assertThat(outcomes.next()).isEqualTo("200 One hi true");
     }
     assertThat(client.isUsable()).isTrue();
@@ -155,7 +154,7 @@
     receiveRequest("body");
     reply("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 10");
     reply("2 Processing\r\nX-Part: Zero\r\n\r\n");
-    reply("HTTP/1.1 102 Processing\r\n\r\n" + OK);
+    reply("HTTP/1.1 102 Processing\r\n\r\n" + OK_RESPONSE);
     assertThat(outcomes.next()).isEqualTo("200 One hi true");
     assertThat(outcomes.isEmpty()).isTrue();
   }
@@ -164,7 +163,7 @@
   void closesConnectionOnSecondResponseInSameRead() throws Exception {
     Outcomes outcomes = send("/", "body");
     receiveRequest("body");
-    reply(OK + OK);
+    reply(OK_RESPONSE + OK_RESPONSE);
     assertThat(outcomes.next()).isEqualTo("200 One hi false");
     assertServerSeesEnd();
     assertThat(client.isUsable()).isFalse();
@@ -174,13 +173,13 @@
 
   @Test
   void closesConnectionOnBytesWhileIdle() throws Exception {
-    reply(OK);
+    reply(OK_RESPONSE);
     assertServerSeesEnd();
     assertThat(client.isUsable()).isFalse();
   }
 
   @Test
-  void losesExchangeWhenBodyExceedsLimit() throws Exception {
+  void reportsConnectionLostWhenBodyExceedsLimit() throws Exception {
     Outcomes outcomes = send("/", "body");
     receiveRequest("body");
     reply("HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n" + "x".repeat(MAX_BODY_BYTES + 1));
@@ -207,12 +206,12 @@
     reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh");
     server.close();
     assertThat(outcomes.next()).startsWith("lost: ");
-    closed.get(WAIT_SECONDS, TimeUnit.SECONDS);
+    closed.get(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertThat(outcomes.isEmpty()).isTrue();
   }
 
   @Test
-  void losesExchangeWhenResponseIsNotHttp() throws Exception {
+  void reportsConnectionLostWhenResponseIsNotHttp() throws Exception {
     Outcomes outcomes = send("/", "body");
     receiveRequest("body");
     reply("SPDY/9.9 no number\r\n\r\n");
@@ -224,7 +223,7 @@
   void closesConnectionOfAbandonedExchangeWithoutNotifyingIt() throws Exception {
     Outcomes outcomes = send("/", "body");
     receiveRequest("body");
-    client.abandon(new Outcomes()); // another exchange's handler: nothing happens
+    client.abandon(new Outcomes()); // This handler has no pending exchange.
     assertThat(client.isUsable()).isTrue();
     client.abandon(outcomes);
     assertServerSeesEnd();
--- a/src/test/java/switchgap/net/HttpServerFixture.java
+++ b/src/test/java/switchgap/net/HttpServerFixture.java
@@ -12,10 +12,13 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** An HTTP server with short limits, its received exchanges, and plain sockets as its clients. */
+/**
+ * A fixture with an HTTP server with low limits, which records the exchanges that it receives. The
+ * clients are plain sockets.
+ */
 abstract class HttpServerFixture {
   static final int MAX_BODY_BYTES = 100;
-  static final int WAIT_SECONDS = 5;
+  static final int WAIT_TIMEOUT_SECONDS = 5;
   static final HttpServerLimits LIMITS =
       new HttpServerLimits(1024, MAX_BODY_BYTES, 2, Duration.ofSeconds(1), Duration.ofMillis(200));
 
@@ -52,7 +55,7 @@
 
   final Socket connect() throws IOException {
     Socket client = new Socket("127.0.0.1", port);
-    client.setSoTimeout(WAIT_SECONDS * 1000);
+    client.setSoTimeout(WAIT_TIMEOUT_SECONDS * 1000);
     return client;
   }
 
@@ -61,7 +64,7 @@
   }
 
   final HttpExchange nextExchange() throws InterruptedException {
-    HttpExchange exchange = received.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+    HttpExchange exchange = received.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertThat(exchange).isNotNull();
     return exchange;
   }
@@ -70,7 +73,7 @@
     StringBuilder bytes = new StringBuilder();
     while (bytes.indexOf(end) < 0) {
       int next = client.getInputStream().read();
-      assertThat(next).as("after " + bytes).isNotNegative();
+      assertThat(next).as("next byte after " + bytes).isNotNegative();
       bytes.append((char) next);
     }
     return bytes.toString();
@@ -84,7 +87,10 @@
     return text.getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** Gives the server time to read what was sent, so that the next bytes come in a further read. */
+  /**
+   * Gives the server time to read the bytes that were sent, so that the next bytes arrive in a
+   * separate read.
+   */
   static void awaitSeparateRead() throws InterruptedException {
     Thread.sleep(20);
   }
--- a/src/test/java/switchgap/protocol/resp/WaitingExchangesTest.java
+++ b/src/test/java/switchgap/protocol/resp/WaitingExchangesTest.java
@@ -7,21 +7,21 @@
 import org.junit.jupiter.api.Test;
 import switchgap.router.WorkerEntry;
 
-/** The order and the bound of the queue of waiting exchanges. */
+/** The order and the maximum size of the queue of waiting exchanges. */
 class WaitingExchangesTest {
   private final WorkerEntry worker = new WorkerEntry("w", "127.0.0.1", 1, 0);
-  private final WaitingExchanges waiting = new WaitingExchanges(3);
+  private final WaitingExchanges waitingExchanges = new WaitingExchanges(3);
 
   private RespExchange addExchange(String tag) {
     RespExchange exchange =
         RespExchange.ofCommand(worker, tag, false, new byte[0], 0, (core, outcome, reply) -> {});
-    waiting.add(exchange);
+    waitingExchanges.add(exchange);
     return exchange;
   }
 
   private List<String> waitingTags() {
     List<String> tags = new ArrayList<>();
-    waiting.settleEach(
+    waitingExchanges.removeIfHandled(
         exchange -> {
           tags.add(exchange.replyId());
           return false;
@@ -30,28 +30,28 @@
   }
 
   @Test
-  void isFullAtItsBound() {
+  void isFullAtMaximumSize() {
     addExchange("first");
     addExchange("second");
-    assertThat(waiting.isFull()).isFalse();
+    assertThat(waitingExchanges.isFull()).isFalse();
     addExchange("third");
-    assertThat(waiting.isFull()).isTrue();
+    assertThat(waitingExchanges.isFull()).isTrue();
   }
 
   @Test
-  void keepsExchangesThatAreNotSettledInOrder() {
+  void keepsUnhandledExchangesInOrder() {
     addExchange("first");
     RespExchange second = addExchange("second");
     addExchange("third");
-    waiting.settleEach(exchange -> exchange == second);
+    waitingExchanges.removeIfHandled(exchange -> exchange == second);
     assertThat(waitingTags()).containsExactly("first", "third");
   }
 
   @Test
-  void offersNoExchangeThatWasRemoved() {
+  void doesNotPassRemovedExchangeToHandler() {
     RespExchange first = addExchange("first");
     addExchange("second");
-    waiting.remove(first);
+    waitingExchanges.remove(first);
     assertThat(waitingTags()).containsExactly("second");
   }
 }
