--- a/src/main/java/switchgap/protocol/sse/ServerSentEventDecoder.java
+++ b/src/main/java/switchgap/protocol/sse/ServerSentEventDecoder.java
@@ -4,17 +4,17 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Decodes server-sent events from a stream of bytes that may be split anywhere. An event is
- * complete with its blank line; an id applies to its own event only. For one thread.
+ * Decodes server-sent events from a byte stream that may be split at any position. A blank line
+ * completes an event; an id applies only to the event that contains it. Not thread-safe.
  */
 public final class ServerSentEventDecoder {
-  /** Receives each event as soon as it is complete. */
+  /** Receives each complete event. */
   public interface EventHandler {
     /**
-     * An event is complete.
+     * Handles a complete event.
      *
-     * @param id the event's id, or null where it has none
-     * @param data its data, with line feeds between several lines
+     * @param id the event's id, or null if it has none
+     * @param data the event's data, with line feeds between the lines
      */
     void eventDecoded(String id, String data);
   }
@@ -23,35 +23,36 @@
   private static final String ID_FIELD = "id";
   private static final char NAME_END = ':';
 
-  /** May follow the colon; it is not a part of the value. */
+  /** Optional separator after the colon that is not part of the value. */
   private static final String VALUE_PREFIX = " ";
 
   private final int maxBytes;
   private final ByteArrayOutputStream lineBytes = new ByteArrayOutputStream();
   private final StringBuilder data = new StringBuilder();
   private String id;
-  private boolean afterCarriageReturn;
+  private boolean isAfterCarriageReturn;
   private long lineCount;
   private long commentCount;
 
   /**
    * Creates a decoder for one stream.
    *
-   * @param maxBytes bound of the bytes of a line, and of the characters of an event's data
+   * @param maxBytes maximum bytes of a line, and maximum characters of an event's data
    */
   public ServerSentEventDecoder(int maxBytes) {
     this.maxBytes = maxBytes;
   }
 
   /**
-   * Decodes further bytes and hands on each event that they complete.
+   * Decodes further bytes and passes each event that they complete to the handler.
    *
-   * @return false where a line or an event is too long: the stream must not be decoded any further
+   * @return false if a line or an event is too long; the stream must not be decoded any further
+   *     then
    */
   public boolean decode(byte[] bytes, EventHandler handler) {
     for (byte next : bytes) {
-      boolean isSecondOfLineEnd = next == '\n' && afterCarriageReturn;
-      afterCarriageReturn = next == '\r';
+      boolean isSecondOfLineEnd = next == '\n' && isAfterCarriageReturn;
+      isAfterCarriageReturn = next == '\r';
       if (isSecondOfLineEnd) {
         continue;
       }
@@ -73,7 +74,7 @@
     return commentCount;
   }
 
-  /** Whether fields of an event have been read whose blank line has not. */
+  /** Whether fields of an event have been read, but not its terminating blank line. */
   public boolean hasPartialEvent() {
     return data.length() > 0 || id != null;
   }
@@ -100,7 +101,7 @@
 
   private void endEvent(EventHandler handler) {
     if (data.length() > 0) {
-      handler.eventDecoded(id, data.substring(0, data.length() - 1)); // without the last line's end
+      handler.eventDecoded(id, data.substring(0, data.length() - 1)); // drops the last line feed
     }
     data.setLength(0);
     id = null;
--- a/src/main/java/switchgap/protocol/sse/package-info.java
+++ b/src/main/java/switchgap/protocol/sse/package-info.java
@@ -1,2 +1,2 @@
-/** Server-sent events: a bounded decoder, free of sockets and clock. */
+/** A decoder for server-sent events with bounded memory, without sockets or a clock. */
 package switchgap.protocol.sse;
--- a/src/main/java/switchgap/protocol/thrift/AbandonReason.java
+++ b/src/main/java/switchgap/protocol/thrift/AbandonReason.java
@@ -2,8 +2,8 @@
 
 import switchgap.router.EventReason;
 
-/** Why a request is cancelled although its connection is open. */
+/** Reason for which a request is cancelled while its connection stays open. */
 enum AbandonReason implements EventReason {
-  /** Its client sent a revoke. */
+  /** The client sent a revoke. */
   REVOKED
 }
--- a/src/main/java/switchgap/protocol/thrift/AcceptThrottle.java
+++ b/src/main/java/switchgap/protocol/thrift/AcceptThrottle.java
@@ -4,9 +4,10 @@
 import switchgap.net.TcpServer;
 
 /**
- * Counts open connections and stalls the listener while their number is at its limit. Clients past
- * it wait in the system's backlog: a connection that was accepted and closed again might carry a
- * request already. Thread-safe, as connections open and close on several threads.
+ * Counts open connections and pauses the listener while their number is at the limit. Further
+ * clients wait in the kernel's accept backlog, as closing a connection after accepting it could
+ * lose a request that was already sent on it. Thread-safe, as connections open and close on several
+ * threads.
  */
 final class AcceptThrottle {
   private final int maxOpenConnections;
@@ -14,15 +15,15 @@
   private volatile TcpServer listener;
 
   /** Guarded by this. */
-  private boolean isPaused;
+  private boolean isListenerPaused;
 
   AcceptThrottle(int maxOpenConnections) {
     this.maxOpenConnections = maxOpenConnections;
   }
 
-  /** Throttles this listener from the next change on. */
-  void listenerOpened(TcpServer opened) {
-    listener = opened;
+  /** Sets the listener to throttle, starting with the next opened or closed connection. */
+  void listenerOpened(TcpServer newListener) {
+    listener = newListener;
   }
 
   void connectionOpened() {
@@ -41,10 +42,10 @@
 
   private synchronized void update() {
     boolean hasCapacity = openConnections.get() < maxOpenConnections;
-    if (hasCapacity != isPaused || listener == null) {
+    if (hasCapacity != isListenerPaused || listener == null) {
       return;
     }
-    isPaused = !hasCapacity;
+    isListenerPaused = !hasCapacity;
     if (hasCapacity) {
       listener.resume();
     } else {
--- a/src/main/java/switchgap/protocol/thrift/ClientCloseReason.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientCloseReason.java
@@ -4,41 +4,46 @@
 import switchgap.router.EventReason;
 
 /**
- * Why a client's connection ends, and whether the client caused it: only then may requests that
- * were read on it be left unanswered.
+ * Reason for which a client connection is closed, and whether the client caused it. Only if it did
+ * may requests that were read on the connection be left unanswered.
  */
 enum ClientCloseReason implements CloseReason, EventReason {
-  /** The client closed or reset it, or it broke. */
+  /** The client closed or reset the connection, or the connection broke. */
   PEER_CLOSED(CloseReason.Transport.PEER_CLOSED.description(), true),
-  /** A reply could not be written, as the connection broke. */
+  /** Writing a reply failed because the connection broke. */
   WRITE_FAILED(CloseReason.Transport.WRITE_FAILED.description(), true),
-  /** The start of the next message is unknown. */
+  /** A frame length is out of bounds, so the start of the next message is unknown. */
   FRAME_OUT_OF_BOUNDS("frame length out of bounds", true),
-  /** A frame is no readable message. */
+  /** A frame could not be decoded as a message. */
   UNREADABLE_MESSAGE("unreadable message", true),
-  /** Only the router sends replies. */
+  /** The client sent a reply; only the router may. */
   REPLY_FROM_CLIENT("reply from a client", true),
-  /** Too many messages without a reply wait for the event loop. */
+  /**
+   * Too many messages of the connection are queued for the event loop, and the latest one has no
+   * reply that could reject it.
+   */
   QUEUE_OVERFLOW("too many queued messages", true),
-  /** The reply of one request could be taken for the other's. */
+  /**
+   * A request reuses the sequence id of one in flight, so their replies could not be told apart.
+   */
   DUPLICATE_SEQUENCE_ID("duplicate sequence id", true),
-  /** The first message, or the rest of a partial one, did not come in time. */
+  /** The first message, or the rest of a partial one, did not arrive in time. */
   RECEIVE_TIMEOUT("receive timeout", true),
-  /** It was idle while there were more connections than the limit. */
+  /** The connection was idle while the number of connections exceeded the limit. */
   EVICTED("evicted for another connection", false),
-  /** The router shuts down, and no request was in flight on it. */
+  /** The router is shutting down, and no request was in flight on the connection. */
   SHUTDOWN("router shuts down", false),
-  /** Its client does not read its replies, and their bytes have reached the limit. */
+  /** The client does not read its replies, and the unsent bytes have reached the limit. */
   REPLIES_UNREAD("too many unread reply bytes", true),
-  /** The client retries a request of this connection, which has ended, on a new one. */
+  /** The client has closed this connection and retries one of its requests on a new one. */
   RETRIED_ON_NEW_CONNECTION("request retried on a new connection", true);
 
   private final String description;
-  private final boolean clientFault;
+  private final boolean isClientFault;
 
-  ClientCloseReason(String description, boolean clientFault) {
+  ClientCloseReason(String description, boolean isClientFault) {
     this.description = description;
-    this.clientFault = clientFault;
+    this.isClientFault = isClientFault;
   }
 
   @Override
@@ -46,15 +51,17 @@
     return description;
   }
 
-  /** Whether the client caused it, so that requests on the connection may be left unanswered. */
+  /**
+   * Whether the client caused the close, so that requests on the connection may be left unanswered.
+   */
   boolean isClientFault() {
-    return clientFault;
+    return isClientFault;
   }
 
-  /** The reason for which a client's connection was closed, by this package or the transport. */
+  /** Maps a close reason of this package or of the transport to one for client connections. */
   static ClientCloseReason of(CloseReason reason) {
-    if (reason instanceof ClientCloseReason own) {
-      return own;
+    if (reason instanceof ClientCloseReason clientReason) {
+      return clientReason;
     }
     return reason == CloseReason.Transport.WRITE_FAILED ? WRITE_FAILED : PEER_CLOSED;
   }
--- a/src/main/java/switchgap/protocol/thrift/ClientConnection.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnection.java
@@ -15,49 +15,55 @@
 import switchgap.router.PendingRequest;
 
 /**
- * One client's connection. The selector thread decodes its frames and counts what it queues; the
- * requests in flight and the time of the last message belong to the event loop. Fields that both
- * read are volatile or concurrent.
+ * A client connection. The selector thread decodes its frames and counts the messages that it
+ * queues; the requests in flight belong to the event loop. Fields that both threads use are
+ * volatile or concurrent.
  */
 final class ClientConnection {
-  /** In place of a time: the bytes that were read first had not waited. */
-  private static final Duration NEVER_WAITED = Duration.ofSeconds(Long.MAX_VALUE);
+  /** Value of {@link #firstReadReceivedAt} if the bytes of the first read had not waited. */
+  private static final Duration NO_EARLIER_BOUND = Duration.ofSeconds(Long.MAX_VALUE);
 
   private final TcpConnection connection;
   private final Supplier<Duration> clock;
   private final int maxUnsentBytes;
   private final MessageReceiver receiver;
 
-  /** Requests without their response, by sequence id; event loop only. */
+  /** Requests in flight by sequence id. Event loop only. */
   private final Map<Integer, PendingRequest> inFlight = new HashMap<>();
 
   private final AtomicInteger queuedMessages = new AtomicInteger();
 
   /**
-   * When the selector thread read a revoke that the event loop has not handled, by the sequence id
-   * that it names; bounded by the number of queued messages.
+   * Times at which the selector thread read revokes that the event loop has not handled yet, by the
+   * revoked sequence id. Bounded by the number of queued messages.
    */
   private final Map<Integer, Duration> revokedAt = new ConcurrentHashMap<>();
 
   /**
-   * Since when the bytes that were read first may have waited; null before the first read. Selector
-   * thread only.
+   * Earliest time at which the bytes of the first read may have arrived; null before the first
+   * read. Selector thread only.
    */
-  private Duration firstWaitedSince;
+  private Duration firstReadReceivedAt;
 
-  /** Whether the event loop is about to evict it; messages read from now on are rejected. */
-  private volatile boolean evicting;
+  /**
+   * Whether the event loop is evicting the connection; messages that are read while it is set are
+   * rejected.
+   */
+  private volatile boolean isEvicting;
 
-  /** When it was opened, its last message was handled or its last reply was given to the socket. */
+  /**
+   * Time of the latest of: the connect, the last handled message, the last reply passed to the
+   * socket.
+   */
   private volatile long lastActiveNanos;
 
   private volatile Duration closedAt;
 
   /**
-   * A connection that has just been opened.
+   * Creates the state of a connection that has just been opened.
    *
-   * @param clock time since the router's start
-   * @param maxUnsentBytes reply bytes that its client may leave unread
+   * @param clock returns the time since the router's start
+   * @param maxUnsentBytes maximum number of reply bytes that the client may leave unread
    */
   ClientConnection(TcpConnection connection, Supplier<Duration> clock, int maxUnsentBytes) {
     this.connection = connection;
@@ -68,13 +74,13 @@
     lastActiveNanos = openedAt.toNanos();
   }
 
-  // ------------------------------------------------------------------ any thread
+  // ------------------------------------------------------------------ callable on any thread
 
   boolean isOpen() {
     return connection.isOpen();
   }
 
-  /** Its name in the log. */
+  /** Identifies the connection in logs and events. */
   String id() {
     return connection.id();
   }
@@ -83,7 +89,7 @@
     connection.close(reason);
   }
 
-  /** Sends a reply; closes a connection whose client does not read its replies. */
+  /** Sends a reply, or closes the connection if the client has left too many reply bytes unread. */
   void send(byte[] reply) {
     if (connection.unsentBytes() > maxUnsentBytes) {
       close(ClientCloseReason.REPLIES_UNREAD);
@@ -93,103 +99,113 @@
     }
   }
 
-  /** Sends a reply regardless of unsent bytes, as the connection is closed right after it. */
-  void sendLast(byte[] reply) {
+  /** Sends a reply regardless of unsent bytes; the caller closes the connection right after it. */
+  void sendBeforeClose(byte[] reply) {
     connection.send(reply);
   }
 
-  /** Whether its client has not taken all replies. */
+  /** Whether reply bytes are still waiting to be written to the socket. */
   boolean hasUnsentReplies() {
     return connection.unsentBytes() > 0;
   }
 
-  /** When the end of the connection was seen, or null. */
+  /** Time at which the close of the connection was detected, or null while it is open. */
   Duration closedAt() {
     return closedAt;
   }
 
-  /** Messages that wait for the event loop. */
+  /** Number of messages that are queued for the event loop. */
   int queuedMessages() {
     return queuedMessages.get();
   }
 
-  /** Counts a message that is about to be queued for the event loop, and returns the new count. */
+  /**
+   * Increments the number of queued messages before one is queued for the event loop; returns the
+   * new number.
+   */
   int messageQueued() {
     return queuedMessages.incrementAndGet();
   }
 
-  /** A queued message has reached the event loop, or was rejected. */
+  /**
+   * Decrements the number of queued messages after one has reached the event loop or was rejected.
+   */
   void messageDequeued() {
     queuedMessages.decrementAndGet();
   }
 
-  /** Whether a revoke of the request has been read and not handled yet. */
+  /** Whether a revoke of the request has been read but not handled yet. */
   boolean isRevoked(int sequenceId) {
     return revokedAt.containsKey(sequenceId);
   }
 
-  /** When a revoke of the request was read that has not been handled yet, or null. */
+  /** Time at which an unhandled revoke of the request was read, or null if there is none. */
   Duration revokedAt(int sequenceId) {
     return revokedAt.get(sequenceId);
   }
 
-  // ------------------------------------------------------------------ on the selector thread
+  // ------------------------------------------------------------------ selector thread only
 
   /**
-   * When the bytes that are being read may have arrived at the earliest. Where those read first had
-   * waited, so may have all others of the first message, in however many reads they come.
+   * Returns the earliest time at which the bytes of the current read may have arrived. If the bytes
+   * of the first read had waited in the kernel, the rest of the first message may have waited as
+   * long, even if it is read in several parts.
    *
-   * @param receivedAt the same, going by this read alone
-   * @param receiveDelay how long the bytes of this read may have waited, at most
+   * @param receivedAt the earliest arrival time that follows from this read alone
+   * @param receiveDelay the maximum time that the bytes of this read may have waited
    */
-  Duration boundReceivedAt(Duration receivedAt, Duration receiveDelay) {
+  Duration earliestReceivedAt(Duration receivedAt, Duration receiveDelay) {
     if (receiver.hasReceivedMessage()) {
       return receivedAt;
     }
-    if (firstWaitedSince == null) {
-      firstWaitedSince = receiveDelay.isZero() ? NEVER_WAITED : receivedAt;
+    if (firstReadReceivedAt == null) {
+      firstReadReceivedAt = receiveDelay.isZero() ? NO_EARLIER_BOUND : receivedAt;
     }
-    return firstWaitedSince.compareTo(receivedAt) < 0 ? firstWaitedSince : receivedAt;
+    return firstReadReceivedAt.compareTo(receivedAt) < 0 ? firstReadReceivedAt : receivedAt;
   }
 
-  /** Hands on each complete frame; returns false, for good, at a length that is out of bounds. */
+  /**
+   * Passes each complete frame to the handler; returns false from the first frame length that is
+   * out of bounds.
+   */
   boolean receive(ByteBuffer bytes, Consumer<byte[]> frameHandler, Duration now) {
     return receiver.receive(bytes, frameHandler, now);
   }
 
-  /** A complete message came. */
+  /** Records that a complete message was received. */
   void messageReceived() {
     receiver.messageReceived();
   }
 
-  /** A revoke was read: from now on nothing is sent to a worker for that request. */
+  /** Records a revoke that was read: from now on no attempt of the request is sent to a worker. */
   void revokeReceived(int sequenceId, Duration now) {
     revokedAt.put(sequenceId, now);
   }
 
-  /** Whether the event loop is about to evict it. */
+  /** Whether the event loop is evicting the connection. */
   boolean isEvicting() {
-    return evicting;
+    return isEvicting;
   }
 
-  /** The end of the connection was seen. */
-  void closed() {
+  /** Records the time at which the close of the connection was detected. */
+  void connectionClosed() {
     closedAt = clock.get();
   }
 
-  // ------------------------------------------------------------------ on the event loop
+  // ------------------------------------------------------------------ event loop only
 
-  /** A request of this connection is in flight from now on. */
+  /** Adds a request of this connection to those in flight. */
   void requestAdded(int sequenceId, PendingRequest request) {
     inFlight.put(sequenceId, request);
   }
 
-  /** The request is no longer in flight; returns it, or null if it was not. */
+  /**
+   * Removes a request from those in flight and returns it, or null if none has this sequence id.
+   */
   PendingRequest requestRemoved(int sequenceId) {
     return inFlight.remove(sequenceId);
   }
 
-  /** No request of this connection is in flight any more. */
   void allRequestsRemoved() {
     inFlight.clear();
   }
@@ -202,36 +218,40 @@
     return inFlight.size();
   }
 
-  /** Visits the requests in flight with their sequence ids; the visitor must not remove any. */
+  /**
+   * Passes each request in flight with its sequence id to the visitor, which must not add or remove
+   * requests.
+   */
   void forEachRequest(BiConsumer<Integer, PendingRequest> visitor) {
     inFlight.forEach(visitor);
   }
 
-  /** The requests in flight at this moment, which may be removed while they are visited. */
+  /** A copy of the requests in flight, so that callers may remove them while iterating. */
   List<PendingRequest> requestSnapshot() {
     return List.copyOf(inFlight.values());
   }
 
-  /** The event loop handles a message at this time. */
+  /** Records the time at which the event loop handles a message. */
   void messageHandledAt(Duration now) {
     lastActiveNanos = now.toNanos();
   }
 
-  /** The event loop handles the revoke itself. */
+  /** Removes the record of an unhandled revoke, as the event loop handles it now. */
   void revokeHandled(int sequenceId) {
     revokedAt.remove(sequenceId);
   }
 
   /**
-   * Closes the connection, unless the selector thread has just read something: either that thread
-   * sees the eviction and rejects the message, or this one sees the message and closes nothing.
+   * Closes the connection unless it is in use. If the selector thread reads a message at the same
+   * time, either it sees {@link #isEvicting} and rejects the message, or this method sees the
+   * message and leaves the connection open.
    *
-   * @return whether it was closed
+   * @return whether the connection was closed
    */
   boolean evict(ClientCloseReason reason) {
-    evicting = true;
+    isEvicting = true;
     if (!isIdle()) {
-      evicting = false;
+      isEvicting = false;
       return false;
     }
     close(reason);
@@ -243,7 +263,10 @@
     return inFlight.isEmpty() && queuedMessages.get() == 0 && !receiver.hasPartialMessage();
   }
 
-  /** Whether a request is in flight, queued or partial, or a reply is not written. */
+  /**
+   * Whether a request is in flight, queued or partially received, or a reply is not completely
+   * written.
+   */
   boolean isActive() {
     return isOpen() && (!isIdle() || hasUnsentReplies());
   }
@@ -253,22 +276,30 @@
     return receiver.hasReceivedMessage();
   }
 
-  /** Whether the client has sent no message since it connected, longer than the timeout ago. */
+  /**
+   * Whether the client has not sent a complete message since it connected, which was longer ago
+   * than the timeout.
+   */
   boolean isSilent(Duration now, Duration timeout) {
     return !receiver.hasReceivedMessage() && isQuiet(now, timeout);
   }
 
-  /** Whether no message was handled and no reply sent on it for longer than this. */
+  /**
+   * Whether no message was handled and no reply was sent on this connection for longer than the
+   * given duration.
+   */
   boolean isQuiet(Duration now, Duration minDuration) {
     return now.toNanos() - lastActiveNanos > minDuration.toNanos();
   }
 
-  /** Whether a message is due for longer than the timeout; stalls of the process do not count. */
+  /**
+   * Whether a message has been due for longer than the timeout, not counting stalls of the process.
+   */
   boolean isReceiveOverdue(Duration now, Duration timeout, StallHistory stalls) {
     return receiver.isOverdue(now, timeout, stalls);
   }
 
-  /** When it was opened, its last message was handled or its last reply was sent. */
+  /** Time of the latest of: the connect, the last handled message, the last sent reply. */
   long lastActiveNanos() {
     return lastActiveNanos;
   }
--- a/src/main/java/switchgap/protocol/thrift/ClientConnectionLimits.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnectionLimits.java
@@ -3,16 +3,18 @@
 import java.time.Duration;
 
 /**
- * Bounds on what clients may take of the router.
+ * Limits on the router's resources that clients may use.
  *
- * @param maxConnections open connections
- * @param maxExcessConnections further connections until the event loop has evicted others
- * @param maxUnsentBytes bytes of one connection's replies that its client has not read
- * @param maxRequestBytes bytes of all messages queued for the event loop, and, counted apart, of
- *     the bodies of all requests in flight
- * @param maxRequests requests in flight
- * @param receiveTimeout for a connection's first message, and for the rest of any message
- * @param sweepInterval between calls of {@link ThriftServer#closeOverdueConnections}
+ * @param maxConnections maximum number of connections that may stay open @param
+ *     maxExcessConnections number of connections that may be open beyond {@code maxConnections}
+ *     until the event loop has evicted idle ones
+ * @param maxUnsentBytes maximum bytes of unsent replies of one connection
+ * @param maxRequestBytes maximum bytes of all messages queued for the event loop; the same limit
+ *     applies separately to the bodies of all requests in flight
+ * @param maxRequests maximum number of requests in flight
+ * @param receiveTimeout maximum time to receive a connection's first message, and the rest of any
+ *     partial message
+ * @param sweepInterval interval at which {@link ThriftServer#closeOverdueConnections} is called
  */
 public record ClientConnectionLimits(
     int maxConnections,
--- a/src/main/java/switchgap/protocol/thrift/ClientConnectionTable.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnectionTable.java
@@ -8,19 +8,20 @@
 import switchgap.net.StallHistory;
 
 /**
- * The clients' connections that the event loop tracks. Past their maximum number idle connections
- * are evicted for new ones. Event loop only.
+ * The client connections that the event loop tracks. Evicts idle connections while there are more
+ * than the maximum. Event loop only.
  */
 final class ClientConnectionTable {
   /**
-   * A client that has sent no message for the receive timeout divided by this is evicted before all
-   * others.
+   * Clients that have not sent any message within the receive timeout divided by this value are
+   * evicted first.
    */
   private static final int SILENT_TIMEOUT_DIVISOR = 4;
 
   /**
-   * A connection that was active less than this ago is in use: a reply may be on its way to the
-   * client, or a message from it. On the platform a close and a request may cross for as long.
+   * A connection that was active within this duration is considered in use, as a reply or a new
+   * message may still be in transit. On the platform a request can be in transit for this long when
+   * its connection is closed.
    */
   private static final Duration MIN_QUIET_DURATION = Duration.ofMillis(50);
 
@@ -44,8 +45,8 @@
   }
 
   /**
-   * Evicts idle connections while there are too many. Connections in use stay, however many they
-   * are.
+   * Evicts idle connections while there are too many. Connections in use are never evicted, even if
+   * they exceed the maximum.
    */
   void evictExcess(Duration now) {
     int excess = connections.size() - maxConnections;
@@ -59,9 +60,9 @@
       }
     }
     candidates.sort((first, second) -> compareForEviction(first, second, now));
-    for (ClientConnection evicted : candidates.subList(0, Math.min(excess, candidates.size()))) {
-      if (evicted.evict(ClientCloseReason.EVICTED)) {
-        connections.remove(evicted);
+    for (ClientConnection candidate : candidates.subList(0, Math.min(excess, candidates.size()))) {
+      if (candidate.evict(ClientCloseReason.EVICTED)) {
+        connections.remove(candidate);
       }
     }
   }
@@ -74,7 +75,10 @@
     return connections.size();
   }
 
-  /** Connections with a request in flight, queued or partial, or with an unwritten reply. */
+  /**
+   * Number of connections with a request in flight, queued or partially received, or with an unsent
+   * reply.
+   */
   int activeCount() {
     int active = 0;
     for (ClientConnection connection : connections) {
@@ -85,17 +89,20 @@
     return active;
   }
 
-  /** The connections at this moment, which may be closed while they are visited. */
+  /** A copy of the connections, so that callers may close them while iterating. */
   List<ClientConnection> snapshot() {
     return new ArrayList<>(connections);
   }
 
-  /** A pause of the process ended: it does not count against any client's receive timeout. */
+  /**
+   * Records a stall of the process that has just ended, which is excluded from the clients' receive
+   * timeouts.
+   */
   void stallEnded(Duration now, Duration length) {
     stalls.add(now, length);
   }
 
-  /** Closes connections whose message is overdue. */
+  /** Closes the connections on which a message is overdue. */
   void closeOverdue(Duration now) {
     for (ClientConnection connection : snapshot()) {
       if (connection.isReceiveOverdue(now, receiveTimeout, stalls)) {
@@ -105,14 +112,14 @@
   }
 
   /**
-   * Closes the connections that are idle and quiet, as the router shuts down. One that has carried
-   * no message may be about to carry its first: it has longer.
+   * Closes the connections that are idle and quiet, for the shutdown. A connection without any
+   * message so far gets more time, as its first message may be about to arrive.
    */
   void closeQuiet(Duration now) {
     for (ClientConnection connection : snapshot()) {
       boolean isNew = !connection.hasReceivedMessage();
-      boolean isEnding = !isNew || connection.isSilent(now, silentTimeout);
-      if (isEnding && isEvictable(connection, now)) {
+      boolean mayClose = !isNew || connection.isSilent(now, silentTimeout);
+      if (mayClose && isEvictable(connection, now)) {
         connection.evict(ClientCloseReason.SHUTDOWN);
       }
     }
@@ -123,7 +130,7 @@
     return connection.isOpen() && connection.isIdle() && connection.isQuiet(now, minQuiet);
   }
 
-  /** Orders silent connections first, then the least recently active. */
+  /** Orders connections without any message so far first, then the least recently active ones. */
   private int compareForEviction(ClientConnection first, ClientConnection second, Duration now) {
     boolean isFirstSilent = first.isSilent(now, silentTimeout);
     boolean isSecondSilent = second.isSilent(now, silentTimeout);
--- a/src/main/java/switchgap/protocol/thrift/ClientMessageReader.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientMessageReader.java
@@ -6,35 +6,35 @@
 import switchgap.router.RouterCore;
 
 /**
- * Decodes clients' frames on the selector threads. Answers heartbeats, unknown methods and
- * unreadable messages there; queues submits and revokes for the event loop, in bounded number and
- * bytes.
+ * Decodes the frames of clients on the selector threads. Heartbeats, unknown methods and malformed
+ * messages are answered there; submits and revokes are queued for the event loop, with limits on
+ * their number and bytes.
  */
 final class ClientMessageReader {
-  /** Messages of one connection that wait for the event loop. */
+  /** Maximum number of messages of one connection that are queued for the event loop. */
   private static final int MAX_QUEUED_MESSAGES = 256;
 
-  private final RequestHandler requests;
+  private final RequestHandler requestHandler;
   private final Consumer<Consumer<RouterCore>> eventLoop;
   private final int maxQueuedBytes;
   private final AtomicInteger queuedBytes = new AtomicInteger();
   private volatile boolean isHealthy;
 
   /**
-   * A reader that answers heartbeats as unhealthy.
+   * Creates a reader that answers heartbeats as unhealthy until {@link #setHealthy} is called.
    *
-   * @param requests handles the queued messages
-   * @param eventLoop runs an event on the router's event loop
-   * @param maxQueuedBytes bytes of all submits that wait for the event loop
+   * @param requestHandler handles the queued messages
+   * @param eventLoop runs a task on the router's event loop
+   * @param maxQueuedBytes maximum bytes of all submits that are queued for the event loop
    */
   ClientMessageReader(
-      RequestHandler requests, Consumer<Consumer<RouterCore>> eventLoop, int maxQueuedBytes) {
-    this.requests = requests;
+      RequestHandler requestHandler, Consumer<Consumer<RouterCore>> eventLoop, int maxQueuedBytes) {
+    this.requestHandler = requestHandler;
     this.eventLoop = eventLoop;
     this.maxQueuedBytes = maxQueuedBytes;
   }
 
-  /** What heartbeats are answered from now on. Any thread. */
+  /** Sets the health that replies to heartbeats report. Callable on any thread. */
   void setHealthy(boolean healthy) {
     isHealthy = healthy;
   }
@@ -42,11 +42,11 @@
   /**
    * Handles one complete frame.
    *
-   * @param receivedAt when its last byte may have arrived at the earliest
+   * @param receivedAt earliest time at which its last byte may have arrived
    */
   void frameReceived(ClientConnection connection, byte[] frame, Duration receivedAt) {
     if (!connection.isOpen()) {
-      return; // closed by an earlier frame of the same read
+      return; // an earlier frame of the same read closed the connection
     }
     connection.messageReceived();
     try {
@@ -54,7 +54,7 @@
       messageReceived(connection, message, frame.length, receivedAt);
     } catch (MalformedMessageException e) {
       if (e.method() != null) {
-        connection.sendLast(
+        connection.sendBeforeClose(
             ThriftResponseEncoder.protocolError(e.method(), e.sequenceId(), e.getMessage()));
       }
       connection.close(ClientCloseReason.UNREADABLE_MESSAGE);
@@ -82,43 +82,45 @@
       ClientConnection connection, ThriftMessage message, int messageBytes, Duration receivedAt) {
     if (!countQueuedMessage(connection) || !reserveQueuedBytes(messageBytes)) {
       connection.messageDequeued();
-      requests.rejectUnqueued(connection, message.sequenceId());
+      requestHandler.rejectUnqueued(connection, message.sequenceId());
       return;
     }
     eventLoop.accept(
         core -> {
           connection.messageDequeued();
           queuedBytes.addAndGet(-messageBytes);
-          requests.messageReceived(core, connection, message, receivedAt);
+          requestHandler.messageReceived(core, connection, message, receivedAt);
         });
   }
 
-  /** A revoke is small: the number of queued messages bounds its bytes, too. */
+  /** Revokes are small, so the limit on the number of queued messages also bounds their bytes. */
   private void enqueueRevoke(
       ClientConnection connection, ThriftMessage message, Duration receivedAt) {
     if (!countQueuedMessage(connection)) {
-      connection.close(ClientCloseReason.QUEUE_OVERFLOW); // no reply could reject a revoke
+      connection.close(
+          ClientCloseReason.QUEUE_OVERFLOW); // a revoke has no reply that could reject it
       return;
     }
     connection.revokeReceived(message.firstInteger(), receivedAt);
     eventLoop.accept(
         core -> {
           connection.messageDequeued();
-          requests.messageReceived(core, connection, message, receivedAt);
+          requestHandler.messageReceived(core, connection, message, receivedAt);
         });
   }
 
-  /** Counts a message as queued; returns whether the connection may queue it. */
+  /** Counts a message as queued; returns whether the connection is allowed to queue it. */
   private static boolean countQueuedMessage(ClientConnection connection) {
     return connection.messageQueued() <= MAX_QUEUED_MESSAGES && !connection.isEvicting();
   }
 
-  /** Reserves a message's bytes in the queue; reserves nothing if they do not fit. */
+  /** Reserves queue space for a message; returns false and reserves nothing if it does not fit. */
   private boolean reserveQueuedBytes(int messageBytes) {
     if (queuedBytes.addAndGet(messageBytes) <= maxQueuedBytes) {
       return true;
     }
-    queuedBytes.addAndGet(-messageBytes); // or each flood would lower the limit until a restart
+    queuedBytes.addAndGet(
+        -messageBytes); // a leaked reservation would lower the limit until a restart
     return false;
   }
 }
--- a/src/main/java/switchgap/protocol/thrift/DeclaredException.java
+++ b/src/main/java/switchgap/protocol/thrift/DeclaredException.java
@@ -1,12 +1,13 @@
 package switchgap.protocol.thrift;
 
 /**
- * The exceptions that the service declares, by the field of the result struct that carries them.
+ * The exceptions that the Thrift service declares, with the field of the result struct that carries
+ * each.
  */
 enum DeclaredException {
-  /** {@code Full}: the request was rejected, a retry is harmless. */
+  /** {@code Full}: the request was rejected without being executed, so a retry is safe. */
   FULL(1),
-  /** {@code Error}: the request failed or is unusable; no promise about its effect. */
+  /** {@code Error}: the request failed or is invalid; it may have been executed. */
   ERROR(2);
 
   private final int fieldId;
@@ -15,7 +16,7 @@
     this.fieldId = fieldId;
   }
 
-  /** Its field in the result struct. */
+  /** Id of the field in the result struct that carries this exception. */
   int fieldId() {
     return fieldId;
   }
--- a/src/main/java/switchgap/protocol/thrift/InFlightRequests.java
+++ b/src/main/java/switchgap/protocol/thrift/InFlightRequests.java
@@ -5,8 +5,9 @@
 import switchgap.router.PendingRequest;
 
 /**
- * The requests that were offered to the core and have no response, bounded in number and in bytes
- * of their bodies. Each is in flight once, under its id and on its connection. Event loop only.
+ * The requests that were offered to the core and have no response yet, with limits on their number
+ * and on the bytes of their bodies. An id is in flight at most once, on one connection. Event loop
+ * only.
  */
 final class InFlightRequests {
   private final int maxRequests;
@@ -23,12 +24,12 @@
     return connectionByRequestId.size();
   }
 
-  /** The connection of the request in flight with this id, or null. */
+  /** The connection of the request in flight with this id, or null if there is none. */
   ClientConnection connectionOf(String requestId) {
     return connectionByRequestId.get(requestId);
   }
 
-  /** Whether the request fits within the bounds. */
+  /** Whether the request fits within the limits. */
   boolean hasCapacityFor(PendingRequest request) {
     return size() < maxRequests && bodyBytes + request.body().length <= maxBodyBytes;
   }
@@ -44,7 +45,7 @@
     release(request);
   }
 
-  /** Releases the capacity of a request that its connection no longer lists, or soon will not. */
+  /** Releases the capacity of a request; the caller removes it from its connection. */
   void release(PendingRequest request) {
     connectionByRequestId.remove(request.id());
     bodyBytes -= request.body().length;
--- a/src/main/java/switchgap/protocol/thrift/InvalidSubmitException.java
+++ b/src/main/java/switchgap/protocol/thrift/InvalidSubmitException.java
@@ -1,6 +1,9 @@
 package switchgap.protocol.thrift;
 
-/** A readable submit that cannot be used; the exception's message names the field at fault. */
+/**
+ * A well-formed submit with a missing or invalid field; the exception's message is the name of that
+ * field.
+ */
 final class InvalidSubmitException extends ThriftProtocolException {
   private static final long serialVersionUID = 1;
 
--- a/src/main/java/switchgap/protocol/thrift/MalformedMessageException.java
+++ b/src/main/java/switchgap/protocol/thrift/MalformedMessageException.java
@@ -13,12 +13,12 @@
     this.sequenceId = sequenceId;
   }
 
-  /** The method, or null if the header could not be read. */
+  /** The method's name, or null if the message's header could not be read. */
   String method() {
     return method;
   }
 
-  /** The sequence id; meaningless if the header could not be read. */
+  /** The sequence id; undefined if the message's header could not be read. */
   int sequenceId() {
     return sequenceId;
   }
--- a/src/main/java/switchgap/protocol/thrift/MessageReceiver.java
+++ b/src/main/java/switchgap/protocol/thrift/MessageReceiver.java
@@ -7,11 +7,11 @@
 import switchgap.net.StallHistory;
 
 /**
- * Splits the bytes of one connection into frames and knows since when a message is due. Written on
- * the selector thread, read on the event loop as well.
+ * Splits the bytes of one connection into frames and tracks since when a message is due. The
+ * selector thread updates it; the event loop reads it as well.
  */
 final class MessageReceiver {
-  /** Bytes of one message, its length not included. */
+  /** Maximum bytes of one message, without its length prefix. */
   private static final int MAX_FRAME_BYTES = 32 << 10;
 
   private final FrameDecoder frames = new FrameDecoder(MAX_FRAME_BYTES);
@@ -19,17 +19,19 @@
   private volatile boolean hasReceivedMessage;
 
   /**
-   * Time of the connect, or of the first byte of an incomplete message; null while no message is
-   * due.
+   * Time of the connect, or of the first byte of a partial message; null while no message is due.
    */
   private volatile Duration dueSince;
 
-  /** A receiver of a connection that was opened at this time. */
+  /** Creates a receiver for a connection that was opened at the given time. */
   MessageReceiver(Duration openedAt) {
     dueSince = openedAt;
   }
 
-  /** Hands on each complete frame; returns false, for good, at a length that is out of bounds. */
+  /**
+   * Passes each complete frame to the handler; returns false from the first frame length that is
+   * out of bounds.
+   */
   boolean receive(ByteBuffer bytes, Consumer<byte[]> frameHandler, Duration now) {
     boolean isWithinBounds = frames.decode(bytes, frameHandler);
     hasPartialMessage = frames.hasPartialFrame();
@@ -41,23 +43,25 @@
     return isWithinBounds;
   }
 
-  /** A complete message came. */
+  /** Records that a complete message was received. */
   void messageReceived() {
     hasReceivedMessage = true;
     dueSince = null;
   }
 
-  /** Whether a complete message ever came. */
+  /** Whether a complete message has ever been received. */
   boolean hasReceivedMessage() {
     return hasReceivedMessage;
   }
 
-  /** Whether only a part of a message has come. */
+  /** Whether the last message has been received only in part. */
   boolean hasPartialMessage() {
     return hasPartialMessage;
   }
 
-  /** Whether a message is due for longer than the timeout; stalls of the process do not count. */
+  /**
+   * Whether a message has been due for longer than the timeout, not counting stalls of the process.
+   */
   boolean isOverdue(Duration now, Duration timeout, StallHistory stalls) {
     Duration since = dueSince;
     return since != null && stalls.elapsedExcludingStalls(since, now).compareTo(timeout) > 0;
--- a/src/main/java/switchgap/protocol/thrift/MessageType.java
+++ b/src/main/java/switchgap/protocol/thrift/MessageType.java
@@ -1,12 +1,12 @@
 package switchgap.protocol.thrift;
 
-/** What a Thrift message is, by the code in its header. */
+/** Type of a Thrift message, with its code in the message header. */
 enum MessageType {
   /** A request that expects a reply. */
   CALL(1),
-  /** The reply to a request, a declared exception included. */
+  /** The reply to a request: a result or a declared exception. */
   REPLY(2),
-  /** An application exception. */
+  /** A reply that reports a protocol error, such as an unknown method. */
   EXCEPTION(3),
   /** A request without a reply. */
   ONEWAY(4);
@@ -19,12 +19,12 @@
     this.code = code;
   }
 
-  /** The code on the wire. */
+  /** The code in the message header. */
   int code() {
     return code;
   }
 
-  /** The type that has a code, or null. */
+  /** The type with this code, or null if there is none. */
   static MessageType of(int code) {
     for (MessageType type : VALUES) {
       if (type.code == code) {
@@ -34,7 +34,7 @@
     return null;
   }
 
-  /** Whether only a client sends it. */
+  /** Whether messages of this type are sent by clients only. */
   boolean isRequest() {
     return this == CALL || this == ONEWAY;
   }
--- a/src/main/java/switchgap/protocol/thrift/NameDirectory.java
+++ b/src/main/java/switchgap/protocol/thrift/NameDirectory.java
@@ -4,7 +4,7 @@
 import switchgap.policy.api.RouterSettings;
 
 /**
- * Resolves the names in a request by the operators' settings.
+ * The router's settings, with the indices of the names that requests may contain.
  *
  * @param settings the router's settings
  * @param requestClasses index of each request class by its name
--- a/src/main/java/switchgap/protocol/thrift/ReplicaExtras.java
+++ b/src/main/java/switchgap/protocol/thrift/ReplicaExtras.java
@@ -1,10 +1,10 @@
 package switchgap.protocol.thrift;
 
 /**
- * What a request states about the replicas of its function.
+ * Properties of a function's replicas that a request states in its extras field.
  *
- * @param memoryMb memory of one replica, 0 if not stated
- * @param slots requests that one replica executes concurrently
+ * @param memoryMb memory of one replica in megabytes, 0 if not stated
+ * @param slots number of requests that one replica executes concurrently
  */
 record ReplicaExtras(double memoryMb, int slots) {
   private static final double MAX_MEMORY_MB = 1 << 20;
@@ -12,7 +12,10 @@
   private static final char SEPARATOR = ';';
   private static final char NAME_END = ':';
 
-  /** Parses {@code name:value} figures joined by semicolons; unknown names are ignored. */
+  /**
+   * Parses numbers of the form {@code name:value}, separated by semicolons; unknown names are
+   * ignored.
+   */
   static ReplicaExtras parse(String extras) throws InvalidSubmitException {
     double memoryMb = 0;
     int slots = 1;
@@ -26,18 +29,18 @@
       }
       String value = extras.substring(colon + 1, end);
       switch (extras.substring(start, colon)) {
-        case WireNames.MEMORY_MB -> memoryMb = parseFigure(value, MAX_MEMORY_MB);
+        case WireNames.MEMORY_MB -> memoryMb = parseNumber(value, MAX_MEMORY_MB);
         case WireNames.LANES ->
-            slots = (int) Math.max(1, Math.round(parseFigure(value, MAX_SLOTS)));
-        case WireNames.LOAD_MS -> parseFigure(value, DecimalFigure.MAX_MILLIS); // checked, not used
-        default -> {} // ignored: this router does not use it
+            slots = (int) Math.max(1, Math.round(parseNumber(value, MAX_SLOTS)));
+        case WireNames.LOAD_MS -> parseNumber(value, DecimalNumber.MAX_MILLIS); // validated only
+        default -> {} // names that this router does not use are ignored
       }
       start = end + 1;
     }
     return new ReplicaExtras(memoryMb, slots);
   }
 
-  private static double parseFigure(String value, double max) throws InvalidSubmitException {
-    return DecimalFigure.parse(value, WireNames.EXTRAS, max);
+  private static double parseNumber(String value, double max) throws InvalidSubmitException {
+    return DecimalNumber.parse(value, WireNames.EXTRAS, max);
   }
 }
--- a/src/main/java/switchgap/protocol/thrift/RequestAdmission.java
+++ b/src/main/java/switchgap/protocol/thrift/RequestAdmission.java
@@ -8,13 +8,14 @@
 import switchgap.router.RouterEvent;
 
 /**
- * Admits submits: decodes them, checks the bounds of their connection and of the router, and offers
- * them to the core. What is not admitted is answered at once. Event loop only.
+ * Admits submits: decodes them, checks the limits of their connection and of the router, and offers
+ * them to the core. A submit that is not admitted is answered immediately. Event loop only.
  */
 final class RequestAdmission {
   /**
-   * Requests in flight on one connection. The protocol says 32, yet usual clients were seen with
-   * more than 200; memory is bounded by the bytes of all requests.
+   * Maximum number of requests in flight on one connection. The protocol specifies 32, but ordinary
+   * clients have more than 200 in flight; memory is bounded by the limit on the bytes of all
+   * requests.
    */
   private static final int MAX_REQUESTS_PER_CONNECTION = 1024;
 
@@ -24,8 +25,8 @@
   private final RequestCancellation cancellation;
   private final RouterDiagnostics diagnostics;
 
-  /** Whether the router shuts down and can serve nothing more; event loop only. */
-  private boolean rejectsAll;
+  /** Whether every request is rejected, at the end of the shutdown. Event loop only. */
+  private boolean isRejectingAll;
 
   RequestAdmission(
       NameDirectory names,
@@ -40,15 +41,16 @@
     this.diagnostics = diagnostics;
   }
 
-  /** Answers every request from now on with a rejection. */
+  /** Rejects every request from now on. */
   void rejectAll() {
-    rejectsAll = true;
+    isRejectingAll = true;
   }
 
   /**
    * Offers the submitted request to the core, or answers it.
    *
-   * @param receivedAt when the message was read; the request's deadline counts from then
+   * @param receivedAt earliest time at which the message may have arrived; the request's deadline
+   *     counts from it
    */
   void submit(RouterCore core, ReplyAddress address, ThriftMessage message, Duration receivedAt) {
     ClientConnection connection = address.connection();
@@ -65,18 +67,18 @@
   }
 
   /**
-   * Drops a submit whose revoke is queued behind it; it has an answer only if the revoke came past
-   * its deadline.
+   * Drops a submit whose revoke is already queued. The submit is answered only if the revoke
+   * arrived past the submit's deadline.
    */
   private void dropRevoked(ReplyAddress address, ThriftMessage message, Duration receivedAt) {
     try {
       PendingRequest request = decode(address, message, receivedAt);
       Duration revokedAt = address.connection().revokedAt(address.sequenceId());
-      if (revokedAt != null && RequestCancellation.isAnswerOwed(request, revokedAt)) {
+      if (revokedAt != null && RequestCancellation.isAnswerRequired(request, revokedAt)) {
         responder.rejectRevokedLate(address, request);
       }
     } catch (InvalidSubmitException e) {
-      return; // revoked: its client does not wait for the name of the field at fault
+      return; // the client has revoked the request and expects no error
     }
   }
 
@@ -90,7 +92,7 @@
       ensureIdIsNotInFlight(core, request.id());
       offer(core, address, request);
     } catch (InvalidSubmitException e) {
-      responder.failUnusable(address, e);
+      responder.failInvalid(address, e);
     }
   }
 
@@ -100,8 +102,9 @@
   }
 
   /**
-   * An id is in flight once. If its connection has ended, the client retries the request on a new
-   * connection and the event loop has not handled the end of the old one yet: it does so now.
+   * Ensures that an id is in flight at most once. If the request in flight with this id belongs to
+   * a closed connection, the client is retrying it on a new one before the event loop has handled
+   * the close; the close is handled now.
    */
   private void ensureIdIsNotInFlight(RouterCore core, String id) throws InvalidSubmitException {
     ClientConnection owner = inFlight.connectionOf(id);
@@ -115,12 +118,12 @@
   }
 
   private void offer(RouterCore core, ReplyAddress address, PendingRequest request) {
-    if (rejectsAll) {
+    if (isRejectingAll) {
       responder.reject(address, request, AnswerReason.SHUTDOWN, core.now());
       return;
     }
     boolean hasCapacity = inFlight.hasCapacityFor(request);
-    inFlight.add(address, request); // before the offer: the core may respond within it
+    inFlight.add(address, request); // must precede the offer, in which the core may respond
     if (hasCapacity && core.accept(request)) {
       return;
     }
--- a/src/main/java/switchgap/protocol/thrift/RequestCancellation.java
+++ b/src/main/java/switchgap/protocol/thrift/RequestCancellation.java
@@ -9,13 +9,13 @@
 import switchgap.router.RouterEvent;
 
 /**
- * Cancels requests in flight that nobody waits for any more: a revoke, the end of a connection, the
+ * Cancels requests in flight after a revoke, at the close of their connection, or at the end of the
  * shutdown. Event loop only.
  */
 final class RequestCancellation {
   /**
-   * The client's clock of a request starts at its send, the router's at its read: they are at most
-   * this far apart.
+   * Maximum difference between the client's deadline, which counts from the send of a request, and
+   * the router's, which counts from its arrival.
    */
   private static final Duration DEADLINE_SLACK = Duration.ofMillis(150);
 
@@ -36,18 +36,18 @@
   }
 
   /**
-   * Whether a request's answer is still owed although a revoke was read at this time. A client that
-   * cancels early is owed none. One whose timeout has fired sends a revoke as well, and is still
-   * owed the answer that it did not get.
+   * Whether a request has to be answered although a revoke of it was read at the given time. A
+   * client also sends a revoke when its timeout expires, and then still expects an answer; a
+   * request that is revoked earlier needs none.
    */
-  static boolean isAnswerOwed(PendingRequest request, Duration revokedAt) {
+  static boolean isAnswerRequired(PendingRequest request, Duration revokedAt) {
     return revokedAt.compareTo(request.deadline().minus(DEADLINE_SLACK)) >= 0;
   }
 
   /**
    * Cancels the request that a revoke names, if it is in flight.
    *
-   * @param revokedAt when the revoke was read
+   * @param revokedAt earliest time at which the revoke may have arrived
    */
   void revoke(RouterCore core, ReplyAddress address, Duration revokedAt) {
     address.connection().revokeHandled(address.sequenceId());
@@ -56,7 +56,7 @@
       return;
     }
     abandon(core, request, AbandonReason.REVOKED);
-    if (!isAnswerOwed(request, revokedAt)) {
+    if (!isAnswerRequired(request, revokedAt)) {
       return;
     }
     if (request.attempts().isEmpty()) {
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Cancels the requests of a connection that has ended. */
+  /** Cancels the requests of a connection that was closed. */
   void connectionClosed(RouterCore core, ClientConnection connection, ClientCloseReason reason) {
     connections.remove(connection);
     int unanswered = connection.requestsInFlight();
@@ -82,7 +82,7 @@
       diagnostics
           .log()
           .accept(
-              "a client's connection was closed with "
+              "client connection closed with "
                   + unanswered
                   + " requests in flight: "
                   + reason.description());
@@ -90,7 +90,7 @@
     abandonAll(core, connection, reason);
   }
 
-  /** Fails all requests in flight, as the process cannot wait for any of them. */
+  /** Fails all requests in flight, as the process is about to be killed. */
   void failAll(RouterCore core) {
     for (ClientConnection connection : connections.snapshot()) {
       connection.forEachRequest(
--- a/src/main/java/switchgap/protocol/thrift/RequestHandler.java
+++ b/src/main/java/switchgap/protocol/thrift/RequestHandler.java
@@ -6,9 +6,10 @@
 import switchgap.router.RouterDiagnostics;
 
 /**
- * Handles clients' messages and the ends of their connections on the router's event loop. A submit
- * passes {@link RequestAdmission}, is listed in {@link InFlightRequests} while the core has it, and
- * is answered by {@link RequestResponder}, unless {@link RequestCancellation} ends it before.
+ * Handles client messages and closes of client connections on the router's event loop. A submit
+ * passes {@link RequestAdmission}, is listed in {@link InFlightRequests} while the core processes
+ * it, and is answered by {@link RequestResponder}, unless {@link RequestCancellation} cancels it
+ * first.
  */
 final class RequestHandler {
   private final InFlightRequests inFlight;
@@ -27,7 +28,7 @@
     admission = new RequestAdmission(names, inFlight, responder, cancellation, diagnostics);
   }
 
-  /** Handles a submit or a revoke that was read at the given time. */
+  /** Handles a submit or a revoke that arrived at the given time at the earliest. */
   void messageReceived(
       RouterCore core, ClientConnection connection, ThriftMessage message, Duration receivedAt) {
     if (!connection.isOpen()) {
@@ -43,19 +44,19 @@
     }
   }
 
-  /** Rejects a submit that does not fit into the event loop's queue. Any thread. */
+  /** Rejects a submit that does not fit into the event loop's queue. Callable on any thread. */
   void rejectUnqueued(ClientConnection connection, int sequenceId) {
     responder.rejectUnadmitted(new ReplyAddress(connection, sequenceId), AnswerReason.QUEUE_FULL);
   }
 
-  /** A connection ended: nobody waits for its requests any more. */
+  /** Cancels the requests of a connection that was closed. */
   void connectionClosed(RouterCore core, ClientConnection connection, ClientCloseReason reason) {
     cancellation.connectionClosed(core, connection, reason);
   }
 
   /**
-   * Fails all requests in flight, as the process cannot wait for any of them, rejects all that come
-   * from now on, and closes each connection with the answer after which nothing is in flight on it.
+   * Fails all requests in flight, as the process is about to be killed, rejects all later ones, and
+   * closes each connection after the reply that leaves it idle.
    */
   void failAll(RouterCore core) {
     admission.rejectAll();
@@ -63,7 +64,7 @@
     cancellation.failAll(core);
   }
 
-  /** Requests without their response. */
+  /** Number of requests that have no response yet. */
   int requestsInFlight() {
     return inFlight.size();
   }
--- a/src/main/java/switchgap/protocol/thrift/RequestResponder.java
+++ b/src/main/java/switchgap/protocol/thrift/RequestResponder.java
@@ -11,7 +11,7 @@
 import switchgap.router.RouterEvent;
 
 /**
- * Sends the one final answer of each submit and records its reason. Event loop only, but for {@link
+ * Sends the single answer to each submit and records its reason. Event loop only, except {@link
  * #rejectUnadmitted}.
  */
 final class RequestResponder {
@@ -22,8 +22,8 @@
   private final InFlightRequests inFlight;
   private final RouterDiagnostics diagnostics;
 
-  /** Whether a connection is closed as soon as nothing is in flight on it; event loop only. */
-  private boolean closesIdleConnections;
+  /** Whether each connection is closed as soon as it is idle. Event loop only. */
+  private boolean isClosingIdleConnections;
 
   RequestResponder(
       RouterSettings settings, InFlightRequests inFlight, RouterDiagnostics diagnostics) {
@@ -32,37 +32,41 @@
     this.diagnostics = diagnostics;
   }
 
-  /** Through this listener the core answers the request whose reply goes to the address. */
+  /**
+   * The listener through which the core answers the request whose reply goes to the given address.
+   */
   ResponseListener listenerFor(ReplyAddress address) {
     return new ResponseSender(address);
   }
 
-  /** Closes each connection with its next answer after which nothing is in flight on it. */
+  /** From now on closes each connection after the answer that leaves it idle. */
   void closeIdleConnections() {
-    closesIdleConnections = true;
+    isClosingIdleConnections = true;
   }
 
-  /** Closes a connection that has just been answered on, if that is wanted and it is idle. */
+  /** Closes the connection if it is idle and {@link #closeIdleConnections} was called. */
   void closeIfIdle(ClientConnection connection) {
-    if (closesIdleConnections && connection.isIdle() && !connection.hasUnsentReplies()) {
+    if (isClosingIdleConnections && connection.isIdle() && !connection.hasUnsentReplies()) {
       connection.evict(ClientCloseReason.SHUTDOWN);
     }
   }
 
-  /** Rejects a request that never reached the policy, with the configured retry-after. */
+  /** Rejects a request that never reached the routing policy, with the configured retry-after. */
   void reject(ReplyAddress address, PendingRequest request, AnswerReason reason, Duration now) {
     recordAnswer(request, reason, now);
     sendRejection(address, configuredRetryAfter());
     closeIfIdle(address.connection());
   }
 
-  /** Fails a request: it may have been executed. */
+  /** Fails a request that may have been executed. */
   void fail(ReplyAddress address, PendingRequest request, AnswerReason reason, Duration now) {
     recordAnswer(request, reason, now);
     address.sendException(DeclaredException.ERROR, Map.of());
   }
 
-  /** Rejects a submit before it is decoded, with the configured retry-after. Any thread. */
+  /**
+   * Rejects a submit before it is decoded, with the configured retry-after. Callable on any thread.
+   */
   void rejectUnadmitted(ReplyAddress address, AnswerReason reason) {
     recordUnadmittedAnswer(reason, address.connection().id(), address.sequenceId());
     sendRejection(address, configuredRetryAfter());
@@ -74,8 +78,8 @@
     sendRejection(address, configuredRetryAfter());
   }
 
-  /** Fails a submit that cannot be used, with the name of the field at fault. */
-  void failUnusable(ReplyAddress address, InvalidSubmitException cause) {
+  /** Fails a submit with a missing or invalid field; the reply names the field. */
+  void failInvalid(ReplyAddress address, InvalidSubmitException cause) {
     recordUnadmittedAnswer(AnswerReason.UNUSABLE, address.connection().id(), cause.getMessage());
     address.sendException(
         DeclaredException.ERROR, Map.of(WireNames.REASON, UNUSABLE_PREFIX + cause.getMessage()));
@@ -87,12 +91,12 @@
     diagnostics.events().record(new RouterEvent.RequestAnswered(reason, request.id(), now));
   }
 
-  /** Records the answer of a message that has not become a pending request. */
+  /** Records the answer to a message that did not become a pending request. */
   private void recordUnadmittedAnswer(AnswerReason reason, String subjectId, Object context) {
     diagnostics.events().record(new RouterEvent.RequestAnswered(reason, subjectId, context));
   }
 
-  /** Null if the settings allow none. */
+  /** The retry-after of rejections, or null if the settings do not allow one. */
   private Duration configuredRetryAfter() {
     return settings.retryAfterAllowed() ? settings.maxRetryAfter() : null;
   }
@@ -106,7 +110,7 @@
     address.sendException(DeclaredException.FULL, fields);
   }
 
-  /** Sends the response of one admitted request to its client. */
+  /** Sends the response to one admitted request to its client. */
   private final class ResponseSender implements ResponseListener {
     private final ReplyAddress address;
 
@@ -128,12 +132,12 @@
     }
 
     /**
-     * Sent all the same: a response up to half a second late only scores nothing, while a missing
-     * one is a violation.
+     * Sends the late response nevertheless: the platform counts a missing response as a violation,
+     * but one that is up to half a second late only as unsuccessful.
      */
     @Override
-    public void deadlineMissed(PendingRequest request, Response late) {
-      responded(request, late);
+    public void deadlineMissed(PendingRequest request, Response lateResponse) {
+      responded(request, lateResponse);
     }
 
     @Override
--- a/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
+++ b/src/main/java/switchgap/protocol/thrift/SubmitRequestDecoder.java
@@ -4,32 +4,34 @@
 import switchgap.router.PendingRequest;
 import switchgap.router.ResponseListener;
 
-/** Decodes a submitted request field by field; an unusable field is reported by its name. */
+/**
+ * Decodes a submitted request field by field; a missing or invalid field is reported by its name.
+ */
 final class SubmitRequestDecoder {
   private static final int MAX_BODY_BYTES = 16 << 10;
 
-  /** Hexadecimal digits of a request's and of a function's id. */
+  /** Number of hexadecimal digits of a request id and of a function id. */
   private static final int ID_DIGITS = 16;
 
-  /** A request's timeout may be at most this multiple of the configured one of its class. */
+  /** Maximum timeout of a request, as a multiple of the timeout configured for its class. */
   private static final double MAX_TIMEOUT_MULTIPLE = 2;
 
   private static final double MILLIS_PER_NANO = 1e-6;
   private static final byte[] NO_BODY = {};
 
-  // Reported in place of a field's name.
+  // Reported instead of a field's name.
   private static final String NO_FIELDS = "no fields";
   private static final String BODY_TOO_LONG = "bytes";
 
   private SubmitRequestDecoder() {}
 
   /**
-   * The request that a message submits.
+   * Decodes the request that a message submits.
    *
-   * @param receivedAt when the message was read, since the router's start; its timeout counts from
-   *     then
+   * @param receivedAt arrival time of the message since the router's start, from which the
+   *     request's timeout counts
    * @param listener receives the response
-   * @throws InvalidSubmitException with the name of a missing or unusable field
+   * @throws InvalidSubmitException with the name of a missing or invalid field
    */
   static PendingRequest decode(
       ThriftMessage message, NameDirectory names, Duration receivedAt, ResponseListener listener)
@@ -84,7 +86,7 @@
     long configuredNanos = names.settings().requestTimeout(requestClass).toNanos();
     double maxMillis = MAX_TIMEOUT_MULTIPLE * MILLIS_PER_NANO * configuredNanos;
     Duration timeout =
-        DecimalFigure.parseMillis(
+        DecimalNumber.parseMillis(
             message.fields().get(WireNames.ALLOW), WireNames.ALLOW, maxMillis);
     if (timeout.isZero()) {
       throw new InvalidSubmitException(WireNames.ALLOW);
@@ -96,7 +98,7 @@
     String effort = message.fields().get(WireNames.EFFORT);
     return effort == null
         ? null
-        : DecimalFigure.parseMillis(effort, WireNames.EFFORT, DecimalFigure.MAX_MILLIS);
+        : DecimalNumber.parseMillis(effort, WireNames.EFFORT, DecimalNumber.MAX_MILLIS);
   }
 
   private static String hexId(ThriftMessage message, String field) throws InvalidSubmitException {
--- a/src/main/java/switchgap/protocol/thrift/ThriftMessageDecoder.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftMessageDecoder.java
@@ -7,32 +7,32 @@
 import java.util.Map;
 
 /**
- * Decodes one frame as a message. Every length is checked against the bytes that are left before
- * anything is allocated for it. Arguments that the service does not know are skipped.
+ * Decodes one frame as a message. Every length is checked against the remaining bytes before memory
+ * is allocated for it. Unknown arguments are skipped.
  */
 final class ThriftMessageDecoder {
   /**
-   * Version and flags of the strict binary protocol; the lowest byte of the header holds the
-   * message type.
+   * Version and flags of the strict binary protocol; the least significant byte of the header holds
+   * the message type.
    */
   static final int STRICT_VERSION = 0x80010000;
 
   private static final int VERSION_MASK = 0xffffff00;
   private static final int MESSAGE_TYPE_MASK = 0xff;
-  private static final int FIRST_ARGUMENT = 1;
-  private static final int BODY_ARGUMENT = 2;
+  private static final int FIRST_ARGUMENT_ID = 1;
+  private static final int BODY_ARGUMENT_ID = 2;
 
-  /** Entries of the field map, and arguments of a message. */
+  /** Maximum number of entries of the field map, and of arguments of a message. */
   private static final int MAX_FIELDS = 64;
 
-  /** Bytes of a method's or a field's name. */
+  /** Maximum bytes of a method name or of a field name. */
   private static final int MAX_NAME_BYTES = 64;
 
-  /** Bytes of a field's value. */
+  /** Maximum bytes of a field value. */
   private static final int MAX_VALUE_BYTES = 1024;
 
-  /** Levels of containers in a skipped argument. */
-  private static final int MAX_DEPTH = 8;
+  /** Maximum nesting depth of containers in a skipped argument. */
+  private static final int MAX_NESTING_DEPTH = 8;
 
   private final ByteBuffer buffer;
   private MessageType type;
@@ -46,7 +46,7 @@
     buffer = ByteBuffer.wrap(frame);
   }
 
-  /** The message that a frame holds, the frame's length not included. */
+  /** Decodes a frame that is passed without its length prefix. */
   static ThriftMessage decode(byte[] frame) throws MalformedMessageException {
     return new ThriftMessageDecoder(frame).decode();
   }
@@ -76,7 +76,7 @@
     }
     String name = readText(MAX_NAME_BYTES);
     sequenceId = buffer.getInt();
-    method = name; // from here on a fault can be answered
+    method = name; // errors after the header can be answered
   }
 
   private void readArguments() throws MalformedMessageException {
@@ -91,12 +91,12 @@
   }
 
   private void readArgument(byte fieldType, int fieldId) throws MalformedMessageException {
-    if (fieldId == FIRST_ARGUMENT && fieldType == ThriftType.MAP && fields == null) {
+    if (fieldId == FIRST_ARGUMENT_ID && fieldType == ThriftType.MAP && fields == null) {
       fields = readFields();
-    } else if (fieldId == BODY_ARGUMENT && fieldType == ThriftType.STRING && body == null) {
+    } else if (fieldId == BODY_ARGUMENT_ID && fieldType == ThriftType.STRING && body == null) {
       body = new byte[readLength(buffer.capacity())];
       buffer.get(body);
-    } else if (fieldId == FIRST_ARGUMENT && fieldType == ThriftType.I32) {
+    } else if (fieldId == FIRST_ARGUMENT_ID && fieldType == ThriftType.I32) {
       firstInteger = buffer.getInt();
     } else {
       skip(fieldType, 0);
@@ -113,15 +113,15 @@
     if (count > 0 && (keyType != ThriftType.STRING || valueType != ThriftType.STRING)) {
       throw malformed("a map of types " + keyType + ", " + valueType);
     }
-    Map<String, String> read = new HashMap<>(2 * count);
+    Map<String, String> fieldValues = new HashMap<>(2 * count);
     for (int i = 0; i < count; i++) {
       String name = readText(MAX_NAME_BYTES);
       String value = readText(MAX_VALUE_BYTES);
-      if (read.put(name, value) != null) {
+      if (fieldValues.put(name, value) != null) {
         throw malformed("a field twice");
       }
     }
-    return read;
+    return fieldValues;
   }
 
   private String readText(int maxBytes) throws MalformedMessageException {
@@ -140,7 +140,7 @@
   }
 
   private void skip(byte valueType, int depth) throws MalformedMessageException {
-    if (depth > MAX_DEPTH) {
+    if (depth > MAX_NESTING_DEPTH) {
       throw malformed("nested too deep");
     }
     switch (valueType) {
@@ -181,7 +181,7 @@
     }
   }
 
-  /** The count of a container; every element takes at least one byte. */
+  /** Reads the element count of a container; every element takes at least one byte. */
   private int readCount() throws MalformedMessageException {
     int count = buffer.getInt();
     if (count < 0 || count > buffer.remaining()) {
--- a/src/main/java/switchgap/protocol/thrift/ThriftProtocolException.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftProtocolException.java
@@ -1,8 +1,8 @@
 package switchgap.protocol.thrift;
 
 /**
- * A client violated the protocol. The exception's message becomes part of the reply. It has no
- * stack trace, as clients may send invalid messages at full speed.
+ * Thrown when a client violates the protocol. The exception's message becomes part of the reply.
+ * There is no stack trace, as clients may send invalid messages at a high rate.
  */
 abstract class ThriftProtocolException extends Exception {
   private static final long serialVersionUID = 1;
--- a/src/main/java/switchgap/protocol/thrift/ThriftServer.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -17,15 +17,16 @@
 import switchgap.router.RouterEvent;
 
 /**
- * Listens for clients. Selector threads read and decode messages ({@link ClientMessageReader}); the
- * state of connections and requests belongs to the router's event loop, where messages are handled
- * in order ({@link RequestHandler}). Whatever a client can make grow is bounded.
+ * Server for Thrift clients. Selector threads read and decode messages ({@link
+ * ClientMessageReader}); the state of connections and requests belongs to the router's event loop,
+ * which handles messages in order ({@link RequestHandler}). All memory and connections that clients
+ * can use are bounded.
  */
 public final class ThriftServer implements TcpConnection.Listener, AutoCloseable {
-  /** Connections that wait to be accepted. */
+  /** Maximum number of connections that wait in the kernel to be accepted. */
   private static final int ACCEPT_BACKLOG = 512;
 
-  /** Between evictions, while there are too many connections. */
+  /** Interval between evictions while there are too many connections. */
   private static final Duration EVICTION_INTERVAL = Duration.ofMillis(10);
 
   private final ClientConnectionLimits limits;
@@ -34,24 +35,24 @@
   private final RouterDiagnostics diagnostics;
   private final AcceptThrottle acceptThrottle;
   private final ClientConnectionTable connections;
-  private final RequestHandler requests;
-  private final ClientMessageReader messages;
+  private final RequestHandler requestHandler;
+  private final ClientMessageReader messageReader;
   private final StallDetector stallDetector;
 
-  /** Whether the next eviction is scheduled; event loop only. */
-  private boolean evictionScheduled;
+  /** Whether the next eviction is scheduled. Event loop only. */
+  private boolean isEvictionScheduled;
 
   private volatile TcpServer listener;
 
   /**
-   * A server that does not listen yet.
+   * Creates a server that does not listen yet.
    *
    * @param settings the router's settings
    * @param requestClasses index of each request class by its name
    * @param tenants index of each tenant by its name; empty if requests have no tenant
-   * @param limits bounds on what clients may take
-   * @param clock time since the router's start
-   * @param eventLoop runs an event on the router's event loop
+   * @param limits limits on the resources that clients may use
+   * @param clock returns the time since the router's start
+   * @param eventLoop runs a task on the router's event loop
    * @param diagnostics records requests, answers and connections
    */
   public ThriftServer(
@@ -69,43 +70,46 @@
     acceptThrottle = new AcceptThrottle(limits.maxConnections() + limits.maxExcessConnections());
     connections = new ClientConnectionTable(limits.maxConnections(), limits.receiveTimeout());
     NameDirectory names = new NameDirectory(settings, requestClasses, tenants);
-    requests = new RequestHandler(names, limits, connections, diagnostics);
-    messages = new ClientMessageReader(requests, eventLoop, limits.maxRequestBytes());
+    requestHandler = new RequestHandler(names, limits, connections, diagnostics);
+    messageReader = new ClientMessageReader(requestHandler, eventLoop, limits.maxRequestBytes());
     stallDetector = new StallDetector(limits.sweepInterval(), clock.get());
   }
 
   /**
-   * Starts to listen.
+   * Starts listening for clients.
    *
-   * @param port 0 for any free port
+   * @param port the port, or 0 for any free port
    */
   public void listen(NetworkTransport net, String host, int port) throws IOException {
     listener = TcpServer.listen(net, host, port, ACCEPT_BACKLOG, this);
     acceptThrottle.listenerOpened(listener);
   }
 
-  /** The port that it listens on. */
+  /** The port that the server listens on. */
   public int port() {
     return listener.port();
   }
 
-  /** What heartbeats are answered from now on. Any thread. */
+  /** Sets the health that replies to heartbeats report. Callable on any thread. */
   public void setHealthy(boolean healthy) {
-    messages.setHealthy(healthy);
+    messageReader.setHealthy(healthy);
   }
 
-  /** Accepts no further connection; open ones stay. */
+  /** Stops accepting connections; open connections stay open. */
   @Override
   public void close() {
     listener.close();
   }
 
-  /** Open connections, including those that the event loop does not track yet. Any thread. */
+  /**
+   * Number of open connections, including those that the event loop does not track yet. Callable on
+   * any thread.
+   */
   public int openConnections() {
     return acceptThrottle.openConnections();
   }
 
-  // ------------------------------------------------------------------ on a selector thread
+  // ------------------------------------------------------------------ selector threads only
 
   @Override
   public void opened(TcpConnection tcp) {
@@ -124,8 +128,10 @@
   public void received(TcpConnection tcp, ByteBuffer bytes) {
     ClientConnection connection = connectionOf(tcp);
     Duration receiveDelay = tcp.maxReceiveDelay();
-    Duration receivedAt = connection.boundReceivedAt(clock.get().minus(receiveDelay), receiveDelay);
-    Consumer<byte[]> frameHandler = frame -> messages.frameReceived(connection, frame, receivedAt);
+    Duration receivedAt =
+        connection.earliestReceivedAt(clock.get().minus(receiveDelay), receiveDelay);
+    Consumer<byte[]> frameHandler =
+        frame -> messageReader.frameReceived(connection, frame, receivedAt);
     if (!connection.receive(bytes, frameHandler, receivedAt)) {
       connection.close(ClientCloseReason.FRAME_OUT_OF_BOUNDS);
     }
@@ -135,36 +141,39 @@
   public void closed(TcpConnection tcp, CloseCause cause) {
     acceptThrottle.connectionClosed();
     ClientConnection connection = connectionOf(tcp);
-    connection.closed();
+    connection.connectionClosed();
     ClientCloseReason reason = ClientCloseReason.of(cause.reason());
-    eventLoop.accept(core -> requests.connectionClosed(core, connection, reason));
+    eventLoop.accept(core -> requestHandler.connectionClosed(core, connection, reason));
   }
 
   private static ClientConnection connectionOf(TcpConnection tcp) {
     return (ClientConnection) tcp.attachment();
   }
 
-  // ------------------------------------------------------------------ on the event loop
+  // ------------------------------------------------------------------ event loop only
 
-  /** Evicts connections at an interval while there are too many, as one pass serves many. */
+  /**
+   * Schedules evictions at an interval while there are too many connections, as one pass can evict
+   * many.
+   */
   private void scheduleEviction(RouterCore core) {
-    if (evictionScheduled || connections.size() <= limits.maxConnections()) {
+    if (isEvictionScheduled || connections.size() <= limits.maxConnections()) {
       return;
     }
-    evictionScheduled = true;
+    isEvictionScheduled = true;
     core.schedule(
         core.now().plus(EVICTION_INTERVAL),
         () -> {
-          evictionScheduled = false;
+          isEvictionScheduled = false;
           connections.evictExcess(core.now());
           scheduleEviction(core);
         });
   }
 
   /**
-   * Connections with a request in flight, queued or partial, or with an unwritten reply. Includes
-   * connections that the event loop does not track yet; clients that could not be accepted count as
-   * one.
+   * Number of connections with a request in flight, queued or partially received, or with an unsent
+   * reply. Includes connections that the event loop does not track yet, and one more if accepts are
+   * stalled.
    */
   public int activeConnections() {
     int untracked = Math.max(0, acceptThrottle.openConnections() - connections.size());
@@ -172,36 +181,42 @@
     return untracked + connections.activeCount() + unaccepted;
   }
 
-  /** Whether clients may be waiting to be accepted, as accepts are or just were stalled. */
+  /**
+   * Whether clients may be waiting to be accepted because accepts are stalled or were until just
+   * now.
+   */
   public boolean isAcceptStalled() {
     return listener.isAcceptStalled();
   }
 
-  /** Connections that the event loop tracks. */
+  /** Number of connections that the event loop tracks. */
   public int trackedConnections() {
     return connections.size();
   }
 
-  /** Requests without their response. */
+  /** Number of requests that have no response yet. */
   public int requestsInFlight() {
-    return requests.requestsInFlight();
+    return requestHandler.requestsInFlight();
   }
 
-  /** Closes connections without a request in flight that have been quiet for a while. */
+  /**
+   * Closes the connections that are idle and on which nothing has been received or sent recently.
+   */
   public void closeQuietConnections(RouterCore core) {
     connections.closeQuiet(core.now());
   }
 
   /**
-   * Fails all requests in flight, as the process cannot wait for any of them, rejects all that come
-   * from now on, and closes each connection with its next answer.
+   * Fails all requests in flight, as the process is about to be killed, rejects all later ones, and
+   * closes each connection after the reply that leaves it idle.
    */
   public void failPendingRequests(RouterCore core) {
-    requests.failAll(core);
+    requestHandler.failAll(core);
   }
 
   /**
-   * Closes connections whose message is overdue; to be called at the sweep interval of the limits.
+   * Closes the connections on which a message is overdue. To be called at the sweep interval of the
+   * limits.
    */
   public void closeOverdueConnections(Duration now) {
     connections.stallEnded(now, stallDetector.recordCheck(now));
--- a/src/main/java/switchgap/protocol/thrift/ThriftType.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftType.java
@@ -1,8 +1,8 @@
 package switchgap.protocol.thrift;
 
-/** Type codes of the Thrift binary protocol, as they precede fields and elements of containers. */
+/** Type codes of fields and container elements in the Thrift binary protocol. */
 final class ThriftType {
-  /** Ends a struct; takes the place of a field's type. */
+  /** Marks the end of a struct, where otherwise the type of the next field would be. */
   static final byte STOP = 0;
 
   static final byte BOOL = 2;
@@ -12,7 +12,7 @@
   static final byte I32 = 8;
   static final byte I64 = 10;
 
-  /** Text and binary alike. */
+  /** Type of both text and binary data. */
   static final byte STRING = 11;
 
   static final byte STRUCT = 12;
--- a/src/main/java/switchgap/protocol/thrift/WireNames.java
+++ b/src/main/java/switchgap/protocol/thrift/WireNames.java
@@ -1,52 +1,52 @@
 package switchgap.protocol.thrift;
 
 /**
- * Names on the wire: methods of the service, keys of a request's fields and of a declared
- * exception.
+ * Names in the Thrift protocol: methods of the service, and keys of the fields of submits and of
+ * declared exceptions.
  */
 final class WireNames {
-  // Methods of the service.
+  // Methods of the Thrift service.
   static final String SUBMIT = "submit";
   static final String REVOKE = "revoke";
   static final String HEARTBEAT = "heartbeat";
 
   // Fields of a submitted request.
-  /** The request class. */
+  /** Name of the request class. */
   static final String SERVICE = "service";
 
-  /** The request's id. */
+  /** Id of the request. */
   static final String REF = "ref";
 
   /** Milliseconds until the deadline. */
   static final String ALLOW = "allow";
 
-  /** The tenant. */
+  /** Name of the tenant. */
   static final String PROJECT = "project";
 
-  /** The function's id. */
+  /** Id of the function. */
   static final String LOOKUP = "lookup";
 
-  /** Milliseconds that the request is expected to run. */
+  /** Expected execution time of the request in milliseconds. */
   static final String EFFORT = "effort";
 
-  /** Further figures, {@code name:value} joined by semicolons. */
+  /** Further numbers, each as {@code name:value}, separated by semicolons. */
   static final String EXTRAS = "extras";
 
-  // Figures among the extras.
-  /** Memory of one replica of the function. */
+  // Names within the extras field.
+  /** Memory of one replica of the function in megabytes. */
   static final String MEMORY_MB = "memory_mb";
 
-  /** Requests that one replica runs at a time. */
+  /** Number of requests that one replica executes concurrently. */
   static final String LANES = "lanes";
 
-  /** Milliseconds that a load of the function takes. */
+  /** Time to load a replica of the function, in milliseconds. */
   static final String LOAD_MS = "load_ms";
 
   // Fields of a declared exception.
-  /** Milliseconds after which to retry. */
+  /** Milliseconds that the client should wait before a retry. */
   static final String COOLDOWN = "cooldown";
 
-  /** Why a request is unusable. */
+  /** Why a request is invalid. */
   static final String REASON = "reason";
 
   private WireNames() {}
--- a/src/main/java/switchgap/server/platform/AttemptObserver.java
+++ b/src/main/java/switchgap/server/platform/AttemptObserver.java
@@ -10,7 +10,7 @@
 import switchgap.router.RouterEvents;
 import switchgap.router.WorkerEntry;
 
-/** Records the outcomes of attempts and probes, and reconnects, in the router's events. */
+/** Records outcomes of attempts and probes, and reconnects to workers, as router events. */
 final class AttemptObserver implements RequestObserver {
   private final RouterEvents events;
 
--- a/src/main/java/switchgap/server/platform/EndpointStreamReloader.java
+++ b/src/main/java/switchgap/server/platform/EndpointStreamReloader.java
@@ -5,9 +5,9 @@
 import switchgap.config.InvalidConfigException;
 
 /**
- * After a SIGHUP, follows the event stream that the configuration file names then. An unusable file
- * is read again for a while, as it may be half written; the old event stream is followed meanwhile.
- * A later signal supersedes an earlier one. Thread-safe.
+ * On SIGHUP, rereads the configuration file and follows the event stream that it names. An invalid
+ * file is reread for a limited time, as it may still be being written; until then the current event
+ * stream stays in use. A later signal supersedes an earlier one. Thread-safe.
  */
 final class EndpointStreamReloader {
   /** Follows one event stream at a time. */
@@ -16,15 +16,15 @@
     void follow(InetSocketAddress address);
   }
 
-  private static final int MAX_READS = 30;
+  private static final int MAX_READ_ATTEMPTS = 30;
   private static final long READ_INTERVAL_MILLIS = 100;
 
   private final Map<String, String> environment;
   private final Follower follower;
   private final RateLimitedLog log;
 
-  /** Number of the latest signal; guarded by this. */
-  private long latestSignal;
+  /** Number of the latest signal, counted from 1. Guarded by this. */
+  private long latestSignalNumber;
 
   EndpointStreamReloader(Map<String, String> environment, Follower follower, RateLimitedLog log) {
     this.environment = environment;
@@ -32,46 +32,47 @@
     this.log = log;
   }
 
-  /** Reads the file on a separate thread; returns at once. */
+  /** Rereads the file on a separate thread and returns immediately. */
   synchronized void reload() {
-    long signal = ++latestSignal;
-    Thread reader = new Thread(() -> read(signal), "reload");
+    long signalNumber = ++latestSignalNumber;
+    Thread reader = new Thread(() -> read(signalNumber), "reload");
     reader.setDaemon(true);
     reader.start();
   }
 
-  private void read(long signal) {
-    for (int reads = 0; reads < MAX_READS && isLatest(signal); reads++) {
-      boolean isFirstRead = reads == 0;
-      if (readOnce(signal, isFirstRead)) {
+  private void read(long signalNumber) {
+    for (int readCount = 0; readCount < MAX_READ_ATTEMPTS && isLatest(signalNumber); readCount++) {
+      boolean isFirstRead = readCount == 0;
+      if (readOnce(signalNumber, isFirstRead)) {
         return;
       }
       sleepUntilNextRead();
     }
   }
 
-  private synchronized boolean isLatest(long signal) {
-    return signal == latestSignal;
+  private synchronized boolean isLatest(long signalNumber) {
+    return signalNumber == latestSignalNumber;
   }
 
-  /** Whether the file could be used; only the first failure is logged. */
-  private boolean readOnce(long signal, boolean isFirstRead) {
+  /** Reads the file once; returns whether it was valid. Only the first failure is logged. */
+  private boolean readOnce(long signalNumber, boolean isFirstRead) {
     try {
       InetSocketAddress address = PlatformConfig.readEventStream(environment);
-      follow(signal, address);
+      follow(signalNumber, address);
       return true;
     } catch (InvalidConfigException e) {
       if (isFirstRead) {
-        log.line("SIGHUP: the old feed is kept: " + e.getMessage());
+        log.line(
+            "SIGHUP: invalid configuration, keeping the current event stream: " + e.getMessage());
       }
       return false;
     }
   }
 
-  private synchronized void follow(long signal, InetSocketAddress address) {
-    if (signal == latestSignal) {
+  private synchronized void follow(long signalNumber, InetSocketAddress address) {
+    if (signalNumber == latestSignalNumber) {
       log.line(
-          "SIGHUP: the control feed is followed at "
+          "SIGHUP: following the event stream at "
               + address.getHostString()
               + ":"
               + address.getPort());
--- a/src/main/java/switchgap/server/platform/GracefulShutdown.java
+++ b/src/main/java/switchgap/server/platform/GracefulShutdown.java
@@ -3,49 +3,59 @@
 import java.time.Duration;
 
 /**
- * The graceful shutdown of a router after SIGTERM. SIGKILL may come 0.7 s after the longest request
- * timeout, taken as 3 s if it is longer, and clients go on sending on open connections until then.
- * A request that is unanswered at the end of the process is lost, so the process ends once no
- * connection is left that could carry one:
+ * Graceful shutdown of a router after SIGTERM. The platform may send SIGKILL as soon as the longest
+ * request timeout (at most 3 s) plus 0.7 s has elapsed, and clients continue to send requests on
+ * open connections until then. A request that is unanswered when the process exits is lost, so the
+ * process exits only when no connection is left that could deliver one:
  *
  * <ol>
- *   <li>Health checks fail; everything is served while clients still open connections.
- *   <li>The listener is closed, and each connection that is quiet; the others are served on.
- *   <li>Shortly before SIGKILL can come, pending requests are failed and further ones rejected, and
- *       each connection is closed with the answer after which nothing is in flight on it. A request
- *       that crosses such a close is the client's to send again.
+ *   <li>Heartbeats are answered as unhealthy; requests are served while clients still open
+ *       connections.
+ *   <li>The listener and all quiet connections are closed; the other connections are still served.
+ *   <li>Shortly before the earliest possible SIGKILL, pending requests are failed, later ones are
+ *       rejected, and each connection is closed after the answer that leaves it idle. The client
+ *       has to resend a request that is in transit when its connection is closed.
  * </ol>
  */
 final class GracefulShutdown {
-  /** Clients open connections for 0.4 s after SIGTERM, and send requests for 0.2 s more. */
-  private static final Duration ROTATION_DURATION = Duration.ofMillis(700);
+  /**
+   * Clients open connections for 0.4 s after SIGTERM and send requests on them for 0.2 s more; the
+   * rest is margin.
+   */
+  private static final Duration MIN_DRAIN_DURATION = Duration.ofMillis(700);
 
-  /** The platform assumes this timeout if the longest one is longer. */
+  /** The platform computes the time of SIGKILL with this timeout if the longest one exceeds it. */
   private static final Duration MAX_ASSUMED_TIMEOUT = Duration.ofSeconds(3);
 
-  /** SIGKILL comes this long after the assumed timeout, at the earliest. */
+  /** Minimum time from the end of the assumed timeout to SIGKILL. */
   private static final Duration KILL_MARGIN = Duration.ofMillis(700);
 
-  // Times before the earliest SIGKILL at which the last steps begin.
+  // Durations before the earliest SIGKILL at which the last two steps begin.
   private static final Duration STOP_LISTENING_BEFORE_KILL = Duration.ofMillis(350);
   private static final Duration FAIL_PENDING_BEFORE_KILL = Duration.ofMillis(250);
 
-  /** Time for clients that hold a connection after the earliest SIGKILL, if that comes later. */
-  private static final Duration MAX_OVERTIME = Duration.ofSeconds(2);
+  /**
+   * Maximum time to wait for clients with an open connection after the earliest SIGKILL, in case it
+   * is sent later.
+   */
+  private static final Duration MAX_TIME_AFTER_EARLIEST_KILL = Duration.ofSeconds(2);
 
   private static final Duration CHECK_INTERVAL = Duration.ofMillis(10);
 
-  /** Consecutive checks that must find no connection: one may just have been accepted. */
+  /**
+   * Number of consecutive checks that must find no connection, as one may be accepted between two
+   * checks.
+   */
   private static final int REQUIRED_EMPTY_CHECKS = 3;
 
   private final PlatformRouter router;
   private final Duration startedAt;
   private final Duration earliestKill;
   private final RateLimitedLog log;
-  private boolean listening = true;
+  private boolean isListening = true;
 
   /**
-   * A shutdown whose deadline counts from now.
+   * Creates a shutdown whose deadlines count from now.
    *
    * @param longestTimeout the longest request timeout
    */
@@ -53,23 +63,24 @@
     this.router = router;
     this.log = log;
     this.startedAt = router.now();
-    Duration assumedTimeout = earlier(longestTimeout, MAX_ASSUMED_TIMEOUT);
+    Duration assumedTimeout = earlierOf(longestTimeout, MAX_ASSUMED_TIMEOUT);
     this.earliestKill = startedAt.plus(assumedTimeout).plus(KILL_MARGIN);
   }
 
-  /** Blocks until no client is connected any more, for a bounded time. */
+  /** Blocks until no client is connected any more, but only for a bounded time. */
   void run() throws InterruptedException {
     router.reportHealthy(false);
     sleepUntil(
-        earlier(startedAt.plus(ROTATION_DURATION), earliestKill.minus(STOP_LISTENING_BEFORE_KILL)));
+        earlierOf(
+            startedAt.plus(MIN_DRAIN_DURATION), earliestKill.minus(STOP_LISTENING_BEFORE_KILL)));
     closeQuietConnectionsUntil(earliestKill.minus(FAIL_PENDING_BEFORE_KILL));
     router.events().counts().forEach((event, count) -> log.trace("count " + event + " " + count));
-    log.line("stopped, " + router.resourceUsage().pendingRequests() + " requests pending");
+    log.line("drain ended with " + router.resourceUsage().pendingRequests() + " requests pending");
     router.failPendingRequests();
-    closeQuietConnectionsUntil(earliestKill.plus(MAX_OVERTIME));
+    closeQuietConnectionsUntil(earliestKill.plus(MAX_TIME_AFTER_EARLIEST_KILL));
   }
 
-  private static Duration earlier(Duration first, Duration second) {
+  private static Duration earlierOf(Duration first, Duration second) {
     return first.compareTo(second) < 0 ? first : second;
   }
 
@@ -80,21 +91,24 @@
     }
   }
 
-  /** The clients in the accept queue would be lost with the listener: they are accepted first. */
+  /**
+   * Closes the listener once no client waits in the accept queue, as the close would drop those
+   * clients.
+   */
   private void stopListeningOnceAccepted() {
-    if (listening && !router.isAcceptStalled()) {
-      listening = false;
+    if (isListening && !router.isAcceptStalled()) {
+      isListening = false;
       router.stopListening();
     }
   }
 
-  /** Closes quiet connections until none of any kind is left, or until a time. */
+  /** Repeatedly closes quiet connections until no connection is left, or until the given time. */
   private void closeQuietConnectionsUntil(Duration end) throws InterruptedException {
     int emptyChecks = 0;
     while (emptyChecks < REQUIRED_EMPTY_CHECKS && router.now().compareTo(end) < 0) {
       stopListeningOnceAccepted();
       router.closeQuietConnections();
-      boolean isEmpty = !listening && router.openClientConnections() == 0;
+      boolean isEmpty = !isListening && router.openClientConnections() == 0;
       emptyChecks = isEmpty ? emptyChecks + 1 : 0;
       Thread.sleep(CHECK_INTERVAL.toMillis());
     }
--- a/src/main/java/switchgap/server/platform/PlatformAssembly.java
+++ b/src/main/java/switchgap/server/platform/PlatformAssembly.java
@@ -14,8 +14,9 @@
 import switchgap.router.RouterDiagnostics;
 
 /**
- * The parts of a router, put together by its configuration: Thrift to clients, RESP to workers, and
- * the core between them on its event loop. Neither the loop nor the server is started.
+ * Creates the components of a router from its configuration: the Thrift server for clients, the
+ * RESP transport to workers, and the core on its event loop. Neither the event loop nor the server
+ * is started.
  */
 final class PlatformAssembly {
   private static final int SELECTOR_THREADS = 1;
@@ -27,31 +28,33 @@
   private final RouterDiagnostics diagnostics;
   private final NetworkTransport network;
   private final EventLoop eventLoop;
-  private final RespWorkerTransport workers;
-  private final ThriftServer clients;
+  private final RespWorkerTransport workerTransport;
+  private final ThriftServer thriftServer;
 
   PlatformAssembly(PlatformConfig config, RateLimitedLog log) throws IOException {
     settings = config.settings();
     limits = new PlatformLimits(settings, config.maxSockets());
     diagnostics = RouterDiagnostics.of(settings, log::line, log.isTracing() ? log::trace : null);
     network = new NetworkTransport(SELECTOR_THREADS, "net");
-    // the core needs the transport, and the transport the loop, which makes the core
+    // circular dependency: the core needs the transport, the transport needs the event loop, and
+    // the
+    // event loop creates the core
     AtomicReference<RespWorkerTransport> transport = new AtomicReference<>();
     eventLoop =
         new EventLoop(
             loop -> {
-              transport.set(workerTransport(loop));
-              return routerCore(transport.get(), config.seed());
+              transport.set(createWorkerTransport(loop));
+              return createRouterCore(transport.get(), config.seed());
             },
             "loop",
             lateMicros -> {},
-            error -> PlatformProcess.halt(log, "a tick failed", error),
+            error -> PlatformProcess.halt(log, "event loop tick failed", error),
             network::awaitPendingReads);
-    workers = transport.get();
-    clients = thriftServer();
+    workerTransport = transport.get();
+    thriftServer = createThriftServer();
   }
 
-  private RespWorkerTransport workerTransport(EventLoop loop) {
+  private RespWorkerTransport createWorkerTransport(EventLoop loop) {
     return new RespWorkerTransport(
         network,
         limits.workerConnections(),
@@ -68,13 +71,13 @@
     return Arrays.asList(names);
   }
 
-  private RouterCore routerCore(RespWorkerTransport transport, long seed) {
+  private RouterCore createRouterCore(RespWorkerTransport transport, long seed) {
     RouterCore core = new RouterCore(settings, seed, transport, limits.core());
     core.observe(new AttemptObserver(diagnostics.events()));
     return core;
   }
 
-  private ThriftServer thriftServer() {
+  private ThriftServer createThriftServer() {
     return new ThriftServer(
         settings,
         settings.namedIndices(REQUEST_CLASS_LIST),
@@ -97,11 +100,11 @@
     return eventLoop;
   }
 
-  RespWorkerTransport workers() {
-    return workers;
+  RespWorkerTransport workerTransport() {
+    return workerTransport;
   }
 
-  ThriftServer clients() {
-    return clients;
+  ThriftServer thriftServer() {
+    return thriftServer;
   }
 }
--- a/src/main/java/switchgap/server/platform/PlatformConfig.java
+++ b/src/main/java/switchgap/server/platform/PlatformConfig.java
@@ -12,19 +12,19 @@
 import switchgap.endpoints.EndpointNames;
 
 /**
- * The configuration that the platform gives a router at its start: an environment and the file that
- * it names. What can't be used is an {@link InvalidConfigException} that names the variable, or the
- * file and the key.
+ * The configuration that the platform passes to a router at its start: environment variables and
+ * the file that one of them names. An invalid value causes an {@link InvalidConfigException} that
+ * names the variable, or the file and the key.
  *
- * @param name the router's name in its log
- * @param listenAddress where clients connect
- * @param seed of the router's random draws
- * @param maxSockets descriptors that the router may use
+ * @param name the router's name, for its log
+ * @param listenAddress the address that clients connect to
+ * @param seed seed of the router's random numbers
+ * @param maxSockets maximum number of file descriptors that the router may use
  * @param eventStream address of the stream of endpoint list events
- * @param lastSequence number of the last event in {@code knownEvents}
- * @param knownEvents the endpoint list so far
+ * @param lastSequence sequence number of the last event in {@code knownEvents}
+ * @param knownEvents the events that make up the initial endpoint list
  * @param settings the operators' settings
- * @param endpointNames reads the names in events
+ * @param endpointNames resolves the names in endpoint list events
  */
 record PlatformConfig(
     String name,
@@ -41,7 +41,8 @@
   private static final String NAME_VARIABLE = "NODE_NAME";
 
   /**
-   * Reads the file that the environment names; variables take precedence over the file.
+   * Reads the file that the environment names. Other environment variables take precedence over
+   * values in the file.
    *
    * @param startedAtMillis start of the router, in milliseconds of Unix time
    */
@@ -57,7 +58,7 @@
           EndpointNames.ofIndices(
               settings.listIndices("Zones"), settings.listIndices("Skus"), startedAtMillis);
       int maxSockets = file.maxSockets();
-      PlatformConfigFile.KnownEvents known = file.knownEvents(endpointNames);
+      PlatformConfigFile.KnownEvents knownEvents = file.knownEvents(endpointNames);
       InetSocketAddress listenAddress = PlatformConfigFile.address(LISTEN_VARIABLE, listen);
       long seed = file.seed();
       return new PlatformConfig(
@@ -66,8 +67,8 @@
           seed,
           maxSockets,
           file.eventStream(),
-          known.lastSequence(),
-          known.events(),
+          knownEvents.lastSequence(),
+          knownEvents.events(),
           settings,
           endpointNames);
     } catch (IOException | IllegalArgumentException e) {
@@ -75,7 +76,7 @@
     }
   }
 
-  /** Reads the resolved address of the event stream alone, as the file has it now. */
+  /** Rereads only the event stream's address from the file, and resolves it. */
   static InetSocketAddress readEventStream(Map<String, String> environment) {
     return readFile(environment).resolvedEventStream();
   }
--- a/src/main/java/switchgap/server/platform/PlatformConfigFile.java
+++ b/src/main/java/switchgap/server/platform/PlatformConfigFile.java
@@ -15,8 +15,8 @@
 import switchgap.endpoints.EndpointNames;
 
 /**
- * The JSON file that the platform gives a router. An unusable member is an {@link
- * InvalidConfigException} that names the file and the key.
+ * The JSON file with which the platform configures a router. A missing or invalid member causes an
+ * {@link InvalidConfigException} that names the file and the key.
  */
 final class PlatformConfigFile {
   private static final int MAX_FILE_BYTES = 8 << 20;
@@ -31,7 +31,7 @@
     this.members = members;
   }
 
-  /** Reads a file, once. */
+  /** Reads and parses a file. */
   static PlatformConfigFile read(Path path) {
     try {
       if (Files.size(path) > MAX_FILE_BYTES) {
@@ -41,53 +41,56 @@
       String text = Files.readString(path, StandardCharsets.UTF_8);
       return new PlatformConfigFile(path, JsonDocument.parseObject(text));
     } catch (IOException e) {
-      // no catch clause of its own: the verifier would load the exception at each start
+      // a separate catch clause would make the verifier load the exception class at every start
       String reason = e instanceof NoSuchFileException ? "no such file" : e.getMessage();
       throw new InvalidConfigException(path.toString(), reason);
     }
   }
 
-  /** The text of a member. */
+  /** The value of a member that must be a non-empty string. */
   String text(String key) {
     if (members.get(key) instanceof String text && !text.isEmpty()) {
       return text;
     }
-    throw invalid(key, "no text");
+    throw invalid(key, "must be a non-empty string");
   }
 
   /** The operators' settings, as nested objects. */
-  @SuppressWarnings("unchecked") // JsonDocument's objects have strings as keys
+  @SuppressWarnings("unchecked") // objects of JsonDocument have string keys
   Map<String, Object> settings() {
     if (members.get("settings") instanceof Map<?, ?> settings) {
       return (Map<String, Object>) settings;
     }
-    throw invalid("settings", "no object");
+    throw invalid("settings", "must be an object");
   }
 
-  /** Descriptors that the router may use. */
+  /** Maximum number of file descriptors that the router may use. */
   int maxSockets() {
     if (members.get("limits") instanceof Map<?, ?> limits
         && limits.get("sockets") instanceof Number sockets
         && sockets.intValue() > 0) {
       return sockets.intValue();
     }
-    throw invalid("limits.sockets", "no number above 0");
+    throw invalid("limits.sockets", "must be a number above 0");
   }
 
-  /** The endpoint list so far; the names in it are read by the directory. */
+  /**
+   * The events that make up the initial endpoint list, with their names resolved by {@code
+   * endpointNames}.
+   */
   KnownEvents knownEvents(EndpointNames endpointNames) throws IOException {
     if (members.get("known") instanceof Map<?, ?> known
         && known.get("n") instanceof Number lastSequence
         && known.get("events") instanceof List<?> events) {
       return new KnownEvents(lastSequence.longValue(), endpointListEvents(events, endpointNames));
     }
-    throw invalid("known", "no last number with its events");
+    throw invalid("known", "must be an object with a number n and a list of events");
   }
 
   /**
    * The endpoint list at the router's start.
    *
-   * @param lastSequence number of the last event
+   * @param lastSequence sequence number of the last event
    * @param events all events up to it
    */
   record KnownEvents(long lastSequence, List<EndpointListEvent> events) {}
@@ -97,20 +100,20 @@
     List<EndpointListEvent> endpointListEvents = new ArrayList<>();
     for (Object event : events) {
       if (!(event instanceof Map<?, ?> eventMembers)) {
-        throw invalid("known.events", "no object");
+        throw invalid("known.events", "must contain objects only");
       }
       endpointListEvents.add(EndpointListEvent.fromJson(eventMembers, endpointNames));
     }
     return endpointListEvents;
   }
 
-  /** The seed of the router's random draws. */
+  /** The seed of the router's random numbers. */
   long seed() {
     String seed = text("seed");
     try {
       return Long.parseUnsignedLong(seed, SEED_RADIX);
     } catch (NumberFormatException e) {
-      throw invalid("seed", "no hexadecimal number: " + seed);
+      throw invalid("seed", "not a hexadecimal number: " + seed);
     }
   }
 
@@ -123,7 +126,7 @@
   InetSocketAddress resolvedEventStream() {
     InetSocketAddress address = eventStream();
     if (address.isUnresolved()) {
-      throw invalid("feed", "no address for " + address.getHostString());
+      throw invalid("feed", "cannot resolve host " + address.getHostString());
     }
     return address;
   }
@@ -131,18 +134,18 @@
   /**
    * Parses an address, which may be unresolved.
    *
-   * @param source what the text was read from, named if it is no address
+   * @param source where the text was read, for the exception if it is invalid
    */
   static InetSocketAddress address(String source, String text) {
     int colon = text.lastIndexOf(':');
     int port = port(text.substring(colon + 1));
     if (colon <= 0 || port < 0) {
-      throw new InvalidConfigException(source, "no host:port: " + text);
+      throw new InvalidConfigException(source, "not of the form host:port: " + text);
     }
     return new InetSocketAddress(text.substring(0, colon), port);
   }
 
-  /** The port, or -1 if the text is none. */
+  /** Parses a port; returns -1 if the text is not one. */
   private static int port(String text) {
     try {
       int port = Integer.parseInt(text);
--- a/src/main/java/switchgap/server/platform/PlatformLimits.java
+++ b/src/main/java/switchgap/server/platform/PlatformLimits.java
@@ -7,49 +7,49 @@
 import switchgap.router.CoreLimits;
 
 /**
- * The router's limits, out of the descriptors, the heap and the settings that it is given. Clients
- * and workers have a quota of the descriptors each; a quarter is left for files, selectors, the
- * listener and the event stream.
+ * Derives the router's limits from the available file descriptors, the heap size and the settings.
+ * Client connections and worker connections have a quota of the descriptors each; a quarter of all
+ * descriptors is left for files, selectors, the listener and the event stream.
  */
 final class PlatformLimits {
-  /** Between the periodic checks of overdue messages and exchanges. */
+  /** Interval between checks for overdue messages and exchanges. */
   static final Duration SWEEP_INTERVAL = Duration.ofMillis(200);
 
-  // Quotas: the descriptors divided by these.
+  // Divisors of the number of descriptors that give the quotas.
   private static final int CLIENT_CONNECTION_DIVISOR = 3;
 
-  /** For clients that connect before the event loop has evicted others. */
+  /** For connections beyond the clients' quota, until the event loop has evicted others. */
   private static final int EXCESS_CONNECTION_DIVISOR = 12;
 
   private static final int WORKER_CONNECTION_DIVISOR = 3;
 
-  /** Connections to one worker, descriptors allowing. */
+  /** Maximum number of connections to one worker, within the quota for worker connections. */
   private static final int MAX_CONNECTIONS_PER_WORKER = 6;
 
-  /** Exchanges that wait at one worker while a connection to it is opened. */
+  /** Maximum number of exchanges that wait for a connection to one worker. */
   private static final int MAX_WAITING_EXCHANGES = 256;
 
-  /** Functions known at a time. */
+  /** Maximum number of functions that the router tracks at a time. */
   private static final int MAX_FUNCTIONS = 4096;
 
   private static final int MAX_PENDING_REQUESTS = 4096;
 
-  /** The heap divided by this is for clients' messages and for unread responses. */
+  /** Divisor of the heap size that gives the bytes for queued client messages. */
   private static final int BUFFER_HEAP_DIVISOR = 16;
 
-  /** Those bytes divided by this are for one connection's unread responses. */
+  /** Divisor of those bytes that gives the maximum of one connection's unread responses. */
   private static final int UNREAD_RESPONSE_DIVISOR = 4;
 
-  /** Time for a complete message to arrive. */
+  /** Maximum time for a complete message to arrive. */
   private static final Duration RECEIVE_TIMEOUT = Duration.ofSeconds(2);
 
   private final PropertyRouterSettings settings;
   private final int maxSockets;
 
   /**
-   * Limits under these settings.
+   * Creates limits for the given settings.
    *
-   * @param maxSockets descriptors that the router may use
+   * @param maxSockets maximum number of file descriptors that the router may use
    */
   PlatformLimits(PropertyRouterSettings settings, int maxSockets) {
     this.settings = settings;
@@ -62,7 +62,9 @@
 
   RespConnectionLimits workerConnections() {
     Duration idleTimeout =
-        settings.connectionIdleTimeout().dividedBy(2); // before the worker closes it
+        settings
+            .connectionIdleTimeout()
+            .dividedBy(2); // must expire before the worker's own timeout
     return new RespConnectionLimits(
         descriptorQuota(WORKER_CONNECTION_DIVISOR),
         MAX_CONNECTIONS_PER_WORKER,
--- a/src/main/java/switchgap/server/platform/PlatformProcess.java
+++ b/src/main/java/switchgap/server/platform/PlatformProcess.java
@@ -7,8 +7,8 @@
 import switchgap.net.WallClock;
 
 /**
- * The command {@code serve}: a router on the platform until SIGTERM. Exit codes: 0 stopped, 1
- * failed, 2 unusable input, 70 an internal error.
+ * Implements the command {@code serve}, which runs a router on the platform until SIGTERM. Exit
+ * codes: 0 after a shutdown, 1 after a failure, 2 for invalid input, 70 after an internal error.
  */
 public final class PlatformProcess {
   private static final int EXIT_STOPPED = 0;
@@ -16,30 +16,30 @@
   private static final int EXIT_UNUSABLE_INPUT = 2;
   private static final int EXIT_INTERNAL_ERROR = 70;
 
-  /** Referenced statically, as an unreferenced logger is collected and loses its level. */
+  /** Held in a static field, as an unreferenced logger is garbage-collected and loses its level. */
   private static final Logger GRIZZLY = Logger.getLogger("org.glassfish.grizzly");
 
   private PlatformProcess() {}
 
   /**
-   * Halts the process after one of its threads has failed: it could not serve any more, and the
-   * platform starts a new one.
+   * Halts the process after one of its threads has failed. The process could not serve any more;
+   * the platform starts a new one.
    *
-   * @param failure what failed, for the log
+   * @param failure description of what failed, for the log
    */
   static void halt(RateLimitedLog log, String failure, Throwable error) {
     StackTraceElement[] stack = error.getStackTrace();
     String place = stack.length > 0 ? " at " + stack[0] : "";
-    log.line(failure + ", the router stops: " + error + place);
+    log.line(failure + ", stopping the router: " + error + place);
     Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR);
   }
 
   /** Serves until SIGTERM; returns the exit code. */
   public static int run() {
     RateLimitedLog log = new RateLimitedLog();
-    GRIZZLY.setLevel(Level.OFF); // it logs each connection that a peer resets
+    GRIZZLY.setLevel(Level.OFF); // Grizzly logs each connection that a peer resets
     Thread.setDefaultUncaughtExceptionHandler(
-        (thread, error) -> halt(log, "thread " + thread.getName() + " ended", error));
+        (thread, error) -> halt(log, "thread " + thread.getName() + " terminated", error));
     try {
       serve(log);
       return EXIT_STOPPED;
--- a/src/main/java/switchgap/server/platform/PlatformRouter.java
+++ b/src/main/java/switchgap/server/platform/PlatformRouter.java
@@ -23,8 +23,8 @@
 import switchgap.router.RouterEvents;
 
 /**
- * A running router on the platform, from its start to its shutdown; {@link PlatformAssembly} puts
- * its parts together. Its methods are for any thread but the event loop's.
+ * A running router on the platform, from its start to its shutdown. {@link PlatformAssembly}
+ * creates its components. Methods may be called on any thread except the event loop.
  */
 final class PlatformRouter implements EventStreamListener, AutoCloseable {
   private static final int MAX_EVENT_STREAM_BODY_BYTES = 1 << 16;
@@ -34,17 +34,17 @@
   private final RouterDiagnostics diagnostics;
   private final NetworkTransport network;
   private final EventLoop eventLoop;
-  private final RespWorkerTransport workers;
-  private final ThriftServer clients;
+  private final RespWorkerTransport workerTransport;
+  private final ThriftServer thriftServer;
   private final EventStreamClient eventStream;
   private final Duration longestTimeout;
   private final AtomicReference<ListState> endpointListState = new AtomicReference<>();
-  private volatile boolean isEndpointListKnown;
+  private volatile boolean isEndpointListApplied;
 
   /**
-   * Starts a router; it serves once this returns.
+   * Starts a router, which serves requests when the constructor returns.
    *
-   * @throws IOException if it can't listen on its address
+   * @throws IOException if the router cannot listen on its address
    */
   PlatformRouter(PlatformConfig config, RateLimitedLog log) throws IOException {
     this.log = log;
@@ -52,8 +52,8 @@
     diagnostics = assembly.diagnostics();
     network = assembly.network();
     eventLoop = assembly.eventLoop();
-    workers = assembly.workers();
-    clients = assembly.clients();
+    workerTransport = assembly.workerTransport();
+    thriftServer = assembly.thriftServer();
     longestTimeout = config.settings().longestTimeout();
     eventStream =
         new EventStreamClient(
@@ -66,18 +66,19 @@
     serve(config);
   }
 
-  // ------------------------------------------------------------------ start
+  // ------------------------------------------------------------------ startup
 
   /**
-   * Starts the event loop and waits until the core has the configured endpoint list: the first
-   * request must find its workers.
+   * Starts the event loop and waits until the core has applied the configured endpoint list, so
+   * that workers are available to the first request.
    */
   private void startEventLoop(PlatformConfig config) {
     config.knownEvents().forEach(this::eventReceived);
     CountDownLatch firstSweep =
         postToEventLoop(
             core -> {
-              isEndpointListKnown = true; // posted as urgent events, it was handled before this
+              isEndpointListApplied =
+                  true; // urgent events, such as the list's, run before this one
               sweep(core);
             });
     eventLoop.start();
@@ -90,16 +91,16 @@
 
   private void serve(PlatformConfig config) throws IOException {
     String host = config.listenAddress().getHostString();
-    ListenRetry.listen(() -> clients.listen(network, host, config.listenAddress().getPort()));
+    ListenRetry.listen(() -> thriftServer.listen(network, host, config.listenAddress().getPort()));
     eventStream.follow(config.eventStream());
-    diagnostics.invariants().beforeHealthy(isEndpointListKnown, now());
+    diagnostics.invariants().beforeHealthy(isEndpointListApplied, now());
     reportHealthy(true);
-    log.line("router " + config.name() + " serves at " + host + ":" + clients.port());
+    log.line("router " + config.name() + " serves at " + host + ":" + thriftServer.port());
   }
 
-  // ------------------------------------------------------------------ while it runs
+  // ------------------------------------------------------------------ operation
 
-  /** Follows the event stream at another address. */
+  /** Follows the event stream at another address instead of the current one. */
   void follow(InetSocketAddress address) {
     eventStream.follow(address);
   }
@@ -131,27 +132,28 @@
     }
   }
 
-  /** Whether the endpoint list is confirmed: its event stream delivers. */
+  /** Whether the endpoint list is confirmed as current by its event stream. */
   boolean isEndpointListConfirmed() {
     return endpointListState.get() == ListState.CONFIRMED;
   }
 
-  /** Closes what is overdue, and schedules the next sweep. */
+  /** Closes connections and exchanges that are overdue, and schedules the next sweep. */
   private void sweep(RouterCore core) {
-    clients.closeOverdueConnections(core.now());
-    workers.sweep();
+    thriftServer.closeOverdueConnections(core.now());
+    workerTransport.sweep();
     core.schedule(core.now().plus(PlatformLimits.SWEEP_INTERVAL), () -> sweep(core));
   }
 
-  /** What clients' heartbeats are answered from now on. */
+  /** Sets the health that replies to heartbeats report. */
   void reportHealthy(boolean healthy) {
-    clients.setHealthy(healthy);
+    thriftServer.setHealthy(healthy);
   }
 
-  /** Runs an event on the event loop and waits for that, for a bounded time. */
+  /** Runs an event on the event loop and waits for its completion, for a bounded time. */
   void runOnEventLoop(Consumer<RouterCore> event) throws InterruptedException {
     if (!postToEventLoop(event).await(EVENT_LOOP_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)) {
-      log.line("the event loop did not run an event within " + EVENT_LOOP_TIMEOUT);
+      log.line(
+          "event loop did not respond within " + EVENT_LOOP_TIMEOUT + ", continuing without it");
     }
   }
 
@@ -166,11 +168,11 @@
     return done;
   }
 
-  // ------------------------------------------------------------------ what it reports
+  // ------------------------------------------------------------------ status
 
   /** The port that clients connect to. */
   int port() {
-    return clients.port();
+    return thriftServer.port();
   }
 
   /** Time since the router's start. */
@@ -178,36 +180,39 @@
     return eventLoop.now();
   }
 
-  /** What happened to requests and connections so far. */
+  /** Counters of the events of requests and connections. */
   RouterEvents events() {
     return diagnostics.events();
   }
 
-  /** Violated invariants so far, each a fault of this program. */
+  /** Number of invariant violations so far, each a defect of this program. */
   long violations() {
     return diagnostics.invariants().violations();
   }
 
-  /** Open connections of clients, including those that the event loop does not track yet. */
+  /** Number of open client connections, including those that the event loop does not track yet. */
   int openClientConnections() {
-    return clients.openConnections();
+    return thriftServer.openConnections();
   }
 
-  /** What the event loop holds now, or {@link ResourceUsage#UNKNOWN} if it does not say in time. */
+  /**
+   * Current resource usage, or {@link ResourceUsage#UNKNOWN} if the event loop does not respond in
+   * time.
+   */
   ResourceUsage resourceUsage() throws InterruptedException {
     AtomicReference<ResourceUsage> usage = new AtomicReference<>(ResourceUsage.UNKNOWN);
     runOnEventLoop(
         core ->
             usage.set(
                 new ResourceUsage(
-                    clients.requestsInFlight(),
-                    clients.trackedConnections(),
-                    workers.connections(),
-                    clients.activeConnections())));
+                    thriftServer.requestsInFlight(),
+                    thriftServer.trackedConnections(),
+                    workerTransport.connections(),
+                    thriftServer.activeConnections())));
     return usage.get();
   }
 
-  // ------------------------------------------------------------------ end
+  // ------------------------------------------------------------------ shutdown
 
   /** Shuts down gracefully; blocks until everything is closed. */
   void stop() throws InterruptedException {
@@ -216,37 +221,37 @@
   }
 
   /**
-   * Closes clients' connections that are idle and quiet; what came on them before this call is read
-   * first.
+   * Closes client connections that are idle and quiet, after reading the bytes that arrived on them
+   * before this call.
    */
   void closeQuietConnections() throws InterruptedException {
     network.awaitPendingReads();
-    runOnEventLoop(clients::closeQuietConnections);
+    runOnEventLoop(thriftServer::closeQuietConnections);
   }
 
   /** Whether clients may be waiting to be accepted. */
   boolean isAcceptStalled() {
-    return clients.isAcceptStalled();
+    return thriftServer.isAcceptStalled();
   }
 
   /**
-   * Fails all pending requests, rejects all that come from now on, and closes each connection with
-   * its next answer.
+   * Fails all pending requests, rejects all later ones, and closes each connection after the reply
+   * that leaves it idle.
    */
   void failPendingRequests() throws InterruptedException {
-    runOnEventLoop(clients::failPendingRequests);
+    runOnEventLoop(thriftServer::failPendingRequests);
   }
 
-  /** Accepts no further connection. */
+  /** Closes the listener; open connections stay open. */
   void stopListening() {
-    clients.close();
+    thriftServer.close();
   }
 
-  /** Closes at once; pending requests get no response. */
+  /** Closes everything immediately; pending requests get no response. */
   @Override
   public void close() {
     eventStream.close();
-    clients.close();
+    thriftServer.close();
     eventLoop.stop();
     network.close();
   }
--- a/src/main/java/switchgap/server/platform/ResourceUsage.java
+++ b/src/main/java/switchgap/server/platform/ResourceUsage.java
@@ -1,19 +1,22 @@
 package switchgap.server.platform;
 
 /**
- * What a router holds at one moment.
+ * A router's resource usage at one point in time.
  *
- * @param pendingRequests requests that have no response yet
- * @param clientConnections connections of clients that the event loop tracks
- * @param workerConnections connections to workers, up or being opened
- * @param activeClientConnections connections of clients with a request in flight, a message partial
- *     or queued, or a response unwritten
+ * @param pendingRequests number of requests that have no response yet
+ * @param clientConnections number of client connections that the event loop tracks
+ * @param workerConnections number of connections to workers, open or being opened
+ * @param activeClientConnections number of client connections with a request in flight, a partial
+ *     or queued message, or an unsent response
  */
 record ResourceUsage(
     int pendingRequests,
     int clientConnections,
     int workerConnections,
     int activeClientConnections) {
-  /** The event loop did not respond: it has to be taken for active. */
+  /**
+   * Usage if the event loop did not respond; counts one active connection, as the router may be
+   * busy.
+   */
   static final ResourceUsage UNKNOWN = new ResourceUsage(0, 0, 0, 1);
 }
--- a/src/main/java/switchgap/server/platform/SignalHandlers.java
+++ b/src/main/java/switchgap/server/platform/SignalHandlers.java
@@ -6,9 +6,10 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Handlers of SIGHUP, SIGTERM and SIGINT. They are installed before anything else, as an unhandled
- * SIGHUP would end the process; one that comes before there is a listener is delivered to it later.
- * The JDK's handler type is used by name, as the compiler warns of it.
+ * Handles SIGHUP, SIGTERM and SIGINT. The handlers are installed first at startup, as an unhandled
+ * SIGHUP would terminate the process; a SIGHUP that arrives before a listener is set is delivered
+ * to it later. The JDK's signal classes are loaded by name, as the compiler warns about direct
+ * references to them.
  */
 final class SignalHandlers {
   private static final String SIGNAL_TYPE = "sun.misc.Signal";
@@ -16,28 +17,28 @@
 
   private final CountDownLatch termination = new CountDownLatch(1);
   private Runnable hangupListener;
-  private boolean hangupMissed;
+  private boolean isHangupPending;
 
   /** Installs the handlers. */
   SignalHandlers() throws ReflectiveOperationException {
-    install("HUP", this::hangup);
+    install("HUP", this::hangupReceived);
     install("TERM", termination::countDown);
     install("INT", termination::countDown);
   }
 
-  /** Serialized, so that the listener which starts last reads the newest file. */
-  private synchronized void hangup() {
-    hangupMissed = hangupListener == null;
+  /** Synchronized, so that the last run of the listener reads the newest file. */
+  private synchronized void hangupReceived() {
+    isHangupPending = hangupListener == null;
     if (hangupListener != null) {
       hangupListener.run();
     }
   }
 
-  /** Runs the listener at each SIGHUP from now on, and at once if one came before. */
+  /** Runs the listener on each SIGHUP from now on, and immediately if one arrived before. */
   synchronized void onHangup(Runnable listener) {
     hangupListener = listener;
-    if (hangupMissed) {
-      hangup();
+    if (isHangupPending) {
+      hangupReceived();
     }
   }
 
@@ -59,7 +60,7 @@
     signalType.getMethod("handle", signalType, handlerType).invoke(null, signal, handler);
   }
 
-  /** Implements the handler's method and those of {@code Object}. */
+  /** Implements the methods of the signal handler interface and of {@code Object}. */
   private static Object invoke(Object proxy, Method method, Object[] arguments, Runnable action) {
     String name = method.getName();
     if (name.equals("handle")) {
--- a/src/main/java/switchgap/server/platform/TraceLog.java
+++ b/src/main/java/switchgap/server/platform/TraceLog.java
@@ -5,8 +5,8 @@
 import switchgap.net.WallClock;
 
 /**
- * Trace lines on standard error, written by a thread of their own so that no caller blocks. Past
- * the queue's capacity they are dropped and counted. Thread-safe.
+ * Writes trace lines to standard error on a separate thread, so that callers never block. Lines
+ * that exceed the queue's capacity are dropped and counted. Thread-safe.
  */
 final class TraceLog {
   private static final int MAX_QUEUED_LINES = 8192;
@@ -14,14 +14,14 @@
   private final ArrayBlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
   private final AtomicLong droppedLines = new AtomicLong();
 
-  /** A trace log with a started writer thread. */
+  /** Starts the writer thread. */
   TraceLog() {
     Thread writer = new Thread(this::writeLines, "trace");
     writer.setDaemon(true);
     writer.start();
   }
 
-  /** Queues a line with the time; never blocks. */
+  /** Queues a line, prefixed with the time; never blocks. */
   void line(String text) {
     if (!queue.offer(WallClock.now() + " " + text)) {
       droppedLines.incrementAndGet();
@@ -34,7 +34,8 @@
         System.err.println(queue.take());
         long dropped = droppedLines.getAndSet(0);
         if (dropped > 0) {
-          System.err.println("switchgap: " + dropped + " trace lines were dropped");
+          System.err.println(
+              "switchgap: " + dropped + " trace lines dropped, as the trace queue was full");
         }
       }
     } catch (InterruptedException e) {
--- a/src/main/java/switchgap/server/platform/package-info.java
+++ b/src/main/java/switchgap/server/platform/package-info.java
@@ -1,8 +1,8 @@
 /**
  * The process of a router on the platform: its configuration ({@link
- * switchgap.server.platform.PlatformConfig}), its parts ({@link
- * switchgap.server.platform.PlatformAssembly}), its life from start to graceful shutdown ({@link
- * switchgap.server.platform.PlatformRouter}), signals and log. Nothing here may load classes that a
- * router on the platform does not need, as it starts on half a core.
+ * switchgap.server.platform.PlatformConfig}), its components ({@link
+ * switchgap.server.platform.PlatformAssembly}), its lifecycle from startup to graceful shutdown
+ * ({@link switchgap.server.platform.PlatformRouter}), signals and log. This package must not load
+ * classes that a router on the platform does not need, as the router starts with half a CPU core.
  */
 package switchgap.server.platform;
--- a/src/test/java/switchgap/protocol/sse/ServerSentEventDecoderTest.java
+++ b/src/test/java/switchgap/protocol/sse/ServerSentEventDecoderTest.java
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void completesEventWithItsBlankLine() {
+  void completesEventAtBlankLine() {
     assertThat(decode("id: 4\ndata: one")).isTrue();
     assertThat(decode("\n")).isTrue();
     assertThat(events).isEmpty();
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void countsEveryKindOfLineEndOnceAlsoWhenSplit() {
+  void countsEachLineEndOnceEvenWhenSplit() {
     decode("data:a\r");
     decode("\n\r");
     decode("\ndata:b\r\rdata:c\n\n");
--- a/src/test/java/switchgap/protocol/thrift/ThriftServerFloodTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftServerFloodTest.java
@@ -72,16 +72,16 @@
     try (NetworkTransport net = new NetworkTransport(1, "flood-test");
         ThriftServer server = server(events)) {
       server.listen(net, "127.0.0.1", 0);
-      try (Socket flooding = new Socket("127.0.0.1", server.port());
-          Socket other = new Socket("127.0.0.1", server.port())) {
-        submit(flooding, 1, 600);
-        assertThat(isClosed(flooding)).isFalse(); // and it has been read by now
-        submit(other, 7, 600);
-        other.setSoTimeout(1000);
-        DataInputStream input = new DataInputStream(other.getInputStream());
+      try (Socket floodingClient = new Socket("127.0.0.1", server.port());
+          Socket otherClient = new Socket("127.0.0.1", server.port())) {
+        submit(floodingClient, 1, 600);
+        assertThat(isClosed(floodingClient)).isFalse(); // and it has been read by now
+        submit(otherClient, 7, 600);
+        otherClient.setSoTimeout(1000);
+        DataInputStream input = new DataInputStream(otherClient.getInputStream());
         byte[] reply = input.readNBytes(input.readInt());
         assertThat(reply).as("sequence id of a reply").containsSequence(0, 0, 0, 7);
-        assertThat(isClosed(other)).isFalse();
+        assertThat(isClosed(otherClient)).isFalse();
       }
     }
   }
@@ -93,17 +93,17 @@
     try (NetworkTransport net = new NetworkTransport(1, "flood-test");
         ThriftServer server = server(events)) {
       server.listen(net, "127.0.0.1", 0);
-      try (Socket flooding = new Socket("127.0.0.1", server.port());
-          Socket other = new Socket("127.0.0.1", server.port())) {
-        submit(flooding, 1, 600);
-        submit(flooding, 2, 600);
-        flooding.setSoTimeout(1000);
-        DataInputStream input = new DataInputStream(flooding.getInputStream());
+      try (Socket floodingClient = new Socket("127.0.0.1", server.port());
+          Socket otherClient = new Socket("127.0.0.1", server.port())) {
+        submit(floodingClient, 1, 600);
+        submit(floodingClient, 2, 600);
+        floodingClient.setSoTimeout(1000);
+        DataInputStream input = new DataInputStream(floodingClient.getInputStream());
         assertThat(input.readNBytes(input.readInt())).containsSequence(0, 0, 0, 2);
-        int queued = events.size();
-        submit(other, 1, 300);
-        assertThat(isClosed(other)).isFalse();
-        assertThat(events.size()).as("it is queued, not rejected").isEqualTo(queued + 1);
+        int queuedBefore = events.size();
+        submit(otherClient, 1, 300);
+        assertThat(isClosed(otherClient)).isFalse();
+        assertThat(events.size()).as("it is queued, not rejected").isEqualTo(queuedBefore + 1);
       }
     }
   }
--- a/src/test/java/switchgap/server/platform/ClientDisconnectTest.java
+++ b/src/test/java/switchgap/server/platform/ClientDisconnectTest.java
@@ -18,7 +18,7 @@
     RespTestServer worker = RespTestServer.neverReplying();
     startRouter(MANY_SOCKETS, worker);
     ThriftTestClient client = connectClient();
-    ThriftTestClient leaving = connectClient();
+    ThriftTestClient leavingClient = connectClient();
     String revoked = nextId();
     client.submit(1, TestSubmit.idempotent(revoked));
     await(() -> worker.executions().size() == 1);
@@ -28,9 +28,9 @@
             worker.received(RespTestServer.CANCEL).stream()
                 .anyMatch(command -> command.id().equals(revoked)));
     String abandoned = nextId();
-    leaving.submit(1, TestSubmit.idempotent(abandoned).function("00000000000000f3"));
+    leavingClient.submit(1, TestSubmit.idempotent(abandoned).function("00000000000000f3"));
     await(() -> worker.executions().size() == 2);
-    leaving.close();
+    leavingClient.close();
     await(
         () ->
             worker.received(RespTestServer.CANCEL).stream()
@@ -46,16 +46,16 @@
     ThriftTestClient client = connectClient();
     String revoked = nextId();
     String disconnected = nextId();
-    ThriftTestClient leaving = connectClient();
-    awaitMessagesRead(leaving, 1);
+    ThriftTestClient leavingClient = connectClient();
+    awaitMessagesRead(leavingClient, 1);
     assertServed(connectClient(), worker, 1); // loads a replica: later requests need not wait
     try (AutoCloseable gate = blockEventLoop()) {
       client.submit(1, TestSubmit.idempotent(revoked));
       client.revoke(2, 1);
       awaitMessagesRead(client, 3);
-      leaving.submit(2, TestSubmit.idempotent(disconnected));
-      awaitMessagesRead(leaving, 3);
-      leaving.close();
+      leavingClient.submit(2, TestSubmit.idempotent(disconnected));
+      awaitMessagesRead(leavingClient, 3);
+      leavingClient.close();
       await(() -> router.openClientConnections() == 2);
     }
     assertServed(client, worker, 4);
@@ -83,16 +83,16 @@
     RespTestServer firstWorker = new RespTestServer(rejecting);
     RespTestServer secondWorker = new RespTestServer(rejecting);
     startRouter(MANY_SOCKETS, firstWorker, secondWorker);
-    ThriftTestClient staying = connectClient();
-    int number = 0;
+    ThriftTestClient stayingClient = connectClient();
+    int sequenceId = 0;
     while (firstWorker.executions().isEmpty()
         || secondWorker.executions().isEmpty()) { // until each has a connection
-      staying.submit(++number, TestSubmit.idempotent(nextId()).function(number));
-      assertThat(staying.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
+      stayingClient.submit(++sequenceId, TestSubmit.idempotent(nextId()).function(sequenceId));
+      assertThat(stayingClient.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
     }
-    ThriftTestClient leaving = connectClient();
+    ThriftTestClient leavingClient = connectClient();
     String id = nextId();
-    leaving.submit(1, TestSubmit.idempotent(id).function(number).body("rejected"));
+    leavingClient.submit(1, TestSubmit.idempotent(id).function(sequenceId).body("rejected"));
     await(
         () ->
             firstWorker.executions().size() + secondWorker.executions().size()
@@ -101,13 +101,14 @@
     try (AutoCloseable gate = blockEventLoop()) {
       allowReply.countDown();
       replied.await();
-      awaitMessagesRead(staying, ++number); // two, as the first may be read ahead of the reply
-      awaitMessagesRead(staying, ++number);
-      leaving.close();
+      awaitMessagesRead(
+          stayingClient, ++sequenceId); // two, as the first may be read ahead of the reply
+      awaitMessagesRead(stayingClient, ++sequenceId);
+      leavingClient.close();
       await(() -> router.openClientConnections() == openBefore - 1);
     }
-    staying.submit(++number, TestSubmit.idempotent(nextId()));
-    assertThat(staying.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
+    stayingClient.submit(++sequenceId, TestSubmit.idempotent(nextId()));
+    assertThat(stayingClient.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
     assertThat(
             firstWorker.executions().size()
                 + secondWorker.executions().size()
@@ -138,15 +139,15 @@
     FullBacklogServer worker = new FullBacklogServer();
     resources.add(worker);
     startRouterWithWorkersAt(MANY_SOCKETS, worker.address());
-    ThriftTestClient staying = connectClient();
-    ThriftTestClient leaving = connectClient();
+    ThriftTestClient stayingClient = connectClient();
+    ThriftTestClient leavingClient = connectClient();
     String dropped = nextId();
     String sent = nextId();
-    leaving.submit(1, TestSubmit.idempotent(dropped).timeoutMillis(8000));
+    leavingClient.submit(1, TestSubmit.idempotent(dropped).timeoutMillis(8000));
     await(() -> usage().pendingRequests() == 1 && usage().workerConnections() > 0);
-    staying.submit(1, TestSubmit.idempotent(sent).timeoutMillis(8000));
+    stayingClient.submit(1, TestSubmit.idempotent(sent).timeoutMillis(8000));
     await(() -> usage().pendingRequests() == 2);
-    leaving.close();
+    leavingClient.close();
     await(() -> usage().pendingRequests() == 1);
     worker.startAccepting();
     assertThat(worker.awaitReceived(sent, 6000)).isTrue();
--- a/src/test/java/switchgap/server/platform/ClientEvictionTest.java
+++ b/src/test/java/switchgap/server/platform/ClientEvictionTest.java
@@ -21,23 +21,23 @@
   @Test
   void keepsConnectionsWithPartialMessage() throws Exception {
     startRouter(SOCKETS, RespTestServer.executingAll());
-    List<ThriftTestClient> slow = new ArrayList<>();
-    List<byte[]> rest = new ArrayList<>();
+    List<ThriftTestClient> slowClients = new ArrayList<>();
+    List<byte[]> remainingBytes = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       byte[] message = submitFrame(nextId());
       ThriftTestClient client = connectClient();
       client.sendBytes(Arrays.copyOf(message, message.length / 2));
-      rest.add(Arrays.copyOfRange(message, message.length / 2, message.length));
-      slow.add(client);
+      remainingBytes.add(Arrays.copyOfRange(message, message.length / 2, message.length));
+      slowClients.add(client);
     }
-    await(() -> router.openClientConnections() == slow.size());
+    await(() -> router.openClientConnections() == slowClients.size());
     for (int i = 0; i < 150; i++) {
       connectClient(); // idle
     }
     Thread.sleep(300); // time for evictions that must not come
-    for (int i = 0; i < slow.size(); i++) {
-      slow.get(i).sendBytes(rest.get(i));
-      ThriftTestClient.Reply reply = slow.get(i).receiveReply();
+    for (int i = 0; i < slowClients.size(); i++) {
+      slowClients.get(i).sendBytes(remainingBytes.get(i));
+      ThriftTestClient.Reply reply = slowClients.get(i).receiveReply();
       assertThat(reply).as("client %d was closed", i).isNotNull();
       assertThat(reply.outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
     }
@@ -46,8 +46,8 @@
   /** A further client is not closed with its request unread: it waits in the accept backlog. */
   @Test
   void newClientWaitsWhileAllConnectionsAreInUse() throws Exception {
-    List<OutputStream> waiting = new CopyOnWriteArrayList<>();
-    List<String> ids = new CopyOnWriteArrayList<>();
+    List<OutputStream> pendingOutputs = new CopyOnWriteArrayList<>();
+    List<String> pendingIds = new CopyOnWriteArrayList<>();
     startRouter(
         48,
         new RespTestServer(
@@ -55,9 +55,9 @@
               if (!command.isExecution()) {
                 return RespTestServer.executeAll(command, output);
               }
-              synchronized (waiting) {
-                waiting.add(output);
-                ids.add(command.id());
+              synchronized (pendingOutputs) {
+                pendingOutputs.add(output);
+                pendingIds.add(command.id());
               }
               return true;
             }));
@@ -70,14 +70,18 @@
     int answered = 0;
     for (int round = 0; round < 40 && answered < clients.size(); round++) {
       Thread.sleep(25);
-      synchronized (waiting) {
-        for (int i = 0; i < waiting.size(); i++) {
+      synchronized (pendingOutputs) {
+        for (int i = 0; i < pendingOutputs.size(); i++) {
           RespTestServer.sendReply(
-              waiting.get(i), ids.get(i), RespTestServer.SUCCEEDED, RespTestServer.NO_REPORT, "x");
+              pendingOutputs.get(i),
+              pendingIds.get(i),
+              RespTestServer.SUCCEEDED,
+              RespTestServer.NO_REPORT,
+              "x");
           answered++;
         }
-        waiting.clear();
-        ids.clear();
+        pendingOutputs.clear();
+        pendingIds.clear();
       }
     }
     for (int i = 0; i < clients.size(); i++) {
@@ -96,10 +100,10 @@
       connectClient();
     }
     Thread.sleep(100); // until they count as idle
-    ThriftTestClient active = connectClient();
+    ThriftTestClient activeClient = connectClient();
     for (int number = 1; number <= 10; number++) {
-      active.submit(number, TestSubmit.idempotent(nextId()));
-      assertThat(active.receiveReply()).as("request %d", number).isNotNull();
+      activeClient.submit(number, TestSubmit.idempotent(nextId()));
+      assertThat(activeClient.receiveReply()).as("request %d", number).isNotNull();
       for (int i = 0; i < 30; i++) {
         connectClient();
       }
@@ -110,17 +114,17 @@
   @Test
   void evictsLeastRecentlyActiveConnection() throws Exception {
     startRouter(30, RespTestServer.executingAll()); // ten of them for clients
-    List<ThriftTestClient> all = new ArrayList<>();
+    List<ThriftTestClient> clients = new ArrayList<>();
     for (int i = 0; i < 25; i++) {
       ThriftTestClient client = connectClient();
-      all.add(client);
+      clients.add(client);
       client.submit(1, TestSubmit.idempotent(nextId()));
       assertThat(client.receiveReply()).as("client %d", i).isNotNull();
     }
-    assertThat(all.get(0).receiveReply()).isNull();
-    ThriftTestClient last = all.get(24);
-    last.heartbeat(2);
-    assertThat(last.receiveReply().healthy()).isTrue();
+    assertThat(clients.get(0).receiveReply()).isNull();
+    ThriftTestClient newestClient = clients.get(24);
+    newestClient.heartbeat(2);
+    assertThat(newestClient.receiveReply().healthy()).isTrue();
   }
 
   /** The newest connection exceeds the limit and stays open until another one is idle. */
@@ -129,24 +133,24 @@
     CountDownLatch allowReply = new CountDownLatch(1);
     RespTestServer worker = RespTestServer.executingAfter(allowReply);
     startRouter(30, worker); // ten of them for clients
-    List<ThriftTestClient> all = new ArrayList<>();
+    List<ThriftTestClient> clients = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       ThriftTestClient client = connectClient();
       client.submit(1, TestSubmit.idempotent(nextId()));
-      all.add(client);
+      clients.add(client);
     }
     await(() -> usage().pendingRequests() == 10);
     try (AutoCloseable gate = blockEventLoop()) {
-      ThriftTestClient newest = connectClient();
-      newest.submit(1, TestSubmit.idempotent(nextId())); // it is in use as well
-      awaitMessagesRead(newest, 2);
-      all.add(newest);
+      ThriftTestClient newestClient = connectClient();
+      newestClient.submit(1, TestSubmit.idempotent(nextId())); // it is in use as well
+      awaitMessagesRead(newestClient, 2);
+      clients.add(newestClient);
     }
     Thread.sleep(100); // time for an eviction that must not come
     assertThat(router.openClientConnections()).isEqualTo(11);
     allowReply.countDown();
     for (int i = 0; i < 11; i++) {
-      assertThat(all.get(i).receiveReply()).as("client %d", i).isNotNull();
+      assertThat(clients.get(i).receiveReply()).as("client %d", i).isNotNull();
     }
     await(() -> router.openClientConnections() == 10);
   }
--- a/src/test/java/switchgap/server/platform/DescriptorLimitTest.java
+++ b/src/test/java/switchgap/server/platform/DescriptorLimitTest.java
@@ -9,7 +9,7 @@
 /** The quotas of the descriptors: clients and workers each stay within theirs. */
 class DescriptorLimitTest extends PlatformFixture {
   /** The longest timeout that the settings allow, in case the machine is busy. */
-  private static final int LONGEST_TIMEOUT_MILLIS = 1950;
+  private static final int MAX_TIMEOUT_MILLIS = 1950;
 
   private static final int SOCKETS = 48; // sixteen for clients, sixteen for workers
 
@@ -31,7 +31,7 @@
             SOCKETS / 3 + SOCKETS / 12 + 1); // one is counted while it is being closed
     await(() -> router.openClientConnections() <= SOCKETS / 3);
     ThriftTestClient client = connectClient();
-    client.submit(1, TestSubmit.idempotent(nextId()).timeoutMillis(LONGEST_TIMEOUT_MILLIS));
+    client.submit(1, TestSubmit.idempotent(nextId()).timeoutMillis(MAX_TIMEOUT_MILLIS));
     assertThat(client.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
   }
 
@@ -55,7 +55,7 @@
     for (int number = 1; number <= 400; number++) {
       client.submit(
           number,
-          TestSubmit.idempotent(nextId()).timeoutMillis(LONGEST_TIMEOUT_MILLIS).function(number));
+          TestSubmit.idempotent(nextId()).timeoutMillis(MAX_TIMEOUT_MILLIS).function(number));
       assertThat(client.receiveReply().outcome())
           .as("request %d", number)
           .isEqualTo(ReplyOutcome.SUCCEEDED);
--- a/src/test/java/switchgap/server/platform/DiscoveryOutageTest.java
+++ b/src/test/java/switchgap/server/platform/DiscoveryOutageTest.java
@@ -30,16 +30,16 @@
   }
 
   /** The grace of the settings, and the 50 ms by which every limit is longer on sockets. */
-  private static final Duration GRACE = Duration.ofMillis(550);
+  private static final Duration DRAIN_GRACE = Duration.ofMillis(550);
 
-  private static final Duration OBSERVED = Duration.ofSeconds(2);
-  private static final int FUNCTIONS = 12;
-  private static final int PAUSE_MILLIS = 5;
+  private static final Duration OBSERVATION_DURATION = Duration.ofSeconds(2);
+  private static final int FUNCTION_COUNT = 12;
+  private static final int REQUEST_INTERVAL_MILLIS = 5;
 
-  private final DrainableWorker drainable = new DrainableWorker();
-  private RespTestServer drained;
-  private volatile boolean silent;
-  private int submitted;
+  private final DrainableWorker drainableHandler = new DrainableWorker();
+  private RespTestServer drainedWorker;
+  private volatile boolean isStreamSilent;
+  private int submittedCount;
 
   /** The stream of the fixture, which would confirm the list at each request. */
   @BeforeEach
@@ -48,44 +48,47 @@
     eventStream =
         new EventStreamTestServer(
             (connection, lastEventId, output) ->
-                silent || EventStreamTestServer.sendHeartbeat(connection, lastEventId, output));
+                isStreamSilent
+                    || EventStreamTestServer.sendHeartbeat(connection, lastEventId, output));
     resources.add(eventStream);
   }
 
   private ThriftTestClient startWithThreeWorkers() throws Exception {
-    drained = new RespTestServer(drainable);
+    drainedWorker = new RespTestServer(drainableHandler);
     startRouter(
-        MANY_SOCKETS, drained, RespTestServer.executingAll(), RespTestServer.executingAll());
+        MANY_SOCKETS, drainedWorker, RespTestServer.executingAll(), RespTestServer.executingAll());
     await(() -> eventStream.hasClient());
     ThriftTestClient client = connectClient();
-    for (int i = 0; i < FUNCTIONS * 3; i++) { // until each function has a replica
+    for (int i = 0; i < FUNCTION_COUNT * 3; i++) { // until each function has a replica
       eventStream.sendHeartbeats();
       submit(client);
     }
-    assertThat(drained.executions()).isNotEmpty();
+    assertThat(drainedWorker.executions()).isNotEmpty();
     return client;
   }
 
   private ReplyOutcome submit(ThriftTestClient client) throws Exception {
-    submitted++;
-    client.submit(submitted, TestSubmit.idempotent(nextId()).function(submitted % FUNCTIONS + 1));
+    submittedCount++;
+    client.submit(
+        submittedCount,
+        TestSubmit.idempotent(nextId()).function(submittedCount % FUNCTION_COUNT + 1));
     ReplyOutcome outcome = client.receiveReply().outcome();
-    Thread.sleep(PAUSE_MILLIS);
+    Thread.sleep(REQUEST_INTERVAL_MILLIS);
     return outcome;
   }
 
   /** Submits requests one after the other for a time; returns the number that was not served. */
   private int submitFor(ThriftTestClient client, Duration duration) throws Exception {
     long endNanos = System.nanoTime() + duration.toNanos();
-    int notServed = 0;
+    int notServedCount = 0;
     while (System.nanoTime() < endNanos) {
-      notServed += submit(client) == ReplyOutcome.SUCCEEDED ? 0 : 1;
+      notServedCount += submit(client) == ReplyOutcome.SUCCEEDED ? 0 : 1;
     }
-    return notServed;
+    return notServedCount;
   }
 
   private void assertNothingNewAtDrainedWorkerAfter(long nanos) {
-    assertThat(drained.received())
+    assertThat(drainedWorker.received())
         .filteredOn(command -> command.receivedNanos() > nanos)
         .filteredOn(DiscoveryOutageTest::isNewWork)
         .isEmpty();
@@ -98,20 +101,20 @@
 
   private void assertServedByOthersThroughOutage(ThriftTestClient client, Duration notifiedAfter)
       throws Exception {
-    Duration forbiddenAfter = notifiedAfter.plus(GRACE);
-    long outageNanos = System.nanoTime();
-    drainable.setDraining(true);
+    Duration forbiddenAfter = notifiedAfter.plus(DRAIN_GRACE);
+    long outageStartNanos = System.nanoTime();
+    drainableHandler.setDraining(true);
     submitFor(client, forbiddenAfter);
-    int notServed = submitFor(client, OBSERVED);
-    assertNothingNewAtDrainedWorkerAfter(outageNanos + forbiddenAfter.toNanos());
-    assertThat(notServed).as("requests not served once the drain is known").isZero();
+    int notServedCount = submitFor(client, OBSERVATION_DURATION);
+    assertNothingNewAtDrainedWorkerAfter(outageStartNanos + forbiddenAfter.toNanos());
+    assertThat(notServedCount).as("requests not served once the drain is known").isZero();
   }
 
   @ParameterizedTest
   @EnumSource(Outage.class)
   void sendsNothingToWorkerThatDrains(Outage outage) throws Exception {
     ThriftTestClient client = startWithThreeWorkers();
-    silent = true;
+    isStreamSilent = true;
     if (outage == Outage.REFUSES_CONNECTIONS) {
       eventStream.close();
     }
@@ -123,12 +126,12 @@
   void usesWorkerThatRepliesReadyAgain() throws Exception {
     ThriftTestClient client = startWithThreeWorkers();
     eventStream.close();
-    drainable.setDraining(true);
-    submitFor(client, Outage.REFUSES_CONNECTIONS.notifiedAfter.plus(GRACE));
-    drainable.setDraining(false);
+    drainableHandler.setDraining(true);
+    submitFor(client, Outage.REFUSES_CONNECTIONS.notifiedAfter.plus(DRAIN_GRACE));
+    drainableHandler.setDraining(false);
     long readyNanos = System.nanoTime();
-    submitFor(client, OBSERVED.multipliedBy(2));
-    assertThat(drained.executions())
+    submitFor(client, OBSERVATION_DURATION.multipliedBy(2));
+    assertThat(drainedWorker.executions())
         .filteredOn(command -> command.receivedNanos() > readyNanos)
         .as("requests at the worker that is ready again")
         .isNotEmpty();
@@ -139,7 +142,7 @@
     RespTestServer worker = RespTestServer.executingAll();
     startRouter(MANY_SOCKETS, worker);
     ThriftTestClient client = connectClient();
-    silent = true;
-    assertThat(submitFor(client, OBSERVED.multipliedBy(2))).isZero();
+    isStreamSilent = true;
+    assertThat(submitFor(client, OBSERVATION_DURATION.multipliedBy(2))).isZero();
   }
 }
--- a/src/test/java/switchgap/server/platform/DrainableWorker.java
+++ b/src/test/java/switchgap/server/platform/DrainableWorker.java
@@ -11,16 +11,16 @@
 final class DrainableWorker implements RespTestServer.CommandHandler {
   private static final String QUERY = "count=0";
 
-  private volatile boolean draining;
+  private volatile boolean isDraining;
 
   /** Whether it drains from now on. */
-  void setDraining(boolean isDraining) {
-    draining = isDraining;
+  void setDraining(boolean draining) {
+    isDraining = draining;
   }
 
   @Override
   public boolean handle(RespTestServer.Command command, OutputStream output) throws IOException {
-    if (!draining) {
+    if (!isDraining) {
       return RespTestServer.executeAll(command, output);
     }
     switch (command.name()) {
--- a/src/test/java/switchgap/server/platform/EndpointUpdateTest.java
+++ b/src/test/java/switchgap/server/platform/EndpointUpdateTest.java
@@ -7,7 +7,7 @@
 /** Changes of the endpoint list while requests are served. */
 class EndpointUpdateTest extends PlatformFixture {
   /** Time for the router to read and handle an event: nothing shows when it has. */
-  private static final long HANDLING_MILLIS = 200;
+  private static final long EVENT_HANDLING_MILLIS = 200;
 
   private static final int MAX_CONNECTIONS_PER_WORKER = 6;
 
@@ -20,29 +20,32 @@
     await(() -> eventStream.hasClient());
     ThriftTestClient client = connectClient();
     assertServed(client, 1, 20);
-    RespTestServer drained = firstWorker.executions().isEmpty() ? secondWorker : firstWorker;
-    String drainedId = drained == firstWorker ? "w0" : "w1";
+    RespTestServer drainedWorker = firstWorker.executions().isEmpty() ? secondWorker : firstWorker;
+    String drainedId = drainedWorker == firstWorker ? "w0" : "w1";
     eventStream.sendEvent(
         EventStreamTestServer.endpointListEvent(
-            2, false, EventStreamTestServer.endpoint(drainedId, drained.address(), "DRAINING", 0)));
-    Thread.sleep(HANDLING_MILLIS);
-    long receivedBefore = countWithoutLoadProbes(drained);
+            2,
+            false,
+            EventStreamTestServer.endpoint(drainedId, drainedWorker.address(), "DRAINING", 0)));
+    Thread.sleep(EVENT_HANDLING_MILLIS);
+    long receivedBefore = countWithoutLoadProbes(drainedWorker);
     int lastConnection =
-        drained.received().stream()
+        drainedWorker.received().stream()
             .mapToInt(RespTestServer.Command::connection)
             .max()
             .orElseThrow();
     assertServed(client, 1, 20);
-    assertThat(countWithoutLoadProbes(drained)).isEqualTo(receivedBefore);
+    assertThat(countWithoutLoadProbes(drainedWorker)).isEqualTo(receivedBefore);
     eventStream.sendEvent(
         EventStreamTestServer.endpointListEvent(
             3,
             false,
-            EventStreamTestServer.endpoint(drainedId, drained.address(), "DELETED", 0),
-            EventStreamTestServer.servingEndpoint("w9", drained.address())));
-    Thread.sleep(HANDLING_MILLIS);
+            EventStreamTestServer.endpoint(drainedId, drainedWorker.address(), "DELETED", 0),
+            EventStreamTestServer.servingEndpoint("w9", drainedWorker.address())));
+    Thread.sleep(EVENT_HANDLING_MILLIS);
     assertServed(client, 41, 80);
-    assertThat(drained.received().subList((int) receivedBefore, drained.received().size()))
+    assertThat(
+            drainedWorker.received().subList((int) receivedBefore, drainedWorker.received().size()))
         .isNotEmpty()
         .allMatch(command -> command.connection() > lastConnection);
   }
--- a/src/test/java/switchgap/server/platform/EventStreamTestServer.java
+++ b/src/test/java/switchgap/server/platform/EventStreamTestServer.java
@@ -37,8 +37,8 @@
   }
 
   private final List<Long> requestedEventIds = new CopyOnWriteArrayList<>();
-  private final List<Socket> open = new CopyOnWriteArrayList<>();
-  private final List<Socket> requested = new CopyOnWriteArrayList<>();
+  private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
+  private final List<Socket> streamingSockets = new CopyOnWriteArrayList<>();
   private final ServerSocket listener;
 
   /** A server on any free port. */
@@ -65,13 +65,13 @@
   }
 
   private void serve(Socket socket, int connection, StreamHandler handler) throws IOException {
-    open.add(socket);
+    openSockets.add(socket);
     try {
       long lastEventId = readLastEventId(socket);
       OutputStream output = socket.getOutputStream();
       output.write(RESPONSE_HEAD.getBytes(StandardCharsets.US_ASCII));
       requestedEventIds.add(lastEventId); // behind the head: a test sends events from now on
-      requested.add(socket);
+      streamingSockets.add(socket);
       if (!handler.handle(connection, lastEventId, output)) {
         socket.close();
       }
@@ -113,7 +113,7 @@
 
   /** Sends an event on the connection opened last. */
   public void sendEvent(String event) throws IOException {
-    sendEvent(open.get(open.size() - 1).getOutputStream(), event);
+    sendEvent(openSockets.get(openSockets.size() - 1).getOutputStream(), event);
   }
 
   /** Sends one heartbeat, which confirms the endpoint list, and leaves the connection open. */
@@ -127,15 +127,15 @@
    * Sends a heartbeat on each connection that has requested the stream, as the protocol demands.
    */
   public void sendHeartbeats() throws IOException {
-    for (Socket socket : requested) {
+    for (Socket socket : streamingSockets) {
       socket.getOutputStream().write(HEARTBEAT);
     }
   }
 
   /** Waits until the client closes a connection, counted from 0; returns whether it did. */
   public boolean awaitClientClose(int connection) throws IOException {
-    open.get(connection).setSoTimeout(CLOSE_TIMEOUT_MILLIS);
-    return open.get(connection).getInputStream().read() < 0;
+    openSockets.get(connection).setSoTimeout(CLOSE_TIMEOUT_MILLIS);
+    return openSockets.get(connection).getInputStream().read() < 0;
   }
 
   /** An event with some endpoints, or with the complete list. */
@@ -175,7 +175,7 @@
   @Override
   public void close() throws IOException {
     listener.close();
-    for (Socket socket : open) {
+    for (Socket socket : openSockets) {
       socket.close();
     }
   }
--- a/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
+++ b/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
@@ -24,12 +24,12 @@
     client.submit(1, TestSubmit.idempotent(nextId()).body("before"));
     Thread shutdown = beginShutdown();
     Thread.sleep(500); // within the minimum drain duration
-    ThriftTestClient late = connectClient();
-    late.heartbeat(1);
-    assertThat(late.receiveReply().healthy()).isFalse();
-    late.submit(2, TestSubmit.idempotent(nextId()).body("after"));
+    ThriftTestClient lateClient = connectClient();
+    lateClient.heartbeat(1);
+    assertThat(lateClient.receiveReply().healthy()).isFalse();
+    lateClient.submit(2, TestSubmit.idempotent(nextId()).body("after"));
     assertThat(client.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
-    assertThat(late.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
+    assertThat(lateClient.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
     assertEnds(shutdown);
     // the selector thread closes the listening socket, some milliseconds later on a busy machine
     await(() -> isConnectionRefused(router.port()));
@@ -98,17 +98,17 @@
         new ThriftTestClient(
             router.port(), 4096); // its system buffers little of what it does not read
     resources.add(client);
-    int sent = 0;
+    int sentCount = 0;
     while (router.resourceUsage().activeClientConnections() == 0
         || router.resourceUsage().pendingRequests() > 0) { // until responses wait to be written
-      assertThat(++sent).isLessThan(2000);
-      int sequenceId = sent;
+      assertThat(++sentCount).isLessThan(2000);
+      int sequenceId = sentCount;
       client.submit(sequenceId, TestSubmit.idempotent(nextId()));
       await(() -> worker.executions().size() == sequenceId);
     }
     Thread shutdown = beginShutdownAndAwaitUnhealthy();
     Thread.sleep(1300); // past the minimum drain duration
-    for (int number = 1; number <= sent; number++) {
+    for (int number = 1; number <= sentCount; number++) {
       ThriftTestClient.Reply reply = client.receiveReply();
       assertThat(reply).as("reply %d", number).isNotNull();
       assertThat(reply.body()).hasSize(16000);
@@ -129,11 +129,12 @@
     Thread.sleep(100);
     Thread shutdown = beginShutdownAndAwaitUnhealthy();
     Thread.sleep(500); // within the minimum drain duration
-    ThriftTestClient late = connectClient();
-    late.submit(
+    ThriftTestClient lateClient = connectClient();
+    lateClient.submit(
         1, TestSubmit.idempotent(nextId()).timeoutMillis(5800)); // past the end of the process
     assertThat(client.receiveReply().outcome()).isIn(ReplyOutcome.REJECTED, ReplyOutcome.FAILED);
-    assertThat(late.receiveReply().outcome()).isIn(ReplyOutcome.REJECTED, ReplyOutcome.FAILED);
+    assertThat(lateClient.receiveReply().outcome())
+        .isIn(ReplyOutcome.REJECTED, ReplyOutcome.FAILED);
     assertEnds(shutdown);
     assertThat((System.nanoTime() - startedNanos) / 1_000_000)
         .isLessThan(3700 + 100); // SIGKILL may come then
@@ -157,19 +158,19 @@
     CountDownLatch allowReply = new CountDownLatch(1);
     RespTestServer worker = RespTestServer.executingAfter(allowReply);
     startRouter(MANY_SOCKETS, worker);
-    ThriftTestClient first = connectClient();
-    ThriftTestClient second = connectClient();
-    awaitMessagesRead(second, 1);
-    first.submit(1, TestSubmit.idempotent(nextId()));
+    ThriftTestClient firstClient = connectClient();
+    ThriftTestClient secondClient = connectClient();
+    awaitMessagesRead(secondClient, 1);
+    firstClient.submit(1, TestSubmit.idempotent(nextId()));
     await(() -> worker.executions().size() == 1);
     Thread shutdown = beginShutdownAndAwaitUnhealthy();
     try (AutoCloseable gate = blockEventLoop()) {
-      second.submit(2, TestSubmit.idempotent(nextId()).body("y"));
-      awaitMessagesRead(second, 3);
+      secondClient.submit(2, TestSubmit.idempotent(nextId()).body("y"));
+      awaitMessagesRead(secondClient, 3);
     }
     allowReply.countDown();
-    assertThat(first.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
-    assertThat(second.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
+    assertThat(firstClient.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
+    assertThat(secondClient.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
     assertEnds(shutdown);
   }
 }
--- a/src/test/java/switchgap/server/platform/InvalidClientTest.java
+++ b/src/test/java/switchgap/server/platform/InvalidClientTest.java
@@ -15,16 +15,16 @@
     RespTestServer worker = RespTestServer.executingAfter(allowReply);
     startRouter(MANY_SOCKETS, worker);
     ThriftTestClient client = connectClient();
-    ThriftTestClient invalid = connectClient();
+    ThriftTestClient invalidClient = connectClient();
     String id = nextId();
     client.submit(1, TestSubmit.idempotent(id).body("valid"));
     await(() -> !worker.executions().isEmpty());
-    invalid.submit(1, TestSubmit.idempotent(id).body("another body under an id in flight"));
-    assertThat(invalid.receiveReply().outcome()).isEqualTo(ReplyOutcome.FAILED);
-    invalid.submit(2, TestSubmit.ofClass("nothing", nextId()));
-    assertThat(invalid.receiveReply().outcome()).isEqualTo(ReplyOutcome.FAILED);
-    invalid.submit(3, TestSubmit.idempotent(nextId()).body("x".repeat(16385)));
-    assertThat(invalid.receiveReply().outcome()).isEqualTo(ReplyOutcome.FAILED);
+    invalidClient.submit(1, TestSubmit.idempotent(id).body("another body under an id in flight"));
+    assertThat(invalidClient.receiveReply().outcome()).isEqualTo(ReplyOutcome.FAILED);
+    invalidClient.submit(2, TestSubmit.ofClass("nothing", nextId()));
+    assertThat(invalidClient.receiveReply().outcome()).isEqualTo(ReplyOutcome.FAILED);
+    invalidClient.submit(3, TestSubmit.idempotent(nextId()).body("x".repeat(16385)));
+    assertThat(invalidClient.receiveReply().outcome()).isEqualTo(ReplyOutcome.FAILED);
     allowReply.countDown();
     assertThat(client.receiveReply().bodyText()).isEqualTo(id + ":valid");
     assertThat(worker.executions()).hasSize(1);
@@ -33,32 +33,34 @@
   @Test
   void closesInvalidConnectionsAndKeepsValidOnes() throws Exception {
     startRouter(MANY_SOCKETS, RespTestServer.executingAll());
-    ThriftTestClient valid = connectClient();
-    valid.heartbeat(1);
-    valid.receiveReply();
+    ThriftTestClient validClient = connectClient();
+    validClient.heartbeat(1);
+    validClient.receiveReply();
     for (int length : new int[] {-1, 0, 60_000_000, 32769}) {
       ThriftTestClient client = connectClient();
       client.sendBytes(ByteBuffer.allocate(8).putInt(length).putInt(7).array());
       assertThat(client.receiveReply()).as("length %d", length).isNull();
     }
-    ThriftTestClient duplicate = connectClient();
-    duplicate.submit(1, TestSubmit.idempotent(nextId()).function("00000000000000f2"));
-    duplicate.submit(1, TestSubmit.idempotent(nextId()).function("00000000000000f2").body("y"));
+    ThriftTestClient duplicateClient = connectClient();
+    duplicateClient.submit(1, TestSubmit.idempotent(nextId()).function("00000000000000f2"));
+    duplicateClient.submit(
+        1, TestSubmit.idempotent(nextId()).function("00000000000000f2").body("y"));
     ThriftTestClient.Reply reply =
-        duplicate.receiveReply(); // of the first submit, if it came before the second was read
+        duplicateClient
+            .receiveReply(); // of the first submit, if it came before the second was read
     assertThat(reply == null || reply.sequenceId() == 1).isTrue();
-    ThriftTestClient unreadable = connectClient();
-    unreadable.sendBytes(
-        ThriftTestClient.withLength("no thrift at all".getBytes(StandardCharsets.US_ASCII)));
-    assertThat(unreadable.receiveReply()).isNull();
-    ThriftTestClient silent = connectClient();
-    ThriftTestClient partial = connectClient();
-    partial.sendBytes(new byte[] {0, 0, 1, 0, 5});
+    ThriftTestClient unreadableClient = connectClient();
+    unreadableClient.sendBytes(
+        ThriftTestClient.withLengthPrefix("no thrift at all".getBytes(StandardCharsets.US_ASCII)));
+    assertThat(unreadableClient.receiveReply()).isNull();
+    ThriftTestClient silentClient = connectClient();
+    ThriftTestClient partialClient = connectClient();
+    partialClient.sendBytes(new byte[] {0, 0, 1, 0, 5});
     long startedNanos = System.nanoTime();
-    assertThat(silent.receiveReply()).isNull();
-    assertThat(partial.receiveReply()).isNull();
+    assertThat(silentClient.receiveReply()).isNull();
+    assertThat(partialClient.receiveReply()).isNull();
     assertThat((System.nanoTime() - startedNanos) / 1_000_000).isBetween(1000L, 3000L);
-    valid.heartbeat(2);
-    assertThat(valid.receiveReply().healthy()).isTrue();
+    validClient.heartbeat(2);
+    assertThat(validClient.receiveReply().healthy()).isTrue();
   }
 }
--- a/src/test/java/switchgap/server/platform/PlatformProcessFixture.java
+++ b/src/test/java/switchgap/server/platform/PlatformProcessFixture.java
@@ -17,10 +17,10 @@
 
 /** A router as a process between scripted clients, workers and an event stream. */
 abstract class PlatformProcessFixture extends PlatformFixture {
-  private static final int MAX_CONNECTS = 50;
+  private static final int MAX_CONNECT_ATTEMPTS = 50;
   private static final long CONNECT_INTERVAL_MILLIS = 20;
   private static final long EXIT_TIMEOUT_SECONDS = 5;
-  private static final String SERVING = " serves at ";
+  private static final String SERVING_MESSAGE = " serves at ";
 
   Path configFile;
   Process process;
@@ -121,9 +121,10 @@
 
   /** Waits until the router serves; returns its port. */
   int awaitServingPort() throws Exception {
-    await(() -> processLog().contains(SERVING) || !process.isAlive());
+    await(() -> processLog().contains(SERVING_MESSAGE) || !process.isAlive());
     assertThat(process.isAlive()).as(processLog()).isTrue();
-    String address = processLog().substring(processLog().indexOf(SERVING) + SERVING.length());
+    String address =
+        processLog().substring(processLog().indexOf(SERVING_MESSAGE) + SERVING_MESSAGE.length());
     return Integer.parseInt(
         address.substring(address.indexOf(':') + 1, address.indexOf('\n')).trim());
   }
@@ -133,7 +134,7 @@
    * opened again as clients do.
    */
   ThriftTestClient connectUntilServed(int port) throws Exception {
-    for (int i = 0; i < MAX_CONNECTS; i++) {
+    for (int i = 0; i < MAX_CONNECT_ATTEMPTS; i++) {
       ThriftTestClient client = new ThriftTestClient(port);
       resources.add(client);
       try {
--- a/src/test/java/switchgap/server/platform/PlatformProcessTest.java
+++ b/src/test/java/switchgap/server/platform/PlatformProcessTest.java
@@ -30,12 +30,12 @@
       try (OutputStream pipe =
           Files.newOutputStream(
               configFile)) { // opened: the router reads, and its handlers are installed
-        Path next =
+        Path nextConfigFile =
             Files.writeString(
                 directory.resolve("next.json"),
                 config.replace(
                     ":" + eventStream.address().getPort(), ":" + newStream.address().getPort()));
-        Files.move(next, configFile, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(nextConfigFile, configFile, StandardCopyOption.REPLACE_EXISTING);
         signal("HUP");
         signal("HUP");
         assertThat(process.isAlive()).as(processLog()).isTrue();
@@ -43,9 +43,9 @@
       }
       awaitServingPort();
       await(() -> newStream.hasClient());
-      Files.writeString(configFile, "{"); // an unusable one
+      Files.writeString(configFile, "{"); // not valid JSON
       signal("HUP");
-      await(() -> processLog().contains("the old feed is kept"));
+      await(() -> processLog().contains("keeping the current event stream"));
       signal("TERM");
       awaitCleanExit();
     }
@@ -107,11 +107,11 @@
       for (int i = 0; i < 300; i++) {
         resources.add(new ThriftTestClient(servedPort));
       }
-      Duration before = processorTime();
-      ThriftTestClient active = connectUntilServed(servedPort);
+      Duration processorTimeBefore = processorTime();
+      ThriftTestClient activeClient = connectUntilServed(servedPort);
       for (int number = 2; number <= 6; number++) {
-        active.submit(number, TestSubmit.idempotent(nextId()));
-        assertThat(active.receiveReply().outcome())
+        activeClient.submit(number, TestSubmit.idempotent(nextId()));
+        assertThat(activeClient.receiveReply().outcome())
             .as(processLog())
             .isEqualTo(ReplyOutcome.SUCCEEDED);
       }
@@ -119,7 +119,8 @@
           new EventStreamTestServer(port, (connection, lastEventId, output) -> true)) {
         await(() -> restarted.hasClient());
       }
-      assertThat(processorTime().minus(before).toMillis()).isLessThan(1500); // nothing spins
+      assertThat(processorTime().minus(processorTimeBefore).toMillis())
+          .isLessThan(1500); // nothing spins
       signal("TERM");
       awaitCleanExit();
     }
@@ -132,16 +133,16 @@
         EventStreamTestServer newStream =
             new EventStreamTestServer((connection, lastEventId, output) -> true)) {
       String config = configJson(MANY_SOCKETS, worker);
-      String next =
+      String nextConfig =
           config.replace(
               ":" + eventStream.address().getPort(), ":" + newStream.address().getPort());
       Files.writeString(configFile, config);
       startProcess("");
       awaitServingPort();
-      Files.writeString(configFile, next.substring(0, next.length() / 2));
+      Files.writeString(configFile, nextConfig.substring(0, nextConfig.length() / 2));
       signal("HUP");
-      await(() -> processLog().contains("the old feed is kept"));
-      Files.writeString(configFile, next);
+      await(() -> processLog().contains("keeping the current event stream"));
+      Files.writeString(configFile, nextConfig);
       await(() -> newStream.hasClient());
     }
   }
@@ -158,8 +159,8 @@
       signal("HUP");
       await(() -> processLog().contains("SIGHUP"));
       assertThat(processLog())
-          .contains("the old feed is kept")
-          .doesNotContain("is followed at no-such-host");
+          .contains("keeping the current event stream")
+          .doesNotContain("following the event stream at no-such-host");
     }
   }
 
--- a/src/test/java/switchgap/server/platform/PlatformSettingsTest.java
+++ b/src/test/java/switchgap/server/platform/PlatformSettingsTest.java
@@ -9,7 +9,7 @@
 
 /** Settings of other operators: requests are served under each. */
 class PlatformSettingsTest extends PlatformFixture {
-  private static final String DEFAULT_TIMES = "\"AimUs\":300000,\"DeadlineUs\":1000000";
+  private static final String DEFAULT_TIMEOUTS_JSON = "\"AimUs\":300000,\"DeadlineUs\":1000000";
   private static final long TIMEOUT_MILLIS = 450;
   private static final long LONG_TIMEOUT_MILLIS = 300_000;
 
@@ -60,12 +60,13 @@
                     "\"RetryAfter\":true,\"MaxRetryAfterUs\":900000,", "\"RetryAfter\":false,")),
         new Variant(
             "timeouts of minutes",
-            json -> json.replace(DEFAULT_TIMES, "\"AimUs\":60000000,\"DeadlineUs\":600000000"),
+            json ->
+                json.replace(DEFAULT_TIMEOUTS_JSON, "\"AimUs\":60000000,\"DeadlineUs\":600000000"),
             TestSubmit.IDEMPOTENT_CLASS,
             LONG_TIMEOUT_MILLIS),
         Variant.of(
             "timeouts of tenths of a second",
-            json -> json.replace(DEFAULT_TIMES, "\"AimUs\":40000,\"DeadlineUs\":450000")),
+            json -> json.replace(DEFAULT_TIMEOUTS_JSON, "\"AimUs\":40000,\"DeadlineUs\":450000")),
         Variant.of(
             "no warm-up",
             json ->
--- a/src/test/java/switchgap/server/platform/ProcessPauseTest.java
+++ b/src/test/java/switchgap/server/platform/ProcessPauseTest.java
@@ -11,11 +11,11 @@
 /** The process, or only its accepts, pause: requests that it has not read yet grow old. */
 class ProcessPauseTest extends SystemCallFaultFixture {
   private static final long TIMEOUT_MILLIS = 900;
-  private static final long BACKLOG_MILLIS = 700;
+  private static final long TIME_IN_BACKLOG_MILLIS = 700;
   private static final long PAUSE_MILLIS = 400;
 
   /** By which a worker's timeout may exceed the time that the client has left. */
-  private static final long SLACK_MILLIS = 150;
+  private static final long TIMEOUT_SLACK_MILLIS = 150;
 
   /** Complete requests arrive while the process is stopped, past the receive timeout. */
   @Test
@@ -68,21 +68,22 @@
     void run() throws Exception;
   }
 
-  private void assertTimeInAcceptBacklogIsDeducted(Recovery acceptsRecover) throws Exception {
+  private void assertTimeInAcceptBacklogIsDeducted(Recovery restoreAccepts) throws Exception {
     try (RespTestServer worker = RespTestServer.executingAll()) {
       int port = startAndWarmUp(worker);
-      int before = worker.executions().size();
+      int executionsBefore = worker.executions().size();
       faults.inject(Call.ACCEPT, ErrorNumber.ENFILE, 1);
-      try (ThriftTestClient late = new ThriftTestClient(port)) {
-        late.submit(1, TestSubmit.idempotent("00000000000000aa").timeoutMillis(TIMEOUT_MILLIS));
-        Thread.sleep(BACKLOG_MILLIS);
-        acceptsRecover.run();
-        assertThat(late.receiveReply()).as(processLog()).isNotNull();
+      try (ThriftTestClient lateClient = new ThriftTestClient(port)) {
+        lateClient.submit(
+            1, TestSubmit.idempotent("00000000000000aa").timeoutMillis(TIMEOUT_MILLIS));
+        Thread.sleep(TIME_IN_BACKLOG_MILLIS);
+        restoreAccepts.run();
+        assertThat(lateClient.receiveReply()).as(processLog()).isNotNull();
       }
       for (RespTestServer.Command command :
-          worker.executions().subList(before, worker.executions().size())) {
+          worker.executions().subList(executionsBefore, worker.executions().size())) {
         assertThat(timeoutMillis(command))
-            .isLessThanOrEqualTo(TIMEOUT_MILLIS - BACKLOG_MILLIS + SLACK_MILLIS);
+            .isLessThanOrEqualTo(TIMEOUT_MILLIS - TIME_IN_BACKLOG_MILLIS + TIMEOUT_SLACK_MILLIS);
       }
     }
   }
@@ -95,17 +96,17 @@
       for (int round = 0; round < 5; round++) {
         ThriftTestClient client = connectUntilServed(port);
         Thread.sleep(20L * round);
-        int before = worker.executions().size();
+        int executionsBefore = worker.executions().size();
         suspend();
         client.submit(2, TestSubmit.idempotent(nextId()).timeoutMillis(TIMEOUT_MILLIS));
         Thread.sleep(PAUSE_MILLIS);
         signal("CONT");
         assertThat(client.receiveReply()).as(processLog()).isNotNull();
         for (RespTestServer.Command command :
-            worker.executions().subList(before, worker.executions().size())) {
+            worker.executions().subList(executionsBefore, worker.executions().size())) {
           assertThat(timeoutMillis(command))
               .as("round %d", round)
-              .isLessThanOrEqualTo(TIMEOUT_MILLIS - PAUSE_MILLIS + SLACK_MILLIS);
+              .isLessThanOrEqualTo(TIMEOUT_MILLIS - PAUSE_MILLIS + TIMEOUT_SLACK_MILLIS);
         }
       }
     }
--- a/src/test/java/switchgap/server/platform/RespTestServer.java
+++ b/src/test/java/switchgap/server/platform/RespTestServer.java
@@ -72,7 +72,7 @@
 
   private final CommandHandler handler;
   private final List<Command> received = new CopyOnWriteArrayList<>();
-  private final List<Socket> open = new CopyOnWriteArrayList<>();
+  private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
   private final ServerSocket listener =
       new ServerSocket(0, ACCEPT_BACKLOG, InetAddress.getLoopbackAddress());
 
@@ -115,7 +115,7 @@
         Socket socket = listener.accept();
         int number = connection;
         socket.setTcpNoDelay(true);
-        open.add(socket);
+        openSockets.add(socket);
         startDaemon(() -> serve(socket, number));
       }
     } catch (IOException e) {
@@ -215,7 +215,7 @@
   @Override
   public void close() throws IOException {
     listener.close();
-    for (Socket socket : open) {
+    for (Socket socket : openSockets) {
       socket.close();
     }
   }
--- a/src/test/java/switchgap/server/platform/ShutdownTrafficTest.java
+++ b/src/test/java/switchgap/server/platform/ShutdownTrafficTest.java
@@ -16,17 +16,17 @@
  * allows after SIGTERM. Every request that the router has taken is answered all the same.
  */
 class ShutdownTrafficTest extends PlatformProcessFixture {
-  private static final int CLIENTS = 12;
-  private static final int LOAD_MILLIS = 700;
+  private static final int CLIENT_COUNT = 12;
+  private static final int TRAFFIC_BEFORE_SIGTERM_MILLIS = 700;
   private static final int MAX_ASSUMED_TIMEOUT_MILLIS = 3000;
   private static final int KILL_MARGIN_MILLIS = 700;
 
   /** A request that crosses the close of its connection by less is sent again by its client. */
-  private static final long CROSSING_NANOS = 50_000_000;
+  private static final long CLOSE_RACE_NANOS = 50_000_000;
 
-  private final AtomicInteger lastRequest = new AtomicInteger();
+  private final AtomicInteger lastRequestNumber = new AtomicInteger();
   private final AtomicInteger servedAfterSigterm = new AtomicInteger();
-  private final List<String> lost = new CopyOnWriteArrayList<>();
+  private final List<String> lostRequests = new CopyOnWriteArrayList<>();
   private volatile long sigtermNanos;
   private int port;
 
@@ -35,7 +35,7 @@
   void answersEveryRequestUntilEarliestKill(int timeoutMillis) throws Exception {
     startServing(timeoutMillis);
     List<Thread> clients = startClients(timeoutMillis);
-    Thread.sleep(LOAD_MILLIS);
+    Thread.sleep(TRAFFIC_BEFORE_SIGTERM_MILLIS);
     sigtermNanos = System.nanoTime();
     signal("TERM");
     boolean exited = process.waitFor(millisToKill(timeoutMillis), TimeUnit.MILLISECONDS);
@@ -43,7 +43,9 @@
     for (Thread client : clients) {
       client.join();
     }
-    assertThat(lost).as("requests without an answer, exited by itself: %s", exited).isEmpty();
+    assertThat(lostRequests)
+        .as("requests without an answer, exited by itself: %s", exited)
+        .isEmpty();
     assertThat(servedAfterSigterm.get()).as("requests served after SIGTERM").isPositive();
   }
 
@@ -53,11 +55,11 @@
   void answersEveryRequestThroughSeriesOfSignals(int timeoutMillis) throws Exception {
     startServing(timeoutMillis);
     List<Thread> clients = startClients(timeoutMillis);
-    Thread.sleep(LOAD_MILLIS);
+    Thread.sleep(TRAFFIC_BEFORE_SIGTERM_MILLIS);
     sigtermNanos = System.nanoTime();
     for (String name : List.of("HUP", "TERM", "HUP", "TERM", "INT")) {
       signal(name);
-      Thread.sleep(LOAD_MILLIS / 5);
+      Thread.sleep(TRAFFIC_BEFORE_SIGTERM_MILLIS / 5);
     }
     long elapsedMillis = (System.nanoTime() - sigtermNanos) / 1_000_000;
     process.waitFor(millisToKill(timeoutMillis) - elapsedMillis, TimeUnit.MILLISECONDS);
@@ -65,7 +67,7 @@
     for (Thread client : clients) {
       client.join();
     }
-    assertThat(lost).as("requests without an answer").isEmpty();
+    assertThat(lostRequests).as("requests without an answer").isEmpty();
   }
 
   private static int millisToKill(int timeoutMillis) {
@@ -79,7 +81,7 @@
         new RespTestServer(
             (command, output) -> {
               if (command.isExecution()) {
-                Thread.sleep(timeoutMillis * 3L / 10 / CLIENTS);
+                Thread.sleep(timeoutMillis * 3L / 10 / CLIENT_COUNT);
               }
               return RespTestServer.executeAll(command, output);
             });
@@ -90,7 +92,7 @@
 
   private List<Thread> startClients(int timeoutMillis) {
     List<Thread> clients = new ArrayList<>();
-    for (int i = 0; i < CLIENTS; i++) {
+    for (int i = 0; i < CLIENT_COUNT; i++) {
       Thread client = new Thread(() -> sendUntilRefused(timeoutMillis), "client-" + i);
       client.start();
       clients.add(client);
@@ -100,10 +102,10 @@
 
   /** Uses one connection after the other, each until it ends, until none is accepted. */
   private void sendUntilRefused(int timeoutMillis) {
-    String unanswered = null;
+    String idToResend = null;
     while (true) {
       try (ThriftTestClient client = new ThriftTestClient(port)) {
-        unanswered = sendUntilClosed(client, timeoutMillis, unanswered);
+        idToResend = sendUntilClosed(client, timeoutMillis, idToResend);
       } catch (Exception e) {
         return; // not accepted, so nothing is taken
       }
@@ -113,25 +115,25 @@
   /**
    * Sends one request after the other until the connection ends.
    *
-   * @param resent a request whose first connection ended as it was sent, or null
+   * @param idToResend a request whose first connection ended as it was sent, or null
    * @return the request that is to be sent again, or null
    */
-  private String sendUntilClosed(ThriftTestClient client, int timeoutMillis, String resent)
+  private String sendUntilClosed(ThriftTestClient client, int timeoutMillis, String idToResend)
       throws Exception {
-    String id = resent;
+    String id = idToResend;
     for (int sequenceId = 1; ; sequenceId++) {
       boolean isResent = id != null;
-      id = isResent ? id : String.format("%016x", lastRequest.incrementAndGet());
+      id = isResent ? id : String.format("%016x", lastRequestNumber.incrementAndGet());
       long sentNanos = System.nanoTime();
       if (receivesAnswer(client, sequenceId, id, timeoutMillis)) {
         id = null;
         continue;
       }
       long waitedNanos = System.nanoTime() - sentNanos;
-      if (!isResent && waitedNanos < CROSSING_NANOS && process.isAlive()) {
+      if (!isResent && waitedNanos < CLOSE_RACE_NANOS && process.isAlive()) {
         return id;
       }
-      lost.add(describeLoss(id, sentNanos, isResent));
+      lostRequests.add(describeLoss(id, sentNanos, isResent));
       return null;
     }
   }
--- a/src/test/java/switchgap/server/platform/SystemCallFailureTest.java
+++ b/src/test/java/switchgap/server/platform/SystemCallFailureTest.java
@@ -16,10 +16,10 @@
 class SystemCallFailureTest extends SystemCallFaultFixture {
   private void assertAllServedUnder(Call call, ErrorNumber error, int every) throws Exception {
     try (RespTestServer worker = RespTestServer.executingAll();
-        RespTestServer other = RespTestServer.executingAll()) {
-      int port = startAndAwaitServing(worker, other);
+        RespTestServer otherWorker = RespTestServer.executingAll()) {
+      int port = startAndAwaitServing(worker, otherWorker);
       faults.inject(call, error, every);
-      assertThat(countServed(port)).as(processLog()).isEqualTo(ALL_REQUESTS);
+      assertThat(countServed(port)).as(processLog()).isEqualTo(REQUEST_COUNT);
       assertThat(faults.touched(call)).isPositive();
       assertThat(processorTime()).as("processor time").isLessThan(Duration.ofSeconds(6));
       faults.clear();
@@ -59,21 +59,21 @@
   void doesNotSpinWhileAcceptFails() throws Exception {
     try (RespTestServer worker = RespTestServer.executingAll()) {
       int port = startAndWarmUp(worker);
-      ThriftTestClient open = connectUntilServed(port);
+      ThriftTestClient openClient = connectUntilServed(port);
       faults.inject(Call.ACCEPT, ErrorNumber.ENFILE, 1);
-      try (ThriftTestClient late = new ThriftTestClient(port)) {
-        late.submit(1, TestSubmit.idempotent("00000000000000aa").timeoutMillis(1950));
-        Duration before = processorTime();
+      try (ThriftTestClient lateClient = new ThriftTestClient(port)) {
+        lateClient.submit(1, TestSubmit.idempotent("00000000000000aa").timeoutMillis(1950));
+        Duration processorTimeBefore = processorTime();
         Thread.sleep(1500); // while the process must not spin
-        assertThat(processorTime().minus(before)).isLessThan(Duration.ofMillis(150));
-        open.submit(2, TestSubmit.idempotent("00000000000000ab"));
-        assertThat(open.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
+        assertThat(processorTime().minus(processorTimeBefore)).isLessThan(Duration.ofMillis(150));
+        openClient.submit(2, TestSubmit.idempotent("00000000000000ab"));
+        assertThat(openClient.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
         faults.clear();
-        long cleared = System.nanoTime();
-        assertThat(late.receiveReply().outcome())
+        long clearedNanos = System.nanoTime();
+        assertThat(lateClient.receiveReply().outcome())
             .as(processLog())
             .isEqualTo(ReplyOutcome.SUCCEEDED);
-        assertThat(Duration.ofNanos(System.nanoTime() - cleared))
+        assertThat(Duration.ofNanos(System.nanoTime() - clearedNanos))
             .isLessThan(Duration.ofMillis(100));
       }
     }
@@ -88,12 +88,12 @@
       ThriftTestClient client = connectUntilServed(port);
       faults.inject(call, ErrorNumber.EINTR, 1);
       client.submit(2, TestSubmit.idempotent("00000000000000aa").timeoutMillis(1900));
-      Duration before = processorTime();
+      Duration processorTimeBefore = processorTime();
       Thread.sleep(1500); // while the process must not spin
-      assertThat(processorTime().minus(before)).isLessThan(Duration.ofMillis(300));
+      assertThat(processorTime().minus(processorTimeBefore)).isLessThan(Duration.ofMillis(300));
       faults.clear();
       assertThat(client.receiveReply()).as(processLog()).isNotNull();
-      assertThat(countServed(port)).as(processLog()).isEqualTo(ALL_REQUESTS);
+      assertThat(countServed(port)).as(processLog()).isEqualTo(REQUEST_COUNT);
     }
   }
 
@@ -106,7 +106,7 @@
       await(() -> faults.touched(Call.SOCKET) > 0);
       Thread.sleep(500); // under the fault
       faults.clear();
-      assertThat(countServed(awaitServingPort())).as(processLog()).isEqualTo(ALL_REQUESTS);
+      assertThat(countServed(awaitServingPort())).as(processLog()).isEqualTo(REQUEST_COUNT);
       await(() -> eventStream.hasClient());
     }
   }
@@ -118,12 +118,12 @@
     try (RespTestServer worker = RespTestServer.executingAll()) {
       int port = startAndWarmUp(worker);
       faults.inject(Call.ACCEPT, ErrorNumber.ENFILE, 1);
-      try (ThriftTestClient late = new ThriftTestClient(port)) {
-        late.submit(1, TestSubmit.idempotent("00000000000000ac").timeoutMillis(900));
+      try (ThriftTestClient lateClient = new ThriftTestClient(port)) {
+        lateClient.submit(1, TestSubmit.idempotent("00000000000000ac").timeoutMillis(900));
         signal("TERM");
         Thread.sleep(2200); // timeouts are a second, so SIGKILL may come after 1.7 s
         faults.clear();
-        assertThat(late.receiveReply()).as(processLog()).isNotNull();
+        assertThat(lateClient.receiveReply()).as(processLog()).isNotNull();
       }
       awaitCleanExit();
     }
@@ -134,12 +134,12 @@
     try (RespTestServer worker = RespTestServer.executingAll()) {
       int port = startAndWarmUp(worker);
       faults.inject(Call.ACCEPT, ErrorNumber.ENFILE, 1);
-      try (ThriftTestClient late = new ThriftTestClient(port)) {
-        late.submit(1, TestSubmit.idempotent("00000000000000aa").timeoutMillis(1950));
+      try (ThriftTestClient lateClient = new ThriftTestClient(port)) {
+        lateClient.submit(1, TestSubmit.idempotent("00000000000000aa").timeoutMillis(1950));
         signal("TERM");
         Thread.sleep(1400); // past the minimum drain duration
         faults.clear();
-        assertThat(late.receiveReply()).as(processLog()).isNotNull();
+        assertThat(lateClient.receiveReply()).as(processLog()).isNotNull();
       }
       awaitCleanExit();
     }
@@ -158,13 +158,15 @@
   void answersEveryRequestWhileWorkerConnectionsBreak(Call call, ErrorNumber error, int every)
       throws Exception {
     try (RespTestServer worker = RespTestServer.executingAll();
-        RespTestServer other = RespTestServer.executingAll()) {
-      int port = startAndAwaitServing(worker, other);
+        RespTestServer otherWorker = RespTestServer.executingAll()) {
+      int port = startAndAwaitServing(worker, otherWorker);
       faults.inject(call, error, every, worker.port());
-      assertThat(countAnswered(port)).as(processLog()).isEqualTo(ALL_REQUESTS);
+      assertThat(countAnswered(port)).as(processLog()).isEqualTo(REQUEST_COUNT);
       assertThat(faults.touched(call)).isPositive();
       faults.clear();
-      assertThat(countServed(port)).as("after the faults: " + processLog()).isEqualTo(ALL_REQUESTS);
+      assertThat(countServed(port))
+          .as("after the faults: " + processLog())
+          .isEqualTo(REQUEST_COUNT);
     }
   }
 
@@ -176,12 +178,12 @@
     try (RespTestServer worker = RespTestServer.executingAll()) {
       faults.inject(call, error, every, eventStream.address().getPort());
       int port = startAndAwaitServing(worker);
-      assertThat(countServed(port)).as(processLog()).isEqualTo(ALL_REQUESTS);
+      assertThat(countServed(port)).as(processLog()).isEqualTo(REQUEST_COUNT);
       faults.clear();
       if (call == Call.WRITE) {
         await(() -> eventStream.hasClient()); // no request could be written before
       }
-      assertThat(countServed(port)).as(processLog()).isEqualTo(ALL_REQUESTS);
+      assertThat(countServed(port)).as(processLog()).isEqualTo(REQUEST_COUNT);
     }
   }
 }
--- a/src/test/java/switchgap/server/platform/SystemCallFaultFixture.java
+++ b/src/test/java/switchgap/server/platform/SystemCallFaultFixture.java
@@ -17,12 +17,12 @@
 
 /** A router as a process under which system calls fail. */
 abstract class SystemCallFaultFixture extends PlatformProcessFixture {
-  private static final int CLIENTS = 60;
+  private static final int CLIENT_COUNT = 60;
   private static final int REQUESTS_PER_CLIENT = 3;
   private static final int CONCURRENT_CLIENTS = 10;
 
   /** Requests that {@link #countServed} and {@link #countAnswered} send. */
-  static final int ALL_REQUESTS = CLIENTS * REQUESTS_PER_CLIENT;
+  static final int REQUEST_COUNT = CLIENT_COUNT * REQUESTS_PER_CLIENT;
 
   @TempDir static Path libraryDirectory;
   private static Path library;
@@ -61,7 +61,7 @@
   int countServed(int port) throws Exception {
     ExecutorService threads = Executors.newFixedThreadPool(CONCURRENT_CLIENTS);
     List<Future<Integer>> counts = new ArrayList<>();
-    for (int i = 0; i < CLIENTS; i++) {
+    for (int i = 0; i < CLIENT_COUNT; i++) {
       int client = i;
       counts.add(threads.submit(() -> countServedOnOneConnection(port, client)));
     }
@@ -98,7 +98,7 @@
    */
   static int countAnswered(int port) throws Exception {
     int answered = 0;
-    for (int client = 0; client < CLIENTS; client++) {
+    for (int client = 0; client < CLIENT_COUNT; client++) {
       try (ThriftTestClient connection = new ThriftTestClient(port)) {
         for (int number = 1; number <= REQUESTS_PER_CLIENT; number++) {
           String id = String.format("%016x", 0x100000L + client * 100L + number);
--- a/src/test/java/switchgap/server/platform/ThriftTestClient.java
+++ b/src/test/java/switchgap/server/platform/ThriftTestClient.java
@@ -78,7 +78,7 @@
   // ------------------------------------------------------------------ frames
 
   /** A frame with its length before it. */
-  static byte[] withLength(byte[] frame) {
+  static byte[] withLengthPrefix(byte[] frame) {
     return ByteBuffer.allocate(4 + frame.length).putInt(frame.length).put(frame).array();
   }
 
@@ -88,7 +88,7 @@
     TBinaryProtocol protocol = new TBinaryProtocol(buffer);
     writeSubmitArguments(protocol, sequenceId, submit.fields(), submit.bodyBytes());
     protocol.writeFieldStop();
-    return withLength(Arrays.copyOf(buffer.getArray(), buffer.length()));
+    return withLengthPrefix(Arrays.copyOf(buffer.getArray(), buffer.length()));
   }
 
   /** Writes a submit up to its last argument. */
@@ -113,7 +113,7 @@
     protocol.writeFieldBegin(new TField("flag", TType.BOOL, (short) 1));
     protocol.writeBool(true);
     protocol.writeFieldStop();
-    return withLength(Arrays.copyOf(buffer.getArray(), buffer.length()));
+    return withLengthPrefix(Arrays.copyOf(buffer.getArray(), buffer.length()));
   }
 
   private static byte[] revokeFrame(int sequenceId, int revokedSequenceId) throws TException {
@@ -123,7 +123,7 @@
     protocol.writeFieldBegin(new TField("number", TType.I32, (short) 1));
     protocol.writeI32(revokedSequenceId);
     protocol.writeFieldStop();
-    return withLength(Arrays.copyOf(buffer.getArray(), buffer.length()));
+    return withLengthPrefix(Arrays.copyOf(buffer.getArray(), buffer.length()));
   }
 
   // ------------------------------------------------------------------ sending
