--- a/src/main/java/switchgap/protocol/sse/ServerSentEventDecoder.java
+++ b/src/main/java/switchgap/protocol/sse/ServerSentEventDecoder.java
@@ -50,13 +50,14 @@
    *     then
    */
   public boolean decode(byte[] bytes, EventHandler handler) {
-    for (byte next : bytes) {
-      boolean isSecondOfLineEnd = next == '\n' && isAfterCarriageReturn;
-      isAfterCarriageReturn = next == '\r';
+    for (byte nextByte : bytes) {
+      boolean isSecondOfLineEnd = nextByte == '\n' && isAfterCarriageReturn;
+      isAfterCarriageReturn = nextByte == '\r';
       if (isSecondOfLineEnd) {
         continue;
       }
-      boolean isWithinBounds = (next == '\r' || next == '\n') ? endLine(handler) : append(next);
+      boolean isWithinBounds =
+          (nextByte == '\r' || nextByte == '\n') ? endLine(handler) : append(nextByte);
       if (!isWithinBounds) {
         return false;
       }
@@ -79,11 +80,11 @@
     return data.length() > 0 || id != null;
   }
 
-  private boolean append(byte next) {
+  private boolean append(byte nextByte) {
     if (lineBytes.size() >= maxBytes) {
       return false;
     }
-    lineBytes.write(next);
+    lineBytes.write(nextByte);
     return true;
   }
 
--- a/src/main/java/switchgap/protocol/thrift/AcceptThrottle.java
+++ b/src/main/java/switchgap/protocol/thrift/AcceptThrottle.java
@@ -28,19 +28,19 @@
 
   void connectionOpened() {
     openConnections.incrementAndGet();
-    update();
+    updateListener();
   }
 
   void connectionClosed() {
     openConnections.decrementAndGet();
-    update();
+    updateListener();
   }
 
   int openConnections() {
     return openConnections.get();
   }
 
-  private synchronized void update() {
+  private synchronized void updateListener() {
     boolean hasCapacity = openConnections.get() < maxOpenConnections;
     if (hasCapacity != isListenerPaused || listener == null) {
       return;
--- a/src/main/java/switchgap/protocol/thrift/RequestAdmission.java
+++ b/src/main/java/switchgap/protocol/thrift/RequestAdmission.java
@@ -107,14 +107,15 @@
    * the close; the close is handled now.
    */
   private void ensureIdIsNotInFlight(RouterCore core, String id) throws InvalidSubmitException {
-    ClientConnection owner = inFlight.connectionOf(id);
-    if (owner == null) {
+    ClientConnection currentConnection = inFlight.connectionOf(id);
+    if (currentConnection == null) {
       return;
     }
-    if (owner.isOpen()) {
+    if (currentConnection.isOpen()) {
       throw new InvalidSubmitException(WireNames.REF);
     }
-    cancellation.connectionClosed(core, owner, ClientCloseReason.RETRIED_ON_NEW_CONNECTION);
+    cancellation.connectionClosed(
+        core, currentConnection, ClientCloseReason.RETRIED_ON_NEW_CONNECTION);
   }
 
   private void offer(RouterCore core, ReplyAddress address, PendingRequest request) {
--- a/src/main/java/switchgap/server/platform/GracefulShutdown.java
+++ b/src/main/java/switchgap/server/platform/GracefulShutdown.java
@@ -50,7 +50,7 @@
 
   private final PlatformRouter router;
   private final Duration startedAt;
-  private final Duration earliestKill;
+  private final Duration earliestKillAt;
   private final RateLimitedLog log;
   private boolean isListening = true;
 
@@ -64,7 +64,7 @@
     this.log = log;
     this.startedAt = router.now();
     Duration assumedTimeout = earlierOf(longestTimeout, MAX_ASSUMED_TIMEOUT);
-    this.earliestKill = startedAt.plus(assumedTimeout).plus(KILL_MARGIN);
+    this.earliestKillAt = startedAt.plus(assumedTimeout).plus(KILL_MARGIN);
   }
 
   /** Blocks until no client is connected any more, but only for a bounded time. */
@@ -72,12 +72,12 @@
     router.reportHealthy(false);
     sleepUntil(
         earlierOf(
-            startedAt.plus(MIN_DRAIN_DURATION), earliestKill.minus(STOP_LISTENING_BEFORE_KILL)));
-    closeQuietConnectionsUntil(earliestKill.minus(FAIL_PENDING_BEFORE_KILL));
+            startedAt.plus(MIN_DRAIN_DURATION), earliestKillAt.minus(STOP_LISTENING_BEFORE_KILL)));
+    closeQuietConnectionsUntil(earliestKillAt.minus(FAIL_PENDING_BEFORE_KILL));
     router.events().counts().forEach((event, count) -> log.trace("count " + event + " " + count));
     log.line("drain ended with " + router.resourceUsage().pendingRequests() + " requests pending");
     router.failPendingRequests();
-    closeQuietConnectionsUntil(earliestKill.plus(MAX_TIME_AFTER_EARLIEST_KILL));
+    closeQuietConnectionsUntil(earliestKillAt.plus(MAX_TIME_AFTER_EARLIEST_KILL));
   }
 
   private static Duration earlierOf(Duration first, Duration second) {
@@ -103,9 +103,9 @@
   }
 
   /** Repeatedly closes quiet connections until no connection is left, or until the given time. */
-  private void closeQuietConnectionsUntil(Duration end) throws InterruptedException {
+  private void closeQuietConnectionsUntil(Duration endTime) throws InterruptedException {
     int emptyChecks = 0;
-    while (emptyChecks < REQUIRED_EMPTY_CHECKS && router.now().compareTo(end) < 0) {
+    while (emptyChecks < REQUIRED_EMPTY_CHECKS && router.now().compareTo(endTime) < 0) {
       stopListeningOnceAccepted();
       router.closeQuietConnections();
       boolean isEmpty = !isListening && router.openClientConnections() == 0;
--- a/src/main/java/switchgap/server/platform/PlatformConfigFile.java
+++ b/src/main/java/switchgap/server/platform/PlatformConfigFile.java
@@ -79,9 +79,9 @@
    * endpointNames}.
    */
   KnownEvents knownEvents(EndpointNames endpointNames) throws IOException {
-    if (members.get("known") instanceof Map<?, ?> known
-        && known.get("n") instanceof Number lastSequence
-        && known.get("events") instanceof List<?> events) {
+    if (members.get("known") instanceof Map<?, ?> knownMembers
+        && knownMembers.get("n") instanceof Number lastSequence
+        && knownMembers.get("events") instanceof List<?> events) {
       return new KnownEvents(lastSequence.longValue(), endpointListEvents(events, endpointNames));
     }
     throw invalid("known", "must be an object with a number n and a list of events");
--- a/src/main/java/switchgap/server/platform/PlatformRouter.java
+++ b/src/main/java/switchgap/server/platform/PlatformRouter.java
@@ -63,7 +63,7 @@
             this,
             log::line);
     startEventLoop(config);
-    serve(config);
+    startServing(config);
   }
 
   // ------------------------------------------------------------------ startup
@@ -89,7 +89,7 @@
     }
   }
 
-  private void serve(PlatformConfig config) throws IOException {
+  private void startServing(PlatformConfig config) throws IOException {
     String host = config.listenAddress().getHostString();
     ListenRetry.listen(() -> thriftServer.listen(network, host, config.listenAddress().getPort()));
     eventStream.follow(config.eventStream());
--- a/src/test/java/switchgap/protocol/sse/ServerSentEventDecoderTest.java
+++ b/src/test/java/switchgap/protocol/sse/ServerSentEventDecoderTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Fields, line ends, bounds and splits of a stream of server-sent events. */
+/** Decoding of fields, line ends and split input, and the limits on a line and an event. */
 class ServerSentEventDecoderTest {
   private static final int MAX_BYTES = 20;
 
--- a/src/test/java/switchgap/protocol/thrift/SubmitRequestDecoderTest.java
+++ b/src/test/java/switchgap/protocol/thrift/SubmitRequestDecoderTest.java
@@ -12,9 +12,9 @@
 import switchgap.router.PendingRequest;
 import switchgap.server.platform.TestPlatformSettings;
 
-/** The fields of a submit as a request. */
+/** Decoding of the fields of a submit into a request. */
 class SubmitRequestDecoderTest {
-  /** Decodes the valid submit with one field replaced, or left out if the value is null. */
+  /** Decodes the valid submit with one field replaced, or omitted if the value is null. */
   private static PendingRequest requestWith(String field, String value) throws Exception {
     Map<String, String> fields = new HashMap<>(ThriftTestFrames.FIELDS);
     if (value == null) {
@@ -44,7 +44,7 @@
     assertThat(requestWith("effort", null).durationHint()).isNull();
   }
 
-  /** Clients round: a hint of very little work may read 0.0. */
+  /** Clients round their numbers, so the hint of a very short execution time may be 0.0. */
   @ParameterizedTest
   @CsvSource({
     "effort,0",
--- a/src/test/java/switchgap/protocol/thrift/ThriftCodecTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftCodecTest.java
@@ -21,7 +21,7 @@
 import org.apache.thrift.transport.TMemoryBuffer;
 import org.junit.jupiter.api.Test;
 
-/** The codec against Apache Thrift's own, and against bytes that are no message. */
+/** Tests the codec against Apache Thrift's codec, and with bytes that are not a message. */
 class ThriftCodecTest {
   private static TProtocol readerOf(byte[] framedReply) throws Exception {
     assertThat(ByteBuffer.wrap(framedReply).getInt()).isEqualTo(framedReply.length - 4);
@@ -42,7 +42,7 @@
     assertThat(message.body()).containsExactly(0, 1, 2);
   }
 
-  /** A message whose first argument holds a value of each type, all nested in a list of structs. */
+  /** The unknown first argument is a list of structs with a value of each type. */
   @Test
   void skipsArgumentsOfEveryType() throws Exception {
     TMemoryBuffer buffer = new TMemoryBuffer(256);
@@ -126,14 +126,14 @@
     for (int length = 0; length < frame.length; length++) {
       byte[] truncated = Arrays.copyOf(frame, length);
       assertThatThrownBy(() -> ThriftMessageDecoder.decode(truncated))
-          .as("cut at %d", length)
+          .as("truncated to %d bytes", length)
           .isInstanceOf(MalformedMessageException.class);
     }
     assertThatThrownBy(() -> ThriftMessageDecoder.decode(Arrays.copyOf(frame, frame.length + 1)))
         .isInstanceOf(MalformedMessageException.class);
   }
 
-  /** Arbitrary bytes, alone and over a valid message. */
+  /** Decodes arbitrary bytes, both as a frame and written over a valid message. */
   @Property(tries = 2000, seed = "41")
   void decodesOrRejectsArbitraryBytes(@ForAll @Size(max = 200) byte[] noise, @ForAll int start)
       throws Exception {
--- a/src/test/java/switchgap/protocol/thrift/ThriftServerFloodTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftServerFloodTest.java
@@ -17,13 +17,16 @@
 import switchgap.server.platform.TestPlatformSettings;
 import switchgap.testing.TestDiagnostics;
 
-/** Messages that come faster than the event loop handles them. */
+/**
+ * Messages that arrive faster than the event loop handles them. The event loop of these tests never
+ * runs.
+ */
 class ThriftServerFloodTest {
   private static final int QUEUE_BYTES = 1000;
   private static final int STRICT_CALL = 0x80010001;
   private static final int STRING_TYPE = 11;
 
-  /** Sends a submit with a body of this size and no fields. */
+  /** Sends a submit with a body of the given size and without fields. */
   private static void submit(Socket socket, int sequenceId, int bodyBytes) throws IOException {
     byte[] method = "submit".getBytes(StandardCharsets.US_ASCII);
     DataOutputStream out = new DataOutputStream(socket.getOutputStream());
@@ -65,7 +68,10 @@
         TestDiagnostics.create());
   }
 
-  /** The queue is full of another client's message: the reply is a rejection, not a close. */
+  /**
+   * Another client's message fills the queue; the submit is rejected with a reply, and its
+   * connection stays open.
+   */
   @Test
   void rejectsSubmitWithReplyWhenQueueIsFull() throws Exception {
     ConcurrentLinkedQueue<Consumer<RouterCore>> events = new ConcurrentLinkedQueue<>();
@@ -75,18 +81,21 @@
       try (Socket floodingClient = new Socket("127.0.0.1", server.port());
           Socket otherClient = new Socket("127.0.0.1", server.port())) {
         submit(floodingClient, 1, 600);
-        assertThat(isClosed(floodingClient)).isFalse(); // and it has been read by now
+        assertThat(isClosed(floodingClient)).isFalse(); // the submit has been read by now
         submit(otherClient, 7, 600);
         otherClient.setSoTimeout(1000);
         DataInputStream input = new DataInputStream(otherClient.getInputStream());
         byte[] reply = input.readNBytes(input.readInt());
-        assertThat(reply).as("sequence id of a reply").containsSequence(0, 0, 0, 7);
+        assertThat(reply).as("sequence id in the reply").containsSequence(0, 0, 0, 7);
         assertThat(isClosed(otherClient)).isFalse();
       }
     }
   }
 
-  /** One message is queued, the next does not fit, and a shorter one of another client does. */
+  /**
+   * Guards against a rejected message whose bytes stay reserved. One message is queued, the next
+   * does not fit, and a shorter one of another client still has to fit.
+   */
   @Test
   void rejectedMessageReservesNoQueueBytes() throws Exception {
     ConcurrentLinkedQueue<Consumer<RouterCore>> events = new ConcurrentLinkedQueue<>();
@@ -103,7 +112,9 @@
         int queuedBefore = events.size();
         submit(otherClient, 1, 300);
         assertThat(isClosed(otherClient)).isFalse();
-        assertThat(events.size()).as("it is queued, not rejected").isEqualTo(queuedBefore + 1);
+        assertThat(events.size())
+            .as("events, including the queued submit")
+            .isEqualTo(queuedBefore + 1);
       }
     }
   }
--- a/src/test/java/switchgap/protocol/thrift/ThriftTestFrames.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftTestFrames.java
@@ -9,7 +9,7 @@
 import org.apache.thrift.transport.TMemoryBuffer;
 import switchgap.server.platform.ThriftTestClient;
 
-/** Frames that Apache Thrift's codec writes. */
+/** Frames that are encoded with Apache Thrift's codec. */
 final class ThriftTestFrames {
   /** The fields of a valid submit. */
   static final Map<String, String> FIELDS =
@@ -31,7 +31,10 @@
 
   private ThriftTestFrames() {}
 
-  /** A submit with an additional argument, as a later version of the protocol may have. */
+  /**
+   * Encodes a submit with an additional unknown argument, which a later version of the protocol
+   * could add.
+   */
   static byte[] submitFrame(Map<String, String> fields, byte[] body, int sequenceId)
       throws Exception {
     TMemoryBuffer buffer = new TMemoryBuffer(256);
--- a/src/test/java/switchgap/server/platform/ClientDisconnectTest.java
+++ b/src/test/java/switchgap/server/platform/ClientDisconnectTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Clients that revoke, disconnect or retry between two steps of the router; the races are forced by
- * blocking its event loop.
+ * Clients that revoke, disconnect or retry while the router processes their requests. The tests
+ * block the router's event loop to force race conditions.
  */
 class ClientDisconnectTest extends PlatformFixture {
   @Test
@@ -48,7 +48,7 @@
     String disconnected = nextId();
     ThriftTestClient leavingClient = connectClient();
     awaitMessagesRead(leavingClient, 1);
-    assertServed(connectClient(), worker, 1); // loads a replica: later requests need not wait
+    assertServed(connectClient(), worker, 1); // loads a replica, so that later requests do not wait
     try (AutoCloseable gate = blockEventLoop()) {
       client.submit(1, TestSubmit.idempotent(revoked));
       client.revoke(2, 1);
@@ -64,7 +64,10 @@
     assertThat(router.resourceUsage().pendingRequests()).isZero();
   }
 
-  /** The event loop handles the reply that allows a retry and the disconnect in one tick. */
+  /**
+   * The event loop handles the client's disconnect and the worker's reply, which allows a retry, in
+   * one tick.
+   */
   @Test
   void startsNoRetryInTickThatSeesClientDisconnect() throws Exception {
     CountDownLatch allowReply = new CountDownLatch(1);
@@ -86,7 +89,7 @@
     ThriftTestClient stayingClient = connectClient();
     int sequenceId = 0;
     while (firstWorker.executions().isEmpty()
-        || secondWorker.executions().isEmpty()) { // until each has a connection
+        || secondWorker.executions().isEmpty()) { // repeats until both workers have a connection
       stayingClient.submit(++sequenceId, TestSubmit.idempotent(nextId()).function(sequenceId));
       assertThat(stayingClient.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
     }
@@ -102,7 +105,8 @@
       allowReply.countDown();
       replied.await();
       awaitMessagesRead(
-          stayingClient, ++sequenceId); // two, as the first may be read ahead of the reply
+          stayingClient,
+          ++sequenceId); // a second heartbeat, as the first may be read before the reply
       awaitMessagesRead(stayingClient, ++sequenceId);
       leavingClient.close();
       await(() -> router.openClientConnections() == openBefore - 1);
@@ -125,7 +129,7 @@
             .count();
   }
 
-  /** Also where the settings do not allow attempts to be cancelled. */
+  /** Applies even if the settings do not allow the cancellation of attempts. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void dropsAttemptWaitingForConnectionWhenClientDisconnects(boolean mayCancel) throws Exception {
@@ -154,7 +158,10 @@
     assertThat(worker.received()).doesNotContain(dropped);
   }
 
-  /** The new connection is read before the router handles the close of the old one, its own. */
+  /**
+   * The router closes the old connection but reads the retry on the new one before its event loop
+   * handles that close.
+   */
   @Test
   void acceptsRequestRetriedOnNewConnection() throws Exception {
     RespTestServer worker =
@@ -171,7 +178,7 @@
     await(() -> worker.executions().size() == 1);
     try (AutoCloseable gate = blockEventLoop()) {
       oldClient.submit(
-          1, TestSubmit.idempotent(nextId()).body("reuses a sequence id: the router closes"));
+          1, TestSubmit.idempotent(nextId()).body("reused sequence id, so the router closes"));
       awaitMessagesRead(oldClient, 2);
       newClient.submit(2, TestSubmit.idempotent(id).body("second"));
       awaitMessagesRead(newClient, 3);
--- a/src/test/java/switchgap/server/platform/ClientEvictionTest.java
+++ b/src/test/java/switchgap/server/platform/ClientEvictionTest.java
@@ -10,9 +10,12 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** Which connections are evicted when there are too many: never one in use, or half a message. */
+/**
+ * Eviction of connections when there are too many: a connection that is in use or has a partial
+ * message is never evicted.
+ */
 class ClientEvictionTest extends PlatformFixture {
-  private static final int SOCKETS = 120; // forty of them for clients
+  private static final int MAX_SOCKETS = 120; // clients have a quota of 40
 
   private static byte[] submitFrame(String id) throws Exception {
     return ThriftTestClient.submitFrame(1, TestSubmit.idempotent(id).timeoutMillis(1900));
@@ -20,7 +23,7 @@
 
   @Test
   void keepsConnectionsWithPartialMessage() throws Exception {
-    startRouter(SOCKETS, RespTestServer.executingAll());
+    startRouter(MAX_SOCKETS, RespTestServer.executingAll());
     List<ThriftTestClient> slowClients = new ArrayList<>();
     List<byte[]> remainingBytes = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
@@ -32,9 +35,9 @@
     }
     await(() -> router.openClientConnections() == slowClients.size());
     for (int i = 0; i < 150; i++) {
-      connectClient(); // idle
+      connectClient(); // stays idle
     }
-    Thread.sleep(300); // time for evictions that must not come
+    Thread.sleep(300); // leaves time for evictions, which must not happen
     for (int i = 0; i < slowClients.size(); i++) {
       slowClients.get(i).sendBytes(remainingBytes.get(i));
       ThriftTestClient.Reply reply = slowClients.get(i).receiveReply();
@@ -43,7 +46,10 @@
     }
   }
 
-  /** A further client is not closed with its request unread: it waits in the accept backlog. */
+  /**
+   * A client that connects while all connections are in use waits in the accept backlog instead of
+   * being closed with its request unread.
+   */
   @Test
   void newClientWaitsWhileAllConnectionsAreInUse() throws Exception {
     List<OutputStream> pendingOutputs = new CopyOnWriteArrayList<>();
@@ -92,14 +98,16 @@
     }
   }
 
-  /** A reply is on its way to the client, and its next request may be, too. */
+  /**
+   * A connection is in use shortly after a reply, as the client's next request may be in transit.
+   */
   @Test
   void keepsConnectionThatWasJustAnswered() throws Exception {
-    startRouter(48, RespTestServer.executingAll()); // sixteen of them for clients
+    startRouter(48, RespTestServer.executingAll()); // clients have a quota of 16
     for (int i = 0; i < 15; i++) {
       connectClient();
     }
-    Thread.sleep(100); // until they count as idle
+    Thread.sleep(100); // the connections become idle
     ThriftTestClient activeClient = connectClient();
     for (int number = 1; number <= 10; number++) {
       activeClient.submit(number, TestSubmit.idempotent(nextId()));
@@ -110,10 +118,12 @@
     }
   }
 
-  /** Once, the connection opened last was closed instead. */
+  /**
+   * Guards against an eviction of the newest connection instead of the least recently active one.
+   */
   @Test
   void evictsLeastRecentlyActiveConnection() throws Exception {
-    startRouter(30, RespTestServer.executingAll()); // ten of them for clients
+    startRouter(30, RespTestServer.executingAll()); // clients have a quota of 10
     List<ThriftTestClient> clients = new ArrayList<>();
     for (int i = 0; i < 25; i++) {
       ThriftTestClient client = connectClient();
@@ -127,12 +137,12 @@
     assertThat(newestClient.receiveReply().healthy()).isTrue();
   }
 
-  /** The newest connection exceeds the limit and stays open until another one is idle. */
+  /** The newest connection exceeds the limit but stays open until a connection is idle. */
   @Test
   void neverEvictsConnectionWithRequestInFlight() throws Exception {
     CountDownLatch allowReply = new CountDownLatch(1);
     RespTestServer worker = RespTestServer.executingAfter(allowReply);
-    startRouter(30, worker); // ten of them for clients
+    startRouter(30, worker); // clients have a quota of 10
     List<ThriftTestClient> clients = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       ThriftTestClient client = connectClient();
@@ -142,11 +152,12 @@
     await(() -> usage().pendingRequests() == 10);
     try (AutoCloseable gate = blockEventLoop()) {
       ThriftTestClient newestClient = connectClient();
-      newestClient.submit(1, TestSubmit.idempotent(nextId())); // it is in use as well
+      newestClient.submit(
+          1, TestSubmit.idempotent(nextId())); // puts the newest connection in use as well
       awaitMessagesRead(newestClient, 2);
       clients.add(newestClient);
     }
-    Thread.sleep(100); // time for an eviction that must not come
+    Thread.sleep(100); // leaves time for an eviction, which must not happen
     assertThat(router.openClientConnections()).isEqualTo(11);
     allowReply.countDown();
     for (int i = 0; i < 11; i++) {
--- a/src/test/java/switchgap/server/platform/DescriptorLimitTest.java
+++ b/src/test/java/switchgap/server/platform/DescriptorLimitTest.java
@@ -6,16 +6,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The quotas of the descriptors: clients and workers each stay within theirs. */
+/** Client and worker connections each stay within their quota of the file descriptors. */
 class DescriptorLimitTest extends PlatformFixture {
-  /** The longest timeout that the settings allow, in case the machine is busy. */
-  private static final int MAX_TIMEOUT_MILLIS = 1950;
+  /** Just below the longest timeout that the settings allow, as the machine may be busy. */
+  private static final int LONG_TIMEOUT_MILLIS = 1950;
 
-  private static final int SOCKETS = 48; // sixteen for clients, sixteen for workers
+  private static final int MAX_SOCKETS = 48; // clients and workers have quotas of 16 each
 
   @Test
   void boundsClientConnectionsWhileEventLoopIsBlocked() throws Exception {
-    startRouter(SOCKETS, RespTestServer.executingAll());
+    startRouter(MAX_SOCKETS, RespTestServer.executingAll());
     int maxOpen = 0;
     try (AutoCloseable gate = blockEventLoop()) {
       for (int i = 0; i < 60; i++) {
@@ -23,30 +23,32 @@
         await(waiting::isConnected);
         maxOpen = Math.max(maxOpen, router.openClientConnections());
       }
-      await(() -> router.openClientConnections() == SOCKETS / 3 + SOCKETS / 12);
+      await(() -> router.openClientConnections() == MAX_SOCKETS / 3 + MAX_SOCKETS / 12);
       maxOpen = Math.max(maxOpen, router.openClientConnections());
     }
     assertThat(maxOpen)
         .isLessThanOrEqualTo(
-            SOCKETS / 3 + SOCKETS / 12 + 1); // one is counted while it is being closed
-    await(() -> router.openClientConnections() <= SOCKETS / 3);
+            MAX_SOCKETS / 3
+                + MAX_SOCKETS / 12
+                + 1); // a connection that is being closed may still count
+    await(() -> router.openClientConnections() <= MAX_SOCKETS / 3);
     ThriftTestClient client = connectClient();
-    client.submit(1, TestSubmit.idempotent(nextId()).timeoutMillis(MAX_TIMEOUT_MILLIS));
+    client.submit(1, TestSubmit.idempotent(nextId()).timeoutMillis(LONG_TIMEOUT_MILLIS));
     assertThat(client.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
   }
 
-  /** There are three times as many workers as their quota of the descriptors. */
+  /** There are three times as many workers as the quota for worker connections. */
   @Test
   void boundsWorkerConnectionsWhenWorkersExceedTheirQuota() throws Exception {
     List<RespTestServer> workers = new ArrayList<>();
     List<String> endpoints = new ArrayList<>();
-    for (int i = 0; i < SOCKETS; i++) {
+    for (int i = 0; i < MAX_SOCKETS; i++) {
       RespTestServer worker = RespTestServer.executingAll();
       resources.add(worker);
       workers.add(worker);
       endpoints.add(EventStreamTestServer.servingEndpoint("n" + i, worker.address()));
     }
-    startRouter(SOCKETS, RespTestServer.executingAll());
+    startRouter(MAX_SOCKETS, RespTestServer.executingAll());
     await(() -> eventStream.hasClient());
     eventStream.sendEvent(
         EventStreamTestServer.endpointListEvent(2, false, endpoints.toArray(new String[0])));
@@ -55,15 +57,15 @@
     for (int number = 1; number <= 400; number++) {
       client.submit(
           number,
-          TestSubmit.idempotent(nextId()).timeoutMillis(MAX_TIMEOUT_MILLIS).function(number));
+          TestSubmit.idempotent(nextId()).timeoutMillis(LONG_TIMEOUT_MILLIS).function(number));
       assertThat(client.receiveReply().outcome())
           .as("request %d", number)
           .isEqualTo(ReplyOutcome.SUCCEEDED);
       maxOpen = Math.max(maxOpen, router.resourceUsage().workerConnections());
     }
     assertThat(workers.stream().filter(worker -> !worker.executions().isEmpty()).count())
-        .isGreaterThan(SOCKETS / 2);
+        .isGreaterThan(MAX_SOCKETS / 2);
     assertThat(maxOpen)
-        .isBetween(SOCKETS / 4, SOCKETS / 3 + 2); // one is evicted while the next is opened
+        .isBetween(MAX_SOCKETS / 4, MAX_SOCKETS / 3 + 2); // evicted connections may still count
   }
 }
--- a/src/test/java/switchgap/server/platform/DiscoveryOutageTest.java
+++ b/src/test/java/switchgap/server/platform/DiscoveryOutageTest.java
@@ -9,19 +9,22 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A worker begins to drain while the event stream is out of reach: what the stream would have told
- * counts as notified, so the worker gets nothing new past the grace, and requests are served by the
- * others.
+ * A worker begins to drain while the event stream is unavailable. The platform treats the router as
+ * notified of the drain, so the worker must not receive new work after the drain grace, and the
+ * other workers serve the requests.
  */
 class DiscoveryOutageTest extends PlatformFixture {
-  /** How the stream is out of reach. */
+  /** How the event stream fails. */
   enum Outage {
     /** Its connection stays open and delivers nothing. */
     SILENT(Duration.ofSeconds(4)),
-    /** Its connection ends and no other one is accepted. */
+    /** Its connection is closed and new connections are refused. */
     REFUSES_CONNECTIONS(Duration.ofSeconds(2));
 
-    /** What the stream would have told counts as notified after this, on the platform. */
+    /**
+     * Time from the start of the outage until the platform treats the router as notified of
+     * changes.
+     */
     final Duration notifiedAfter;
 
     Outage(Duration notifiedAfter) {
@@ -29,7 +32,9 @@
     }
   }
 
-  /** The grace of the settings, and the 50 ms by which every limit is longer on sockets. */
+  /**
+   * Drain grace of the settings, plus the 50 ms that the platform adds to every limit on sockets.
+   */
   private static final Duration DRAIN_GRACE = Duration.ofMillis(550);
 
   private static final Duration OBSERVATION_DURATION = Duration.ofSeconds(2);
@@ -41,7 +46,9 @@
   private volatile boolean isStreamSilent;
   private int submittedCount;
 
-  /** The stream of the fixture, which would confirm the list at each request. */
+  /**
+   * Replaces the fixture's event stream, which would confirm the endpoint list on every connection.
+   */
   @BeforeEach
   void replaceEventStream() throws Exception {
     eventStream.close();
@@ -59,7 +66,9 @@
         MANY_SOCKETS, drainedWorker, RespTestServer.executingAll(), RespTestServer.executingAll());
     await(() -> eventStream.hasClient());
     ThriftTestClient client = connectClient();
-    for (int i = 0; i < FUNCTION_COUNT * 3; i++) { // until each function has a replica
+    for (int i = 0;
+        i < FUNCTION_COUNT * 3;
+        i++) { // enough requests that each function has a replica
       eventStream.sendHeartbeats();
       submit(client);
     }
@@ -77,7 +86,10 @@
     return outcome;
   }
 
-  /** Submits requests one after the other for a time; returns the number that was not served. */
+  /**
+   * Submits requests sequentially for a duration; returns the number of requests that did not
+   * succeed.
+   */
   private int submitFor(ThriftTestClient client, Duration duration) throws Exception {
     long endNanos = System.nanoTime() + duration.toNanos();
     int notServedCount = 0;
@@ -107,7 +119,7 @@
     submitFor(client, forbiddenAfter);
     int notServedCount = submitFor(client, OBSERVATION_DURATION);
     assertNothingNewAtDrainedWorkerAfter(outageStartNanos + forbiddenAfter.toNanos());
-    assertThat(notServedCount).as("requests not served once the drain is known").isZero();
+    assertThat(notServedCount).as("requests not served after the drain grace").isZero();
   }
 
   @ParameterizedTest
@@ -121,7 +133,7 @@
     assertServedByOthersThroughOutage(client, outage.notifiedAfter);
   }
 
-  /** The worker that drained has ended, and a new process listens under its name and address. */
+  /** A new process replaces the drained worker under the same name and address. */
   @Test
   void usesWorkerThatRepliesReadyAgain() throws Exception {
     ThriftTestClient client = startWithThreeWorkers();
@@ -133,7 +145,7 @@
     submitFor(client, OBSERVATION_DURATION.multipliedBy(2));
     assertThat(drainedWorker.executions())
         .filteredOn(command -> command.receivedNanos() > readyNanos)
-        .as("requests at the worker that is ready again")
+        .as("requests at the worker after it is ready again")
         .isNotEmpty();
   }
 
--- a/src/test/java/switchgap/server/platform/DrainableWorker.java
+++ b/src/test/java/switchgap/server/platform/DrainableWorker.java
@@ -4,16 +4,16 @@
 import java.io.OutputStream;
 
 /**
- * A worker that can begin to drain. Its replies are those that the platform's workers were seen to
- * give: while it drains, requests and loads are rejected, probes fail, and a query of replicas is
- * answered as before.
+ * Command handler of a worker that can drain. It replies as workers on the platform do: while it
+ * drains, it rejects requests and loads, fails probes, and still answers queries for the number of
+ * replicas.
  */
 final class DrainableWorker implements RespTestServer.CommandHandler {
-  private static final String QUERY = "count=0";
+  private static final String QUERY_OPTION = "count=0";
 
   private volatile boolean isDraining;
 
-  /** Whether it drains from now on. */
+  /** Sets whether the worker drains from now on. */
   void setDraining(boolean draining) {
     isDraining = draining;
   }
@@ -37,9 +37,12 @@
     return true;
   }
 
-  /** Whether a command is a query of replicas, which a draining worker may be sent. */
+  /**
+   * Whether a command queries the number of replicas; a draining worker may still receive such
+   * queries.
+   */
   static boolean isQuery(RespTestServer.Command command) {
-    return command.name().equals(RespTestServer.LOAD) && command.options().endsWith(QUERY);
+    return command.name().equals(RespTestServer.LOAD) && command.options().endsWith(QUERY_OPTION);
   }
 
   private static void reply(OutputStream output, RespTestServer.Command command, String status)
--- a/src/test/java/switchgap/server/platform/EndpointUpdateTest.java
+++ b/src/test/java/switchgap/server/platform/EndpointUpdateTest.java
@@ -6,12 +6,12 @@
 
 /** Changes of the endpoint list while requests are served. */
 class EndpointUpdateTest extends PlatformFixture {
-  /** Time for the router to read and handle an event: nothing shows when it has. */
+  /** Time for the router to read and handle an event, which has no visible effect to wait for. */
   private static final long EVENT_HANDLING_MILLIS = 200;
 
   private static final int MAX_CONNECTIONS_PER_WORKER = 6;
 
-  /** The replacement has the address of the deleted worker: it gets connections of its own. */
+  /** The replacement has the address of the deleted worker, but must get new connections. */
   @Test
   void sendsNothingToDrainingWorkerAndReconnectsToItsReplacement() throws Exception {
     RespTestServer firstWorker = RespTestServer.executingAll();
@@ -50,7 +50,7 @@
         .allMatch(command -> command.connection() > lastConnection);
   }
 
-  /** Sends a request for each function of a range, and expects success. */
+  /** Sends a request for each function of a range and asserts that it succeeds. */
   private void assertServed(ThriftTestClient client, int firstFunction, int lastFunction)
       throws Exception {
     for (int function = firstFunction; function <= lastFunction; function++) {
@@ -65,7 +65,10 @@
         .count();
   }
 
-  /** Each request has a new client, id and function; every tenth one, the worker a new id. */
+  /**
+   * Each request has a new client, id and function, and the worker gets a new id after every tenth
+   * request; none of them may leave resources behind.
+   */
   @Test
   void releasesResourcesOfPastClientsAndWorkers() throws Exception {
     RespTestServer worker = RespTestServer.executingAll();
--- a/src/test/java/switchgap/server/platform/EventStreamTestServer.java
+++ b/src/test/java/switchgap/server/platform/EventStreamTestServer.java
@@ -13,7 +13,7 @@
 import java.util.Locale;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A scripted server of the event stream, on a plain socket. */
+/** A scripted server of the event stream on a plain socket. */
 public final class EventStreamTestServer implements AutoCloseable {
   private static final int ACCEPT_BACKLOG = 50;
   private static final int CLOSE_TIMEOUT_MILLIS = 5000;
@@ -23,14 +23,14 @@
 
   private static final byte[] HEARTBEAT = ":\n\n".getBytes(StandardCharsets.US_ASCII);
 
-  /** Sends the events of a connection. */
+  /** Handles the requests for the event stream. */
   public interface StreamHandler {
     /**
      * Handles a request for the event stream.
      *
      * @param connection number of the connection, counted from 0
-     * @param lastEventId the last event that the client has, or -1
-     * @param output the response's body
+     * @param lastEventId id of the last event that the client has received, or -1 if none
+     * @param output stream for the body of the response
      * @return false to close the connection
      */
     boolean handle(int connection, long lastEventId, OutputStream output) throws IOException;
@@ -41,12 +41,12 @@
   private final List<Socket> streamingSockets = new CopyOnWriteArrayList<>();
   private final ServerSocket listener;
 
-  /** A server on any free port. */
+  /** Starts a server on any free port. */
   public EventStreamTestServer(StreamHandler handler) throws IOException {
     this(0, handler);
   }
 
-  /** A server on a port. */
+  /** Starts a server on the given port, or on any free port if it is 0. */
   public EventStreamTestServer(int port, StreamHandler handler) throws IOException {
     listener = new ServerSocket(port, ACCEPT_BACKLOG, InetAddress.getLoopbackAddress());
     Thread thread = new Thread(() -> acceptConnections(handler));
@@ -70,7 +70,8 @@
       long lastEventId = readLastEventId(socket);
       OutputStream output = socket.getOutputStream();
       output.write(RESPONSE_HEAD.getBytes(StandardCharsets.US_ASCII));
-      requestedEventIds.add(lastEventId); // behind the head: a test sends events from now on
+      requestedEventIds.add(
+          lastEventId); // must follow the head, as tests send events once it is set
       streamingSockets.add(socket);
       if (!handler.handle(connection, lastEventId, output)) {
         socket.close();
@@ -95,28 +96,33 @@
     return lastEventId;
   }
 
-  /** The last event that the client had at each request so far, -1 for none. */
+  /**
+   * The id of the last received event that the client stated in each request so far, or -1 if none.
+   */
   public List<Long> requestedEventIds() {
     return requestedEventIds;
   }
 
-  /** Whether any client has requested the stream; events can be sent to it. */
+  /** Whether a client has requested the stream, so that events can be sent to it. */
   public boolean hasClient() {
     return !requestedEventIds.isEmpty();
   }
 
-  /** Sends an event on a connection. */
+  /** Writes an event to a connection's output and flushes it. */
   public static void sendEvent(OutputStream output, String event) throws IOException {
     output.write(("id: 0\ndata: " + event + "\n\n").getBytes(StandardCharsets.UTF_8));
     output.flush();
   }
 
-  /** Sends an event on the connection opened last. */
+  /** Sends an event on the most recently opened connection. */
   public void sendEvent(String event) throws IOException {
     sendEvent(openSockets.get(openSockets.size() - 1).getOutputStream(), event);
   }
 
-  /** Sends one heartbeat, which confirms the endpoint list, and leaves the connection open. */
+  /**
+   * Sends one heartbeat, which confirms the endpoint list; returns true to keep the connection
+   * open.
+   */
   public static boolean sendHeartbeat(int connection, long lastEventId, OutputStream output)
       throws IOException {
     output.write(HEARTBEAT);
@@ -124,7 +130,7 @@
   }
 
   /**
-   * Sends a heartbeat on each connection that has requested the stream, as the protocol demands.
+   * Sends a heartbeat on each connection that has requested the stream, as the protocol requires.
    */
   public void sendHeartbeats() throws IOException {
     for (Socket socket : streamingSockets) {
@@ -132,13 +138,16 @@
     }
   }
 
-  /** Waits until the client closes a connection, counted from 0; returns whether it did. */
+  /**
+   * Waits for the client to close the connection with this number, counted from 0; returns whether
+   * it did.
+   */
   public boolean awaitClientClose(int connection) throws IOException {
     openSockets.get(connection).setSoTimeout(CLOSE_TIMEOUT_MILLIS);
     return openSockets.get(connection).getInputStream().read() < 0;
   }
 
-  /** An event with some endpoints, or with the complete list. */
+  /** Formats an event with changed endpoints, or with the complete list. */
   public static String endpointListEvent(long sequence, boolean isComplete, String... endpoints) {
     return "{\"n\":"
         + sequence
@@ -149,7 +158,7 @@
         + "]}}";
   }
 
-  /** An endpoint in an event. */
+  /** Formats one endpoint of an event. */
   public static String endpoint(String id, String address, String state, long bootMillis) {
     return "{\"uid\":\""
         + id
@@ -162,7 +171,7 @@
         + "}";
   }
 
-  /** An endpoint that serves, started long ago. */
+  /** Formats an endpoint in state SERVING that was started long ago. */
   public static String servingEndpoint(String id, String address) {
     return endpoint(id, address, "SERVING", 0);
   }
--- a/src/test/java/switchgap/server/platform/FullBacklogServer.java
+++ b/src/test/java/switchgap/server/platform/FullBacklogServer.java
@@ -11,13 +11,13 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A worker whose accept backlog is full, so that connects to it hang until it accepts. It records
- * what it receives on connections other than its own.
+ * A worker whose accept backlog is full, so that connection attempts hang until it accepts. It
+ * records the bytes that it receives from others.
  */
 final class FullBacklogServer implements AutoCloseable {
   private static final int BACKLOG = 1;
 
-  /** Connections of its own that fill the backlog. */
+  /** Number of connections that the server opens to itself to fill the backlog. */
   private static final int FILLING_CONNECTIONS = 2;
 
   private static final int READ_BUFFER_BYTES = 4096;
@@ -37,7 +37,9 @@
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  /** Accepts connections from now on, and reads the first that is not its own. */
+  /**
+   * Starts accepting connections, and reads from the first one that the server did not open itself.
+   */
   void startAccepting() {
     Thread thread = new Thread(this::acceptConnections);
     thread.setDaemon(true);
@@ -72,7 +74,7 @@
     notifyAll();
   }
 
-  /** Waits until a text was received; returns whether it was in time. */
+  /** Waits until the text has been received; returns false on timeout. */
   synchronized boolean awaitReceived(String text, long timeoutMillis) throws InterruptedException {
     long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000;
     long remainingMillis = timeoutMillis;
@@ -83,7 +85,7 @@
     return received.indexOf(text) >= 0;
   }
 
-  /** What was received so far. */
+  /** The text received so far. */
   synchronized String received() {
     return received.toString();
   }
--- a/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
+++ b/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** A graceful shutdown with work in each place that a request or a response can be. */
+/** Graceful shutdown while requests and responses are in each stage of processing. */
 class GracefulShutdownTest extends PlatformFixture {
   @Test
   void answersRequestsFromBeforeAndDuringShutdown() throws Exception {
@@ -23,7 +23,7 @@
     ThriftTestClient client = connectClient();
     client.submit(1, TestSubmit.idempotent(nextId()).body("before"));
     Thread shutdown = beginShutdown();
-    Thread.sleep(500); // within the minimum drain duration
+    Thread.sleep(500); // shorter than the minimum drain duration
     ThriftTestClient lateClient = connectClient();
     lateClient.heartbeat(1);
     assertThat(lateClient.receiveReply().healthy()).isFalse();
@@ -61,7 +61,7 @@
     assertThat(shutdown.isAlive()).isFalse();
   }
 
-  /** The rest of a message comes after the minimum drain duration. */
+  /** The rest of a partial message arrives after the minimum drain duration. */
   @Test
   void waitsForRestOfPartialRequest() throws Exception {
     startRouter(MANY_SOCKETS, RespTestServer.executingAll());
@@ -71,7 +71,7 @@
     byte[] frame = ThriftTestClient.submitFrame(2, TestSubmit.idempotent(id));
     client.sendBytes(Arrays.copyOf(frame, 30));
     Thread shutdown = beginShutdownAndAwaitUnhealthy();
-    Thread.sleep(1400); // past the minimum drain duration, within the receive timeout
+    Thread.sleep(1400); // between the minimum drain duration and the receive timeout
     client.sendBytes(Arrays.copyOfRange(frame, 30, frame.length));
     assertThat(client.receiveReply().bodyText()).isEqualTo(id + ":x");
     assertEnds(shutdown);
@@ -95,19 +95,19 @@
             });
     startRouter(MANY_SOCKETS, worker);
     ThriftTestClient client =
-        new ThriftTestClient(
-            router.port(), 4096); // its system buffers little of what it does not read
+        new ThriftTestClient(router.port(), 4096); // a small receive buffer holds few unread bytes
     resources.add(client);
     int sentCount = 0;
     while (router.resourceUsage().activeClientConnections() == 0
-        || router.resourceUsage().pendingRequests() > 0) { // until responses wait to be written
+        || router.resourceUsage().pendingRequests()
+            > 0) { // repeats until responses wait to be written
       assertThat(++sentCount).isLessThan(2000);
       int sequenceId = sentCount;
       client.submit(sequenceId, TestSubmit.idempotent(nextId()));
       await(() -> worker.executions().size() == sequenceId);
     }
     Thread shutdown = beginShutdownAndAwaitUnhealthy();
-    Thread.sleep(1300); // past the minimum drain duration
+    Thread.sleep(1300); // longer than the minimum drain duration
     for (int number = 1; number <= sentCount; number++) {
       ThriftTestClient.Reply reply = client.receiveReply();
       assertThat(reply).as("reply %d", number).isNotNull();
@@ -116,7 +116,7 @@
     assertEnds(shutdown);
   }
 
-  /** Requests whose timeout ends after SIGKILL may come are failed before. */
+  /** Requests whose timeout ends after the earliest SIGKILL are failed before it. */
   @Test
   void failsRequestsPastShutdownDeadline() throws Exception {
     settings = settings.replace("\"DeadlineUs\":1000000", "\"DeadlineUs\":2900000");
@@ -128,16 +128,18 @@
     long startedNanos = System.nanoTime();
     Thread.sleep(100);
     Thread shutdown = beginShutdownAndAwaitUnhealthy();
-    Thread.sleep(500); // within the minimum drain duration
+    Thread.sleep(500); // shorter than the minimum drain duration
     ThriftTestClient lateClient = connectClient();
     lateClient.submit(
-        1, TestSubmit.idempotent(nextId()).timeoutMillis(5800)); // past the end of the process
+        1,
+        TestSubmit.idempotent(nextId())
+            .timeoutMillis(5800)); // the process exits before this timeout
     assertThat(client.receiveReply().outcome()).isIn(ReplyOutcome.REJECTED, ReplyOutcome.FAILED);
     assertThat(lateClient.receiveReply().outcome())
         .isIn(ReplyOutcome.REJECTED, ReplyOutcome.FAILED);
     assertEnds(shutdown);
     assertThat((System.nanoTime() - startedNanos) / 1_000_000)
-        .isLessThan(3700 + 100); // SIGKILL may come then
+        .isLessThan(3700 + 100); // the earliest SIGKILL is 3.7 s after SIGTERM
   }
 
   @Test
@@ -152,7 +154,10 @@
     assertThat(client.receiveReply()).isNull();
   }
 
-  /** A request has been read, and waits for the event loop while the shutdown checks for work. */
+  /**
+   * A request has been read and is queued for the event loop while the shutdown checks for active
+   * connections.
+   */
   @Test
   void handlesRequestsQueuedForEventLoop() throws Exception {
     CountDownLatch allowReply = new CountDownLatch(1);
--- a/src/test/java/switchgap/server/platform/InvalidClientTest.java
+++ b/src/test/java/switchgap/server/platform/InvalidClientTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** Clients that send unusable submits or invalid bytes. */
+/** Clients that send invalid submits or bytes that are not a message. */
 class InvalidClientTest extends PlatformFixture {
   @Test
   void failsUnusableSubmitWithoutAffectingRequestInFlight() throws Exception {
@@ -47,7 +47,7 @@
         1, TestSubmit.idempotent(nextId()).function("00000000000000f2").body("y"));
     ThriftTestClient.Reply reply =
         duplicateClient
-            .receiveReply(); // of the first submit, if it came before the second was read
+            .receiveReply(); // the first submit may be answered before the second is read
     assertThat(reply == null || reply.sequenceId() == 1).isTrue();
     ThriftTestClient unreadableClient = connectClient();
     unreadableClient.sendBytes(
--- a/src/test/java/switchgap/server/platform/PlatformConfigTest.java
+++ b/src/test/java/switchgap/server/platform/PlatformConfigTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Configurations that a router cannot start with. */
+/** Invalid configurations with which a router cannot start. */
 class PlatformConfigTest extends PlatformFixture {
   @ParameterizedTest
   @ValueSource(strings = {"settings", "known", "feed", "seed", "limits", "Lanes", "Zones"})
--- a/src/test/java/switchgap/server/platform/PlatformFixture.java
+++ b/src/test/java/switchgap/server/platform/PlatformFixture.java
@@ -17,20 +17,23 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A router on the platform between scripted clients, workers and an event stream; tests check what
- * these received.
+ * Runs a router with scripted clients, workers and an event stream; tests check what these
+ * received.
  */
 abstract class PlatformFixture {
   static final String FUNCTION = TestSubmit.DEFAULT_FUNCTION;
 
-  /** Enough descriptors that no test reaches the limits by accident. */
+  /** Enough descriptors that tests do not reach the limits unintentionally. */
   static final int MANY_SOCKETS = 256;
 
   private static final int AWAIT_CHECKS = 5000;
 
   @TempDir Path directory;
 
-  /** Closed after the test in this order; threads of a test may add to it. */
+  /**
+   * Resources that are closed after the test in this order. Thread-safe, as threads of a test may
+   * add to it.
+   */
   final List<AutoCloseable> resources = new CopyOnWriteArrayList<>();
 
   EventStreamTestServer eventStream;
@@ -54,14 +57,14 @@
     assertThat(violations).as("violated invariants: %s", events).isZero();
   }
 
-  /** An id that no request of this test has had. */
+  /** Returns a request id that this test has not used yet. */
   String nextId() {
     return String.format("%016x", ++lastId);
   }
 
-  // ------------------------------------------------------------------ the router
+  // ------------------------------------------------------------------ router
 
-  /** Starts a router with workers that are closed after the test. */
+  /** Starts a router with workers; all of them are closed after the test. */
   PlatformRouter startRouter(int maxSockets, RespTestServer... workers) throws Exception {
     resources.addAll(List.of(workers));
     return startRouterWithWorkersAt(maxSockets, addresses(workers));
@@ -77,7 +80,10 @@
     return router;
   }
 
-  /** The environment of a router whose configuration file has this text. */
+  /**
+   * Writes a configuration file with the given text and returns the environment of a router that
+   * uses it.
+   */
   Map<String, String> environment(String config) throws IOException {
     Path file = Files.writeString(directory.resolve("config.json"), config);
     return Map.of("NODE_NAME", "n1", "NODE_LISTEN", "127.0.0.1:0", "NODE_CONFIG", file.toString());
@@ -108,7 +114,7 @@
     return Arrays.stream(workers).map(RespTestServer::address).toArray(String[]::new);
   }
 
-  /** What the router holds now; usable as a condition to await. */
+  /** The router's resource usage, without a checked exception so that conditions can use it. */
   ResourceUsage usage() {
     try {
       return router.resourceUsage();
@@ -117,14 +123,16 @@
     }
   }
 
-  /** Begins the router's shutdown; the thread ends with it. */
+  /**
+   * Begins the router's shutdown on the returned thread, which ends when the shutdown is complete.
+   */
   Thread beginShutdown() {
     return startThread(router::stop);
   }
 
   /**
-   * Blocks the router's event loop until the returned gate is closed: messages that come meanwhile
-   * are read and queued.
+   * Blocks the router's event loop until the returned gate is closed. Until then messages are still
+   * read and queued.
    */
   AutoCloseable blockEventLoop() throws InterruptedException {
     CountDownLatch blocked = new CountDownLatch(1);
@@ -172,7 +180,7 @@
 
   // ------------------------------------------------------------------ clients
 
-  /** A client that is closed after the test. */
+  /** Connects a client, which is closed after the test. */
   ThriftTestClient connectClient() throws Exception {
     ThriftTestClient client = new ThriftTestClient(router.port());
     resources.add(client);
@@ -180,15 +188,15 @@
   }
 
   /**
-   * Waits until the router has read all that this client has sent: heartbeats are answered without
-   * the event loop.
+   * Waits until the router has read everything that this client has sent. Uses a heartbeat, which
+   * is answered without the event loop.
    */
   static void awaitMessagesRead(ThriftTestClient client, int sequenceId) throws Exception {
     client.heartbeat(sequenceId);
     assertThat(client.receiveReply().sequenceId()).isEqualTo(sequenceId);
   }
 
-  /** Waits until the condition has held once, for 5 s at most. */
+  /** Waits at most about 5 s until the condition holds once; fails if it does not. */
   static void await(BooleanSupplier condition) throws InterruptedException {
     for (int i = 0; i < AWAIT_CHECKS; i++) {
       if (condition.getAsBoolean()) {
--- a/src/test/java/switchgap/server/platform/PlatformProcessFixture.java
+++ b/src/test/java/switchgap/server/platform/PlatformProcessFixture.java
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A router as a process between scripted clients, workers and an event stream. */
+/** Runs a router as a separate process with scripted clients, workers and an event stream. */
 abstract class PlatformProcessFixture extends PlatformFixture {
   private static final int MAX_CONNECT_ATTEMPTS = 50;
   private static final long CONNECT_INTERVAL_MILLIS = 20;
@@ -25,7 +25,7 @@
   Path configFile;
   Process process;
 
-  /** Variables of the process besides the usual ones. */
+  /** Additional environment variables of the process. */
   final Map<String, String> environmentVariables = new HashMap<>();
 
   private Path logFile;
@@ -42,16 +42,16 @@
         .isZero();
   }
 
-  /** Starts a router with the configuration that its workers need. */
+  /** Writes a configuration file for the given workers and starts a router with it. */
   void startProcess(int maxSockets, RespTestServer... workers) throws IOException {
     Files.writeString(configFile, configJson(maxSockets, workers));
     startProcess("");
   }
 
   /**
-   * Starts a router with the configuration file as it is.
+   * Starts a router with the existing configuration file.
    *
-   * @param shellPrefix commands that the shell runs before
+   * @param shellPrefix commands that the shell runs before the router
    */
   void startProcess(String shellPrefix) throws IOException {
     List<String> command =
@@ -77,23 +77,24 @@
     resources.add(() -> process.destroyForcibly().waitFor());
   }
 
-  /** What the process has logged so far. */
+  /** The output of the process so far. */
   String processLog() {
     try {
       return Files.readString(logFile);
     } catch (IOException e) {
-      return ""; // it has logged nothing yet
+      return ""; // the log file does not exist yet
     }
   }
 
-  /** Sends a signal to the process. */
+  /** Sends a signal, named without SIG, to the process. */
   void signal(String name) throws Exception {
     runShell("kill -" + name + " " + process.pid());
   }
 
   /**
-   * Suspends the process, and returns once all its threads stand still: {@code kill} returns up to
-   * some milliseconds earlier on a busy machine, and the process may still handle a request then.
+   * Suspends the process and returns when all its threads are stopped. {@code kill} alone returns
+   * earlier, up to some milliseconds on a busy machine, so the process could still handle a
+   * request.
    */
   void suspend() throws Exception {
     signal("STOP");
@@ -109,7 +110,9 @@
     }
   }
 
-  /** Whether the state in a thread's stat file, behind its name in brackets, is that of a stop. */
+  /**
+   * Whether the thread's stat file has state T (stopped), which follows the name in parentheses.
+   */
   private static boolean isThreadSuspended(Path thread) {
     try {
       String stat = Files.readString(thread.resolve("stat"));
@@ -119,7 +122,7 @@
     }
   }
 
-  /** Waits until the router serves; returns its port. */
+  /** Waits until the router serves requests; returns its port. */
   int awaitServingPort() throws Exception {
     await(() -> processLog().contains(SERVING_MESSAGE) || !process.isAlive());
     assertThat(process.isAlive()).as(processLog()).isTrue();
@@ -130,8 +133,8 @@
   }
 
   /**
-   * A connection that has been served; one that was closed, as the router evicted connections, is
-   * opened again as clients do.
+   * Opens a connection and waits for a reply on it. Reconnects if the router closes the connection,
+   * as it may evict connections.
    */
   ThriftTestClient connectUntilServed(int port) throws Exception {
     for (int i = 0; i < MAX_CONNECT_ATTEMPTS; i++) {
@@ -143,7 +146,7 @@
           return client;
         }
       } catch (IOException e) {
-        Thread.sleep(CONNECT_INTERVAL_MILLIS); // it was reset
+        Thread.sleep(CONNECT_INTERVAL_MILLIS); // the connection was reset
       }
     }
     throw new AssertionError("no connection was served: " + processLog());
@@ -154,7 +157,7 @@
     assertThat(process.exitValue()).as(processLog()).isZero();
   }
 
-  /** Processor time that the process has used so far. */
+  /** CPU time that the process has used so far. */
   Duration processorTime() {
     return process.info().totalCpuDuration().orElseThrow();
   }
--- a/src/test/java/switchgap/server/platform/PlatformProcessTest.java
+++ b/src/test/java/switchgap/server/platform/PlatformProcessTest.java
@@ -11,14 +11,17 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** The router as a process that receives signals. */
+/** The router as a separate process that receives signals. */
 class PlatformProcessTest extends PlatformProcessFixture {
-  /** Lets a test hold the process in its start, until the pipe is written and closed. */
+  /**
+   * Makes the configuration file a named pipe, so that the start of the process blocks until the
+   * pipe is written and closed.
+   */
   private void makeConfigFileAPipe() throws Exception {
     runShell("mkfifo " + configFile);
   }
 
-  /** The new configuration and its SIGHUP come while the process reads the old one. */
+  /** The new configuration and SIGHUP arrive while the process reads the old configuration. */
   @Test
   void followsEventStreamOfSighupDuringStart() throws Exception {
     makeConfigFileAPipe();
@@ -29,7 +32,7 @@
       startProcess("");
       try (OutputStream pipe =
           Files.newOutputStream(
-              configFile)) { // opened: the router reads, and its handlers are installed
+              configFile)) { // opens once the router reads it, after installing its handlers
         Path nextConfigFile =
             Files.writeString(
                 directory.resolve("next.json"),
@@ -95,13 +98,15 @@
     }
   }
 
-  /** The event stream comes back while idle clients use their quota of the descriptors. */
+  /**
+   * The event stream becomes available while idle clients use their whole quota of the descriptors.
+   */
   @Test
   void idleClientsLeaveDescriptorsForEventStreamAndWorkers() throws Exception {
     try (RespTestServer worker = RespTestServer.executingAll()) {
       int port = eventStream.address().getPort();
       Files.writeString(configFile, configJson(120, worker));
-      eventStream.close(); // the event stream is down
+      eventStream.close();
       startProcess("ulimit -n 120; ");
       int servedPort = awaitServingPort();
       for (int i = 0; i < 300; i++) {
@@ -120,13 +125,13 @@
         await(() -> restarted.hasClient());
       }
       assertThat(processorTime().minus(processorTimeBefore).toMillis())
-          .isLessThan(1500); // nothing spins
+          .isLessThan(1500); // no thread busy-waits
       signal("TERM");
       awaitCleanExit();
     }
   }
 
-  /** The file is written in place, and the signal comes in between. */
+  /** The file is overwritten in place, and the signal arrives while it is half written. */
   @Test
   void rereadsConfigurationHalfWrittenAtSighup() throws Exception {
     try (RespTestServer worker = RespTestServer.executingAll();
--- a/src/test/java/switchgap/server/platform/PlatformSettingsTest.java
+++ b/src/test/java/switchgap/server/platform/PlatformSettingsTest.java
@@ -7,19 +7,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Settings of other operators: requests are served under each. */
+/** Requests are served under various settings that operators may use. */
 class PlatformSettingsTest extends PlatformFixture {
   private static final String DEFAULT_TIMEOUTS_JSON = "\"AimUs\":300000,\"DeadlineUs\":1000000";
   private static final long TIMEOUT_MILLIS = 450;
   private static final long LONG_TIMEOUT_MILLIS = 300_000;
 
   /**
-   * One operator's settings.
+   * A variant of the settings.
    *
-   * @param name what differs from the test settings
-   * @param change makes them of the test settings
-   * @param requestClass a class that they have
-   * @param timeoutMillis a timeout within their deadlines
+   * @param name description of the difference from the test settings
+   * @param change transforms the JSON of the test settings
+   * @param requestClass name of a request class in these settings
+   * @param timeoutMillis a request timeout that these settings allow
    */
   private record Variant(
       String name, UnaryOperator<String> change, String requestClass, long timeoutMillis) {
--- a/src/test/java/switchgap/server/platform/ProcessPauseTest.java
+++ b/src/test/java/switchgap/server/platform/ProcessPauseTest.java
@@ -8,16 +8,19 @@
 import switchgap.testbed.soak.SystemCallFaults.Call;
 import switchgap.testbed.soak.SystemCallFaults.ErrorNumber;
 
-/** The process, or only its accepts, pause: requests that it has not read yet grow old. */
+/** The process, or only its accepts, are paused while unread requests wait. */
 class ProcessPauseTest extends SystemCallFaultFixture {
   private static final long TIMEOUT_MILLIS = 900;
   private static final long TIME_IN_BACKLOG_MILLIS = 700;
   private static final long PAUSE_MILLIS = 400;
 
-  /** By which a worker's timeout may exceed the time that the client has left. */
+  /** Maximum by which a worker's timeout may exceed the client's remaining time. */
   private static final long TIMEOUT_SLACK_MILLIS = 150;
 
-  /** Complete requests arrive while the process is stopped, past the receive timeout. */
+  /**
+   * Complete requests arrive while the process is suspended for longer than the receive timeout.
+   * They must be read before the timeout is checked.
+   */
   @Test
   void readsRequestsReceivedDuringPauseBeforeTimeouts() throws Exception {
     try (RespTestServer worker = RespTestServer.executingAll()) {
@@ -27,16 +30,16 @@
         for (int i = 0; i < 40; i++) {
           clients.add(new ThriftTestClient(port));
         }
-        Thread.sleep(100); // until all are accepted
+        Thread.sleep(100); // all connections are accepted by then
         suspend();
-        Thread.sleep(2100); // past the receive timeout
+        Thread.sleep(2100); // longer than the receive timeout
         for (ThriftTestClient client : clients) {
           client.submit(1, TestSubmit.idempotent(nextId()).timeoutMillis(1900));
         }
         signal("CONT");
         for (ThriftTestClient client : clients) {
           assertThat(client.receiveReply())
-              .as("an answer instead of a close: " + processLog())
+              .as("reply, null if the router closed the connection: " + processLog())
               .isNotNull();
           client.close();
         }
@@ -48,13 +51,19 @@
     return Long.parseLong(command.options().replaceAll(".*max=(\\d+).*", "$1"));
   }
 
-  /** No worker is given more time than the client, which waited in the accept backlog, has left. */
+  /**
+   * Guards against a worker timeout that ignores the client's time in the accept backlog and
+   * exceeds the client's remaining time.
+   */
   @Test
   void deductsTimeInAcceptBacklogFromTimeout() throws Exception {
     assertTimeInAcceptBacklogIsDeducted(faults::clear);
   }
 
-  /** Its first bytes are read at once, its last ones in later rounds: all have waited as long. */
+  /**
+   * The first byte is read immediately, the others in later reads, although all of them have waited
+   * equally long.
+   */
   @Test
   void deductsTimeInAcceptBacklogFromTimeoutOfMessageReadByteByByte() throws Exception {
     assertTimeInAcceptBacklogIsDeducted(
@@ -88,7 +97,7 @@
     }
   }
 
-  /** SIGCONT interrupts the selector's wait, which then reports no readable connection. */
+  /** After SIGCONT the selector's wait returns as interrupted, without any readable connection. */
   @Test
   void deductsPauseFromTimeout() throws Exception {
     try (RespTestServer worker = RespTestServer.executingAll()) {
--- a/src/test/java/switchgap/server/platform/ReplyOutcome.java
+++ b/src/test/java/switchgap/server/platform/ReplyOutcome.java
@@ -1,17 +1,17 @@
 package switchgap.server.platform;
 
-/** How a reply answers a submit, by the field of its result struct. */
+/** Outcome of a submit, by the field in the reply's result struct. */
 enum ReplyOutcome {
-  /** {@code Response}. */
+  /** The result is a {@code Response}. */
   SUCCEEDED,
-  /** {@code Full}. */
+  /** The result is the declared exception {@code Full}. */
   REJECTED,
-  /** {@code Error}. */
+  /** The result is the declared exception {@code Error}. */
   FAILED,
-  /** No result but an application exception. */
+  /** The reply is an application exception instead of a result. */
   APPLICATION_EXCEPTION;
 
-  /** The outcome of a result whose only field has this id. */
+  /** The outcome of a result struct whose only field has the given id. */
   static ReplyOutcome ofResultField(int fieldId) {
     return switch (fieldId) {
       case 0 -> SUCCEEDED;
--- a/src/test/java/switchgap/server/platform/RequestAnswerTest.java
+++ b/src/test/java/switchgap/server/platform/RequestAnswerTest.java
@@ -5,9 +5,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The answers that requests are owed at their deadline and after a revoke. */
+/** Which requests are answered at their deadline and after a revoke. */
 class RequestAnswerTest extends PlatformFixture {
-  /** A request that was rejected on arrival once counted as pending until its connection closed. */
+  /**
+   * Guards against a request that was rejected on arrival but counts as pending until its
+   * connection closes.
+   */
   @Test
   void requestRejectedOnArrivalIsNotPending() throws Exception {
     startRouter(MANY_SOCKETS, RespTestServer.executingAll());
@@ -20,7 +23,7 @@
     assertThat(client.receiveReply().bodyText()).isEqualTo(id + ":again");
   }
 
-  /** The tick that answers a request at its deadline may come after the deadline. */
+  /** The tick that answers a request at its deadline may run late. */
   @Test
   void answersRequestWhoseDeadlinePassedWhileEventLoopWasBlocked() throws Exception {
     RespTestServer worker = RespTestServer.neverReplying();
@@ -33,7 +36,7 @@
     ThriftTestClient late = connectClient();
     try (AutoCloseable gate = blockEventLoop()) {
       late.submit(1, TestSubmit.idempotent(nextId()).timeoutMillis(150).body("queued"));
-      Thread.sleep(400); // past each deadline
+      Thread.sleep(400); // longer than each timeout
     }
     assertThat(List.of(client.receiveReply().sequenceId(), client.receiveReply().sequenceId()))
         .containsExactlyInAnyOrder(1, 2);
@@ -41,7 +44,7 @@
     assertThat(router.resourceUsage().pendingRequests()).isZero();
   }
 
-  /** A client whose timeout has fired revokes its request, and is still owed the answer. */
+  /** A client also sends a revoke when its timeout has expired, and still expects an answer. */
   @Test
   void answersQueuedRequestRevokedPastDeadline() throws Exception {
     startRouter(64, RespTestServer.executingAll());
@@ -50,7 +53,7 @@
     try (AutoCloseable gate = blockEventLoop()) {
       client.submit(2, TestSubmit.idempotent(nextId()).timeoutMillis(50));
       awaitMessagesRead(client, 3);
-      Thread.sleep(100); // past the deadline
+      Thread.sleep(100); // longer than the timeout
       client.revoke(4, 2);
       awaitMessagesRead(client, 5);
     }
@@ -65,7 +68,7 @@
     client.submit(1, TestSubmit.idempotent(nextId()).timeoutMillis(150));
     await(() -> !worker.executions().isEmpty());
     try (AutoCloseable gate = blockEventLoop()) {
-      Thread.sleep(250); // past the deadline
+      Thread.sleep(250); // longer than the timeout
       client.revoke(2, 1);
       awaitMessagesRead(client, 3);
     }
@@ -85,7 +88,7 @@
       client.revoke(4, 3);
       awaitMessagesRead(client, 5);
     }
-    Thread.sleep(200); // time for a reply that must not come
-    awaitMessagesRead(client, 6); // no other reply precedes it
+    Thread.sleep(200); // leaves time for a reply, which must not be sent
+    awaitMessagesRead(client, 6); // fails if another reply precedes the heartbeat's
   }
 }
--- a/src/test/java/switchgap/server/platform/RequestForwardingTest.java
+++ b/src/test/java/switchgap/server/platform/RequestForwardingTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests that are forwarded to workers, and the replies that come back. */
+/** Forwarding of requests to workers, and of replies to clients. */
 class RequestForwardingTest extends PlatformFixture {
   @Test
   void repliesInCompletionOrderAndForwardsFieldsAndBody() throws Exception {
@@ -54,7 +54,7 @@
       Thread.sleep(150);
       RespTestServer.executeAll(command, output);
     } catch (IOException | InterruptedException e) {
-      return; // the test misses the reply
+      return; // the test fails as the reply is missing
     }
   }
 
@@ -73,7 +73,7 @@
                 return true;
               }
               RespTestServer.executeAll(command, output);
-              if (command.isExecution()) { // a duplicate reply, and one without a request
+              if (command.isExecution()) { // sends a duplicate reply and one without a request
                 RespTestServer.executeAll(command, output);
                 RespTestServer.sendReply(
                     output,
@@ -94,10 +94,14 @@
     assertThat(worker.received(RespTestServer.LOAD).get(0).options())
         .isEqualTo("thing=" + FUNCTION + ",count=1");
     client.heartbeat(9);
-    assertThat(client.receiveReply().sequenceId()).isEqualTo(9); // no other reply precedes it
+    assertThat(client.receiveReply().sequenceId())
+        .isEqualTo(9); // fails if another reply precedes the heartbeat's
   }
 
-  /** The worker fails, disconnects, sends invalid bytes or never replies: it may have executed. */
+  /**
+   * The worker fails, disconnects, sends invalid bytes or never replies, so it may have executed
+   * the request.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"failed", "close", "noise", "silent", "huge"})
   void failsNonIdempotentRequestThatMayHaveBeenExecuted(String workerFault) throws Exception {
@@ -127,11 +131,13 @@
     ThriftTestClient client = connectClient();
     client.submit(1, TestSubmit.nonIdempotent(nextId()).timeoutMillis(500));
     assertThat(client.receiveReply().outcome()).isEqualTo(ReplyOutcome.FAILED);
-    Thread.sleep(100); // time for a retry that must not come
+    Thread.sleep(100); // leaves time for a retry, which must not be sent
     assertThat(firstWorker.executions().size() + secondWorker.executions().size()).isEqualTo(1);
   }
 
-  /** Attempts of one request have the same id on the wire, so they never share a connection. */
+  /**
+   * All attempts of a request have the same id on the wire, so they must not share a connection.
+   */
   @Test
   void sendsRetryOnAnotherConnection() throws Exception {
     RespTestServer worker =
--- a/src/test/java/switchgap/server/platform/RespTestServer.java
+++ b/src/test/java/switchgap/server/platform/RespTestServer.java
@@ -13,16 +13,16 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 
-/** A scripted worker on a plain socket that records the commands it receives. */
+/** A scripted worker on a plain socket, which records the commands that it receives. */
 final class RespTestServer implements AutoCloseable {
-  // Names of commands on the wire.
+  // Command names in the protocol.
   static final String EXECUTE = "DO";
   static final String CANCEL = "UNDO";
   static final String LOAD = "PIN";
   static final String LOAD_PROBE = "METER";
   static final String HEALTH_CHECK = "ECHO";
 
-  // Statuses of replies on the wire.
+  // Reply statuses in the protocol.
   static final String SUCCEEDED = "data";
   static final String FAILED = "failed";
   static final String REJECTED = "full";
@@ -34,11 +34,11 @@
   private static final int ACCEPT_BACKLOG = 50;
 
   /**
-   * A command that was received.
+   * A received command.
    *
    * @param connection number of its connection, counted from 0
-   * @param words its name and arguments
-   * @param receivedNanos the {@link System#nanoTime} at which it was complete
+   * @param words the command's name and arguments
+   * @param receivedNanos the {@link System#nanoTime} when the command was completely received
    */
   record Command(int connection, List<String> words, long receivedNanos) {
     String name() {
@@ -49,7 +49,7 @@
       return name().equals(EXECUTE);
     }
 
-    /** The request's id, or nothing where the command has none. */
+    /** The request id, or an empty string if the command has none. */
     String id() {
       return words.size() > 1 ? words.get(1) : "";
     }
@@ -58,15 +58,17 @@
       return words.get(2);
     }
 
-    /** The body of an execution. */
+    /** The request body; only for executions. */
     String body() {
       return words.get(3);
     }
   }
 
-  /** Replies to commands. */
+  /** Handles received commands. */
   interface CommandHandler {
-    /** Replies on the raw connection, or not at all; false closes the connection. */
+    /**
+     * Handles a command and may write replies to the output; returns false to close the connection.
+     */
     boolean handle(Command command, OutputStream output) throws IOException, InterruptedException;
   }
 
@@ -81,12 +83,12 @@
     startDaemon(this::acceptConnections);
   }
 
-  /** A worker that executes every request. */
+  /** Starts a worker that executes every request. */
   static RespTestServer executingAll() throws IOException {
     return new RespTestServer(RespTestServer::executeAll);
   }
 
-  /** A worker that replies to executions only once the latch is open. */
+  /** Starts a worker that replies to executions only after the latch has opened. */
   static RespTestServer executingAfter(CountDownLatch allowReply) throws IOException {
     return new RespTestServer(
         (command, output) -> {
@@ -97,7 +99,7 @@
         });
   }
 
-  /** A worker that never replies to an execution. */
+  /** Starts a worker that never replies to an execution. */
   static RespTestServer neverReplying() throws IOException {
     return new RespTestServer(
         (command, output) -> command.isExecution() || executeAll(command, output));
@@ -142,7 +144,7 @@
     for (int i = 0; i < words.length; i++) {
       byte[] word = input.readNBytes((int) readLength(input, '$'));
       words[i] = new String(word, StandardCharsets.ISO_8859_1);
-      input.skipNBytes(2); // the line's end
+      input.skipNBytes(2); // skips the line end
     }
     return List.of(words);
   }
@@ -153,7 +155,7 @@
       throw new EOFException();
     }
     if (next != prefix) {
-      throw new IOException("no " + prefix);
+      throw new IOException("expected " + prefix);
     }
     long length = 0;
     for (next = input.read(); next != '\r'; next = input.read()) {
@@ -172,7 +174,7 @@
     output.flush();
   }
 
-  /** Executes every request; the response is the request's id and body. */
+  /** Replies to an execution with the request's id and body, and to other commands with success. */
   static boolean executeAll(Command command, OutputStream output) throws IOException {
     switch (command.name()) {
       case EXECUTE ->
@@ -189,17 +191,17 @@
     return true;
   }
 
-  /** All commands so far. */
+  /** All commands received so far. */
   List<Command> received() {
     return received;
   }
 
-  /** The commands so far that have a name. */
+  /** The commands with the given name that were received so far. */
   List<Command> received(String name) {
     return received.stream().filter(command -> command.name().equals(name)).toList();
   }
 
-  /** The executions so far. */
+  /** The executions received so far. */
   List<Command> executions() {
     return received(EXECUTE);
   }
--- a/src/test/java/switchgap/server/platform/ShutdownTrafficTest.java
+++ b/src/test/java/switchgap/server/platform/ShutdownTrafficTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Clients go on sending on open connections until SIGKILL, which comes as early as the platform
- * allows after SIGTERM. Every request that the router has taken is answered all the same.
+ * Clients continue to send requests on open connections until SIGKILL, which follows SIGTERM as
+ * early as the platform allows. The router must still answer every request that it has accepted.
  */
 class ShutdownTrafficTest extends PlatformProcessFixture {
   private static final int CLIENT_COUNT = 12;
@@ -21,7 +21,10 @@
   private static final int MAX_ASSUMED_TIMEOUT_MILLIS = 3000;
   private static final int KILL_MARGIN_MILLIS = 700;
 
-  /** A request that crosses the close of its connection by less is sent again by its client. */
+  /**
+   * If its connection closes within this time after the send, a request was in transit at the
+   * close, and its client resends it.
+   */
   private static final long CLOSE_RACE_NANOS = 50_000_000;
 
   private final AtomicInteger lastRequestNumber = new AtomicInteger();
@@ -44,12 +47,12 @@
       client.join();
     }
     assertThat(lostRequests)
-        .as("requests without an answer, exited by itself: %s", exited)
+        .as("requests without an answer (process exited before SIGKILL: %s)", exited)
         .isEmpty();
     assertThat(servedAfterSigterm.get()).as("requests served after SIGTERM").isPositive();
   }
 
-  /** Further signals while the router shuts down change nothing. */
+  /** Further signals during the shutdown have no effect on it. */
   @ParameterizedTest
   @ValueSource(ints = {1500})
   void answersEveryRequestThroughSeriesOfSignals(int timeoutMillis) throws Exception {
@@ -100,23 +103,27 @@
     return clients;
   }
 
-  /** Uses one connection after the other, each until it ends, until none is accepted. */
+  /**
+   * Sends requests on one connection at a time, and reconnects when it closes, until connections
+   * are refused.
+   */
   private void sendUntilRefused(int timeoutMillis) {
     String idToResend = null;
     while (true) {
       try (ThriftTestClient client = new ThriftTestClient(port)) {
         idToResend = sendUntilClosed(client, timeoutMillis, idToResend);
       } catch (Exception e) {
-        return; // not accepted, so nothing is taken
+        return; // no connection was accepted, so no request was either
       }
     }
   }
 
   /**
-   * Sends one request after the other until the connection ends.
+   * Sends requests sequentially until the connection closes.
    *
-   * @param idToResend a request whose first connection ended as it was sent, or null
-   * @return the request that is to be sent again, or null
+   * @param idToResend id of a request whose first connection closed while it was in transit, or
+   *     null
+   * @return id of the request that has to be sent again, or null
    */
   private String sendUntilClosed(ThriftTestClient client, int timeoutMillis, String idToResend)
       throws Exception {
@@ -162,6 +169,6 @@
         + " ms after SIGTERM, ended "
         + (System.nanoTime() - sigtermNanos) / 1_000_000
         + " ms after it"
-        + (isResent ? ", sent again" : "");
+        + (isResent ? ", resent" : "");
   }
 }
--- a/src/test/java/switchgap/server/platform/SystemCallFailureTest.java
+++ b/src/test/java/switchgap/server/platform/SystemCallFailureTest.java
@@ -10,8 +10,8 @@
 import switchgap.testbed.soak.SystemCallFaults.ErrorNumber;
 
 /**
- * System calls of a router's process fail in the ways that Linux documents; no request that was
- * read is lost.
+ * System calls of the router process fail with errors that Linux documents. No request that was
+ * read may be lost.
  */
 class SystemCallFailureTest extends SystemCallFaultFixture {
   private void assertAllServedUnder(Call call, ErrorNumber error, int every) throws Exception {
@@ -21,7 +21,7 @@
       faults.inject(call, error, every);
       assertThat(countServed(port)).as(processLog()).isEqualTo(REQUEST_COUNT);
       assertThat(faults.touched(call)).isPositive();
-      assertThat(processorTime()).as("processor time").isLessThan(Duration.ofSeconds(6));
+      assertThat(processorTime()).as("CPU time").isLessThan(Duration.ofSeconds(6));
       faults.clear();
       signal("TERM");
       awaitCleanExit();
@@ -64,7 +64,7 @@
       try (ThriftTestClient lateClient = new ThriftTestClient(port)) {
         lateClient.submit(1, TestSubmit.idempotent("00000000000000aa").timeoutMillis(1950));
         Duration processorTimeBefore = processorTime();
-        Thread.sleep(1500); // while the process must not spin
+        Thread.sleep(1500); // the process must not busy-wait during this time
         assertThat(processorTime().minus(processorTimeBefore)).isLessThan(Duration.ofMillis(150));
         openClient.submit(2, TestSubmit.idempotent("00000000000000ab"));
         assertThat(openClient.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
@@ -79,7 +79,7 @@
     }
   }
 
-  /** For a while every read, or every write, is interrupted. */
+  /** Every read, or every write, is interrupted until the fault is cleared. */
   @ParameterizedTest
   @CsvSource({"READ", "WRITE"})
   void doesNotSpinWhileEveryCallIsInterrupted(Call call) throws Exception {
@@ -89,7 +89,7 @@
       faults.inject(call, ErrorNumber.EINTR, 1);
       client.submit(2, TestSubmit.idempotent("00000000000000aa").timeoutMillis(1900));
       Duration processorTimeBefore = processorTime();
-      Thread.sleep(1500); // while the process must not spin
+      Thread.sleep(1500); // the process must not busy-wait during this time
       assertThat(processorTime().minus(processorTimeBefore)).isLessThan(Duration.ofMillis(300));
       faults.clear();
       assertThat(client.receiveReply()).as(processLog()).isNotNull();
@@ -97,22 +97,24 @@
     }
   }
 
-  /** Descriptors are exhausted for a moment while the process starts. */
+  /** File descriptors are temporarily exhausted while the process starts. */
   @Test
   void startsOnceSocketsAreAvailable() throws Exception {
     try (RespTestServer worker = RespTestServer.executingAll()) {
       faults.inject(Call.SOCKET, ErrorNumber.EMFILE, 1);
       startProcess(MANY_SOCKETS, worker);
       await(() -> faults.touched(Call.SOCKET) > 0);
-      Thread.sleep(500); // under the fault
+      Thread.sleep(500); // keeps the fault active
       faults.clear();
       assertThat(countServed(awaitServingPort())).as(processLog()).isEqualTo(REQUEST_COUNT);
       await(() -> eventStream.hasClient());
     }
   }
 
-  /** The client is in the accept backlog: the process could not accept it before SIGTERM. */
-  /** SIGKILL may come, or not: a listener that is closed loses its queue for certain. */
+  /**
+   * A client is in the accept backlog at the earliest time of SIGKILL. Closing the listener would
+   * certainly drop the client, whereas SIGKILL may be sent later.
+   */
   @Test
   void shutdownWaitsForUnacceptedClientsPastEarliestKill() throws Exception {
     try (RespTestServer worker = RespTestServer.executingAll()) {
@@ -121,7 +123,7 @@
       try (ThriftTestClient lateClient = new ThriftTestClient(port)) {
         lateClient.submit(1, TestSubmit.idempotent("00000000000000ac").timeoutMillis(900));
         signal("TERM");
-        Thread.sleep(2200); // timeouts are a second, so SIGKILL may come after 1.7 s
+        Thread.sleep(2200); // timeouts are 1 s, so the earliest SIGKILL is after 1.7 s
         faults.clear();
         assertThat(lateClient.receiveReply()).as(processLog()).isNotNull();
       }
@@ -129,6 +131,7 @@
     }
   }
 
+  /** The client is in the accept backlog, as the process could not accept it before SIGTERM. */
   @Test
   void shutdownWaitsForUnacceptedClients() throws Exception {
     try (RespTestServer worker = RespTestServer.executingAll()) {
@@ -137,7 +140,7 @@
       try (ThriftTestClient lateClient = new ThriftTestClient(port)) {
         lateClient.submit(1, TestSubmit.idempotent("00000000000000aa").timeoutMillis(1950));
         signal("TERM");
-        Thread.sleep(1400); // past the minimum drain duration
+        Thread.sleep(1400); // longer than the minimum drain duration
         faults.clear();
         assertThat(lateClient.receiveReply()).as(processLog()).isNotNull();
       }
@@ -170,7 +173,10 @@
     }
   }
 
-  /** The connection to the event stream breaks repeatedly; it is followed again afterwards. */
+  /**
+   * The connection to the event stream breaks repeatedly; the router reconnects once the faults are
+   * cleared.
+   */
   @ParameterizedTest
   @CsvSource({"READ,ETIMEDOUT,2", "WRITE,EHOSTUNREACH,1", "READ,EINTR,2"})
   void servesRequestsWhileEventStreamConnectionBreaks(Call call, ErrorNumber error, int every)
@@ -181,7 +187,7 @@
       assertThat(countServed(port)).as(processLog()).isEqualTo(REQUEST_COUNT);
       faults.clear();
       if (call == Call.WRITE) {
-        await(() -> eventStream.hasClient()); // no request could be written before
+        await(() -> eventStream.hasClient()); // no request could be written before that
       }
       assertThat(countServed(port)).as(processLog()).isEqualTo(REQUEST_COUNT);
     }
--- a/src/test/java/switchgap/server/platform/SystemCallFaultFixture.java
+++ b/src/test/java/switchgap/server/platform/SystemCallFaultFixture.java
@@ -15,19 +15,19 @@
 import org.junit.jupiter.api.io.TempDir;
 import switchgap.testbed.soak.SystemCallFaults;
 
-/** A router as a process under which system calls fail. */
+/** Runs a router as a separate process whose system calls can be made to fail. */
 abstract class SystemCallFaultFixture extends PlatformProcessFixture {
   private static final int CLIENT_COUNT = 60;
   private static final int REQUESTS_PER_CLIENT = 3;
   private static final int CONCURRENT_CLIENTS = 10;
 
-  /** Requests that {@link #countServed} and {@link #countAnswered} send. */
+  /** Number of requests that {@link #countServed} and {@link #countAnswered} send. */
   static final int REQUEST_COUNT = CLIENT_COUNT * REQUESTS_PER_CLIENT;
 
   @TempDir static Path libraryDirectory;
   private static Path library;
 
-  /** The faults of the process; may be injected before it starts. */
+  /** Faults of the process, which may be injected before it starts. */
   SystemCallFaults faults;
 
   @BeforeAll
@@ -41,13 +41,13 @@
     environmentVariables.putAll(faults.environment());
   }
 
-  /** Starts a router and waits until it serves; returns its port. */
+  /** Starts a router and waits until it serves requests; returns its port. */
   int startAndAwaitServing(RespTestServer... workers) throws Exception {
     startProcess(MANY_SOCKETS, workers);
     return awaitServingPort();
   }
 
-  /** The same, with its code warmed up by requests. */
+  /** Like {@link #startAndAwaitServing}, but also sends requests to warm up the router's code. */
   int startAndWarmUp(RespTestServer worker) throws Exception {
     int port = startAndAwaitServing(worker);
     countServed(port);
@@ -55,8 +55,8 @@
   }
 
   /**
-   * Concurrent clients send requests, each on its connection one after the other; returns how many
-   * requests succeeded.
+   * Sends requests from concurrent clients, each sequentially on its own connection; returns the
+   * number of requests that succeeded.
    */
   int countServed(int port) throws Exception {
     ExecutorService threads = Executors.newFixedThreadPool(CONCURRENT_CLIENTS);
@@ -82,19 +82,19 @@
         connection.submit(number, TestSubmit.idempotent(id));
         ThriftTestClient.Reply reply = connection.receiveReply();
         if (reply == null) {
-          return served; // closed without an answer
+          return served; // the connection was closed without an answer
         }
         served += reply.outcome() == ReplyOutcome.SUCCEEDED ? 1 : 0;
       }
     } catch (IOException e) {
-      return served; // reset without an answer
+      return served; // the connection was reset without an answer
     }
     return served;
   }
 
   /**
-   * Clients one after the other send requests for many functions; returns how many requests had any
-   * answer.
+   * Sends requests for many functions from sequential clients; returns the number of requests that
+   * were answered, successfully or not.
    */
   static int countAnswered(int port) throws Exception {
     int answered = 0;
--- a/src/test/java/switchgap/server/platform/TestPlatformSettings.java
+++ b/src/test/java/switchgap/server/platform/TestPlatformSettings.java
@@ -6,7 +6,7 @@
 import switchgap.config.PropertyRouterSettings;
 import switchgap.policy.api.RouterSettings;
 
-/** The settings of the platform's tests, under the keys of the platform. */
+/** Settings for tests, in the JSON format of the platform. */
 public final class TestPlatformSettings {
   static final String SETTINGS =
       """
@@ -31,7 +31,7 @@
 
   private TestPlatformSettings() {}
 
-  /** The same as typed settings. */
+  /** Parses {@link #SETTINGS} into typed settings. */
   public static RouterSettings routerSettings() throws IOException {
     Map<String, Object> members = JsonDocument.parseObject(SETTINGS);
     return new PropertyRouterSettings(JsonDocument.flatten(members));
--- a/src/test/java/switchgap/server/platform/TestSubmit.java
+++ b/src/test/java/switchgap/server/platform/TestSubmit.java
@@ -6,15 +6,16 @@
 import java.util.Map;
 
 /**
- * A submit of a test client. Unless changed it has a timeout of 900 ms, the function {@link
- * #DEFAULT_FUNCTION} and a body of one letter.
+ * A submit of a test client. By default it has a timeout of 900 ms, the function {@link
+ * #DEFAULT_FUNCTION} and a one-letter body.
  */
 final class TestSubmit {
   static final String DEFAULT_FUNCTION = "00000000000000f1";
 
-  /** Classes of {@link TestPlatformSettings}. */
+  /** Request class of {@link TestPlatformSettings} with idempotent requests. */
   static final String IDEMPOTENT_CLASS = "again";
 
+  /** Request class of {@link TestPlatformSettings} with requests that are not idempotent. */
   static final String NON_IDEMPOTENT_CLASS = "once";
 
   private final String requestClass;
@@ -59,7 +60,7 @@
     return this;
   }
 
-  /** The id of the function that has a number. */
+  /** Formats a function number as a function id. */
   static String functionId(long functionNumber) {
     return String.format("%016x", functionNumber);
   }
--- a/src/test/java/switchgap/server/platform/ThriftTestClient.java
+++ b/src/test/java/switchgap/server/platform/ThriftTestClient.java
@@ -21,17 +21,17 @@
 import org.apache.thrift.protocol.TType;
 import org.apache.thrift.transport.TMemoryBuffer;
 
-/** A client on a plain socket, with Apache Thrift's codec. */
+/** A client on a plain socket that uses Apache Thrift's codec. */
 public final class ThriftTestClient implements AutoCloseable {
   private static final int RECEIVE_TIMEOUT_MILLIS = 5000;
 
   /**
-   * What the router replied.
+   * A reply of the router.
    *
-   * @param sequenceId the number of the message that it replies to
-   * @param fields of a declared exception
-   * @param body of a response
-   * @param healthy of a heartbeat's response
+   * @param sequenceId sequence id of the message that is answered
+   * @param fields fields of a declared exception, otherwise empty
+   * @param body body of a response, otherwise empty
+   * @param healthy health that a response reports, otherwise false
    */
   record Reply(
       ReplyOutcome outcome,
@@ -39,7 +39,7 @@
       Map<String, String> fields,
       byte[] body,
       boolean healthy) {
-    /** The body as text, one character a byte. */
+    /** The body as text with one character per byte. */
     String bodyText() {
       return new String(body, StandardCharsets.ISO_8859_1);
     }
@@ -56,8 +56,7 @@
   /**
    * Connects to a router.
    *
-   * @param receiveBufferBytes bytes that the system takes without this client's reading them,
-   *     roughly; 0 for the usual size
+   * @param receiveBufferBytes approximate size of the socket's receive buffer, or 0 for the default
    */
   ThriftTestClient(int port, int receiveBufferBytes) throws IOException {
     socket = new Socket();
@@ -77,12 +76,12 @@
 
   // ------------------------------------------------------------------ frames
 
-  /** A frame with its length before it. */
+  /** Prepends the length to a frame. */
   static byte[] withLengthPrefix(byte[] frame) {
     return ByteBuffer.allocate(4 + frame.length).putInt(frame.length).put(frame).array();
   }
 
-  /** A submit as a frame with its length. */
+  /** Encodes a submit as a frame with its length prefix. */
   static byte[] submitFrame(int sequenceId, TestSubmit submit) throws TException {
     TMemoryBuffer buffer = new TMemoryBuffer(256);
     TBinaryProtocol protocol = new TBinaryProtocol(buffer);
@@ -91,7 +90,9 @@
     return withLengthPrefix(Arrays.copyOf(buffer.getArray(), buffer.length()));
   }
 
-  /** Writes a submit up to its last argument. */
+  /**
+   * Writes a submit without the field stop that ends its arguments, so that callers can add more.
+   */
   public static void writeSubmitArguments(
       TBinaryProtocol protocol, int sequenceId, Map<String, String> fields, byte[] body)
       throws TException {
@@ -151,7 +152,7 @@
 
   // ------------------------------------------------------------------ receiving
 
-  /** The next reply, or null if the router closed the connection. */
+  /** Waits for the next reply; returns null if the router closed the connection. */
   Reply receiveReply() throws Exception {
     byte[] frame;
     try {
