--- a/src/main/java/switchgap/protocol/thrift/ClientConnectionLimits.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnectionLimits.java
@@ -5,8 +5,8 @@
 /**
  * Limits on the router's resources that clients may use.
  *
- * @param maxConnections maximum number of connections that may stay open @param
- *     maxExcessConnections number of connections that may be open beyond {@code maxConnections}
+ * @param maxConnections maximum number of connections that may stay open
+ * @param maxExcessConnections number of connections that may be open beyond {@code maxConnections}
  *     until the event loop has evicted idle ones
  * @param maxUnsentBytes maximum bytes of unsent replies of one connection
  * @param maxRequestBytes maximum bytes of all messages queued for the event loop; the same limit
--- a/src/main/java/switchgap/protocol/thrift/RequestAdmission.java
+++ b/src/main/java/switchgap/protocol/thrift/RequestAdmission.java
@@ -14,8 +14,8 @@
 final class RequestAdmission {
   /**
    * Maximum number of requests in flight on one connection. The protocol specifies 32, but ordinary
-   * clients have more than 200 in flight; memory is bounded by the limit on the bytes of all
-   * requests.
+   * clients have been observed with more than 200; memory is bounded by the limit on the bytes of
+   * all requests.
    */
   private static final int MAX_REQUESTS_PER_CONNECTION = 1024;
 
--- a/src/main/java/switchgap/protocol/thrift/ThriftMessageDecoder.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftMessageDecoder.java
@@ -158,7 +158,7 @@
 
   private void skipStruct(int depth) throws MalformedMessageException {
     for (byte fieldType = buffer.get(); fieldType != ThriftType.STOP; fieldType = buffer.get()) {
-      skipBytes(Short.BYTES); // the field's id
+      skipBytes(Short.BYTES); // skips the field id
       skip(fieldType, depth + 1);
     }
   }
--- a/src/main/java/switchgap/server/platform/PlatformAssembly.java
+++ b/src/main/java/switchgap/server/platform/PlatformAssembly.java
@@ -36,9 +36,8 @@
     limits = new PlatformLimits(settings, config.maxSockets());
     diagnostics = RouterDiagnostics.of(settings, log::line, log.isTracing() ? log::trace : null);
     network = new NetworkTransport(SELECTOR_THREADS, "net");
-    // circular dependency: the core needs the transport, the transport needs the event loop, and
-    // the
-    // event loop creates the core
+    // circular dependency: the core needs the transport, the transport needs the event loop,
+    // and the event loop creates the core
     AtomicReference<RespWorkerTransport> transport = new AtomicReference<>();
     eventLoop =
         new EventLoop(
--- a/src/test/java/switchgap/protocol/thrift/SubmitRequestDecoderTest.java
+++ b/src/test/java/switchgap/protocol/thrift/SubmitRequestDecoderTest.java
@@ -85,7 +85,7 @@
         "extras,memory_mb:-3",
         "extras,load_ms:soon"
       })
-  void namesUnusableField(String field, String value) {
+  void namesMissingOrInvalidField(String field, String value) {
     assertThatThrownBy(() -> requestWith(field, value))
         .isInstanceOf(InvalidSubmitException.class)
         .hasMessage(field);
--- a/src/test/java/switchgap/server/platform/InvalidClientTest.java
+++ b/src/test/java/switchgap/server/platform/InvalidClientTest.java
@@ -10,7 +10,7 @@
 /** Clients that send invalid submits or bytes that are not a message. */
 class InvalidClientTest extends PlatformFixture {
   @Test
-  void failsUnusableSubmitWithoutAffectingRequestInFlight() throws Exception {
+  void failsInvalidSubmitWithoutAffectingRequestInFlight() throws Exception {
     CountDownLatch allowReply = new CountDownLatch(1);
     RespTestServer worker = RespTestServer.executingAfter(allowReply);
     startRouter(MANY_SOCKETS, worker);
--- a/src/test/java/switchgap/server/platform/PlatformProcessTest.java
+++ b/src/test/java/switchgap/server/platform/PlatformProcessTest.java
@@ -17,14 +17,14 @@
    * Makes the configuration file a named pipe, so that the start of the process blocks until the
    * pipe is written and closed.
    */
-  private void makeConfigFileAPipe() throws Exception {
+  private void createConfigFileAsNamedPipe() throws Exception {
     runShell("mkfifo " + configFile);
   }
 
   /** The new configuration and SIGHUP arrive while the process reads the old configuration. */
   @Test
-  void followsEventStreamOfSighupDuringStart() throws Exception {
-    makeConfigFileAPipe();
+  void followsNewEventStreamAfterSighupDuringStart() throws Exception {
+    createConfigFileAsNamedPipe();
     try (RespTestServer worker = RespTestServer.executingAll();
         EventStreamTestServer newStream =
             new EventStreamTestServer((connection, lastEventId, output) -> true)) {
@@ -56,7 +56,7 @@
 
   @Test
   void exitsCleanlyOnSigtermDuringStart() throws Exception {
-    makeConfigFileAPipe();
+    createConfigFileAsNamedPipe();
     try (RespTestServer worker = RespTestServer.executingAll()) {
       String config = configJson(MANY_SOCKETS, worker);
       startProcess("");
