--- a/src/test/java/switchgap/protocol/sse/ServerSentEventDecoderTest.java
+++ b/src/test/java/switchgap/protocol/sse/ServerSentEventDecoderTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Fields, line ends, bounds and splits of a stream of server-sent events. */
+/** Decoding of fields, line ends and split input, and the limits on a line and an event. */
 class ServerSentEventDecoderTest {
   private static final int MAX_BYTES = 20;
 
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void completesEventWithItsBlankLine() {
+  void completesEventAtBlankLine() {
     assertThat(decode("id: 4\ndata: one")).isTrue();
     assertThat(decode("\n")).isTrue();
     assertThat(events).isEmpty();
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void countsEveryKindOfLineEndOnceAlsoWhenSplit() {
+  void countsEachLineEndOnceEvenWhenSplit() {
     decode("data:a\r");
     decode("\n\r");
     decode("\ndata:b\r\rdata:c\n\n");
--- a/src/test/java/switchgap/server/platform/ClientEvictionTest.java
+++ b/src/test/java/switchgap/server/platform/ClientEvictionTest.java
@@ -10,9 +10,12 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** Which connections are evicted when there are too many: never one in use, or half a message. */
+/**
+ * Eviction of connections when there are too many: a connection that is in use or has a partial
+ * message is never evicted.
+ */
 class ClientEvictionTest extends PlatformFixture {
-  private static final int SOCKETS = 120; // forty of them for clients
+  private static final int MAX_SOCKETS = 120; // clients have a quota of 40
 
   private static byte[] submitFrame(String id) throws Exception {
     return ThriftTestClient.submitFrame(1, TestSubmit.idempotent(id).timeoutMillis(1900));
@@ -20,34 +23,37 @@
 
   @Test
   void keepsConnectionsWithPartialMessage() throws Exception {
-    startRouter(SOCKETS, RespTestServer.executingAll());
-    List<ThriftTestClient> slow = new ArrayList<>();
-    List<byte[]> rest = new ArrayList<>();
+    startRouter(MAX_SOCKETS, RespTestServer.executingAll());
+    List<ThriftTestClient> slowClients = new ArrayList<>();
+    List<byte[]> remainingBytes = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       byte[] message = submitFrame(nextId());
       ThriftTestClient client = connectClient();
       client.sendBytes(Arrays.copyOf(message, message.length / 2));
-      rest.add(Arrays.copyOfRange(message, message.length / 2, message.length));
-      slow.add(client);
+      remainingBytes.add(Arrays.copyOfRange(message, message.length / 2, message.length));
+      slowClients.add(client);
     }
-    await(() -> router.openClientConnections() == slow.size());
+    await(() -> router.openClientConnections() == slowClients.size());
     for (int i = 0; i < 150; i++) {
-      connectClient(); // idle
+      connectClient(); // stays idle
     }
-    Thread.sleep(300); // time for evictions that must not come
-    for (int i = 0; i < slow.size(); i++) {
-      slow.get(i).sendBytes(rest.get(i));
-      ThriftTestClient.Reply reply = slow.get(i).receiveReply();
+    Thread.sleep(300); // leaves time for evictions, which must not happen
+    for (int i = 0; i < slowClients.size(); i++) {
+      slowClients.get(i).sendBytes(remainingBytes.get(i));
+      ThriftTestClient.Reply reply = slowClients.get(i).receiveReply();
       assertThat(reply).as("client %d was closed", i).isNotNull();
       assertThat(reply.outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
     }
   }
 
-  /** A further client is not closed with its request unread: it waits in the accept backlog. */
+  /**
+   * A client that connects while all connections are in use waits in the accept backlog instead of
+   * being closed with its request unread.
+   */
   @Test
   void newClientWaitsWhileAllConnectionsAreInUse() throws Exception {
-    List<OutputStream> waiting = new CopyOnWriteArrayList<>();
-    List<String> ids = new CopyOnWriteArrayList<>();
+    List<OutputStream> pendingOutputs = new CopyOnWriteArrayList<>();
+    List<String> pendingIds = new CopyOnWriteArrayList<>();
     startRouter(
         48,
         new RespTestServer(
@@ -55,9 +61,9 @@
               if (!command.isExecution()) {
                 return RespTestServer.executeAll(command, output);
               }
-              synchronized (waiting) {
-                waiting.add(output);
-                ids.add(command.id());
+              synchronized (pendingOutputs) {
+                pendingOutputs.add(output);
+                pendingIds.add(command.id());
               }
               return true;
             }));
@@ -70,14 +76,18 @@
     int answered = 0;
     for (int round = 0; round < 40 && answered < clients.size(); round++) {
       Thread.sleep(25);
-      synchronized (waiting) {
-        for (int i = 0; i < waiting.size(); i++) {
+      synchronized (pendingOutputs) {
+        for (int i = 0; i < pendingOutputs.size(); i++) {
           RespTestServer.sendReply(
-              waiting.get(i), ids.get(i), RespTestServer.SUCCEEDED, RespTestServer.NO_REPORT, "x");
+              pendingOutputs.get(i),
+              pendingIds.get(i),
+              RespTestServer.SUCCEEDED,
+              RespTestServer.NO_REPORT,
+              "x");
           answered++;
         }
-        waiting.clear();
-        ids.clear();
+        pendingOutputs.clear();
+        pendingIds.clear();
       }
     }
     for (int i = 0; i < clients.size(); i++) {
@@ -88,65 +98,70 @@
     }
   }
 
-  /** A reply is on its way to the client, and its next request may be, too. */
+  /**
+   * A connection is in use shortly after a reply, as the client's next request may be in transit.
+   */
   @Test
   void keepsConnectionThatWasJustAnswered() throws Exception {
-    startRouter(48, RespTestServer.executingAll()); // sixteen of them for clients
+    startRouter(48, RespTestServer.executingAll()); // clients have a quota of 16
     for (int i = 0; i < 15; i++) {
       connectClient();
     }
-    Thread.sleep(100); // until they count as idle
-    ThriftTestClient active = connectClient();
+    Thread.sleep(100); // the connections become idle
+    ThriftTestClient activeClient = connectClient();
     for (int number = 1; number <= 10; number++) {
-      active.submit(number, TestSubmit.idempotent(nextId()));
-      assertThat(active.receiveReply()).as("request %d", number).isNotNull();
+      activeClient.submit(number, TestSubmit.idempotent(nextId()));
+      assertThat(activeClient.receiveReply()).as("request %d", number).isNotNull();
       for (int i = 0; i < 30; i++) {
         connectClient();
       }
     }
   }
 
-  /** Once, the connection opened last was closed instead. */
+  /**
+   * Guards against an eviction of the newest connection instead of the least recently active one.
+   */
   @Test
   void evictsLeastRecentlyActiveConnection() throws Exception {
-    startRouter(30, RespTestServer.executingAll()); // ten of them for clients
-    List<ThriftTestClient> all = new ArrayList<>();
+    startRouter(30, RespTestServer.executingAll()); // clients have a quota of 10
+    List<ThriftTestClient> clients = new ArrayList<>();
     for (int i = 0; i < 25; i++) {
       ThriftTestClient client = connectClient();
-      all.add(client);
+      clients.add(client);
       client.submit(1, TestSubmit.idempotent(nextId()));
       assertThat(client.receiveReply()).as("client %d", i).isNotNull();
     }
-    assertThat(all.get(0).receiveReply()).isNull();
-    ThriftTestClient last = all.get(24);
-    last.heartbeat(2);
-    assertThat(last.receiveReply().healthy()).isTrue();
+    assertThat(clients.get(0).receiveReply()).isNull();
+    ThriftTestClient newestClient = clients.get(24);
+    newestClient.heartbeat(2);
+    assertThat(newestClient.receiveReply().healthy()).isTrue();
   }
 
-  /** The newest connection exceeds the limit and stays open until another one is idle. */
+  /** The newest connection exceeds the limit but stays open until a connection is idle. */
   @Test
   void neverEvictsConnectionWithRequestInFlight() throws Exception {
     CountDownLatch allowReply = new CountDownLatch(1);
     RespTestServer worker = RespTestServer.executingAfter(allowReply);
-    startRouter(30, worker); // ten of them for clients
-    List<ThriftTestClient> all = new ArrayList<>();
+    startRouter(30, worker); // clients have a quota of 10
+    List<ThriftTestClient> clients = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       ThriftTestClient client = connectClient();
       client.submit(1, TestSubmit.idempotent(nextId()));
-      all.add(client);
+      clients.add(client);
     }
     await(() -> usage().pendingRequests() == 10);
     try (AutoCloseable gate = blockEventLoop()) {
-      ThriftTestClient newest = connectClient();
-      newest.submit(1, TestSubmit.idempotent(nextId())); // it is in use as well
-      awaitMessagesRead(newest, 2);
-      all.add(newest);
+      ThriftTestClient newestClient = connectClient();
+      newestClient.submit(
+          1, TestSubmit.idempotent(nextId())); // puts the newest connection in use as well
+      awaitMessagesRead(newestClient, 2);
+      clients.add(newestClient);
     }
-    Thread.sleep(100); // time for an eviction that must not come
+    Thread.sleep(100); // leaves time for an eviction, which must not happen
     assertThat(router.openClientConnections()).isEqualTo(11);
     allowReply.countDown();
     for (int i = 0; i < 11; i++) {
-      assertThat(all.get(i).receiveReply()).as("client %d", i).isNotNull();
+      assertThat(clients.get(i).receiveReply()).as("client %d", i).isNotNull();
     }
     await(() -> router.openClientConnections() == 10);
   }
--- a/src/test/java/switchgap/server/platform/PlatformProcessTest.java
+++ b/src/test/java/switchgap/server/platform/PlatformProcessTest.java
@@ -11,17 +11,20 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** The router as a process that receives signals. */
+/** The router as a separate process that receives signals. */
 class PlatformProcessTest extends PlatformProcessFixture {
-  /** Lets a test hold the process in its start, until the pipe is written and closed. */
-  private void makeConfigFileAPipe() throws Exception {
+  /**
+   * Makes the configuration file a named pipe, so that the start of the process blocks until the
+   * pipe is written and closed.
+   */
+  private void createConfigFileAsNamedPipe() throws Exception {
     runShell("mkfifo " + configFile);
   }
 
-  /** The new configuration and its SIGHUP come while the process reads the old one. */
+  /** The new configuration and SIGHUP arrive while the process reads the old configuration. */
   @Test
-  void followsEventStreamOfSighupDuringStart() throws Exception {
-    makeConfigFileAPipe();
+  void followsNewEventStreamAfterSighupDuringStart() throws Exception {
+    createConfigFileAsNamedPipe();
     try (RespTestServer worker = RespTestServer.executingAll();
         EventStreamTestServer newStream =
             new EventStreamTestServer((connection, lastEventId, output) -> true)) {
@@ -29,13 +32,13 @@
       startProcess("");
       try (OutputStream pipe =
           Files.newOutputStream(
-              configFile)) { // opened: the router reads, and its handlers are installed
-        Path next =
+              configFile)) { // opens once the router reads it, after installing its handlers
+        Path nextConfigFile =
             Files.writeString(
                 directory.resolve("next.json"),
                 config.replace(
                     ":" + eventStream.address().getPort(), ":" + newStream.address().getPort()));
-        Files.move(next, configFile, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(nextConfigFile, configFile, StandardCopyOption.REPLACE_EXISTING);
         signal("HUP");
         signal("HUP");
         assertThat(process.isAlive()).as(processLog()).isTrue();
@@ -43,9 +46,9 @@
       }
       awaitServingPort();
       await(() -> newStream.hasClient());
-      Files.writeString(configFile, "{"); // an unusable one
+      Files.writeString(configFile, "{"); // not valid JSON
       signal("HUP");
-      await(() -> processLog().contains("the old feed is kept"));
+      await(() -> processLog().contains("keeping the current event stream"));
       signal("TERM");
       awaitCleanExit();
     }
@@ -53,7 +56,7 @@
 
   @Test
   void exitsCleanlyOnSigtermDuringStart() throws Exception {
-    makeConfigFileAPipe();
+    createConfigFileAsNamedPipe();
     try (RespTestServer worker = RespTestServer.executingAll()) {
       String config = configJson(MANY_SOCKETS, worker);
       startProcess("");
@@ -95,23 +98,25 @@
     }
   }
 
-  /** The event stream comes back while idle clients use their quota of the descriptors. */
+  /**
+   * The event stream becomes available while idle clients use their whole quota of the descriptors.
+   */
   @Test
   void idleClientsLeaveDescriptorsForEventStreamAndWorkers() throws Exception {
     try (RespTestServer worker = RespTestServer.executingAll()) {
       int port = eventStream.address().getPort();
       Files.writeString(configFile, configJson(120, worker));
-      eventStream.close(); // the event stream is down
+      eventStream.close();
       startProcess("ulimit -n 120; ");
       int servedPort = awaitServingPort();
       for (int i = 0; i < 300; i++) {
         resources.add(new ThriftTestClient(servedPort));
       }
-      Duration before = processorTime();
-      ThriftTestClient active = connectUntilServed(servedPort);
+      Duration processorTimeBefore = processorTime();
+      ThriftTestClient activeClient = connectUntilServed(servedPort);
       for (int number = 2; number <= 6; number++) {
-        active.submit(number, TestSubmit.idempotent(nextId()));
-        assertThat(active.receiveReply().outcome())
+        activeClient.submit(number, TestSubmit.idempotent(nextId()));
+        assertThat(activeClient.receiveReply().outcome())
             .as(processLog())
             .isEqualTo(ReplyOutcome.SUCCEEDED);
       }
@@ -119,29 +124,30 @@
           new EventStreamTestServer(port, (connection, lastEventId, output) -> true)) {
         await(() -> restarted.hasClient());
       }
-      assertThat(processorTime().minus(before).toMillis()).isLessThan(1500); // nothing spins
+      assertThat(processorTime().minus(processorTimeBefore).toMillis())
+          .isLessThan(1500); // no thread busy-waits
       signal("TERM");
       awaitCleanExit();
     }
   }
 
-  /** The file is written in place, and the signal comes in between. */
+  /** The file is overwritten in place, and the signal arrives while it is half written. */
   @Test
   void rereadsConfigurationHalfWrittenAtSighup() throws Exception {
     try (RespTestServer worker = RespTestServer.executingAll();
         EventStreamTestServer newStream =
             new EventStreamTestServer((connection, lastEventId, output) -> true)) {
       String config = configJson(MANY_SOCKETS, worker);
-      String next =
+      String nextConfig =
           config.replace(
               ":" + eventStream.address().getPort(), ":" + newStream.address().getPort());
       Files.writeString(configFile, config);
       startProcess("");
       awaitServingPort();
-      Files.writeString(configFile, next.substring(0, next.length() / 2));
+      Files.writeString(configFile, nextConfig.substring(0, nextConfig.length() / 2));
       signal("HUP");
-      await(() -> processLog().contains("the old feed is kept"));
-      Files.writeString(configFile, next);
+      await(() -> processLog().contains("keeping the current event stream"));
+      Files.writeString(configFile, nextConfig);
       await(() -> newStream.hasClient());
     }
   }
@@ -158,8 +164,8 @@
       signal("HUP");
       await(() -> processLog().contains("SIGHUP"));
       assertThat(processLog())
-          .contains("the old feed is kept")
-          .doesNotContain("is followed at no-such-host");
+          .contains("keeping the current event stream")
+          .doesNotContain("following the event stream at no-such-host");
     }
   }
 
--- a/src/test/java/switchgap/server/platform/ShutdownTrafficTest.java
+++ b/src/test/java/switchgap/server/platform/ShutdownTrafficTest.java
@@ -12,21 +12,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Clients go on sending on open connections until SIGKILL, which comes as early as the platform
- * allows after SIGTERM. Every request that the router has taken is answered all the same.
+ * Clients continue to send requests on open connections until SIGKILL, which follows SIGTERM as
+ * early as the platform allows. The router must still answer every request that it has accepted.
  */
 class ShutdownTrafficTest extends PlatformProcessFixture {
-  private static final int CLIENTS = 12;
-  private static final int LOAD_MILLIS = 700;
+  private static final int CLIENT_COUNT = 12;
+  private static final int TRAFFIC_BEFORE_SIGTERM_MILLIS = 700;
   private static final int MAX_ASSUMED_TIMEOUT_MILLIS = 3000;
   private static final int KILL_MARGIN_MILLIS = 700;
 
-  /** A request that crosses the close of its connection by less is sent again by its client. */
-  private static final long CROSSING_NANOS = 50_000_000;
+  /**
+   * If its connection closes within this time after the send, a request was in transit at the
+   * close, and its client resends it.
+   */
+  private static final long CLOSE_RACE_NANOS = 50_000_000;
 
-  private final AtomicInteger lastRequest = new AtomicInteger();
+  private final AtomicInteger lastRequestNumber = new AtomicInteger();
   private final AtomicInteger servedAfterSigterm = new AtomicInteger();
-  private final List<String> lost = new CopyOnWriteArrayList<>();
+  private final List<String> lostRequests = new CopyOnWriteArrayList<>();
   private volatile long sigtermNanos;
   private int port;
 
@@ -35,7 +38,7 @@
   void answersEveryRequestUntilEarliestKill(int timeoutMillis) throws Exception {
     startServing(timeoutMillis);
     List<Thread> clients = startClients(timeoutMillis);
-    Thread.sleep(LOAD_MILLIS);
+    Thread.sleep(TRAFFIC_BEFORE_SIGTERM_MILLIS);
     sigtermNanos = System.nanoTime();
     signal("TERM");
     boolean exited = process.waitFor(millisToKill(timeoutMillis), TimeUnit.MILLISECONDS);
@@ -43,21 +46,23 @@
     for (Thread client : clients) {
       client.join();
     }
-    assertThat(lost).as("requests without an answer, exited by itself: %s", exited).isEmpty();
+    assertThat(lostRequests)
+        .as("requests without an answer (process exited before SIGKILL: %s)", exited)
+        .isEmpty();
     assertThat(servedAfterSigterm.get()).as("requests served after SIGTERM").isPositive();
   }
 
-  /** Further signals while the router shuts down change nothing. */
+  /** Further signals during the shutdown have no effect on it. */
   @ParameterizedTest
   @ValueSource(ints = {1500})
   void answersEveryRequestThroughSeriesOfSignals(int timeoutMillis) throws Exception {
     startServing(timeoutMillis);
     List<Thread> clients = startClients(timeoutMillis);
-    Thread.sleep(LOAD_MILLIS);
+    Thread.sleep(TRAFFIC_BEFORE_SIGTERM_MILLIS);
     sigtermNanos = System.nanoTime();
     for (String name : List.of("HUP", "TERM", "HUP", "TERM", "INT")) {
       signal(name);
-      Thread.sleep(LOAD_MILLIS / 5);
+      Thread.sleep(TRAFFIC_BEFORE_SIGTERM_MILLIS / 5);
     }
     long elapsedMillis = (System.nanoTime() - sigtermNanos) / 1_000_000;
     process.waitFor(millisToKill(timeoutMillis) - elapsedMillis, TimeUnit.MILLISECONDS);
@@ -65,7 +70,7 @@
     for (Thread client : clients) {
       client.join();
     }
-    assertThat(lost).as("requests without an answer").isEmpty();
+    assertThat(lostRequests).as("requests without an answer").isEmpty();
   }
 
   private static int millisToKill(int timeoutMillis) {
@@ -79,7 +84,7 @@
         new RespTestServer(
             (command, output) -> {
               if (command.isExecution()) {
-                Thread.sleep(timeoutMillis * 3L / 10 / CLIENTS);
+                Thread.sleep(timeoutMillis * 3L / 10 / CLIENT_COUNT);
               }
               return RespTestServer.executeAll(command, output);
             });
@@ -90,7 +95,7 @@
 
   private List<Thread> startClients(int timeoutMillis) {
     List<Thread> clients = new ArrayList<>();
-    for (int i = 0; i < CLIENTS; i++) {
+    for (int i = 0; i < CLIENT_COUNT; i++) {
       Thread client = new Thread(() -> sendUntilRefused(timeoutMillis), "client-" + i);
       client.start();
       clients.add(client);
@@ -98,40 +103,44 @@
     return clients;
   }
 
-  /** Uses one connection after the other, each until it ends, until none is accepted. */
+  /**
+   * Sends requests on one connection at a time, and reconnects when it closes, until connections
+   * are refused.
+   */
   private void sendUntilRefused(int timeoutMillis) {
-    String unanswered = null;
+    String idToResend = null;
     while (true) {
       try (ThriftTestClient client = new ThriftTestClient(port)) {
-        unanswered = sendUntilClosed(client, timeoutMillis, unanswered);
+        idToResend = sendUntilClosed(client, timeoutMillis, idToResend);
       } catch (Exception e) {
-        return; // not accepted, so nothing is taken
+        return; // no connection was accepted, so no request was either
       }
     }
   }
 
   /**
-   * Sends one request after the other until the connection ends.
+   * Sends requests sequentially until the connection closes.
    *
-   * @param resent a request whose first connection ended as it was sent, or null
-   * @return the request that is to be sent again, or null
+   * @param idToResend id of a request whose first connection closed while it was in transit, or
+   *     null
+   * @return id of the request that has to be sent again, or null
    */
-  private String sendUntilClosed(ThriftTestClient client, int timeoutMillis, String resent)
+  private String sendUntilClosed(ThriftTestClient client, int timeoutMillis, String idToResend)
       throws Exception {
-    String id = resent;
+    String id = idToResend;
     for (int sequenceId = 1; ; sequenceId++) {
       boolean isResent = id != null;
-      id = isResent ? id : String.format("%016x", lastRequest.incrementAndGet());
+      id = isResent ? id : String.format("%016x", lastRequestNumber.incrementAndGet());
       long sentNanos = System.nanoTime();
       if (receivesAnswer(client, sequenceId, id, timeoutMillis)) {
         id = null;
         continue;
       }
       long waitedNanos = System.nanoTime() - sentNanos;
-      if (!isResent && waitedNanos < CROSSING_NANOS && process.isAlive()) {
+      if (!isResent && waitedNanos < CLOSE_RACE_NANOS && process.isAlive()) {
         return id;
       }
-      lost.add(describeLoss(id, sentNanos, isResent));
+      lostRequests.add(describeLoss(id, sentNanos, isResent));
       return null;
     }
   }
@@ -160,6 +169,6 @@
         + " ms after SIGTERM, ended "
         + (System.nanoTime() - sigtermNanos) / 1_000_000
         + " ms after it"
-        + (isResent ? ", sent again" : "");
+        + (isResent ? ", resent" : "");
   }
 }
