--- a/src/main/java/switchgap/cli/PlannerCommand.java
+++ b/src/main/java/switchgap/cli/PlannerCommand.java
@@ -26,7 +26,7 @@
     GatewayConfig config = requirePlannerPort(configFile, GatewayConfig.read(configFile));
     int routerIndex = config.settings().routerIndex();
     NetworkTransport transport = new NetworkTransport(1, "planner-" + routerIndex);
-    PlannerClient client = new PlannerClient(transport, config.planner(), routerIndex);
+    PlannerClient client = new PlannerClient(transport, config.plannerAddress(), routerIndex);
     Runtime.getRuntime().addShutdownHook(new Thread(client::close, "planner-shutdown"));
     Thread.currentThread().join();
     return ExitCode.OK;
@@ -38,7 +38,7 @@
    * @throws InvalidConfigException where it does not
    */
   static GatewayConfig requirePlannerPort(Path file, GatewayConfig config) {
-    if (config.planner() == null || config.planner().getPort() == 0) {
+    if (config.plannerAddress() == null || config.plannerAddress().getPort() == 0) {
       throw new InvalidConfigException(file.toString(), 1, "needs the part planner with its port");
     }
     return config;
--- a/src/main/java/switchgap/net/FramedConnection.java
+++ b/src/main/java/switchgap/net/FramedConnection.java
@@ -9,16 +9,16 @@
  */
 public final class FramedConnection {
   /**
-   * Receives the events of connections. {@link #opened} and {@link #frame} run on the connection's
-   * selector thread, {@link #closed} on the thread that closes the connection first, as its last
-   * event.
+   * Receives the events of connections. {@link #opened} and {@link #frameReceived} run on the
+   * connection's selector thread, {@link #closed} on the thread that closes the connection first,
+   * as its last event.
    */
   public interface Listener {
     /** The connection is open. */
     void opened(FramedConnection connection);
 
     /** A complete frame arrived. */
-    void frame(FramedConnection connection, byte[] bytes);
+    void frameReceived(FramedConnection connection, byte[] bytes);
 
     /** The connection was closed by this side or by the peer. */
     void closed(FramedConnection connection, CloseCause cause);
@@ -90,7 +90,7 @@
               bytes,
               frame -> {
                 if (connection.isOpen()) {
-                  listener.frame(framed, frame);
+                  listener.frameReceived(framed, frame);
                 }
               });
       if (!valid) {
--- a/src/main/java/switchgap/net/HttpServer.java
+++ b/src/main/java/switchgap/net/HttpServer.java
@@ -26,7 +26,7 @@
     void handle(HttpExchange exchange);
 
     /** Called when the client's connection ended before the response was complete. */
-    default void clientLeft(HttpExchange exchange) {}
+    default void clientDisconnected(HttpExchange exchange) {}
   }
 
   /**
--- a/src/main/java/switchgap/net/RequestAssemblyFilter.java
+++ b/src/main/java/switchgap/net/RequestAssemblyFilter.java
@@ -54,7 +54,7 @@
     HttpExchange exchange = state == null ? null : state.pendingExchange();
     if (exchange != null) {
       state.exchangeEnded();
-      handler.clientLeft(exchange);
+      handler.clientDisconnected(exchange);
     }
     return context.getInvokeAction();
   }
--- a/src/main/java/switchgap/planner/link/PlannerClient.java
+++ b/src/main/java/switchgap/planner/link/PlannerClient.java
@@ -98,7 +98,7 @@
     }
 
     @Override
-    public void frame(FramedConnection from, byte[] bytes) {
+    public void frameReceived(FramedConnection from, byte[] bytes) {
       try {
         received(from, PlannerMessageCodec.decode(bytes));
       } catch (IOException e) {
--- a/src/main/java/switchgap/planner/link/PlannerServer.java
+++ b/src/main/java/switchgap/planner/link/PlannerServer.java
@@ -118,7 +118,7 @@
     }
 
     @Override
-    public void frame(FramedConnection from, byte[] bytes) {
+    public void frameReceived(FramedConnection from, byte[] bytes) {
       PlannerMessage message;
       try {
         message = PlannerMessageCodec.decode(bytes);
--- a/src/main/java/switchgap/protocol/invoke/DeferredRequestHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/DeferredRequestHandler.java
@@ -116,7 +116,7 @@
     if (!entry.isEnded()) {
       tracker.cancel(core, entry.request());
     }
-    results.forget(entry);
+    results.remove(entry);
     ResponseWriter.writeDeleted(exchange, id);
   }
 
--- a/src/main/java/switchgap/protocol/invoke/InvokeApi.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeApi.java
@@ -134,7 +134,7 @@
   }
 
   @Override
-  public void clientLeft(HttpExchange exchange) {
+  public void clientDisconnected(HttpExchange exchange) {
     if (exchange.attachment() instanceof DisconnectListener listener) {
       router.post(listener::clientDisconnected);
     }
--- a/src/main/java/switchgap/protocol/invoke/OperatorHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/OperatorHandler.java
@@ -67,7 +67,7 @@
   }
 
   private void respondMetrics(HttpExchange exchange) {
-    byte[] page = MetricsWriter.write(settings, tracker, router.gate().admission());
+    byte[] page = MetricsWriter.write(settings, tracker, router.gate().controller());
     ResponseWriter.writePage(exchange, MetricsWriter.MEDIA_TYPE, page);
   }
 
--- a/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
+++ b/src/main/java/switchgap/protocol/invoke/ServiceLevelHandler.java
@@ -32,10 +32,10 @@
 
   private static AdmissionController requireAdmission(AdmissionGate gate)
       throws InvalidRequestException {
-    if (gate.admission() == null) {
+    if (gate.controller() == null) {
       throw new InvalidRequestException(
           ProblemType.NO_SERVICE_LEVELS, "levels do not act at this router");
     }
-    return gate.admission();
+    return gate.controller();
   }
 }
--- a/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -64,7 +64,7 @@
   }
 
   /** The number of connections to workers that are open or being opened. */
-  public int connections() {
+  public int connectionCount() {
     return connectionManager.connectionCount();
   }
 
--- a/src/main/java/switchgap/router/AdmissionGate.java
+++ b/src/main/java/switchgap/router/AdmissionGate.java
@@ -70,7 +70,7 @@
   }
 
   /** The controller, or null if every request is admitted. */
-  public AdmissionController admission() {
+  public AdmissionController controller() {
     return admission;
   }
 
--- a/src/main/java/switchgap/router/DeferredResults.java
+++ b/src/main/java/switchgap/router/DeferredResults.java
@@ -105,7 +105,7 @@
   /** Reserves an entry; returns null if pending requests occupy all entries. */
   public Entry reserve() {
     while (entries.size() >= maxEntries && !endedEntries.isEmpty()) {
-      forget(endedEntries.poll());
+      remove(endedEntries.poll());
     }
     if (entries.size() >= maxEntries) {
       return null;
@@ -137,7 +137,7 @@
   public void tick(Duration time) {
     now = time;
     while (!endedEntries.isEmpty() && endedEntries.peek().expiresAt.compareTo(time) <= 0) {
-      forget(endedEntries.poll());
+      remove(endedEntries.poll());
     }
   }
 
@@ -173,7 +173,7 @@
   }
 
   /** Removes an entry and its response without notifying its waiters. */
-  public void forget(Entry entry) {
+  public void remove(Entry entry) {
     if (entries.remove(entry.number) != null && entry.response != null) {
       cachedBytes -= entry.response.body().length;
     }
@@ -210,7 +210,7 @@
     entry.waiters.clear();
     waiters.forEach(waiter -> waiter.accept(entry));
     while (cachedBytes > maxBytes && endedEntries.size() > 1) {
-      forget(endedEntries.poll());
+      remove(endedEntries.poll());
     }
   }
 }
--- a/src/main/java/switchgap/server/gateway/GatewayComponents.java
+++ b/src/main/java/switchgap/server/gateway/GatewayComponents.java
@@ -135,7 +135,7 @@
       plannerEndpoint =
           new PlannerEndpoint(
               network,
-              config.planner(),
+              config.plannerAddress(),
               settings.routerIndex(),
               loop,
               coreFactory.plannedTransport());
--- a/src/main/java/switchgap/server/gateway/GatewayConfig.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfig.java
@@ -109,7 +109,7 @@
   }
 
   /** The address at which the router listens for its planner, or null if none is configured. */
-  public InetSocketAddress planner() {
+  public InetSocketAddress plannerAddress() {
     return plannerLink == null ? null : plannerLink.address();
   }
 }
--- a/src/main/java/switchgap/server/platform/PlatformRouter.java
+++ b/src/main/java/switchgap/server/platform/PlatformRouter.java
@@ -207,7 +207,7 @@
                 new ResourceUsage(
                     thriftServer.requestsInFlight(),
                     thriftServer.trackedConnections(),
-                    workerTransport.connections(),
+                    workerTransport.connectionCount(),
                     thriftServer.activeConnections())));
     return usage.get();
   }
--- a/src/main/java/switchgap/testbed/emulator/EmulatedModelServer.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedModelServer.java
@@ -164,7 +164,7 @@
   }
 
   @Override
-  public void clientLeft(HttpExchange exchange) {
+  public void clientDisconnected(HttpExchange exchange) {
     context
         .scheduler()
         .post(
--- a/src/main/java/switchgap/testbed/experiment/LevelFigures.java
+++ b/src/main/java/switchgap/testbed/experiment/LevelFigures.java
@@ -69,7 +69,7 @@
       List<VirtualTimeRouter> routers, List<RouterLevelChange> changes) {
     int maxChanges = 0;
     for (int i = 0; i < routers.size(); i++) {
-      AdmissionController admission = routers.get(i).gate().admission();
+      AdmissionController admission = routers.get(i).gate().controller();
       if (admission != null) {
         Duration window = admission.minStay().multipliedBy(STAYS);
         maxChanges = Math.max(maxChanges, maxChangesWithin(window, i, changes));
@@ -98,7 +98,7 @@
   private static Map<ServiceLevel, Double> secondsAtLevel(List<VirtualTimeRouter> routers) {
     Map<ServiceLevel, Double> seconds = new TreeMap<>();
     for (VirtualTimeRouter router : routers) {
-      AdmissionController admission = router.gate().admission();
+      AdmissionController admission = router.gate().controller();
       if (admission == null) {
         continue;
       }
--- a/src/main/java/switchgap/testbed/experiment/Trial.java
+++ b/src/main/java/switchgap/testbed/experiment/Trial.java
@@ -57,7 +57,7 @@
     double levelSum = 0;
     int belowFull = 0;
     for (VirtualTimeRouter router : testBed.routers()) {
-      AdmissionController admission = router.gate().admission();
+      AdmissionController admission = router.gate().controller();
       if (admission != null) {
         admission.tick(router.now());
         levelSum += reduction(admission);
--- a/src/test/java/switchgap/net/HttpServerFixture.java
+++ b/src/test/java/switchgap/net/HttpServerFixture.java
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public void clientLeft(HttpExchange exchange) {
+    public void clientDisconnected(HttpExchange exchange) {
       disconnected.add(exchange);
     }
   }
