--- a/src/main/java/switchgap/testbed/emulator/AttemptEnd.java
+++ b/src/main/java/switchgap/testbed/emulator/AttemptEnd.java
@@ -23,7 +23,7 @@
     return new AttemptEnd(outcome, outcome.word(), NO_STATUS, NO_RETRY_AFTER);
   }
 
-  /** Creates the end of an attempt from a response, whose header held the outcome word. */
+  /** Creates the end of an attempt whose response held this outcome word in its header. */
   public static AttemptEnd ofResponse(String word, int status, long retryAfterMillis) {
     return new AttemptEnd(ClientOutcome.of(word), word, status, retryAfterMillis);
   }
--- a/src/main/java/switchgap/testbed/emulator/ClientOutcome.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientOutcome.java
@@ -1,8 +1,8 @@
 package switchgap.testbed.emulator;
 
 /**
- * The outcome of a client's attempt. Each has a fixed word, which is written to logs and sent in
- * the routers' response header.
+ * The outcome of a client's attempt. Each has a fixed word, which logs use and, for the outcomes
+ * that a router reports, also the routers' response header.
  */
 public enum ClientOutcome {
   /** The router returned the worker's response. */
@@ -26,7 +26,7 @@
     this.word = word;
   }
 
-  /** The word in logs and in the routers' response header. */
+  /** The outcome's word in logs and in the routers' response header. */
   public String word() {
     return word;
   }
--- a/src/main/java/switchgap/testbed/emulator/ClientRetries.java
+++ b/src/main/java/switchgap/testbed/emulator/ClientRetries.java
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Returns the delay before the next attempt in microseconds. Makes a random draw only if the
-   * response had a retry-after time, to decide whether the client honours it.
+   * Returns the delay before the next attempt in microseconds. If the response had a retry-after
+   * time, a random draw decides whether the client honours it.
    */
   private long delayBeforeRetry(ClientRequest request, long retryAfterMillis) {
     if (request.isRetryStorm()) {
--- a/src/main/java/switchgap/testbed/emulator/EmulatedClients.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedClients.java
@@ -148,8 +148,8 @@
   }
 
   /**
-   * The random draws must keep their order (interval, function, tenant, router, split), so that a
-   * seed keeps producing the same requests.
+   * Generates one request and schedules the next. The random draws must keep their order (interval,
+   * function, tenant, router, split), so that a seed keeps producing the same requests.
    */
   private void arrive() {
     // The scheduled time, not the current one: if this thread is late, the rate must not drop.
--- a/src/main/java/switchgap/testbed/emulator/EmulatedWorker.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedWorker.java
@@ -38,7 +38,7 @@
       long seed,
       boolean startsCold,
       Runnable crashHandler) {
-    this.replicaLimits = hardware.replicas();
+    this.replicaLimits = hardware.replicaLimits();
     this.scheduler = scheduler;
     this.name = name;
     this.random = new SplittableRandom(seed);
@@ -122,7 +122,7 @@
     return replicas.replicas();
   }
 
-  /** Adds a loaded replica without a fetch if enough memory is free. */
+  /** Adds a loaded replica without a fetch, up to a share of the worker's memory. */
   public void seedReplica(FunctionModel model) {
     replicas.seedReplica(model);
   }
--- a/src/main/java/switchgap/testbed/emulator/EventRecorder.java
+++ b/src/main/java/switchgap/testbed/emulator/EventRecorder.java
@@ -77,10 +77,7 @@
     }
   }
 
-  /**
-   * Writes the last line and closes the file. By this line a reader recognizes that the log is
-   * complete.
-   */
+  /** Writes the last line, by which readers recognize a complete log, and closes the file. */
   public synchronized void end(long timeMicros) throws IOException {
     if (!json.isClosed()) {
       record(LogEvent.of(timeMicros, END_KIND));
--- a/src/main/java/switchgap/testbed/emulator/FunctionCatalogue.java
+++ b/src/main/java/switchgap/testbed/emulator/FunctionCatalogue.java
@@ -152,7 +152,10 @@
     return "hot-" + groups.get(requestClass).requestClass() + "-" + hotGeneration + "-" + number;
   }
 
-  /** Sets the share of requests that each invoke a new function, which is not invoked again. */
+  /**
+   * Sets the share of requests that each invoke a new function, which is not invoked again; 0 ends
+   * this.
+   */
   public synchronized void setOneOffShare(double share) {
     oneOffShare = share;
   }
--- a/src/main/java/switchgap/testbed/emulator/InferenceHandler.java
+++ b/src/main/java/switchgap/testbed/emulator/InferenceHandler.java
@@ -69,7 +69,7 @@
             .with("work", function == null ? 0 : function.work()));
   }
 
-  /** Handles that a request's client, a router, disconnected before the response was sent. */
+  /** Handles the disconnection of a router before the response to its request was sent. */
   void clientDisconnected(HttpExchange exchange) {
     context.record(
         LogEvent.of(context.scheduler().now(), "left")
--- a/src/main/java/switchgap/testbed/emulator/ProcessorSharing.java
+++ b/src/main/java/switchgap/testbed/emulator/ProcessorSharing.java
@@ -81,7 +81,10 @@
         / slowdown;
   }
 
-  /** Schedules the next completion; replaces the one scheduled before. */
+  /**
+   * Schedules an update for the next completion, but at most {@link #MAX_UPDATE_PERIOD_MICROS}
+   * ahead. It replaces the update scheduled before.
+   */
   void scheduleUpdate() {
     latestUpdateNumber++;
     long updateNumber = latestUpdateNumber;
--- a/src/main/java/switchgap/testbed/emulator/RealTimeScheduler.java
+++ b/src/main/java/switchgap/testbed/emulator/RealTimeScheduler.java
@@ -7,8 +7,8 @@
 import switchgap.net.WallClock;
 
 /**
- * A scheduler in real time, with one thread. It reads the wall clock once, at its start, and from
- * then on advances by the monotonic clock, so that steps of the wall clock do not affect it.
+ * A scheduler in real time, with one thread. It reads the wall clock once, when it is created, and
+ * then advances by the monotonic clock, so that steps of the wall clock do not affect it.
  */
 public final class RealTimeScheduler implements Scheduler, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(RealTimeScheduler.class);
--- a/src/main/java/switchgap/testbed/emulator/ReplicaManager.java
+++ b/src/main/java/switchgap/testbed/emulator/ReplicaManager.java
@@ -19,7 +19,7 @@
 
   /** Receives the results of loads. */
   interface Listener {
-    /** A load failed and the function has no other replica or load; its queue is to be failed. */
+    /** A load failed, and the function has no other replica or load for its queued executions. */
     void functionUnavailable(LoadedFunction function);
 
     /** A load succeeded or failed, and the next queued load was started. */
@@ -73,18 +73,18 @@
     return List.copyOf(functions.values());
   }
 
-  int replicas(String function) {
-    LoadedFunction entry = functions.get(function);
-    return entry == null ? 0 : entry.replicas();
+  int replicas(String functionName) {
+    LoadedFunction loadedFunction = functions.get(functionName);
+    return loadedFunction == null ? 0 : loadedFunction.replicas();
   }
 
   /** Number of loaded replicas by function name, sorted; functions without replicas are omitted. */
   Map<String, Integer> replicas() {
     Map<String, Integer> replicas = new TreeMap<>();
     functions.forEach(
-        (name, entry) -> {
-          if (entry.replicas() > 0) {
-            replicas.put(name, entry.replicas());
+        (name, loadedFunction) -> {
+          if (loadedFunction.replicas() > 0) {
+            replicas.put(name, loadedFunction.replicas());
           }
         });
     return replicas;
@@ -99,10 +99,10 @@
   }
 
   /** Unloads the replicas of a function that no execution uses. */
-  void unload(String function) {
-    LoadedFunction entry = functions.get(function);
-    if (entry != null) {
-      unloadUnusedReplicas(entry);
+  void unload(String functionName) {
+    LoadedFunction loadedFunction = functions.get(functionName);
+    if (loadedFunction != null) {
+      unloadUnusedReplicas(loadedFunction);
     }
   }
 
@@ -131,11 +131,12 @@
   private boolean ensureFreeMemory(double memoryMb) {
     while (reservedMemoryMb + memoryMb > limits.memoryMb()) {
       LoadedFunction leastRecentlyUsed = null;
-      for (LoadedFunction entry : functions.values()) {
-        boolean unloadable = entry.replicas() > 0 && entry.isIdle();
+      for (LoadedFunction loadedFunction : functions.values()) {
+        boolean unloadable = loadedFunction.replicas() > 0 && loadedFunction.isIdle();
         if (unloadable
-            && (leastRecentlyUsed == null || entry.lastUsedAt() < leastRecentlyUsed.lastUsedAt())) {
-          leastRecentlyUsed = entry;
+            && (leastRecentlyUsed == null
+                || loadedFunction.lastUsedAt() < leastRecentlyUsed.lastUsedAt())) {
+          leastRecentlyUsed = loadedFunction;
         }
       }
       if (leastRecentlyUsed == null) {
@@ -193,11 +194,11 @@
     }
     long now = scheduler.now();
     for (Iterator<LoadedFunction> iterator = functions.values().iterator(); iterator.hasNext(); ) {
-      LoadedFunction entry = iterator.next();
-      if (now - entry.lastUsedAt() > limits.keepAlive() && entry.isIdle()) {
-        unloadUnusedReplicas(entry);
+      LoadedFunction loadedFunction = iterator.next();
+      if (now - loadedFunction.lastUsedAt() > limits.keepAlive() && loadedFunction.isIdle()) {
+        unloadUnusedReplicas(loadedFunction);
       }
-      if (entry.isRemovable()) {
+      if (loadedFunction.isRemovable()) {
         iterator.remove();
       }
     }
--- a/src/main/java/switchgap/testbed/emulator/RequestTally.java
+++ b/src/main/java/switchgap/testbed/emulator/RequestTally.java
@@ -1,9 +1,8 @@
 package switchgap.testbed.emulator;
 
 /**
- * Counts the results of one request class's requests and attempts. Updated on the scheduler's
- * thread. Rejected, failed, timed-out, unreachable and refused attempts are counted one by one,
- * also if a retry succeeds.
+ * Counts the results of one request class's requests and attempts. Unsuccessful attempts are
+ * counted even if a later attempt of the request succeeds. Updated on the scheduler's thread.
  */
 public final class RequestTally {
   private long requests;
--- a/src/main/java/switchgap/testbed/emulator/WorkerFaults.java
+++ b/src/main/java/switchgap/testbed/emulator/WorkerFaults.java
@@ -26,9 +26,9 @@
     TWICE,
     /** Sends more bytes than the response's Content-Length header states. */
     OVERSIZED,
-    /** Closes the connection without executing the request. */
+    /** Closes the connection when an inference request arrives, without executing it. */
     CLOSED_AT_REQUEST,
-    /** Delays the request before it is executed, as a slow connection would. */
+    /** Delays any request before it is served, as a slow connection would. */
     SLOW_CONNECT;
 
     /** The fault's word in logs. */
--- a/src/main/java/switchgap/testbed/emulator/WorkerHardware.java
+++ b/src/main/java/switchgap/testbed/emulator/WorkerHardware.java
@@ -4,17 +4,17 @@
  * The capabilities of an emulated worker. Times are in microseconds.
  *
  * @param compute cores, execution slots and queue limit
- * @param replicas memory and load limits for replicas
+ * @param replicaLimits limits of memory and loads of replicas
  * @param warmUp capacity after a cold start
  */
-public record WorkerHardware(Compute compute, ReplicaLimits replicas, WarmUp warmUp) {
+public record WorkerHardware(Compute compute, ReplicaLimits replicaLimits, WarmUp warmUp) {
   /**
    * Cores and limits of concurrent executions.
    *
    * @param cores number of cores
    * @param speed speed of a core, relative to a reference core
    * @param slots maximum number of running executions, including those that wait for I/O
-   * @param queueLimit maximum number of queued executions
+   * @param queueLimit maximum number of executions in flight in addition to {@code slots}
    */
   public record Compute(int cores, double speed, int slots, int queueLimit) {}
 
