--- a/src/main/java/switchgap/cli/BenchmarkCommand.java
+++ b/src/main/java/switchgap/cli/BenchmarkCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The parent of the benchmarks of a router. */
+/** Parent command of the router benchmarks; prints its usage if run without a subcommand. */
 @Command(
     name = "benchmark",
     mixinStandardHelpOptions = true,
--- a/src/main/java/switchgap/cli/BenchmarkMemoryCommand.java
+++ b/src/main/java/switchgap/cli/BenchmarkMemoryCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Option;
 import switchgap.testbed.experiment.MemoryMeasurement;
 
-/** Measures the heap of a router at size and of each pending request. */
+/** Measures the heap that a fully configured router and each pending request take. */
 @Command(
     name = "memory",
     mixinStandardHelpOptions = true,
--- a/src/main/java/switchgap/cli/BenchmarkRelayCommand.java
+++ b/src/main/java/switchgap/cli/BenchmarkRelayCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import switchgap.testbed.experiment.SpeedMeasurement;
 
-/** Runs the bare relay that the speed measurement compares with, until the process ends. */
+/** Runs the baseline of the speed benchmark, a relay without routing, until the process ends. */
 @Command(name = "relay", hidden = true, description = "The baseline, for benchmark speed.")
 final class BenchmarkRelayCommand implements Callable<Integer> {
   @Option(names = "--port", paramLabel = "<port>", required = true)
--- a/src/main/java/switchgap/cli/BenchmarkSpeedCommand.java
+++ b/src/main/java/switchgap/cli/BenchmarkSpeedCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import switchgap.testbed.experiment.SpeedMeasurement;
 
-/** Measures latency and throughput of a router beside a bare relay. */
+/** Measures latency and throughput of a router, and of a relay without routing as the baseline. */
 @Command(
     name = "speed",
     mixinStandardHelpOptions = true,
--- a/src/main/java/switchgap/cli/CommandErrorHandler.java
+++ b/src/main/java/switchgap/cli/CommandErrorHandler.java
@@ -8,18 +8,18 @@
 import switchgap.config.InvalidConfigException;
 
 /**
- * Prints why a command ended with an exception, with a stack trace only where the cause is not the
- * input.
+ * Prints why a command failed. Invalid configurations and I/O errors are reported in one line, all
+ * other exceptions with their stack trace.
  */
 final class CommandErrorHandler implements IExecutionExceptionHandler {
   @Override
   public int handleExecutionException(
       Exception exception, CommandLine command, ParseResult parsed) {
-    boolean expected =
+    boolean isInputOrIoError =
         exception instanceof InvalidConfigException || exception instanceof IOException;
-    String text = expected ? message(exception) : exception.toString();
-    command.getErr().println("switchgap: " + text);
-    if (!expected) {
+    String message = isInputOrIoError ? message(exception) : exception.toString();
+    command.getErr().println("switchgap: " + message);
+    if (!isInputOrIoError) {
       exception.printStackTrace(command.getErr());
     }
     return exception instanceof InvalidConfigException ? ExitCode.UNUSABLE_INPUT : ExitCode.FAILURE;
--- a/src/main/java/switchgap/cli/EmulatorCommand.java
+++ b/src/main/java/switchgap/cli/EmulatorCommand.java
@@ -9,7 +9,7 @@
 import switchgap.testbed.scenario.EmulatorHost;
 
 /**
- * Runs a scenario's emulated workers, store and endpoint list service without routers or clients.
+ * Runs the emulated workers, store and endpoint list service of a scenario, without its routers.
  */
 @Command(
     name = "emulator",
@@ -27,11 +27,11 @@
   private Path logDirectory;
 
   @Option(names = "--script", description = "play the fault script too")
-  private boolean faultScript;
+  private boolean playsFaultScript;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    EmulatorHost.run(scenarioFile, logDirectory, faultScript, System.out);
+    EmulatorHost.run(scenarioFile, logDirectory, playsFaultScript, System.out);
     return ExitCode.OK;
   }
 }
--- a/src/main/java/switchgap/cli/ExitCode.java
+++ b/src/main/java/switchgap/cli/ExitCode.java
@@ -1,20 +1,20 @@
 package switchgap.cli;
 
-/** Exit codes that the commands share. */
+/** Exit codes of the commands. */
 final class ExitCode {
-  /** Done. */
+  /** The command succeeded. */
   static final int OK = 0;
 
-  /** The command failed, or an invariant was violated. */
+  /** The command failed, or a checked invariant was violated. */
   static final int FAILURE = 1;
 
-  /** The command line, a file or a response is unusable. */
+  /** The command line or a file is invalid, or a response was not expected. */
   static final int UNUSABLE_INPUT = 2;
 
-  /** A request was rejected by the router before it ran. */
+  /** The router rejected a request before it was executed. */
   static final int REQUEST_REJECTED = 3;
 
-  /** A request failed: it may have run. */
+  /** A request failed and may have been executed. */
   static final int REQUEST_FAILED = 4;
 
   private ExitCode() {}
--- a/src/main/java/switchgap/cli/ExperimentCommand.java
+++ b/src/main/java/switchgap/cli/ExperimentCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Parameters;
 import switchgap.testbed.experiment.Experiment;
 
-/** Compares variants of the router in simulated time. */
+/** Compares variants of the router's settings in simulated time. */
 @Command(
     name = "experiment",
     mixinStandardHelpOptions = true,
--- a/src/main/java/switchgap/cli/FormerCommandNames.java
+++ b/src/main/java/switchgap/cli/FormerCommandNames.java
@@ -4,11 +4,11 @@
 import picocli.CommandLine;
 
 /**
- * Names that commands had in earlier versions. Each still runs its command; the help lists only the
- * current name.
+ * Names that commands had in earlier versions. They still work, but the help lists only the current
+ * names.
  */
 final class FormerCommandNames {
-  /** The command class by its former name. */
+  /** The command classes, by the former names of the commands. */
   static final Map<String, Class<?>> COMMANDS =
       Map.of(
           "day", ScenarioCommand.class,
--- a/src/main/java/switchgap/cli/InvokeCommand.java
+++ b/src/main/java/switchgap/cli/InvokeCommand.java
@@ -15,7 +15,7 @@
 
 /**
  * Invokes a function once, synchronously or deferred, and prints the response body. The exit code
- * says how the request ended: 0 succeeded, 3 rejected, 4 failed, 2 invalid.
+ * is 0 if the request succeeded, 3 if it was rejected, 4 if it failed and 2 if it was invalid.
  */
 @Command(
     name = "call",
@@ -57,7 +57,7 @@
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(CONNECT_TIMEOUT)
             .build();
-    HttpResponse<String> response = send(client, invocation());
+    HttpResponse<String> response = send(client, invokeRequest());
     while (response.statusCode() == HTTP_ACCEPTED) {
       String location = response.headers().firstValue("Location").orElseThrow();
       System.err.println("deferred: " + location);
@@ -73,7 +73,7 @@
     return exitCode(response.headers().firstValue("Switchgap-End").orElse(""));
   }
 
-  private HttpRequest invocation() throws IOException {
+  private HttpRequest invokeRequest() throws IOException {
     HttpRequest.Builder request =
         HttpRequest.newBuilder(URI.create(routerUrl + "/v1/functions/" + function + "/invoke"))
             .header("Content-Type", "application/json")
--- a/src/main/java/switchgap/cli/LevelsCommand.java
+++ b/src/main/java/switchgap/cli/LevelsCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Prints a router's service levels, or pins one. */
+/** Prints a router's service levels, or pins a level for a limited time. */
 @Command(
     name = "levels",
     mixinStandardHelpOptions = true,
--- a/src/main/java/switchgap/cli/LoadCommand.java
+++ b/src/main/java/switchgap/cli/LoadCommand.java
@@ -16,7 +16,8 @@
 import switchgap.testbed.experiment.LoadRun;
 
 /**
- * Sends an open-loop load that follows a curve to routers, or to the emulator where none is named.
+ * Sends an open-loop load along a curve to routers; without {@code --router}, directly to the
+ * emulator.
  */
 @Command(
     name = "load",
@@ -55,9 +56,9 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    boolean validShare = timeShare > 0 && timeShare <= MAX_TIME_SHARE;
-    if (!validShare) {
-      throw new ParameterException(spec.commandLine(), "--within: must lie from 0 to 100");
+    boolean isShareValid = timeShare > 0 && timeShare <= MAX_TIME_SHARE;
+    if (!isShareValid) {
+      throw new ParameterException(spec.commandLine(), "--within: must be above 0 and at most 100");
     }
     List<InetSocketAddress> routers = new ArrayList<>();
     for (String url : routerUrls) {
@@ -71,7 +72,7 @@
     URI uri = URI.create(url);
     if (uri.getHost() == null) {
       throw new ParameterException(
-          spec.commandLine(), "--router: '" + url + "' is no URL of a router");
+          spec.commandLine(), "--router: '" + url + "' must be a URL with a host name");
     }
     return new InetSocketAddress(
         uri.getHost(), uri.getPort() < 0 ? DEFAULT_HTTP_PORT : uri.getPort());
--- a/src/main/java/switchgap/cli/Main.java
+++ b/src/main/java/switchgap/cli/Main.java
@@ -10,8 +10,8 @@
 import switchgap.simulator.SimulatorHost;
 
 /**
- * The program's entry point. The simulator's host and the platform's router start before libraries
- * that they don't need.
+ * The program's entry point. The simulator host and the router on the platform are started without
+ * the command line parser and its libraries, which they do not need.
  */
 public final class Main {
   private static final int INPUT_BUFFER_BYTES = 1 << 16;
@@ -19,20 +19,22 @@
 
   private Main() {}
 
-  /** Runs the command that the arguments name and ends the process with its exit code. */
+  /** Runs the command given by the arguments, and exits with the command's exit code. */
   public static void main(String[] args) {
     if (args.length == 1 && SIMULATOR_HOST_NAMES.contains(args[0])) {
       System.exit(runSimulatorHost());
     }
     if (args.length == 1 && args[0].equals("serve")) {
-      // every request has its response by now: no shutdown hook is needed
+      // All requests have been answered when run() returns, so shutdown hooks can be skipped.
       Runtime.getRuntime().halt(switchgap.server.platform.PlatformProcess.run());
     }
     System.exit(RootCommand.run(args));
   }
 
   /**
-   * Serves the simulator on standard input and output until the input ends; returns the exit code.
+   * Serves the simulator on standard input and output until the input ends.
+   *
+   * @return the exit code
    */
   static int runSimulatorHost() {
     try (var input =
@@ -41,7 +43,7 @@
       new SimulatorHost().serve(input, output);
       return ExitCode.OK;
     } catch (MalformedFrameException e) {
-      System.err.println("switchgap: bad frame: " + e.getMessage());
+      System.err.println("switchgap: malformed frame: " + e.getMessage());
       return ExitCode.FAILURE;
     } catch (IOException e) {
       System.err.println("switchgap: " + e.getMessage());
--- a/src/main/java/switchgap/cli/PlannerCommand.java
+++ b/src/main/java/switchgap/cli/PlannerCommand.java
@@ -10,7 +10,7 @@
 import switchgap.planner.link.PlannerClient;
 import switchgap.server.gateway.GatewayConfig;
 
-/** Runs the planner of one router: it decides order and time of the router's load commands. */
+/** Runs the planner of one router, which decides when and in which order it sends load commands. */
 @Command(
     name = "planner",
     mixinStandardHelpOptions = true,
@@ -33,13 +33,14 @@
   }
 
   /**
-   * Returns the config where it states the port at which the planner reaches its router.
+   * Returns the configuration if it contains the port at which the planner connects to the router.
    *
-   * @throws InvalidConfigException where it does not
+   * @throws InvalidConfigException if the port is missing or 0
    */
   static GatewayConfig requirePlannerPort(Path file, GatewayConfig config) {
     if (config.planner() == null || config.planner().getPort() == 0) {
-      throw new InvalidConfigException(file.toString(), 1, "needs the part planner with its port");
+      throw new InvalidConfigException(
+          file.toString(), 1, "missing section planner with a port other than 0");
     }
     return config;
   }
--- a/src/main/java/switchgap/cli/PlannerSupervisor.java
+++ b/src/main/java/switchgap/cli/PlannerSupervisor.java
@@ -8,20 +8,20 @@
 import switchgap.testbed.process.ChildProcess;
 
 /**
- * Runs the planner as a child process, restarted with backoff when it ends; never touches the
- * router.
+ * Runs the planner as a child process and restarts it with backoff when it exits. A failure of the
+ * planner does not affect the router.
  */
 final class PlannerSupervisor implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(PlannerSupervisor.class);
   private static final long MIN_BACKOFF_MILLIS = 200;
   private static final long MAX_BACKOFF_MILLIS = 5000;
 
-  /** After a longer uptime the backoff is reset. */
+  /** The backoff is reset if the planner ran for longer than this time. */
   private static final long HEALTHY_UPTIME_MILLIS = 10_000;
 
   private final Path configFile;
   private final Thread thread = new Thread(this::superviseUntilClosed, "planner-supervisor");
-  private volatile Process process;
+  private volatile Process plannerProcess;
   private volatile boolean closed;
 
   PlannerSupervisor(Path configFile) {
@@ -36,8 +36,8 @@
     while (!closed) {
       long startedAt = System.nanoTime();
       try {
-        process = ChildProcess.planner(log, configFile);
-        int code = process.waitFor();
+        plannerProcess = ChildProcess.planner(log, configFile);
+        int exitCode = plannerProcess.waitFor();
         if (closed) {
           return;
         }
@@ -46,10 +46,11 @@
             uptimeMillis > HEALTHY_UPTIME_MILLIS
                 ? MIN_BACKOFF_MILLIS
                 : Math.min(MAX_BACKOFF_MILLIS, backoffMillis * 2);
-        LOG.warn("the planner exited with {}, restarting in {} ms", code, backoffMillis);
+        LOG.warn(
+            "planner process exited with code {}; restarting it in {} ms", exitCode, backoffMillis);
         Thread.sleep(backoffMillis);
       } catch (IOException e) {
-        LOG.error("the planner can't be started: {}", e.getMessage());
+        LOG.error("can't start the planner process, and will not try again: {}", e.getMessage());
         return;
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
@@ -58,11 +59,11 @@
     }
   }
 
-  /** Stops the planner and does not restart it. */
+  /** Terminates the planner process; it is not restarted. */
   @Override
   public void close() {
     closed = true;
-    Process running = process;
+    Process running = plannerProcess;
     if (running != null) {
       running.destroy();
     }
--- a/src/main/java/switchgap/cli/RootCommand.java
+++ b/src/main/java/switchgap/cli/RootCommand.java
@@ -4,9 +4,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/**
- * The program's command line: the parent of all commands. Exit codes are those of {@link ExitCode}.
- */
+/** Parent command of all commands, whose exit codes are those of {@link ExitCode}. */
 @Command(
     name = "switchgap",
     mixinStandardHelpOptions = true,
@@ -31,7 +29,7 @@
 final class RootCommand {
   private RootCommand() {}
 
-  /** Parses the arguments and runs the command they name; returns the exit code. */
+  /** Parses the arguments, runs the command that they specify, and returns its exit code. */
   static int run(String[] arguments) {
     SLF4JBridgeHandler.removeHandlersForRootLogger();
     SLF4JBridgeHandler.install();
@@ -43,7 +41,7 @@
     return code;
   }
 
-  /** The parser of all commands, under their current and their former names. */
+  /** The parser for all commands, under their current and their former names. */
   static CommandLine commandLine() {
     CommandLine commandLine = new CommandLine(new RootCommand());
     FormerCommandNames.addTo(commandLine);
--- a/src/main/java/switchgap/cli/RouterCommand.java
+++ b/src/main/java/switchgap/cli/RouterCommand.java
@@ -45,7 +45,7 @@
       PlannerCommand.requirePlannerPort(configFile, config);
     }
     if (checkOnly) {
-      System.out.println(configFile + ": good");
+      System.out.println(configFile + ": valid");
       return ExitCode.OK;
     }
     GatewayRouter router =
@@ -67,7 +67,7 @@
                   }
                   router.stop();
                   stopped.countDown();
-                  // exit code 0: what was pending has its response
+                  // All pending requests have been answered, so the process exits with code 0.
                   Runtime.getRuntime().halt(ExitCode.OK);
                 },
                 "router-shutdown"));
--- a/src/main/java/switchgap/cli/ScenarioCheckCommand.java
+++ b/src/main/java/switchgap/cli/ScenarioCheckCommand.java
@@ -8,7 +8,7 @@
 import switchgap.config.InvalidConfigException;
 import switchgap.testbed.scenario.InvariantChecker;
 
-/** Checks the invariants from a scenario's logs. */
+/** Checks in the logs of a scenario whether the invariants held. */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
@@ -25,7 +25,7 @@
       checker.print(System.out);
       return checker.violations().isEmpty() ? ExitCode.OK : ExitCode.FAILURE;
     } catch (IOException | InvalidConfigException e) {
-      System.err.println("switchgap: unusable: " + e.getMessage());
+      System.err.println("switchgap: can't check the logs: " + e.getMessage());
       return ExitCode.UNUSABLE_INPUT;
     }
   }
--- a/src/main/java/switchgap/cli/ScenarioCommand.java
+++ b/src/main/java/switchgap/cli/ScenarioCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The parent of the commands that run and check scenarios. */
+/** Parent command for running and checking scenarios; prints its usage without a subcommand. */
 @Command(
     name = "scenario",
     mixinStandardHelpOptions = true,
--- a/src/main/java/switchgap/cli/ServeCommand.java
+++ b/src/main/java/switchgap/cli/ServeCommand.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** Runs a router on the platform until SIGTERM. */
+/** Runs a router on the platform until SIGTERM; its settings come from environment variables. */
 @Command(
     name = "serve",
     mixinStandardHelpOptions = true,
--- a/src/main/java/switchgap/cli/SimulatorHostCommand.java
+++ b/src/main/java/switchgap/cli/SimulatorHostCommand.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** Hosts router instances for the simulator. */
+/** Hosts router instances for the simulator, over standard input and output. */
 @Command(
     name = "simulator-host",
     mixinStandardHelpOptions = true,
--- a/src/main/java/switchgap/cli/SoakCommand.java
+++ b/src/main/java/switchgap/cli/SoakCommand.java
@@ -13,7 +13,7 @@
 import switchgap.testbed.soak.SoakFaultType;
 import switchgap.testbed.soak.SoakProfile;
 
-/** Runs real router processes on loopback under faults drawn from a seed. */
+/** Runs router processes over loopback sockets, under faults drawn from a seed. */
 @Command(
     name = "soak",
     mixinStandardHelpOptions = true,
@@ -49,7 +49,7 @@
       split = ",",
       paramLabel = "<fault>",
       description = "faults to leave out of the replay of a seed: ${COMPLETION-CANDIDATES}")
-  private List<SoakFaultType> leftOut = List.of();
+  private List<SoakFaultType> excludedFaults = List.of();
 
   @Option(
       names = "--deploy",
@@ -62,14 +62,16 @@
       names = "--logs",
       paramLabel = "<directory>",
       description = "where to keep the routers' logs")
-  private Path logs;
+  private Path logDirectory;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
     Path directory =
-        logs == null ? Files.createTempDirectory("soak") : Files.createDirectories(logs);
-    Set<SoakFaultType> without = EnumSet.noneOf(SoakFaultType.class);
-    without.addAll(leftOut);
+        logDirectory == null
+            ? Files.createTempDirectory("soak")
+            : Files.createDirectories(logDirectory);
+    Set<SoakFaultType> excluded = EnumSet.noneOf(SoakFaultType.class);
+    excluded.addAll(excludedFaults);
     boolean invariantsHeld =
         Soak.run(
             new Soak.Options(
@@ -77,12 +79,12 @@
                 routers,
                 seconds,
                 profile,
-                without,
+                excluded,
                 Soak.runCommand(deployFile),
                 directory.toAbsolutePath()),
             System.out);
     if (!invariantsHeld) {
-      System.out.println("logs in " + directory);
+      System.out.println("router logs are in " + directory);
     }
     return invariantsHeld ? ExitCode.OK : ExitCode.FAILURE;
   }
--- a/src/main/java/switchgap/cli/StatusCommand.java
+++ b/src/main/java/switchgap/cli/StatusCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Prints the status of routers and their planners. */
+/** Prints the status of routers and of their planners. */
 @Command(
     name = "status",
     mixinStandardHelpOptions = true,
@@ -33,7 +33,7 @@
     return allHealthy ? ExitCode.OK : ExitCode.FAILURE;
   }
 
-  /** Prints one router's status; false where it does not respond with one. */
+  /** Prints the status of one router; returns false if the router did not respond with HTTP 200. */
   private static boolean printStatus(HttpClient client, String url) throws InterruptedException {
     try {
       HttpRequest request =
@@ -41,10 +41,14 @@
       HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
       boolean healthy = response.statusCode() == HTTP_OK;
       System.out.println(
-          url + " " + (healthy ? response.body() : "answers " + response.statusCode()));
+          url
+              + " "
+              + (healthy
+                  ? response.body()
+                  : "responded with HTTP status " + response.statusCode()));
       return healthy;
     } catch (IOException | IllegalArgumentException e) {
-      System.out.println(url + " does not answer: " + e);
+      System.out.println(url + " did not respond: " + e);
       return false;
     }
   }
--- a/src/main/java/switchgap/cli/package-info.java
+++ b/src/main/java/switchgap/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line: one class a command, each of which reads its options, calls one package and
- * turns the outcome into an exit code. Nothing depends on this package.
+ * The command line. Each command is a class that reads its options, calls one other package and
+ * returns an exit code. No other package depends on this one.
  */
 package switchgap.cli;
--- a/src/main/java/switchgap/config/EnumWords.java
+++ b/src/main/java/switchgap/config/EnumWords.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** The words for enum constants in settings, responses, metrics and reports. */
+/** Converts enum constants to the words used in settings, responses, metrics and reports. */
 public final class EnumWords {
   private EnumWords() {}
 
--- a/src/main/java/switchgap/config/FunctionsSection.java
+++ b/src/main/java/switchgap/config/FunctionsSection.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * The section {@code functions}: entries of single functions, and entries of all functions with a
- * common prefix, whose keys end in an asterisk.
+ * The section {@code functions}. A key is the name of a function or, with an asterisk at its end, a
+ * prefix of names.
  *
- * @param byName entries of single functions
- * @param byPrefix entries of prefixes, in the order of the document
+ * @param byName settings of single functions, by name
+ * @param byPrefix settings of prefixes, in the order of the document
  */
 record FunctionsSection(Map<String, FunctionSettings> byName, List<FunctionSettings> byPrefix) {
   private static final double MAX_MEMORY_MB = 1e9;
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Returns the entry of a function; null where there is none. An exact name takes precedence over
-   * prefixes, which match in the order of the document.
+   * Returns the settings of a function; null if none match. An entry with exactly this name takes
+   * precedence; of several matching prefixes, the first in the document applies.
    */
   FunctionSettings find(String function) {
     FunctionSettings exact = byName.get(function);
--- a/src/main/java/switchgap/config/JsonDocument.java
+++ b/src/main/java/switchgap/config/JsonDocument.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 
 /**
- * Parses JSON text to maps, lists, strings, numbers, booleans and null; its depth is bounded. It
- * uses the streaming parser alone, as a router on the platform must not load Jackson's object
- * mapper at its start.
+ * Parses JSON text to maps, lists, strings, numbers, booleans and null; the nesting depth is
+ * limited. It uses only Jackson's streaming parser, so that a router on the platform starts without
+ * loading Jackson's object mapper.
  */
 public final class JsonDocument {
   private static final int MAX_DEPTH = 32;
@@ -22,20 +22,22 @@
   private JsonDocument() {}
 
   /**
-   * Parses a text that is one object.
+   * Parses a text that consists of one JSON object.
    *
-   * @return its members in their order
-   * @throws IOException if the text is no object or continues after it; names the place
+   * @return the object's members, in the order of the text
+   * @throws IOException if the text is not valid JSON, is not an object, is nested too deep, or
+   *     continues after the object
    */
   public static Map<String, Object> parseObject(String text) throws IOException {
     try (JsonParser parser = FACTORY.createParser(text)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
-        throw new IOException("no object at its start");
+        throw new IOException("the text does not start with a JSON object");
       }
       Map<String, Object> members = readObject(parser, 0);
       if (parser.nextToken() != null) {
         throw new IOException(
-            "more behind the object at " + parser.currentLocation().offsetDescription());
+            "unexpected text after the JSON object at "
+                + parser.currentLocation().offsetDescription());
       }
       return members;
     }
@@ -61,7 +63,7 @@
 
   private static Object readValue(JsonParser parser, int depth) throws IOException {
     if (depth > MAX_DEPTH) {
-      throw new IOException("nested deeper than " + MAX_DEPTH);
+      throw new IOException("JSON is nested deeper than " + MAX_DEPTH + " levels");
     }
     return switch (parser.currentToken()) {
       case START_OBJECT -> readObject(parser, depth);
@@ -74,9 +76,10 @@
   }
 
   /**
-   * Returns the values of an object by path: members joined by dots, lists of plain values joined
-   * by commas, other lists as {@code path.count}, {@code path.0}, {@code path.1} and so on; null is
-   * omitted.
+   * Returns the values of an object by path. A path consists of member names, joined by dots. A
+   * list of single values becomes one value, joined by commas. A list that contains objects or
+   * lists has its length at {@code path.count} and its elements at {@code path.0}, {@code path.1}
+   * and so on. Members that are null are omitted.
    */
   public static Map<String, String> flatten(Map<String, Object> members) {
     Map<String, String> valuesByPath = new HashMap<>();
--- a/src/main/java/switchgap/config/LevelsSection.java
+++ b/src/main/java/switchgap/config/LevelsSection.java
@@ -4,15 +4,15 @@
 import switchgap.admission.ServiceLevel;
 
 /**
- * The section {@code levels}: how far admission control may degrade the service under overload.
+ * The section {@code levels}: how far admission control may lower the service level under overload.
  *
  * @param enabled whether admission control is enabled
- * @param lowestLevel the lowest level that the router may choose by itself
- * @param pinnedLevel the level to hold from the start on; null where it is not fixed
- * @param pinDuration time from the start for which it is held
+ * @param lowestLevel lowest service level that the router may choose by itself
+ * @param pinnedLevel service level that is pinned at the router's start; null if none is
+ * @param pinDuration time after the start for which the level stays pinned
  * @param protectedShare share of their latency objectives that the most important request classes
  *     keep
- * @param exempt by request class, whether it is exempt from all levels
+ * @param exempt for each request class, whether service levels do not apply to it
  */
 record LevelsSection(
     boolean enabled,
@@ -41,7 +41,7 @@
     for (String name : section.textList("spare")) {
       int requestClass = classes.index(name);
       if (requestClass < 0) {
-        throw section.invalid("spare", "'" + name + "' is no workload");
+        throw section.invalid("spare", "'" + name + "' is not a configured workload");
       }
       exempt[requestClass] = true;
     }
--- a/src/main/java/switchgap/config/PricesSection.java
+++ b/src/main/java/switchgap/config/PricesSection.java
@@ -1,8 +1,13 @@
 package switchgap.config;
 
 /**
- * The section {@code prices}: prices of resources, zero where absent, and the weight of requests
- * over quota.
+ * The section {@code prices}: prices of resources, and the weight of requests over quota.
+ *
+ * @param idleMemory price of memory that idle replicas occupy; 0 if omitted
+ * @param crossZone price of an attempt in another zone, as a share of a request's weight; 0 if
+ *     omitted
+ * @param probe price of a load probe, as a share of a request's weight; 0 if omitted
+ * @param overQuotaWeight share of its weight that a request over its tenant's quota earns
  */
 record PricesSection(double idleMemory, double crossZone, double probe, double overQuotaWeight) {
   private static final double MAX_PRICE = 1e3;
--- a/src/main/java/switchgap/config/PropertyRequestSettings.java
+++ b/src/main/java/switchgap/config/PropertyRequestSettings.java
@@ -6,7 +6,7 @@
 import switchgap.policy.api.Idempotency;
 import switchgap.policy.api.RouterSettings;
 
-/** The settings of a property tree about requests: their classes and tenants. */
+/** Reads the settings of request classes and tenants from a property tree. */
 abstract class PropertyRequestSettings implements RouterSettings {
   private static final String REQUEST_CLASSES = "Lanes";
   private static final String LATENCY_OBJECTIVE = "AimUs";
--- a/src/main/java/switchgap/config/PropertyRouterSettings.java
+++ b/src/main/java/switchgap/config/PropertyRouterSettings.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * Router settings of a property tree, which is the platform's JSON or the simulator's lines as
- * values by path. A path that is not read is ignored; a required one that is absent or can't be
- * read is an {@link IllegalArgumentException} that names it, thrown when it is read. Times are in
- * microseconds. The base classes hold the settings about requests and workers.
+ * Router settings that are read from a property tree: values by path, from the platform's JSON or
+ * the simulator's lines. Unknown paths are ignored. Values are converted at each call: a missing
+ * required value or an invalid one throws an {@link IllegalArgumentException} that names the path.
+ * Times are written in microseconds. The base classes hold the settings of requests and of workers.
  */
 public final class PropertyRouterSettings extends PropertyWorkerSettings {
   private static final String ROUTER_INDEX = "Me";
@@ -34,9 +34,10 @@
   private final PropertyValues values;
 
   /**
-   * Creates settings of values by path.
+   * Creates settings that read from a map of values by path.
    *
-   * @param valuesByPath values in the form that {@link JsonDocument#flatten} returns; not copied
+   * @param valuesByPath values in the form that {@link JsonDocument#flatten} returns; the map is
+   *     not copied
    */
   public PropertyRouterSettings(Map<String, String> valuesByPath) {
     this(new PropertyValues(valuesByPath));
@@ -52,25 +53,28 @@
     return new PropertyRouterSettings(PropertyValues.parse(text));
   }
 
-  /** The index of a load report's field; -1 where reports do not have it. */
+  /** The position of a field in load reports; -1 if load reports do not have it. */
   public int reportFieldIndex(String word) {
     return values.indexInList(LOAD_REPORT_FIELDS, word);
   }
 
-  /** Whether load reports state how many attempts a worker executes at the time. */
+  /**
+   * Whether load reports include the number of attempts that the worker executes at that moment;
+   * false if the setting is missing.
+   */
   public boolean reportsConcurrency() {
     return values.isTrue(CONCURRENCY_REPORTED);
   }
 
   /**
-   * The index of each object of a list by its name: request classes ({@code Lanes}), tenants
-   * ({@code Tenants}).
+   * The index of each object in a list, by the object's name; for request classes ({@code Lanes})
+   * and tenants ({@code Tenants}). Empty if the list is missing.
    */
   public Map<String, Integer> namedIndices(String path) {
     return values.namedIndices(path);
   }
 
-  /** The index of each word in a list of plain values: zones, kinds of worker. */
+  /** The index of each word in a list of single values; for zones and kinds of worker. */
   public Map<String, Integer> listIndices(String path) {
     return values.listIndices(path);
   }
@@ -80,22 +84,22 @@
     return values.duration(LOAD_COMMAND_TIMEOUT);
   }
 
-  /** Time that opening a connection to a worker may take. */
+  /** Timeout for opening a connection to a worker. */
   public Duration connectTimeout() {
     return values.duration(CONNECT_TIMEOUT);
   }
 
-  /** Time after which workers close an idle connection. */
+  /** Time after which workers close a connection without requests. */
   public Duration connectionIdleTimeout() {
     return values.duration(CONNECTION_IDLE_TIMEOUT);
   }
 
-  /** Attempts that one connection carries at a time. */
+  /** Maximum number of attempts that are in flight on one connection. */
   public int attemptsPerConnection() {
     return values.integer(ATTEMPTS_PER_CONNECTION);
   }
 
-  /** Requests that may be pending at a time. */
+  /** Maximum number of requests that are pending in the router. */
   public int maxPendingRequests() {
     return values.integer(MAX_PENDING_REQUESTS);
   }
--- a/src/main/java/switchgap/config/PropertyValues.java
+++ b/src/main/java/switchgap/config/PropertyValues.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 
 /**
- * Values by path, converted to types. A list of plain values is one value with commas; a list of
- * objects has its length under {@code path.count} and its elements under {@code path.0}, {@code
- * path.1} and so on. Unless documented otherwise, a method throws {@link IllegalArgumentException}
- * with the path where the value is absent or can't be converted.
+ * Converts text values, which are looked up by path, to types. A list of single values is one value
+ * with commas. A list of objects has its length at {@code path.count} and its elements at {@code
+ * path.0}, {@code path.1} and so on. Unless documented otherwise, a method throws an {@link
+ * IllegalArgumentException} that names the path if the value is missing or can't be converted.
  */
 final class PropertyValues {
   private static final String COUNT = ".count";
@@ -42,7 +42,7 @@
   String text(String path) {
     String value = valuesByPath.get(path);
     if (value == null) {
-      throw new IllegalArgumentException("setting " + path + " is absent");
+      throw new IllegalArgumentException("setting " + path + " is missing");
     }
     return value;
   }
@@ -52,16 +52,17 @@
     try {
       return Double.parseDouble(value);
     } catch (NumberFormatException e) {
-      throw new IllegalArgumentException("setting " + path + " is no number: " + value, e);
+      throw new IllegalArgumentException(
+          "setting " + path + " must be a number, got '" + value + "'", e);
     }
   }
 
-  /** A number; 0 where it is absent. */
+  /** A number; 0 if it is missing. */
   double optionalNumber(String path) {
     return valuesByPath.containsKey(path) ? number(path) : 0;
   }
 
-  /** A number without its fraction. */
+  /** A number, truncated to an integer. */
   int integer(String path) {
     return (int) number(path);
   }
@@ -71,7 +72,7 @@
     return ofMicros(number(path));
   }
 
-  /** A duration that is written in microseconds; zero where it is absent. */
+  /** A duration that is written in microseconds; zero if it is missing. */
   Duration optionalDuration(String path) {
     return ofMicros(optionalNumber(path));
   }
@@ -84,22 +85,23 @@
     String value = text(path);
     if (!value.equals(TRUE) && !value.equals(FALSE)) {
       throw new IllegalArgumentException(
-          "setting " + path + " is neither true nor false: " + value);
+          "setting " + path + " must be true or false, got '" + value + "'");
     }
     return value.equals(TRUE);
   }
 
-  /** Whether the value is the word true; false where it is absent or another word. */
+  /** Whether the value is {@code true}; false if it is missing or any other text. */
   boolean isTrue(String path) {
     return TRUE.equals(valuesByPath.get(path));
   }
 
-  /** The value that a word stands for. */
+  /** The entry of {@code valuesByWord} for the word at a path. */
   <T> T choice(String path, Map<String, T> valuesByWord) {
     String word = text(path);
     T value = valuesByWord.get(word);
     if (value == null) {
-      throw new IllegalArgumentException("setting " + path + " has an unknown word: " + word);
+      throw new IllegalArgumentException(
+          "setting " + path + " has the unsupported value '" + word + "'");
     }
     return value;
   }
@@ -109,12 +111,12 @@
     return integer(path + COUNT);
   }
 
-  /** The length of a list of objects; 0 where the list is absent. */
+  /** The length of a list of objects; 0 if the list is missing. */
   int optionalCount(String path) {
     return valuesByPath.containsKey(path + COUNT) ? count(path) : 0;
   }
 
-  /** The index of each object of a list by its name; empty where the list is absent. */
+  /** The index of each object in a list, by the object's name; empty if the list is missing. */
   Map<String, Integer> namedIndices(String path) {
     Map<String, Integer> indices = new HashMap<>();
     int count = optionalCount(path);
@@ -124,7 +126,7 @@
     return indices;
   }
 
-  /** The index of each word in a list of plain values. */
+  /** The index of each word in a list of single values. */
   Map<String, Integer> listIndices(String path) {
     Map<String, Integer> indices = new HashMap<>();
     for (String word : text(path).split(LIST_SEPARATOR)) {
@@ -133,7 +135,9 @@
     return indices;
   }
 
-  /** The first index of a word in a list of plain values; -1 where either is absent. */
+  /**
+   * The first index of a word in a list of single values; -1 if the list or the word is missing.
+   */
   int indexInList(String path, String word) {
     String value = valuesByPath.get(path);
     List<String> words = value == null ? List.of() : Arrays.asList(value.split(LIST_SEPARATOR));
@@ -147,7 +151,7 @@
           .mapToDouble(Double::parseDouble)
           .toArray();
     } catch (NumberFormatException e) {
-      throw new IllegalArgumentException("setting " + path + " is no list of numbers", e);
+      throw new IllegalArgumentException("setting " + path + " must be a list of numbers", e);
     }
   }
 }
--- a/src/main/java/switchgap/config/PropertyWorkerSettings.java
+++ b/src/main/java/switchgap/config/PropertyWorkerSettings.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The settings of a property tree about workers: their kinds, slow start, replicas and endpoint
- * list.
+ * Reads the settings of workers from a property tree: kinds of worker, slow start, replicas and
+ * endpoint list.
  */
 abstract class PropertyWorkerSettings extends PropertyRequestSettings {
   private static final String CAPACITY_REPORTS = "Weights";
@@ -27,7 +27,7 @@
   private static final Map<String, Boolean> LOADS_ON_DEMAND_WORDS =
       Map.of("load", true, "miss", false);
 
-  /** Only capacities that stay as they are count as reported. */
+  /** Whether a word means that workers' capacities are reported and constant. */
   private static final Map<String, Boolean> CAPACITY_REPORT_WORDS =
       Map.of("silent", false, "nominal", true, "rough", true, "live", false);
 
--- a/src/main/java/switchgap/config/RequestClassesSection.java
+++ b/src/main/java/switchgap/config/RequestClassesSection.java
@@ -9,12 +9,13 @@
 import switchgap.policy.api.Idempotency;
 
 /**
- * The section {@code workloads}: the request classes in the order of the document, at least one.
+ * The section {@code workloads}: the request classes, in the order of the document; there is at
+ * least one.
  */
 record RequestClassesSection(List<RequestClassSettings> classes) {
   private static final double MAX_PRIORITY_WEIGHT = 1e6;
 
-  /** The words of the key {@code repeat}, in the order in which an error lists them. */
+  /** Values of the key {@code repeat}, in the order in which error messages list them. */
   private static final Map<String, Idempotency> IDEMPOTENCY_WORDS = new LinkedHashMap<>();
 
   static {
@@ -30,7 +31,7 @@
       classes.add(readClass(name, section.section(name)));
     }
     if (classes.isEmpty()) {
-      throw document.invalid("workloads", "names none");
+      throw document.invalid("workloads", "must define at least one workload");
     }
     return new RequestClassesSection(classes);
   }
@@ -42,7 +43,7 @@
       throw section.invalid("start_target", "must be above 0");
     }
     if (timeout.compareTo(latencyObjective) < 0) {
-      throw section.invalid("time_limit", "must not be under the start target");
+      throw section.invalid("time_limit", "must not be shorter than start_target");
     }
     List<String> idempotencyWords = List.copyOf(IDEMPOTENCY_WORDS.keySet());
     Idempotency idempotency = IDEMPOTENCY_WORDS.get(section.choice("repeat", idempotencyWords));
@@ -50,7 +51,8 @@
     if (idempotency == Idempotency.IDEMPOTENT_WITH_KEY && deduplicationWindow.isZero()) {
       throw section.invalid(
           "repeat",
-          "a fingerprinted workload needs memory_span, the span for which repeats are known");
+          "a fingerprinted workload needs memory_span, "
+              + "the time for which workers remember idempotency keys");
     }
     double priorityWeight = section.number("importance", 0, MAX_PRIORITY_WEIGHT, 1);
     double lateValueShare = section.number("late_share", 0, 1, 0);
@@ -68,7 +70,7 @@
         deduplicationWindow);
   }
 
-  /** The index of a request class, or -1. */
+  /** The index of the request class with this name, or -1 if there is none. */
   int index(String name) {
     for (int i = 0; i < classes.size(); i++) {
       if (classes.get(i).name().equals(name)) {
--- a/src/main/java/switchgap/config/RouterSection.java
+++ b/src/main/java/switchgap/config/RouterSection.java
@@ -4,13 +4,14 @@
 import java.util.List;
 
 /**
- * The section {@code router}: which router this is among all, and what it may do for a request.
+ * The section {@code router}: the index and zone of the router, and what it may do for a request.
  *
+ * @param routerCount number of routers
+ * @param routerIndex index of this router, counted from 0
  * @param zone index of the router's zone
- * @param tickInterval shortest time between two decisions
- * @param maxAttempts attempts of a request, including the first
- * @param maxRetryAfter longest time that a rejection may ask a client to wait; zero where a
- *     rejection must not say when to retry
+ * @param tickInterval shortest time between two wake-ups of the routing policy
+ * @param maxAttempts maximum number of attempts of a request, including the first
+ * @param maxRetryAfter longest retry delay in a rejection; zero if rejections must not contain one
  */
 record RouterSection(
     int routerCount,
@@ -21,10 +22,16 @@
     Permissions permissions,
     Duration maxRetryAfter) {
   private static final int MAX_ROUTERS = 100_000;
-  private static final int MAX_ATTEMPTS = 64;
-  private static final int DEFAULT_ATTEMPTS = 3;
+  private static final int HIGHEST_MAX_ATTEMPTS = 64;
+  private static final int DEFAULT_MAX_ATTEMPTS = 3;
 
-  /** What a router may do besides sending one attempt after the other. */
+  /**
+   * What a router may do in addition to sending a request's attempts one after another.
+   *
+   * @param hedging whether a hedged attempt may run beside the first attempt
+   * @param probes whether the router may send load probes to workers
+   * @param cancellation whether the router may cancel an attempt that is in flight
+   */
   record Permissions(boolean hedging, boolean probes, boolean cancellation) {
     static Permissions read(YamlDocument section) {
       boolean hedging = section.flag("second_executions", false);
@@ -42,7 +49,7 @@
     if (tickInterval.isZero()) {
       throw section.invalid("tick", "must be above 0");
     }
-    int maxAttempts = section.integer("executions", 1, MAX_ATTEMPTS, DEFAULT_ATTEMPTS);
+    int maxAttempts = section.integer("executions", 1, HIGHEST_MAX_ATTEMPTS, DEFAULT_MAX_ATTEMPTS);
     Permissions permissions = Permissions.read(section);
     Duration maxRetryAfter = section.duration("most_come_back", Duration.ZERO);
     section.rejectUnknownKeys();
@@ -54,7 +61,8 @@
     String name = section.text("zone", zones.get(0));
     int zone = zones.indexOf(name);
     if (zone < 0) {
-      throw section.invalid("zone", "'" + name + "' must be one of " + String.join(", ", zones));
+      throw section.invalid(
+          "zone", "invalid value '" + name + "': must be one of " + String.join(", ", zones));
     }
     return zone;
   }
--- a/src/main/java/switchgap/config/RulesSection.java
+++ b/src/main/java/switchgap/config/RulesSection.java
@@ -2,22 +2,23 @@
 
 import java.time.Duration;
 
-/** The section {@code rules}: the slow start of workers, and the quota of load commands. */
+/** The section {@code rules}: slow start of workers, and the quota of load commands. */
 record RulesSection(SlowStart slowStart, LoadQuota loadQuota) {
-  private static final double MAX_MULTIPLE = 1e6;
-  private static final double MAX_LOADS = 1e6;
+  private static final double MAX_OVERLOAD_MULTIPLE = 1e6;
+  private static final double MAX_LOAD_COMMANDS = 1e6;
 
   /**
-   * The slow start of workers.
+   * Slow start: the capacity of a started worker rises to the full value over time.
    *
-   * @param capacityShare share of its capacity that a worker has when it starts
-   * @param duration time in which its capacity rises to all of it
-   * @param overloadMultiple multiple of its capacity at which a worker crashes during slow start
-   * @param overloadWindow time over which that multiple is measured
+   * @param capacityShare share of the full capacity that a worker has when it starts, from 0 to 1
+   * @param duration time until a worker has its full capacity
+   * @param overloadMultiple multiple of its current capacity at which a worker crashes during slow
+   *     start
+   * @param overloadWindow time over which the load is compared with that multiple
    */
   record SlowStart(
       double capacityShare, Duration duration, double overloadMultiple, Duration overloadWindow) {
-    /** So short that a worker has all its capacity from its start. */
+    /** Short enough that a worker has its full capacity from the start. */
     private static final Duration DEFAULT_DURATION = Duration.ofMillis(1);
 
     private static final double DEFAULT_OVERLOAD_MULTIPLE = 3;
@@ -27,10 +28,11 @@
       double capacityShare = section.number("cold_share", 0, 1, 1);
       Duration duration = section.duration("cold_span", DEFAULT_DURATION);
       if (duration.isZero()) {
-        throw section.invalid("cold_span", "must be above 0; leave it out where nothing is cold");
+        throw section.invalid(
+            "cold_span", "must be above 0; omit it if workers need no slow start");
       }
       double overloadMultiple =
-          section.number("fall_multiple", 0, MAX_MULTIPLE, DEFAULT_OVERLOAD_MULTIPLE);
+          section.number("fall_multiple", 0, MAX_OVERLOAD_MULTIPLE, DEFAULT_OVERLOAD_MULTIPLE);
       Duration overloadWindow = section.duration("fall_span", DEFAULT_OVERLOAD_WINDOW);
       if (overloadWindow.isZero()) {
         throw section.invalid("fall_span", "must be above 0");
@@ -40,16 +42,16 @@
   }
 
   /**
-   * Load commands allowed in a window.
+   * The number of load commands that are allowed within a time window.
    *
-   * @param base commands allowed without any request
-   * @param perRequest further commands allowed for each request
-   * @param window time over which commands and requests are counted; zero for no quota
+   * @param base load commands allowed regardless of the number of requests
+   * @param perRequest further load commands allowed for each request
+   * @param window time over which load commands and requests are counted; zero disables the quota
    */
   record LoadQuota(double base, double perRequest, Duration window) {
     static LoadQuota read(YamlDocument section) {
-      double base = section.number("loads_free", 0, MAX_LOADS, 0);
-      double perRequest = section.number("loads_share", 0, MAX_LOADS, 0);
+      double base = section.number("loads_free", 0, MAX_LOAD_COMMANDS, 0);
+      double perRequest = section.number("loads_share", 0, MAX_LOAD_COMMANDS, 0);
       Duration window = section.duration("loads_span", Duration.ZERO);
       return new LoadQuota(base, perRequest, window);
     }
--- a/src/main/java/switchgap/config/TenantsSection.java
+++ b/src/main/java/switchgap/config/TenantsSection.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * The section {@code customers}: the tenants in the order of the document.
+ * The section {@code customers}: the tenants, in the order of the document.
  *
- * @param quotas quota of each tenant, in requests a second over all routers
+ * @param quotas quota of each tenant, in requests per second over all routers
  */
 record TenantsSection(List<String> names, List<Double> quotas) {
   private static final double MAX_QUOTA = 1e9;
@@ -22,7 +22,7 @@
     return new TenantsSection(names, quotas);
   }
 
-  /** The index of a tenant, or -1. */
+  /** The index of the tenant with this name, or -1 if there is none. */
   int index(String name) {
     return names.indexOf(name);
   }
--- a/src/main/java/switchgap/config/WorkerKindsSection.java
+++ b/src/main/java/switchgap/config/WorkerKindsSection.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * The section {@code kinds}: the kinds of worker in the order of the document.
+ * The section {@code kinds}: the kinds of worker, in the order of the document.
  *
- * @param memoryMb memory of each kind, in MB
+ * @param memoryMb memory of a worker of each kind, in MB
  */
 record WorkerKindsSection(List<String> names, double[] memoryMb) {
   private static final double MAX_MEMORY_MB = 1e9;
@@ -22,7 +22,7 @@
     return new WorkerKindsSection(names, memoryMb);
   }
 
-  /** The index of a kind; one past the known ones for an unknown kind. */
+  /** The index of the kind with this name; the number of configured kinds if there is none. */
   int index(String name) {
     int index = names.indexOf(name);
     return index < 0 ? names.size() : index;
--- a/src/main/java/switchgap/config/WorkersSection.java
+++ b/src/main/java/switchgap/config/WorkersSection.java
@@ -2,7 +2,17 @@
 
 import java.time.Duration;
 
-/** The section {@code workers}: how workers load replicas, and what the endpoint list states. */
+/**
+ * The section {@code workers}: how workers load replicas, and what the endpoint list provides.
+ *
+ * @param loadsOnDemand whether a worker loads a missing replica when a request needs it, instead of
+ *     rejecting the request
+ * @param loadCommandsAllowed whether the router may send load commands
+ * @param replicaIdleTimeout time without a request after which a worker unloads a replica
+ * @param capacityReported whether the endpoint list reports the capacity of workers
+ * @param pollsEndpointList whether the router must poll the endpoint list
+ * @param endpointPollInterval longest time between two polls
+ */
 record WorkersSection(
     boolean loadsOnDemand,
     boolean loadCommandsAllowed,
@@ -14,11 +24,13 @@
   private static final Duration DEFAULT_ENDPOINT_POLL_INTERVAL = Duration.ofSeconds(10);
 
   /**
-   * What a worker does with a request whose replica it lacks; the constants are words of the key
-   * {@code miss}.
+   * What a worker does with a request for a function that it has not loaded. The names of the
+   * constants are the values of the key {@code miss}.
    */
   private enum MissHandling {
+    /** The worker responds that the function is not loaded. */
     ANSWERS,
+    /** The worker loads a replica and then executes the request. */
     LOADS
   }
 
--- a/src/main/java/switchgap/config/YamlDocument.java
+++ b/src/main/java/switchgap/config/YamlDocument.java
@@ -19,14 +19,16 @@
 import org.yaml.snakeyaml.nodes.Tag;
 
 /**
- * A mapping of a YAML document: the whole document or a section of it. Each value is read by key
- * and type; a key that was never read is rejected by {@link #rejectUnknownKeys()}, with the keys
- * that are allowed. Durations are written 250ms, 1.5s, 2m; shares are numbers. Every method that
- * reads a value throws {@link InvalidConfigException} with file, line and key where the value can't
- * be used. For one thread.
+ * A mapping in a YAML document: the whole document or a section of it. Each value is read by key
+ * and type. {@link #rejectUnknownKeys()} rejects every key of the document that was never read; its
+ * message lists the allowed keys. Durations are written with a unit, such as 250ms, 1.5s or 2m;
+ * shares are written as numbers. Every method that reads a value throws {@link
+ * InvalidConfigException} with file, line and key if the value is missing or invalid. Not
+ * thread-safe.
  */
 public final class YamlDocument {
-  private static final String ROOT_NAME = "the page";
+  /** Name of the whole document in error messages, where a section has its key. */
+  private static final String ROOT_NAME = "the document";
 
   private record Entry(Node value, int line) {}
 
@@ -35,8 +37,8 @@
   private final int line;
   private final Map<String, Entry> entries = new LinkedHashMap<>();
 
-  /** Keys that were read, whether they are present or not. */
-  private final TreeSet<String> knownKeys = new TreeSet<>();
+  /** Keys that callers have read or checked for, including those that the document omits. */
+  private final TreeSet<String> allowedKeys = new TreeSet<>();
 
   private YamlDocument(String file, String name, Node node) {
     this.file = file;
@@ -46,22 +48,22 @@
       throw new InvalidConfigException(file, line, name + " must be a mapping of keys to values");
     }
     for (NodeTuple tuple : mapping.getValue()) {
-      add(tuple);
+      addEntry(tuple);
     }
   }
 
-  private void add(NodeTuple tuple) {
+  private void addEntry(NodeTuple tuple) {
     int keyLine = YamlParser.lineOf(tuple.getKeyNode());
     if (!(tuple.getKeyNode() instanceof ScalarNode scalar)) {
       throw new InvalidConfigException(file, keyLine, "a key of " + name + " must be plain text");
     }
     String key = scalar.getValue();
-    Entry first = entries.putIfAbsent(key, new Entry(tuple.getValueNode(), keyLine));
-    if (first != null) {
+    Entry earlier = entries.putIfAbsent(key, new Entry(tuple.getValueNode(), keyLine));
+    if (earlier != null) {
       throw new InvalidConfigException(
           file,
           keyLine,
-          "key " + key + " stands twice in " + name + ", first in line " + first.line);
+          "duplicate key " + key + " in " + name + ", first defined on line " + earlier.line);
     }
   }
 
@@ -69,65 +71,65 @@
    * Reads a file.
    *
    * @throws IOException if the file can't be read
-   * @throws InvalidConfigException if it is too large or no mapping
+   * @throws InvalidConfigException if the file is too large or is not a valid YAML mapping
    */
   public static YamlDocument read(Path path) throws IOException {
     if (Files.size(path) > YamlParser.MAX_DOCUMENT_BYTES) {
       throw new InvalidConfigException(
-          path.toString(), 1, "larger than " + YamlParser.MAX_DOCUMENT_BYTES + " bytes");
+          path.toString(), 1, "the file exceeds " + YamlParser.MAX_DOCUMENT_BYTES + " bytes");
     }
     return read(path.toString(), Files.readString(path));
   }
 
   /**
-   * Parses a text.
+   * Parses a document from a string.
    *
-   * @param file name of the text in errors
-   * @throws InvalidConfigException if it is no mapping
+   * @param file name of the document in error messages
+   * @throws InvalidConfigException if the text is not a valid YAML mapping
    */
   public static YamlDocument read(String file, String text) {
     return new YamlDocument(file, ROOT_NAME, YamlParser.parse(file, text));
   }
 
-  /** Whether the key is present; it is known from now on. */
+  /** Whether the key is present; it counts as allowed from now on. */
   public boolean has(String key) {
-    knownKeys.add(key);
+    allowedKeys.add(key);
     return entries.containsKey(key);
   }
 
-  /** All keys in the order of the document; they are known from now on. */
+  /** All keys, in the order of the document; they count as allowed from now on. */
   public List<String> keys() {
-    knownKeys.addAll(entries.keySet());
+    allowedKeys.addAll(entries.keySet());
     return new ArrayList<>(entries.keySet());
   }
 
-  /** Returns the exception for a value that can't be used, to be thrown by the caller. */
+  /** Returns an exception that reports an invalid value; the caller throws it. */
   public InvalidConfigException invalid(String key, String reason) {
     Entry entry = entries.get(key);
     return new InvalidConfigException(
         file, entry == null ? line : entry.line, name + ": " + key + ": " + reason);
   }
 
-  private Node required(String key) {
+  private Node requiredValue(String key) {
     if (!has(key)) {
-      throw new InvalidConfigException(file, line, name + ": key " + key + " is absent");
+      throw new InvalidConfigException(file, line, name + ": missing key " + key);
     }
     return entries.get(key).value;
   }
 
   private YamlScalar scalar(String key) {
-    if (!(required(key) instanceof ScalarNode node)) {
-      throw invalid(key, "must be one value");
+    if (!(requiredValue(key) instanceof ScalarNode node)) {
+      throw invalid(key, "must be a single value, not a list or a mapping");
     }
     return new YamlScalar(this, key, node.getValue());
   }
 
-  /** A plain value as it is written. */
+  /** A single value as it is written. */
   public String text(String key) {
     return scalar(key).text();
   }
 
-  /** A plain value, or the default when the key is absent. */
+  /** A single value as it is written, or the default if the key is absent. */
   public String text(String key, String defaultValue) {
     return has(key) ? text(key) : defaultValue;
   }
@@ -137,7 +139,7 @@
     return scalar(key).number(min, max);
   }
 
-  /** A number within bounds, both inclusive, or the default when the key is absent. */
+  /** A number within bounds, both inclusive, or the default if the key is absent. */
   public double number(String key, double min, double max, double defaultValue) {
     return has(key) ? number(key, min, max) : defaultValue;
   }
@@ -147,22 +149,22 @@
     return scalar(key).integer(min, max);
   }
 
-  /** A whole number within bounds, both inclusive, or the default when the key is absent. */
+  /** A whole number within bounds, both inclusive, or the default if the key is absent. */
   public int integer(String key, int min, int max, int defaultValue) {
     return has(key) ? integer(key, min, max) : defaultValue;
   }
 
-  /** A duration with its unit, or 0. */
+  /** A duration, written with a unit or as 0. */
   public Duration duration(String key) {
     return scalar(key).duration();
   }
 
-  /** A duration with its unit, or the default when the key is absent. */
+  /** A duration, written with a unit or as 0, or the default if the key is absent. */
   public Duration duration(String key, Duration defaultValue) {
     return has(key) ? duration(key) : defaultValue;
   }
 
-  /** True or false, or the default when the key is absent. */
+  /** The boolean written as true or false, or the default if the key is absent. */
   public boolean flag(String key, boolean defaultValue) {
     return has(key) ? choice(key, List.of("true", "false")).equals("true") : defaultValue;
   }
@@ -172,7 +174,7 @@
     return scalar(key).choice(allowed);
   }
 
-  /** The constant of an enum by its {@link EnumWords word}; the default when the key is absent. */
+  /** The enum constant with this {@linkplain EnumWords word}, or the default if there is no key. */
   public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
     if (!has(key)) {
       return defaultValue;
@@ -182,12 +184,12 @@
     return constants[words.indexOf(choice(key, words))];
   }
 
-  /** A mapping under a key. */
+  /** The mapping under a key. */
   public YamlDocument section(String key) {
-    return new YamlDocument(file, key, required(key));
+    return new YamlDocument(file, key, requiredValue(key));
   }
 
-  /** A mapping, or an empty one when the key is absent. */
+  /** The mapping under a key, or an empty one if the key is absent. */
   public YamlDocument optionalSection(String key) {
     if (has(key)) {
       return section(key);
@@ -196,7 +198,7 @@
         file, key, new MappingNode(Tag.MAP, List.of(), DumperOptions.FlowStyle.BLOCK));
   }
 
-  /** The mappings of a list; empty when the key is absent. */
+  /** The mappings in the list under a key; empty if the key is absent. */
   public List<YamlDocument> sections(String key) {
     List<YamlDocument> sections = new ArrayList<>();
     for (Node element : elements(key)) {
@@ -205,7 +207,7 @@
     return sections;
   }
 
-  /** The plain values of a list; empty when the key is absent. */
+  /** The single values in the list under a key; empty if the key is absent. */
   public List<String> textList(String key) {
     List<String> texts = new ArrayList<>();
     for (Node element : elements(key)) {
@@ -213,7 +215,7 @@
         throw new InvalidConfigException(
             file,
             YamlParser.lineOf(element),
-            name + ": " + key + " must be a list of plain values");
+            name + ": " + key + " must be a list of single values, without lists or mappings");
       }
       texts.add(node.getValue());
     }
@@ -224,21 +226,29 @@
     if (!has(key)) {
       return List.of();
     }
-    if (!(required(key) instanceof SequenceNode sequence)) {
+    if (!(requiredValue(key) instanceof SequenceNode sequence)) {
       throw invalid(key, "must be a list");
     }
     return sequence.getValue();
   }
 
-  /** Rejects keys that were never read; to be called once all values have been read. */
+  /**
+   * Rejects keys that were never read. Call it after all values have been read.
+   *
+   * @throws InvalidConfigException with the first unknown key and the allowed ones
+   */
   public void rejectUnknownKeys() {
     entries.forEach(
         (key, entry) -> {
-          if (!knownKeys.contains(key)) {
+          if (!allowedKeys.contains(key)) {
             throw new InvalidConfigException(
                 file,
                 entry.line,
-                name + ": unknown key " + key + "; allowed are " + String.join(", ", knownKeys));
+                name
+                    + ": unknown key "
+                    + key
+                    + "; allowed keys are "
+                    + String.join(", ", allowedKeys));
           }
         });
   }
--- a/src/main/java/switchgap/config/YamlParser.java
+++ b/src/main/java/switchgap/config/YamlParser.java
@@ -7,7 +7,7 @@
 import org.yaml.snakeyaml.error.YAMLException;
 import org.yaml.snakeyaml.nodes.Node;
 
-/** Parses YAML text within bounds of size, depth and aliases. */
+/** Parses YAML text; its size, nesting depth and number of aliases are limited. */
 final class YamlParser {
   static final int MAX_DOCUMENT_BYTES = 4 << 20;
   private static final int MAX_ALIASES = 20;
@@ -16,10 +16,10 @@
   private YamlParser() {}
 
   /**
-   * Returns the root node of a text.
+   * Returns the root node of a document.
    *
-   * @param file name of the text in errors
-   * @throws InvalidConfigException if it is empty, no YAML, or exceeds a bound
+   * @param file name of the document in error messages
+   * @throws InvalidConfigException if the text is empty, is not valid YAML, or exceeds a limit
    */
   static Node parse(String file, String text) {
     LoaderOptions bounds = new LoaderOptions();
@@ -29,18 +29,18 @@
     try {
       Node root = new Yaml(bounds).compose(new StringReader(text));
       if (root == null) {
-        throw new InvalidConfigException(file, 1, "the page is empty");
+        throw new InvalidConfigException(file, 1, "the document is empty");
       }
       return root;
     } catch (MarkedYAMLException e) {
       int line = e.getProblemMark() == null ? 1 : e.getProblemMark().getLine() + 1;
-      throw new InvalidConfigException(file, line, "no YAML: " + e.getProblem());
+      throw new InvalidConfigException(file, line, "invalid YAML: " + e.getProblem());
     } catch (YAMLException e) {
-      throw new InvalidConfigException(file, 1, "no YAML: " + e.getMessage());
+      throw new InvalidConfigException(file, 1, "invalid YAML: " + e.getMessage());
     }
   }
 
-  /** The line on which a node begins, from 1; 1 where it is not known. */
+  /** The line on which a node begins, counted from 1; 1 if the parser did not record it. */
   static int lineOf(Node node) {
     return node.getStartMark() == null ? 1 : node.getStartMark().getLine() + 1;
   }
--- a/src/main/java/switchgap/config/YamlRequestSettings.java
+++ b/src/main/java/switchgap/config/YamlRequestSettings.java
@@ -5,7 +5,7 @@
 import switchgap.policy.api.Idempotency;
 import switchgap.policy.api.RouterSettings;
 
-/** The settings of a YAML document about requests: their classes, tenants and functions. */
+/** Settings of request classes, tenants and functions that are read from a YAML document. */
 abstract class YamlRequestSettings implements RouterSettings {
   private final RequestClassesSection requestClasses;
   private final TenantsSection tenants;
@@ -18,34 +18,34 @@
   }
 
   /**
-   * Returns the entry of a function; null where there is none. An exact name takes precedence over
-   * prefixes, which match in the order of the document.
+   * Returns the settings of a function; null if none match. An entry with exactly this name takes
+   * precedence; of several matching prefixes, the first in the document applies.
    */
   public FunctionSettings function(String name) {
     return functions.find(name);
   }
 
-  /** The request class with an index. */
+  /** The settings of the request class with this index. */
   public RequestClassSettings requestClass(int requestClass) {
     return requestClasses.classes().get(requestClass);
   }
 
-  /** The index of a request class, or -1. */
+  /** The index of the request class with this name, or -1 if there is none. */
   public int requestClassIndex(String name) {
     return requestClasses.index(name);
   }
 
-  /** The index of a tenant, or -1. */
+  /** The index of the tenant with this name, or -1 if there is none. */
   public int tenantIndex(String name) {
     return tenants.index(name);
   }
 
-  /** The name of the tenant with an index. */
+  /** The name of the tenant with this index. */
   public String tenantName(int tenant) {
     return tenants.names().get(tenant);
   }
 
-  /** Quotas of all tenants, in requests a second over all routers. */
+  /** The quota of each tenant, in requests per second over all routers. */
   double[] tenantQuotas() {
     return tenants.quotaArray();
   }
--- a/src/main/java/switchgap/config/YamlRouterSettings.java
+++ b/src/main/java/switchgap/config/YamlRouterSettings.java
@@ -7,9 +7,9 @@
 import switchgap.policy.api.Idempotency;
 
 /**
- * The router settings of a YAML document, with its functions, request classes, tenants and zones by
- * name. What the document leaves out is taken as absent (no quota, no prices), never guessed.
- * Immutable. The base classes hold the settings about requests and workers.
+ * Router settings that are read from a YAML document, and lookup by name of its functions, request
+ * classes, tenants and zones. An omitted quota or price is disabled; no value is derived from other
+ * settings. Immutable. The base classes hold the settings of requests and of workers.
  */
 public final class YamlRouterSettings extends YamlWorkerSettings {
   private final List<String> zones;
@@ -18,10 +18,10 @@
   private final PricesSection prices;
 
   /**
-   * Reads the sections that {@link YamlSections} lists; other keys of the document are left to the
-   * caller.
+   * Reads the sections that {@link YamlSections} lists. The caller reads the other keys of the
+   * document and rejects unknown ones.
    *
-   * @throws InvalidConfigException at the first error
+   * @throws InvalidConfigException at the first invalid value
    */
   public YamlRouterSettings(YamlDocument document) {
     this(YamlSections.read(document));
@@ -35,17 +35,21 @@
     prices = sections.prices();
   }
 
-  /** The index of a zone, or -1. */
+  /** The index of the zone with this name, or -1 if there is none. */
   public int zoneIndex(String name) {
     return zones.indexOf(name);
   }
 
-  /** The name of the zone with an index. */
+  /**
+   * The name of the zone with this index.
+   *
+   * @throws IndexOutOfBoundsException if there is no such zone
+   */
   public String zoneName(int zone) {
     return zones.get(zone);
   }
 
-  /** The settings of admission control, which degrades the service under overload. */
+  /** The settings of admission control, which lowers the service level under overload. */
   public AdmissionSettings admissionSettings() {
     int classCount = requestClassCount();
     double[] priorityWeights = new double[classCount];
@@ -72,12 +76,12 @@
     return levels.enabled();
   }
 
-  /** The service level to hold from the start on; null where it is not fixed. */
+  /** The service level that is pinned at the router's start; null if none is. */
   public ServiceLevel pinnedLevel() {
     return levels.pinnedLevel();
   }
 
-  /** Time from the start for which {@link #pinnedLevel} is held. */
+  /** Time after the router's start for which {@link #pinnedLevel} stays pinned. */
   public Duration pinDuration() {
     return levels.pinDuration();
   }
--- a/src/main/java/switchgap/config/YamlScalar.java
+++ b/src/main/java/switchgap/config/YamlScalar.java
@@ -6,19 +6,21 @@
 import java.util.regex.Pattern;
 
 /**
- * A plain value of a YAML document, converted to a type. Every conversion throws {@link
- * InvalidConfigException} with the place of the value where the text can't be converted.
+ * A single value in a YAML document. Each conversion to a type throws {@link
+ * InvalidConfigException} with the place of the value if its text is invalid.
  *
- * @param document the mapping that holds the value
+ * @param document the mapping that contains the value
  * @param key the value's key in the mapping
  * @param text the value as it is written
  */
 record YamlScalar(YamlDocument document, String key, String text) {
   private static final Pattern DURATION = Pattern.compile("(\\d+(?:\\.\\d+)?)\\s*(us|ms|s|m|h)");
+
+  /** About 1157 days. */
   private static final double MAX_DURATION_NANOS = 1e17;
 
-  /** Whole bounds below this are printed without a decimal point. */
-  private static final double MAX_PRINTED_WHOLE = 1e9;
+  /** Whole-number bounds below this value are printed without a decimal point. */
+  private static final double MAX_PRINTED_AS_INTEGER = 1e9;
 
   /** A number within bounds, both inclusive. */
   double number(double min, double max) {
@@ -26,12 +28,12 @@
     try {
       value = Double.parseDouble(text);
     } catch (NumberFormatException e) {
-      throw invalid("is no number");
+      throw invalid("must be a number");
     }
     if (value >= min && value <= max) {
       return value;
     }
-    throw invalid("must lie from " + print(min) + " to " + print(max));
+    throw invalid("must be between " + print(min) + " and " + print(max));
   }
 
   /** A whole number within bounds, both inclusive. */
@@ -44,22 +46,22 @@
   }
 
   private static String print(double bound) {
-    boolean isWhole = bound == Math.rint(bound) && Math.abs(bound) < MAX_PRINTED_WHOLE;
+    boolean isWhole = bound == Math.rint(bound) && Math.abs(bound) < MAX_PRINTED_AS_INTEGER;
     return isWhole ? Long.toString((long) bound) : Double.toString(bound);
   }
 
-  /** A duration with its unit, or 0 without a unit. */
+  /** A duration with a unit, or 0 without one. */
   Duration duration() {
     if (text.trim().equals("0")) {
       return Duration.ZERO;
     }
     Matcher matcher = DURATION.matcher(text.trim());
     if (!matcher.matches()) {
-      throw invalid("is no span; write 250ms, 1.5s, 2m or 1h");
+      throw invalid("must be a duration with a unit, such as 250ms, 1.5s, 2m or 1h");
     }
     double nanos = Double.parseDouble(matcher.group(1)) * nanosPerUnit(matcher.group(2));
     if (nanos > MAX_DURATION_NANOS) {
-      throw invalid("is too long");
+      throw invalid("must not be longer than 1157 days");
     }
     return Duration.ofNanos(Math.round(nanos));
   }
@@ -83,6 +85,6 @@
   }
 
   private InvalidConfigException invalid(String reason) {
-    return document.invalid(key, "'" + text + "' " + reason);
+    return document.invalid(key, "invalid value '" + text + "': " + reason);
   }
 }
--- a/src/main/java/switchgap/config/YamlSections.java
+++ b/src/main/java/switchgap/config/YamlSections.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The sections of the gateway's YAML document that router settings are taken from.
+ * The sections of the gateway's YAML document that contain router settings.
  *
  * @param zones names of the zones, in the order of the document
  */
@@ -18,14 +18,15 @@
     RulesSection rules,
     LevelsSection levels,
     PricesSection prices) {
-  /** The only zone where the document names none. */
+  /** The only zone, if the document has no key {@code zones}. */
   private static final List<String> DEFAULT_ZONES = List.of("zone");
 
   /**
    * Reads the sections {@code zones, router, kinds, workloads, customers, functions, workers,
-   * rules, levels, prices} in this order; other keys of the document are left to the caller.
+   * rules, levels, prices}. The caller reads the other keys of the document and rejects unknown
+   * ones.
    *
-   * @throws InvalidConfigException at the first error
+   * @throws InvalidConfigException at the first invalid value
    */
   static YamlSections read(YamlDocument document) {
     List<String> zones = document.has("zones") ? document.textList("zones") : DEFAULT_ZONES;
--- a/src/main/java/switchgap/config/YamlWorkerSettings.java
+++ b/src/main/java/switchgap/config/YamlWorkerSettings.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 
 /**
- * The settings of a YAML document about workers: their kinds, slow start, replicas and endpoint
- * list.
+ * Settings of workers that are read from a YAML document: kinds of worker, slow start, replicas and
+ * endpoint list.
  */
 abstract class YamlWorkerSettings extends YamlRequestSettings {
   private final WorkerKindsSection workerKinds;
@@ -20,12 +20,15 @@
     prices = sections.prices();
   }
 
-  /** The index of a kind of worker; one past the known ones for an unknown kind. */
+  /**
+   * The index of the kind of worker with this name; the number of configured kinds if there is
+   * none.
+   */
   public int workerKindIndex(String name) {
     return workerKinds.index(name);
   }
 
-  /** None is stated: the gateway's endpoint list service never leaves its list unconfirmed. */
+  /** Always zero: the gateway's endpoint list service never leaves its list unconfirmed. */
   @Override
   public Duration drainGrace() {
     return Duration.ZERO;
--- a/src/main/java/switchgap/planner/PendingLoadQueue.java
+++ b/src/main/java/switchgap/planner/PendingLoadQueue.java
@@ -96,7 +96,7 @@
       throw new IllegalArgumentException("epoch " + newEpoch + " after " + epoch);
     }
     epoch = newEpoch;
-    follow(0);
+    markResponsive(0);
   }
 
   /** The planner is gone: all pending loads are released in the order in which they were added. */
@@ -143,14 +143,14 @@
       staleCount += plan.ids().length;
       return;
     }
-    follow(plan.sequence());
+    markResponsive(plan.sequence());
     for (long id : plan.ids()) {
       releasePlanned(id);
     }
   }
 
   /** The planner is responsive, as of this sequence number: its plans decide. */
-  private void follow(long sequence) {
+  private void markResponsive(long sequence) {
     lastSequence = sequence;
     successiveTimeouts = 0;
     state = State.LED;
--- a/src/main/java/switchgap/planner/link/LinkCloseReason.java
+++ b/src/main/java/switchgap/planner/link/LinkCloseReason.java
@@ -15,7 +15,7 @@
   /** A message that an edge does not send. */
   UNEXPECTED_MESSAGE("no message for a planner"),
   /** The edge stops. */
-  EDGE_STOPPED("the edge stops"),
+  ROUTER_STOPPED("the edge stops"),
   /** The planner stops. */
   PLANNER_STOPPED("the planner stops");
 
--- a/src/main/java/switchgap/planner/link/PlannerClient.java
+++ b/src/main/java/switchgap/planner/link/PlannerClient.java
@@ -28,9 +28,9 @@
   private static final long MAX_BACKOFF_MILLIS = 2000;
   private static final int BACKOFF_FACTOR = 2;
 
-  private final FramedConnector connections;
-  private final InetSocketAddress edge;
-  private final int router;
+  private final FramedConnector connector;
+  private final InetSocketAddress routerAddress;
+  private final int routerIndex;
   private final LoadScheduler scheduler = new LoadScheduler();
   private final ScheduledFuture<?> heartbeat;
   private volatile FramedConnection connection;
@@ -40,11 +40,11 @@
   private long heartbeatsSent; // timer thread only
 
   /** Connects at once to the edge of the router with this index. */
-  public PlannerClient(NetworkTransport net, InetSocketAddress edge, int router) {
-    this.connections =
+  public PlannerClient(NetworkTransport net, InetSocketAddress routerAddress, int routerIndex) {
+    this.connector =
         new FramedConnector(net, PlannerMessageCodec.MAX_FRAME_BYTES, new MessageListener());
-    this.edge = edge;
-    this.router = router;
+    this.routerAddress = routerAddress;
+    this.routerIndex = routerIndex;
     this.heartbeat =
         TimerThread.EXECUTOR.scheduleAtFixedRate(
             this::sendHeartbeat,
@@ -69,7 +69,7 @@
 
   private void connect() {
     if (!closed) {
-      connections.connect(edge, this::reconnectLater);
+      connector.connect(routerAddress, this::reconnectLater);
     }
   }
 
@@ -89,12 +89,12 @@
 
   private final class MessageListener implements FramedConnection.Listener {
     @Override
-    public void opened(FramedConnection opened) {
-      connection = opened;
-      opened.send(
+    public void opened(FramedConnection newConnection) {
+      connection = newConnection;
+      newConnection.send(
           PlannerMessageCodec.encode(
               new PlannerMessage.Hello(
-                  PlannerMessageCodec.VERSION, PlannerMessageCodec.PLANNER_SIDE, router, 0)));
+                  PlannerMessageCodec.VERSION, PlannerMessageCodec.PLANNER_SIDE, routerIndex, 0)));
     }
 
     @Override
@@ -107,10 +107,10 @@
     }
 
     private void received(FramedConnection from, PlannerMessage message) {
-      if (message instanceof PlannerMessage.Hello hello && isFromEdge(hello)) {
+      if (message instanceof PlannerMessage.Hello hello && isFromRouter(hello)) {
         handshakeDone = true;
         setBackoff(MIN_BACKOFF_MILLIS);
-        LOG.info("planner of router {} linked, epoch {}", router, hello.epoch());
+        LOG.info("planner of router {} linked, epoch {}", routerIndex, hello.epoch());
       } else if (message instanceof PlannerMessage.Rejected rejected) {
         LOG.error("the edge rejects this planner: {}", rejected.why());
         setBackoff(MAX_BACKOFF_MILLIS);
@@ -121,21 +121,21 @@
       }
     }
 
-    private boolean isFromEdge(PlannerMessage.Hello hello) {
+    private boolean isFromRouter(PlannerMessage.Hello hello) {
       return hello.version() == PlannerMessageCodec.VERSION
-          && hello.side().equals(PlannerMessageCodec.EDGE_SIDE);
+          && hello.side().equals(PlannerMessageCodec.ROUTER_SIDE);
     }
 
-    private void sendPlan(FramedConnection edgeConnection, LoadBacklog backlog) {
+    private void sendPlan(FramedConnection routerConnection, LoadBacklog backlog) {
       LoadPlan plan = scheduler.plan(backlog);
       if (plan != null) {
-        edgeConnection.send(PlannerMessageCodec.encode(plan));
+        routerConnection.send(PlannerMessageCodec.encode(plan));
       }
     }
 
     @Override
     public void closed(FramedConnection from, CloseCause cause) {
-      LOG.warn("planner of router {} has lost its edge: {}", router, cause);
+      LOG.warn("planner of router {} has lost its edge: {}", routerIndex, cause);
       reconnectLater();
     }
   }
--- a/src/main/java/switchgap/planner/link/PlannerMessageCodec.java
+++ b/src/main/java/switchgap/planner/link/PlannerMessageCodec.java
@@ -25,7 +25,7 @@
   public static final int MAX_FRAME_BYTES = 1 << 20;
 
   /** The edge's name in {@link PlannerMessage.Hello#side}. */
-  static final String EDGE_SIDE = "edge";
+  static final String ROUTER_SIDE = "edge";
 
   /** The planner's name in {@link PlannerMessage.Hello#side}. */
   static final String PLANNER_SIDE = "planner";
--- a/src/main/java/switchgap/planner/link/PlannerServer.java
+++ b/src/main/java/switchgap/planner/link/PlannerServer.java
@@ -39,14 +39,14 @@
   /** A planner is disconnected after this time without a message, a client without a handshake. */
   private static final long SILENCE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  private static final long SILENCE_CHECK_MILLIS = 250;
+  private static final long SILENCE_CHECK_INTERVAL_MILLIS = 250;
 
   /** Time for a rejection to reach the client before the connection is closed. */
   private static final long REJECTION_LINGER_MILLIS = 100;
 
   private static final long EPOCHS_PER_MILLISECOND = 1000;
 
-  private final int router;
+  private final int routerIndex;
   private final Listener listener;
   private final AtomicReference<PlannerSession> session = new AtomicReference<>();
   private final TcpServer server;
@@ -60,16 +60,20 @@
    *
    * @throws IOException if the port can't be listened on
    */
-  public PlannerServer(NetworkTransport net, String host, int port, int router, Listener listener)
+  public PlannerServer(
+      NetworkTransport net, String host, int port, int routerIndex, Listener listener)
       throws IOException {
-    this.router = router;
+    this.routerIndex = routerIndex;
     this.listener = listener;
     this.server =
         FramedConnection.listen(
             net, host, port, PlannerMessageCodec.MAX_FRAME_BYTES, new MessageListener());
     this.silenceCheck =
         TimerThread.EXECUTOR.scheduleAtFixedRate(
-            this::closeIfSilent, SILENCE_CHECK_MILLIS, SILENCE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+            this::closeIfSilent,
+            SILENCE_CHECK_INTERVAL_MILLIS,
+            SILENCE_CHECK_INTERVAL_MILLIS,
+            TimeUnit.MILLISECONDS);
   }
 
   /** The port that is listened on. */
@@ -106,11 +110,11 @@
   private final class MessageListener implements FramedConnection.Listener {
     /** Guards against clients that connect and send nothing. */
     @Override
-    public void opened(FramedConnection opened) {
+    public void opened(FramedConnection connection) {
       TimerThread.EXECUTOR.schedule(
           () -> {
-            if (sessionOf(opened) == null) {
-              opened.close(LinkCloseReason.HANDSHAKE_TIMEOUT);
+            if (sessionOf(connection) == null) {
+              connection.close(LinkCloseReason.HANDSHAKE_TIMEOUT);
             }
           },
           SILENCE_TIMEOUT_NANOS,
@@ -149,7 +153,8 @@
     public void closed(FramedConnection from, CloseCause cause) {
       PlannerSession ended = sessionOf(from);
       if (ended != null && session.compareAndSet(ended, null)) {
-        LOG.warn("router {}: planner gone: {}; load commands go out as they come", router, cause);
+        LOG.warn(
+            "router {}: planner gone: {}; load commands go out as they come", routerIndex, cause);
         listener.plannerDisconnected(ended.epoch());
       }
     }
@@ -162,8 +167,8 @@
       return;
     }
     lastEpoch++;
-    PlannerSession opened = new PlannerSession(client, lastEpoch);
-    if (!session.compareAndSet(null, opened)) {
+    PlannerSession newSession = new PlannerSession(client, lastEpoch);
+    if (!session.compareAndSet(null, newSession)) {
       reject(client, "a planner is linked already");
       return;
     }
@@ -171,11 +176,11 @@
         PlannerMessageCodec.encode(
             new PlannerMessage.Hello(
                 PlannerMessageCodec.VERSION,
-                PlannerMessageCodec.EDGE_SIDE,
-                router,
-                opened.epoch())));
-    LOG.info("router {}: planner linked, epoch {}", router, opened.epoch());
-    listener.plannerConnected(opened.epoch());
+                PlannerMessageCodec.ROUTER_SIDE,
+                routerIndex,
+                newSession.epoch())));
+    LOG.info("router {}: planner linked, epoch {}", routerIndex, newSession.epoch());
+    listener.plannerConnected(newSession.epoch());
   }
 
   /** Why a client with this handshake can't be this edge's planner, or null. */
@@ -186,14 +191,14 @@
     if (!hello.side().equals(PlannerMessageCodec.PLANNER_SIDE)) {
       return "a " + hello.side() + ", no planner";
     }
-    if (hello.router() != router) {
-      return "a planner for router " + hello.router() + ", this is " + router;
+    if (hello.router() != routerIndex) {
+      return "a planner for router " + hello.router() + ", this is " + routerIndex;
     }
     return null;
   }
 
   private void reject(FramedConnection client, String why) {
-    LOG.warn("router {}: planner rejected: {}", router, why);
+    LOG.warn("router {}: planner rejected: {}", routerIndex, why);
     client.send(PlannerMessageCodec.encode(new PlannerMessage.Rejected(why)));
     TimerThread.EXECUTOR.schedule(
         () -> client.close(new CloseCause(LinkCloseReason.REJECTED, why)),
@@ -208,7 +213,7 @@
     server.close();
     PlannerSession current = session.get();
     if (current != null) {
-      current.connection().close(LinkCloseReason.EDGE_STOPPED);
+      current.connection().close(LinkCloseReason.ROUTER_STOPPED);
     }
   }
 }
--- a/src/main/java/switchgap/simulator/ActionRecordEncoder.java
+++ b/src/main/java/switchgap/simulator/ActionRecordEncoder.java
@@ -21,8 +21,8 @@
 
   private static final int NO_RETRY_AFTER = 0;
   private static final byte SUBSCRIBE = 1;
-  private static final byte LOAD_ONE = 1;
-  private static final byte QUERY_ONLY = 0;
+  private static final byte ONE_REPLICA = 1;
+  private static final byte NO_REPLICA = 0;
 
   private final int routerId;
   private final IndexTables indices;
@@ -35,10 +35,10 @@
   }
 
   /** Reports that the policy failed; it decides nothing any more. */
-  void policyFailed(RuntimeException fault) {
-    StackTraceElement[] trace = fault.getStackTrace();
+  void policyFailed(RuntimeException failure) {
+    StackTraceElement[] trace = failure.getStackTrace();
     int offset = reply.addRecord(ActionType.POLICY_FAULT, routerId);
-    reply.putText(offset + FAULT_TEXT, fault + (trace.length > 0 ? " at " + trace[0] : ""));
+    reply.putText(offset + FAULT_TEXT, failure + (trace.length > 0 ? " at " + trace[0] : ""));
   }
 
   @Override
@@ -90,13 +90,13 @@
   @Override
   public void load(int worker, int function) {
     int offset = addReplicaRecord(ActionType.LOAD, worker, function);
-    reply.buffer().put(offset + LOAD_REPLICAS, LOAD_ONE);
+    reply.buffer().put(offset + LOAD_REPLICAS, ONE_REPLICA);
   }
 
   @Override
   public void queryReplicas(int worker, int function) {
     int offset = addReplicaRecord(ActionType.LOAD, worker, function);
-    reply.buffer().put(offset + LOAD_REPLICAS, QUERY_ONLY);
+    reply.buffer().put(offset + LOAD_REPLICAS, NO_REPLICA);
   }
 
   @Override
--- a/src/main/java/switchgap/simulator/EndpointListDecoder.java
+++ b/src/main/java/switchgap/simulator/EndpointListDecoder.java
@@ -22,7 +22,7 @@
 
   private static final int STATE_GONE = 0;
   private static final int STATE_READY = 1;
-  private static final long LONG_PAST = 0;
+  private static final long STARTED_LONG_AGO = 0;
 
   private final IndexAllocator workers;
   private final long routerStartMicros;
@@ -53,7 +53,7 @@
         WireValues.unsignedShort(buffer, offset + CELL),
         WireValues.unsignedShort(buffer, offset + KIND),
         buffer.getFloat(offset + CAPACITY),
-        startedAt == LONG_PAST ? null : WireValues.ofMicros(startedAt - routerStartMicros));
+        startedAt == STARTED_LONG_AGO ? null : WireValues.ofMicros(startedAt - routerStartMicros));
   }
 
   private static WorkerState state(byte code) {
--- a/src/main/java/switchgap/simulator/EventFrame.java
+++ b/src/main/java/switchgap/simulator/EventFrame.java
@@ -16,13 +16,13 @@
  */
 record EventFrame(int number, int recordCount, long clockMicros, ByteBuffer body) {
   private static final int HEADER_BYTES = 20;
-  private static final int NUMBER = 0;
-  private static final int RECORD_COUNT = 4;
-  private static final int FRAME_BYTES = 8;
-  private static final int CLOCK = 12;
+  private static final int NUMBER_OFFSET = 0;
+  private static final int RECORD_COUNT_OFFSET = 4;
+  private static final int FRAME_BYTES_OFFSET = 8;
+  private static final int CLOCK_OFFSET = 12;
 
   /** Of a reference to the tail: its offset there, then its size. */
-  private static final int REFERENCE_SIZE = 4;
+  private static final int REFERENCE_SIZE_OFFSET = 4;
 
   /** Reads the next frame, or returns null at the end of the stream. */
   static EventFrame read(InputStream input) throws IOException {
@@ -36,9 +36,9 @@
           "header ends at byte " + headerSize + " of " + HEADER_BYTES);
     }
     ByteBuffer header = ByteBuffer.wrap(headerBytes).order(ByteOrder.LITTLE_ENDIAN);
-    int number = header.getInt(NUMBER);
-    long recordCount = Integer.toUnsignedLong(header.getInt(RECORD_COUNT));
-    long frameBytes = Integer.toUnsignedLong(header.getInt(FRAME_BYTES));
+    int number = header.getInt(NUMBER_OFFSET);
+    long recordCount = Integer.toUnsignedLong(header.getInt(RECORD_COUNT_OFFSET));
+    long frameBytes = Integer.toUnsignedLong(header.getInt(FRAME_BYTES_OFFSET));
     long minBytes = HEADER_BYTES + recordCount * EventLayout.RECORD_BYTES;
     if (frameBytes < minBytes || frameBytes > Integer.MAX_VALUE) {
       throw new MalformedFrameException(
@@ -57,7 +57,7 @@
     return new EventFrame(
         number,
         (int) recordCount,
-        header.getLong(CLOCK),
+        header.getLong(CLOCK_OFFSET),
         ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN));
   }
 
@@ -90,7 +90,7 @@
   byte[] tailPart(int record, int field, int unitBytes) throws MalformedFrameException {
     int reference = offsetOf(record) + field;
     long start = offsetOf(recordCount) + Integer.toUnsignedLong(body.getInt(reference));
-    long size = Integer.toUnsignedLong(body.getInt(reference + REFERENCE_SIZE)) * unitBytes;
+    long size = Integer.toUnsignedLong(body.getInt(reference + REFERENCE_SIZE_OFFSET)) * unitBytes;
     if (start + size > body.capacity()) {
       throw new MalformedFrameException(
           "offset at byte "
--- a/src/main/java/switchgap/simulator/EventRecordDecoder.java
+++ b/src/main/java/switchgap/simulator/EventRecordDecoder.java
@@ -25,7 +25,7 @@
   private final long routerStartMicros;
 
   /** Offsets of the events in the frame's body. */
-  private int[] offsets = new int[INITIAL_EVENTS];
+  private int[] eventOffsets = new int[INITIAL_EVENTS];
 
   private int eventCount;
 
@@ -41,23 +41,23 @@
     endpointLists = new EndpointListDecoder(indices.workers(), routerStartMicros);
   }
 
-  /** Adds the event at an offset of the body that {@link #begin} will be given. */
-  void add(int offset) {
-    if (eventCount == offsets.length) {
-      offsets = Arrays.copyOf(offsets, eventCount * 2);
+  /** Adds the event at an offset of the body that {@link #setBody} will be given. */
+  void addEvent(int offset) {
+    if (eventCount == eventOffsets.length) {
+      eventOffsets = Arrays.copyOf(eventOffsets, eventCount * 2);
     }
-    offsets[eventCount] = offset;
+    eventOffsets[eventCount] = offset;
     eventCount++;
   }
 
   /** Adds an endpoint list that came, with its content. */
   void addEndpointList(int offset, byte[] content) {
-    add(offset);
+    addEvent(offset);
     listContents.add(content);
   }
 
   /** The events that were added are of this body. */
-  void begin(ByteBuffer frameBody) {
+  void setBody(ByteBuffer frameBody) {
     body = frameBody;
   }
 
@@ -71,7 +71,7 @@
   public void deliverTo(PolicyEvents events) {
     int listsDelivered = 0;
     for (int i = 0; i < eventCount; i++) {
-      int offset = offsets[i];
+      int offset = eventOffsets[i];
       EventType type = EventType.ofCode(WireValues.unsignedByte(body, offset + EventLayout.CODE));
       if (type == EventType.ENDPOINT_LIST && !isFailedList(offset)) {
         boolean complete = body.get(offset + EventLayout.LIST_KIND) != EventLayout.LIST_KIND_DELTA;
@@ -89,7 +89,7 @@
 
   private void deliver(EventType type, int offset, PolicyEvents events) {
     switch (type) {
-      case CLIENT_LEFT -> clientDisconnected(offset, events);
+      case CLIENT_DISCONNECTED -> clientDisconnected(offset, events);
       case PROBE_ENDED -> probeEnded(offset, events);
       case ENDPOINT_LIST -> events.endpointListFailed();
       case RESPONSE_STARTED -> responseStarted(offset, events);
--- a/src/main/java/switchgap/simulator/EventType.java
+++ b/src/main/java/switchgap/simulator/EventType.java
@@ -5,7 +5,7 @@
   START_ROUTER(1),
   /** A message of another router; ignored, as routers share nothing. */
   PEER_MESSAGE(2),
-  CLIENT_LEFT(3),
+  CLIENT_DISCONNECTED(3),
   PROBE_ENDED(4),
   STOP_ROUTER(5),
   ENDPOINT_LIST(6),
--- a/src/main/java/switchgap/simulator/LoadReportDecoder.java
+++ b/src/main/java/switchgap/simulator/LoadReportDecoder.java
@@ -6,7 +6,7 @@
 
 /** Decodes what a worker reported of its load: a count of fields, then so many floats. */
 final class LoadReportDecoder {
-  private static final int FIRST_FIELD = 1;
+  private static final int FIRST_FIELD_OFFSET = 1;
   private static final int UNKNOWN_CONCURRENCY = -1;
 
   /** Whether the ends of attempts report the observed concurrency. */
@@ -50,6 +50,6 @@
     if (index < 0 || index >= WireValues.unsignedByte(buffer, offset)) {
       return Double.NaN;
     }
-    return buffer.getFloat(offset + FIRST_FIELD + Float.BYTES * index);
+    return buffer.getFloat(offset + FIRST_FIELD_OFFSET + Float.BYTES * index);
   }
 }
--- a/src/main/java/switchgap/simulator/ReplyFrame.java
+++ b/src/main/java/switchgap/simulator/ReplyFrame.java
@@ -15,15 +15,15 @@
   private static final int INITIAL_TAIL_BYTES = 256;
 
   // Offsets in bytes from the frame's start.
-  private static final int NUMBER = 0;
-  private static final int RECORD_COUNT = 4;
-  private static final int FRAME_BYTES = 8;
+  private static final int NUMBER_OFFSET = 0;
+  private static final int RECORD_COUNT_OFFSET = 4;
+  private static final int FRAME_BYTES_OFFSET = 8;
   // Offsets in bytes from a record's start.
-  private static final int CODE = 0;
-  private static final int ROUTER_ID = 1;
+  private static final int CODE_OFFSET = 0;
+  private static final int ROUTER_ID_OFFSET = 1;
 
   /** Of a reference to the tail: its offset there, then its size. */
-  private static final int REFERENCE_SIZE = 4;
+  private static final int REFERENCE_SIZE_OFFSET = 4;
 
   private byte[] bytes = new byte[INITIAL_BYTES];
   private ByteBuffer buffer = littleEndian(bytes);
@@ -39,7 +39,7 @@
   void begin(int number) {
     recordCount = 0;
     tailBytes = 0;
-    buffer.putInt(NUMBER, number);
+    buffer.putInt(NUMBER_OFFSET, number);
   }
 
   /** Adds a record of zeros with its type and router, and returns its offset in {@link #buffer}. */
@@ -51,8 +51,8 @@
       buffer = littleEndian(bytes);
     }
     Arrays.fill(bytes, offset, offset + RECORD_BYTES, (byte) 0);
-    bytes[offset + CODE] = type.code();
-    buffer.putShort(offset + ROUTER_ID, (short) routerId);
+    bytes[offset + CODE_OFFSET] = type.code();
+    buffer.putShort(offset + ROUTER_ID_OFFSET, (short) routerId);
     return offset;
   }
 
@@ -69,15 +69,15 @@
     }
     System.arraycopy(encoded, 0, tail, tailBytes, encoded.length);
     buffer.putInt(offset, tailBytes);
-    buffer.putInt(offset + REFERENCE_SIZE, encoded.length);
+    buffer.putInt(offset + REFERENCE_SIZE_OFFSET, encoded.length);
     tailBytes += encoded.length;
   }
 
   /** Returns the complete frame. */
   byte[] finish() {
     int tailStart = HEADER_BYTES + RECORD_BYTES * recordCount;
-    buffer.putInt(RECORD_COUNT, recordCount);
-    buffer.putInt(FRAME_BYTES, tailStart + tailBytes);
+    buffer.putInt(RECORD_COUNT_OFFSET, recordCount);
+    buffer.putInt(FRAME_BYTES_OFFSET, tailStart + tailBytes);
     byte[] frame = Arrays.copyOf(bytes, tailStart + tailBytes);
     System.arraycopy(tail, 0, frame, tailStart, tailBytes);
     return frame;
--- a/src/main/java/switchgap/simulator/SimulatedRouter.java
+++ b/src/main/java/switchgap/simulator/SimulatedRouter.java
@@ -41,7 +41,7 @@
   /** Adds the event at an offset in the body of the frame under way. */
   void addEvent(int offset) {
     if (policy != null) {
-      events.add(offset);
+      events.addEvent(offset);
     }
   }
 
@@ -57,7 +57,7 @@
     if (policy == null) {
       return;
     }
-    events.begin(frameBody);
+    events.setBody(frameBody);
     try {
       policy.tick(WireValues.ofMicros(clockMicros - startMicros), events, actions);
     } catch (RuntimeException e) {
--- a/src/main/java/switchgap/simulator/SimulatorHost.java
+++ b/src/main/java/switchgap/simulator/SimulatorHost.java
@@ -38,16 +38,17 @@
    * ids.
    */
   private void handle(EventFrame frame) throws MalformedFrameException {
-    Map<Integer, SimulatedRouter> due = new TreeMap<>();
+    Map<Integer, SimulatedRouter> routersToTick = new TreeMap<>();
     for (int i = 0; i < frame.recordCount(); i++) {
-      handleRecord(frame, i, due);
+      handleRecord(frame, i, routersToTick);
     }
-    for (SimulatedRouter router : due.values()) {
+    for (SimulatedRouter router : routersToTick.values()) {
       router.tick(frame.body(), frame.clockMicros());
     }
   }
 
-  private void handleRecord(EventFrame frame, int record, Map<Integer, SimulatedRouter> due)
+  private void handleRecord(
+      EventFrame frame, int record, Map<Integer, SimulatedRouter> routersToTick)
       throws MalformedFrameException {
     int code = frame.codeOf(record);
     EventType type = EventType.ofCode(code);
@@ -62,13 +63,13 @@
     }
     switch (type) {
       case DEFINE_LIST -> defineList(frame, record);
-      case START_ROUTER -> startRouter(frame, record, due);
+      case START_ROUTER -> startRouter(frame, record, routersToTick);
       case STOP_ROUTER -> {
         int routerId = frame.routerIdOf(record);
         routers.remove(routerId);
-        due.remove(routerId);
+        routersToTick.remove(routerId);
       }
-      default -> distribute(frame, record, type, due);
+      default -> addEventToRouter(frame, record, type, routersToTick);
     }
   }
 
@@ -80,7 +81,8 @@
             record, EventLayout.LIST_DEFINITION_CONTENT, EndpointListDecoder.ENTRY_BYTES));
   }
 
-  private void startRouter(EventFrame frame, int record, Map<Integer, SimulatedRouter> due)
+  private void startRouter(
+      EventFrame frame, int record, Map<Integer, SimulatedRouter> routersToTick)
       throws MalformedFrameException {
     int routerId = frame.routerIdOf(record);
     byte[] settings = frame.tailPart(record, EventLayout.START_SETTINGS, Byte.BYTES);
@@ -93,11 +95,11 @@
             new String(settings, StandardCharsets.UTF_8),
             reply);
     routers.put(routerId, router);
-    due.put(routerId, router);
+    routersToTick.put(routerId, router);
   }
 
-  private void distribute(
-      EventFrame frame, int record, EventType type, Map<Integer, SimulatedRouter> due)
+  private void addEventToRouter(
+      EventFrame frame, int record, EventType type, Map<Integer, SimulatedRouter> routersToTick)
       throws MalformedFrameException {
     int routerId = frame.routerIdOf(record);
     SimulatedRouter router = routers.get(routerId);
@@ -112,7 +114,7 @@
     } else {
       router.addEvent(offset);
     }
-    due.put(routerId, router);
+    routersToTick.put(routerId, router);
   }
 
   private byte[] endpointList(EventFrame frame, int record) throws MalformedFrameException {
--- a/src/main/java/switchgap/simulator/WireValues.java
+++ b/src/main/java/switchgap/simulator/WireValues.java
@@ -5,12 +5,12 @@
 
 /** Values that several records have, as the simulator writes them. */
 final class WireValues {
-  private static final long UNSIGNED_INT = 0xffffffffL;
-  private static final long UNSIGNED_SHORT = 0xffffL;
+  private static final long UNSIGNED_INT_MASK = 0xffffffffL;
+  private static final long UNSIGNED_SHORT_MASK = 0xffffL;
   private static final long NANOS_PER_MICRO = 1000;
 
   /** A worker's id: four bytes of its upper half, then two of its lower. */
-  private static final int WORKER_ID_LOWER = 4;
+  private static final int WORKER_ID_LOWER_OFFSET = 4;
 
   private WireValues() {}
 
@@ -24,7 +24,7 @@
 
   /** A duration in 32 unsigned bits of microseconds. */
   static Duration duration(ByteBuffer buffer, int offset) {
-    return ofMicros(buffer.getInt(offset) & UNSIGNED_INT);
+    return ofMicros(buffer.getInt(offset) & UNSIGNED_INT_MASK);
   }
 
   static int unsignedByte(ByteBuffer buffer, int offset) {
@@ -37,13 +37,13 @@
 
   /** A worker's id, of 48 bits. */
   static long workerId(ByteBuffer buffer, int offset) {
-    long upper = buffer.getInt(offset) & UNSIGNED_INT;
-    long lower = buffer.getShort(offset + WORKER_ID_LOWER) & UNSIGNED_SHORT;
+    long upper = buffer.getInt(offset) & UNSIGNED_INT_MASK;
+    long lower = buffer.getShort(offset + WORKER_ID_LOWER_OFFSET) & UNSIGNED_SHORT_MASK;
     return upper << Short.SIZE | lower;
   }
 
   static void putWorkerId(ByteBuffer buffer, int offset, long workerId) {
     buffer.putInt(offset, (int) (workerId >>> Short.SIZE));
-    buffer.putShort(offset + WORKER_ID_LOWER, (short) workerId);
+    buffer.putShort(offset + WORKER_ID_LOWER_OFFSET, (short) workerId);
   }
 }
--- a/src/test/java/switchgap/cli/CommandNamesTest.java
+++ b/src/test/java/switchgap/cli/CommandNamesTest.java
@@ -8,9 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-/**
- * Commands run under their current and their former names; the help lists only the current ones.
- */
+/** Commands can be run by their current and former names; the help lists only the current names. */
 class CommandNamesTest {
   private final CommandLine root = RootCommand.commandLine();
 
--- a/src/test/java/switchgap/config/PropertyRouterSettingsTest.java
+++ b/src/test/java/switchgap/config/PropertyRouterSettingsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import switchgap.policy.api.Idempotency;
 
-/** Settings of values by path, which are read when they are used. */
+/** Tests reading of router settings from values by path, and the errors for invalid values. */
 class PropertyRouterSettingsTest {
   @Test
   void readsLinesOfPathAndValue() {
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void readsOptionalValuesWhereTheyAreAbsent() {
+  void returnsDefaultsForMissingOptionalValues() {
     PropertyRouterSettings settings = PropertyRouterSettings.parse("");
     assertThat(settings.tenantCount()).isZero();
     assertThat(settings.probePrice()).isZero();
@@ -40,16 +40,18 @@
   }
 
   @Test
-  void namesPathOfAbsentOrInvalidValue() {
+  void reportsPathOfMissingOrInvalidValue() {
     PropertyRouterSettings settings =
         PropertyRouterSettings.parse(
             "Balancers=many\nLimits.Probes=yes\nDiscovery=daily\nExtra.MachineMb=4000,big\n");
-    assertRejected(settings::routerIndex, "setting Me is absent");
-    assertRejected(settings::requestClassCount, "setting Lanes.count is absent");
-    assertRejected(settings::routerCount, "setting Balancers is no number: many");
-    assertRejected(settings::probesAllowed, "setting Limits.Probes is neither true nor false: yes");
-    assertRejected(settings::pollsEndpointList, "setting Discovery has an unknown word: daily");
-    assertRejected(settings::workerKindMemory, "setting Extra.MachineMb is no list of numbers");
+    assertRejected(settings::routerIndex, "setting Me is missing");
+    assertRejected(settings::requestClassCount, "setting Lanes.count is missing");
+    assertRejected(settings::routerCount, "setting Balancers must be a number, got 'many'");
+    assertRejected(
+        settings::probesAllowed, "setting Limits.Probes must be true or false, got 'yes'");
+    assertRejected(
+        settings::pollsEndpointList, "setting Discovery has the unsupported value 'daily'");
+    assertRejected(settings::workerKindMemory, "setting Extra.MachineMb must be a list of numbers");
   }
 
   private static void assertRejected(Runnable reading, String message) {
--- a/src/test/java/switchgap/config/YamlDocumentTest.java
+++ b/src/test/java/switchgap/config/YamlDocumentTest.java
@@ -7,7 +7,9 @@
 import org.junit.jupiter.api.Test;
 import switchgap.server.gateway.GatewayConfig;
 
-/** Each error in a YAML document is reported with file, line, key and what is allowed. */
+/**
+ * Each error in a YAML document is reported with its file, line and key, and the allowed values.
+ */
 class YamlDocumentTest {
   private static final String VALID_DOCUMENT =
       """
@@ -28,7 +30,7 @@
         .hasMessageContaining(message);
   }
 
-  /** Asserts that the valid document is rejected once a part of it is replaced. */
+  /** Asserts that the valid document is rejected after a part of it was replaced. */
   private static void assertReplacementRejected(String part, String replacement, String message) {
     assertThat(VALID_DOCUMENT).contains(part);
     assertRejected(VALID_DOCUMENT.replace(part, replacement), message);
@@ -44,49 +46,55 @@
   }
 
   @Test
-  void namesFileLineKeyAndReasonOfInvalidValue() {
-    assertReplacementRejected("of: 2", "of: many", "r.yaml:1: router: of: 'many' is no number");
+  void reportsFileLineKeyAndReasonForInvalidValue() {
     assertReplacementRejected(
-        "number: 0", "number: 2", "r.yaml:1: router: number: '2' must lie from 0 to 1");
+        "of: 2", "of: many", "r.yaml:1: router: of: invalid value 'many': must be a number");
     assertReplacementRejected(
-        "tick: 5ms", "tick: 5", "'5' is no span; write 250ms, 1.5s, 2m or 1h");
+        "number: 0",
+        "number: 2",
+        "r.yaml:1: router: number: invalid value '2': must be between 0 and 1");
+    assertReplacementRejected(
+        "tick: 5ms",
+        "tick: 5",
+        "invalid value '5': must be a duration with a unit, such as 250ms, 1.5s, 2m or 1h");
     assertReplacementRejected(
         "run-once",
         "sometimes",
-        "r.yaml:3: w: repeat: 'sometimes' must be one of restartable, fingerprinted, run-once");
+        "r.yaml:3: w: repeat: invalid value 'sometimes':"
+            + " must be one of restartable, fingerprinted, run-once");
     assertReplacementRejected(
         "workload: w, memory: 20",
         "workload: x, memory: 20",
-        "r.yaml:6: f1: workload: 'x' must be one of w");
+        "r.yaml:6: f1: workload: invalid value 'x': must be one of w");
     assertRejected(VALID_DOCUMENT + "rules: {cold_span: 0}\n", "cold_span: must be above 0");
   }
 
   @Test
-  void rejectsValuesThatContradictEachOther() {
+  void rejectsContradictoryValues() {
     assertReplacementRejected(
         "run-once", "fingerprinted", "a fingerprinted workload needs memory_span");
     assertReplacementRejected(
-        "time_limit: 1.5s", "time_limit: 100ms", "must not be under the start target");
+        "time_limit: 1.5s", "time_limit: 100ms", "must not be shorter than start_target");
     assertReplacementRejected("list: {port: 9000}", "", "needs a port to ask, or workers");
   }
 
   @Test
-  void rejectsAbsentUnknownAndRepeatedKeys() {
-    assertReplacementRejected("lanes: 1}", "lines: 1}", "r.yaml:6: f1: key lanes is absent");
+  void rejectsMissingUnknownAndDuplicateKeys() {
+    assertReplacementRejected("lanes: 1}", "lines: 1}", "r.yaml:6: f1: missing key lanes");
     assertReplacementRejected(
         "lanes: 1}",
         "lanes: 1, colour: red}",
-        "r.yaml:6: f1: unknown key colour; allowed are customer");
+        "r.yaml:6: f1: unknown key colour; allowed keys are customer");
     assertRejected(
         VALID_DOCUMENT + "listen: {port: 1}\n",
-        "key listen stands twice in the page, first in line 7");
-    assertRejected(VALID_DOCUMENT + "more: 1\n", "r.yaml:9: the page: unknown key more");
+        "duplicate key listen in the document, first defined on line 7");
+    assertRejected(VALID_DOCUMENT + "more: 1\n", "r.yaml:9: the document: unknown key more");
   }
 
   @Test
-  void rejectsTextThatIsNoBoundedMapping() {
-    assertRejected("a: [1, 2\nb: 3", "no YAML");
-    assertRejected("", "the page is empty");
+  void rejectsInvalidEmptyNonMappingAndExcessivelyAliasedYaml() {
+    assertRejected("a: [1, 2\nb: 3", "invalid YAML");
+    assertRejected("", "the document is empty");
     assertRejected("- a\n- b\n", "must be a mapping");
     assertRejected("a: &x [1]\nb: [" + "*x,".repeat(50) + "]\nrouter: {}", "r.yaml");
   }
--- a/src/test/java/switchgap/planner/LoadSchedulerTest.java
+++ b/src/test/java/switchgap/planner/LoadSchedulerTest.java
@@ -9,9 +9,9 @@
 
 /** The order in which a planner releases loads. */
 class LoadSchedulerTest {
-  private static final int LOADS = 12;
-  private static final int HEAVY_LOAD = 5;
-  private static final int SHORT_LOAD = 11;
+  private static final int LOAD_COUNT = 12;
+  private static final int HIGH_PRIORITY_LOAD_ID = 5;
+  private static final int SHORT_LOAD_ID = 11;
 
   private final LoadScheduler scheduler = new LoadScheduler();
 
@@ -20,26 +20,26 @@
   }
 
   @Test
-  void ordersLoadsByWaitingWeightForSecondOfLoading() {
+  void ordersLoadsByPriorityWeightPerSecondOfLoadTime() {
     List<PendingLoad> waiting = new ArrayList<>();
-    for (int i = 0; i < LOADS; i++) {
+    for (int i = 0; i < LOAD_COUNT; i++) {
       waiting.add(
           load(i)
               .function("f" + i)
-              .loadMicros(i == SHORT_LOAD ? 100_000 : 1_000_000)
-              .priorityWeight(i == HEAVY_LOAD ? 50 : 1)
+              .loadMicros(i == SHORT_LOAD_ID ? 100_000 : 1_000_000)
+              .priorityWeight(i == HIGH_PRIORITY_LOAD_ID ? 50 : 1)
               .build());
     }
     LoadPlan plan = scheduler.plan(backlogOf(waiting));
     assertThat(plan.ids())
         .as("most weight, then the shortest, then the first requested")
-        .startsWith(HEAVY_LOAD, SHORT_LOAD, 0);
-    assertThat(plan.ids()).as("the edge's router decides how many").hasSize(LOADS);
+        .startsWith(HIGH_PRIORITY_LOAD_ID, SHORT_LOAD_ID, 0);
+    assertThat(plan.ids()).as("the edge's router decides how many").hasSize(LOAD_COUNT);
     assertThat(scheduler.plan(backlogOf(waiting))).as("not newer").isNull();
   }
 
   @Test
-  void ordersLongWaitingLoadBeforeOneOfMoreWeight() {
+  void ordersLongWaitingLoadBeforeRecentLoadOfHigherWeight() {
     PendingLoad recent =
         load(0).function("new").loadMicros(1000).priorityWeight(5).ageMicros(0).build();
     PendingLoad old =
--- a/src/test/java/switchgap/planner/PendingLoadQueueSequencesTest.java
+++ b/src/test/java/switchgap/planner/PendingLoadQueueSequencesTest.java
@@ -16,28 +16,28 @@
   /** Sequences of none to five of ten events. */
   private static final int EXHAUSTIVE_SEQUENCES = 111_111;
 
-  private long explored;
+  private long checkedSequences;
 
-  private void explore(UnreliablePlannerLink.Event[] events, int depth) {
+  private void checkSequences(UnreliablePlannerLink.Event[] events, int depth) {
     UnreliablePlannerLink link = new UnreliablePlannerLink();
     for (int i = 0; i < depth; i++) {
-      link.step(events[i]);
+      link.apply(events[i]);
     }
-    link.assertNoneIsLeftPending();
-    explored++;
+    link.assertAllLoadsReleasedOrWithdrawn();
+    checkedSequences++;
     if (depth == events.length) {
       return;
     }
     for (UnreliablePlannerLink.Event event : UnreliablePlannerLink.Event.values()) {
       events[depth] = event;
-      explore(events, depth + 1);
+      checkSequences(events, depth + 1);
     }
   }
 
   @Test
   void releasesEachLoadOnceInAllSequencesOfFiveEvents() {
-    explore(new UnreliablePlannerLink.Event[EXHAUSTIVE_LENGTH], 0);
-    assertThat(explored).isEqualTo(EXHAUSTIVE_SEQUENCES);
+    checkSequences(new UnreliablePlannerLink.Event[EXHAUSTIVE_LENGTH], 0);
+    assertThat(checkedSequences).isEqualTo(EXHAUSTIVE_SEQUENCES);
   }
 
   /** Long random sequences, where the exhaustive ones are short. */
@@ -45,8 +45,8 @@
   void releasesEachLoadOnceInLongRandomSequences(
       @ForAll @Size(min = 20, max = 120) List<@IntRange(min = 0, max = 9) Integer> events) {
     UnreliablePlannerLink link = new UnreliablePlannerLink();
-    events.forEach(index -> link.step(UnreliablePlannerLink.Event.values()[index]));
-    link.assertNoneIsLeftPending();
+    events.forEach(index -> link.apply(UnreliablePlannerLink.Event.values()[index]));
+    link.assertAllLoadsReleasedOrWithdrawn();
     assertThat(link.rejections)
         .as("a correct planner is rejected for nothing else")
         .allMatch(rejection -> rejection.reason() == PlanRejection.Reason.WRONG_EPOCH)
--- a/src/test/java/switchgap/planner/PendingLoadQueueTest.java
+++ b/src/test/java/switchgap/planner/PendingLoadQueueTest.java
@@ -19,34 +19,34 @@
 
   /** A planner that was stopped resumes with plans for loads that were released meanwhile. */
   @Test
-  void releasesNothingAgainForStalePlans() {
+  void releasesNoLoadTwiceForStalePlans() {
     link.connect();
     link.requestLoad();
     link.plannerReceivesBacklog();
     link.plannerReceivesBacklog();
     for (int i = 0; i < TIMEOUTS_UNTIL_STALLED; i++) {
-      link.passTimeout();
+      link.advancePastTimeout();
       link.requestLoad();
     }
     assertThat(link.released).contains(0L, 1L);
-    link.edgeReceivesAllPlans();
+    link.routerReceivesAllPlans();
     assertThat(link.queue.counts().stale()).isPositive();
     assertThat(link.released).doesNotHaveDuplicates();
   }
 
   @Test
-  void bypassesStalledPlannerUntilPlanComes() {
+  void releasesLoadsImmediatelyFromStalledPlannerUntilNextPlan() {
     link.connect();
     for (int i = 0; i < TIMEOUTS_UNTIL_STALLED; i++) {
       link.requestLoad();
-      link.passTimeout();
+      link.advancePastTimeout();
     }
     assertThat(link.queue.state()).isEqualTo(PendingLoadQueue.State.STALLED);
     link.requestLoad();
     assertThat(link.released).as("the last one immediately").hasSize(4);
     link.plannerReceivesBacklog();
     link.plannerReceivesAllBacklogs();
-    link.edgeReceivesAllPlans();
+    link.routerReceivesAllPlans();
     assertThat(link.queue.state()).isEqualTo(PendingLoadQueue.State.LED);
   }
 
--- a/src/test/java/switchgap/planner/UnreliablePlannerLink.java
+++ b/src/test/java/switchgap/planner/UnreliablePlannerLink.java
@@ -48,7 +48,7 @@
   private final Set<Long> withdrawn = new HashSet<>();
   private final ArrayDeque<LoadBacklog> backlogs = new ArrayDeque<>();
   private final ArrayDeque<LoadPlan> plans = new ArrayDeque<>();
-  private LoadScheduler planner = new LoadScheduler();
+  private LoadScheduler scheduler = new LoadScheduler();
   private Duration now = Duration.ZERO;
   private LoadPlan lastPlan;
   private long epoch;
@@ -67,17 +67,17 @@
   }
 
   /** Lets one event happen. */
-  void step(Event event) {
+  void apply(Event event) {
     switch (event) {
       case LOAD_REQUESTED -> requestLoad();
       case BACKLOG_RECEIVED -> plannerReceivesBacklog();
-      case PLAN_RECEIVED -> edgeReceivesPlan();
+      case PLAN_RECEIVED -> routerReceivesPlan();
       case PLAN_LOST -> plans.poll();
       case PLAN_REPEATED -> repeatLastPlan();
       case CONNECTED -> connect();
       case DISCONNECTED -> queue.disconnected();
-      case TIMED_OUT -> passTimeout();
-      case PLANNER_RESTARTED -> planner = new LoadScheduler();
+      case TIMED_OUT -> advancePastTimeout();
+      case PLANNER_RESTARTED -> scheduler = new LoadScheduler();
       case LATEST_WITHDRAWN -> withdrawLatest();
       default -> throw new IllegalArgumentException(event.name());
     }
@@ -105,7 +105,7 @@
 
   void plannerReceivesBacklog() {
     LoadBacklog backlog = backlogs.poll();
-    LoadPlan plan = backlog == null ? null : planner.plan(backlog);
+    LoadPlan plan = backlog == null ? null : scheduler.plan(backlog);
     if (plan != null) {
       plans.add(plan);
     }
@@ -117,7 +117,7 @@
     }
   }
 
-  private void edgeReceivesPlan() {
+  private void routerReceivesPlan() {
     LoadPlan plan = plans.poll();
     if (plan != null) {
       queue.planReceived(plan);
@@ -125,9 +125,9 @@
     }
   }
 
-  void edgeReceivesAllPlans() {
+  void routerReceivesAllPlans() {
     while (!plans.isEmpty()) {
-      edgeReceivesPlan();
+      routerReceivesPlan();
     }
   }
 
@@ -137,7 +137,7 @@
     }
   }
 
-  void passTimeout() {
+  void advancePastTimeout() {
     now = now.plus(TIMEOUT).plusMillis(1);
     queue.tick(now);
   }
@@ -150,7 +150,7 @@
   }
 
   /** Once all loads have timed out, none may be left pending. */
-  void assertNoneIsLeftPending() {
+  void assertAllLoadsReleasedOrWithdrawn() {
     now = now.plusSeconds(1);
     queue.tick(now);
     for (long id = 0; id < queue.nextId(); id++) {
--- a/src/test/java/switchgap/planner/link/PlannerMessageCodecTest.java
+++ b/src/test/java/switchgap/planner/link/PlannerMessageCodecTest.java
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void acceptsMessageTypesAloneEachWithWireNameOfItsOwn() throws NoSuchMethodException {
+  void encodesOnlyPlannerMessagesAndEachTypeHasUniqueWireName() throws NoSuchMethodException {
     assertThat(PlannerMessageCodec.class.getMethod("encode", PlannerMessage.class)).isNotNull();
     assertThatThrownBy(() -> PlannerMessageCodec.class.getMethod("encode", Object.class))
         .as("an object that is not a message does not compile")
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void rejectsBytesThatAreNotMessageWithReason() throws IOException {
+  void rejectsBytesThatAreNoMessageWithReason() throws IOException {
     CBORMapper cbor = new CBORMapper();
     byte[] number = cbor.writeValueAsBytes(7);
     byte[] unknownType = cbor.writeValueAsBytes(Map.of("is", "greeting"));
--- a/src/test/java/switchgap/simulator/EventTypeTest.java
+++ b/src/test/java/switchgap/simulator/EventTypeTest.java
@@ -9,7 +9,7 @@
 /** Pins the code of each event type. */
 class EventTypeTest {
   @Test
-  void hasTypesOfAllCodesInOrder() {
+  void mapsCodesOneToTwelveToTypesInOrder() {
     List<EventType> types = new ArrayList<>();
     for (int code = 1; code <= 12; code++) {
       types.add(EventType.ofCode(code));
@@ -18,7 +18,7 @@
         .containsExactly(
             EventType.START_ROUTER,
             EventType.PEER_MESSAGE,
-            EventType.CLIENT_LEFT,
+            EventType.CLIENT_DISCONNECTED,
             EventType.PROBE_ENDED,
             EventType.STOP_ROUTER,
             EventType.ENDPOINT_LIST,
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void hasNoTypeOfUnknownCodes() {
+  void returnsNullForUnknownCodes() {
     assertThat(EventType.ofCode(0)).isNull();
     assertThat(EventType.ofCode(13)).isNull();
     assertThat(EventType.ofCode(255)).isNull();
--- a/src/test/java/switchgap/simulator/SimulatorHostTest.java
+++ b/src/test/java/switchgap/simulator/SimulatorHostTest.java
@@ -18,13 +18,13 @@
   private static final int REPLY_HEADER_BYTES = 12;
 
   // Offsets in bytes from a frame's start, of events and of replies.
-  private static final int NUMBER = 0;
-  private static final int RECORD_COUNT = 4;
-  private static final int FRAME_BYTES = 8;
+  private static final int NUMBER_OFFSET = 0;
+  private static final int RECORD_COUNT_OFFSET = 4;
+  private static final int FRAME_BYTES_OFFSET = 8;
 
   // Codes on the wire.
   private static final byte START_ROUTER = 1;
-  private static final byte CLIENT_LEFT = 3;
+  private static final byte CLIENT_DISCONNECTED = 3;
   private static final byte ENDPOINT_LIST = 6;
   private static final byte DEFINE_LIST = 9;
   private static final byte WAKE_UP = 10;
@@ -34,9 +34,9 @@
     ByteBuffer frame =
         ByteBuffer.allocate(HEADER_BYTES + RECORD_BYTES * recordCount + tailBytes)
             .order(ByteOrder.LITTLE_ENDIAN);
-    frame.putInt(NUMBER, number);
-    frame.putInt(RECORD_COUNT, recordCount);
-    frame.putInt(FRAME_BYTES, frame.capacity());
+    frame.putInt(NUMBER_OFFSET, number);
+    frame.putInt(RECORD_COUNT_OFFSET, recordCount);
+    frame.putInt(FRAME_BYTES_OFFSET, frame.capacity());
     return frame;
   }
 
@@ -63,9 +63,9 @@
     ByteBuffer reply =
         ByteBuffer.wrap(serve(frame(9, 0, 0).array())).order(ByteOrder.LITTLE_ENDIAN);
     assertThat(reply.capacity()).isEqualTo(REPLY_HEADER_BYTES);
-    assertThat(reply.getInt(NUMBER)).isEqualTo(9);
-    assertThat(reply.getInt(RECORD_COUNT)).isZero();
-    assertThat(reply.getInt(FRAME_BYTES)).isEqualTo(REPLY_HEADER_BYTES);
+    assertThat(reply.getInt(NUMBER_OFFSET)).isEqualTo(9);
+    assertThat(reply.getInt(RECORD_COUNT_OFFSET)).isZero();
+    assertThat(reply.getInt(FRAME_BYTES_OFFSET)).isEqualTo(REPLY_HEADER_BYTES);
   }
 
   /** A router without settings reports its fault once and decides nothing from then on. */
@@ -77,11 +77,11 @@
     input.write(start.array());
     input.write(wakeUp.array());
     ByteBuffer replies = ByteBuffer.wrap(serve(input.toByteArray())).order(ByteOrder.LITTLE_ENDIAN);
-    assertThat(replies.getInt(RECORD_COUNT)).isEqualTo(1);
+    assertThat(replies.getInt(RECORD_COUNT_OFFSET)).isEqualTo(1);
     assertThat(replies.get(REPLY_HEADER_BYTES)).isEqualTo(POLICY_FAULT);
-    int second = replies.getInt(FRAME_BYTES);
-    assertThat(replies.getInt(second + RECORD_COUNT)).isZero();
-    assertThat(replies.capacity()).isEqualTo(second + REPLY_HEADER_BYTES);
+    int secondReply = replies.getInt(FRAME_BYTES_OFFSET);
+    assertThat(replies.getInt(secondReply + RECORD_COUNT_OFFSET)).isZero();
+    assertThat(replies.capacity()).isEqualTo(secondReply + REPLY_HEADER_BYTES);
   }
 
   @Test
@@ -97,7 +97,7 @@
 
   @Test
   void rejectsLengthTooShortForRecords() {
-    byte[] frame = frame(3, 1, 0).putInt(FRAME_BYTES, 75).array();
+    byte[] frame = frame(3, 1, 0).putInt(FRAME_BYTES_OFFSET, 75).array();
     assertMalformed(frame, "length 75 at byte 8 does not fit 1 records");
   }
 
@@ -109,7 +109,8 @@
 
   @Test
   void rejectsEventForUnknownRouter() {
-    ByteBuffer frame = frameOfOneRecord(CLIENT_LEFT).putShort(HEADER_BYTES + 1, (short) 0xffff);
+    ByteBuffer frame =
+        frameOfOneRecord(CLIENT_DISCONNECTED).putShort(HEADER_BYTES + 1, (short) 0xffff);
     assertMalformed(frame.array(), "record 0 is for instance 65535, which is not alive");
   }
 
