--- a/src/main/java/switchgap/config/YamlDocument.java
+++ b/src/main/java/switchgap/config/YamlDocument.java
@@ -27,7 +27,7 @@
  * thread-safe.
  */
 public final class YamlDocument {
-  /** Name of the whole document in error messages, where a section has its key. */
+  /** Name of the whole document in error messages; a section is named by its key. */
   private static final String ROOT_NAME = "the document";
 
   private record Entry(Node value, int line) {}
@@ -91,13 +91,13 @@
     return new YamlDocument(file, ROOT_NAME, YamlParser.parse(file, text));
   }
 
-  /** Whether the key is present; it counts as allowed from now on. */
+  /** Whether the key is present. Afterwards the key is an allowed one. */
   public boolean has(String key) {
     allowedKeys.add(key);
     return entries.containsKey(key);
   }
 
-  /** All keys, in the order of the document; they count as allowed from now on. */
+  /** All keys, in the order of the document. Afterwards all of them are allowed. */
   public List<String> keys() {
     allowedKeys.addAll(entries.keySet());
     return new ArrayList<>(entries.keySet());
@@ -174,7 +174,10 @@
     return scalar(key).choice(allowed);
   }
 
-  /** The enum constant with this {@linkplain EnumWords word}, or the default if there is no key. */
+  /**
+   * The enum constant whose {@linkplain EnumWords word} is the value, or the default if the key is
+   * absent.
+   */
   public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
     if (!has(key)) {
       return defaultValue;
--- a/src/main/java/switchgap/planner/LoadBacklog.java
+++ b/src/main/java/switchgap/planner/LoadBacklog.java
@@ -3,11 +3,12 @@
 import java.util.List;
 
 /**
- * The edge's report to its planner: a full snapshot of the pending loads each time, so that the
- * next one makes up for a lost one.
+ * The router's report of its pending loads to the planner. Each report is a full snapshot, so that
+ * the next one replaces one that was lost.
  *
- * @param epoch of the edge's connection to the planner; a plan for another epoch is rejected
- * @param sequence counts up within an epoch
+ * @param epoch number of the connection between router and planner; a plan with another epoch is
+ *     rejected
+ * @param sequence number of the report, which increases within an epoch
  * @param waiting the pending loads
  */
 public record LoadBacklog(long epoch, long sequence, List<PendingLoad> waiting)
--- a/src/main/java/switchgap/planner/LoadScheduler.java
+++ b/src/main/java/switchgap/planner/LoadScheduler.java
@@ -5,16 +5,17 @@
 import java.util.List;
 
 /**
- * The planner's side: in which order loads are released. The load with the most waiting priority
- * weight for a second of loading goes first; waiting adds to the weight, so that no load starves.
- * Where replicas are placed, how many there are, and how many loads are in flight is decided by the
- * edge's router, which alone measures the store's throughput. Not thread-safe.
+ * Decides in the planner in which order loads are released. The load with the highest priority
+ * weight per second of load time is first. The weight increases while a load waits, so that no load
+ * starves. The router decides on which workers replicas are loaded, how many there are, and how
+ * many loads are in flight, because only the router measures the throughput of the store. Not
+ * thread-safe.
  */
 public final class LoadScheduler {
-  /** Priority weight that a second of waiting adds: guards against starvation. */
+  /** Priority weight that a load gains for each second of waiting; prevents starvation. */
   private static final double WEIGHT_PER_WAITING_SECOND = 1;
 
-  /** Load time, microseconds, of a function that has none configured. */
+  /** Load time, in microseconds, that is assumed for a function without a configured one. */
   private static final long DEFAULT_LOAD_MICROS = 500_000;
 
   private static final double MICROS_PER_SECOND = 1e6;
@@ -26,7 +27,10 @@
   private long lastSequence = -1;
   private long epoch = -1;
 
-  /** Returns the plan for a backlog, or null if it is not newer than the last one of its epoch. */
+  /**
+   * Returns the plan for a backlog, or null if the backlog is not newer than the last one of its
+   * epoch.
+   */
   public LoadPlan plan(LoadBacklog backlog) {
     if (backlog.epoch() != epoch) {
       epoch = backlog.epoch();
@@ -42,7 +46,7 @@
     return new LoadPlan(backlog.epoch(), backlog.sequence(), ids);
   }
 
-  /** Waiting priority weight for a second of loading. */
+  /** Priority weight, including that gained by waiting, per second of load time. */
   private static double priority(PendingLoad load) {
     double weight =
         load.priorityWeight() + WEIGHT_PER_WAITING_SECOND * load.ageMicros() / MICROS_PER_SECOND;
--- a/src/main/java/switchgap/planner/PendingLoad.java
+++ b/src/main/java/switchgap/planner/PendingLoad.java
@@ -1,15 +1,15 @@
 package switchgap.planner;
 
 /**
- * A load command that the edge's router has requested and that is not yet released to the worker.
+ * A load command that the routing policy has requested and that is not yet sent to the worker.
  *
- * @param id the edge's number for it, never used twice in an epoch
- * @param worker name of the worker that is to load the function
+ * @param id number of the load, assigned by the router and unique within an epoch
+ * @param worker name of the worker that will load the function
  * @param function name of the function
- * @param memoryMb memory that a replica of the function takes, megabytes; 0 where unknown
- * @param loadMicros usual load time, microseconds; 0 where unknown
- * @param priorityWeight of all requests that wait for the function
- * @param ageMicros time since the load was requested, microseconds
+ * @param memoryMb memory of a replica of the function, in MB; 0 if unknown
+ * @param loadMicros configured load time of the function, in microseconds; 0 if unknown
+ * @param priorityWeight sum of the priority weights of the requests that wait for the function
+ * @param ageMicros time since the load was requested, in microseconds
  */
 public record PendingLoad(
     long id,
--- a/src/main/java/switchgap/planner/PendingLoadQueue.java
+++ b/src/main/java/switchgap/planner/PendingLoadQueue.java
@@ -8,41 +8,41 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The edge's side: loads that its router requested are pending here until a plan names them, each
- * for a bounded time, and each is released at most once. The edge never depends on the planner:
- * when in doubt a load is released as it would be without one. Not thread-safe; times are durations
- * since the router's start.
+ * Holds load commands in the router until a plan of the planner releases them or they time out.
+ * Each load is released at most once. The router must work without the planner: if no planner is
+ * connected, plans do not arrive in time or the queue is full, loads are released without a plan.
+ * Not thread-safe; times are durations since the router's start.
  */
 public final class PendingLoadQueue {
   /**
-   * Whether a planner decides on releases. A connection or an accepted plan leads to LED, timeouts
-   * in succession from LED to STALLED, a disconnect to ALONE. The names are part of the status
-   * page.
+   * Whether the planner's plans decide when loads are released. A new connection or an accepted
+   * plan changes the state to LED, successive timeouts change it from LED to STALLED, and a
+   * disconnect changes it to ALONE. The names are part of the status response.
    */
   public enum State {
     /** No planner is connected: each load is released immediately. */
     ALONE,
-    /** A planner is connected, and its plans decide. */
+    /** A planner is connected, and its plans decide when loads are released. */
     LED,
-    /** A planner is connected, but no plan came in time: as ALONE until one is accepted. */
+    /**
+     * A planner is connected, but its plans did not arrive in time: each load is released
+     * immediately until a plan is accepted.
+     */
     STALLED
   }
 
-  /** Carries out what is decided here; called within the queue's own methods. */
+  /** Receives the queue's decisions. It is called from within the queue's methods. */
   public interface Listener {
-    /** The load is released now; called at most once for each id. */
+    /** Sends the load command with this id; called at most once for each id. */
     void release(long id);
 
-    /** A plan or a part of it was rejected: the planner that sent it is at fault. */
+    /** A plan, or one id in it, was rejected because the planner sent invalid data. */
     void planRejected(PlanRejection rejection);
   }
 
   private record Entry(PendingLoad load, Duration addedAt, Duration timeoutAt) {}
 
-  /**
-   * Loads timed out in succession, without a plan between them, after which the planner counts as
-   * stalled.
-   */
+  /** Number of loads that must time out, without a plan in between, for the state STALLED. */
   private static final int MAX_SUCCESSIVE_TIMEOUTS = 3;
 
   private static final int NANOS_PER_MICRO = 1000;
@@ -62,8 +62,11 @@
   private long rejectedCount;
 
   /**
-   * Each load is pending for {@code timeout} at most, and {@code capacity} loads at most are
-   * pending.
+   * Creates an empty queue without a planner.
+   *
+   * @param timeout time after which a load is released without a plan
+   * @param capacity maximum number of pending loads; any further load is released immediately
+   * @param listener receives the queue's decisions
    */
   public PendingLoadQueue(Duration timeout, int capacity, Listener listener) {
     this.timeout = timeout;
@@ -71,48 +74,49 @@
     this.listener = listener;
   }
 
-  /** Whether a planner decides now. */
+  /** The current state, which says whether plans decide when loads are released. */
   public State state() {
     return state;
   }
 
-  /** The epoch of the last connection of a planner, 0 before the first. */
+  /** The epoch of the last connection of a planner; 0 before the first connection. */
   public long epoch() {
     return epoch;
   }
 
-  /** The id that the next load must have. */
+  /** The id that the next added load must have. */
   public long nextId() {
     return nextId;
   }
 
   /**
-   * A planner is connected; its plans must name this epoch.
+   * A planner has connected. Plans with another epoch are rejected from now on.
    *
-   * @throws IllegalArgumentException if the epoch is not above all earlier ones
+   * @throws IllegalArgumentException if the epoch is not greater than all earlier ones
    */
   public void connected(long newEpoch) {
     if (newEpoch <= epoch) {
-      throw new IllegalArgumentException("epoch " + newEpoch + " after " + epoch);
+      throw new IllegalArgumentException(
+          "epoch " + newEpoch + " is not greater than the last epoch " + epoch);
     }
     epoch = newEpoch;
     markResponsive(0);
   }
 
-  /** The planner is gone: all pending loads are released in the order in which they were added. */
+  /** The planner has disconnected: all pending loads are released in the order of their arrival. */
   public void disconnected() {
     state = State.ALONE;
     releaseAll();
   }
 
   /**
-   * The router requests a load.
+   * Adds a load. It is released immediately if no plans are expected or the queue is full.
    *
-   * @throws IllegalArgumentException if its id is not {@link #nextId}
+   * @throws IllegalArgumentException if the load's id is not {@link #nextId}
    */
   public void add(Duration now, PendingLoad load) {
     if (load.id() != nextId) {
-      throw new IllegalArgumentException("load " + load.id() + " in place of " + nextId);
+      throw new IllegalArgumentException("load id is " + load.id() + ", expected " + nextId);
     }
     nextId++;
     entries.put(load.id(), new Entry(load, now, now.plus(timeout)));
@@ -122,24 +126,25 @@
   }
 
   /**
-   * The router cancels a load, which must not be released.
+   * Removes a pending load, so that it is never released.
    *
-   * @return false if it is no longer pending
+   * @return false if the load is no longer pending
    */
   public boolean withdraw(long id) {
     return entries.remove(id) != null;
   }
 
   /**
-   * A plan came. Loads that it names and that are no longer pending are counted as stale; ids that
-   * were never used, and plans for another epoch, are rejected.
+   * Releases the pending loads of a plan. Ids of loads that are no longer pending are counted as
+   * stale. Ids that were never used, and plans with another epoch, are rejected.
    */
   public void planReceived(LoadPlan plan) {
     if (plan.epoch() != epoch || state == State.ALONE) {
       reject(PlanRejection.wrongEpoch(plan.epoch(), epoch));
       return;
     }
-    if (plan.sequence() <= lastSequence) { // overtaken by a later one, or received twice
+    if (plan.sequence() <= lastSequence) {
+      // A later plan was received before this one, or this one was received twice.
       staleCount += plan.ids().length;
       return;
     }
@@ -149,7 +154,11 @@
     }
   }
 
-  /** The planner is responsive, as of this sequence number: its plans decide. */
+  /**
+   * The planner responds: its plans decide from now on.
+   *
+   * @param sequence sequence number of its last plan; 0 after a new connection
+   */
   private void markResponsive(long sequence) {
     lastSequence = sequence;
     successiveTimeouts = 0;
@@ -170,7 +179,7 @@
   /**
    * Releases loads that have timed out.
    *
-   * @return when the next load times out, or null if none is pending
+   * @return the time at which the next load times out, or null if none is pending
    */
   public Duration tick(Duration now) {
     for (Entry entry : List.copyOf(entries.values())) {
@@ -205,8 +214,9 @@
   }
 
   /**
-   * Returns the pending loads, with their ages and the priority weight that waits for each
-   * function.
+   * Returns the pending loads with their ages and their functions' priority weights.
+   *
+   * @param priorityWeight returns the sum of the weights of the requests that wait for a function
    */
   public List<PendingLoad> waiting(Duration now, ToDoubleFunction<String> priorityWeight) {
     List<PendingLoad> loads = new ArrayList<>(entries.size());
@@ -225,7 +235,7 @@
     return loads;
   }
 
-  /** What became of loads and plans since this queue was created. */
+  /** Counts of released loads and of ineffective plans since this queue was created. */
   public LoadPlanCounts counts() {
     return new LoadPlanCounts(plannedCount, timedOutCount, staleCount, rejectedCount);
   }
--- a/src/main/java/switchgap/planner/PlanRejection.java
+++ b/src/main/java/switchgap/planner/PlanRejection.java
@@ -1,13 +1,13 @@
 package switchgap.planner;
 
 /**
- * Why a plan, or a part of it, was rejected.
+ * Why a plan, or one id in it, was rejected.
  *
- * @param reason the kind of fault
- * @param detail what log lines say of this fault
+ * @param reason the kind of error
+ * @param detail description of this error for log lines
  */
 public record PlanRejection(Reason reason, String detail) {
-  /** Kinds of faults. */
+  /** Kinds of errors in plans. */
   public enum Reason {
     /** The plan is for another epoch, or no planner is connected. */
     WRONG_EPOCH,
@@ -24,7 +24,7 @@
     return new PlanRejection(Reason.UNKNOWN_LOAD, "load " + id + " was never requested");
   }
 
-  /** The text for log lines. */
+  /** Returns the description for log lines. */
   @Override
   public String toString() {
     return detail;
--- a/src/main/java/switchgap/planner/PlannerMessage.java
+++ b/src/main/java/switchgap/planner/PlannerMessage.java
@@ -1,6 +1,6 @@
 package switchgap.planner;
 
-/** A message between an edge and its planner. */
+/** A message between a router and its planner. */
 public sealed interface PlannerMessage
     permits LoadBacklog,
         LoadPlan,
@@ -8,26 +8,26 @@
         PlannerMessage.Rejected,
         PlannerMessage.Heartbeat {
   /**
-   * The first message of each side.
+   * The handshake: the first message of each side.
    *
-   * @param version of the protocol
-   * @param side "edge" or "planner"
-   * @param router index of the router that the edge belongs to
-   * @param epoch of the connection, from the edge; 0 from the planner
+   * @param version protocol version
+   * @param side sender of the message: "edge" for the router, or "planner"
+   * @param router index of the router
+   * @param epoch epoch of the connection if the router sends the message; 0 if the planner does
    */
   record Hello(int version, String side, int router, long epoch) implements PlannerMessage {}
 
   /**
-   * The edge rejects the connection, and closes it.
+   * Sent by the router before it closes a connection that it rejects.
    *
    * @param why the reason, for the planner's log
    */
   record Rejected(String why) implements PlannerMessage {}
 
   /**
-   * Sent by the planner at intervals.
+   * Sent by the planner at regular intervals while it is connected.
    *
-   * @param number counts up
+   * @param number number of heartbeats that were sent before this one
    */
   record Heartbeat(long number) implements PlannerMessage {}
 }
--- a/src/main/java/switchgap/planner/link/LinkCloseReason.java
+++ b/src/main/java/switchgap/planner/link/LinkCloseReason.java
@@ -2,22 +2,22 @@
 
 import switchgap.net.CloseReason;
 
-/** Why an edge or its planner closes the connection between them. */
+/** Why a router or its planner closes the connection between them. */
 enum LinkCloseReason implements CloseReason {
-  /** The planner sent nothing for too long. */
-  PLANNER_SILENT("the planner is silent"),
-  /** A client of the edge sent no handshake in time. */
-  HANDSHAKE_TIMEOUT("no handshake within a second"),
-  /** The edge rejected the planner, or a message of it. */
+  /** The router received no message from the planner in time. */
+  PLANNER_SILENT("no message from the planner within 1 s"),
+  /** A client that connected to the router sent no handshake in time. */
+  HANDSHAKE_TIMEOUT("no handshake within 1 s"),
+  /** The router rejected the planner's handshake or a later message. */
   REJECTED("rejected"),
   /** A message could not be decoded. */
   UNREADABLE_MESSAGE("unreadable"),
-  /** A message that an edge does not send. */
-  UNEXPECTED_MESSAGE("no message for a planner"),
-  /** The edge stops. */
-  ROUTER_STOPPED("the edge stops"),
-  /** The planner stops. */
-  PLANNER_STOPPED("the planner stops");
+  /** The planner received a message that a router does not send. */
+  UNEXPECTED_MESSAGE("unexpected message type for a planner"),
+  /** The router is being stopped. */
+  ROUTER_STOPPED("the router is stopping"),
+  /** The planner is being stopped. */
+  PLANNER_STOPPED("the planner is stopping");
 
   private final String description;
 
--- a/src/main/java/switchgap/planner/link/PlannerClient.java
+++ b/src/main/java/switchgap/planner/link/PlannerClient.java
@@ -17,9 +17,9 @@
 import switchgap.planner.PlannerMessage;
 
 /**
- * The planner's end: connects to its edge, reconnects with exponential backoff, and responds to
- * each backlog with a plan. Messages are handled on the connection's selector thread, heartbeats
- * and reconnects on the timer thread.
+ * The planner's side of the connection: connects to the router, reconnects with exponential
+ * backoff, and responds to each backlog with a plan. Messages are handled on the connection's
+ * selector thread, heartbeats and reconnects on the timer thread.
  */
 public final class PlannerClient implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(PlannerClient.class);
@@ -36,10 +36,14 @@
   private volatile FramedConnection connection;
   private volatile boolean handshakeDone;
   private volatile boolean closed;
-  private long backoffMillis = MIN_BACKOFF_MILLIS; // guarded by this
-  private long heartbeatsSent; // timer thread only
 
-  /** Connects at once to the edge of the router with this index. */
+  /** Guarded by this object's monitor. */
+  private long backoffMillis = MIN_BACKOFF_MILLIS;
+
+  /** Used only by the timer thread. */
+  private long heartbeatsSent;
+
+  /** Starts to connect to the router with this index and address. */
   public PlannerClient(NetworkTransport net, InetSocketAddress routerAddress, int routerIndex) {
     this.connector =
         new FramedConnector(net, PlannerMessageCodec.MAX_FRAME_BYTES, new MessageListener());
@@ -54,7 +58,7 @@
     connect();
   }
 
-  /** Whether the connection to the edge is open and its handshake is complete. */
+  /** Whether the connection to the router is open and its handshake is complete. */
   public boolean isLinked() {
     return handshakeDone;
   }
@@ -110,9 +114,9 @@
       if (message instanceof PlannerMessage.Hello hello && isFromRouter(hello)) {
         handshakeDone = true;
         setBackoff(MIN_BACKOFF_MILLIS);
-        LOG.info("planner of router {} linked, epoch {}", routerIndex, hello.epoch());
+        LOG.info("planner of router {} connected, epoch {}", routerIndex, hello.epoch());
       } else if (message instanceof PlannerMessage.Rejected rejected) {
-        LOG.error("the edge rejects this planner: {}", rejected.why());
+        LOG.error("the router rejected this planner: {}", rejected.why());
         setBackoff(MAX_BACKOFF_MILLIS);
       } else if (message instanceof LoadBacklog backlog && handshakeDone) {
         sendPlan(from, backlog);
@@ -135,12 +139,12 @@
 
     @Override
     public void closed(FramedConnection from, CloseCause cause) {
-      LOG.warn("planner of router {} has lost its edge: {}", routerIndex, cause);
+      LOG.warn("planner of router {} disconnected, reconnecting: {}", routerIndex, cause);
       reconnectLater();
     }
   }
 
-  /** Closes the connection, and does not connect again. */
+  /** Closes the connection without reconnecting. */
   @Override
   public void close() {
     closed = true;
--- a/src/main/java/switchgap/planner/link/PlannerMessageCodec.java
+++ b/src/main/java/switchgap/planner/link/PlannerMessageCodec.java
@@ -14,40 +14,41 @@
 import switchgap.planner.PlannerMessage;
 
 /**
- * Encodes messages between edge and planner as CBOR maps; the member {@code is} names the type.
- * Names on the wire are fixed here. Thread-safe.
+ * Encodes and decodes messages between router and planner. A message is a CBOR map, whose member
+ * {@code is} contains the type. The names of members on the wire do not depend on names in the
+ * code: those that differ are defined here. Thread-safe.
  */
 public final class PlannerMessageCodec {
-  /** Version of the protocol; both sides must speak the same. */
+  /** Version of the protocol, which must be the same on both sides. */
   public static final int VERSION = 2;
 
-  /** The largest message, bytes. */
+  /** Maximum size of a message in bytes. */
   public static final int MAX_FRAME_BYTES = 1 << 20;
 
-  /** The edge's name in {@link PlannerMessage.Hello#side}. */
+  /** Value of {@link PlannerMessage.Hello#side} in messages of the router. */
   static final String ROUTER_SIDE = "edge";
 
-  /** The planner's name in {@link PlannerMessage.Hello#side}. */
+  /** Value of {@link PlannerMessage.Hello#side} in messages of the planner. */
   static final String PLANNER_SIDE = "planner";
 
   private static final String TYPE_MEMBER = "is";
 
-  /** Names on the wire of the members of a plan. */
-  @SuppressWarnings("UnusedVariable") // Jackson reads the annotations alone
+  /** Names on the wire of the members of {@link LoadPlan}. */
+  @SuppressWarnings("UnusedVariable") // Jackson reads only the annotations
   private abstract static class LoadPlanNames {
     @JsonProperty("seq")
     private long sequence;
   }
 
-  /** Names on the wire of the members of a backlog. */
-  @SuppressWarnings("UnusedVariable") // Jackson reads the annotations alone
+  /** Names on the wire of the members of {@link LoadBacklog}. */
+  @SuppressWarnings("UnusedVariable") // Jackson reads only the annotations
   private abstract static class LoadBacklogNames {
     @JsonProperty("seq")
     private long sequence;
   }
 
-  /** Names on the wire of the members of a pending load. */
-  @SuppressWarnings("UnusedVariable") // Jackson reads the annotations alone
+  /** Names on the wire of the members of {@link PendingLoad}. */
+  @SuppressWarnings("UnusedVariable") // Jackson reads only the annotations
   private abstract static class PendingLoadNames {
     @JsonProperty("memory")
     private double memoryMb;
@@ -76,7 +77,7 @@
     return mapper;
   }
 
-  /** Encodes a message. */
+  /** Returns the wire form of a message, without the length that a frame adds. */
   public static byte[] encode(PlannerMessage message) {
     PlannerMessageType type = PlannerMessageType.of(message);
     ObjectNode node = CBOR.valueToTree(message);
@@ -84,14 +85,15 @@
     try {
       return CBOR.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
-      throw new IllegalArgumentException(e); // each message is a record of plain values
+      // Does not occur: each message is a record of numbers, strings and lists.
+      throw new IllegalArgumentException(e);
     }
   }
 
   /**
-   * Decodes a message.
+   * Decodes a message from its wire form.
    *
-   * @throws IOException if the bytes are not a message; its text says why
+   * @throws IOException if the bytes are not a message; the exception's message contains the reason
    */
   public static PlannerMessage decode(byte[] bytes) throws IOException {
     JsonNode node = CBOR.readTree(bytes);
--- a/src/main/java/switchgap/planner/link/PlannerMessageType.java
+++ b/src/main/java/switchgap/planner/link/PlannerMessageType.java
@@ -4,15 +4,15 @@
 import switchgap.planner.LoadPlan;
 import switchgap.planner.PlannerMessage;
 
-/** The types of messages between edge and planner, with their names on the wire. */
+/** The types of messages between router and planner, with their names on the wire. */
 enum PlannerMessageType {
   /** The handshake of either side. */
   HELLO("hello", PlannerMessage.Hello.class),
-  /** The edge rejects a connection. */
+  /** The router rejects a connection. */
   REJECTED("refused", PlannerMessage.Rejected.class),
-  /** The planner is alive. */
+  /** Sent at regular intervals to show that the planner is alive. */
   HEARTBEAT("beat", PlannerMessage.Heartbeat.class),
-  /** The edge's pending loads. */
+  /** The pending loads of the router. */
   BACKLOG("told", LoadBacklog.class),
   /** The planner's response to a backlog. */
   PLAN("plan", LoadPlan.class);
@@ -33,7 +33,7 @@
     return messageClass;
   }
 
-  /** The type with this name on the wire, or null. */
+  /** The type with this name on the wire, or null if there is none. */
   static PlannerMessageType named(String wireName) {
     for (PlannerMessageType type : values()) {
       if (type.wireName.equals(wireName)) {
@@ -43,13 +43,17 @@
     return null;
   }
 
-  /** The type of a message. */
+  /**
+   * The type of a message.
+   *
+   * @throws IllegalArgumentException if the message's class has no type
+   */
   static PlannerMessageType of(PlannerMessage message) {
     for (PlannerMessageType type : values()) {
       if (type.messageClass == message.getClass()) {
         return type;
       }
     }
-    throw new IllegalArgumentException("no type of " + message.getClass().getName());
+    throw new IllegalArgumentException("no message type for " + message.getClass().getName());
   }
 }
--- a/src/main/java/switchgap/planner/link/PlannerServer.java
+++ b/src/main/java/switchgap/planner/link/PlannerServer.java
@@ -17,17 +17,21 @@
 import switchgap.planner.PlannerMessage;
 
 /**
- * The edge's end: accepts one planner at a time, after a handshake. A client that speaks another
- * version, is not a planner, is for another router, or connects while a planner is connected, is
- * rejected with the reason. Requests to the router are not affected. Thread-safe.
+ * The router's side of the connection: accepts one planner at a time, after a handshake. A client
+ * is rejected with the reason if its protocol version differs, if it is not a planner, if it is a
+ * planner for another router, or if a planner is already connected. Rejected and failing planners
+ * do not affect requests to the router. Thread-safe.
  */
 public final class PlannerServer implements AutoCloseable {
-  /** Notified of the planner, on selector threads; of its end also on the thread that closes it. */
+  /**
+   * Receives the events of the planner's connection. The methods run on selector threads; {@code
+   * plannerDisconnected} runs on the thread that closes the connection.
+   */
   public interface Listener {
-    /** A planner is connected; its plans must name this epoch. */
+    /** A planner has connected; its plans must contain this epoch. */
     void plannerConnected(long epoch);
 
-    /** The planner of this epoch is gone. */
+    /** The planner of this epoch has disconnected. */
     void plannerDisconnected(long epoch);
 
     /** The planner sent a plan. */
@@ -36,12 +40,15 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(PlannerServer.class);
 
-  /** A planner is disconnected after this time without a message, a client without a handshake. */
+  /**
+   * Time without a message after which a planner is disconnected, and without a handshake after
+   * which a new client is disconnected.
+   */
   private static final long SILENCE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private static final long SILENCE_CHECK_INTERVAL_MILLIS = 250;
 
-  /** Time for a rejection to reach the client before the connection is closed. */
+  /** Time between a rejection and the closing of the connection, so that the client receives it. */
   private static final long REJECTION_LINGER_MILLIS = 100;
 
   private static final long EPOCHS_PER_MILLISECOND = 1000;
@@ -52,13 +59,18 @@
   private final TcpServer server;
   private final ScheduledFuture<?> silenceCheck;
 
-  /** Guarded by this. Begins past the epochs of any process before this one. */
+  /**
+   * Epoch of the last connection; guarded by this object's monitor. It starts from the wall clock,
+   * above the epochs of earlier processes of the router.
+   */
   private long lastEpoch = WallClock.unixMillis() * EPOCHS_PER_MILLISECOND;
 
   /**
-   * Listens for the planner of the router with this index; port 0 takes any.
+   * Listens for connections of the planner.
    *
-   * @throws IOException if the port can't be listened on
+   * @param port the port to listen on; 0 for any free port
+   * @param router index of the router
+   * @throws IOException if the server can't listen on the port
    */
   public PlannerServer(
       NetworkTransport net, String host, int port, int routerIndex, Listener listener)
@@ -76,7 +88,7 @@
             TimeUnit.MILLISECONDS);
   }
 
-  /** The port that is listened on. */
+  /** The port on which the server listens. */
   public int port() {
     return server.port();
   }
@@ -84,8 +96,8 @@
   /**
    * Sends a backlog to the planner.
    *
-   * @return false if no planner of its epoch is connected, or too many messages to it are unsent;
-   *     the next backlog makes up for it
+   * @return false if the backlog was not sent, because no planner of its epoch is connected or too
+   *     many messages to the planner are unsent; the next backlog replaces it
    */
   public boolean send(LoadBacklog backlog) {
     PlannerSession current = session.get();
@@ -101,14 +113,14 @@
     }
   }
 
-  /** The session of this connection, or null if its handshake is not complete. */
+  /** The session of a connection, or null if its handshake is not complete. */
   private PlannerSession sessionOf(FramedConnection connection) {
     PlannerSession current = session.get();
     return current != null && current.connection() == connection ? current : null;
   }
 
   private final class MessageListener implements FramedConnection.Listener {
-    /** Guards against clients that connect and send nothing. */
+    /** Schedules a timeout of the handshake, for clients that connect and send nothing. */
     @Override
     public void opened(FramedConnection connection) {
       TimerThread.EXECUTOR.schedule(
@@ -154,7 +166,9 @@
       PlannerSession ended = sessionOf(from);
       if (ended != null && session.compareAndSet(ended, null)) {
         LOG.warn(
-            "router {}: planner gone: {}; load commands go out as they come", routerIndex, cause);
+            "router {}: planner disconnected: {}; load commands are sent without a plan",
+            routerIndex,
+            cause);
         listener.plannerDisconnected(ended.epoch());
       }
     }
@@ -179,11 +193,11 @@
                 PlannerMessageCodec.ROUTER_SIDE,
                 routerIndex,
                 newSession.epoch())));
-    LOG.info("router {}: planner linked, epoch {}", routerIndex, newSession.epoch());
+    LOG.info("router {}: planner connected, epoch {}", routerIndex, newSession.epoch());
     listener.plannerConnected(newSession.epoch());
   }
 
-  /** Why a client with this handshake can't be this edge's planner, or null. */
+  /** Why a client with this handshake can't be the router's planner; null if it can. */
   private String mismatch(PlannerMessage.Hello hello) {
     if (hello.version() != PlannerMessageCodec.VERSION) {
       return "version " + hello.version() + ", this edge speaks " + PlannerMessageCodec.VERSION;
@@ -206,7 +220,7 @@
         TimeUnit.MILLISECONDS);
   }
 
-  /** Closes the connection to the planner, and the port. */
+  /** Stops listening and closes the connection to the planner. */
   @Override
   public void close() {
     silenceCheck.cancel(false);
--- a/src/main/java/switchgap/planner/link/PlannerSession.java
+++ b/src/main/java/switchgap/planner/link/PlannerSession.java
@@ -2,7 +2,7 @@
 
 import switchgap.net.FramedConnection;
 
-/** A planner's connection after the handshake, as the edge sees it. Thread-safe. */
+/** A planner's connection in the router, after the handshake. Thread-safe. */
 final class PlannerSession {
   private final FramedConnection connection;
   private final long epoch;
@@ -17,17 +17,17 @@
     return connection;
   }
 
-  /** The epoch that plans of this session must name. */
+  /** The epoch that plans of this session must contain. */
   long epoch() {
     return epoch;
   }
 
-  /** The planner sent a message, which proves that it is alive. */
+  /** Records that the planner sent a message, and is therefore alive. */
   void messageReceived() {
     lastMessageNanos = System.nanoTime();
   }
 
-  /** Whether the planner has sent nothing for longer than the timeout. */
+  /** Whether the time since the planner's last message exceeds the timeout. */
   boolean isSilent(long timeoutNanos) {
     return System.nanoTime() - lastMessageNanos > timeoutNanos;
   }
--- a/src/main/java/switchgap/simulator/ActionRecordEncoder.java
+++ b/src/main/java/switchgap/simulator/ActionRecordEncoder.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 import switchgap.policy.api.PolicyActions;
 
-/** Encodes one router's decisions as records of the reply. */
+/** Encodes the decisions of one router's policy as action records of the reply. */
 final class ActionRecordEncoder implements PolicyActions {
-  // Offsets in bytes from a record's start.
+  // Offsets of fields, in bytes from the start of a record.
   private static final int REQUEST_ID = 3;
   private static final int START_WORKER_ID = 11;
   private static final int START_TIMEOUT = 17;
@@ -19,6 +19,7 @@
   private static final int SUBSCRIBE_FLAG = 3;
   private static final int FAULT_TEXT = 3;
 
+  // Values of fields.
   private static final int NO_RETRY_AFTER = 0;
   private static final byte SUBSCRIBE = 1;
   private static final byte ONE_REPLICA = 1;
@@ -34,7 +35,7 @@
     this.reply = reply;
   }
 
-  /** Reports that the policy failed; it decides nothing any more. */
+  /** Adds a record that the policy failed with an exception and makes no further decisions. */
   void policyFailed(RuntimeException failure) {
     StackTraceElement[] trace = failure.getStackTrace();
     int offset = reply.addRecord(ActionType.POLICY_FAULT, routerId);
--- a/src/main/java/switchgap/simulator/ActionType.java
+++ b/src/main/java/switchgap/simulator/ActionType.java
@@ -1,6 +1,6 @@
 package switchgap.simulator;
 
-/** Types of action records, with the code on the wire: the first byte of each record. */
+/** Types of action records. The type's code is the first byte of a record on the wire. */
 enum ActionType {
   START_ATTEMPT(1),
   REJECT(2),
@@ -8,10 +8,10 @@
   CANCEL_ATTEMPT(4),
   SCHEDULE_WAKE_UP(5),
   PROBE(6),
-  /** The policy failed and decides nothing any more; with a text. */
+  /** The policy failed and makes no further decisions; the record refers to a text. */
   POLICY_FAULT(10),
   SUBSCRIBE_TO_ENDPOINTS(11),
-  /** A load command, or with no replica a query. */
+  /** A load command or, with a replica count of 0, a query for the number of replicas. */
   LOAD(13),
   UNLOAD(14);
 
--- a/src/main/java/switchgap/simulator/EndpointListDecoder.java
+++ b/src/main/java/switchgap/simulator/EndpointListDecoder.java
@@ -7,11 +7,11 @@
 import switchgap.policy.api.WorkerState;
 import switchgap.policy.state.IndexAllocator;
 
-/** Decodes the content of an endpoint list, entry by entry. */
+/** Decodes the entries of an endpoint list and delivers them to a policy. */
 final class EndpointListDecoder {
   static final int ENTRY_BYTES = 25;
 
-  // Offsets in bytes from an entry's start.
+  // Offsets of fields, in bytes from the start of an entry.
   private static final int STATE = 0;
   private static final int ZONE = 1;
   private static final int STARTED_AT = 3;
@@ -20,6 +20,7 @@
   private static final int KIND = 19;
   private static final int CAPACITY = 21;
 
+  // Values of fields.
   private static final int STATE_GONE = 0;
   private static final int STATE_READY = 1;
   private static final long STARTED_LONG_AGO = 0;
@@ -27,12 +28,23 @@
   private final IndexAllocator workers;
   private final long routerStartMicros;
 
-  /** A decoder that converts times of the simulator to times since the router's start. */
+  /**
+   * Creates a decoder that converts times of the simulator to times since the router's start.
+   *
+   * @param workers indices of the workers; a listed worker gets one if it has none
+   * @param routerStartMicros simulated time of the router's start, in microseconds
+   */
   EndpointListDecoder(IndexAllocator workers, long routerStartMicros) {
     this.workers = workers;
     this.routerStartMicros = routerStartMicros;
   }
 
+  /**
+   * Delivers an endpoint list.
+   *
+   * @param content the entries in their wire form
+   * @param complete whether the list contains all workers, or only changes
+   */
   void deliver(byte[] content, boolean complete, PolicyEvents events) {
     ByteBuffer buffer = ByteBuffer.wrap(content).order(ByteOrder.LITTLE_ENDIAN);
     events.endpointListStarted(complete);
--- a/src/main/java/switchgap/simulator/EventFrame.java
+++ b/src/main/java/switchgap/simulator/EventFrame.java
@@ -6,25 +6,35 @@
 import java.nio.ByteOrder;
 
 /**
- * A frame of event records: a header, the records, and a tail that holds their parts of variable
- * length.
+ * A frame of event records. It consists of a header, the records, and a tail that contains the
+ * parts of variable length.
  *
- * @param number the frame's number, repeated in its reply
- * @param recordCount how many records it has
- * @param clockMicros the simulator's time
+ * @param number number of the frame, which its reply repeats
+ * @param recordCount number of records
+ * @param clockMicros simulated time, in microseconds
  * @param body the records and the tail, little-endian
  */
 record EventFrame(int number, int recordCount, long clockMicros, ByteBuffer body) {
   private static final int HEADER_BYTES = 20;
+
+  // Offsets of fields, in bytes from the start of the header.
   private static final int NUMBER_OFFSET = 0;
   private static final int RECORD_COUNT_OFFSET = 4;
   private static final int FRAME_BYTES_OFFSET = 8;
   private static final int CLOCK_OFFSET = 12;
 
-  /** Of a reference to the tail: its offset there, then its size. */
+  /**
+   * Offset of the size within a reference to the tail. A reference consists of the part's offset in
+   * the tail and its size, of four bytes each.
+   */
   private static final int REFERENCE_SIZE_OFFSET = 4;
 
-  /** Reads the next frame, or returns null at the end of the stream. */
+  /**
+   * Reads the next frame.
+   *
+   * @return the frame, or null at the end of the stream
+   * @throws MalformedFrameException if the stream ends within the frame, or its length is invalid
+   */
   static EventFrame read(InputStream input) throws IOException {
     byte[] headerBytes = new byte[HEADER_BYTES];
     int headerSize = input.readNBytes(headerBytes, 0, HEADER_BYTES);
@@ -33,7 +43,7 @@
     }
     if (headerSize < HEADER_BYTES) {
       throw new MalformedFrameException(
-          "header ends at byte " + headerSize + " of " + HEADER_BYTES);
+          "header truncated at byte " + headerSize + " of " + HEADER_BYTES);
     }
     ByteBuffer header = ByteBuffer.wrap(headerBytes).order(ByteOrder.LITTLE_ENDIAN);
     int number = header.getInt(NUMBER_OFFSET);
@@ -42,14 +52,14 @@
     long minBytes = HEADER_BYTES + recordCount * EventLayout.RECORD_BYTES;
     if (frameBytes < minBytes || frameBytes > Integer.MAX_VALUE) {
       throw new MalformedFrameException(
-          "length " + frameBytes + " at byte 8 does not fit " + recordCount + " records");
+          "frame length " + frameBytes + " at byte 8 is invalid for " + recordCount + " records");
     }
     byte[] body = input.readNBytes((int) frameBytes - HEADER_BYTES);
     if (body.length < frameBytes - HEADER_BYTES) {
       throw new MalformedFrameException(
           "frame "
               + number
-              + " ends at byte "
+              + " truncated at byte "
               + (HEADER_BYTES + body.length)
               + " of "
               + frameBytes);
@@ -61,22 +71,22 @@
         ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN));
   }
 
-  /** Where a record begins in the body. */
+  /** The offset of a record in the body. */
   int offsetOf(int record) {
     return record * EventLayout.RECORD_BYTES;
   }
 
-  /** A record's event code. */
+  /** The code of a record's event type. */
   int codeOf(int record) {
     return WireValues.unsignedByte(body, offsetOf(record) + EventLayout.CODE);
   }
 
-  /** The router that a record is for. */
+  /** The id of the router that receives a record. */
   int routerIdOf(int record) {
     return WireValues.unsignedShort(body, offsetOf(record) + EventLayout.ROUTER_ID);
   }
 
-  /** The byte of the frame at which an offset in the body lies, for messages. */
+  /** Converts an offset in the body to an offset in the frame, for error messages. */
   static int frameOffset(int bodyOffset) {
     return HEADER_BYTES + bodyOffset;
   }
@@ -84,8 +94,9 @@
   /**
    * Copies the part of the tail that a record refers to.
    *
-   * @param field the reference's offset in the record
-   * @param unitBytes bytes of each of the elements that the reference counts
+   * @param field offset of the reference in the record
+   * @param unitBytes size of the unit in which the reference states the part's size, in bytes
+   * @throws MalformedFrameException if the part is not within the tail
    */
   byte[] tailPart(int record, int field, int unitBytes) throws MalformedFrameException {
     int reference = offsetOf(record) + field;
@@ -93,11 +104,11 @@
     long size = Integer.toUnsignedLong(body.getInt(reference + REFERENCE_SIZE_OFFSET)) * unitBytes;
     if (start + size > body.capacity()) {
       throw new MalformedFrameException(
-          "offset at byte "
+          "reference at byte "
               + frameOffset(reference)
-              + " of record "
+              + " in record "
               + record
-              + " is outside the tail");
+              + " points outside the tail");
     }
     byte[] part = new byte[(int) size];
     body.get((int) start, part);
--- a/src/main/java/switchgap/simulator/EventLayout.java
+++ b/src/main/java/switchgap/simulator/EventLayout.java
@@ -1,12 +1,12 @@
 package switchgap.simulator;
 
-/** Layout of event records: offsets in bytes from the record's start. */
+/** Layout of event records: offsets of fields in bytes from the start of a record, and values. */
 final class EventLayout {
   static final int RECORD_BYTES = 56;
 
   static final int CODE = 0;
 
-  /** The router that an event is for; all but {@link EventType#DEFINE_LIST}. */
+  /** Id of the router that receives the event; in all types but {@link EventType#DEFINE_LIST}. */
   static final int ROUTER_ID = 1;
 
   static final int LIST_DEFINITION_ID = 1;
@@ -15,10 +15,10 @@
   static final int START_SEED = 3;
   static final int START_SETTINGS = 11;
 
-  /** The request of a departed client, a started response, an ended attempt or an arrival. */
+  /** Id of the request, in all events about a request or one of its attempts. */
   static final int REQUEST_ID = 3;
 
-  /** The worker of a probe or a load command. */
+  /** Id of the worker, in events about a load probe or a load command. */
   static final int WORKER_ID = 3;
 
   static final int PROBE_OUTCOME = 9;
@@ -37,7 +37,10 @@
   static final int ATTEMPT_DURATION = 20;
   static final int ATTEMPT_REQUEST_CLOSED = 24;
 
-  /** Concurrency at the worker, in the bits from {@link #CONCURRENCY_SHIFT} on. */
+  /**
+   * Concurrency at the worker, in the bits from {@link #CONCURRENCY_SHIFT} upwards; the lower bits
+   * are not used.
+   */
   static final int ATTEMPT_CONCURRENCY = 25;
 
   static final int CONCURRENCY_SHIFT = 3;
--- a/src/main/java/switchgap/simulator/EventRecordDecoder.java
+++ b/src/main/java/switchgap/simulator/EventRecordDecoder.java
@@ -13,8 +13,8 @@
 import switchgap.policy.api.RequestArrival;
 
 /**
- * Collects one router's events of a frame and delivers them to its policy in order. Events of
- * requests, workers or functions that the policy has released are ignored.
+ * Collects the events of one router from a frame and delivers them to its policy, in the order of
+ * the frame. Events about requests, workers or functions that the policy has released are ignored.
  */
 final class EventRecordDecoder implements EventBatch {
   private static final int INITIAL_EVENTS = 16;
@@ -24,12 +24,12 @@
   private final EndpointListDecoder endpointLists;
   private final long routerStartMicros;
 
-  /** Offsets of the events in the frame's body. */
+  /** Offsets of the collected events in the frame's body. */
   private int[] eventOffsets = new int[INITIAL_EVENTS];
 
   private int eventCount;
 
-  /** Contents of the endpoint lists among the events, in their order. */
+  /** Contents of the endpoint lists among the collected events, in the order of the events. */
   private final List<byte[]> listContents = new ArrayList<>();
 
   private ByteBuffer body;
@@ -41,7 +41,7 @@
     endpointLists = new EndpointListDecoder(indices.workers(), routerStartMicros);
   }
 
-  /** Adds the event at an offset of the body that {@link #setBody} will be given. */
+  /** Adds an event by its offset in the body that is passed to {@link #setBody} later. */
   void addEvent(int offset) {
     if (eventCount == eventOffsets.length) {
       eventOffsets = Arrays.copyOf(eventOffsets, eventCount * 2);
@@ -50,18 +50,18 @@
     eventCount++;
   }
 
-  /** Adds an endpoint list that came, with its content. */
+  /** Adds an event that delivers an endpoint list. */
   void addEndpointList(int offset, byte[] content) {
     addEvent(offset);
     listContents.add(content);
   }
 
-  /** The events that were added are of this body. */
+  /** Sets the body that contains the events that were added. */
   void setBody(ByteBuffer frameBody) {
     body = frameBody;
   }
 
-  /** Forgets the events. */
+  /** Removes all collected events. */
   void clear() {
     eventCount = 0;
     listContents.clear();
@@ -97,7 +97,9 @@
       case WAKE_UP -> events.wakeUp(body.getLong(offset + EventLayout.WAKE_UP_TOKEN));
       case LOAD_COMMAND_ENDED -> loadCommandEnded(offset, events);
       case REQUEST_ARRIVED -> requestArrived(offset, events);
-      default -> {} // a peer's message: routers share nothing
+      default -> {
+        // Messages of other routers are ignored, because routers share no state.
+      }
     }
   }
 
--- a/src/main/java/switchgap/simulator/EventType.java
+++ b/src/main/java/switchgap/simulator/EventType.java
@@ -1,9 +1,9 @@
 package switchgap.simulator;
 
-/** Types of event records, with the code on the wire: the first byte of each record. */
+/** Types of event records. The type's code is the first byte of a record on the wire. */
 enum EventType {
   START_ROUTER(1),
-  /** A message of another router; ignored, as routers share nothing. */
+  /** A message of another router; ignored, because routers share no state. */
   PEER_MESSAGE(2),
   CLIENT_DISCONNECTED(3),
   PROBE_ENDED(4),
@@ -11,13 +11,13 @@
   ENDPOINT_LIST(6),
   RESPONSE_STARTED(7),
   ATTEMPT_ENDED(8),
-  /** Content of an endpoint list, which later events refer to by its id; for no router. */
+  /** The content of an endpoint list, to which later events refer by its id; sent to no router. */
   DEFINE_LIST(9),
   WAKE_UP(10),
   LOAD_COMMAND_ENDED(11),
   REQUEST_ARRIVED(12);
 
-  /** By code, without gaps from the first. */
+  /** All types, ordered by code; the codes have no gaps. */
   private static final EventType[] BY_CODE = values();
 
   private final int code;
@@ -26,7 +26,7 @@
     this.code = code;
   }
 
-  /** Returns the type with this code on the wire, or null if there is none. */
+  /** Returns the type with this code, or null if there is none. */
   static EventType ofCode(int code) {
     int index = code - START_ROUTER.code;
     return index >= 0 && index < BY_CODE.length ? BY_CODE[index] : null;
--- a/src/main/java/switchgap/simulator/IndexTables.java
+++ b/src/main/java/switchgap/simulator/IndexTables.java
@@ -2,9 +2,9 @@
 
 import switchgap.policy.state.IndexAllocator;
 
-/** The policy's small indices for the simulator's ids. */
+/** Maps the simulator's ids to the small indices by which the policy refers to the same objects. */
 record IndexTables(IndexAllocator requests, IndexAllocator workers, IndexAllocator functions) {
-  /** Tables without an entry. */
+  /** Creates empty tables. */
   IndexTables() {
     this(new IndexAllocator(), new IndexAllocator(), new IndexAllocator());
   }
--- a/src/main/java/switchgap/simulator/LoadReportDecoder.java
+++ b/src/main/java/switchgap/simulator/LoadReportDecoder.java
@@ -4,17 +4,16 @@
 import switchgap.config.PropertyRouterSettings;
 import switchgap.policy.api.LoadReport;
 
-/** Decodes what a worker reported of its load: a count of fields, then so many floats. */
+/** Decodes load reports of workers. On the wire, a count of fields precedes one float per field. */
 final class LoadReportDecoder {
   private static final int FIRST_FIELD_OFFSET = 1;
   private static final int UNKNOWN_CONCURRENCY = -1;
 
-  /** Whether the ends of attempts report the observed concurrency. */
+  /** Whether events of ended attempts contain the concurrency at the worker. */
   private final boolean reportsConcurrency;
 
-  /** Positions of the fields, below 0 where they are not reported. */
+  // Positions of the fields in a report; negative if workers do not report the field.
   private final int cpuUtilizationIndex;
-
   private final int inFlightIndex;
   private final int queueLengthIndex;
 
@@ -25,13 +24,16 @@
     queueLengthIndex = settings.reportFieldIndex("depth");
   }
 
-  /** The report of a probe. */
+  /** Decodes the load report in the event of an ended load probe. */
   LoadReport ofProbe(ByteBuffer buffer, int offset) {
     return report(buffer, offset, UNKNOWN_CONCURRENCY);
   }
 
   /**
-   * The report that came with an attempt's end; only a worker that answered says its concurrency.
+   * Decodes the load report in the event of an ended attempt.
+   *
+   * @param concurrency concurrency at the worker; used only if a response arrived
+   * @param isAnswered whether the worker responded
    */
   LoadReport ofAttempt(ByteBuffer buffer, int offset, int concurrency, boolean isAnswered) {
     return report(
--- a/src/main/java/switchgap/simulator/MalformedFrameException.java
+++ b/src/main/java/switchgap/simulator/MalformedFrameException.java
@@ -2,11 +2,15 @@
 
 import java.io.IOException;
 
-/** A frame that the simulator's protocol does not allow; the process ends with its message. */
+/** A frame that violates the simulator's protocol; the process prints its message and exits. */
 public final class MalformedFrameException extends IOException {
   private static final long serialVersionUID = 1L;
 
-  /** The message says which record or byte is at fault. */
+  /**
+   * Creates the exception.
+   *
+   * @param message the invalid field, with its record or byte offset in the frame
+   */
   public MalformedFrameException(String message) {
     super(message);
   }
--- a/src/main/java/switchgap/simulator/OutcomeCode.java
+++ b/src/main/java/switchgap/simulator/OutcomeCode.java
@@ -2,7 +2,7 @@
 
 import switchgap.policy.api.AttemptOutcome;
 
-/** Codes by which the simulator says how an attempt, a probe or a load command ended. */
+/** The simulator's codes for the outcome of an attempt, a load probe or a load command. */
 final class OutcomeCode {
   private static final int SUCCEEDED = 0;
   private static final int CANCELLED = 1;
@@ -16,7 +16,11 @@
 
   private OutcomeCode() {}
 
-  /** The outcome of a code; an unknown one is an {@link IllegalArgumentException}. */
+  /**
+   * Returns the outcome with this code.
+   *
+   * @throws IllegalArgumentException if the code is unknown
+   */
   static AttemptOutcome decode(int code) {
     return switch (code) {
       case SUCCEEDED -> AttemptOutcome.SUCCEEDED;
@@ -28,7 +32,7 @@
       case CANCELLED -> AttemptOutcome.CANCELLED;
       case NOT_SENT -> AttemptOutcome.NOT_SENT;
       case NOT_LOADED -> AttemptOutcome.NOT_LOADED;
-      default -> throw new IllegalArgumentException("unknown outcome " + code);
+      default -> throw new IllegalArgumentException("unknown outcome code " + code);
     };
   }
 }
--- a/src/main/java/switchgap/simulator/ReplyFrame.java
+++ b/src/main/java/switchgap/simulator/ReplyFrame.java
@@ -6,7 +6,8 @@
 import java.util.Arrays;
 
 /**
- * Builds reply frames: a header, action records, and a tail of their texts. Reused for each frame.
+ * Builds reply frames. A reply consists of a header, action records, and a tail that contains the
+ * texts of the records. One instance builds all replies, one after another.
  */
 final class ReplyFrame {
   private static final int RECORD_BYTES = 24;
@@ -14,15 +15,19 @@
   private static final int INITIAL_BYTES = 1 << 14;
   private static final int INITIAL_TAIL_BYTES = 256;
 
-  // Offsets in bytes from the frame's start.
+  // Offsets of fields, in bytes from the start of the frame.
   private static final int NUMBER_OFFSET = 0;
   private static final int RECORD_COUNT_OFFSET = 4;
   private static final int FRAME_BYTES_OFFSET = 8;
-  // Offsets in bytes from a record's start.
+
+  // Offsets of fields, in bytes from the start of a record.
   private static final int CODE_OFFSET = 0;
   private static final int ROUTER_ID_OFFSET = 1;
 
-  /** Of a reference to the tail: its offset there, then its size. */
+  /**
+   * Offset of the size within a reference to the tail. A reference consists of the text's offset in
+   * the tail and its size, of four bytes each.
+   */
   private static final int REFERENCE_SIZE_OFFSET = 4;
 
   private byte[] bytes = new byte[INITIAL_BYTES];
@@ -35,14 +40,18 @@
     return ByteBuffer.wrap(array).order(ByteOrder.LITTLE_ENDIAN);
   }
 
-  /** Begins the reply to the frame of that number. */
+  /** Starts a new reply, to the event frame with this number. */
   void begin(int number) {
     recordCount = 0;
     tailBytes = 0;
     buffer.putInt(NUMBER_OFFSET, number);
   }
 
-  /** Adds a record of zeros with its type and router, and returns its offset in {@link #buffer}. */
+  /**
+   * Adds a record with a type and a router; all other fields are 0.
+   *
+   * @return offset of the record in {@link #buffer}
+   */
   int addRecord(ActionType type, int routerId) {
     int offset = HEADER_BYTES + RECORD_BYTES * recordCount;
     recordCount++;
@@ -56,12 +65,12 @@
     return offset;
   }
 
-  /** The records; another buffer after {@link #addRecord}. */
+  /** The header and the records. {@link #addRecord} may replace the buffer by a larger one. */
   ByteBuffer buffer() {
     return buffer;
   }
 
-  /** Adds a text to the tail and writes a reference to it. */
+  /** Adds a text to the tail, and writes a reference to it at an offset in {@link #buffer}. */
   void putText(int offset, String text) {
     byte[] encoded = text.getBytes(StandardCharsets.UTF_8);
     if (tailBytes + encoded.length > tail.length) {
@@ -73,7 +82,7 @@
     tailBytes += encoded.length;
   }
 
-  /** Returns the complete frame. */
+  /** Returns the complete reply. */
   byte[] finish() {
     int tailStart = HEADER_BYTES + RECORD_BYTES * recordCount;
     buffer.putInt(RECORD_COUNT_OFFSET, recordCount);
--- a/src/main/java/switchgap/simulator/SimulatedRouter.java
+++ b/src/main/java/switchgap/simulator/SimulatedRouter.java
@@ -5,24 +5,25 @@
 import switchgap.policy.RoutingPolicy;
 
 /**
- * One router of the simulation: a policy that receives the events of each frame. A policy that
- * fails is reported once and decides nothing from then on.
+ * A router in the simulation: a routing policy that receives the router's events of each frame. The
+ * failure of a policy is reported once; after it, the router makes no further decisions.
  */
 final class SimulatedRouter {
   private final long startMicros;
   private final ActionRecordEncoder actions;
   private EventRecordDecoder events;
 
-  /** Null once it has failed, or where the settings are unusable. */
+  /** Null after the policy has failed, or if the settings are invalid. */
   private RoutingPolicy policy;
 
   /**
-   * A router that starts now.
+   * Starts a router.
    *
-   * @param startMicros the simulator's time
-   * @param seed of all random draws
-   * @param settingsText lines of path=value
-   * @param reply takes its decisions
+   * @param routerId id of the router in records
+   * @param startMicros simulated time of the start, in microseconds
+   * @param seed seed of the policy's random numbers
+   * @param settingsText settings as lines of path=value
+   * @param reply receives the router's decisions
    */
   SimulatedRouter(
       int routerId, long startMicros, long seed, String settingsText, ReplyFrame reply) {
@@ -38,21 +39,21 @@
     }
   }
 
-  /** Adds the event at an offset in the body of the frame under way. */
+  /** Adds an event by its offset in the body of the current frame. */
   void addEvent(int offset) {
     if (policy != null) {
       events.addEvent(offset);
     }
   }
 
-  /** Adds an endpoint list that came, with its content. */
+  /** Adds an event that delivers an endpoint list. */
   void addEndpointList(int offset, byte[] content) {
     if (policy != null) {
       events.addEndpointList(offset, content);
     }
   }
 
-  /** Delivers the added events to the policy and encodes its decisions. */
+  /** Delivers the added events to the policy and adds its decisions to the reply. */
   void tick(ByteBuffer frameBody, long clockMicros) {
     if (policy == null) {
       return;
--- a/src/main/java/switchgap/simulator/SimulatorHost.java
+++ b/src/main/java/switchgap/simulator/SimulatorHost.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * Reads frames, distributes their events to the routers, and writes one reply for each frame. Not
- * thread-safe: one thread serves the stream.
+ * Reads frames of events, delivers the events to simulated routers, and writes one reply with the
+ * routers' actions for each frame. Not thread-safe.
  */
 public final class SimulatorHost {
   private final Map<Integer, SimulatedRouter> routers = new TreeMap<>();
@@ -17,10 +17,10 @@
   private final ReplyFrame reply = new ReplyFrame();
 
   /**
-   * Serves frames until the input ends.
+   * Processes frames until the input ends.
    *
-   * @throws MalformedFrameException at a frame that the protocol does not allow; nothing is written
-   *     for it
+   * @throws MalformedFrameException at a frame that violates the protocol; no reply to it is
+   *     written
    */
   public void serve(InputStream input, OutputStream out) throws IOException {
     EventFrame frame = EventFrame.read(input);
@@ -34,8 +34,8 @@
   }
 
   /**
-   * Distributes all records, then runs a tick of each router that got one, in the order of their
-   * ids.
+   * Handles all records, then runs one tick of each router that started or received an event, in
+   * the order of router ids.
    */
   private void handle(EventFrame frame) throws MalformedFrameException {
     Map<Integer, SimulatedRouter> routersToTick = new TreeMap<>();
@@ -105,7 +105,7 @@
     SimulatedRouter router = routers.get(routerId);
     if (router == null) {
       throw new MalformedFrameException(
-          "record " + record + " is for instance " + routerId + ", which is not alive");
+          "record " + record + " is for router " + routerId + ", which is not running");
     }
     int offset = frame.offsetOf(record);
     if (type == EventType.ENDPOINT_LIST
@@ -122,7 +122,7 @@
     byte[] list = endpointLists.get(listId);
     if (list == null) {
       throw new MalformedFrameException(
-          "record " + record + " names list " + listId + ", never defined");
+          "record " + record + " refers to endpoint list " + listId + ", which is not defined");
     }
     return list;
   }
--- a/src/main/java/switchgap/simulator/WireValues.java
+++ b/src/main/java/switchgap/simulator/WireValues.java
@@ -3,13 +3,13 @@
 import java.nio.ByteBuffer;
 import java.time.Duration;
 
-/** Values that several records have, as the simulator writes them. */
+/** Reads and writes types of values that occur in several records. */
 final class WireValues {
   private static final long UNSIGNED_INT_MASK = 0xffffffffL;
   private static final long UNSIGNED_SHORT_MASK = 0xffffL;
   private static final long NANOS_PER_MICRO = 1000;
 
-  /** A worker's id: four bytes of its upper half, then two of its lower. */
+  /** Offset of the lower 16 bits within a worker's id, after its upper 32 bits. */
   private static final int WORKER_ID_LOWER_OFFSET = 4;
 
   private WireValues() {}
@@ -22,7 +22,7 @@
     return duration.toNanos() / NANOS_PER_MICRO;
   }
 
-  /** A duration in 32 unsigned bits of microseconds. */
+  /** Reads a duration, written as a 32-bit unsigned number of microseconds. */
   static Duration duration(ByteBuffer buffer, int offset) {
     return ofMicros(buffer.getInt(offset) & UNSIGNED_INT_MASK);
   }
@@ -35,7 +35,7 @@
     return buffer.getShort(offset) & 0xffff;
   }
 
-  /** A worker's id, of 48 bits. */
+  /** Reads a worker's id of 48 bits. */
   static long workerId(ByteBuffer buffer, int offset) {
     long upper = buffer.getInt(offset) & UNSIGNED_INT_MASK;
     long lower = buffer.getShort(offset + WORKER_ID_LOWER_OFFSET) & UNSIGNED_SHORT_MASK;
--- a/src/main/java/switchgap/simulator/package-info.java
+++ b/src/main/java/switchgap/simulator/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Routers under the simulator's virtual time: frames of binary event records come in on one stream,
- * and each is answered with one frame of action records. All numbers are little-endian; all is done
- * on the one thread that reads the stream.
+ * Runs routers in the simulator's virtual time. The simulator sends frames of binary event records
+ * on one stream; the response to each is one frame of action records. All numbers are
+ * little-endian. All work is done on the thread that reads the stream.
  */
 package switchgap.simulator;
--- a/src/test/java/switchgap/planner/LoadSchedulerTest.java
+++ b/src/test/java/switchgap/planner/LoadSchedulerTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order in which a planner releases loads. */
+/** Tests the order in which a planner releases loads. */
 class LoadSchedulerTest {
   private static final int LOAD_COUNT = 12;
   private static final int HIGH_PRIORITY_LOAD_ID = 5;
@@ -32,10 +32,14 @@
     }
     LoadPlan plan = scheduler.plan(backlogOf(waiting));
     assertThat(plan.ids())
-        .as("most weight, then the shortest, then the first requested")
+        .as("highest weight, then shortest load time, then first requested")
         .startsWith(HIGH_PRIORITY_LOAD_ID, SHORT_LOAD_ID, 0);
-    assertThat(plan.ids()).as("the edge's router decides how many").hasSize(LOAD_COUNT);
-    assertThat(scheduler.plan(backlogOf(waiting))).as("not newer").isNull();
+    assertThat(plan.ids())
+        .as("plan contains all loads, because the router limits loads in flight")
+        .hasSize(LOAD_COUNT);
+    assertThat(scheduler.plan(backlogOf(waiting)))
+        .as("plan for a backlog with the same sequence number")
+        .isNull();
   }
 
   @Test
--- a/src/test/java/switchgap/planner/PendingLoadBuilder.java
+++ b/src/test/java/switchgap/planner/PendingLoadBuilder.java
@@ -1,6 +1,6 @@
 package switchgap.planner;
 
-/** Builds pending loads of worker w and function f, which nothing waits for. */
+/** Builds pending loads for worker w and, by default, function f without waiting requests. */
 final class PendingLoadBuilder {
   private static final int MEMORY_MB = 1;
 
--- a/src/test/java/switchgap/planner/PendingLoadQueueSequencesTest.java
+++ b/src/test/java/switchgap/planner/PendingLoadQueueSequencesTest.java
@@ -9,11 +9,14 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Invariants of pending loads in all short, and in long random, sequences of events. */
+/**
+ * Checks in all short and in long random sequences of events that each load is released exactly
+ * once unless it was withdrawn.
+ */
 class PendingLoadQueueSequencesTest {
   private static final int EXHAUSTIVE_LENGTH = 5;
 
-  /** Sequences of none to five of ten events. */
+  /** Number of sequences of 0 to 5 events of 10 types: 1 + 10 + ... + 100,000. */
   private static final int EXHAUSTIVE_SEQUENCES = 111_111;
 
   private long checkedSequences;
@@ -40,7 +43,7 @@
     assertThat(checkedSequences).isEqualTo(EXHAUSTIVE_SEQUENCES);
   }
 
-  /** Long random sequences, where the exhaustive ones are short. */
+  /** Covers sequences that are longer than the exhaustively checked ones. */
   @Property(tries = 2000, seed = "7")
   void releasesEachLoadOnceInLongRandomSequences(
       @ForAll @Size(min = 20, max = 120) List<@IntRange(min = 0, max = 9) Integer> events) {
@@ -48,7 +51,7 @@
     events.forEach(index -> link.apply(UnreliablePlannerLink.Event.values()[index]));
     link.assertAllLoadsReleasedOrWithdrawn();
     assertThat(link.rejections)
-        .as("a correct planner is rejected for nothing else")
+        .as("plans of a correct planner are rejected only because of a wrong epoch")
         .allMatch(rejection -> rejection.reason() == PlanRejection.Reason.WRONG_EPOCH)
         .allMatch(rejection -> rejection.toString().startsWith("a plan for epoch"));
   }
--- a/src/test/java/switchgap/planner/PendingLoadQueueTest.java
+++ b/src/test/java/switchgap/planner/PendingLoadQueueTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When pending loads are released, with and without a planner. */
+/** Tests when pending loads are released, with and without a planner. */
 class PendingLoadQueueTest {
   private static final int TIMEOUTS_UNTIL_STALLED = 3;
 
@@ -17,7 +17,7 @@
     assertThat(link.released).containsExactly(0L, 1L);
   }
 
-  /** A planner that was stopped resumes with plans for loads that were released meanwhile. */
+  /** A paused planner resumes and sends plans for loads that have timed out in the meantime. */
   @Test
   void releasesNoLoadTwiceForStalePlans() {
     link.connect();
@@ -43,7 +43,7 @@
     }
     assertThat(link.queue.state()).isEqualTo(PendingLoadQueue.State.STALLED);
     link.requestLoad();
-    assertThat(link.released).as("the last one immediately").hasSize(4);
+    assertThat(link.released).as("loads released, the last one without a timeout").hasSize(4);
     link.plannerReceivesBacklog();
     link.plannerReceivesAllBacklogs();
     link.routerReceivesAllPlans();
--- a/src/test/java/switchgap/planner/UnreliablePlannerLink.java
+++ b/src/test/java/switchgap/planner/UnreliablePlannerLink.java
@@ -10,22 +10,22 @@
 import java.util.Set;
 
 /**
- * A queue and a scheduler with a simulated connection between them, on which tests lose, repeat and
- * delay messages. It checks at each release that the load is not released twice and was not
- * withdrawn.
+ * A queue and a scheduler with a simulated connection between them, whose messages tests can lose,
+ * repeat and delay. Each release of a load checks that the load has not been released before and
+ * was not withdrawn.
  */
 final class UnreliablePlannerLink implements PendingLoadQueue.Listener {
-  /** What may happen. Random sequences are drawn by index, so the order is part of the tests. */
+  /** Types of events. Random sequences refer to them by index, so their order must not change. */
   enum Event {
     /** The router requests a load. */
     LOAD_REQUESTED,
     /** The planner receives the next backlog. */
     BACKLOG_RECEIVED,
-    /** The edge receives the next plan. */
+    /** The router receives the next plan. */
     PLAN_RECEIVED,
     /** The next plan is lost. */
     PLAN_LOST,
-    /** The edge receives the last plan once more. */
+    /** The router receives the last plan again. */
     PLAN_REPEATED,
     /** A planner connects. */
     CONNECTED,
@@ -33,9 +33,9 @@
     DISCONNECTED,
     /** Time passes until the oldest pending load times out. */
     TIMED_OUT,
-    /** The planner loses its state. */
+    /** The planner restarts and loses its state. */
     PLANNER_RESTARTED,
-    /** The router withdraws its latest load. */
+    /** The router withdraws the load that it requested last. */
     LATEST_WITHDRAWN
   }
 
@@ -66,7 +66,7 @@
     rejections.add(rejection);
   }
 
-  /** Lets one event happen. */
+  /** Executes one event. */
   void apply(Event event) {
     switch (event) {
       case LOAD_REQUESTED -> requestLoad();
@@ -91,7 +91,8 @@
   void connect() {
     epoch++;
     queue.connected(epoch);
-    backlogs.clear(); // plans stay: one of the connection before may still come
+    backlogs.clear();
+    // Plans are kept: a plan of the previous connection may still be received.
     sequence = 0;
     sendBacklog();
   }
@@ -149,7 +150,7 @@
     }
   }
 
-  /** Once all loads have timed out, none may be left pending. */
+  /** Lets all pending loads time out, then asserts that each load was released or withdrawn. */
   void assertAllLoadsReleasedOrWithdrawn() {
     now = now.plusSeconds(1);
     queue.tick(now);
--- a/src/test/java/switchgap/planner/link/PlannerMessageCodecTest.java
+++ b/src/test/java/switchgap/planner/link/PlannerMessageCodecTest.java
@@ -13,7 +13,7 @@
 import switchgap.planner.PendingLoad;
 import switchgap.planner.PlannerMessage;
 
-/** The wire form of messages, which other versions read. */
+/** Tests the wire form of messages, which must stay readable for other versions of the program. */
 class PlannerMessageCodecTest {
   private static String json(PlannerMessage message) throws IOException {
     return new CBORMapper().readTree(PlannerMessageCodec.encode(message)).toString();
@@ -52,7 +52,7 @@
   void encodesOnlyPlannerMessagesAndEachTypeHasUniqueWireName() throws NoSuchMethodException {
     assertThat(PlannerMessageCodec.class.getMethod("encode", PlannerMessage.class)).isNotNull();
     assertThatThrownBy(() -> PlannerMessageCodec.class.getMethod("encode", Object.class))
-        .as("an object that is not a message does not compile")
+        .as("a method that encodes any object")
         .isInstanceOf(NoSuchMethodException.class);
     assertThat(PlannerMessageType.values())
         .extracting(PlannerMessageType::messageClass)
@@ -62,7 +62,7 @@
         .doesNotHaveDuplicates();
   }
 
-  @SuppressWarnings("unchecked") // what a sealed type permits are its subtypes
+  @SuppressWarnings("unchecked") // the permitted subclasses of a sealed type are its subtypes
   private static Class<? extends PlannerMessage>[] messageClasses() {
     return (Class<? extends PlannerMessage>[]) PlannerMessage.class.getPermittedSubclasses();
   }
--- a/src/test/java/switchgap/simulator/ActionRecordEncoderTest.java
+++ b/src/test/java/switchgap/simulator/ActionRecordEncoderTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Pins the bytes of each kind of action record. */
+/** Tests the bytes of each type of action record. */
 class ActionRecordEncoderTest {
   private static final int ROUTER_ID = 0x0201;
   private static final int FRAME_NUMBER = 7;
@@ -20,7 +20,7 @@
   private static final String REQUEST = "1817161514131211";
   private static final String FUNCTION = "2827262524232221";
 
-  /** The upper four bytes, then the lower two. */
+  /** The upper four bytes of the id, then the lower two; each part is little-endian. */
   private static final String WORKER = "343332313635";
 
   private final IndexTables indices = new IndexTables();
@@ -32,14 +32,19 @@
 
   @BeforeEach
   void allocateIndices() {
-    indices.requests().allocate(1); // so that ids and indices differ
+    // The first index is taken, so that the request under test has index 1.
+    indices.requests().allocate(1);
     request = indices.requests().allocate(REQUEST_ID);
     worker = indices.workers().allocate(WORKER_ID);
     function = indices.functions().allocate(FUNCTION_ID);
     reply.begin(FRAME_NUMBER);
   }
 
-  /** The only record's bytes, without the zeros at its end, and the frame's header checked. */
+  /**
+   * Checks the header of a reply with one record.
+   *
+   * @return the record's bytes in hexadecimal digits, without the zeros at its end
+   */
   private String onlyRecord() {
     byte[] frame = reply.finish();
     ByteBuffer header = ByteBuffer.wrap(frame).order(ByteOrder.LITTLE_ENDIAN);
--- a/src/test/java/switchgap/simulator/EventTypeTest.java
+++ b/src/test/java/switchgap/simulator/EventTypeTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Pins the code of each event type. */
+/** Tests the code of each event type. */
 class EventTypeTest {
   @Test
   void mapsCodesOneToTwelveToTypesInOrder() {
--- a/src/test/java/switchgap/simulator/SimulatorHostTest.java
+++ b/src/test/java/switchgap/simulator/SimulatorHostTest.java
@@ -11,18 +11,18 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** What the host does with frames, and what it says of malformed ones. */
+/** Tests the replies of the host to frames, and the error messages for malformed frames. */
 class SimulatorHostTest {
   private static final int HEADER_BYTES = 20;
   private static final int RECORD_BYTES = 56;
   private static final int REPLY_HEADER_BYTES = 12;
 
-  // Offsets in bytes from a frame's start, of events and of replies.
+  // Offsets in bytes from the start of a frame, the same for event frames and replies.
   private static final int NUMBER_OFFSET = 0;
   private static final int RECORD_COUNT_OFFSET = 4;
   private static final int FRAME_BYTES_OFFSET = 8;
 
-  // Codes on the wire.
+  // Codes of event types and action types on the wire.
   private static final byte START_ROUTER = 1;
   private static final byte CLIENT_DISCONNECTED = 3;
   private static final byte ENDPOINT_LIST = 6;
@@ -68,7 +68,7 @@
     assertThat(reply.getInt(FRAME_BYTES_OFFSET)).isEqualTo(REPLY_HEADER_BYTES);
   }
 
-  /** A router without settings reports its fault once and decides nothing from then on. */
+  /** A router without settings reports a fault at its start, and ignores later events. */
   @Test
   void reportsFaultOnceForRouterWithInvalidSettings() throws IOException {
     ByteBuffer start = frameOfOneRecord(START_ROUTER);
@@ -86,19 +86,19 @@
 
   @Test
   void rejectsTruncatedHeader() {
-    assertMalformed(new byte[5], "header ends at byte 5 of 20");
+    assertMalformed(new byte[5], "header truncated at byte 5 of 20");
   }
 
   @Test
   void rejectsTruncatedBody() {
     byte[] truncated = Arrays.copyOf(frameOfOneRecord(START_ROUTER).array(), 40);
-    assertMalformed(truncated, "frame 3 ends at byte 40 of 76");
+    assertMalformed(truncated, "frame 3 truncated at byte 40 of 76");
   }
 
   @Test
   void rejectsLengthTooShortForRecords() {
     byte[] frame = frame(3, 1, 0).putInt(FRAME_BYTES_OFFSET, 75).array();
-    assertMalformed(frame, "length 75 at byte 8 does not fit 1 records");
+    assertMalformed(frame, "frame length 75 at byte 8 is invalid for 1 records");
   }
 
   @Test
@@ -111,7 +111,7 @@
   void rejectsEventForUnknownRouter() {
     ByteBuffer frame =
         frameOfOneRecord(CLIENT_DISCONNECTED).putShort(HEADER_BYTES + 1, (short) 0xffff);
-    assertMalformed(frame.array(), "record 0 is for instance 65535, which is not alive");
+    assertMalformed(frame.array(), "record 0 is for router 65535, which is not running");
   }
 
   @Test
@@ -120,14 +120,15 @@
     frame.put(HEADER_BYTES, START_ROUTER);
     frame.put(HEADER_BYTES + RECORD_BYTES, ENDPOINT_LIST);
     frame.putInt(HEADER_BYTES + RECORD_BYTES + 3, 4);
-    assertMalformed(frame.array(), "record 1 names list 4, never defined");
+    assertMalformed(frame.array(), "record 1 refers to endpoint list 4, which is not defined");
   }
 
   @Test
   void rejectsReferenceOutsideTail() {
     ByteBuffer frame = frame(3, 1, 24);
     frame.put(HEADER_BYTES, DEFINE_LIST);
-    frame.putInt(HEADER_BYTES + 9, 1); // an entry takes 25 bytes
-    assertMalformed(frame.array(), "offset at byte 25 of record 0 is outside the tail");
+    // An entry takes 25 bytes, one more than the tail has.
+    frame.putInt(HEADER_BYTES + 9, 1);
+    assertMalformed(frame.array(), "reference at byte 25 in record 0 points outside the tail");
   }
 }
