--- a/src/main/java/switchgap/config/LevelsSection.java
+++ b/src/main/java/switchgap/config/LevelsSection.java
@@ -10,30 +10,31 @@
  * @param lowestLevel lowest service level that the router may choose by itself
  * @param pinnedLevel service level that is pinned at the router's start; null if none is
  * @param pinDuration time after the start for which the level stays pinned
- * @param protectedShare share of their latency objectives that the most important request classes
- *     keep
- * @param exempt for each request class, whether service levels do not apply to it
+ * @param protectedFraction fraction of the requests with the highest priority weight that must meet
+ *     their latency objectives, at the cost of idempotent requests of lower weight; 0 if all
+ *     requests are treated alike
+ * @param exempt for each request class, whether it is exempt from rejection by any service level
  */
 record LevelsSection(
     boolean enabled,
     ServiceLevel lowestLevel,
     ServiceLevel pinnedLevel,
     Duration pinDuration,
-    double protectedShare,
+    double protectedFraction,
     boolean[] exempt) {
   private static final Duration DEFAULT_PIN_DURATION = Duration.ofMinutes(10);
-  private static final double MAX_PROTECTED_SHARE = 0.999;
+  private static final double MAX_PROTECTED_FRACTION = 0.999;
 
   static LevelsSection read(YamlDocument section, RequestClassesSection classes) {
     boolean enabled = section.flag("act", true);
     ServiceLevel lowestLevel = section.choice("ceiling", ServiceLevel.class, ServiceLevel.HOLD);
     ServiceLevel pinnedLevel = section.choice("pin", ServiceLevel.class, null);
     Duration pinDuration = section.duration("pin_for", DEFAULT_PIN_DURATION);
-    double protectedShare = section.number("keep", 0, MAX_PROTECTED_SHARE, 0);
+    double protectedFraction = section.number("keep", 0, MAX_PROTECTED_FRACTION, 0);
     boolean[] exempt = readExempt(section, classes);
     section.rejectUnknownKeys();
     return new LevelsSection(
-        enabled, lowestLevel, pinnedLevel, pinDuration, protectedShare, exempt);
+        enabled, lowestLevel, pinnedLevel, pinDuration, protectedFraction, exempt);
   }
 
   private static boolean[] readExempt(YamlDocument section, RequestClassesSection classes) {
--- a/src/main/java/switchgap/config/YamlRouterSettings.java
+++ b/src/main/java/switchgap/config/YamlRouterSettings.java
@@ -68,7 +68,7 @@
         levels.exempt().clone(),
         levels.lowestLevel(),
         retryAfterAllowed() ? maxRetryAfter() : null,
-        levels.protectedShare());
+        levels.protectedFraction());
   }
 
   /** Whether admission control is enabled. */
--- a/src/main/java/switchgap/config/YamlSections.java
+++ b/src/main/java/switchgap/config/YamlSections.java
@@ -23,8 +23,8 @@
 
   /**
    * Reads the sections {@code zones, router, kinds, workloads, customers, functions, workers,
-   * rules, levels, prices}. The caller reads the other keys of the document and rejects unknown
-   * ones.
+   * rules, levels, prices} in this order. The caller reads the other keys of the document and
+   * rejects unknown ones.
    *
    * @throws InvalidConfigException at the first invalid value
    */
--- a/src/main/java/switchgap/planner/link/PlannerClient.java
+++ b/src/main/java/switchgap/planner/link/PlannerClient.java
@@ -139,7 +139,7 @@
 
     @Override
     public void closed(FramedConnection from, CloseCause cause) {
-      LOG.warn("planner of router {} disconnected, reconnecting: {}", routerIndex, cause);
+      LOG.warn("planner of router {} disconnected: {}", routerIndex, cause);
       reconnectLater();
     }
   }
--- a/src/main/java/switchgap/planner/link/PlannerServer.java
+++ b/src/main/java/switchgap/planner/link/PlannerServer.java
@@ -51,6 +51,10 @@
   /** Time between a rejection and the closing of the connection, so that the client receives it. */
   private static final long REJECTION_LINGER_MILLIS = 100;
 
+  /**
+   * Epochs reserved for each millisecond of the wall clock. Epochs of a later process are higher as
+   * long as connections are accepted at a lower rate.
+   */
   private static final long EPOCHS_PER_MILLISECOND = 1000;
 
   private final int routerIndex;
@@ -69,7 +73,7 @@
    * Listens for connections of the planner.
    *
    * @param port the port to listen on; 0 for any free port
-   * @param router index of the router
+   * @param routerIndex index of the router
    * @throws IOException if the server can't listen on the port
    */
   public PlannerServer(
--- a/src/test/java/switchgap/planner/link/PlannerMessageCodecTest.java
+++ b/src/test/java/switchgap/planner/link/PlannerMessageCodecTest.java
@@ -52,7 +52,7 @@
   void encodesOnlyPlannerMessagesAndEachTypeHasUniqueWireName() throws NoSuchMethodException {
     assertThat(PlannerMessageCodec.class.getMethod("encode", PlannerMessage.class)).isNotNull();
     assertThatThrownBy(() -> PlannerMessageCodec.class.getMethod("encode", Object.class))
-        .as("a method that encodes any object")
+        .as("encode accepts only messages, so that other objects do not compile")
         .isInstanceOf(NoSuchMethodException.class);
     assertThat(PlannerMessageType.values())
         .extracting(PlannerMessageType::messageClass)
--- a/src/test/java/switchgap/simulator/ActionRecordEncoderTest.java
+++ b/src/test/java/switchgap/simulator/ActionRecordEncoderTest.java
@@ -32,7 +32,7 @@
 
   @BeforeEach
   void allocateIndices() {
-    // The first index is taken, so that the request under test has index 1.
+    // Another request has index 0, so that the index of the request under test is not 0.
     indices.requests().allocate(1);
     request = indices.requests().allocate(REQUEST_ID);
     worker = indices.workers().allocate(WORKER_ID);
