--- a/src/main/java/switchgap/planner/link/PlannerClient.java
+++ b/src/main/java/switchgap/planner/link/PlannerClient.java
@@ -17,9 +17,9 @@
 import switchgap.planner.PlannerMessage;
 
 /**
- * The planner's end: connects to its edge, reconnects with exponential backoff, and responds to
- * each backlog with a plan. Messages are handled on the connection's selector thread, heartbeats
- * and reconnects on the timer thread.
+ * The planner's side of the connection: connects to the router, reconnects with exponential
+ * backoff, and responds to each backlog with a plan. Messages are handled on the connection's
+ * selector thread, heartbeats and reconnects on the timer thread.
  */
 public final class PlannerClient implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(PlannerClient.class);
@@ -28,23 +28,27 @@
   private static final long MAX_BACKOFF_MILLIS = 2000;
   private static final int BACKOFF_FACTOR = 2;
 
-  private final FramedConnector connections;
-  private final InetSocketAddress edge;
-  private final int router;
+  private final FramedConnector connector;
+  private final InetSocketAddress routerAddress;
+  private final int routerIndex;
   private final LoadScheduler scheduler = new LoadScheduler();
   private final ScheduledFuture<?> heartbeat;
   private volatile FramedConnection connection;
   private volatile boolean handshakeDone;
   private volatile boolean closed;
-  private long backoffMillis = MIN_BACKOFF_MILLIS; // guarded by this
-  private long heartbeatsSent; // timer thread only
 
-  /** Connects at once to the edge of the router with this index. */
-  public PlannerClient(NetworkTransport net, InetSocketAddress edge, int router) {
-    this.connections =
+  /** Guarded by this object's monitor. */
+  private long backoffMillis = MIN_BACKOFF_MILLIS;
+
+  /** Used only by the timer thread. */
+  private long heartbeatsSent;
+
+  /** Starts to connect to the router with this index and address. */
+  public PlannerClient(NetworkTransport net, InetSocketAddress routerAddress, int routerIndex) {
+    this.connector =
         new FramedConnector(net, PlannerMessageCodec.MAX_FRAME_BYTES, new MessageListener());
-    this.edge = edge;
-    this.router = router;
+    this.routerAddress = routerAddress;
+    this.routerIndex = routerIndex;
     this.heartbeat =
         TimerThread.EXECUTOR.scheduleAtFixedRate(
             this::sendHeartbeat,
@@ -54,7 +58,7 @@
     connect();
   }
 
-  /** Whether the connection to the edge is open and its handshake is complete. */
+  /** Whether the connection to the router is open and its handshake is complete. */
   public boolean isLinked() {
     return handshakeDone;
   }
@@ -69,7 +73,7 @@
 
   private void connect() {
     if (!closed) {
-      connections.connect(edge, this::reconnectLater);
+      connector.connect(routerAddress, this::reconnectLater);
     }
   }
 
@@ -89,12 +93,12 @@
 
   private final class MessageListener implements FramedConnection.Listener {
     @Override
-    public void opened(FramedConnection opened) {
-      connection = opened;
-      opened.send(
+    public void opened(FramedConnection newConnection) {
+      connection = newConnection;
+      newConnection.send(
           PlannerMessageCodec.encode(
               new PlannerMessage.Hello(
-                  PlannerMessageCodec.VERSION, PlannerMessageCodec.PLANNER_SIDE, router, 0)));
+                  PlannerMessageCodec.VERSION, PlannerMessageCodec.PLANNER_SIDE, routerIndex, 0)));
     }
 
     @Override
@@ -107,12 +111,12 @@
     }
 
     private void received(FramedConnection from, PlannerMessage message) {
-      if (message instanceof PlannerMessage.Hello hello && isFromEdge(hello)) {
+      if (message instanceof PlannerMessage.Hello hello && isFromRouter(hello)) {
         handshakeDone = true;
         setBackoff(MIN_BACKOFF_MILLIS);
-        LOG.info("planner of router {} linked, epoch {}", router, hello.epoch());
+        LOG.info("planner of router {} connected, epoch {}", routerIndex, hello.epoch());
       } else if (message instanceof PlannerMessage.Rejected rejected) {
-        LOG.error("the edge rejects this planner: {}", rejected.why());
+        LOG.error("the router rejected this planner: {}", rejected.why());
         setBackoff(MAX_BACKOFF_MILLIS);
       } else if (message instanceof LoadBacklog backlog && handshakeDone) {
         sendPlan(from, backlog);
@@ -121,26 +125,26 @@
       }
     }
 
-    private boolean isFromEdge(PlannerMessage.Hello hello) {
+    private boolean isFromRouter(PlannerMessage.Hello hello) {
       return hello.version() == PlannerMessageCodec.VERSION
-          && hello.side().equals(PlannerMessageCodec.EDGE_SIDE);
+          && hello.side().equals(PlannerMessageCodec.ROUTER_SIDE);
     }
 
-    private void sendPlan(FramedConnection edgeConnection, LoadBacklog backlog) {
+    private void sendPlan(FramedConnection routerConnection, LoadBacklog backlog) {
       LoadPlan plan = scheduler.plan(backlog);
       if (plan != null) {
-        edgeConnection.send(PlannerMessageCodec.encode(plan));
+        routerConnection.send(PlannerMessageCodec.encode(plan));
       }
     }
 
     @Override
     public void closed(FramedConnection from, CloseCause cause) {
-      LOG.warn("planner of router {} has lost its edge: {}", router, cause);
+      LOG.warn("planner of router {} disconnected: {}", routerIndex, cause);
       reconnectLater();
     }
   }
 
-  /** Closes the connection, and does not connect again. */
+  /** Closes the connection without reconnecting. */
   @Override
   public void close() {
     closed = true;
--- a/src/main/java/switchgap/planner/link/PlannerServer.java
+++ b/src/main/java/switchgap/planner/link/PlannerServer.java
@@ -17,17 +17,21 @@
 import switchgap.planner.PlannerMessage;
 
 /**
- * The edge's end: accepts one planner at a time, after a handshake. A client that speaks another
- * version, is not a planner, is for another router, or connects while a planner is connected, is
- * rejected with the reason. Requests to the router are not affected. Thread-safe.
+ * The router's side of the connection: accepts one planner at a time, after a handshake. A client
+ * is rejected with the reason if its protocol version differs, if it is not a planner, if it is a
+ * planner for another router, or if a planner is already connected. Rejected and failing planners
+ * do not affect requests to the router. Thread-safe.
  */
 public final class PlannerServer implements AutoCloseable {
-  /** Notified of the planner, on selector threads; of its end also on the thread that closes it. */
+  /**
+   * Receives the events of the planner's connection. The methods run on selector threads; {@code
+   * plannerDisconnected} runs on the thread that closes the connection.
+   */
   public interface Listener {
-    /** A planner is connected; its plans must name this epoch. */
+    /** A planner has connected; its plans must contain this epoch. */
     void plannerConnected(long epoch);
 
-    /** The planner of this epoch is gone. */
+    /** The planner of this epoch has disconnected. */
     void plannerDisconnected(long epoch);
 
     /** The planner sent a plan. */
@@ -36,43 +40,59 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(PlannerServer.class);
 
-  /** A planner is disconnected after this time without a message, a client without a handshake. */
+  /**
+   * Time without a message after which a planner is disconnected, and without a handshake after
+   * which a new client is disconnected.
+   */
   private static final long SILENCE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  private static final long SILENCE_CHECK_MILLIS = 250;
+  private static final long SILENCE_CHECK_INTERVAL_MILLIS = 250;
 
-  /** Time for a rejection to reach the client before the connection is closed. */
+  /** Time between a rejection and the closing of the connection, so that the client receives it. */
   private static final long REJECTION_LINGER_MILLIS = 100;
 
+  /**
+   * Epochs reserved for each millisecond of the wall clock. Epochs of a later process are higher as
+   * long as connections are accepted at a lower rate.
+   */
   private static final long EPOCHS_PER_MILLISECOND = 1000;
 
-  private final int router;
+  private final int routerIndex;
   private final Listener listener;
   private final AtomicReference<PlannerSession> session = new AtomicReference<>();
   private final TcpServer server;
   private final ScheduledFuture<?> silenceCheck;
 
-  /** Guarded by this. Begins past the epochs of any process before this one. */
+  /**
+   * Epoch of the last connection; guarded by this object's monitor. It starts from the wall clock,
+   * above the epochs of earlier processes of the router.
+   */
   private long lastEpoch = WallClock.unixMillis() * EPOCHS_PER_MILLISECOND;
 
   /**
-   * Listens for the planner of the router with this index; port 0 takes any.
+   * Listens for connections of the planner.
    *
-   * @throws IOException if the port can't be listened on
+   * @param port the port to listen on; 0 for any free port
+   * @param routerIndex index of the router
+   * @throws IOException if the server can't listen on the port
    */
-  public PlannerServer(NetworkTransport net, String host, int port, int router, Listener listener)
+  public PlannerServer(
+      NetworkTransport net, String host, int port, int routerIndex, Listener listener)
       throws IOException {
-    this.router = router;
+    this.routerIndex = routerIndex;
     this.listener = listener;
     this.server =
         FramedConnection.listen(
             net, host, port, PlannerMessageCodec.MAX_FRAME_BYTES, new MessageListener());
     this.silenceCheck =
         TimerThread.EXECUTOR.scheduleAtFixedRate(
-            this::closeIfSilent, SILENCE_CHECK_MILLIS, SILENCE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+            this::closeIfSilent,
+            SILENCE_CHECK_INTERVAL_MILLIS,
+            SILENCE_CHECK_INTERVAL_MILLIS,
+            TimeUnit.MILLISECONDS);
   }
 
-  /** The port that is listened on. */
+  /** The port on which the server listens. */
   public int port() {
     return server.port();
   }
@@ -80,8 +100,8 @@
   /**
    * Sends a backlog to the planner.
    *
-   * @return false if no planner of its epoch is connected, or too many messages to it are unsent;
-   *     the next backlog makes up for it
+   * @return false if the backlog was not sent, because no planner of its epoch is connected or too
+   *     many messages to the planner are unsent; the next backlog replaces it
    */
   public boolean send(LoadBacklog backlog) {
     PlannerSession current = session.get();
@@ -97,20 +117,20 @@
     }
   }
 
-  /** The session of this connection, or null if its handshake is not complete. */
+  /** The session of a connection, or null if its handshake is not complete. */
   private PlannerSession sessionOf(FramedConnection connection) {
     PlannerSession current = session.get();
     return current != null && current.connection() == connection ? current : null;
   }
 
   private final class MessageListener implements FramedConnection.Listener {
-    /** Guards against clients that connect and send nothing. */
+    /** Schedules a timeout of the handshake, for clients that connect and send nothing. */
     @Override
-    public void opened(FramedConnection opened) {
+    public void opened(FramedConnection connection) {
       TimerThread.EXECUTOR.schedule(
           () -> {
-            if (sessionOf(opened) == null) {
-              opened.close(LinkCloseReason.HANDSHAKE_TIMEOUT);
+            if (sessionOf(connection) == null) {
+              connection.close(LinkCloseReason.HANDSHAKE_TIMEOUT);
             }
           },
           SILENCE_TIMEOUT_NANOS,
@@ -149,7 +169,10 @@
     public void closed(FramedConnection from, CloseCause cause) {
       PlannerSession ended = sessionOf(from);
       if (ended != null && session.compareAndSet(ended, null)) {
-        LOG.warn("router {}: planner gone: {}; load commands go out as they come", router, cause);
+        LOG.warn(
+            "router {}: planner disconnected: {}; load commands are sent without a plan",
+            routerIndex,
+            cause);
         listener.plannerDisconnected(ended.epoch());
       }
     }
@@ -162,8 +185,8 @@
       return;
     }
     lastEpoch++;
-    PlannerSession opened = new PlannerSession(client, lastEpoch);
-    if (!session.compareAndSet(null, opened)) {
+    PlannerSession newSession = new PlannerSession(client, lastEpoch);
+    if (!session.compareAndSet(null, newSession)) {
       reject(client, "a planner is linked already");
       return;
     }
@@ -171,14 +194,14 @@
         PlannerMessageCodec.encode(
             new PlannerMessage.Hello(
                 PlannerMessageCodec.VERSION,
-                PlannerMessageCodec.EDGE_SIDE,
-                router,
-                opened.epoch())));
-    LOG.info("router {}: planner linked, epoch {}", router, opened.epoch());
-    listener.plannerConnected(opened.epoch());
+                PlannerMessageCodec.ROUTER_SIDE,
+                routerIndex,
+                newSession.epoch())));
+    LOG.info("router {}: planner connected, epoch {}", routerIndex, newSession.epoch());
+    listener.plannerConnected(newSession.epoch());
   }
 
-  /** Why a client with this handshake can't be this edge's planner, or null. */
+  /** Why a client with this handshake can't be the router's planner; null if it can. */
   private String mismatch(PlannerMessage.Hello hello) {
     if (hello.version() != PlannerMessageCodec.VERSION) {
       return "version " + hello.version() + ", this edge speaks " + PlannerMessageCodec.VERSION;
@@ -186,14 +209,14 @@
     if (!hello.side().equals(PlannerMessageCodec.PLANNER_SIDE)) {
       return "a " + hello.side() + ", no planner";
     }
-    if (hello.router() != router) {
-      return "a planner for router " + hello.router() + ", this is " + router;
+    if (hello.router() != routerIndex) {
+      return "a planner for router " + hello.router() + ", this is " + routerIndex;
     }
     return null;
   }
 
   private void reject(FramedConnection client, String why) {
-    LOG.warn("router {}: planner rejected: {}", router, why);
+    LOG.warn("router {}: planner rejected: {}", routerIndex, why);
     client.send(PlannerMessageCodec.encode(new PlannerMessage.Rejected(why)));
     TimerThread.EXECUTOR.schedule(
         () -> client.close(new CloseCause(LinkCloseReason.REJECTED, why)),
@@ -201,14 +224,14 @@
         TimeUnit.MILLISECONDS);
   }
 
-  /** Closes the connection to the planner, and the port. */
+  /** Stops listening and closes the connection to the planner. */
   @Override
   public void close() {
     silenceCheck.cancel(false);
     server.close();
     PlannerSession current = session.get();
     if (current != null) {
-      current.connection().close(LinkCloseReason.EDGE_STOPPED);
+      current.connection().close(LinkCloseReason.ROUTER_STOPPED);
     }
   }
 }
--- a/src/main/java/switchgap/simulator/EventRecordDecoder.java
+++ b/src/main/java/switchgap/simulator/EventRecordDecoder.java
@@ -13,8 +13,8 @@
 import switchgap.policy.api.RequestArrival;
 
 /**
- * Collects one router's events of a frame and delivers them to its policy in order. Events of
- * requests, workers or functions that the policy has released are ignored.
+ * Collects the events of one router from a frame and delivers them to its policy, in the order of
+ * the frame. Events about requests, workers or functions that the policy has released are ignored.
  */
 final class EventRecordDecoder implements EventBatch {
   private static final int INITIAL_EVENTS = 16;
@@ -24,12 +24,12 @@
   private final EndpointListDecoder endpointLists;
   private final long routerStartMicros;
 
-  /** Offsets of the events in the frame's body. */
-  private int[] offsets = new int[INITIAL_EVENTS];
+  /** Offsets of the collected events in the frame's body. */
+  private int[] eventOffsets = new int[INITIAL_EVENTS];
 
   private int eventCount;
 
-  /** Contents of the endpoint lists among the events, in their order. */
+  /** Contents of the endpoint lists among the collected events, in the order of the events. */
   private final List<byte[]> listContents = new ArrayList<>();
 
   private ByteBuffer body;
@@ -41,27 +41,27 @@
     endpointLists = new EndpointListDecoder(indices.workers(), routerStartMicros);
   }
 
-  /** Adds the event at an offset of the body that {@link #begin} will be given. */
-  void add(int offset) {
-    if (eventCount == offsets.length) {
-      offsets = Arrays.copyOf(offsets, eventCount * 2);
+  /** Adds an event by its offset in the body that is passed to {@link #setBody} later. */
+  void addEvent(int offset) {
+    if (eventCount == eventOffsets.length) {
+      eventOffsets = Arrays.copyOf(eventOffsets, eventCount * 2);
     }
-    offsets[eventCount] = offset;
+    eventOffsets[eventCount] = offset;
     eventCount++;
   }
 
-  /** Adds an endpoint list that came, with its content. */
+  /** Adds an event that delivers an endpoint list. */
   void addEndpointList(int offset, byte[] content) {
-    add(offset);
+    addEvent(offset);
     listContents.add(content);
   }
 
-  /** The events that were added are of this body. */
-  void begin(ByteBuffer frameBody) {
+  /** Sets the body that contains the events that were added. */
+  void setBody(ByteBuffer frameBody) {
     body = frameBody;
   }
 
-  /** Forgets the events. */
+  /** Removes all collected events. */
   void clear() {
     eventCount = 0;
     listContents.clear();
@@ -71,7 +71,7 @@
   public void deliverTo(PolicyEvents events) {
     int listsDelivered = 0;
     for (int i = 0; i < eventCount; i++) {
-      int offset = offsets[i];
+      int offset = eventOffsets[i];
       EventType type = EventType.ofCode(WireValues.unsignedByte(body, offset + EventLayout.CODE));
       if (type == EventType.ENDPOINT_LIST && !isFailedList(offset)) {
         boolean complete = body.get(offset + EventLayout.LIST_KIND) != EventLayout.LIST_KIND_DELTA;
@@ -89,7 +89,7 @@
 
   private void deliver(EventType type, int offset, PolicyEvents events) {
     switch (type) {
-      case CLIENT_LEFT -> clientDisconnected(offset, events);
+      case CLIENT_DISCONNECTED -> clientDisconnected(offset, events);
       case PROBE_ENDED -> probeEnded(offset, events);
       case ENDPOINT_LIST -> events.endpointListFailed();
       case RESPONSE_STARTED -> responseStarted(offset, events);
@@ -97,7 +97,9 @@
       case WAKE_UP -> events.wakeUp(body.getLong(offset + EventLayout.WAKE_UP_TOKEN));
       case LOAD_COMMAND_ENDED -> loadCommandEnded(offset, events);
       case REQUEST_ARRIVED -> requestArrived(offset, events);
-      default -> {} // a peer's message: routers share nothing
+      default -> {
+        // Messages of other routers are ignored, because routers share no state.
+      }
     }
   }
 
--- a/src/main/java/switchgap/simulator/SimulatorHost.java
+++ b/src/main/java/switchgap/simulator/SimulatorHost.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * Reads frames, distributes their events to the routers, and writes one reply for each frame. Not
- * thread-safe: one thread serves the stream.
+ * Reads frames of events, delivers the events to simulated routers, and writes one reply with the
+ * routers' actions for each frame. Not thread-safe.
  */
 public final class SimulatorHost {
   private final Map<Integer, SimulatedRouter> routers = new TreeMap<>();
@@ -17,10 +17,10 @@
   private final ReplyFrame reply = new ReplyFrame();
 
   /**
-   * Serves frames until the input ends.
+   * Processes frames until the input ends.
    *
-   * @throws MalformedFrameException at a frame that the protocol does not allow; nothing is written
-   *     for it
+   * @throws MalformedFrameException at a frame that violates the protocol; no reply to it is
+   *     written
    */
   public void serve(InputStream input, OutputStream out) throws IOException {
     EventFrame frame = EventFrame.read(input);
@@ -34,20 +34,21 @@
   }
 
   /**
-   * Distributes all records, then runs a tick of each router that got one, in the order of their
-   * ids.
+   * Handles all records, then runs one tick of each router that started or received an event, in
+   * the order of router ids.
    */
   private void handle(EventFrame frame) throws MalformedFrameException {
-    Map<Integer, SimulatedRouter> due = new TreeMap<>();
+    Map<Integer, SimulatedRouter> routersToTick = new TreeMap<>();
     for (int i = 0; i < frame.recordCount(); i++) {
-      handleRecord(frame, i, due);
+      handleRecord(frame, i, routersToTick);
     }
-    for (SimulatedRouter router : due.values()) {
+    for (SimulatedRouter router : routersToTick.values()) {
       router.tick(frame.body(), frame.clockMicros());
     }
   }
 
-  private void handleRecord(EventFrame frame, int record, Map<Integer, SimulatedRouter> due)
+  private void handleRecord(
+      EventFrame frame, int record, Map<Integer, SimulatedRouter> routersToTick)
       throws MalformedFrameException {
     int code = frame.codeOf(record);
     EventType type = EventType.ofCode(code);
@@ -62,13 +63,13 @@
     }
     switch (type) {
       case DEFINE_LIST -> defineList(frame, record);
-      case START_ROUTER -> startRouter(frame, record, due);
+      case START_ROUTER -> startRouter(frame, record, routersToTick);
       case STOP_ROUTER -> {
         int routerId = frame.routerIdOf(record);
         routers.remove(routerId);
-        due.remove(routerId);
+        routersToTick.remove(routerId);
       }
-      default -> distribute(frame, record, type, due);
+      default -> addEventToRouter(frame, record, type, routersToTick);
     }
   }
 
@@ -80,7 +81,8 @@
             record, EventLayout.LIST_DEFINITION_CONTENT, EndpointListDecoder.ENTRY_BYTES));
   }
 
-  private void startRouter(EventFrame frame, int record, Map<Integer, SimulatedRouter> due)
+  private void startRouter(
+      EventFrame frame, int record, Map<Integer, SimulatedRouter> routersToTick)
       throws MalformedFrameException {
     int routerId = frame.routerIdOf(record);
     byte[] settings = frame.tailPart(record, EventLayout.START_SETTINGS, Byte.BYTES);
@@ -93,17 +95,17 @@
             new String(settings, StandardCharsets.UTF_8),
             reply);
     routers.put(routerId, router);
-    due.put(routerId, router);
+    routersToTick.put(routerId, router);
   }
 
-  private void distribute(
-      EventFrame frame, int record, EventType type, Map<Integer, SimulatedRouter> due)
+  private void addEventToRouter(
+      EventFrame frame, int record, EventType type, Map<Integer, SimulatedRouter> routersToTick)
       throws MalformedFrameException {
     int routerId = frame.routerIdOf(record);
     SimulatedRouter router = routers.get(routerId);
     if (router == null) {
       throw new MalformedFrameException(
-          "record " + record + " is for instance " + routerId + ", which is not alive");
+          "record " + record + " is for router " + routerId + ", which is not running");
     }
     int offset = frame.offsetOf(record);
     if (type == EventType.ENDPOINT_LIST
@@ -112,7 +114,7 @@
     } else {
       router.addEvent(offset);
     }
-    due.put(routerId, router);
+    routersToTick.put(routerId, router);
   }
 
   private byte[] endpointList(EventFrame frame, int record) throws MalformedFrameException {
@@ -120,7 +122,7 @@
     byte[] list = endpointLists.get(listId);
     if (list == null) {
       throw new MalformedFrameException(
-          "record " + record + " names list " + listId + ", never defined");
+          "record " + record + " refers to endpoint list " + listId + ", which is not defined");
     }
     return list;
   }
--- a/src/test/java/switchgap/planner/PendingLoadQueueTest.java
+++ b/src/test/java/switchgap/planner/PendingLoadQueueTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When pending loads are released, with and without a planner. */
+/** Tests when pending loads are released, with and without a planner. */
 class PendingLoadQueueTest {
   private static final int TIMEOUTS_UNTIL_STALLED = 3;
 
@@ -17,36 +17,36 @@
     assertThat(link.released).containsExactly(0L, 1L);
   }
 
-  /** A planner that was stopped resumes with plans for loads that were released meanwhile. */
+  /** A paused planner resumes and sends plans for loads that have timed out in the meantime. */
   @Test
-  void releasesNothingAgainForStalePlans() {
+  void releasesNoLoadTwiceForStalePlans() {
     link.connect();
     link.requestLoad();
     link.plannerReceivesBacklog();
     link.plannerReceivesBacklog();
     for (int i = 0; i < TIMEOUTS_UNTIL_STALLED; i++) {
-      link.passTimeout();
+      link.advancePastTimeout();
       link.requestLoad();
     }
     assertThat(link.released).contains(0L, 1L);
-    link.edgeReceivesAllPlans();
+    link.routerReceivesAllPlans();
     assertThat(link.queue.counts().stale()).isPositive();
     assertThat(link.released).doesNotHaveDuplicates();
   }
 
   @Test
-  void bypassesStalledPlannerUntilPlanComes() {
+  void releasesLoadsImmediatelyFromStalledPlannerUntilNextPlan() {
     link.connect();
     for (int i = 0; i < TIMEOUTS_UNTIL_STALLED; i++) {
       link.requestLoad();
-      link.passTimeout();
+      link.advancePastTimeout();
     }
     assertThat(link.queue.state()).isEqualTo(PendingLoadQueue.State.STALLED);
     link.requestLoad();
-    assertThat(link.released).as("the last one immediately").hasSize(4);
+    assertThat(link.released).as("loads released, the last one without a timeout").hasSize(4);
     link.plannerReceivesBacklog();
     link.plannerReceivesAllBacklogs();
-    link.edgeReceivesAllPlans();
+    link.routerReceivesAllPlans();
     assertThat(link.queue.state()).isEqualTo(PendingLoadQueue.State.LED);
   }
 
