--- a/src/main/java/switchgap/testbed/invariant/WindowedSum.java
+++ b/src/main/java/switchgap/testbed/invariant/WindowedSum.java
@@ -4,8 +4,9 @@
 import java.util.Deque;
 
 /**
- * Sum and number of the samples within a time window that ends at the latest sample. Samples are
- * added in order of time; the unit of time is the caller's. Not thread-safe.
+ * Sum and number of the samples within a time window that ends at the latest sample. Samples must
+ * be added in order of time; all times have the same unit, which the caller chooses. Not
+ * thread-safe.
  */
 public final class WindowedSum {
   private record Sample(long time, double amount) {}
@@ -14,12 +15,16 @@
   private final Deque<Sample> samples = new ArrayDeque<>();
   private double sum;
 
-  /** A window of the samples that are at most {@code maxAge} older than the latest one. */
+  /**
+   * Creates an empty window.
+   *
+   * @param maxAge greatest age of a sample in the window, relative to the latest sample
+   */
   public WindowedSum(long maxAge) {
     this.maxAge = maxAge;
   }
 
-  /** Adds a sample and drops those that are now too old. */
+  /** Adds a sample and drops all samples that are now older than the maximum age. */
   public void add(long time, double amount) {
     samples.addLast(new Sample(time, amount));
     sum += amount;
@@ -28,12 +33,12 @@
     }
   }
 
-  /** Sum of the amounts within the window. */
+  /** Returns the sum of the amounts within the window. */
   public double sum() {
     return sum;
   }
 
-  /** Number of samples within the window. */
+  /** Returns the number of samples within the window. */
   public int count() {
     return samples.size();
   }
--- a/src/main/java/switchgap/testbed/package-info.java
+++ b/src/main/java/switchgap/testbed/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Everything that runs in no router: emulated workers and clients, scripted scenarios, experiments
- * and the soak, with the checks of what they saw.
+ * Test beds around routers: emulated workers and clients, scripted scenarios, experiments and the
+ * soak test, with the checks of their observations. Routers don't depend on these packages.
  */
 package switchgap.testbed;
--- a/src/main/java/switchgap/testbed/process/ChildProcess.java
+++ b/src/main/java/switchgap/testbed/process/ChildProcess.java
@@ -12,12 +12,25 @@
 
   private ChildProcess() {}
 
-  /** Starts the planner of a router's configuration, from this program's own class path. */
+  /**
+   * Starts a planner in a JVM with this program's class path.
+   *
+   * @param log file that its output is appended to
+   * @param config configuration file of the router that the planner belongs to
+   * @throws IOException if the process can't be started
+   */
   public static Process planner(Path log, Path config) throws IOException {
     return start(log, PLANNER_JVM_OPTIONS, List.of("planner", config.toString()));
   }
 
-  /** Starts this program once more, from its own class path. */
+  /**
+   * Starts another process of this program, with the same Java version and class path.
+   *
+   * @param log file that its output is appended to
+   * @param jvmOptions options of its JVM, such as the heap size
+   * @param arguments command and options as on the command line
+   * @throws IOException if the process can't be started
+   */
   public static Process start(Path log, List<String> jvmOptions, List<String> arguments)
       throws IOException {
     List<String> command = new ArrayList<>();
@@ -28,7 +41,13 @@
     return start(log, new ProcessBuilder(command));
   }
 
-  /** Starts a command; standard output and standard error are appended to the log. */
+  /**
+   * Starts a command.
+   *
+   * @param log file that its standard output and standard error are appended to
+   * @param command the command with its environment; its redirects are overwritten
+   * @throws IOException if the process can't be started
+   */
   public static Process start(Path log, ProcessBuilder command) throws IOException {
     return command
         .redirectErrorStream(true)
--- a/src/main/java/switchgap/testbed/process/LoopbackPorts.java
+++ b/src/main/java/switchgap/testbed/process/LoopbackPorts.java
@@ -6,14 +6,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Loopback ports for the programs that a test bed starts. */
+/** Finds free ports for programs under test and waits until a program listens. Thread-safe. */
 public final class LoopbackPorts {
   private static final long LISTEN_TIMEOUT_NANOS = 15_000_000_000L;
   private static final long POLL_PERIOD_MILLIS = 20;
 
   private LoopbackPorts() {}
 
-  /** Finds free ports. All are bound until the last is found, so that no two are the same. */
+  /**
+   * Finds free ports. All are bound until the last one is found, so that no two are the same; then
+   * all are released, and another process may take one before the caller uses it.
+   *
+   * @throws IOException if no free port is left
+   */
   public static int[] free(int count) throws IOException {
     List<ServerSocket> sockets = new ArrayList<>();
     try {
@@ -29,9 +34,9 @@
   }
 
   /**
-   * Waits until a program listens at a port.
+   * Waits until a program accepts connections at a port of 127.0.0.1.
    *
-   * @throws IOException if none does in time
+   * @throws IOException if none does within 15 s
    */
   public static void await(int port) throws IOException {
     long deadline = System.nanoTime() + LISTEN_TIMEOUT_NANOS;
@@ -40,7 +45,7 @@
         return;
       } catch (IOException e) {
         if (System.nanoTime() > deadline) {
-          throw new IOException("nothing listens at " + port, e);
+          throw new IOException("no program listens at port " + port, e);
         }
         pause();
       }
--- a/src/main/java/switchgap/testbed/process/ProcessSignal.java
+++ b/src/main/java/switchgap/testbed/process/ProcessSignal.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /**
- * Signals that a test bed sends to processes under test, named as the {@code kill} command does.
+ * Signals that a test bed sends to processes under test; the {@code kill} command gets the name.
  */
 public enum ProcessSignal {
   /** Asks for a graceful shutdown. */
@@ -14,18 +14,18 @@
   STOP,
   /** Resumes a suspended process. */
   CONT,
-  /** Asks the process to read its configuration again. */
+  /** Asks the process to reload its configuration. */
   HUP,
-  /** Interrupts the process, as a terminal does. */
+  /** Interrupts the process, as Ctrl-C in a terminal does. */
   INT;
 
   /**
-   * Sends this signal and waits until it was sent.
+   * Sends this signal and waits until the {@code kill} command has ended.
    *
    * @param process the receiver
-   * @return whether {@code kill} succeeded
-   * @throws IOException if there is no {@code kill} command on this system
-   * @throws InterruptedException if the thread is interrupted meanwhile
+   * @return whether {@code kill} succeeded; false if the process no longer exists
+   * @throws IOException if the {@code kill} command can't be started
+   * @throws InterruptedException if the thread is interrupted while it waits
    */
   public boolean send(Process process) throws IOException, InterruptedException {
     String receiver = String.valueOf(process.pid());
--- a/src/main/java/switchgap/testbed/process/package-info.java
+++ b/src/main/java/switchgap/testbed/process/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Operating-system resources of programs under test: child processes, the signals sent to them and
- * free loopback ports. Shared by scenarios, experiments and the soak; independent of the rest.
+ * Child processes under test, the signals sent to them, and loopback ports. Scenarios, experiments
+ * and the soak test share this package; it depends on no other package of the test bed.
  */
 package switchgap.testbed.process;
--- a/src/main/java/switchgap/testbed/soak/ActiveFaults.java
+++ b/src/main/java/switchgap/testbed/soak/ActiveFaults.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicIntegerArray;
 
-/** The number of faults of each type that are active. Thread-safe. */
+/** Counts the active faults of each type. Thread-safe. */
 final class ActiveFaults {
   private final AtomicIntegerArray counts = new AtomicIntegerArray(SoakFaultType.values().length);
 
@@ -14,7 +14,7 @@
     counts.decrementAndGet(type.ordinal());
   }
 
-  boolean isOn(SoakFaultType type) {
+  boolean isActive(SoakFaultType type) {
     return counts.get(type.ordinal()) > 0;
   }
 }
--- a/src/main/java/switchgap/testbed/soak/AttemptCheck.java
+++ b/src/main/java/switchgap/testbed/soak/AttemptCheck.java
@@ -2,10 +2,10 @@
 
 /** Checks one invariant for each attempt that a worker received. */
 interface AttemptCheck {
-  /** Checks one attempt and records what it violates; {@code request} is the attempt's. */
+  /** Checks one attempt of a request and records violations. */
   void check(ReceivedAttempt attempt, ObservedRequest request);
 
-  /** The attempt, as messages name it. */
+  /** Names the attempt in descriptions of violations. */
   static String describe(ReceivedAttempt attempt, ObservedRequest request) {
     return "request "
         + request.id()
--- a/src/main/java/switchgap/testbed/soak/BinaryThrift.java
+++ b/src/main/java/switchgap/testbed/soak/BinaryThrift.java
@@ -9,11 +9,12 @@
 import java.util.Map;
 
 /**
- * The clients' protocol, strict binary Thrift in frames, from the client's side. It shares no code
- * with the router's codec, so that a mistake there can't hide itself from the checks.
+ * Client side of the protocol between clients and routers: the strict binary protocol of Thrift in
+ * frames. It shares no code with the router's codec, so that the checks notice faults of that
+ * codec.
  */
 final class BinaryThrift {
-  /** What a reply states. */
+  /** What a reply from a router means. */
   enum ReplyKind {
     SERVED,
     REJECTED,
@@ -22,70 +23,70 @@
   }
 
   /**
-   * A reply of the router.
+   * A reply from a router.
    *
-   * @param sequenceId of the request
-   * @param kind what it states
-   * @param body of a served request, else null
-   * @param healthy what a heartbeat states, else false
+   * @param sequenceId sequence id of the message that it replies to
+   * @param kind what the reply means
+   * @param body body of a served request; null for other replies
+   * @param healthy whether a heartbeat reports the router healthy; false for other replies
    */
   record RouterReply(int sequenceId, ReplyKind kind, byte[] body, boolean healthy) {}
 
-  private static final int VERSION = 0x80010000;
-  private static final int CALL = 1;
-  private static final int EXCEPTION = 3;
-  private static final int ONEWAY = 4;
-  private static final int STOP = 0;
-  private static final int BOOL = 2;
-  private static final int INT32 = 8;
-  private static final int STRING = 11;
-  private static final int STRUCT = 12;
-  private static final int MAP = 13;
+  private static final int THRIFT_VERSION_1 = 0x80010000;
+  private static final int CALL_MESSAGE = 1;
+  private static final int EXCEPTION_MESSAGE = 3;
+  private static final int ONEWAY_MESSAGE = 4;
+  private static final int STOP_TYPE = 0;
+  private static final int BOOL_TYPE = 2;
+  private static final int INT32_TYPE = 8;
+  private static final int STRING_TYPE = 11;
+  private static final int STRUCT_TYPE = 12;
+  private static final int MAP_TYPE = 13;
   private static final int MAX_FRAME_BYTES = 1 << 20;
   private static final String HEARTBEAT_METHOD = "heartbeat";
 
   private BinaryThrift() {}
 
-  /** The frame of a request. */
+  /** Encodes the frame of a request. */
   static byte[] submit(int sequenceId, Map<String, String> fields, byte[] body) throws IOException {
-    return message(
+    return encodeMessage(
         "submit",
-        CALL,
+        CALL_MESSAGE,
         sequenceId,
         out -> {
-          fieldHeader(out, MAP, 1);
-          out.writeByte(STRING);
-          out.writeByte(STRING);
+          writeFieldHeader(out, MAP_TYPE, 1);
+          out.writeByte(STRING_TYPE);
+          out.writeByte(STRING_TYPE);
           out.writeInt(fields.size());
           for (Map.Entry<String, String> field : fields.entrySet()) {
             writeBytes(out, field.getKey().getBytes(StandardCharsets.UTF_8));
             writeBytes(out, field.getValue().getBytes(StandardCharsets.UTF_8));
           }
-          fieldHeader(out, STRING, 2);
+          writeFieldHeader(out, STRING_TYPE, 2);
           writeBytes(out, body);
         });
   }
 
-  /** The frame that cancels the request of a sequence id. */
-  static byte[] revoke(int sequenceId, int revoked) throws IOException {
-    return message(
+  /** Encodes the frame that cancels a request, named by its sequence id. */
+  static byte[] revoke(int sequenceId, int cancelledSequenceId) throws IOException {
+    return encodeMessage(
         "revoke",
-        ONEWAY,
+        ONEWAY_MESSAGE,
         sequenceId,
         out -> {
-          fieldHeader(out, INT32, 1);
-          out.writeInt(revoked);
+          writeFieldHeader(out, INT32_TYPE, 1);
+          out.writeInt(cancelledSequenceId);
         });
   }
 
-  /** The frame that asks whether the router is healthy. */
+  /** Encodes the frame that asks whether the router is healthy. */
   static byte[] heartbeat(int sequenceId) throws IOException {
-    return message(
+    return encodeMessage(
         HEARTBEAT_METHOD,
-        CALL,
+        CALL_MESSAGE,
         sequenceId,
         out -> {
-          fieldHeader(out, BOOL, 1);
+          writeFieldHeader(out, BOOL_TYPE, 1);
           out.writeByte(1);
         });
   }
@@ -94,24 +95,26 @@
     void write(DataOutputStream out) throws IOException;
   }
 
-  private static byte[] message(String method, int type, int sequenceId, Arguments arguments)
-      throws IOException {
+  private static byte[] encodeMessage(
+      String method, int messageType, int sequenceId, Arguments arguments) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     DataOutputStream out = new DataOutputStream(bytes);
-    out.writeInt(0); // length of the frame, overwritten below
-    out.writeInt(VERSION | type);
+    // Placeholder: the length of the frame is known at the end.
+    out.writeInt(0);
+    out.writeInt(THRIFT_VERSION_1 | messageType);
     writeBytes(out, method.getBytes(StandardCharsets.UTF_8));
     out.writeInt(sequenceId);
     arguments.write(out);
-    out.writeByte(STOP);
+    out.writeByte(STOP_TYPE);
     byte[] frame = bytes.toByteArray();
     ByteBuffer.wrap(frame).putInt(frame.length - Integer.BYTES);
     return frame;
   }
 
-  private static void fieldHeader(DataOutputStream out, int type, int id) throws IOException {
-    out.writeByte(type);
-    out.writeShort(id);
+  private static void writeFieldHeader(DataOutputStream out, int fieldType, int fieldId)
+      throws IOException {
+    out.writeByte(fieldType);
+    out.writeShort(fieldId);
   }
 
   private static void writeBytes(DataOutputStream out, byte[] bytes) throws IOException {
@@ -120,59 +123,61 @@
   }
 
   /**
-   * Reads the next reply, blocking.
+   * Reads the next reply; blocks until it is complete.
    *
-   * @throws IOException if the connection ends or what arrives is no reply
+   * @throws IOException if the connection ends or the input is not a valid reply
    */
   static RouterReply readReply(DataInputStream input) throws IOException {
     int length = input.readInt();
     if (length <= 0 || length > MAX_FRAME_BYTES) {
-      throw new IOException("a frame of " + length + " bytes");
+      throw new IOException("invalid length of a reply frame: " + length + " bytes");
     }
     ByteBuffer frame = ByteBuffer.wrap(input.readNBytes(length));
     if (frame.remaining() < length) {
-      throw new IOException("a frame was cut off");
+      throw new IOException("connection ended within a reply frame");
     }
-    int type = frame.getInt() & 0xff;
+    int messageType = frame.getInt() & 0xff;
     String method = new String(readString(frame), StandardCharsets.UTF_8);
     int sequenceId = frame.getInt();
-    if (type == EXCEPTION) {
+    if (messageType == EXCEPTION_MESSAGE) {
       return new RouterReply(sequenceId, ReplyKind.FAILED, null, false);
     }
-    frame.get(); // type of the result's field, a struct
-    int outcome = frame.getShort();
-    Struct struct = readStruct(frame);
-    ReplyKind kind = method.equals(HEARTBEAT_METHOD) ? ReplyKind.HEARTBEAT : kind(outcome);
-    return new RouterReply(sequenceId, kind, struct.body, struct.healthy);
+    // The type of the result field is always a struct.
+    frame.get();
+    int resultFieldId = frame.getShort();
+    ResultStruct result = readStruct(frame);
+    ReplyKind kind = method.equals(HEARTBEAT_METHOD) ? ReplyKind.HEARTBEAT : kind(resultFieldId);
+    return new RouterReply(sequenceId, kind, result.body, result.healthy);
   }
 
-  private static ReplyKind kind(int outcome) {
-    if (outcome == 0) {
+  private static ReplyKind kind(int resultFieldId) {
+    if (resultFieldId == 0) {
       return ReplyKind.SERVED;
     }
-    return outcome == 1 ? ReplyKind.REJECTED : ReplyKind.FAILED;
+    return resultFieldId == 1 ? ReplyKind.REJECTED : ReplyKind.FAILED;
   }
 
-  private record Struct(byte[] body, boolean healthy) {}
+  private record ResultStruct(byte[] body, boolean healthy) {}
 
-  private static Struct readStruct(ByteBuffer frame) throws IOException {
+  private static ResultStruct readStruct(ByteBuffer frame) throws IOException {
     byte[] body = null;
     boolean healthy = false;
-    for (int type = frame.get(); type != STOP; type = frame.get()) {
+    for (int fieldType = frame.get(); fieldType != STOP_TYPE; fieldType = frame.get()) {
       frame.getShort();
-      switch (type) {
-        case STRING -> body = readString(frame);
-        case BOOL -> healthy = frame.get() != 0;
-        case MAP -> skipMap(frame);
-        case STRUCT -> readStruct(frame);
-        default -> throw new IOException("a field of type " + type);
+      switch (fieldType) {
+        case STRING_TYPE -> body = readString(frame);
+        case BOOL_TYPE -> healthy = frame.get() != 0;
+        case MAP_TYPE -> skipMap(frame);
+        case STRUCT_TYPE -> readStruct(frame);
+        default -> throw new IOException("unexpected type " + fieldType + " of a field in a reply");
       }
     }
-    return new Struct(body, healthy);
+    return new ResultStruct(body, healthy);
   }
 
   private static void skipMap(ByteBuffer frame) {
-    frame.getShort(); // types of keys and values, strings
+    // The types of keys and values are always strings.
+    frame.getShort();
     for (int entries = frame.getInt(); entries > 0; entries--) {
       readString(frame);
       readString(frame);
--- a/src/main/java/switchgap/testbed/soak/CancelledRequestCheck.java
+++ b/src/main/java/switchgap/testbed/soak/CancelledRequestCheck.java
@@ -4,9 +4,9 @@
 import switchgap.testbed.invariant.Invariant;
 import switchgap.testbed.invariant.ViolationRecorder;
 
-/** No attempt starts once the client has cancelled the request or closed its connection. */
+/** Checks that no attempt starts after the client cancelled the request or disconnected. */
 final class CancelledRequestCheck implements AttemptCheck {
-  private static final long GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  private static final long CANCELLATION_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
   private final ViolationRecorder violations;
 
@@ -16,15 +16,16 @@
 
   @Override
   public void check(ReceivedAttempt attempt, ObservedRequest request) {
-    long delay = attempt.receivedNanos() - request.cancelledNanos();
+    long delayNanos = attempt.receivedNanos() - request.cancelledNanos();
     boolean cancelled = request.cancelledNanos() != 0;
-    if (cancelled && delay > GRACE_NANOS + CheckTolerances.MEASUREMENT_NANOS) {
+    if (cancelled
+        && delayNanos > CANCELLATION_GRACE_NANOS + CheckTolerances.MEASUREMENT_ERROR_NANOS) {
       violations.record(
           Invariant.NO_ATTEMPT_AFTER_CANCELLATION,
           AttemptCheck.describe(attempt, request)
-              + " begun "
-              + CheckTolerances.toMillis(delay)
-              + " ms after its client left");
+              + " started "
+              + CheckTolerances.toMillis(delayNanos)
+              + " ms after the client cancelled or disconnected");
     }
   }
 }
--- a/src/main/java/switchgap/testbed/soak/CheckTolerances.java
+++ b/src/main/java/switchgap/testbed/soak/CheckTolerances.java
@@ -2,12 +2,12 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** The tolerance that all checks share, and the unit of their messages. */
+/** Tolerance that all checks share, and conversion to the unit of their messages. */
 final class CheckTolerances {
   static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** What emulators may observe late on a machine that they share with the routers. */
-  static final long MEASUREMENT_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+  /** Longest delay of an emulator's observations on a machine that it shares with routers. */
+  static final long MEASUREMENT_ERROR_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
   private CheckTolerances() {}
 
--- a/src/main/java/switchgap/testbed/soak/ClientEmulator.java
+++ b/src/main/java/switchgap/testbed/soak/ClientEmulator.java
@@ -6,44 +6,45 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A client of one router. It uses one connection after the other, for some requests each, and
- * misbehaves as the active faults demand.
+ * Emulates a client of one router. It uses one connection at a time, sends a few batches of
+ * requests on it, and misbehaves while faults of clients are active.
  */
 final class ClientEmulator implements Runnable {
-  private static final int MAX_BATCHES = 5;
+  private static final int MAX_BATCHES_PER_CONNECTION = 5;
   private static final int[] BATCH_SIZES = {1, 1, 1, 3};
   private static final int MIN_TIMEOUT_MILLIS = 250;
-  private static final int MAX_THINK_MILLIS = 40;
+  private static final int MAX_THINK_TIME_MILLIS = 40;
   private static final int MAX_CANCEL_DELAY_MILLIS = 30;
   private static final long ROTATION_POLL_MILLIS = 5;
-  private static final AtomicLong LAST_ID = new AtomicLong();
+  private static final AtomicLong LAST_REQUEST_ID = new AtomicLong();
 
   private final ServeProcess router;
   private final SoakRecords records;
-  private final ActiveFaults active;
+  private final ActiveFaults activeFaults;
   private final Random random;
   private final int maxTimeoutMillis;
   private volatile boolean stopped;
 
   /**
-   * A client; of the active faults it plays those of clients.
+   * Creates a client.
    *
-   * @param maxTimeoutMillis the longest timeout of requests
+   * @param activeFaults faults that are active at present; it acts on those of clients
+   * @param maxTimeoutMillis longest timeout of a request
    */
   ClientEmulator(
       ServeProcess router,
       SoakRecords records,
-      ActiveFaults active,
+      ActiveFaults activeFaults,
       int maxTimeoutMillis,
       long seed) {
     this.maxTimeoutMillis = Math.min(maxTimeoutMillis, RecordingConnection.MAX_TIMEOUT_MILLIS);
     this.router = router;
     this.records = records;
-    this.active = active;
+    this.activeFaults = activeFaults;
     this.random = new Random(seed);
   }
 
-  /** Ends its run once the requests in flight have ended. */
+  /** Makes {@link #run} return after the current batch of requests. */
   void stop() {
     stopped = true;
   }
@@ -64,87 +65,95 @@
   }
 
   private void useConnection() throws InterruptedException {
-    List<ObservedRequest> lost = List.of();
+    List<ObservedRequest> lostRequests = List.of();
     try (RecordingConnection connection = connect()) {
-      int batches = 1 + random.nextInt(MAX_BATCHES);
-      for (int batch = 0; mayGoOn(batch, batches); batch++) {
-        lost = sendBatch(connection, batch == 0);
-        if (!lost.isEmpty() || connection.isClosedByClient()) {
+      int batchCount = 1 + random.nextInt(MAX_BATCHES_PER_CONNECTION);
+      for (int batch = 0; maySendBatch(batch, batchCount); batch++) {
+        lostRequests = sendBatch(connection, batch == 0);
+        if (!lostRequests.isEmpty() || connection.isClosedByClient()) {
           break;
         }
-        Thread.sleep(random.nextInt(MAX_THINK_MILLIS));
+        Thread.sleep(random.nextInt(MAX_THINK_TIME_MILLIS));
       }
     } catch (IOException e) {
-      Thread.sleep(ROTATION_POLL_MILLIS); // it does not accept, or the router has gone
+      // The router accepts no connection or has exited.
+      Thread.sleep(ROTATION_POLL_MILLIS);
     }
-    for (ObservedRequest request : lost) {
+    for (ObservedRequest request : lostRequests) {
       boolean sameProcess = router.incarnation().equals(request.destination());
-      if (!request.isFirstOnConnection() && sameProcess && request.crossedClose()) {
+      if (!request.isFirstOnConnection() && sameProcess && request.mayHaveCrossedClose()) {
         resend(request);
       }
     }
   }
 
-  /** Where no new connection is to be opened, an open one is used for as long as it lasts. */
-  private boolean mayGoOn(int batch, int batches) {
+  /**
+   * Whether the client may send another batch on its connection. A router that is out of rotation
+   * gets no new connections, so the open one is used until the router stops serving.
+   */
+  private boolean maySendBatch(int batch, int batchCount) {
     boolean isLastConnection = router.isServing() && !router.isInRotation();
-    return !stopped && router.isServing() && (batch < batches || isLastConnection);
+    return !stopped && router.isServing() && (batch < batchCount || isLastConnection);
   }
 
   private RecordingConnection connect() throws IOException {
-    return new RecordingConnection(router, records, active, random);
+    return new RecordingConnection(router, records, activeFaults, random);
   }
 
-  /** Sends some requests and awaits their responses; returns those whose connection was lost. */
-  private List<ObservedRequest> sendBatch(RecordingConnection connection, boolean first)
+  /** Sends a batch and awaits the responses; returns the requests whose connection was lost. */
+  private List<ObservedRequest> sendBatch(RecordingConnection connection, boolean firstOnConnection)
       throws InterruptedException {
     int size = BATCH_SIZES[random.nextInt(BATCH_SIZES.length)];
     try {
       for (int i = 0; i < size; i++) {
-        connection.send(newRequest(first));
+        connection.send(newRequest(firstOnConnection));
       }
-      cancelByFault(connection);
+      cancelIfFaultActive(connection);
     } catch (IOException e) {
-      return connection.connectionLost(); // those of the batch that were sent whole
+      // Requests of the batch that were not sent completely are not recorded.
+      return connection.markConnectionLost();
     }
     return connection.awaitResponses();
   }
 
   private ObservedRequest newRequest(boolean firstOnConnection) {
-    String id = String.format("%016x", LAST_ID.incrementAndGet());
+    String id = String.format("%016x", LAST_REQUEST_ID.incrementAndGet());
     int timeoutMillis = MIN_TIMEOUT_MILLIS + random.nextInt(maxTimeoutMillis - MIN_TIMEOUT_MILLIS);
     boolean idempotent = random.nextInt(3) > 0;
     return new ObservedRequest(
         id, router.incarnation(), idempotent, timeoutMillis, firstOnConnection);
   }
 
-  private void cancelByFault(RecordingConnection connection)
+  private void cancelIfFaultActive(RecordingConnection connection)
       throws IOException, InterruptedException {
-    boolean often = random.nextInt(3) == 0;
-    if (often && active.isOn(SoakFaultType.CLIENT_REVOKES)) {
+    boolean isChosen = random.nextInt(3) == 0;
+    if (isChosen && activeFaults.isActive(SoakFaultType.CLIENT_REVOKES)) {
       Thread.sleep(random.nextInt(MAX_CANCEL_DELAY_MILLIS));
-      connection.revokeAll();
-    } else if (often && active.isOn(SoakFaultType.CLIENT_CLOSES)) {
+      connection.cancelAll();
+    } else if (isChosen && activeFaults.isActive(SoakFaultType.CLIENT_CLOSES)) {
       Thread.sleep(random.nextInt(MAX_CANCEL_DELAY_MILLIS));
       connection.closeByClient();
     }
   }
 
   /**
-   * Sends a request once more on a new connection: the protocol allows it once, where the router's
-   * close of an idle connection may have crossed the request.
+   * Sends a request again on a new connection. The protocol allows one resend if the router may
+   * have closed the idle connection while the request was on its way.
    */
   private void resend(ObservedRequest request) throws InterruptedException {
     try (RecordingConnection connection = connect()) {
-      request.resending();
+      request.markResent();
       connection.send(request.copyForResend());
       connection.awaitResponses();
     } catch (IOException e) {
-      boolean isShutDown = !router.isInRotation() && router.closedByItself(request.endedNanos());
-      if (isShutDown && request.crossedClose()) {
-        request.resendRefused(); // no router has taken it
+      boolean closedByShutdown =
+          !router.isInRotation() && router.endedBeforeKill(request.endedNanos());
+      if (closedByShutdown && request.mayHaveCrossedClose()) {
+        // The router is shutting down, so no router has accepted the request.
+        request.markResendRejected();
       } else {
-        request.resendFailed(); // the router has gone: the first request is judged
+        // The router has exited, so the checks apply to the first transmission.
+        request.markResendFailed();
       }
     }
   }
--- a/src/main/java/switchgap/testbed/soak/ClientLoadFaults.java
+++ b/src/main/java/switchgap/testbed/soak/ClientLoadFaults.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Faults of clients besides the regular ones: idle connections and request floods. */
+/** Injects load from additional clients: idle connections and request floods. */
 final class ClientLoadFaults {
   private static final int IDLE_CONNECTIONS = 250;
   private static final int FLOOD_REQUESTS = 300;
@@ -25,16 +25,16 @@
   Map<SoakFaultType, SoakFaultInjector> injectors() {
     return Map.of(
         SoakFaultType.CLIENT_STAYS,
-        (fault, random) -> holdIdleConnections(routers.draw(random), fault.durationMillis()),
+        (fault, random) -> holdIdleConnections(routers.pick(random), fault.durationMillis()),
         SoakFaultType.CLIENT_FLOOD,
-        (fault, random) -> flood(routers.draw(random), fault.durationMillis()));
+        (fault, random) -> flood(routers.pick(random), fault.durationMillis()));
   }
 
   private static void connect(Socket socket, ServeProcess router) throws IOException {
     socket.connect(new InetSocketAddress("127.0.0.1", router.port()), CONNECT_TIMEOUT_MILLIS);
   }
 
-  private static void holdIdleConnections(ServeProcess router, int millis)
+  private static void holdIdleConnections(ServeProcess router, int durationMillis)
       throws IOException, InterruptedException {
     List<Socket> sockets = new ArrayList<>();
     try {
@@ -44,9 +44,10 @@
         connect(socket, router);
       }
     } catch (IOException e) {
-      Thread.sleep(1); // the router accepts no more, or has gone
+      // The router accepts no further connection or has exited.
+      Thread.sleep(1);
     }
-    Thread.sleep(millis);
+    Thread.sleep(durationMillis);
     for (Socket socket : sockets) {
       socket.close();
     }
@@ -62,11 +63,14 @@
       }
       InputStream responses = socket.getInputStream();
       byte[] ignored = new byte[READ_BUFFER_BYTES];
-      for (int read = responses.read(ignored); read > 0; read = responses.read(ignored)) {
+      for (int bytesRead = responses.read(ignored);
+          bytesRead > 0;
+          bytesRead = responses.read(ignored)) {
         Thread.sleep(1);
       }
     } catch (IOException e) {
-      return; // the router closed the connection, or has sent all responses
+      // The router closed the connection, or all responses have been read.
+      return;
     }
   }
 
--- a/src/main/java/switchgap/testbed/soak/DaemonThreads.java
+++ b/src/main/java/switchgap/testbed/soak/DaemonThreads.java
@@ -1,12 +1,12 @@
 package switchgap.testbed.soak;
 
-/** Starts the many short-lived threads of the emulators, with small stacks. */
+/** Starts threads with small stacks, as the emulators have many short-lived ones. */
 final class DaemonThreads {
   private static final long STACK_BYTES = 128 << 10;
 
   private DaemonThreads() {}
 
-  /** Starts a thread that does not keep the program alive. */
+  /** Starts a daemon thread, which does not keep the JVM running. */
   static void start(String threadName, Runnable task) {
     Thread thread = new Thread(null, task, threadName, STACK_BYTES);
     thread.setDaemon(true);
--- a/src/main/java/switchgap/testbed/soak/DeadlinePropagationCheck.java
+++ b/src/main/java/switchgap/testbed/soak/DeadlinePropagationCheck.java
@@ -4,12 +4,12 @@
 import switchgap.testbed.invariant.Invariant;
 import switchgap.testbed.invariant.ViolationRecorder;
 
-/** The timeout passed to a worker is at most what is left of the client's. */
+/** Checks that the timeout passed to a worker is at most the client's remaining timeout. */
 final class DeadlinePropagationCheck implements AttemptCheck {
-  private static final long SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+  private static final long TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-  /** From the read of a request to the write of its command, and from a signal to its effect. */
-  private static final long HANDLING_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+  /** Longest time from reading a request to writing its command, or from a signal to its effect. */
+  private static final long MAX_HANDLING_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
   private final SoakRecords records;
   private final ViolationRecorder violations;
@@ -21,13 +21,14 @@
 
   @Override
   public void check(ReceivedAttempt attempt, ObservedRequest request) {
-    long left = request.deadlineNanos() - attempt.receivedNanos();
-    long passedOn = attempt.timeoutMillis() * CheckTolerances.NANOS_PER_MILLI;
-    long slack = SLACK_NANOS + CheckTolerances.MEASUREMENT_NANOS + unavoidablePauseNanos(request);
-    if (request.wasResent() || passedOn - left <= slack) {
+    long remainingNanos = request.deadlineNanos() - attempt.receivedNanos();
+    long passedTimeoutNanos = attempt.timeoutMillis() * CheckTolerances.NANOS_PER_MILLI;
+    long toleranceNanos =
+        TOLERANCE_NANOS + CheckTolerances.MEASUREMENT_ERROR_NANOS + unavoidablePauseNanos(request);
+    if (request.wasResent() || passedTimeoutNanos - remainingNanos <= toleranceNanos) {
       return;
     }
-    long paused =
+    long pausedNanos =
         records.outageNanos(
             OutageCause.ROUTER_PAUSED,
             request.router(),
@@ -36,21 +37,22 @@
     violations.record(
         Invariant.DEADLINE_PROPAGATION,
         AttemptCheck.describe(attempt, request)
-            + " had "
+            + " was sent with a timeout of "
             + attempt.timeoutMillis()
-            + " ms, its client "
-            + CheckTolerances.toMillis(left)
-            + ", sent "
+            + " ms when its client had "
+            + CheckTolerances.toMillis(remainingNanos)
+            + " ms left, "
             + CheckTolerances.toMillis(attempt.receivedNanos() - request.sentNanos())
-            + " ms before, paused "
-            + CheckTolerances.toMillis(paused));
+            + " ms after the client sent it; the router was paused for "
+            + CheckTolerances.toMillis(pausedNanos)
+            + " ms of that");
   }
 
-  /** No program can account for a pause between the encoding of a command and its write. */
+  /** Pauses that may lie between encoding a command and writing it, which no router can foresee. */
   private long unavoidablePauseNanos(ObservedRequest request) {
     return records.outages(OutageCause.ROUTER_PAUSED).stream()
         .filter(pause -> pause.affects(request.router()))
-        .filter(pause -> Math.abs(pause.startNanos() - request.sentNanos()) < HANDLING_NANOS)
+        .filter(pause -> Math.abs(pause.startNanos() - request.sentNanos()) < MAX_HANDLING_NANOS)
         .mapToLong(Outage::durationNanos)
         .sum();
   }
--- a/src/main/java/switchgap/testbed/soak/DrainGraceCheck.java
+++ b/src/main/java/switchgap/testbed/soak/DrainGraceCheck.java
@@ -5,12 +5,13 @@
 import switchgap.testbed.invariant.ViolationRecorder;
 
 /**
- * Nothing new is sent to a worker once a grace period has passed since routers were notified that
- * it drains. While the event stream is out of reach, they count as notified some seconds after that
- * began, whether or not they have received anything.
+ * Checks that no request or load command is sent to a draining worker after the grace period, which
+ * starts when routers are notified of the drain. For drains during an outage of the event stream,
+ * the check treats routers as notified a fixed time after the start of the outage, even if they
+ * have received no event.
  */
 final class DrainGraceCheck implements AttemptCheck {
-  /** The grace of the settings, and the 50 ms by which every limit is longer on sockets. */
+  /** Grace period of the settings plus 50 ms, by which all time limits are extended on sockets. */
   private static final long GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(550);
 
   private static final long NOTIFIED_AFTER_SILENCE_NANOS = TimeUnit.SECONDS.toNanos(4);
@@ -26,34 +27,34 @@
 
   @Override
   public void check(ReceivedAttempt attempt, ObservedRequest request) {
-    long pauses = pauseNanos(attempt.worker(), request.router(), attempt.receivedNanos());
+    long pauseNanos = pauseNanos(attempt.worker(), request.router(), attempt.receivedNanos());
     check(
         attempt.worker(),
-        attempt.receivedNanos() - pauses,
+        attempt.receivedNanos() - pauseNanos,
         AttemptCheck.describe(attempt, request));
   }
 
-  /** Checks a load command; pauses of all routers are excused, as its sender is not known. */
+  /** Checks a load command. Its sender is unknown, so pauses of all routers are subtracted. */
   void check(ReceivedLoad load) {
-    long pauses = 0;
+    long pauseNanos = 0;
     for (Outage pause : records.outages(OutageCause.ROUTER_PAUSED)) {
-      pauses += pause.overlapNanos(drainingNanos(load.worker()), load.receivedNanos());
+      pauseNanos += pause.overlapNanos(drainingNanos(load.worker()), load.receivedNanos());
     }
-    check(load.worker(), load.receivedNanos() - pauses, "load at worker " + load.worker());
+    check(load.worker(), load.receivedNanos() - pauseNanos, "load at worker " + load.worker());
   }
 
   private void check(String worker, long receivedNanos, String description) {
     if (!records.worker(worker).isDraining()) {
       return;
     }
-    long delay = receivedNanos - notifiedNanos(drainingNanos(worker));
-    if (delay > GRACE_NANOS + CheckTolerances.MEASUREMENT_NANOS) {
+    long delayNanos = receivedNanos - latestNotificationNanos(drainingNanos(worker));
+    if (delayNanos > GRACE_NANOS + CheckTolerances.MEASUREMENT_ERROR_NANOS) {
       violations.record(
           Invariant.NO_SEND_TO_DRAINING_WORKER,
           description
-              + " begun "
-              + CheckTolerances.toMillis(delay)
-              + " ms after routers were notified that it drains");
+              + " sent "
+              + CheckTolerances.toMillis(delayNanos)
+              + " ms after routers were notified that the worker drains");
     }
   }
 
@@ -66,26 +67,28 @@
         OutageCause.ROUTER_PAUSED, router, drainingNanos(worker), untilNanos);
   }
 
-  /** When routers count as notified at the latest of what the event stream had at a time. */
-  private long notifiedNanos(long eventNanos) {
-    long afterSilence =
-        notifiedNanos(eventNanos, OutageCause.EVENT_STREAM, NOTIFIED_AFTER_SILENCE_NANOS);
-    long afterBreak =
-        notifiedNanos(eventNanos, OutageCause.EVENT_STREAM_BROKEN, NOTIFIED_AFTER_BREAK_NANOS);
-    return Math.max(afterSilence, afterBreak);
+  /** Latest time at which routers are notified of an event that was published at a given time. */
+  private long latestNotificationNanos(long eventNanos) {
+    long afterSilenceNanos =
+        latestNotificationNanos(eventNanos, OutageCause.EVENT_STREAM, NOTIFIED_AFTER_SILENCE_NANOS);
+    long afterBreakNanos =
+        latestNotificationNanos(
+            eventNanos, OutageCause.EVENT_STREAM_BROKEN, NOTIFIED_AFTER_BREAK_NANOS);
+    return Math.max(afterSilenceNanos, afterBreakNanos);
   }
 
-  private long notifiedNanos(long eventNanos, OutageCause cause, long notifiedAfterNanos) {
-    long tolerance = CheckTolerances.MEASUREMENT_NANOS;
-    long notified = eventNanos;
+  private long latestNotificationNanos(
+      long eventNanos, OutageCause cause, long notifiedAfterNanos) {
+    long toleranceNanos = CheckTolerances.MEASUREMENT_ERROR_NANOS;
+    long notifiedNanos = eventNanos;
     for (Outage outage : records.outages(cause)) {
-      boolean wasOut =
-          outage.startNanos() - tolerance <= eventNanos
-              && !outage.isOverBefore(eventNanos - tolerance);
-      if (wasOut) {
-        notified = Math.max(notified, outage.startNanos() + notifiedAfterNanos);
+      boolean wasUnavailable =
+          outage.startNanos() - toleranceNanos <= eventNanos
+              && !outage.endedBefore(eventNanos - toleranceNanos);
+      if (wasUnavailable) {
+        notifiedNanos = Math.max(notifiedNanos, outage.startNanos() + notifiedAfterNanos);
       }
     }
-    return notified;
+    return notifiedNanos;
   }
 }
--- a/src/main/java/switchgap/testbed/soak/DuplicateExecutionCheck.java
+++ b/src/main/java/switchgap/testbed/soak/DuplicateExecutionCheck.java
@@ -4,7 +4,7 @@
 import switchgap.testbed.invariant.Invariant;
 import switchgap.testbed.invariant.ViolationRecorder;
 
-/** A non-idempotent request is executed at most once, unless its client sent it again. */
+/** Checks that a non-idempotent request runs at most once, unless its client sent it again. */
 final class DuplicateExecutionCheck {
   private final ViolationRecorder violations;
 
@@ -18,7 +18,7 @@
     if (!request.isIdempotent() && !request.wasResent() && executions > 1) {
       violations.record(
           Invariant.NO_DUPLICATE_EFFECT,
-          "request " + request.id() + " ran " + executions + " times and must not be repeated");
+          "non-idempotent request " + request.id() + " was executed " + executions + " times");
     }
   }
 }
--- a/src/main/java/switchgap/testbed/soak/EmulatedFleet.java
+++ b/src/main/java/switchgap/testbed/soak/EmulatedFleet.java
@@ -9,145 +9,150 @@
 import java.util.concurrent.TimeUnit;
 import switchgap.net.WallClock;
 
-/** The workers, and the log of endpoint list events that describe them. Thread-safe. */
+/** The emulated workers, and the endpoint list events that describe them. Thread-safe. */
 final class EmulatedFleet implements AutoCloseable {
   private static final String SERVING = "SERVING";
   private static final String DRAINING = "DRAINING";
   private static final String DELETED = "DELETED";
 
-  /** Workers that serve at any time. */
-  private static final int MIN_SERVING = 4;
+  /** Least number of serving workers that a drain may leave. */
+  private static final int MIN_SERVING_WORKERS = 4;
 
-  /** Boot time of a worker whose start is long past, or is not stated. */
-  private static final long NO_BOOT_TIME = 0;
+  /** Boot time in events of a worker that was started before the run, drains or is gone. */
+  private static final long UNSTATED_BOOT_MILLIS = 0;
 
   private final List<String> events = new CopyOnWriteArrayList<>();
-  private final List<WorkerEmulator> serving = new ArrayList<>();
-  private final List<WorkerEmulator> all = new ArrayList<>();
+  private final List<WorkerEmulator> servingWorkers = new ArrayList<>();
+  private final List<WorkerEmulator> allWorkers = new ArrayList<>();
   private final SoakRecords records;
   private final ScheduledExecutorService timers;
-  private int lastNumber;
-  private int restarts;
+  private int lastWorkerNumber;
+  private int restartCount;
 
-  /** Starts a fleet of workers that are warm. */
-  EmulatedFleet(int workers, SoakRecords records, ScheduledExecutorService timers)
+  /** Starts the given number of workers; the endpoint list presents them as warm. */
+  EmulatedFleet(int workerCount, SoakRecords records, ScheduledExecutorService timers)
       throws IOException {
     this.records = records;
     this.timers = timers;
-    for (int i = 0; i < workers; i++) {
+    for (int i = 0; i < workerCount; i++) {
       start(WorkerTimeline.warm(nextName()));
     }
-    publishAll();
+    publishCompleteList();
   }
 
   private String nextName() {
-    return "w" + ++lastNumber;
+    return "w" + ++lastWorkerNumber;
   }
 
   private WorkerEmulator start(WorkerTimeline timeline) throws IOException {
     WorkerEmulator worker = new WorkerEmulator(timeline.name(), records, timers);
     records.addWorker(timeline);
-    serving.add(worker);
-    all.add(worker);
+    servingWorkers.add(worker);
+    allWorkers.add(worker);
     return worker;
   }
 
-  /** The events so far, each as JSON, in a live view; the first has the number 1. */
+  /** Returns a live view of the events as JSON; the first event has the number 1. */
   List<String> events() {
     return Collections.unmodifiableList(events);
   }
 
-  /** Publishes the complete list. */
-  synchronized void publishAll() {
-    List<String> lines = new ArrayList<>();
-    for (WorkerEmulator worker : serving) {
-      lines.add(line(worker, SERVING, bootMillis(worker)));
+  /** Publishes the complete endpoint list. */
+  synchronized void publishCompleteList() {
+    List<String> targets = new ArrayList<>();
+    for (WorkerEmulator worker : servingWorkers) {
+      targets.add(targetJson(worker, SERVING, bootMillis(worker)));
     }
-    publish(true, lines);
+    publish(true, targets);
   }
 
   private long bootMillis(WorkerEmulator worker) {
     WorkerTimeline timeline = records.worker(worker.recordName());
-    return timeline.startedDuringRun() ? unixMillis(timeline.startedNanos()) : NO_BOOT_TIME;
+    return timeline.startedDuringRun() ? unixMillis(timeline.startedNanos()) : UNSTATED_BOOT_MILLIS;
   }
 
   private static long unixMillis(long nanos) {
     return WallClock.unixMillis() - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
   }
 
-  /** A serving worker, chosen by a number drawn at random. */
-  synchronized WorkerEmulator serving(int draw) {
-    return serving.get(Math.floorMod(draw, serving.size()));
+  /** Picks a serving worker by a random number. */
+  synchronized WorkerEmulator pickServing(int randomNumber) {
+    return servingWorkers.get(Math.floorMod(randomNumber, servingWorkers.size()));
   }
 
   /**
-   * A new worker starts, cold, and an old one begins to drain.
+   * Starts a new worker, which is cold, and makes a serving worker drain.
    *
-   * @param draw chooses the old worker
-   * @return the old worker
+   * @param randomNumber picks the worker that drains
+   * @return the draining worker
    */
-  synchronized WorkerEmulator replace(int draw) throws IOException {
-    WorkerEmulator old = serving.remove(Math.floorMod(draw, serving.size()));
-    old.drain();
-    WorkerEmulator created = start(WorkerTimeline.startedAt(nextName(), System.nanoTime()));
+  synchronized WorkerEmulator replace(int randomNumber) throws IOException {
+    WorkerEmulator replaced =
+        servingWorkers.remove(Math.floorMod(randomNumber, servingWorkers.size()));
+    replaced.drain();
+    WorkerEmulator replacement = start(WorkerTimeline.startedAt(nextName(), System.nanoTime()));
     publish(
         false,
-        List.of(line(old, DRAINING, NO_BOOT_TIME), line(created, SERVING, bootMillis(created))));
-    records.worker(old.recordName()).drainingAt(System.nanoTime());
-    return old;
+        List.of(
+            targetJson(replaced, DRAINING, UNSTATED_BOOT_MILLIS),
+            targetJson(replacement, SERVING, bootMillis(replacement))));
+    records.worker(replaced.recordName()).markDraining(System.nanoTime());
+    return replaced;
   }
 
   /**
-   * A worker begins to drain, and will be started again.
+   * Makes a serving worker drain before a restart.
    *
-   * @param draw chooses the worker
-   * @return the worker; null where too few would be left
+   * @param randomNumber picks the worker
+   * @return the draining worker; null if too few workers would be left
    */
-  synchronized WorkerEmulator drain(int draw) {
-    if (serving.size() <= MIN_SERVING) {
+  synchronized WorkerEmulator drain(int randomNumber) {
+    if (servingWorkers.size() <= MIN_SERVING_WORKERS) {
       return null;
     }
-    WorkerEmulator drained = serving.remove(Math.floorMod(draw, serving.size()));
+    WorkerEmulator drained =
+        servingWorkers.remove(Math.floorMod(randomNumber, servingWorkers.size()));
     drained.drain();
-    publish(false, List.of(line(drained, DRAINING, NO_BOOT_TIME)));
-    records.worker(drained.recordName()).drainingAt(System.nanoTime());
+    publish(false, List.of(targetJson(drained, DRAINING, UNSTATED_BOOT_MILLIS)));
+    records.worker(drained.recordName()).markDraining(System.nanoTime());
     return drained;
   }
 
   /**
-   * A worker that was removed starts again, cold, under its name.
+   * Starts a removed worker again, cold and under the same name.
    *
-   * @param moves whether at another address
+   * @param changesAddress whether it listens at another port than before
    */
-  synchronized void restart(WorkerEmulator removed, boolean moves) throws IOException {
-    restarts++;
-    String recordName = removed.name() + "#" + restarts;
-    int port = moves ? WorkerEmulator.ANY_PORT : removed.port();
-    WorkerEmulator started = new WorkerEmulator(removed.name(), recordName, port, records, timers);
+  synchronized void restart(WorkerEmulator stopped, boolean changesAddress) throws IOException {
+    restartCount++;
+    String recordName = stopped.name() + "#" + restartCount;
+    int port = changesAddress ? WorkerEmulator.ANY_PORT : stopped.port();
+    WorkerEmulator restarted =
+        new WorkerEmulator(stopped.name(), recordName, port, records, timers);
     records.addWorker(WorkerTimeline.startedAt(recordName, System.nanoTime()));
-    serving.add(started);
-    all.add(started);
-    publish(false, List.of(line(started, SERVING, bootMillis(started))));
+    servingWorkers.add(restarted);
+    allWorkers.add(restarted);
+    publish(false, List.of(targetJson(restarted, SERVING, bootMillis(restarted))));
   }
 
-  /** Ends a draining worker and publishes that it is gone. */
+  /** Publishes that a draining worker is gone, and stops it. */
   synchronized void remove(WorkerEmulator worker) throws IOException {
-    publish(false, List.of(line(worker, DELETED, NO_BOOT_TIME)));
+    publish(false, List.of(targetJson(worker, DELETED, UNSTATED_BOOT_MILLIS)));
     worker.close();
   }
 
-  private void publish(boolean complete, List<String> lines) {
+  private void publish(boolean complete, List<String> targets) {
     events.add(
         "{\"n\":"
             + (events.size() + 1)
             + ",\"members\":{\"rev\":7,\"all\":"
             + complete
             + ",\"targets\":["
-            + String.join(",", lines)
+            + String.join(",", targets)
             + "]}}");
   }
 
-  private static String line(WorkerEmulator worker, String state, long bootMillis) {
+  private static String targetJson(WorkerEmulator worker, String state, long bootMillis) {
     return "{\"uid\":\""
         + worker.name()
         + "\",\"endpoint\":\""
@@ -161,7 +166,7 @@
 
   @Override
   public synchronized void close() throws IOException {
-    for (WorkerEmulator worker : all) {
+    for (WorkerEmulator worker : allWorkers) {
       worker.close();
     }
   }
--- a/src/main/java/switchgap/testbed/soak/EventStreamEmulator.java
+++ b/src/main/java/switchgap/testbed/soak/EventStreamEmulator.java
@@ -15,50 +15,51 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * One address of the event stream: server-sent events, numbered, from a log that all addresses
- * share, and heartbeats. Thread-safe; each connection has a thread.
+ * Emulates the event stream at one address. It sends the endpoint list events, which are numbered
+ * and shared by all addresses, as server-sent events, and heartbeats. Thread-safe; each connection
+ * has a thread.
  */
 final class EventStreamEmulator implements AutoCloseable {
-  private static final int BACKLOG = 200;
+  private static final int ACCEPT_BACKLOG = 200;
   private static final int ANY_PORT = 0;
-  private static final long POLL_MILLIS = 20;
-  private static final long HEARTBEAT_NANOS = 1_000_000_000L;
-  private static final String LAST_EVENT_HEADER = "last-event-id:";
-  private static final byte[] HEAD =
+  private static final long POLL_PERIOD_MILLIS = 20;
+  private static final long HEARTBEAT_PERIOD_NANOS = 1_000_000_000L;
+  private static final String LAST_EVENT_ID_HEADER = "last-event-id:";
+  private static final byte[] RESPONSE_HEAD =
       "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
           .getBytes(StandardCharsets.US_ASCII);
   private static final byte[] HEARTBEAT = ":\n\n".getBytes(StandardCharsets.US_ASCII);
   private static final byte[] INCOMPLETE_EVENT =
       "id: 9\ndata: {\"n\":".getBytes(StandardCharsets.US_ASCII);
 
-  private static final byte[] UNAVAILABLE =
+  private static final byte[] UNAVAILABLE_RESPONSE =
       "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
           .getBytes(StandardCharsets.US_ASCII);
   private static final byte[] INVALID_EVENT =
       "id: 9\ndata: {\"n\":\"none\"}\n\n:\n\n".getBytes(StandardCharsets.US_ASCII);
 
-  /** How the stream is out of reach. */
+  /** How the event stream fails. */
   enum Failure {
-    /** It is not. */
+    /** The event stream works. */
     NONE,
-    /** Connections stay open and deliver nothing. */
+    /** Connections stay open and deliver no data. */
     SILENT,
-    /** Connections end, and new ones get no response. */
+    /** Open connections end, and new ones get no response. */
     NO_RESPONSE,
-    /** Connections end, and new ones are refused. */
+    /** Open connections end, and new ones are refused. */
     REFUSED,
-    /** Connections end, and requests get an error. */
+    /** Open connections end, and new requests get the HTTP status 503. */
     UNAVAILABLE,
-    /** Connections end, and new ones deliver an invalid event and heartbeats. */
+    /** Open connections end, and new ones deliver an invalid event and a heartbeat. */
     INVALID;
 
-    /** Whether open connections end, and what the stream has counts as notified after a break. */
-    boolean isBreak() {
+    /** Whether open connections end, so that it is an {@link OutageCause#EVENT_STREAM_BROKEN}. */
+    boolean endsConnections() {
       return this != NONE && this != SILENT;
     }
   }
 
-  private final List<String> log;
+  private final List<String> events;
   private final int port;
   private volatile ServerSocket listener;
   private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
@@ -66,47 +67,48 @@
   private volatile Failure failure = Failure.NONE;
 
   /**
-   * Starts an address of the stream at a free port of the loopback address.
+   * Starts the event stream at a free port of the loopback address.
    *
-   * @param log the events as JSON; it may grow meanwhile, and its first event has the number 1
+   * @param events the events as JSON, a live view that may grow; the first has the number 1
    */
-  EventStreamEmulator(List<String> log) throws IOException {
-    this.log = log;
+  EventStreamEmulator(List<String> events) throws IOException {
+    this.events = events;
     listen(ANY_PORT);
     port = listener.getLocalPort();
   }
 
   private void listen(int port) throws IOException {
-    ServerSocket opened = new ServerSocket();
-    opened.setReuseAddress(true);
-    opened.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), BACKLOG);
-    listener = opened;
-    DaemonThreads.start("feed", () -> acceptAll(opened));
+    ServerSocket opening = new ServerSocket();
+    opening.setReuseAddress(true);
+    opening.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), ACCEPT_BACKLOG);
+    listener = opening;
+    DaemonThreads.start("feed", () -> acceptAll(opening));
   }
 
-  /** Fails in this way until {@link #recover}. */
-  void fail(Failure how) throws IOException {
-    failure = how;
-    silent = how == Failure.SILENT;
-    if (how == Failure.REFUSED) {
+  /** Makes the event stream fail until {@link #recover}. */
+  void fail(Failure newFailure) throws IOException {
+    failure = newFailure;
+    silent = newFailure == Failure.SILENT;
+    if (newFailure == Failure.REFUSED) {
       listener.close();
     }
-    if (how.isBreak()) {
+    if (newFailure.endsConnections()) {
       cutConnections();
     }
   }
 
-  /** Works again, at the same address. */
+  /** Ends the failure; the address stays the same. */
   void recover() throws IOException {
-    Failure before = failure;
+    Failure endedFailure = failure;
     failure = Failure.NONE;
     silent = false;
-    if (before == Failure.REFUSED) {
+    if (endedFailure == Failure.REFUSED) {
       listen(port);
     }
     for (Socket socket : connections) {
-      if (before.isBreak()) {
-        socket.close(); // it carries no response
+      if (endedFailure.endsConnections()) {
+        // It was opened during the failure and carries no valid response.
+        socket.close();
       }
     }
   }
@@ -115,12 +117,12 @@
     return "127.0.0.1:" + port;
   }
 
-  /** Sends nothing on open connections, or goes on. */
+  /** Stops or resumes sending on open connections, which stay open. */
   void setSilent(boolean isSilent) {
     silent = isSilent;
   }
 
-  /** Ends all connections in the middle of an event. */
+  /** Closes all connections in the middle of an event. */
   void cutConnections() {
     connections.forEach(EventStreamEmulator::cut);
   }
@@ -130,65 +132,68 @@
       socket.getOutputStream().write(INCOMPLETE_EVENT);
       socket.close();
     } catch (IOException e) {
-      return; // it had ended
+      // The connection had already ended.
+      return;
     }
   }
 
-  private void acceptAll(ServerSocket opened) {
+  private void acceptAll(ServerSocket acceptor) {
     try {
       while (true) {
-        Socket socket = opened.accept();
+        Socket socket = acceptor.accept();
         connections.add(socket);
         DaemonThreads.start("feed", () -> serve(socket));
       }
     } catch (IOException e) {
-      return; // closed
+      // The listener was closed.
+      return;
     }
   }
 
   private void serve(Socket socket) {
     try (socket) {
-      int sent = readLastEventId(socket);
+      int lastSentId = readLastEventId(socket);
       OutputStream out = socket.getOutputStream();
       if (!beginResponse(out)) {
         return;
       }
-      long heartbeatAt = System.nanoTime();
+      long nextHeartbeatNanos = System.nanoTime();
       while (connections.contains(socket) && !socket.isClosed()) {
         if (!silent && failure == Failure.NONE) {
-          sent = sendEventsAfter(sent, out);
-          if (System.nanoTime() - heartbeatAt >= 0) {
+          lastSentId = sendEventsAfter(lastSentId, out);
+          if (System.nanoTime() - nextHeartbeatNanos >= 0) {
             out.write(HEARTBEAT);
-            heartbeatAt += HEARTBEAT_NANOS;
+            nextHeartbeatNanos += HEARTBEAT_PERIOD_NANOS;
           }
         }
-        Thread.sleep(POLL_MILLIS);
+        Thread.sleep(POLL_PERIOD_MILLIS);
       }
     } catch (IOException | InterruptedException e) {
-      return; // the router closed the connection
+      // The router closed the connection.
+      return;
     } finally {
       connections.remove(socket);
     }
   }
 
-  /** Returns whether the connection is to stay open. */
+  /** Returns whether the connection stays open after the response head. */
   private boolean beginResponse(OutputStream out) throws IOException {
     switch (failure) {
       case NO_RESPONSE -> {}
-      case UNAVAILABLE -> out.write(UNAVAILABLE);
+      case UNAVAILABLE -> out.write(UNAVAILABLE_RESPONSE);
       case INVALID -> {
-        out.write(HEAD);
+        out.write(RESPONSE_HEAD);
         out.write(INVALID_EVENT);
       }
-      default -> out.write(HEAD);
+      default -> out.write(RESPONSE_HEAD);
     }
     return failure != Failure.UNAVAILABLE;
   }
 
   private int sendEventsAfter(int lastSent, OutputStream out) throws IOException {
     int sent = lastSent;
-    for (; sent < log.size(); sent++) {
-      String event = "id: " + (sent + 1) + "\ndata: " + log.get(sent) + "\n\n";
+    for (; sent < events.size(); sent++) {
+      String event = "id: " + (sent + 1) + "\ndata: " + events.get(sent) + "\n\n";
       out.write(event.getBytes(StandardCharsets.UTF_8));
     }
     return sent;
@@ -198,13 +203,13 @@
     BufferedReader input =
         new BufferedReader(
             new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-    int last = 0;
+    int lastEventId = 0;
     for (String line = input.readLine(); line != null && !line.isEmpty(); line = input.readLine()) {
-      if (line.toLowerCase(Locale.ROOT).startsWith(LAST_EVENT_HEADER)) {
-        last = Integer.parseInt(line.substring(LAST_EVENT_HEADER.length()).trim());
+      if (line.toLowerCase(Locale.ROOT).startsWith(LAST_EVENT_ID_HEADER)) {
+        lastEventId = Integer.parseInt(line.substring(LAST_EVENT_ID_HEADER.length()).trim());
       }
     }
-    return last;
+    return lastEventId;
   }
 
   @Override
--- a/src/main/java/switchgap/testbed/soak/EventStreamFaults.java
+++ b/src/main/java/switchgap/testbed/soak/EventStreamFaults.java
@@ -6,10 +6,10 @@
 import java.util.Random;
 import switchgap.testbed.process.ProcessSignal;
 
-/** Faults of the event stream. Thread-safe: several may be active at a time. */
+/** Injects faults of the event stream. Thread-safe: several may be active at a time. */
 final class EventStreamFaults {
-  /** How long the old address of a moved event stream stays open. */
-  private static final int OLD_ADDRESS_MILLIS = 1500;
+  /** Time for which the old address stays open after the event stream has moved. */
+  private static final int OLD_ADDRESS_OPEN_MILLIS = 1500;
 
   private static final int MAX_FLEET_CHANGE_DELAY_MILLIS = 1000;
 
@@ -18,7 +18,7 @@
   private final SoakRecords records;
   private EventStreamEmulator current;
 
-  /** The event stream is at the address that the routers were started with. */
+  /** Creates the injectors; {@code initial} is the event stream that routers were started with. */
   EventStreamFaults(
       List<ServeProcess> routers,
       EmulatedFleet fleet,
@@ -39,14 +39,14 @@
         SoakFaultType.FEED_CUT,
         (fault, random) -> cut(),
         SoakFaultType.FEED_WHOLE_LIST,
-        (fault, random) -> fleet.publishAll(),
+        (fault, random) -> fleet.publishCompleteList(),
         SoakFaultType.FEED_UNREACHABLE,
         (fault, random) -> failFor(fault.durationMillis(), random),
         SoakFaultType.FEED_OUTAGE,
         (fault, random) -> failWhileFleetChanges(fault.durationMillis(), random));
   }
 
-  /** The address of the event stream at present. */
+  /** Current address of the event stream. */
   String address() {
     return current().address();
   }
@@ -72,70 +72,71 @@
         }
       }
     }
-    Thread.sleep(OLD_ADDRESS_MILLIS);
+    Thread.sleep(OLD_ADDRESS_OPEN_MILLIS);
     old.close();
-    outage.endedAt(System.nanoTime());
+    outage.end(System.nanoTime());
   }
 
   private Outage beginOutage(OutageCause cause) {
     return records.beginOutage(cause, Outage.ALL_ROUTERS, System.nanoTime());
   }
 
-  /** The stream is out of reach in one of the ways there are. */
-  private void failFor(int millis, Random random) throws IOException, InterruptedException {
-    FailedStream failed = fail(random);
-    Thread.sleep(millis);
-    failed.recover();
+  /** Makes the event stream unavailable by a random kind of failure. */
+  private void failFor(int durationMillis, Random random) throws IOException, InterruptedException {
+    FailedStream failedStream = fail(random);
+    Thread.sleep(durationMillis);
+    failedStream.recover();
   }
 
   private FailedStream fail(Random random) throws IOException {
-    EventStreamEmulator.Failure[] ways = EventStreamEmulator.Failure.values();
-    EventStreamEmulator.Failure how = ways[1 + random.nextInt(ways.length - 1)];
+    EventStreamEmulator.Failure[] failures = EventStreamEmulator.Failure.values();
+    EventStreamEmulator.Failure failure = failures[1 + random.nextInt(failures.length - 1)];
     EventStreamEmulator failing = current();
     Outage outage =
-        beginOutage(how.isBreak() ? OutageCause.EVENT_STREAM_BROKEN : OutageCause.EVENT_STREAM);
-    failing.fail(how);
+        beginOutage(
+            failure.endsConnections() ? OutageCause.EVENT_STREAM_BROKEN : OutageCause.EVENT_STREAM);
+    failing.fail(failure);
     return new FailedStream(failing, outage);
   }
 
-  /** A stream that is out of reach, and the record of it. */
+  /** An unavailable event stream and the record of its outage. */
   private record FailedStream(EventStreamEmulator stream, Outage outage) {
     void recover() throws IOException {
       stream.recover();
-      outage.endedAt(System.nanoTime());
+      outage.end(System.nanoTime());
     }
   }
 
   /**
-   * The stream is out of reach, while a worker drains and is replaced, another one restarts and a
-   * third one moves.
+   * Makes the event stream unavailable. During the outage one worker drains and is replaced, a
+   * second one restarts and a third one restarts at another port.
    */
-  private void failWhileFleetChanges(int millis, Random random)
+  private void failWhileFleetChanges(int durationMillis, Random random)
       throws IOException, InterruptedException {
     long startNanos = System.nanoTime();
-    FailedStream failed = fail(random);
+    FailedStream failedStream = fail(random);
     WorkerRestarts restarts = new WorkerRestarts(fleet);
     Thread.sleep(random.nextInt(MAX_FLEET_CHANGE_DELAY_MILLIS));
     WorkerEmulator replaced = fleet.replace(random.nextInt());
     restarts.restart(random, false);
     restarts.restart(random, true);
-    Sleep.until(startNanos, millis);
-    failed.recover();
+    Sleep.until(startNanos, durationMillis);
+    failedStream.recover();
     fleet.remove(replaced);
   }
 
-  private void silence(int millis) throws InterruptedException {
+  private void silence(int durationMillis) throws InterruptedException {
     EventStreamEmulator silenced = current();
     Outage outage = beginOutage(OutageCause.EVENT_STREAM);
     silenced.setSilent(true);
-    Thread.sleep(millis);
+    Thread.sleep(durationMillis);
     silenced.setSilent(false);
-    outage.endedAt(System.nanoTime());
+    outage.end(System.nanoTime());
   }
 
   private void cut() {
     Outage outage = beginOutage(OutageCause.EVENT_STREAM_BROKEN);
     current().cutConnections();
-    outage.endedAt(System.nanoTime());
+    outage.end(System.nanoTime());
   }
 }
--- a/src/main/java/switchgap/testbed/soak/FaultRunner.java
+++ b/src/main/java/switchgap/testbed/soak/FaultRunner.java
@@ -6,62 +6,62 @@
 import java.util.Map;
 import java.util.Random;
 
-/** Plays planned faults, each on a thread of its own, with the injector of its type. */
+/** Injects planned faults, each by the injector of its type on the caller's thread. */
 final class FaultRunner {
   private final SoakRecords records;
-  private final ActiveFaults active;
+  private final ActiveFaults activeFaults;
   private final Map<SoakFaultType, SoakFaultInjector> injectors =
       new EnumMap<>(SoakFaultType.class);
 
   /**
-   * A runner for one run.
+   * Creates the injectors of one run.
    *
-   * @param routers the routers, started
+   * @param routers all routers, started
    * @param fleet the workers
-   * @param eventStream address of the event stream that the routers were started with
-   * @param records receives outages, and faults that could not be injected
-   * @param active receives the types that are active, for the clients
-   * @param timeoutMillis the longest timeout of requests
+   * @param eventStream event stream that the routers were started with
+   * @param records receives outages, and process faults for faults that could not be injected
+   * @param activeFaults receives the active types, which clients act on
+   * @param maxTimeoutMillis longest timeout of a request
    */
   FaultRunner(
       List<ServeProcess> routers,
       EmulatedFleet fleet,
       EventStreamEmulator eventStream,
       SoakRecords records,
-      ActiveFaults active,
-      int timeoutMillis) {
+      ActiveFaults activeFaults,
+      int maxTimeoutMillis) {
     this.records = records;
-    this.active = active;
+    this.activeFaults = activeFaults;
     RouterPool pool = new RouterPool(routers);
     EventStreamFaults eventStreamFaults =
         new EventStreamFaults(routers, fleet, eventStream, records);
     injectors.putAll(eventStreamFaults.injectors());
     injectors.putAll(
-        new RouterProcessFaults(pool, fleet, eventStreamFaults::address, records, timeoutMillis)
+        new RouterProcessFaults(pool, fleet, eventStreamFaults::address, records, maxTimeoutMillis)
             .injectors());
     injectors.putAll(new WorkerMisbehaviourFaults(fleet).injectors());
     injectors.putAll(new ClientLoadFaults(pool).injectors());
     injectors.putAll(new SystemCallFaultInjectors(pool, records).injectors());
   }
 
-  /** Plays a fault from its start to its end; blocks meanwhile. */
-  void play(PlannedFault fault) {
-    active.begin(fault.type());
+  /** Injects a fault and blocks until its end. */
+  void run(PlannedFault fault) {
+    activeFaults.begin(fault.type());
     try {
       injectors
-          .getOrDefault(fault.type(), FaultRunner::leaveToClients)
+          .getOrDefault(fault.type(), FaultRunner::waitWhileClientsMisbehave)
           .inject(fault, new Random(fault.seed()));
     } catch (IOException e) {
-      records.addProcessFault(fault + " was not played: " + e.getMessage());
+      records.addProcessFault(fault + " could not be injected: " + e.getMessage());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      active.end(fault.type());
+      activeFaults.end(fault.type());
     }
   }
 
-  /** Clients misbehave by themselves while a fault of theirs is active. */
-  private static void leaveToClients(PlannedFault fault, Random random)
+  /** Faults of clients have no injector: clients act on the active types. */
+  private static void waitWhileClientsMisbehave(PlannedFault fault, Random random)
       throws InterruptedException {
     Thread.sleep(fault.durationMillis());
   }
--- a/src/main/java/switchgap/testbed/soak/LostRequestCheck.java
+++ b/src/main/java/switchgap/testbed/soak/LostRequestCheck.java
@@ -5,11 +5,14 @@
 import switchgap.testbed.invariant.ViolationRecorder;
 
 /**
- * Each request that a router read receives a final response in time. Time in which the router was
- * paused or could accept nothing does not count; a request that a killed router had is excused.
+ * Checks that each request that a router read receives a final response in time. Time during which
+ * the router was paused or could accept no connection is subtracted. Requests that were open at a
+ * router when it was killed are not checked.
  */
 final class LostRequestCheck implements RequestCheck {
-  /** The platform's requirement: a response that is later by more counts as lost. */
+  /**
+   * The hosting platform treats a response as lost if it exceeds its deadline by more than this.
+   */
   private static final long MAX_LATENESS_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   private final SoakRecords records;
@@ -25,11 +28,11 @@
     if (request.outcome() == ObservedRequest.Outcome.CANCELLED || wasAtKilledRouter(request)) {
       return;
     }
-    String name = "request " + request.id() + " at router " + request.router();
+    String subject = "request " + request.id() + " at router " + request.router();
     switch (request.outcome()) {
-      case PENDING -> violated(name + " has no answer");
-      case CONNECTION_LOST -> checkConnectionLoss(request, name);
-      default -> checkLateness(request, name);
+      case PENDING -> recordViolation(subject + " received no response");
+      case CONNECTION_LOST -> checkConnectionLoss(request, subject);
+      default -> checkLateness(request, subject);
     }
   }
 
@@ -40,31 +43,37 @@
   }
 
   private static boolean wasOpenDuring(ObservedRequest request, Outage kill) {
-    long earliestEnd = kill.startNanos() - CheckTolerances.MEASUREMENT_NANOS;
-    boolean endedBefore = request.endedNanos() != 0 && request.endedNanos() < earliestEnd;
-    return !endedBefore && !kill.isOverBefore(request.sentNanos());
+    long earliestLossNanos = kill.startNanos() - CheckTolerances.MEASUREMENT_ERROR_NANOS;
+    boolean endedBeforeKill = request.endedNanos() != 0 && request.endedNanos() < earliestLossNanos;
+    return !endedBeforeKill && !kill.endedBefore(request.sentNanos());
   }
 
-  private void checkConnectionLoss(ObservedRequest request, String name) {
+  private void checkConnectionLoss(ObservedRequest request, String subject) {
     if (request.wasResent()) {
       return;
     }
-    violated(
-        name
-            + " was cut off after "
+    recordViolation(
+        subject
+            + " lost its connection "
             + CheckTolerances.toMillis(request.endedNanos() - request.sentNanos())
-            + " ms"
-            + (request.isFirstOnConnection() ? ", the first on its connection" : ""));
+            + " ms after it was sent"
+            + (request.isFirstOnConnection()
+                ? "; it was the first request on the connection"
+                : ""));
   }
 
-  private void checkLateness(ObservedRequest request, String name) {
-    long lateness =
+  private void checkLateness(ObservedRequest request, String subject) {
+    long latenessNanos =
         request.endedNanos()
             - request.deadlineNanos()
             - outageNanos(OutageCause.ROUTER_PAUSED, request)
             - outageNanos(OutageCause.ACCEPT_FAILING, request);
-    if (lateness > MAX_LATENESS_NANOS + CheckTolerances.MEASUREMENT_NANOS) {
-      violated(name + " was answered " + CheckTolerances.toMillis(lateness) + " ms late");
+    if (latenessNanos > MAX_LATENESS_NANOS + CheckTolerances.MEASUREMENT_ERROR_NANOS) {
+      recordViolation(
+          subject
+              + " received its response "
+              + CheckTolerances.toMillis(latenessNanos)
+              + " ms after its deadline, outages not counted");
     }
   }
 
@@ -72,7 +81,7 @@
     return records.outageNanos(cause, request.router(), request.sentNanos(), request.endedNanos());
   }
 
-  private void violated(String description) {
+  private void recordViolation(String description) {
     violations.record(Invariant.FINAL_RESPONSE_IN_TIME, description);
   }
 }
--- a/src/main/java/switchgap/testbed/soak/ObservedRequest.java
+++ b/src/main/java/switchgap/testbed/soak/ObservedRequest.java
@@ -4,28 +4,31 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A request as its client saw it. The client's thread changes it, the checker reads it afterwards.
- * Times are of {@link System#nanoTime}; 0 where something has not happened.
+ * A request as observed by its client. The client's thread writes it; the checker reads it after
+ * the run. Times are values of {@link System#nanoTime}, or 0 if the event has not happened.
  */
 final class ObservedRequest {
   /** How the request ended for its client. */
   enum Outcome {
-    /** No response yet. */
+    /** No response has arrived yet. */
     PENDING,
     /** A worker's response was delivered. */
     SERVED,
-    /** The router rejected it; it was not executed. */
+    /** The router rejected the request; no worker executed it. */
     REJECTED,
-    /** It failed; it may have been executed. */
+    /** The request failed; a worker may have executed it. */
     FAILED,
-    /** Its connection ended before a response. */
+    /** The connection ended before a response arrived. */
     CONNECTION_LOST,
-    /** The client revoked it or closed its connection. */
+    /** The client cancelled the request or closed its connection. */
     CANCELLED
   }
 
-  /** The platform's bound of the time by which a request and a close may cross. */
-  private static final long MAX_CROSSING_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+  /**
+   * Longest time between sending a request and the end of its connection within which the router
+   * may have closed the connection before it read the request; a limit of the hosting platform.
+   */
+  private static final long MAX_CLOSE_CROSSING_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   private final String id;
   private final RouterIncarnation destination;
@@ -36,18 +39,18 @@
   private volatile long cancelledNanos;
   private volatile long endedNanos;
   private volatile Outcome outcome = Outcome.PENDING;
-  private final AtomicInteger responses = new AtomicInteger();
+  private final AtomicInteger responseCount = new AtomicInteger();
   private volatile boolean responseMatches = true;
   private volatile boolean resent;
 
   /**
-   * A request that is not sent yet.
+   * Creates a request that has not been sent.
    *
-   * @param id idempotency key, unique within the run; a resend has the id of the first request
-   * @param destination the router process that it is sent to
+   * @param id idempotency key, unique within the run; a resend has the same id
+   * @param destination router process that the request is sent to
    * @param idempotent whether it may be executed more than once
-   * @param timeoutMillis timeout that the client states, from the time of sending
-   * @param firstOnConnection whether its connection carried no request before
+   * @param timeoutMillis timeout that the client requests, from the time of sending
+   * @param firstOnConnection whether it is the first request on its connection
    */
   ObservedRequest(
       String id,
@@ -62,64 +65,65 @@
     this.firstOnConnection = firstOnConnection;
   }
 
-  /** The same request, to be sent again on a new connection. */
+  /** Returns a request with the same id, to be sent on a new connection. */
   ObservedRequest copyForResend() {
     return new ObservedRequest(id, destination, idempotent, timeoutMillis, true);
   }
 
-  /** Its last byte was written. */
-  void sentAt(long nowNanos) {
+  /** Records that the last byte of the request was written. */
+  void markSent(long nowNanos) {
     sentNanos = nowNanos;
   }
 
-  /** The client gave it up; it has ended, unless it had ended before. */
-  void cancelledAt(long nowNanos) {
+  /** Records that the client cancelled the request; ends it unless it has already ended. */
+  void markCancelled(long nowNanos) {
     cancelledNanos = nowNanos;
     end(Outcome.CANCELLED, nowNanos);
   }
 
-  /** Its connection ended before a response. */
-  void connectionLostAt(long nowNanos) {
+  /** Records that the connection ended; ends the request unless it has already ended. */
+  void markConnectionLost(long nowNanos) {
     end(Outcome.CONNECTION_LOST, nowNanos);
   }
 
   /**
-   * A response was read.
+   * Records that a response was read; the first one ends the request.
    *
-   * @param how outcome that the response states
-   * @param matches whether its body is the one that a worker produces for this request
-   * @param nowNanos time of the response
+   * @param responseOutcome outcome according to the response
+   * @param matches whether the body is the one that a worker produces for this request
+   * @param nowNanos time at which the response was read
    */
-  void respondedAt(Outcome how, boolean matches, long nowNanos) {
-    responses.incrementAndGet();
+  void addResponse(Outcome responseOutcome, boolean matches, long nowNanos) {
+    responseCount.incrementAndGet();
     responseMatches = responseMatches && matches;
-    end(how, nowNanos);
+    end(responseOutcome, nowNanos);
   }
 
-  private void end(Outcome how, long nowNanos) {
+  private void end(Outcome finalOutcome, long nowNanos) {
     if (outcome == Outcome.PENDING) {
       endedNanos = nowNanos;
-      outcome = how;
+      outcome = finalOutcome;
     }
   }
 
-  /** It is being sent again on a new connection; the checks judge the resend. */
-  void resending() {
+  /** Records that the request is sent again; the checks then apply to the resend. */
+  void markResent() {
     resent = true;
   }
 
-  /** Whether it crossed the close of its connection: it was sent shortly before the end. */
-  boolean crossedClose() {
-    return endedNanos - sentNanos < MAX_CROSSING_NANOS + CheckTolerances.MEASUREMENT_NANOS;
+  /** Whether the router may have closed the connection before it read the request. */
+  boolean mayHaveCrossedClose() {
+    return endedNanos - sentNanos
+        < MAX_CLOSE_CROSSING_NANOS + CheckTolerances.MEASUREMENT_ERROR_NANOS;
   }
 
-  /** The resend was refused by a router that shuts down; it was never taken. */
-  void resendRefused() {
+  /** Records that a router that is shutting down rejected the resend without accepting it. */
+  void markResendRejected() {
     resent = true;
   }
 
-  /** The resend found no router. */
-  void resendFailed() {
+  /** Records that the resend reached no router; the checks then apply to the first request. */
+  void markResendFailed() {
     resent = false;
   }
 
@@ -160,7 +164,7 @@
     return endedNanos;
   }
 
-  /** When the client's timeout expires. */
+  /** Time at which the client's timeout expires. */
   long deadlineNanos() {
     return sentNanos + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
   }
@@ -173,8 +177,8 @@
     return outcome == Outcome.PENDING;
   }
 
-  int responses() {
-    return responses.get();
+  int responseCount() {
+    return responseCount.get();
   }
 
   boolean responseMatches() {
--- a/src/main/java/switchgap/testbed/soak/Outage.java
+++ b/src/main/java/switchgap/testbed/soak/Outage.java
@@ -1,11 +1,11 @@
 package switchgap.testbed.soak;
 
 /**
- * An interval in which a router, or the event stream of all routers, did not work because of an
- * injected fault. Thread-safe. Times are of {@link System#nanoTime}.
+ * A time interval in which an injected fault disabled a router, or the event stream for all
+ * routers. Thread-safe. Times are values of {@link System#nanoTime}.
  */
 final class Outage {
-  /** In place of a router's index: all routers are affected. */
+  /** Used instead of a router's index if the outage affects all routers. */
   static final int ALL_ROUTERS = -1;
 
   private final int router;
@@ -17,13 +17,13 @@
     this.startNanos = startNanos;
   }
 
-  /** It is over. */
-  void endedAt(long nowNanos) {
+  void end(long nowNanos) {
     endNanos = nowNanos;
   }
 
-  boolean affects(int otherRouter) {
-    return router == otherRouter;
+  /** Whether this is an outage of the given router alone. */
+  boolean affects(int routerIndex) {
+    return router == routerIndex;
   }
 
   long startNanos() {
@@ -34,12 +34,12 @@
     return endNanos - startNanos;
   }
 
-  /** Whether it ended before a time; false while it lasts. */
-  boolean isOverBefore(long nanos) {
+  /** Whether it ended before the given time; false while it continues. */
+  boolean endedBefore(long nanos) {
     return endNanos != 0 && endNanos < nanos;
   }
 
-  /** How much of the interval from one time until another it covers. */
+  /** Duration of the part of the outage that lies within the given interval. */
   long overlapNanos(long fromNanos, long untilNanos) {
     long end = endNanos == 0 ? untilNanos : endNanos;
     return Math.max(0, Math.min(end, untilNanos) - Math.max(startNanos, fromNanos));
--- a/src/main/java/switchgap/testbed/soak/OutageCause.java
+++ b/src/main/java/switchgap/testbed/soak/OutageCause.java
@@ -1,15 +1,15 @@
 package switchgap.testbed.soak;
 
-/** What an injected fault put out of order. */
+/** What an injected fault disabled during an outage. */
 enum OutageCause {
-  /** The process was suspended, from SIGSTOP to SIGCONT. */
+  /** The router process was suspended, from SIGSTOP to SIGCONT. */
   ROUTER_PAUSED,
-  /** The process was dead, from SIGKILL until its successor was ready. */
+  /** The router was not running, from SIGKILL until its new process was ready. */
   ROUTER_KILLED,
-  /** The process could accept no connection. */
+  /** The router could accept no connections. */
   ACCEPT_FAILING,
-  /** The event stream was silent, or had moved: what it had counts as notified after 4 s. */
+  /** The event stream was silent or moved; routers are treated as notified after 4 s. */
   EVENT_STREAM,
-  /** The event stream had broken off or was unusable: what it had counts as notified after 2 s. */
+  /** The event stream broke off or was unusable; routers are treated as notified after 2 s. */
   EVENT_STREAM_BROKEN
 }
--- a/src/main/java/switchgap/testbed/soak/PlannedFault.java
+++ b/src/main/java/switchgap/testbed/soak/PlannedFault.java
@@ -1,12 +1,12 @@
 package switchgap.testbed.soak;
 
 /**
- * One fault of a plan.
+ * One fault of a {@link FaultPlan}.
  *
  * @param type what fails
- * @param startMillis its start, counted from the start of the clients
- * @param durationMillis how long it lasts
- * @param seed of all else that is left to chance: targets and strengths
+ * @param startMillis start, relative to the start of the fault injection
+ * @param durationMillis duration; types that last a fixed time ignore it
+ * @param seed seed of the other random choices, such as which router is affected
  */
 record PlannedFault(SoakFaultType type, int startMillis, int durationMillis, long seed) {
   @Override
--- a/src/main/java/switchgap/testbed/soak/ReceivedLoad.java
+++ b/src/main/java/switchgap/testbed/soak/ReceivedLoad.java
@@ -1,9 +1,9 @@
 package switchgap.testbed.soak;
 
 /**
- * A load command as the worker that received it saw it; which router sent it is not known.
+ * A load command as observed by the worker that received it; the sender is unknown.
  *
- * @param worker name of the worker
- * @param receivedNanos {@link System#nanoTime} at which the whole command had arrived
+ * @param worker name of the worker in the records
+ * @param receivedNanos {@link System#nanoTime} at which the complete command had arrived
  */
 record ReceivedLoad(String worker, long receivedNanos) {}
--- a/src/main/java/switchgap/testbed/soak/RecordingConnection.java
+++ b/src/main/java/switchgap/testbed/soak/RecordingConnection.java
@@ -15,7 +15,7 @@
 import java.util.Random;
 
 /**
- * A client's connection to a router; records all requests that are sent on it and how they end. Not
+ * A client's connection to a router. Records all requests sent on it and their outcomes. Not
  * thread-safe.
  */
 final class RecordingConnection implements AutoCloseable {
@@ -24,30 +24,31 @@
 
   private static final int CONNECT_TIMEOUT_MILLIS = 3000;
 
-  /** How long a response is awaited past the timeout: longer than a router is paused. */
-  private static final int PATIENCE_MILLIS = 5000;
+  /** Time to wait for a response after the longest timeout; longer than any pause of a router. */
+  private static final int RESPONSE_GRACE_MILLIS = 5000;
 
-  private static final int MAX_MESSAGE_PAUSE_MILLIS = 300;
-  private static final int FUNCTIONS = 40;
-  private static final String BODY = "x";
+  private static final int MAX_PAUSE_WITHIN_MESSAGE_MILLIS = 300;
+  private static final int FUNCTION_COUNT = 40;
+  private static final String REQUEST_BODY = "x";
 
   private final ServeProcess router;
   private final SoakRecords records;
-  private final ActiveFaults active;
+  private final ActiveFaults activeFaults;
   private final Random random;
   private final Socket socket = new Socket();
   private final DataInputStream input;
   private final OutputStream out;
-  private final Map<Integer, ObservedRequest> requests = new LinkedHashMap<>();
+  private final Map<Integer, ObservedRequest> requestsBySequenceId = new LinkedHashMap<>();
   private int lastSequenceId;
   private boolean closedByClient;
 
-  /** Connects to a router. */
-  RecordingConnection(ServeProcess router, SoakRecords records, ActiveFaults active, Random random)
+  /** Connects to a router at 127.0.0.1; fails after 3 s. */
+  RecordingConnection(
+      ServeProcess router, SoakRecords records, ActiveFaults activeFaults, Random random)
       throws IOException {
     this.router = router;
     this.records = records;
-    this.active = active;
+    this.activeFaults = activeFaults;
     this.random = random;
     socket.connect(new InetSocketAddress("127.0.0.1", router.port()), CONNECT_TIMEOUT_MILLIS);
     socket.setTcpNoDelay(true);
@@ -55,24 +56,26 @@
     out = socket.getOutputStream();
   }
 
-  /** Sends a request; under a fault its message may be delayed or never completed. */
+  /** Sends a request; while a fault is active, the message may be delayed or remain incomplete. */
   void send(ObservedRequest request) throws IOException, InterruptedException {
     int sequenceId = ++lastSequenceId;
     byte[] frame =
-        BinaryThrift.submit(sequenceId, fields(request), BODY.getBytes(StandardCharsets.US_ASCII));
-    if (active.isOn(SoakFaultType.CLIENT_HALF_MESSAGE) && random.nextInt(4) == 0) {
-      int half = 1 + random.nextInt(frame.length - 1);
-      out.write(Arrays.copyOf(frame, half));
-      Thread.sleep(random.nextInt(MAX_MESSAGE_PAUSE_MILLIS));
+        BinaryThrift.submit(
+            sequenceId, fields(request), REQUEST_BODY.getBytes(StandardCharsets.US_ASCII));
+    if (activeFaults.isActive(SoakFaultType.CLIENT_HALF_MESSAGE) && random.nextInt(4) == 0) {
+      int firstPartBytes = 1 + random.nextInt(frame.length - 1);
+      out.write(Arrays.copyOf(frame, firstPartBytes));
+      Thread.sleep(random.nextInt(MAX_PAUSE_WITHIN_MESSAGE_MILLIS));
       if (random.nextInt(4) == 0) {
-        closeByClient(); // the rest is never sent
+        // The rest of the message is never sent.
+        closeByClient();
         return;
       }
-      frame = Arrays.copyOfRange(frame, half, frame.length);
+      frame = Arrays.copyOfRange(frame, firstPartBytes, frame.length);
     }
     out.write(frame);
-    request.sentAt(System.nanoTime());
-    requests.put(sequenceId, request);
+    request.markSent(System.nanoTime());
+    requestsBySequenceId.put(sequenceId, request);
     records.addRequest(request);
   }
 
@@ -87,25 +90,25 @@
         "project",
         "shop",
         "lookup",
-        String.format("%016x", random.nextInt(FUNCTIONS)),
+        String.format("%016x", random.nextInt(FUNCTION_COUNT)),
         "extras",
         "memory_mb:10;lanes:4");
   }
 
-  /** Cancels all requests by the protocol; the connection stays open. */
-  void revokeAll() throws IOException {
-    for (Map.Entry<Integer, ObservedRequest> entry : requests.entrySet()) {
+  /** Cancels all requests by revoke messages; the connection stays open. */
+  void cancelAll() throws IOException {
+    for (Map.Entry<Integer, ObservedRequest> entry : requestsBySequenceId.entrySet()) {
       out.write(BinaryThrift.revoke(++lastSequenceId, entry.getKey()));
-      entry.getValue().cancelledAt(System.nanoTime());
+      entry.getValue().markCancelled(System.nanoTime());
     }
   }
 
-  /** Closes the connection with all requests that are in flight. */
+  /** Closes the connection, which cancels the requests in flight. */
   void closeByClient() throws IOException {
     closedByClient = true;
     socket.close();
     long now = System.nanoTime();
-    requests.values().forEach(request -> request.cancelledAt(now));
+    requestsBySequenceId.values().forEach(request -> request.markCancelled(now));
   }
 
   boolean isClosedByClient() {
@@ -113,31 +116,32 @@
   }
 
   /**
-   * Reads until all requests have ended, or none ends for longer than the client's patience.
+   * Reads responses until all requests have ended or no response arrives in time.
    *
-   * @return the requests whose connection was lost
+   * @return the requests that were pending when the connection was lost
    */
   List<ObservedRequest> awaitResponses() {
     try {
-      while (requests.values().stream().anyMatch(ObservedRequest::isPending)) {
-        socket.setSoTimeout(MAX_TIMEOUT_MILLIS + PATIENCE_MILLIS);
-        replied(BinaryThrift.readReply(input));
+      while (requestsBySequenceId.values().stream().anyMatch(ObservedRequest::isPending)) {
+        socket.setSoTimeout(MAX_TIMEOUT_MILLIS + RESPONSE_GRACE_MILLIS);
+        handleReply(BinaryThrift.readReply(input));
       }
     } catch (SocketTimeoutException e) {
-      return List.of(); // they stay pending
+      // The requests remain pending.
+      return List.of();
     } catch (IOException e) {
-      return connectionLost();
+      return markConnectionLost();
     }
     return List.of();
   }
 
-  private void replied(BinaryThrift.RouterReply reply) {
-    ObservedRequest request = requests.get(reply.sequenceId());
+  private void handleReply(BinaryThrift.RouterReply reply) {
+    ObservedRequest request = requestsBySequenceId.get(reply.sequenceId());
     if (request == null) {
-      records.addProcessFault("router " + router.index() + " replied to a number that is not open");
+      records.addProcessFault("router " + router.index() + " replied to an unknown sequence id");
       return;
     }
-    request.respondedAt(outcome(reply.kind()), matches(reply, request), System.nanoTime());
+    request.addResponse(outcome(reply.kind()), bodyMatches(reply, request), System.nanoTime());
   }
 
   private static ObservedRequest.Outcome outcome(BinaryThrift.ReplyKind kind) {
@@ -145,26 +149,27 @@
       case SERVED -> ObservedRequest.Outcome.SERVED;
       case REJECTED -> ObservedRequest.Outcome.REJECTED;
       case FAILED -> ObservedRequest.Outcome.FAILED;
-      case HEARTBEAT -> throw new IllegalArgumentException("a heartbeat is no response");
+      case HEARTBEAT ->
+          throw new IllegalArgumentException("a heartbeat reply has no request outcome");
     };
   }
 
-  /** Whether the body of a served request is the one that a worker produces for it. */
-  private static boolean matches(BinaryThrift.RouterReply reply, ObservedRequest request) {
+  /** Whether the body of a served request is the one that a worker produces for this request. */
+  private static boolean bodyMatches(BinaryThrift.RouterReply reply, ObservedRequest request) {
     if (reply.kind() != BinaryThrift.ReplyKind.SERVED) {
       return true;
     }
     String body = new String(reply.body(), StandardCharsets.US_ASCII);
-    return body.equals(request.id() + ":" + BODY);
+    return body.equals(request.id() + ":" + REQUEST_BODY);
   }
 
-  /** The connection has ended; returns the requests that were pending on it. */
-  List<ObservedRequest> connectionLost() {
+  /** Records that the connection was lost; returns the requests that were pending on it. */
+  List<ObservedRequest> markConnectionLost() {
     long now = System.nanoTime();
-    List<ObservedRequest> lost =
-        requests.values().stream().filter(ObservedRequest::isPending).toList();
-    lost.forEach(request -> request.connectionLostAt(now));
-    return lost;
+    List<ObservedRequest> lostRequests =
+        requestsBySequenceId.values().stream().filter(ObservedRequest::isPending).toList();
+    lostRequests.forEach(request -> request.markConnectionLost(now));
+    return lostRequests;
   }
 
   @Override
--- a/src/main/java/switchgap/testbed/soak/RequestCheck.java
+++ b/src/main/java/switchgap/testbed/soak/RequestCheck.java
@@ -2,6 +2,6 @@
 
 /** Checks one invariant for each request that a client sent. */
 interface RequestCheck {
-  /** Checks one request and records what it violates. */
+  /** Checks one request and records violations. */
   void check(ObservedRequest request);
 }
--- a/src/main/java/switchgap/testbed/soak/RespCodec.java
+++ b/src/main/java/switchgap/testbed/soak/RespCodec.java
@@ -6,8 +6,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The workers' protocol, RESP arrays of bulk strings, from the worker's side. It shares no code
- * with the router's codec, so that a mistake there can't hide itself from the checks.
+ * Worker side of the protocol between routers and workers: RESP arrays of bulk strings. It shares
+ * no code with the router's codec, so that the checks notice faults of that codec.
  */
 final class RespCodec {
   private static final int LINE_END_BYTES = 2;
@@ -15,10 +15,10 @@
   private RespCodec() {}
 
   /**
-   * Reads the next command, blocking.
+   * Reads the next command; blocks until it is complete.
    *
-   * @return its words, of which the first names it
-   * @throws EOFException if the connection ends or what arrives is no array of bulk strings
+   * @return its words; the first one is the name of the command
+   * @throws EOFException if the connection ends or the input is not an array of bulk strings
    */
   static String[] readCommand(InputStream input) throws IOException {
     String[] words = new String[readNumber(input, '*')];
@@ -30,22 +30,22 @@
     return words;
   }
 
-  private static int readNumber(InputStream input, char sign) throws IOException {
-    if (input.read() != sign) {
+  private static int readNumber(InputStream input, char typePrefix) throws IOException {
+    if (input.read() != typePrefix) {
       throw new EOFException();
     }
     int number = 0;
-    for (int next = input.read(); next != '\r'; next = input.read()) {
-      if (next < 0) {
+    for (int nextByte = input.read(); nextByte != '\r'; nextByte = input.read()) {
+      if (nextByte < 0) {
         throw new EOFException();
       }
-      number = number * 10 + next - '0';
+      number = number * 10 + nextByte - '0';
     }
     input.read();
     return number;
   }
 
-  /** An array of bulk strings, as a worker replies. */
+  /** Encodes a reply as an array of bulk strings. */
   static byte[] encode(String... parts) {
     StringBuilder text = new StringBuilder("*" + parts.length + "\r\n");
     for (String part : parts) {
--- a/src/main/java/switchgap/testbed/soak/ResponseIntegrityCheck.java
+++ b/src/main/java/switchgap/testbed/soak/ResponseIntegrityCheck.java
@@ -3,7 +3,7 @@
 import switchgap.testbed.invariant.Invariant;
 import switchgap.testbed.invariant.ViolationRecorder;
 
-/** A response is one that a worker produced for this request, and is delivered once. */
+/** Checks that a request receives one response, with the body that a worker produced for it. */
 final class ResponseIntegrityCheck implements RequestCheck {
   private final ViolationRecorder violations;
 
@@ -13,16 +13,16 @@
 
   @Override
   public void check(ObservedRequest request) {
-    String name = "request " + request.id() + " at router " + request.router();
-    if (request.responses() > 1) {
-      violated(name + " had " + request.responses() + " answers");
+    String subject = "request " + request.id() + " at router " + request.router();
+    if (request.responseCount() > 1) {
+      recordViolation(subject + " received " + request.responseCount() + " responses");
     }
     if (!request.responseMatches()) {
-      violated(name + " was served with another's body");
+      recordViolation(subject + " received a response body that does not belong to it");
     }
   }
 
-  private void violated(String description) {
+  private void recordViolation(String description) {
     violations.record(Invariant.RESPONSE_MATCHES_REQUEST, description);
   }
 }
--- a/src/main/java/switchgap/testbed/soak/RouterPool.java
+++ b/src/main/java/switchgap/testbed/soak/RouterPool.java
@@ -4,13 +4,13 @@
 import java.util.Random;
 
 /**
- * The routers that faults are injected into.
+ * Picks routers for fault injection.
  *
  * @param routers all routers of the run, started
  */
 record RouterPool(List<ServeProcess> routers) {
-  /** A router drawn at random. */
-  ServeProcess draw(Random random) {
+  /** Picks a router at random. */
+  ServeProcess pick(Random random) {
     return routers.get(random.nextInt(routers.size()));
   }
 }
--- a/src/main/java/switchgap/testbed/soak/RouterProcessFaults.java
+++ b/src/main/java/switchgap/testbed/soak/RouterProcessFaults.java
@@ -6,16 +6,20 @@
 import java.util.function.Supplier;
 import switchgap.testbed.process.ProcessSignal;
 
-/** Faults of router processes: restarts, kills and pauses. */
+/** Injects faults of router processes: restarts, kills and pauses. */
 final class RouterProcessFaults {
-  /** Clients go on sending for so long after SIGTERM; the platform's own figure is 0.6 s. */
-  private static final int ROTATION_MILLIS = 500;
+  /** Time after SIGTERM until clients stop sending; the hosting platform allows them 0.6 s. */
+  private static final int TAKE_OUT_OF_ROTATION_DELAY_MILLIS = 500;
 
-  private static final int MAX_ROUTERS_AT_ONCE = 4;
+  private static final int MAX_ROUTERS_KILLED_AT_ONCE = 4;
 
-  // The platform's figures of a planned restart.
-  private static final int NEW_CONNECTIONS_MILLIS = 400;
+  /** On the hosting platform, clients open new connections for this long after SIGTERM. */
+  private static final int NEW_CONNECTIONS_END_MILLIS = 400;
+
+  /** The hosting platform assumes this timeout if the longest request timeout is longer. */
   private static final int MAX_ASSUMED_TIMEOUT_MILLIS = 3000;
+
+  /** The hosting platform sends SIGKILL this long after the assumed timeout, at the earliest. */
   private static final int KILL_MARGIN_MILLIS = 700;
 
   private static final int MAX_FURTHER_SIGNALS = 4;
@@ -24,15 +28,15 @@
   private final EmulatedFleet fleet;
   private final Supplier<String> eventStreamAddress;
   private final SoakRecords records;
-  private final int timeoutMillis;
+  private final int maxTimeoutMillis;
 
   RouterProcessFaults(
       RouterPool routers,
       EmulatedFleet fleet,
       Supplier<String> eventStreamAddress,
       SoakRecords records,
-      int timeoutMillis) {
-    this.timeoutMillis = timeoutMillis;
+      int maxTimeoutMillis) {
+    this.maxTimeoutMillis = maxTimeoutMillis;
     this.routers = routers;
     this.fleet = fleet;
     this.eventStreamAddress = eventStreamAddress;
@@ -42,22 +46,23 @@
   Map<SoakFaultType, SoakFaultInjector> injectors() {
     return Map.of(
         SoakFaultType.ROUTER_TERM,
-        (fault, random) -> terminate(routers.draw(random)),
+        (fault, random) -> terminate(routers.pick(random)),
         SoakFaultType.ROUTER_TERM_UNDER_LOAD,
-        (fault, random) -> terminateUnderLoad(routers.draw(random), random),
+        (fault, random) -> terminateUnderLoad(routers.pick(random), random),
         SoakFaultType.ROUTER_KILL,
-        (fault, random) -> killSome(random),
+        (fault, random) -> killRandomRouters(random),
         SoakFaultType.ROUTER_PAUSE,
-        (fault, random) -> pause(routers.draw(random), fault.durationMillis()));
+        (fault, random) -> pause(routers.pick(random), fault.durationMillis()));
   }
 
   private void terminate(ServeProcess router) throws IOException, InterruptedException {
     synchronized (router) {
       if (!router.isInRotation()) {
-        return; // it is being restarted
+        // The router is being restarted already.
+        return;
       }
       router.signal(ProcessSignal.TERM);
-      Thread.sleep(ROTATION_MILLIS);
+      Thread.sleep(TAKE_OUT_OF_ROTATION_DELAY_MILLIS);
       router.takeOutOfRotation();
       router.awaitStopped();
       restart(router);
@@ -65,38 +70,40 @@
   }
 
   /**
-   * SIGTERM, further signals, and SIGKILL as early as the platform may send it. Clients open no
-   * connection after a while, and go on sending on open ones.
+   * Sends SIGTERM, further signals, and SIGKILL as early as the hosting platform may send it. After
+   * a while clients open no new connections, but continue to send on open ones.
    */
   private void terminateUnderLoad(ServeProcess router, Random random)
       throws IOException, InterruptedException {
     synchronized (router) {
       if (!router.isInRotation()) {
-        return; // it is being restarted
+        // The router is being restarted already.
+        return;
       }
       long startNanos = System.nanoTime();
       router.signal(ProcessSignal.TERM);
-      router.sendSeries(random.nextInt(MAX_FURTHER_SIGNALS + 1), random);
-      Sleep.until(startNanos, NEW_CONNECTIONS_MILLIS);
-      router.takeNoNewClients();
-      int assumedMillis = Math.min(timeoutMillis, MAX_ASSUMED_TIMEOUT_MILLIS);
-      Sleep.until(startNanos, assumedMillis + KILL_MARGIN_MILLIS);
+      router.sendFurtherSignals(random.nextInt(MAX_FURTHER_SIGNALS + 1), random);
+      Sleep.until(startNanos, NEW_CONNECTIONS_END_MILLIS);
+      router.stopNewConnections();
+      int assumedTimeoutMillis = Math.min(maxTimeoutMillis, MAX_ASSUMED_TIMEOUT_MILLIS);
+      Sleep.until(startNanos, assumedTimeoutMillis + KILL_MARGIN_MILLIS);
       router.killIfAlive();
       router.takeOutOfRotation();
       restart(router);
     }
   }
 
-  private void killSome(Random random) throws IOException, InterruptedException {
-    for (int i = random.nextInt(MAX_ROUTERS_AT_ONCE); i >= 0; i--) {
-      kill(routers.draw(random));
+  private void killRandomRouters(Random random) throws IOException, InterruptedException {
+    for (int i = random.nextInt(MAX_ROUTERS_KILLED_AT_ONCE); i >= 0; i--) {
+      kill(routers.pick(random));
     }
   }
 
   private void kill(ServeProcess router) throws IOException, InterruptedException {
     synchronized (router) {
       if (!router.isInRotation()) {
-        return; // it is being restarted
+        // The router is being restarted already.
+        return;
       }
       Outage outage =
           records.beginOutage(OutageCause.ROUTER_KILLED, router.index(), System.nanoTime());
@@ -104,7 +111,7 @@
       router.takeOutOfRotation();
       router.awaitKilled();
       restart(router);
-      outage.endedAt(System.nanoTime());
+      outage.end(System.nanoTime());
     }
   }
 
@@ -115,17 +122,19 @@
     router.awaitReady();
   }
 
-  private void pause(ServeProcess router, int millis) throws IOException, InterruptedException {
+  private void pause(ServeProcess router, int durationMillis)
+      throws IOException, InterruptedException {
     synchronized (router) {
       if (!router.isInRotation()) {
-        return; // it is being restarted
+        // The router is being restarted already.
+        return;
       }
       Outage outage =
           records.beginOutage(OutageCause.ROUTER_PAUSED, router.index(), System.nanoTime());
       router.signal(ProcessSignal.STOP);
-      Thread.sleep(millis);
+      Thread.sleep(durationMillis);
       router.signal(ProcessSignal.CONT);
-      outage.endedAt(System.nanoTime());
+      outage.end(System.nanoTime());
     }
   }
 }
--- a/src/main/java/switchgap/testbed/soak/ServeProcess.java
+++ b/src/main/java/switchgap/testbed/soak/ServeProcess.java
@@ -15,40 +15,40 @@
 import switchgap.testbed.process.ProcessSignal;
 
 /**
- * One router of a soak: its configuration, its {@code serve} process and the signals sent to it. A
- * restart begins a new incarnation at the same port. Whoever signals or restarts it holds its
- * monitor; clients read its state without.
+ * One router of a soak run: its configuration, its {@code serve} process and the signals sent to
+ * it. A restart starts a new incarnation at the same port. A thread that sends signals or restarts
+ * the router must hold its monitor; clients read its state without the monitor.
  */
 final class ServeProcess {
   /**
-   * What all routers of a run have in common.
+   * Options that all routers of a run share.
    *
    * @param command shell command that starts a router
-   * @param directory for configurations and logs
-   * @param faultLibrary compiled library of {@link SystemCallFaults}
+   * @param directory directory of the configurations and logs
+   * @param systemCallFaultLibrary compiled library of {@link SystemCallFaults}
    */
-  record Launch(String command, Path directory, Path faultLibrary) {}
+  record LaunchOptions(String command, Path directory, Path systemCallFaultLibrary) {}
 
   private static final int MAX_SOCKETS = 512;
   private static final int MEMORY_MB = 160;
   private static final long READY_TIMEOUT_NANOS = 30_000_000_000L;
   private static final int HEARTBEAT_TIMEOUT_MILLIS = 2000;
-  private static final long POLL_MILLIS = 10;
+  private static final long POLL_PERIOD_MILLIS = 10;
   private static final int STOP_TIMEOUT_SECONDS = 8;
   private static final int MAX_SIGNAL_INTERVAL_MILLIS = 100;
-  private static final List<ProcessSignal> STOPPING_SIGNALS =
+  private static final List<ProcessSignal> FURTHER_SIGNALS =
       List.of(ProcessSignal.TERM, ProcessSignal.HUP, ProcessSignal.INT);
 
-  /** Name of the log event by which a router reports a violation that it found itself. */
-  private static final String SELF_REPORTED_VIOLATION = "INVARIANT_VIOLATED";
+  /** Name of the log event that reports an invariant violation which the router detected itself. */
+  private static final String VIOLATION_EVENT = "INVARIANT_VIOLATED";
 
-  /** Exit code of a process that SIGKILL ended, as a shell reports it. */
-  private static final int EXIT_KILLED = 137;
+  /** Exit code of a process that SIGKILL terminated: 128 plus the signal number. */
+  private static final int SIGKILL_EXIT_CODE = 137;
 
   private final int index;
   private final int port;
   private final SystemCallFaults systemCallFaults;
-  private final Launch launch;
+  private final LaunchOptions launchOptions;
   private final String settings;
   private final Path configFile;
   private final Path log;
@@ -60,24 +60,27 @@
   private volatile long killedNanos;
 
   /**
-   * A router that is not started yet.
+   * Creates a router that is not started.
    *
-   * @param index its index, from 0
-   * @param port that it listens at
-   * @param settings of its policy, as JSON
+   * @param index index of the router, from 0
+   * @param port port that it listens at
+   * @param settings settings of its policy, as JSON
    */
-  ServeProcess(int index, int port, String settings, Launch launch, SoakRecords records)
+  ServeProcess(
+      int index, int port, String settings, LaunchOptions launchOptions, SoakRecords records)
       throws IOException {
     this.index = index;
     this.port = port;
     this.settings = settings;
-    this.launch = launch;
+    this.launchOptions = launchOptions;
     this.records = records;
-    this.configFile = launch.directory().resolve(name() + ".json");
-    this.log = launch.directory().resolve(name() + ".log");
+    this.configFile = launchOptions.directory().resolve(name() + ".json");
+    this.log = launchOptions.directory().resolve(name() + ".log");
     this.incarnation = new RouterIncarnation(index, 0);
     this.systemCallFaults =
-        SystemCallFaults.of(launch.faultLibrary(), launch.directory().resolve(name() + ".faults"));
+        SystemCallFaults.of(
+            launchOptions.systemCallFaultLibrary(),
+            launchOptions.directory().resolve(name() + ".faults"));
   }
 
   private String name() {
@@ -96,24 +99,24 @@
     return systemCallFaults;
   }
 
-  /** The process that was started last. */
+  /** The most recently started process. */
   RouterIncarnation incarnation() {
     return incarnation;
   }
 
-  /** Whether clients are to send requests to it. */
+  /** Whether clients may open connections to the router. */
   boolean isInRotation() {
     return inRotation;
   }
 
-  /** Clients are to send no more requests to it, until its next incarnation is ready. */
+  /** Stops all requests of clients until the next incarnation is ready. */
   void takeOutOfRotation() {
     inRotation = false;
     serving = false;
   }
 
-  /** Clients are to open no more connections to it, and may go on sending on open ones. */
-  void takeNoNewClients() {
+  /** Stops new connections of clients; they may continue to send on open ones. */
+  void stopNewConnections() {
     inRotation = false;
   }
 
@@ -123,38 +126,43 @@
   }
 
   /**
-   * Whether a connection that ended at this time was closed by the router: SIGKILL came later, or
-   * never.
+   * Whether a connection that ended at the given time was closed by the router itself, because no
+   * SIGKILL had been sent by then.
    */
-  boolean closedByItself(long endedNanos) {
+  boolean endedBeforeKill(long endedNanos) {
     return killedNanos == 0 || endedNanos < killedNanos;
   }
 
-  /** Sends some signals to a process that was asked to stop, one soon after the other. */
-  void sendSeries(int count, Random random) throws IOException, InterruptedException {
+  /** Sends random signals at random intervals to a process that received SIGTERM. */
+  void sendFurtherSignals(int count, Random random) throws IOException, InterruptedException {
     for (int i = 0; i < count && process.isAlive(); i++) {
       Thread.sleep(random.nextInt(MAX_SIGNAL_INTERVAL_MILLIS));
-      STOPPING_SIGNALS.get(random.nextInt(STOPPING_SIGNALS.size())).send(process);
+      FURTHER_SIGNALS.get(random.nextInt(FURTHER_SIGNALS.size())).send(process);
     }
   }
 
-  /** Sends SIGKILL, unless the process has ended; that must have been with success. */
+  /** Sends SIGKILL if the process is alive; otherwise its exit code must be 0. */
   void killIfAlive() throws IOException, InterruptedException {
     if (process.isAlive()) {
       killedNanos = System.nanoTime();
       signal(ProcessSignal.KILL);
       process.waitFor();
     } else if (process.exitValue() != 0) {
-      fault("ended with " + process.exitValue() + " after SIGTERM");
+      recordFault("exited with code " + process.exitValue() + " after SIGTERM");
     }
   }
 
-  /** Replaces the configuration: the event stream's address and the events so far. */
+  /**
+   * Replaces the configuration file; the events so far become the router's initial endpoint list.
+   */
   synchronized void configure(String eventStreamAddress, List<String> events) throws IOException {
-    Path next = launch.directory().resolve(name() + ".next");
-    Files.writeString(next, config(eventStreamAddress, events));
+    Path newConfigFile = launchOptions.directory().resolve(name() + ".next");
+    Files.writeString(newConfigFile, config(eventStreamAddress, events));
     Files.move(
-        next, configFile, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        newConfigFile,
+        configFile,
+        StandardCopyOption.REPLACE_EXISTING,
+        StandardCopyOption.ATOMIC_MOVE);
   }
 
   private String config(String eventStreamAddress, List<String> events) {
@@ -179,9 +187,9 @@
         + "}";
   }
 
-  /** Starts the next incarnation; returns at once. */
+  /** Starts the next incarnation without waiting until it is ready. */
   synchronized void start() throws IOException {
-    ProcessBuilder command = new ProcessBuilder("/bin/sh", "-c", launch.command());
+    ProcessBuilder command = new ProcessBuilder("/bin/sh", "-c", launchOptions.command());
     command.environment().putAll(systemCallFaults.environment());
     command
         .environment()
@@ -194,21 +202,22 @@
                 "NODE_CONFIG",
                 configFile.toString(),
                 "TMPDIR",
-                launch.directory().toString()));
+                launchOptions.directory().toString()));
     process = ChildProcess.start(log, command);
     incarnation = new RouterIncarnation(index, incarnation.number() + 1);
   }
 
-  /** Waits until it reports itself healthy, and takes it into rotation. */
+  /** Waits until the router reports itself healthy and adds it to the rotation. */
   void awaitReady() throws InterruptedException {
     long startedNanos = System.nanoTime();
     while (!isHealthy()) {
       boolean timedOut = System.nanoTime() - startedNanos > READY_TIMEOUT_NANOS;
       if (timedOut || !process.isAlive()) {
-        fault("was not ready, life " + incarnation.number());
+        recordFault(
+            "exited or was not healthy within 30 s of its start, process " + incarnation.number());
         return;
       }
-      Thread.sleep(POLL_MILLIS);
+      Thread.sleep(POLL_PERIOD_MILLIS);
     }
     killedNanos = 0;
     serving = true;
@@ -221,60 +230,60 @@
       socket.getOutputStream().write(BinaryThrift.heartbeat(1));
       return BinaryThrift.readReply(new DataInputStream(socket.getInputStream())).healthy();
     } catch (IOException e) {
-      return false; // it does not listen yet
+      // The router does not listen yet.
+      return false;
     }
   }
 
-  /** Sends a signal to the process. */
   void signal(ProcessSignal signal) throws IOException, InterruptedException {
     signal.send(process);
   }
 
-  /** Waits for the end of a process that was asked to stop. */
+  /** Waits until the process exits after SIGTERM; kills it after 8 s. */
   void awaitStopped() throws InterruptedException {
     if (!process.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-      fault("did not end after SIGTERM");
+      recordFault("did not exit within 8 s of SIGTERM");
       process.destroyForcibly().waitFor();
     } else if (process.exitValue() != 0) {
-      fault("ended with " + process.exitValue() + " after SIGTERM");
+      recordFault("exited with code " + process.exitValue() + " after SIGTERM");
     }
   }
 
-  /** Waits for the end of a process that was killed. */
+  /** Waits until the process exits after SIGKILL. */
   void awaitKilled() throws InterruptedException {
     process.waitFor();
-    if (process.exitValue() != EXIT_KILLED) {
-      fault("ended with " + process.exitValue());
+    if (process.exitValue() != SIGKILL_EXIT_CODE) {
+      recordFault("exited with code " + process.exitValue() + " instead of by SIGKILL");
     }
   }
 
-  /** Records whether the process has crashed or holds too many descriptors. */
+  /** Records a fault if the process has exited or has too many open file descriptors. */
   synchronized void checkHealth() throws IOException {
     if (!process.isAlive()) {
-      fault("crashed with " + process.exitValue());
+      recordFault("exited unexpectedly with code " + process.exitValue());
       return;
     }
     try (var descriptors = Files.list(Path.of("/proc", String.valueOf(process.pid()), "fd"))) {
-      long open = descriptors.count();
-      if (open > MAX_SOCKETS) {
-        fault("holds " + open + " descriptors");
+      long openDescriptors = descriptors.count();
+      if (openDescriptors > MAX_SOCKETS) {
+        recordFault("has too many open file descriptors: " + openDescriptors);
       }
     }
   }
 
-  private void fault(String description) {
+  private void recordFault(String description) {
     records.addProcessFault("router " + index + " " + description);
   }
 
-  /** Lines of its log that report a violation of an invariant that it found itself. */
+  /** Returns the lines of its log that report invariant violations. */
   List<String> selfReportedViolations() throws IOException {
     return Files.readAllLines(log, StandardCharsets.ISO_8859_1).stream()
-        .filter(line -> line.contains(SELF_REPORTED_VIOLATION))
+        .filter(line -> line.contains(VIOLATION_EVENT))
         .toList();
   }
 
-  /** Kills the process, where there is one. */
-  void destroy() {
+  /** Kills the current process, if there is one. */
+  void killIfStarted() {
     if (process != null) {
       process.destroyForcibly();
     }
--- a/src/main/java/switchgap/testbed/soak/Sleep.java
+++ b/src/main/java/switchgap/testbed/soak/Sleep.java
@@ -7,12 +7,14 @@
   private Sleep() {}
 
   /**
-   * Sleeps until so many milliseconds after a {@link System#nanoTime}; not at all if that is past.
+   * Sleeps until a delay has passed since {@code startNanos}, a value of {@link System#nanoTime}.
+   * Returns at once if it has already passed.
    */
-  static void until(long startNanos, int afterMillis) throws InterruptedException {
-    long left = startNanos + TimeUnit.MILLISECONDS.toNanos(afterMillis) - System.nanoTime();
-    if (left > 0) {
-      TimeUnit.NANOSECONDS.sleep(left);
+  static void until(long startNanos, int delayMillis) throws InterruptedException {
+    long remainingNanos =
+        startNanos + TimeUnit.MILLISECONDS.toNanos(delayMillis) - System.nanoTime();
+    if (remainingNanos > 0) {
+      TimeUnit.NANOSECONDS.sleep(remainingNanos);
     }
   }
 }
--- a/src/main/java/switchgap/testbed/soak/Soak.java
+++ b/src/main/java/switchgap/testbed/soak/Soak.java
@@ -19,37 +19,37 @@
 import switchgap.testbed.process.LoopbackPorts;
 import switchgap.testbed.process.ProcessSignal;
 
-/** One soak run: starts all processes, plays the faults, stops all and checks the invariants. */
+/** One soak run: starts all processes, injects faults, stops all and checks the invariants. */
 public final class Soak {
   /**
-   * What is run.
+   * Options of a run.
    *
-   * @param seed of the faults and the clients
+   * @param seed seed of the faults and the clients
    * @param routers number of router processes
-   * @param seconds length of the load
-   * @param profile which faults are played
-   * @param leftOut types of faults that are drawn and not played
+   * @param seconds duration of the load
+   * @param profile which faults are injected
+   * @param excludedTypes types of faults that are drawn but not injected
    * @param runCommand shell command that starts one router from the root of the repository
-   * @param directory for configurations and logs
+   * @param directory directory of the configurations and logs
    */
   public record Options(
       long seed,
       int routers,
       int seconds,
       SoakProfile profile,
-      Set<SoakFaultType> leftOut,
+      Set<SoakFaultType> excludedTypes,
       String runCommand,
       Path directory) {}
 
-  private static final int WORKERS = 8;
+  private static final int WORKER_COUNT = 8;
   private static final int CLIENTS_PER_ROUTER = 3;
-  private static final int CROWD_PER_ROUTER = 10;
-  private static final int SEEDS_PER_CROWD = 4;
+  private static final int CROWD_CLIENTS_PER_ROUTER = 10;
+  private static final int CROWD_SEED_INTERVAL = 4;
 
-  /** Of a crowd: with more, emulated workers read so late that deadlines cannot be judged. */
-  private static final int MAX_CLIENTS = 100;
+  /** With more clients, emulated workers read so late that deadlines cannot be checked. */
+  private static final int MAX_CROWD_CLIENTS = 100;
 
-  private static final int[] TIMEOUTS_MILLIS = {3000, 1000, 500};
+  private static final int[] MAX_TIMEOUTS_MILLIS = {3000, 1000, 500};
   private static final int TIMER_THREADS = 4;
   private static final int SETTLE_MILLIS = 2500;
   private static final int MAX_PRINTED_VIOLATIONS = 20;
@@ -58,7 +58,7 @@
   private final Options options;
   private final PrintStream out;
   private final SoakRecords records = new SoakRecords();
-  private final ActiveFaults active = new ActiveFaults();
+  private final ActiveFaults activeFaults = new ActiveFaults();
   private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(TIMER_THREADS);
   private final List<ServeProcess> routers = new ArrayList<>();
   private final List<ClientEmulator> clients = new ArrayList<>();
@@ -70,15 +70,16 @@
   }
 
   /**
-   * The command that starts a router.
+   * Reads the command that starts a router.
    *
-   * @param deployFile a deploy file, of which the line {@code run} is read
-   * @throws IOException if there is no such file or line
+   * @param deployFile TOML file with a line {@code run = "..."}
+   * @return the shell command
+   * @throws IOException if the file can't be read or has no such line
    */
   public static String runCommand(Path deployFile) throws IOException {
     Matcher line = RUN_LINE.matcher(Files.readString(deployFile));
     if (!line.find()) {
-      throw new IOException(deployFile + ": no line run");
+      throw new IOException(deployFile + ": no line of the form run = \"...\"");
     }
     return line.group(1);
   }
@@ -86,20 +87,20 @@
   /**
    * Runs a soak.
    *
-   * @param options what is run
-   * @param out receives the plan, the figures and the violations
+   * @param options seed, size and faults of the run
+   * @param out receives the planned faults, the counts of requests and the violations
    * @return whether all invariants held
    * @throws IOException if a process can't be started or a fault can't be prepared
    * @throws InterruptedException if the thread is interrupted
    */
   public static boolean run(Options options, PrintStream out)
       throws IOException, InterruptedException {
-    return new Soak(options, out).play();
+    return new Soak(options, out).execute();
   }
 
-  private boolean play() throws IOException, InterruptedException {
+  private boolean execute() throws IOException, InterruptedException {
     List<PlannedFault> faults =
-        options.profile.plan(options.seed, options.seconds, options.leftOut);
+        options.profile.plan(options.seed, options.seconds, options.excludedTypes);
     out.println(
         "seed "
             + options.seed
@@ -108,54 +109,60 @@
             + " routers, "
             + options.seconds
             + " s, timeouts of "
-            + timeoutMillis()
+            + maxTimeoutMillis()
             + " ms, "
             + clientsPerRouter()
             + " clients a router");
     faults.forEach(fault -> out.println("  " + fault));
-    Thread killRouters = new Thread(() -> routers.forEach(ServeProcess::destroy));
-    Runtime.getRuntime().addShutdownHook(killRouters); // a soak that is stopped leaves no routers
-    try (EmulatedFleet fleet = new EmulatedFleet(WORKERS, records, timers);
+    Thread killRoutersHook = new Thread(() -> routers.forEach(ServeProcess::killIfStarted));
+    // Without the hook, routers would outlive a soak run that is interrupted.
+    Runtime.getRuntime().addShutdownHook(killRoutersHook);
+    try (EmulatedFleet fleet = new EmulatedFleet(WORKER_COUNT, records, timers);
         EventStreamEmulator eventStream = new EventStreamEmulator(fleet.events())) {
       startRouters(fleet, eventStream);
       startClients();
-      playFaults(
-          faults, new FaultRunner(routers, fleet, eventStream, records, active, timeoutMillis()));
+      injectFaults(
+          faults,
+          new FaultRunner(routers, fleet, eventStream, records, activeFaults, maxTimeoutMillis()));
       stopClients();
       stopRouters();
       readSelfReportedViolations();
     } finally {
-      Runtime.getRuntime().removeShutdownHook(killRouters);
-      routers.forEach(ServeProcess::destroy);
+      Runtime.getRuntime().removeShutdownHook(killRoutersHook);
+      routers.forEach(ServeProcess::killIfStarted);
       timers.shutdownNow();
     }
     return report();
   }
 
-  /** The longest timeout of requests: one seed in three has a short one, one a long one. */
-  private int timeoutMillis() {
-    return TIMEOUTS_MILLIS[Math.floorMod(options.seed, TIMEOUTS_MILLIS.length)];
+  /** Longest timeout of a request, selected by the seed. */
+  private int maxTimeoutMillis() {
+    return MAX_TIMEOUTS_MILLIS[Math.floorMod(options.seed, MAX_TIMEOUTS_MILLIS.length)];
   }
 
-  /** One seed in four has a crowd of clients. */
+  /** Number of clients of each router; one seed in four has more clients. */
   private int clientsPerRouter() {
-    boolean isCrowd = Math.floorMod(options.seed, SEEDS_PER_CROWD) == 0;
-    int perRouter = Math.min(CROWD_PER_ROUTER, MAX_CLIENTS / options.routers);
+    boolean isCrowd = Math.floorMod(options.seed, CROWD_SEED_INTERVAL) == 0;
+    int perRouter = Math.min(CROWD_CLIENTS_PER_ROUTER, MAX_CROWD_CLIENTS / options.routers);
     return isCrowd ? Math.max(CLIENTS_PER_ROUTER, perRouter) : CLIENTS_PER_ROUTER;
   }
 
   private void startRouters(EmulatedFleet fleet, EventStreamEmulator eventStream)
       throws IOException, InterruptedException {
-    ServeProcess.Launch launch =
-        new ServeProcess.Launch(
+    ServeProcess.LaunchOptions launchOptions =
+        new ServeProcess.LaunchOptions(
             options.runCommand, options.directory, SystemCallFaults.compile(options.directory));
     String settings = readSettings();
-    long micros = TimeUnit.MILLISECONDS.toMicros(timeoutMillis());
+    long timeoutMicros = TimeUnit.MILLISECONDS.toMicros(maxTimeoutMillis());
     int[] ports = LoopbackPorts.free(options.routers);
     for (int i = 0; i < options.routers; i++) {
       ServeProcess router =
           new ServeProcess(
-              i, ports[i], settings.formatted(options.routers, i, micros, micros), launch, records);
+              i,
+              ports[i],
+              settings.formatted(options.routers, i, timeoutMicros, timeoutMicros),
+              launchOptions,
+              records);
       router.configure(eventStream.address(), fleet.events());
       router.start();
       routers.add(router);
@@ -176,7 +183,8 @@
     for (ServeProcess router : routers) {
       for (int i = 0; i < clientsPerRouter(); i++) {
         ClientEmulator client =
-            new ClientEmulator(router, records, active, timeoutMillis(), random.nextLong());
+            new ClientEmulator(
+                router, records, activeFaults, maxTimeoutMillis(), random.nextLong());
         clients.add(client);
         Thread thread = new Thread(client, "client");
         thread.setDaemon(true);
@@ -186,19 +194,19 @@
     }
   }
 
-  private void playFaults(List<PlannedFault> faults, FaultRunner runner)
+  private void injectFaults(List<PlannedFault> faults, FaultRunner runner)
       throws IOException, InterruptedException {
-    List<Thread> threads = new ArrayList<>();
+    List<Thread> faultThreads = new ArrayList<>();
     long startNanos = System.nanoTime();
     for (PlannedFault fault : faults) {
       Sleep.until(startNanos, fault.startMillis());
-      Thread thread = new Thread(() -> runner.play(fault), "fault");
+      Thread thread = new Thread(() -> runner.run(fault), "fault");
       thread.setDaemon(true);
       thread.start();
-      threads.add(thread);
+      faultThreads.add(thread);
     }
     Sleep.until(startNanos, options.seconds * 1000);
-    for (Thread thread : threads) {
+    for (Thread thread : faultThreads) {
       thread.join();
     }
   }
@@ -221,11 +229,12 @@
     }
   }
 
-  /** A router that finds a violation itself logs it. */
+  /** Records the invariant violations that routers detected themselves and logged. */
   private void readSelfReportedViolations() throws IOException {
     for (ServeProcess router : routers) {
       for (String line : router.selfReportedViolations()) {
-        records.addProcessFault("router " + router.index() + " says: " + line);
+        records.addProcessFault(
+            "router " + router.index() + " logged an invariant violation: " + line);
       }
     }
   }
@@ -255,7 +264,7 @@
   }
 
   private long count(ObservedRequest.Outcome outcome) {
-    return records.requests().stream().filter(each -> each.outcome() == outcome).count();
+    return records.requests().stream().filter(request -> request.outcome() == outcome).count();
   }
 
   private void print(Violation violation) {
--- a/src/main/java/switchgap/testbed/soak/SoakChecker.java
+++ b/src/main/java/switchgap/testbed/soak/SoakChecker.java
@@ -8,7 +8,7 @@
 import switchgap.testbed.invariant.Violation;
 import switchgap.testbed.invariant.ViolationRecorder;
 
-/** Checks a finished run against the invariants, by what the emulators observed. */
+/** Checks the invariants of a finished run by the observations of the emulators. */
 final class SoakChecker {
   private final SoakRecords records;
   private final ViolationRecorder violations = new ViolationRecorder();
@@ -35,8 +35,9 @@
   /**
    * Checks a run.
    *
-   * @param records of a run whose clients, workers and routers have stopped
-   * @return all violations: of requests, attempts, duplicates, workers and processes in turn
+   * @param records records of a run whose clients, workers and routers have stopped
+   * @return all violations, grouped by check: requests, attempts, duplicate executions, load
+   *     commands, workers, processes
    */
   static List<Violation> check(SoakRecords records) {
     return new SoakChecker(records).check();
@@ -46,12 +47,12 @@
     Map<String, ObservedRequest> requests = new HashMap<>();
     for (ObservedRequest request : records.requests()) {
       requests.putIfAbsent(request.id(), request);
-      requestChecks.forEach(each -> each.check(request));
+      requestChecks.forEach(item -> item.check(request));
     }
     checkAttempts(requests);
     records.loads().forEach(drainGrace::check);
     records.workers().forEach(warmUpLoad::check);
-    records.processFaults().forEach(each -> violations.record(Invariant.PROCESS_HEALTH, each));
+    records.processFaults().forEach(item -> violations.record(Invariant.PROCESS_HEALTH, item));
     return violations.violations();
   }
 
@@ -60,10 +61,11 @@
     for (ReceivedAttempt attempt : records.attempts()) {
       ObservedRequest request = requests.get(attempt.requestId());
       if (request == null) {
-        continue; // of a request flood, whose requests are not recorded
+        // The attempt is part of a request flood, whose requests are not recorded.
+        continue;
       }
       attemptsByRequest.computeIfAbsent(request.id(), id -> new ArrayList<>()).add(attempt);
-      attemptChecks.forEach(each -> each.check(attempt, request));
+      attemptChecks.forEach(item -> item.check(attempt, request));
     }
     attemptsByRequest.forEach(
         (id, attempts) -> duplicateExecutions.check(requests.get(id), attempts));
--- a/src/main/java/switchgap/testbed/soak/SoakFaultInjector.java
+++ b/src/main/java/switchgap/testbed/soak/SoakFaultInjector.java
@@ -6,10 +6,10 @@
 /** Injects faults of one type. */
 interface SoakFaultInjector {
   /**
-   * Injects a fault and removes it when its duration is over; blocks meanwhile.
+   * Injects a fault and removes it at its end; blocks until then.
    *
-   * @param fault what the plan states
-   * @param random draws targets and strengths, seeded by the plan
+   * @param fault the planned fault
+   * @param random source of the remaining random choices, with the seed of the fault
    * @throws IOException if the fault can't be injected
    * @throws InterruptedException if the thread is interrupted
    */
--- a/src/main/java/switchgap/testbed/soak/SoakProfile.java
+++ b/src/main/java/switchgap/testbed/soak/SoakProfile.java
@@ -3,27 +3,27 @@
 import java.util.List;
 import java.util.Set;
 
-/** Which faults a soak plays. */
+/** Selects the faults of a soak run. */
 public enum SoakProfile {
-  /** All types, drawn from the seed, two or three at a time. */
+  /** Faults of all types, drawn from the seed, usually two or three at a time. */
   MIXED,
-  /** Workers drain, restart and move, and the event stream tells it. */
+  /** Workers drain, restart and move; the event stream reports it. */
   DISCOVERY_UP,
-  /** The same, and the event stream is out of reach from the third second on. */
+  /** The same restarts, but the event stream is unavailable from 2.5 s until the end. */
   DISCOVERY_DOWN;
 
   /**
-   * The faults to play, by their start.
+   * Returns the faults to inject, sorted by their start.
    *
-   * @param seed of the draws
-   * @param seconds length of the run
-   * @param leftOut types that are not played
+   * @param seed seed of the random draws
+   * @param seconds duration of the run
+   * @param excludedTypes types that are drawn but not injected
    */
-  List<PlannedFault> plan(long seed, int seconds, Set<SoakFaultType> leftOut) {
+  List<PlannedFault> plan(long seed, int seconds, Set<SoakFaultType> excludedTypes) {
     return switch (this) {
-      case MIXED -> FaultPlan.drawAll(seed, seconds, leftOut);
-      case DISCOVERY_UP -> FaultPlan.drawWorkerRestarts(seed, seconds, leftOut);
-      case DISCOVERY_DOWN -> FaultPlan.drawWorkerRestartsInOutage(seed, seconds, leftOut);
+      case MIXED -> FaultPlan.drawAll(seed, seconds, excludedTypes);
+      case DISCOVERY_UP -> FaultPlan.drawWorkerRestarts(seed, seconds, excludedTypes);
+      case DISCOVERY_DOWN -> FaultPlan.drawWorkerRestartsInOutage(seed, seconds, excludedTypes);
     };
   }
 }
--- a/src/main/java/switchgap/testbed/soak/SoakRecords.java
+++ b/src/main/java/switchgap/testbed/soak/SoakRecords.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** What the emulators saw in one run. Thread-safe; the views that it returns are live. */
+/** Observations of the emulators in one run. Thread-safe; returned collections are live views. */
 final class SoakRecords {
   private final Queue<ObservedRequest> requests = new ConcurrentLinkedQueue<>();
   private final Queue<ReceivedLoad> loads = new ConcurrentLinkedQueue<>();
@@ -25,17 +25,14 @@
     }
   }
 
-  /** A client sent a request. */
   void addRequest(ObservedRequest request) {
     requests.add(request);
   }
 
-  /** A worker received an attempt. */
   void addAttempt(ReceivedAttempt attempt) {
     attempts.add(attempt);
   }
 
-  /** A worker received a load command. */
   void addLoad(ReceivedLoad load) {
     loads.add(load);
   }
@@ -45,19 +42,19 @@
     return Collections.unmodifiableCollection(loads);
   }
 
-  /** An outage begins; the caller states its end. */
+  /** Records the start of an outage; the caller ends it by {@link Outage#end}. */
   Outage beginOutage(OutageCause cause, int router, long nowNanos) {
     Outage outage = new Outage(router, nowNanos);
     outages.get(cause).add(outage);
     return outage;
   }
 
-  /** A worker joins the fleet. */
+  /** Adds a worker under its name, which must be unique within the run. */
   void addWorker(WorkerTimeline worker) {
     workers.put(worker.name(), worker);
   }
 
-  /** A process did what it must not: it crashed, did not start or stop, or exceeded a limit. */
+  /** Records that a process crashed, failed to start or stop, or exceeded a limit. */
   void addProcessFault(String description) {
     processFaults.add(description);
   }
@@ -76,7 +73,7 @@
     return Collections.unmodifiableList(outages.get(cause));
   }
 
-  /** How long a router's outages of one cause were within an interval. */
+  /** Sum of the durations of a router's outages of one cause within an interval. */
   long outageNanos(OutageCause cause, int router, long fromNanos, long untilNanos) {
     return outages.get(cause).stream()
         .filter(outage -> outage.affects(router))
@@ -84,12 +81,12 @@
         .sum();
   }
 
-  /** All workers, also those that are gone. */
+  /** All workers, including those that are gone. */
   Collection<WorkerTimeline> workers() {
     return Collections.unmodifiableCollection(workers.values());
   }
 
-  /** A worker by its name, null where there was none. */
+  /** Returns the worker of the given name in the records; null if there is none. */
   WorkerTimeline worker(String name) {
     return workers.get(name);
   }
--- a/src/main/java/switchgap/testbed/soak/SystemCallFaults.java
+++ b/src/main/java/switchgap/testbed/soak/SystemCallFaults.java
@@ -13,12 +13,12 @@
 import java.util.Map;
 
 /**
- * Controls a shared library that LD_PRELOAD loads into a router and that makes chosen system calls
- * fail. The two share a memory-mapped control file. The source of the library is {@code
- * system_call_faults.c}; it is compiled when it is needed.
+ * Controls a shared library that makes selected system calls of a process fail. LD_PRELOAD loads
+ * the library into the process. This class and the library share a memory-mapped control file.
+ * {@link #compile} builds the library from {@code system_call_faults.c}.
  */
 public final class SystemCallFaults {
-  /** The system calls that can fail, in the order of the control file. */
+  /** System calls that can fail, in the order of the control file. */
   public enum Call {
     ACCEPT,
     SOCKET,
@@ -28,9 +28,9 @@
     WAIT
   }
 
-  /** Errors that Linux documents for these calls, with their numbers. */
+  /** Errors that Linux documents for these calls, with their values of {@code errno}. */
   public enum ErrorNumber {
-    /** No error: the transfer is cut to one byte. */
+    /** No error: a read or write transfers only one byte. */
     SHORT(0),
     EINTR(4),
     ENOMEM(12),
@@ -56,9 +56,9 @@
   private static final int ERROR_WORD = 1;
   private static final int PORT_WORD = 2;
   private static final int AFFECTED_WORD = 4;
-  private static final int WALL_OFFSET_AT =
-      align(Call.values().length * WORDS_PER_CALL * Integer.BYTES);
-  private static final int CONTROL_BYTES = WALL_OFFSET_AT + Long.BYTES;
+  private static final int WALL_CLOCK_OFFSET_INDEX =
+      alignToLong(Call.values().length * WORDS_PER_CALL * Integer.BYTES);
+  private static final int CONTROL_BYTES = WALL_CLOCK_OFFSET_INDEX + Long.BYTES;
 
   private final Path library;
   private final Path controlFile;
@@ -80,21 +80,23 @@
     }
   }
 
-  private static int align(int bytes) {
+  private static int alignToLong(int bytes) {
     return (bytes + Long.BYTES - 1) / Long.BYTES * Long.BYTES;
   }
 
   /**
-   * Compiles the library.
+   * Compiles the library with {@code cc}, whose messages go to this program's standard error.
    *
-   * @return the library's path
-   * @throws IOException if there is no C compiler, or it fails
+   * @param directory directory that receives the source and the library
+   * @return path of the library
+   * @throws IOException if there is no C compiler or the compilation fails
+   * @throws InterruptedException if the thread is interrupted while it waits for the compiler
    */
   public static Path compile(Path directory) throws IOException, InterruptedException {
     Path source = directory.resolve(SOURCE);
     Path library = directory.resolve(LIBRARY);
-    try (InputStream text = SystemCallFaults.class.getResourceAsStream(SOURCE)) {
-      Files.copy(text, source, StandardCopyOption.REPLACE_EXISTING);
+    try (InputStream sourceText = SystemCallFaults.class.getResourceAsStream(SOURCE)) {
+      Files.copy(sourceText, source, StandardCopyOption.REPLACE_EXISTING);
     }
     Process compiler =
         new ProcessBuilder(
@@ -109,54 +111,62 @@
             .inheritIO()
             .start();
     if (compiler.waitFor() != 0) {
-      throw new IOException(SOURCE + " was not compiled");
+      throw new IOException("cc failed to compile " + SOURCE);
     }
     return library;
   }
 
-  /** Controls the faults of one process, none so far; creates the control file. */
+  /**
+   * Creates the control file of one process, without any fault.
+   *
+   * @param library library that {@link #compile} built
+   * @param controlFile control file to create
+   * @throws IOException if the control file can't be written or mapped
+   */
   public static SystemCallFaults of(Path library, Path controlFile) throws IOException {
     return new SystemCallFaults(library, controlFile);
   }
 
-  /** Variables that the process needs in its environment. */
+  /** Returns the environment variables that load the library into the process. */
   public Map<String, String> environment() {
     return Map.of("LD_PRELOAD", library.toString(), "SYSTEM_CALL_FAULTS", controlFile.toString());
   }
 
-  /** Makes one call in so many fail, on any socket; 0 for none. */
-  public void inject(Call call, ErrorNumber error, int every) {
-    inject(call, error, every, 0);
+  /** Makes one in {@code callsPerFailure} calls fail, on any socket; 0 ends the failures. */
+  public void inject(Call call, ErrorNumber error, int callsPerFailure) {
+    inject(call, error, callsPerFailure, 0);
   }
 
   /**
-   * Makes one call in so many fail.
+   * Makes calls fail on sockets of one port.
    *
-   * @param every one call in so many; 0 for none
-   * @param port of the peer, or negated the socket's own; 0 for any socket
+   * @param call the system call
+   * @param error error that the calls fail with
+   * @param callsPerFailure one in this many calls fails; 0 ends the failures
+   * @param port port of the peer; a negative value is the negated local port; 0 means any socket
    */
-  public void inject(Call call, ErrorNumber error, int every, int port) {
-    int offset = call.ordinal() * WORDS_PER_CALL * Integer.BYTES;
-    control.putInt(offset, 0);
-    control.putInt(offset + ERROR_WORD * Integer.BYTES, error.number);
-    control.putInt(offset + PORT_WORD * Integer.BYTES, port);
-    control.putInt(offset, every);
+  public void inject(Call call, ErrorNumber error, int callsPerFailure, int port) {
+    int faultIndex = call.ordinal() * WORDS_PER_CALL * Integer.BYTES;
+    control.putInt(faultIndex, 0);
+    control.putInt(faultIndex + ERROR_WORD * Integer.BYTES, error.number);
+    control.putInt(faultIndex + PORT_WORD * Integer.BYTES, port);
+    control.putInt(faultIndex, callsPerFailure);
   }
 
-  /** Ends the failures of all calls; the offset of the wall clock remains. */
+  /** Ends the failures of all calls; the offset of the wall clock stays. */
   public void clear() {
     for (Call call : Call.values()) {
       control.putInt(call.ordinal() * WORDS_PER_CALL * Integer.BYTES, 0);
     }
   }
 
-  /** Number of calls that failed or were shortened so far. */
+  /** Returns how many calls have failed or were shortened so far. */
   public int touched(Call call) {
     return control.getInt((call.ordinal() * WORDS_PER_CALL + AFFECTED_WORD) * Integer.BYTES);
   }
 
-  /** Sets the offset of the process's wall clock; its monotonic clock is not affected. */
+  /** Sets the offset of the process's wall clock; the monotonic clock is not affected. */
   public void setWallClockOffset(Duration offset) {
-    control.putLong(WALL_OFFSET_AT, offset.toMillis());
+    control.putLong(WALL_CLOCK_OFFSET_INDEX, offset.toMillis());
   }
 }
--- a/src/main/java/switchgap/testbed/soak/WorkerEmulator.java
+++ b/src/main/java/switchgap/testbed/soak/WorkerEmulator.java
@@ -18,41 +18,42 @@
 import java.util.regex.Pattern;
 
 /**
- * A worker: receives RESP commands, replies after the time of their work, and misbehaves on demand.
- * Thread-safe; each connection has a thread.
+ * Emulates a worker: receives RESP commands, replies after a fixed execution time, and misbehaves
+ * on demand. Thread-safe; each connection has a thread.
  */
 final class WorkerEmulator implements AutoCloseable {
-  /** How a worker misbehaves for a while. */
+  /** Ways in which a worker misbehaves. */
   enum Misbehaviour {
     NONE,
-    /** It reads commands and never replies. */
+    /** The worker reads commands but never replies. */
     HANGS,
     /** Some replies are malformed. */
     MALFORMED_REPLIES,
     /** Some replies are sent twice. */
     DUPLICATE_REPLIES,
-    /** Some connections are reset in place of a reply. */
+    /** Some connections are reset instead of a reply. */
     RESETS_CONNECTIONS,
-    /** It rejects all requests. */
+    /** The worker rejects all requests. */
     REJECTS
   }
 
-  /** In place of a port: any free one. */
+  /** Port number that lets the system choose a free port. */
   static final int ANY_PORT = 0;
 
-  private static final Pattern TIMEOUT = Pattern.compile("max=(\\d+)");
-  private static final int WORK_MILLIS = 20;
-  private static final int COMMAND_MILLIS = 1;
-  private static final int BACKLOG = 200;
+  private static final Pattern TIMEOUT_ARGUMENT = Pattern.compile("max=(\\d+)");
+  private static final int EXECUTION_MILLIS = 20;
+  private static final int COMMAND_LATENCY_MILLIS = 1;
+  private static final int ACCEPT_BACKLOG = 200;
 
-  /** One reply in so many is affected by a misbehaviour that affects some. */
-  private static final int AFFECTED_EVERY = 5;
+  /** One in this many replies is affected by a misbehaviour that affects some replies. */
+  private static final int REPLIES_PER_AFFECTED_REPLY = 5;
 
   private static final String LOAD_REPORT = "report=load_share:0.1;concurrent:1";
   private static final byte[] MALFORMED_REPLY =
       "*4\r\n$-7\r\nnoise\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-  private static final String QUERY = "count=0";
+  /** Ends the argument of a PIN command that asks for the number of copies and loads none. */
+  private static final String COPY_COUNT_QUERY = "count=0";
 
   private final String name;
   private final String recordName;
@@ -60,12 +61,14 @@
   private final ScheduledExecutorService timers;
   private final ServerSocket listener;
   private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
-  private final AtomicInteger replies = new AtomicInteger();
+  private final AtomicInteger replyCount = new AtomicInteger();
   private volatile Misbehaviour misbehaviour = Misbehaviour.NONE;
   private volatile int acceptDelayMillis;
   private volatile boolean draining;
 
-  /** Starts a worker, which has a name of its own, at a free port of the loopback address. */
+  /**
+   * Starts a worker at a free port of the loopback address; its name in the records is the same.
+   */
   WorkerEmulator(String name, SoakRecords records, ScheduledExecutorService timers)
       throws IOException {
     this(name, name, ANY_PORT, records, timers);
@@ -74,8 +77,9 @@
   /**
    * Starts a worker at a port of the loopback address.
    *
-   * @param name its name in the endpoint list
-   * @param recordName its name in the records, by which processes of the same name differ
+   * @param name name in the endpoint list
+   * @param recordName name in the records, which differs for each process of the same worker
+   * @param port port to listen at, or {@link #ANY_PORT}
    */
   WorkerEmulator(
       String name,
@@ -90,7 +94,7 @@
     this.timers = timers;
     this.listener = new ServerSocket();
     listener.setReuseAddress(true);
-    listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), BACKLOG);
+    listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), ACCEPT_BACKLOG);
     DaemonThreads.start("worker-" + name, this::acceptAll);
   }
 
@@ -98,7 +102,7 @@
     return name;
   }
 
-  /** Its name in the records. */
+  /** Name in the records, unique for each process. */
   String recordName() {
     return recordName;
   }
@@ -108,8 +112,8 @@
   }
 
   /**
-   * Begins to drain: probes fail, requests and loads are rejected, and what it has goes on, as the
-   * platform's workers do it.
+   * Starts to drain as workers of the hosting platform do: load probes and new requests and load
+   * commands are rejected; requests in progress continue.
    */
   void drain() {
     draining = true;
@@ -119,17 +123,16 @@
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  /** Misbehaves from now on, until the next call. */
-  void misbehave(Misbehaviour how) {
-    misbehaviour = how;
+  void setMisbehaviour(Misbehaviour newMisbehaviour) {
+    misbehaviour = newMisbehaviour;
   }
 
-  /** Serves new connections only after a delay. */
-  void delayAccepts(int millis) {
-    acceptDelayMillis = millis;
+  /** Sets the delay after which new connections are served. */
+  void delayAccepts(int delayMillis) {
+    acceptDelayMillis = delayMillis;
   }
 
-  /** Closes all connections with all requests that are in flight on them. */
+  /** Closes all connections; requests in flight get no reply. */
   void closeConnections() {
     connections.forEach(WorkerEmulator::closeQuietly);
   }
@@ -138,7 +141,8 @@
     try {
       socket.close();
     } catch (IOException e) {
-      return; // it is closed
+      // The socket is already closed.
+      return;
     }
   }
 
@@ -152,7 +156,8 @@
         DaemonThreads.start("worker-" + name, () -> serve(socket, delayMillis));
       }
     } catch (IOException e) {
-      return; // closed
+      // The listener was closed.
+      return;
     }
   }
 
@@ -164,7 +169,8 @@
         handle(socket, RespCodec.readCommand(input));
       }
     } catch (IOException | InterruptedException e) {
-      return; // the router closed the connection, or this side did
+      // The router or this worker closed the connection.
+      return;
     } finally {
       connections.remove(socket);
     }
@@ -175,45 +181,48 @@
       case "DO" -> execute(socket, words);
       case "PIN" -> load(socket, words);
       case "ECHO", "METER" ->
-          replyAfter(socket, COMMAND_MILLIS, words[1], draining ? "ill" : "well", LOAD_REPORT, "");
-      default -> {} // UNDO and UNPIN have no reply
+          replyAfter(
+              socket, COMMAND_LATENCY_MILLIS, words[1], draining ? "ill" : "well", LOAD_REPORT, "");
+      // UNDO and UNPIN have no reply.
+      default -> {}
     }
   }
 
   private void load(Socket socket, String[] words) {
-    if (words[2].endsWith(QUERY)) {
-      replyAfter(socket, COMMAND_MILLIS, words[1], "data", "count=1", "");
+    if (words[2].endsWith(COPY_COUNT_QUERY)) {
+      replyAfter(socket, COMMAND_LATENCY_MILLIS, words[1], "data", "count=1", "");
       return;
     }
     records.addLoad(new ReceivedLoad(recordName, System.nanoTime()));
-    replyAfter(socket, COMMAND_MILLIS, words[1], draining ? "full" : "data", "count=1", "");
+    replyAfter(socket, COMMAND_LATENCY_MILLIS, words[1], draining ? "full" : "data", "count=1", "");
   }
 
   private void execute(Socket socket, String[] words) throws IOException {
-    Matcher timeout = TIMEOUT.matcher(words[2]);
-    long timeoutMillis = timeout.find() ? Long.parseLong(timeout.group(1)) : Long.MAX_VALUE;
-    Misbehaviour how = misbehaviour;
-    boolean rejects = how == Misbehaviour.REJECTS || draining;
+    Matcher timeoutMatcher = TIMEOUT_ARGUMENT.matcher(words[2]);
+    long timeoutMillis =
+        timeoutMatcher.find() ? Long.parseLong(timeoutMatcher.group(1)) : Long.MAX_VALUE;
+    Misbehaviour currentMisbehaviour = misbehaviour;
+    boolean rejects = currentMisbehaviour == Misbehaviour.REJECTS || draining;
     records.addAttempt(
         new ReceivedAttempt(words[1], recordName, System.nanoTime(), timeoutMillis, !rejects));
     if (rejects) {
       replyAfter(socket, 0, words[1], "full", "-", "");
-    } else if (how == Misbehaviour.RESETS_CONNECTIONS && nextReplyIsAffected()) {
+    } else if (currentMisbehaviour == Misbehaviour.RESETS_CONNECTIONS && nextReplyIsAffected()) {
       socket.setSoLinger(true, 0);
       socket.close();
     } else {
       String body = words[1] + ":" + words[3];
-      replyAfter(socket, WORK_MILLIS, words[1], "data", LOAD_REPORT, body);
+      replyAfter(socket, EXECUTION_MILLIS, words[1], "data", LOAD_REPORT, body);
     }
   }
 
   private boolean nextReplyIsAffected() {
-    return replies.incrementAndGet() % AFFECTED_EVERY == 0;
+    return replyCount.incrementAndGet() % REPLIES_PER_AFFECTED_REPLY == 0;
   }
 
-  private void replyAfter(Socket socket, int millis, String... parts) {
+  private void replyAfter(Socket socket, int delayMillis, String... parts) {
     if (misbehaviour != Misbehaviour.HANGS) {
-      timers.schedule(() -> reply(socket, parts), millis, TimeUnit.MILLISECONDS);
+      timers.schedule(() -> reply(socket, parts), delayMillis, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -231,7 +240,8 @@
         out.flush();
       }
     } catch (IOException e) {
-      return; // the connection has ended
+      // The connection has ended.
+      return;
     }
   }
 
--- a/src/main/java/switchgap/testbed/soak/WorkerMisbehaviourFaults.java
+++ b/src/main/java/switchgap/testbed/soak/WorkerMisbehaviourFaults.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import switchgap.testbed.soak.WorkerEmulator.Misbehaviour;
 
-/** Faults of workers: misbehaviour, lost connections and replacement. */
+/** Injects faults of workers: misbehaviour, lost connections, replacement and restarts. */
 final class WorkerMisbehaviourFaults {
   private static final int ACCEPT_DELAY_MILLIS = 200;
 
@@ -27,43 +27,48 @@
   Map<SoakFaultType, SoakFaultInjector> injectors() {
     Map<SoakFaultType, SoakFaultInjector> injectors = new EnumMap<>(SoakFaultType.class);
     MISBEHAVIOURS.forEach(
-        (type, how) ->
+        (type, misbehaviour) ->
             injectors.put(
-                type, (fault, random) -> misbehave(draw(random), how, fault.durationMillis())));
+                type,
+                (fault, random) ->
+                    misbehave(pickServing(random), misbehaviour, fault.durationMillis())));
     injectors.put(
         SoakFaultType.WORKER_REPLACED, (fault, random) -> replace(random, fault.durationMillis()));
     WorkerRestarts restarts = new WorkerRestarts(fleet);
     injectors.put(
         SoakFaultType.WORKER_RESTARTED,
         (fault, random) -> restarts.restart(random, random.nextBoolean()));
-    injectors.put(SoakFaultType.WORKER_CLOSES, (fault, random) -> draw(random).closeConnections());
+    injectors.put(
+        SoakFaultType.WORKER_CLOSES, (fault, random) -> pickServing(random).closeConnections());
     injectors.put(
         SoakFaultType.WORKER_ACCEPTS_LATE,
-        (fault, random) -> acceptLate(draw(random), fault.durationMillis()));
+        (fault, random) -> acceptLate(pickServing(random), fault.durationMillis()));
     return injectors;
   }
 
-  private WorkerEmulator draw(Random random) {
-    return fleet.serving(random.nextInt());
+  private WorkerEmulator pickServing(Random random) {
+    return fleet.pickServing(random.nextInt());
   }
 
-  private static void misbehave(WorkerEmulator worker, Misbehaviour how, int millis)
+  private static void misbehave(
+      WorkerEmulator worker, Misbehaviour misbehaviour, int durationMillis)
       throws InterruptedException {
-    worker.misbehave(how);
-    Thread.sleep(millis);
-    worker.misbehave(Misbehaviour.NONE);
+    worker.setMisbehaviour(misbehaviour);
+    Thread.sleep(durationMillis);
+    worker.setMisbehaviour(Misbehaviour.NONE);
   }
 
   private void replace(Random random, int drainMillis) throws IOException, InterruptedException {
-    WorkerEmulator old = fleet.replace(random.nextInt());
+    WorkerEmulator replaced = fleet.replace(random.nextInt());
     Thread.sleep(drainMillis);
-    fleet.remove(old);
+    fleet.remove(replaced);
   }
 
-  private static void acceptLate(WorkerEmulator worker, int millis) throws InterruptedException {
+  private static void acceptLate(WorkerEmulator worker, int durationMillis)
+      throws InterruptedException {
     worker.delayAccepts(ACCEPT_DELAY_MILLIS);
     worker.closeConnections();
-    Thread.sleep(millis);
+    Thread.sleep(durationMillis);
     worker.delayAccepts(0);
   }
 }
--- a/src/main/java/switchgap/testbed/soak/WorkerTimeline.java
+++ b/src/main/java/switchgap/testbed/soak/WorkerTimeline.java
@@ -1,11 +1,11 @@
 package switchgap.testbed.soak;
 
 /**
- * When a worker started and when the endpoint list began to call it draining. Thread-safe. Times
- * are of {@link System#nanoTime}.
+ * Times at which a worker started and at which the endpoint list first reported it as draining.
+ * Thread-safe. Times are values of {@link System#nanoTime}.
  */
 final class WorkerTimeline {
-  private static final long BEFORE_RUN = 0;
+  private static final long STARTED_BEFORE_RUN = 0;
   private static final long NOT_DRAINING = 0;
 
   private final String name;
@@ -17,18 +17,18 @@
     this.startedNanos = startedNanos;
   }
 
-  /** A worker that was there, warm, before the run. */
+  /** Creates the timeline of a worker that was started before the run and is warm. */
   static WorkerTimeline warm(String name) {
-    return new WorkerTimeline(name, BEFORE_RUN);
+    return new WorkerTimeline(name, STARTED_BEFORE_RUN);
   }
 
-  /** A worker that starts during the run and warms up. */
+  /** Creates the timeline of a worker that starts during the run and warms up. */
   static WorkerTimeline startedAt(String name, long startedNanos) {
     return new WorkerTimeline(name, startedNanos);
   }
 
-  /** The endpoint list now calls it draining. */
-  void drainingAt(long nowNanos) {
+  /** Records that the endpoint list reports the worker as draining. */
+  void markDraining(long nowNanos) {
     drainingNanos = nowNanos;
   }
 
@@ -36,12 +36,11 @@
     return name;
   }
 
-  /** Whether it started during the run. */
   boolean startedDuringRun() {
-    return startedNanos != BEFORE_RUN;
+    return startedNanos != STARTED_BEFORE_RUN;
   }
 
-  /** Start of its process; meaningless where it was there before the run. */
+  /** Start time; 0 if the worker was started before the run. */
   long startedNanos() {
     return startedNanos;
   }
@@ -50,6 +49,7 @@
     return drainingNanos != NOT_DRAINING;
   }
 
+  /** Time at which the drain was reported; 0 if the worker is not draining. */
   long drainingNanos() {
     return drainingNanos;
   }
--- a/src/main/java/switchgap/testbed/soak/package-info.java
+++ b/src/main/java/switchgap/testbed/soak/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A soak test of {@code serve}: real router processes on loopback ports between emulated clients,
- * workers and an event stream, under overlapping faults that a seed draws. The checks go by what
- * the emulators observed, never by what routers report; nothing here shares code with the protocols
- * of the router.
+ * A soak test of {@code serve}: real router processes on loopback ports, with emulated clients,
+ * workers and an event stream, under overlapping faults drawn from a seed. The checks rely on the
+ * observations of the emulators instead of reports of the routers, and the emulators share no
+ * protocol code with the router.
  */
 package switchgap.testbed.soak;
--- a/src/main/resources/switchgap/testbed/soak/system_call_faults.c
+++ b/src/main/resources/switchgap/testbed/soak/system_call_faults.c
@@ -1,15 +1,15 @@
 /*
- * Loaded into a router by LD_PRELOAD: makes chosen system calls on sockets fail, shortens reads and writes,
- * and steps the wall clock. A control file, which the test maps and writes, states what fails
- * (SystemCallFaults.java has the same layout); nothing here is random.
+ * A library for LD_PRELOAD that makes selected system calls on sockets fail, shortens reads and writes,
+ * and steps the wall clock. The test maps a control file into memory and writes the faults to it;
+ * SystemCallFaults.java must have the same layout. The faults are deterministic.
  *
- * Control file, 32-bit words in native order: for each call in the order below
- *   0 every      one call in so many is affected; 0 for none
- *   1 error      errno of the failure; 0 shortens the transfer to one byte (read and write only)
- *   2 port       0 for any socket, n for peers at port n, -n for sockets bound to port n
- *   3 seen       calls that matched, counted here
- *   4 affected   calls that failed or were shortened, counted here
- * followed by a 64-bit offset of the wall clock in milliseconds.
+ * The control file has five 32-bit words in native byte order for each call, in the order of enum call:
+ *   0 calls_per_failure  one in this many matching calls is affected; 0 affects none
+ *   1 error              errno of the failure; 0 shortens the transfer to one byte (only read and write)
+ *   2 port               0 matches any socket, n sockets with peer port n, -n sockets bound to port n
+ *   3 matched_calls      number of matching calls, counted by this library
+ *   4 affected_calls     number of calls that failed or were shortened, counted by this library
+ * A 64-bit offset of the wall clock in milliseconds follows.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -27,20 +27,20 @@
 #include <time.h>
 #include <unistd.h>
 
-enum call { ACCEPT, SOCKET, CONNECT, READ, WRITE, WAIT, CALLS };
+enum call { ACCEPT, SOCKET, CONNECT, READ, WRITE, WAIT, CALL_COUNT };
 
 struct fault {
-    volatile int32_t every, error, port;
-    int32_t seen, affected;
+    volatile int32_t calls_per_failure, error, port;
+    int32_t matched_calls, affected_calls;
 };
 
 struct control {
-    struct fault faults[CALLS];
-    volatile int64_t wall_offset_millis;
+    struct fault faults[CALL_COUNT];
+    volatile int64_t wall_clock_offset_millis;
 };
 
-static struct control none;
-static struct control *control = &none;
+static struct control no_faults;
+static struct control *control = &no_faults;
 
 __attribute__((constructor)) static void map_control(void) {
     const char *path = getenv("SYSTEM_CALL_FAULTS");
@@ -55,13 +55,15 @@
     close(file);
 }
 
-static int port_of(int fd, int (*name)(int, struct sockaddr *, socklen_t *)) {
+/* Returns the port of an address that getpeername or getsockname returns; -1 on failure. */
+static int port_of(int fd, int (*get_address)(int, struct sockaddr *, socklen_t *)) {
     struct sockaddr_in6 address = {0};
     socklen_t length = sizeof address;
-    if (name(fd, (struct sockaddr *) &address, &length) != 0) {
+    if (get_address(fd, (struct sockaddr *) &address, &length) != 0) {
         return -1;
     }
-    return ntohs(address.sin6_port); /* at the same place as in sockaddr_in */
+    /* The port of sockaddr_in is at the same offset. */
+    return ntohs(address.sin6_port);
 }
 
 static int is_socket(int fd) {
@@ -73,21 +75,21 @@
     return port == 0 || (port > 0 ? port_of(fd, getpeername) == port : port_of(fd, getsockname) == -port);
 }
 
-/* Whether this call is affected; counts the calls that match. */
+/* Returns whether this call is affected; counts the matching calls. */
 static int is_affected(enum call call, int fd) {
     struct fault *fault = &control->faults[call];
-    int32_t every = fault->every;
-    if (every <= 0 || (fd >= 0 && (!is_socket(fd) || !has_port(fd, fault->port)))) {
+    int32_t calls_per_failure = fault->calls_per_failure;
+    if (calls_per_failure <= 0 || (fd >= 0 && (!is_socket(fd) || !has_port(fd, fault->port)))) {
         return 0;
     }
-    if (__atomic_add_fetch(&fault->seen, 1, __ATOMIC_RELAXED) % every != 0) {
+    if (__atomic_add_fetch(&fault->matched_calls, 1, __ATOMIC_RELAXED) % calls_per_failure != 0) {
         return 0;
     }
-    __atomic_add_fetch(&fault->affected, 1, __ATOMIC_RELAXED);
+    __atomic_add_fetch(&fault->affected_calls, 1, __ATOMIC_RELAXED);
     return 1;
 }
 
-/* Whether this call fails; sets errno. */
+/* Returns whether this call fails, and sets errno if it does. */
 static int fails(enum call call, int fd) {
     int error = control->faults[call].error;
     if (error == 0 || !is_affected(call, fd)) {
@@ -97,11 +99,12 @@
     return 1;
 }
 
-/* Whether this transfer is shortened to one byte. */
+/* Returns whether this transfer is shortened to one byte. */
 static int is_shortened(enum call call, int fd) {
     return control->faults[call].error == 0 && is_affected(call, fd);
 }
 
+/* The C library's function of this name. */
 #define REAL(name) ((__typeof__(&name)) dlsym(RTLD_NEXT, #name))
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
@@ -158,7 +161,7 @@
     static __typeof__(&clock_gettime) real;
     real = real ? real : REAL(clock_gettime);
     int result = real(clock, time);
-    int64_t offset = control->wall_offset_millis;
+    int64_t offset = control->wall_clock_offset_millis;
     if (result == 0 && clock == CLOCK_REALTIME && offset != 0) {
         int64_t millis = (int64_t) time->tv_sec * 1000 + time->tv_nsec / 1000000 + offset;
         time->tv_sec = millis / 1000;
@@ -169,7 +172,7 @@
 
 int gettimeofday(struct timeval *restrict time, void *restrict zone) {
     int result = REAL(gettimeofday)(time, zone);
-    int64_t offset = control->wall_offset_millis;
+    int64_t offset = control->wall_clock_offset_millis;
     if (result == 0 && offset != 0) {
         int64_t millis = (int64_t) time->tv_sec * 1000 + time->tv_usec / 1000 + offset;
         time->tv_usec = millis % 1000 * 1000 + time->tv_usec % 1000;
--- a/src/test/java/switchgap/testbed/invariant/InvariantTest.java
+++ b/src/test/java/switchgap/testbed/invariant/InvariantTest.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 import org.junit.jupiter.api.Test;
 
-/** Published reports name the invariants by these labels. */
+/** Published reports use these labels, so they must not change. */
 class InvariantTest {
   @Test
   void keepsLabelsOfScenarioReports() {
--- a/src/test/java/switchgap/testbed/invariant/WindowedSumTest.java
+++ b/src/test/java/switchgap/testbed/invariant/WindowedSumTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The window keeps the samples that are at most the maximum age older than the latest one. */
+/** The window contains the samples that are at most the maximum age older than the latest one. */
 class WindowedSumTest {
   private final WindowedSum window = new WindowedSum(10);
 
--- a/src/test/java/switchgap/testbed/soak/FaultPlanTest.java
+++ b/src/test/java/switchgap/testbed/soak/FaultPlanTest.java
@@ -6,24 +6,25 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** A seed determines the faults of a run. */
+/** A seed determines the faults of a run, so that a failed run can be reproduced. */
 class FaultPlanTest {
   @Test
-  void drawsSameFaultsForSameSeedAndLeavesOutTypesOnRequest() {
-    List<PlannedFault> all = FaultPlan.draw(4, 20, Set.of());
-    SoakFaultType leftOut = all.get(0).type();
+  void drawsSameFaultsForSameSeedAndOmitsExcludedTypes() {
+    List<PlannedFault> allFaults = FaultPlan.drawInitialTypes(4, 20, Set.of());
+    SoakFaultType excludedType = allFaults.get(0).type();
 
-    List<PlannedFault> again = FaultPlan.draw(4, 20, Set.of());
-    List<PlannedFault> others = FaultPlan.draw(4, 20, Set.of(leftOut));
+    List<PlannedFault> sameSeedFaults = FaultPlan.drawInitialTypes(4, 20, Set.of());
+    List<PlannedFault> filteredFaults = FaultPlan.drawInitialTypes(4, 20, Set.of(excludedType));
 
-    assertThat(again).isEqualTo(all);
-    assertThat(others).isEqualTo(all.stream().filter(fault -> fault.type() != leftOut).toList());
+    assertThat(sameSeedFaults).isEqualTo(allFaults);
+    assertThat(filteredFaults)
+        .isEqualTo(allFaults.stream().filter(fault -> fault.type() != excludedType).toList());
   }
 
-  /** A seed in an old report is played again as it was. */
+  /** A seed from an old report must reproduce the faults of that run. */
   @Test
   void drawsSameFaultsAsEarlierVersions() {
-    List<PlannedFault> faults = FaultPlan.draw(2, 10, Set.of());
+    List<PlannedFault> faults = FaultPlan.drawInitialTypes(2, 10, Set.of());
 
     assertThat(faults).hasSize(16);
     assertThat(faults.subList(0, 4))
--- a/src/test/java/switchgap/testbed/soak/RunBuilder.java
+++ b/src/test/java/switchgap/testbed/soak/RunBuilder.java
@@ -2,14 +2,14 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Records of a made-up run of one router; times are milliseconds since its start. */
+/** Builds the records of an artificial run; times are milliseconds since its start. */
 final class RunBuilder {
   private static final long START_NANOS = TimeUnit.SECONDS.toNanos(1000);
   private static final int REQUEST_TIMEOUT_MILLIS = 500;
 
   private final SoakRecords records = new SoakRecords();
 
-  static long at(long millis) {
+  static long toNanos(long millis) {
     return START_NANOS + TimeUnit.MILLISECONDS.toNanos(millis);
   }
 
@@ -17,28 +17,28 @@
     return records;
   }
 
-  /** A request to router 0, sent at 0 ms with a timeout of 500 ms; without a response. */
+  /** Starts a request to router 0, sent at 0 ms with a timeout of 500 ms. */
   RequestBuilder request(String id) {
     return new RequestBuilder(id);
   }
 
-  /** A worker, warm, is added where there is none of this name. */
+  /** Starts an attempt; adds a warm worker of this name if there is none. */
   AttemptBuilder attempt(String requestId, String worker) {
     return new AttemptBuilder(requestId, worker);
   }
 
   RunBuilder workerStarted(String worker, long millis) {
-    records.addWorker(WorkerTimeline.startedAt(worker, at(millis)));
+    records.addWorker(WorkerTimeline.startedAt(worker, toNanos(millis)));
     return this;
   }
 
   RunBuilder workerDraining(String worker, long millis) {
-    records.worker(worker).drainingAt(at(millis));
+    records.worker(worker).markDraining(toNanos(millis));
     return this;
   }
 
   RunBuilder outage(OutageCause cause, int router, long fromMillis, long untilMillis) {
-    records.beginOutage(cause, router, at(fromMillis)).endedAt(at(untilMillis));
+    records.beginOutage(cause, router, toNanos(fromMillis)).end(toNanos(untilMillis));
     return this;
   }
 
@@ -47,7 +47,7 @@
     return this;
   }
 
-  /** A request as its client saw it. */
+  /** Builds a request as observed by its client. */
   final class RequestBuilder {
     private final String id;
     private int router;
@@ -75,23 +75,23 @@
     RunBuilder servedAt(long... millis) {
       ObservedRequest request = send();
       for (long time : millis) {
-        request.respondedAt(ObservedRequest.Outcome.SERVED, true, at(time));
+        request.addResponse(ObservedRequest.Outcome.SERVED, true, toNanos(time));
       }
       return RunBuilder.this;
     }
 
     RunBuilder rejectedAt(long millis) {
-      send().respondedAt(ObservedRequest.Outcome.REJECTED, true, at(millis));
+      send().addResponse(ObservedRequest.Outcome.REJECTED, true, toNanos(millis));
       return RunBuilder.this;
     }
 
     RunBuilder connectionLostAt(long millis) {
-      send().connectionLostAt(at(millis));
+      send().markConnectionLost(toNanos(millis));
       return RunBuilder.this;
     }
 
     RunBuilder cancelledAt(long millis) {
-      send().cancelledAt(at(millis));
+      send().markCancelled(toNanos(millis));
       return RunBuilder.this;
     }
 
@@ -99,13 +99,13 @@
       RouterIncarnation destination = new RouterIncarnation(router, 1);
       ObservedRequest request =
           new ObservedRequest(id, destination, idempotent, REQUEST_TIMEOUT_MILLIS, false);
-      request.sentAt(at(0));
+      request.markSent(toNanos(0));
       records.addRequest(request);
       return request;
     }
   }
 
-  /** An attempt as its worker saw it. */
+  /** Builds an attempt as observed by its worker. */
   final class AttemptBuilder {
     private final String requestId;
     private final String worker;
@@ -125,7 +125,8 @@
       if (records.worker(worker) == null) {
         records.addWorker(WorkerTimeline.warm(worker));
       }
-      records.addAttempt(new ReceivedAttempt(requestId, worker, at(millis), timeoutMillis, true));
+      records.addAttempt(
+          new ReceivedAttempt(requestId, worker, toNanos(millis), timeoutMillis, true));
       return RunBuilder.this;
     }
   }
--- a/src/test/java/switchgap/testbed/soak/SoakCheckerTest.java
+++ b/src/test/java/switchgap/testbed/soak/SoakCheckerTest.java
@@ -9,7 +9,7 @@
 import switchgap.testbed.invariant.Invariant;
 import switchgap.testbed.invariant.Violation;
 
-/** The soak checker reports each violated invariant, and nothing for a run that keeps all. */
+/** The soak checker reports each violated invariant, and nothing if all invariants hold. */
 class SoakCheckerTest {
   private final RunBuilder run = new RunBuilder();
 
@@ -44,15 +44,15 @@
         run.request("a").nonIdempotent().servedAt(100);
         run.attempt("a", "w1").withTimeout(1000).executedAt(90);
       }
-      case PROCESS_HEALTH -> run.processFault("router 0 crashed with 70");
+      case PROCESS_HEALTH -> run.processFault("router 0 exited unexpectedly with code 70");
       default -> throw new IllegalArgumentException(invariant + " is not checked by the soak");
     }
   }
 
-  /** The soak checks all invariants but the load quota, which its routers don't have. */
+  /** The soak checks all invariants except the load quota, which its routers don't have. */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "LOAD_QUOTA")
-  void reportsInvariantThatIsViolated(Invariant invariant) {
+  void reportsViolatedInvariant(Invariant invariant) {
     violate(invariant);
 
     assertThat(violatedInvariants()).containsExactly(invariant);
@@ -82,14 +82,14 @@
     assertThat(violatedInvariants()).containsExactly(Invariant.FINAL_RESPONSE_IN_TIME);
   }
 
-  private void cutAtRouterZeroAndDelayedAtRouterOne() {
+  private void addLostConnectionAtRouter0AndLateResponseAtRouter1() {
     run.request("cut").connectionLostAt(50);
     run.request("delayed").toRouter(1).rejectedAt(2100);
   }
 
   @Test
-  void excusesLostConnectionOfTerminatedRouterAndLateResponseOfPausedRouter() {
-    cutAtRouterZeroAndDelayedAtRouterOne();
+  void excusesLostConnectionOfKilledRouterAndLateResponseOfPausedRouter() {
+    addLostConnectionAtRouter0AndLateResponseAtRouter1();
     run.outage(OutageCause.ROUTER_KILLED, 0, 49, 900);
     run.outage(OutageCause.ROUTER_PAUSED, 1, 50, 2050);
 
@@ -98,7 +98,7 @@
 
   @Test
   void reportsLostConnectionAndLateResponseWithoutOutage() {
-    cutAtRouterZeroAndDelayedAtRouterOne();
+    addLostConnectionAtRouter0AndLateResponseAtRouter1();
 
     assertThat(SoakChecker.check(run.build()))
         .extracting(Violation::invariant)
--- a/src/test/java/switchgap/testbed/soak/SoakTest.java
+++ b/src/test/java/switchgap/testbed/soak/SoakTest.java
@@ -11,31 +11,31 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Short soaks with few routers, of seeds that once failed; long ones are run by the command. */
+/** Short soak runs with few routers and seeds that exposed faults; the command runs long ones. */
 class SoakTest {
   @TempDir Path directory;
 
   /**
-   * Seed 1 draws failing accepts while requests wait, seed 4 pauses, request floods and a crowd;
-   * both draw outages of the event stream with drains, restarts and moves in them. Seeds 2 and 6
-   * draw shutdowns under load with timeouts of 0.5 and 3 s.
+   * Seed 1 draws failing accepts while requests wait; seed 4 draws pauses and request floods, and
+   * has more clients. Both draw outages of the event stream during which workers drain, restart and
+   * move. Seeds 2 and 6 draw shutdowns under load, with longest timeouts of 0.5 and 3 s.
    */
   @ParameterizedTest
   @CsvSource({"1,6,8", "4,6,8", "2,4,8", "6,4,8"})
-  void keepsAllInvariantsForSeedThatOnceFailed(long seed, int routers, int seconds)
-      throws Exception {
+  void keepsAllInvariantsForRegressionSeed(long seed, int routers, int seconds) throws Exception {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-    String run =
+    String runCommand =
         "exec "
             + java
             + " -XX:+UseSerialGC -Xmx48m -Xss256k -XX:TieredStopAtLevel=1 -cp '"
             + System.getProperty("java.class.path")
             + "' switchgap.cli.Main serve";
-    ByteArrayOutputStream printed = new ByteArrayOutputStream();
-    boolean kept =
+    ByteArrayOutputStream report = new ByteArrayOutputStream();
+    boolean allInvariantsHeld =
         Soak.run(
-            new Soak.Options(seed, routers, seconds, SoakProfile.MIXED, Set.of(), run, directory),
-            new PrintStream(printed, true, StandardCharsets.UTF_8));
-    assertThat(kept).as(printed.toString(StandardCharsets.UTF_8)).isTrue();
+            new Soak.Options(
+                seed, routers, seconds, SoakProfile.MIXED, Set.of(), runCommand, directory),
+            new PrintStream(report, true, StandardCharsets.UTF_8));
+    assertThat(allInvariantsHeld).as(report.toString(StandardCharsets.UTF_8)).isTrue();
   }
 }
