--- a/src/main/java/switchgap/testbed/invariant/package-info.java
+++ b/src/main/java/switchgap/testbed/invariant/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The vocabulary of the scenario checker and the soak checker: the invariants that a run must keep
- * and the violations that a check reports. Nothing here is shared with the router under test.
+ * Types that the scenario checker and the soak checker share: the invariants that must hold in a
+ * run and the violations that a check reports. The router under test does not use them.
  */
 package switchgap.testbed.invariant;
--- a/src/main/java/switchgap/testbed/package-info.java
+++ b/src/main/java/switchgap/testbed/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Test beds around routers: emulated workers and clients, scripted scenarios, experiments and the
- * soak test, with the checks of their observations. Routers don't depend on these packages.
+ * Code for testing routers: emulated workers and clients, scripted scenarios, experiments and the
+ * soak test, with the checks of their observations.
  */
 package switchgap.testbed;
--- a/src/main/java/switchgap/testbed/process/LoopbackPorts.java
+++ b/src/main/java/switchgap/testbed/process/LoopbackPorts.java
@@ -17,7 +17,7 @@
    * Finds free ports. All are bound until the last one is found, so that no two are the same; then
    * all are released, and another process may take one before the caller uses it.
    *
-   * @throws IOException if no free port is left
+   * @throws IOException if a port can't be bound
    */
   public static int[] free(int count) throws IOException {
     List<ServerSocket> sockets = new ArrayList<>();
--- a/src/main/java/switchgap/testbed/process/ProcessSignal.java
+++ b/src/main/java/switchgap/testbed/process/ProcessSignal.java
@@ -3,7 +3,8 @@
 import java.io.IOException;
 
 /**
- * Signals that a test bed sends to processes under test; the {@code kill} command gets the name.
+ * Signals that a test bed sends to processes under test. Constants have the names that the {@code
+ * kill} command expects.
  */
 public enum ProcessSignal {
   /** Asks for a graceful shutdown. */
@@ -23,7 +24,7 @@
    * Sends this signal and waits until the {@code kill} command has ended.
    *
    * @param process the receiver
-   * @return whether {@code kill} succeeded; false if the process no longer exists
+   * @return whether {@code kill} succeeded; false, for example, if the process has exited
    * @throws IOException if the {@code kill} command can't be started
    * @throws InterruptedException if the thread is interrupted while it waits
    */
--- a/src/main/java/switchgap/testbed/soak/AttemptCheck.java
+++ b/src/main/java/switchgap/testbed/soak/AttemptCheck.java
@@ -7,11 +7,11 @@
 
   /** Names the attempt in descriptions of violations. */
   static String describe(ReceivedAttempt attempt, ObservedRequest request) {
-    return "request "
+    return "attempt of request "
         + request.id()
-        + " of router "
+        + " from router "
         + request.router()
-        + " at worker "
+        + " to worker "
         + attempt.worker();
   }
 }
--- a/src/main/java/switchgap/testbed/soak/BinaryThrift.java
+++ b/src/main/java/switchgap/testbed/soak/BinaryThrift.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 
 /**
- * Client side of the protocol between clients and routers: the strict binary protocol of Thrift in
- * frames. It shares no code with the router's codec, so that the checks notice faults of that
- * codec.
+ * Client side of the protocol between clients and routers: framed Thrift messages in the strict
+ * binary protocol. It shares no code with the router's codec, so that the checks notice faults of
+ * that codec.
  */
 final class BinaryThrift {
   /** What a reply from a router means. */
@@ -146,11 +146,12 @@
     frame.get();
     int resultFieldId = frame.getShort();
     ResultStruct result = readStruct(frame);
-    ReplyKind kind = method.equals(HEARTBEAT_METHOD) ? ReplyKind.HEARTBEAT : kind(resultFieldId);
+    ReplyKind kind =
+        method.equals(HEARTBEAT_METHOD) ? ReplyKind.HEARTBEAT : replyKind(resultFieldId);
     return new RouterReply(sequenceId, kind, result.body, result.healthy);
   }
 
-  private static ReplyKind kind(int resultFieldId) {
+  private static ReplyKind replyKind(int resultFieldId) {
     if (resultFieldId == 0) {
       return ReplyKind.SERVED;
     }
--- a/src/main/java/switchgap/testbed/soak/CancelledRequestCheck.java
+++ b/src/main/java/switchgap/testbed/soak/CancelledRequestCheck.java
@@ -23,7 +23,7 @@
       violations.record(
           Invariant.NO_ATTEMPT_AFTER_CANCELLATION,
           AttemptCheck.describe(attempt, request)
-              + " started "
+              + " arrived "
               + CheckTolerances.toMillis(delayNanos)
               + " ms after the client cancelled or disconnected");
     }
--- a/src/main/java/switchgap/testbed/soak/ClientEmulator.java
+++ b/src/main/java/switchgap/testbed/soak/ClientEmulator.java
@@ -126,11 +126,11 @@
 
   private void cancelIfFaultActive(RecordingConnection connection)
       throws IOException, InterruptedException {
-    boolean isChosen = random.nextInt(3) == 0;
-    if (isChosen && activeFaults.isActive(SoakFaultType.CLIENT_REVOKES)) {
+    boolean isBatchChosen = random.nextInt(3) == 0;
+    if (isBatchChosen && activeFaults.isActive(SoakFaultType.CLIENT_REVOKES)) {
       Thread.sleep(random.nextInt(MAX_CANCEL_DELAY_MILLIS));
       connection.cancelAll();
-    } else if (isChosen && activeFaults.isActive(SoakFaultType.CLIENT_CLOSES)) {
+    } else if (isBatchChosen && activeFaults.isActive(SoakFaultType.CLIENT_CLOSES)) {
       Thread.sleep(random.nextInt(MAX_CANCEL_DELAY_MILLIS));
       connection.closeByClient();
     }
--- a/src/main/java/switchgap/testbed/soak/DeadlinePropagationCheck.java
+++ b/src/main/java/switchgap/testbed/soak/DeadlinePropagationCheck.java
@@ -37,18 +37,21 @@
     violations.record(
         Invariant.DEADLINE_PROPAGATION,
         AttemptCheck.describe(attempt, request)
-            + " was sent with a timeout of "
+            + " arrived with a timeout of "
             + attempt.timeoutMillis()
             + " ms when its client had "
             + CheckTolerances.toMillis(remainingNanos)
             + " ms left, "
             + CheckTolerances.toMillis(attempt.receivedNanos() - request.sentNanos())
-            + " ms after the client sent it; the router was paused for "
+            + " ms after the client sent the request; the router was paused for "
             + CheckTolerances.toMillis(pausedNanos)
             + " ms of that");
   }
 
-  /** Pauses that may lie between encoding a command and writing it, which no router can foresee. */
+  /**
+   * Total duration of the pauses that may have occurred between encoding a command and writing it.
+   * No router can account for such a pause.
+   */
   private long unavoidablePauseNanos(ObservedRequest request) {
     return records.outages(OutageCause.ROUTER_PAUSED).stream()
         .filter(pause -> pause.affects(request.router()))
--- a/src/main/java/switchgap/testbed/soak/DrainGraceCheck.java
+++ b/src/main/java/switchgap/testbed/soak/DrainGraceCheck.java
@@ -14,7 +14,10 @@
   /** Grace period of the settings plus 50 ms, by which all time limits are extended on sockets. */
   private static final long GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(550);
 
+  /** Time from the start of an outage of the event stream until routers are treated as notified. */
   private static final long NOTIFIED_AFTER_SILENCE_NANOS = TimeUnit.SECONDS.toNanos(4);
+
+  /** The same time for an outage in which the connections of the event stream ended. */
   private static final long NOTIFIED_AFTER_BREAK_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   private final SoakRecords records;
@@ -40,7 +43,10 @@
     for (Outage pause : records.outages(OutageCause.ROUTER_PAUSED)) {
       pauseNanos += pause.overlapNanos(drainingNanos(load.worker()), load.receivedNanos());
     }
-    check(load.worker(), load.receivedNanos() - pauseNanos, "load at worker " + load.worker());
+    check(
+        load.worker(),
+        load.receivedNanos() - pauseNanos,
+        "load command to worker " + load.worker());
   }
 
   private void check(String worker, long receivedNanos, String description) {
@@ -52,7 +58,7 @@
       violations.record(
           Invariant.NO_SEND_TO_DRAINING_WORKER,
           description
-              + " sent "
+              + " arrived "
               + CheckTolerances.toMillis(delayNanos)
               + " ms after routers were notified that the worker drains");
     }
--- a/src/main/java/switchgap/testbed/soak/EventStreamEmulator.java
+++ b/src/main/java/switchgap/testbed/soak/EventStreamEmulator.java
@@ -78,11 +78,11 @@
   }
 
   private void listen(int port) throws IOException {
-    ServerSocket opening = new ServerSocket();
-    opening.setReuseAddress(true);
-    opening.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), ACCEPT_BACKLOG);
-    listener = opening;
-    DaemonThreads.start("feed", () -> acceptAll(opening));
+    ServerSocket newListener = new ServerSocket();
+    newListener.setReuseAddress(true);
+    newListener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), ACCEPT_BACKLOG);
+    listener = newListener;
+    DaemonThreads.start("feed", () -> acceptAll(newListener));
   }
 
   /** Makes the event stream fail until {@link #recover}. */
@@ -137,10 +137,10 @@
     }
   }
 
-  private void acceptAll(ServerSocket acceptor) {
+  private void acceptAll(ServerSocket openListener) {
     try {
       while (true) {
-        Socket socket = acceptor.accept();
+        Socket socket = openListener.accept();
         connections.add(socket);
         DaemonThreads.start("feed", () -> serve(socket));
       }
--- a/src/main/java/switchgap/testbed/soak/FaultPlan.java
+++ b/src/main/java/switchgap/testbed/soak/FaultPlan.java
@@ -13,7 +13,7 @@
   private static final int MAX_INITIAL_FAULT_MILLIS = 3000;
   private static final int MEAN_CONCURRENT_FAULTS = 3;
 
-  /** All faults end before the last second, so that the run ends without active faults. */
+  /** Randomly drawn faults end before the last second, so that a run ends without faults. */
   private static final int FAULT_FREE_END_MILLIS = 1000;
 
   /** Types of the first version; see {@link SoakFaultType#wasAddedLater}. */
--- a/src/main/java/switchgap/testbed/soak/RecordingConnection.java
+++ b/src/main/java/switchgap/testbed/soak/RecordingConnection.java
@@ -61,7 +61,7 @@
     int sequenceId = ++lastSequenceId;
     byte[] frame =
         BinaryThrift.submit(
-            sequenceId, fields(request), REQUEST_BODY.getBytes(StandardCharsets.US_ASCII));
+            sequenceId, requestFields(request), REQUEST_BODY.getBytes(StandardCharsets.US_ASCII));
     if (activeFaults.isActive(SoakFaultType.CLIENT_HALF_MESSAGE) && random.nextInt(4) == 0) {
       int firstPartBytes = 1 + random.nextInt(frame.length - 1);
       out.write(Arrays.copyOf(frame, firstPartBytes));
@@ -79,7 +79,7 @@
     records.addRequest(request);
   }
 
-  private Map<String, String> fields(ObservedRequest request) {
+  private Map<String, String> requestFields(ObservedRequest request) {
     return Map.of(
         "service",
         request.isIdempotent() ? "again" : "once",
@@ -107,8 +107,8 @@
   void closeByClient() throws IOException {
     closedByClient = true;
     socket.close();
-    long now = System.nanoTime();
-    requestsBySequenceId.values().forEach(request -> request.markCancelled(now));
+    long nowNanos = System.nanoTime();
+    requestsBySequenceId.values().forEach(request -> request.markCancelled(nowNanos));
   }
 
   boolean isClosedByClient() {
@@ -141,10 +141,11 @@
       records.addProcessFault("router " + router.index() + " replied to an unknown sequence id");
       return;
     }
-    request.addResponse(outcome(reply.kind()), bodyMatches(reply, request), System.nanoTime());
+    request.addResponse(
+        requestOutcome(reply.kind()), bodyMatches(reply, request), System.nanoTime());
   }
 
-  private static ObservedRequest.Outcome outcome(BinaryThrift.ReplyKind kind) {
+  private static ObservedRequest.Outcome requestOutcome(BinaryThrift.ReplyKind kind) {
     return switch (kind) {
       case SERVED -> ObservedRequest.Outcome.SERVED;
       case REJECTED -> ObservedRequest.Outcome.REJECTED;
@@ -165,10 +166,10 @@
 
   /** Records that the connection was lost; returns the requests that were pending on it. */
   List<ObservedRequest> markConnectionLost() {
-    long now = System.nanoTime();
+    long nowNanos = System.nanoTime();
     List<ObservedRequest> lostRequests =
         requestsBySequenceId.values().stream().filter(ObservedRequest::isPending).toList();
-    lostRequests.forEach(request -> request.markConnectionLost(now));
+    lostRequests.forEach(request -> request.markConnectionLost(nowNanos));
     return lostRequests;
   }
 
--- a/src/main/java/switchgap/testbed/soak/RouterProcessFaults.java
+++ b/src/main/java/switchgap/testbed/soak/RouterProcessFaults.java
@@ -11,7 +11,7 @@
   /** Time after SIGTERM until clients stop sending; the hosting platform allows them 0.6 s. */
   private static final int TAKE_OUT_OF_ROTATION_DELAY_MILLIS = 500;
 
-  private static final int MAX_ROUTERS_KILLED_AT_ONCE = 4;
+  private static final int MAX_ROUTERS_KILLED_PER_FAULT = 4;
 
   /** On the hosting platform, clients open new connections for this long after SIGTERM. */
   private static final int NEW_CONNECTIONS_END_MILLIS = 400;
@@ -94,7 +94,7 @@
   }
 
   private void killRandomRouters(Random random) throws IOException, InterruptedException {
-    for (int i = random.nextInt(MAX_ROUTERS_KILLED_AT_ONCE); i >= 0; i--) {
+    for (int i = random.nextInt(MAX_ROUTERS_KILLED_PER_FAULT); i >= 0; i--) {
       kill(routers.pick(random));
     }
   }
--- a/src/main/java/switchgap/testbed/soak/ServeProcess.java
+++ b/src/main/java/switchgap/testbed/soak/ServeProcess.java
@@ -214,7 +214,8 @@
       boolean timedOut = System.nanoTime() - startedNanos > READY_TIMEOUT_NANOS;
       if (timedOut || !process.isAlive()) {
         recordFault(
-            "exited or was not healthy within 30 s of its start, process " + incarnation.number());
+            "exited or did not become healthy within 30 s of starting process "
+                + incarnation.number());
         return;
       }
       Thread.sleep(POLL_PERIOD_MILLIS);
@@ -239,10 +240,10 @@
     signal.send(process);
   }
 
-  /** Waits until the process exits after SIGTERM; kills it after 8 s. */
+  /** Waits until the process exits after SIGTERM; kills it if it takes too long. */
   void awaitStopped() throws InterruptedException {
     if (!process.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-      recordFault("did not exit within 8 s of SIGTERM");
+      recordFault("did not exit within " + STOP_TIMEOUT_SECONDS + " s of SIGTERM");
       process.destroyForcibly().waitFor();
     } else if (process.exitValue() != 0) {
       recordFault("exited with code " + process.exitValue() + " after SIGTERM");
@@ -253,7 +254,12 @@
   void awaitKilled() throws InterruptedException {
     process.waitFor();
     if (process.exitValue() != SIGKILL_EXIT_CODE) {
-      recordFault("exited with code " + process.exitValue() + " instead of by SIGKILL");
+      recordFault(
+          "exited with code "
+              + process.exitValue()
+              + ", expected "
+              + SIGKILL_EXIT_CODE
+              + " after SIGKILL");
     }
   }
 
@@ -266,7 +272,8 @@
     try (var descriptors = Files.list(Path.of("/proc", String.valueOf(process.pid()), "fd"))) {
       long openDescriptors = descriptors.count();
       if (openDescriptors > MAX_SOCKETS) {
-        recordFault("has too many open file descriptors: " + openDescriptors);
+        recordFault(
+            "has " + openDescriptors + " open file descriptors, its limit is " + MAX_SOCKETS);
       }
     }
   }
--- a/src/main/java/switchgap/testbed/soak/Soak.java
+++ b/src/main/java/switchgap/testbed/soak/Soak.java
@@ -43,10 +43,14 @@
 
   private static final int WORKER_COUNT = 8;
   private static final int CLIENTS_PER_ROUTER = 3;
+
+  /** Clients of each router in runs with many clients. */
   private static final int CROWD_CLIENTS_PER_ROUTER = 10;
+
+  /** One in this many seeds runs with many clients. */
   private static final int CROWD_SEED_INTERVAL = 4;
 
-  /** With more clients, emulated workers read so late that deadlines cannot be checked. */
+  /** With more clients in total, emulated workers read so late that deadlines cannot be checked. */
   private static final int MAX_CROWD_CLIENTS = 100;
 
   private static final int[] MAX_TIMEOUTS_MILLIS = {3000, 1000, 500};
@@ -140,7 +144,7 @@
     return MAX_TIMEOUTS_MILLIS[Math.floorMod(options.seed, MAX_TIMEOUTS_MILLIS.length)];
   }
 
-  /** Number of clients of each router; one seed in four has more clients. */
+  /** Number of clients of each router, selected by the seed. */
   private int clientsPerRouter() {
     boolean isCrowd = Math.floorMod(options.seed, CROWD_SEED_INTERVAL) == 0;
     int perRouter = Math.min(CROWD_CLIENTS_PER_ROUTER, MAX_CROWD_CLIENTS / options.routers);
--- a/src/main/java/switchgap/testbed/soak/SoakChecker.java
+++ b/src/main/java/switchgap/testbed/soak/SoakChecker.java
@@ -47,12 +47,12 @@
     Map<String, ObservedRequest> requests = new HashMap<>();
     for (ObservedRequest request : records.requests()) {
       requests.putIfAbsent(request.id(), request);
-      requestChecks.forEach(item -> item.check(request));
+      requestChecks.forEach(check -> check.check(request));
     }
     checkAttempts(requests);
     records.loads().forEach(drainGrace::check);
     records.workers().forEach(warmUpLoad::check);
-    records.processFaults().forEach(item -> violations.record(Invariant.PROCESS_HEALTH, item));
+    records.processFaults().forEach(fault -> violations.record(Invariant.PROCESS_HEALTH, fault));
     return violations.violations();
   }
 
@@ -65,7 +65,7 @@
         continue;
       }
       attemptsByRequest.computeIfAbsent(request.id(), id -> new ArrayList<>()).add(attempt);
-      attemptChecks.forEach(item -> item.check(attempt, request));
+      attemptChecks.forEach(check -> check.check(attempt, request));
     }
     attemptsByRequest.forEach(
         (id, attempts) -> duplicateExecutions.check(requests.get(id), attempts));
--- a/src/main/java/switchgap/testbed/soak/SystemCallFaultInjectors.java
+++ b/src/main/java/switchgap/testbed/soak/SystemCallFaultInjectors.java
@@ -9,8 +9,8 @@
 
 /** Injects system call failures and wall-clock steps into a router. */
 final class SystemCallFaultInjectors {
-  /** One in this many calls fails where failures of all calls would stop the router. */
-  private static final int CALLS_PER_FAILURE = 7;
+  /** One in this many calls fails if failures of all calls would block the router. */
+  private static final int CALLS_PER_SPORADIC_FAILURE = 7;
 
   private static final long[] WALL_CLOCK_STEPS_MILLIS = {1000, -1000, 3_600_000, -3_600_000};
 
@@ -29,11 +29,13 @@
           SoakFaultType.CONNECT_FAILS, new Failure(Call.CONNECT, ErrorNumber.EADDRNOTAVAIL, 2),
           SoakFaultType.SOCKET_FAILS, new Failure(Call.SOCKET, ErrorNumber.EMFILE, 2),
           SoakFaultType.READ_INTERRUPTED,
-              new Failure(Call.READ, ErrorNumber.EINTR, CALLS_PER_FAILURE),
+              new Failure(Call.READ, ErrorNumber.EINTR, CALLS_PER_SPORADIC_FAILURE),
           SoakFaultType.WRITE_INTERRUPTED,
-              new Failure(Call.WRITE, ErrorNumber.EINTR, CALLS_PER_FAILURE),
-          SoakFaultType.READ_SHORT, new Failure(Call.READ, ErrorNumber.SHORT, CALLS_PER_FAILURE),
-          SoakFaultType.WRITE_SHORT, new Failure(Call.WRITE, ErrorNumber.SHORT, CALLS_PER_FAILURE));
+              new Failure(Call.WRITE, ErrorNumber.EINTR, CALLS_PER_SPORADIC_FAILURE),
+          SoakFaultType.READ_SHORT,
+              new Failure(Call.READ, ErrorNumber.SHORT, CALLS_PER_SPORADIC_FAILURE),
+          SoakFaultType.WRITE_SHORT,
+              new Failure(Call.WRITE, ErrorNumber.SHORT, CALLS_PER_SPORADIC_FAILURE));
 
   private final RouterPool routers;
   private final SoakRecords records;
--- a/src/main/java/switchgap/testbed/soak/SystemCallFaults.java
+++ b/src/main/java/switchgap/testbed/soak/SystemCallFaults.java
@@ -52,12 +52,19 @@
 
   private static final String SOURCE = "system_call_faults.c";
   private static final String LIBRARY = "libsystem_call_faults.so";
+
+  /** Number of 32-bit words of each call in the control file. */
   private static final int WORDS_PER_CALL = 5;
+
+  // Indexes of words within the words of one call.
   private static final int ERROR_WORD = 1;
   private static final int PORT_WORD = 2;
   private static final int AFFECTED_WORD = 4;
+
+  /** Byte index of the wall clock's offset in the control file. */
   private static final int WALL_CLOCK_OFFSET_INDEX =
       alignToLong(Call.values().length * WORDS_PER_CALL * Integer.BYTES);
+
   private static final int CONTROL_BYTES = WALL_CLOCK_OFFSET_INDEX + Long.BYTES;
 
   private final Path library;
--- a/src/main/java/switchgap/testbed/soak/WorkerEmulator.java
+++ b/src/main/java/switchgap/testbed/soak/WorkerEmulator.java
@@ -112,8 +112,8 @@
   }
 
   /**
-   * Starts to drain as workers of the hosting platform do: load probes and new requests and load
-   * commands are rejected; requests in progress continue.
+   * Starts to drain as workers of the hosting platform do: load probes fail, new requests and load
+   * commands are rejected, and requests in progress continue.
    */
   void drain() {
     draining = true;
--- a/src/test/java/switchgap/testbed/soak/SoakTest.java
+++ b/src/test/java/switchgap/testbed/soak/SoakTest.java
@@ -22,7 +22,8 @@
    */
   @ParameterizedTest
   @CsvSource({"1,6,8", "4,6,8", "2,4,8", "6,4,8"})
-  void keepsAllInvariantsForRegressionSeed(long seed, int routers, int seconds) throws Exception {
+  void keepsAllInvariantsForSeedThatOnceFailed(long seed, int routers, int seconds)
+      throws Exception {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
     String runCommand =
         "exec "
