--- a/src/main/java/switchgap/testbed/package-info.java
+++ b/src/main/java/switchgap/testbed/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Everything that runs in no router: emulated workers and clients, scripted scenarios, experiments
- * and the soak, with the checks of what they saw.
+ * Code for testing routers: emulated workers and clients, scripted scenarios, experiments and the
+ * soak test, with the checks of their observations.
  */
 package switchgap.testbed;
