--- a/src/main/java/switchgap/testbed/scenario/DemoScenario.java
+++ b/src/main/java/switchgap/testbed/scenario/DemoScenario.java
@@ -17,11 +17,11 @@
    * Plays the scenario, prints the outcome of its requests and checks the invariants.
    *
    * @param seconds length of the scenario
-   * @param keep whether to keep running until interrupted, without an end or a check
+   * @param untilInterrupted whether to keep running until interrupted, without an end or a check
    * @param out receives the figures
    * @return exit code: 0 where the invariants held, else 1
    */
-  public static int run(int seconds, boolean keep, PrintStream out)
+  public static int run(int seconds, boolean untilInterrupted, PrintStream out)
       throws IOException, InterruptedException {
     Path directory = Files.createTempDirectory("switchgap-demo");
     Path file = directory.resolve(DOCUMENT);
@@ -30,7 +30,7 @@
       Files.writeString(file, template.replace("SECONDS", seconds + "s"));
     }
     out.println("a router and its stand-ins on loopback ports; logs in " + directory);
-    if (keep) {
+    if (untilInterrupted) {
       keepRunning(file, directory, out);
     }
     ScenarioRunner.play(file, directory, null, out);
--- a/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
@@ -10,12 +10,12 @@
  * notified it that the worker is draining or gone.
  */
 final class DrainingWorkerCheck extends InvariantCheck {
-  private static final long NONE = -1;
+  private static final long NO_SEND = -1;
 
-  private final Map<String, Long> notifiedAt = new HashMap<>();
+  private final Map<String, Long> notificationTimes = new HashMap<>();
   private int nextListLine;
-  private int drains;
-  private long latestSend = NONE;
+  private int notificationCount;
+  private long maxSendDelay = NO_SEND;
 
   DrainingWorkerCheck(ScenarioLog log) {
     super(Invariant.NO_SEND_TO_DRAINING_WORKER, log);
@@ -24,8 +24,9 @@
   @Override
   void check() {
     for (LogLine line : log.fleetLines()) {
-      if (line.is(ScenarioEvent.REQUEST_RECEIVED) || line.is(ScenarioEvent.LOAD_RECEIVED)) {
-        readListUntil(line.at());
+      if (line.hasEvent(ScenarioEvent.REQUEST_RECEIVED)
+          || line.hasEvent(ScenarioEvent.LOAD_RECEIVED)) {
+        readListUntil(line.time());
         checkSend(line);
       }
     }
@@ -33,55 +34,56 @@
   }
 
   private void checkSend(LogLine line) {
-    Long since = notifiedAt.get(key(line));
-    if (since == null) {
+    Long notificationTime = notificationTimes.get(routerAndWorker(line));
+    if (notificationTime == null) {
       return;
     }
-    long delay = line.at() - since;
-    latestSend = Math.max(latestSend, delay);
-    if (delay > log.settings().limits().drainGrace() + log.slack()) {
-      violated(
+    long sendDelay = line.time() - notificationTime;
+    maxSendDelay = Math.max(maxSendDelay, sendDelay);
+    if (sendDelay > log.settings().limits().drainGrace() + log.slack()) {
+      recordViolation(
           line.worker()
               + " got "
               + line.event().word()
               + " from router "
               + line.router()
               + " "
-              + delay / MICROS_PER_MILLI
+              + sendDelay / MICROS_PER_MILLI
               + " ms after it was told, "
-              + fleetLine(line.number()));
+              + fleetLine(line.lineNumber()));
     }
   }
 
   private void readListUntil(long time) {
     while (nextListLine < log.listLines().size()
-        && log.listLines().get(nextListLine).at() <= time) {
+        && log.listLines().get(nextListLine).time() <= time) {
       readNotification(log.listLines().get(nextListLine));
       nextListLine++;
     }
   }
 
   private void readNotification(LogLine line) {
-    if (!line.is(ScenarioEvent.ROUTER_NOTIFIED)) {
+    if (!line.hasEvent(ScenarioEvent.ROUTER_NOTIFIED)) {
       return;
     }
     if (line.text("state").equals(EndpointState.READY.word())) {
-      notifiedAt.remove(key(line));
-    } else if (notifiedAt.putIfAbsent(key(line), line.at()) == null) {
-      drains++;
+      notificationTimes.remove(routerAndWorker(line));
+    } else if (notificationTimes.putIfAbsent(routerAndWorker(line), line.time()) == null) {
+      notificationCount++;
     }
   }
 
-  private static String key(LogLine line) {
+  private static String routerAndWorker(LogLine line) {
     return line.router() + " " + line.worker();
   }
 
   @Override
   String summary() {
-    String latest = latestSend < 0 ? "none" : latestSend / (double) MICROS_PER_MILLI + " ms";
-    return drains
+    String maxSendDelayText =
+        maxSendDelay < 0 ? "none" : maxSendDelay / (double) MICROS_PER_MILLI + " ms";
+    return notificationCount
         + " drains told; latest send after one "
-        + latest
+        + maxSendDelayText
         + ", grace "
         + log.settings().limits().drainGrace() / MICROS_PER_MILLI
         + " ms";
--- a/src/main/java/switchgap/testbed/scenario/DuplicateEffectCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/DuplicateEffectCheck.java
@@ -13,7 +13,7 @@
  * rejected as if it had not been, and each attempt has one execution in flight at a time.
  */
 final class DuplicateEffectCheck extends InvariantCheck {
-  private int requestsWithRepeatedEffect;
+  private int requestsWithRepeatedEffectCount;
 
   DuplicateEffectCheck(ScenarioLog log) {
     super(Invariant.NO_DUPLICATE_EFFECT, log);
@@ -27,17 +27,17 @@
       if (idempotency(attempt) == Idempotency.NON_IDEMPOTENT
           && attempt.endedAs(ClientOutcome.REJECTED)
           && attempt.wasExecuted()) {
-        violated(
+        recordViolation(
             attempt.id()
                 + " was pushed back though an execution ran, "
-                + clientLine(attempt.endLine()));
+                + clientLine(attempt.endLineNumber()));
       }
     }
     for (ObservedAttempt attempt : log.attempts().all()) {
       List<String> effects = effectsByRequest.remove(attempt.requestId());
       if (effects != null && effects.size() > 1 && idempotency(attempt) != Idempotency.IDEMPOTENT) {
-        requestsWithRepeatedEffect++;
-        violated(
+        requestsWithRepeatedEffectCount++;
+        recordViolation(
             attempt.requestId()
                 + " took effect "
                 + effects.size()
@@ -58,16 +58,16 @@
       if (execution.isStarted()) {
         effectsByRequest
             .computeIfAbsent(attempt.requestId(), id -> new ArrayList<>())
-            .add(fleetLine(execution.line()));
+            .add(fleetLine(execution.lineNumber()));
       }
       for (ObservedExecution earlier : attempt.executions().subList(0, i)) {
-        if (earlier.isInFlightAt(execution.arrivedAt() + log.slack())) {
-          violated(
+        if (earlier.isInFlightAt(execution.receivedAt() + log.slack())) {
+          recordViolation(
               attempt.id()
                   + " had two executions out, "
-                  + fleetLine(earlier.line())
+                  + fleetLine(earlier.lineNumber())
                   + " and :"
-                  + execution.line());
+                  + execution.lineNumber());
         }
       }
     }
@@ -75,13 +75,13 @@
 
   @Override
   String summary() {
-    return log.executions().count()
+    return log.executions().receivedCount()
         + " executions, "
         + log.executions().startedCount()
         + " ran, "
-        + log.executions().droppedRepeats()
+        + log.executions().droppedRepeatCount()
         + " repeats dropped, "
-        + requestsWithRepeatedEffect
+        + requestsWithRepeatedEffectCount
         + " jobs took effect twice";
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/EmulatorHost.java
+++ b/src/main/java/switchgap/testbed/scenario/EmulatorHost.java
@@ -13,19 +13,19 @@
    *
    * @param file the scenario
    * @param directory receives the routers' configurations and the logs
-   * @param script whether the faults of the script are injected
+   * @param injectFaults whether the faults of the script are injected
    * @param out receives the addresses
    */
-  public static void run(Path file, Path directory, boolean script, PrintStream out)
+  public static void run(Path file, Path directory, boolean injectFaults, PrintStream out)
       throws IOException, InterruptedException {
     Scenario scenario = Scenario.read(file);
     try (TestBed testBed = new TestBed(scenario, directory, null, false)) {
       printAddresses(testBed, directory, out);
-      if (script) {
+      if (injectFaults) {
         testBed.scheduler().post(() -> new FaultScript(testBed).start());
       }
       Runtime.getRuntime()
-          .addShutdownHook(new Thread(() -> finish(testBed, out), "emulator-shutdown"));
+          .addShutdownHook(new Thread(() -> shutDown(testBed, out), "emulator-shutdown"));
       Thread.currentThread().join();
     }
   }
@@ -45,9 +45,9 @@
     }
   }
 
-  private static void finish(TestBed testBed, PrintStream out) {
+  private static void shutDown(TestBed testBed, PrintStream out) {
     try {
-      testBed.finish();
+      testBed.shutDownGracefully();
     } catch (IOException e) {
       out.println("the logs are not complete: " + e.getMessage());
     }
--- a/src/main/java/switchgap/testbed/scenario/EventLog.java
+++ b/src/main/java/switchgap/testbed/scenario/EventLog.java
@@ -41,22 +41,22 @@
         lines.add(parse(file, lines.size() + 1, text));
       }
     }
-    if (lines.isEmpty() || !lines.get(lines.size() - 1).is(ScenarioEvent.END_OF_LOG)) {
+    if (lines.isEmpty() || !lines.get(lines.size() - 1).hasEvent(ScenarioEvent.END_OF_LOG)) {
       throw new IOException(
           file + ":" + lines.size() + ": the log is cut off: its last line is not the end");
     }
     return lines;
   }
 
-  private static LogLine parse(Path file, int number, String text) throws IOException {
+  private static LogLine parse(Path file, int lineNumber, String text) throws IOException {
     try {
-      LogLine line = LogLine.of(number, JSON.readTree(text));
+      LogLine line = LogLine.parse(lineNumber, JSON.readTree(text));
       if (line == null) {
         throw new IOException("no time or kind");
       }
       return line;
     } catch (IOException e) {
-      throw new IOException(file + ":" + number + ": unusable line: " + e.getMessage(), e);
+      throw new IOException(file + ":" + lineNumber + ": unusable line: " + e.getMessage(), e);
     }
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/FinalResponseCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/FinalResponseCheck.java
@@ -8,8 +8,8 @@
  * a worker for it afterwards.
  */
 final class FinalResponseCheck extends InvariantCheck {
-  private int attempts;
-  private int dueWhilePaused;
+  private int attemptCount;
+  private int deadlineDuringPauseCount;
 
   FinalResponseCheck(ScenarioLog log) {
     super(Invariant.FINAL_RESPONSE_IN_TIME, log);
@@ -18,36 +18,36 @@
   @Override
   void check() {
     for (ObservedAttempts.LateResponse response : log.attempts().lateResponses()) {
-      violated(
+      recordViolation(
           response.attemptId()
               + " got an answer "
-              + response.lateBy() / MICROS_PER_MILLI
+              + response.delay() / MICROS_PER_MILLI
               + " ms after its limit, "
-              + clientLine(response.line()));
+              + clientLine(response.lineNumber()));
     }
     for (ObservedAttempt attempt : log.attempts().all()) {
-      attempts++;
+      attemptCount++;
       checkResponses(attempt);
       checkExecutions(attempt);
     }
   }
 
   private void checkResponses(ObservedAttempt attempt) {
-    if (attempt.finalResponses() == 0 && !mayBeUnanswered(attempt)) {
-      violated(
+    if (attempt.finalResponseCount() == 0 && !isMissingResponseExcused(attempt)) {
+      recordViolation(
           attempt.id()
               + " got no final answer ("
               + attempt.outcomeWord()
               + "), "
-              + clientLine(attempt.sentLine()));
+              + clientLine(attempt.sentLineNumber()));
     }
-    if (attempt.finalResponses() > 1) {
-      violated(
+    if (attempt.finalResponseCount() > 1) {
+      recordViolation(
           attempt.id()
               + " got "
-              + attempt.finalResponses()
+              + attempt.finalResponseCount()
               + " final answers, "
-              + clientLine(attempt.endLine()));
+              + clientLine(attempt.endLineNumber()));
     }
   }
 
@@ -55,43 +55,43 @@
    * Whether no response is no violation: the router was dead or could not be reached, or it was
    * paused at the deadline. A late response is a violation then all the same.
    */
-  private boolean mayBeUnanswered(ObservedAttempt attempt) {
+  private boolean isMissingResponseExcused(ObservedAttempt attempt) {
     if (attempt.endedAs(ClientOutcome.UNREACHABLE)
-        || log.outages().wasDead(attempt.router(), attempt.sentAt(), attempt.deadline())) {
+        || log.outages().wasDown(attempt.router(), attempt.sentAt(), attempt.deadline())) {
       return true;
     }
     boolean paused = log.outages().wasPaused(attempt.router(), attempt.deadline());
-    dueWhilePaused += paused ? 1 : 0;
+    deadlineDuringPauseCount += paused ? 1 : 0;
     return paused;
   }
 
   private void checkExecutions(ObservedAttempt attempt) {
-    long end = attempt.finalResponses() > 0 ? attempt.endedAt() : attempt.deadline();
+    long attemptEnd = attempt.finalResponseCount() > 0 ? attempt.endedAt() : attempt.deadline();
     for (ObservedExecution execution : attempt.executions()) {
-      if (execution.arrivedAt() > end + log.slack()) {
-        violated(
+      if (execution.receivedAt() > attemptEnd + log.slack()) {
+        recordViolation(
             attempt.id()
                 + " was sent "
-                + (execution.arrivedAt() - end) / MICROS_PER_MILLI
+                + (execution.receivedAt() - attemptEnd) / MICROS_PER_MILLI
                 + " ms after its end, "
-                + fleetLine(execution.line()));
+                + fleetLine(execution.lineNumber()));
       }
     }
   }
 
   @Override
   String summary() {
-    String summary = attempts + " calls; " + log.attempts().outcomeCounts();
-    if (log.attempts().responsesWithinSlack() > 0) {
+    String summary = attemptCount + " calls; " + log.attempts().outcomeCounts();
+    if (log.attempts().responsesWithinSlackCount() > 0) {
       summary +=
           "; "
-              + log.attempts().responsesWithinSlack()
+              + log.attempts().responsesWithinSlackCount()
               + " answers were seen past the limit, within the slack of "
               + log.slack() / MICROS_PER_MILLI
               + " ms";
     }
-    if (dueWhilePaused > 0) {
-      summary += "; " + dueWhilePaused + " fell due while their router was stopped";
+    if (deadlineDuringPauseCount > 0) {
+      summary += "; " + deadlineDuringPauseCount + " fell due while their router was stopped";
     }
     return summary;
   }
--- a/src/main/java/switchgap/testbed/scenario/FleetComposition.java
+++ b/src/main/java/switchgap/testbed/scenario/FleetComposition.java
@@ -15,12 +15,12 @@
 
   /** The kind of a worker by its number. */
   ScenarioSettings.WorkerKind kindOf(int worker) {
-    double draw = (worker * GOLDEN_RATIO_FRACTION) % 1;
+    double position = (worker * GOLDEN_RATIO_FRACTION) % 1;
     for (ScenarioSettings.WorkerKind kind : settings.fleet().kinds()) {
-      if (draw < kind.share()) {
+      if (position < kind.share()) {
         return kind;
       }
-      draw -= kind.share();
+      position -= kind.share();
     }
     return settings.fleet().kinds().get(0);
   }
--- a/src/main/java/switchgap/testbed/scenario/InvariantCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/InvariantCheck.java
@@ -36,7 +36,7 @@
     return violations.violations();
   }
 
-  final void violated(String description) {
+  final void recordViolation(String description) {
     violations.record(invariant, description);
   }
 
--- a/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
@@ -19,9 +19,13 @@
         testBed.scheduler().after(fault.duration(), () -> testBed.clients().shiftTrafficTo(null));
       }
       case LIST_LATE -> {
-        long usualLag = testBed.scenario().listLag();
-        testBed.endpointList().setLag(usualLag + (long) (fault.strength() * MICROS_PER_SECOND));
-        testBed.scheduler().after(fault.duration(), () -> testBed.endpointList().setLag(usualLag));
+        long configuredLag = testBed.scenario().listLag();
+        testBed
+            .endpointList()
+            .setLag(configuredLag + (long) (fault.strength() * MICROS_PER_SECOND));
+        testBed
+            .scheduler()
+            .after(fault.duration(), () -> testBed.endpointList().setLag(configuredLag));
       }
       case LIST_AWAY -> {
         testBed.endpointList().setUnavailable(true);
--- a/src/main/java/switchgap/testbed/scenario/LoadFaults.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadFaults.java
@@ -18,24 +18,24 @@
   private final EmulatedClients clients;
   private final FunctionCatalogue catalogue;
   private final EmulatedStore store;
-  private final Map<String, Double> tenants;
+  private final Map<String, Double> tenantShares;
 
   /**
    * Injects faults into the parts given.
    *
-   * @param tenants share of the requests by tenant; a fault without target affects the first
+   * @param tenantShares share of the requests by tenant; a fault without target affects the first
    */
   public LoadFaults(
       Scheduler scheduler,
       EmulatedClients clients,
       FunctionCatalogue catalogue,
       EmulatedStore store,
-      Map<String, Double> tenants) {
+      Map<String, Double> tenantShares) {
     this.scheduler = scheduler;
     this.clients = clients;
     this.catalogue = catalogue;
     this.store = store;
-    this.tenants = tenants;
+    this.tenantShares = tenantShares;
   }
 
   /**
@@ -60,33 +60,35 @@
    * @return false where the fault is of another type
    */
   public boolean inject(ScenarioFault fault) {
-    String tenant = fault.target() == null ? tenants.keySet().iterator().next() : fault.target();
+    String tenant =
+        fault.target() == null ? tenantShares.keySet().iterator().next() : fault.target();
     switch (fault.type()) {
       case BURST ->
-          during(
+          applyAndRevert(
               fault, () -> clients.setRateFactor(fault.strength()), () -> clients.setRateFactor(1));
       case CUSTOMER_BURST ->
-          during(
+          applyAndRevert(
               fault,
               () -> clients.setRateFactor(tenant, fault.strength()),
               () -> clients.setRateFactor(tenant, 1));
       case HAMMERING ->
-          during(
+          applyAndRevert(
               fault,
               () -> clients.setRetryStorm(tenant, HAMMERING_RETRIES),
               () -> clients.setRetryStorm(tenant, 0));
       case HOT_FUNCTIONS ->
-          during(
+          applyAndRevert(
               fault,
               () -> catalogue.setHotFunctions(fault.share(), (int) Math.max(1, fault.strength())),
               () -> catalogue.setHotFunctions(0, 1));
       case ONE_OFF_FUNCTIONS ->
-          during(
+          applyAndRevert(
               fault,
               () -> catalogue.setOneOffShare(fault.share()),
               () -> catalogue.setOneOffShare(0));
       case STORE_SLOW ->
-          during(fault, () -> store.setSlowdown(fault.strength()), () -> store.setSlowdown(1));
+          applyAndRevert(
+              fault, () -> store.setSlowdown(fault.strength()), () -> store.setSlowdown(1));
       default -> {
         return false;
       }
@@ -94,8 +96,8 @@
     return true;
   }
 
-  private void during(ScenarioFault fault, Runnable begin, Runnable end) {
-    begin.run();
-    scheduler.after(fault.duration(), end);
+  private void applyAndRevert(ScenarioFault fault, Runnable apply, Runnable revert) {
+    apply.run();
+    scheduler.after(fault.duration(), revert);
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/LoadQuotaCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadQuotaCheck.java
@@ -12,8 +12,8 @@
 final class LoadQuotaCheck extends InvariantCheck {
   private final ScenarioSettings.InvariantLimits limits;
   private final List<WindowedSum> commandsByRouter = new ArrayList<>();
-  private int loadCommands;
-  private double maxQuotaShare;
+  private int loadCommandCount;
+  private double maxQuotaUsage;
 
   LoadQuotaCheck(ScenarioLog log) {
     super(Invariant.LOAD_QUOTA, log);
@@ -28,11 +28,13 @@
     }
     for (LogLine line : log.fleetLines()) {
       int router = line.router();
-      boolean known = router >= 0 && router < routers;
-      if (!line.is(ScenarioEvent.LOAD_RECEIVED) || line.integer("copies") < 1 || !known) {
+      boolean isKnownRouter = router >= 0 && router < routers;
+      if (!line.hasEvent(ScenarioEvent.LOAD_RECEIVED)
+          || line.integer("copies") < 1
+          || !isKnownRouter) {
         continue;
       }
-      loadCommands++;
+      loadCommandCount++;
       if (limits.loadWindow() > 0) {
         checkCommand(line, router);
       }
@@ -41,11 +43,12 @@
 
   private void checkCommand(LogLine line, int router) {
     WindowedSum commands = commandsByRouter.get(router);
-    commands.add(line.at(), 1);
-    double quota = limits.freeLoads() + limits.loadsPerRequest() * requests(router, line.at());
-    maxQuotaShare = Math.max(maxQuotaShare, commands.count() / quota);
+    commands.add(line.time(), 1);
+    double quota =
+        limits.freeLoads() + limits.loadsPerRequest() * requestCount(router, line.time());
+    maxQuotaUsage = Math.max(maxQuotaUsage, commands.count() / quota);
     if (commands.count() > quota) {
-      violated(
+      recordViolation(
           "router "
               + router
               + " ordered "
@@ -53,23 +56,23 @@
               + " loads where "
               + quota
               + " are its ration, "
-              + fleetLine(line.number()));
+              + fleetLine(line.lineNumber()));
     }
   }
 
   /** Number of requests that a router received within the window that ends at a time. */
-  private long requests(int router, long now) {
+  private long requestCount(int router, long windowEnd) {
     return log.attempts().sendTimes(router).stream()
-        .filter(sentAt -> sentAt <= now && now - sentAt <= limits.loadWindow())
+        .filter(sentAt -> sentAt <= windowEnd && windowEnd - sentAt <= limits.loadWindow())
         .count();
   }
 
   @Override
   String summary() {
-    String use =
+    String quotaUsage =
         limits.loadWindow() == 0
             ? "no ration is stated"
-            : "most of the ration used " + Math.round(maxQuotaShare * 100) + "%";
-    return loadCommands + " load orders; " + use;
+            : "most of the ration used " + Math.round(maxQuotaUsage * 100) + "%";
+    return loadCommandCount + " load orders; " + quotaUsage;
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/LogLine.java
+++ b/src/main/java/switchgap/testbed/scenario/LogLine.java
@@ -5,11 +5,11 @@
 /**
  * One line of an event log.
  *
- * @param number counts the lines of the log from 1
+ * @param lineNumber counts the lines of the log from 1
  * @param event what happened
  * @param fields the line as JSON
  */
-record LogLine(int number, ScenarioEvent event, JsonNode fields) {
+record LogLine(int lineNumber, ScenarioEvent event, JsonNode fields) {
   private static final String TIME = "t";
   private static final String EVENT = "what";
 
@@ -20,7 +20,7 @@
    * @param fields the line as JSON
    * @return the line, null where it has no time or no event
    */
-  static LogLine of(int number, JsonNode fields) {
+  static LogLine parse(int number, JsonNode fields) {
     if (fields == null || !fields.path(TIME).isNumber() || !fields.path(EVENT).isTextual()) {
       return null;
     }
@@ -28,12 +28,12 @@
   }
 
   /** Time of the event in microseconds. */
-  long at() {
+  long time() {
     return fields.get(TIME).asLong();
   }
 
-  boolean is(ScenarioEvent other) {
-    return event == other;
+  boolean hasEvent(ScenarioEvent expected) {
+    return event == expected;
   }
 
   /** Index of the router that it concerns, -1 where it states none. */
--- a/src/main/java/switchgap/testbed/scenario/ObservedAttempt.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedAttempt.java
@@ -18,12 +18,12 @@
   private final int requestClass;
   private final long sentAt;
   private final long deadline;
-  private final int sentLine;
+  private final int sentLineNumber;
   private final List<ObservedExecution> executions = new ArrayList<>(1);
   private String outcomeWord;
   private long endedAt = NOT_ENDED;
-  private int endLine;
-  private int finalResponses;
+  private int endLineNumber;
+  private int finalResponseCount;
 
   /** The attempt that a line of the clients' log begins. */
   ObservedAttempt(LogLine line) {
@@ -31,24 +31,24 @@
     requestId = line.requestId();
     router = line.router();
     requestClass = line.integer("workload");
-    sentAt = line.at();
+    sentAt = line.time();
     deadline = line.requiredLong("limit");
-    sentLine = line.number();
+    sentLineNumber = line.lineNumber();
   }
 
   /** The client records how it ended. */
-  void ended(LogLine line) {
+  void recordEnd(LogLine line) {
     outcomeWord = line.outcomeWord();
-    endedAt = line.at();
-    endLine = line.number();
+    endedAt = line.time();
+    endLineNumber = line.lineNumber();
     if (ClientOutcome.of(outcomeWord).isFinal()) {
-      finalResponses++;
+      finalResponseCount++;
     }
   }
 
   /** A response arrived after its client had recorded an end. */
-  void respondedLate() {
-    finalResponses++;
+  void countLateResponse() {
+    finalResponseCount++;
   }
 
   /** A late response counts as in time: the attempt ended as the response states. */
@@ -87,8 +87,8 @@
     return deadline;
   }
 
-  int sentLine() {
-    return sentLine;
+  int sentLineNumber() {
+    return sentLineNumber;
   }
 
   /** Executions at workers, in order of arrival. */
@@ -110,12 +110,12 @@
     return endedAt;
   }
 
-  int endLine() {
-    return endLine;
+  int endLineNumber() {
+    return endLineNumber;
   }
 
-  int finalResponses() {
-    return finalResponses;
+  int finalResponseCount() {
+    return finalResponseCount;
   }
 
   /** Whether a worker began to execute it. */
--- a/src/main/java/switchgap/testbed/scenario/ObservedAttempts.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedAttempts.java
@@ -15,17 +15,17 @@
    * A response that a client saw after the deadline and the slack.
    *
    * @param attemptId the attempt
-   * @param lateBy how long after the deadline
-   * @param line number of the line of the clients' log
+   * @param delay how long after the deadline
+   * @param lineNumber number of the line of the clients' log
    */
-  record LateResponse(String attemptId, long lateBy, int line) {}
+  record LateResponse(String attemptId, long delay, int lineNumber) {}
 
   private final long slack;
   private final Map<String, ObservedAttempt> attempts = new LinkedHashMap<>();
   private final List<List<Long>> sendTimesByRouter = new ArrayList<>();
   private final Map<String, Integer> outcomeCounts = new TreeMap<>();
   private final List<LateResponse> lateResponses = new ArrayList<>();
-  private int responsesWithinSlack;
+  private int responsesWithinSlackCount;
 
   /** Reads the clients' log; a response that is later than the deadline by the slack is in time. */
   ObservedAttempts(int routers, long slack, List<LogLine> clientLines) {
@@ -56,7 +56,7 @@
     outcomeCounts.merge(line.outcomeWord(), 1, Integer::sum);
     ObservedAttempt attempt = find(line);
     if (attempt != null) {
-      attempt.ended(line);
+      attempt.recordEnd(line);
     }
   }
 
@@ -65,13 +65,13 @@
     if (attempt == null) {
       return;
     }
-    attempt.respondedLate();
-    long lateBy = line.at() - attempt.deadline();
-    if (lateBy <= slack) {
-      responsesWithinSlack++;
+    attempt.countLateResponse();
+    long delay = line.time() - attempt.deadline();
+    if (delay <= slack) {
+      responsesWithinSlackCount++;
       attempt.acceptLateResponse(line);
     } else {
-      lateResponses.add(new LateResponse(attempt.id(), lateBy, line.number()));
+      lateResponses.add(new LateResponse(attempt.id(), delay, line.lineNumber()));
     }
   }
 
@@ -101,7 +101,7 @@
   }
 
   /** Number of responses after the deadline and within the slack. */
-  int responsesWithinSlack() {
-    return responsesWithinSlack;
+  int responsesWithinSlackCount() {
+    return responsesWithinSlackCount;
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/ObservedExecution.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedExecution.java
@@ -2,42 +2,42 @@
 
 /** A request at a worker, as the workers' log shows it. Times are in microseconds. */
 final class ObservedExecution {
-  private static final long IN_FLIGHT = Long.MAX_VALUE;
+  private static final long NOT_ENDED = Long.MAX_VALUE;
 
   private final String worker;
-  private final long arrivedAt;
-  private final int line;
-  private long endedAt = IN_FLIGHT;
+  private final long receivedAt;
+  private final int lineNumber;
+  private long endedAt = NOT_ENDED;
   private boolean started;
 
   /** The execution that a line of the workers' log begins. */
   ObservedExecution(LogLine logLine) {
     worker = logLine.worker();
-    arrivedAt = logLine.at();
-    line = logLine.number();
+    receivedAt = logLine.time();
+    lineNumber = logLine.lineNumber();
   }
 
   /** The worker began to execute it. */
-  void started() {
+  void markStarted() {
     started = true;
   }
 
   /** Its router could know by then that it had ended; the earliest time counts. */
-  void endedBy(long time) {
-    endedAt = Math.min(endedAt, time);
+  void markEndedBy(long knownEndTime) {
+    endedAt = Math.min(endedAt, knownEndTime);
   }
 
   String worker() {
     return worker;
   }
 
-  long arrivedAt() {
-    return arrivedAt;
+  long receivedAt() {
+    return receivedAt;
   }
 
   /** Number of the line of the workers' log that begins it. */
-  int line() {
-    return line;
+  int lineNumber() {
+    return lineNumber;
   }
 
   /** Whether it was still in flight at a time. */
--- a/src/main/java/switchgap/testbed/scenario/ObservedExecutions.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedExecutions.java
@@ -16,9 +16,9 @@
   private final ObservedAttempts attempts;
   private final Map<String, ObservedExecution> executions = new HashMap<>();
   private final Map<String, List<ObservedExecution>> executionsByWorker = new HashMap<>();
-  private int count;
+  private int receivedCount;
   private int startedCount;
-  private int droppedRepeats;
+  private int droppedRepeatCount;
 
   /** Reads the workers' log and adds the executions to the attempts. */
   ObservedExecutions(ObservedAttempts attempts, List<LogLine> fleetLines) {
@@ -28,9 +28,9 @@
 
   private void read(LogLine line) {
     switch (line.event()) {
-      case REQUEST_RECEIVED -> readArrival(line);
+      case REQUEST_RECEIVED -> readReceipt(line);
       case EXECUTION_STARTED -> readStart(line);
-      case REPEAT_DROPPED -> droppedRepeats++;
+      case REPEAT_DROPPED -> droppedRepeatCount++;
       case WORKER_ENDED -> readWorkerEnd(line);
       case ENDED, CONNECTION_CLOSED -> readEnd(line);
       default -> { // loads, probes and the like
@@ -38,10 +38,10 @@
     }
   }
 
-  private void readArrival(LogLine line) {
+  private void readReceipt(LogLine line) {
     ObservedExecution execution = new ObservedExecution(line);
     executions.put(line.executionId(), execution);
-    count++;
+    receivedCount++;
     ObservedAttempt attempt = attempts.find(line);
     if (attempt != null) {
       attempt.addExecution(execution);
@@ -55,28 +55,28 @@
     startedCount++;
     ObservedExecution execution = executions.get(line.executionId());
     if (execution != null) {
-      execution.started();
+      execution.markStarted();
     }
   }
 
   /** A worker's process died: its connections were cut, so all its executions have ended. */
   private void readWorkerEnd(LogLine line) {
-    List<ObservedExecution> cut = executionsByWorker.remove(line.worker());
-    if (cut != null) {
-      cut.forEach(execution -> execution.endedBy(line.at()));
+    List<ObservedExecution> executionsOfWorker = executionsByWorker.remove(line.worker());
+    if (executionsOfWorker != null) {
+      executionsOfWorker.forEach(execution -> execution.markEndedBy(line.time()));
     }
   }
 
   private void readEnd(LogLine line) {
     ObservedExecution execution = executions.get(line.executionId());
     if (execution != null && !FAULTS_WITHOUT_RESPONSE.contains(line.text("fault"))) {
-      execution.endedBy(line.at());
+      execution.markEndedBy(line.time());
     }
   }
 
   /** Number of requests that workers received. */
-  int count() {
-    return count;
+  int receivedCount() {
+    return receivedCount;
   }
 
   /** Number of executions that workers started. */
@@ -85,7 +85,7 @@
   }
 
   /** Number of repeats that workers recognized by their idempotency key. */
-  int droppedRepeats() {
-    return droppedRepeats;
+  int droppedRepeatCount() {
+    return droppedRepeatCount;
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/RouterAddress.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterAddress.java
@@ -6,8 +6,8 @@
  */
 final class RouterAddress {
   private static final int ROUTERS_PER_SUBNET = 250;
-  private static final int ADDRESS_PARTS = 4;
-  private static final int UNKNOWN = -1;
+  private static final int ADDRESS_OCTETS = 4;
+  private static final int UNKNOWN_ROUTER = -1;
 
   private RouterAddress() {}
 
@@ -18,10 +18,10 @@
 
   /** The router of an address, -1 for another address. */
   static int routerOf(String address) {
-    String[] parts = address.split("\\.");
-    if (parts.length != ADDRESS_PARTS || !parts[1].equals("1")) {
-      return UNKNOWN;
+    String[] octets = address.split("\\.");
+    if (octets.length != ADDRESS_OCTETS || !octets[1].equals("1")) {
+      return UNKNOWN_ROUTER;
     }
-    return Integer.parseInt(parts[2]) * ROUTERS_PER_SUBNET + Integer.parseInt(parts[3]) - 1;
+    return Integer.parseInt(octets[2]) * ROUTERS_PER_SUBNET + Integer.parseInt(octets[3]) - 1;
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
@@ -55,16 +55,17 @@
     config.put("customers", tenants());
     config.put("functions", functions(catalogue));
     copySections(config);
-    section(config, "links").put("from", RouterAddress.of(number));
-    section(config, "workers").put("keep_alive", millis(settings.fleet().limits().keepAlive()));
+    getOrCreateSection(config, "links").put("from", RouterAddress.of(number));
+    getOrCreateSection(config, "workers")
+        .put("keep_alive", millis(settings.fleet().limits().keepAlive()));
     config.put("listen", Map.of("port", port));
     config.put("list", Map.of("port", listPort));
-    overrides.forEach((path, value) -> override(config, path, value));
+    overrides.forEach((path, value) -> applyOverride(config, path, value));
     return new Yaml().dump(config);
   }
 
   private Map<String, Object> router(int number) {
-    Map<String, Object> section = child(document, "routers");
+    Map<String, Object> section = mapping(document, "routers");
     Map<String, Object> router = new LinkedHashMap<>();
     router.put("number", number);
     router.put("of", settings.routers().count());
@@ -86,10 +87,10 @@
   }
 
   private Map<String, Object> requestClasses() {
-    Map<String, Object> section = child(document, "workloads");
+    Map<String, Object> section = mapping(document, "workloads");
     Map<String, Object> requestClasses = new LinkedHashMap<>();
     for (String name : section.keySet()) {
-      Map<String, Object> requestClass = new LinkedHashMap<>(child(section, name));
+      Map<String, Object> requestClass = new LinkedHashMap<>(mapping(section, name));
       EMULATOR_KEYS.forEach(requestClass::remove);
       requestClasses.put(name, requestClass);
     }
@@ -97,10 +98,10 @@
   }
 
   private Map<String, Object> tenants() {
-    Map<String, Object> section = child(document, "customers");
+    Map<String, Object> section = mapping(document, "customers");
     Map<String, Object> tenants = new LinkedHashMap<>();
     for (String name : section.keySet()) {
-      tenants.put(name, Map.of("rate", child(section, name).get("rate")));
+      tenants.put(name, Map.of("rate", mapping(section, name).get("rate")));
     }
     return tenants;
   }
@@ -140,33 +141,33 @@
   private void copySections(Map<String, Object> config) {
     for (String name : COPIED_SECTIONS) {
       if (document.containsKey(name)) {
-        config.put(name, new LinkedHashMap<>(child(document, name)));
+        config.put(name, new LinkedHashMap<>(mapping(document, name)));
       }
     }
     if (config.containsKey("rules")) {
-      section(config, "rules")
+      getOrCreateSection(config, "rules")
           .remove("drain_grace"); // the invariant checker's; a router stops at once
     }
   }
 
-  private static void override(Map<String, Object> config, String path, String value) {
-    String[] parts = path.split("\\.", 2);
+  private static void applyOverride(Map<String, Object> config, String path, String value) {
+    String[] sectionAndKey = path.split("\\.", 2);
     Map<String, Object> section = new LinkedHashMap<>();
-    if (config.containsKey(parts[0])) {
-      section.putAll(child(config, parts[0]));
+    if (config.containsKey(sectionAndKey[0])) {
+      section.putAll(mapping(config, sectionAndKey[0]));
     }
-    section.put(parts[1], new Yaml(new SafeConstructor(new LoaderOptions())).load(value));
-    config.put(parts[0], section);
+    section.put(sectionAndKey[1], new Yaml(new SafeConstructor(new LoaderOptions())).load(value));
+    config.put(sectionAndKey[0], section);
   }
 
-  private static Map<String, Object> section(Map<String, Object> config, String name) {
+  private static Map<String, Object> getOrCreateSection(Map<String, Object> config, String name) {
     config.computeIfAbsent(name, key -> new LinkedHashMap<>());
-    return child(config, name);
+    return mapping(config, name);
   }
 
   /** A mapping within a document; the scenario's document was checked when it was read. */
   @SuppressWarnings("unchecked") // checked when the document was read
-  private static Map<String, Object> child(Map<String, Object> parent, String name) {
+  private static Map<String, Object> mapping(Map<String, Object> parent, String name) {
     return (Map<String, Object>) parent.get(name);
   }
 
--- a/src/main/java/switchgap/testbed/scenario/RouterFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterFaultInjector.java
@@ -14,9 +14,9 @@
   @Override
   public boolean inject(ScenarioFault fault) {
     switch (fault.type()) {
-      case ROUTER_KILLED -> restart(router(fault), fault.duration());
-      case ROUTERS_RESTARTED -> restartInTurn(fault);
-      case ROUTER_PAUSED -> pause(router(fault), fault.duration());
+      case ROUTER_KILLED -> killAndRestart(targetRouter(fault), fault.duration());
+      case ROUTERS_RESTARTED -> restartOneByOne(fault);
+      case ROUTER_PAUSED -> pause(targetRouter(fault), fault.duration());
       case PLANNERS_KILLED -> killPlanners(fault.duration());
       case PLANNERS_PAUSED -> pausePlanners(fault.duration());
       default -> {
@@ -26,21 +26,21 @@
     return true;
   }
 
-  private int router(ScenarioFault fault) {
+  private int targetRouter(ScenarioFault fault) {
     return (int) fault.strength() % routers.size();
   }
 
-  private void restartInTurn(ScenarioFault fault) {
+  private void restartOneByOne(ScenarioFault fault) {
     int count = (int) Math.max(1, Math.round(fault.share() * routers.size()));
     for (int i = 0; i < count; i++) {
       int router = i;
       testBed
           .scheduler()
-          .after(fault.duration() * i / count, () -> restart(router, RESTART_OUTAGE_MICROS));
+          .after(fault.duration() * i / count, () -> killAndRestart(router, RESTART_OUTAGE_MICROS));
     }
   }
 
-  private void restart(int router, long outageMicros) {
+  private void killAndRestart(int router, long outageMicros) {
     testBed.recordFault(ScenarioEvent.ROUTER_KILLED.word(), "router", router);
     routers.host(router).kill();
     testBed
@@ -77,8 +77,9 @@
    */
   private void pause(int router, long durationMicros) {
     long time = testBed.scheduler().now();
-    boolean done = routers.host(router).suspend();
-    testBed.recordFaultAt(time, ScenarioEvent.ROUTER_PAUSED.word(), "router", router, "done", done);
+    boolean suspended = routers.host(router).suspend();
+    testBed.recordFaultAt(
+        time, ScenarioEvent.ROUTER_PAUSED.word(), "router", router, "done", suspended);
     testBed
         .scheduler()
         .after(
--- a/src/main/java/switchgap/testbed/scenario/RouterGroup.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterGroup.java
@@ -30,9 +30,9 @@
     boolean ownPlanners = scenario.settings().routers().ownPlanners();
     int count = scenario.routers();
     // All at once: two searches in turn may return the same port.
-    int[] free = LoopbackPorts.free(ownPlanners ? 2 * count : count);
-    ports = Arrays.copyOf(free, count);
-    plannerPorts = Arrays.copyOfRange(free, count, free.length);
+    int[] freePorts = LoopbackPorts.free(ownPlanners ? 2 * count : count);
+    ports = Arrays.copyOf(freePorts, count);
+    plannerPorts = Arrays.copyOfRange(freePorts, count, freePorts.length);
   }
 
   /** Writes a router's configuration to the directory and prepares its host. */
--- a/src/main/java/switchgap/testbed/scenario/RouterProcess.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterProcess.java
@@ -63,12 +63,12 @@
 
   @Override
   public boolean suspendPlanner() {
-    return send(ProcessSignal.STOP, planner);
+    return sendSignal(ProcessSignal.STOP, planner);
   }
 
   @Override
   public boolean resumePlanner() {
-    return send(ProcessSignal.CONT, planner);
+    return sendSignal(ProcessSignal.CONT, planner);
   }
 
   @Override
@@ -85,20 +85,20 @@
 
   @Override
   public boolean suspend() {
-    return send(ProcessSignal.STOP, process);
+    return sendSignal(ProcessSignal.STOP, process);
   }
 
   @Override
   public boolean resume() {
-    return send(ProcessSignal.CONT, process);
+    return sendSignal(ProcessSignal.CONT, process);
   }
 
-  private static boolean send(ProcessSignal signal, Process receiver) {
-    if (receiver == null) {
+  private static boolean sendSignal(ProcessSignal signal, Process target) {
+    if (target == null) {
       return false;
     }
     try {
-      return signal.send(receiver);
+      return signal.send(target);
     } catch (IOException e) {
       return false; // no signals on this system: the caller records that the fault was not injected
     } catch (InterruptedException e) {
--- a/src/main/java/switchgap/testbed/scenario/RouterShares.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterShares.java
@@ -13,14 +13,14 @@
    */
   static double[] of(int routers, double busiestShare) {
     double[] shares = new double[routers];
-    double rest = routers == 1 ? 1 : 1 - busiestShare;
-    double sum = 0;
+    double remainingShare = routers == 1 ? 1 : 1 - busiestShare;
+    double weightSum = 0;
     for (int i = 1; i < routers; i++) {
-      sum += 1.0 / i;
+      weightSum += 1.0 / i;
     }
     shares[0] = routers == 1 ? 1 : busiestShare;
     for (int i = 1; i < routers; i++) {
-      shares[i] = rest / i / sum;
+      shares[i] = remainingShare / i / weightSum;
     }
     return shares;
   }
--- a/src/main/java/switchgap/testbed/scenario/Scenario.java
+++ b/src/main/java/switchgap/testbed/scenario/Scenario.java
@@ -27,12 +27,12 @@
 
   private final ScenarioSettings settings;
   private final FleetComposition fleet;
-  private final RouterConfigWriter routerConfigs;
+  private final RouterConfigWriter routerConfigWriter;
 
   private Scenario(ScenarioSettings settings, Map<String, Object> document) {
     this.settings = settings;
     this.fleet = new FleetComposition(settings);
-    this.routerConfigs = new RouterConfigWriter(settings, document);
+    this.routerConfigWriter = new RouterConfigWriter(settings, document);
   }
 
   /**
@@ -47,8 +47,9 @@
   public static Scenario read(Path path) throws IOException {
     String text = Files.readString(path);
     YamlDocument document = YamlDocument.read(path.toString(), text);
-    Map<String, Object> plain = new Yaml(new SafeConstructor(new LoaderOptions())).load(text);
-    return new Scenario(ScenarioReader.read(document, path), plain);
+    Map<String, Object> plainDocument =
+        new Yaml(new SafeConstructor(new LoaderOptions())).load(text);
+    return new Scenario(ScenarioReader.read(document, path), plainDocument);
   }
 
   ScenarioSettings settings() {
@@ -181,7 +182,7 @@
       int listPort,
       FunctionCatalogue catalogue,
       Map<String, String> overrides) {
-    return routerConfigs.write(number, port, listPort, catalogue, overrides);
+    return routerConfigWriter.write(number, port, listPort, catalogue, overrides);
   }
 
   /** Work that the fleet does in a second, in seconds of a core of speed 1. */
@@ -234,7 +235,7 @@
    * important: twice the router's part of two thirds of the fleet's slots.
    */
   public int staticPendingLimit() {
-    int slots = workers() * settings.fleet().limits().slotsPerCore();
-    return Math.max(2, 2 * slots * 2 / routers() / 3);
+    int totalSlots = workers() * settings.fleet().limits().slotsPerCore();
+    return Math.max(2, 2 * totalSlots * 2 / routers() / 3);
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
@@ -14,14 +14,14 @@
  * down gracefully.
  */
 public final class ScenarioRunner {
-  private static final long SETTLE_MILLIS = 500;
+  private static final long START_DELAY_MILLIS = 500;
   private static final long ARRIVALS_POLL_MILLIS = 50;
-  private static final long DRAIN_POLL_MILLIS = 20;
+  private static final long IN_FLIGHT_POLL_MILLIS = 20;
 
   /** Longer than clients wait for a late response. */
-  private static final long LATE_RESPONSE_MILLIS = 400;
+  private static final long LATE_RESPONSE_WAIT_MILLIS = 400;
 
-  private static final long DRAIN_MARGIN_MICROS = 2_000_000;
+  private static final long IN_FLIGHT_MARGIN_MICROS = 2_000_000;
   private static final int WORST_WINDOW_SECONDS = 10;
 
   private ScenarioRunner() {}
@@ -41,9 +41,9 @@
     Files.createDirectories(directory);
     Files.copy(file, directory.resolve(EventLog.SCENARIO), StandardCopyOption.REPLACE_EXISTING);
     try (TestBed testBed = new TestBed(scenario, directory, baseline)) {
-      Thread.sleep(SETTLE_MILLIS);
+      Thread.sleep(START_DELAY_MILLIS);
       testBed.recordFault("began", "day", scenario.name());
-      long end =
+      long arrivalsEndTime =
           CompletableFuture.supplyAsync(
                   () -> {
                     long arrivalsEnd =
@@ -53,22 +53,22 @@
                   },
                   testBed.scheduler()::post)
               .join();
-      awaitEnd(testBed, end);
-      testBed.finish();
+      awaitEnd(testBed, arrivalsEndTime);
+      testBed.shutDownGracefully();
       report(testBed, out);
       return testBed.clients();
     }
   }
 
-  private static void awaitEnd(TestBed testBed, long end) throws InterruptedException {
-    while (testBed.scheduler().now() < end) {
+  private static void awaitEnd(TestBed testBed, long arrivalsEnd) throws InterruptedException {
+    while (testBed.scheduler().now() < arrivalsEnd) {
       Thread.sleep(ARRIVALS_POLL_MILLIS);
     }
-    long deadline = end + testBed.scenario().longestTimeout() + DRAIN_MARGIN_MICROS;
+    long deadline = arrivalsEnd + testBed.scenario().longestTimeout() + IN_FLIGHT_MARGIN_MICROS;
     while (testBed.clients().attemptsInFlight() > 0 && testBed.scheduler().now() < deadline) {
-      Thread.sleep(DRAIN_POLL_MILLIS);
+      Thread.sleep(IN_FLIGHT_POLL_MILLIS);
     }
-    Thread.sleep(LATE_RESPONSE_MILLIS);
+    Thread.sleep(LATE_RESPONSE_WAIT_MILLIS);
   }
 
   private static void report(TestBed testBed, PrintStream out) {
--- a/src/main/java/switchgap/testbed/scenario/SlowStartCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/SlowStartCheck.java
@@ -14,19 +14,19 @@
   private static final class ColdWorker {
     private final long startedAt;
     private final double fullCapacity;
-    private final WindowedSum work;
+    private final WindowedSum receivedWork;
 
     ColdWorker(long startedAt, double fullCapacity, long window) {
       this.startedAt = startedAt;
       this.fullCapacity = fullCapacity;
-      this.work = new WindowedSum(window);
+      this.receivedWork = new WindowedSum(window);
     }
   }
 
   private final ScenarioSettings.InvariantLimits limits;
   private final Map<String, ColdWorker> coldWorkers = new HashMap<>();
-  private int coldStarts;
-  private double maxBudgetShare;
+  private int coldStartCount;
+  private double maxBudgetUsage;
 
   SlowStartCheck(ScenarioLog log) {
     super(Invariant.SLOW_START, log);
@@ -37,51 +37,52 @@
   void check() {
     for (LogLine line : log.fleetLines()) {
       switch (line.event()) {
-        case WORKER_STARTED -> started(line);
-        case WORKER_CRASHED -> violated(line.worker() + " fell over, " + fleetLine(line.number()));
-        case REQUEST_RECEIVED -> workArrived(line);
+        case WORKER_STARTED -> readWorkerStart(line);
+        case WORKER_CRASHED ->
+            recordViolation(line.worker() + " fell over, " + fleetLine(line.lineNumber()));
+        case REQUEST_RECEIVED -> checkReceivedWork(line);
         default -> { // other events bring no work
         }
       }
     }
   }
 
-  private void started(LogLine line) {
+  private void readWorkerStart(LogLine line) {
     String worker = line.worker();
     coldWorkers.remove(worker);
     if (line.flag("cold")) {
-      coldStarts++;
+      coldStartCount++;
       double fullCapacity = line.integer("cores") * line.requiredDouble("speed");
-      coldWorkers.put(worker, new ColdWorker(line.at(), fullCapacity, limits.crashWindow()));
+      coldWorkers.put(worker, new ColdWorker(line.time(), fullCapacity, limits.crashWindow()));
     }
   }
 
-  private void workArrived(LogLine line) {
+  private void checkReceivedWork(LogLine line) {
     String name = line.worker();
     ColdWorker worker = coldWorkers.get(name);
     if (worker == null) {
       return;
     }
-    long age = line.at() - worker.startedAt;
+    long age = line.time() - worker.startedAt;
     if (age > limits.warmUpTime()) {
       coldWorkers.remove(name);
       return;
     }
-    worker.work.add(line.at(), line.requiredDouble("work"));
-    double budgetShare = worker.work.sum() / budget(worker, age);
-    maxBudgetShare = Math.max(maxBudgetShare, budgetShare);
-    if (budgetShare > 1) {
-      violated(
+    worker.receivedWork.add(line.time(), line.requiredDouble("work"));
+    double budgetUsage = worker.receivedWork.sum() / workBudget(worker, age);
+    maxBudgetUsage = Math.max(maxBudgetUsage, budgetUsage);
+    if (budgetUsage > 1) {
+      recordViolation(
           name
               + " was sent "
-              + percent(budgetShare)
+              + percent(budgetUsage)
               + "% of its budget, "
-              + fleetLine(line.number()));
+              + fleetLine(line.lineNumber()));
     }
   }
 
   /** Work that a worker of this age may receive within the window. */
-  private double budget(ColdWorker worker, long age) {
+  private double workBudget(ColdWorker worker, long age) {
     double capacityShare =
         limits.initialCapacityShare()
             + (1 - limits.initialCapacityShare()) * age / limits.warmUpTime();
@@ -91,12 +92,12 @@
         * limits.crashMultiple();
   }
 
-  private static long percent(double share) {
-    return Math.round(share * 100);
+  private static long percent(double fraction) {
+    return Math.round(fraction * 100);
   }
 
   @Override
   String summary() {
-    return coldStarts + " cold starts; most of a budget used " + percent(maxBudgetShare) + "%";
+    return coldStartCount + " cold starts; most of a budget used " + percent(maxBudgetUsage) + "%";
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/TestBed.java
+++ b/src/main/java/switchgap/testbed/scenario/TestBed.java
@@ -26,7 +26,7 @@
 
   private final Scenario scenario;
   private final RealTimeScheduler scheduler = new RealTimeScheduler();
-  private final SplittableRandom random;
+  private final SplittableRandom faultTargetRandom;
   private final FunctionCatalogue catalogue;
   private final EmulatedStore store;
   private final EndpointListService endpointList;
@@ -37,7 +37,7 @@
   private final EventRecorder fleetLog;
   private final EventRecorder clientLog;
   private final EventRecorder listLog;
-  private final NetworkTransport net;
+  private final NetworkTransport networkTransport;
   private final StoreService storeService;
 
   /**
@@ -60,8 +60,8 @@
       throws IOException {
     this.scenario = scenario;
     Files.createDirectories(directory);
-    random = new SplittableRandom(scenario.seed());
-    net = new NetworkTransport(NETWORK_THREADS, "test-bed");
+    faultTargetRandom = new SplittableRandom(scenario.seed());
+    networkTransport = new NetworkTransport(NETWORK_THREADS, "test-bed");
     fleetLog = new EventRecorder(directory.resolve(EventLog.FLEET));
     clientLog = new EventRecorder(directory.resolve(EventLog.CLIENTS));
     listLog = new EventRecorder(directory.resolve(EventLog.LIST));
@@ -69,10 +69,11 @@
     catalogue = scenario.catalogue(scenario.seed());
     store =
         new EmulatedStore(scheduler, fleetLog, scenario.storeCapacity(), scenario.storeOutage());
-    storeService = new StoreService(scheduler, net, store);
-    endpointList = new EndpointListService(scheduler, net, listLog, scenario.listLag());
+    storeService = new StoreService(scheduler, networkTransport, store);
+    endpointList =
+        new EndpointListService(scheduler, networkTransport, listLog, scenario.listLag());
     SocketClientTransport transport =
-        new SocketClientTransport(scheduler, net, clientLog, scenario.routers());
+        new SocketClientTransport(scheduler, networkTransport, clientLog, scenario.routers());
     clients = scenario.clients(scheduler, transport, catalogue, scenario.seed() + 1);
     routers = new RouterGroup(scenario, directory);
     fleet = startFleet();
@@ -83,24 +84,24 @@
     ModelServerContext context =
         new ModelServerContext(
             scheduler,
-            net,
+            networkTransport,
             fleetLog,
             catalogue::find,
             RouterAddress::routerOf,
             new HashMap<>(),
             scenario.reportsLoad());
-    WorkerFleet started =
+    WorkerFleet startedFleet =
         new WorkerFleet(
             scenario,
             context,
-            new StoreClient(scheduler, net, storeService.port()),
+            new StoreClient(scheduler, networkTransport, storeService.port()),
             endpointList,
-            random);
+            faultTargetRandom);
     for (int i = 0; i < scenario.workers(); i++) {
-      started.start(false);
+      startedFleet.startWorker(false);
     }
-    catalogue.seed(started.workers());
-    return started;
+    catalogue.seed(startedFleet.workers());
+    return startedFleet;
   }
 
   private void startRouters(SocketClientTransport transport, String baseline, boolean withRouters)
@@ -128,8 +129,8 @@
   }
 
   /** Draws the targets of faults. */
-  SplittableRandom random() {
-    return random;
+  SplittableRandom faultTargetRandom() {
+    return faultTargetRandom;
   }
 
   FunctionCatalogue catalogue() {
@@ -157,20 +158,20 @@
   }
 
   /** Records an event of the fault script that happens now. */
-  void recordFault(String what, Object... fields) {
-    recordFaultAt(scheduler.now(), what, fields);
+  void recordFault(String event, Object... fields) {
+    recordFaultAt(scheduler.now(), event, fields);
   }
 
   /** Records an event of the fault script that began at an earlier time, microseconds. */
-  void recordFaultAt(long time, String what, Object... fields) {
-    scriptLog.record(time, what, fields);
+  void recordFaultAt(long time, String event, Object... fields) {
+    scriptLog.record(time, event, fields);
   }
 
   /**
    * Shuts down gracefully and completes the logs: routers first, so that requests in flight receive
    * their responses.
    */
-  void finish() throws IOException {
+  void shutDownGracefully() throws IOException {
     routers.stop();
     long now = scheduler.now();
     fleetLog.end(now);
@@ -186,6 +187,6 @@
     endpointList.close();
     storeService.close();
     scheduler.close();
-    net.close();
+    networkTransport.close();
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
@@ -40,12 +40,12 @@
   public boolean inject(ScenarioFault fault) {
     WorkerFaults.Kind socketFault = SOCKET_FAULTS.get(fault.type());
     if (socketFault != null) {
-      spoilResponses(fault, socketFault);
+      injectSocketFault(fault, socketFault);
       return true;
     }
     switch (fault.type()) {
       case SLOW -> slowDown(fault);
-      case RELEASED_ANEW -> unloadFunctions(fault);
+      case RELEASED_ANEW -> unloadReleasedFunctions(fault);
       default -> {
         return false;
       }
@@ -53,7 +53,7 @@
     return true;
   }
 
-  private void spoilResponses(ScenarioFault fault, WorkerFaults.Kind kind) {
+  private void injectSocketFault(ScenarioFault fault, WorkerFaults.Kind kind) {
     List<EmulatedModelServer> affected = testBed.fleet().drawReady(fault.share());
     affected.forEach(server -> server.faults().set(kind, fault.strength()));
     testBed
@@ -69,9 +69,9 @@
         .after(fault.duration(), () -> affected.forEach(server -> server.worker().setSlowdown(1)));
   }
 
-  private void unloadFunctions(ScenarioFault fault) {
+  private void unloadReleasedFunctions(ScenarioFault fault) {
     for (FunctionModel function : testBed.catalogue().functions()) {
-      if (testBed.random().nextDouble() < fault.share()) {
+      if (testBed.faultTargetRandom().nextDouble() < fault.share()) {
         testBed.fleet().servers().forEach(server -> server.worker().unload(function.name()));
       }
     }
--- a/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
@@ -57,7 +57,7 @@
   }
 
   /** Starts a worker under a new name; for a cold one the list states when it started. */
-  void start(boolean cold) throws IOException {
+  void startWorker(boolean cold) throws IOException {
     int number = nextNumber++;
     String name = "w" + number;
     EmulatedModelServer server =
@@ -75,7 +75,7 @@
   /** Starts a cold worker under a new name. */
   void startCold() {
     try {
-      start(true);
+      startWorker(true);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -103,12 +103,12 @@
   }
 
   /** Lists a worker as draining, and after a time ends its process and lists it as gone. */
-  void drain(String name, long micros) {
+  void drain(String name, long drainMicros) {
     setState(name, EndpointState.DRAINING);
     context
         .scheduler()
         .after(
-            micros,
+            drainMicros,
             () -> {
               servers.get(name).kill();
               setState(name, EndpointState.GONE);
--- a/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
@@ -6,7 +6,7 @@
 
 /** Injects faults that end workers: drained, replaced, killed or restarted. */
 final class WorkerReplacementInjector implements FaultInjector {
-  private static final long SHORT_DRAIN_MICROS = 500_000;
+  private static final long TAKEN_AWAY_DRAIN_MICROS = 500_000;
   private static final double RELEASE_BATCH_SHARE = 0.15;
   private static final double MICROS_PER_SECOND = 1e6;
   private final TestBed testBed;
@@ -23,8 +23,10 @@
       case DRAIN ->
           fleet.drawReady(fault.share()).forEach(server -> replace(server, drainTime(fault)));
       case TAKEN_AWAY ->
-          fleet.drawReady(fault.share()).forEach(server -> replace(server, SHORT_DRAIN_MICROS));
-      case RELEASE -> release(fault);
+          fleet
+              .drawReady(fault.share())
+              .forEach(server -> replace(server, TAKEN_AWAY_DRAIN_MICROS));
+      case RELEASE -> replaceInBatches(fault);
       case WORKERS_KILLED ->
           fleet
               .drawReady(fault.share())
@@ -65,13 +67,13 @@
    * A rolling release: the workers of this moment are replaced in batches over the fault's
    * duration.
    */
-  private void release(ScenarioFault fault) {
-    List<EmulatedModelServer> affected = fleet.drawReady(fault.share());
-    int batchSize = Math.max(1, (int) Math.round(affected.size() * RELEASE_BATCH_SHARE));
-    int batches = (affected.size() + batchSize - 1) / batchSize;
+  private void replaceInBatches(ScenarioFault fault) {
+    List<EmulatedModelServer> workers = fleet.drawReady(fault.share());
+    int batchSize = Math.max(1, (int) Math.round(workers.size() * RELEASE_BATCH_SHARE));
+    int batches = (workers.size() + batchSize - 1) / batchSize;
     for (int i = 0; i < batches; i++) {
       List<EmulatedModelServer> batch =
-          affected.subList(i * batchSize, Math.min(affected.size(), (i + 1) * batchSize));
+          workers.subList(i * batchSize, Math.min(workers.size(), (i + 1) * batchSize));
       testBed
           .scheduler()
           .after(fault.duration() * i / batches, () -> replaceRunning(batch, drainTime(fault)));
--- a/src/test/java/switchgap/testbed/scenario/EventLogTest.java
+++ b/src/test/java/switchgap/testbed/scenario/EventLogTest.java
@@ -13,12 +13,12 @@
 
 /** Logs of a scenario that are cut off are rejected. */
 class EventLogTest {
-  private static final String LAST_LINE = "{\"t\":9000000";
+  private static final String LAST_LINE_START = "{\"t\":9000000";
   @TempDir Path directory;
 
   private Path writeLogs(String log) throws IOException {
-    new PlayedScenario()
-        .successfulAttempt(100, "j0.1", PlayedScenario.IDEMPOTENT)
+    new ScenarioLogWriter()
+        .successfulAttempt(100, "j0.1", ScenarioLogWriter.IDEMPOTENT)
         .writeTo(directory);
     InvariantChecker.read(directory); // is accepted as it is
     return directory.resolve(log + ".jsonl");
@@ -43,7 +43,7 @@
     Path file = writeLogs(log);
     String complete = Files.readString(file, StandardCharsets.UTF_8);
 
-    Files.writeString(file, complete.substring(0, complete.lastIndexOf(LAST_LINE)));
+    Files.writeString(file, complete.substring(0, complete.lastIndexOf(LAST_LINE_START)));
 
     assertThatThrownBy(() -> InvariantChecker.read(directory))
         .isInstanceOf(IOException.class)
--- a/src/test/java/switchgap/testbed/scenario/InvariantCheckerTest.java
+++ b/src/test/java/switchgap/testbed/scenario/InvariantCheckerTest.java
@@ -1,8 +1,8 @@
 package switchgap.testbed.scenario;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static switchgap.testbed.scenario.PlayedScenario.IDEMPOTENT;
-import static switchgap.testbed.scenario.PlayedScenario.NON_IDEMPOTENT;
+import static switchgap.testbed.scenario.ScenarioLogWriter.IDEMPOTENT;
+import static switchgap.testbed.scenario.ScenarioLogWriter.NON_IDEMPOTENT;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -16,15 +16,15 @@
 /** The checker finds one planted violation of each invariant and passes logs without one. */
 class InvariantCheckerTest {
   @TempDir Path directory;
-  private final PlayedScenario scenario = new PlayedScenario();
+  private final ScenarioLogWriter logs = new ScenarioLogWriter();
 
-  private InvariantChecker check(PlayedScenario played) throws IOException {
-    played.writeTo(directory);
+  private InvariantChecker writeAndCheck(ScenarioLogWriter logs) throws IOException {
+    logs.writeTo(directory);
     return InvariantChecker.read(directory);
   }
 
-  private void assertViolated(Invariant invariant, String description) throws IOException {
-    InvariantChecker checker = check(scenario);
+  private void assertOnlyViolation(Invariant invariant, String description) throws IOException {
+    InvariantChecker checker = writeAndCheck(logs);
     assertThat(checker.violations()).hasSize(1);
     assertThat(checker.violations().get(0).invariant()).isEqualTo(invariant);
     assertThat(checker.violations().get(0).description()).contains(description);
@@ -32,14 +32,13 @@
 
   @Test
   void reportsNothingWhenAllInvariantsHold() throws IOException {
-    scenario
-        .successfulAttempt(100, "j0.1", IDEMPOTENT)
+    logs.successfulAttempt(100, "j0.1", IDEMPOTENT)
         .successfulAttempt(300, "j1.1", NON_IDEMPOTENT)
         .attemptSent(500, "j2.1", NON_IDEMPOTENT)
         .executionStarted(501, "j2.1", "lost-response")
         .attemptEnded(1490, "j2.1", "killed");
 
-    InvariantChecker checker = check(scenario);
+    InvariantChecker checker = writeAndCheck(logs);
 
     ByteArrayOutputStream report = new ByteArrayOutputStream();
     checker.print(new PrintStream(report, true, StandardCharsets.UTF_8));
@@ -50,116 +49,105 @@
 
   @Test
   void reportsAttemptWithoutFinalResponse() throws IOException {
-    scenario.attemptSent(100, "j0.1", IDEMPOTENT).attemptEnded(1100, "j0.1", "gave-up");
+    logs.attemptSent(100, "j0.1", IDEMPOTENT).attemptEnded(1100, "j0.1", "gave-up");
 
-    assertViolated(Invariant.FINAL_RESPONSE_IN_TIME, "j0.1 got no final answer");
+    assertOnlyViolation(Invariant.FINAL_RESPONSE_IN_TIME, "j0.1 got no final answer");
   }
 
   @Test
   void excusesMissingResponseWhenRouterWasTerminated() throws IOException {
-    scenario
-        .attemptSent(100, "j0.1", IDEMPOTENT)
-        .attemptEnded(300, "j0.1", "broken")
-        .routerKilled(300);
+    logs.attemptSent(100, "j0.1", IDEMPOTENT).attemptEnded(300, "j0.1", "broken").routerKilled(300);
 
-    assertThat(check(scenario).violations()).isEmpty();
+    assertThat(writeAndCheck(logs).violations()).isEmpty();
   }
 
   @Test
   void reportsResponseAfterDeadlineAndSlack() throws IOException {
-    scenario
-        .attemptSent(100, "j0.1", IDEMPOTENT)
+    logs.attemptSent(100, "j0.1", IDEMPOTENT)
         .attemptEnded(1100, "j0.1", "gave-up")
         .lateResponse(1150, "j0.1", "finished");
 
-    assertViolated(Invariant.FINAL_RESPONSE_IN_TIME, "50 ms after its limit");
+    assertOnlyViolation(Invariant.FINAL_RESPONSE_IN_TIME, "50 ms after its limit");
   }
 
   @Test
   void acceptsResponseAfterDeadlineWithinSlack() throws IOException {
-    scenario
-        .attemptSent(100, "j0.1", IDEMPOTENT)
+    logs.attemptSent(100, "j0.1", IDEMPOTENT)
         .attemptEnded(1100, "j0.1", "gave-up")
         .lateResponse(1105, "j0.1", "finished");
 
-    assertThat(check(scenario).violations()).isEmpty();
+    assertThat(writeAndCheck(logs).violations()).isEmpty();
   }
 
   @Test
   void reportsExecutionSentAfterFinalResponse() throws IOException {
-    scenario
-        .successfulAttempt(100, "j0.1", IDEMPOTENT)
+    logs.successfulAttempt(100, "j0.1", IDEMPOTENT)
         .executionReceived(400, "j0.1", "second")
         .executionEnded(401, "second");
 
-    assertViolated(Invariant.FINAL_RESPONSE_IN_TIME, "199 ms after its end");
+    assertOnlyViolation(Invariant.FINAL_RESPONSE_IN_TIME, "199 ms after its end");
   }
 
   @Test
   void reportsNonIdempotentRequestThatTakesEffectTwice() throws IOException {
-    scenario
-        .attemptSent(100, "j0.1", NON_IDEMPOTENT)
+    logs.attemptSent(100, "j0.1", NON_IDEMPOTENT)
         .executionStarted(101, "j0.1", "first")
         .executionEnded(200, "first")
         .executionStarted(210, "j0.1", "second")
         .executionEnded(220, "second")
         .attemptEnded(250, "j0.1", "finished");
 
-    assertViolated(Invariant.NO_DUPLICATE_EFFECT, "j0 took effect 2 times");
+    assertOnlyViolation(Invariant.NO_DUPLICATE_EFFECT, "j0 took effect 2 times");
   }
 
   @Test
   void reportsRejectionOfNonIdempotentRequestThatWasExecuted() throws IOException {
-    scenario
-        .attemptSent(100, "j0.1", NON_IDEMPOTENT)
+    logs.attemptSent(100, "j0.1", NON_IDEMPOTENT)
         .executionStarted(101, "j0.1", "first")
         .attemptEnded(900, "j0.1", "pushed-back");
 
-    assertViolated(Invariant.NO_DUPLICATE_EFFECT, "pushed back though an execution ran");
+    assertOnlyViolation(Invariant.NO_DUPLICATE_EFFECT, "pushed back though an execution ran");
   }
 
   @Test
   void reportsTwoExecutionsInFlight() throws IOException {
-    scenario
-        .attemptSent(100, "j0.1", IDEMPOTENT)
+    logs.attemptSent(100, "j0.1", IDEMPOTENT)
         .executionStarted(101, "j0.1", "first")
         .executionStarted(150, "j0.1", "second")
         .executionEnded(200, "first")
         .executionEnded(201, "second")
         .attemptEnded(210, "j0.1", "finished");
 
-    assertViolated(Invariant.NO_DUPLICATE_EFFECT, "had two executions out");
+    assertOnlyViolation(Invariant.NO_DUPLICATE_EFFECT, "had two executions out");
   }
 
   @Test
   void reportsSendToDrainingWorkerPastGrace() throws IOException {
-    scenario
-        .routerNotifiedOfDraining(1000)
+    logs.routerNotifiedOfDraining(1000)
         .successfulAttempt(1400, "j0.1", IDEMPOTENT) // within the grace
         .successfulAttempt(1600, "j1.1", IDEMPOTENT);
 
-    assertViolated(Invariant.NO_SEND_TO_DRAINING_WORKER, "601 ms after it was told");
+    assertOnlyViolation(Invariant.NO_SEND_TO_DRAINING_WORKER, "601 ms after it was told");
   }
 
   @Test
   void reportsColdWorkerThatReceivesMoreThanItsBudget() throws IOException {
-    scenario.coldWorkerStarted(0);
+    logs.coldWorkerStarted(0);
     for (int i = 0; i < 6; i++) { // 0.6 s of work; the budget is 0.54 s
-      scenario.successfulAttempt(100 + i * 150, "j" + i + ".1", IDEMPOTENT);
+      logs.successfulAttempt(100 + i * 150, "j" + i + ".1", IDEMPOTENT);
     }
 
-    assertViolated(Invariant.SLOW_START, "% of its budget");
+    assertOnlyViolation(Invariant.SLOW_START, "% of its budget");
   }
 
   @Test
   void reportsLoadCommandsAboveQuota() throws IOException {
-    scenario
-        .successfulAttempt(100, "j0.1", IDEMPOTENT)
+    logs.successfulAttempt(100, "j0.1", IDEMPOTENT)
         .successfulAttempt(200, "j1.1", IDEMPOTENT)
         .replicaLoaded(400)
         .replicaLoaded(401)
         .replicaLoaded(402);
 
-    assertViolated(Invariant.LOAD_QUOTA, "ordered 3 loads where 2.0 are its ration");
+    assertOnlyViolation(Invariant.LOAD_QUOTA, "ordered 3 loads where 2.0 are its ration");
   }
 }
--- a/src/test/java/switchgap/testbed/scenario/PlayedScenario.java
+++ b/src/test/java/switchgap/testbed/scenario/ScenarioLogWriter.java
@@ -10,14 +10,14 @@
  * Writes the logs of a made-up scenario of one router and one worker; times are milliseconds since
  * its start.
  */
-final class PlayedScenario {
+final class ScenarioLogWriter {
   /** Index of the idempotent request class. */
   static final int IDEMPOTENT = 0;
 
   /** Index of the non-idempotent request class. */
   static final int NON_IDEMPOTENT = 1;
 
-  private static final String SCENARIO =
+  private static final String SCENARIO_DOCUMENT =
       """
       day: {length: 5s, seed: 1, slack: 10ms}
       fleet: {workers: 1, kinds: {k: {share: 1, cores: 1, speed: 1, memory: 100}}}
@@ -42,30 +42,30 @@
   private final List<String> list = new ArrayList<>();
   private final List<String> script = new ArrayList<>();
 
-  private static String line(long atMillis, String what, String rest) {
-    String separator = rest.isEmpty() ? "" : ",";
+  private static String logLine(long atMillis, String event, String otherMembers) {
+    String separator = otherMembers.isEmpty() ? "" : ",";
     return "{\"t\":%d,\"what\":\"%s\"%s%s}"
-        .formatted(atMillis * MICROS_PER_MILLI, what, separator, rest);
+        .formatted(atMillis * MICROS_PER_MILLI, event, separator, otherMembers);
   }
 
   /** A client sends an attempt; its id is that of the request, a dot and a number. */
-  PlayedScenario attemptSent(long atMillis, String attempt, int requestClass) {
+  ScenarioLogWriter attemptSent(long atMillis, String attempt, int requestClass) {
     String request = attempt.split("\\.")[0];
     long deadline = (atMillis + TIMEOUT_MILLIS) * MICROS_PER_MILLI;
     String fields =
         "\"call\":\"%s\",\"job\":\"%s\",\"router\":0,\"workload\":%d,\"limit\":%d"
             .formatted(attempt, request, requestClass, deadline);
-    clients.add(line(atMillis, "call", fields));
+    clients.add(logLine(atMillis, "call", fields));
     return this;
   }
 
-  PlayedScenario attemptEnded(long atMillis, String attempt, String outcome) {
-    clients.add(line(atMillis, "answer", outcomeFields(attempt, outcome)));
+  ScenarioLogWriter attemptEnded(long atMillis, String attempt, String outcome) {
+    clients.add(logLine(atMillis, "answer", outcomeFields(attempt, outcome)));
     return this;
   }
 
-  PlayedScenario lateResponse(long atMillis, String attempt, String outcome) {
-    clients.add(line(atMillis, "late-answer", outcomeFields(attempt, outcome)));
+  ScenarioLogWriter lateResponse(long atMillis, String attempt, String outcome) {
+    clients.add(logLine(atMillis, "late-answer", outcomeFields(attempt, outcome)));
     return this;
   }
 
@@ -74,31 +74,31 @@
   }
 
   /** The worker receives a request and does not start it. */
-  PlayedScenario executionReceived(long atMillis, String attempt, String execution) {
+  ScenarioLogWriter executionReceived(long atMillis, String attempt, String execution) {
     String fields =
         "\"worker\":\"w0\",\"router\":0,\"run\":\"%s\",\"call\":\"%s\",\"work\":100000"
             .formatted(execution, attempt);
-    fleet.add(line(atMillis, "infer", fields));
+    fleet.add(logLine(atMillis, "infer", fields));
     return this;
   }
 
   /** The worker receives a request and starts it. */
-  PlayedScenario executionStarted(long atMillis, String attempt, String execution) {
+  ScenarioLogWriter executionStarted(long atMillis, String attempt, String execution) {
     executionReceived(atMillis, attempt, execution);
     String fields =
         "\"worker\":\"w0\",\"run\":\"%s\",\"call\":\"%s\"".formatted(execution, attempt);
-    fleet.add(line(atMillis, "ran", fields));
+    fleet.add(logLine(atMillis, "ran", fields));
     return this;
   }
 
-  PlayedScenario executionEnded(long atMillis, String execution) {
+  ScenarioLogWriter executionEnded(long atMillis, String execution) {
     String fields = "\"worker\":\"w0\",\"run\":\"%s\",\"status\":200".formatted(execution);
-    fleet.add(line(atMillis, "answer", fields));
+    fleet.add(logLine(atMillis, "answer", fields));
     return this;
   }
 
   /** An attempt that is executed once, in 100 ms, and succeeds. */
-  PlayedScenario successfulAttempt(long atMillis, String attempt, int requestClass) {
+  ScenarioLogWriter successfulAttempt(long atMillis, String attempt, int requestClass) {
     String execution = attempt + ".0";
     return attemptSent(atMillis, attempt, requestClass)
         .executionStarted(atMillis + 1, attempt, execution)
@@ -106,31 +106,31 @@
         .attemptEnded(atMillis + 101, attempt, "finished");
   }
 
-  PlayedScenario coldWorkerStarted(long atMillis) {
+  ScenarioLogWriter coldWorkerStarted(long atMillis) {
     String fields = "\"worker\":\"w0\",\"cold\":true,\"cores\":1,\"speed\":1.0";
-    fleet.add(line(atMillis, "started", fields));
+    fleet.add(logLine(atMillis, "started", fields));
     return this;
   }
 
-  PlayedScenario replicaLoaded(long atMillis) {
+  ScenarioLogWriter replicaLoaded(long atMillis) {
     String fields = "\"worker\":\"w0\",\"router\":0,\"function\":\"f\",\"copies\":1";
-    fleet.add(line(atMillis, "load", fields));
+    fleet.add(logLine(atMillis, "load", fields));
     return this;
   }
 
-  PlayedScenario routerNotifiedOfDraining(long atMillis) {
-    list.add(line(atMillis, "told", "\"router\":0,\"worker\":\"w0\",\"state\":\"draining\""));
+  ScenarioLogWriter routerNotifiedOfDraining(long atMillis) {
+    list.add(logLine(atMillis, "told", "\"router\":0,\"worker\":\"w0\",\"state\":\"draining\""));
     return this;
   }
 
-  PlayedScenario routerKilled(long atMillis) {
-    script.add(line(atMillis, "router-killed", "\"router\":0"));
+  ScenarioLogWriter routerKilled(long atMillis) {
+    script.add(logLine(atMillis, "router-killed", "\"router\":0"));
     return this;
   }
 
   /** Writes the scenario and its logs. */
   void writeTo(Path directory) throws IOException {
-    Files.writeString(directory.resolve("day.yaml"), SCENARIO);
+    Files.writeString(directory.resolve("day.yaml"), SCENARIO_DOCUMENT);
     write(directory.resolve("clients.jsonl"), clients);
     write(directory.resolve("fleet.jsonl"), fleet);
     write(directory.resolve("list.jsonl"), list);
@@ -139,7 +139,7 @@
 
   private static void write(Path log, List<String> lines) throws IOException {
     List<String> withEnd = new ArrayList<>(lines);
-    withEnd.add(line(END_MILLIS, "end", ""));
+    withEnd.add(logLine(END_MILLIS, "end", ""));
     Files.write(log, withEnd);
   }
 }
