--- a/src/main/java/switchgap/testbed/scenario/DemoScenario.java
+++ b/src/main/java/switchgap/testbed/scenario/DemoScenario.java
@@ -7,19 +7,22 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** A small scenario within one process, from a document that is part of the program. */
+/** A small built-in scenario that runs in one process. */
 public final class DemoScenario {
   private static final String DOCUMENT = "demo.yaml";
 
   private DemoScenario() {}
 
   /**
-   * Plays the scenario, prints the outcome of its requests and checks the invariants.
+   * Runs the scenario, prints a summary of the outcomes of its requests and checks the invariants.
    *
-   * @param seconds length of the scenario
-   * @param untilInterrupted whether to keep running until interrupted, without an end or a check
-   * @param out receives the figures
-   * @return exit code: 0 where the invariants held, else 1
+   * @param seconds length of the scenario, in seconds
+   * @param untilInterrupted whether to generate load until the process is terminated, without a
+   *     summary and without checks
+   * @param out stream to which the results are printed
+   * @return exit code: 0 if all invariants hold, otherwise 1
+   * @throws IOException if a port, a process or a log cannot be opened
+   * @throws InterruptedException if the calling thread is interrupted
    */
   public static int run(int seconds, boolean untilInterrupted, PrintStream out)
       throws IOException, InterruptedException {
@@ -29,7 +32,8 @@
       String template = new String(document.readAllBytes(), StandardCharsets.UTF_8);
       Files.writeString(file, template.replace("SECONDS", seconds + "s"));
     }
-    out.println("a router and its stand-ins on loopback ports; logs in " + directory);
+    out.println(
+        "router and emulated workers, store and clients on loopback ports; logs in " + directory);
     if (untilInterrupted) {
       keepRunning(file, directory, out);
     }
--- a/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
@@ -6,8 +6,8 @@
 import switchgap.testbed.invariant.Invariant;
 
 /**
- * A router sends nothing new to a worker once the grace period has passed since the endpoint list
- * notified it that the worker is draining or gone.
+ * Checks that a router sends no requests and no load commands to a worker later than the grace
+ * period after the endpoint list notified the router that the worker is draining or gone.
  */
 final class DrainingWorkerCheck extends InvariantCheck {
   private static final long NO_SEND = -1;
@@ -43,13 +43,13 @@
     if (sendDelay > log.settings().limits().drainGrace() + log.slack()) {
       recordViolation(
           line.worker()
-              + " got "
+              + " received "
               + line.event().word()
               + " from router "
               + line.router()
               + " "
               + sendDelay / MICROS_PER_MILLI
-              + " ms after it was told, "
+              + " ms after the router was notified that the worker is draining or gone, "
               + fleetLine(line.lineNumber()));
     }
   }
@@ -82,9 +82,9 @@
     String maxSendDelayText =
         maxSendDelay < 0 ? "none" : maxSendDelay / (double) MICROS_PER_MILLI + " ms";
     return notificationCount
-        + " drains told; latest send after one "
+        + " drain notifications; latest send after one: "
         + maxSendDelayText
-        + ", grace "
+        + ", grace period "
         + log.settings().limits().drainGrace() / MICROS_PER_MILLI
         + " ms";
   }
--- a/src/main/java/switchgap/testbed/scenario/DuplicateEffectCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/DuplicateEffectCheck.java
@@ -9,8 +9,9 @@
 import switchgap.testbed.invariant.Invariant;
 
 /**
- * Only idempotent requests may take effect twice, a non-idempotent request that was executed is not
- * rejected as if it had not been, and each attempt has one execution in flight at a time.
+ * Checks that only idempotent requests take effect more than once, that a non-idempotent request
+ * that a worker executed is not rejected (which would tell the client that a retry is harmless),
+ * and that an attempt never has two executions in flight.
  */
 final class DuplicateEffectCheck extends InvariantCheck {
   private int requestsWithRepeatedEffectCount;
@@ -29,7 +30,7 @@
           && attempt.wasExecuted()) {
         recordViolation(
             attempt.id()
-                + " was pushed back though an execution ran, "
+                + " was rejected although a worker had started to execute it, "
                 + clientLine(attempt.endLineNumber()));
       }
     }
@@ -64,7 +65,7 @@
         if (earlier.isInFlightAt(execution.receivedAt() + log.slack())) {
           recordViolation(
               attempt.id()
-                  + " had two executions out, "
+                  + " had two executions in flight, "
                   + fleetLine(earlier.lineNumber())
                   + " and :"
                   + execution.lineNumber());
@@ -78,10 +79,10 @@
     return log.executions().receivedCount()
         + " executions, "
         + log.executions().startedCount()
-        + " ran, "
+        + " started, "
         + log.executions().droppedRepeatCount()
         + " repeats dropped, "
         + requestsWithRepeatedEffectCount
-        + " jobs took effect twice";
+        + " requests took effect more than once";
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/EmulatorHost.java
+++ b/src/main/java/switchgap/testbed/scenario/EmulatorHost.java
@@ -4,17 +4,19 @@
 import java.io.PrintStream;
 import java.nio.file.Path;
 
-/** The emulator of a scenario alone, for routers that are started by hand. */
+/** Runs the emulated workers, store and endpoint list of a scenario; routers start separately. */
 public final class EmulatorHost {
   private EmulatorHost() {}
 
   /**
-   * Runs model servers, store and endpoint list until interrupted.
+   * Runs model servers, store and endpoint list service until the process is terminated.
    *
-   * @param file the scenario
-   * @param directory receives the routers' configurations and the logs
-   * @param injectFaults whether the faults of the script are injected
-   * @param out receives the addresses
+   * @param file YAML document of the scenario
+   * @param directory directory for the routers' configurations and the logs
+   * @param injectFaults whether the faults of the scenario's fault script are injected
+   * @param out stream to which addresses and the commands that start the routers are printed
+   * @throws IOException if the scenario cannot be read, or a port or log cannot be opened
+   * @throws InterruptedException if the calling thread is interrupted
    */
   public static void run(Path file, Path directory, boolean injectFaults, PrintStream out)
       throws IOException, InterruptedException {
@@ -31,7 +33,7 @@
   }
 
   private static void printAddresses(TestBed testBed, Path directory, PrintStream out) {
-    out.println("list service at 127.0.0.1:" + testBed.endpointList().port());
+    out.println("endpoint list service at 127.0.0.1:" + testBed.endpointList().port());
     testBed
         .fleet()
         .servers()
@@ -49,7 +51,7 @@
     try {
       testBed.shutDownGracefully();
     } catch (IOException e) {
-      out.println("the logs are not complete: " + e.getMessage());
+      out.println("cannot complete the event logs: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/EventLog.java
+++ b/src/main/java/switchgap/testbed/scenario/EventLog.java
@@ -8,21 +8,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads the logs of a played scenario; one that is cut off is rejected. */
+/** Reads the event logs of a scenario run. A truncated log is an error. */
 final class EventLog {
-  /** Copy of the scenario that was played. */
+  /** Copy of the scenario document. */
   static final String SCENARIO = "day.yaml";
 
-  /** What workers and the store received and did. */
+  /** Log of the workers and the store. */
   static final String FLEET = "fleet.jsonl";
 
-  /** What clients sent and received. */
+  /** Log of the clients. */
   static final String CLIENTS = "clients.jsonl";
 
-  /** Changes of the endpoint list, and when routers were notified of them. */
+  /** Log of the endpoint list: its changes, and when routers were notified of them. */
   static final String LIST = "list.jsonl";
 
-  /** Faults that were injected. */
+  /** Log of the injected faults. */
   static final String SCRIPT = "script.jsonl";
 
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -30,9 +30,9 @@
   private EventLog() {}
 
   /**
-   * All lines of a log.
+   * Reads all lines of a log.
    *
-   * @throws IOException if the log is missing, cut off or unreadable
+   * @throws IOException if the log is missing, truncated or unreadable
    */
   static List<LogLine> read(Path file) throws IOException {
     List<LogLine> lines = new ArrayList<>();
@@ -43,7 +43,7 @@
     }
     if (lines.isEmpty() || !lines.get(lines.size() - 1).hasEvent(ScenarioEvent.END_OF_LOG)) {
       throw new IOException(
-          file + ":" + lines.size() + ": the log is cut off: its last line is not the end");
+          file + ":" + lines.size() + ": the log is truncated: its last line is no \"end\" event");
     }
     return lines;
   }
@@ -52,11 +52,12 @@
     try {
       LogLine line = LogLine.parse(lineNumber, JSON.readTree(text));
       if (line == null) {
-        throw new IOException("no time or kind");
+        throw new IOException("the time (\"t\") or the event (\"what\") is missing");
       }
       return line;
     } catch (IOException e) {
-      throw new IOException(file + ":" + lineNumber + ": unusable line: " + e.getMessage(), e);
+      throw new IOException(
+          file + ":" + lineNumber + ": cannot read this line: " + e.getMessage(), e);
     }
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/FaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/FaultInjector.java
@@ -1,7 +1,11 @@
 package switchgap.testbed.scenario;
 
-/** Injects some types of faults. */
+/** Injects the faults of some types. */
 interface FaultInjector {
-  /** Injects a fault and schedules its end; false where the fault is of another type. */
+  /**
+   * Injects a fault and schedules its end.
+   *
+   * @return false if this injector does not support the type of the fault; nothing was done then
+   */
   boolean inject(ScenarioFault fault);
 }
--- a/src/main/java/switchgap/testbed/scenario/FaultScript.java
+++ b/src/main/java/switchgap/testbed/scenario/FaultScript.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Injects the faults of a scenario at their times. On the scheduler's thread. */
+/** Injects the faults of a scenario at their start times. Runs on the scheduler's thread. */
 final class FaultScript {
   private final TestBed testBed;
   private final List<FaultInjector> injectors;
--- a/src/main/java/switchgap/testbed/scenario/FinalResponseCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/FinalResponseCheck.java
@@ -4,8 +4,8 @@
 import switchgap.testbed.invariant.Invariant;
 
 /**
- * Each attempt of a client receives one final response before its deadline, and nothing is sent to
- * a worker for it afterwards.
+ * Checks that each attempt of a client receives exactly one final response, by its deadline, and
+ * that no worker receives a request for the attempt after that response.
  */
 final class FinalResponseCheck extends InvariantCheck {
   private int attemptCount;
@@ -20,9 +20,9 @@
     for (ObservedAttempts.LateResponse response : log.attempts().lateResponses()) {
       recordViolation(
           response.attemptId()
-              + " got an answer "
+              + " received a response "
               + response.delay() / MICROS_PER_MILLI
-              + " ms after its limit, "
+              + " ms after its deadline, "
               + clientLine(response.lineNumber()));
     }
     for (ObservedAttempt attempt : log.attempts().all()) {
@@ -36,7 +36,7 @@
     if (attempt.finalResponseCount() == 0 && !isMissingResponseExcused(attempt)) {
       recordViolation(
           attempt.id()
-              + " got no final answer ("
+              + " received no final response (outcome: "
               + attempt.outcomeWord()
               + "), "
               + clientLine(attempt.sentLineNumber()));
@@ -44,16 +44,16 @@
     if (attempt.finalResponseCount() > 1) {
       recordViolation(
           attempt.id()
-              + " got "
+              + " received "
               + attempt.finalResponseCount()
-              + " final answers, "
+              + " final responses, "
               + clientLine(attempt.endLineNumber()));
     }
   }
 
   /**
-   * Whether no response is no violation: the router was dead or could not be reached, or it was
-   * paused at the deadline. A late response is a violation then all the same.
+   * Whether a missing response is not a violation, because the router was down or unreachable, or
+   * was paused at the deadline. A response after the deadline and the slack remains a violation.
    */
   private boolean isMissingResponseExcused(ObservedAttempt attempt) {
     if (attempt.endedAs(ClientOutcome.UNREACHABLE)
@@ -71,7 +71,7 @@
       if (execution.receivedAt() > attemptEnd + log.slack()) {
         recordViolation(
             attempt.id()
-                + " was sent "
+                + " was sent to a worker "
                 + (execution.receivedAt() - attemptEnd) / MICROS_PER_MILLI
                 + " ms after its end, "
                 + fleetLine(execution.lineNumber()));
@@ -81,17 +81,20 @@
 
   @Override
   String summary() {
-    String summary = attemptCount + " calls; " + log.attempts().outcomeCounts();
+    String summary = attemptCount + " attempts; " + log.attempts().outcomeCounts();
     if (log.attempts().responsesWithinSlackCount() > 0) {
       summary +=
           "; "
               + log.attempts().responsesWithinSlackCount()
-              + " answers were seen past the limit, within the slack of "
+              + " responses arrived after the deadline, within the slack of "
               + log.slack() / MICROS_PER_MILLI
               + " ms";
     }
     if (deadlineDuringPauseCount > 0) {
-      summary += "; " + deadlineDuringPauseCount + " fell due while their router was stopped";
+      summary +=
+          "; "
+              + deadlineDuringPauseCount
+              + " unanswered attempts reached their deadline while their router was paused";
     }
     return summary;
   }
--- a/src/main/java/switchgap/testbed/scenario/FleetComposition.java
+++ b/src/main/java/switchgap/testbed/scenario/FleetComposition.java
@@ -2,9 +2,12 @@
 
 import switchgap.testbed.emulator.WorkerHardware;
 
-/** Which kind each worker of a scenario is, and the hardware that follows from it. Immutable. */
+/** Assigns a kind, and with it the hardware, to each worker of a scenario. Immutable. */
 final class FleetComposition {
-  /** Steps of the golden ratio spread the kinds evenly over the numbers of the workers. */
+  /**
+   * Fractional part of the golden ratio. Its multiples modulo 1 are spread evenly over [0, 1), so
+   * that any range of worker indexes has each kind in about its share.
+   */
   private static final double GOLDEN_RATIO_FRACTION = 0.618034;
 
   private final ScenarioSettings settings;
@@ -13,7 +16,7 @@
     this.settings = settings;
   }
 
-  /** The kind of a worker by its number. */
+  /** Kind of the worker with this index; the same index always has the same kind. */
   ScenarioSettings.WorkerKind kindOf(int worker) {
     double position = (worker * GOLDEN_RATIO_FRACTION) % 1;
     for (ScenarioSettings.WorkerKind kind : settings.fleet().kinds()) {
@@ -25,13 +28,13 @@
     return settings.fleet().kinds().get(0);
   }
 
-  /** Compute capacity of a worker in cores of speed 1. */
+  /** Compute capacity of a worker, as a number of cores of speed 1. */
   double computeCapacityOf(int worker) {
     ScenarioSettings.WorkerKind kind = kindOf(worker);
     return kind.cores() * kind.speed();
   }
 
-  /** Compute capacity of all workers at the start, in cores of speed 1. */
+  /** Compute capacity of all workers at the start, as a number of cores of speed 1. */
   double totalComputeCapacity() {
     double sum = 0;
     for (int i = 0; i < settings.fleet().workers(); i++) {
@@ -40,7 +43,7 @@
     return sum;
   }
 
-  /** Hardware of a worker. */
+  /** Hardware and limits of the worker with this index. */
   WorkerHardware hardwareOf(int worker) {
     ScenarioSettings.WorkerKind kind = kindOf(worker);
     ScenarioSettings.WorkerLimits limits = settings.fleet().limits();
--- a/src/main/java/switchgap/testbed/scenario/InProcessRouter.java
+++ b/src/main/java/switchgap/testbed/scenario/InProcessRouter.java
@@ -5,7 +5,7 @@
 import switchgap.server.gateway.GatewayConfig;
 import switchgap.server.gateway.GatewayRouter;
 
-/** A router within this process; it can't be suspended and has no planner. */
+/** A router that runs in this process. It cannot be suspended and has no planner. */
 final class InProcessRouter implements RouterHost {
   private final Path config;
   private GatewayRouter gateway;
--- a/src/main/java/switchgap/testbed/scenario/InvariantCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/InvariantCheck.java
@@ -5,12 +5,12 @@
 import switchgap.testbed.invariant.Violation;
 import switchgap.testbed.invariant.ViolationRecorder;
 
-/** Checks the log of a scenario against one invariant and counts what it read. */
+/** Checks the logs of a scenario run against one invariant and collects figures for the report. */
 abstract class InvariantCheck {
-  /** Times of logs are in microseconds, those of messages in milliseconds. */
+  /** Converts times of the logs, in microseconds, to times of messages, in milliseconds. */
   static final long MICROS_PER_MILLI = 1000;
 
-  /** The log that the check reads. */
+  /** Logs of the scenario run. */
   final ScenarioLog log;
 
   private final Invariant invariant;
@@ -21,17 +21,17 @@
     this.log = log;
   }
 
-  /** Reads the log and records violations; called once. */
+  /** Reads the logs and records violations; called once, before all other methods. */
   abstract void check();
 
-  /** The figures for the row of this invariant in the report; valid after the check. */
+  /** Figures for the row of this invariant in the report; valid after {@link #check()}. */
   abstract String summary();
 
   final Invariant invariant() {
     return invariant;
   }
 
-  /** In the order in which they were found. */
+  /** Violations in the order in which they were found. */
   final List<Violation> violations() {
     return violations.violations();
   }
@@ -40,13 +40,13 @@
     violations.record(invariant, description);
   }
 
-  /** The place of a line of the workers' log, as messages name it. */
-  static String fleetLine(int number) {
-    return EventLog.FLEET + ":" + number;
+  /** Location of a line of the workers' log, for messages. */
+  static String fleetLine(int lineNumber) {
+    return EventLog.FLEET + ":" + lineNumber;
   }
 
-  /** The place of a line of the clients' log, as messages name it. */
-  static String clientLine(int number) {
-    return EventLog.CLIENTS + ":" + number;
+  /** Location of a line of the clients' log, for messages. */
+  static String clientLine(int lineNumber) {
+    return EventLog.CLIENTS + ":" + lineNumber;
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/InvariantChecker.java
+++ b/src/main/java/switchgap/testbed/scenario/InvariantChecker.java
@@ -7,8 +7,9 @@
 import switchgap.testbed.invariant.Violation;
 
 /**
- * Checks a played scenario against five invariants, by what passed on the sockets of workers and
- * clients. What a router reports of itself is no evidence. A log that is cut off is rejected.
+ * Checks the logs of a scenario run against five invariants. Only the emulated clients, workers and
+ * endpoint list write these logs, so a router that reports its own state wrongly cannot hide a
+ * violation. A truncated log is an error.
  */
 public final class InvariantChecker {
   private static final int MAX_PRINTED_VIOLATIONS = 20;
@@ -27,23 +28,26 @@
   }
 
   /**
-   * Checks the directory of a played scenario.
+   * Reads the logs in the directory of a scenario run and checks them.
    *
-   * @throws IOException if a log is missing, cut off or unreadable
+   * @throws IOException if a log is missing, truncated or unreadable
    */
   public static InvariantChecker read(Path directory) throws IOException {
     return new InvariantChecker(ScenarioLog.read(directory));
   }
 
   /**
-   * All violations, by invariant in the order of the report and in the order in which they were
-   * found.
+   * All violations, sorted by invariant in the order of the report; those of one invariant in the
+   * order in which they were found.
    */
   public List<Violation> violations() {
     return checks.stream().flatMap(check -> check.violations().stream()).toList();
   }
 
-  /** Prints a row for each invariant with its counts, then the violations. */
+  /**
+   * Prints one row per invariant with its result and counts, and then the violations, at most
+   * {@value #MAX_PRINTED_VIOLATIONS} of them.
+   */
   public void print(PrintStream out) {
     for (InvariantCheck check : checks) {
       int count = check.violations().size();
@@ -59,7 +63,7 @@
         .limit(MAX_PRINTED_VIOLATIONS)
         .forEach(violation -> out.println("  " + violation.description()));
     if (violations.size() > MAX_PRINTED_VIOLATIONS) {
-      out.println("  and " + (violations.size() - MAX_PRINTED_VIOLATIONS) + " more");
+      out.println("  and " + (violations.size() - MAX_PRINTED_VIOLATIONS) + " more violations");
     }
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
@@ -1,6 +1,6 @@
 package switchgap.testbed.scenario;
 
-/** Injects faults of the endpoint list and of the zones that traffic goes to. */
+/** Injects faults of the endpoint list service, and shifts of traffic between zones. */
 final class ListFaultInjector implements FaultInjector {
   private static final double MICROS_PER_SECOND = 1e6;
   private final TestBed testBed;
--- a/src/main/java/switchgap/testbed/scenario/LoadFaults.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadFaults.java
@@ -9,8 +9,8 @@
 import switchgap.testbed.emulator.Scheduler;
 
 /**
- * Injects faults of clients, functions and the store, over sockets and in virtual time alike. On
- * the scheduler's thread.
+ * Injects faults of clients, functions and the store, both over sockets and in virtual time. Runs
+ * on the scheduler's thread.
  */
 public final class LoadFaults {
   private static final int HAMMERING_RETRIES = 12;
@@ -21,9 +21,13 @@
   private final Map<String, Double> tenantShares;
 
   /**
-   * Injects faults into the parts given.
+   * Creates an injector for the emulators of one test bed.
    *
-   * @param tenantShares share of the requests by tenant; a fault without target affects the first
+   * @param scheduler schedules the end of each fault
+   * @param clients emulated clients whose traffic changes
+   * @param catalogue functions that clients request
+   * @param store emulated store that becomes slower
+   * @param tenantShares share of the requests by tenant; a fault without a target affects the first
    */
   public LoadFaults(
       Scheduler scheduler,
@@ -39,12 +43,13 @@
   }
 
   /**
-   * Draws a share of a list.
+   * Selects a random sample of a list.
    *
-   * @param candidates the list; elements that are not drawn are removed from it
-   * @param share of the elements; one is drawn at the least
-   * @param random draws them
-   * @return the list given
+   * @param candidates mutable list; elements that are not selected are removed from it
+   * @param share share of the elements to select, from 0 to 1; of a non-empty list at least one
+   *     element remains
+   * @param random random number generator of the selection
+   * @return {@code candidates}
    */
   public static <T> List<T> drawShare(List<T> candidates, double share, SplittableRandom random) {
     int count = Math.max(1, (int) Math.round(share * candidates.size()));
@@ -57,7 +62,7 @@
   /**
    * Injects a fault and schedules its end.
    *
-   * @return false where the fault is of another type
+   * @return false if this class does not support the type of the fault; nothing was done then
    */
   public boolean inject(ScenarioFault fault) {
     String tenant =
--- a/src/main/java/switchgap/testbed/scenario/LoadQuotaCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadQuotaCheck.java
@@ -6,8 +6,8 @@
 import switchgap.testbed.invariant.WindowedSum;
 
 /**
- * A router's load commands within a window stay under its quota for the requests that it received
- * in that window.
+ * Checks that the number of a router's load commands within any window stays within its quota,
+ * which grows with the number of requests that the router received in that window.
  */
 final class LoadQuotaCheck extends InvariantCheck {
   private final ScenarioSettings.InvariantLimits limits;
@@ -51,16 +51,16 @@
       recordViolation(
           "router "
               + router
-              + " ordered "
+              + " sent "
               + commands.count()
-              + " loads where "
+              + " load commands within the window; its quota is "
               + quota
-              + " are its ration, "
+              + ", "
               + fleetLine(line.lineNumber()));
     }
   }
 
-  /** Number of requests that a router received within the window that ends at a time. */
+  /** Number of attempts that clients sent to a router within the window before a time. */
   private long requestCount(int router, long windowEnd) {
     return log.attempts().sendTimes(router).stream()
         .filter(sentAt -> sentAt <= windowEnd && windowEnd - sentAt <= limits.loadWindow())
@@ -71,8 +71,8 @@
   String summary() {
     String quotaUsage =
         limits.loadWindow() == 0
-            ? "no ration is stated"
-            : "most of the ration used " + Math.round(maxQuotaUsage * 100) + "%";
-    return loadCommandCount + " load orders; " + quotaUsage;
+            ? "no quota is configured"
+            : "at most " + Math.round(maxQuotaUsage * 100) + "% of a quota used";
+    return loadCommandCount + " load commands; " + quotaUsage;
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/LogLine.java
+++ b/src/main/java/switchgap/testbed/scenario/LogLine.java
@@ -5,29 +5,29 @@
 /**
  * One line of an event log.
  *
- * @param lineNumber counts the lines of the log from 1
- * @param event what happened
- * @param fields the line as JSON
+ * @param lineNumber line number in the log, starting at 1
+ * @param event type of the event
+ * @param fields JSON object of the line
  */
 record LogLine(int lineNumber, ScenarioEvent event, JsonNode fields) {
   private static final String TIME = "t";
   private static final String EVENT = "what";
 
   /**
-   * Reads a line.
+   * Creates a line from its JSON.
    *
-   * @param number of the line
-   * @param fields the line as JSON
-   * @return the line, null where it has no time or no event
+   * @param lineNumber line number in the log, starting at 1
+   * @param fields JSON of the line, may be null
+   * @return the line, null if it has no time or no event
    */
-  static LogLine parse(int number, JsonNode fields) {
+  static LogLine parse(int lineNumber, JsonNode fields) {
     if (fields == null || !fields.path(TIME).isNumber() || !fields.path(EVENT).isTextual()) {
       return null;
     }
-    return new LogLine(number, ScenarioEvent.of(fields.get(EVENT).asText()), fields);
+    return new LogLine(lineNumber, ScenarioEvent.of(fields.get(EVENT).asText()), fields);
   }
 
-  /** Time of the event in microseconds. */
+  /** Time of the event in microseconds; all logs of a run use the same clock. */
   long time() {
     return fields.get(TIME).asLong();
   }
@@ -36,57 +36,57 @@
     return event == expected;
   }
 
-  /** Index of the router that it concerns, -1 where it states none. */
+  /** Index of the router, -1 if the line names none. */
   int router() {
     return integer("router");
   }
 
-  /** Name of the worker that it concerns. */
+  /** Name of the worker, empty if the line names none. */
   String worker() {
     return text("worker");
   }
 
-  /** Id of the client's request. */
+  /** Id of the client's request, empty if the line names none. */
   String requestId() {
     return text("job");
   }
 
-  /** Id of the client's attempt. */
+  /** Id of the client's attempt, empty if the line names none. */
   String attemptId() {
     return text("call");
   }
 
-  /** Id of the execution at a worker. */
+  /** Id of the execution at a worker, empty if the line names none. */
   String executionId() {
     return text("run");
   }
 
-  /** The word for how an attempt ended. */
+  /** Name of an attempt's outcome in the logs, empty if the line has none. */
   String outcomeWord() {
     return text("end");
   }
 
-  /** A text, empty where it is absent. */
+  /** A string member, empty if it is absent. */
   String text(String name) {
     return fields.path(name).asText("");
   }
 
-  /** An integer, -1 where it is absent. */
+  /** An integer member, -1 if it is absent. */
   int integer(String name) {
     return fields.path(name).asInt(-1);
   }
 
-  /** An integer that every line of this event has. */
+  /** An integer member that every line of this event has. */
   long requiredLong(String name) {
     return fields.get(name).asLong();
   }
 
-  /** A number that every line of this event has. */
+  /** A floating-point member that every line of this event has. */
   double requiredDouble(String name) {
     return fields.get(name).asDouble();
   }
 
-  /** A boolean, false where it is absent. */
+  /** A boolean member, false if it is absent. */
   boolean flag(String name) {
     return fields.path(name).asBoolean();
   }
--- a/src/main/java/switchgap/testbed/scenario/ObservedAttempt.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedAttempt.java
@@ -6,8 +6,8 @@
 import switchgap.testbed.emulator.ClientOutcome;
 
 /**
- * A client's attempt as the logs of clients and workers show it. Times are in microseconds, lines
- * are numbers of lines of the clients' log.
+ * A client's attempt, from the logs of clients and workers. Times are in microseconds; line numbers
+ * refer to the clients' log.
  */
 final class ObservedAttempt {
   private static final long NOT_ENDED = -1;
@@ -25,7 +25,7 @@
   private int endLineNumber;
   private int finalResponseCount;
 
-  /** The attempt that a line of the clients' log begins. */
+  /** Creates an attempt from the line of the clients' log that records its sending. */
   ObservedAttempt(LogLine line) {
     id = line.attemptId();
     requestId = line.requestId();
@@ -36,7 +36,7 @@
     sentLineNumber = line.lineNumber();
   }
 
-  /** The client records how it ended. */
+  /** Records the outcome from the line of the clients' log that states it. */
   void recordEnd(LogLine line) {
     outcomeWord = line.outcomeWord();
     endedAt = line.time();
@@ -46,22 +46,21 @@
     }
   }
 
-  /** A response arrived after its client had recorded an end. */
+  /** Counts a final response that arrived after the client had recorded an outcome. */
   void countLateResponse() {
     finalResponseCount++;
   }
 
-  /** A late response counts as in time: the attempt ended as the response states. */
+  /** Replaces the outcome by that of a response within the slack, which is treated as in time. */
   void acceptLateResponse(LogLine line) {
     outcomeWord = line.outcomeWord();
   }
 
-  /** A worker received a request for it. */
+  /** Adds an execution; executions are added in the order in which workers received them. */
   void addExecution(ObservedExecution execution) {
     executions.add(execution);
   }
 
-  /** The id of the attempt, as messages name it. */
   String id() {
     return id;
   }
@@ -91,12 +90,12 @@
     return sentLineNumber;
   }
 
-  /** Executions at workers, in order of arrival. */
+  /** Executions in the order in which workers received them. */
   List<ObservedExecution> executions() {
     return Collections.unmodifiableList(executions);
   }
 
-  /** The log's word for how it ended, null where it did not. */
+  /** Name of the outcome in the logs, null if the clients' log states none. */
   String outcomeWord() {
     return outcomeWord;
   }
@@ -105,7 +104,7 @@
     return outcome.word().equals(outcomeWord);
   }
 
-  /** When its client recorded an end, -1 where it did not. */
+  /** Time at which the client recorded an outcome, -1 if it recorded none. */
   long endedAt() {
     return endedAt;
   }
@@ -118,7 +117,7 @@
     return finalResponseCount;
   }
 
-  /** Whether a worker began to execute it. */
+  /** Whether any worker started to execute it. */
   boolean wasExecuted() {
     return executions.stream().anyMatch(ObservedExecution::isStarted);
   }
--- a/src/main/java/switchgap/testbed/scenario/ObservedAttempts.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedAttempts.java
@@ -8,15 +8,16 @@
 import java.util.TreeMap;
 
 /**
- * The attempts of all clients, joined from the lines of the clients' log. Times in microseconds.
+ * The attempts of all clients. Joins the lines of the clients' log by attempt. Times are in
+ * microseconds.
  */
 final class ObservedAttempts {
   /**
-   * A response that a client saw after the deadline and the slack.
+   * A response that a client received later than the deadline plus the slack.
    *
-   * @param attemptId the attempt
-   * @param delay how long after the deadline
-   * @param lineNumber number of the line of the clients' log
+   * @param attemptId id of the attempt
+   * @param delay time from the deadline to the response
+   * @param lineNumber line number in the clients' log
    */
   record LateResponse(String attemptId, long delay, int lineNumber) {}
 
@@ -27,7 +28,13 @@
   private final List<LateResponse> lateResponses = new ArrayList<>();
   private int responsesWithinSlackCount;
 
-  /** Reads the clients' log; a response that is later than the deadline by the slack is in time. */
+  /**
+   * Reads the clients' log.
+   *
+   * @param routers number of routers
+   * @param slack delay past the deadline up to which a response is treated as in time
+   * @param clientLines lines of the clients' log
+   */
   ObservedAttempts(int routers, long slack, List<LogLine> clientLines) {
     this.slack = slack;
     for (int i = 0; i < routers; i++) {
@@ -41,7 +48,7 @@
       case ATTEMPT_SENT -> readAttempt(line);
       case ENDED -> readEnd(line);
       case LATE_RESPONSE -> readLateResponse(line);
-      default -> { // the end of the log
+      default -> { // belongs to no attempt
       }
     }
   }
@@ -75,32 +82,32 @@
     }
   }
 
-  /** The attempt that a line names, null where the clients' log has none. */
+  /** The attempt whose id a line states, null if the clients' log does not contain it. */
   ObservedAttempt find(LogLine line) {
     return attempts.get(line.attemptId());
   }
 
-  /** All attempts in order of sending. */
+  /** All attempts, in the order in which clients sent them. */
   Collection<ObservedAttempt> all() {
     return attempts.values();
   }
 
-  /** Times at which clients sent attempts to a router, in order. */
+  /** Times at which clients sent attempts to a router, in ascending order. */
   List<Long> sendTimes(int router) {
     return sendTimesByRouter.get(router);
   }
 
-  /** Number of attempts by the log's word for how they ended. */
+  /** Number of attempts by the name of their outcome in the logs. */
   Map<String, Integer> outcomeCounts() {
     return outcomeCounts;
   }
 
-  /** Responses after the deadline and the slack. */
+  /** Responses that arrived later than the deadline plus the slack. */
   List<LateResponse> lateResponses() {
     return lateResponses;
   }
 
-  /** Number of responses after the deadline and within the slack. */
+  /** Number of responses that arrived after the deadline but within the slack. */
   int responsesWithinSlackCount() {
     return responsesWithinSlackCount;
   }
--- a/src/main/java/switchgap/testbed/scenario/ObservedExecution.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedExecution.java
@@ -1,6 +1,6 @@
 package switchgap.testbed.scenario;
 
-/** A request at a worker, as the workers' log shows it. Times are in microseconds. */
+/** A request that a worker received, from the workers' log. Times are in microseconds. */
 final class ObservedExecution {
   private static final long NOT_ENDED = Long.MAX_VALUE;
 
@@ -10,19 +10,22 @@
   private long endedAt = NOT_ENDED;
   private boolean started;
 
-  /** The execution that a line of the workers' log begins. */
+  /** Creates an execution from the line of the workers' log that records its receipt. */
   ObservedExecution(LogLine logLine) {
     worker = logLine.worker();
     receivedAt = logLine.time();
     lineNumber = logLine.lineNumber();
   }
 
-  /** The worker began to execute it. */
+  /** Records that the worker started to execute the request. */
   void markStarted() {
     started = true;
   }
 
-  /** Its router could know by then that it had ended; the earliest time counts. */
+  /**
+   * Records a time from which the router could know that the execution had ended. The earliest of
+   * several times is kept.
+   */
   void markEndedBy(long knownEndTime) {
     endedAt = Math.min(endedAt, knownEndTime);
   }
@@ -35,12 +38,12 @@
     return receivedAt;
   }
 
-  /** Number of the line of the workers' log that begins it. */
+  /** Line number of its receipt in the workers' log. */
   int lineNumber() {
     return lineNumber;
   }
 
-  /** Whether it was still in flight at a time. */
+  /** Whether the router could not yet know at a time that the execution had ended. */
   boolean isInFlightAt(long time) {
     return endedAt > time;
   }
--- a/src/main/java/switchgap/testbed/scenario/ObservedExecutions.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedExecutions.java
@@ -6,11 +6,14 @@
 import java.util.Map;
 
 /**
- * The executions at all workers, joined from the lines of the workers' log and assigned to the
- * clients' attempts.
+ * The executions at all workers. Joins the lines of the workers' log by execution and adds each
+ * execution to the client's attempt that it belongs to.
  */
 final class ObservedExecutions {
-  /** Faults after which the router does not learn of the end of an execution. */
+  /**
+   * Faults with which the router receives no complete response, so that it cannot know that the
+   * execution has ended.
+   */
   private static final List<String> FAULTS_WITHOUT_RESPONSE = List.of("lost", "late", "half");
 
   private final ObservedAttempts attempts;
@@ -33,7 +36,7 @@
       case REPEAT_DROPPED -> droppedRepeatCount++;
       case WORKER_ENDED -> readWorkerEnd(line);
       case ENDED, CONNECTION_CLOSED -> readEnd(line);
-      default -> { // loads, probes and the like
+      default -> { // belongs to no execution
       }
     }
   }
@@ -59,7 +62,7 @@
     }
   }
 
-  /** A worker's process died: its connections were cut, so all its executions have ended. */
+  /** The end of a worker's process closes its connections and ends all its executions. */
   private void readWorkerEnd(LogLine line) {
     List<ObservedExecution> executionsOfWorker = executionsByWorker.remove(line.worker());
     if (executionsOfWorker != null) {
@@ -79,12 +82,12 @@
     return receivedCount;
   }
 
-  /** Number of executions that workers started. */
+  /** Number of requests that workers started to execute. */
   int startedCount() {
     return startedCount;
   }
 
-  /** Number of repeats that workers recognized by their idempotency key. */
+  /** Number of requests that workers recognized as repeats by their idempotency key. */
   int droppedRepeatCount() {
     return droppedRepeatCount;
   }
--- a/src/main/java/switchgap/testbed/scenario/RequestClassReader.java
+++ b/src/main/java/switchgap/testbed/scenario/RequestClassReader.java
@@ -10,7 +10,7 @@
 import switchgap.testbed.emulator.FunctionCatalogue;
 import switchgap.testbed.emulator.RequestClassProfile;
 
-/** Reads the section {@code workloads} of a scenario: the request classes and their functions. */
+/** Reads section {@code workloads} of a scenario: the request classes and their functions. */
 final class RequestClassReader {
   private static final Map<String, Idempotency> IDEMPOTENCY_WORDS = new LinkedHashMap<>();
 
@@ -34,7 +34,8 @@
     Idempotency idempotency = idempotency(section);
     RequestClassProfile profile = profile(name, section, idempotency);
     FunctionCatalogue.FunctionGroup functions = functions(name, section, idempotency);
-    section.text("group", "all"); // a router's key, allowed here in any request class
+    // RouterConfigWriter copies these keys; they are accepted in every request class.
+    section.text("group", "all");
     section.has("memory_span");
     section.rejectUnknownKeys();
     return new ScenarioSettings.RequestClassSpec(idempotency, profile, functions);
@@ -52,7 +53,8 @@
     double weight = section.number("importance", 0, ScenarioReader.MAX_FACTOR, 1);
     double lateShare = section.number("late_share", 0, 1, 0);
     boolean withKey = idempotency == Idempotency.IDEMPOTENT_WITH_KEY;
-    // Workers of a group deduplicate; with one group for all workers any retry is safe.
+    // Workers deduplicate by idempotency key within their group only. With a single group for all
+    // workers, a retry at any worker is safe.
     boolean retriesAll =
         idempotency == Idempotency.IDEMPOTENT
             || (withKey && section.text("group", "all").equals("all"));
--- a/src/main/java/switchgap/testbed/scenario/RouterAddress.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterAddress.java
@@ -1,8 +1,8 @@
 package switchgap.testbed.scenario;
 
 /**
- * The loopback address from which each router connects to its workers. By it the workers' log names
- * the sender of a request.
+ * Loopback addresses from which routers connect to workers. Each router has an address of its own,
+ * by which the emulated workers identify the sender of a request in their log.
  */
 final class RouterAddress {
   private static final int ROUTERS_PER_SUBNET = 250;
@@ -11,12 +11,12 @@
 
   private RouterAddress() {}
 
-  /** The address of a router. */
+  /** Address of the router with this index. */
   static String of(int router) {
     return "127.1." + (router / ROUTERS_PER_SUBNET) + "." + (router % ROUTERS_PER_SUBNET + 1);
   }
 
-  /** The router of an address, -1 for another address. */
+  /** Index of the router with this address, -1 if it is not the address of a router. */
   static int routerOf(String address) {
     String[] octets = address.split("\\.");
     if (octets.length != ADDRESS_OCTETS || !octets[1].equals("1")) {
--- a/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
@@ -10,7 +10,7 @@
 import switchgap.testbed.emulator.FunctionCatalogue;
 import switchgap.testbed.emulator.FunctionModel;
 
-/** Writes the configuration of a scenario's routers, as YAML. */
+/** Generates the configurations of a scenario's routers, as YAML. */
 final class RouterConfigWriter {
   private static final long MICROS_PER_MILLI = 1000;
 
@@ -18,27 +18,32 @@
   private static final List<String> EMULATOR_KEYS =
       List.of("share", "memory", "lanes", "load", "work", "io", "spread");
 
-  /** Sections that are copied unchanged. */
+  /** Sections of the scenario that are copied to the configuration. */
   private static final List<String> COPIED_SECTIONS =
       List.of("workers", "rules", "prices", "holds", "links", "levels");
 
   private final ScenarioSettings settings;
   private final Map<String, Object> document;
 
-  /** The document is the scenario's, as plain maps and lists. */
+  /**
+   * Creates a writer.
+   *
+   * @param settings settings of the scenario
+   * @param document scenario document as plain maps and lists, from which sections are copied
+   */
   RouterConfigWriter(ScenarioSettings settings, Map<String, Object> document) {
     this.settings = settings;
     this.document = document;
   }
 
   /**
-   * The configuration of one router.
+   * Generates the configuration of one router.
    *
    * @param number index of the router
-   * @param port port that it listens at
+   * @param port port on which the router listens
    * @param listPort port of the endpoint list service
    * @param catalogue functions of the scenario
-   * @param overrides values in place of the scenario's, as YAML, by {@code section.key}
+   * @param overrides values as YAML, by {@code section.key}, that replace those of the scenario
    */
   String write(
       int number,
@@ -145,8 +150,8 @@
       }
     }
     if (config.containsKey("rules")) {
-      getOrCreateSection(config, "rules")
-          .remove("drain_grace"); // the invariant checker's; a router stops at once
+      // Only the invariant checker allows a grace period; a router stops sending immediately.
+      getOrCreateSection(config, "rules").remove("drain_grace");
     }
   }
 
@@ -165,8 +170,8 @@
     return mapping(config, name);
   }
 
-  /** A mapping within a document; the scenario's document was checked when it was read. */
-  @SuppressWarnings("unchecked") // checked when the document was read
+  /** Returns a nested mapping. */
+  @SuppressWarnings("unchecked") // ScenarioReader has validated the document
   private static Map<String, Object> mapping(Map<String, Object> parent, String name) {
     return (Map<String, Object>) parent.get(name);
   }
--- a/src/main/java/switchgap/testbed/scenario/RouterFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterFaultInjector.java
@@ -1,6 +1,6 @@
 package switchgap.testbed.scenario;
 
-/** Injects faults of routers and their planners. */
+/** Injects faults of router processes and their planners. */
 final class RouterFaultInjector implements FaultInjector {
   private static final long RESTART_OUTAGE_MICROS = 1_000_000;
   private final TestBed testBed;
@@ -73,7 +73,8 @@
   }
 
   /**
-   * Records the time before the signal: the router may have stopped by the time that it was sent.
+   * Suspends a router. Logs the time before the signal, because the router may have stopped before
+   * the call that sends the signal returns.
    */
   private void pause(int router, long durationMicros) {
     long time = testBed.scheduler().now();
--- a/src/main/java/switchgap/testbed/scenario/RouterGroup.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterGroup.java
@@ -12,40 +12,40 @@
 import switchgap.testbed.emulator.FunctionCatalogue;
 import switchgap.testbed.process.LoopbackPorts;
 
-/** The routers of a test bed: their configurations, ports and processes. */
+/** The routers of a test bed, with their configurations and ports. */
 final class RouterGroup {
   private static final Logger LOG = LoggerFactory.getLogger(RouterGroup.class);
   private static final long STOP_TIMEOUT_MILLIS = 9000;
 
   private final Scenario scenario;
   private final Path directory;
-  private final int[] ports;
+  private final int[] routerPorts;
   private final int[] plannerPorts;
   private final List<RouterHost> hosts = new ArrayList<>();
 
-  /** Finds ports for the routers of a scenario; their files are in the directory. */
+  /** Finds free ports for the routers and planners; their files are written to the directory. */
   RouterGroup(Scenario scenario, Path directory) throws IOException {
     this.scenario = scenario;
     this.directory = directory;
     boolean ownPlanners = scenario.settings().routers().ownPlanners();
     int count = scenario.routers();
-    // All at once: two searches in turn may return the same port.
+    // One call for all ports: two separate calls could return the same port twice.
     int[] freePorts = LoopbackPorts.free(ownPlanners ? 2 * count : count);
-    ports = Arrays.copyOf(freePorts, count);
+    routerPorts = Arrays.copyOf(freePorts, count);
     plannerPorts = Arrays.copyOfRange(freePorts, count, freePorts.length);
   }
 
-  /** Writes a router's configuration to the directory and prepares its host. */
+  /** Writes the configuration of the next router and creates its host, without starting it. */
   void add(int listPort, FunctionCatalogue catalogue, String baseline) throws IOException {
-    int number = hosts.size();
-    Path config = directory.resolve("router-" + number + ".yaml");
-    Path log = directory.resolve("router-" + number + ".log");
+    int index = hosts.size();
+    Path config = directory.resolve("router-" + index + ".yaml");
+    Path log = directory.resolve("router-" + index + ".log");
     Files.deleteIfExists(log);
     boolean ownPlanner = plannerPorts.length > 0;
     Map<String, String> overrides =
-        ownPlanner ? Map.of("planner.port", String.valueOf(plannerPorts[number])) : Map.of();
+        ownPlanner ? Map.of("planner.port", String.valueOf(plannerPorts[index])) : Map.of();
     Files.writeString(
-        config, scenario.routerConfig(number, ports[number], listPort, catalogue, overrides));
+        config, scenario.routerConfig(index, routerPorts[index], listPort, catalogue, overrides));
     hosts.add(
         scenario.settings().routers().ownProcesses()
             ? new RouterProcess(config, log, baseline, ownPlanner)
@@ -65,46 +65,47 @@
   }
 
   int port(int router) {
-    return ports[router];
+    return routerPorts[router];
   }
 
   /**
-   * Waits until all routers listen.
+   * Waits until all routers accept connections.
    *
-   * @throws IOException if one does not in time, or has ended
+   * @throws IOException if a router does not listen within the timeout or has ended
    */
   void awaitListening() throws IOException {
-    for (int i = 0; i < ports.length; i++) {
-      LoopbackPorts.await(ports[i]);
+    for (int i = 0; i < routerPorts.length; i++) {
+      LoopbackPorts.await(routerPorts[i]);
       if (!hosts.get(i).isRunning()) {
-        throw new IOException("router " + i + " has ended, see its log in " + directory);
+        throw new IOException(
+            "router " + i + " ended during start-up; see its log in " + directory);
       }
     }
   }
 
-  /** Starts a router again; false where it can't be started. */
+  /** Starts a router; logs an error and returns false if it cannot be started. */
   boolean start(int router) {
     try {
       hosts.get(router).start();
       return true;
     } catch (IOException e) {
-      LOG.error("router {} can't be started again", router, e);
+      LOG.error("router {} could not be restarted; it stays down", router, e);
       return false;
     }
   }
 
-  /** Starts the planners that are not running. */
+  /** Starts the planners that are not running; logs an error for each that cannot be started. */
   void startPlanners() {
     for (RouterHost host : hosts) {
       try {
         host.startPlanner();
       } catch (IOException e) {
-        LOG.error("a planner can't be started again", e);
+        LOG.error("a planner could not be restarted; its router stays without one", e);
       }
     }
   }
 
-  /** Shuts all routers down gracefully and waits for their end. */
+  /** Shuts down all routers gracefully, in parallel, and waits until they have ended. */
   void stop() {
     List<Thread> threads = new ArrayList<>();
     for (int i = 0; i < hosts.size(); i++) {
@@ -121,7 +122,7 @@
     }
   }
 
-  /** Ends all routers and planners at once. */
+  /** Kills all routers and planners without a graceful shutdown. */
   void kill() {
     for (RouterHost host : hosts) {
       host.kill();
--- a/src/main/java/switchgap/testbed/scenario/RouterHost.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterHost.java
@@ -3,43 +3,43 @@
 import java.io.IOException;
 
 /**
- * Runs one router of a scenario, with its planner where it has one: in processes of their own, or
- * within this process.
+ * Controls one router of a scenario and its planner, if it has one. They run in separate processes,
+ * or the router runs in this process.
  */
 interface RouterHost {
-  /** Starts the router; it listens at the port of its configuration. */
+  /** Starts the router and its planner; the router listens on the port of its configuration. */
   void start() throws IOException;
 
   /** Whether the router was started and has not ended. */
   boolean isRunning();
 
-  /** Ends the router at once. */
+  /** Kills the router without a graceful shutdown. Its planner keeps running. */
   void kill();
 
-  /** Suspends the router by a signal; false where that is impossible. */
+  /** Suspends the router by a signal; returns false if the signal could not be sent. */
   boolean suspend();
 
-  /** Resumes a suspended router; false where that is impossible. */
+  /** Resumes a suspended router; returns false if the signal could not be sent. */
   boolean resume();
 
-  /** Ends the planner at once; false where there is none. */
+  /** Kills the planner; returns false if there is none. */
   default boolean killPlanner() {
     return false;
   }
 
-  /** Starts the planner, where there is one that is not running. */
+  /** Starts the planner if the router has one that is not running. */
   default void startPlanner() throws IOException {}
 
-  /** Suspends the planner by a signal; false where that is impossible. */
+  /** Suspends the planner by a signal; returns false if the signal could not be sent. */
   default boolean suspendPlanner() {
     return false;
   }
 
-  /** Resumes a suspended planner; false where that is impossible. */
+  /** Resumes a suspended planner; returns false if the signal could not be sent. */
   default boolean resumePlanner() {
     return false;
   }
 
-  /** Shuts the router down gracefully and waits for its end. */
+  /** Kills the planner, shuts the router down gracefully and waits until it has ended. */
   void stop();
 }
--- a/src/main/java/switchgap/testbed/scenario/RouterOutages.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterOutages.java
@@ -3,9 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** When routers were dead or paused, as the fault script's log shows. Times in microseconds. */
+/** Intervals in which routers were down or paused, from the fault log. Times in microseconds. */
 final class RouterOutages {
-  private static final long OPEN_END = Long.MAX_VALUE / 2; // durations are added to it
+  /** End of an interval that has not ended; half the range, so that adding the slack is safe. */
+  private static final long OPEN_END = Long.MAX_VALUE / 2;
 
   private record Interval(long start, long end) {
     boolean overlaps(long otherStart, long otherEnd, long slack) {
@@ -18,11 +19,11 @@
   private final List<List<Interval>> pausedIntervals = new ArrayList<>();
 
   /**
-   * Reads the outages.
+   * Collects the outages.
    *
    * @param routers number of routers
-   * @param slack by which outages count as longer, at both ends
-   * @param scriptLines lines of the fault script's log
+   * @param slack time by which each outage is extended at both ends
+   * @param scriptLines lines of the log of injected faults
    */
   RouterOutages(int routers, long slack, List<LogLine> scriptLines) {
     this.slack = slack;
@@ -37,7 +38,7 @@
         case ROUTER_STARTED -> endLastInterval(downIntervals.get(router), line.time());
         case ROUTER_PAUSED -> pausedIntervals.get(router).add(new Interval(line.time(), OPEN_END));
         case ROUTER_RESUMED -> endLastInterval(pausedIntervals.get(router), line.time());
-        default -> { // other faults stop no router
+        default -> { // does not change whether a router runs
         }
       }
     }
@@ -48,7 +49,7 @@
     intervals.set(last, new Interval(intervals.get(last).start(), end));
   }
 
-  /** Whether a router was dead at any time of an interval. */
+  /** Whether a router was down at any time in an interval. */
   boolean wasDown(int router, long start, long end) {
     return downIntervals.get(router).stream()
         .anyMatch(outage -> outage.overlaps(start, end, slack));
--- a/src/main/java/switchgap/testbed/scenario/RouterProcess.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterProcess.java
@@ -8,7 +8,7 @@
 import switchgap.testbed.process.ChildProcess;
 import switchgap.testbed.process.ProcessSignal;
 
-/** A {@code router} process, started from this program's own class path, and its planner. */
+/** A {@code router} process with this program's class path, and optionally its planner process. */
 final class RouterProcess implements RouterHost {
   private static final List<String> JVM_OPTIONS =
       List.of("-Xmx256m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
@@ -21,12 +21,12 @@
   private Process planner;
 
   /**
-   * A router that is not started yet.
+   * Creates a router that is not started yet.
    *
-   * @param config its configuration
-   * @param log receives the output of the router, and in a file beside it that of its planner
-   * @param baseline name of a routing policy in place of the program's own, null for none
-   * @param ownPlanner whether it has a planner, in one more process
+   * @param config configuration file of the router
+   * @param log file for the output of the router; the planner writes to a file next to it
+   * @param baseline name of a baseline routing policy, null for the router's own policy
+   * @param ownPlanner whether the router has a planner, which runs in a further process
    */
   RouterProcess(Path config, Path log, String baseline, boolean ownPlanner) {
     this.config = config;
@@ -100,7 +100,8 @@
     try {
       return signal.send(target);
     } catch (IOException e) {
-      return false; // no signals on this system: the caller records that the fault was not injected
+      // This system has no signals. The caller logs that the fault was not injected.
+      return false;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
--- a/src/main/java/switchgap/testbed/scenario/RouterShares.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterShares.java
@@ -1,15 +1,15 @@
 package switchgap.testbed.scenario;
 
-/** How clients distribute their requests over the routers of a scenario. */
+/** Distribution of the clients' requests over the routers of a scenario. */
 final class RouterShares {
   private RouterShares() {}
 
   /**
-   * The share of each router: the first receives a stated share, the others divide the rest in
-   * proportion to 1, 1/2, 1/3 and so on.
+   * Returns the share of the requests that each router receives. The first receives {@code
+   * busiestShare}; the others divide the remainder in proportion to 1, 1/2, 1/3 and so on.
    *
-   * @param routers number of routers, one at the least
-   * @param busiestShare share of the first router; a single router receives all
+   * @param routers number of routers, at least 1
+   * @param busiestShare share of the first router; ignored for a single router, which receives all
    */
   static double[] of(int routers, double busiestShare) {
     double[] shares = new double[routers];
--- a/src/main/java/switchgap/testbed/scenario/Scenario.java
+++ b/src/main/java/switchgap/testbed/scenario/Scenario.java
@@ -19,8 +19,8 @@
 import switchgap.testbed.emulator.WorkerHardware;
 
 /**
- * A scenario as its document states it: fleet, routers, load, fault script and seed. Workers and
- * routers are numbered from 0. Immutable.
+ * A scenario as described by its YAML document: worker fleet, routers, load, fault script and seed.
+ * Workers and routers are identified by an index that starts at 0. Immutable.
  */
 public final class Scenario {
   private static final double MICROS_PER_SECOND = 1e6;
@@ -38,11 +38,11 @@
   /**
    * Reads a scenario.
    *
-   * @param path a YAML document
+   * @param path file with the YAML document
    * @return the scenario
-   * @throws IOException if the file can't be read
-   * @throws switchgap.config.InvalidConfigException if the document has a mistake, with file, line
-   *     and key
+   * @throws IOException if the file cannot be read
+   * @throws switchgap.config.InvalidConfigException if the document is invalid; the message names
+   *     file, line and key
    */
   public static Scenario read(Path path) throws IOException {
     String text = Files.readString(path);
@@ -56,17 +56,17 @@
     return settings;
   }
 
-  /** The name of the scenario. */
+  /** Name of the scenario; the file name without extension if the document has none. */
   public String name() {
     return settings.timing().name();
   }
 
-  /** The seed of all random draws. */
+  /** Seed of all random number generators. */
   public long seed() {
     return settings.timing().seed();
   }
 
-  /** Number of workers at the start. */
+  /** Number of workers when the scenario starts. */
   public int workers() {
     return settings.fleet().workers();
   }
@@ -76,37 +76,37 @@
     return settings.routers().count();
   }
 
-  /** Number of workers in a cell. */
+  /** Number of workers per cell. */
   public int cellSize() {
     return settings.fleet().cellSize();
   }
 
-  /** Concurrent fetches that the store serves at full speed. */
+  /** Number of concurrent fetches that the store serves at full speed. */
   public double storeCapacity() {
     return settings.store().capacity();
   }
 
-  /** How long the store stops after an overload, microseconds. */
+  /** How long the store is unavailable after an overload, in microseconds. */
   public long storeOutage() {
     return settings.store().outage();
   }
 
-  /** Delay with which routers learn of changes to the endpoint list, microseconds. */
+  /** Delay until routers are notified of a change to the endpoint list, in microseconds. */
   public long listLag() {
     return settings.listLag();
   }
 
-  /** Whether workers report utilization and queue length. */
+  /** Whether the workers' responses report utilization and queue length. */
   public boolean reportsLoad() {
     return settings.fleet().reportsLoad();
   }
 
-  /** The fault script, in the document's order. */
+  /** Entries of the fault script, in document order. */
   public List<ScenarioFault> faults() {
     return List.copyOf(settings.faults());
   }
 
-  /** Share of the requests by tenant, in the document's order. */
+  /** Share of the requests by tenant, in document order. */
   public Map<String, Double> tenantShares() {
     return settings.tenantShares();
   }
@@ -121,28 +121,36 @@
     return settings.zones().get(zoneOf(number));
   }
 
-  /** Name of a worker's kind. */
+  /** Name of the kind of a worker; kinds differ in their hardware. */
   public String kindName(int worker) {
     return fleet.kindOf(worker).name();
   }
 
-  /** Compute capacity of a worker in cores of speed 1. */
+  /** Compute capacity of a worker, as a number of cores of speed 1. */
   public double computeCapacityOf(int worker) {
     return fleet.computeCapacityOf(worker);
   }
 
-  /** Hardware of a worker. */
+  /** Hardware and limits of the worker with this index. */
   public WorkerHardware hardwareOf(int worker) {
     return fleet.hardwareOf(worker);
   }
 
-  /** The functions of the scenario, drawn with a seed. */
+  /** Generates the functions of the scenario from a seed. */
   public FunctionCatalogue catalogue(long seed) {
     return new FunctionCatalogue(
         settings.functionGroups(), settings.load().functions(), settings.load().zipf(), seed);
   }
 
-  /** The clients of the scenario, drawn with a seed; they send through the transport. */
+  /**
+   * Creates the clients of the scenario.
+   *
+   * @param scheduler schedules arrivals, timeouts and retries
+   * @param transport sends the attempts to the routers
+   * @param catalogue functions that the clients call
+   * @param seed seed of the clients' random number generator
+   * @return the clients; they do not send yet
+   */
   public EmulatedClients clients(
       Scheduler scheduler, ClientTransport transport, FunctionCatalogue catalogue, long seed) {
     return new EmulatedClients(
@@ -159,11 +167,11 @@
   }
 
   /**
-   * The configuration of one router.
+   * Generates the configuration of one router.
    *
-   * @param number of the router
-   * @param port that it listens at
-   * @param listPort of the endpoint list service
+   * @param number index of the router
+   * @param port port on which the router listens
+   * @param listPort port of the endpoint list service
    * @param catalogue functions of the scenario
    * @return the configuration as YAML
    */
@@ -172,9 +180,14 @@
   }
 
   /**
-   * The configuration of one router, with some values in place of the scenario's.
+   * Generates the configuration of one router and overrides some values of the scenario.
    *
+   * @param number index of the router
+   * @param port port on which the router listens
+   * @param listPort port of the endpoint list service
+   * @param catalogue functions of the scenario
    * @param overrides values as YAML, by {@code section.key}
+   * @return the configuration as YAML
    */
   public String routerConfig(
       int number,
@@ -185,38 +198,38 @@
     return routerConfigWriter.write(number, port, listPort, catalogue, overrides);
   }
 
-  /** Work that the fleet does in a second, in seconds of a core of speed 1. */
+  /** Compute capacity of all workers at the start, as a number of cores of speed 1. */
   public double fleetCapacity() {
     return fleet.totalComputeCapacity();
   }
 
-  /** Mean work of a request, in seconds of a core of speed 1. */
+  /** Mean work per request, in seconds on one core of speed 1. */
   public double meanWork() {
     return settings.functionGroups().stream()
         .mapToDouble(group -> group.share() * group.work() / MICROS_PER_SECOND)
         .sum();
   }
 
-  /** Requests a second of all clients together. */
+  /** Requests per second of all clients together. */
   public double requestRate() {
     return settings.load().rate();
   }
 
-  /** The longest timeout of a request class, microseconds. */
+  /** Longest timeout of all request classes, in microseconds. */
   public long longestTimeout() {
     return settings.profiles().stream().mapToLong(RequestClassProfile::timeout).max().orElse(0);
   }
 
   /**
-   * One request class's part of the traffic.
+   * Contribution of one request class to the traffic.
    *
-   * @param share of all requests
-   * @param weight what a response in time earns
-   * @param relativeWork work of a request, as a ratio to the mean over all classes
+   * @param share share of all requests that belong to this class
+   * @param weight priority weight of a response that meets its latency objective
+   * @param relativeWork work per request, relative to the mean over all classes
    */
   public record TrafficShare(double share, double weight, double relativeWork) {}
 
-  /** Parts of the traffic, in the order of the request classes. */
+  /** Traffic of each request class, in the order of the classes. */
   public List<TrafficShare> trafficShares() {
     List<TrafficShare> shares = new ArrayList<>();
     for (ScenarioSettings.RequestClassSpec requestClass : settings.requestClasses()) {
@@ -231,8 +244,10 @@
   }
 
   /**
-   * Number of pending requests at a router at which a static limit rejects all but the most
-   * important: twice the router's part of two thirds of the fleet's slots.
+   * Number of pending requests at a router from which a static limit rejects all but the most
+   * important requests: twice the router's share of two thirds of the fleet's execution slots.
+   *
+   * @return the limit, 2 or higher
    */
   public int staticPendingLimit() {
     int totalSlots = workers() * settings.fleet().limits().slotsPerCore();
--- a/src/main/java/switchgap/testbed/scenario/ScenarioEvent.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioEvent.java
@@ -1,18 +1,18 @@
 package switchgap.testbed.scenario;
 
-/** Events that the checks read in the logs of a scenario, with the word of each in the logs. */
+/** Events in the logs of a scenario that the checks use, each with its name in the logs. */
 enum ScenarioEvent {
   /** Clients' log: an attempt was sent. */
   ATTEMPT_SENT("call"),
-  /** Clients' log: an attempt ended; workers' log: an execution ended with a response. */
+  /** Clients' log: an attempt ended. Workers' log: an execution ended with a response. */
   ENDED("answer"),
-  /** Clients' log: a response arrived after the attempt had ended. */
+  /** Clients' log: a response arrived after the client had recorded the end of the attempt. */
   LATE_RESPONSE("late-answer"),
   /** Workers' log: a request arrived. */
   REQUEST_RECEIVED("infer"),
-  /** Workers' log: a request was started. */
+  /** Workers' log: the execution of a request started. */
   EXECUTION_STARTED("ran"),
-  /** Workers' log: the router closed the connection of a request. */
+  /** Workers' log: the router closed the connection on which it had sent a request. */
   CONNECTION_CLOSED("left"),
   /** Workers' log: a request was recognized as a repeat by its idempotency key. */
   REPEAT_DROPPED("repeat-dropped"),
@@ -28,15 +28,15 @@
   ROUTER_NOTIFIED("told"),
   /** Log of the fault script: a router was killed. */
   ROUTER_KILLED("router-killed"),
-  /** Log of the fault script: a router was started again. */
+  /** Log of the fault script: a killed router was restarted. */
   ROUTER_STARTED("router-started"),
-  /** Log of the fault script: a router was suspended. */
+  /** Log of the fault script: a router process was suspended. */
   ROUTER_PAUSED("router-paused"),
-  /** Log of the fault script: a router was resumed. */
+  /** Log of the fault script: a router process was resumed. */
   ROUTER_RESUMED("router-resumed"),
-  /** Any log: its last line. */
+  /** Last line of every log. */
   END_OF_LOG("end"),
-  /** Any other event; no check reads it. */
+  /** Any other event; the checks ignore it. */
   OTHER("");
 
   private final String word;
@@ -45,12 +45,12 @@
     this.word = word;
   }
 
-  /** The word for it in the logs. */
+  /** Name of the event in the logs. */
   String word() {
     return word;
   }
 
-  /** The event of a word, {@link #OTHER} for an unknown one. */
+  /** The event with this name in the logs, {@link #OTHER} if there is none. */
   static ScenarioEvent of(String word) {
     for (ScenarioEvent event : values()) {
       if (event.word.equals(word)) {
--- a/src/main/java/switchgap/testbed/scenario/ScenarioLog.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioLog.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * What passed on the sockets of clients and workers while a scenario was played, read from its
- * logs. What a router reports of itself is no evidence and is not read.
+ * The logs of a scenario run: what clients and workers sent and received over their sockets.
+ * Routers' own logs and metrics are not read, because a faulty router may report them wrongly.
  */
 final class ScenarioLog {
   private final Scenario scenario;
@@ -28,9 +28,9 @@
   }
 
   /**
-   * Reads the directory of a played scenario.
+   * Reads the logs in the directory of a scenario run.
    *
-   * @throws IOException if a log is missing, cut off or unreadable
+   * @throws IOException if a log is missing, truncated or unreadable
    */
   static ScenarioLog read(Path directory) throws IOException {
     return new ScenarioLog(directory);
@@ -40,12 +40,12 @@
     return scenario.settings();
   }
 
-  /** Tolerance for the clocks and threads of one machine, microseconds. */
+  /** Tolerance for clock differences and thread scheduling delays, in microseconds. */
   long slack() {
     return settings().timing().slack();
   }
 
-  /** When routers were dead or paused by the fault script. */
+  /** Intervals in which the fault script kept routers down or paused. */
   RouterOutages outages() {
     return outages;
   }
@@ -60,12 +60,12 @@
     return listLines;
   }
 
-  /** The attempts of the clients, with their executions. */
+  /** Attempts of all clients, each with its executions at workers. */
   ObservedAttempts attempts() {
     return attempts;
   }
 
-  /** The executions at the workers. */
+  /** Executions at all workers. */
   ObservedExecutions executions() {
     return executions;
   }
--- a/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
@@ -9,7 +9,7 @@
 import switchgap.config.YamlDocument;
 import switchgap.testbed.emulator.ClientRetryPolicy;
 
-/** Reads the settings of a scenario from its document; errors name file, line and key. */
+/** Reads the settings of a scenario from its YAML document; errors name file, line and key. */
 final class ScenarioReader {
   private static final List<String> SECTIONS =
       List.of(
@@ -31,7 +31,7 @@
           "script");
   private static final long MAX_SEED = 1L << 50;
 
-  /** Upper bound of factors and numbers that have no bound by their nature. */
+  /** Upper bound for factors and counts that have no natural maximum. */
   static final double MAX_FACTOR = 1e6;
 
   private static final int NANOS_PER_MICRO = 1000;
@@ -44,16 +44,16 @@
   }
 
   /**
-   * Reads a document.
+   * Reads the settings from a document.
    *
-   * @param document the document
-   * @param file its file, whose name is the default of the scenario's
+   * @param document the whole scenario document
+   * @param file file that contains the document; its name is the default name of the scenario
    */
   static ScenarioSettings read(YamlDocument document, Path file) {
     return new ScenarioReader(document, file).read();
   }
 
-  /** Sections are read in this order: of several mistakes the first is reported. */
+  /** Reads the sections in this order; if several are invalid, the first error is reported. */
   private ScenarioSettings read() {
     ScenarioSettings.Timing timing = timing(document.section("day"));
     List<String> zones = document.has("zones") ? document.textList("zones") : List.of("zone");
@@ -74,7 +74,7 @@
     }
     for (String key : document.keys()) {
       if (!SECTIONS.contains(key)) {
-        throw document.invalid(key, "is no part of a scenario");
+        throw document.invalid(key, "is not a section of a scenario");
       }
     }
     return new ScenarioSettings(
@@ -158,10 +158,11 @@
             || section.choice("processes", List.of("own", "one")).equals("own");
     boolean ownPlanners = section.flag("split", false);
     if (ownPlanners && !ownProcesses) {
-      throw section.invalid("split", "needs routers in processes of their own");
+      throw section.invalid("split", "requires routers in separate processes");
     }
     int maxAttempts = section.integer("executions", 1, 64, 3);
-    section.text("most_come_back", "1s"); // copied to the routers' configurations as it stands
+    // RouterConfigWriter copies these two values; here they are only accepted as known keys.
+    section.text("most_come_back", "1s");
     section.flag("second_executions", false);
     section.rejectUnknownKeys();
     return new ScenarioSettings.Routers(
@@ -185,7 +186,7 @@
     Map<String, Double> shares = new LinkedHashMap<>();
     for (String name : section.keys()) {
       YamlDocument tenant = section.section(name);
-      tenant.number("rate", 0, 1e9); // copied to the routers' configurations as it stands
+      tenant.number("rate", 0, 1e9); // only validated: RouterConfigWriter copies the value
       shares.put(name, tenant.number("share", 0, 1));
       tenant.rejectUnknownKeys();
     }
@@ -207,7 +208,7 @@
   private static ScenarioFault fault(YamlDocument section) {
     FaultType type = section.choice("trouble", FaultType.class, null);
     if (type == null) {
-      section.text("trouble"); // reports the missing key
+      section.text("trouble"); // throws: the key is missing
     }
     ScenarioFault fault =
         new ScenarioFault(
@@ -221,7 +222,7 @@
     return fault;
   }
 
-  /** A duration in microseconds, the unit of the settings. */
+  /** Converts a duration to microseconds, the unit of {@link ScenarioSettings}. */
   static long micros(Duration duration) {
     return duration.toNanos() / NANOS_PER_MICRO;
   }
--- a/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
@@ -10,30 +10,37 @@
 import switchgap.testbed.emulator.RequestTally;
 
 /**
- * Plays a scenario: starts the test bed, lets clients send while faults are injected, and shuts
- * down gracefully.
+ * Runs a scenario over sockets: starts the test bed, generates load while faults are injected, and
+ * shuts down gracefully.
  */
 public final class ScenarioRunner {
+  /** Time between the start of the test bed and the first request, for workers and connections. */
   private static final long START_DELAY_MILLIS = 500;
+
   private static final long ARRIVALS_POLL_MILLIS = 50;
   private static final long IN_FLIGHT_POLL_MILLIS = 20;
 
-  /** Longer than clients wait for a late response. */
+  /** Longer than clients keep a connection open for a late response. */
   private static final long LATE_RESPONSE_WAIT_MILLIS = 400;
 
+  /** Added to the longest timeout: after it, attempts in flight are no longer waited for. */
   private static final long IN_FLIGHT_MARGIN_MICROS = 2_000_000;
+
   private static final int WORST_WINDOW_SECONDS = 10;
 
   private ScenarioRunner() {}
 
   /**
-   * Plays a scenario and prints the outcome of its requests.
+   * Runs a scenario and prints a summary of the outcomes of its requests.
    *
-   * @param file the scenario
-   * @param directory receives the logs and a copy of the scenario
-   * @param baseline routing policy in place of the program's own, random or turns; null for none
-   * @param out receives the figures
-   * @return the clients with their counts
+   * @param file YAML document of the scenario
+   * @param directory directory for the logs and a copy of the scenario; created if it is missing
+   * @param baseline name of a baseline routing policy, {@code random} or {@code turns}; null for
+   *     the router's own policy
+   * @param out stream to which the summary is printed
+   * @return the clients, with the counts of their requests
+   * @throws IOException if the scenario cannot be read, or a process or log cannot be started
+   * @throws InterruptedException if the thread is interrupted while it waits for the end
    */
   public static EmulatedClients play(Path file, Path directory, String baseline, PrintStream out)
       throws IOException, InterruptedException {
@@ -100,7 +107,7 @@
           tally.weights().service());
     }
     out.printf(
-        "service %.3f, worst 10 s %.3f, fetches from the store %d (simulated servers)%n",
+        "service %.3f, worst 10 s window %.3f, fetches from the store %d (simulated servers)%n",
         testBed.clients().service(),
         testBed.clients().worstWindowService(WORST_WINDOW_SECONDS),
         testBed.store().fetches());
--- a/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
@@ -8,20 +8,21 @@
 import switchgap.testbed.emulator.RequestClassProfile;
 
 /**
- * What a scenario's document states. Times in microseconds.
+ * Settings of a scenario, as read from its document. Times are in microseconds.
  *
- * @param timing its name, length and seed
- * @param zones names of the zones, one at the least
- * @param fleet the workers
- * @param store the store that functions are fetched from
- * @param listLag delay of changes of the endpoint list
- * @param routers the routers
- * @param load what clients send
- * @param requestClasses the request classes, by index
- * @param tenantShares share of the requests by tenant, in the document's order
- * @param loadsOnMiss whether a request for a function that is not loaded loads it
- * @param limits what the invariants are checked against
- * @param faults the fault script
+ * @param timing name, length, seed and time resolution of the scenario
+ * @param zones names of the zones, at least one
+ * @param fleet the workers that run at the start
+ * @param store the store from which workers fetch functions
+ * @param listLag delay until routers are notified of a change to the endpoint list
+ * @param routers number of the routers and how they are run
+ * @param load rate and retries of the clients, and the number of functions
+ * @param requestClasses the request classes, in document order
+ * @param tenantShares share of the requests by tenant, in document order
+ * @param loadsOnMiss whether a worker loads a function that it receives a request for and has not
+ *     loaded
+ * @param limits thresholds of the invariants
+ * @param faults entries of the fault script, in document order
  */
 record ScenarioSettings(
     Timing timing,
@@ -38,20 +39,36 @@
     List<ScenarioFault> faults) {
 
   /**
-   * The scenario as a whole.
+   * Name, duration and seed of a scenario.
    *
-   * @param name of the scenario
-   * @param length how long clients send
-   * @param seed of all random draws
-   * @param slack tolerance of the checks for the clocks and threads of one machine
-   * @param tick of the routers' event loops
+   * @param name name of the scenario
+   * @param length how long clients send new requests
+   * @param seed seed of all random number generators
+   * @param slack tolerance of the checks for clock differences and thread scheduling delays
+   * @param tick tick interval of the routers, as text with its unit
    */
   record Timing(String name, long length, long seed, long slack, String tick) {}
 
-  /** A kind of worker: its share of the fleet and its hardware. */
+  /**
+   * A kind of worker.
+   *
+   * @param name name of the kind
+   * @param share share of the fleet that is of this kind
+   * @param cores number of cores
+   * @param speed speed of a core, relative to the unit in which work is measured
+   * @param memoryMb memory for replicas, in MB
+   */
   record WorkerKind(String name, double share, int cores, double speed, double memoryMb) {}
 
-  /** The workers: how many, how they are grouped, and what each kind is. */
+  /**
+   * The workers.
+   *
+   * @param workers number of workers at the start
+   * @param cellSize number of workers per cell
+   * @param limits limits that hold for every worker
+   * @param reportsLoad whether responses report utilization and queue length
+   * @param kinds kinds of workers, in document order
+   */
   record Fleet(
       int workers,
       int cellSize,
@@ -60,8 +77,17 @@
       List<WorkerKind> kinds) {}
 
   /**
-   * What every worker allows and how it loads; see {@link
+   * Limits of every worker and the behaviour of its loads; see {@link
    * switchgap.testbed.emulator.WorkerHardware}.
+   *
+   * @param slotsPerCore concurrent executions per core
+   * @param queuePerCore queued requests per core
+   * @param concurrentLoads maximum number of concurrent loads
+   * @param keepAlive time after which an idle function is unloaded
+   * @param fetchShare share of the load time that is spent on fetching from the store
+   * @param loadFailureShare share of the loads that fail
+   * @param eagerLoads whether a request that finds all slots busy starts the load of a further
+   *     replica
    */
   record WorkerLimits(
       int slotsPerCore,
@@ -72,48 +98,59 @@
       double loadFailureShare,
       boolean eagerLoads) {}
 
-  /** Concurrent fetches at full speed, and how long the store stops for after overload. */
+  /**
+   * The store of the functions.
+   *
+   * @param capacity number of concurrent fetches at full speed
+   * @param outage how long the store is unavailable after an overload
+   */
   record Store(double capacity, long outage) {}
 
   /**
    * The routers.
    *
-   * @param count how many
+   * @param count number of routers
    * @param busiestShare share of the requests that the first router receives
-   * @param ownProcesses whether each runs in a process of its own
-   * @param ownPlanners whether each has a planner, in one more process
-   * @param maxAttempts for one request
+   * @param ownProcesses whether each router runs in a separate process
+   * @param ownPlanners whether each router has a planner, which runs in a further process
+   * @param maxAttempts maximum number of attempts per request
    */
   record Routers(
       int count, double busiestShare, boolean ownProcesses, boolean ownPlanners, int maxAttempts) {}
 
   /**
-   * What clients send.
+   * Load that the clients generate.
    *
-   * @param rate requests a second
-   * @param zipf exponent of the popularity of the functions
+   * @param rate requests per second
+   * @param zipf exponent of the Zipf distribution of the functions' popularity
    * @param functions number of functions
-   * @param retries how clients retry
+   * @param retries retry policy of the clients
    */
   record Load(double rate, double zipf, int functions, ClientRetryPolicy retries) {}
 
-  /** A request class as its clients and as its functions see it. */
+  /**
+   * A request class.
+   *
+   * @param idempotency whether its requests may be executed more than once
+   * @param profile timeouts, weight and retries, as clients use them
+   * @param functions functions that its requests call
+   */
   record RequestClassSpec(
       Idempotency idempotency,
       RequestClassProfile profile,
       FunctionCatalogue.FunctionGroup functions) {}
 
   /**
-   * Bounds of the invariants.
+   * Thresholds of the invariants.
    *
-   * @param drainGrace how long requests may be sent to a worker that is listed as draining
-   * @param initialCapacityShare share of its capacity that a worker has when it starts cold
-   * @param warmUpTime until a worker has its full capacity
-   * @param crashMultiple a worker crashes at this multiple of its capacity
-   * @param crashWindow over which the work of a worker is summed up
-   * @param freeLoads load commands within a window that need no requests
-   * @param loadsPerRequest load commands that each request within a window allows
-   * @param loadWindow over which load commands and requests are counted, 0 for no quota
+   * @param drainGrace how long requests may be sent to a worker after it was listed as draining
+   * @param initialCapacityShare share of the full capacity that a worker has after a cold start
+   * @param warmUpTime time from a cold start to full capacity
+   * @param crashMultiple multiple of its capacity at which a worker crashes while it warms up
+   * @param crashWindow time window over which the work that a worker receives is summed
+   * @param freeLoads load commands per window that are allowed without any request
+   * @param loadsPerRequest further load commands per window that each request allows
+   * @param loadWindow time window over which load commands and requests are counted, 0 for no quota
    */
   record InvariantLimits(
       long drainGrace,
@@ -133,7 +170,7 @@
     return requestClasses.stream().map(RequestClassSpec::functions).toList();
   }
 
-  /** The zone of a router or worker. */
+  /** Index of the zone of a router or worker; indexes are assigned to zones in turn. */
   int zoneIndex(int number) {
     return number % zones.size();
   }
--- a/src/main/java/switchgap/testbed/scenario/SlowStartCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/SlowStartCheck.java
@@ -6,11 +6,11 @@
 import switchgap.testbed.invariant.WindowedSum;
 
 /**
- * The work sent to a cold worker within a window stays under a multiple of what it can do in that
- * time.
+ * Checks that a worker that is warming up receives within any window at most a configured multiple
+ * of the work that it can do in that time, and that no worker crashes from overload.
  */
 final class SlowStartCheck extends InvariantCheck {
-  /** A worker that is warming up, with the work that it lately received. */
+  /** A worker that is warming up, with the work that it received within the current window. */
   private static final class ColdWorker {
     private final long startedAt;
     private final double fullCapacity;
@@ -39,9 +39,10 @@
       switch (line.event()) {
         case WORKER_STARTED -> readWorkerStart(line);
         case WORKER_CRASHED ->
-            recordViolation(line.worker() + " fell over, " + fleetLine(line.lineNumber()));
+            recordViolation(
+                line.worker() + " crashed from overload, " + fleetLine(line.lineNumber()));
         case REQUEST_RECEIVED -> checkReceivedWork(line);
-        default -> { // other events bring no work
+        default -> { // not relevant for slow start
         }
       }
     }
@@ -74,14 +75,14 @@
     if (budgetUsage > 1) {
       recordViolation(
           name
-              + " was sent "
+              + " received "
               + percent(budgetUsage)
-              + "% of its budget, "
+              + "% of its slow-start budget, "
               + fleetLine(line.lineNumber()));
     }
   }
 
-  /** Work that a worker of this age may receive within the window. */
+  /** Work that a worker may receive within the window, if it started {@code age} ago. */
   private double workBudget(ColdWorker worker, long age) {
     double capacityShare =
         limits.initialCapacityShare()
@@ -98,6 +99,9 @@
 
   @Override
   String summary() {
-    return coldStartCount + " cold starts; most of a budget used " + percent(maxBudgetUsage) + "%";
+    return coldStartCount
+        + " cold starts; at most "
+        + percent(maxBudgetUsage)
+        + "% of a slow-start budget used";
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/TestBed.java
+++ b/src/main/java/switchgap/testbed/scenario/TestBed.java
@@ -18,8 +18,8 @@
 import switchgap.testbed.emulator.StoreService;
 
 /**
- * Everything that a scenario needs on loopback ports: model servers, store, endpoint list, routers,
- * clients, and their logs.
+ * Processes and emulators of one scenario run, on loopback ports: model servers, store, endpoint
+ * list service, routers and clients, with their logs.
  */
 final class TestBed implements AutoCloseable {
   private static final int NETWORK_THREADS = 3;
@@ -41,20 +41,25 @@
   private final StoreService storeService;
 
   /**
-   * Starts everything.
+   * Starts the test bed with routers.
    *
-   * @param scenario what is started
-   * @param directory receives configurations and logs
-   * @param baseline name of a routing policy in place of the program's own, null for none
+   * @param scenario the scenario to run
+   * @param directory directory for the routers' configurations and the logs
+   * @param baseline name of a baseline routing policy, null for the router's own policy
+   * @throws IOException if a port, a process or a log cannot be opened
    */
   TestBed(Scenario scenario, Path directory, String baseline) throws IOException {
     this(scenario, directory, baseline, true);
   }
 
   /**
-   * Starts everything, with or without routers.
+   * Starts the test bed with or without routers.
    *
+   * @param scenario the scenario to run
+   * @param directory directory for the routers' configurations and the logs
+   * @param baseline name of a baseline routing policy, null for the router's own policy
    * @param withRouters whether routers are started; their configurations are written in any case
+   * @throws IOException if a port, a process or a log cannot be opened
    */
   TestBed(Scenario scenario, Path directory, String baseline, boolean withRouters)
       throws IOException {
@@ -123,12 +128,12 @@
     return scenario;
   }
 
-  /** The thread that owns the state of clients, workers, store and endpoint list. */
+  /** The only thread that accesses the state of clients, workers, store and endpoint list. */
   RealTimeScheduler scheduler() {
     return scheduler;
   }
 
-  /** Draws the targets of faults. */
+  /** Random number generator that selects the targets of faults. */
   SplittableRandom faultTargetRandom() {
     return faultTargetRandom;
   }
@@ -157,19 +162,19 @@
     return routers;
   }
 
-  /** Records an event of the fault script that happens now. */
+  /** Logs an event of the fault script with the current time. */
   void recordFault(String event, Object... fields) {
     recordFaultAt(scheduler.now(), event, fields);
   }
 
-  /** Records an event of the fault script that began at an earlier time, microseconds. */
+  /** Logs an event of the fault script with an earlier time, in microseconds. */
   void recordFaultAt(long time, String event, Object... fields) {
     scriptLog.record(time, event, fields);
   }
 
   /**
-   * Shuts down gracefully and completes the logs: routers first, so that requests in flight receive
-   * their responses.
+   * Shuts the routers down gracefully, so that requests in flight receive their responses, and then
+   * writes the last line of each log.
    */
   void shutDownGracefully() throws IOException {
     routers.stop();
--- a/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
@@ -7,7 +7,10 @@
 import switchgap.testbed.emulator.FunctionModel;
 import switchgap.testbed.emulator.WorkerFaults;
 
-/** Injects faults of workers that go on running: slow ones, spoilt responses, void replicas. */
+/**
+ * Injects faults of workers that keep running: slow execution, faulty responses and unloaded
+ * replicas.
+ */
 final class WorkerFaultInjector implements FaultInjector {
   private static final Map<FaultType, WorkerFaults.Kind> SOCKET_FAULTS =
       new EnumMap<>(
--- a/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
@@ -19,8 +19,8 @@
 import switchgap.testbed.emulator.ModelServerContext;
 
 /**
- * The model servers of a test bed and their entries in the endpoint list. On the scheduler's thread
- * once started.
+ * The emulated model servers of a test bed and their entries in the endpoint list. After the
+ * initial workers have started, used on the scheduler's thread only.
  */
 final class WorkerFleet {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerFleet.class);
@@ -56,7 +56,12 @@
     return servers.values().stream().map(EmulatedModelServer::worker).toList();
   }
 
-  /** Starts a worker under a new name; for a cold one the list states when it started. */
+  /**
+   * Starts a worker under a new name.
+   *
+   * @param cold whether the worker has to warm up; only then its entry in the endpoint list has a
+   *     start time
+   */
   void startWorker(boolean cold) throws IOException {
     int number = nextNumber++;
     String name = "w" + number;
@@ -72,7 +77,7 @@
     endpointList.put(entry(name, port, number, cold));
   }
 
-  /** Starts a cold worker under a new name. */
+  /** Starts a cold worker under a new name; for scheduled tasks, which throw no IOException. */
   void startCold() {
     try {
       startWorker(true);
@@ -93,7 +98,7 @@
         cold ? context.scheduler().now() / MICROS_PER_MILLI : 0);
   }
 
-  /** Sets the state of a worker in the list. */
+  /** Sets the state of a worker in the endpoint list; does nothing if it has no entry. */
   void setState(String name, EndpointState state) {
     for (EndpointListService.Entry entry : endpointList.entries()) {
       if (entry.name().equals(name)) {
@@ -102,7 +107,7 @@
     }
   }
 
-  /** Lists a worker as draining, and after a time ends its process and lists it as gone. */
+  /** Lists a worker as draining; after {@code drainMicros} kills it and lists it as gone. */
   void drain(String name, long drainMicros) {
     setState(name, EndpointState.DRAINING);
     context
@@ -115,7 +120,11 @@
             });
   }
 
-  /** Ends a worker's process and starts it after a time, without replicas, under its name. */
+  /**
+   * Kills a worker and starts it again, cold and without replicas, under the same name.
+   *
+   * @param outageMicros time until the start, in microseconds
+   */
   void restart(String name, long outageMicros) {
     servers.get(name).kill();
     int number = Integer.parseInt(name.substring(1));
@@ -135,12 +144,16 @@
                             true);
                 endpointList.put(entry(name, port, number, true));
               } catch (IOException e) {
-                LOG.error("worker {} can't be started again", name, e);
+                LOG.error("worker {} could not be restarted; it stays down", name, e);
               }
             });
   }
 
-  /** Draws a share of the running workers that are listed as ready; one at the least. */
+  /**
+   * Selects random workers among the running ones that are listed as ready.
+   *
+   * @param share share of these workers to select; at least one is selected if there are any
+   */
   List<EmulatedModelServer> drawReady(double share) {
     List<EmulatedModelServer> ready = new ArrayList<>();
     for (EndpointListService.Entry entry : endpointList.entries()) {
@@ -151,7 +164,7 @@
     return LoadFaults.drawShare(ready, share, random);
   }
 
-  /** Ends all workers at once. */
+  /** Kills all workers. */
   void kill() {
     servers.values().forEach(EmulatedModelServer::kill);
   }
--- a/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
@@ -4,7 +4,7 @@
 import switchgap.testbed.emulator.EmulatedModelServer;
 import switchgap.testbed.emulator.EndpointState;
 
-/** Injects faults that end workers: drained, replaced, killed or restarted. */
+/** Injects faults that end worker processes: drains, replacements, kills and restarts. */
 final class WorkerReplacementInjector implements FaultInjector {
   private static final long TAKEN_AWAY_DRAIN_MICROS = 500_000;
   private static final double RELEASE_BATCH_SHARE = 0.15;
@@ -64,8 +64,8 @@
   }
 
   /**
-   * A rolling release: the workers of this moment are replaced in batches over the fault's
-   * duration.
+   * Replaces the workers that are running now in batches, spread evenly over the duration of the
+   * fault.
    */
   private void replaceInBatches(ScenarioFault fault) {
     List<EmulatedModelServer> workers = fleet.drawReady(fault.share());
--- a/src/test/java/switchgap/testbed/scenario/EventLogTest.java
+++ b/src/test/java/switchgap/testbed/scenario/EventLogTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Logs of a scenario that are cut off are rejected. */
+/** Truncated logs of a scenario are rejected, so that no check passes on part of a run. */
 class EventLogTest {
   private static final String LAST_LINE_START = "{\"t\":9000000";
   @TempDir Path directory;
@@ -20,7 +20,7 @@
     new ScenarioLogWriter()
         .successfulAttempt(100, "j0.1", ScenarioLogWriter.IDEMPOTENT)
         .writeTo(directory);
-    InvariantChecker.read(directory); // is accepted as it is
+    InvariantChecker.read(directory); // the complete logs are accepted
     return directory.resolve(log + ".jsonl");
   }
 
@@ -47,6 +47,6 @@
 
     assertThatThrownBy(() -> InvariantChecker.read(directory))
         .isInstanceOf(IOException.class)
-        .hasMessageContaining("cut off");
+        .hasMessageContaining("truncated");
   }
 }
--- a/src/test/java/switchgap/testbed/scenario/InvariantCheckerTest.java
+++ b/src/test/java/switchgap/testbed/scenario/InvariantCheckerTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import switchgap.testbed.invariant.Invariant;
 
-/** The checker finds one planted violation of each invariant and passes logs without one. */
+/**
+ * Each test writes the logs of a small scenario run, most with exactly one violation. The checker
+ * has to report that violation and nothing else.
+ */
 class InvariantCheckerTest {
   @TempDir Path directory;
   private final ScenarioLogWriter logs = new ScenarioLogWriter();
@@ -44,14 +47,14 @@
     checker.print(new PrintStream(report, true, StandardCharsets.UTF_8));
     assertThat(checker.violations()).isEmpty();
     assertThat(report.toString(StandardCharsets.UTF_8))
-        .contains("answers       kept    3 calls; {finished=2, killed=1}");
+        .contains("answers       kept    3 attempts; {finished=2, killed=1}");
   }
 
   @Test
   void reportsAttemptWithoutFinalResponse() throws IOException {
     logs.attemptSent(100, "j0.1", IDEMPOTENT).attemptEnded(1100, "j0.1", "gave-up");
 
-    assertOnlyViolation(Invariant.FINAL_RESPONSE_IN_TIME, "j0.1 got no final answer");
+    assertOnlyViolation(Invariant.FINAL_RESPONSE_IN_TIME, "j0.1 received no final response");
   }
 
   @Test
@@ -67,7 +70,7 @@
         .attemptEnded(1100, "j0.1", "gave-up")
         .lateResponse(1150, "j0.1", "finished");
 
-    assertOnlyViolation(Invariant.FINAL_RESPONSE_IN_TIME, "50 ms after its limit");
+    assertOnlyViolation(Invariant.FINAL_RESPONSE_IN_TIME, "50 ms after its deadline");
   }
 
   @Test
@@ -106,7 +109,8 @@
         .executionStarted(101, "j0.1", "first")
         .attemptEnded(900, "j0.1", "pushed-back");
 
-    assertOnlyViolation(Invariant.NO_DUPLICATE_EFFECT, "pushed back though an execution ran");
+    assertOnlyViolation(
+        Invariant.NO_DUPLICATE_EFFECT, "was rejected although a worker had started to execute it");
   }
 
   @Test
@@ -118,16 +122,18 @@
         .executionEnded(201, "second")
         .attemptEnded(210, "j0.1", "finished");
 
-    assertOnlyViolation(Invariant.NO_DUPLICATE_EFFECT, "had two executions out");
+    assertOnlyViolation(Invariant.NO_DUPLICATE_EFFECT, "had two executions in flight");
   }
 
   @Test
   void reportsSendToDrainingWorkerPastGrace() throws IOException {
     logs.routerNotifiedOfDraining(1000)
-        .successfulAttempt(1400, "j0.1", IDEMPOTENT) // within the grace
+        .successfulAttempt(1400, "j0.1", IDEMPOTENT) // within the grace period
         .successfulAttempt(1600, "j1.1", IDEMPOTENT);
 
-    assertOnlyViolation(Invariant.NO_SEND_TO_DRAINING_WORKER, "601 ms after it was told");
+    assertOnlyViolation(
+        Invariant.NO_SEND_TO_DRAINING_WORKER,
+        "601 ms after the router was notified that the worker is draining or gone");
   }
 
   @Test
@@ -137,7 +143,7 @@
       logs.successfulAttempt(100 + i * 150, "j" + i + ".1", IDEMPOTENT);
     }
 
-    assertOnlyViolation(Invariant.SLOW_START, "% of its budget");
+    assertOnlyViolation(Invariant.SLOW_START, "% of its slow-start budget");
   }
 
   @Test
@@ -148,6 +154,7 @@
         .replicaLoaded(401)
         .replicaLoaded(402);
 
-    assertOnlyViolation(Invariant.LOAD_QUOTA, "ordered 3 loads where 2.0 are its ration");
+    assertOnlyViolation(
+        Invariant.LOAD_QUOTA, "sent 3 load commands within the window; its quota is 2.0,");
   }
 }
--- a/src/test/java/switchgap/testbed/scenario/ScenarioLogWriter.java
+++ b/src/test/java/switchgap/testbed/scenario/ScenarioLogWriter.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Writes the logs of a made-up scenario of one router and one worker; times are milliseconds since
- * its start.
+ * Writes the logs of a synthetic scenario run with one router and one worker. Times are in
+ * milliseconds since the start of the run.
  */
 final class ScenarioLogWriter {
   /** Index of the idempotent request class. */
@@ -48,7 +48,11 @@
         .formatted(atMillis * MICROS_PER_MILLI, event, separator, otherMembers);
   }
 
-  /** A client sends an attempt; its id is that of the request, a dot and a number. */
+  /**
+   * Adds the sending of an attempt to the clients' log.
+   *
+   * @param attempt id of the attempt: the id of its request, a dot and a number
+   */
   ScenarioLogWriter attemptSent(long atMillis, String attempt, int requestClass) {
     String request = attempt.split("\\.")[0];
     long deadline = (atMillis + TIMEOUT_MILLIS) * MICROS_PER_MILLI;
@@ -73,7 +77,7 @@
     return "\"call\":\"%s\",\"end\":\"%s\"".formatted(attempt, outcome);
   }
 
-  /** The worker receives a request and does not start it. */
+  /** Adds a request that the worker receives but does not start to execute. */
   ScenarioLogWriter executionReceived(long atMillis, String attempt, String execution) {
     String fields =
         "\"worker\":\"w0\",\"router\":0,\"run\":\"%s\",\"call\":\"%s\",\"work\":100000"
@@ -82,7 +86,7 @@
     return this;
   }
 
-  /** The worker receives a request and starts it. */
+  /** Adds a request that the worker receives and starts to execute. */
   ScenarioLogWriter executionStarted(long atMillis, String attempt, String execution) {
     executionReceived(atMillis, attempt, execution);
     String fields =
@@ -97,7 +101,7 @@
     return this;
   }
 
-  /** An attempt that is executed once, in 100 ms, and succeeds. */
+  /** Adds an attempt that is executed once, for 100 ms of work, and succeeds. */
   ScenarioLogWriter successfulAttempt(long atMillis, String attempt, int requestClass) {
     String execution = attempt + ".0";
     return attemptSent(atMillis, attempt, requestClass)
@@ -128,7 +132,7 @@
     return this;
   }
 
-  /** Writes the scenario and its logs. */
+  /** Writes the scenario document and all logs to a directory. */
   void writeTo(Path directory) throws IOException {
     Files.writeString(directory.resolve("day.yaml"), SCENARIO_DOCUMENT);
     write(directory.resolve("clients.jsonl"), clients);
--- a/src/test/java/switchgap/testbed/scenario/ScenarioRunnerTest.java
+++ b/src/test/java/switchgap/testbed/scenario/ScenarioRunnerTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A short scenario over real sockets in this process: faults overlap and the invariants hold. */
+/**
+ * Runs a short scenario over sockets, all in this process. Several faults are active at the same
+ * time while the invariants have to hold.
+ */
 class ScenarioRunnerTest {
   @TempDir Path directory;
 
@@ -53,8 +56,8 @@
     checker.print(new PrintStream(report));
     assertThat(report.toString(UTF_8))
         .contains("finished=")
-        .containsPattern("[1-9]\\d* drains told")
+        .containsPattern("[1-9]\\d* drain notifications")
         .containsPattern("[1-9]\\d* cold starts")
-        .containsPattern("[1-9]\\d* load orders");
+        .containsPattern("[1-9]\\d* load commands");
   }
 }
