--- a/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
@@ -26,11 +26,11 @@
     for (LogLine line : log.fleetLines()) {
       if (line.hasEvent(ScenarioEvent.REQUEST_RECEIVED)
           || line.hasEvent(ScenarioEvent.LOAD_RECEIVED)) {
-        readListUntil(line.time());
+        readNotificationsUntil(line.time());
         checkSend(line);
       }
     }
-    readListUntil(Long.MAX_VALUE);
+    readNotificationsUntil(Long.MAX_VALUE);
   }
 
   private void checkSend(LogLine line) {
@@ -54,7 +54,7 @@
     }
   }
 
-  private void readListUntil(long time) {
+  private void readNotificationsUntil(long time) {
     while (nextListLine < log.listLines().size()
         && log.listLines().get(nextListLine).time() <= time) {
       readNotification(log.listLines().get(nextListLine));
--- a/src/main/java/switchgap/testbed/scenario/FleetComposition.java
+++ b/src/main/java/switchgap/testbed/scenario/FleetComposition.java
@@ -37,7 +37,7 @@
   /** Compute capacity of all workers at the start, as a number of cores of speed 1. */
   double totalComputeCapacity() {
     double sum = 0;
-    for (int i = 0; i < settings.fleet().workers(); i++) {
+    for (int i = 0; i < settings.fleet().workerCount(); i++) {
       sum += computeCapacityOf(i);
     }
     return sum;
--- a/src/main/java/switchgap/testbed/scenario/InvariantChecker.java
+++ b/src/main/java/switchgap/testbed/scenario/InvariantChecker.java
@@ -7,8 +7,8 @@
 import switchgap.testbed.invariant.Violation;
 
 /**
- * Checks the logs of a scenario run against five invariants. Only the emulated clients, workers and
- * endpoint list write these logs, so a router that reports its own state wrongly cannot hide a
+ * Checks the logs of a scenario run against five invariants. The emulators and the fault script
+ * write these logs, not the routers, so a router that reports its own state wrongly cannot hide a
  * violation. A truncated log is an error.
  */
 public final class InvariantChecker {
--- a/src/main/java/switchgap/testbed/scenario/LoadFaults.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadFaults.java
@@ -13,7 +13,7 @@
  * on the scheduler's thread.
  */
 public final class LoadFaults {
-  private static final int HAMMERING_RETRIES = 12;
+  private static final int MAX_HAMMERING_RETRIES = 12;
   private final Scheduler scheduler;
   private final EmulatedClients clients;
   private final FunctionCatalogue catalogue;
@@ -79,7 +79,7 @@
       case HAMMERING ->
           applyAndRevert(
               fault,
-              () -> clients.setRetryStorm(tenant, HAMMERING_RETRIES),
+              () -> clients.setRetryStorm(tenant, MAX_HAMMERING_RETRIES),
               () -> clients.setRetryStorm(tenant, 0));
       case HOT_FUNCTIONS ->
           applyAndRevert(
--- a/src/main/java/switchgap/testbed/scenario/RequestClassReader.java
+++ b/src/main/java/switchgap/testbed/scenario/RequestClassReader.java
@@ -52,19 +52,19 @@
     long timeout = ScenarioReader.micros(section.duration("time_limit"));
     double weight = section.number("importance", 0, ScenarioReader.MAX_FACTOR, 1);
     double lateShare = section.number("late_share", 0, 1, 0);
-    boolean withKey = idempotency == Idempotency.IDEMPOTENT_WITH_KEY;
+    boolean usesIdempotencyKey = idempotency == Idempotency.IDEMPOTENT_WITH_KEY;
     // Workers deduplicate by idempotency key within their group only. With a single group for all
     // workers, a retry at any worker is safe.
     boolean retriesAll =
         idempotency == Idempotency.IDEMPOTENT
-            || (withKey && section.text("group", "all").equals("all"));
+            || (usesIdempotencyKey && section.text("group", "all").equals("all"));
     return new RequestClassProfile(
-        name, objective, timeout, weight, lateShare, retriesAll, withKey);
+        name, objective, timeout, weight, lateShare, retriesAll, usesIdempotencyKey);
   }
 
   private static FunctionCatalogue.FunctionGroup functions(
       String name, YamlDocument section, Idempotency idempotency) {
-    boolean withKey = idempotency == Idempotency.IDEMPOTENT_WITH_KEY;
+    boolean usesIdempotencyKey = idempotency == Idempotency.IDEMPOTENT_WITH_KEY;
     return new FunctionCatalogue.FunctionGroup(
         name,
         section.number("share", 0, 1),
@@ -74,6 +74,6 @@
         ScenarioReader.micros(section.duration("work")),
         ScenarioReader.micros(section.duration("io", Duration.ZERO)),
         section.number("spread", 0, 2, 0.4),
-        withKey ? ScenarioReader.micros(section.duration("memory_span")) : 0);
+        usesIdempotencyKey ? ScenarioReader.micros(section.duration("memory_span")) : 0);
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
@@ -39,28 +39,28 @@
   /**
    * Generates the configuration of one router.
    *
-   * @param number index of the router
+   * @param index index of the router
    * @param port port on which the router listens
    * @param listPort port of the endpoint list service
    * @param catalogue functions of the scenario
    * @param overrides values as YAML, by {@code section.key}, that replace those of the scenario
    */
   String write(
-      int number,
+      int index,
       int port,
       int listPort,
       FunctionCatalogue catalogue,
       Map<String, String> overrides) {
     Map<String, Object> config = new LinkedHashMap<>();
-    config.put("router", router(number));
-    config.put("seed", settings.timing().seed() + number);
+    config.put("router", router(index));
+    config.put("seed", settings.timing().seed() + index);
     config.put("zones", settings.zones());
     config.put("kinds", kinds());
     config.put("workloads", requestClasses());
     config.put("customers", tenants());
     config.put("functions", functions(catalogue));
     copySections(config);
-    getOrCreateSection(config, "links").put("from", RouterAddress.of(number));
+    getOrCreateSection(config, "links").put("from", RouterAddress.of(index));
     getOrCreateSection(config, "workers")
         .put("keep_alive", millis(settings.fleet().limits().keepAlive()));
     config.put("listen", Map.of("port", port));
@@ -69,12 +69,12 @@
     return new Yaml().dump(config);
   }
 
-  private Map<String, Object> router(int number) {
+  private Map<String, Object> router(int index) {
     Map<String, Object> section = mapping(document, "routers");
     Map<String, Object> router = new LinkedHashMap<>();
-    router.put("number", number);
+    router.put("number", index);
     router.put("of", settings.routers().count());
-    router.put("zone", settings.zones().get(settings.zoneIndex(number)));
+    router.put("zone", settings.zones().get(settings.zoneIndex(index)));
     router.put("tick", settings.timing().tick());
     router.put("executions", settings.routers().maxAttempts());
     router.put("most_come_back", section.getOrDefault("most_come_back", "1s"));
--- a/src/main/java/switchgap/testbed/scenario/Scenario.java
+++ b/src/main/java/switchgap/testbed/scenario/Scenario.java
@@ -68,7 +68,7 @@
 
   /** Number of workers when the scenario starts. */
   public int workers() {
-    return settings.fleet().workers();
+    return settings.fleet().workerCount();
   }
 
   /** Number of routers. */
@@ -112,13 +112,13 @@
   }
 
   /** Index of the zone of a router or worker. */
-  public int zoneOf(int number) {
-    return settings.zoneIndex(number);
+  public int zoneOf(int index) {
+    return settings.zoneIndex(index);
   }
 
   /** Name of the zone of a router or worker. */
-  public String zone(int number) {
-    return settings.zones().get(zoneOf(number));
+  public String zone(int index) {
+    return settings.zones().get(zoneOf(index));
   }
 
   /** Name of the kind of a worker; kinds differ in their hardware. */
@@ -169,20 +169,20 @@
   /**
    * Generates the configuration of one router.
    *
-   * @param number index of the router
+   * @param index index of the router
    * @param port port on which the router listens
    * @param listPort port of the endpoint list service
    * @param catalogue functions of the scenario
    * @return the configuration as YAML
    */
-  public String routerConfig(int number, int port, int listPort, FunctionCatalogue catalogue) {
-    return routerConfig(number, port, listPort, catalogue, Map.of());
+  public String routerConfig(int index, int port, int listPort, FunctionCatalogue catalogue) {
+    return routerConfig(index, port, listPort, catalogue, Map.of());
   }
 
   /**
    * Generates the configuration of one router and overrides some values of the scenario.
    *
-   * @param number index of the router
+   * @param index index of the router
    * @param port port on which the router listens
    * @param listPort port of the endpoint list service
    * @param catalogue functions of the scenario
@@ -190,12 +190,12 @@
    * @return the configuration as YAML
    */
   public String routerConfig(
-      int number,
+      int index,
       int port,
       int listPort,
       FunctionCatalogue catalogue,
       Map<String, String> overrides) {
-    return routerConfigWriter.write(number, port, listPort, catalogue, overrides);
+    return routerConfigWriter.write(index, port, listPort, catalogue, overrides);
   }
 
   /** Compute capacity of all workers at the start, as a number of cores of speed 1. */
--- a/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
@@ -29,6 +29,8 @@
           "links",
           "levels",
           "script");
+
+  /** Seeds are read as {@code double}, which represents all integers up to this value exactly. */
   private static final long MAX_SEED = 1L << 50;
 
   /** Upper bound for factors and counts that have no natural maximum. */
--- a/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
@@ -14,7 +14,7 @@
  * shuts down gracefully.
  */
 public final class ScenarioRunner {
-  /** Time between the start of the test bed and the first request, for workers and connections. */
+  /** Time for the routers to fetch the endpoint list and connect to workers before clients send. */
   private static final long START_DELAY_MILLIS = 500;
 
   private static final long ARRIVALS_POLL_MILLIS = 50;
@@ -23,7 +23,10 @@
   /** Longer than clients keep a connection open for a late response. */
   private static final long LATE_RESPONSE_WAIT_MILLIS = 400;
 
-  /** Added to the longest timeout: after it, attempts in flight are no longer waited for. */
+  /**
+   * Added to the longest timeout. When both have passed since the last arrival, the run ends even
+   * if attempts are still in flight.
+   */
   private static final long IN_FLIGHT_MARGIN_MICROS = 2_000_000;
 
   private static final int WORST_WINDOW_SECONDS = 10;
@@ -39,7 +42,7 @@
    *     the router's own policy
    * @param out stream to which the summary is printed
    * @return the clients, with the counts of their requests
-   * @throws IOException if the scenario cannot be read, or a process or log cannot be started
+   * @throws IOException if the scenario cannot be read, or a port, process or log cannot be opened
    * @throws InterruptedException if the thread is interrupted while it waits for the end
    */
   public static EmulatedClients play(Path file, Path directory, String baseline, PrintStream out)
--- a/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
@@ -19,8 +19,7 @@
  * @param load rate and retries of the clients, and the number of functions
  * @param requestClasses the request classes, in document order
  * @param tenantShares share of the requests by tenant, in document order
- * @param loadsOnMiss whether a worker loads a function that it receives a request for and has not
- *     loaded
+ * @param loadsOnMiss whether a worker that has not loaded the requested function loads it
  * @param limits thresholds of the invariants
  * @param faults entries of the fault script, in document order
  */
@@ -55,7 +54,7 @@
    * @param name name of the kind
    * @param share share of the fleet that is of this kind
    * @param cores number of cores
-   * @param speed speed of a core, relative to the unit in which work is measured
+   * @param speed speed of a core; work is stated for a core of speed 1
    * @param memoryMb memory for replicas, in MB
    */
   record WorkerKind(String name, double share, int cores, double speed, double memoryMb) {}
@@ -63,14 +62,14 @@
   /**
    * The workers.
    *
-   * @param workers number of workers at the start
+   * @param workerCount number of workers at the start
    * @param cellSize number of workers per cell
    * @param limits limits that hold for every worker
    * @param reportsLoad whether responses report utilization and queue length
    * @param kinds kinds of workers, in document order
    */
   record Fleet(
-      int workers,
+      int workerCount,
       int cellSize,
       WorkerLimits limits,
       boolean reportsLoad,
@@ -171,7 +170,7 @@
   }
 
   /** Index of the zone of a router or worker; indexes are assigned to zones in turn. */
-  int zoneIndex(int number) {
-    return number % zones.size();
+  int zoneIndex(int index) {
+    return index % zones.size();
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
@@ -57,7 +57,7 @@
   }
 
   private void injectSocketFault(ScenarioFault fault, WorkerFaults.Kind kind) {
-    List<EmulatedModelServer> affected = testBed.fleet().drawReady(fault.share());
+    List<EmulatedModelServer> affected = testBed.fleet().selectReady(fault.share());
     affected.forEach(server -> server.faults().set(kind, fault.strength()));
     testBed
         .scheduler()
@@ -65,7 +65,7 @@
   }
 
   private void slowDown(ScenarioFault fault) {
-    List<EmulatedModelServer> affected = testBed.fleet().drawReady(fault.share());
+    List<EmulatedModelServer> affected = testBed.fleet().selectReady(fault.share());
     affected.forEach(server -> server.worker().setSlowdown(fault.strength()));
     testBed
         .scheduler()
--- a/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
@@ -33,7 +33,7 @@
   private final EndpointListService endpointList;
   private final SplittableRandom random;
   private final Map<String, EmulatedModelServer> servers = new LinkedHashMap<>();
-  private int nextNumber;
+  private int nextIndex;
 
   WorkerFleet(
       Scenario scenario,
@@ -63,18 +63,15 @@
    *     start time
    */
   void startWorker(boolean cold) throws IOException {
-    int number = nextNumber++;
-    String name = "w" + number;
+    int index = nextIndex++;
+    String name = "w" + index;
     EmulatedModelServer server =
-        new EmulatedModelServer(name, context, scenario.seed() + FAULT_SEED_OFFSET + number);
+        new EmulatedModelServer(name, context, scenario.seed() + FAULT_SEED_OFFSET + index);
     int port =
         server.start(
-            scenario.hardwareOf(number),
-            store,
-            scenario.seed() + WORKER_SEED_OFFSET + number,
-            cold);
+            scenario.hardwareOf(index), store, scenario.seed() + WORKER_SEED_OFFSET + index, cold);
     servers.put(name, server);
-    endpointList.put(entry(name, port, number, cold));
+    endpointList.put(entry(name, port, index, cold));
   }
 
   /** Starts a cold worker under a new name; for scheduled tasks, which throw no IOException. */
@@ -86,15 +83,15 @@
     }
   }
 
-  private EndpointListService.Entry entry(String name, int port, int number, boolean cold) {
+  private EndpointListService.Entry entry(String name, int port, int index, boolean cold) {
     return new EndpointListService.Entry(
         name,
         port,
         EndpointState.READY,
-        scenario.zone(number),
-        number / scenario.cellSize(),
-        scenario.kindName(number),
-        scenario.computeCapacityOf(number),
+        scenario.zone(index),
+        index / scenario.cellSize(),
+        scenario.kindName(index),
+        scenario.computeCapacityOf(index),
         cold ? context.scheduler().now() / MICROS_PER_MILLI : 0);
   }
 
@@ -127,7 +124,7 @@
    */
   void restart(String name, long outageMicros) {
     servers.get(name).kill();
-    int number = Integer.parseInt(name.substring(1));
+    int index = Integer.parseInt(name.substring(1));
     context
         .scheduler()
         .after(
@@ -138,11 +135,11 @@
                     servers
                         .get(name)
                         .start(
-                            scenario.hardwareOf(number),
+                            scenario.hardwareOf(index),
                             store,
                             scenario.seed() + context.scheduler().now(),
                             true);
-                endpointList.put(entry(name, port, number, true));
+                endpointList.put(entry(name, port, index, true));
               } catch (IOException e) {
                 LOG.error("worker {} could not be restarted; it stays down", name, e);
               }
@@ -154,7 +151,7 @@
    *
    * @param share share of these workers to select; at least one is selected if there are any
    */
-  List<EmulatedModelServer> drawReady(double share) {
+  List<EmulatedModelServer> selectReady(double share) {
     List<EmulatedModelServer> ready = new ArrayList<>();
     for (EndpointListService.Entry entry : endpointList.entries()) {
       if (entry.state() == EndpointState.READY && servers.get(entry.name()).isRunning()) {
--- a/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
@@ -21,19 +21,19 @@
   public boolean inject(ScenarioFault fault) {
     switch (fault.type()) {
       case DRAIN ->
-          fleet.drawReady(fault.share()).forEach(server -> replace(server, drainTime(fault)));
+          fleet.selectReady(fault.share()).forEach(server -> replace(server, drainTime(fault)));
       case TAKEN_AWAY ->
           fleet
-              .drawReady(fault.share())
+              .selectReady(fault.share())
               .forEach(server -> replace(server, TAKEN_AWAY_DRAIN_MICROS));
       case RELEASE -> replaceInBatches(fault);
       case WORKERS_KILLED ->
           fleet
-              .drawReady(fault.share())
+              .selectReady(fault.share())
               .forEach(server -> killAndReplace(server, fault.duration()));
       case WORKER_RESTARTED ->
           fleet
-              .drawReady(fault.share())
+              .selectReady(fault.share())
               .forEach(server -> fleet.restart(server.name(), fault.duration()));
       default -> {
         return false;
@@ -68,7 +68,7 @@
    * fault.
    */
   private void replaceInBatches(ScenarioFault fault) {
-    List<EmulatedModelServer> workers = fleet.drawReady(fault.share());
+    List<EmulatedModelServer> workers = fleet.selectReady(fault.share());
     int batchSize = Math.max(1, (int) Math.round(workers.size() * RELEASE_BATCH_SHARE));
     int batches = (workers.size() + batchSize - 1) / batchSize;
     for (int i = 0; i < batches; i++) {
