--- a/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
@@ -188,7 +188,7 @@
     Map<String, Double> shares = new LinkedHashMap<>();
     for (String name : section.keys()) {
       YamlDocument tenant = section.section(name);
-      tenant.number("rate", 0, 1e9); // only validated: RouterConfigWriter copies the value
+      tenant.number("rate", 0, 1e9); // validation; RouterConfigWriter copies the value
       shares.put(name, tenant.number("share", 0, 1));
       tenant.rejectUnknownKeys();
     }
--- a/src/test/java/switchgap/testbed/scenario/InvariantCheckerTest.java
+++ b/src/test/java/switchgap/testbed/scenario/InvariantCheckerTest.java
@@ -21,8 +21,8 @@
   @TempDir Path directory;
   private final ScenarioLogWriter logs = new ScenarioLogWriter();
 
-  private InvariantChecker writeAndCheck(ScenarioLogWriter logs) throws IOException {
-    logs.writeTo(directory);
+  private InvariantChecker writeAndCheck(ScenarioLogWriter runLogs) throws IOException {
+    runLogs.writeTo(directory);
     return InvariantChecker.read(directory);
   }
 
