--- a/src/main/java/switchgap/testbed/scenario/FinalResponseCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/FinalResponseCheck.java
@@ -4,12 +4,12 @@
 import switchgap.testbed.invariant.Invariant;
 
 /**
- * Each attempt of a client receives one final response before its deadline, and nothing is sent to
- * a worker for it afterwards.
+ * Checks that each attempt of a client receives exactly one final response, by its deadline, and
+ * that no worker receives a request for the attempt after that response.
  */
 final class FinalResponseCheck extends InvariantCheck {
-  private int attempts;
-  private int dueWhilePaused;
+  private int attemptCount;
+  private int deadlineDuringPauseCount;
 
   FinalResponseCheck(ScenarioLog log) {
     super(Invariant.FINAL_RESPONSE_IN_TIME, log);
@@ -18,80 +18,83 @@
   @Override
   void check() {
     for (ObservedAttempts.LateResponse response : log.attempts().lateResponses()) {
-      violated(
+      recordViolation(
           response.attemptId()
-              + " got an answer "
-              + response.lateBy() / MICROS_PER_MILLI
-              + " ms after its limit, "
-              + clientLine(response.line()));
+              + " received a response "
+              + response.delay() / MICROS_PER_MILLI
+              + " ms after its deadline, "
+              + clientLine(response.lineNumber()));
     }
     for (ObservedAttempt attempt : log.attempts().all()) {
-      attempts++;
+      attemptCount++;
       checkResponses(attempt);
       checkExecutions(attempt);
     }
   }
 
   private void checkResponses(ObservedAttempt attempt) {
-    if (attempt.finalResponses() == 0 && !mayBeUnanswered(attempt)) {
-      violated(
+    if (attempt.finalResponseCount() == 0 && !isMissingResponseExcused(attempt)) {
+      recordViolation(
           attempt.id()
-              + " got no final answer ("
+              + " received no final response (outcome: "
               + attempt.outcomeWord()
               + "), "
-              + clientLine(attempt.sentLine()));
+              + clientLine(attempt.sentLineNumber()));
     }
-    if (attempt.finalResponses() > 1) {
-      violated(
+    if (attempt.finalResponseCount() > 1) {
+      recordViolation(
           attempt.id()
-              + " got "
-              + attempt.finalResponses()
-              + " final answers, "
-              + clientLine(attempt.endLine()));
+              + " received "
+              + attempt.finalResponseCount()
+              + " final responses, "
+              + clientLine(attempt.endLineNumber()));
     }
   }
 
   /**
-   * Whether no response is no violation: the router was dead or could not be reached, or it was
-   * paused at the deadline. A late response is a violation then all the same.
+   * Whether a missing response is not a violation, because the router was down or unreachable, or
+   * was paused at the deadline. A response after the deadline and the slack remains a violation.
    */
-  private boolean mayBeUnanswered(ObservedAttempt attempt) {
+  private boolean isMissingResponseExcused(ObservedAttempt attempt) {
     if (attempt.endedAs(ClientOutcome.UNREACHABLE)
-        || log.outages().wasDead(attempt.router(), attempt.sentAt(), attempt.deadline())) {
+        || log.outages().wasDown(attempt.router(), attempt.sentAt(), attempt.deadline())) {
       return true;
     }
     boolean paused = log.outages().wasPaused(attempt.router(), attempt.deadline());
-    dueWhilePaused += paused ? 1 : 0;
+    deadlineDuringPauseCount += paused ? 1 : 0;
     return paused;
   }
 
   private void checkExecutions(ObservedAttempt attempt) {
-    long end = attempt.finalResponses() > 0 ? attempt.endedAt() : attempt.deadline();
+    long attemptEnd = attempt.finalResponseCount() > 0 ? attempt.endedAt() : attempt.deadline();
     for (ObservedExecution execution : attempt.executions()) {
-      if (execution.arrivedAt() > end + log.slack()) {
-        violated(
+      if (execution.receivedAt() > attemptEnd + log.slack()) {
+        recordViolation(
             attempt.id()
-                + " was sent "
-                + (execution.arrivedAt() - end) / MICROS_PER_MILLI
+                + " was sent to a worker "
+                + (execution.receivedAt() - attemptEnd) / MICROS_PER_MILLI
                 + " ms after its end, "
-                + fleetLine(execution.line()));
+                + fleetLine(execution.lineNumber()));
       }
     }
   }
 
   @Override
   String summary() {
-    String summary = attempts + " calls; " + log.attempts().outcomeCounts();
-    if (log.attempts().responsesWithinSlack() > 0) {
+    String summary = attemptCount + " attempts; " + log.attempts().outcomeCounts();
+    if (log.attempts().responsesWithinSlackCount() > 0) {
       summary +=
           "; "
-              + log.attempts().responsesWithinSlack()
-              + " answers were seen past the limit, within the slack of "
+              + log.attempts().responsesWithinSlackCount()
+              + " responses arrived after the deadline, within the slack of "
               + log.slack() / MICROS_PER_MILLI
               + " ms";
     }
-    if (dueWhilePaused > 0) {
-      summary += "; " + dueWhilePaused + " fell due while their router was stopped";
+    if (deadlineDuringPauseCount > 0) {
+      summary +=
+          "; "
+              + deadlineDuringPauseCount
+              + " unanswered attempts reached their deadline while their router was paused";
     }
     return summary;
   }
--- a/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
@@ -1,6 +1,6 @@
 package switchgap.testbed.scenario;
 
-/** Injects faults of the endpoint list and of the zones that traffic goes to. */
+/** Injects faults of the endpoint list service, and shifts of traffic between zones. */
 final class ListFaultInjector implements FaultInjector {
   private static final double MICROS_PER_SECOND = 1e6;
   private final TestBed testBed;
@@ -19,9 +19,13 @@
         testBed.scheduler().after(fault.duration(), () -> testBed.clients().shiftTrafficTo(null));
       }
       case LIST_LATE -> {
-        long usualLag = testBed.scenario().listLag();
-        testBed.endpointList().setLag(usualLag + (long) (fault.strength() * MICROS_PER_SECOND));
-        testBed.scheduler().after(fault.duration(), () -> testBed.endpointList().setLag(usualLag));
+        long configuredLag = testBed.scenario().listLag();
+        testBed
+            .endpointList()
+            .setLag(configuredLag + (long) (fault.strength() * MICROS_PER_SECOND));
+        testBed
+            .scheduler()
+            .after(fault.duration(), () -> testBed.endpointList().setLag(configuredLag));
       }
       case LIST_AWAY -> {
         testBed.endpointList().setUnavailable(true);
--- a/src/main/java/switchgap/testbed/scenario/LoadFaults.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadFaults.java
@@ -9,42 +9,47 @@
 import switchgap.testbed.emulator.Scheduler;
 
 /**
- * Injects faults of clients, functions and the store, over sockets and in virtual time alike. On
- * the scheduler's thread.
+ * Injects faults of clients, functions and the store, both over sockets and in virtual time. Runs
+ * on the scheduler's thread.
  */
 public final class LoadFaults {
-  private static final int HAMMERING_RETRIES = 12;
+  private static final int MAX_HAMMERING_RETRIES = 12;
   private final Scheduler scheduler;
   private final EmulatedClients clients;
   private final FunctionCatalogue catalogue;
   private final EmulatedStore store;
-  private final Map<String, Double> tenants;
+  private final Map<String, Double> tenantShares;
 
   /**
-   * Injects faults into the parts given.
+   * Creates an injector for the emulators of one test bed.
    *
-   * @param tenants share of the requests by tenant; a fault without target affects the first
+   * @param scheduler schedules the end of each fault
+   * @param clients emulated clients whose traffic changes
+   * @param catalogue functions that clients request
+   * @param store emulated store that becomes slower
+   * @param tenantShares share of the requests by tenant; a fault without a target affects the first
    */
   public LoadFaults(
       Scheduler scheduler,
       EmulatedClients clients,
       FunctionCatalogue catalogue,
       EmulatedStore store,
-      Map<String, Double> tenants) {
+      Map<String, Double> tenantShares) {
     this.scheduler = scheduler;
     this.clients = clients;
     this.catalogue = catalogue;
     this.store = store;
-    this.tenants = tenants;
+    this.tenantShares = tenantShares;
   }
 
   /**
-   * Draws a share of a list.
+   * Selects a random sample of a list.
    *
-   * @param candidates the list; elements that are not drawn are removed from it
-   * @param share of the elements; one is drawn at the least
-   * @param random draws them
-   * @return the list given
+   * @param candidates mutable list; elements that are not selected are removed from it
+   * @param share share of the elements to select, from 0 to 1; of a non-empty list at least one
+   *     element remains
+   * @param random random number generator of the selection
+   * @return {@code candidates}
    */
   public static <T> List<T> drawShare(List<T> candidates, double share, SplittableRandom random) {
     int count = Math.max(1, (int) Math.round(share * candidates.size()));
@@ -57,36 +62,38 @@
   /**
    * Injects a fault and schedules its end.
    *
-   * @return false where the fault is of another type
+   * @return false if this class does not support the type of the fault; nothing was done then
    */
   public boolean inject(ScenarioFault fault) {
-    String tenant = fault.target() == null ? tenants.keySet().iterator().next() : fault.target();
+    String tenant =
+        fault.target() == null ? tenantShares.keySet().iterator().next() : fault.target();
     switch (fault.type()) {
       case BURST ->
-          during(
+          applyAndRevert(
               fault, () -> clients.setRateFactor(fault.strength()), () -> clients.setRateFactor(1));
       case CUSTOMER_BURST ->
-          during(
+          applyAndRevert(
               fault,
               () -> clients.setRateFactor(tenant, fault.strength()),
               () -> clients.setRateFactor(tenant, 1));
       case HAMMERING ->
-          during(
+          applyAndRevert(
               fault,
-              () -> clients.setRetryStorm(tenant, HAMMERING_RETRIES),
+              () -> clients.setRetryStorm(tenant, MAX_HAMMERING_RETRIES),
               () -> clients.setRetryStorm(tenant, 0));
       case HOT_FUNCTIONS ->
-          during(
+          applyAndRevert(
               fault,
               () -> catalogue.setHotFunctions(fault.share(), (int) Math.max(1, fault.strength())),
               () -> catalogue.setHotFunctions(0, 1));
       case ONE_OFF_FUNCTIONS ->
-          during(
+          applyAndRevert(
               fault,
               () -> catalogue.setOneOffShare(fault.share()),
               () -> catalogue.setOneOffShare(0));
       case STORE_SLOW ->
-          during(fault, () -> store.setSlowdown(fault.strength()), () -> store.setSlowdown(1));
+          applyAndRevert(
+              fault, () -> store.setSlowdown(fault.strength()), () -> store.setSlowdown(1));
       default -> {
         return false;
       }
@@ -94,8 +101,8 @@
     return true;
   }
 
-  private void during(ScenarioFault fault, Runnable begin, Runnable end) {
-    begin.run();
-    scheduler.after(fault.duration(), end);
+  private void applyAndRevert(ScenarioFault fault, Runnable apply, Runnable revert) {
+    apply.run();
+    scheduler.after(fault.duration(), revert);
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/LoadQuotaCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadQuotaCheck.java
@@ -6,14 +6,14 @@
 import switchgap.testbed.invariant.WindowedSum;
 
 /**
- * A router's load commands within a window stay under its quota for the requests that it received
- * in that window.
+ * Checks that the number of a router's load commands within any window stays within its quota,
+ * which grows with the number of requests that the router received in that window.
  */
 final class LoadQuotaCheck extends InvariantCheck {
   private final ScenarioSettings.InvariantLimits limits;
   private final List<WindowedSum> commandsByRouter = new ArrayList<>();
-  private int loadCommands;
-  private double maxQuotaShare;
+  private int loadCommandCount;
+  private double maxQuotaUsage;
 
   LoadQuotaCheck(ScenarioLog log) {
     super(Invariant.LOAD_QUOTA, log);
@@ -28,11 +28,13 @@
     }
     for (LogLine line : log.fleetLines()) {
       int router = line.router();
-      boolean known = router >= 0 && router < routers;
-      if (!line.is(ScenarioEvent.LOAD_RECEIVED) || line.integer("copies") < 1 || !known) {
+      boolean isKnownRouter = router >= 0 && router < routers;
+      if (!line.hasEvent(ScenarioEvent.LOAD_RECEIVED)
+          || line.integer("copies") < 1
+          || !isKnownRouter) {
         continue;
       }
-      loadCommands++;
+      loadCommandCount++;
       if (limits.loadWindow() > 0) {
         checkCommand(line, router);
       }
@@ -41,35 +43,36 @@
 
   private void checkCommand(LogLine line, int router) {
     WindowedSum commands = commandsByRouter.get(router);
-    commands.add(line.at(), 1);
-    double quota = limits.freeLoads() + limits.loadsPerRequest() * requests(router, line.at());
-    maxQuotaShare = Math.max(maxQuotaShare, commands.count() / quota);
+    commands.add(line.time(), 1);
+    double quota =
+        limits.freeLoads() + limits.loadsPerRequest() * requestCount(router, line.time());
+    maxQuotaUsage = Math.max(maxQuotaUsage, commands.count() / quota);
     if (commands.count() > quota) {
-      violated(
+      recordViolation(
           "router "
               + router
-              + " ordered "
+              + " sent "
               + commands.count()
-              + " loads where "
+              + " load commands within the window; its quota is "
               + quota
-              + " are its ration, "
-              + fleetLine(line.number()));
+              + ", "
+              + fleetLine(line.lineNumber()));
     }
   }
 
-  /** Number of requests that a router received within the window that ends at a time. */
-  private long requests(int router, long now) {
+  /** Number of attempts that clients sent to a router within the window before a time. */
+  private long requestCount(int router, long windowEnd) {
     return log.attempts().sendTimes(router).stream()
-        .filter(sentAt -> sentAt <= now && now - sentAt <= limits.loadWindow())
+        .filter(sentAt -> sentAt <= windowEnd && windowEnd - sentAt <= limits.loadWindow())
         .count();
   }
 
   @Override
   String summary() {
-    String use =
+    String quotaUsage =
         limits.loadWindow() == 0
-            ? "no ration is stated"
-            : "most of the ration used " + Math.round(maxQuotaShare * 100) + "%";
-    return loadCommands + " load orders; " + use;
+            ? "no quota is configured"
+            : "at most " + Math.round(maxQuotaUsage * 100) + "% of a quota used";
+    return loadCommandCount + " load commands; " + quotaUsage;
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/ObservedAttempt.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedAttempt.java
@@ -6,8 +6,8 @@
 import switchgap.testbed.emulator.ClientOutcome;
 
 /**
- * A client's attempt as the logs of clients and workers show it. Times are in microseconds, lines
- * are numbers of lines of the clients' log.
+ * A client's attempt, from the logs of clients and workers. Times are in microseconds; line numbers
+ * refer to the clients' log.
  */
 final class ObservedAttempt {
   private static final long NOT_ENDED = -1;
@@ -18,50 +18,49 @@
   private final int requestClass;
   private final long sentAt;
   private final long deadline;
-  private final int sentLine;
+  private final int sentLineNumber;
   private final List<ObservedExecution> executions = new ArrayList<>(1);
   private String outcomeWord;
   private long endedAt = NOT_ENDED;
-  private int endLine;
-  private int finalResponses;
+  private int endLineNumber;
+  private int finalResponseCount;
 
-  /** The attempt that a line of the clients' log begins. */
+  /** Creates an attempt from the line of the clients' log that records its sending. */
   ObservedAttempt(LogLine line) {
     id = line.attemptId();
     requestId = line.requestId();
     router = line.router();
     requestClass = line.integer("workload");
-    sentAt = line.at();
+    sentAt = line.time();
     deadline = line.requiredLong("limit");
-    sentLine = line.number();
+    sentLineNumber = line.lineNumber();
   }
 
-  /** The client records how it ended. */
-  void ended(LogLine line) {
+  /** Records the outcome from the line of the clients' log that states it. */
+  void recordEnd(LogLine line) {
     outcomeWord = line.outcomeWord();
-    endedAt = line.at();
-    endLine = line.number();
+    endedAt = line.time();
+    endLineNumber = line.lineNumber();
     if (ClientOutcome.of(outcomeWord).isFinal()) {
-      finalResponses++;
+      finalResponseCount++;
     }
   }
 
-  /** A response arrived after its client had recorded an end. */
-  void respondedLate() {
-    finalResponses++;
+  /** Counts a final response that arrived after the client had recorded an outcome. */
+  void countLateResponse() {
+    finalResponseCount++;
   }
 
-  /** A late response counts as in time: the attempt ended as the response states. */
+  /** Replaces the outcome by that of a response within the slack, which is treated as in time. */
   void acceptLateResponse(LogLine line) {
     outcomeWord = line.outcomeWord();
   }
 
-  /** A worker received a request for it. */
+  /** Adds an execution; executions are added in the order in which workers received them. */
   void addExecution(ObservedExecution execution) {
     executions.add(execution);
   }
 
-  /** The id of the attempt, as messages name it. */
   String id() {
     return id;
   }
@@ -87,16 +86,16 @@
     return deadline;
   }
 
-  int sentLine() {
-    return sentLine;
+  int sentLineNumber() {
+    return sentLineNumber;
   }
 
-  /** Executions at workers, in order of arrival. */
+  /** Executions in the order in which workers received them. */
   List<ObservedExecution> executions() {
     return Collections.unmodifiableList(executions);
   }
 
-  /** The log's word for how it ended, null where it did not. */
+  /** Name of the outcome in the logs, null if the clients' log states none. */
   String outcomeWord() {
     return outcomeWord;
   }
@@ -105,20 +104,20 @@
     return outcome.word().equals(outcomeWord);
   }
 
-  /** When its client recorded an end, -1 where it did not. */
+  /** Time at which the client recorded an outcome, -1 if it recorded none. */
   long endedAt() {
     return endedAt;
   }
 
-  int endLine() {
-    return endLine;
+  int endLineNumber() {
+    return endLineNumber;
   }
 
-  int finalResponses() {
-    return finalResponses;
+  int finalResponseCount() {
+    return finalResponseCount;
   }
 
-  /** Whether a worker began to execute it. */
+  /** Whether any worker started to execute it. */
   boolean wasExecuted() {
     return executions.stream().anyMatch(ObservedExecution::isStarted);
   }
--- a/src/main/java/switchgap/testbed/scenario/ObservedExecution.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedExecution.java
@@ -1,46 +1,49 @@
 package switchgap.testbed.scenario;
 
-/** A request at a worker, as the workers' log shows it. Times are in microseconds. */
+/** A request that a worker received, from the workers' log. Times are in microseconds. */
 final class ObservedExecution {
-  private static final long IN_FLIGHT = Long.MAX_VALUE;
+  private static final long NOT_ENDED = Long.MAX_VALUE;
 
   private final String worker;
-  private final long arrivedAt;
-  private final int line;
-  private long endedAt = IN_FLIGHT;
+  private final long receivedAt;
+  private final int lineNumber;
+  private long endedAt = NOT_ENDED;
   private boolean started;
 
-  /** The execution that a line of the workers' log begins. */
+  /** Creates an execution from the line of the workers' log that records its receipt. */
   ObservedExecution(LogLine logLine) {
     worker = logLine.worker();
-    arrivedAt = logLine.at();
-    line = logLine.number();
+    receivedAt = logLine.time();
+    lineNumber = logLine.lineNumber();
   }
 
-  /** The worker began to execute it. */
-  void started() {
+  /** Records that the worker started to execute the request. */
+  void markStarted() {
     started = true;
   }
 
-  /** Its router could know by then that it had ended; the earliest time counts. */
-  void endedBy(long time) {
-    endedAt = Math.min(endedAt, time);
+  /**
+   * Records a time from which the router could know that the execution had ended. The earliest of
+   * several times is kept.
+   */
+  void markEndedBy(long knownEndTime) {
+    endedAt = Math.min(endedAt, knownEndTime);
   }
 
   String worker() {
     return worker;
   }
 
-  long arrivedAt() {
-    return arrivedAt;
+  long receivedAt() {
+    return receivedAt;
   }
 
-  /** Number of the line of the workers' log that begins it. */
-  int line() {
-    return line;
+  /** Line number of its receipt in the workers' log. */
+  int lineNumber() {
+    return lineNumber;
   }
 
-  /** Whether it was still in flight at a time. */
+  /** Whether the router could not yet know at a time that the execution had ended. */
   boolean isInFlightAt(long time) {
     return endedAt > time;
   }
--- a/src/main/java/switchgap/testbed/scenario/ObservedExecutions.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedExecutions.java
@@ -6,19 +6,22 @@
 import java.util.Map;
 
 /**
- * The executions at all workers, joined from the lines of the workers' log and assigned to the
- * clients' attempts.
+ * The executions at all workers. Joins the lines of the workers' log by execution and adds each
+ * execution to the client's attempt that it belongs to.
  */
 final class ObservedExecutions {
-  /** Faults after which the router does not learn of the end of an execution. */
+  /**
+   * Faults with which the router receives no complete response, so that it cannot know that the
+   * execution has ended.
+   */
   private static final List<String> FAULTS_WITHOUT_RESPONSE = List.of("lost", "late", "half");
 
   private final ObservedAttempts attempts;
   private final Map<String, ObservedExecution> executions = new HashMap<>();
   private final Map<String, List<ObservedExecution>> executionsByWorker = new HashMap<>();
-  private int count;
+  private int receivedCount;
   private int startedCount;
-  private int droppedRepeats;
+  private int droppedRepeatCount;
 
   /** Reads the workers' log and adds the executions to the attempts. */
   ObservedExecutions(ObservedAttempts attempts, List<LogLine> fleetLines) {
@@ -28,20 +31,20 @@
 
   private void read(LogLine line) {
     switch (line.event()) {
-      case REQUEST_RECEIVED -> readArrival(line);
+      case REQUEST_RECEIVED -> readReceipt(line);
       case EXECUTION_STARTED -> readStart(line);
-      case REPEAT_DROPPED -> droppedRepeats++;
+      case REPEAT_DROPPED -> droppedRepeatCount++;
       case WORKER_ENDED -> readWorkerEnd(line);
       case ENDED, CONNECTION_CLOSED -> readEnd(line);
-      default -> { // loads, probes and the like
+      default -> { // belongs to no execution
       }
     }
   }
 
-  private void readArrival(LogLine line) {
+  private void readReceipt(LogLine line) {
     ObservedExecution execution = new ObservedExecution(line);
     executions.put(line.executionId(), execution);
-    count++;
+    receivedCount++;
     ObservedAttempt attempt = attempts.find(line);
     if (attempt != null) {
       attempt.addExecution(execution);
@@ -55,37 +58,37 @@
     startedCount++;
     ObservedExecution execution = executions.get(line.executionId());
     if (execution != null) {
-      execution.started();
+      execution.markStarted();
     }
   }
 
-  /** A worker's process died: its connections were cut, so all its executions have ended. */
+  /** The end of a worker's process closes its connections and ends all its executions. */
   private void readWorkerEnd(LogLine line) {
-    List<ObservedExecution> cut = executionsByWorker.remove(line.worker());
-    if (cut != null) {
-      cut.forEach(execution -> execution.endedBy(line.at()));
+    List<ObservedExecution> executionsOfWorker = executionsByWorker.remove(line.worker());
+    if (executionsOfWorker != null) {
+      executionsOfWorker.forEach(execution -> execution.markEndedBy(line.time()));
     }
   }
 
   private void readEnd(LogLine line) {
     ObservedExecution execution = executions.get(line.executionId());
     if (execution != null && !FAULTS_WITHOUT_RESPONSE.contains(line.text("fault"))) {
-      execution.endedBy(line.at());
+      execution.markEndedBy(line.time());
     }
   }
 
   /** Number of requests that workers received. */
-  int count() {
-    return count;
+  int receivedCount() {
+    return receivedCount;
   }
 
-  /** Number of executions that workers started. */
+  /** Number of requests that workers started to execute. */
   int startedCount() {
     return startedCount;
   }
 
-  /** Number of repeats that workers recognized by their idempotency key. */
-  int droppedRepeats() {
-    return droppedRepeats;
+  /** Number of requests that workers recognized as repeats by their idempotency key. */
+  int droppedRepeatCount() {
+    return droppedRepeatCount;
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
@@ -10,7 +10,7 @@
 import switchgap.testbed.emulator.FunctionCatalogue;
 import switchgap.testbed.emulator.FunctionModel;
 
-/** Writes the configuration of a scenario's routers, as YAML. */
+/** Generates the configurations of a scenario's routers, as YAML. */
 final class RouterConfigWriter {
   private static final long MICROS_PER_MILLI = 1000;
 
@@ -18,57 +18,63 @@
   private static final List<String> EMULATOR_KEYS =
       List.of("share", "memory", "lanes", "load", "work", "io", "spread");
 
-  /** Sections that are copied unchanged. */
+  /** Sections of the scenario that are copied to the configuration. */
   private static final List<String> COPIED_SECTIONS =
       List.of("workers", "rules", "prices", "holds", "links", "levels");
 
   private final ScenarioSettings settings;
   private final Map<String, Object> document;
 
-  /** The document is the scenario's, as plain maps and lists. */
+  /**
+   * Creates a writer.
+   *
+   * @param settings settings of the scenario
+   * @param document scenario document as plain maps and lists, from which sections are copied
+   */
   RouterConfigWriter(ScenarioSettings settings, Map<String, Object> document) {
     this.settings = settings;
     this.document = document;
   }
 
   /**
-   * The configuration of one router.
+   * Generates the configuration of one router.
    *
-   * @param number index of the router
-   * @param port port that it listens at
+   * @param index index of the router
+   * @param port port on which the router listens
    * @param listPort port of the endpoint list service
    * @param catalogue functions of the scenario
-   * @param overrides values in place of the scenario's, as YAML, by {@code section.key}
+   * @param overrides values as YAML, by {@code section.key}, that replace those of the scenario
    */
   String write(
-      int number,
+      int index,
       int port,
       int listPort,
       FunctionCatalogue catalogue,
       Map<String, String> overrides) {
     Map<String, Object> config = new LinkedHashMap<>();
-    config.put("router", router(number));
-    config.put("seed", settings.timing().seed() + number);
+    config.put("router", router(index));
+    config.put("seed", settings.timing().seed() + index);
     config.put("zones", settings.zones());
     config.put("kinds", kinds());
     config.put("workloads", requestClasses());
     config.put("customers", tenants());
     config.put("functions", functions(catalogue));
     copySections(config);
-    section(config, "links").put("from", RouterAddress.of(number));
-    section(config, "workers").put("keep_alive", millis(settings.fleet().limits().keepAlive()));
+    getOrCreateSection(config, "links").put("from", RouterAddress.of(index));
+    getOrCreateSection(config, "workers")
+        .put("keep_alive", millis(settings.fleet().limits().keepAlive()));
     config.put("listen", Map.of("port", port));
     config.put("list", Map.of("port", listPort));
-    overrides.forEach((path, value) -> override(config, path, value));
+    overrides.forEach((path, value) -> applyOverride(config, path, value));
     return new Yaml().dump(config);
   }
 
-  private Map<String, Object> router(int number) {
-    Map<String, Object> section = child(document, "routers");
+  private Map<String, Object> router(int index) {
+    Map<String, Object> section = mapping(document, "routers");
     Map<String, Object> router = new LinkedHashMap<>();
-    router.put("number", number);
+    router.put("number", index);
     router.put("of", settings.routers().count());
-    router.put("zone", settings.zones().get(settings.zoneIndex(number)));
+    router.put("zone", settings.zones().get(settings.zoneIndex(index)));
     router.put("tick", settings.timing().tick());
     router.put("executions", settings.routers().maxAttempts());
     router.put("most_come_back", section.getOrDefault("most_come_back", "1s"));
@@ -86,10 +92,10 @@
   }
 
   private Map<String, Object> requestClasses() {
-    Map<String, Object> section = child(document, "workloads");
+    Map<String, Object> section = mapping(document, "workloads");
     Map<String, Object> requestClasses = new LinkedHashMap<>();
     for (String name : section.keySet()) {
-      Map<String, Object> requestClass = new LinkedHashMap<>(child(section, name));
+      Map<String, Object> requestClass = new LinkedHashMap<>(mapping(section, name));
       EMULATOR_KEYS.forEach(requestClass::remove);
       requestClasses.put(name, requestClass);
     }
@@ -97,10 +103,10 @@
   }
 
   private Map<String, Object> tenants() {
-    Map<String, Object> section = child(document, "customers");
+    Map<String, Object> section = mapping(document, "customers");
     Map<String, Object> tenants = new LinkedHashMap<>();
     for (String name : section.keySet()) {
-      tenants.put(name, Map.of("rate", child(section, name).get("rate")));
+      tenants.put(name, Map.of("rate", mapping(section, name).get("rate")));
     }
     return tenants;
   }
@@ -140,33 +146,33 @@
   private void copySections(Map<String, Object> config) {
     for (String name : COPIED_SECTIONS) {
       if (document.containsKey(name)) {
-        config.put(name, new LinkedHashMap<>(child(document, name)));
+        config.put(name, new LinkedHashMap<>(mapping(document, name)));
       }
     }
     if (config.containsKey("rules")) {
-      section(config, "rules")
-          .remove("drain_grace"); // the invariant checker's; a router stops at once
+      // Only the invariant checker allows a grace period; a router stops sending immediately.
+      getOrCreateSection(config, "rules").remove("drain_grace");
     }
   }
 
-  private static void override(Map<String, Object> config, String path, String value) {
-    String[] parts = path.split("\\.", 2);
+  private static void applyOverride(Map<String, Object> config, String path, String value) {
+    String[] sectionAndKey = path.split("\\.", 2);
     Map<String, Object> section = new LinkedHashMap<>();
-    if (config.containsKey(parts[0])) {
-      section.putAll(child(config, parts[0]));
+    if (config.containsKey(sectionAndKey[0])) {
+      section.putAll(mapping(config, sectionAndKey[0]));
     }
-    section.put(parts[1], new Yaml(new SafeConstructor(new LoaderOptions())).load(value));
-    config.put(parts[0], section);
+    section.put(sectionAndKey[1], new Yaml(new SafeConstructor(new LoaderOptions())).load(value));
+    config.put(sectionAndKey[0], section);
   }
 
-  private static Map<String, Object> section(Map<String, Object> config, String name) {
+  private static Map<String, Object> getOrCreateSection(Map<String, Object> config, String name) {
     config.computeIfAbsent(name, key -> new LinkedHashMap<>());
-    return child(config, name);
+    return mapping(config, name);
   }
 
-  /** A mapping within a document; the scenario's document was checked when it was read. */
-  @SuppressWarnings("unchecked") // checked when the document was read
-  private static Map<String, Object> child(Map<String, Object> parent, String name) {
+  /** Returns a nested mapping. */
+  @SuppressWarnings("unchecked") // ScenarioReader has validated the document
+  private static Map<String, Object> mapping(Map<String, Object> parent, String name) {
     return (Map<String, Object>) parent.get(name);
   }
 
--- a/src/main/java/switchgap/testbed/scenario/TestBed.java
+++ b/src/main/java/switchgap/testbed/scenario/TestBed.java
@@ -18,15 +18,15 @@
 import switchgap.testbed.emulator.StoreService;
 
 /**
- * Everything that a scenario needs on loopback ports: model servers, store, endpoint list, routers,
- * clients, and their logs.
+ * Processes and emulators of one scenario run, on loopback ports: model servers, store, endpoint
+ * list service, routers and clients, with their logs.
  */
 final class TestBed implements AutoCloseable {
   private static final int NETWORK_THREADS = 3;
 
   private final Scenario scenario;
   private final RealTimeScheduler scheduler = new RealTimeScheduler();
-  private final SplittableRandom random;
+  private final SplittableRandom faultTargetRandom;
   private final FunctionCatalogue catalogue;
   private final EmulatedStore store;
   private final EndpointListService endpointList;
@@ -37,31 +37,36 @@
   private final EventRecorder fleetLog;
   private final EventRecorder clientLog;
   private final EventRecorder listLog;
-  private final NetworkTransport net;
+  private final NetworkTransport networkTransport;
   private final StoreService storeService;
 
   /**
-   * Starts everything.
+   * Starts the test bed with routers.
    *
-   * @param scenario what is started
-   * @param directory receives configurations and logs
-   * @param baseline name of a routing policy in place of the program's own, null for none
+   * @param scenario the scenario to run
+   * @param directory directory for the routers' configurations and the logs
+   * @param baseline name of a baseline routing policy, null for the router's own policy
+   * @throws IOException if a port, a process or a log cannot be opened
    */
   TestBed(Scenario scenario, Path directory, String baseline) throws IOException {
     this(scenario, directory, baseline, true);
   }
 
   /**
-   * Starts everything, with or without routers.
+   * Starts the test bed with or without routers.
    *
+   * @param scenario the scenario to run
+   * @param directory directory for the routers' configurations and the logs
+   * @param baseline name of a baseline routing policy, null for the router's own policy
    * @param withRouters whether routers are started; their configurations are written in any case
+   * @throws IOException if a port, a process or a log cannot be opened
    */
   TestBed(Scenario scenario, Path directory, String baseline, boolean withRouters)
       throws IOException {
     this.scenario = scenario;
     Files.createDirectories(directory);
-    random = new SplittableRandom(scenario.seed());
-    net = new NetworkTransport(NETWORK_THREADS, "test-bed");
+    faultTargetRandom = new SplittableRandom(scenario.seed());
+    networkTransport = new NetworkTransport(NETWORK_THREADS, "test-bed");
     fleetLog = new EventRecorder(directory.resolve(EventLog.FLEET));
     clientLog = new EventRecorder(directory.resolve(EventLog.CLIENTS));
     listLog = new EventRecorder(directory.resolve(EventLog.LIST));
@@ -69,10 +74,11 @@
     catalogue = scenario.catalogue(scenario.seed());
     store =
         new EmulatedStore(scheduler, fleetLog, scenario.storeCapacity(), scenario.storeOutage());
-    storeService = new StoreService(scheduler, net, store);
-    endpointList = new EndpointListService(scheduler, net, listLog, scenario.listLag());
+    storeService = new StoreService(scheduler, networkTransport, store);
+    endpointList =
+        new EndpointListService(scheduler, networkTransport, listLog, scenario.listLag());
     SocketClientTransport transport =
-        new SocketClientTransport(scheduler, net, clientLog, scenario.routers());
+        new SocketClientTransport(scheduler, networkTransport, clientLog, scenario.routers());
     clients = scenario.clients(scheduler, transport, catalogue, scenario.seed() + 1);
     routers = new RouterGroup(scenario, directory);
     fleet = startFleet();
@@ -83,24 +89,24 @@
     ModelServerContext context =
         new ModelServerContext(
             scheduler,
-            net,
+            networkTransport,
             fleetLog,
             catalogue::find,
             RouterAddress::routerOf,
             new HashMap<>(),
             scenario.reportsLoad());
-    WorkerFleet started =
+    WorkerFleet startedFleet =
         new WorkerFleet(
             scenario,
             context,
-            new StoreClient(scheduler, net, storeService.port()),
+            new StoreClient(scheduler, networkTransport, storeService.port()),
             endpointList,
-            random);
+            faultTargetRandom);
     for (int i = 0; i < scenario.workers(); i++) {
-      started.start(false);
+      startedFleet.startWorker(false);
     }
-    catalogue.seed(started.workers());
-    return started;
+    catalogue.seed(startedFleet.workers());
+    return startedFleet;
   }
 
   private void startRouters(SocketClientTransport transport, String baseline, boolean withRouters)
@@ -122,14 +128,14 @@
     return scenario;
   }
 
-  /** The thread that owns the state of clients, workers, store and endpoint list. */
+  /** The only thread that accesses the state of clients, workers, store and endpoint list. */
   RealTimeScheduler scheduler() {
     return scheduler;
   }
 
-  /** Draws the targets of faults. */
-  SplittableRandom random() {
-    return random;
+  /** Random number generator that selects the targets of faults. */
+  SplittableRandom faultTargetRandom() {
+    return faultTargetRandom;
   }
 
   FunctionCatalogue catalogue() {
@@ -156,21 +162,21 @@
     return routers;
   }
 
-  /** Records an event of the fault script that happens now. */
-  void recordFault(String what, Object... fields) {
-    recordFaultAt(scheduler.now(), what, fields);
+  /** Logs an event of the fault script with the current time. */
+  void recordFault(String event, Object... fields) {
+    recordFaultAt(scheduler.now(), event, fields);
   }
 
-  /** Records an event of the fault script that began at an earlier time, microseconds. */
-  void recordFaultAt(long time, String what, Object... fields) {
-    scriptLog.record(time, what, fields);
+  /** Logs an event of the fault script with an earlier time, in microseconds. */
+  void recordFaultAt(long time, String event, Object... fields) {
+    scriptLog.record(time, event, fields);
   }
 
   /**
-   * Shuts down gracefully and completes the logs: routers first, so that requests in flight receive
-   * their responses.
+   * Shuts the routers down gracefully, so that requests in flight receive their responses, and then
+   * writes the last line of each log.
    */
-  void finish() throws IOException {
+  void shutDownGracefully() throws IOException {
     routers.stop();
     long now = scheduler.now();
     fleetLog.end(now);
@@ -186,6 +192,6 @@
     endpointList.close();
     storeService.close();
     scheduler.close();
-    net.close();
+    networkTransport.close();
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFaultInjector.java
@@ -7,7 +7,10 @@
 import switchgap.testbed.emulator.FunctionModel;
 import switchgap.testbed.emulator.WorkerFaults;
 
-/** Injects faults of workers that go on running: slow ones, spoilt responses, void replicas. */
+/**
+ * Injects faults of workers that keep running: slow execution, faulty responses and unloaded
+ * replicas.
+ */
 final class WorkerFaultInjector implements FaultInjector {
   private static final Map<FaultType, WorkerFaults.Kind> SOCKET_FAULTS =
       new EnumMap<>(
@@ -40,12 +43,12 @@
   public boolean inject(ScenarioFault fault) {
     WorkerFaults.Kind socketFault = SOCKET_FAULTS.get(fault.type());
     if (socketFault != null) {
-      spoilResponses(fault, socketFault);
+      injectSocketFault(fault, socketFault);
       return true;
     }
     switch (fault.type()) {
       case SLOW -> slowDown(fault);
-      case RELEASED_ANEW -> unloadFunctions(fault);
+      case RELEASED_ANEW -> unloadReleasedFunctions(fault);
       default -> {
         return false;
       }
@@ -53,8 +56,8 @@
     return true;
   }
 
-  private void spoilResponses(ScenarioFault fault, WorkerFaults.Kind kind) {
-    List<EmulatedModelServer> affected = testBed.fleet().drawReady(fault.share());
+  private void injectSocketFault(ScenarioFault fault, WorkerFaults.Kind kind) {
+    List<EmulatedModelServer> affected = testBed.fleet().selectReady(fault.share());
     affected.forEach(server -> server.faults().set(kind, fault.strength()));
     testBed
         .scheduler()
@@ -62,16 +65,16 @@
   }
 
   private void slowDown(ScenarioFault fault) {
-    List<EmulatedModelServer> affected = testBed.fleet().drawReady(fault.share());
+    List<EmulatedModelServer> affected = testBed.fleet().selectReady(fault.share());
     affected.forEach(server -> server.worker().setSlowdown(fault.strength()));
     testBed
         .scheduler()
         .after(fault.duration(), () -> affected.forEach(server -> server.worker().setSlowdown(1)));
   }
 
-  private void unloadFunctions(ScenarioFault fault) {
+  private void unloadReleasedFunctions(ScenarioFault fault) {
     for (FunctionModel function : testBed.catalogue().functions()) {
-      if (testBed.random().nextDouble() < fault.share()) {
+      if (testBed.faultTargetRandom().nextDouble() < fault.share()) {
         testBed.fleet().servers().forEach(server -> server.worker().unload(function.name()));
       }
     }
--- a/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
@@ -19,8 +19,8 @@
 import switchgap.testbed.emulator.ModelServerContext;
 
 /**
- * The model servers of a test bed and their entries in the endpoint list. On the scheduler's thread
- * once started.
+ * The emulated model servers of a test bed and their entries in the endpoint list. After the
+ * initial workers have started, used on the scheduler's thread only.
  */
 final class WorkerFleet {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerFleet.class);
@@ -33,7 +33,7 @@
   private final EndpointListService endpointList;
   private final SplittableRandom random;
   private final Map<String, EmulatedModelServer> servers = new LinkedHashMap<>();
-  private int nextNumber;
+  private int nextIndex;
 
   WorkerFleet(
       Scenario scenario,
@@ -56,44 +56,46 @@
     return servers.values().stream().map(EmulatedModelServer::worker).toList();
   }
 
-  /** Starts a worker under a new name; for a cold one the list states when it started. */
-  void start(boolean cold) throws IOException {
-    int number = nextNumber++;
-    String name = "w" + number;
+  /**
+   * Starts a worker under a new name.
+   *
+   * @param cold whether the worker has to warm up; only then its entry in the endpoint list has a
+   *     start time
+   */
+  void startWorker(boolean cold) throws IOException {
+    int index = nextIndex++;
+    String name = "w" + index;
     EmulatedModelServer server =
-        new EmulatedModelServer(name, context, scenario.seed() + FAULT_SEED_OFFSET + number);
+        new EmulatedModelServer(name, context, scenario.seed() + FAULT_SEED_OFFSET + index);
     int port =
         server.start(
-            scenario.hardwareOf(number),
-            store,
-            scenario.seed() + WORKER_SEED_OFFSET + number,
-            cold);
+            scenario.hardwareOf(index), store, scenario.seed() + WORKER_SEED_OFFSET + index, cold);
     servers.put(name, server);
-    endpointList.put(entry(name, port, number, cold));
+    endpointList.put(entry(name, port, index, cold));
   }
 
-  /** Starts a cold worker under a new name. */
+  /** Starts a cold worker under a new name; for scheduled tasks, which throw no IOException. */
   void startCold() {
     try {
-      start(true);
+      startWorker(true);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  private EndpointListService.Entry entry(String name, int port, int number, boolean cold) {
+  private EndpointListService.Entry entry(String name, int port, int index, boolean cold) {
     return new EndpointListService.Entry(
         name,
         port,
         EndpointState.READY,
-        scenario.zone(number),
-        number / scenario.cellSize(),
-        scenario.kindName(number),
-        scenario.computeCapacityOf(number),
+        scenario.zone(index),
+        index / scenario.cellSize(),
+        scenario.kindName(index),
+        scenario.computeCapacityOf(index),
         cold ? context.scheduler().now() / MICROS_PER_MILLI : 0);
   }
 
-  /** Sets the state of a worker in the list. */
+  /** Sets the state of a worker in the endpoint list; does nothing if it has no entry. */
   void setState(String name, EndpointState state) {
     for (EndpointListService.Entry entry : endpointList.entries()) {
       if (entry.name().equals(name)) {
@@ -102,23 +104,27 @@
     }
   }
 
-  /** Lists a worker as draining, and after a time ends its process and lists it as gone. */
-  void drain(String name, long micros) {
+  /** Lists a worker as draining; after {@code drainMicros} kills it and lists it as gone. */
+  void drain(String name, long drainMicros) {
     setState(name, EndpointState.DRAINING);
     context
         .scheduler()
         .after(
-            micros,
+            drainMicros,
             () -> {
               servers.get(name).kill();
               setState(name, EndpointState.GONE);
             });
   }
 
-  /** Ends a worker's process and starts it after a time, without replicas, under its name. */
+  /**
+   * Kills a worker and starts it again, cold and without replicas, under the same name.
+   *
+   * @param outageMicros time until the start, in microseconds
+   */
   void restart(String name, long outageMicros) {
     servers.get(name).kill();
-    int number = Integer.parseInt(name.substring(1));
+    int index = Integer.parseInt(name.substring(1));
     context
         .scheduler()
         .after(
@@ -129,19 +135,23 @@
                     servers
                         .get(name)
                         .start(
-                            scenario.hardwareOf(number),
+                            scenario.hardwareOf(index),
                             store,
                             scenario.seed() + context.scheduler().now(),
                             true);
-                endpointList.put(entry(name, port, number, true));
+                endpointList.put(entry(name, port, index, true));
               } catch (IOException e) {
-                LOG.error("worker {} can't be started again", name, e);
+                LOG.error("worker {} could not be restarted; it stays down", name, e);
               }
             });
   }
 
-  /** Draws a share of the running workers that are listed as ready; one at the least. */
-  List<EmulatedModelServer> drawReady(double share) {
+  /**
+   * Selects random workers among the running ones that are listed as ready.
+   *
+   * @param share share of these workers to select; at least one is selected if there are any
+   */
+  List<EmulatedModelServer> selectReady(double share) {
     List<EmulatedModelServer> ready = new ArrayList<>();
     for (EndpointListService.Entry entry : endpointList.entries()) {
       if (entry.state() == EndpointState.READY && servers.get(entry.name()).isRunning()) {
@@ -151,7 +161,7 @@
     return LoadFaults.drawShare(ready, share, random);
   }
 
-  /** Ends all workers at once. */
+  /** Kills all workers. */
   void kill() {
     servers.values().forEach(EmulatedModelServer::kill);
   }
--- a/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
@@ -4,9 +4,9 @@
 import switchgap.testbed.emulator.EmulatedModelServer;
 import switchgap.testbed.emulator.EndpointState;
 
-/** Injects faults that end workers: drained, replaced, killed or restarted. */
+/** Injects faults that end worker processes: drains, replacements, kills and restarts. */
 final class WorkerReplacementInjector implements FaultInjector {
-  private static final long SHORT_DRAIN_MICROS = 500_000;
+  private static final long TAKEN_AWAY_DRAIN_MICROS = 500_000;
   private static final double RELEASE_BATCH_SHARE = 0.15;
   private static final double MICROS_PER_SECOND = 1e6;
   private final TestBed testBed;
@@ -21,17 +21,19 @@
   public boolean inject(ScenarioFault fault) {
     switch (fault.type()) {
       case DRAIN ->
-          fleet.drawReady(fault.share()).forEach(server -> replace(server, drainTime(fault)));
+          fleet.selectReady(fault.share()).forEach(server -> replace(server, drainTime(fault)));
       case TAKEN_AWAY ->
-          fleet.drawReady(fault.share()).forEach(server -> replace(server, SHORT_DRAIN_MICROS));
-      case RELEASE -> release(fault);
+          fleet
+              .selectReady(fault.share())
+              .forEach(server -> replace(server, TAKEN_AWAY_DRAIN_MICROS));
+      case RELEASE -> replaceInBatches(fault);
       case WORKERS_KILLED ->
           fleet
-              .drawReady(fault.share())
+              .selectReady(fault.share())
               .forEach(server -> killAndReplace(server, fault.duration()));
       case WORKER_RESTARTED ->
           fleet
-              .drawReady(fault.share())
+              .selectReady(fault.share())
               .forEach(server -> fleet.restart(server.name(), fault.duration()));
       default -> {
         return false;
@@ -62,16 +64,16 @@
   }
 
   /**
-   * A rolling release: the workers of this moment are replaced in batches over the fault's
-   * duration.
+   * Replaces the workers that are running now in batches, spread evenly over the duration of the
+   * fault.
    */
-  private void release(ScenarioFault fault) {
-    List<EmulatedModelServer> affected = fleet.drawReady(fault.share());
-    int batchSize = Math.max(1, (int) Math.round(affected.size() * RELEASE_BATCH_SHARE));
-    int batches = (affected.size() + batchSize - 1) / batchSize;
+  private void replaceInBatches(ScenarioFault fault) {
+    List<EmulatedModelServer> workers = fleet.selectReady(fault.share());
+    int batchSize = Math.max(1, (int) Math.round(workers.size() * RELEASE_BATCH_SHARE));
+    int batches = (workers.size() + batchSize - 1) / batchSize;
     for (int i = 0; i < batches; i++) {
       List<EmulatedModelServer> batch =
-          affected.subList(i * batchSize, Math.min(affected.size(), (i + 1) * batchSize));
+          workers.subList(i * batchSize, Math.min(workers.size(), (i + 1) * batchSize));
       testBed
           .scheduler()
           .after(fault.duration() * i / batches, () -> replaceRunning(batch, drainTime(fault)));
