--- a/src/main/java/switchgap/testbed/experiment/BareRelay.java
+++ b/src/main/java/switchgap/testbed/experiment/BareRelay.java
@@ -16,45 +16,47 @@
 import switchgap.net.NetworkTransport;
 
 /**
- * The baseline: forwards requests to the workers round robin, through the same filter chains,
- * without decisions.
+ * Baseline of the speed measurement: forwards requests to the workers round robin, through the same
+ * filter chains as the router, but without admission control or a routing policy.
  */
 final class BareRelay implements HttpServer.RequestHandler {
   private static final int MAX_BODY_BYTES = 4 << 20;
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
-  private static final Map<String, String> HEADERS = Map.of("Content-Type", "application/json");
+  private static final Map<String, String> JSON_HEADERS =
+      Map.of("Content-Type", "application/json");
   private final HttpClientConnector connector;
-  private final InetSocketAddress[] workers;
-  private final ConcurrentLinkedDeque<HttpClientConnection>[] idle;
+  private final InetSocketAddress[] workerAddresses;
+  private final ConcurrentLinkedDeque<HttpClientConnection>[] idleConnections;
   private final AtomicInteger nextWorker = new AtomicInteger();
 
-  @SuppressWarnings("unchecked") // an array of a generic type can only be made unchecked
-  private BareRelay(NetworkTransport net, InetSocketAddress[] workers) {
-    this.connector = new HttpClientConnector(net, null, MAX_BODY_BYTES);
-    this.workers = workers;
-    this.idle = new ConcurrentLinkedDeque[workers.length];
-    for (int i = 0; i < idle.length; i++) {
-      idle[i] = new ConcurrentLinkedDeque<>();
+  @SuppressWarnings("unchecked") // Java has no checked way to create an array of a generic type
+  private BareRelay(NetworkTransport network, InetSocketAddress[] workerAddresses) {
+    this.connector = new HttpClientConnector(network, null, MAX_BODY_BYTES);
+    this.workerAddresses = workerAddresses;
+    this.idleConnections = new ConcurrentLinkedDeque[workerAddresses.length];
+    for (int i = 0; i < idleConnections.length; i++) {
+      idleConnections[i] = new ConcurrentLinkedDeque<>();
     }
   }
 
-  /** Listens at the port until the process ends. */
-  static void serve(int port, InetSocketAddress[] workers, int selectors) throws IOException {
-    NetworkTransport net = new NetworkTransport(selectors, "relay");
-    new HttpServer(net, HttpServerLimits.DEFAULT, new BareRelay(net, workers))
+  /** Starts listening on the loopback port; the server runs until the process ends. */
+  static void serve(int port, InetSocketAddress[] workerAddresses, int selectors)
+      throws IOException {
+    NetworkTransport network = new NetworkTransport(selectors, "relay");
+    new HttpServer(network, HttpServerLimits.DEFAULT, new BareRelay(network, workerAddresses))
         .listen("127.0.0.1", port);
   }
 
   @Override
   public void handle(HttpExchange exchange) {
-    int workerIndex = Math.floorMod(nextWorker.getAndIncrement(), workers.length);
-    HttpClientConnection idleConnection = idle[workerIndex].poll();
+    int workerIndex = Math.floorMod(nextWorker.getAndIncrement(), workerAddresses.length);
+    HttpClientConnection idleConnection = idleConnections[workerIndex].poll();
     if (idleConnection != null && idleConnection.isUsable()) {
       forward(exchange, idleConnection, workerIndex);
       return;
     }
     connector.connect(
-        workers[workerIndex],
+        workerAddresses[workerIndex],
         CONNECT_TIMEOUT,
         new HttpClientConnection.ConnectCallback() {
           @Override
@@ -74,16 +76,16 @@
         connection.send(
             "POST",
             "/v2/models/f/infer",
-            HEADERS,
+            JSON_HEADERS,
             exchange.body(),
             new HttpClientConnection.ResponseHandler() {
               @Override
               public void responded(
                   int status, Map<String, String> headers, byte[] body, boolean reusable) {
                 if (reusable) {
-                  idle[workerIndex].push(connection);
+                  idleConnections[workerIndex].push(connection);
                 }
-                exchange.respond(status, HEADERS, body);
+                exchange.respond(status, JSON_HEADERS, body);
               }
 
               @Override
--- a/src/main/java/switchgap/testbed/experiment/BaselineChoice.java
+++ b/src/main/java/switchgap/testbed/experiment/BaselineChoice.java
@@ -1,15 +1,15 @@
 package switchgap.testbed.experiment;
 
-/** How the baseline policy chooses among the ready workers. */
+/** How the baseline policy selects one of the ready workers. */
 enum BaselineChoice {
-  /** Any of them, with equal probability. */
+  /** A random worker, all with equal probability. */
   RANDOM,
-  /** Each in turn. */
+  /** The workers one after another, starting over after the last. */
   ROUND_ROBIN;
 
   private static final String ROUND_ROBIN_WORD = "turns";
 
-  /** The choice of a word of the command line; any word but {@code turns} is the random choice. */
+  /** Parses the command line option: {@code turns} is round robin, any other word is random. */
   static BaselineChoice of(String word) {
     return word.equals(ROUND_ROBIN_WORD) ? ROUND_ROBIN : RANDOM;
   }
--- a/src/main/java/switchgap/testbed/experiment/BaselinePolicy.java
+++ b/src/main/java/switchgap/testbed/experiment/BaselinePolicy.java
@@ -19,19 +19,21 @@
 import switchgap.router.RouterCore;
 
 /**
- * Textbook policies to measure the routing policy against: any ready worker at random, or round
- * robin. Where no replica is loaded it loads one and the request waits for it; it retries elsewhere
- * what may be retried, and rejects or fails the rest before the deadline, as the invariants demand.
+ * A baseline that the routing policy is compared with. It sends each request to a ready worker,
+ * selected at random or round robin. If the function is not loaded there, it loads a replica and
+ * the request waits for it. Attempts that may be retried are retried on the next selected worker;
+ * all other requests are rejected or failed before their deadline, as the router's invariants
+ * require.
  */
 final class BaselinePolicy implements RouterCore.Policy, PolicyEvents {
-  /** A load command in flight: at most one for a function at a worker. */
+  /** Identifies a load command in flight: at most one per worker and function. */
   private record LoadKey(int worker, int function) {}
 
   private final RouterSettings settings;
-  private final Duration margin;
+  private final Duration deadlineMargin;
   private final BaselineWorkers workers;
   private final Map<Integer, BaselineRequest> pending = new HashMap<>();
-  private final Map<LoadKey, List<BaselineRequest>> waitingForLoad = new HashMap<>();
+  private final Map<LoadKey, List<BaselineRequest>> requestsAwaitingLoad = new HashMap<>();
   private Duration now = Duration.ZERO;
   private PolicyActions actions;
   private boolean wakeUpScheduled;
@@ -39,7 +41,7 @@
   BaselinePolicy(RouterSettings settings, BaselineChoice choice, long seed) {
     this.settings = settings;
     this.workers = new BaselineWorkers(choice, seed);
-    this.margin = settings.tickInterval().multipliedBy(2);
+    this.deadlineMargin = settings.tickInterval().multipliedBy(2);
   }
 
   @Override
@@ -47,60 +49,61 @@
     now = time;
     actions = tickActions;
     events.deliverTo(this);
-    requestsDue().forEach(this::closeUnserved);
+    unservedRequestsNearDeadline().forEach(this::rejectOrFail);
     if (!wakeUpScheduled) {
       wakeUpScheduled = true;
-      actions.scheduleWakeUp(margin, 0);
+      actions.scheduleWakeUp(deadlineMargin, 0);
     }
   }
 
-  /** Open requests without an attempt in flight whose deadline is near. */
-  private List<BaselineRequest> requestsDue() {
-    List<BaselineRequest> due = new ArrayList<>();
+  /** Returns the open requests that have no attempt in flight and a deadline in the near future. */
+  private List<BaselineRequest> unservedRequestsNearDeadline() {
+    List<BaselineRequest> nearDeadline = new ArrayList<>();
     for (BaselineRequest request : pending.values()) {
       if (!request.isClosed()
           && !request.hasAttemptInFlight()
-          && isWithin(margin.multipliedBy(2), request.deadline())) {
-        due.add(request);
+          && isDeadlineWithin(deadlineMargin.multipliedBy(2), request.deadline())) {
+        nearDeadline.add(request);
       }
     }
-    return due;
+    return nearDeadline;
   }
 
-  private boolean isWithin(Duration distance, Duration deadline) {
-    return now.plus(distance).compareTo(deadline) >= 0;
+  private boolean isDeadlineWithin(Duration timeLeft, Duration deadline) {
+    return now.plus(timeLeft).compareTo(deadline) >= 0;
   }
 
   private boolean mayStartAttempt(BaselineRequest request) {
-    return request.attempts() < settings.maxAttempts() && !isWithin(margin, request.deadline());
+    return request.startedAttempts() < settings.maxAttempts()
+        && !isDeadlineWithin(deadlineMargin, request.deadline());
   }
 
   private void route(BaselineRequest request) {
     if (request.isClosed()) {
       return;
     }
-    if (workers.noneReady() || !mayStartAttempt(request)) {
-      closeUnserved(request);
+    if (workers.hasNoReadyWorker() || !mayStartAttempt(request)) {
+      rejectOrFail(request);
       return;
     }
-    startAttempt(request, workers.chooseReady());
+    startAttempt(request, workers.chooseReadyWorker());
   }
 
   private void startAttempt(BaselineRequest request, int worker) {
     request.attemptStarted();
     workers.attemptStarted(worker);
-    Duration timeout = request.deadline().minus(now).minus(margin);
+    Duration timeout = request.deadline().minus(now).minus(deadlineMargin);
     actions.startAttempt(request.requestIndex(), worker, timeout);
   }
 
-  /** Rejects the request where a retry is harmless, else fails it. */
-  private void closeUnserved(BaselineRequest request) {
+  /** Rejects the request if a retry by the client is harmless, otherwise fails it. */
+  private void rejectOrFail(BaselineRequest request) {
     if (request.isClosed()) {
       return;
     }
     request.close();
-    boolean executed = request.isPossiblyExecuted() || request.hasAttemptInFlight();
-    if (isIdempotent(request) || !executed) {
+    boolean maybeExecuted = request.isPossiblyExecuted() || request.hasAttemptInFlight();
+    if (isIdempotent(request) || !maybeExecuted) {
       actions.reject(request.requestIndex(), null);
     } else {
       actions.fail(request.requestIndex());
@@ -120,20 +123,20 @@
 
   @Override
   public void endpointListStarted(boolean complete) {
-    workers.listStarted(complete);
+    workers.endpointListStarted(complete);
   }
 
   @Override
   public void endpointListed(EndpointEntry entry) {
-    workers.listed(entry);
+    workers.endpointListed(entry);
   }
 
   @Override
   public void endpointListEnded() {
-    workers.listEnded();
-    for (int worker : workers.goneAndIdle()) {
-      if (waitingForLoad.keySet().stream().noneMatch(load -> load.worker == worker)) {
-        workers.forget(worker);
+    workers.endpointListEnded();
+    for (int worker : workers.goneWithoutAttempts()) {
+      if (requestsAwaitingLoad.keySet().stream().noneMatch(load -> load.worker == worker)) {
+        workers.remove(worker);
         actions.releaseWorker(worker);
       }
     }
@@ -160,7 +163,7 @@
       } else if (isIdempotent(request) || !request.isPossiblyExecuted()) {
         route(request);
       } else {
-        closeUnserved(request);
+        rejectOrFail(request);
       }
     }
     releaseIfSettled(request);
@@ -168,10 +171,10 @@
 
   private void awaitLoad(BaselineRequest request, int worker) {
     LoadKey key = new LoadKey(worker, request.function());
-    List<BaselineRequest> waiting = waitingForLoad.get(key);
+    List<BaselineRequest> waiting = requestsAwaitingLoad.get(key);
     if (waiting == null) {
       waiting = new ArrayList<>();
-      waitingForLoad.put(key, waiting);
+      requestsAwaitingLoad.put(key, waiting);
       actions.load(worker, request.function());
     }
     waiting.add(request);
@@ -180,7 +183,8 @@
   @Override
   public void loadCommandEnded(LoadCommandResult result) {
     int worker = result.worker();
-    List<BaselineRequest> waiting = waitingForLoad.remove(new LoadKey(worker, result.function()));
+    List<BaselineRequest> waiting =
+        requestsAwaitingLoad.remove(new LoadKey(worker, result.function()));
     if (waiting == null) {
       return;
     }
@@ -196,7 +200,10 @@
     }
   }
 
-  /** A request that was closed meanwhile may have left its index to another one. */
+  /**
+   * Whether the request still waits. If it was closed, a later request may have taken over its
+   * index.
+   */
   private boolean isStillWaiting(BaselineRequest request) {
     return pending.get(request.requestIndex()) == request
         && !request.isClosed()
--- a/src/main/java/switchgap/testbed/experiment/BaselineRequest.java
+++ b/src/main/java/switchgap/testbed/experiment/BaselineRequest.java
@@ -4,14 +4,14 @@
 import switchgap.policy.api.AttemptResult;
 import switchgap.policy.api.RequestArrival;
 
-/** A request that the baseline policy has not released yet, with what became of its attempts. */
+/** A request that the baseline policy has not released yet, with the state of its attempts. */
 final class BaselineRequest {
   private final int requestIndex;
   private final int requestClass;
   private final int function;
   private final Duration deadline;
-  private int attempts;
-  private int inFlight;
+  private int startedAttempts;
+  private int attemptsInFlight;
   private boolean possiblyExecuted;
   private boolean closed;
 
@@ -38,37 +38,36 @@
     return deadline;
   }
 
-  /** Attempts started so far. */
-  int attempts() {
-    return attempts;
+  int startedAttempts() {
+    return startedAttempts;
   }
 
   boolean hasAttemptInFlight() {
-    return inFlight > 0;
+    return attemptsInFlight > 0;
   }
 
-  /** Whether it has its final response, or needs none. */
+  /** Whether the request has its final response or no longer needs one. */
   boolean isClosed() {
     return closed;
   }
 
-  /** Whether nothing more will happen to it. */
+  /** Whether the request is closed and has no attempt in flight. */
   boolean isSettled() {
-    return closed && inFlight == 0;
+    return closed && attemptsInFlight == 0;
   }
 
-  /** Whether an attempt ended that may have run. */
+  /** Whether a worker may have executed an attempt that has ended. */
   boolean isPossiblyExecuted() {
     return possiblyExecuted;
   }
 
   void attemptStarted() {
-    attempts++;
-    inFlight++;
+    startedAttempts++;
+    attemptsInFlight++;
   }
 
   void attemptEnded(AttemptResult result) {
-    inFlight--;
+    attemptsInFlight--;
     possiblyExecuted |= !result.outcome().neverExecuted();
     closed |= result.requestClosed();
   }
--- a/src/main/java/switchgap/testbed/experiment/BaselineRouter.java
+++ b/src/main/java/switchgap/testbed/experiment/BaselineRouter.java
@@ -5,11 +5,14 @@
 import switchgap.server.gateway.GatewayConfig;
 import switchgap.server.gateway.GatewayRouter;
 
-/** A router under a textbook policy in place of the program's own. */
+/** Starts a router with a baseline policy instead of the routing policy. */
 public final class BaselineRouter {
   private BaselineRouter() {}
 
-  /** Starts a router by its configuration; {@code choice} is random or turns. */
+  /**
+   * Starts a router with the configuration file. {@code choice} is {@code turns} for round robin;
+   * any other word selects workers at random.
+   */
   public static GatewayRouter start(Path configFile, String choice) throws IOException {
     GatewayConfig config = GatewayConfig.read(configFile);
     return new GatewayRouter(
--- a/src/main/java/switchgap/testbed/experiment/BaselineWorkers.java
+++ b/src/main/java/switchgap/testbed/experiment/BaselineWorkers.java
@@ -9,81 +9,83 @@
 import switchgap.policy.api.WorkerState;
 
 /**
- * The workers that the baseline policy knows: their states in the endpoint list, the attempts in
- * flight at each, and the next choice among the ready ones.
+ * The workers that the baseline policy uses: their states in the endpoint list, the number of
+ * attempts in flight at each, and the selection of the next ready worker.
  */
 final class BaselineWorkers {
   private final BaselineChoice choice;
   private final SplittableRandom random;
-  private final Map<Integer, WorkerState> states = new HashMap<>();
-  private final Map<Integer, Integer> attemptsInFlight = new HashMap<>();
-  private final List<Integer> ready = new ArrayList<>();
-  private int nextInRotation;
+  private final Map<Integer, WorkerState> stateByWorker = new HashMap<>();
+  private final Map<Integer, Integer> attemptsInFlightByWorker = new HashMap<>();
+  private final List<Integer> readyWorkers = new ArrayList<>();
+  private int nextRoundRobinIndex;
 
   BaselineWorkers(BaselineChoice choice, long seed) {
     this.choice = choice;
     this.random = new SplittableRandom(seed);
   }
 
-  /** A new endpoint list begins; a complete one names every worker that is left. */
-  void listStarted(boolean complete) {
+  /**
+   * Starts an update of the endpoint list. Workers that a complete list doesn't contain are gone.
+   */
+  void endpointListStarted(boolean complete) {
     if (complete) {
-      states.replaceAll((worker, state) -> WorkerState.GONE);
+      stateByWorker.replaceAll((worker, state) -> WorkerState.GONE);
     }
   }
 
-  void listed(EndpointEntry entry) {
-    states.put(entry.worker(), entry.state());
+  void endpointListed(EndpointEntry entry) {
+    stateByWorker.put(entry.worker(), entry.state());
   }
 
-  void listEnded() {
-    ready.clear();
-    ready.addAll(inState(WorkerState.READY));
+  void endpointListEnded() {
+    readyWorkers.clear();
+    readyWorkers.addAll(workersInState(WorkerState.READY));
   }
 
-  /** The workers that are gone and have no attempt in flight. */
-  List<Integer> goneAndIdle() {
-    return inState(WorkerState.GONE).stream()
-        .filter(worker -> attemptsInFlight.getOrDefault(worker, 0) == 0)
+  /** Returns the workers that are gone and have no attempt in flight. */
+  List<Integer> goneWithoutAttempts() {
+    return workersInState(WorkerState.GONE).stream()
+        .filter(worker -> attemptsInFlightByWorker.getOrDefault(worker, 0) == 0)
         .toList();
   }
 
-  private List<Integer> inState(WorkerState wanted) {
+  private List<Integer> workersInState(WorkerState requiredState) {
     List<Integer> workers = new ArrayList<>();
-    states.forEach(
-        (worker, state) -> {
-          if (state == wanted) {
+    stateByWorker.forEach(
+        (worker, workerState) -> {
+          if (workerState == requiredState) {
             workers.add(worker);
           }
         });
     return workers;
   }
 
-  void forget(int worker) {
-    states.remove(worker);
+  void remove(int worker) {
+    stateByWorker.remove(worker);
   }
 
   boolean isReady(int worker) {
-    return states.get(worker) == WorkerState.READY;
+    return stateByWorker.get(worker) == WorkerState.READY;
   }
 
-  boolean noneReady() {
-    return ready.isEmpty();
+  boolean hasNoReadyWorker() {
+    return readyWorkers.isEmpty();
   }
 
-  /** Chooses a ready worker; there must be one. */
-  int chooseReady() {
+  /** Selects a ready worker; at least one must be ready. */
+  int chooseReadyWorker() {
     return switch (choice) {
-      case RANDOM -> ready.get(random.nextInt(ready.size()));
-      case ROUND_ROBIN -> ready.get(nextInRotation++ % ready.size());
+      case RANDOM -> readyWorkers.get(random.nextInt(readyWorkers.size()));
+      case ROUND_ROBIN -> readyWorkers.get(nextRoundRobinIndex++ % readyWorkers.size());
     };
   }
 
   void attemptStarted(int worker) {
-    attemptsInFlight.merge(worker, 1, Integer::sum);
+    attemptsInFlightByWorker.merge(worker, 1, Integer::sum);
   }
 
   void attemptEnded(int worker) {
-    attemptsInFlight.merge(worker, -1, Integer::sum);
+    attemptsInFlightByWorker.merge(worker, -1, Integer::sum);
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/Experiment.java
+++ b/src/main/java/switchgap/testbed/experiment/Experiment.java
@@ -12,7 +12,10 @@
 import switchgap.config.YamlDocument;
 import switchgap.testbed.scenario.Scenario;
 
-/** Variants over scenarios, curves and seeds, the same arrivals for each variant, on all cores. */
+/**
+ * Runs each variant with every scenario, load curve and seed in virtual time, using all cores. All
+ * variants get the same request arrivals.
+ */
 public final class Experiment {
   private static final long SEED_STEP = 101;
   private static final double NANOS_PER_SECOND = 1e9;
@@ -20,14 +23,14 @@
   private final String name;
   private final List<ExperimentCase> cases = new ArrayList<>();
   private final List<Variant> variants;
-  private final int seeds;
+  private final int seedCount;
 
   private Experiment(Path file, boolean quick) throws IOException {
     YamlDocument document = YamlDocument.read(file);
     YamlDocument settings = document.section("experiment");
     name = settings.text("name");
-    int seedCount = settings.integer("seeds", 1, 1000, 3);
-    seeds = quick ? 1 : seedCount;
+    int configuredSeedCount = settings.integer("seeds", 1, 1000, 3);
+    seedCount = quick ? 1 : configuredSeedCount;
     double quickShare = settings.number("quick", 0.01, 1, 0.4);
     settings.rejectUnknownKeys();
     variants = Variant.read(document);
@@ -37,7 +40,7 @@
       curves.forEach(curve -> cases.add(new ExperimentCase(scenario, curve, new ArrayList<>())));
     }
     if (cases.isEmpty()) {
-      throw document.invalid("days", "needs a day and a curve or more");
+      throw document.invalid("days", "needs at least one day and one curve");
     }
     document.rejectUnknownKeys();
   }
@@ -46,8 +49,8 @@
       throws IOException {
     List<LoadCurve> curves = new ArrayList<>();
     for (String curveName : section.keys()) {
-      LoadCurve complete = LoadCurveReader.read(curveName, section.section(curveName), file);
-      curves.add(complete.within(timeShare));
+      LoadCurve fullLengthCurve = LoadCurveReader.read(curveName, section.section(curveName), file);
+      curves.add(fullLengthCurve.scaleTime(timeShare));
     }
     return curves;
   }
@@ -56,7 +59,7 @@
     return name;
   }
 
-  /** Every scenario under every curve. */
+  /** All combinations of a scenario and a curve. */
   List<ExperimentCase> cases() {
     return cases;
   }
@@ -65,47 +68,48 @@
     return variants;
   }
 
-  /** The variant that the others are compared with: the first. */
+  /** The first variant, which the others are compared with. */
   Variant referenceVariant() {
     return variants.get(0);
   }
 
-  /** Number of seeds, each of which every variant plays. */
-  int seeds() {
-    return seeds;
+  /** Number of trials that each variant runs per case, each with a different seed. */
+  int seedCount() {
+    return seedCount;
   }
 
   /**
-   * Runs an experiment and prints a table.
+   * Runs an experiment, prints a table per case and writes the requested files.
    *
-   * @param file the experiment
-   * @param quick whether to play one seed and a part of the time
-   * @param report receives an HTML page, null for none
-   * @param results directory that receives the results, null for none
-   * @param out receives the table
+   * @param file experiment document (YAML)
+   * @param quick whether to run only one seed and a part of each curve's duration
+   * @param reportFile file that the HTML report is written to, null for no report
+   * @param resultsDirectory directory that the result tables are written to, null for no tables
+   * @param out stream that the tables are printed to
    */
-  public static void run(Path file, boolean quick, Path report, Path results, PrintStream out)
+  public static void run(
+      Path file, boolean quick, Path reportFile, Path resultsDirectory, PrintStream out)
       throws IOException, InterruptedException {
     Experiment experiment = new Experiment(file, quick);
-    long startedAt = System.nanoTime();
-    experiment.play();
+    long startNanos = System.nanoTime();
+    experiment.runTrials();
     out.printf(
-        "%s, %d seeds, %.0f s of this machine (simulated servers)%n",
-        experiment.name, experiment.seeds, (System.nanoTime() - startedAt) / NANOS_PER_SECOND);
+        "%s: %d seeds, %.0f s of wall-clock time (simulated workers)%n",
+        experiment.name, experiment.seedCount, (System.nanoTime() - startNanos) / NANOS_PER_SECOND);
     ExperimentSummary.print(experiment, out);
-    if (results != null) {
-      ExperimentTables.write(results, experiment.cases);
+    if (resultsDirectory != null) {
+      ExperimentTables.write(resultsDirectory, experiment.cases);
     }
-    if (report != null) {
-      ExperimentReport.write(report, experiment);
-      out.println("report: " + report);
+    if (reportFile != null) {
+      ExperimentReport.write(reportFile, experiment);
+      out.println("report: " + reportFile);
     }
   }
 
-  /** A trial that runs, and the case that it belongs to. */
+  /** A submitted trial and the case that it belongs to. */
   private record PendingTrial(ExperimentCase experimentCase, Future<Trial> trial) {}
 
-  private void play() throws InterruptedException {
+  private void runTrials() throws InterruptedException {
     ExecutorService executor =
         Executors.newFixedThreadPool(Runtime.getRuntime().availableProcessors());
     try {
@@ -113,7 +117,8 @@
         pending.experimentCase.trials().add(pending.trial.get());
       }
     } catch (ExecutionException e) {
-      throw new IllegalStateException("a trial failed", e.getCause());
+      throw new IllegalStateException(
+          "experiment aborted: a trial ended with an exception", e.getCause());
     } finally {
       executor.shutdownNow();
     }
@@ -124,10 +129,10 @@
     for (ExperimentCase experimentCase : cases) {
       Scenario scenario = experimentCase.scenario();
       for (Variant variant : variants) {
-        for (int i = 0; i < seeds; i++) {
+        for (int i = 0; i < seedCount; i++) {
           long seed = scenario.seed() + SEED_STEP * i;
           Future<Trial> trial =
-              executor.submit(() -> Trial.play(scenario, seed, variant, experimentCase.curve()));
+              executor.submit(() -> Trial.run(scenario, seed, variant, experimentCase.curve()));
           submitted.add(new PendingTrial(experimentCase, trial));
         }
       }
--- a/src/main/java/switchgap/testbed/experiment/ExperimentCase.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentCase.java
@@ -5,29 +5,29 @@
 import java.util.function.ToDoubleFunction;
 import switchgap.testbed.scenario.Scenario;
 
-/** One scenario under one curve, and the trials of all variants and seeds. */
+/** A scenario with a load curve, and the trials of all variants and seeds for them. */
 record ExperimentCase(Scenario scenario, LoadCurve curve, List<Trial> trials) {
   String name() {
     return scenario.name() + ", " + curve.name();
   }
 
-  /** The most service that capacity alone allows; the same for every trial. */
-  double bound() {
-    return trials.get(0).service().bound();
+  /** Upper bound of service by capacity; the same for every trial. */
+  double serviceBound() {
+    return trials.get(0).service().capacityBound();
   }
 
-  /** Names of the request classes, sorted. */
+  /** Returns the names of the request classes, sorted. */
   Set<String> requestClasses() {
     return trials.get(0).service().objectiveMetShare().keySet();
   }
 
-  /** The trials of a variant, in the order of the seeds. */
-  @SuppressWarnings("ReferenceEquality") // a list may hold two variants that are alike
-  List<Trial> of(Variant variant) {
+  /** Returns the trials of a variant, in the order of the seeds. */
+  @SuppressWarnings("ReferenceEquality") // two variants of an experiment may be equal
+  List<Trial> trialsOf(Variant variant) {
     return trials.stream().filter(trial -> trial.variant() == variant).toList();
   }
 
-  /** One trial of each variant: those of the first seed. */
+  /** Returns one trial of each variant: the one with the first seed. */
   List<Trial> trialsOfFirstSeed() {
     long seed = trials.get(0).seed();
     return trials.stream().filter(trial -> trial.seed() == seed).toList();
@@ -37,13 +37,17 @@
     return spread(variant, trial -> trial.service().overall());
   }
 
-  /** Differences of service to a reference variant, seed by seed. */
-  Spread serviceAgainst(Variant variant, Variant reference) {
-    List<Trial> own = of(variant);
-    List<Trial> others = of(reference);
-    double[] differences = new double[own.size()];
+  /**
+   * Returns the spread of the difference in service to the reference variant, for pairs of trials
+   * with the same seed.
+   */
+  Spread serviceDifference(Variant variant, Variant reference) {
+    List<Trial> variantTrials = trialsOf(variant);
+    List<Trial> referenceTrials = trialsOf(reference);
+    double[] differences = new double[variantTrials.size()];
     for (int i = 0; i < differences.length; i++) {
-      differences[i] = own.get(i).service().overall() - others.get(i).service().overall();
+      differences[i] =
+          variantTrials.get(i).service().overall() - referenceTrials.get(i).service().overall();
     }
     return Spread.of(differences);
   }
@@ -57,26 +61,29 @@
   }
 
   private Spread spread(Variant variant, ToDoubleFunction<Trial> figure) {
-    return Spread.of(of(variant).stream().mapToDouble(figure).toArray());
+    return Spread.of(trialsOf(variant).stream().mapToDouble(figure).toArray());
   }
 
-  /** Mean changes of level that a router made. */
+  /** Mean number of changes of the common service level per router. */
   double meanChangesPerRouter(Variant variant) {
     return spread(
             variant, trial -> trial.levels().commonChangeCount() / (double) scenario.routers())
         .mean();
   }
 
-  int maxChangesInFourStays(Variant variant) {
-    return of(variant).stream()
-        .mapToInt(trial -> trial.levels().maxChangesInFourStays())
+  int maxChangesInFourMinStays(Variant variant) {
+    return trialsOf(variant).stream()
+        .mapToInt(trial -> trial.levels().maxChangesInFourMinStays())
         .max()
         .orElse(0);
   }
 
-  /** The longest recovery, {@link LevelFigures#NO_RECOVERY} where no trial recovered. */
+  /**
+   * Returns the longest recovery of the variant's trials, {@link LevelFigures#NO_RECOVERY} if no
+   * trial recovered.
+   */
   long maxRecoverySeconds(Variant variant) {
-    return of(variant).stream()
+    return trialsOf(variant).stream()
         .mapToLong(trial -> trial.levels().recoverySeconds())
         .max()
         .orElse(LevelFigures.NO_RECOVERY);
--- a/src/main/java/switchgap/testbed/experiment/ExperimentReport.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentReport.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Writes an experiment as one HTML page with its plots inside. */
+/** Writes an experiment's results as one HTML page with embedded charts. */
 final class ExperimentReport {
   private final Experiment experiment;
   private final StringBuilder html = new StringBuilder();
@@ -37,7 +37,7 @@
         .append("</h1><p>Simulated servers: the figures compare variants and say nothing of real")
         .append(" machines. The same seed brings the same arrivals to each variant; differences")
         .append(" are taken seed by seed, with the standard deviation over ")
-        .append(experiment.seeds())
+        .append(experiment.seedCount())
         .append(" seeds. Service is weighted by importance.</p>");
   }
 
@@ -49,21 +49,21 @@
     html.append("</table>");
     ReportCharts charts = new ReportCharts(experimentCase.trialsOfFirstSeed());
     html.append(charts.loadAndService());
-    html.append(charts.levels());
+    html.append(charts.levelsOverTime());
     html.append(charts.objectivesMet());
     html.append(charts.serviceByTenant());
     html.append(charts.timeAtLevels());
   }
 
   private void appendTableHead(ExperimentCase experimentCase) {
-    append(
+    appendFormatted(
         "<h2>%s</h2><p>%d workers, %d routers, %d s of simulated time; bound from capacity"
             + " %.3f.</p><table><tr><th>variant<th>service<th>to %s",
         experimentCase.name(),
         experimentCase.scenario().workers(),
         experimentCase.scenario().routers(),
         experimentCase.curve().seconds(),
-        experimentCase.bound(),
+        experimentCase.serviceBound(),
         experiment.referenceVariant().name());
     for (String requestClass : experimentCase.requestClasses()) {
       html.append("<th>").append(requestClass).append(" in target");
@@ -74,31 +74,35 @@
 
   private void appendRow(ExperimentCase experimentCase, Variant variant) {
     Spread service = experimentCase.service(variant);
-    Spread paired = experimentCase.serviceAgainst(variant, experiment.referenceVariant());
-    append(
+    Spread difference = experimentCase.serviceDifference(variant, experiment.referenceVariant());
+    appendFormatted(
         "<tr><td>%s<td>%.3f ± %.3f<td>%+.3f ± %.3f",
-        variant.name(), service.mean(), service.deviation(), paired.mean(), paired.deviation());
+        variant.name(),
+        service.mean(),
+        service.deviation(),
+        difference.mean(),
+        difference.deviation());
     for (String requestClass : experimentCase.requestClasses()) {
-      append("<td>%.3f", experimentCase.objectiveMetShare(variant, requestClass).mean());
+      appendFormatted("<td>%.3f", experimentCase.objectiveMetShare(variant, requestClass).mean());
     }
     boolean hasLevels = variant.admission() == Variant.AdmissionMode.LEVELS;
-    append(
+    appendFormatted(
         "<td>%.1f<td>%d<td>%s<td>%s",
         experimentCase.meanChangesPerRouter(variant),
-        experimentCase.maxChangesInFourStays(variant),
-        hasLevels ? recovery(experimentCase.maxRecoverySeconds(variant)) : "",
-        hasLevels ? tenantChanges(experimentCase.of(variant)) : "");
+        experimentCase.maxChangesInFourMinStays(variant),
+        hasLevels ? formatRecovery(experimentCase.maxRecoverySeconds(variant)) : "",
+        hasLevels ? formatTenantChangeCounts(experimentCase.trialsOf(variant)) : "");
   }
 
-  private void append(String format, Object... values) {
+  private void appendFormatted(String format, Object... values) {
     html.append(String.format(Locale.ROOT, format, values));
   }
 
-  private static String recovery(long seconds) {
+  private static String formatRecovery(long seconds) {
     return seconds == LevelFigures.NO_RECOVERY ? "not within it" : seconds + " s";
   }
 
-  private static String tenantChanges(List<Trial> trials) {
+  private static String formatTenantChangeCounts(List<Trial> trials) {
     return trials.stream()
         .map(trial -> trial.levels().tenantChangeCounts().toString())
         .distinct()
--- a/src/main/java/switchgap/testbed/experiment/ExperimentSummary.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentSummary.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import switchgap.config.EnumWords;
 
-/** Prints an experiment's cases as tables, one row a variant. */
+/** Prints a table for each case of an experiment, with one row per variant. */
 final class ExperimentSummary {
   private ExperimentSummary() {}
 
@@ -12,6 +12,12 @@
     experiment.cases().forEach(experimentCase -> printCase(experiment, experimentCase, out));
   }
 
+  /**
+   * Prints one table. Columns: "changes" is the mean number of level changes per router, "4 stays"
+   * the most changes of a router within four times the minimum time at a level, "back" the seconds
+   * until all routers are at full service again after overload, "busy" the mean utilization of the
+   * workers.
+   */
   private static void printCase(
       Experiment experiment, ExperimentCase experimentCase, PrintStream out) {
     out.printf(
@@ -20,18 +26,18 @@
         experimentCase.curve().seconds(),
         experimentCase.scenario().workers(),
         experimentCase.scenario().routers(),
-        experimentCase.bound());
+        experimentCase.serviceBound());
     out.printf(
         "%-10s %-14s %-15s %-40s %8s %7s %5s %5s %s%n",
         "variant",
         "service",
-        "to the first",
+        "to reference",
         "start targets met",
         "changes",
         "4 stays",
         "back",
         "busy",
-        "time at each level, changes of customers' own");
+        "time at each level, changes of customers' own levels");
     for (Variant variant : experiment.variants()) {
       printRow(experimentCase, variant, experiment.referenceVariant(), out);
     }
@@ -40,23 +46,23 @@
   private static void printRow(
       ExperimentCase experimentCase, Variant variant, Variant reference, PrintStream out) {
     Spread service = experimentCase.service(variant);
-    Spread paired = experimentCase.serviceAgainst(variant, reference);
+    Spread difference = experimentCase.serviceDifference(variant, reference);
     out.printf(
         "%-10s %.3f ±%.3f   %+.3f ±%.3f   %-40s %8.1f %7d %5d %5.2f %s%n",
         variant.name(),
         service.mean(),
         service.deviation(),
-        paired.mean(),
-        paired.deviation(),
-        objectivesMet(experimentCase, variant),
+        difference.mean(),
+        difference.deviation(),
+        formatObjectivesMet(experimentCase, variant),
         experimentCase.meanChangesPerRouter(variant),
-        experimentCase.maxChangesInFourStays(variant),
+        experimentCase.maxChangesInFourMinStays(variant),
         experimentCase.maxRecoverySeconds(variant),
         experimentCase.utilization(variant).mean(),
-        levels(experimentCase.of(variant)));
+        formatLevels(experimentCase.trialsOf(variant)));
   }
 
-  private static String objectivesMet(ExperimentCase experimentCase, Variant variant) {
+  private static String formatObjectivesMet(ExperimentCase experimentCase, Variant variant) {
     StringBuilder text = new StringBuilder();
     for (String requestClass : experimentCase.requestClasses()) {
       double mean = experimentCase.objectiveMetShare(variant, requestClass).mean();
@@ -65,8 +71,11 @@
     return text.toString();
   }
 
-  /** Seconds at each level of the first trial, and the tenants' changes of all. */
-  private static String levels(List<Trial> trials) {
+  /**
+   * Formats the seconds at each level in the first trial, and the changes of tenants' own levels in
+   * all trials.
+   */
+  private static String formatLevels(List<Trial> trials) {
     StringBuilder text = new StringBuilder();
     trials
         .get(0)
--- a/src/main/java/switchgap/testbed/experiment/ExperimentTables.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentTables.java
@@ -10,14 +10,15 @@
 import switchgap.config.EnumWords;
 
 /**
- * An experiment's results as tables: {@code trials} with one row a trial and request class or
- * tenant, {@code seconds} with one a second of a trial, {@code changes} with one a change of
- * service level. Column names and words are those that readers of the files know.
+ * Writes an experiment's results as tables: {@code trials} with one row per figure of a trial, of
+ * all its requests or of one request class or tenant; {@code seconds} with one row per second of a
+ * trial; {@code changes} with one row per change of a service level. The column names and values
+ * are part of the file format; they are independent of the names in the code.
  */
 final class ExperimentTables {
   private ExperimentTables() {}
 
-  /** Writes the tables into a directory, which is created where it is absent. */
+  /** Writes the tables to a directory, which is created if it doesn't exist. */
   static void write(Path directory, List<ExperimentCase> cases) throws IOException {
     Files.createDirectories(directory);
     try (ResultTable changes = new ResultTable(directory.resolve("changes"), changeColumns());
@@ -34,12 +35,12 @@
   }
 
   private static List<ResultColumn> withKeyColumns(ResultColumn... columns) {
-    List<ResultColumn> all = new ArrayList<>();
-    all.add(ResultColumn.text("case"));
-    all.add(ResultColumn.text("variant"));
-    all.add(ResultColumn.integer("seed"));
-    all.addAll(List.of(columns));
-    return all;
+    List<ResultColumn> allColumns = new ArrayList<>();
+    allColumns.add(ResultColumn.text("case"));
+    allColumns.add(ResultColumn.text("variant"));
+    allColumns.add(ResultColumn.integer("seed"));
+    allColumns.addAll(List.of(columns));
+    return allColumns;
   }
 
   private static List<ResultColumn> trialColumns() {
@@ -74,22 +75,28 @@
   private static void writeTrial(ResultTable table, ExperimentCase experimentCase, Trial trial)
       throws IOException {
     writeFigure(table, experimentCase, trial, "all", "", "service", trial.service().overall());
-    writeFigure(table, experimentCase, trial, "all", "", "bound", trial.service().bound());
+    writeFigure(table, experimentCase, trial, "all", "", "bound", trial.service().capacityBound());
     writeFigure(
         table, experimentCase, trial, "all", "", "changes", trial.levels().commonChangeCount());
-    for (Map.Entry<String, Double> met : trial.service().objectiveMetShare().entrySet()) {
+    for (Map.Entry<String, Double> objectiveMet : trial.service().objectiveMetShare().entrySet()) {
       writeFigure(
-          table, experimentCase, trial, "workload", met.getKey(), "in target", met.getValue());
+          table,
+          experimentCase,
+          trial,
+          "workload",
+          objectiveMet.getKey(),
+          "in target",
+          objectiveMet.getValue());
     }
-    for (Map.Entry<String, Double> service : trial.service().byTenant().entrySet()) {
+    for (Map.Entry<String, Double> tenantService : trial.service().serviceByTenant().entrySet()) {
       writeFigure(
           table,
           experimentCase,
           trial,
           "customer",
-          service.getKey(),
+          tenantService.getKey(),
           "service",
-          service.getValue());
+          tenantService.getValue());
     }
   }
 
@@ -97,13 +104,13 @@
       ResultTable table,
       ExperimentCase experimentCase,
       Trial trial,
-      String kind,
+      String scope,
       String name,
       String figure,
       Number value)
       throws IOException {
-    table.row(
-        experimentCase.name(), trial.variant().name(), trial.seed(), kind, name, figure, value);
+    table.addRow(
+        experimentCase.name(), trial.variant().name(), trial.seed(), scope, name, figure, value);
   }
 
   private static void writeChanges(ResultTable table, ExperimentCase experimentCase, Trial trial)
@@ -114,7 +121,7 @@
           routerChange.isCommon()
               ? "all"
               : LevelFigures.tenantName(experimentCase.scenario(), change.tenant());
-      table.row(
+      table.addRow(
           experimentCase.name(),
           trial.variant().name(),
           trial.seed(),
@@ -133,7 +140,7 @@
       throws IOException {
     int second = 0;
     for (SecondSample sample : trial.samples()) {
-      table.row(
+      table.addRow(
           experimentCase.name(),
           trial.variant().name(),
           trial.seed(),
--- a/src/main/java/switchgap/testbed/experiment/LevelFigures.java
+++ b/src/main/java/switchgap/testbed/experiment/LevelFigures.java
@@ -10,33 +10,41 @@
 import switchgap.testbed.scenario.Scenario;
 
 /**
- * How a trial's routers changed their service levels.
+ * Figures about the service levels of a trial's routers.
  *
- * @param changes all changes, in their order
- * @param commonChangeCount changes of the routers' common levels
- * @param tenantChangeCounts changes of tenants' own levels, by tenant
- * @param maxChangesInFourStays the most changes that one router made within four of its shortest
- *     stays at a level
- * @param secondsAtLevel time at each level, mean over the routers; empty without admission control
- * @param recoverySeconds seconds from when load stays calm until all routers stay at full service,
- *     or {@link #NO_RECOVERY}
+ * @param changes all changes, in order of time
+ * @param commonChangeCount number of changes of the levels that apply to all tenants
+ * @param tenantChangeCounts number of changes of each tenant's own level, by the tenant's name
+ * @param maxChangesInFourMinStays largest number of changes that one router made within four times
+ *     its minimum time at a level
+ * @param secondsAtLevel seconds at each level, as a mean over the routers; empty without admission
+ *     control
+ * @param recoverySeconds seconds from the start of the final period of low load until all routers
+ *     are at full service to the end of the trial, or {@link #NO_RECOVERY}
  */
 record LevelFigures(
     List<RouterLevelChange> changes,
     int commonChangeCount,
     Map<String, Integer> tenantChangeCounts,
-    int maxChangesInFourStays,
+    int maxChangesInFourMinStays,
     Map<ServiceLevel, Double> secondsAtLevel,
     long recoverySeconds) {
-  /** Recovery was not reached, or nothing had to be recovered from. */
+  /** The fleet was never overloaded, or a router was below full service at the end of the trial. */
   static final long NO_RECOVERY = -1;
 
-  private static final double CALM_LOAD = 0.7; // of capacity: nothing more is too much
-  private static final double FULL_LOAD = 1;
-  private static final int STAYS = 4;
+  /** Load as a share of capacity. Below it, no router has a reason to reduce service. */
+  private static final double MAX_CALM_LOAD = 0.7;
+
+  /** Load as a share of capacity. Above it, the fleet is overloaded. */
+  private static final double MAX_SUSTAINABLE_LOAD = 1;
+
+  private static final int MIN_STAYS_IN_WINDOW = 4;
   private static final double MILLIS_PER_SECOND = 1000;
 
-  /** The figures of a test bed that has played, with its samples of each second. */
+  /**
+   * Computes the figures after the test bed's run has ended. {@code samples} has one entry per
+   * second.
+   */
   static LevelFigures of(
       Scenario scenario, VirtualTimeTestBed testBed, List<SecondSample> samples) {
     List<RouterLevelChange> changes = testBed.levelChanges();
@@ -44,7 +52,7 @@
         changes,
         (int) changes.stream().filter(RouterLevelChange::isCommon).count(),
         tenantChangeCounts(scenario, changes),
-        maxChangesInFourStays(testBed.routers(), changes),
+        maxChangesInFourMinStays(testBed.routers(), changes),
         secondsAtLevel(testBed.routers()),
         recoverySeconds(samples));
   }
@@ -60,36 +68,37 @@
     return counts;
   }
 
-  /** Name of a tenant by its index in the routers' settings. */
-  static String tenantName(Scenario scenario, int tenant) {
-    return List.copyOf(scenario.tenantShares().keySet()).get(tenant);
+  /** Returns the name of a tenant by its index in the routers' settings. */
+  static String tenantName(Scenario scenario, int tenantIndex) {
+    return List.copyOf(scenario.tenantShares().keySet()).get(tenantIndex);
   }
 
-  private static int maxChangesInFourStays(
+  private static int maxChangesInFourMinStays(
       List<VirtualTimeRouter> routers, List<RouterLevelChange> changes) {
     int maxChanges = 0;
-    for (int i = 0; i < routers.size(); i++) {
-      AdmissionController admission = routers.get(i).gate().admission();
+    for (int routerIndex = 0; routerIndex < routers.size(); routerIndex++) {
+      AdmissionController admission = routers.get(routerIndex).gate().admission();
       if (admission != null) {
-        Duration window = admission.minStay().multipliedBy(STAYS);
-        maxChanges = Math.max(maxChanges, maxChangesWithin(window, i, changes));
+        Duration window = admission.minStay().multipliedBy(MIN_STAYS_IN_WINDOW);
+        maxChanges = Math.max(maxChanges, maxChangesWithin(window, routerIndex, changes));
       }
     }
     return maxChanges;
   }
 
   private static int maxChangesWithin(
-      Duration window, int router, List<RouterLevelChange> changes) {
+      Duration window, int routerIndex, List<RouterLevelChange> changes) {
     int maxChanges = 0;
-    ArrayDeque<Duration> within = new ArrayDeque<>();
+    ArrayDeque<Duration> changeTimesInWindow = new ArrayDeque<>();
     for (RouterLevelChange change : changes) {
-      if (change.router() == router && change.isCommon()) {
+      if (change.router() == routerIndex && change.isCommon()) {
         Duration changedAt = change.change().time();
-        while (!within.isEmpty() && changedAt.minus(within.peek()).compareTo(window) > 0) {
-          within.poll();
+        while (!changeTimesInWindow.isEmpty()
+            && changedAt.minus(changeTimesInWindow.peek()).compareTo(window) > 0) {
+          changeTimesInWindow.poll();
         }
-        within.add(changedAt);
-        maxChanges = Math.max(maxChanges, within.size());
+        changeTimesInWindow.add(changedAt);
+        maxChanges = Math.max(maxChanges, changeTimesInWindow.size());
       }
     }
     return maxChanges;
@@ -103,25 +112,28 @@
         continue;
       }
       for (ServiceLevel level : ServiceLevel.values()) {
-        double atLevel = admission.timeAt(level).toMillis() / MILLIS_PER_SECOND / routers.size();
-        seconds.merge(level, atLevel, Double::sum);
+        double secondsPerRouter =
+            admission.timeAt(level).toMillis() / MILLIS_PER_SECOND / routers.size();
+        seconds.merge(level, secondsPerRouter, Double::sum);
       }
     }
     return seconds;
   }
 
   private static long recoverySeconds(List<SecondSample> samples) {
-    if (samples.stream().noneMatch(sample -> sample.load() > FULL_LOAD)) {
+    if (samples.stream().noneMatch(sample -> sample.load() > MAX_SUSTAINABLE_LOAD)) {
       return NO_RECOVERY;
     }
-    int calmFrom = samples.size();
-    while (calmFrom > 0 && samples.get(calmFrom - 1).load() < CALM_LOAD) {
-      calmFrom--;
+    int calmFromSecond = samples.size();
+    while (calmFromSecond > 0 && samples.get(calmFromSecond - 1).load() < MAX_CALM_LOAD) {
+      calmFromSecond--;
     }
-    int fullFrom = samples.size();
-    while (fullFrom > 0 && samples.get(fullFrom - 1).belowFullShare() == 0) {
-      fullFrom--;
+    int fullFromSecond = samples.size();
+    while (fullFromSecond > 0 && samples.get(fullFromSecond - 1).belowFullShare() == 0) {
+      fullFromSecond--;
     }
-    return fullFrom >= samples.size() ? NO_RECOVERY : Math.max(0, fullFrom - calmFrom);
+    return fullFromSecond >= samples.size()
+        ? NO_RECOVERY
+        : Math.max(0, fullFromSecond - calmFromSecond);
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/LoadCurve.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadCurve.java
@@ -8,109 +8,123 @@
 import switchgap.testbed.scenario.Scenario;
 
 /**
- * A load over time: straight lines between points, with waves on top, and periods in which clients
- * send more or retry without backoff. Load is a share of the fleet's capacity. Immutable.
+ * Load over time, as a share of the fleet's capacity: linear interpolation between points plus a
+ * sine wave, and periods in which clients send more requests or retry without backoff. Immutable.
  *
- * @param name name in tables and reports
- * @param points two at least, in the order of time
- * @param wave what is added to the lines
- * @param periods what clients do beside it
+ * @param name name of the curve in tables and reports
+ * @param points at least two points, in order of time
+ * @param wave wave that is added to the interpolated load
+ * @param periods deviations of clients from the curve
  */
 record LoadCurve(String name, List<Point> points, Wave wave, List<TrafficPeriod> periods) {
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** Load at a time in microseconds. */
+  /** The load at a time, in microseconds since the start. */
   record Point(double timeMicros, double load) {}
 
-  /** A sine wave; amplitude 0 for none. */
+  /** A sine wave; an amplitude of 0 means no wave. */
   record Wave(double periodMicros, double amplitude) {
     static final Wave NONE = new Wave(1, 0);
 
-    double at(long timeMicros) {
+    double loadAt(long timeMicros) {
       return amplitude == 0 ? 0 : amplitude * Math.sin(2 * Math.PI * timeMicros / periodMicros);
     }
   }
 
   /**
-   * For a time, a rate times a factor, with so many retries without backoff.
+   * A period in which clients multiply their request rate and may retry without backoff.
    *
-   * @param startMicros start
-   * @param durationMicros duration
-   * @param tenant whose rate and retries, null for the rate of all
-   * @param rateFactor factor on the rate
-   * @param stormRetries retries without backoff, 0 for none
+   * @param startMicros start of the period, in microseconds since the start of the curve
+   * @param durationMicros duration in microseconds
+   * @param tenant tenant whose rate and retries change, null to change the rate of all tenants
+   * @param rateFactor factor that the request rate is multiplied with
+   * @param retriesWithoutBackoff number of retries without backoff per request, 0 for the usual
+   *     retries; not used without a tenant
    */
   record TrafficPeriod(
-      long startMicros, long durationMicros, String tenant, double rateFactor, int stormRetries) {
-    TrafficPeriod within(double share) {
+      long startMicros,
+      long durationMicros,
+      String tenant,
+      double rateFactor,
+      int retriesWithoutBackoff) {
+    TrafficPeriod scaleTime(double factor) {
       return new TrafficPeriod(
-          (long) (startMicros * share),
-          (long) (durationMicros * share),
+          (long) (startMicros * factor),
+          (long) (durationMicros * factor),
           tenant,
           rateFactor,
-          stormRetries);
+          retriesWithoutBackoff);
     }
 
     private void schedule(Scheduler scheduler, EmulatedClients clients) {
-      scheduler.after(startMicros, () -> apply(clients, rateFactor, stormRetries));
+      scheduler.after(startMicros, () -> apply(clients, rateFactor, retriesWithoutBackoff));
       scheduler.after(startMicros + durationMicros, () -> apply(clients, 1, 0));
     }
 
-    private void apply(EmulatedClients clients, double factor, int retries) {
+    private void apply(
+        EmulatedClients clients, double newRateFactor, int newRetriesWithoutBackoff) {
       if (tenant == null) {
-        clients.setRateFactor(factor);
+        clients.setRateFactor(newRateFactor);
       } else {
-        clients.setRateFactor(tenant, factor);
-        clients.setRetryStorm(tenant, retries);
+        clients.setRateFactor(tenant, newRateFactor);
+        clients.setRetryStorm(tenant, newRetriesWithoutBackoff);
       }
     }
   }
 
-  /** A load that stays the same. */
+  /** Returns a curve of constant load. */
   static LoadCurve flat(double load, long seconds) {
     List<Point> ends = List.of(new Point(0, load), new Point(seconds * MICROS_PER_SECOND, load));
     return new LoadCurve("flat " + load, ends, Wave.NONE, List.of());
   }
 
-  /** The same curve over a share of the time; waves keep their period. */
-  LoadCurve within(double share) {
+  /** Returns the curve with all times multiplied by a factor; the wave's period doesn't change. */
+  LoadCurve scaleTime(double factor) {
     List<Point> scaled = new ArrayList<>();
-    points.forEach(point -> scaled.add(new Point(point.timeMicros * share, point.load)));
+    points.forEach(point -> scaled.add(new Point(point.timeMicros * factor, point.load)));
     return new LoadCurve(
-        name, scaled, wave, periods.stream().map(period -> period.within(share)).toList());
+        name, scaled, wave, periods.stream().map(period -> period.scaleTime(factor)).toList());
   }
 
   long seconds() {
     return (long) (points.get(points.size() - 1).timeMicros / MICROS_PER_SECOND);
   }
 
-  /** The load at a time in microseconds, without what traffic periods add. */
+  /**
+   * Returns the load at a time in microseconds since the start, without the effect of traffic
+   * periods.
+   */
   double loadAt(long timeMicros) {
-    return Math.max(0, interpolate(timeMicros) + wave.at(timeMicros));
+    return Math.max(0, interpolate(timeMicros) + wave.loadAt(timeMicros));
   }
 
-  /** The factor on a scenario's request rate, by microseconds since the start. */
+  /**
+   * Returns the function from microseconds since the start to the factor that the scenario's
+   * request rate is multiplied with.
+   */
   LongToDoubleFunction rateFactor(Scenario scenario) {
     double fullLoadFactor = scenario.fleetCapacity() / scenario.meanWork() / scenario.requestRate();
     return timeMicros -> loadAt(timeMicros) * fullLoadFactor;
   }
 
   private double interpolate(long timeMicros) {
-    int index = firstPointNotBefore(timeMicros);
+    int index = indexOfFirstPointNotBefore(timeMicros);
     if (index == points.size()) {
       return points.get(index - 1).load;
     }
     Point next = points.get(index);
     Point previous = points.get(Math.max(0, index - 1));
-    double distance = next.timeMicros - previous.timeMicros;
-    return distance <= 0
+    double interval = next.timeMicros - previous.timeMicros;
+    return interval <= 0
         ? next.load
         : previous.load
-            + (next.load - previous.load) * (timeMicros - previous.timeMicros) / distance;
+            + (next.load - previous.load) * (timeMicros - previous.timeMicros) / interval;
   }
 
-  /** A binary search: every request's arrival asks, and there may be many points. */
-  private int firstPointNotBefore(long timeMicros) {
+  /**
+   * Uses a binary search, because it runs at each request arrival and a curve may have many points.
+   */
+  private int indexOfFirstPointNotBefore(long timeMicros) {
     int low = 0;
     int high = points.size();
     while (low < high) {
@@ -124,8 +138,8 @@
     return low;
   }
 
-  /** Schedules the traffic periods at the clients. */
-  void schedule(Scheduler scheduler, EmulatedClients clients) {
+  /** Schedules the start and the end of each traffic period. */
+  void schedulePeriods(Scheduler scheduler, EmulatedClients clients) {
     periods.forEach(period -> period.schedule(scheduler, clients));
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/LoadCurveReader.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadCurveReader.java
@@ -11,7 +11,7 @@
 import switchgap.config.InvalidConfigException;
 import switchgap.config.YamlDocument;
 
-/** Reads load curves from the documents of experiments and loads. */
+/** Reads load curves from experiment and load documents (YAML) and from CSV files. */
 final class LoadCurveReader {
   private static final int MAX_POINTS = 100_000;
   private static final double MAX_LOAD = 100;
@@ -24,65 +24,70 @@
   private LoadCurveReader() {}
 
   /**
-   * Reads {@code {points: [{at: SPAN, load: SHARE}] or csv: FILE, waves: {every, by}, bursts,
-   * customers}}; files lie beside the document.
+   * Reads a curve of the form {@code {points: [{at: SPAN, load: SHARE}] or csv: FILE, waves:
+   * {every, by}, bursts, customers}}. The path of a CSV file is relative to the document's
+   * directory.
    *
-   * @throws InvalidConfigException for a mistake, with file, line and key
+   * @throws InvalidConfigException if the curve is invalid, with file, line and key
    */
-  static LoadCurve read(String name, YamlDocument document, Path beside) throws IOException {
+  static LoadCurve read(String name, YamlDocument document, Path documentFile) throws IOException {
     LoadCurveReader reader = new LoadCurveReader();
     if (document.has("csv")) {
-      reader.readCsv(beside.resolveSibling(document.text("csv")));
+      reader.readCsv(documentFile.resolveSibling(document.text("csv")));
     }
     reader.readPoints(document);
-    LoadCurve.Wave wave = wave(document);
-    LoadCurve curve = new LoadCurve(name, reader.points, wave, periods(document));
+    LoadCurve.Wave wave = readWave(document);
+    LoadCurve curve = new LoadCurve(name, reader.points, wave, readPeriods(document));
     document.rejectUnknownKeys();
     return curve;
   }
 
   private void readPoints(YamlDocument document) {
     for (YamlDocument point : document.sections("points")) {
-      double time = micros(point, "at");
-      if (isBeforeLast(time)) {
-        throw point.invalid("at", "must not go back in time");
+      double timeMicros = durationMicros(point, "at");
+      if (isBeforeLastPoint(timeMicros)) {
+        throw point.invalid("at", "must not be earlier than the previous point");
       }
-      points.add(new LoadCurve.Point(time, point.number("load", 0, MAX_LOAD)));
+      points.add(new LoadCurve.Point(timeMicros, point.number("load", 0, MAX_LOAD)));
       point.rejectUnknownKeys();
     }
     if (points.size() < 2) {
-      throw document.invalid("points", "needs two points or more, or a csv file");
+      throw document.invalid("points", "needs at least two points, here or in a csv file");
     }
   }
 
-  private boolean isBeforeLast(double timeMicros) {
+  private boolean isBeforeLastPoint(double timeMicros) {
     return !points.isEmpty() && timeMicros < points.get(points.size() - 1).timeMicros();
   }
 
-  private static LoadCurve.Wave wave(YamlDocument document) {
+  private static LoadCurve.Wave readWave(YamlDocument document) {
     if (!document.has("waves")) {
       return LoadCurve.Wave.NONE;
     }
     YamlDocument section = document.section("waves");
-    double period = Math.max(MIN_WAVE_PERIOD_MICROS, micros(section, "every"));
-    LoadCurve.Wave wave = new LoadCurve.Wave(period, section.number("by", 0, MAX_LOAD));
+    double periodMicros = Math.max(MIN_WAVE_PERIOD_MICROS, durationMicros(section, "every"));
+    LoadCurve.Wave wave = new LoadCurve.Wave(periodMicros, section.number("by", 0, MAX_LOAD));
     section.rejectUnknownKeys();
     return wave;
   }
 
-  private static List<LoadCurve.TrafficPeriod> periods(YamlDocument document) {
+  private static List<LoadCurve.TrafficPeriod> readPeriods(YamlDocument document) {
     List<LoadCurve.TrafficPeriod> periods = new ArrayList<>();
     for (YamlDocument burst : document.sections("bursts")) {
       periods.add(
           new LoadCurve.TrafficPeriod(
-              micros(burst, "at"), micros(burst, "lasts"), null, burst.number("times", 0, 100), 0));
+              durationMicros(burst, "at"),
+              durationMicros(burst, "lasts"),
+              null,
+              burst.number("times", 0, 100),
+              0));
       burst.rejectUnknownKeys();
     }
     for (YamlDocument burst : document.sections("customers")) {
       periods.add(
           new LoadCurve.TrafficPeriod(
-              micros(burst, "at"),
-              micros(burst, "lasts"),
+              durationMicros(burst, "at"),
+              durationMicros(burst, "lasts"),
               burst.text("of"),
               burst.number("times", 0, 1000, 1),
               burst.integer("hammers", 0, 100, 0)));
@@ -91,11 +96,11 @@
     return periods;
   }
 
-  private static long micros(YamlDocument document, String key) {
+  private static long durationMicros(YamlDocument document, String key) {
     return document.duration(key).toNanos() / NANOS_PER_MICRO;
   }
 
-  /** Reads rows of seconds and load under a header that names them. */
+  /** Reads a CSV file whose header has the columns {@code seconds} and {@code load}. */
   private void readCsv(Path file) throws IOException {
     CSVFormat format =
         CSVFormat.DEFAULT.builder().setHeader().setSkipHeaderRecord(true).setTrim(true).get();
@@ -108,39 +113,39 @@
 
   private void readRow(Path file, CSVRecord row) {
     int line = (int) row.getRecordNumber() + 1;
-    double time = number(file, line, row, "seconds") * MICROS_PER_SECOND;
-    double load = number(file, line, row, "load");
+    double timeMicros = requireFiniteNumber(file, line, row, "seconds") * MICROS_PER_SECOND;
+    double load = requireFiniteNumber(file, line, row, "load");
     if (load < 0 || load > MAX_LOAD) {
-      throw invalid(file, line, "load: " + load + " must lie from 0 to 100");
+      throw invalid(file, line, "load: " + load + " must be between 0 and 100");
     }
-    if (isBeforeLast(time)) {
-      throw invalid(file, line, "seconds: must not go back in time");
+    if (isBeforeLastPoint(timeMicros)) {
+      throw invalid(file, line, "seconds: must not be earlier than the previous point");
     }
     if (points.size() == MAX_POINTS) {
-      throw invalid(file, line, "more than " + MAX_POINTS + " points");
+      throw invalid(file, line, "the curve has more than " + MAX_POINTS + " points");
     }
-    points.add(new LoadCurve.Point(time, load));
+    points.add(new LoadCurve.Point(timeMicros, load));
   }
 
-  private static double number(Path file, int line, CSVRecord row, String column) {
+  private static double requireFiniteNumber(Path file, int line, CSVRecord row, String column) {
     if (!row.isMapped(column)) {
-      throw invalid(file, 1, "has no column " + column);
+      throw invalid(file, 1, "missing column " + column);
     }
     if (!row.isSet(column)) {
-      throw invalid(file, line, column + ": absent");
+      throw invalid(file, line, column + ": value is missing");
     }
-    double value = parse(file, line, row, column);
+    double value = parseNumber(file, line, row, column);
     if (!Double.isFinite(value)) {
-      throw invalid(file, line, column + ": must be a number");
+      throw invalid(file, line, column + ": must be a finite number");
     }
     return value;
   }
 
-  private static double parse(Path file, int line, CSVRecord row, String column) {
+  private static double parseNumber(Path file, int line, CSVRecord row, String column) {
     try {
       return Double.parseDouble(row.get(column));
     } catch (NumberFormatException e) {
-      throw invalid(file, line, column + ": '" + row.get(column) + "' is no number");
+      throw invalid(file, line, column + ": '" + row.get(column) + "' is not a number");
     }
   }
 
--- a/src/main/java/switchgap/testbed/experiment/LoadRecorder.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRecorder.java
@@ -17,9 +17,10 @@
 import switchgap.testbed.emulator.Scheduler;
 
 /**
- * Records what became of a load's requests: a table of requests as they end, latencies and outcomes
- * by request class, and how late requests were sent. Notified on the clients' thread; read after
- * they have ended. Column names and words are those that readers of the files know.
+ * Records the results of a load: a table with a row per completed request, latencies and outcomes
+ * by request class, and the delay with which requests were sent. The callbacks run on the clients'
+ * thread; the results may be read after the load has ended. The column names and values are part of
+ * the file format; they are independent of the names in the code.
  */
 final class LoadRecorder implements AutoCloseable {
   private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
@@ -45,40 +46,41 @@
           ResultColumn.real("earned"));
 
   private final Path directory;
-  private final ResultTable requests;
-  private final Map<String, Histogram> latencies = new TreeMap<>();
-  private final Map<String, Map<String, Long>> outcomes = new TreeMap<>();
-  private final Histogram sendDelay = new Histogram(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
-  private long startedAt;
+  private final ResultTable requestTable;
+  private final Map<String, Histogram> latencyMicrosByClass = new TreeMap<>();
+  private final Map<String, Map<String, Long>> outcomeCountsByClass = new TreeMap<>();
+  private final Histogram sendDelayMicros = new Histogram(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
+  private long startMicros;
 
-  /** Writes to a directory, which is created where it is absent. */
+  /** Creates the directory if it doesn't exist, and starts the table of requests in it. */
   LoadRecorder(Path directory) throws IOException {
     this.directory = Files.createDirectories(directory);
-    this.requests = new ResultTable(directory.resolve("jobs"), REQUEST_COLUMNS);
+    this.requestTable = new ResultTable(directory.resolve("jobs"), REQUEST_COLUMNS);
   }
 
-  /** Records what these clients do from now on. */
+  /** Starts to record the requests of these clients; must run on the clients' thread. */
   void observe(EmulatedClients clients, Scheduler scheduler) {
-    startedAt = scheduler.now();
+    startMicros = scheduler.now();
     clients.onRequestEnded(this::requestEnded);
-    clients.onRequestSent(delay -> sendDelay.recordValue(Math.min(MAX_LATENCY_MICROS, delay)));
+    clients.onRequestSent(
+        delayMicros -> sendDelayMicros.recordValue(Math.min(MAX_LATENCY_MICROS, delayMicros)));
   }
 
   private void requestEnded(RequestResult result) {
     String outcome = result.lastAttempt().word();
-    outcomes
+    outcomeCountsByClass
         .computeIfAbsent(result.requestClass(), name -> new TreeMap<>())
         .merge(outcome, 1L, Long::sum);
     if (result.lastAttempt().outcome() == ClientOutcome.SUCCEEDED) {
-      long latency = Math.min(MAX_LATENCY_MICROS, Math.max(0, result.duration()));
-      latencies
+      long latencyMicros = Math.min(MAX_LATENCY_MICROS, Math.max(0, result.duration()));
+      latencyMicrosByClass
           .computeIfAbsent(
               result.requestClass(), name -> new Histogram(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS))
-          .recordValue(latency);
+          .recordValue(latencyMicros);
     }
     try {
-      requests.row(
-          (result.arrivedAt() - startedAt) / MICROS_PER_MILLI,
+      requestTable.addRow(
+          (result.arrivedAt() - startMicros) / MICROS_PER_MILLI,
           result.requestClass(),
           result.tenant(),
           result.router(),
@@ -91,11 +93,11 @@
     }
   }
 
-  /** Writes the weights requested and earned in each second beside the curve's load. */
+  /** Writes a table of the curve's load and the requested and earned weight in each second. */
   void writeSeconds(EmulatedClients clients, LoadCurve curve) throws IOException {
     try (ResultTable table = new ResultTable(directory.resolve("seconds"), SECOND_COLUMNS)) {
       for (var entry : clients.weightsBySecond().entrySet()) {
-        table.row(
+        table.addRow(
             entry.getKey(),
             curve.loadAt(entry.getKey() * MICROS_PER_SECOND),
             entry.getValue().requested(),
@@ -104,9 +106,9 @@
     }
   }
 
-  /** Writes the latency distribution of each request class. */
+  /** Writes a file with the latency percentiles in milliseconds for each request class. */
   void writeLatencies() throws IOException {
-    for (var entry : latencies.entrySet()) {
+    for (var entry : latencyMicrosByClass.entrySet()) {
       Path file = directory.resolve(entry.getKey() + ".hgrm");
       try (PrintStream output = new PrintStream(Files.newOutputStream(file))) {
         entry.getValue().outputPercentileDistribution(output, MICROS_PER_MILLI);
@@ -116,34 +118,35 @@
 
   void printSendDelay(PrintStream out) {
     out.printf(
-        "jobs sent late by p99 %.2f ms, most %.2f ms%n",
-        sendDelay.getValueAtPercentile(99) / MICROS_PER_MILLI,
-        sendDelay.getMaxValue() / MICROS_PER_MILLI);
+        "send delay p99 %.2f ms, max %.2f ms%n",
+        sendDelayMicros.getValueAtPercentile(99) / MICROS_PER_MILLI,
+        sendDelayMicros.getMaxValue() / MICROS_PER_MILLI);
   }
 
-  /** Prints a row for each request class. */
+  /** Prints a table with one row per request class. */
   void printRequestClasses(EmulatedClients clients, PrintStream out) {
     out.printf(
         "%-16s %8s %10s %10s %10s %10s  %s%n",
-        "workload", "jobs", "in target", "p50 ms", "p99 ms", "most ms", "ends");
+        "workload", "jobs", "in target", "p50 ms", "p99 ms", "max ms", "ends");
     clients.tallies().forEach((requestClass, tally) -> printRow(requestClass, tally, out));
   }
 
   private void printRow(String requestClass, RequestTally tally, PrintStream out) {
-    Histogram latency = latencies.getOrDefault(requestClass, new Histogram(SIGNIFICANT_DIGITS));
+    Histogram latencyMicros =
+        latencyMicrosByClass.getOrDefault(requestClass, new Histogram(SIGNIFICANT_DIGITS));
     out.printf(
         "%-16s %8d %10.3f %10.1f %10.1f %10.1f  %s%n",
         requestClass,
         tally.requests(),
         tally.objectiveMetShare(),
-        latency.getValueAtPercentile(50) / MICROS_PER_MILLI,
-        latency.getValueAtPercentile(99) / MICROS_PER_MILLI,
-        latency.getMaxValue() / MICROS_PER_MILLI,
-        new ArrayList<>(outcomes.getOrDefault(requestClass, Map.of()).entrySet()));
+        latencyMicros.getValueAtPercentile(50) / MICROS_PER_MILLI,
+        latencyMicros.getValueAtPercentile(99) / MICROS_PER_MILLI,
+        latencyMicros.getMaxValue() / MICROS_PER_MILLI,
+        new ArrayList<>(outcomeCountsByClass.getOrDefault(requestClass, Map.of()).entrySet()));
   }
 
   @Override
   public void close() throws IOException {
-    requests.close();
+    requestTable.close();
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/LoadRun.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRun.java
@@ -17,9 +17,10 @@
 import switchgap.testbed.scenario.Scenario;
 
 /**
- * An open-loop load with a curve, against routers on sockets or the emulator: requests are sent
- * when they are due, whatever became of those before, and latencies count from then, so that a
- * stalled router or a sender that falls behind hides nothing.
+ * Runs an open-loop load that follows a load curve, against routers over sockets or against the
+ * emulator in virtual time. Each request is sent at its scheduled time, independent of earlier
+ * requests, and its latency is measured from that time. The latencies therefore include delays by a
+ * stalled router or by a sender that falls behind its schedule.
  */
 public final class LoadRun {
   private static final double MAX_SEED = 1L << 50;
@@ -45,18 +46,23 @@
   }
 
   /**
-   * Plays a load file and prints a summary.
+   * Runs the load of a load document, prints a summary and writes the results.
    *
-   * @param file the load
-   * @param timeShare share of the curve's time that it is played in
-   * @param routers addresses of the scenario's routers, in order; none for the emulator
-   * @param directory receives the results
-   * @param out receives the summary
-   * @throws InvalidConfigException for a mistake in the file, or another number of routers than the
-   *     scenario has
+   * @param file load document (YAML)
+   * @param timeFactor factor that the curve's times are multiplied with
+   * @param routerAddresses addresses of the scenario's routers, in order; empty to run against the
+   *     emulator
+   * @param directory directory that the results are written to
+   * @param out stream that the summary is printed to
+   * @throws InvalidConfigException if the file is invalid, or if the number of addresses differs
+   *     from the scenario's number of routers
    */
   public static void run(
-      Path file, double timeShare, List<InetSocketAddress> routers, Path directory, PrintStream out)
+      Path file,
+      double timeFactor,
+      List<InetSocketAddress> routerAddresses,
+      Path directory,
+      PrintStream out)
       throws IOException, InterruptedException {
     YamlDocument document = YamlDocument.read(file);
     YamlDocument section = document.section("load");
@@ -65,29 +71,33 @@
     long seed = (long) section.number("seed", 0, MAX_SEED, (double) scenario.seed());
     section.rejectUnknownKeys();
     LoadCurve curve =
-        LoadCurveReader.read("curve", document.section("curve"), file).within(timeShare);
+        LoadCurveReader.read("curve", document.section("curve"), file).scaleTime(timeFactor);
     document.rejectUnknownKeys();
-    requireAllRouters(file, scenario, routers);
+    requireAddressOfEachRouter(file, scenario, routerAddresses);
     LoadRecorder recorder = new LoadRecorder(directory);
     try (recorder) {
-      new LoadRun(name, scenario, curve, seed, recorder).play(routers, out);
+      new LoadRun(name, scenario, curve, seed, recorder).runAndPrint(routerAddresses, out);
     }
     recorder.writeLatencies();
   }
 
-  private static void requireAllRouters(
-      Path file, Scenario scenario, List<InetSocketAddress> routers) {
-    if (!routers.isEmpty() && routers.size() != scenario.routers()) {
+  private static void requireAddressOfEachRouter(
+      Path file, Scenario scenario, List<InetSocketAddress> routerAddresses) {
+    if (!routerAddresses.isEmpty() && routerAddresses.size() != scenario.routers()) {
       String message =
-          "its day has " + scenario.routers() + " routers, " + routers.size() + " were named";
+          "its day has "
+              + scenario.routers()
+              + " routers, but "
+              + routerAddresses.size()
+              + " router addresses were given";
       throw new InvalidConfigException(file.toString(), 1, message);
     }
   }
 
-  private void play(List<InetSocketAddress> routers, PrintStream out)
+  private void runAndPrint(List<InetSocketAddress> routerAddresses, PrintStream out)
       throws IOException, InterruptedException {
-    boolean emulated = routers.isEmpty();
-    EmulatedClients clients = emulated ? playInVirtualTime() : playOnSockets(routers);
+    boolean emulated = routerAddresses.isEmpty();
+    EmulatedClients clients = emulated ? runInVirtualTime() : runOnSockets(routerAddresses);
     recorder.writeSeconds(clients, curve);
     out.printf(
         "%s: %d s%s, service %.3f, ",
@@ -96,57 +106,65 @@
     recorder.printRequestClasses(clients, out);
   }
 
-  private EmulatedClients playInVirtualTime() {
+  private EmulatedClients runInVirtualTime() {
     VirtualTimeTestBed testBed =
         new VirtualTimeTestBed(scenario, seed, Variant.LEVELS, curve.rateFactor(scenario));
     recorder.observe(testBed.clients(), testBed.scheduler());
-    curve.schedule(testBed.scheduler(), testBed.clients());
-    testBed.play(curve.seconds(), second -> {});
+    curve.schedulePeriods(testBed.scheduler(), testBed.clients());
+    testBed.run(curve.seconds(), second -> {});
     return testBed.clients();
   }
 
-  private EmulatedClients playOnSockets(List<InetSocketAddress> routers)
+  private EmulatedClients runOnSockets(List<InetSocketAddress> routerAddresses)
       throws IOException, InterruptedException {
     try (RealTimeScheduler scheduler = new RealTimeScheduler();
         NetworkTransport network = new NetworkTransport(SELECTORS, "load")) {
-      EmulatedClients clients = socketClients(scheduler, network, routers);
-      long end =
+      EmulatedClients clients = socketClients(scheduler, network, routerAddresses);
+      long arrivalsEndMicros =
           CompletableFuture.supplyAsync(
                   () -> {
                     recorder.observe(clients, scheduler);
-                    curve.schedule(scheduler, clients);
+                    curve.schedulePeriods(scheduler, clients);
                     return clients.startFor(curve.seconds() * MICROS_PER_SECOND);
                   },
                   scheduler::post)
               .join();
-      awaitEnd(clients, scheduler, end);
+      awaitEnd(clients, scheduler, arrivalsEndMicros);
       return clients;
     }
   }
 
   private EmulatedClients socketClients(
-      RealTimeScheduler scheduler, NetworkTransport network, List<InetSocketAddress> routers) {
+      RealTimeScheduler scheduler,
+      NetworkTransport network,
+      List<InetSocketAddress> routerAddresses) {
     SocketClientTransport transport =
-        new SocketClientTransport(scheduler, network, EventRecorder.none(), routers.size());
-    // The scenario's own seed: the functions are those that its emulated workers know.
+        new SocketClientTransport(scheduler, network, EventRecorder.none(), routerAddresses.size());
+    // The scenario's seed generates the same functions as in the emulated workers; the load's seed
+    // would generate others.
     FunctionCatalogue catalogue = scenario.catalogue(scenario.seed());
     EmulatedClients clients = scenario.clients(scheduler, transport, catalogue, seed + 1);
     clients.setRateCurve(curve.rateFactor(scenario));
-    for (int i = 0; i < routers.size(); i++) {
-      transport.setRouter(i, routers.get(i));
+    for (int i = 0; i < routerAddresses.size(); i++) {
+      transport.setRouter(i, routerAddresses.get(i));
       clients.setZone(i, scenario.zone(i));
     }
     return clients;
   }
 
-  /** Waits until arrivals end and what is in flight has ended, or is overdue. */
-  private void awaitEnd(EmulatedClients clients, RealTimeScheduler scheduler, long end)
+  /**
+   * Waits until all requests have arrived and the attempts in flight have ended, or until a time
+   * limit.
+   */
+  private void awaitEnd(
+      EmulatedClients clients, RealTimeScheduler scheduler, long arrivalsEndMicros)
       throws InterruptedException {
-    while (scheduler.now() < end) {
+    while (scheduler.now() < arrivalsEndMicros) {
       Thread.sleep(ARRIVALS_POLL_MILLIS);
     }
-    long deadline = end + scenario.longestTimeout() * 2 + DRAIN_MARGIN_MICROS;
-    while (clients.attemptsInFlight() > 0 && scheduler.now() < deadline) {
+    long drainDeadlineMicros =
+        arrivalsEndMicros + scenario.longestTimeout() * 2 + DRAIN_MARGIN_MICROS;
+    while (clients.attemptsInFlight() > 0 && scheduler.now() < drainDeadlineMicros) {
       Thread.sleep(DRAIN_POLL_MILLIS);
     }
   }
--- a/src/main/java/switchgap/testbed/experiment/MemoryMeasurement.java
+++ b/src/main/java/switchgap/testbed/experiment/MemoryMeasurement.java
@@ -18,53 +18,56 @@
 import switchgap.server.gateway.GatewayConfig;
 import switchgap.server.gateway.GatewayRouter;
 
-/** Heap of a router that knows 81 workers and 2,000 functions, and of each pending request. */
+/**
+ * Measures the heap that a router uses for 81 workers and 2,000 functions, and per pending request.
+ */
 public final class MemoryMeasurement {
   private static final int WORKERS = 81;
   private static final int FUNCTIONS = 2000;
-  private static final int BATCH = 100;
+  private static final int BATCH_SIZE = 100;
   private static final long SETTLE_MILLIS = 1500;
-  private static final int COLLECTIONS = 4;
-  private static final long COLLECTION_PAUSE_MILLIS = 100;
+  private static final int GC_RUNS = 4;
+  private static final long GC_PAUSE_MILLIS = 100;
 
   private MemoryMeasurement() {}
 
   /**
-   * Measures in this process and prints; requests are deferred, with a small body, at workers that
-   * are silent.
+   * Measures a router in this process and prints the results. The pending requests are deferred
+   * requests with a small body that the workers don't respond to.
    */
   public static void run(int requests, PrintStream out) throws IOException, InterruptedException {
-    try (NetworkTransport net = new NetworkTransport(2, "lab")) {
-      AtomicBoolean silent = new AtomicBoolean();
-      int port =
+    try (NetworkTransport network = new NetworkTransport(2, "lab")) {
+      AtomicBoolean workersSilent = new AtomicBoolean();
+      int workerPort =
           new HttpServer(
-                  net,
+                  network,
                   HttpServerLimits.DEFAULT,
                   exchange -> {
-                    if (!silent.get()) {
+                    if (!workersSilent.get()) {
                       exchange.respond(
                           200, Map.of("Content-Type", "application/json"), new byte[2]);
                     }
                   })
               .listen("127.0.0.1", 0);
       HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-      long before = usedHeapBytes();
+      long bytesBeforeRouter = usedHeapBytes();
       try (GatewayRouter router =
-          new GatewayRouter(GatewayConfig.read(YamlDocument.read("memory", config(port))))) {
+          new GatewayRouter(
+              GatewayConfig.read(YamlDocument.read("memory", routerConfig(workerPort))))) {
         invokeDeferred(client, router, FUNCTIONS);
         Thread.sleep(SETTLE_MILLIS);
-        long withFunctions = usedHeapBytes();
-        silent.set(true);
+        long bytesWithFunctions = usedHeapBytes();
+        workersSilent.set(true);
         invokeDeferred(client, router, requests);
-        long withRequests = usedHeapBytes();
+        long bytesWithRequests = usedHeapBytes();
         int pendingRequests = router.pendingRequests();
         out.printf(
-            "%d workers and %d functions known: %.1f MB over the process before the router%n",
-            WORKERS, FUNCTIONS, (withFunctions - before) / 1e6);
+            "%d workers and %d functions: %.1f MB more heap than before the router started%n",
+            WORKERS, FUNCTIONS, (bytesWithFunctions - bytesBeforeRouter) / 1e6);
         out.printf(
-            "%d calls held: %.0f bytes each%n",
+            "%d pending calls: %.0f bytes of heap per call%n",
             pendingRequests,
-            (withRequests - withFunctions) / (double) Math.max(1, pendingRequests));
+            (bytesWithRequests - bytesWithFunctions) / (double) Math.max(1, pendingRequests));
       }
     }
   }
@@ -83,7 +86,7 @@
               .POST(HttpRequest.BodyPublishers.ofString("{\"inputs\":[]}"));
       request.header("Prefer", "respond-async");
       responses.add(client.sendAsync(request.build(), HttpResponse.BodyHandlers.discarding()));
-      if (i % BATCH == BATCH - 1) {
+      if (i % BATCH_SIZE == BATCH_SIZE - 1) {
         responses.forEach(CompletableFuture::join);
         responses.clear();
       }
@@ -91,17 +94,17 @@
     responses.forEach(CompletableFuture::join);
   }
 
-  /** Heap in use after collections. */
+  /** Returns the heap in use after several garbage collections. */
   private static long usedHeapBytes() throws InterruptedException {
-    for (int i = 0; i < COLLECTIONS; i++) {
+    for (int i = 0; i < GC_RUNS; i++) {
       System.gc();
-      Thread.sleep(COLLECTION_PAUSE_MILLIS);
+      Thread.sleep(GC_PAUSE_MILLIS);
     }
     Runtime runtime = Runtime.getRuntime();
     return runtime.totalMemory() - runtime.freeMemory();
   }
 
-  private static String config(int workerPort) {
+  private static String routerConfig(int workerPort) {
     StringBuilder yaml =
         new StringBuilder(
             """
--- a/src/main/java/switchgap/testbed/experiment/ReportCharts.java
+++ b/src/main/java/switchgap/testbed/experiment/ReportCharts.java
@@ -19,21 +19,21 @@
 import switchgap.admission.ServiceLevel;
 import switchgap.config.EnumWords;
 
-/** Plots of one trial of each variant, as HTML images that hold their data. */
+/** Renders charts of one trial per variant, as HTML image elements with embedded PNG data. */
 final class ReportCharts {
-  private static final int WIDTH = 1000;
-  private static final int HEIGHT = 380;
-  private static final int LOW_HEIGHT = 320;
-  private static final int SMOOTHING_HALF_WINDOW = 5;
+  private static final int WIDTH_PIXELS = 1000;
+  private static final int HEIGHT_PIXELS = 380;
+  private static final int LEVEL_TIMES_HEIGHT_PIXELS = 320;
+  private static final int SMOOTHING_HALF_WINDOW_SECONDS = 5;
 
   private final List<Trial> trials;
 
-  /** {@code trials}: one of each variant, all of one seed. */
+  /** {@code trials} has one trial per variant, all with the same seed. */
   ReportCharts(List<Trial> trials) {
     this.trials = trials;
   }
 
-  /** Load and service over time. */
+  /** Chart of load and service over time. */
   String loadAndService() throws IOException {
     XYChart chart =
         lineChart("Load (share of capacity) and importance-weighted service", "load, service");
@@ -41,11 +41,11 @@
     for (Trial trial : trials) {
       addLine(chart, "service, " + trial.variant().name(), trial, SecondSample::service);
     }
-    return image(chart);
+    return toHtmlImage(chart);
   }
 
-  /** Levels over time, of the variants with levels that change. */
-  String levels() throws IOException {
+  /** Chart of service levels over time, for the variants whose levels are not pinned. */
+  String levelsOverTime() throws IOException {
     XYChart chart =
         lineChart(
             "Levels: mean of the routers (least 0 to 1, most 1 to 2, hold 2 to 3), and routers"
@@ -62,22 +62,22 @@
     if (chart.getSeriesMap().isEmpty()) {
       addLine(chart, "no levels", new double[] {0, 1}, new double[] {0, 0});
     }
-    return image(chart);
+    return toHtmlImage(chart);
   }
 
-  /** Share of the requests that met their latency objective, by request class. */
+  /** Chart of the share of requests that met their latency objective, by request class. */
   String objectivesMet() throws IOException {
-    return shares("Start targets met, by workload", ServiceFigures::objectiveMetShare);
+    return shareChart("Start targets met, by workload", ServiceFigures::objectiveMetShare);
   }
 
-  /** Service by tenant. */
+  /** Chart of service by tenant. */
   String serviceByTenant() throws IOException {
-    return shares("Service by customer", ServiceFigures::byTenant);
+    return shareChart("Service by customer", ServiceFigures::serviceByTenant);
   }
 
-  private String shares(String title, Function<ServiceFigures, Map<String, Double>> figure)
+  private String shareChart(String title, Function<ServiceFigures, Map<String, Double>> figure)
       throws IOException {
-    CategoryChart chart = barChart(title, HEIGHT);
+    CategoryChart chart = barChart(title, HEIGHT_PIXELS);
     chart.getStyler().setYAxisMin(0.0);
     chart.getStyler().setYAxisMax(1.0);
     for (Trial trial : trials) {
@@ -85,12 +85,13 @@
       chart.addSeries(
           trial.variant().name(), List.copyOf(shares.keySet()), List.copyOf(shares.values()));
     }
-    return image(chart);
+    return toHtmlImage(chart);
   }
 
-  /** Time at each level. */
+  /** Chart of the seconds at each service level. */
   String timeAtLevels() throws IOException {
-    CategoryChart chart = barChart("Seconds at each level, mean of the routers", LOW_HEIGHT);
+    CategoryChart chart =
+        barChart("Seconds at each level, mean of the routers", LEVEL_TIMES_HEIGHT_PIXELS);
     for (Trial trial : trials) {
       Map<ServiceLevel, Double> seconds = trial.levels().secondsAtLevel();
       if (!seconds.isEmpty()) {
@@ -105,14 +106,14 @@
     if (chart.getSeriesMap().isEmpty()) {
       chart.addSeries("no levels", List.of("full"), List.of(0));
     }
-    return image(chart);
+    return toHtmlImage(chart);
   }
 
   private static XYChart lineChart(String title, String axisTitle) {
     XYChart chart =
         new XYChartBuilder()
-            .width(WIDTH)
-            .height(HEIGHT)
+            .width(WIDTH_PIXELS)
+            .height(HEIGHT_PIXELS)
             .title(title)
             .xAxisTitle("seconds")
             .yAxisTitle(axisTitle)
@@ -122,7 +123,7 @@
   }
 
   private static CategoryChart barChart(String title, int height) {
-    return new CategoryChartBuilder().width(WIDTH).height(height).title(title).build();
+    return new CategoryChartBuilder().width(WIDTH_PIXELS).height(height).title(title).build();
   }
 
   private static void addLine(
@@ -142,13 +143,13 @@
     return seconds;
   }
 
-  /** A figure of each second, smoothed over ten. */
+  /** Returns the moving average over ten seconds, over fewer at both ends of the trial. */
   private static double[] smoothed(Trial trial, ToDoubleFunction<SecondSample> figure) {
     List<SecondSample> samples = trial.samples();
     double[] values = new double[samples.size()];
     for (int i = 0; i < values.length; i++) {
-      int from = Math.max(0, i - SMOOTHING_HALF_WINDOW);
-      int end = Math.min(values.length, i + SMOOTHING_HALF_WINDOW);
+      int from = Math.max(0, i - SMOOTHING_HALF_WINDOW_SECONDS);
+      int end = Math.min(values.length, i + SMOOTHING_HALF_WINDOW_SECONDS);
       double sum = 0;
       for (SecondSample sample : samples.subList(from, end)) {
         sum += figure.applyAsDouble(sample);
@@ -158,7 +159,7 @@
     return values;
   }
 
-  private static String image(Chart<?, ?> chart) throws IOException {
+  private static String toHtmlImage(Chart<?, ?> chart) throws IOException {
     chart.getStyler().setChartTitleVisible(true);
     chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideS);
     chart.getStyler().setLegendLayout(Styler.LegendLayout.Horizontal);
--- a/src/main/java/switchgap/testbed/experiment/ResultColumn.java
+++ b/src/main/java/switchgap/testbed/experiment/ResultColumn.java
@@ -2,13 +2,13 @@
 
 /** A column of a {@link ResultTable}. */
 record ResultColumn(String name, Type type) {
-  /** What a column's values are. */
+  /** Type of a column's values. */
   enum Type {
     /** A string. */
     TEXT,
-    /** An integer of 64 bits. */
+    /** A signed 64-bit integer. */
     INTEGER,
-    /** A floating-point number of 64 bits. */
+    /** A 64-bit floating-point number. */
     REAL
   }
 
--- a/src/main/java/switchgap/testbed/experiment/ResultTable.java
+++ b/src/main/java/switchgap/testbed/experiment/ResultTable.java
@@ -26,23 +26,23 @@
 import org.apache.commons.csv.CSVPrinter;
 
 /**
- * A table of results, written as it grows: {@code STEM.csv}, and {@code STEM.arrow} in the Arrow
- * file format, in batches of {@value #BATCH} rows. One thread.
+ * Writes a table of results row by row to {@code STEM.csv}, and in batches of {@value #BATCH_ROWS}
+ * rows to {@code STEM.arrow} in the Arrow file format. Not thread-safe.
  */
 final class ResultTable implements AutoCloseable {
-  private static final int BATCH = 8192;
+  private static final int BATCH_ROWS = 8192;
   private static final long MAX_BUFFER_BYTES = 256L << 20;
   private final List<ResultColumn> columns;
-  private final CSVPrinter csv;
-  private final OutputStream file;
-  private final BufferAllocator memory = new RootAllocator(MAX_BUFFER_BYTES);
-  private final VectorSchemaRoot root;
-  private final ArrowFileWriter arrow;
-  private int row;
+  private final CSVPrinter csvPrinter;
+  private final OutputStream arrowOutput;
+  private final BufferAllocator allocator = new RootAllocator(MAX_BUFFER_BYTES);
+  private final VectorSchemaRoot vectorRoot;
+  private final ArrowFileWriter arrowWriter;
+  private int rowsInBatch;
 
   ResultTable(Path stem, List<ResultColumn> columns) throws IOException {
     this.columns = List.copyOf(columns);
-    csv =
+    csvPrinter =
         new CSVPrinter(
             Files.newBufferedWriter(withSuffix(stem, ".csv")),
             CSVFormat.DEFAULT
@@ -52,10 +52,10 @@
                 .get());
     List<Field> fields = new ArrayList<>();
     columns.forEach(column -> fields.add(arrowField(column)));
-    root = VectorSchemaRoot.create(new Schema(fields), memory);
-    file = new BufferedOutputStream(Files.newOutputStream(withSuffix(stem, ".arrow")));
-    arrow = new ArrowFileWriter(root, null, Channels.newChannel(file));
-    arrow.start();
+    vectorRoot = VectorSchemaRoot.create(new Schema(fields), allocator);
+    arrowOutput = new BufferedOutputStream(Files.newOutputStream(withSuffix(stem, ".arrow")));
+    arrowWriter = new ArrowFileWriter(vectorRoot, null, Channels.newChannel(arrowOutput));
+    arrowWriter.start();
   }
 
   private static Path withSuffix(Path stem, String suffix) {
@@ -72,47 +72,47 @@
     return new Field(column.name(), FieldType.notNullable(type), null);
   }
 
-  /** Adds a row: a value for each column, a string or a number by its type. */
-  void row(Object... values) throws IOException {
+  /** Adds a row with one value per column: a string for a text column, a number for the others. */
+  void addRow(Object... values) throws IOException {
     if (values.length != columns.size()) {
       throw new IllegalArgumentException(
-          values.length + " values for " + columns.size() + " columns");
+          values.length + " values for a table with " + columns.size() + " columns");
     }
-    csv.printRecord(values);
+    csvPrinter.printRecord(values);
     for (int i = 0; i < values.length; i++) {
-      FieldVector vector = root.getVector(i);
+      FieldVector vector = vectorRoot.getVector(i);
       if (vector instanceof VarCharVector textVector) {
-        textVector.setSafe(row, ((String) values[i]).getBytes(StandardCharsets.UTF_8));
+        textVector.setSafe(rowsInBatch, ((String) values[i]).getBytes(StandardCharsets.UTF_8));
       } else if (vector instanceof BigIntVector integerVector) {
-        integerVector.setSafe(row, ((Number) values[i]).longValue());
+        integerVector.setSafe(rowsInBatch, ((Number) values[i]).longValue());
       } else {
-        ((Float8Vector) vector).setSafe(row, ((Number) values[i]).doubleValue());
+        ((Float8Vector) vector).setSafe(rowsInBatch, ((Number) values[i]).doubleValue());
       }
     }
-    if (++row == BATCH) {
+    if (++rowsInBatch == BATCH_ROWS) {
       writeBatch();
     }
   }
 
   private void writeBatch() throws IOException {
-    root.setRowCount(row);
-    arrow.writeBatch();
-    root.clear();
-    root.allocateNew();
-    row = 0;
+    vectorRoot.setRowCount(rowsInBatch);
+    arrowWriter.writeBatch();
+    vectorRoot.clear();
+    vectorRoot.allocateNew();
+    rowsInBatch = 0;
   }
 
   @Override
   public void close() throws IOException {
-    try (csv;
-        memory;
-        root;
-        file;
-        arrow) {
-      if (row > 0) {
+    try (csvPrinter;
+        allocator;
+        vectorRoot;
+        arrowOutput;
+        arrowWriter) {
+      if (rowsInBatch > 0) {
         writeBatch();
       }
-      arrow.end();
+      arrowWriter.end();
     }
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/RouterLevelChange.java
+++ b/src/main/java/switchgap/testbed/experiment/RouterLevelChange.java
@@ -2,9 +2,9 @@
 
 import switchgap.admission.ServiceLevelChange;
 
-/** A change of service level at a router, by the router's index. */
+/** A change of a service level at the router with the given index. */
 record RouterLevelChange(int router, ServiceLevelChange change) {
-  /** Whether it concerns all tenants. */
+  /** Whether the changed level applies to all tenants. */
   boolean isCommon() {
     return change.appliesToAll();
   }
--- a/src/main/java/switchgap/testbed/experiment/ServiceFigures.java
+++ b/src/main/java/switchgap/testbed/experiment/ServiceFigures.java
@@ -5,27 +5,30 @@
 import switchgap.testbed.emulator.EmulatedClients;
 
 /**
- * How a trial served its clients.
+ * Figures about the service that a trial's clients received.
  *
  * @param overall share of the requested weight that was earned
- * @param bound the most that capacity alone allows
+ * @param capacityBound largest share of the requested weight that the fleet's capacity allows to
+ *     earn
  * @param objectiveMetShare share of the requests that met their latency objective, by request class
- * @param byTenant share of the requested weight that was earned, by tenant
+ * @param serviceByTenant share of the requested weight that was earned, by tenant
  */
 record ServiceFigures(
     double overall,
-    double bound,
+    double capacityBound,
     Map<String, Double> objectiveMetShare,
-    Map<String, Double> byTenant) {
+    Map<String, Double> serviceByTenant) {
 
-  /** The figures of clients whose requests have ended. */
-  static ServiceFigures of(EmulatedClients clients, double bound) {
+  /** Computes the figures after all requests of the clients have ended. */
+  static ServiceFigures of(EmulatedClients clients, double capacityBound) {
     Map<String, Double> objectiveMetShare = new TreeMap<>();
     clients
         .tallies()
         .forEach((name, tally) -> objectiveMetShare.put(name, tally.objectiveMetShare()));
-    Map<String, Double> byTenant = new TreeMap<>();
-    clients.weightsByTenant().forEach((tenant, weights) -> byTenant.put(tenant, weights.service()));
-    return new ServiceFigures(clients.service(), bound, objectiveMetShare, byTenant);
+    Map<String, Double> serviceByTenant = new TreeMap<>();
+    clients
+        .weightsByTenant()
+        .forEach((tenant, weights) -> serviceByTenant.put(tenant, weights.service()));
+    return new ServiceFigures(clients.service(), capacityBound, objectiveMetShare, serviceByTenant);
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/SmallRequestLoad.java
+++ b/src/main/java/switchgap/testbed/experiment/SmallRequestLoad.java
@@ -20,25 +20,26 @@
 import switchgap.net.NetworkTransport;
 
 /**
- * A load of small requests, measured once after a warm-up: closed-loop (each of so many connections
- * sends again when its response came) or open-loop (so many requests a second).
+ * Sends small requests and measures them once after a warm-up, either closed-loop (a fixed number
+ * of connections, each of which sends its next request after the response) or open-loop (a fixed
+ * request rate).
  */
 final class SmallRequestLoad {
   /**
-   * What was measured.
+   * The result of a measurement.
    *
    * @param succeeded requests with a response of status 200
-   * @param failed all others
-   * @param perSecond requests that ended a second
-   * @param latencyMicros time from when a request was due to its response
+   * @param failed requests with another status or without a response
+   * @param requestsPerSecond succeeded and failed requests per second
+   * @param latencyMicros time from a request's scheduled sending to its response
    */
-  record Result(long succeeded, long failed, double perSecond, Histogram latencyMicros) {
+  record Result(long succeeded, long failed, double requestsPerSecond, Histogram latencyMicros) {
     double percentileMillis(double percentile) {
       return latencyMicros.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
     }
   }
 
-  private static final byte[] BODY =
+  private static final byte[] REQUEST_BODY =
       ("{\"id\":\"x\",\"inputs\":[{\"name\":\"a\",\"shape\":[4],"
               + "\"datatype\":\"FP32\",\"data\":[1,2,3,4]}]}")
           .getBytes(StandardCharsets.US_ASCII);
@@ -46,7 +47,7 @@
   private static final int MAX_BODY_BYTES = 1 << 20;
   private static final int STATUS_OK = 200;
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
-  private static final long CONNECT_ALL_SECONDS = 5;
+  private static final long MAX_CONNECT_WAIT_SECONDS = 5;
   private static final long HISTOGRAM_MAX_MICROS = 60_000_000;
   private static final long MAX_LATENCY_MICROS = 59_000_000;
   private static final double MICROS_PER_MILLI = 1000.0;
@@ -55,23 +56,27 @@
 
   private final HttpClientConnector connector;
   private final InetSocketAddress[] targets;
-  private final IntFunction<String> path;
+  private final IntFunction<String> pathOfRequest;
   private final AtomicLong succeeded = new AtomicLong();
   private final AtomicLong failed = new AtomicLong();
   private final ConcurrentHistogram latencyMicros =
       new ConcurrentHistogram(HISTOGRAM_MAX_MICROS, 3);
-  private final AtomicLong nextNumber = new AtomicLong();
+  private final AtomicLong nextRequestNumber = new AtomicLong();
   private volatile boolean measuring;
-  private volatile boolean over;
+  private volatile boolean finished;
 
-  /** {@code path}: the path of a request by its number. */
-  SmallRequestLoad(NetworkTransport net, InetSocketAddress[] targets, IntFunction<String> path) {
-    this.connector = new HttpClientConnector(net, null, MAX_BODY_BYTES);
+  /** {@code pathOfRequest} returns the path for a request number. */
+  SmallRequestLoad(
+      NetworkTransport network, InetSocketAddress[] targets, IntFunction<String> pathOfRequest) {
+    this.connector = new HttpClientConnector(network, null, MAX_BODY_BYTES);
     this.targets = targets;
-    this.path = path;
+    this.pathOfRequest = pathOfRequest;
   }
 
-  /** Sends over so many connections, each again as soon as its response came. */
+  /**
+   * Sends over a number of connections, on each the next request as soon as the response has
+   * arrived.
+   */
   Result runClosedLoop(int connections, Duration warmUp, Duration duration)
       throws InterruptedException {
     CountDownLatch connected = new CountDownLatch(connections);
@@ -84,19 +89,19 @@
           },
           connected::countDown);
     }
-    connected.await(CONNECT_ALL_SECONDS, TimeUnit.SECONDS);
+    connected.await(MAX_CONNECT_WAIT_SECONDS, TimeUnit.SECONDS);
     return measure(warmUp, duration);
   }
 
   private void sendRepeatedly(HttpClientConnection connection) {
-    if (over) {
+    if (finished) {
       connection.close();
       return;
     }
     send(connection, System.nanoTime(), () -> sendRepeatedly(connection));
   }
 
-  /** Sends so many requests a second at even distances; latency counts from when one was due. */
+  /** Sends requests at a constant rate; latency is measured from the scheduled time of each. */
   Result runOpenLoop(int requestsPerSecond, Duration warmUp, Duration duration)
       throws InterruptedException {
     Thread pacer = new Thread(() -> sendAtRate(requestsPerSecond), "pacer");
@@ -106,35 +111,37 @@
   }
 
   private void sendAtRate(int requestsPerSecond) {
-    ConcurrentLinkedDeque<HttpClientConnection> idle = new ConcurrentLinkedDeque<>();
+    ConcurrentLinkedDeque<HttpClientConnection> idleConnections = new ConcurrentLinkedDeque<>();
     long dueNanos = System.nanoTime();
-    for (int i = 0; !over; i++) {
+    for (int requestNumber = 0; !finished; requestNumber++) {
       dueNanos += NANOS_PER_SECOND / requestsPerSecond;
-      long wait = dueNanos - System.nanoTime();
-      if (wait > 0) {
-        LockSupport.parkNanos(wait);
+      long waitNanos = dueNanos - System.nanoTime();
+      if (waitNanos > 0) {
+        LockSupport.parkNanos(waitNanos);
       }
-      sendOverIdle(idle, i, dueNanos);
+      sendOverIdleOrNewConnection(idleConnections, requestNumber, dueNanos);
     }
   }
 
-  /** Sends over an idle connection, else over a new one. */
-  private void sendOverIdle(
-      ConcurrentLinkedDeque<HttpClientConnection> idle, int number, long dueNanos) {
-    HttpClientConnection connection = idle.poll();
+  private void sendOverIdleOrNewConnection(
+      ConcurrentLinkedDeque<HttpClientConnection> idleConnections,
+      int requestNumber,
+      long dueNanos) {
+    HttpClientConnection connection = idleConnections.poll();
     if (connection != null && connection.isUsable()) {
-      send(connection, dueNanos, () -> idle.push(connection));
+      send(connection, dueNanos, () -> idleConnections.push(connection));
     } else {
       connect(
-          number,
-          opened -> send(opened, dueNanos, () -> idle.push(opened)),
+          requestNumber,
+          opened -> send(opened, dueNanos, () -> idleConnections.push(opened)),
           failed::incrementAndGet);
     }
   }
 
-  private void connect(int number, Consumer<HttpClientConnection> onConnected, Runnable onFailure) {
+  private void connect(
+      int targetNumber, Consumer<HttpClientConnection> onConnected, Runnable onFailure) {
     connector.connect(
-        targets[number % targets.length],
+        targets[targetNumber % targets.length],
         CONNECT_TIMEOUT,
         new HttpClientConnection.ConnectCallback() {
           @Override
@@ -149,21 +156,21 @@
         });
   }
 
-  /** Sends one request; the callback runs when the connection is free for the next one. */
-  private void send(HttpClientConnection connection, long dueNanos, Runnable onFree) {
+  /** Sends one request. The callback runs when the connection can be used for the next request. */
+  private void send(HttpClientConnection connection, long dueNanos, Runnable onConnectionFree) {
     boolean sent =
         connection.send(
             "POST",
-            path.apply((int) nextNumber.getAndIncrement()),
+            pathOfRequest.apply((int) nextRequestNumber.getAndIncrement()),
             HEADERS,
-            BODY,
+            REQUEST_BODY,
             new HttpClientConnection.ResponseHandler() {
               @Override
               public void responded(
                   int status, Map<String, String> headers, byte[] body, boolean reusable) {
                 countResponse(status, dueNanos);
                 if (reusable) {
-                  onFree.run();
+                  onConnectionFree.run();
                 }
               }
 
@@ -180,8 +187,8 @@
   private void countResponse(int status, long dueNanos) {
     (status == STATUS_OK ? succeeded : failed).incrementAndGet();
     if (measuring) {
-      long latency = (System.nanoTime() - dueNanos) / NANOS_PER_MICRO;
-      latencyMicros.recordValue(Math.min(MAX_LATENCY_MICROS, latency));
+      long elapsedMicros = (System.nanoTime() - dueNanos) / NANOS_PER_MICRO;
+      latencyMicros.recordValue(Math.min(MAX_LATENCY_MICROS, elapsedMicros));
     }
   }
 
@@ -190,13 +197,14 @@
     succeeded.set(0);
     failed.set(0);
     measuring = true;
-    long startedAt = System.nanoTime();
+    long startNanos = System.nanoTime();
     Thread.sleep(duration.toMillis());
     measuring = false;
-    double seconds = (System.nanoTime() - startedAt) / (double) NANOS_PER_SECOND;
-    double perSecond = (succeeded.get() + failed.get()) / seconds;
-    Result result = new Result(succeeded.get(), failed.get(), perSecond, latencyMicros.copy());
-    over = true;
+    double seconds = (System.nanoTime() - startNanos) / (double) NANOS_PER_SECOND;
+    double requestsPerSecond = (succeeded.get() + failed.get()) / seconds;
+    Result result =
+        new Result(succeeded.get(), failed.get(), requestsPerSecond, latencyMicros.copy());
+    finished = true;
     return result;
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
+++ b/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
@@ -19,15 +19,15 @@
 import switchgap.testbed.process.LoopbackPorts;
 
 /**
- * Latency that the router adds, and the most requests it passes, beside a relay of the same filter
- * chains and a direct request, all on this machine in one run. Workers respond at once, so that
- * only the path to them is measured.
+ * Measures the router's added latency and maximum throughput, compared with a relay that has the
+ * same filter chains and with direct requests to the workers. Everything runs on this machine. The
+ * workers respond at once, so that only the path to them is measured.
  */
 public final class SpeedMeasurement {
   private static final int WORKERS = 4;
   private static final int FUNCTIONS = 16;
   private static final int SELECTORS = 3;
-  private static final int CLOSED_ROUNDS = 2;
+  private static final int CLOSED_LOOP_ROUNDS = 2;
   private static final Duration WARM_UP = Duration.ofSeconds(4);
   private static final List<String> JVM_OPTIONS = List.of("-Xmx1g");
 
@@ -43,28 +43,28 @@
 
   private SpeedMeasurement() {}
 
-  /** Runs the relay in this process, for the child process that is measured. */
-  public static void relay(int port, List<Integer> workers) throws IOException {
-    int[] ports = workers.stream().mapToInt(Integer::intValue).toArray();
+  /** Starts the relay in this process; runs in the child process that {@link #run} starts. */
+  public static void relay(int port, List<Integer> workerPorts) throws IOException {
+    int[] ports = workerPorts.stream().mapToInt(Integer::intValue).toArray();
     BareRelay.serve(port, addresses(ports), SELECTORS);
   }
 
   /**
-   * Measures and prints.
+   * Runs all measurements and prints the results.
    *
-   * @param duration time that each load is measured, after its warm-up
-   * @param connections of the closed load
-   * @param rate requests a second of the open load
+   * @param duration time that each load is measured after its warm-up
+   * @param connections number of connections of the closed-loop load
+   * @param requestsPerSecond rate of the open-loop load
    */
-  public static void run(Duration duration, int connections, int rate, PrintStream out)
+  public static void run(Duration duration, int connections, int requestsPerSecond, PrintStream out)
       throws IOException, InterruptedException {
     Path directory = Files.createTempDirectory("switchgap-speed");
     List<Process> children = new ArrayList<>();
-    try (NetworkTransport net = new NetworkTransport(SELECTORS, "lab")) {
-      int[] workers = startWorkers(net);
+    try (NetworkTransport network = new NetworkTransport(SELECTORS, "lab")) {
+      int[] workerPorts = startWorkers(network);
       int[] ports = LoopbackPorts.free(2);
       Path config = directory.resolve("router.yaml");
-      Files.writeString(config, config(ports[1], workers));
+      Files.writeString(config, routerConfig(ports[1], workerPorts));
       children.add(
           ChildProcess.start(
               directory.resolve("relay.log"),
@@ -75,37 +75,41 @@
                   "--port",
                   String.valueOf(ports[0]),
                   "--workers",
-                  commaSeparated(workers))));
+                  commaSeparated(workerPorts))));
       children.add(
           ChildProcess.start(
               directory.resolve("router.log"), JVM_OPTIONS, List.of("router", config.toString())));
       LoopbackPorts.await(ports[0]);
       LoopbackPorts.await(ports[1]);
-      Targets targets = new Targets(addresses(workers), addresses(ports[0]), addresses(ports[1]));
-      measureClosed(net, targets, connections, duration, out);
-      measureOpen(net, targets, rate, duration, out);
+      Targets targets =
+          new Targets(addresses(workerPorts), addresses(ports[0]), addresses(ports[1]));
+      measureClosedLoop(network, targets, connections, duration, out);
+      measureOpenLoop(network, targets, requestsPerSecond, duration, out);
     } finally {
       children.forEach(Process::destroyForcibly);
     }
   }
 
-  /** Where requests go: straight to the workers, over the relay, over the router. */
+  /**
+   * Addresses for requests that go directly to the workers, through the relay and through the
+   * router.
+   */
   private record Targets(
       InetSocketAddress[] direct, InetSocketAddress[] relay, InetSocketAddress[] router) {}
 
-  private static String invokePath(int number) {
-    return "/v1/functions/f" + number % FUNCTIONS + "/invoke";
+  private static String invokePath(int requestNumber) {
+    return "/v1/functions/f" + requestNumber % FUNCTIONS + "/invoke";
   }
 
-  private static String inferPath(int number) {
-    return "/v2/models/f" + number % FUNCTIONS + "/infer";
+  private static String inferPath(int requestNumber) {
+    return "/v2/models/f" + requestNumber % FUNCTIONS + "/infer";
   }
 
-  private static int[] startWorkers(NetworkTransport net) throws IOException {
+  private static int[] startWorkers(NetworkTransport network) throws IOException {
     int[] ports = new int[WORKERS];
     for (int i = 0; i < WORKERS; i++) {
       ports[i] =
-          new HttpServer(net, HttpServerLimits.DEFAULT, SpeedMeasurement::respond)
+          new HttpServer(network, HttpServerLimits.DEFAULT, SpeedMeasurement::respond)
               .listen("127.0.0.1", 0);
     }
     return ports;
@@ -121,48 +125,56 @@
         .toArray(InetSocketAddress[]::new);
   }
 
-  /** Measures the most requests a second, of relay and router alternately. */
-  private static void measureClosed(
-      NetworkTransport net, Targets targets, int connections, Duration duration, PrintStream out)
+  /** Measures the maximum throughput of the relay and the router, alternately. */
+  private static void measureClosedLoop(
+      NetworkTransport network,
+      Targets targets,
+      int connections,
+      Duration duration,
+      PrintStream out)
       throws InterruptedException {
     out.printf(
-        "closed load, %d connections, %d s each, workers and load on the same machine%n",
+        "closed-loop load, %d connections, %d s per row, workers and clients on the same machine%n",
         connections, duration.toSeconds());
     out.printf(
-        "%-8s %10s %8s %8s %8s %8s%n", "way", "calls/s", "p50 ms", "p99 ms", "bad", "of relay");
-    SmallRequestLoad.Result baseline = null;
-    for (int i = 0; i < CLOSED_ROUNDS; i++) {
+        "%-8s %10s %8s %8s %8s %8s%n", "way", "calls/s", "p50 ms", "p99 ms", "bad", "vs relay");
+    SmallRequestLoad.Result firstRelayResult = null;
+    for (int i = 0; i < CLOSED_LOOP_ROUNDS; i++) {
       SmallRequestLoad.Result relay =
-          new SmallRequestLoad(net, targets.relay, SpeedMeasurement::invokePath)
+          new SmallRequestLoad(network, targets.relay, SpeedMeasurement::invokePath)
               .runClosedLoop(connections, WARM_UP, duration);
-      baseline = baseline == null ? relay : baseline;
-      row(out, "relay", relay, baseline);
-      row(
+      firstRelayResult = firstRelayResult == null ? relay : firstRelayResult;
+      printRow(out, "relay", relay, firstRelayResult);
+      printRow(
           out,
           "router",
-          new SmallRequestLoad(net, targets.router, SpeedMeasurement::invokePath)
+          new SmallRequestLoad(network, targets.router, SpeedMeasurement::invokePath)
               .runClosedLoop(connections, WARM_UP, duration),
-          baseline);
+          firstRelayResult);
     }
   }
 
-  /** Measures latency at a rate that all of them sustain. */
-  private static void measureOpen(
-      NetworkTransport net, Targets targets, int rate, Duration duration, PrintStream out)
+  /** Measures the latency of all three paths at a rate that each can sustain. */
+  private static void measureOpenLoop(
+      NetworkTransport network,
+      Targets targets,
+      int requestsPerSecond,
+      Duration duration,
+      PrintStream out)
       throws InterruptedException {
-    out.printf("open load, %d calls a second%n", rate);
+    out.printf("open-loop load, %d calls per second%n", requestsPerSecond);
     SmallRequestLoad.Result direct =
-        new SmallRequestLoad(net, targets.direct, SpeedMeasurement::inferPath)
-            .runOpenLoop(rate, WARM_UP, duration);
-    row(out, "direct", direct, direct);
+        new SmallRequestLoad(network, targets.direct, SpeedMeasurement::inferPath)
+            .runOpenLoop(requestsPerSecond, WARM_UP, duration);
+    printRow(out, "direct", direct, direct);
     SmallRequestLoad.Result relay =
-        new SmallRequestLoad(net, targets.relay, SpeedMeasurement::invokePath)
-            .runOpenLoop(rate, WARM_UP, duration);
-    row(out, "relay", relay, relay);
+        new SmallRequestLoad(network, targets.relay, SpeedMeasurement::invokePath)
+            .runOpenLoop(requestsPerSecond, WARM_UP, duration);
+    printRow(out, "relay", relay, relay);
     SmallRequestLoad.Result router =
-        new SmallRequestLoad(net, targets.router, SpeedMeasurement::invokePath)
-            .runOpenLoop(rate, WARM_UP, duration);
-    row(out, "router", router, relay);
+        new SmallRequestLoad(network, targets.router, SpeedMeasurement::invokePath)
+            .runOpenLoop(requestsPerSecond, WARM_UP, duration);
+    printRow(out, "router", router, relay);
     out.printf(
         "the router adds %.3f ms at p50 and %.3f ms at p99 over a direct call (relay %.3f and"
             + " %.3f)%n",
@@ -172,23 +184,26 @@
         relay.percentileMillis(99) - direct.percentileMillis(99));
   }
 
-  private static void row(
-      PrintStream out, String path, SmallRequestLoad.Result result, SmallRequestLoad.Result base) {
+  private static void printRow(
+      PrintStream out,
+      String path,
+      SmallRequestLoad.Result result,
+      SmallRequestLoad.Result reference) {
     out.printf(
         "%-8s %10.0f %8.3f %8.3f %8d %8.2f%n",
         path,
-        result.perSecond(),
+        result.requestsPerSecond(),
         result.percentileMillis(50),
         result.percentileMillis(99),
         result.failed(),
-        result.perSecond() / base.perSecond());
+        result.requestsPerSecond() / reference.requestsPerSecond());
   }
 
   private static void respond(HttpExchange exchange) {
     exchange.respond(200, WORKER_HEADERS, WORKER_OUTPUT);
   }
 
-  private static String config(int port, int[] workers) {
+  private static String routerConfig(int routerPort, int[] workerPorts) {
     StringBuilder yaml =
         new StringBuilder(
             "router: {number: 0, of: 1, tick: 5ms, executions: 3}\n"
@@ -200,13 +215,13 @@
                 + "holds: {calls: 50000}\n"
                 + "links: {connections: 256}\n"
                 + "listen: {port: "
-                + port
+                + routerPort
                 + ", selectors: 3}\nlist:\n  workers:\n");
-    for (int i = 0; i < workers.length; i++) {
+    for (int i = 0; i < workerPorts.length; i++) {
       yaml.append("    - {name: w")
           .append(i)
           .append(", port: ")
-          .append(workers[i])
+          .append(workerPorts[i])
           .append(", kind: k}\n");
     }
     return yaml.toString();
--- a/src/main/java/switchgap/testbed/experiment/Spread.java
+++ b/src/main/java/switchgap/testbed/experiment/Spread.java
@@ -1,16 +1,17 @@
 package switchgap.testbed.experiment;
 
-/** Mean and standard deviation over seeds; a single value has no deviation. */
+/** Mean and standard deviation of a figure over the seeds; the deviation of a single value is 0. */
 record Spread(double mean, double deviation) {
   static Spread of(double[] values) {
     double mean = 0;
     for (double value : values) {
       mean += value / values.length;
     }
-    double squares = 0;
+    double squaredDeviations = 0;
     for (double value : values) {
-      squares += (value - mean) * (value - mean);
+      squaredDeviations += (value - mean) * (value - mean);
     }
-    return new Spread(mean, values.length < 2 ? 0 : Math.sqrt(squares / (values.length - 1)));
+    return new Spread(
+        mean, values.length < 2 ? 0 : Math.sqrt(squaredDeviations / (values.length - 1)));
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/StaticThreshold.java
+++ b/src/main/java/switchgap/testbed/experiment/StaticThreshold.java
@@ -4,10 +4,10 @@
 import switchgap.router.RouterCore;
 
 /**
- * The baseline of load shedding by a static threshold: past so many pending requests at a router,
- * it rejects all request classes but those of the highest priority weight.
+ * Baseline for load shedding with a static threshold: when a router has that many pending requests,
+ * it rejects all request classes except those with the highest priority weight.
  *
- * @param maxPending pending requests at which it begins to reject
+ * @param maxPending number of pending requests from which requests are rejected
  */
 record StaticThreshold(int maxPending) {
   boolean rejects(RouterCore core, RouterSettings settings, int requestClass) {
--- a/src/main/java/switchgap/testbed/experiment/Trial.java
+++ b/src/main/java/switchgap/testbed/experiment/Trial.java
@@ -8,15 +8,15 @@
 import switchgap.testbed.scenario.Scenario;
 
 /**
- * The result of one variant over one curve with one seed.
+ * The result of running one variant with one scenario, load curve and seed.
  *
- * @param variant the variant that was played
+ * @param variant variant of the routers
  * @param seed seed of all random draws
- * @param service how clients were served
- * @param levels how the routers changed their service levels
- * @param samples one for each second
- * @param meanUtilization mean share of the fleet's cores at work
- * @param eventCount events of the virtual-time scheduler
+ * @param service figures about the service that clients received
+ * @param levels figures about the routers' service levels
+ * @param samples one sample per second
+ * @param meanUtilization mean share of the fleet's cores that were in use
+ * @param eventCount number of events of the virtual-time scheduler
  */
 record Trial(
     Variant variant,
@@ -28,14 +28,14 @@
     long eventCount) {
   private static final long MICROS_PER_SECOND = 1_000_000;
 
-  /** Plays a trial in virtual time. */
-  static Trial play(Scenario scenario, long seed, Variant variant, LoadCurve curve) {
+  /** Runs a trial in virtual time. */
+  static Trial run(Scenario scenario, long seed, Variant variant, LoadCurve curve) {
     VirtualTimeTestBed testBed =
         new VirtualTimeTestBed(scenario, seed, variant, curve.rateFactor(scenario));
-    curve.schedule(testBed.scheduler(), testBed.clients());
+    curve.schedulePeriods(testBed.scheduler(), testBed.clients());
     List<SecondSample> samples = new ArrayList<>();
     double[] utilizationSum = new double[1];
-    testBed.play(
+    testBed.run(
         curve.seconds(),
         second -> {
           utilizationSum[0] += testBed.meanUtilization();
@@ -45,14 +45,14 @@
     return new Trial(
         variant,
         seed,
-        ServiceFigures.of(testBed.clients(), CapacityBound.of(scenario, curve)),
+        ServiceFigures.of(testBed.clients(), CapacityBound.maxService(scenario, curve)),
         LevelFigures.of(scenario, testBed, samples),
         samples,
         utilizationSum[0] / Math.max(1, curve.seconds()),
-        testBed.scheduler().events());
+        testBed.scheduler().eventCount());
   }
 
-  /** The routers' levels now; the service of the second is known later. */
+  /** Samples the routers' current levels; the second's service is still unknown and added later. */
   private static SecondSample sample(VirtualTimeTestBed testBed, double load) {
     double levelSum = 0;
     int belowFull = 0;
@@ -60,7 +60,7 @@
       AdmissionController admission = router.gate().admission();
       if (admission != null) {
         admission.tick(router.now());
-        levelSum += reduction(admission);
+        levelSum += serviceReduction(admission);
         belowFull += admission.level() == ServiceLevel.FULL ? 0 : 1;
       }
     }
@@ -68,8 +68,11 @@
     return new SecondSample(load, 0, levelSum / routers, belowFull / (double) routers);
   }
 
-  /** How far a router's service is reduced: the tenants' own level does not count. */
-  private static double reduction(AdmissionController admission) {
+  /**
+   * The reduction of a router's service, as in {@link SecondSample#meanLevel}; {@code SHARE} has no
+   * place on the scale, because it applies only to single tenants.
+   */
+  private static double serviceReduction(AdmissionController admission) {
     int rank = admission.level().ordinal();
     return rank == 0 ? 0 : rank - 2 + admission.shedFraction();
   }
--- a/src/main/java/switchgap/testbed/experiment/Variant.java
+++ b/src/main/java/switchgap/testbed/experiment/Variant.java
@@ -8,19 +8,24 @@
 import switchgap.config.YamlDocument;
 
 /**
- * One way to run the routers of an experiment.
+ * A configuration of the routers that an experiment compares with others.
  *
- * @param name in tables and plots
- * @param admission what decides on admission before the policy
- * @param pinned a service level that never changes, or null
- * @param settingOverrides values put into the routers' documents, by {@code section.key}
+ * @param name name of the variant in tables and charts
+ * @param admission how requests are admitted before they reach the routing policy
+ * @param pinned service level that the routers keep for the whole trial, null for levels that
+ *     change
+ * @param settingOverrides values that replace those of the routers' configuration documents, by
+ *     {@code section.key}
  */
 record Variant(
     String name,
     AdmissionMode admission,
     ServiceLevel pinned,
     Map<String, String> settingOverrides) {
-  /** What decides on admission before the policy; words of experiment files. */
+  /**
+   * How requests are admitted before they reach the routing policy. Experiment files contain the
+   * constants' names in lower case.
+   */
   enum AdmissionMode {
     NOTHING,
     STATIC,
@@ -31,8 +36,8 @@
   static final Variant LEVELS = new Variant("levels", AdmissionMode.LEVELS, null, Map.of());
 
   /**
-   * Reads {@code - {name: off, before: nothing, pin: least, terms: {levels.keep: 0.985}}} and its
-   * like.
+   * Reads the list of variants, with entries such as {@code {name: off, before: nothing, pin:
+   * least, terms: {levels.keep: 0.985}}}.
    */
   static List<Variant> read(YamlDocument under) {
     List<Variant> all = new ArrayList<>();
@@ -47,7 +52,7 @@
       document.rejectUnknownKeys();
     }
     if (all.isEmpty()) {
-      throw under.invalid("variants", "needs one or more");
+      throw under.invalid("variants", "needs at least one variant");
     }
     return all;
   }
@@ -60,7 +65,7 @@
     YamlDocument section = document.section("terms");
     for (String key : section.keys()) {
       if (key.split("\\.").length != 2) {
-        throw section.invalid(key, "must be written part.key");
+        throw section.invalid(key, "must have the form section.key");
       }
       overrides.put(key, section.text(key));
     }
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeExchange.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeExchange.java
@@ -12,11 +12,11 @@
 import switchgap.testbed.emulator.FunctionModel;
 
 /**
- * One attempt of a client at a router in virtual time, a network delay away: it reaches the router,
- * is admitted or not, and ends once, by a response or by the client's timeout.
+ * One attempt of a client at a router in virtual time. It reaches the router after the network
+ * delay, is admitted or not, and ends exactly once: with a response or at the client's timeout.
  */
 final class VirtualTimeExchange implements ResponseListener {
-  private static final long DELAY = VirtualTimeTestBed.NETWORK_DELAY_MICROS;
+  private static final long DELAY_MICROS = VirtualTimeTestBed.NETWORK_DELAY_MICROS;
   private static final long NANOS_PER_MICRO = 1000;
   private static final int HTTP_OK = 200;
   private static final int HTTP_UNAVAILABLE = 503;
@@ -25,40 +25,41 @@
   private final VirtualTimeScheduler scheduler;
   private final VirtualTimeRouter router;
   private final YamlRouterSettings settings;
-  private final StaticThreshold threshold;
+  private final StaticThreshold staticThreshold;
   private final ClientTransport.ClientAttempt attempt;
   private final ClientTransport.AttemptListener listener;
   private PendingRequest request;
   private boolean ended;
 
-  /** {@code threshold}: the baseline that stands before admission, null for none. */
+  /** {@code staticThreshold} is checked before admission control; null for no threshold. */
   VirtualTimeExchange(
       VirtualTimeScheduler scheduler,
       VirtualTimeRouter router,
       YamlRouterSettings settings,
-      StaticThreshold threshold,
+      StaticThreshold staticThreshold,
       ClientTransport.ClientAttempt attempt,
       ClientTransport.AttemptListener listener) {
     this.scheduler = scheduler;
     this.router = router;
     this.settings = settings;
-    this.threshold = threshold;
+    this.staticThreshold = staticThreshold;
     this.attempt = attempt;
     this.listener = listener;
   }
 
   void start() {
-    scheduler.after(DELAY, () -> router.post(core -> arrive()));
+    scheduler.after(DELAY_MICROS, () -> router.post(core -> arrive()));
     scheduler.after(attempt.deadline() - scheduler.now(), this::timeOut);
   }
 
   private void arrive() {
     request = pendingRequest();
     int requestClass = attempt.function().requestClass();
-    if (threshold != null && threshold.rejects(router.gate().core(), settings, requestClass)) {
+    if (staticThreshold != null
+        && staticThreshold.rejects(router.gate().core(), settings, requestClass)) {
       responded(request, Response.rejected(STATIC_RETRY_AFTER));
     } else if (!router.gate().offer(request)) {
-      endLater(ClientOutcome.REFUSED, HTTP_UNAVAILABLE, AttemptEnd.NO_RETRY_AFTER);
+      endAfterNetworkDelay(ClientOutcome.REFUSED, HTTP_UNAVAILABLE, AttemptEnd.NO_RETRY_AFTER);
     }
   }
 
@@ -88,7 +89,7 @@
 
   @Override
   public void responded(PendingRequest answered, Response response) {
-    long retryAfter =
+    long retryAfterMillis =
         response.retryAfter() == null
             ? AttemptEnd.NO_RETRY_AFTER
             : response.retryAfter().toMillis();
@@ -98,22 +99,23 @@
           case REJECTED -> ClientOutcome.REJECTED;
           case FAILED -> ClientOutcome.FAILED;
         };
-    endLater(outcome, outcome == ClientOutcome.SUCCEEDED ? HTTP_OK : HTTP_UNAVAILABLE, retryAfter);
+    endAfterNetworkDelay(
+        outcome, outcome == ClientOutcome.SUCCEEDED ? HTTP_OK : HTTP_UNAVAILABLE, retryAfterMillis);
   }
 
   @Override
   public void deadlineMissed(PendingRequest overdue, Response late) {}
 
-  /** Ends the attempt when the response has travelled back. */
-  private void endLater(ClientOutcome outcome, int status, long retryAfterMillis) {
+  /** Ends the attempt when the response has reached the client. */
+  private void endAfterNetworkDelay(ClientOutcome outcome, int status, long retryAfterMillis) {
     AttemptEnd response = new AttemptEnd(outcome, outcome.word(), status, retryAfterMillis);
-    scheduler.after(DELAY, () -> end(response));
+    scheduler.after(DELAY_MICROS, () -> end(response));
   }
 
-  private void end(AttemptEnd end) {
+  private void end(AttemptEnd attemptEnd) {
     if (!ended) {
       ended = true;
-      listener.attemptEnded(end);
+      listener.attemptEnded(attemptEnd);
     }
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeFaults.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeFaults.java
@@ -9,18 +9,21 @@
 import switchgap.testbed.scenario.Scenario;
 import switchgap.testbed.scenario.ScenarioFault;
 
-/** Injects the faults of a fault script that need no socket into a test bed in virtual time. */
+/**
+ * Injects the faults of a scenario's fault script into a test bed in virtual time. Only faults that
+ * need no socket are supported.
+ */
 final class VirtualTimeFaults {
   private final Scenario scenario;
   private final VirtualTimeScheduler scheduler;
   private final VirtualTimeFleet fleet;
   private final LoadFaults loadFaults;
   private final SplittableRandom random;
-  private final IntConsumer routerRestart;
+  private final IntConsumer restartRouter;
 
   /**
-   * {@code loadFaults}: injects those of clients, functions and the store; {@code routerRestart}:
-   * restarts the router of an index.
+   * {@code loadFaults} injects the faults of clients, functions and the store; {@code
+   * restartRouter} restarts the router with the given index.
    */
   VirtualTimeFaults(
       Scenario scenario,
@@ -28,16 +31,16 @@
       VirtualTimeFleet fleet,
       LoadFaults loadFaults,
       long seed,
-      IntConsumer routerRestart) {
+      IntConsumer restartRouter) {
     this.scenario = scenario;
     this.scheduler = scheduler;
     this.fleet = fleet;
     this.loadFaults = loadFaults;
     this.random = new SplittableRandom(seed);
-    this.routerRestart = routerRestart;
+    this.restartRouter = restartRouter;
   }
 
-  /** Schedules the fault script from now on. */
+  /** Schedules the faults of the script, relative to the current time. */
   void start() {
     scenario.faults().forEach(fault -> scheduler.after(fault.startsAt(), () -> inject(fault)));
   }
@@ -54,9 +57,9 @@
       case ROUTERS_RESTARTED -> restartRouters(fault.share());
       default ->
           throw new IllegalArgumentException(
-              "the emulator does not bring "
+              "the emulator does not support the fault "
                   + EnumWords.wordOf(fault.type())
-                  + "; it brings what needs no socket");
+                  + "; it injects only faults that need no socket");
     }
   }
 
@@ -68,11 +71,11 @@
   private void restartRouters(double share) {
     long count = Math.max(1, Math.round(share * scenario.routers()));
     for (int i = 0; i < count; i++) {
-      routerRestart.accept(i);
+      restartRouter.accept(i);
     }
   }
 
   private List<EmulatedWorker> drawWorkers(double share) {
-    return LoadFaults.drawShare(fleet.runningAndReady(), share, random);
+    return LoadFaults.drawShare(fleet.runningReadyWorkers(), share, random);
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeFleet.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeFleet.java
@@ -12,16 +12,16 @@
 import switchgap.testbed.emulator.FunctionFetcher;
 import switchgap.testbed.scenario.Scenario;
 
-/** The emulated workers of a test bed in virtual time, and the endpoint list that names them. */
+/** The emulated workers of a test bed in virtual time, and their endpoint list. */
 final class VirtualTimeFleet {
-  /** Receives the endpoint list's changes. */
-  interface Watcher {
-    /** A worker's state changed; the update is due at every router now. */
+  /** Receives the changes of the endpoint list. */
+  interface EndpointListListener {
+    /** Called when every router has to receive the changed state of a worker. */
     void stateChanged(String worker, WorkerState state);
   }
 
-  private static final String HOST = "emulated";
-  private static final int PORT = 1;
+  private static final String PLACEHOLDER_HOST = "emulated";
+  private static final int PLACEHOLDER_PORT = 1;
   private static final long WORKER_SEED_OFFSET = 1000;
   private static final long NANOS_PER_MICRO = 1000;
 
@@ -30,20 +30,20 @@
   private final FunctionFetcher store;
   private final long seed;
   private final ToIntFunction<String> workerKindIndex;
-  private final Watcher watcher;
+  private final EndpointListListener endpointListListener;
   private final Map<String, EmulatedWorker> workers = new LinkedHashMap<>();
-  private final Map<String, Boolean> ready = new LinkedHashMap<>();
+  private final Map<String, Boolean> readyByWorker = new LinkedHashMap<>();
   private int nextWorkerIndex;
 
   /**
-   * A fleet without workers.
+   * Creates a fleet without workers.
    *
    * @param scenario hardware, zones and kinds of the workers
-   * @param scheduler clock and thread
-   * @param store where workers fetch functions from
+   * @param scheduler scheduler of the test bed's virtual time
+   * @param store store that workers fetch functions from
    * @param seed seed of the workers' random draws
-   * @param workerKindIndex index of a worker kind in the routers' settings
-   * @param watcher notified of changes of the endpoint list, after the list's lag
+   * @param workerKindIndex returns the index of a worker kind in the routers' settings
+   * @param endpointListListener receives changes of the endpoint list, after the list's delay
    */
   VirtualTimeFleet(
       Scenario scenario,
@@ -51,16 +51,16 @@
       FunctionFetcher store,
       long seed,
       ToIntFunction<String> workerKindIndex,
-      Watcher watcher) {
+      EndpointListListener endpointListListener) {
     this.scenario = scenario;
     this.scheduler = scheduler;
     this.store = store;
     this.seed = seed;
     this.workerKindIndex = workerKindIndex;
-    this.watcher = watcher;
+    this.endpointListListener = endpointListListener;
   }
 
-  /** Starts a worker that has run for long. */
+  /** Starts a worker that is already warmed up. */
   void startWarm() {
     start(false);
   }
@@ -83,11 +83,14 @@
             seed + WORKER_SEED_OFFSET + workerIndex,
             cold,
             () -> {}));
-    ready.put(name, true);
+    readyByWorker.put(name, true);
     return name;
   }
 
-  /** Ends a worker's process; after the outage it is listed as gone and a cold one starts. */
+  /**
+   * Kills a worker. After the outage it is listed as gone and a cold worker starts as its
+   * replacement.
+   */
   void killAndReplace(EmulatedWorker worker, long outageMicros) {
     worker.kill();
     scheduler.after(
@@ -99,33 +102,35 @@
   }
 
   private void setState(String name, WorkerState state) {
-    ready.put(name, state == WorkerState.READY);
-    scheduler.after(scenario.listLag(), () -> watcher.stateChanged(name, state));
+    readyByWorker.put(name, state == WorkerState.READY);
+    scheduler.after(scenario.listLag(), () -> endpointListListener.stateChanged(name, state));
   }
 
-  /** The worker of a name, null for none. */
+  /** Returns the worker with this name, null if there is none. */
   EmulatedWorker worker(String name) {
     return workers.get(name);
   }
 
-  /** All workers started so far; a copy. */
+  /** Returns a copy of the list of all workers started so far. */
   List<EmulatedWorker> workers() {
     return List.copyOf(workers.values());
   }
 
-  /** The workers that run and are listed as ready; a copy that may be changed. */
-  List<EmulatedWorker> runningAndReady() {
-    List<EmulatedWorker> selected = new ArrayList<>();
+  /**
+   * Returns the workers that run and are listed as ready, as a new list that the caller may modify.
+   */
+  List<EmulatedWorker> runningReadyWorkers() {
+    List<EmulatedWorker> readyWorkers = new ArrayList<>();
     workers.forEach(
         (name, worker) -> {
-          if (ready.get(name) && !worker.isDead()) {
-            selected.add(worker);
+          if (readyByWorker.get(name) && !worker.isDead()) {
+            readyWorkers.add(worker);
           }
         });
-    return selected;
+    return readyWorkers;
   }
 
-  /** Mean share of cores at work, over the workers that run. */
+  /** Returns the mean CPU utilization of the running workers, 0 if none runs. */
   double meanUtilization() {
     return workers.values().stream()
         .filter(worker -> !worker.isDead())
@@ -134,10 +139,10 @@
         .orElse(0);
   }
 
-  /** The complete endpoint list as a router reads it. */
+  /** Returns the complete endpoint list in the form that a router receives. */
   List<EndpointUpdate> endpointList(VirtualTimeRouter router) {
     List<EndpointUpdate> list = new ArrayList<>();
-    ready.forEach(
+    readyByWorker.forEach(
         (name, isReady) -> {
           if (isReady) {
             list.add(endpointUpdate(name, WorkerState.READY, router));
@@ -146,13 +151,13 @@
     return list;
   }
 
-  /** One worker's entry in the endpoint list as a router reads it. */
+  /** Returns a worker's entry of the endpoint list in the form that a router receives. */
   EndpointUpdate endpointUpdate(String name, WorkerState state, VirtualTimeRouter router) {
     int workerIndex = Integer.parseInt(name.substring(1));
     return new EndpointUpdate(
         name,
-        HOST,
-        PORT,
+        PLACEHOLDER_HOST,
+        PLACEHOLDER_PORT,
         state,
         scenario.zoneOf(workerIndex),
         workerIndex / scenario.cellSize(),
@@ -161,12 +166,15 @@
         startTime(workers.get(name), router));
   }
 
-  /** When a worker that has to warm up started, on the router's clock; null for another one. */
+  /**
+   * Returns the start time on the router's clock of a worker that has to warm up, null for other
+   * workers.
+   */
   private Duration startTime(EmulatedWorker worker, VirtualTimeRouter router) {
     if (!worker.startedCold()) {
       return null;
     }
-    long age = scheduler.now() - worker.startedAt();
-    return router.now().minus(Duration.ofNanos(age * NANOS_PER_MICRO));
+    long ageMicros = scheduler.now() - worker.startedAt();
+    return router.now().minus(Duration.ofNanos(ageMicros * NANOS_PER_MICRO));
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeRouter.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeRouter.java
@@ -8,8 +8,8 @@
 import switchgap.router.RouterCore;
 
 /**
- * The event loop of one router in virtual time: batches events into ticks of the program's own core
- * behind its admission gate, and wakes the core when it is due.
+ * The event loop of one router in virtual time. It collects events for the next tick of the
+ * production {@link RouterCore}, and also runs a tick when the core is next due.
  */
 final class VirtualTimeRouter {
   private static final long TICK_MICROS = 1000;
@@ -17,17 +17,17 @@
   private static final long NOT_SCHEDULED = Long.MAX_VALUE;
 
   private final VirtualTimeScheduler scheduler;
-  private final long startedAt;
-  private final List<Consumer<RouterCore>> events = new ArrayList<>();
+  private final long startMicros;
+  private final List<Consumer<RouterCore>> pendingEvents = new ArrayList<>();
   private AdmissionGate gate;
   private boolean tickScheduled;
-  private long wakeUpAt = NOT_SCHEDULED;
+  private long wakeUpMicros = NOT_SCHEDULED;
   private boolean stopped;
 
-  /** A router whose process starts now; it serves from {@link #start} on. */
+  /** Creates a router whose clock starts now; it handles events after {@link #start}. */
   VirtualTimeRouter(VirtualTimeScheduler scheduler) {
     this.scheduler = scheduler;
-    this.startedAt = scheduler.now();
+    this.startMicros = scheduler.now();
   }
 
   void start(AdmissionGate admissionGate) {
@@ -39,7 +39,7 @@
     return gate;
   }
 
-  /** Ends the process at once: what it has in flight is lost. */
+  /** Stops the router at once, like a killed process: its requests in flight are lost. */
   void stop() {
     stopped = true;
   }
@@ -48,17 +48,17 @@
     return stopped;
   }
 
-  /** Time since the process started. */
+  /** Returns the time since the router was created. */
   Duration now() {
-    return Duration.ofNanos((scheduler.now() - startedAt) * NANOS_PER_MICRO);
+    return Duration.ofNanos((scheduler.now() - startMicros) * NANOS_PER_MICRO);
   }
 
-  /** Hands an event to the core's next tick; a stopped router drops it. */
+  /** Adds an event to the core's next tick; a stopped router ignores it. */
   void post(Consumer<RouterCore> event) {
     if (stopped) {
       return;
     }
-    events.add(event);
+    pendingEvents.add(event);
     if (!tickScheduled) {
       tickScheduled = true;
       scheduler.after(TICK_MICROS, this::tick);
@@ -70,27 +70,27 @@
     if (stopped) {
       return;
     }
-    List<Consumer<RouterCore>> batch = new ArrayList<>(events);
-    events.clear();
+    List<Consumer<RouterCore>> batch = new ArrayList<>(pendingEvents);
+    pendingEvents.clear();
     gate.core().tick(now(), batch);
-    long dueAt = nextDueMicros();
-    if (dueAt < wakeUpAt || wakeUpAt <= scheduler.now()) {
-      scheduleWakeUp(dueAt);
+    long dueMicros = nextDueMicros();
+    if (dueMicros < wakeUpMicros || wakeUpMicros <= scheduler.now()) {
+      scheduleWakeUp(dueMicros);
     }
   }
 
   private long nextDueMicros() {
     Duration nextDue = gate.core().nextDue();
-    return nextDue == null ? NOT_SCHEDULED : startedAt + nextDue.toNanos() / NANOS_PER_MICRO + 1;
+    return nextDue == null ? NOT_SCHEDULED : startMicros + nextDue.toNanos() / NANOS_PER_MICRO + 1;
   }
 
-  private void scheduleWakeUp(long dueAt) {
-    wakeUpAt = dueAt;
+  private void scheduleWakeUp(long dueMicros) {
+    wakeUpMicros = dueMicros;
     scheduler.after(
-        dueAt - scheduler.now(),
+        dueMicros - scheduler.now(),
         () -> {
-          if (wakeUpAt == dueAt && !tickScheduled && !stopped) {
-            wakeUpAt = NOT_SCHEDULED;
+          if (wakeUpMicros == dueMicros && !tickScheduled && !stopped) {
+            wakeUpMicros = NOT_SCHEDULED;
             tick();
           }
         });
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeScheduler.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeScheduler.java
@@ -3,27 +3,30 @@
 import java.util.PriorityQueue;
 import switchgap.testbed.emulator.Scheduler;
 
-/** Simulated time: events in order of time, equal ones in the order they were set. */
+/**
+ * Runs events in simulated time: in order of their time, and events of the same time in the order
+ * in which they were scheduled.
+ */
 final class VirtualTimeScheduler implements Scheduler {
-  private record Event(long dueAt, long number, Runnable action) {}
+  private record Event(long dueMicros, long sequenceNumber, Runnable action) {}
 
   private final PriorityQueue<Event> queue =
       new PriorityQueue<>(
           (left, right) ->
-              left.dueAt != right.dueAt
-                  ? Long.compare(left.dueAt, right.dueAt)
-                  : Long.compare(left.number, right.number));
-  private long now = 1_000_000_000_000L;
-  private long count;
+              left.dueMicros != right.dueMicros
+                  ? Long.compare(left.dueMicros, right.dueMicros)
+                  : Long.compare(left.sequenceNumber, right.sequenceNumber));
+  private long nowMicros = 1_000_000_000_000L;
+  private long eventCount;
 
   @Override
   public long now() {
-    return now;
+    return nowMicros;
   }
 
   @Override
   public void after(long micros, Runnable action) {
-    queue.add(new Event(now + Math.max(0, micros), count++, action));
+    queue.add(new Event(nowMicros + Math.max(0, micros), eventCount++, action));
   }
 
   @Override
@@ -31,17 +34,18 @@
     after(0, action);
   }
 
-  /** Runs everything up to a time. */
-  void run(long until) {
-    while (!queue.isEmpty() && queue.peek().dueAt <= until) {
+  /** Runs all events due up to and including a time, and advances the clock to it. */
+  void runUntil(long untilMicros) {
+    while (!queue.isEmpty() && queue.peek().dueMicros <= untilMicros) {
       Event event = queue.poll();
-      now = event.dueAt;
+      nowMicros = event.dueMicros;
       event.action.run();
     }
-    now = Math.max(now, until);
+    nowMicros = Math.max(nowMicros, untilMicros);
   }
 
-  long events() {
-    return count;
+  /** Returns the number of events scheduled so far. */
+  long eventCount() {
+    return eventCount;
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeTestBed.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeTestBed.java
@@ -23,12 +23,12 @@
 import switchgap.testbed.scenario.Scenario;
 
 /**
- * A scenario in virtual time: emulated workers, store and clients, and the program's own core,
- * admission control and policy, without sockets. The same seed brings the same arrivals whatever
- * the variant. One thread.
+ * Runs a scenario in virtual time, without sockets: the production router core, admission control
+ * and routing policy with emulated workers, store and clients. The same seed gives the same request
+ * arrivals with every variant. Not thread-safe.
  */
 final class VirtualTimeTestBed {
-  /** Time that a message takes between a client and a router or a router and a worker. */
+  /** One-way delay of a message between a client and a router, or a router and a worker. */
   static final long NETWORK_DELAY_MICROS = 300;
 
   private static final long MICROS_PER_SECOND = 1_000_000;
@@ -47,17 +47,21 @@
   private final EmulatedClients clients;
   private final VirtualTimeFleet fleet;
   private final VirtualTimeFaults faults;
-  private final StaticThreshold threshold;
-  private final List<YamlRouterSettings> settings = new ArrayList<>();
+  private final StaticThreshold staticThreshold;
+  private final List<YamlRouterSettings> settingsByRouter = new ArrayList<>();
   private final List<VirtualTimeRouter> routers = new ArrayList<>();
   private final List<RouterLevelChange> levelChanges = new ArrayList<>();
 
-  /** {@code curve}: a factor on the scenario's rate, by microseconds since the start. */
-  VirtualTimeTestBed(Scenario scenario, long seed, Variant variant, LongToDoubleFunction curve) {
+  /**
+   * {@code rateFactor} returns the factor on the scenario's request rate by microseconds since the
+   * start.
+   */
+  VirtualTimeTestBed(
+      Scenario scenario, long seed, Variant variant, LongToDoubleFunction rateFactor) {
     this.scenario = scenario;
     this.seed = seed;
     this.variant = variant;
-    this.threshold =
+    this.staticThreshold =
         variant.admission() == Variant.AdmissionMode.STATIC
             ? new StaticThreshold(scenario.staticPendingLimit())
             : null;
@@ -66,7 +70,7 @@
         new EmulatedStore(
             scheduler, EventRecorder.none(), scenario.storeCapacity(), scenario.storeOutage());
     this.clients = scenario.clients(scheduler, this::send, catalogue, seed + 1);
-    clients.setRateCurve(curve);
+    clients.setRateCurve(rateFactor);
     this.fleet =
         new VirtualTimeFleet(
             scenario, scheduler, store, seed, this::workerKindIndex, this::notifyRouters);
@@ -91,7 +95,7 @@
 
   private void startRouters() {
     for (int i = 0; i < scenario.routers(); i++) {
-      settings.add(
+      settingsByRouter.add(
           new YamlRouterSettings(
               YamlDocument.read(
                   "router " + i,
@@ -102,14 +106,17 @@
     }
   }
 
-  /** Starts a router that knows nothing but the endpoint list; one that runs is stopped first. */
+  /**
+   * Starts a router that has only received the endpoint list; stops a running router with the same
+   * index first.
+   */
   private void startRouter(int routerIndex) {
     if (routers.get(routerIndex) != null) {
       routers.get(routerIndex).stop();
     }
     VirtualTimeRouter router = new VirtualTimeRouter(scheduler);
     routers.set(routerIndex, router);
-    YamlRouterSettings routerSettings = settings.get(routerIndex);
+    YamlRouterSettings routerSettings = settingsByRouter.get(routerIndex);
     long coreSeed = seed * ROUTER_SEED_FACTOR + routerIndex * ROUTER_SEED_STEP + scheduler.now();
     RouterCore core =
         new RouterCore(
@@ -124,11 +131,11 @@
             routerSettings,
             admissionController(router, routerSettings, coreSeed + 1),
             change -> levelChanges.add(new RouterLevelChange(routerIndex, change))));
-    List<EndpointUpdate> list = fleet.endpointList(router);
-    router.post(routerCore -> routerCore.endpointListReceived(true, list));
+    List<EndpointUpdate> endpointList = fleet.endpointList(router);
+    router.post(routerCore -> routerCore.endpointListReceived(true, endpointList));
   }
 
-  /** The variant's admission control, null for none. */
+  /** Creates the variant's admission control, null if it has none. */
   private AdmissionController admissionController(
       VirtualTimeRouter router, YamlRouterSettings routerSettings, long admissionSeed) {
     if (variant.admission() != Variant.AdmissionMode.LEVELS) {
@@ -143,7 +150,7 @@
   }
 
   private int workerKindIndex(String kind) {
-    return settings.get(0).workerKindIndex(kind);
+    return settingsByRouter.get(0).workerKindIndex(kind);
   }
 
   private void notifyRouters(String worker, WorkerState state) {
@@ -157,7 +164,12 @@
       ClientTransport.ClientAttempt attempt, ClientTransport.AttemptListener listener) {
     int router = attempt.router();
     new VirtualTimeExchange(
-            scheduler, routers.get(router), settings.get(router), threshold, attempt, listener)
+            scheduler,
+            routers.get(router),
+            settingsByRouter.get(router),
+            staticThreshold,
+            attempt,
+            listener)
         .start();
   }
 
@@ -169,34 +181,34 @@
     return clients;
   }
 
-  /** The routers that run at present, by their index. */
+  /** Returns the running routers, by their index. */
   List<VirtualTimeRouter> routers() {
     return routers;
   }
 
-  /** Changes of service levels so far, in their order. */
+  /** Returns the changes of service levels so far, in order of time. */
   List<RouterLevelChange> levelChanges() {
     return levelChanges;
   }
 
-  /** Mean share of cores at work, over the workers that run. */
+  /** Returns the mean CPU utilization of the running workers. */
   double meanUtilization() {
     return fleet.meanUtilization();
   }
 
   /**
-   * Plays so many seconds, and what is still in flight to its end; the listener is called once a
-   * second.
+   * Runs the clients for a number of seconds, and then ten more seconds in which requests in flight
+   * can end. The callback runs after each second with the second's index.
    */
-  void play(long seconds, LongConsumer everySecond) {
-    long startedAt = scheduler.now();
-    long end = startedAt + seconds * MICROS_PER_SECOND;
-    clients.start(end);
+  void run(long seconds, LongConsumer afterEachSecond) {
+    long startMicros = scheduler.now();
+    long endMicros = startMicros + seconds * MICROS_PER_SECOND;
+    clients.start(endMicros);
     faults.start();
     for (long second = 0; second < seconds; second++) {
-      scheduler.run(startedAt + (second + 1) * MICROS_PER_SECOND);
-      everySecond.accept(second);
+      scheduler.runUntil(startMicros + (second + 1) * MICROS_PER_SECOND);
+      afterEachSecond.accept(second);
     }
-    scheduler.run(end + DRAIN_MICROS);
+    scheduler.runUntil(endMicros + DRAIN_MICROS);
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeWorkerTransport.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeWorkerTransport.java
@@ -17,10 +17,13 @@
 import switchgap.testbed.emulator.FunctionModel;
 import switchgap.testbed.emulator.WorkerOutcome;
 
-/** Reaches the emulated workers of one router in virtual time, a network delay away. */
+/**
+ * Connects one router with the emulated workers in virtual time; each message takes the network
+ * delay.
+ */
 final class VirtualTimeWorkerTransport implements WorkerTransport {
-  private static final long DELAY = VirtualTimeTestBed.NETWORK_DELAY_MICROS;
-  private static final int NO_CONCURRENCY = -1;
+  private static final long DELAY_MICROS = VirtualTimeTestBed.NETWORK_DELAY_MICROS;
+  private static final int UNKNOWN_CONCURRENCY = -1;
   private static final byte[] EMPTY_BODY = {};
 
   private final VirtualTimeRouter router;
@@ -29,7 +32,7 @@
   private final FunctionCatalogue catalogue;
   private final boolean reportsLoad;
 
-  /** {@code reportsLoad}: whether workers report utilization and queue length. */
+  /** {@code reportsLoad} tells whether workers report utilization and queue length. */
   VirtualTimeWorkerTransport(
       VirtualTimeRouter router,
       VirtualTimeScheduler scheduler,
@@ -48,10 +51,10 @@
     EmulatedWorker worker = fleet.worker(attempt.worker().name());
     FunctionModel function = catalogue.find(attempt.request().function());
     scheduler.after(
-        DELAY,
+        DELAY_MICROS,
         () -> {
           if (router.isStopped() || isUnreachable(worker)) {
-            respond(
+            postAfterNetworkDelay(
                 core ->
                     core.attemptEnded(
                         attempt, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE, null));
@@ -66,7 +69,7 @@
         worker.execute(
             function,
             (outcome, concurrency) ->
-                respond(
+                postAfterNetworkDelay(
                     core ->
                         core.attemptEnded(
                             attempt,
@@ -79,9 +82,9 @@
     return worker == null || worker.isDead();
   }
 
-  /** Hands a worker's response to the core a network delay later. */
-  private void respond(Consumer<RouterCore> event) {
-    scheduler.after(DELAY, () -> router.post(event));
+  /** Posts a worker's response to the router after the network delay. */
+  private void postAfterNetworkDelay(Consumer<RouterCore> event) {
+    scheduler.after(DELAY_MICROS, () -> router.post(event));
   }
 
   private static AttemptOutcome attemptOutcome(WorkerOutcome outcome) {
@@ -103,7 +106,7 @@
   public AttemptOutcome abandon(Attempt attempt) {
     EmulatedWorker worker = fleet.worker(attempt.worker().name());
     scheduler.after(
-        DELAY,
+        DELAY_MICROS,
         () -> {
           if (worker != null && attempt.attachment() instanceof EmulatedExecution execution) {
             worker.cancel(execution);
@@ -117,25 +120,28 @@
       WorkerEntry entry, String function, int replicas, WorkerCommand command) {
     EmulatedWorker worker = fleet.worker(entry.name());
     scheduler.after(
-        DELAY,
+        DELAY_MICROS,
         () -> {
           if (isUnreachable(worker)) {
             router.post(core -> core.loadCommandEnded(command, AttemptOutcome.CONNECT_FAILED, 0));
           } else if (replicas == 0) {
-            int loaded = worker.replicas(function);
-            respond(core -> core.loadCommandEnded(command, AttemptOutcome.SUCCEEDED, loaded));
+            int loadedReplicas = worker.replicas(function);
+            postAfterNetworkDelay(
+                core -> core.loadCommandEnded(command, AttemptOutcome.SUCCEEDED, loadedReplicas));
           } else {
-            load(worker, function, replicas, command);
+            loadReplicas(worker, function, replicas, command);
           }
         });
   }
 
-  private void load(EmulatedWorker worker, String function, int replicas, WorkerCommand command) {
+  private void loadReplicas(
+      EmulatedWorker worker, String function, int replicas, WorkerCommand command) {
     worker.load(
         catalogue.find(function),
         replicas,
-        (outcome, loaded) ->
-            respond(core -> core.loadCommandEnded(command, loadOutcome(outcome), loaded)));
+        (outcome, loadedReplicas) ->
+            postAfterNetworkDelay(
+                core -> core.loadCommandEnded(command, loadOutcome(outcome), loadedReplicas)));
   }
 
   private static AttemptOutcome loadOutcome(WorkerOutcome outcome) {
@@ -150,16 +156,16 @@
   public void unload(WorkerEntry entry, String function, WorkerCommand command) {
     EmulatedWorker worker = fleet.worker(entry.name());
     if (worker != null) {
-      scheduler.after(DELAY, () -> worker.unload(function));
+      scheduler.after(DELAY_MICROS, () -> worker.unload(function));
     }
-    scheduler.after(2 * DELAY, () -> router.post(core -> core.unloadEnded(command)));
+    scheduler.after(2 * DELAY_MICROS, () -> router.post(core -> core.unloadEnded(command)));
   }
 
   @Override
   public void probe(WorkerEntry entry, WorkerCommand command) {
     EmulatedWorker worker = fleet.worker(entry.name());
     scheduler.after(
-        2 * DELAY,
+        2 * DELAY_MICROS,
         () ->
             router.post(
                 core -> core.probeEnded(command, probeOutcome(worker), probeReport(worker))));
@@ -170,7 +176,7 @@
   }
 
   private LoadReport probeReport(EmulatedWorker worker) {
-    return worker == null ? LoadReport.NONE : loadReport(worker, NO_CONCURRENCY);
+    return worker == null ? LoadReport.NONE : loadReport(worker, UNKNOWN_CONCURRENCY);
   }
 
   @Override
--- a/src/test/java/switchgap/testbed/experiment/LoadCurveReaderTest.java
+++ b/src/test/java/switchgap/testbed/experiment/LoadCurveReaderTest.java
@@ -13,9 +13,9 @@
 import switchgap.config.InvalidConfigException;
 import switchgap.config.YamlDocument;
 
-/** Load curves from documents and CSV files, and the place and reason of each mistake. */
+/** Reading load curves from documents and CSV files, and the messages for invalid input. */
 class LoadCurveReaderTest {
-  private static final long SECOND = 1_000_000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
 
   @TempDir Path directory;
 
@@ -35,8 +35,8 @@
 
     assertThat(curve.seconds()).isEqualTo(10);
     assertThat(curve.loadAt(0)).isEqualTo(0.5);
-    assertThat(curve.loadAt(5 * SECOND)).isCloseTo(1.0, within(1e-9));
-    assertThat(curve.loadAt(20 * SECOND)).isEqualTo(1.5);
+    assertThat(curve.loadAt(5 * MICROS_PER_SECOND)).isCloseTo(1.0, within(1e-9));
+    assertThat(curve.loadAt(20 * MICROS_PER_SECOND)).isEqualTo(1.5);
   }
 
   @Test
@@ -53,21 +53,22 @@
             "points: [{at: 0s, load: 0.1}, {at: 40s, load: 0.1}]\n"
                 + "waves: {every: 8s, by: 0.5}");
 
-    assertThat(curve.loadAt(2 * SECOND)).isCloseTo(0.6, within(1e-9));
-    assertThat(curve.loadAt(6 * SECOND)).isZero();
+    assertThat(curve.loadAt(2 * MICROS_PER_SECOND)).isCloseTo(0.6, within(1e-9));
+    assertThat(curve.loadAt(6 * MICROS_PER_SECOND)).isZero();
   }
 
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
       value = {
-        "seconds;0                     | curve.csv:1: has no column load",
-        "seconds,load;0,x              | curve.csv:2: load: 'x' is no number",
-        "seconds,load;0,1;5            | curve.csv:3: load: absent",
-        "seconds,load;0,NaN            | curve.csv:2: load: must be a number",
-        "seconds,load;0,101            | curve.csv:2: load: 101.0 must lie from 0 to 100",
-        "seconds,load;5,1;3,1          | curve.csv:3: seconds: must not go back in time",
-        "seconds,load;0,1              | points: needs two points or more, or a csv file",
+        "seconds;0                     | curve.csv:1: missing column load",
+        "seconds,load;0,x              | curve.csv:2: load: 'x' is not a number",
+        "seconds,load;0,1;5            | curve.csv:3: load: value is missing",
+        "seconds,load;0,NaN            | curve.csv:2: load: must be a finite number",
+        "seconds,load;0,101            | curve.csv:2: load: 101.0 must be between 0 and 100",
+        "seconds,load;5,1;3,1          | curve.csv:3: seconds: must not be earlier than the"
+            + " previous point",
+        "seconds,load;0,1              | points: needs at least two points, here or in a csv file",
       })
   void rejectsMalformedCsvWithItsPlaceAndReason(String rows, String message) {
     String csv = rows.strip().replace(';', '\n') + "\n";
--- a/src/test/java/switchgap/testbed/experiment/SmallScenario.java
+++ b/src/test/java/switchgap/testbed/experiment/SmallScenario.java
@@ -25,7 +25,9 @@
 
   private SmallScenario() {}
 
-  /** Writes the scenario with its length in seconds and its requests per second. */
+  /**
+   * Writes the scenario document, with the given length in seconds and rate in requests per second.
+   */
   static Path write(Path directory, int seconds, int rate) throws IOException {
     String document =
         DOCUMENT.replace("SECONDS", String.valueOf(seconds)).replace("RATE", String.valueOf(rate));
--- a/src/test/java/switchgap/testbed/experiment/TrialTest.java
+++ b/src/test/java/switchgap/testbed/experiment/TrialTest.java
@@ -10,7 +10,8 @@
 import switchgap.testbed.scenario.Scenario;
 
 /**
- * Trials in virtual time: the same seed brings the same trial, and service levels act in overload.
+ * Trials in virtual time: results are reproducible by seed, and service levels change only in
+ * overload.
  */
 class TrialTest {
   private static final int SEED = 3;
@@ -20,26 +21,26 @@
 
   @TempDir Path directory;
 
-  private Trial play(int seed, Variant variant, double load) throws Exception {
+  private Trial run(int seed, Variant variant, double load) throws Exception {
     Scenario scenario = Scenario.read(SmallScenario.write(directory, 10, 40));
-    return Trial.play(scenario, seed, variant, LoadCurve.flat(load, 40));
+    return Trial.run(scenario, seed, variant, LoadCurve.flat(load, 40));
   }
 
   @Test
   void repeatsTheTrialForTheSameSeedAndNotForAnother() throws Exception {
-    Trial trial = play(SEED, Variant.LEVELS, 1.5);
-    Trial repeated = play(SEED, Variant.LEVELS, 1.5);
-    Trial other = play(OTHER_SEED, Variant.LEVELS, 1.5);
+    Trial trial = run(SEED, Variant.LEVELS, 1.5);
+    Trial repeated = run(SEED, Variant.LEVELS, 1.5);
+    Trial trialOfOtherSeed = run(OTHER_SEED, Variant.LEVELS, 1.5);
 
     assertThat(repeated.service()).isEqualTo(trial.service());
     assertThat(repeated.eventCount()).isEqualTo(trial.eventCount());
-    assertThat(other.eventCount()).isNotEqualTo(trial.eventCount());
+    assertThat(trialOfOtherSeed.eventCount()).isNotEqualTo(trial.eventCount());
   }
 
   @Test
   void changesNoLevelUnderLowLoad() throws Exception {
-    Trial levels = play(SEED, Variant.LEVELS, LOW_LOAD);
-    Trial off = play(SEED, Variant.OFF, LOW_LOAD);
+    Trial levels = run(SEED, Variant.LEVELS, LOW_LOAD);
+    Trial off = run(SEED, Variant.OFF, LOW_LOAD);
 
     assertThat(levels.levels().commonChangeCount()).isZero();
     assertThat(levels.service().overall()).isEqualTo(off.service().overall());
@@ -47,8 +48,8 @@
 
   @Test
   void changesLevelsInOverloadWithoutLossOfService() throws Exception {
-    Trial levels = play(SEED, Variant.LEVELS, OVERLOAD);
-    Trial off = play(SEED, Variant.OFF, OVERLOAD);
+    Trial levels = run(SEED, Variant.LEVELS, OVERLOAD);
+    Trial off = run(SEED, Variant.OFF, OVERLOAD);
 
     assertThat(levels.levels().commonChangeCount()).isPositive();
     assertThat(levels.service().overall()).isGreaterThan(off.service().overall() - 0.005);
@@ -56,12 +57,13 @@
 
   @Test
   void leastLevelServesTheImportantRequestClassAlone() throws Exception {
-    Variant pinned =
+    Variant pinnedToLeast =
         new Variant("pinned", Variant.AdmissionMode.LEVELS, ServiceLevel.LEAST, Map.of());
-    Map<String, Double> least = play(SEED, pinned, OVERLOAD).service().objectiveMetShare();
-    Map<String, Double> off = play(SEED, Variant.OFF, OVERLOAD).service().objectiveMetShare();
+    Map<String, Double> leastShares =
+        run(SEED, pinnedToLeast, OVERLOAD).service().objectiveMetShare();
+    Map<String, Double> offShares = run(SEED, Variant.OFF, OVERLOAD).service().objectiveMetShare();
 
-    assertThat(least.get("notice-send")).isGreaterThan(off.get("notice-send"));
-    assertThat(least.get("status-refresh")).isZero();
+    assertThat(leastShares.get("notice-send")).isGreaterThan(offShares.get("notice-send"));
+    assertThat(leastShares.get("status-refresh")).isZero();
   }
 }
--- a/src/test/java/switchgap/testbed/experiment/VirtualTimeAgainstSocketsTest.java
+++ b/src/test/java/switchgap/testbed/experiment/VirtualTimeAgainstSocketsTest.java
@@ -15,9 +15,10 @@
 import switchgap.testbed.scenario.ScenarioRunner;
 
 /**
- * The test bed in virtual time and the emulator on sockets serve the same scenario alike: same
- * arrivals, one worker model, the program's own core. The tolerance is wide enough for a machine
- * that other work fills, and far narrower than what variants differ by.
+ * The virtual-time test bed and the emulator on sockets give nearly the same results for the same
+ * scenario: both have the same request arrivals, the same worker model and the production router
+ * core. The tolerance allows for a machine that is busy with other work, but is far smaller than
+ * the differences between variants.
  */
 class VirtualTimeAgainstSocketsTest {
   private static final double TOLERANCE = 0.08;
@@ -25,7 +26,7 @@
 
   @TempDir Path directory;
 
-  private EmulatedClients playOnSockets(Path scenario) throws Exception {
+  private EmulatedClients runOnSockets(Path scenario) throws Exception {
     Path logs = directory.resolve("logs");
     PrintStream discarded = new PrintStream(OutputStream.nullOutputStream());
     EmulatedClients clients = ScenarioRunner.play(scenario, logs, null, discarded);
@@ -33,18 +34,18 @@
     return clients;
   }
 
-  private static EmulatedClients playInVirtualTime(Path file) throws Exception {
+  private static EmulatedClients runInVirtualTime(Path file) throws Exception {
     Scenario scenario = Scenario.read(file);
     VirtualTimeTestBed testBed =
         new VirtualTimeTestBed(scenario, scenario.seed(), Variant.LEVELS, elapsedMicros -> 1);
-    testBed.play(SECONDS, second -> {});
+    testBed.run(SECONDS, second -> {});
     return testBed.clients();
   }
 
   private void assertSameService(int rate) throws Exception {
     Path scenario = SmallScenario.write(directory, SECONDS, rate);
-    EmulatedClients sockets = playOnSockets(scenario);
-    EmulatedClients virtualTime = playInVirtualTime(scenario);
+    EmulatedClients sockets = runOnSockets(scenario);
+    EmulatedClients virtualTime = runInVirtualTime(scenario);
 
     virtualTime
         .tallies()
@@ -53,7 +54,7 @@
   }
 
   private static void assertSameTally(RequestTally actual, RequestTally expected) {
-    assertThat(actual.requests()).isEqualTo(expected.requests()); // the same arrivals
+    assertThat(actual.requests()).isEqualTo(expected.requests()); // both get the same arrivals
     assertThat(share(actual.succeeded(), actual.requests()))
         .isCloseTo(share(expected.succeeded(), expected.requests()), within(TOLERANCE));
     assertThat(share(actual.succeeded() - actual.late(), actual.requests()))
