--- a/src/main/java/switchgap/testbed/experiment/BaselinePolicy.java
+++ b/src/main/java/switchgap/testbed/experiment/BaselinePolicy.java
@@ -32,7 +32,7 @@
   private final RouterSettings settings;
   private final Duration deadlineMargin;
   private final BaselineWorkers workers;
-  private final Map<Integer, BaselineRequest> pending = new HashMap<>();
+  private final Map<Integer, BaselineRequest> pendingByIndex = new HashMap<>();
   private final Map<LoadKey, List<BaselineRequest>> requestsAwaitingLoad = new HashMap<>();
   private Duration now = Duration.ZERO;
   private PolicyActions actions;
@@ -59,7 +59,7 @@
   /** Returns the open requests that have no attempt in flight and a deadline in the near future. */
   private List<BaselineRequest> unservedRequestsNearDeadline() {
     List<BaselineRequest> nearDeadline = new ArrayList<>();
-    for (BaselineRequest request : pending.values()) {
+    for (BaselineRequest request : pendingByIndex.values()) {
       if (!request.isClosed()
           && !request.hasAttemptInFlight()
           && isDeadlineWithin(deadlineMargin.multipliedBy(2), request.deadline())) {
@@ -116,7 +116,7 @@
   }
 
   private void releaseIfSettled(BaselineRequest request) {
-    if (request.isSettled() && pending.remove(request.requestIndex()) != null) {
+    if (request.isSettled() && pendingByIndex.remove(request.requestIndex()) != null) {
       actions.releaseRequest(request.requestIndex());
     }
   }
@@ -148,13 +148,13 @@
   @Override
   public void requestArrived(RequestArrival arrival) {
     BaselineRequest request = new BaselineRequest(arrival);
-    pending.put(request.requestIndex(), request);
+    pendingByIndex.put(request.requestIndex(), request);
     route(request);
   }
 
   @Override
   public void attemptEnded(AttemptResult result) {
-    BaselineRequest request = pending.get(result.request());
+    BaselineRequest request = pendingByIndex.get(result.request());
     request.attemptEnded(result);
     workers.attemptEnded(result.worker());
     if (!request.isClosed()) {
@@ -171,24 +171,24 @@
 
   private void awaitLoad(BaselineRequest request, int worker) {
     LoadKey key = new LoadKey(worker, request.function());
-    List<BaselineRequest> waiting = requestsAwaitingLoad.get(key);
-    if (waiting == null) {
-      waiting = new ArrayList<>();
-      requestsAwaitingLoad.put(key, waiting);
+    List<BaselineRequest> waitingRequests = requestsAwaitingLoad.get(key);
+    if (waitingRequests == null) {
+      waitingRequests = new ArrayList<>();
+      requestsAwaitingLoad.put(key, waitingRequests);
       actions.load(worker, request.function());
     }
-    waiting.add(request);
+    waitingRequests.add(request);
   }
 
   @Override
   public void loadCommandEnded(LoadCommandResult result) {
     int worker = result.worker();
-    List<BaselineRequest> waiting =
+    List<BaselineRequest> waitingRequests =
         requestsAwaitingLoad.remove(new LoadKey(worker, result.function()));
-    if (waiting == null) {
+    if (waitingRequests == null) {
       return;
     }
-    for (BaselineRequest request : waiting) {
+    for (BaselineRequest request : waitingRequests) {
       if (!isStillWaiting(request)) {
         continue;
       }
@@ -205,14 +205,14 @@
    * index.
    */
   private boolean isStillWaiting(BaselineRequest request) {
-    return pending.get(request.requestIndex()) == request
+    return pendingByIndex.get(request.requestIndex()) == request
         && !request.isClosed()
         && !request.hasAttemptInFlight();
   }
 
   @Override
   public void clientDisconnected(int requestIndex) {
-    BaselineRequest request = pending.get(requestIndex);
+    BaselineRequest request = pendingByIndex.get(requestIndex);
     request.close();
     releaseIfSettled(request);
   }
--- a/src/main/java/switchgap/testbed/experiment/Experiment.java
+++ b/src/main/java/switchgap/testbed/experiment/Experiment.java
@@ -34,7 +34,7 @@
     double quickShare = settings.number("quick", 0.01, 1, 0.4);
     settings.rejectUnknownKeys();
     variants = Variant.read(document);
-    List<LoadCurve> curves = curves(document.section("curves"), file, quick ? quickShare : 1);
+    List<LoadCurve> curves = readCurves(document.section("curves"), file, quick ? quickShare : 1);
     for (String scenarioFile : document.textList("days")) {
       Scenario scenario = Scenario.read(file.resolveSibling(scenarioFile).normalize());
       curves.forEach(curve -> cases.add(new ExperimentCase(scenario, curve, new ArrayList<>())));
@@ -45,12 +45,12 @@
     document.rejectUnknownKeys();
   }
 
-  private static List<LoadCurve> curves(YamlDocument section, Path file, double timeShare)
+  private static List<LoadCurve> readCurves(YamlDocument section, Path file, double timeFactor)
       throws IOException {
     List<LoadCurve> curves = new ArrayList<>();
     for (String curveName : section.keys()) {
       LoadCurve fullLengthCurve = LoadCurveReader.read(curveName, section.section(curveName), file);
-      curves.add(fullLengthCurve.scaleTime(timeShare));
+      curves.add(fullLengthCurve.scaleTime(timeFactor));
     }
     return curves;
   }
--- a/src/main/java/switchgap/testbed/experiment/LevelFigures.java
+++ b/src/main/java/switchgap/testbed/experiment/LevelFigures.java
@@ -20,7 +20,7 @@
  * @param secondsAtLevel seconds at each level, as a mean over the routers; empty without admission
  *     control
  * @param recoverySeconds seconds from the start of the final period of low load until all routers
- *     are at full service to the end of the trial, or {@link #NO_RECOVERY}
+ *     have returned to full service for the rest of the trial, or {@link #NO_RECOVERY}
  */
 record LevelFigures(
     List<RouterLevelChange> changes,
@@ -32,11 +32,11 @@
   /** The fleet was never overloaded, or a router was below full service at the end of the trial. */
   static final long NO_RECOVERY = -1;
 
-  /** Load as a share of capacity. Below it, no router has a reason to reduce service. */
-  private static final double MAX_CALM_LOAD = 0.7;
+  /** Load as a share of capacity; below it no router has a reason to reduce service. */
+  private static final double LOW_LOAD_LIMIT = 0.7;
 
-  /** Load as a share of capacity. Above it, the fleet is overloaded. */
-  private static final double MAX_SUSTAINABLE_LOAD = 1;
+  /** Load as a share of capacity; above it the fleet is overloaded. */
+  private static final double OVERLOAD_LIMIT = 1;
 
   private static final int MIN_STAYS_IN_WINDOW = 4;
   private static final double MILLIS_PER_SECOND = 1000;
@@ -92,12 +92,12 @@
     ArrayDeque<Duration> changeTimesInWindow = new ArrayDeque<>();
     for (RouterLevelChange change : changes) {
       if (change.router() == routerIndex && change.isCommon()) {
-        Duration changedAt = change.change().time();
+        Duration changeTime = change.change().time();
         while (!changeTimesInWindow.isEmpty()
-            && changedAt.minus(changeTimesInWindow.peek()).compareTo(window) > 0) {
+            && changeTime.minus(changeTimesInWindow.peek()).compareTo(window) > 0) {
           changeTimesInWindow.poll();
         }
-        changeTimesInWindow.add(changedAt);
+        changeTimesInWindow.add(changeTime);
         maxChanges = Math.max(maxChanges, changeTimesInWindow.size());
       }
     }
@@ -121,19 +121,20 @@
   }
 
   private static long recoverySeconds(List<SecondSample> samples) {
-    if (samples.stream().noneMatch(sample -> sample.load() > MAX_SUSTAINABLE_LOAD)) {
+    if (samples.stream().noneMatch(sample -> sample.load() > OVERLOAD_LIMIT)) {
       return NO_RECOVERY;
     }
-    int calmFromSecond = samples.size();
-    while (calmFromSecond > 0 && samples.get(calmFromSecond - 1).load() < MAX_CALM_LOAD) {
-      calmFromSecond--;
+    int lowLoadFromSecond = samples.size();
+    while (lowLoadFromSecond > 0 && samples.get(lowLoadFromSecond - 1).load() < LOW_LOAD_LIMIT) {
+      lowLoadFromSecond--;
     }
-    int fullFromSecond = samples.size();
-    while (fullFromSecond > 0 && samples.get(fullFromSecond - 1).belowFullShare() == 0) {
-      fullFromSecond--;
+    int fullServiceFromSecond = samples.size();
+    while (fullServiceFromSecond > 0
+        && samples.get(fullServiceFromSecond - 1).belowFullShare() == 0) {
+      fullServiceFromSecond--;
     }
-    return fullFromSecond >= samples.size()
+    return fullServiceFromSecond >= samples.size()
         ? NO_RECOVERY
-        : Math.max(0, fullFromSecond - calmFromSecond);
+        : Math.max(0, fullServiceFromSecond - lowLoadFromSecond);
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/LoadCurve.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadCurve.java
@@ -74,16 +74,20 @@
 
   /** Returns a curve of constant load. */
   static LoadCurve flat(double load, long seconds) {
-    List<Point> ends = List.of(new Point(0, load), new Point(seconds * MICROS_PER_SECOND, load));
-    return new LoadCurve("flat " + load, ends, Wave.NONE, List.of());
+    List<Point> endPoints =
+        List.of(new Point(0, load), new Point(seconds * MICROS_PER_SECOND, load));
+    return new LoadCurve("flat " + load, endPoints, Wave.NONE, List.of());
   }
 
   /** Returns the curve with all times multiplied by a factor; the wave's period doesn't change. */
   LoadCurve scaleTime(double factor) {
-    List<Point> scaled = new ArrayList<>();
-    points.forEach(point -> scaled.add(new Point(point.timeMicros * factor, point.load)));
+    List<Point> scaledPoints = new ArrayList<>();
+    points.forEach(point -> scaledPoints.add(new Point(point.timeMicros * factor, point.load)));
     return new LoadCurve(
-        name, scaled, wave, periods.stream().map(period -> period.scaleTime(factor)).toList());
+        name,
+        scaledPoints,
+        wave,
+        periods.stream().map(period -> period.scaleTime(factor)).toList());
   }
 
   long seconds() {
--- a/src/main/java/switchgap/testbed/experiment/LoadRecorder.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRecorder.java
@@ -67,10 +67,10 @@
   }
 
   private void requestEnded(RequestResult result) {
-    String outcome = result.lastAttempt().word();
+    String outcomeWord = result.lastAttempt().word();
     outcomeCountsByClass
         .computeIfAbsent(result.requestClass(), name -> new TreeMap<>())
-        .merge(outcome, 1L, Long::sum);
+        .merge(outcomeWord, 1L, Long::sum);
     if (result.lastAttempt().outcome() == ClientOutcome.SUCCEEDED) {
       long latencyMicros = Math.min(MAX_LATENCY_MICROS, Math.max(0, result.duration()));
       latencyMicrosByClass
@@ -86,7 +86,7 @@
           result.router(),
           result.duration() / MICROS_PER_MILLI,
           result.attempts(),
-          outcome,
+          outcomeWord,
           result.earned());
     } catch (IOException e) {
       throw new UncheckedIOException(e);
--- a/src/main/java/switchgap/testbed/experiment/LoadRun.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRun.java
@@ -85,7 +85,7 @@
       Path file, Scenario scenario, List<InetSocketAddress> routerAddresses) {
     if (!routerAddresses.isEmpty() && routerAddresses.size() != scenario.routers()) {
       String message =
-          "its day has "
+          "the day of this load has "
               + scenario.routers()
               + " routers, but "
               + routerAddresses.size()
--- a/src/main/java/switchgap/testbed/experiment/ReportCharts.java
+++ b/src/main/java/switchgap/testbed/experiment/ReportCharts.java
@@ -122,8 +122,8 @@
     return chart;
   }
 
-  private static CategoryChart barChart(String title, int height) {
-    return new CategoryChartBuilder().width(WIDTH_PIXELS).height(height).title(title).build();
+  private static CategoryChart barChart(String title, int heightPixels) {
+    return new CategoryChartBuilder().width(WIDTH_PIXELS).height(heightPixels).title(title).build();
   }
 
   private static void addLine(
--- a/src/main/java/switchgap/testbed/experiment/SmallRequestLoad.java
+++ b/src/main/java/switchgap/testbed/experiment/SmallRequestLoad.java
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Sends over a number of connections, on each the next request as soon as the response has
-   * arrived.
+   * Sends over a fixed number of connections; on each connection, the next request follows as soon
+   * as the response to the previous one has arrived.
    */
   Result runClosedLoop(int connections, Duration warmUp, Duration duration)
       throws InterruptedException {
--- a/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
+++ b/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
@@ -59,13 +59,13 @@
   public static void run(Duration duration, int connections, int requestsPerSecond, PrintStream out)
       throws IOException, InterruptedException {
     Path directory = Files.createTempDirectory("switchgap-speed");
-    List<Process> children = new ArrayList<>();
+    List<Process> childProcesses = new ArrayList<>();
     try (NetworkTransport network = new NetworkTransport(SELECTORS, "lab")) {
       int[] workerPorts = startWorkers(network);
-      int[] ports = LoopbackPorts.free(2);
+      int[] relayAndRouterPorts = LoopbackPorts.free(2);
       Path config = directory.resolve("router.yaml");
-      Files.writeString(config, routerConfig(ports[1], workerPorts));
-      children.add(
+      Files.writeString(config, routerConfig(relayAndRouterPorts[1], workerPorts));
+      childProcesses.add(
           ChildProcess.start(
               directory.resolve("relay.log"),
               JVM_OPTIONS,
@@ -73,20 +73,23 @@
                   "benchmark",
                   "relay",
                   "--port",
-                  String.valueOf(ports[0]),
+                  String.valueOf(relayAndRouterPorts[0]),
                   "--workers",
                   commaSeparated(workerPorts))));
-      children.add(
+      childProcesses.add(
           ChildProcess.start(
               directory.resolve("router.log"), JVM_OPTIONS, List.of("router", config.toString())));
-      LoopbackPorts.await(ports[0]);
-      LoopbackPorts.await(ports[1]);
+      LoopbackPorts.await(relayAndRouterPorts[0]);
+      LoopbackPorts.await(relayAndRouterPorts[1]);
       Targets targets =
-          new Targets(addresses(workerPorts), addresses(ports[0]), addresses(ports[1]));
+          new Targets(
+              addresses(workerPorts),
+              addresses(relayAndRouterPorts[0]),
+              addresses(relayAndRouterPorts[1]));
       measureClosedLoop(network, targets, connections, duration, out);
       measureOpenLoop(network, targets, requestsPerSecond, duration, out);
     } finally {
-      children.forEach(Process::destroyForcibly);
+      childProcesses.forEach(Process::destroyForcibly);
     }
   }
 
--- a/src/main/java/switchgap/testbed/experiment/StaticThreshold.java
+++ b/src/main/java/switchgap/testbed/experiment/StaticThreshold.java
@@ -4,18 +4,19 @@
 import switchgap.router.RouterCore;
 
 /**
- * Baseline for load shedding with a static threshold: when a router has that many pending requests,
- * it rejects all request classes except those with the highest priority weight.
+ * Baseline for load shedding with a static threshold: when a router has {@code maxPendingRequests}
+ * pending requests or more, it rejects all request classes except those with the highest priority
+ * weight.
  *
- * @param maxPending number of pending requests from which requests are rejected
+ * @param maxPendingRequests smallest number of pending requests at which requests are rejected
  */
-record StaticThreshold(int maxPending) {
+record StaticThreshold(int maxPendingRequests) {
   boolean rejects(RouterCore core, RouterSettings settings, int requestClass) {
     double maxWeight = 0;
     for (int i = 0; i < settings.requestClassCount(); i++) {
       maxWeight = Math.max(maxWeight, settings.priorityWeight(i));
     }
     return settings.priorityWeight(requestClass) < maxWeight
-        && core.pendingRequests() >= maxPending;
+        && core.pendingRequests() >= maxPendingRequests;
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/Trial.java
+++ b/src/main/java/switchgap/testbed/experiment/Trial.java
@@ -55,17 +55,18 @@
   /** Samples the routers' current levels; the second's service is still unknown and added later. */
   private static SecondSample sample(VirtualTimeTestBed testBed, double load) {
     double levelSum = 0;
-    int belowFull = 0;
+    int routersBelowFull = 0;
     for (VirtualTimeRouter router : testBed.routers()) {
       AdmissionController admission = router.gate().admission();
       if (admission != null) {
         admission.tick(router.now());
         levelSum += serviceReduction(admission);
-        belowFull += admission.level() == ServiceLevel.FULL ? 0 : 1;
+        routersBelowFull += admission.level() == ServiceLevel.FULL ? 0 : 1;
       }
     }
-    int routers = testBed.routers().size();
-    return new SecondSample(load, 0, levelSum / routers, belowFull / (double) routers);
+    int routerCount = testBed.routers().size();
+    return new SecondSample(
+        load, 0, levelSum / routerCount, routersBelowFull / (double) routerCount);
   }
 
   /**
--- a/src/main/java/switchgap/testbed/experiment/Variant.java
+++ b/src/main/java/switchgap/testbed/experiment/Variant.java
@@ -39,35 +39,35 @@
    * Reads the list of variants, with entries such as {@code {name: off, before: nothing, pin:
    * least, terms: {levels.keep: 0.985}}}.
    */
-  static List<Variant> read(YamlDocument under) {
-    List<Variant> all = new ArrayList<>();
-    for (YamlDocument document : under.sections("variants")) {
-      Map<String, String> overrides = settingOverrides(document);
-      all.add(
+  static List<Variant> read(YamlDocument experimentDocument) {
+    List<Variant> variants = new ArrayList<>();
+    for (YamlDocument variantSection : experimentDocument.sections("variants")) {
+      Map<String, String> overrides = settingOverrides(variantSection);
+      variants.add(
           new Variant(
-              document.text("name"),
-              document.choice("before", AdmissionMode.class, AdmissionMode.LEVELS),
-              document.choice("pin", ServiceLevel.class, null),
+              variantSection.text("name"),
+              variantSection.choice("before", AdmissionMode.class, AdmissionMode.LEVELS),
+              variantSection.choice("pin", ServiceLevel.class, null),
               overrides));
-      document.rejectUnknownKeys();
+      variantSection.rejectUnknownKeys();
     }
-    if (all.isEmpty()) {
-      throw under.invalid("variants", "needs at least one variant");
+    if (variants.isEmpty()) {
+      throw experimentDocument.invalid("variants", "needs at least one variant");
     }
-    return all;
+    return variants;
   }
 
-  private static Map<String, String> settingOverrides(YamlDocument document) {
-    if (!document.has("terms")) {
+  private static Map<String, String> settingOverrides(YamlDocument variantSection) {
+    if (!variantSection.has("terms")) {
       return Map.of();
     }
     Map<String, String> overrides = new LinkedHashMap<>();
-    YamlDocument section = document.section("terms");
-    for (String key : section.keys()) {
+    YamlDocument overridesSection = variantSection.section("terms");
+    for (String key : overridesSection.keys()) {
       if (key.split("\\.").length != 2) {
-        throw section.invalid(key, "must have the form section.key");
+        throw overridesSection.invalid(key, "must have the form section.key");
       }
-      overrides.put(key, section.text(key));
+      overrides.put(key, overridesSection.text(key));
     }
     return Map.copyOf(overrides);
   }
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeExchange.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeExchange.java
@@ -19,8 +19,8 @@
   private static final long DELAY_MICROS = VirtualTimeTestBed.NETWORK_DELAY_MICROS;
   private static final long NANOS_PER_MICRO = 1000;
   private static final int HTTP_OK = 200;
-  private static final int HTTP_UNAVAILABLE = 503;
-  private static final Duration STATIC_RETRY_AFTER = Duration.ofMillis(500);
+  private static final int HTTP_SERVICE_UNAVAILABLE = 503;
+  private static final Duration STATIC_THRESHOLD_RETRY_AFTER = Duration.ofMillis(500);
 
   private final VirtualTimeScheduler scheduler;
   private final VirtualTimeRouter router;
@@ -48,22 +48,23 @@
   }
 
   void start() {
-    scheduler.after(DELAY_MICROS, () -> router.post(core -> arrive()));
+    scheduler.after(DELAY_MICROS, () -> router.post(core -> arriveAtRouter()));
     scheduler.after(attempt.deadline() - scheduler.now(), this::timeOut);
   }
 
-  private void arrive() {
-    request = pendingRequest();
+  private void arriveAtRouter() {
+    request = createPendingRequest();
     int requestClass = attempt.function().requestClass();
     if (staticThreshold != null
         && staticThreshold.rejects(router.gate().core(), settings, requestClass)) {
-      responded(request, Response.rejected(STATIC_RETRY_AFTER));
+      responded(request, Response.rejected(STATIC_THRESHOLD_RETRY_AFTER));
     } else if (!router.gate().offer(request)) {
-      endAfterNetworkDelay(ClientOutcome.REFUSED, HTTP_UNAVAILABLE, AttemptEnd.NO_RETRY_AFTER);
+      endAfterNetworkDelay(
+          ClientOutcome.REFUSED, HTTP_SERVICE_UNAVAILABLE, AttemptEnd.NO_RETRY_AFTER);
     }
   }
 
-  private PendingRequest pendingRequest() {
+  private PendingRequest createPendingRequest() {
     FunctionModel model = attempt.function();
     FunctionSettings function = settings.function(model.name());
     Duration timeLeft = Duration.ofNanos((attempt.deadline() - scheduler.now()) * NANOS_PER_MICRO);
@@ -88,7 +89,7 @@
   }
 
   @Override
-  public void responded(PendingRequest answered, Response response) {
+  public void responded(PendingRequest answeredRequest, Response response) {
     long retryAfterMillis =
         response.retryAfter() == null
             ? AttemptEnd.NO_RETRY_AFTER
@@ -100,11 +101,13 @@
           case FAILED -> ClientOutcome.FAILED;
         };
     endAfterNetworkDelay(
-        outcome, outcome == ClientOutcome.SUCCEEDED ? HTTP_OK : HTTP_UNAVAILABLE, retryAfterMillis);
+        outcome,
+        outcome == ClientOutcome.SUCCEEDED ? HTTP_OK : HTTP_SERVICE_UNAVAILABLE,
+        retryAfterMillis);
   }
 
   @Override
-  public void deadlineMissed(PendingRequest overdue, Response late) {}
+  public void deadlineMissed(PendingRequest overdueRequest, Response lateResponse) {}
 
   /** Ends the attempt when the response has reached the client. */
   private void endAfterNetworkDelay(ClientOutcome outcome, int status, long retryAfterMillis) {
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeFleet.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeFleet.java
@@ -17,7 +17,7 @@
   /** Receives the changes of the endpoint list. */
   interface EndpointListListener {
     /** Called when every router has to receive the changed state of a worker. */
-    void stateChanged(String worker, WorkerState state);
+    void workerStateChanged(String workerName, WorkerState state);
   }
 
   private static final String PLACEHOLDER_HOST = "emulated";
@@ -103,7 +103,7 @@
 
   private void setState(String name, WorkerState state) {
     readyByWorker.put(name, state == WorkerState.READY);
-    scheduler.after(scenario.listLag(), () -> endpointListListener.stateChanged(name, state));
+    scheduler.after(scenario.listLag(), () -> endpointListListener.workerStateChanged(name, state));
   }
 
   /** Returns the worker with this name, null if there is none. */
@@ -141,14 +141,14 @@
 
   /** Returns the complete endpoint list in the form that a router receives. */
   List<EndpointUpdate> endpointList(VirtualTimeRouter router) {
-    List<EndpointUpdate> list = new ArrayList<>();
+    List<EndpointUpdate> updates = new ArrayList<>();
     readyByWorker.forEach(
         (name, isReady) -> {
           if (isReady) {
-            list.add(endpointUpdate(name, WorkerState.READY, router));
+            updates.add(endpointUpdate(name, WorkerState.READY, router));
           }
         });
-    return list;
+    return updates;
   }
 
   /** Returns a worker's entry of the endpoint list in the form that a router receives. */
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeTestBed.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeTestBed.java
@@ -129,14 +129,14 @@
         new AdmissionGate(
             core,
             routerSettings,
-            admissionController(router, routerSettings, coreSeed + 1),
+            createAdmissionController(router, routerSettings, coreSeed + 1),
             change -> levelChanges.add(new RouterLevelChange(routerIndex, change))));
     List<EndpointUpdate> endpointList = fleet.endpointList(router);
     router.post(routerCore -> routerCore.endpointListReceived(true, endpointList));
   }
 
   /** Creates the variant's admission control, null if it has none. */
-  private AdmissionController admissionController(
+  private AdmissionController createAdmissionController(
       VirtualTimeRouter router, YamlRouterSettings routerSettings, long admissionSeed) {
     if (variant.admission() != Variant.AdmissionMode.LEVELS) {
       return null;
@@ -153,20 +153,20 @@
     return settingsByRouter.get(0).workerKindIndex(kind);
   }
 
-  private void notifyRouters(String worker, WorkerState state) {
+  private void notifyRouters(String workerName, WorkerState state) {
     for (VirtualTimeRouter router : routers) {
-      EndpointUpdate update = fleet.endpointUpdate(worker, state, router);
+      EndpointUpdate update = fleet.endpointUpdate(workerName, state, router);
       router.post(core -> core.endpointListReceived(false, List.of(update)));
     }
   }
 
   private void send(
       ClientTransport.ClientAttempt attempt, ClientTransport.AttemptListener listener) {
-    int router = attempt.router();
+    int routerIndex = attempt.router();
     new VirtualTimeExchange(
             scheduler,
-            routers.get(router),
-            settingsByRouter.get(router),
+            routers.get(routerIndex),
+            settingsByRouter.get(routerIndex),
             staticThreshold,
             attempt,
             listener)
@@ -197,7 +197,7 @@
   }
 
   /**
-   * Runs the clients for a number of seconds, and then ten more seconds in which requests in flight
+   * Runs the clients for a number of seconds, and then a drain period in which requests in flight
    * can end. The callback runs after each second with the second's index.
    */
   void run(long seconds, LongConsumer afterEachSecond) {
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeWorkerTransport.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeWorkerTransport.java
@@ -32,7 +32,7 @@
   private final FunctionCatalogue catalogue;
   private final boolean reportsLoad;
 
-  /** {@code reportsLoad} tells whether workers report utilization and queue length. */
+  /** {@code reportsLoad} is true if workers report utilization and queue length. */
   VirtualTimeWorkerTransport(
       VirtualTimeRouter router,
       VirtualTimeScheduler scheduler,
--- a/src/test/java/switchgap/testbed/experiment/LoadCurveReaderTest.java
+++ b/src/test/java/switchgap/testbed/experiment/LoadCurveReaderTest.java
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void interpolatesBetweenPointsAndStaysAtTheLastOne() throws Exception {
+  void interpolatesBetweenPointsAndKeepsLoadAfterLastPoint() throws Exception {
     LoadCurve curve = read("points: [{at: 0s, load: 0.5}, {at: 10s, load: 1.5}]");
 
     assertThat(curve.seconds()).isEqualTo(10);
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void addsWavesAndNeverFallsBelowZero() throws Exception {
+  void addsWaveAndNeverFallsBelowZero() throws Exception {
     LoadCurve curve =
         read(
             "points: [{at: 0s, load: 0.1}, {at: 40s, load: 0.1}]\n"
@@ -70,7 +70,7 @@
             + " previous point",
         "seconds,load;0,1              | points: needs at least two points, here or in a csv file",
       })
-  void rejectsMalformedCsvWithItsPlaceAndReason(String rows, String message) {
+  void rejectsInvalidCsvWithLineAndReason(String rows, String message) {
     String csv = rows.strip().replace(';', '\n') + "\n";
 
     assertThatThrownBy(() -> readCsv(csv))
--- a/src/test/java/switchgap/testbed/experiment/TrialTest.java
+++ b/src/test/java/switchgap/testbed/experiment/TrialTest.java
@@ -27,36 +27,38 @@
   }
 
   @Test
-  void repeatsTheTrialForTheSameSeedAndNotForAnother() throws Exception {
+  void givesSameResultOnlyForSameSeed() throws Exception {
     Trial trial = run(SEED, Variant.LEVELS, 1.5);
-    Trial repeated = run(SEED, Variant.LEVELS, 1.5);
+    Trial repeatedTrial = run(SEED, Variant.LEVELS, 1.5);
     Trial trialOfOtherSeed = run(OTHER_SEED, Variant.LEVELS, 1.5);
 
-    assertThat(repeated.service()).isEqualTo(trial.service());
-    assertThat(repeated.eventCount()).isEqualTo(trial.eventCount());
+    assertThat(repeatedTrial.service()).isEqualTo(trial.service());
+    assertThat(repeatedTrial.eventCount()).isEqualTo(trial.eventCount());
     assertThat(trialOfOtherSeed.eventCount()).isNotEqualTo(trial.eventCount());
   }
 
   @Test
   void changesNoLevelUnderLowLoad() throws Exception {
-    Trial levels = run(SEED, Variant.LEVELS, LOW_LOAD);
-    Trial off = run(SEED, Variant.OFF, LOW_LOAD);
+    Trial trialWithLevels = run(SEED, Variant.LEVELS, LOW_LOAD);
+    Trial trialWithoutAdmission = run(SEED, Variant.OFF, LOW_LOAD);
 
-    assertThat(levels.levels().commonChangeCount()).isZero();
-    assertThat(levels.service().overall()).isEqualTo(off.service().overall());
+    assertThat(trialWithLevels.levels().commonChangeCount()).isZero();
+    assertThat(trialWithLevels.service().overall())
+        .isEqualTo(trialWithoutAdmission.service().overall());
   }
 
   @Test
   void changesLevelsInOverloadWithoutLossOfService() throws Exception {
-    Trial levels = run(SEED, Variant.LEVELS, OVERLOAD);
-    Trial off = run(SEED, Variant.OFF, OVERLOAD);
+    Trial trialWithLevels = run(SEED, Variant.LEVELS, OVERLOAD);
+    Trial trialWithoutAdmission = run(SEED, Variant.OFF, OVERLOAD);
 
-    assertThat(levels.levels().commonChangeCount()).isPositive();
-    assertThat(levels.service().overall()).isGreaterThan(off.service().overall() - 0.005);
+    assertThat(trialWithLevels.levels().commonChangeCount()).isPositive();
+    assertThat(trialWithLevels.service().overall())
+        .isGreaterThan(trialWithoutAdmission.service().overall() - 0.005);
   }
 
   @Test
-  void leastLevelServesTheImportantRequestClassAlone() throws Exception {
+  void leastLevelServesOnlyTheImportantRequestClass() throws Exception {
     Variant pinnedToLeast =
         new Variant("pinned", Variant.AdmissionMode.LEVELS, ServiceLevel.LEAST, Map.of());
     Map<String, Double> leastShares =
--- a/src/test/java/switchgap/testbed/experiment/VirtualTimeAgainstSocketsTest.java
+++ b/src/test/java/switchgap/testbed/experiment/VirtualTimeAgainstSocketsTest.java
@@ -42,18 +42,20 @@
     return testBed.clients();
   }
 
-  private void assertSameService(int rate) throws Exception {
+  private void assertSimilarService(int rate) throws Exception {
     Path scenario = SmallScenario.write(directory, SECONDS, rate);
-    EmulatedClients sockets = runOnSockets(scenario);
-    EmulatedClients virtualTime = runInVirtualTime(scenario);
+    EmulatedClients clientsOnSockets = runOnSockets(scenario);
+    EmulatedClients clientsInVirtualTime = runInVirtualTime(scenario);
 
-    virtualTime
+    clientsInVirtualTime
         .tallies()
-        .forEach((name, expected) -> assertSameTally(sockets.tallies().get(name), expected));
-    assertThat(sockets.service()).isCloseTo(virtualTime.service(), within(TOLERANCE));
+        .forEach(
+            (name, expected) -> assertSimilarTally(clientsOnSockets.tallies().get(name), expected));
+    assertThat(clientsOnSockets.service())
+        .isCloseTo(clientsInVirtualTime.service(), within(TOLERANCE));
   }
 
-  private static void assertSameTally(RequestTally actual, RequestTally expected) {
+  private static void assertSimilarTally(RequestTally actual, RequestTally expected) {
     assertThat(actual.requests()).isEqualTo(expected.requests()); // both get the same arrivals
     assertThat(share(actual.succeeded(), actual.requests()))
         .isCloseTo(share(expected.succeeded(), expected.requests()), within(TOLERANCE));
@@ -69,12 +71,12 @@
   }
 
   @Test
-  void servesLowLoadAlike() throws Exception {
-    assertSameService(50);
+  void servesLowLoadAlikeInBothEnvironments() throws Exception {
+    assertSimilarService(50);
   }
 
   @Test
-  void servesOverloadAlike() throws Exception {
-    assertSameService(200);
+  void servesOverloadAlikeInBothEnvironments() throws Exception {
+    assertSimilarService(200);
   }
 }
