--- a/src/main/java/switchgap/testbed/experiment/ExperimentCase.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentCase.java
@@ -22,7 +22,8 @@
   }
 
   /** Returns the trials of a variant, in the order of the seeds. */
-  @SuppressWarnings("ReferenceEquality") // two variants of an experiment may be equal
+  @SuppressWarnings(
+      "ReferenceEquality") // equal variants are still separate ones, with trials of their own
   List<Trial> trialsOf(Variant variant) {
     return trials.stream().filter(trial -> trial.variant() == variant).toList();
   }
@@ -34,7 +35,7 @@
   }
 
   Spread service(Variant variant) {
-    return spread(variant, trial -> trial.service().overall());
+    return spread(variant, trial -> trial.service().overallService());
   }
 
   /**
@@ -47,7 +48,8 @@
     double[] differences = new double[variantTrials.size()];
     for (int i = 0; i < differences.length; i++) {
       differences[i] =
-          variantTrials.get(i).service().overall() - referenceTrials.get(i).service().overall();
+          variantTrials.get(i).service().overallService()
+              - referenceTrials.get(i).service().overallService();
     }
     return Spread.of(differences);
   }
--- a/src/main/java/switchgap/testbed/experiment/ExperimentReport.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentReport.java
@@ -79,9 +79,9 @@
         "<tr><td>%s<td>%.3f ± %.3f<td>%+.3f ± %.3f",
         variant.name(),
         service.mean(),
-        service.deviation(),
+        service.standardDeviation(),
         difference.mean(),
-        difference.deviation());
+        difference.standardDeviation());
     for (String requestClass : experimentCase.requestClasses()) {
       appendFormatted("<td>%.3f", experimentCase.objectiveMetShare(variant, requestClass).mean());
     }
--- a/src/main/java/switchgap/testbed/experiment/ExperimentSummary.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentSummary.java
@@ -51,9 +51,9 @@
         "%-10s %.3f ±%.3f   %+.3f ±%.3f   %-40s %8.1f %7d %5d %5.2f %s%n",
         variant.name(),
         service.mean(),
-        service.deviation(),
+        service.standardDeviation(),
         difference.mean(),
-        difference.deviation(),
+        difference.standardDeviation(),
         formatObjectivesMet(experimentCase, variant),
         experimentCase.meanChangesPerRouter(variant),
         experimentCase.maxChangesInFourMinStays(variant),
@@ -63,12 +63,12 @@
   }
 
   private static String formatObjectivesMet(ExperimentCase experimentCase, Variant variant) {
-    StringBuilder text = new StringBuilder();
+    StringBuilder formattedShares = new StringBuilder();
     for (String requestClass : experimentCase.requestClasses()) {
       double mean = experimentCase.objectiveMetShare(variant, requestClass).mean();
-      text.append(String.format("%s %.3f  ", requestClass, mean));
+      formattedShares.append(String.format("%s %.3f  ", requestClass, mean));
     }
-    return text.toString();
+    return formattedShares.toString();
   }
 
   /**
@@ -76,7 +76,7 @@
    * all trials.
    */
   private static String formatLevels(List<Trial> trials) {
-    StringBuilder text = new StringBuilder();
+    StringBuilder formattedLevels = new StringBuilder();
     trials
         .get(0)
         .levels()
@@ -84,14 +84,15 @@
         .forEach(
             (level, seconds) -> {
               if (seconds > 0) {
-                text.append(String.format("%s %.0f s ", EnumWords.wordOf(level), seconds));
+                formattedLevels.append(
+                    String.format("%s %.0f s ", EnumWords.wordOf(level), seconds));
               }
             });
     for (Trial trial : trials) {
       if (!trial.levels().tenantChangeCounts().isEmpty()) {
-        text.append(trial.levels().tenantChangeCounts()).append(' ');
+        formattedLevels.append(trial.levels().tenantChangeCounts()).append(' ');
       }
     }
-    return text.toString();
+    return formattedLevels.toString();
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/ExperimentTables.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentTables.java
@@ -74,7 +74,8 @@
 
   private static void writeTrial(ResultTable table, ExperimentCase experimentCase, Trial trial)
       throws IOException {
-    writeFigure(table, experimentCase, trial, "all", "", "service", trial.service().overall());
+    writeFigure(
+        table, experimentCase, trial, "all", "", "service", trial.service().overallService());
     writeFigure(table, experimentCase, trial, "all", "", "bound", trial.service().capacityBound());
     writeFigure(
         table, experimentCase, trial, "all", "", "changes", trial.levels().commonChangeCount());
@@ -125,7 +126,7 @@
           experimentCase.name(),
           trial.variant().name(),
           trial.seed(),
-          routerChange.router(),
+          routerChange.routerIndex(),
           change.time().toMillis() / 1e3,
           tenant,
           EnumWords.wordOf(change.previous()),
--- a/src/main/java/switchgap/testbed/experiment/LevelFigures.java
+++ b/src/main/java/switchgap/testbed/experiment/LevelFigures.java
@@ -91,7 +91,7 @@
     int maxChanges = 0;
     ArrayDeque<Duration> changeTimesInWindow = new ArrayDeque<>();
     for (RouterLevelChange change : changes) {
-      if (change.router() == routerIndex && change.isCommon()) {
+      if (change.routerIndex() == routerIndex && change.isCommon()) {
         Duration changeTime = change.change().time();
         while (!changeTimesInWindow.isEmpty()
             && changeTime.minus(changeTimesInWindow.peek()).compareTo(window) > 0) {
--- a/src/main/java/switchgap/testbed/experiment/RouterLevelChange.java
+++ b/src/main/java/switchgap/testbed/experiment/RouterLevelChange.java
@@ -3,7 +3,7 @@
 import switchgap.admission.ServiceLevelChange;
 
 /** A change of a service level at the router with the given index. */
-record RouterLevelChange(int router, ServiceLevelChange change) {
+record RouterLevelChange(int routerIndex, ServiceLevelChange change) {
   /** Whether the changed level applies to all tenants. */
   boolean isCommon() {
     return change.appliesToAll();
--- a/src/main/java/switchgap/testbed/experiment/ServiceFigures.java
+++ b/src/main/java/switchgap/testbed/experiment/ServiceFigures.java
@@ -7,14 +7,14 @@
 /**
  * Figures about the service that a trial's clients received.
  *
- * @param overall share of the requested weight that was earned
+ * @param overallService share of the requested weight that was earned
  * @param capacityBound largest share of the requested weight that the fleet's capacity allows to
  *     earn
  * @param objectiveMetShare share of the requests that met their latency objective, by request class
  * @param serviceByTenant share of the requested weight that was earned, by tenant
  */
 record ServiceFigures(
-    double overall,
+    double overallService,
     double capacityBound,
     Map<String, Double> objectiveMetShare,
     Map<String, Double> serviceByTenant) {
--- a/src/main/java/switchgap/testbed/experiment/Spread.java
+++ b/src/main/java/switchgap/testbed/experiment/Spread.java
@@ -1,7 +1,7 @@
 package switchgap.testbed.experiment;
 
 /** Mean and standard deviation of a figure over the seeds; the deviation of a single value is 0. */
-record Spread(double mean, double deviation) {
+record Spread(double mean, double standardDeviation) {
   static Spread of(double[] values) {
     double mean = 0;
     for (double value : values) {
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeRouter.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeRouter.java
@@ -84,12 +84,12 @@
     return nextDue == null ? NOT_SCHEDULED : startMicros + nextDue.toNanos() / NANOS_PER_MICRO + 1;
   }
 
-  private void scheduleWakeUp(long dueMicros) {
-    wakeUpMicros = dueMicros;
+  private void scheduleWakeUp(long nextWakeUpMicros) {
+    wakeUpMicros = nextWakeUpMicros;
     scheduler.after(
-        dueMicros - scheduler.now(),
+        nextWakeUpMicros - scheduler.now(),
         () -> {
-          if (wakeUpMicros == dueMicros && !tickScheduled && !stopped) {
+          if (wakeUpMicros == nextWakeUpMicros && !tickScheduled && !stopped) {
             wakeUpMicros = NOT_SCHEDULED;
             tick();
           }
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeScheduler.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeScheduler.java
@@ -16,7 +16,10 @@
               left.dueMicros != right.dueMicros
                   ? Long.compare(left.dueMicros, right.dueMicros)
                   : Long.compare(left.sequenceNumber, right.sequenceNumber));
+
+  /** The current time, which starts at the same value in each run. */
   private long nowMicros = 1_000_000_000_000L;
+
   private long eventCount;
 
   @Override
--- a/src/test/java/switchgap/testbed/experiment/TrialTest.java
+++ b/src/test/java/switchgap/testbed/experiment/TrialTest.java
@@ -43,8 +43,8 @@
     Trial trialWithoutAdmission = run(SEED, Variant.OFF, LOW_LOAD);
 
     assertThat(trialWithLevels.levels().commonChangeCount()).isZero();
-    assertThat(trialWithLevels.service().overall())
-        .isEqualTo(trialWithoutAdmission.service().overall());
+    assertThat(trialWithLevels.service().overallService())
+        .isEqualTo(trialWithoutAdmission.service().overallService());
   }
 
   @Test
@@ -53,8 +53,8 @@
     Trial trialWithoutAdmission = run(SEED, Variant.OFF, OVERLOAD);
 
     assertThat(trialWithLevels.levels().commonChangeCount()).isPositive();
-    assertThat(trialWithLevels.service().overall())
-        .isGreaterThan(trialWithoutAdmission.service().overall() - 0.005);
+    assertThat(trialWithLevels.service().overallService())
+        .isGreaterThan(trialWithoutAdmission.service().overallService() - 0.005);
   }
 
   @Test
