--- a/src/main/java/switchgap/cli/BenchmarkRelayCommand.java
+++ b/src/main/java/switchgap/cli/BenchmarkRelayCommand.java
@@ -18,7 +18,7 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    SpeedMeasurement.relay(port, workerPorts);
+    SpeedMeasurement.startRelay(port, workerPorts);
     Thread.currentThread().join();
     return ExitCode.OK;
   }
--- a/src/main/java/switchgap/cli/PlannerSupervisor.java
+++ b/src/main/java/switchgap/cli/PlannerSupervisor.java
@@ -36,7 +36,7 @@
     while (!closed) {
       long startedAt = System.nanoTime();
       try {
-        plannerProcess = ChildProcess.planner(log, configFile);
+        plannerProcess = ChildProcess.startPlanner(log, configFile);
         int exitCode = plannerProcess.waitFor();
         if (closed) {
           return;
--- a/src/main/java/switchgap/cli/ScenarioRunCommand.java
+++ b/src/main/java/switchgap/cli/ScenarioRunCommand.java
@@ -32,7 +32,7 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    ScenarioRunner.play(scenarioFile, logDirectory, baseline, System.out);
+    ScenarioRunner.run(scenarioFile, logDirectory, baseline, System.out);
     return ExitCode.OK;
   }
 }
--- a/src/main/java/switchgap/cli/SoakCommand.java
+++ b/src/main/java/switchgap/cli/SoakCommand.java
@@ -80,7 +80,7 @@
                 seconds,
                 profile,
                 excluded,
-                Soak.runCommand(deployFile),
+                Soak.readRunCommand(deployFile),
                 directory.toAbsolutePath()),
             System.out);
     if (!invariantsHeld) {
--- a/src/main/java/switchgap/planner/PendingLoadQueue.java
+++ b/src/main/java/switchgap/planner/PendingLoadQueue.java
@@ -94,7 +94,7 @@
    *
    * @throws IllegalArgumentException if the epoch is not greater than all earlier ones
    */
-  public void connected(long newEpoch) {
+  public void plannerConnected(long newEpoch) {
     if (newEpoch <= epoch) {
       throw new IllegalArgumentException(
           "epoch " + newEpoch + " is not greater than the last epoch " + epoch);
@@ -104,7 +104,7 @@
   }
 
   /** The planner has disconnected: all pending loads are released in the order of their arrival. */
-  public void disconnected() {
+  public void plannerDisconnected() {
     state = State.ALONE;
     releaseAll();
   }
@@ -181,7 +181,7 @@
    *
    * @return the time at which the next load times out, or null if none is pending
    */
-  public Duration tick(Duration now) {
+  public Duration releaseTimedOut(Duration now) {
     for (Entry entry : List.copyOf(entries.values())) {
       if (entry.timeoutAt.compareTo(now) > 0) {
         return entry.timeoutAt;
@@ -218,7 +218,7 @@
    *
    * @param priorityWeight returns the sum of the weights of the requests that wait for a function
    */
-  public List<PendingLoad> waiting(Duration now, ToDoubleFunction<String> priorityWeight) {
+  public List<PendingLoad> pendingLoads(Duration now, ToDoubleFunction<String> priorityWeight) {
     List<PendingLoad> loads = new ArrayList<>(entries.size());
     for (Entry entry : entries.values()) {
       PendingLoad load = entry.load;
--- a/src/main/java/switchgap/server/gateway/BacklogPublisher.java
+++ b/src/main/java/switchgap/server/gateway/BacklogPublisher.java
@@ -69,6 +69,6 @@
         new LoadBacklog(
             queue.epoch(),
             lastSequence,
-            queue.waiting(core.now(), function -> weights.getOrDefault(function, 0.0))));
+            queue.pendingLoads(core.now(), function -> weights.getOrDefault(function, 0.0))));
   }
 }
--- a/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/PlannedWorkerTransport.java
@@ -69,7 +69,7 @@
 
   /** Called when a planner has connected; its plans must name this epoch. */
   void plannerConnected(RouterCore core, long epoch) {
-    queue.connected(epoch);
+    queue.plannerConnected(epoch);
     publisher.plannerConnected(core);
   }
 
@@ -78,7 +78,7 @@
    */
   void plannerDisconnected(long epoch) {
     if (queue.epoch() == epoch) {
-      queue.disconnected();
+      queue.plannerDisconnected();
     }
   }
 
@@ -141,7 +141,7 @@
 
   /** Sends loads that have timed out, and schedules the next call while any load waits. */
   private void tick(RouterCore core) {
-    Duration nextTimeout = queue.tick(core.now());
+    Duration nextTimeout = queue.releaseTimedOut(core.now());
     tickScheduled = nextTimeout != null;
     if (tickScheduled) {
       core.schedule(nextTimeout, () -> tick(core));
--- a/src/main/java/switchgap/testbed/emulator/EmulatedWorker.java
+++ b/src/main/java/switchgap/testbed/emulator/EmulatedWorker.java
@@ -78,7 +78,7 @@
   }
 
   /** Whether the process was killed or has crashed. */
-  public boolean isDead() {
+  public boolean isKilled() {
     return killed;
   }
 
--- a/src/main/java/switchgap/testbed/emulator/FunctionCatalogue.java
+++ b/src/main/java/switchgap/testbed/emulator/FunctionCatalogue.java
@@ -124,7 +124,7 @@
    * Adds one loaded replica of each function to a worker, while memory allows, to emulate a fleet
    * that has already served requests.
    */
-  public void seed(List<EmulatedWorker> fleet) {
+  public void seedReplicas(List<EmulatedWorker> fleet) {
     for (FunctionModel model : functions()) {
       int workerIndex = Math.floorMod(model.name().hashCode() * WORKER_HASH_FACTOR, fleet.size());
       fleet.get(workerIndex).seedReplica(model);
--- a/src/main/java/switchgap/testbed/emulator/RequestTally.java
+++ b/src/main/java/switchgap/testbed/emulator/RequestTally.java
@@ -57,7 +57,7 @@
   }
 
   /** Number of requests that succeeded, but after their latency objective. */
-  public long late() {
+  public long succeededLate() {
     return succeededLate;
   }
 
--- a/src/main/java/switchgap/testbed/experiment/ExperimentCase.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentCase.java
@@ -69,7 +69,7 @@
   /** Mean number of changes of the common service level per router. */
   double meanChangesPerRouter(Variant variant) {
     return spread(
-            variant, trial -> trial.levels().commonChangeCount() / (double) scenario.routers())
+            variant, trial -> trial.levels().commonChangeCount() / (double) scenario.routerCount())
         .mean();
   }
 
--- a/src/main/java/switchgap/testbed/experiment/ExperimentReport.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentReport.java
@@ -60,8 +60,8 @@
         "<h2>%s</h2><p>%d workers, %d routers, %d s of simulated time; bound from capacity"
             + " %.3f.</p><table><tr><th>variant<th>service<th>to %s",
         experimentCase.name(),
-        experimentCase.scenario().workers(),
-        experimentCase.scenario().routers(),
+        experimentCase.scenario().workerCount(),
+        experimentCase.scenario().routerCount(),
         experimentCase.curve().seconds(),
         experimentCase.serviceBound(),
         experiment.referenceVariant().name());
--- a/src/main/java/switchgap/testbed/experiment/ExperimentSummary.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentSummary.java
@@ -24,8 +24,8 @@
         "%n%s: %d s of simulated time, %d workers, %d routers, bound from capacity %.3f%n",
         experimentCase.name(),
         experimentCase.curve().seconds(),
-        experimentCase.scenario().workers(),
-        experimentCase.scenario().routers(),
+        experimentCase.scenario().workerCount(),
+        experimentCase.scenario().routerCount(),
         experimentCase.serviceBound());
     out.printf(
         "%-10s %-14s %-15s %-40s %8s %7s %5s %5s %s%n",
--- a/src/main/java/switchgap/testbed/experiment/LoadRun.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRun.java
@@ -83,10 +83,10 @@
 
   private static void requireAddressOfEachRouter(
       Path file, Scenario scenario, List<InetSocketAddress> routerAddresses) {
-    if (!routerAddresses.isEmpty() && routerAddresses.size() != scenario.routers()) {
+    if (!routerAddresses.isEmpty() && routerAddresses.size() != scenario.routerCount()) {
       String message =
           "the day of this load has "
-              + scenario.routers()
+              + scenario.routerCount()
               + " routers, but "
               + routerAddresses.size()
               + " router addresses were given";
@@ -147,7 +147,7 @@
     clients.setRateCurve(curve.rateFactor(scenario));
     for (int i = 0; i < routerAddresses.size(); i++) {
       transport.setRouter(i, routerAddresses.get(i));
-      clients.setZone(i, scenario.zone(i));
+      clients.setZone(i, scenario.zoneName(i));
     }
     return clients;
   }
--- a/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
+++ b/src/main/java/switchgap/testbed/experiment/SpeedMeasurement.java
@@ -44,7 +44,7 @@
   private SpeedMeasurement() {}
 
   /** Starts the relay in this process; runs in the child process that {@link #run} starts. */
-  public static void relay(int port, List<Integer> workerPorts) throws IOException {
+  public static void startRelay(int port, List<Integer> workerPorts) throws IOException {
     int[] ports = workerPorts.stream().mapToInt(Integer::intValue).toArray();
     BareRelay.serve(port, addresses(ports), SELECTORS);
   }
@@ -62,7 +62,7 @@
     List<Process> childProcesses = new ArrayList<>();
     try (NetworkTransport network = new NetworkTransport(SELECTORS, "lab")) {
       int[] workerPorts = startWorkers(network);
-      int[] relayAndRouterPorts = LoopbackPorts.free(2);
+      int[] relayAndRouterPorts = LoopbackPorts.findFree(2);
       Path config = directory.resolve("router.yaml");
       Files.writeString(config, routerConfig(relayAndRouterPorts[1], workerPorts));
       childProcesses.add(
@@ -79,8 +79,8 @@
       childProcesses.add(
           ChildProcess.start(
               directory.resolve("router.log"), JVM_OPTIONS, List.of("router", config.toString())));
-      LoopbackPorts.await(relayAndRouterPorts[0]);
-      LoopbackPorts.await(relayAndRouterPorts[1]);
+      LoopbackPorts.awaitListening(relayAndRouterPorts[0]);
+      LoopbackPorts.awaitListening(relayAndRouterPorts[1]);
       Targets targets =
           new Targets(
               addresses(workerPorts),
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeFaults.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeFaults.java
@@ -69,7 +69,7 @@
   }
 
   private void restartRouters(double share) {
-    long count = Math.max(1, Math.round(share * scenario.routers()));
+    long count = Math.max(1, Math.round(share * scenario.routerCount()));
     for (int i = 0; i < count; i++) {
       restartRouter.accept(i);
     }
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeFleet.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeFleet.java
@@ -123,7 +123,7 @@
     List<EmulatedWorker> readyWorkers = new ArrayList<>();
     workers.forEach(
         (name, worker) -> {
-          if (readyByWorker.get(name) && !worker.isDead()) {
+          if (readyByWorker.get(name) && !worker.isKilled()) {
             readyWorkers.add(worker);
           }
         });
@@ -133,7 +133,7 @@
   /** Returns the mean CPU utilization of the running workers, 0 if none runs. */
   double meanUtilization() {
     return workers.values().stream()
-        .filter(worker -> !worker.isDead())
+        .filter(worker -> !worker.isKilled())
         .mapToDouble(EmulatedWorker::utilization)
         .average()
         .orElse(0);
@@ -159,7 +159,7 @@
         PLACEHOLDER_HOST,
         PLACEHOLDER_PORT,
         state,
-        scenario.zoneOf(workerIndex),
+        scenario.zoneIndex(workerIndex),
         workerIndex / scenario.cellSize(),
         workerKindIndex.applyAsInt(scenario.kindName(workerIndex)),
         scenario.computeCapacityOf(workerIndex),
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeTestBed.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeTestBed.java
@@ -87,20 +87,20 @@
   }
 
   private void startWorkers() {
-    for (int i = 0; i < scenario.workers(); i++) {
+    for (int i = 0; i < scenario.workerCount(); i++) {
       fleet.startWarm();
     }
-    catalogue.seed(fleet.workers());
+    catalogue.seedReplicas(fleet.workers());
   }
 
   private void startRouters() {
-    for (int i = 0; i < scenario.routers(); i++) {
+    for (int i = 0; i < scenario.routerCount(); i++) {
       settingsByRouter.add(
           new YamlRouterSettings(
               YamlDocument.read(
                   "router " + i,
                   scenario.routerConfig(i, 1, 1, catalogue, variant.settingOverrides()))));
-      clients.setZone(i, scenario.zone(i));
+      clients.setZone(i, scenario.zoneName(i));
       routers.add(null);
       startRouter(i);
     }
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeWorkerTransport.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeWorkerTransport.java
@@ -79,7 +79,7 @@
   }
 
   private static boolean isUnreachable(EmulatedWorker worker) {
-    return worker == null || worker.isDead();
+    return worker == null || worker.isKilled();
   }
 
   /** Posts a worker's response to the router after the network delay. */
--- a/src/main/java/switchgap/testbed/process/ChildProcess.java
+++ b/src/main/java/switchgap/testbed/process/ChildProcess.java
@@ -19,7 +19,7 @@
    * @param config configuration file of the router that the planner belongs to
    * @throws IOException if the process can't be started
    */
-  public static Process planner(Path log, Path config) throws IOException {
+  public static Process startPlanner(Path log, Path config) throws IOException {
     return start(log, PLANNER_JVM_OPTIONS, List.of("planner", config.toString()));
   }
 
--- a/src/main/java/switchgap/testbed/process/LoopbackPorts.java
+++ b/src/main/java/switchgap/testbed/process/LoopbackPorts.java
@@ -19,7 +19,7 @@
    *
    * @throws IOException if a port can't be bound
    */
-  public static int[] free(int count) throws IOException {
+  public static int[] findFree(int count) throws IOException {
     List<ServerSocket> sockets = new ArrayList<>();
     try {
       for (int i = 0; i < count; i++) {
@@ -38,7 +38,7 @@
    *
    * @throws IOException if none does within 15 s
    */
-  public static void await(int port) throws IOException {
+  public static void awaitListening(int port) throws IOException {
     long deadline = System.nanoTime() + LISTEN_TIMEOUT_NANOS;
     while (true) {
       try (Socket socket = new Socket("127.0.0.1", port)) {
--- a/src/main/java/switchgap/testbed/scenario/DemoScenario.java
+++ b/src/main/java/switchgap/testbed/scenario/DemoScenario.java
@@ -37,7 +37,7 @@
     if (untilInterrupted) {
       keepRunning(file, directory, out);
     }
-    ScenarioRunner.play(file, directory, null, out);
+    ScenarioRunner.run(file, directory, null, out);
     InvariantChecker checker = InvariantChecker.read(directory);
     checker.print(out);
     return checker.violations().isEmpty() ? 0 : 1;
--- a/src/main/java/switchgap/testbed/scenario/EmulatorHost.java
+++ b/src/main/java/switchgap/testbed/scenario/EmulatorHost.java
@@ -38,7 +38,7 @@
         .fleet()
         .servers()
         .forEach(server -> out.println(server.name() + " at 127.0.0.1:" + server.port()));
-    for (int i = 0; i < testBed.scenario().routers(); i++) {
+    for (int i = 0; i < testBed.scenario().routerCount(); i++) {
       out.println(
           "./switchgap router "
               + directory.resolve("router-" + i + ".yaml")
--- a/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/ListFaultInjector.java
@@ -15,7 +15,8 @@
       case TRAFFIC_MOVED -> {
         testBed
             .clients()
-            .shiftTrafficTo(fault.target() == null ? testBed.scenario().zone(0) : fault.target());
+            .shiftTrafficTo(
+                fault.target() == null ? testBed.scenario().zoneName(0) : fault.target());
         testBed.scheduler().after(fault.duration(), () -> testBed.clients().shiftTrafficTo(null));
       }
       case LIST_LATE -> {
--- a/src/main/java/switchgap/testbed/scenario/RouterGroup.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterGroup.java
@@ -28,9 +28,9 @@
     this.scenario = scenario;
     this.directory = directory;
     boolean ownPlanners = scenario.settings().routers().ownPlanners();
-    int count = scenario.routers();
+    int count = scenario.routerCount();
     // One call for all ports: two separate calls could return the same port twice.
-    int[] freePorts = LoopbackPorts.free(ownPlanners ? 2 * count : count);
+    int[] freePorts = LoopbackPorts.findFree(ownPlanners ? 2 * count : count);
     routerPorts = Arrays.copyOf(freePorts, count);
     plannerPorts = Arrays.copyOfRange(freePorts, count, freePorts.length);
   }
@@ -75,7 +75,7 @@
    */
   void awaitListening() throws IOException {
     for (int i = 0; i < routerPorts.length; i++) {
-      LoopbackPorts.await(routerPorts[i]);
+      LoopbackPorts.awaitListening(routerPorts[i]);
       if (!hosts.get(i).isRunning()) {
         throw new IOException(
             "router " + i + " ended during start-up; see its log in " + directory);
--- a/src/main/java/switchgap/testbed/scenario/RouterProcess.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterProcess.java
@@ -48,7 +48,8 @@
   @Override
   public void startPlanner() throws IOException {
     if (ownPlanner && (planner == null || !planner.isAlive())) {
-      planner = ChildProcess.planner(log.resolveSibling(log.getFileName() + ".planner"), config);
+      planner =
+          ChildProcess.startPlanner(log.resolveSibling(log.getFileName() + ".planner"), config);
     }
   }
 
--- a/src/main/java/switchgap/testbed/scenario/Scenario.java
+++ b/src/main/java/switchgap/testbed/scenario/Scenario.java
@@ -67,12 +67,12 @@
   }
 
   /** Number of workers when the scenario starts. */
-  public int workers() {
+  public int workerCount() {
     return settings.fleet().workerCount();
   }
 
   /** Number of routers. */
-  public int routers() {
+  public int routerCount() {
     return settings.routers().count();
   }
 
@@ -112,13 +112,13 @@
   }
 
   /** Index of the zone of a router or worker. */
-  public int zoneOf(int index) {
+  public int zoneIndex(int index) {
     return settings.zoneIndex(index);
   }
 
   /** Name of the zone of a router or worker. */
-  public String zone(int index) {
-    return settings.zones().get(zoneOf(index));
+  public String zoneName(int index) {
+    return settings.zones().get(zoneIndex(index));
   }
 
   /** Name of the kind of a worker; kinds differ in their hardware. */
@@ -161,7 +161,7 @@
             settings.profiles(),
             settings.load().retries(),
             settings.load().rate(),
-            RouterShares.of(routers(), settings.routers().busiestShare()),
+            RouterShares.of(routerCount(), settings.routers().busiestShare()),
             tenantShares(),
             seed));
   }
@@ -250,7 +250,7 @@
    * @return the limit, 2 or higher
    */
   public int staticPendingLimit() {
-    int totalSlots = workers() * settings.fleet().limits().slotsPerCore();
-    return Math.max(2, 2 * totalSlots * 2 / routers() / 3);
+    int totalSlots = workerCount() * settings.fleet().limits().slotsPerCore();
+    return Math.max(2, 2 * totalSlots * 2 / routerCount() / 3);
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/ScenarioLog.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioLog.java
@@ -22,8 +22,8 @@
     List<LogLine> clientLines = EventLog.read(directory.resolve(EventLog.CLIENTS));
     fleetLines = EventLog.read(directory.resolve(EventLog.FLEET));
     listLines = EventLog.read(directory.resolve(EventLog.LIST));
-    outages = new RouterOutages(scenario.routers(), slack(), scriptLines);
-    attempts = new ObservedAttempts(scenario.routers(), slack(), clientLines);
+    outages = new RouterOutages(scenario.routerCount(), slack(), scriptLines);
+    attempts = new ObservedAttempts(scenario.routerCount(), slack(), clientLines);
     executions = new ObservedExecutions(attempts, fleetLines);
   }
 
--- a/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
@@ -45,7 +45,7 @@
    * @throws IOException if the scenario cannot be read, or a port, process or log cannot be opened
    * @throws InterruptedException if the thread is interrupted while it waits for the end
    */
-  public static EmulatedClients play(Path file, Path directory, String baseline, PrintStream out)
+  public static EmulatedClients run(Path file, Path directory, String baseline, PrintStream out)
       throws IOException, InterruptedException {
     Scenario scenario = Scenario.read(file);
     Files.createDirectories(directory);
@@ -102,7 +102,7 @@
           tally.requests(),
           tally.attempts(),
           tally.succeeded(),
-          tally.late(),
+          tally.succeededLate(),
           tally.rejected(),
           tally.failed(),
           tally.timedOut(),
--- a/src/main/java/switchgap/testbed/scenario/TestBed.java
+++ b/src/main/java/switchgap/testbed/scenario/TestBed.java
@@ -78,7 +78,7 @@
     endpointList =
         new EndpointListService(scheduler, networkTransport, listLog, scenario.listLag());
     SocketClientTransport transport =
-        new SocketClientTransport(scheduler, networkTransport, clientLog, scenario.routers());
+        new SocketClientTransport(scheduler, networkTransport, clientLog, scenario.routerCount());
     clients = scenario.clients(scheduler, transport, catalogue, scenario.seed() + 1);
     routers = new RouterGroup(scenario, directory);
     fleet = startFleet();
@@ -102,22 +102,22 @@
             new StoreClient(scheduler, networkTransport, storeService.port()),
             endpointList,
             faultTargetRandom);
-    for (int i = 0; i < scenario.workers(); i++) {
+    for (int i = 0; i < scenario.workerCount(); i++) {
       startedFleet.startWorker(false);
     }
-    catalogue.seed(startedFleet.workers());
+    catalogue.seedReplicas(startedFleet.workers());
     return startedFleet;
   }
 
   private void startRouters(SocketClientTransport transport, String baseline, boolean withRouters)
       throws IOException {
-    for (int i = 0; i < scenario.routers(); i++) {
+    for (int i = 0; i < scenario.routerCount(); i++) {
       routers.add(endpointList.port(), catalogue, baseline);
       if (withRouters) {
         routers.host(i).start();
       }
       transport.setRouter(i, routers.port(i));
-      clients.setZone(i, scenario.zone(i));
+      clients.setZone(i, scenario.zoneName(i));
     }
     if (withRouters) {
       routers.awaitListening();
--- a/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
@@ -88,7 +88,7 @@
         name,
         port,
         EndpointState.READY,
-        scenario.zone(index),
+        scenario.zoneName(index),
         index / scenario.cellSize(),
         scenario.kindName(index),
         scenario.computeCapacityOf(index),
--- a/src/main/java/switchgap/testbed/soak/Soak.java
+++ b/src/main/java/switchgap/testbed/soak/Soak.java
@@ -80,7 +80,7 @@
    * @return the shell command
    * @throws IOException if the file can't be read or has no such line
    */
-  public static String runCommand(Path deployFile) throws IOException {
+  public static String readRunCommand(Path deployFile) throws IOException {
     Matcher line = RUN_LINE.matcher(Files.readString(deployFile));
     if (!line.find()) {
       throw new IOException(deployFile + ": no line of the form run = \"...\"");
@@ -158,7 +158,7 @@
             options.runCommand, options.directory, SystemCallFaults.compile(options.directory));
     String settings = readSettings();
     long timeoutMicros = TimeUnit.MILLISECONDS.toMicros(maxTimeoutMillis());
-    int[] ports = LoopbackPorts.free(options.routers);
+    int[] ports = LoopbackPorts.findFree(options.routers);
     for (int i = 0; i < options.routers; i++) {
       ServeProcess router =
           new ServeProcess(
--- a/src/main/java/switchgap/testbed/soak/SystemCallFaults.java
+++ b/src/main/java/switchgap/testbed/soak/SystemCallFaults.java
@@ -168,7 +168,7 @@
   }
 
   /** Returns how many calls have failed or were shortened so far. */
-  public int touched(Call call) {
+  public int affectedCalls(Call call) {
     return control.getInt((call.ordinal() * WORDS_PER_CALL + AFFECTED_WORD) * Integer.BYTES);
   }
 
--- a/src/test/java/switchgap/planner/UnreliablePlannerLink.java
+++ b/src/test/java/switchgap/planner/UnreliablePlannerLink.java
@@ -75,7 +75,7 @@
       case PLAN_LOST -> plans.poll();
       case PLAN_REPEATED -> repeatLastPlan();
       case CONNECTED -> connect();
-      case DISCONNECTED -> queue.disconnected();
+      case DISCONNECTED -> queue.plannerDisconnected();
       case TIMED_OUT -> advancePastTimeout();
       case PLANNER_RESTARTED -> scheduler = new LoadScheduler();
       case LATEST_WITHDRAWN -> withdrawLatest();
@@ -90,7 +90,7 @@
 
   void connect() {
     epoch++;
-    queue.connected(epoch);
+    queue.plannerConnected(epoch);
     backlogs.clear();
     // Plans are kept: a plan of the previous connection may still be received.
     sequence = 0;
@@ -100,7 +100,7 @@
   private void sendBacklog() {
     if (queue.state() != PendingLoadQueue.State.ALONE) {
       sequence++;
-      backlogs.add(new LoadBacklog(epoch, sequence, queue.waiting(now, function -> 1)));
+      backlogs.add(new LoadBacklog(epoch, sequence, queue.pendingLoads(now, function -> 1)));
     }
   }
 
@@ -140,7 +140,7 @@
 
   void advancePastTimeout() {
     now = now.plus(TIMEOUT).plusMillis(1);
-    queue.tick(now);
+    queue.releaseTimedOut(now);
   }
 
   private void withdrawLatest() {
@@ -153,7 +153,7 @@
   /** Lets all pending loads time out, then asserts that each load was released or withdrawn. */
   void assertAllLoadsReleasedOrWithdrawn() {
     now = now.plusSeconds(1);
-    queue.tick(now);
+    queue.releaseTimedOut(now);
     for (long id = 0; id < queue.nextId(); id++) {
       assertThat(released.contains(id) || withdrawn.contains(id)).as("load " + id).isTrue();
     }
--- a/src/test/java/switchgap/server/platform/SystemCallFailureTest.java
+++ b/src/test/java/switchgap/server/platform/SystemCallFailureTest.java
@@ -20,7 +20,7 @@
       int port = startAndAwaitServing(worker, otherWorker);
       faults.inject(call, error, every);
       assertThat(countServed(port)).as(processLog()).isEqualTo(REQUEST_COUNT);
-      assertThat(faults.touched(call)).isPositive();
+      assertThat(faults.affectedCalls(call)).isPositive();
       assertThat(processorTime()).as("CPU time").isLessThan(Duration.ofSeconds(6));
       faults.clear();
       signal("TERM");
@@ -103,7 +103,7 @@
     try (RespTestServer worker = RespTestServer.executingAll()) {
       faults.inject(Call.SOCKET, ErrorNumber.EMFILE, 1);
       startProcess(MANY_SOCKETS, worker);
-      await(() -> faults.touched(Call.SOCKET) > 0);
+      await(() -> faults.affectedCalls(Call.SOCKET) > 0);
       Thread.sleep(500); // keeps the fault active
       faults.clear();
       assertThat(countServed(awaitServingPort())).as(processLog()).isEqualTo(REQUEST_COUNT);
@@ -165,7 +165,7 @@
       int port = startAndAwaitServing(worker, otherWorker);
       faults.inject(call, error, every, worker.port());
       assertThat(countAnswered(port)).as(processLog()).isEqualTo(REQUEST_COUNT);
-      assertThat(faults.touched(call)).isPositive();
+      assertThat(faults.affectedCalls(call)).isPositive();
       faults.clear();
       assertThat(countServed(port))
           .as("after the faults: " + processLog())
--- a/src/test/java/switchgap/testbed/emulator/ServiceTallyTest.java
+++ b/src/test/java/switchgap/testbed/emulator/ServiceTallyTest.java
@@ -34,7 +34,7 @@
 
     assertThat(tally.service()).isEqualTo(5 / 8.0);
     assertThat(tally.byTenant().get("tenant")).isEqualTo(new ServiceWeights(8, 5));
-    assertThat(tally.byRequestClass().get("status-refresh").late()).isEqualTo(1);
+    assertThat(tally.byRequestClass().get("status-refresh").succeededLate()).isEqualTo(1);
   }
 
   @Test
--- a/src/test/java/switchgap/testbed/experiment/VirtualTimeAgainstSocketsTest.java
+++ b/src/test/java/switchgap/testbed/experiment/VirtualTimeAgainstSocketsTest.java
@@ -29,7 +29,7 @@
   private EmulatedClients runOnSockets(Path scenario) throws Exception {
     Path logs = directory.resolve("logs");
     PrintStream discarded = new PrintStream(OutputStream.nullOutputStream());
-    EmulatedClients clients = ScenarioRunner.play(scenario, logs, null, discarded);
+    EmulatedClients clients = ScenarioRunner.run(scenario, logs, null, discarded);
     assertThat(InvariantChecker.read(logs).violations()).isEmpty();
     return clients;
   }
@@ -59,9 +59,10 @@
     assertThat(actual.requests()).isEqualTo(expected.requests()); // both get the same arrivals
     assertThat(share(actual.succeeded(), actual.requests()))
         .isCloseTo(share(expected.succeeded(), expected.requests()), within(TOLERANCE));
-    assertThat(share(actual.succeeded() - actual.late(), actual.requests()))
+    assertThat(share(actual.succeeded() - actual.succeededLate(), actual.requests()))
         .isCloseTo(
-            share(expected.succeeded() - expected.late(), expected.requests()), within(TOLERANCE));
+            share(expected.succeeded() - expected.succeededLate(), expected.requests()),
+            within(TOLERANCE));
     assertThat(share(actual.rejected(), actual.attempts()))
         .isCloseTo(share(expected.rejected(), expected.attempts()), within(2 * TOLERANCE));
   }
--- a/src/test/java/switchgap/testbed/scenario/ScenarioRunnerTest.java
+++ b/src/test/java/switchgap/testbed/scenario/ScenarioRunnerTest.java
@@ -48,7 +48,7 @@
         """);
 
     PrintStream out = new PrintStream(new ByteArrayOutputStream());
-    ScenarioRunner.play(file, directory.resolve("out"), null, out);
+    ScenarioRunner.run(file, directory.resolve("out"), null, out);
 
     InvariantChecker checker = InvariantChecker.read(directory.resolve("out"));
     assertThat(checker.violations()).isEmpty();
