--- a/src/main/java/switchgap/testbed/emulator/WorkerFaults.java
+++ b/src/main/java/switchgap/testbed/emulator/WorkerFaults.java
@@ -12,7 +12,7 @@
 public final class WorkerFaults {
   /** A fault on the socket; docs/router.md describes how a router distinguishes them. */
   public enum Kind {
-    /** Sends a response with status 500. */
+    /** Sends a response with status 500 without executing the request. */
     ERROR,
     /** Executes the request and sends no response. */
     LOST,
--- a/src/main/java/switchgap/testbed/scenario/EventLog.java
+++ b/src/main/java/switchgap/testbed/scenario/EventLog.java
@@ -43,7 +43,10 @@
     }
     if (lines.isEmpty() || !lines.get(lines.size() - 1).hasEvent(ScenarioEvent.END_OF_LOG)) {
       throw new IOException(
-          file + ":" + lines.size() + ": the log is truncated: its last line is no \"end\" event");
+          file
+              + ":"
+              + lines.size()
+              + ": the log is truncated: its last line is not an \"end\" event");
     }
     return lines;
   }
--- a/src/main/java/switchgap/testbed/scenario/ObservedAttempts.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedAttempts.java
@@ -48,7 +48,7 @@
       case ATTEMPT_SENT -> readAttempt(line);
       case ENDED -> readEnd(line);
       case LATE_RESPONSE -> readLateResponse(line);
-      default -> { // belongs to no attempt
+      default -> { // Other events belong to no attempt.
       }
     }
   }
--- a/src/main/java/switchgap/testbed/scenario/ObservedExecutions.java
+++ b/src/main/java/switchgap/testbed/scenario/ObservedExecutions.java
@@ -36,7 +36,7 @@
       case REPEAT_DROPPED -> droppedRepeatCount++;
       case WORKER_ENDED -> readWorkerEnd(line);
       case ENDED, CONNECTION_CLOSED -> readEnd(line);
-      default -> { // belongs to no execution
+      default -> { // Other events belong to no execution.
       }
     }
   }
--- a/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterConfigWriter.java
@@ -170,8 +170,7 @@
     return mapping(config, name);
   }
 
-  /** Returns a nested mapping. */
-  @SuppressWarnings("unchecked") // ScenarioReader has validated the document
+  @SuppressWarnings("unchecked") // ScenarioReader has validated the document.
   private static Map<String, Object> mapping(Map<String, Object> parent, String name) {
     return (Map<String, Object>) parent.get(name);
   }
--- a/src/main/java/switchgap/testbed/scenario/RouterOutages.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterOutages.java
@@ -38,7 +38,7 @@
         case ROUTER_STARTED -> endLastInterval(downIntervals.get(router), line.time());
         case ROUTER_PAUSED -> pausedIntervals.get(router).add(new Interval(line.time(), OPEN_END));
         case ROUTER_RESUMED -> endLastInterval(pausedIntervals.get(router), line.time());
-        default -> { // does not change whether a router runs
+        default -> { // Other events do not change whether a router runs.
         }
       }
     }
--- a/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioReader.java
@@ -188,7 +188,8 @@
     Map<String, Double> shares = new LinkedHashMap<>();
     for (String name : section.keys()) {
       YamlDocument tenant = section.section(name);
-      tenant.number("rate", 0, 1e9); // validation; RouterConfigWriter copies the value
+      // The rate is only validated here; RouterConfigWriter copies it.
+      tenant.number("rate", 0, 1e9);
       shares.put(name, tenant.number("share", 0, 1));
       tenant.rejectUnknownKeys();
     }
@@ -210,7 +211,8 @@
   private static ScenarioFault fault(YamlDocument section) {
     FaultType type = section.choice("trouble", FaultType.class, null);
     if (type == null) {
-      section.text("trouble"); // throws: the key is missing
+      // The key is missing, so this call throws the exception that says so.
+      section.text("trouble");
     }
     ScenarioFault fault =
         new ScenarioFault(
--- a/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
@@ -10,7 +10,7 @@
 /**
  * Settings of a scenario, as read from its document. Times are in microseconds.
  *
- * @param timing name, length, seed and time resolution of the scenario
+ * @param timing name, length and seed of the scenario, tolerance of the checks and tick interval
  * @param zones names of the zones, at least one
  * @param fleet the workers that run at the start
  * @param store the store from which workers fetch functions
@@ -38,7 +38,7 @@
     List<ScenarioFault> faults) {
 
   /**
-   * Name, duration and seed of a scenario.
+   * Name, length and seed of a scenario, tolerance of the checks and tick interval.
    *
    * @param name name of the scenario
    * @param length how long clients send new requests
--- a/src/main/java/switchgap/testbed/scenario/SlowStartCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/SlowStartCheck.java
@@ -42,7 +42,7 @@
             recordViolation(
                 line.worker() + " crashed from overload, " + fleetLine(line.lineNumber()));
         case REQUEST_RECEIVED -> checkReceivedWork(line);
-        default -> { // not relevant for slow start
+        default -> { // Other events do not matter for slow start.
         }
       }
     }
--- a/src/main/java/switchgap/testbed/soak/ClientEmulator.java
+++ b/src/main/java/switchgap/testbed/soak/ClientEmulator.java
@@ -29,7 +29,8 @@
    * Creates a client.
    *
    * @param activeFaults faults that are active at present; it acts on those of clients
-   * @param maxTimeoutMillis longest timeout of a request
+   * @param maxTimeoutMillis longest timeout in the routers' settings; requests use at most 1 s of
+   *     it
    */
   ClientEmulator(
       ServeProcess router,
--- a/src/main/java/switchgap/testbed/soak/FaultPlan.java
+++ b/src/main/java/switchgap/testbed/soak/FaultPlan.java
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Draws the faults of the added types. They end before the run does, unless the run is shorter
-   * than the shortest fault.
+   * Draws the faults of the added types, independently of {@link #drawInitialTypes}. They end
+   * before the run does, unless the run is shorter than the shortest fault.
    *
    * @param seed seed of the random draws
    * @param seconds duration of the run
--- a/src/main/java/switchgap/testbed/soak/FaultRunner.java
+++ b/src/main/java/switchgap/testbed/soak/FaultRunner.java
@@ -21,7 +21,7 @@
    * @param eventStream event stream that the routers were started with
    * @param records receives outages, and process faults for faults that could not be injected
    * @param activeFaults receives the active types, which clients act on
-   * @param maxTimeoutMillis longest timeout of a request
+   * @param maxTimeoutMillis longest timeout in the routers' settings
    */
   FaultRunner(
       List<ServeProcess> routers,
--- a/src/main/java/switchgap/testbed/soak/RouterProcessFaults.java
+++ b/src/main/java/switchgap/testbed/soak/RouterProcessFaults.java
@@ -16,7 +16,7 @@
   /** On the hosting platform, clients open new connections for this long after SIGTERM. */
   private static final int NEW_CONNECTIONS_END_MILLIS = 400;
 
-  /** The hosting platform assumes this timeout if the longest request timeout is longer. */
+  /** The hosting platform assumes this timeout if the routers' settings allow a longer one. */
   private static final int MAX_ASSUMED_TIMEOUT_MILLIS = 3000;
 
   /** The hosting platform sends SIGKILL this long after the assumed timeout, at the earliest. */
--- a/src/main/java/switchgap/testbed/soak/ServeProcess.java
+++ b/src/main/java/switchgap/testbed/soak/ServeProcess.java
@@ -48,7 +48,7 @@
   private final int index;
   private final int port;
   private final SystemCallFaults systemCallFaults;
-  private final LaunchOptions launchOptions;
+  private final LaunchOptions options;
   private final String settings;
   private final Path configFile;
   private final Path log;
@@ -59,28 +59,20 @@
   private volatile boolean serving;
   private volatile long killedNanos;
 
-  /**
-   * Creates a router that is not started.
-   *
-   * @param index index of the router, from 0
-   * @param port port that it listens at
-   * @param settings settings of its policy, as JSON
-   */
-  ServeProcess(
-      int index, int port, String settings, LaunchOptions launchOptions, SoakRecords records)
+  /** Creates a router that is not started; {@code settings} are those of its policy, as JSON. */
+  ServeProcess(int index, int port, String settings, LaunchOptions options, SoakRecords records)
       throws IOException {
     this.index = index;
     this.port = port;
     this.settings = settings;
-    this.launchOptions = launchOptions;
+    this.options = options;
     this.records = records;
-    this.configFile = launchOptions.directory().resolve(name() + ".json");
-    this.log = launchOptions.directory().resolve(name() + ".log");
+    this.configFile = options.directory().resolve(name() + ".json");
+    this.log = options.directory().resolve(name() + ".log");
     this.incarnation = new RouterIncarnation(index, 0);
     this.systemCallFaults =
         SystemCallFaults.of(
-            launchOptions.systemCallFaultLibrary(),
-            launchOptions.directory().resolve(name() + ".faults"));
+            options.systemCallFaultLibrary(), options.directory().resolve(name() + ".faults"));
   }
 
   private String name() {
@@ -125,10 +117,7 @@
     return serving;
   }
 
-  /**
-   * Whether a connection that ended at the given time was closed by the router itself, because no
-   * SIGKILL had been sent by then.
-   */
+  /** Whether the router itself closed a connection: no SIGKILL had been sent when it ended. */
   boolean endedBeforeKill(long endedNanos) {
     return killedNanos == 0 || endedNanos < killedNanos;
   }
@@ -152,17 +141,12 @@
     }
   }
 
-  /**
-   * Replaces the configuration file; the events so far become the router's initial endpoint list.
-   */
+  /** Replaces the configuration file; the events so far become the initial endpoint list. */
   synchronized void configure(String eventStreamAddress, List<String> events) throws IOException {
-    Path newConfigFile = launchOptions.directory().resolve(name() + ".next");
-    Files.writeString(newConfigFile, config(eventStreamAddress, events));
+    Path newFile = options.directory().resolve(name() + ".next");
+    Files.writeString(newFile, config(eventStreamAddress, events));
     Files.move(
-        newConfigFile,
-        configFile,
-        StandardCopyOption.REPLACE_EXISTING,
-        StandardCopyOption.ATOMIC_MOVE);
+        newFile, configFile, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
   }
 
   private String config(String eventStreamAddress, List<String> events) {
@@ -189,7 +173,7 @@
 
   /** Starts the next incarnation without waiting until it is ready. */
   synchronized void start() throws IOException {
-    ProcessBuilder command = new ProcessBuilder("/bin/sh", "-c", launchOptions.command());
+    ProcessBuilder command = new ProcessBuilder("/bin/sh", "-c", options.command());
     command.environment().putAll(systemCallFaults.environment());
     command
         .environment()
@@ -202,7 +186,7 @@
                 "NODE_CONFIG",
                 configFile.toString(),
                 "TMPDIR",
-                launchOptions.directory().toString()));
+                options.directory().toString()));
     process = ChildProcess.start(log, command);
     incarnation = new RouterIncarnation(index, incarnation.number() + 1);
   }
@@ -289,7 +273,6 @@
         .toList();
   }
 
-  /** Kills the current process, if there is one. */
   void killIfStarted() {
     if (process != null) {
       process.destroyForcibly();
--- a/src/main/java/switchgap/testbed/soak/Soak.java
+++ b/src/main/java/switchgap/testbed/soak/Soak.java
@@ -139,7 +139,7 @@
     return report();
   }
 
-  /** Longest timeout of a request, selected by the seed. */
+  /** Longest timeout in the routers' settings, selected by the seed; clients use at most 1 s. */
   private int maxTimeoutMillis() {
     return MAX_TIMEOUTS_MILLIS[Math.floorMod(options.seed, MAX_TIMEOUTS_MILLIS.length)];
   }
--- a/src/main/java/switchgap/testbed/soak/SystemCallFaults.java
+++ b/src/main/java/switchgap/testbed/soak/SystemCallFaults.java
@@ -25,6 +25,7 @@
     CONNECT,
     READ,
     WRITE,
+    /** The call {@code epoll_wait}. */
     WAIT
   }
 
@@ -61,7 +62,7 @@
   private static final int PORT_WORD = 2;
   private static final int AFFECTED_WORD = 4;
 
-  /** Byte index of the wall clock's offset in the control file. */
+  /** Byte index of the wall clock's offset in the control file, aligned as in the C structure. */
   private static final int WALL_CLOCK_OFFSET_INDEX =
       alignToLong(Call.values().length * WORDS_PER_CALL * Integer.BYTES);
 
