--- a/src/main/java/switchgap/testbed/scenario/FaultScript.java
+++ b/src/main/java/switchgap/testbed/scenario/FaultScript.java
@@ -32,7 +32,7 @@
   }
 
   private void inject(ScenarioFault fault) {
-    testBed.recordFault(
+    testBed.recordScriptEvent(
         "trouble",
         "verb",
         fault.type().name(),
--- a/src/main/java/switchgap/testbed/scenario/RouterFaultInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterFaultInjector.java
@@ -41,7 +41,7 @@
   }
 
   private void killAndRestart(int router, long outageMicros) {
-    testBed.recordFault(ScenarioEvent.ROUTER_KILLED.word(), "router", router);
+    testBed.recordScriptEvent(ScenarioEvent.ROUTER_KILLED.word(), "router", router);
     routers.host(router).kill();
     testBed
         .scheduler()
@@ -49,7 +49,7 @@
             outageMicros,
             () -> {
               if (routers.start(router)) {
-                testBed.recordFault(ScenarioEvent.ROUTER_STARTED.word(), "router", router);
+                testBed.recordScriptEvent(ScenarioEvent.ROUTER_STARTED.word(), "router", router);
               }
             });
   }
@@ -57,7 +57,7 @@
   private void killPlanners(long outageMicros) {
     for (RouterHost host : routers.hosts()) {
       long time = testBed.scheduler().now();
-      testBed.recordFaultAt(time, "planner-killed", "done", host.killPlanner());
+      testBed.recordScriptEventAt(time, "planner-killed", "done", host.killPlanner());
     }
     testBed.scheduler().after(outageMicros, routers::startPlanners);
   }
@@ -65,7 +65,7 @@
   private void pausePlanners(long durationMicros) {
     for (RouterHost host : routers.hosts()) {
       long time = testBed.scheduler().now();
-      testBed.recordFaultAt(time, "planner-paused", "done", host.suspendPlanner());
+      testBed.recordScriptEventAt(time, "planner-paused", "done", host.suspendPlanner());
     }
     testBed
         .scheduler()
@@ -79,7 +79,7 @@
   private void pause(int router, long durationMicros) {
     long time = testBed.scheduler().now();
     boolean suspended = routers.host(router).suspend();
-    testBed.recordFaultAt(
+    testBed.recordScriptEventAt(
         time, ScenarioEvent.ROUTER_PAUSED.word(), "router", router, "done", suspended);
     testBed
         .scheduler()
@@ -87,7 +87,7 @@
             durationMicros,
             () -> {
               routers.host(router).resume();
-              testBed.recordFault(ScenarioEvent.ROUTER_RESUMED.word(), "router", router);
+              testBed.recordScriptEvent(ScenarioEvent.ROUTER_RESUMED.word(), "router", router);
             });
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioRunner.java
@@ -52,7 +52,7 @@
     Files.copy(file, directory.resolve(EventLog.SCENARIO), StandardCopyOption.REPLACE_EXISTING);
     try (TestBed testBed = new TestBed(scenario, directory, baseline)) {
       Thread.sleep(START_DELAY_MILLIS);
-      testBed.recordFault("began", "day", scenario.name());
+      testBed.recordScriptEvent("began", "day", scenario.name());
       long arrivalsEndTime =
           CompletableFuture.supplyAsync(
                   () -> {
--- a/src/main/java/switchgap/testbed/scenario/TestBed.java
+++ b/src/main/java/switchgap/testbed/scenario/TestBed.java
@@ -163,12 +163,12 @@
   }
 
   /** Logs an event of the fault script with the current time. */
-  void recordFault(String event, Object... fields) {
-    recordFaultAt(scheduler.now(), event, fields);
+  void recordScriptEvent(String event, Object... fields) {
+    recordScriptEventAt(scheduler.now(), event, fields);
   }
 
   /** Logs an event of the fault script with an earlier time, in microseconds. */
-  void recordFaultAt(long time, String event, Object... fields) {
+  void recordScriptEventAt(long time, String event, Object... fields) {
     scriptLog.record(time, event, fields);
   }
 
