--- a/src/main/java/switchgap/cli/BenchmarkMemoryCommand.java
+++ b/src/main/java/switchgap/cli/BenchmarkMemoryCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Option;
 import switchgap.testbed.experiment.MemoryMeasurement;
 
-/** Measures the heap that a fully configured router and each pending request take. */
+/** Measures the heap of a router with many workers and functions, and of each pending request. */
 @Command(
     name = "memory",
     mixinStandardHelpOptions = true,
--- a/src/main/java/switchgap/cli/BenchmarkSpeedCommand.java
+++ b/src/main/java/switchgap/cli/BenchmarkSpeedCommand.java
@@ -14,17 +14,18 @@
     description = "Latency and requests per second beside a relay of the same filter chains.")
 final class BenchmarkSpeedCommand implements Callable<Integer> {
   @Option(names = "--seconds", paramLabel = "<seconds>", defaultValue = "6")
-  private int seconds;
+  private int loadSeconds;
 
   @Option(names = "--connections", paramLabel = "<connections>", defaultValue = "64")
-  private int connections;
+  private int connectionCount;
 
   @Option(names = "--rate", paramLabel = "<rate>", defaultValue = "1000")
-  private int rate;
+  private int requestsPerSecond;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    SpeedMeasurement.run(Duration.ofSeconds(seconds), connections, rate, System.out);
+    SpeedMeasurement.run(
+        Duration.ofSeconds(loadSeconds), connectionCount, requestsPerSecond, System.out);
     return ExitCode.OK;
   }
 }
--- a/src/main/java/switchgap/cli/DemoCommand.java
+++ b/src/main/java/switchgap/cli/DemoCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Option;
 import switchgap.testbed.scenario.DemoScenario;
 
-/** Runs a router, emulated workers and a short load in one process. */
+/** Runs a router, emulated workers and a short load in one process, and prints the results. */
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
@@ -20,10 +20,10 @@
       paramLabel = "<seconds>",
       defaultValue = "8",
       description = "of load (default: ${DEFAULT-VALUE})")
-  private int seconds;
+  private int loadSeconds;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    return DemoScenario.run(seconds, keepRunning, System.out);
+    return DemoScenario.run(loadSeconds, keepRunning, System.out);
   }
 }
--- a/src/main/java/switchgap/cli/EmulatorCommand.java
+++ b/src/main/java/switchgap/cli/EmulatorCommand.java
@@ -9,7 +9,8 @@
 import switchgap.testbed.scenario.EmulatorHost;
 
 /**
- * Runs the emulated workers, store and endpoint list service of a scenario, without its routers.
+ * Runs the emulated workers, store and endpoint list service of a scenario, without its routers and
+ * clients.
  */
 @Command(
     name = "emulator",
--- a/src/main/java/switchgap/cli/ExitCode.java
+++ b/src/main/java/switchgap/cli/ExitCode.java
@@ -8,7 +8,7 @@
   /** The command failed, or a checked invariant was violated. */
   static final int FAILURE = 1;
 
-  /** The command line or a file is invalid, or a response was not expected. */
+  /** The command line or a file is invalid, or the router sent an unexpected response. */
   static final int UNUSABLE_INPUT = 2;
 
   /** The router rejected a request before it was executed. */
--- a/src/main/java/switchgap/cli/LoadCommand.java
+++ b/src/main/java/switchgap/cli/LoadCommand.java
@@ -16,8 +16,8 @@
 import switchgap.testbed.experiment.LoadRun;
 
 /**
- * Sends an open-loop load along a curve to routers; without {@code --router}, directly to the
- * emulator.
+ * Sends requests to routers or, without {@code --router}, directly to the emulator. The load is an
+ * open loop: a curve defines when requests are sent, regardless of earlier responses.
  */
 @Command(
     name = "load",
--- a/src/main/java/switchgap/cli/PlannerCommand.java
+++ b/src/main/java/switchgap/cli/PlannerCommand.java
@@ -10,7 +10,10 @@
 import switchgap.planner.link.PlannerClient;
 import switchgap.server.gateway.GatewayConfig;
 
-/** Runs the planner of one router, which decides when and in which order it sends load commands. */
+/**
+ * Runs the planner of one router. The planner decides when and in which order the router sends its
+ * load commands.
+ */
 @Command(
     name = "planner",
     mixinStandardHelpOptions = true,
--- a/src/main/java/switchgap/cli/StatusCommand.java
+++ b/src/main/java/switchgap/cli/StatusCommand.java
@@ -39,14 +39,14 @@
       HttpRequest request =
           HttpRequest.newBuilder(URI.create(url + "/v1/status")).timeout(TIMEOUT).build();
       HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
-      boolean healthy = response.statusCode() == HTTP_OK;
+      boolean isHealthy = response.statusCode() == HTTP_OK;
       System.out.println(
           url
               + " "
-              + (healthy
+              + (isHealthy
                   ? response.body()
                   : "responded with HTTP status " + response.statusCode()));
-      return healthy;
+      return isHealthy;
     } catch (IOException | IllegalArgumentException e) {
       System.out.println(url + " did not respond: " + e);
       return false;
--- a/src/main/java/switchgap/cli/VersionProvider.java
+++ b/src/main/java/switchgap/cli/VersionProvider.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.IVersionProvider;
 
-/** The version of the packaged jar. */
+/** Reads the version from the manifest of the jar; it is unknown if classes run without the jar. */
 final class VersionProvider implements IVersionProvider {
   @Override
   public String[] getVersion() {
--- a/src/main/java/switchgap/config/JsonDocument.java
+++ b/src/main/java/switchgap/config/JsonDocument.java
@@ -25,7 +25,7 @@
    * Parses a text that consists of one JSON object.
    *
    * @return the object's members, in the order of the text
-   * @throws IOException if the text is not valid JSON, is not an object, is nested too deep, or
+   * @throws IOException if the text is not valid JSON, is not an object, is nested too deeply, or
    *     continues after the object
    */
   public static Map<String, Object> parseObject(String text) throws IOException {
--- a/src/main/java/switchgap/config/PropertyRouterSettings.java
+++ b/src/main/java/switchgap/config/PropertyRouterSettings.java
@@ -54,8 +54,8 @@
   }
 
   /** The position of a field in load reports; -1 if load reports do not have it. */
-  public int reportFieldIndex(String word) {
-    return values.indexInList(LOAD_REPORT_FIELDS, word);
+  public int reportFieldIndex(String fieldName) {
+    return values.indexInList(LOAD_REPORT_FIELDS, fieldName);
   }
 
   /**
--- a/src/main/java/switchgap/config/PropertyValues.java
+++ b/src/main/java/switchgap/config/PropertyValues.java
@@ -13,8 +13,8 @@
  * IllegalArgumentException} that names the path if the value is missing or can't be converted.
  */
 final class PropertyValues {
-  private static final String COUNT = ".count";
-  private static final String NAME = ".Name";
+  private static final String COUNT_SUFFIX = ".count";
+  private static final String NAME_SUFFIX = ".Name";
   private static final String LIST_SEPARATOR = ",";
   private static final String TRUE = "true";
   private static final String FALSE = "false";
@@ -108,12 +108,12 @@
 
   /** The length of a list of objects. */
   int count(String path) {
-    return integer(path + COUNT);
+    return integer(path + COUNT_SUFFIX);
   }
 
   /** The length of a list of objects; 0 if the list is missing. */
   int optionalCount(String path) {
-    return valuesByPath.containsKey(path + COUNT) ? count(path) : 0;
+    return valuesByPath.containsKey(path + COUNT_SUFFIX) ? count(path) : 0;
   }
 
   /** The index of each object in a list, by the object's name; empty if the list is missing. */
@@ -121,7 +121,7 @@
     Map<String, Integer> indices = new HashMap<>();
     int count = optionalCount(path);
     for (int i = 0; i < count; i++) {
-      indices.put(text(path + "." + i + NAME), i);
+      indices.put(text(path + "." + i + NAME_SUFFIX), i);
     }
     return indices;
   }
--- a/src/main/java/switchgap/config/PropertyWorkerSettings.java
+++ b/src/main/java/switchgap/config/PropertyWorkerSettings.java
@@ -27,7 +27,11 @@
   private static final Map<String, Boolean> LOADS_ON_DEMAND_WORDS =
       Map.of("load", true, "miss", false);
 
-  /** Whether a word means that workers' capacities are reported and constant. */
+  /**
+   * Whether a word means that the endpoint list reports constant capacities of workers. Capacities
+   * that change, for which the word is {@code live}, are treated like capacities that are not
+   * reported.
+   */
   private static final Map<String, Boolean> CAPACITY_REPORT_WORDS =
       Map.of("silent", false, "nominal", true, "rough", true, "live", false);
 
--- a/src/main/java/switchgap/config/RulesSection.java
+++ b/src/main/java/switchgap/config/RulesSection.java
@@ -2,13 +2,20 @@
 
 import java.time.Duration;
 
-/** The section {@code rules}: slow start of workers, and the quota of load commands. */
+/**
+ * The section {@code rules}: limits of the workers that the router must respect. A worker that has
+ * just started serves fewer requests than later, and workers may receive only a limited number of
+ * load commands.
+ *
+ * @param slowStart how the capacity of a started worker rises
+ * @param loadQuota how many load commands are allowed
+ */
 record RulesSection(SlowStart slowStart, LoadQuota loadQuota) {
   private static final double MAX_OVERLOAD_MULTIPLE = 1e6;
   private static final double MAX_LOAD_COMMANDS = 1e6;
 
   /**
-   * Slow start: the capacity of a started worker rises to the full value over time.
+   * Slow start: the capacity of a worker rises to the full value in the time after its start.
    *
    * @param capacityShare share of the full capacity that a worker has when it starts, from 0 to 1
    * @param duration time until a worker has its full capacity
--- a/src/main/java/switchgap/config/YamlDocument.java
+++ b/src/main/java/switchgap/config/YamlDocument.java
@@ -91,13 +91,13 @@
     return new YamlDocument(file, ROOT_NAME, YamlParser.parse(file, text));
   }
 
-  /** Whether the key is present. Afterwards the key is an allowed one. */
+  /** Whether the key is present. {@link #rejectUnknownKeys()} then allows the key. */
   public boolean has(String key) {
     allowedKeys.add(key);
     return entries.containsKey(key);
   }
 
-  /** All keys, in the order of the document. Afterwards all of them are allowed. */
+  /** All keys, in the order of the document. {@link #rejectUnknownKeys()} then allows them. */
   public List<String> keys() {
     allowedKeys.addAll(entries.keySet());
     return new ArrayList<>(entries.keySet());
--- a/src/main/java/switchgap/config/YamlParser.java
+++ b/src/main/java/switchgap/config/YamlParser.java
@@ -22,12 +22,12 @@
    * @throws InvalidConfigException if the text is empty, is not valid YAML, or exceeds a limit
    */
   static Node parse(String file, String text) {
-    LoaderOptions bounds = new LoaderOptions();
-    bounds.setMaxAliasesForCollections(MAX_ALIASES);
-    bounds.setNestingDepthLimit(MAX_DEPTH);
-    bounds.setCodePointLimit(MAX_DOCUMENT_BYTES);
+    LoaderOptions options = new LoaderOptions();
+    options.setMaxAliasesForCollections(MAX_ALIASES);
+    options.setNestingDepthLimit(MAX_DEPTH);
+    options.setCodePointLimit(MAX_DOCUMENT_BYTES);
     try {
-      Node root = new Yaml(bounds).compose(new StringReader(text));
+      Node root = new Yaml(options).compose(new StringReader(text));
       if (root == null) {
         throw new InvalidConfigException(file, 1, "the document is empty");
       }
--- a/src/main/java/switchgap/config/YamlRouterSettings.java
+++ b/src/main/java/switchgap/config/YamlRouterSettings.java
@@ -8,8 +8,9 @@
 
 /**
  * Router settings that are read from a YAML document, and lookup by name of its functions, request
- * classes, tenants and zones. An omitted quota or price is disabled; no value is derived from other
- * settings. Immutable. The base classes hold the settings of requests and of workers.
+ * classes, tenants and zones. An omitted quota or price means that there is none; it is never
+ * derived from other settings. Immutable. The base classes hold the settings of requests and of
+ * workers.
  */
 public final class YamlRouterSettings extends YamlWorkerSettings {
   private final List<String> zones;
--- a/src/main/java/switchgap/planner/LoadPlanCounts.java
+++ b/src/main/java/switchgap/planner/LoadPlanCounts.java
@@ -1,7 +1,7 @@
 package switchgap.planner;
 
 /**
- * Counts of released loads and of ineffective plans since the queue was created.
+ * Counts of released loads, and of ids in plans that had no effect, since the queue was created.
  *
  * @param planned loads that were released by a plan
  * @param timedOut loads that were released after their timeout, without a plan
--- a/src/main/java/switchgap/planner/PendingLoadQueue.java
+++ b/src/main/java/switchgap/planner/PendingLoadQueue.java
@@ -42,7 +42,10 @@
 
   private record Entry(PendingLoad load, Duration addedAt, Duration timeoutAt) {}
 
-  /** Number of loads that must time out, without a plan in between, for the state STALLED. */
+  /**
+   * Number of loads that time out in succession, without an accepted plan in between, before the
+   * state changes to STALLED.
+   */
   private static final int MAX_SUCCESSIVE_TIMEOUTS = 3;
 
   private static final int NANOS_PER_MICRO = 1000;
@@ -155,7 +158,7 @@
   }
 
   /**
-   * The planner responds: its plans decide from now on.
+   * Changes the state to LED, because the planner is connected or has sent a plan.
    *
    * @param sequence sequence number of its last plan; 0 after a new connection
    */
@@ -235,7 +238,7 @@
     return loads;
   }
 
-  /** Counts of released loads and of ineffective plans since this queue was created. */
+  /** Counts of released loads, and of ids in plans that had no effect, since the creation. */
   public LoadPlanCounts counts() {
     return new LoadPlanCounts(plannedCount, timedOutCount, staleCount, rejectedCount);
   }
--- a/src/main/java/switchgap/planner/link/PlannerClient.java
+++ b/src/main/java/switchgap/planner/link/PlannerClient.java
@@ -23,7 +23,10 @@
  */
 public final class PlannerClient implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(PlannerClient.class);
+
+  /** Well below the time without a message after which the router closes the connection, 1 s. */
   private static final long HEARTBEAT_INTERVAL_MILLIS = 200;
+
   private static final long MIN_BACKOFF_MILLIS = 50;
   private static final long MAX_BACKOFF_MILLIS = 2000;
   private static final int BACKOFF_FACTOR = 2;
@@ -106,7 +109,7 @@
       try {
         received(from, PlannerMessageCodec.decode(bytes));
       } catch (IOException e) {
-        from.close(new CloseCause(LinkCloseReason.UNREADABLE_MESSAGE, e.getMessage()));
+        from.close(new CloseCause(PlannerCloseReason.UNREADABLE_MESSAGE, e.getMessage()));
       }
     }
 
@@ -121,7 +124,7 @@
       } else if (message instanceof LoadBacklog backlog && handshakeDone) {
         sendPlan(from, backlog);
       } else {
-        from.close(LinkCloseReason.UNEXPECTED_MESSAGE);
+        from.close(PlannerCloseReason.UNEXPECTED_MESSAGE);
       }
     }
 
@@ -151,7 +154,7 @@
     heartbeat.cancel(false);
     FramedConnection current = connection;
     if (current != null) {
-      current.close(LinkCloseReason.PLANNER_STOPPED);
+      current.close(PlannerCloseReason.PLANNER_STOPPED);
     }
   }
 }
--- a/src/main/java/switchgap/planner/link/LinkCloseReason.java
+++ b/src/main/java/switchgap/planner/link/PlannerCloseReason.java
@@ -2,8 +2,8 @@
 
 import switchgap.net.CloseReason;
 
-/** Why a router or its planner closes the connection between them. */
-enum LinkCloseReason implements CloseReason {
+/** The reasons for which a router or its planner closes the connection between them. */
+enum PlannerCloseReason implements CloseReason {
   /** The router received no message from the planner in time. */
   PLANNER_SILENT("no message from the planner within 1 s"),
   /** A client that connected to the router sent no handshake in time. */
@@ -12,7 +12,9 @@
   REJECTED("rejected"),
   /** A message could not be decoded. */
   UNREADABLE_MESSAGE("unreadable"),
-  /** The planner received a message that a router does not send. */
+  /**
+   * The planner received a message that a router does not send, or a backlog before the handshake.
+   */
   UNEXPECTED_MESSAGE("unexpected message type for a planner"),
   /** The router is being stopped. */
   ROUTER_STOPPED("the router is stopping"),
@@ -21,7 +23,7 @@
 
   private final String description;
 
-  LinkCloseReason(String description) {
+  PlannerCloseReason(String description) {
     this.description = description;
   }
 
--- a/src/main/java/switchgap/planner/link/PlannerMessageCodec.java
+++ b/src/main/java/switchgap/planner/link/PlannerMessageCodec.java
@@ -15,8 +15,9 @@
 
 /**
  * Encodes and decodes messages between router and planner. A message is a CBOR map, whose member
- * {@code is} contains the type. The names of members on the wire do not depend on names in the
- * code: those that differ are defined here. Thread-safe.
+ * {@code is} contains the type. The other members have the names of the record's components, except
+ * for those that are renamed here. Other versions of the program read these names, so they must not
+ * change. Thread-safe.
  */
 public final class PlannerMessageCodec {
   /** Version of the protocol, which must be the same on both sides. */
--- a/src/main/java/switchgap/planner/link/PlannerServer.java
+++ b/src/main/java/switchgap/planner/link/PlannerServer.java
@@ -113,7 +113,7 @@
   private void closeIfSilent() {
     PlannerSession current = session.get();
     if (current != null && current.isSilent(SILENCE_TIMEOUT_NANOS)) {
-      current.connection().close(LinkCloseReason.PLANNER_SILENT);
+      current.connection().close(PlannerCloseReason.PLANNER_SILENT);
     }
   }
 
@@ -124,13 +124,13 @@
   }
 
   private final class MessageListener implements FramedConnection.Listener {
-    /** Schedules a timeout of the handshake, for clients that connect and send nothing. */
+    /** Schedules a timeout of the handshake, because a client may connect and send nothing. */
     @Override
     public void opened(FramedConnection connection) {
       TimerThread.EXECUTOR.schedule(
           () -> {
             if (sessionOf(connection) == null) {
-              connection.close(LinkCloseReason.HANDSHAKE_TIMEOUT);
+              connection.close(PlannerCloseReason.HANDSHAKE_TIMEOUT);
             }
           },
           SILENCE_TIMEOUT_NANOS,
@@ -219,7 +219,7 @@
     LOG.warn("router {}: planner rejected: {}", routerIndex, why);
     client.send(PlannerMessageCodec.encode(new PlannerMessage.Rejected(why)));
     TimerThread.EXECUTOR.schedule(
-        () -> client.close(new CloseCause(LinkCloseReason.REJECTED, why)),
+        () -> client.close(new CloseCause(PlannerCloseReason.REJECTED, why)),
         REJECTION_LINGER_MILLIS,
         TimeUnit.MILLISECONDS);
   }
@@ -231,7 +231,7 @@
     server.close();
     PlannerSession current = session.get();
     if (current != null) {
-      current.connection().close(LinkCloseReason.ROUTER_STOPPED);
+      current.connection().close(PlannerCloseReason.ROUTER_STOPPED);
     }
   }
 }
--- a/src/main/java/switchgap/simulator/ActionType.java
+++ b/src/main/java/switchgap/simulator/ActionType.java
@@ -8,7 +8,7 @@
   CANCEL_ATTEMPT(4),
   SCHEDULE_WAKE_UP(5),
   PROBE(6),
-  /** The policy failed and makes no further decisions; the record refers to a text. */
+  /** The policy failed and makes no further decisions; the record refers to a text in the tail. */
   POLICY_FAULT(10),
   SUBSCRIBE_TO_ENDPOINTS(11),
   /** A load command or, with a replica count of 0, a query for the number of replicas. */
--- a/src/main/java/switchgap/simulator/EndpointListDecoder.java
+++ b/src/main/java/switchgap/simulator/EndpointListDecoder.java
@@ -12,17 +12,19 @@
   static final int ENTRY_BYTES = 25;
 
   // Offsets of fields, in bytes from the start of an entry.
-  private static final int STATE = 0;
-  private static final int ZONE = 1;
-  private static final int STARTED_AT = 3;
-  private static final int CELL = 11;
-  private static final int WORKER_ID = 13;
-  private static final int KIND = 19;
-  private static final int CAPACITY = 21;
+  private static final int STATE_OFFSET = 0;
+  private static final int ZONE_OFFSET = 1;
+  private static final int STARTED_AT_OFFSET = 3;
+  private static final int CELL_OFFSET = 11;
+  private static final int WORKER_ID_OFFSET = 13;
+  private static final int KIND_OFFSET = 19;
+  private static final int CAPACITY_OFFSET = 21;
 
-  // Values of fields.
+  // Values of fields. All other states mean that the worker is draining.
   private static final int STATE_GONE = 0;
   private static final int STATE_READY = 1;
+
+  /** Start time of a worker that started too long ago to be in slow start. */
   private static final long STARTED_LONG_AGO = 0;
 
   private final IndexAllocator workers;
@@ -55,16 +57,16 @@
   }
 
   private EndpointEntry entry(ByteBuffer buffer, int offset) {
-    long workerId = WireValues.workerId(buffer, offset + WORKER_ID);
-    long startedAt = buffer.getLong(offset + STARTED_AT);
+    long workerId = WireValues.workerId(buffer, offset + WORKER_ID_OFFSET);
+    long startedAt = buffer.getLong(offset + STARTED_AT_OFFSET);
     return new EndpointEntry(
         workers.allocate(workerId),
         workerId,
-        state(buffer.get(offset + STATE)),
-        WireValues.unsignedShort(buffer, offset + ZONE),
-        WireValues.unsignedShort(buffer, offset + CELL),
-        WireValues.unsignedShort(buffer, offset + KIND),
-        buffer.getFloat(offset + CAPACITY),
+        state(buffer.get(offset + STATE_OFFSET)),
+        WireValues.unsignedShort(buffer, offset + ZONE_OFFSET),
+        WireValues.unsignedShort(buffer, offset + CELL_OFFSET),
+        WireValues.unsignedShort(buffer, offset + KIND_OFFSET),
+        buffer.getFloat(offset + CAPACITY_OFFSET),
         startedAt == STARTED_LONG_AGO ? null : WireValues.ofMicros(startedAt - routerStartMicros));
   }
 
--- a/src/main/java/switchgap/simulator/EventRecordDecoder.java
+++ b/src/main/java/switchgap/simulator/EventRecordDecoder.java
@@ -91,6 +91,7 @@
     switch (type) {
       case CLIENT_DISCONNECTED -> clientDisconnected(offset, events);
       case PROBE_ENDED -> probeEnded(offset, events);
+      // A list with content is delivered by deliverTo().
       case ENDPOINT_LIST -> events.endpointListFailed();
       case RESPONSE_STARTED -> responseStarted(offset, events);
       case ATTEMPT_ENDED -> attemptEnded(offset, events);
--- a/src/test/java/switchgap/planner/PendingLoadBuilder.java
+++ b/src/test/java/switchgap/planner/PendingLoadBuilder.java
@@ -1,6 +1,6 @@
 package switchgap.planner;
 
-/** Builds pending loads for worker w and, by default, function f without waiting requests. */
+/** Builds pending loads for worker w; by default of function f, for which no requests wait. */
 final class PendingLoadBuilder {
   private static final int MEMORY_MB = 1;
 
--- a/src/test/java/switchgap/planner/link/PlannerMessageCodecTest.java
+++ b/src/test/java/switchgap/planner/link/PlannerMessageCodecTest.java
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void rejectsBytesThatAreNoMessageWithReason() throws IOException {
+  void reportsReasonForBytesThatAreNotAMessage() throws IOException {
     CBORMapper cbor = new CBORMapper();
     byte[] number = cbor.writeValueAsBytes(7);
     byte[] unknownType = cbor.writeValueAsBytes(Map.of("is", "greeting"));
