--- a/src/main/java/switchgap/planner/PendingLoadQueue.java
+++ b/src/main/java/switchgap/planner/PendingLoadQueue.java
@@ -238,7 +238,7 @@
     return loads;
   }
 
-  /** Counts of released loads, and of ids in plans that had no effect, since the creation. */
+  /** What has happened to the loads and to the ids in plans since this queue was created. */
   public LoadPlanCounts counts() {
     return new LoadPlanCounts(plannedCount, timedOutCount, staleCount, rejectedCount);
   }
--- a/src/main/java/switchgap/planner/link/PlannerServer.java
+++ b/src/main/java/switchgap/planner/link/PlannerServer.java
@@ -59,7 +59,10 @@
 
   private final int routerIndex;
   private final Listener listener;
+
+  /** The session of the connected planner; null if no planner is connected. */
   private final AtomicReference<PlannerSession> session = new AtomicReference<>();
+
   private final TcpServer server;
   private final ScheduledFuture<?> silenceCheck;
 
--- a/src/main/java/switchgap/planner/link/PlannerSession.java
+++ b/src/main/java/switchgap/planner/link/PlannerSession.java
@@ -2,7 +2,7 @@
 
 import switchgap.net.FramedConnection;
 
-/** A planner's connection in the router, after the handshake. Thread-safe. */
+/** The router's state of a connection to a planner after the handshake. Thread-safe. */
 final class PlannerSession {
   private final FramedConnection connection;
   private final long epoch;
--- a/src/main/java/switchgap/simulator/SimulatorHost.java
+++ b/src/main/java/switchgap/simulator/SimulatorHost.java
@@ -12,8 +12,12 @@
  * routers' actions for each frame. Not thread-safe.
  */
 public final class SimulatorHost {
+  /** Running routers by id. */
   private final Map<Integer, SimulatedRouter> routers = new TreeMap<>();
+
+  /** Entries of the defined endpoint lists in their wire form, by the id of the list. */
   private final Map<Integer, byte[]> endpointLists = new TreeMap<>();
+
   private final ReplyFrame reply = new ReplyFrame();
 
   /**
--- a/src/test/java/switchgap/simulator/ActionRecordEncoderTest.java
+++ b/src/test/java/switchgap/simulator/ActionRecordEncoderTest.java
@@ -17,6 +17,8 @@
   private static final long REQUEST_ID = 0x1112131415161718L;
   private static final long FUNCTION_ID = 0x2122232425262728L;
   private static final long WORKER_ID = 0x313233343536L;
+
+  // Bytes of the ids on the wire, in hexadecimal digits; numbers are little-endian.
   private static final String REQUEST = "1817161514131211";
   private static final String FUNCTION = "2827262524232221";
 
