--- a/src/main/java/switchgap/endpoints/EventStreamClient.java
+++ b/src/main/java/switchgap/endpoints/EventStreamClient.java
@@ -68,7 +68,7 @@
       ReconnectBackoff.exponential(INITIAL_BACKOFF, MAX_BACKOFF_DOUBLINGS);
   private final StallDetector stallDetector =
       new StallDetector(SILENCE_CHECK_INTERVAL, Duration.ofNanos(System.nanoTime()));
-  private InetSocketAddress feedAddress;
+  private InetSocketAddress streamAddress;
   private SubscriptionState state = SubscriptionState.DISCONNECTED;
 
   /** The {@link System#nanoTime} at which the latest attempt started or last delivered a line. */
@@ -119,7 +119,7 @@
     if (state == SubscriptionState.CLOSED) {
       return;
     }
-    feedAddress = address;
+    streamAddress = address;
     backoff.reset();
     connect();
   }
@@ -150,7 +150,7 @@
     lastDataNanos = System.nanoTime();
     long attempt = connections.beginAttempt();
     connector.connect(
-        feedAddress,
+        streamAddress,
         CONNECT_TIMEOUT,
         new HttpClientConnection.ConnectCallback() {
           @Override
--- a/src/main/java/switchgap/policy/LoadEstimator.java
+++ b/src/main/java/switchgap/policy/LoadEstimator.java
@@ -71,7 +71,7 @@
     ownCapacity = DEFAULT_CAPACITY / state.settings.routerCount;
   }
 
-  void everySecond() {
+  void updateEstimates() {
     double fleetRatio = state.fleet.latencyRatios.meanWithPrior(1, PRIOR_SAMPLES);
     for (Worker worker : state.workers) {
       double ratio = worker.latencyRatios.meanWithPrior(fleetRatio, PRIOR_SAMPLES) / fleetRatio;
--- a/src/main/java/switchgap/policy/OutlierDetector.java
+++ b/src/main/java/switchgap/policy/OutlierDetector.java
@@ -44,7 +44,7 @@
     this.state = state;
   }
 
-  void everySecond() {
+  void decayOutcomeCounts() {
     boolean halvesAll = state.seconds() % SLOW_HALVING_SECONDS == 0;
     for (Worker worker : state.workers) {
       if (halvesAll || worker.errors.total() > MAX_WORKER_OUTCOMES) {
--- a/src/main/java/switchgap/policy/ReplicaScaler.java
+++ b/src/main/java/switchgap/policy/ReplicaScaler.java
@@ -104,7 +104,7 @@
     return plannedMemoryMb + function.memoryMb() <= MAX_MEMORY_SHARE * state.readyMemoryMb();
   }
 
-  void everySecond() {
+  void updateTargets() {
     planMemory();
     int maxReplicas = (int) Math.max(1, Math.ceil(state.readyWorkers() * MAX_REPLICA_SHARE));
     for (Function function : state.functions) {
--- a/src/main/java/switchgap/policy/RoutingPolicy.java
+++ b/src/main/java/switchgap/policy/RoutingPolicy.java
@@ -105,20 +105,20 @@
       nextPoll = now.plus(pollInterval);
     }
     if (state.hasPassed(nextSecond)) {
-      everySecond();
+      runPeriodicUpdate();
       nextSecond = now.plus(SECOND);
     }
     queue.sendQueued();
     wakeUps.schedule(queue.nextStep(nextSecond), now, actions);
   }
 
-  private void everySecond() {
-    state.everySecond();
-    slowStart.everySecond();
-    estimator.everySecond();
-    outliers.everySecond();
-    leases.everySecond();
-    scaler.everySecond();
+  private void runPeriodicUpdate() {
+    state.decayRequestCounts();
+    slowStart.updateWorkerRate();
+    estimator.updateEstimates();
+    outliers.decayOutcomeCounts();
+    leases.updatePresumedRestarts();
+    scaler.updateTargets();
   }
 
   @Override
--- a/src/main/java/switchgap/policy/SlowStart.java
+++ b/src/main/java/switchgap/policy/SlowStart.java
@@ -52,7 +52,7 @@
     ownOverloadMultiple = state.settings.slowStartOverloadMultiple / state.settings.routerCount;
   }
 
-  void everySecond() {
+  void updateWorkerRate() {
     averageWorkerRate = 0;
     for (Worker worker : state.workers) {
       // The histogram covers the last one to two seconds.
--- a/src/main/java/switchgap/policy/WorkerLeases.java
+++ b/src/main/java/switchgap/policy/WorkerLeases.java
@@ -55,7 +55,7 @@
    * list has been unconfirmed for {@link #MIN_LIST_OUTAGE}. After the list is confirmed again,
    * withdraws each presumed restart that it does not report within {@link #MAX_LISTING_DELAY}.
    */
-  void everySecond() {
+  void updatePresumedRestarts() {
     if (isLongUnconfirmed()) {
       state.workers.forEach(this::presumeRestartUnlessListed);
     } else if (!state.isListUnconfirmed()) {
--- a/src/main/java/switchgap/policy/state/PolicyState.java
+++ b/src/main/java/switchgap/policy/state/PolicyState.java
@@ -83,7 +83,7 @@
     return actions;
   }
 
-  /** Number of calls of {@link #everySecond()}. */
+  /** Number of calls of {@link #decayRequestCounts()}. */
   public long seconds() {
     return seconds;
   }
@@ -101,7 +101,7 @@
   /**
    * Halves the request counts of the tenants and drops old requests from those of the load quota.
    */
-  public void everySecond() {
+  public void decayRequestCounts() {
     seconds++;
     loadQuota.prune(now);
     tenants.halve();
--- a/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceWorkerTransport.java
@@ -80,12 +80,12 @@
   }
 
   @Override
-  public void stopAccepting(WorkerEntry worker, boolean forGood) {
+  public void stopAccepting(WorkerEntry worker, boolean permanently) {
     if (!(worker.attachment() instanceof WorkerPools workerPools)) {
       return;
     }
     for (HttpConnectionPool pool : workerPools.all()) {
-      if (forGood) {
+      if (permanently) {
         pools.remove(pool);
         pool.retire();
       } else {
--- a/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -172,11 +172,11 @@
   }
 
   @Override
-  public void stopAccepting(WorkerEntry worker, boolean forGood) {
+  public void stopAccepting(WorkerEntry worker, boolean permanently) {
     if (!(worker.attachment() instanceof RespConnectionPool pool)) {
       return;
     }
-    if (forGood) {
+    if (permanently) {
       pool.retire();
     } else {
       pool.rejectWaiting();
--- a/src/main/java/switchgap/server/gateway/ForwardingWorkerTransport.java
+++ b/src/main/java/switchgap/server/gateway/ForwardingWorkerTransport.java
@@ -47,8 +47,8 @@
   }
 
   @Override
-  public void stopAccepting(WorkerEntry worker, boolean forGood) {
-    delegate.stopAccepting(worker, forGood);
+  public void stopAccepting(WorkerEntry worker, boolean permanently) {
+    delegate.stopAccepting(worker, permanently);
   }
 
   @Override
