--- a/src/main/java/switchgap/endpoints/EndpointListEvent.java
+++ b/src/main/java/switchgap/endpoints/EndpointListEvent.java
@@ -11,12 +11,12 @@
 import switchgap.router.EndpointUpdate;
 
 /**
- * A numbered event of the platform's control feed: a complete endpoint list, changes to the list,
+ * A numbered event of the platform's event stream: a complete endpoint list, changes to the list,
  * or an event of another kind. Its parser shares no code with {@link EndpointListLine}, because the
  * platform uses different keys, state names and limits, and because routers on the platform must
  * not load Jackson's object mapper.
  *
- * @param sequence sequence number of the event in the feed
+ * @param sequence sequence number of the event in the stream
  * @param complete whether the updates are the complete list rather than changes to it
  * @param updates the entries in the order of the event, or null for an event of another kind
  */
--- a/src/main/java/switchgap/endpoints/EndpointListWatcher.java
+++ b/src/main/java/switchgap/endpoints/EndpointListWatcher.java
@@ -23,9 +23,9 @@
  * a new connection, because a half-open connection is indistinguishable from a fleet without
  * changes.
  *
- * <p>Unlike the feed of {@link EventStreamClient}, the service sends no heartbeats and can send its
- * complete list at any time. A fixed reconnect delay, and a switch to a new connection as soon as
- * it is open, are therefore sufficient.
+ * <p>Unlike the stream of {@link EventStreamClient}, the service sends no heartbeats and can send
+ * its complete list at any time. A fixed reconnect delay, and a switch to a new connection as soon
+ * as it is open, are therefore sufficient.
  *
  * <p>Thread-safe. Lists are parsed on the selector threads of the connections and posted to the
  * router's event loop.
--- a/src/main/java/switchgap/endpoints/EventSequence.java
+++ b/src/main/java/switchgap/endpoints/EventSequence.java
@@ -1,7 +1,7 @@
 package switchgap.endpoints;
 
 /**
- * Decides by its sequence number whether an event of the control feed is delivered, so that each
+ * Decides by its sequence number whether an event of the event stream is delivered, so that each
  * event is delivered once and in order. Not thread-safe.
  */
 final class EventSequence {
@@ -22,7 +22,7 @@
 
   /**
    * Sequence number of the event at which a gap was last found. If the same event follows the last
-   * one again after reconnecting, the feed has no events in between.
+   * one again after reconnecting, the stream has no events in between.
    */
   private long gapSequence;
 
--- a/src/main/java/switchgap/endpoints/EventStreamClient.java
+++ b/src/main/java/switchgap/endpoints/EventStreamClient.java
@@ -15,21 +15,20 @@
 import switchgap.net.TimerThread;
 
 /**
- * Follows the platform's control feed, starting after a given sequence number. Each event is
- * delivered once and in order. While the feed is disconnected or its events are invalid, the last
- * valid endpoint list remains in use. If the feed is silent for longer than two heartbeat
- * intervals, the client opens a new connection, because a half-open connection is indistinguishable
- * from a fleet without changes. The connection that delivered data last stays in use until the new
- * one delivers.
+ * Follows the platform's event stream from a sequence number on and delivers each event once and in
+ * order. While the stream is disconnected or its events are invalid, the last valid endpoint list
+ * remains in use. After more than two heartbeat intervals without data the client reconnects,
+ * because a half-open connection is indistinguishable from a fleet without changes. The connection
+ * that delivered data last stays in use until the new one delivers.
  *
  * <p>The list is confirmed while heartbeats arrive on the latest connection, because a heartbeat
  * shows that no event is missing. It is unconfirmed after an unanswered request for the stream, a
- * lost connection, an invalid or incomplete event, or silence. The platform considers an event that
- * the stream would have delivered afterwards as notified at that moment at the earliest.
+ * lost connection, an invalid or incomplete event, or silence. From that moment on, but not before,
+ * the platform may treat events as notified that the stream would have delivered.
  *
- * <p>Unlike the service of {@link EndpointListWatcher}, the feed has heartbeats and can be resumed
- * at a sequence number, and the platform migrates routers from one feed to another. Therefore two
- * connections may be in use at a time, and the delay between reconnects grows exponentially.
+ * <p>Unlike the service of {@link EndpointListWatcher}, the stream has heartbeats and can resume at
+ * a sequence number, and the platform migrates routers between streams. Therefore two connections
+ * may be in use at a time, and the delay between reconnects grows exponentially.
  *
  * <p>Thread-safe. Events are delivered on the selector threads of the connections, under the
  * client's lock.
@@ -46,15 +45,12 @@
 
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
-  /**
-   * When the list is confirmed again, a log line is written if it was unconfirmed for longer than
-   * this.
-   */
+  /** Minimum time for which the list was unconfirmed to log that it is confirmed again. */
   private static final Duration MIN_LOGGED_OUTAGE = Duration.ofSeconds(1);
 
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Time for which a connection must have delivered data before the backoff is reset. */
+  /** Time for which a connection must deliver data before the backoff is reset. */
   private static final Duration MIN_STABLE_TIME = Duration.ofMillis(500);
 
   private final HttpClientConnector connector;
@@ -77,10 +73,7 @@
   /** Whether an event was invalid or missing, so that heartbeats do not confirm the list. */
   private boolean eventMissing;
 
-  /**
-   * The {@link System#nanoTime} since which the list has been unconfirmed; not used while it is
-   * confirmed.
-   */
+  /** The {@link System#nanoTime} since which the list is unconfirmed; unused while confirmed. */
   private long unconfirmedSinceNanos = System.nanoTime();
 
   private boolean confirmed;
@@ -90,8 +83,7 @@
    *
    * @param lastSequence sequence number of the last event that the router has already received
    * @param listener receives the events, and is notified when the list is confirmed or unconfirmed
-   * @param log receives a log line for each fault of the feed and for each long outage that has
-   *     ended
+   * @param log receives a line for each fault of the stream and for the end of each long outage
    */
   public EventStreamClient(
       HttpClientConnector connector,
@@ -112,9 +104,7 @@
             TimeUnit.MILLISECONDS);
   }
 
-  /**
-   * Connects to the feed, or migrates to a feed at another address. Resumes after the last event.
-   */
+  /** Connects to the stream at this address, or migrates to it; resumes after the last event. */
   public synchronized void follow(InetSocketAddress address) {
     if (state == SubscriptionState.CLOSED) {
       return;
@@ -128,15 +118,15 @@
     try {
       reconnectIfSilent();
     } catch (RuntimeException e) { // A periodic task that throws is never run again.
-      log.accept("silence check of the control feed failed: " + e);
+      log.accept("silence check of the event stream failed: " + e);
     }
   }
 
   private synchronized void reconnectIfSilent() {
-    // Data that the feed sent while the process was stalled has not been read yet.
+    // Data that the server sent while the process was stalled has not been read yet.
     lastDataNanos += stallDetector.recordCheck(Duration.ofNanos(System.nanoTime())).toNanos();
     if (state.awaitsData() && System.nanoTime() - lastDataNanos > SILENCE_TIMEOUT.toNanos()) {
-      log.accept("control feed silent, reconnecting");
+      log.accept("event stream silent, reconnecting");
       connect();
     }
   }
@@ -183,10 +173,7 @@
     }
   }
 
-  /**
-   * Ends an attempt that has failed or must be given up. If it is the latest attempt, schedules
-   * another.
-   */
+  /** Ends an attempt that failed or must be given up; if it is the latest, schedules another. */
   synchronized void disconnected(long attempt, CloseCause cause) {
     if (state == SubscriptionState.CLOSED) {
       return;
@@ -197,7 +184,7 @@
     }
     unconfirm();
     if (!backoff.hasFailed()) {
-      log.accept("control feed unavailable, keeping the last endpoint list: " + cause);
+      log.accept("event stream unavailable, keeping the last endpoint list: " + cause);
     }
     Duration delay = backoff.nextDelay();
     state = state.onDisconnect();
--- a/src/main/java/switchgap/endpoints/SubscriptionEndReason.java
+++ b/src/main/java/switchgap/endpoints/SubscriptionEndReason.java
@@ -3,7 +3,7 @@
 import switchgap.net.CloseCause;
 import switchgap.net.CloseReason;
 
-/** The reason why a client gives up a connection to an endpoint list service or a control feed. */
+/** The reason why a client gives up a connection to an endpoint list service or an event stream. */
 enum SubscriptionEndReason implements CloseReason {
   /** The connection could not be opened, or not within its timeout. */
   CONNECT_FAILED("connect failed"),
--- a/src/main/java/switchgap/endpoints/SubscriptionState.java
+++ b/src/main/java/switchgap/endpoints/SubscriptionState.java
@@ -8,7 +8,7 @@
   CONNECTING,
   /** The connection has delivered data. */
   STREAMING,
-  /** Closed for good; no transition leads out of it. */
+  /** Closed permanently; no transition leads out of this state. */
   CLOSED;
 
   /** Returns the next state when an attempt to connect starts. */
--- a/src/main/java/switchgap/net/AcceptStall.java
+++ b/src/main/java/switchgap/net/AcceptStall.java
@@ -50,26 +50,26 @@
    * Records that an accept failed. Accepts are considered failing until {@link #acceptSucceeded}.
    */
   synchronized void acceptFailed() {
-    start();
+    startStall();
     acceptsFailing = true;
   }
 
   /** Records that an accept succeeded or found the queue empty. */
   synchronized void acceptSucceeded() {
     acceptsFailing = false;
-    endUnlessBlocked();
+    endStallUnlessBlocked();
   }
 
   /** Records that accepting is suspended on purpose until {@link #resume}. */
   synchronized void pause() {
-    start();
+    startStall();
     paused = true;
   }
 
   /** Records that accepting is no longer suspended. */
   synchronized void resume() {
     paused = false;
-    endUnlessBlocked();
+    endStallUnlessBlocked();
   }
 
   /** Whether accepting is suspended by {@link #pause}. */
@@ -107,14 +107,14 @@
   }
 
   /** Starts a stall, or continues a previous stall if clients from it may still be waiting. */
-  private void start() {
+  private void startStall() {
     if (maxAcceptDelay().isZero()) {
       stallStartedNanos = nanoClock.getAsLong();
     }
     stallEndedNanos = NOT_SET;
   }
 
-  private void endUnlessBlocked() {
+  private void endStallUnlessBlocked() {
     boolean isOngoing = stallStartedNanos != NOT_SET && stallEndedNanos == NOT_SET;
     if (isOngoing && !acceptsFailing && !paused) {
       stallEndedNanos = nanoClock.getAsLong();
--- a/src/main/java/switchgap/net/RequestAssemblyFilter.java
+++ b/src/main/java/switchgap/net/RequestAssemblyFilter.java
@@ -70,7 +70,8 @@
     }
     HttpRequestPacket request = (HttpRequestPacket) part.getHttpHeader();
     if (isBodyTooLarge(part, request, state)) {
-      state.discardBody(); // The rest of the body is ignored until the connection is closed.
+      // Rejected as soon as the size is known; the rest is ignored until the connection is closed.
+      state.discardBody();
       rejectTooLarge(connection, request);
       return context.getStopAction();
     }
--- a/src/main/java/switchgap/policy/CandidateSelector.java
+++ b/src/main/java/switchgap/policy/CandidateSelector.java
@@ -25,7 +25,10 @@
   /** CPU utilization below which no request waits for a core. */
   private static final double BUSY_CPU_UTILIZATION = 0.9;
 
-  /** Limit of attempts in flight, including those that wait for a load, in concurrency limits. */
+  /**
+   * Maximum number of attempts in flight, including those that wait for a load, as a multiple of
+   * the concurrency limit.
+   */
   private static final double MAX_OVERCOMMIT = 3;
 
   private final PolicyState state;
--- a/src/main/java/switchgap/policy/LoadEstimator.java
+++ b/src/main/java/switchgap/policy/LoadEstimator.java
@@ -71,6 +71,10 @@
     ownCapacity = DEFAULT_CAPACITY / state.settings.routerCount;
   }
 
+  /**
+   * Updates the latency ratios of the workers and the fleet's mean load, then halves the measured
+   * counts so that old values fade.
+   */
   void updateEstimates() {
     double fleetRatio = state.fleet.latencyRatios.meanWithPrior(1, PRIOR_SAMPLES);
     for (Worker worker : state.workers) {
--- a/src/main/java/switchgap/policy/OutlierDetector.java
+++ b/src/main/java/switchgap/policy/OutlierDetector.java
@@ -44,6 +44,7 @@
     this.state = state;
   }
 
+  /** Halves the counts of outcomes so that old errors fade. */
   void decayOutcomeCounts() {
     boolean halvesAll = state.seconds() % SLOW_HALVING_SECONDS == 0;
     for (Worker worker : state.workers) {
--- a/src/main/java/switchgap/policy/ReplicaScaler.java
+++ b/src/main/java/switchgap/policy/ReplicaScaler.java
@@ -11,7 +11,8 @@
 /**
  * Adjusts the target replica count of each function once a second. The target rises when the mean
  * concurrency per slot exceeds {@link #SCALE_UP_CONCURRENCY}; it falls when the concurrency has
- * stayed at or below {@link #SCALE_DOWN_CONCURRENCY} for an idle timeout.
+ * stayed at or below {@link #SCALE_DOWN_CONCURRENCY} for an idle timeout. In between it stays
+ * unchanged.
  */
 final class ReplicaScaler {
   /** Mean concurrency per slot, as reported on arrival of attempts, above which to scale up. */
@@ -26,7 +27,7 @@
   /** Number of reports below which the mean concurrency is not reliable. */
   private static final double MIN_REPORTS = 2;
 
-  /** The same limit with many routers, each of which sees few requests of a function. */
+  /** Replaces {@link #MIN_REPORTS} with many routers, as each sees few requests of a function. */
   private static final double MIN_REPORTS_MANY_ROUTERS = 0.5;
 
   /** Number of reports above which the counts are halved each second even with many routers. */
@@ -104,6 +105,10 @@
     return plannedMemoryMb + function.memoryMb() <= MAX_MEMORY_SHARE * state.readyMemoryMb();
   }
 
+  /**
+   * Updates the target replica counts, renews or unloads replicas accordingly, and releases the
+   * functions that have been idle for long.
+   */
   void updateTargets() {
     planMemory();
     int maxReplicas = (int) Math.max(1, Math.ceil(state.readyWorkers() * MAX_REPLICA_SHARE));
@@ -215,7 +220,7 @@
     if (leases.maySendTo(worker)) {
       state.dispatcher.renew(function, worker);
     } else {
-      leases.requestLease(worker); // the next call of everySecond renews the replica
+      leases.requestLease(worker); // the next periodic update renews the replica
     }
   }
 
--- a/src/main/java/switchgap/policy/RequestRouter.java
+++ b/src/main/java/switchgap/policy/RequestRouter.java
@@ -17,11 +17,15 @@
  */
 final class RequestRouter {
   /**
-   * Price of the two probes for a request, as a share of its weight, from which on none are sent.
+   * No probes are sent if the price of the two probes of a request is at least this share of its
+   * weight.
    */
   private static final double MAX_PROBE_PRICE = 0.03;
 
-  /** Maximum age of a recent load report: the shortest latency objective divided by this. */
+  /**
+   * The shortest latency objective divided by this is the maximum age of a load report that makes a
+   * probe unnecessary.
+   */
   private static final int REPORT_AGES_PER_OBJECTIVE = 4;
 
   /** Number of queue steps within the shortest latency objective. */
@@ -81,9 +85,9 @@
   }
 
   /**
-   * Returns the worker to send to, or null. Without an available target replica, a worker whose
-   * replica state is unknown precedes a loaded replica beyond the targets, unless workers load on
-   * demand, since the attempt would then wait for the load.
+   * Returns the worker to send to, or null. If no target replica is available, a worker with a
+   * replica in unknown state is preferred to a loaded replica beyond the targets. If workers load
+   * on demand it is the other way round, since the attempt might have to wait for the load.
    */
   private Worker selectWorker(CandidateSurvey survey) {
     if (survey.best() != null) {
--- a/src/main/java/switchgap/policy/RoutingPolicy.java
+++ b/src/main/java/switchgap/policy/RoutingPolicy.java
@@ -112,6 +112,7 @@
     wakeUps.schedule(queue.nextStep(nextSecond), now, actions);
   }
 
+  /** The periodic update, once a second: lets old measurements fade and derives new estimates. */
   private void runPeriodicUpdate() {
     state.decayRequestCounts();
     slowStart.updateWorkerRate();
--- a/src/main/java/switchgap/policy/SlowStart.java
+++ b/src/main/java/switchgap/policy/SlowStart.java
@@ -52,6 +52,7 @@
     ownOverloadMultiple = state.settings.slowStartOverloadMultiple / state.settings.routerCount;
   }
 
+  /** Measures the mean rate at which this router's requests complete at a ready worker. */
   void updateWorkerRate() {
     averageWorkerRate = 0;
     for (Worker worker : state.workers) {
--- a/src/main/java/switchgap/policy/WorkerLeases.java
+++ b/src/main/java/switchgap/policy/WorkerLeases.java
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Presumes that workers restarted whose reconnection the endpoint list does not explain, once the
-   * list has been unconfirmed for {@link #MIN_LIST_OUTAGE}. After the list is confirmed again,
+   * Once the list has been unconfirmed for {@link #MIN_LIST_OUTAGE}, presumes a restart of each
+   * worker that has reconnected without a restart in the list. After the list is confirmed again,
    * withdraws each presumed restart that it does not report within {@link #MAX_LISTING_DELAY}.
    */
   void updatePresumedRestarts() {
--- a/src/main/java/switchgap/policy/state/PolicyState.java
+++ b/src/main/java/switchgap/policy/state/PolicyState.java
@@ -83,7 +83,7 @@
     return actions;
   }
 
-  /** Number of calls of {@link #decayRequestCounts()}. */
+  /** Number of periodic updates so far; there is one per second. */
   public long seconds() {
     return seconds;
   }
@@ -99,7 +99,8 @@
   }
 
   /**
-   * Halves the request counts of the tenants and drops old requests from those of the load quota.
+   * Starts a periodic update: counts it, halves the request counts of the tenants and drops old
+   * requests from those of the load quota.
    */
   public void decayRequestCounts() {
     seconds++;
--- a/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
@@ -31,7 +31,7 @@
    */
   private boolean disconnectedByWorker;
 
-  /** Whether the worker has left the endpoint list permanently. */
+  /** Whether the worker was removed from the endpoint list or has a new address. */
   private boolean retired;
 
   RespConnectionPool(
@@ -87,7 +87,10 @@
         && manager.ensureCapacity();
   }
 
-  /** See {@link OpenConnections#leastRecentlyUsed}. */
+  /**
+   * Returns the least recently used idle connection of this pool and {@code other}, which may be
+   * null; null if there is none.
+   */
   RespConnection leastRecentlyUsed(RespConnection other) {
     return connections.leastRecentlyUsed(other);
   }
@@ -206,8 +209,8 @@
   }
 
   /**
-   * Retires the pool after the worker has left the endpoint list permanently. Waiting exchanges end
-   * as not sent, and connections are closed as soon as they are idle.
+   * Retires the pool after the worker was removed from the endpoint list or got a new address.
+   * Waiting exchanges end as not sent, and connections are closed as soon as they are idle.
    */
   void retire() {
     retired = true;
--- a/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -183,7 +183,7 @@
     }
   }
 
-  /** Does nothing, because the control feed pushes the endpoint list. */
+  /** Does nothing, because the event stream delivers the endpoint list. */
   @Override
   public void requestEndpointList() {}
 }
--- a/src/main/java/switchgap/protocol/thrift/AcceptThrottle.java
+++ b/src/main/java/switchgap/protocol/thrift/AcceptThrottle.java
@@ -28,19 +28,19 @@
 
   void connectionOpened() {
     openConnections.incrementAndGet();
-    updateListener();
+    pauseOrResumeListener();
   }
 
   void connectionClosed() {
     openConnections.decrementAndGet();
-    updateListener();
+    pauseOrResumeListener();
   }
 
   int openConnections() {
     return openConnections.get();
   }
 
-  private synchronized void updateListener() {
+  private synchronized void pauseOrResumeListener() {
     boolean hasCapacity = openConnections.get() < maxOpenConnections;
     if (hasCapacity != isListenerPaused || listener == null) {
       return;
--- a/src/main/java/switchgap/protocol/thrift/ClientConnection.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientConnection.java
@@ -39,22 +39,13 @@
    */
   private final Map<Integer, Duration> revokedAt = new ConcurrentHashMap<>();
 
-  /**
-   * Earliest time at which the bytes of the first read may have arrived; null before the first
-   * read. Selector thread only.
-   */
+  /** Earliest possible arrival of the first read's bytes; null before it. Selector thread only. */
   private Duration firstReadReceivedAt;
 
-  /**
-   * Whether the event loop is evicting the connection; messages that are read while it is set are
-   * rejected.
-   */
+  /** Whether the event loop is evicting the connection, so that messages read now are rejected. */
   private volatile boolean isEvicting;
 
-  /**
-   * Time of the latest of: the connect, the last handled message, the last reply passed to the
-   * socket.
-   */
+  /** Time of the connect, the last handled message or the last reply sent, whichever is latest. */
   private volatile long lastActiveNanos;
 
   private volatile Duration closedAt;
@@ -119,17 +110,12 @@
     return queuedMessages.get();
   }
 
-  /**
-   * Increments the number of queued messages before one is queued for the event loop; returns the
-   * new number.
-   */
+  /** Counts a message that is about to be queued for the event loop; returns the new number. */
   int messageQueued() {
     return queuedMessages.incrementAndGet();
   }
 
-  /**
-   * Decrements the number of queued messages after one has reached the event loop or was rejected.
-   */
+  /** Decrements the count after a queued message has reached the event loop or was rejected. */
   void messageDequeued() {
     queuedMessages.decrementAndGet();
   }
@@ -164,10 +150,7 @@
     return firstReadReceivedAt.compareTo(receivedAt) < 0 ? firstReadReceivedAt : receivedAt;
   }
 
-  /**
-   * Passes each complete frame to the handler; returns false from the first frame length that is
-   * out of bounds.
-   */
+  /** Passes complete frames to the handler; returns false once a length is out of bounds. */
   boolean receive(ByteBuffer bytes, Consumer<byte[]> frameHandler, Duration now) {
     return receiver.receive(bytes, frameHandler, now);
   }
@@ -199,9 +182,7 @@
     inFlight.put(sequenceId, request);
   }
 
-  /**
-   * Removes a request from those in flight and returns it, or null if none has this sequence id.
-   */
+  /** Removes and returns the request in flight with this sequence id, or null if none has it. */
   PendingRequest requestRemoved(int sequenceId) {
     return inFlight.remove(sequenceId);
   }
@@ -218,10 +199,7 @@
     return inFlight.size();
   }
 
-  /**
-   * Passes each request in flight with its sequence id to the visitor, which must not add or remove
-   * requests.
-   */
+  /** Visits each request in flight with its sequence id; the visitor must not add or remove any. */
   void forEachRequest(BiConsumer<Integer, PendingRequest> visitor) {
     inFlight.forEach(visitor);
   }
@@ -263,10 +241,7 @@
     return inFlight.isEmpty() && queuedMessages.get() == 0 && !receiver.hasPartialMessage();
   }
 
-  /**
-   * Whether a request is in flight, queued or partially received, or a reply is not completely
-   * written.
-   */
+  /** Whether a request is in flight, queued or partially received, or a reply is unwritten. */
   boolean isActive() {
     return isOpen() && (!isIdle() || hasUnsentReplies());
   }
@@ -276,30 +251,22 @@
     return receiver.hasReceivedMessage();
   }
 
-  /**
-   * Whether the client has not sent a complete message since it connected, which was longer ago
-   * than the timeout.
-   */
+  /** Whether the client connected longer than the timeout ago and has sent no complete message. */
   boolean isSilent(Duration now, Duration timeout) {
     return !receiver.hasReceivedMessage() && isQuiet(now, timeout);
   }
 
-  /**
-   * Whether no message was handled and no reply was sent on this connection for longer than the
-   * given duration.
-   */
+  /** Whether no message was handled and no reply was sent for longer than the given duration. */
   boolean isQuiet(Duration now, Duration minDuration) {
     return now.toNanos() - lastActiveNanos > minDuration.toNanos();
   }
 
-  /**
-   * Whether a message has been due for longer than the timeout, not counting stalls of the process.
-   */
+  /** Whether a message is due for longer than the timeout, excluding stalls of the process. */
   boolean isReceiveOverdue(Duration now, Duration timeout, StallHistory stalls) {
     return receiver.isOverdue(now, timeout, stalls);
   }
 
-  /** Time of the latest of: the connect, the last handled message, the last sent reply. */
+  /** Time of the connect, the last handled message or the last reply sent, whichever is latest. */
   long lastActiveNanos() {
     return lastActiveNanos;
   }
--- a/src/main/java/switchgap/protocol/thrift/ClientMessageReader.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientMessageReader.java
@@ -97,8 +97,8 @@
   private void enqueueRevoke(
       ClientConnection connection, ThriftMessage message, Duration receivedAt) {
     if (!countQueuedMessage(connection)) {
-      connection.close(
-          ClientCloseReason.QUEUE_OVERFLOW); // a revoke has no reply that could reject it
+      // A revoke has no reply that could reject it.
+      connection.close(ClientCloseReason.QUEUE_OVERFLOW);
       return;
     }
     connection.revokeReceived(message.firstInteger(), receivedAt);
@@ -119,8 +119,8 @@
     if (queuedBytes.addAndGet(messageBytes) <= maxQueuedBytes) {
       return true;
     }
-    queuedBytes.addAndGet(
-        -messageBytes); // a leaked reservation would lower the limit until a restart
+    // If it were kept, each rejected message would lower the limit until a restart.
+    queuedBytes.addAndGet(-messageBytes);
     return false;
   }
 }
--- a/src/main/java/switchgap/router/RouterCore.java
+++ b/src/main/java/switchgap/router/RouterCore.java
@@ -176,7 +176,7 @@
 
   /**
    * Sets the time, since the router's start, until which the endpoint list is confirmed to be
-   * complete. After this time, the sender may treat changes as delivered although this router has
+   * complete. After this time, the platform may treat changes as delivered although this router has
    * not received them. {@link Duration#ZERO} if the list is not confirmed now.
    */
   public void endpointListConfirmedUntil(Duration time) {
--- a/src/main/java/switchgap/server/platform/PlatformLimits.java
+++ b/src/main/java/switchgap/server/platform/PlatformLimits.java
@@ -15,10 +15,10 @@
   /** Interval between checks for overdue messages and exchanges. */
   static final Duration SWEEP_INTERVAL = Duration.ofMillis(200);
 
-  // Divisors of the number of descriptors that give the quotas.
+  // Each quota of connections is the number of descriptors divided by one of these.
   private static final int CLIENT_CONNECTION_DIVISOR = 3;
 
-  /** For connections beyond the clients' quota, until the event loop has evicted others. */
+  /** Quota of client connections that are open until the event loop has evicted others. */
   private static final int EXCESS_CONNECTION_DIVISOR = 12;
 
   private static final int WORKER_CONNECTION_DIVISOR = 3;
@@ -34,10 +34,12 @@
 
   private static final int MAX_PENDING_REQUESTS = 4096;
 
-  /** Divisor of the heap size that gives the bytes for queued client messages. */
+  /** The heap size divided by this limits the bytes of queued client messages. */
   private static final int BUFFER_HEAP_DIVISOR = 16;
 
-  /** Divisor of those bytes that gives the maximum of one connection's unread responses. */
+  /**
+   * Those bytes divided by this limit the responses that the client of a connection left unread.
+   */
   private static final int UNREAD_RESPONSE_DIVISOR = 4;
 
   /** Maximum time for a complete message to arrive. */
@@ -61,10 +63,8 @@
   }
 
   RespConnectionLimits workerConnections() {
-    Duration idleTimeout =
-        settings
-            .connectionIdleTimeout()
-            .dividedBy(2); // must expire before the worker's own timeout
+    // Connections must be closed before the worker closes them at its own idle timeout.
+    Duration idleTimeout = settings.connectionIdleTimeout().dividedBy(2);
     return new RespConnectionLimits(
         descriptorQuota(WORKER_CONNECTION_DIVISOR),
         MAX_CONNECTIONS_PER_WORKER,
--- a/src/main/java/switchgap/server/platform/PlatformRouter.java
+++ b/src/main/java/switchgap/server/platform/PlatformRouter.java
@@ -77,8 +77,8 @@
     CountDownLatch firstSweep =
         postToEventLoop(
             core -> {
-              isEndpointListApplied =
-                  true; // urgent events, such as the list's, run before this one
+              // Urgent events, such as those that apply the list, run before this one.
+              isEndpointListApplied = true;
               sweep(core);
             });
     eventLoop.start();
--- a/src/test/java/switchgap/endpoints/EndpointListEventTest.java
+++ b/src/test/java/switchgap/endpoints/EndpointListEventTest.java
@@ -11,7 +11,7 @@
 import switchgap.router.EndpointUpdate;
 import switchgap.server.platform.EventStreamTestServer;
 
-/** The wire format of an event of the control feed. */
+/** The wire format of an event of the event stream. */
 class EndpointListEventTest {
   private static EndpointListEvent parse(String text) throws InvalidEndpointListException {
     return EndpointListEvent.parse(text, EventStreamClientFixture.NAMES);
--- a/src/test/java/switchgap/endpoints/EventStreamClientFixture.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientFixture.java
@@ -95,8 +95,9 @@
     await(() -> received.size() == events);
   }
 
-  static void awaitRequests(EventStreamTestServer feed, int requests) throws InterruptedException {
-    await(() -> feed.requestedEventIds().size() == requests);
+  static void awaitRequests(EventStreamTestServer server, int requests)
+      throws InterruptedException {
+    await(() -> server.requestedEventIds().size() == requests);
   }
 
   private static void await(BooleanSupplier condition) throws InterruptedException {
--- a/src/test/java/switchgap/endpoints/EventStreamClientTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import switchgap.server.platform.EventStreamTestServer;
 
-/** Delivery of the control feed's events despite lost connections, duplicates, gaps and silence. */
+/** Delivery of the event stream's events despite lost connections, duplicates, gaps and silence. */
 class EventStreamClientTest {
   private static final int TRICKLED_BYTES = 100;
   private static final int TRICKLE_INTERVAL_MILLIS = 50;
@@ -51,18 +51,18 @@
 
   @Test
   void deliversEachEventOnceAndInOrderDespiteLostConnectionsDuplicatesAndGaps() throws Exception {
-    try (EventStreamTestServer feed =
+    try (EventStreamTestServer server =
             new EventStreamTestServer(EventStreamClientTest::deliverWithFaults);
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
-      fixture.client.follow(feed.address());
+      fixture.client.follow(server.address());
       fixture.awaitReceived(5);
       assertThat(fixture.receivedSequences()).containsExactly(2L, 3L, 4L, 5L, 6L);
-      assertThat(feed.requestedEventIds()).startsWith(1L, 2L, 3L, 3L);
+      assertThat(server.requestedEventIds()).startsWith(1L, 2L, 3L, 3L);
     }
   }
 
   @Test
-  void reconnectsToSilentFeedAndResumesAtAnotherAddress() throws Exception {
+  void reconnectsToSilentServerAndResumesAtAnotherAddress() throws Exception {
     EventStreamTestServer.StreamHandler silentAtFirst =
         (connectionIndex, lastEventId, out) -> {
           if (connectionIndex == 1) {
@@ -75,15 +75,15 @@
           EventStreamTestServer.sendEvent(out, event(lastEventId + 1));
           return true;
         };
-    try (EventStreamTestServer firstFeed = new EventStreamTestServer(silentAtFirst);
-        EventStreamTestServer secondFeed = new EventStreamTestServer(deliversOne);
+    try (EventStreamTestServer firstServer = new EventStreamTestServer(silentAtFirst);
+        EventStreamTestServer secondServer = new EventStreamTestServer(deliversOne);
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
-      fixture.client.follow(firstFeed.address());
+      fixture.client.follow(firstServer.address());
       fixture.awaitReceived(1); // The first connection was silent; the second one delivers.
-      assertThat(firstFeed.requestedEventIds()).containsExactly(1L, 1L);
-      fixture.client.follow(secondFeed.address());
+      assertThat(firstServer.requestedEventIds()).containsExactly(1L, 1L);
+      fixture.client.follow(secondServer.address());
       fixture.awaitReceived(2);
-      assertThat(secondFeed.requestedEventIds()).containsExactly(2L);
+      assertThat(secondServer.requestedEventIds()).containsExactly(2L);
     }
   }
 
@@ -117,10 +117,10 @@
           }
           return true;
         };
-    try (EventStreamTestServer feed = new EventStreamTestServer(behaviour);
+    try (EventStreamTestServer server = new EventStreamTestServer(behaviour);
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
       long startedNanos = System.nanoTime();
-      fixture.client.follow(feed.address());
+      fixture.client.follow(server.address());
       fixture.awaitReceived(1); // The second connection delivers.
       assertThat(Duration.ofNanos(System.nanoTime() - startedNanos))
           .isLessThan(Duration.ofSeconds(4));
@@ -146,13 +146,13 @@
           }
           return true;
         };
-    try (EventStreamTestServer feed = new EventStreamTestServer(behaviour);
+    try (EventStreamTestServer server = new EventStreamTestServer(behaviour);
         EventStreamClientFixture fixture = new EventStreamClientFixture(5)) {
-      fixture.client.follow(feed.address());
+      fixture.client.follow(server.address());
       fixture.awaitReceived(3);
       assertThat(fixture.receivedWorkers()).containsExactly("5same", "8ahead", "9w9");
       // A complete list has no gap before it, so the client does not reconnect.
-      assertThat(feed.requestedEventIds()).containsExactly(5L);
+      assertThat(server.requestedEventIds()).containsExactly(5L);
     }
   }
 }
--- a/src/test/java/switchgap/endpoints/EventStreamConfirmationTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamConfirmationTest.java
@@ -29,11 +29,11 @@
 
   @Test
   void heartbeatConfirmsListUntilConnectionIsLost() throws Exception {
-    try (EventStreamTestServer feed = new EventStreamTestServer(heartbeatOnly());
+    try (EventStreamTestServer server = new EventStreamTestServer(heartbeatOnly());
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
-      fixture.client.follow(feed.address());
+      fixture.client.follow(server.address());
       fixture.awaitConfirmed(true);
-      feed.close();
+      server.close();
       fixture.awaitConfirmed(false);
       assertStaysUnconfirmed(fixture);
     }
@@ -49,23 +49,23 @@
           EventStreamTestServer.sendEvent(out, event(lastEventId + 1));
           return true;
         };
-    try (EventStreamTestServer feed = new EventStreamTestServer(oneEvent);
+    try (EventStreamTestServer server = new EventStreamTestServer(oneEvent);
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
-      fixture.client.follow(feed.address());
+      fixture.client.follow(server.address());
       fixture.awaitReceived(1);
       assertStaysUnconfirmed(fixture);
-      feed.sendHeartbeats();
+      server.sendHeartbeats();
       fixture.awaitConfirmed(true);
     }
   }
 
   @Test
   void openConnectionWithoutDataDoesNotConfirmList() throws Exception {
-    try (EventStreamTestServer feed =
+    try (EventStreamTestServer server =
             new EventStreamTestServer((connectionIndex, lastEventId, out) -> true);
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
-      fixture.client.follow(feed.address());
-      EventStreamClientFixture.awaitRequests(feed, 1);
+      fixture.client.follow(server.address());
+      EventStreamClientFixture.awaitRequests(server, 1);
       assertStaysUnconfirmed(fixture);
     }
   }
@@ -79,9 +79,9 @@
           }
           return true;
         };
-    try (EventStreamTestServer feed = new EventStreamTestServer(heartbeatOnce);
+    try (EventStreamTestServer server = new EventStreamTestServer(heartbeatOnce);
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
-      fixture.client.follow(feed.address());
+      fixture.client.follow(server.address());
       fixture.awaitConfirmed(true);
       fixture.awaitConfirmed(false);
       assertStaysUnconfirmed(fixture);
@@ -100,10 +100,10 @@
           write(out, ":\n\n");
           return true;
         };
-    try (EventStreamTestServer feed = new EventStreamTestServer(invalidAtFirst);
+    try (EventStreamTestServer server = new EventStreamTestServer(invalidAtFirst);
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
-      fixture.client.follow(feed.address());
-      EventStreamClientFixture.awaitRequests(feed, 2);
+      fixture.client.follow(server.address());
+      EventStreamClientFixture.awaitRequests(server, 2);
       assertThat(fixture.isConfirmed()).isFalse();
       fixture.awaitReceived(1);
       fixture.awaitConfirmed(true);
@@ -117,10 +117,10 @@
           write(out, "id: 2\ndata: {\"n\":2,\n:\n");
           return true;
         };
-    try (EventStreamTestServer feed = new EventStreamTestServer(endless);
+    try (EventStreamTestServer server = new EventStreamTestServer(endless);
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
-      fixture.client.follow(feed.address());
-      EventStreamClientFixture.awaitRequests(feed, 1);
+      fixture.client.follow(server.address());
+      EventStreamClientFixture.awaitRequests(server, 1);
       assertStaysUnconfirmed(fixture);
     }
   }
@@ -128,17 +128,17 @@
   /** After the migration, heartbeats from the old address no longer confirm the list. */
   @Test
   void newAddressConfirmsListOnceItSendsHeartbeats() throws Exception {
-    try (EventStreamTestServer oldFeed = new EventStreamTestServer(heartbeatOnly());
-        EventStreamTestServer newFeed =
+    try (EventStreamTestServer oldServer = new EventStreamTestServer(heartbeatOnly());
+        EventStreamTestServer newServer =
             new EventStreamTestServer((connectionIndex, lastEventId, out) -> true);
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
-      fixture.client.follow(oldFeed.address());
+      fixture.client.follow(oldServer.address());
       fixture.awaitConfirmed(true);
-      fixture.client.follow(newFeed.address());
-      EventStreamClientFixture.awaitRequests(newFeed, 1);
-      oldFeed.sendHeartbeats();
+      fixture.client.follow(newServer.address());
+      EventStreamClientFixture.awaitRequests(newServer, 1);
+      oldServer.sendHeartbeats();
       assertStaysUnconfirmed(fixture);
-      newFeed.sendHeartbeats();
+      newServer.sendHeartbeats();
       fixture.awaitConfirmed(true);
     }
   }
--- a/src/test/java/switchgap/endpoints/EventStreamHandoverTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamHandoverTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import switchgap.server.platform.EventStreamTestServer;
 
-/** Migration of a client to another address of the control feed by a new configuration. */
+/** Migration of a client to another address of the event stream by a new configuration. */
 class EventStreamHandoverTest {
   /** Sends this number of further events after the latch is released. */
   private static EventStreamTestServer.StreamHandler afterRelease(
@@ -30,44 +30,44 @@
     CountDownLatch release = new CountDownLatch(1);
     // The old address delivers the first of these two events as well.
     EventStreamTestServer.StreamHandler deliversTwo = afterRelease(release, 2);
-    try (EventStreamTestServer oldFeed =
+    try (EventStreamTestServer oldServer =
             new EventStreamTestServer(EventStreamClientFixture.heartbeatOnly());
-        EventStreamTestServer newFeed = new EventStreamTestServer(deliversTwo);
+        EventStreamTestServer newServer = new EventStreamTestServer(deliversTwo);
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
-      fixture.client.follow(oldFeed.address());
-      EventStreamClientFixture.awaitRequests(oldFeed, 1);
-      oldFeed.sendEvent(event(2));
+      fixture.client.follow(oldServer.address());
+      EventStreamClientFixture.awaitRequests(oldServer, 1);
+      oldServer.sendEvent(event(2));
       fixture.awaitReceived(1);
-      fixture.client.follow(newFeed.address());
-      EventStreamClientFixture.awaitRequests(newFeed, 1);
-      oldFeed.sendEvent(event(3));
+      fixture.client.follow(newServer.address());
+      EventStreamClientFixture.awaitRequests(newServer, 1);
+      oldServer.sendEvent(event(3));
       fixture.awaitReceived(2);
       release.countDown();
       fixture.awaitReceived(3);
       assertThat(fixture.receivedSequences()).containsExactly(2L, 3L, 4L);
-      assertThat(oldFeed.awaitClientClose(0)).isTrue();
-      assertThat(oldFeed.requestedEventIds()).hasSize(1);
-      assertThat(newFeed.requestedEventIds()).containsExactly(2L);
+      assertThat(oldServer.awaitClientClose(0)).isTrue();
+      assertThat(oldServer.requestedEventIds()).hasSize(1);
+      assertThat(newServer.requestedEventIds()).containsExactly(2L);
     }
   }
 
   @Test
   void requestsNewAddressOnceWhenOldConnectionEndsBeforeNewOneDelivers() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    EventStreamTestServer oldFeed =
+    EventStreamTestServer oldServer =
         new EventStreamTestServer(EventStreamClientFixture.heartbeatOnly());
-    try (EventStreamTestServer newFeed = new EventStreamTestServer(afterRelease(release, 1));
+    try (EventStreamTestServer newServer = new EventStreamTestServer(afterRelease(release, 1));
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
-      fixture.client.follow(oldFeed.address());
-      EventStreamClientFixture.awaitRequests(oldFeed, 1);
-      oldFeed.sendEvent(event(2));
+      fixture.client.follow(oldServer.address());
+      EventStreamClientFixture.awaitRequests(oldServer, 1);
+      oldServer.sendEvent(event(2));
       fixture.awaitReceived(1);
-      fixture.client.follow(newFeed.address());
-      EventStreamClientFixture.awaitRequests(newFeed, 1);
-      oldFeed.close();
+      fixture.client.follow(newServer.address());
+      EventStreamClientFixture.awaitRequests(newServer, 1);
+      oldServer.close();
       release.countDown();
       fixture.awaitReceived(2);
-      assertThat(newFeed.requestedEventIds()).containsExactly(2L);
+      assertThat(newServer.requestedEventIds()).containsExactly(2L);
     }
   }
 }
