--- a/src/main/java/switchgap/endpoints/EventSequence.java
+++ b/src/main/java/switchgap/endpoints/EventSequence.java
@@ -1,8 +1,8 @@
 package switchgap.endpoints;
 
 /**
- * Decides by its sequence number whether an event of the event stream is delivered, so that each
- * event is delivered once and in order. Not thread-safe.
+ * Decides by its sequence number whether an event of the stream is delivered, so that each event is
+ * delivered once and in order. Not thread-safe.
  */
 final class EventSequence {
   /** What to do with an event. */
--- a/src/main/java/switchgap/endpoints/package-info.java
+++ b/src/main/java/switchgap/endpoints/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The endpoint list: its two wire formats and the clients that receive its updates. On the platform
- * the list arrives as numbered server-sent events of the event stream ({@link
+ * the list arrives as the numbered events of a server-sent event stream ({@link
  * switchgap.endpoints.EventStreamClient}, {@link switchgap.endpoints.EndpointListEvent}); at the
  * gateway as lines of JSON from the endpoint list service ({@link
  * switchgap.endpoints.EndpointListWatcher}, {@link switchgap.endpoints.EndpointListLine}).
--- a/src/main/java/switchgap/net/SocketFilter.java
+++ b/src/main/java/switchgap/net/SocketFilter.java
@@ -49,8 +49,8 @@
   private static int readFrom(Connection<?> connection, ByteBuffer target) throws IOException {
     try {
       return read((ReadableByteChannel) ((NIOConnection) connection).getChannel(), target);
-    } catch (
-        IOException e) { // Reset, timed out or unreachable: closed as at the end of the stream.
+    } catch (IOException e) {
+      // Reset, timed out or unreachable: closed as at the end of the stream.
       connection.terminateSilently();
       throw e;
     }
--- a/src/main/java/switchgap/policy/WorkerLeases.java
+++ b/src/main/java/switchgap/policy/WorkerLeases.java
@@ -51,9 +51,10 @@
   }
 
   /**
-   * Once the list has been unconfirmed for {@link #MIN_LIST_OUTAGE}, presumes a restart of each
-   * worker that has reconnected without a restart in the list. After the list is confirmed again,
-   * withdraws each presumed restart that it does not report within {@link #MAX_LISTING_DELAY}.
+   * Once the list has been unconfirmed for {@link #MIN_LIST_OUTAGE}, presumes that a worker has
+   * restarted if it reconnected and the list shows no restart of it. After the list is confirmed
+   * again, withdraws each presumed restart that it does not report within {@link
+   * #MAX_LISTING_DELAY}.
    */
   void updatePresumedRestarts() {
     if (isLongUnconfirmed()) {
--- a/src/main/java/switchgap/protocol/inference/InferenceExchange.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceExchange.java
@@ -29,8 +29,8 @@
   private HttpClientConnection connection;
 
   /**
-   * Creates an exchange in the state WAITING. It needs its pool already here, since it may be
-   * abandoned before it is submitted.
+   * Creates an exchange in the state WAITING. The pool is set here and not on submission, since an
+   * exchange may be abandoned before it is submitted.
    *
    * @param deadlineNanos {@link System#nanoTime} after which it must not be sent, or {@link
    *     #NO_DEADLINE}; without it, an exchange that waited while the process was paused would be
--- a/src/main/java/switchgap/protocol/thrift/ClientMessageReader.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientMessageReader.java
@@ -24,7 +24,7 @@
    * Creates a reader that answers heartbeats as unhealthy until {@link #setHealthy} is called.
    *
    * @param requestHandler handles the queued messages
-   * @param eventLoop runs a task on the router's event loop
+   * @param eventLoop posts an event to the router's event loop
    * @param maxQueuedBytes maximum bytes of all submits that are queued for the event loop
    */
   ClientMessageReader(
@@ -119,7 +119,7 @@
     if (queuedBytes.addAndGet(messageBytes) <= maxQueuedBytes) {
       return true;
     }
-    // If it were kept, each rejected message would lower the limit until a restart.
+    // If the reservation were kept, each rejected message would lower the limit until a restart.
     queuedBytes.addAndGet(-messageBytes);
     return false;
   }
--- a/src/main/java/switchgap/protocol/thrift/ThriftServer.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -52,7 +52,7 @@
    * @param tenants index of each tenant by its name; empty if requests have no tenant
    * @param limits limits on the resources that clients may use
    * @param clock returns the time since the router's start
-   * @param eventLoop runs a task on the router's event loop
+   * @param eventLoop posts an event to the router's event loop
    * @param diagnostics records requests, answers and connections
    */
   public ThriftServer(
--- a/src/main/java/switchgap/server/gateway/GatewayComponents.java
+++ b/src/main/java/switchgap/server/gateway/GatewayComponents.java
@@ -28,7 +28,9 @@
   /** Longest wait for pending response writes during a shutdown. */
   private static final Duration MAX_WRITE_WAIT = Duration.ofSeconds(1);
 
+  /** Uses the name of {@link GatewayRouter}, since operators filter log lines by it. */
   private static final Logger LOG = LoggerFactory.getLogger(GatewayRouter.class);
+
   private static final int EXIT_CODE_TICK_FAILED = 70;
   private static final long PERIODIC_TASK_INTERVAL_SECONDS = 1;
   private static final int REQUEST_ID_RADIX = 36;
--- a/src/main/java/switchgap/server/platform/PlatformLimits.java
+++ b/src/main/java/switchgap/server/platform/PlatformLimits.java
@@ -18,7 +18,7 @@
   // Each quota of connections is the number of descriptors divided by one of these.
   private static final int CLIENT_CONNECTION_DIVISOR = 3;
 
-  /** Quota of client connections that are open until the event loop has evicted others. */
+  /** Quota of connections beyond the clients' quota, until the event loop has evicted others. */
   private static final int EXCESS_CONNECTION_DIVISOR = 12;
 
   private static final int WORKER_CONNECTION_DIVISOR = 3;
@@ -34,12 +34,13 @@
 
   private static final int MAX_PENDING_REQUESTS = 4096;
 
-  /** The heap size divided by this limits the bytes of queued client messages. */
-  private static final int BUFFER_HEAP_DIVISOR = 16;
-
   /**
-   * Those bytes divided by this limit the responses that the client of a connection left unread.
+   * The heap size divided by this limits the bytes of queued client messages and, separately, of
+   * the requests in flight.
    */
+  private static final int BUFFER_HEAP_DIVISOR = 16;
+
+  /** Those bytes divided by this limit the unread responses of one client connection. */
   private static final int UNREAD_RESPONSE_DIVISOR = 4;
 
   /** Maximum time for a complete message to arrive. */
--- a/src/test/java/switchgap/endpoints/EventSequenceTest.java
+++ b/src/test/java/switchgap/endpoints/EventSequenceTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which events of the event stream are delivered, depending on their sequence numbers. */
+/** Which events of the stream are delivered, depending on their sequence numbers. */
 class EventSequenceTest {
   private final EventSequence sequence = new EventSequence(5);
 
