--- a/src/main/java/switchgap/policy/LoadEstimator.java
+++ b/src/main/java/switchgap/policy/LoadEstimator.java
@@ -71,7 +71,11 @@
     ownCapacity = DEFAULT_CAPACITY / state.settings.routerCount;
   }
 
-  void everySecond() {
+  /**
+   * Updates the latency ratios of the workers and the fleet's mean load, then halves the measured
+   * counts so that old values fade.
+   */
+  void updateEstimates() {
     double fleetRatio = state.fleet.latencyRatios.meanWithPrior(1, PRIOR_SAMPLES);
     for (Worker worker : state.workers) {
       double ratio = worker.latencyRatios.meanWithPrior(fleetRatio, PRIOR_SAMPLES) / fleetRatio;
--- a/src/main/java/switchgap/policy/OutlierDetector.java
+++ b/src/main/java/switchgap/policy/OutlierDetector.java
@@ -44,7 +44,8 @@
     this.state = state;
   }
 
-  void everySecond() {
+  /** Halves the counts of outcomes so that old errors fade. */
+  void decayOutcomeCounts() {
     boolean halvesAll = state.seconds() % SLOW_HALVING_SECONDS == 0;
     for (Worker worker : state.workers) {
       if (halvesAll || worker.errors.total() > MAX_WORKER_OUTCOMES) {
--- a/src/main/java/switchgap/policy/RoutingPolicy.java
+++ b/src/main/java/switchgap/policy/RoutingPolicy.java
@@ -105,20 +105,21 @@
       nextPoll = now.plus(pollInterval);
     }
     if (state.hasPassed(nextSecond)) {
-      everySecond();
+      runPeriodicUpdate();
       nextSecond = now.plus(SECOND);
     }
     queue.sendQueued();
     wakeUps.schedule(queue.nextStep(nextSecond), now, actions);
   }
 
-  private void everySecond() {
-    state.everySecond();
-    slowStart.everySecond();
-    estimator.everySecond();
-    outliers.everySecond();
-    leases.everySecond();
-    scaler.everySecond();
+  /** The periodic update, once a second: lets old measurements fade and derives new estimates. */
+  private void runPeriodicUpdate() {
+    state.decayRequestCounts();
+    slowStart.updateWorkerRate();
+    estimator.updateEstimates();
+    outliers.decayOutcomeCounts();
+    leases.updatePresumedRestarts();
+    scaler.updateTargets();
   }
 
   @Override
--- a/src/main/java/switchgap/policy/SlowStart.java
+++ b/src/main/java/switchgap/policy/SlowStart.java
@@ -52,7 +52,8 @@
     ownOverloadMultiple = state.settings.slowStartOverloadMultiple / state.settings.routerCount;
   }
 
-  void everySecond() {
+  /** Measures the mean rate at which this router's requests complete at a ready worker. */
+  void updateWorkerRate() {
     averageWorkerRate = 0;
     for (Worker worker : state.workers) {
       // The histogram covers the last one to two seconds.
--- a/src/main/java/switchgap/policy/WorkerLeases.java
+++ b/src/main/java/switchgap/policy/WorkerLeases.java
@@ -51,11 +51,12 @@
   }
 
   /**
-   * Presumes that workers restarted whose reconnection the endpoint list does not explain, once the
-   * list has been unconfirmed for {@link #MIN_LIST_OUTAGE}. After the list is confirmed again,
-   * withdraws each presumed restart that it does not report within {@link #MAX_LISTING_DELAY}.
+   * Once the list has been unconfirmed for {@link #MIN_LIST_OUTAGE}, presumes that a worker has
+   * restarted if it reconnected and the list shows no restart of it. After the list is confirmed
+   * again, withdraws each presumed restart that it does not report within {@link
+   * #MAX_LISTING_DELAY}.
    */
-  void everySecond() {
+  void updatePresumedRestarts() {
     if (isLongUnconfirmed()) {
       state.workers.forEach(this::presumeRestartUnlessListed);
     } else if (!state.isListUnconfirmed()) {
--- a/src/main/java/switchgap/policy/state/PolicyState.java
+++ b/src/main/java/switchgap/policy/state/PolicyState.java
@@ -83,7 +83,7 @@
     return actions;
   }
 
-  /** Number of calls of {@link #everySecond()}. */
+  /** Number of periodic updates so far; there is one per second. */
   public long seconds() {
     return seconds;
   }
@@ -99,9 +99,10 @@
   }
 
   /**
-   * Halves the request counts of the tenants and drops old requests from those of the load quota.
+   * Starts a periodic update: counts it, halves the request counts of the tenants and drops old
+   * requests from those of the load quota.
    */
-  public void everySecond() {
+  public void decayRequestCounts() {
     seconds++;
     loadQuota.prune(now);
     tenants.halve();
--- a/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -172,18 +172,18 @@
   }
 
   @Override
-  public void stopAccepting(WorkerEntry worker, boolean forGood) {
+  public void stopAccepting(WorkerEntry worker, boolean permanently) {
     if (!(worker.attachment() instanceof RespConnectionPool pool)) {
       return;
     }
-    if (forGood) {
+    if (permanently) {
       pool.retire();
     } else {
       pool.rejectWaiting();
     }
   }
 
-  /** Does nothing, because the control feed pushes the endpoint list. */
+  /** Does nothing, because the event stream delivers the endpoint list. */
   @Override
   public void requestEndpointList() {}
 }
--- a/src/main/java/switchgap/protocol/thrift/ClientMessageReader.java
+++ b/src/main/java/switchgap/protocol/thrift/ClientMessageReader.java
@@ -24,7 +24,7 @@
    * Creates a reader that answers heartbeats as unhealthy until {@link #setHealthy} is called.
    *
    * @param requestHandler handles the queued messages
-   * @param eventLoop runs a task on the router's event loop
+   * @param eventLoop posts an event to the router's event loop
    * @param maxQueuedBytes maximum bytes of all submits that are queued for the event loop
    */
   ClientMessageReader(
@@ -97,8 +97,8 @@
   private void enqueueRevoke(
       ClientConnection connection, ThriftMessage message, Duration receivedAt) {
     if (!countQueuedMessage(connection)) {
-      connection.close(
-          ClientCloseReason.QUEUE_OVERFLOW); // a revoke has no reply that could reject it
+      // A revoke has no reply that could reject it.
+      connection.close(ClientCloseReason.QUEUE_OVERFLOW);
       return;
     }
     connection.revokeReceived(message.firstInteger(), receivedAt);
@@ -119,8 +119,8 @@
     if (queuedBytes.addAndGet(messageBytes) <= maxQueuedBytes) {
       return true;
     }
-    queuedBytes.addAndGet(
-        -messageBytes); // a leaked reservation would lower the limit until a restart
+    // If the reservation were kept, each rejected message would lower the limit until a restart.
+    queuedBytes.addAndGet(-messageBytes);
     return false;
   }
 }
