--- a/src/main/java/switchgap/planner/link/PlannerClient.java
+++ b/src/main/java/switchgap/planner/link/PlannerClient.java
@@ -62,7 +62,7 @@
   }
 
   /** Whether the connection to the router is open and its handshake is complete. */
-  public boolean isLinked() {
+  public boolean isConnected() {
     return handshakeDone;
   }
 
--- a/src/test/java/switchgap/server/gateway/RouterAndPlannerTest.java
+++ b/src/test/java/switchgap/server/gateway/RouterAndPlannerTest.java
@@ -107,7 +107,7 @@
         GatewayFixture fixture = start(worker);
         NetworkTransport net = network();
         PlannerClient planner = new PlannerClient(net, plannerAddress(fixture), 0)) {
-      until(planner::isLinked);
+      until(planner::isConnected);
       awaitSuccess(fixture);
       until(() -> fixture.router().loadPlanCounts().planned() > 0);
       assertThat(worker.loadCount()).isEqualTo(1);
@@ -124,7 +124,7 @@
         GatewayFixture fixture = start(worker);
         NetworkTransport net = network()) {
       PlannerClient planner = new PlannerClient(net, plannerAddress(fixture), 0);
-      until(planner::isLinked);
+      until(planner::isConnected);
       planner.close();
       awaitSuccess(fixture);
       assertThat(worker.loadCount()).isEqualTo(1);
@@ -163,14 +163,14 @@
         GatewayFixture fixture = start(worker);
         NetworkTransport net = network();
         PlannerClient planner = new PlannerClient(net, plannerAddress(fixture), 0)) {
-      until(planner::isLinked);
+      until(planner::isConnected);
       int version = PlannerMessageCodec.VERSION;
       assertRejected(fixture, new PlannerMessage.Hello(version + 1, "planner", 0, 0), "version 3");
       assertRejected(fixture, new PlannerMessage.Hello(version, "edge", 0, 0), "no planner");
       assertRejected(fixture, new PlannerMessage.Hello(version, "planner", 5, 0), "router 5");
       assertRejected(fixture, new PlannerMessage.Hello(version, "planner", 0, 0), "linked already");
       assertRejected(fixture, new PlannerMessage.Heartbeat(1), "before the handshake");
-      assertThat(planner.isLinked()).isTrue();
+      assertThat(planner.isConnected()).isTrue();
       awaitSuccess(fixture);
     }
   }
