--- a/src/main/java/switchgap/testbed/emulator/AttemptEnd.java
+++ b/src/main/java/switchgap/testbed/emulator/AttemptEnd.java
@@ -13,7 +13,7 @@
   /** The status of an attempt that ended without a response. */
   public static final int NO_STATUS = 0;
 
-  /** The retry-after time of an attempt whose response named none. */
+  /** The retry-after time of an attempt whose response had none. */
   public static final long NO_RETRY_AFTER = -1;
 
   private static final int FIRST_NON_SUCCESS_STATUS = 300;
--- a/src/main/java/switchgap/testbed/emulator/StoreClient.java
+++ b/src/main/java/switchgap/testbed/emulator/StoreClient.java
@@ -16,7 +16,7 @@
 public final class StoreClient implements FunctionFetcher {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
   private static final int MAX_BODY_BYTES = 1 << 20;
-  private static final int OK = 200;
+  private static final int STATUS_OK = 200;
   private final Scheduler scheduler;
   private final ConnectionPool connections;
 
@@ -54,7 +54,7 @@
                       if (reusable) {
                         connections.release(connection);
                       }
-                      callback.accept(status == OK);
+                      callback.accept(status == STATUS_OK);
                     });
               }
 
--- a/src/main/java/switchgap/testbed/emulator/TrafficMix.java
+++ b/src/main/java/switchgap/testbed/emulator/TrafficMix.java
@@ -45,8 +45,8 @@
   /** Sum of all tenants' shares, each times its rate factor; 1 without rate factors. */
   double totalWeight() {
     double total = 1;
-    for (var factor : tenantRateFactors.entrySet()) {
-      total += tenantShares.get(factor.getKey()) * (factor.getValue() - 1);
+    for (var tenantAndFactor : tenantRateFactors.entrySet()) {
+      total += tenantShares.get(tenantAndFactor.getKey()) * (tenantAndFactor.getValue() - 1);
     }
     return total;
   }
@@ -55,9 +55,9 @@
   String drawTenant(SplittableRandom random, double totalWeight) {
     double remaining = random.nextDouble() * totalWeight;
     String tenant = "";
-    for (var share : tenantShares.entrySet()) {
-      tenant = share.getKey();
-      remaining -= share.getValue() * tenantRateFactors.getOrDefault(tenant, 1.0);
+    for (var tenantAndShare : tenantShares.entrySet()) {
+      tenant = tenantAndShare.getKey();
+      remaining -= tenantAndShare.getValue() * tenantRateFactors.getOrDefault(tenant, 1.0);
       if (remaining < 0) {
         break;
       }
--- a/src/main/java/switchgap/testbed/experiment/BaselinePolicy.java
+++ b/src/main/java/switchgap/testbed/experiment/BaselinePolicy.java
@@ -21,9 +21,9 @@
 /**
  * A baseline that the routing policy is compared with. It sends each request to a ready worker,
  * selected at random or round robin. If the function is not loaded there, it loads a replica and
- * the request waits for it. Attempts that may be retried are retried on the next selected worker;
- * all other requests are rejected or failed before their deadline, as the router's invariants
- * require.
+ * the request waits for it. If an attempt ends without success and may be retried, it starts
+ * another one on the next selected worker. It rejects or fails all other unserved requests before
+ * their deadline, as the router's invariants require.
  */
 final class BaselinePolicy implements RouterCore.Policy, PolicyEvents {
   /** Identifies a load command in flight: at most one per worker and function. */
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Returns the open requests that have no attempt in flight and a deadline in the near future. */
+  /** Returns the open requests without an attempt in flight whose deadline is near. */
   private List<BaselineRequest> unservedRequestsNearDeadline() {
     List<BaselineRequest> nearDeadline = new ArrayList<>();
     for (BaselineRequest request : pendingByIndex.values()) {
--- a/src/main/java/switchgap/testbed/experiment/ExperimentSummary.java
+++ b/src/main/java/switchgap/testbed/experiment/ExperimentSummary.java
@@ -14,8 +14,8 @@
 
   /**
    * Prints one table. Columns: "changes" is the mean number of level changes per router, "4 stays"
-   * the most changes of a router within four times the minimum time at a level, "back" the seconds
-   * until all routers are at full service again after overload, "busy" the mean utilization of the
+   * the most changes of a router within four times the minimum time at a level, "back" the longest
+   * recovery of a trial in seconds (see {@link LevelFigures}), "busy" the mean utilization of the
    * workers.
    */
   private static void printCase(
--- a/src/main/java/switchgap/testbed/experiment/LoadCurve.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadCurve.java
@@ -32,42 +32,42 @@
   }
 
   /**
-   * A period in which clients multiply their request rate and may retry without backoff.
+   * A period in which clients multiply their request rate, and one tenant's clients may cause a
+   * retry storm.
    *
    * @param startMicros start of the period, in microseconds since the start of the curve
    * @param durationMicros duration in microseconds
    * @param tenant tenant whose rate and retries change, null to change the rate of all tenants
    * @param rateFactor factor that the request rate is multiplied with
-   * @param retriesWithoutBackoff number of retries without backoff per request, 0 for the usual
-   *     retries; not used without a tenant
+   * @param maxStormRetries maximum retries of a request in a retry storm of the tenant, see {@link
+   *     EmulatedClients#setRetryStorm}; 0 for the usual retries; not used without a tenant
    */
   record TrafficPeriod(
       long startMicros,
       long durationMicros,
       String tenant,
       double rateFactor,
-      int retriesWithoutBackoff) {
+      int maxStormRetries) {
     TrafficPeriod scaleTime(double factor) {
       return new TrafficPeriod(
           (long) (startMicros * factor),
           (long) (durationMicros * factor),
           tenant,
           rateFactor,
-          retriesWithoutBackoff);
+          maxStormRetries);
     }
 
     private void schedule(Scheduler scheduler, EmulatedClients clients) {
-      scheduler.after(startMicros, () -> apply(clients, rateFactor, retriesWithoutBackoff));
+      scheduler.after(startMicros, () -> apply(clients, rateFactor, maxStormRetries));
       scheduler.after(startMicros + durationMicros, () -> apply(clients, 1, 0));
     }
 
-    private void apply(
-        EmulatedClients clients, double newRateFactor, int newRetriesWithoutBackoff) {
+    private void apply(EmulatedClients clients, double newRateFactor, int newMaxStormRetries) {
       if (tenant == null) {
         clients.setRateFactor(newRateFactor);
       } else {
         clients.setRateFactor(tenant, newRateFactor);
-        clients.setRetryStorm(tenant, newRetriesWithoutBackoff);
+        clients.setRetryStorm(tenant, newMaxStormRetries);
       }
     }
   }
--- a/src/main/java/switchgap/testbed/experiment/LoadCurveReader.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadCurveReader.java
@@ -24,9 +24,9 @@
   private LoadCurveReader() {}
 
   /**
-   * Reads a curve of the form {@code {points: [{at: SPAN, load: SHARE}] or csv: FILE, waves:
-   * {every, by}, bursts, customers}}. The path of a CSV file is relative to the document's
-   * directory.
+   * Reads a curve of the form {@code {csv: FILE, points: [{at: SPAN, load: SHARE}], waves: {every,
+   * by}, bursts, customers}}. The points of the CSV file, if there is one, precede those of the
+   * list; the file's path is relative to the document's directory.
    *
    * @throws InvalidConfigException if the curve is invalid, with file, line and key
    */
--- a/src/main/java/switchgap/testbed/experiment/LoadRun.java
+++ b/src/main/java/switchgap/testbed/experiment/LoadRun.java
@@ -26,9 +26,9 @@
   private static final double MAX_SEED = 1L << 50;
   private static final int SELECTORS = 2;
   private static final long MICROS_PER_SECOND = 1_000_000;
-  private static final long DRAIN_MARGIN_MICROS = 2_000_000;
+  private static final long IN_FLIGHT_MARGIN_MICROS = 2_000_000;
   private static final long ARRIVALS_POLL_MILLIS = 50;
-  private static final long DRAIN_POLL_MILLIS = 20;
+  private static final long IN_FLIGHT_POLL_MILLIS = 20;
 
   private final String name;
   private final Scenario scenario;
@@ -162,10 +162,10 @@
     while (scheduler.now() < arrivalsEndMicros) {
       Thread.sleep(ARRIVALS_POLL_MILLIS);
     }
-    long drainDeadlineMicros =
-        arrivalsEndMicros + scenario.longestTimeout() * 2 + DRAIN_MARGIN_MICROS;
-    while (clients.attemptsInFlight() > 0 && scheduler.now() < drainDeadlineMicros) {
-      Thread.sleep(DRAIN_POLL_MILLIS);
+    long waitDeadlineMicros =
+        arrivalsEndMicros + scenario.longestTimeout() * 2 + IN_FLIGHT_MARGIN_MICROS;
+    while (clients.attemptsInFlight() > 0 && scheduler.now() < waitDeadlineMicros) {
+      Thread.sleep(IN_FLIGHT_POLL_MILLIS);
     }
   }
 }
--- a/src/main/java/switchgap/testbed/experiment/MemoryMeasurement.java
+++ b/src/main/java/switchgap/testbed/experiment/MemoryMeasurement.java
@@ -35,7 +35,8 @@
    * Measures a router in this process and prints the results. The pending requests are deferred
    * requests with a small body that the workers don't respond to.
    */
-  public static void run(int requests, PrintStream out) throws IOException, InterruptedException {
+  public static void run(int requestCount, PrintStream out)
+      throws IOException, InterruptedException {
     try (NetworkTransport network = new NetworkTransport(2, "lab")) {
       AtomicBoolean workersSilent = new AtomicBoolean();
       int workerPort =
@@ -58,7 +59,7 @@
         Thread.sleep(SETTLE_MILLIS);
         long bytesWithFunctions = usedHeapBytes();
         workersSilent.set(true);
-        invokeDeferred(client, router, requests);
+        invokeDeferred(client, router, requestCount);
         long bytesWithRequests = usedHeapBytes();
         int pendingRequests = router.pendingRequests();
         out.printf(
@@ -72,9 +73,9 @@
     }
   }
 
-  private static void invokeDeferred(HttpClient client, GatewayRouter router, int requests) {
+  private static void invokeDeferred(HttpClient client, GatewayRouter router, int requestCount) {
     List<CompletableFuture<HttpResponse<Void>>> responses = new ArrayList<>();
-    for (int i = 0; i < requests; i++) {
+    for (int i = 0; i < requestCount; i++) {
       HttpRequest.Builder request =
           HttpRequest.newBuilder(
                   URI.create(
--- a/src/main/java/switchgap/testbed/experiment/ReportCharts.java
+++ b/src/main/java/switchgap/testbed/experiment/ReportCharts.java
@@ -53,7 +53,7 @@
             "level");
     for (Trial trial : trials) {
       Variant variant = trial.variant();
-      if (variant.admission() == Variant.AdmissionMode.LEVELS && variant.pinned() == null) {
+      if (variant.admission() == Variant.AdmissionMode.LEVELS && variant.pinnedLevel() == null) {
         addLine(chart, "mean level, " + variant.name(), trial, SecondSample::meanLevel);
         addLine(
             chart, "routers below full, " + variant.name(), trial, SecondSample::belowFullShare);
--- a/src/main/java/switchgap/testbed/experiment/Variant.java
+++ b/src/main/java/switchgap/testbed/experiment/Variant.java
@@ -12,7 +12,7 @@
  *
  * @param name name of the variant in tables and charts
  * @param admission how requests are admitted before they reach the routing policy
- * @param pinned service level that the routers keep for the whole trial, null for levels that
+ * @param pinnedLevel service level that the routers keep for the whole trial, null for levels that
  *     change
  * @param settingOverrides values that replace those of the routers' configuration documents, by
  *     {@code section.key}
@@ -20,7 +20,7 @@
 record Variant(
     String name,
     AdmissionMode admission,
-    ServiceLevel pinned,
+    ServiceLevel pinnedLevel,
     Map<String, String> settingOverrides) {
   /**
    * How requests are admitted before they reach the routing policy. Experiment files contain the
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeExchange.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeExchange.java
@@ -18,8 +18,8 @@
 final class VirtualTimeExchange implements ResponseListener {
   private static final long DELAY_MICROS = VirtualTimeTestBed.NETWORK_DELAY_MICROS;
   private static final long NANOS_PER_MICRO = 1000;
-  private static final int HTTP_OK = 200;
-  private static final int HTTP_SERVICE_UNAVAILABLE = 503;
+  private static final int STATUS_OK = 200;
+  private static final int STATUS_UNAVAILABLE = 503;
   private static final Duration STATIC_THRESHOLD_RETRY_AFTER = Duration.ofMillis(500);
 
   private final VirtualTimeScheduler scheduler;
@@ -59,8 +59,7 @@
         && staticThreshold.rejects(router.gate().core(), settings, requestClass)) {
       responded(request, Response.rejected(STATIC_THRESHOLD_RETRY_AFTER));
     } else if (!router.gate().offer(request)) {
-      endAfterNetworkDelay(
-          ClientOutcome.REFUSED, HTTP_SERVICE_UNAVAILABLE, AttemptEnd.NO_RETRY_AFTER);
+      endAfterNetworkDelay(ClientOutcome.REFUSED, STATUS_UNAVAILABLE, AttemptEnd.NO_RETRY_AFTER);
     }
   }
 
@@ -102,7 +101,7 @@
         };
     endAfterNetworkDelay(
         outcome,
-        outcome == ClientOutcome.SUCCEEDED ? HTTP_OK : HTTP_SERVICE_UNAVAILABLE,
+        outcome == ClientOutcome.SUCCEEDED ? STATUS_OK : STATUS_UNAVAILABLE,
         retryAfterMillis);
   }
 
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeFleet.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeFleet.java
@@ -82,6 +82,7 @@
             name,
             seed + WORKER_SEED_OFFSET + workerIndex,
             cold,
+            // Without a crash handler, the endpoint list still contains a crashed worker as ready.
             () -> {}));
     readyByWorker.put(name, true);
     return name;
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeRouter.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeRouter.java
@@ -32,6 +32,7 @@
 
   void start(AdmissionGate admissionGate) {
     gate = admissionGate;
+    // Schedules the first tick.
     post(core -> {});
   }
 
--- a/src/main/java/switchgap/testbed/experiment/VirtualTimeTestBed.java
+++ b/src/main/java/switchgap/testbed/experiment/VirtualTimeTestBed.java
@@ -32,7 +32,7 @@
   static final long NETWORK_DELAY_MICROS = 300;
 
   private static final long MICROS_PER_SECOND = 1_000_000;
-  private static final long DRAIN_MICROS = 10 * MICROS_PER_SECOND;
+  private static final long IN_FLIGHT_WAIT_MICROS = 10 * MICROS_PER_SECOND;
   private static final long ROUTER_SEED_FACTOR = 31;
   private static final long ROUTER_SEED_STEP = 7919;
   private static final Duration PIN_DURATION = Duration.ofDays(1000);
@@ -53,8 +53,8 @@
   private final List<RouterLevelChange> levelChanges = new ArrayList<>();
 
   /**
-   * {@code rateFactor} returns the factor on the scenario's request rate by microseconds since the
-   * start.
+   * {@code rateFactor} returns the factor on the scenario's request rate at a time in microseconds
+   * since the start.
    */
   VirtualTimeTestBed(
       Scenario scenario, long seed, Variant variant, LongToDoubleFunction rateFactor) {
@@ -95,6 +95,7 @@
 
   private void startRouters() {
     for (int i = 0; i < scenario.routerCount(); i++) {
+      // Nothing listens in virtual time; both ports are placeholders.
       settingsByRouter.add(
           new YamlRouterSettings(
               YamlDocument.read(
@@ -107,8 +108,8 @@
   }
 
   /**
-   * Starts a router that has only received the endpoint list; stops a running router with the same
-   * index first.
+   * Starts a router without any state except the endpoint list; stops a running router with the
+   * same index first.
    */
   private void startRouter(int routerIndex) {
     if (routers.get(routerIndex) != null) {
@@ -143,8 +144,8 @@
     }
     AdmissionController admission =
         new AdmissionController(routerSettings.admissionSettings(), admissionSeed);
-    if (variant.pinned() != null) {
-      admission.pin(router.now(), variant.pinned(), PIN_DURATION);
+    if (variant.pinnedLevel() != null) {
+      admission.pin(router.now(), variant.pinnedLevel(), PIN_DURATION);
     }
     return admission;
   }
@@ -197,18 +198,18 @@
   }
 
   /**
-   * Runs the clients for a number of seconds, and then a drain period in which requests in flight
-   * can end. The callback runs after each second with the second's index.
+   * Runs the clients for a number of seconds, and then a period in which requests in flight can
+   * end. The listener is called after each second with the second's index, from 0.
    */
-  void run(long seconds, LongConsumer afterEachSecond) {
+  void run(long seconds, LongConsumer endedSecondListener) {
     long startMicros = scheduler.now();
     long endMicros = startMicros + seconds * MICROS_PER_SECOND;
     clients.start(endMicros);
     faults.start();
     for (long second = 0; second < seconds; second++) {
       scheduler.runUntil(startMicros + (second + 1) * MICROS_PER_SECOND);
-      afterEachSecond.accept(second);
+      endedSecondListener.accept(second);
     }
-    scheduler.runUntil(endMicros + DRAIN_MICROS);
+    scheduler.runUntil(endMicros + IN_FLIGHT_WAIT_MICROS);
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/DrainingWorkerCheck.java
@@ -40,7 +40,7 @@
     }
     long sendDelay = line.time() - notificationTime;
     maxSendDelay = Math.max(maxSendDelay, sendDelay);
-    if (sendDelay > log.settings().limits().drainGrace() + log.slack()) {
+    if (sendDelay > log.settings().invariantLimits().drainGrace() + log.slack()) {
       recordViolation(
           line.worker()
               + " received "
@@ -85,7 +85,7 @@
         + " drain notifications; latest send after one: "
         + maxSendDelayText
         + ", grace period "
-        + log.settings().limits().drainGrace() / MICROS_PER_MILLI
+        + log.settings().invariantLimits().drainGrace() / MICROS_PER_MILLI
         + " ms";
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/EventLog.java
+++ b/src/main/java/switchgap/testbed/scenario/EventLog.java
@@ -22,7 +22,7 @@
   /** Log of the endpoint list: its changes, and when routers were notified of them. */
   static final String LIST = "list.jsonl";
 
-  /** Log of the injected faults. */
+  /** Log of the fault script: the faults that were injected. */
   static final String SCRIPT = "script.jsonl";
 
   private static final ObjectMapper JSON = new ObjectMapper();
--- a/src/main/java/switchgap/testbed/scenario/FleetComposition.java
+++ b/src/main/java/switchgap/testbed/scenario/FleetComposition.java
@@ -47,7 +47,7 @@
   WorkerHardware hardwareOf(int worker) {
     ScenarioSettings.WorkerKind kind = kindOf(worker);
     ScenarioSettings.WorkerLimits limits = settings.fleet().limits();
-    ScenarioSettings.InvariantLimits invariants = settings.limits();
+    ScenarioSettings.InvariantLimits invariantLimits = settings.invariantLimits();
     return new WorkerHardware(
         new WorkerHardware.Compute(
             kind.cores(),
@@ -63,9 +63,9 @@
             limits.fetchShare(),
             limits.loadFailureShare()),
         new WorkerHardware.WarmUp(
-            invariants.initialCapacityShare(),
-            invariants.warmUpTime(),
-            invariants.crashMultiple(),
-            invariants.crashWindow()));
+            invariantLimits.initialCapacityShare(),
+            invariantLimits.warmUpTime(),
+            invariantLimits.crashMultiple(),
+            invariantLimits.crashWindow()));
   }
 }
--- a/src/main/java/switchgap/testbed/scenario/LoadQuotaCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/LoadQuotaCheck.java
@@ -17,7 +17,7 @@
 
   LoadQuotaCheck(ScenarioLog log) {
     super(Invariant.LOAD_QUOTA, log);
-    this.limits = log.settings().limits();
+    this.limits = log.settings().invariantLimits();
   }
 
   @Override
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Number of attempts that clients sent to a router within the window before a time. */
+  /** Number of requests that clients sent to a router within the window before a time. */
   private long requestCount(int router, long windowEnd) {
     return log.attempts().sendTimes(router).stream()
         .filter(sentAt -> sentAt <= windowEnd && windowEnd - sentAt <= limits.loadWindow())
--- a/src/main/java/switchgap/testbed/scenario/RouterOutages.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterOutages.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Intervals in which routers were down or paused, from the fault log. Times in microseconds. */
+/**
+ * Intervals in which routers were down or paused, from the log of the fault script. Times are in
+ * microseconds.
+ */
 final class RouterOutages {
   /** End of an interval that has not ended; half the range, so that adding the slack is safe. */
   private static final long OPEN_END = Long.MAX_VALUE / 2;
@@ -23,7 +26,7 @@
    *
    * @param routers number of routers
    * @param slack time by which each outage is extended at both ends
-   * @param scriptLines lines of the log of injected faults
+   * @param scriptLines lines of the log of the fault script
    */
   RouterOutages(int routers, long slack, List<LogLine> scriptLines) {
     this.slack = slack;
--- a/src/main/java/switchgap/testbed/scenario/RouterProcess.java
+++ b/src/main/java/switchgap/testbed/scenario/RouterProcess.java
@@ -101,7 +101,8 @@
     try {
       return signal.send(target);
     } catch (IOException e) {
-      // This system has no signals. The caller logs that the fault was not injected.
+      // The kill command can't be started, as on a system without signals. The log of the fault
+      // script states whether a suspension succeeded.
       return false;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/main/java/switchgap/testbed/scenario/Scenario.java
+++ b/src/main/java/switchgap/testbed/scenario/Scenario.java
@@ -244,10 +244,11 @@
   }
 
   /**
-   * Number of pending requests at a router from which a static limit rejects all but the most
-   * important requests: twice the router's share of two thirds of the fleet's execution slots.
+   * Number of pending requests at a router from which a static threshold rejects all request
+   * classes except those with the highest priority weight: twice the router's share of two thirds
+   * of the fleet's execution slots, where each worker is treated as if it had one core.
    *
-   * @return the limit, 2 or higher
+   * @return the threshold, 2 or higher
    */
   public int staticPendingLimit() {
     int totalSlots = workerCount() * settings.fleet().limits().slotsPerCore();
--- a/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
+++ b/src/main/java/switchgap/testbed/scenario/ScenarioSettings.java
@@ -20,7 +20,7 @@
  * @param requestClasses the request classes, in document order
  * @param tenantShares share of the requests by tenant, in document order
  * @param loadsOnMiss whether a worker that has not loaded the requested function loads it
- * @param limits thresholds of the invariants
+ * @param invariantLimits thresholds of the invariants
  * @param faults entries of the fault script, in document order
  */
 record ScenarioSettings(
@@ -34,7 +34,7 @@
     List<RequestClassSpec> requestClasses,
     Map<String, Double> tenantShares,
     boolean loadsOnMiss,
-    InvariantLimits limits,
+    InvariantLimits invariantLimits,
     List<ScenarioFault> faults) {
 
   /**
--- a/src/main/java/switchgap/testbed/scenario/SlowStartCheck.java
+++ b/src/main/java/switchgap/testbed/scenario/SlowStartCheck.java
@@ -30,7 +30,7 @@
 
   SlowStartCheck(ScenarioLog log) {
     super(Invariant.SLOW_START, log);
-    this.limits = log.settings().limits();
+    this.limits = log.settings().invariantLimits();
   }
 
   @Override
--- a/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerFleet.java
@@ -31,7 +31,7 @@
   private final ModelServerContext context;
   private final FunctionFetcher store;
   private final EndpointListService endpointList;
-  private final SplittableRandom random;
+  private final SplittableRandom faultTargetRandom;
   private final Map<String, EmulatedModelServer> servers = new LinkedHashMap<>();
   private int nextIndex;
 
@@ -40,12 +40,12 @@
       ModelServerContext context,
       FunctionFetcher store,
       EndpointListService endpointList,
-      SplittableRandom random) {
+      SplittableRandom faultTargetRandom) {
     this.scenario = scenario;
     this.context = context;
     this.store = store;
     this.endpointList = endpointList;
-    this.random = random;
+    this.faultTargetRandom = faultTargetRandom;
   }
 
   Collection<EmulatedModelServer> servers() {
@@ -158,7 +158,7 @@
         ready.add(servers.get(entry.name()));
       }
     }
-    return LoadFaults.drawShare(ready, share, random);
+    return LoadFaults.drawShare(ready, share, faultTargetRandom);
   }
 
   /** Kills all workers. */
--- a/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
+++ b/src/main/java/switchgap/testbed/scenario/WorkerReplacementInjector.java
@@ -64,8 +64,8 @@
   }
 
   /**
-   * Replaces the workers that are running now in batches, spread evenly over the duration of the
-   * fault.
+   * Replaces the affected share of the workers in batches, spread evenly over the duration of the
+   * fault. Workers that have ended before their batch is due are skipped.
    */
   private void replaceInBatches(ScenarioFault fault) {
     List<EmulatedModelServer> workers = fleet.selectReady(fault.share());
--- a/src/main/java/switchgap/testbed/soak/ClientEmulator.java
+++ b/src/main/java/switchgap/testbed/soak/ClientEmulator.java
@@ -28,9 +28,8 @@
   /**
    * Creates a client.
    *
-   * @param activeFaults faults that are active at present; it acts on those of clients
-   * @param maxTimeoutMillis longest timeout in the routers' settings; requests use at most 1 s of
-   *     it
+   * @param activeFaults faults that are currently active; the client acts on the faults of clients
+   * @param maxTimeoutMillis longest timeout in the routers' settings; the client uses at most 1 s
    */
   ClientEmulator(
       ServeProcess router,
--- a/src/main/java/switchgap/testbed/soak/ClientLoadFaults.java
+++ b/src/main/java/switchgap/testbed/soak/ClientLoadFaults.java
@@ -62,10 +62,10 @@
         socket.getOutputStream().write(floodRequest(i));
       }
       InputStream responses = socket.getInputStream();
-      byte[] ignored = new byte[READ_BUFFER_BYTES];
-      for (int bytesRead = responses.read(ignored);
+      byte[] discardedBytes = new byte[READ_BUFFER_BYTES];
+      for (int bytesRead = responses.read(discardedBytes);
           bytesRead > 0;
-          bytesRead = responses.read(ignored)) {
+          bytesRead = responses.read(discardedBytes)) {
         Thread.sleep(1);
       }
     } catch (IOException e) {
--- a/src/main/java/switchgap/testbed/soak/EventStreamEmulator.java
+++ b/src/main/java/switchgap/testbed/soak/EventStreamEmulator.java
@@ -53,7 +53,7 @@
     /** Open connections end, and new ones deliver an invalid event and a heartbeat. */
     INVALID;
 
-    /** Whether open connections end, so that it is an {@link OutageCause#EVENT_STREAM_BROKEN}. */
+    /** Whether open connections end; the outage is {@link OutageCause#EVENT_STREAM_BROKEN} then. */
     boolean endsConnections() {
       return this != NONE && this != SILENT;
     }
@@ -107,7 +107,7 @@
     }
     for (Socket socket : connections) {
       if (endedFailure.endsConnections()) {
-        // It was opened during the failure and carries no valid response.
+        // The connection was opened during the failure and carries no valid response.
         socket.close();
       }
     }
--- a/src/main/java/switchgap/testbed/soak/FaultPlan.java
+++ b/src/main/java/switchgap/testbed/soak/FaultPlan.java
@@ -16,7 +16,7 @@
   /** Randomly drawn faults end before the last second, so that a run ends without faults. */
   private static final int FAULT_FREE_END_MILLIS = 1000;
 
-  /** Types of the first version; see {@link SoakFaultType#wasAddedLater}. */
+  /** Types that {@link #drawInitialTypes} draws; see {@link SoakFaultType#wasAddedLater}. */
   private static final List<SoakFaultType> INITIAL_TYPES =
       Stream.of(SoakFaultType.values()).filter(type -> !type.wasAddedLater()).toList();
 
--- a/src/main/java/switchgap/testbed/soak/LostRequestCheck.java
+++ b/src/main/java/switchgap/testbed/soak/LostRequestCheck.java
@@ -6,8 +6,9 @@
 
 /**
  * Checks that each request that a router read receives a final response in time. Time during which
- * the router was paused or could accept no connection is subtracted. Requests that were open at a
- * router when it was killed are not checked.
+ * the router was paused or could accept no connection is subtracted. Cancelled requests are not
+ * checked. Requests that were open while their router was killed and restarted are checked only if
+ * they were served.
  */
 final class LostRequestCheck implements RequestCheck {
   /**
--- a/src/main/java/switchgap/testbed/soak/RecordingConnection.java
+++ b/src/main/java/switchgap/testbed/soak/RecordingConnection.java
@@ -19,7 +19,7 @@
  * thread-safe.
  */
 final class RecordingConnection implements AutoCloseable {
-  /** Longest timeout that clients use, also if the routers' settings allow a longer one. */
+  /** Longest timeout that clients use, even if the routers' settings allow a longer one. */
   static final int MAX_TIMEOUT_MILLIS = 1000;
 
   private static final int CONNECT_TIMEOUT_MILLIS = 3000;
--- a/src/main/java/switchgap/testbed/soak/ServeProcess.java
+++ b/src/main/java/switchgap/testbed/soak/ServeProcess.java
@@ -117,9 +117,9 @@
     return serving;
   }
 
-  /** Whether the router itself closed a connection: no SIGKILL had been sent when it ended. */
-  boolean endedBeforeKill(long endedNanos) {
-    return killedNanos == 0 || endedNanos < killedNanos;
+  /** Whether no SIGKILL had been sent when a connection ended, so that the router closed it. */
+  boolean endedBeforeKill(long connectionEndedNanos) {
+    return killedNanos == 0 || connectionEndedNanos < killedNanos;
   }
 
   /** Sends random signals at random intervals to a process that received SIGTERM. */
@@ -215,7 +215,7 @@
       socket.getOutputStream().write(BinaryThrift.heartbeat(1));
       return BinaryThrift.readReply(new DataInputStream(socket.getInputStream())).healthy();
     } catch (IOException e) {
-      // The router does not listen yet.
+      // The router does not listen or does not respond yet.
       return false;
     }
   }
--- a/src/main/java/switchgap/testbed/soak/SoakFaultType.java
+++ b/src/main/java/switchgap/testbed/soak/SoakFaultType.java
@@ -74,7 +74,7 @@
   /** A worker drains, stops, and starts again, cold and under the same name. */
   WORKER_RESTARTED;
 
-  /** Whether the type was not part of the first version and is drawn separately. */
+  /** Whether the type was added later and is therefore drawn separately from the initial types. */
   boolean wasAddedLater() {
     return compareTo(WALL_CLOCK_STEP) > 0;
   }
