--- a/src/main/java/switchgap/cli/PlannerSupervisor.java
+++ b/src/main/java/switchgap/cli/PlannerSupervisor.java
@@ -34,14 +34,14 @@
     long backoffMillis = MIN_BACKOFF_MILLIS;
     Path log = configFile.resolveSibling(configFile.getFileName() + ".planner.log");
     while (!closed) {
-      long startedAt = System.nanoTime();
+      long startedNanos = System.nanoTime();
       try {
         plannerProcess = ChildProcess.startPlanner(log, configFile);
         int exitCode = plannerProcess.waitFor();
         if (closed) {
           return;
         }
-        long uptimeMillis = Duration.ofNanos(System.nanoTime() - startedAt).toMillis();
+        long uptimeMillis = Duration.ofNanos(System.nanoTime() - startedNanos).toMillis();
         backoffMillis =
             uptimeMillis > HEALTHY_UPTIME_MILLIS
                 ? MIN_BACKOFF_MILLIS
@@ -50,7 +50,10 @@
             "planner process exited with code {}; restarting it in {} ms", exitCode, backoffMillis);
         Thread.sleep(backoffMillis);
       } catch (IOException e) {
-        LOG.error("can't start the planner process, and will not try again: {}", e.getMessage());
+        LOG.error(
+            "can't start the planner process, and will not retry; load commands are sent without a"
+                + " plan: {}",
+            e.getMessage());
         return;
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
--- a/src/main/java/switchgap/config/PropertyValues.java
+++ b/src/main/java/switchgap/config/PropertyValues.java
@@ -8,9 +8,10 @@
 
 /**
  * Converts text values, which are looked up by path, to types. A list of single values is one value
- * with commas. A list of objects has its length at {@code path.count} and its elements at {@code
- * path.0}, {@code path.1} and so on. Unless documented otherwise, a method throws an {@link
- * IllegalArgumentException} that names the path if the value is missing or can't be converted.
+ * whose elements are joined by commas. A list of objects has its length at {@code path.count} and
+ * its elements at {@code path.0}, {@code path.1} and so on. Unless documented otherwise, a method
+ * throws an {@link IllegalArgumentException} that names the path if the value is missing or can't
+ * be converted.
  */
 final class PropertyValues {
   private static final String COUNT_SUFFIX = ".count";
--- a/src/main/java/switchgap/endpoints/EndpointListLine.java
+++ b/src/main/java/switchgap/endpoints/EndpointListLine.java
@@ -62,7 +62,7 @@
         || !list.path(VERSION_KEY).canConvertToLong()
         || !list.path(COMPLETE_KEY).isBoolean()) {
       throw new InvalidEndpointListException(
-          "endpoint list must contain whole, version and workers");
+          "endpoint list must have the keys whole (boolean), version (number) and workers (list)");
     }
     if (workers.size() > MAX_WORKERS) {
       throw new InvalidEndpointListException(
--- a/src/main/java/switchgap/endpoints/EventStreamClient.java
+++ b/src/main/java/switchgap/endpoints/EventStreamClient.java
@@ -23,8 +23,8 @@
  *
  * <p>The list is confirmed while heartbeats arrive on the latest connection, because a heartbeat
  * shows that no event is missing. It is unconfirmed after an unanswered request for the stream, a
- * lost connection, an invalid or incomplete event, or silence. From that moment on, but not before,
- * the platform may treat events as notified that the stream would have delivered.
+ * lost connection, an invalid or incomplete event, or silence. While it is unconfirmed, and only
+ * then, a change of the list may take effect before the router has received its event.
  *
  * <p>Unlike the service of {@link EndpointListWatcher}, the stream has heartbeats and can resume at
  * a sequence number, and the platform migrates routers between streams. Therefore two connections
@@ -67,7 +67,9 @@
   private InetSocketAddress streamAddress;
   private SubscriptionState state = SubscriptionState.DISCONNECTED;
 
-  /** The {@link System#nanoTime} at which the latest attempt started or last delivered a line. */
+  /**
+   * Monotonic time of the latest attempt's start or last line, plus stalls of the process since.
+   */
   private long lastDataNanos;
 
   /** Whether an event was invalid or missing, so that heartbeats do not confirm the list. */
--- a/src/main/java/switchgap/net/KeyedWriters.java
+++ b/src/main/java/switchgap/net/KeyedWriters.java
@@ -109,7 +109,9 @@
       try {
         task.run();
       } catch (RuntimeException e) {
-        LOG.error("write task failed", e);
+        LOG.error(
+            "write task failed, its message may not have been sent; continuing with the next task",
+            e);
       }
     }
   }
--- a/src/main/java/switchgap/protocol/inference/HttpPoolLimits.java
+++ b/src/main/java/switchgap/protocol/inference/HttpPoolLimits.java
@@ -6,8 +6,8 @@
  * Limits of one pool of connections to a worker. Each worker has a pool for attempts and one for
  * commands.
  *
- * @param maxConnections largest number of connections that are open or being opened
- * @param maxPendingExchanges largest number of exchanges that wait for a connection
+ * @param maxConnections maximum number of connections that are open or being opened
+ * @param maxPendingExchanges maximum number of exchanges that wait for a connection
  * @param connectTimeout time within which a connection must be open
  * @param idleTimeout time after which an idle connection is closed
  */
--- a/src/main/java/switchgap/protocol/inference/InferenceExchange.java
+++ b/src/main/java/switchgap/protocol/inference/InferenceExchange.java
@@ -122,8 +122,8 @@
    * Ends the exchange without a callback and returns the outcome: NOT_SENT or CONNECT_FAILED if no
    * byte was sent, TIMED_OUT if the request may have been executed. The state is read and changed
    * under one lock. Otherwise a writer thread could send the request in between, and a request that
-   * may have been executed would be reported as not sent; that happened when a pool had few
-   * connections.
+   * may have been executed would be reported as not sent. Pools with few connections are prone to
+   * this.
    */
   final AttemptOutcome abandon() {
     ExchangeState previousState;
--- a/src/main/java/switchgap/protocol/invoke/HeaderNames.java
+++ b/src/main/java/switchgap/protocol/invoke/HeaderNames.java
@@ -9,7 +9,7 @@
   /** Timeout of the request, in milliseconds. */
   static final String TIMEOUT = "Switchgap-Time-Limit";
 
-  /** Deadline of the request, in milliseconds since the epoch. */
+  /** Deadline of the request, in milliseconds of Unix time. */
   static final String DEADLINE = "Switchgap-Deadline";
 
   /** The client's estimate of the execution time, in milliseconds. */
--- a/src/main/java/switchgap/protocol/invoke/InvokeRequestReader.java
+++ b/src/main/java/switchgap/protocol/invoke/InvokeRequestReader.java
@@ -93,7 +93,7 @@
    * be executed too late. The wall clock can only shorten the timeout.
    */
   private Duration shortenToDeadline(Duration timeout) throws InvalidRequestException {
-    Long deadlineMillis = headers.epochMillis(HeaderNames.DEADLINE);
+    Long deadlineMillis = headers.unixMillis(HeaderNames.DEADLINE);
     if (deadlineMillis == null) {
       return timeout;
     }
--- a/src/main/java/switchgap/protocol/invoke/ProblemType.java
+++ b/src/main/java/switchgap/protocol/invoke/ProblemType.java
@@ -14,7 +14,7 @@
   UNKNOWN_REQUEST_CLASS(400, "unknown-workload"),
   /** The tenant is not in the settings. */
   UNKNOWN_TENANT(400, "unknown-customer"),
-  /** The deadline had passed when the request was read. */
+  /** The timeout is not above zero, or the deadline had passed when the request was read. */
   DEADLINE_EXCEEDED(400, "limit-past"),
   /** The request class requires an idempotency key, and the request has none. */
   IDEMPOTENCY_KEY_MISSING(400, "fingerprint-missing"),
--- a/src/main/java/switchgap/protocol/invoke/RequestHeaders.java
+++ b/src/main/java/switchgap/protocol/invoke/RequestHeaders.java
@@ -61,8 +61,8 @@
     throw malformed(header + " is out of range: " + quoted(value));
   }
 
-  /** Parses a time in milliseconds since the epoch; returns null if the header is absent. */
-  Long epochMillis(String header) throws InvalidRequestException {
+  /** Parses a time in milliseconds of Unix time; returns null if the header is absent. */
+  Long unixMillis(String header) throws InvalidRequestException {
     String value = value(header);
     if (value == null) {
       return null;
--- a/src/main/java/switchgap/protocol/invoke/RequestTracker.java
+++ b/src/main/java/switchgap/protocol/invoke/RequestTracker.java
@@ -22,7 +22,7 @@
     this.maxPending = maxPending;
   }
 
-  /** Counts a further pending request; returns false if the limit is reached. */
+  /** Adds a pending request to the count; returns false if the limit is reached. */
   boolean tryAcquire() {
     if (pending.incrementAndGet() > maxPending) {
       pending.decrementAndGet();
--- a/src/main/java/switchgap/protocol/resp/RespConnection.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnection.java
@@ -23,7 +23,7 @@
   /** Exchanges whose reply has not arrived, by the id or tag that the reply will contain. */
   private final Map<String, RespExchange> inFlightByReplyId = new HashMap<>();
 
-  /** Whether a reply missed its deadline and no reply has arrived since. */
+  /** Whether a reply missed its deadline and no reply has arrived since its command was sent. */
   private boolean unresponsive;
 
   /** Time at which an exchange was last sent or completed, in nanoseconds of the router's clock. */
--- a/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionManager.java
@@ -41,7 +41,8 @@
    *
    * @param clock the router's clock
    * @param events posts events to the router's event loop
-   * @param diagnostics records each command sent and each connection closed
+   * @param diagnostics checks the invariants of attempts and load commands that are sent, and
+   *     records each attempt sent and each connection closed
    */
   RespConnectionManager(
       NetworkTransport net,
@@ -56,7 +57,7 @@
     this.connector = new TcpConnector(net, new ReplyReader(events, diagnostics.events()));
   }
 
-  /** The diagnostics that record each command sent and each connection closed. */
+  /** The diagnostics that check what is sent, and record attempts and closed connections. */
   RouterDiagnostics diagnostics() {
     return diagnostics;
   }
--- a/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
+++ b/src/main/java/switchgap/protocol/resp/RespConnectionPool.java
@@ -26,8 +26,8 @@
   private int openingCount;
 
   /**
-   * Whether the worker refused a connection or closed the last open one, and no connection has been
-   * opened since.
+   * Whether a connection could not be opened while no other was open, or the worker closed the last
+   * open one, and no connection has been opened since.
    */
   private boolean disconnectedByWorker;
 
--- a/src/main/java/switchgap/protocol/resp/RespExchange.java
+++ b/src/main/java/switchgap/protocol/resp/RespExchange.java
@@ -136,8 +136,8 @@
   }
 
   /**
-   * Encodes the command immediately before it is sent. Also checks the router's invariants and
-   * records the event.
+   * Encodes the command immediately before it is sent. Also checks the router's invariants for an
+   * attempt or a load command, and records an attempt.
    */
   byte[] encodeCommand(long nowNanos, RouterDiagnostics diagnostics) {
     Duration remaining = Duration.ofNanos(deadlineNanos - nowNanos);
--- a/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
+++ b/src/main/java/switchgap/protocol/resp/RespWorkerTransport.java
@@ -39,7 +39,8 @@
    * @param coreLimits timeouts of load commands and probes, after which the core abandons them
    * @param clock the router's clock
    * @param events posts events to the router's event loop
-   * @param diagnostics records each command sent and each connection closed
+   * @param diagnostics checks the invariants of attempts and load commands that are sent, and
+   *     records each attempt sent and each connection closed
    */
   public RespWorkerTransport(
       NetworkTransport net,
--- a/src/main/java/switchgap/protocol/resp/WorkerCloseReason.java
+++ b/src/main/java/switchgap/protocol/resp/WorkerCloseReason.java
@@ -13,13 +13,16 @@
   OPENED_TOO_LATE(CloseReason.Transport.OPENED_TOO_LATE.description()),
   /** The connection limit was reached and another connection was needed. */
   EVICTED("evicted for another connection"),
-  /** The worker has left the endpoint list. */
+  /** The worker left the endpoint list or got a new address before the connection was open. */
   WORKER_GONE("worker left the endpoint list"),
   /** A reply has a status that the protocol does not define. */
   UNKNOWN_STATUS("reply with an unknown status"),
   /** No reply arrived within a timeout, and nothing is in flight any more. */
   UNRESPONSIVE("no reply from the worker within the timeout"),
-  /** Nothing was sent for the duration of the idle timeout. */
+  /**
+   * No exchange was in flight for the duration of the idle timeout; without a timeout if the worker
+   * left the endpoint list or got a new address.
+   */
   IDLE("idle"),
   /** The worker sent bytes before the first command. */
   UNEXPECTED_BYTES("worker sent bytes before the first command"),
--- a/src/main/java/switchgap/server/gateway/EndpointListSource.java
+++ b/src/main/java/switchgap/server/gateway/EndpointListSource.java
@@ -19,7 +19,7 @@
   /**
    * Creates the source; it sends no request before {@link #start}.
    *
-   * @param startedAtMillis wall time of the router's start, in milliseconds since the epoch
+   * @param startedAtMillis wall time of the router's start, in milliseconds of Unix time
    */
   EndpointListSource(
       GatewayConfig config, HttpClientConnector connector, EventLoop loop, long startedAtMillis) {
--- a/src/main/java/switchgap/server/gateway/GatewayComponents.java
+++ b/src/main/java/switchgap/server/gateway/GatewayComponents.java
@@ -39,7 +39,7 @@
   private final GatewayConfig config;
   private final YamlRouterSettings settings;
 
-  /** Wall time of the router's start, in milliseconds since the epoch. */
+  /** Wall time of the router's start, in milliseconds of Unix time. */
   private final long startedAtMillis;
 
   private final LatenessRecorder lateness = new LatenessRecorder();
--- a/src/main/java/switchgap/server/gateway/GatewayConfig.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfig.java
@@ -44,12 +44,12 @@
   /**
    * Limits of the requests and results that the router holds in memory.
    *
-   * @param maxPending largest number of pending requests
-   * @param maxFunctions largest number of functions whose state is stored
+   * @param maxPending maximum number of pending requests
+   * @param maxFunctions maximum number of functions whose state is stored
    * @param resultRetention time for which the result of a deferred request is stored
-   * @param maxDeferred largest number of deferred requests, both pending and ended with a stored
+   * @param maxDeferred maximum number of deferred requests, both pending and ended with a stored
    *     result
-   * @param maxDeferredBytes largest total size of the stored results
+   * @param maxDeferredBytes maximum total size of the stored results, in bytes
    * @param maxPollSeconds longest time that a poll for a result may wait, in seconds
    */
   public record RequestLimits(
@@ -64,7 +64,7 @@
    * Limits and timeouts of the connections to the workers.
    *
    * @param sourceAddress local address to connect from, or null for the system's choice
-   * @param maxResponseBytes largest response body
+   * @param maxResponseBytes maximum size of a response body, in bytes
    * @param commandTimeout timeout of load commands
    * @param probeTimeout timeout of load probes
    */
--- a/src/main/java/switchgap/server/gateway/GatewayConfigReader.java
+++ b/src/main/java/switchgap/server/gateway/GatewayConfigReader.java
@@ -104,7 +104,8 @@
     }
     section.rejectUnknownKeys();
     if (service == null && staticWorkers.isEmpty()) {
-      throw document.invalid("list", "needs a port to ask, or workers");
+      throw document.invalid(
+          "list", "must contain the port of the endpoint list service, or workers");
     }
     return new GatewayConfig.EndpointList(service, retryInterval, staticWorkers);
   }
--- a/src/main/java/switchgap/server/gateway/GatewayRouter.java
+++ b/src/main/java/switchgap/server/gateway/GatewayRouter.java
@@ -128,7 +128,7 @@
       while (pendingRequests() > 0 && System.nanoTime() - deadlineNanos < 0) {
         Thread.sleep(STOP_POLL_MILLIS);
       }
-      // A request no longer counts as pending when its response is queued for writing.
+      // A request is no longer pending once its response is queued, which may not be written yet.
       components.awaitWrites();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/test/java/switchgap/config/YamlDocumentTest.java
+++ b/src/test/java/switchgap/config/YamlDocumentTest.java
@@ -75,7 +75,8 @@
         "run-once", "fingerprinted", "a fingerprinted workload needs memory_span");
     assertReplacementRejected(
         "time_limit: 1.5s", "time_limit: 100ms", "must not be shorter than start_target");
-    assertReplacementRejected("list: {port: 9000}", "", "needs a port to ask, or workers");
+    assertReplacementRejected(
+        "list: {port: 9000}", "", "must contain the port of the endpoint list service, or workers");
   }
 
   @Test
