--- a/src/test/java/switchgap/admission/AdmissionControllerTest.java
+++ b/src/test/java/switchgap/admission/AdmissionControllerTest.java
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void reachesTheLevelAgainAfterARestartInOverload() {
+  void reachesTheSameLevelAfterARestartInOverload() {
     fixture.restart(9);
 
     fixture.offer(15, OVERLOAD);
--- a/src/test/java/switchgap/admission/DegradationControllerTest.java
+++ b/src/test/java/switchgap/admission/DegradationControllerTest.java
@@ -30,7 +30,7 @@
     return nowSeconds - start;
   }
 
-  // Guards against oscillation between levels with each wave of load.
+  /** Guards against oscillation between levels with each wave of load. */
   @Test
   void mildPressureReducesRestoredServiceOnlyAfterFourMinimumStays() {
     secondsUntilLeaving(ServiceLevel.FULL, MILD_PRESSURE);
--- a/src/test/java/switchgap/admission/SheddingRotationTest.java
+++ b/src/test/java/switchgap/admission/SheddingRotationTest.java
@@ -39,8 +39,10 @@
     assertThat(measuredShedFraction(1000, 20, 1)).isEqualTo(1);
   }
 
-  // Guards against the admission of late retries. With an independent decision for each request,
-  // the third attempt was nearly always admitted, too late to be useful.
+  /**
+   * Guards against the admission of late retries. With an independent decision for each request,
+   * the third attempt was nearly always admitted, too late to be useful.
+   */
   @Test
   void retryGetsTheSameDecision() {
     offerLoad(30, 20);
@@ -65,7 +67,10 @@
     }
   }
 
-  // All load is on one slot. An arc that covered whole slots only would shed all of it or nothing.
+  /**
+   * All load is on one slot of the rotation. An arc that covered whole slots only would shed all of
+   * it or nothing.
+   */
   @Test
   void shedsPartOfTheLoadOfASingleFunction() {
     for (int second = 0; second < 60; second++) {
--- a/src/test/java/switchgap/cli/CommandNamesTest.java
+++ b/src/test/java/switchgap/cli/CommandNamesTest.java
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void routerStillRunsAsEdge() {
+  void formerNameEdgeReachesRouterCommand() {
     assertThat(commandClass("edge")).isEqualTo(RouterCommand.class);
   }
 }
--- a/src/test/java/switchgap/endpoints/EventStreamClientTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamClientTest.java
@@ -108,7 +108,7 @@
 
   @Test
   void reconnectsWhenEventNeverEnds() throws Exception {
-    EventStreamTestServer.StreamHandler behaviour =
+    EventStreamTestServer.StreamHandler handler =
         (connectionIndex, lastEventId, out) -> {
           if (connectionIndex == 0) {
             trickle(out);
@@ -117,7 +117,7 @@
           }
           return true;
         };
-    try (EventStreamTestServer server = new EventStreamTestServer(behaviour);
+    try (EventStreamTestServer server = new EventStreamTestServer(handler);
         EventStreamClientFixture fixture = new EventStreamClientFixture(1)) {
       long startedNanos = System.nanoTime();
       fixture.client.follow(server.address());
@@ -129,7 +129,7 @@
 
   @Test
   void acceptsCompleteListWithLastSequenceNumberButNoOlderOne() throws Exception {
-    EventStreamTestServer.StreamHandler behaviour =
+    EventStreamTestServer.StreamHandler handler =
         (connectionIndex, lastEventId, out) -> {
           String[] events = {
             EventStreamTestServer.endpointListEvent(
@@ -146,7 +146,7 @@
           }
           return true;
         };
-    try (EventStreamTestServer server = new EventStreamTestServer(behaviour);
+    try (EventStreamTestServer server = new EventStreamTestServer(handler);
         EventStreamClientFixture fixture = new EventStreamClientFixture(5)) {
       fixture.client.follow(server.address());
       fixture.awaitReceived(3);
--- a/src/test/java/switchgap/endpoints/EventStreamConfirmationTest.java
+++ b/src/test/java/switchgap/endpoints/EventStreamConfirmationTest.java
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void silenceLeavesListUnconfirmed() throws Exception {
+  void listBecomesUnconfirmedWhenStreamIsSilent() throws Exception {
     EventStreamTestServer.StreamHandler heartbeatOnce =
         (connectionIndex, lastEventId, out) -> {
           if (connectionIndex == 0) {
--- a/src/test/java/switchgap/eventloop/EventLoopTest.java
+++ b/src/test/java/switchgap/eventloop/EventLoopTest.java
@@ -17,7 +17,7 @@
 
 /**
  * Checks that any error that ends the loop's thread is reported, because no request is served
- * without it.
+ * without that thread.
  */
 class EventLoopTest {
   private static final String ERROR_MESSAGE = "injected by the test";
--- a/src/test/java/switchgap/net/EventLoopIterationsTest.java
+++ b/src/test/java/switchgap/net/EventLoopIterationsTest.java
@@ -17,15 +17,15 @@
   private final EventLoopIterations iterations = new EventLoopIterations(nowNanos);
 
   /** Simulates a select call of this duration. */
-  private void select(Duration length, boolean foundReady) {
+  private void select(Duration duration, boolean foundReady) {
     long startedNanos = nowNanos;
-    nowNanos += length.toNanos();
+    nowNanos += duration.toNanos();
     iterations.selectReturned(startedNanos, nowNanos, foundReady);
   }
 
   /** Simulates other work of the loop for this duration, such as handling events. */
-  private void passTime(Duration length) {
-    nowNanos += length.toNanos();
+  private void passTime(Duration duration) {
+    nowNanos += duration.toNanos();
   }
 
   @Test
@@ -69,7 +69,7 @@
    * only by the next poll.
    */
   @Test
-  void countsSelectThatStalledAndFoundReadySocketsAsPollAtItsStart() {
+  void treatsSelectThatStalledAndFoundReadySocketsAsPollAtItsStart() {
     select(ITERATION_DURATION, true);
     select(STALL_DURATION, true);
     select(ITERATION_DURATION, true);
--- a/src/test/java/switchgap/net/HttpClientConnectionTest.java
+++ b/src/test/java/switchgap/net/HttpClientConnectionTest.java
@@ -121,7 +121,7 @@
     server.getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
   }
 
-  private void assertServerSeesEnd() throws IOException {
+  private void assertClosedByClient() throws IOException {
     assertThat(server.getInputStream().read()).isEqualTo(-1);
   }
 
@@ -165,7 +165,7 @@
     receiveRequest("body");
     reply(OK_RESPONSE + OK_RESPONSE);
     assertThat(outcomes.next()).isEqualTo("200 One hi false");
-    assertServerSeesEnd();
+    assertClosedByClient();
     assertThat(client.isUsable()).isFalse();
     assertThat(client.send("GET", "/", Map.of(), NO_BODY, new Outcomes())).isFalse();
     assertThat(outcomes.isEmpty()).isTrue();
@@ -174,7 +174,7 @@
   @Test
   void closesConnectionOnBytesWhileIdle() throws Exception {
     reply(OK_RESPONSE);
-    assertServerSeesEnd();
+    assertClosedByClient();
     assertThat(client.isUsable()).isFalse();
   }
 
@@ -184,7 +184,7 @@
     receiveRequest("body");
     reply("HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n" + "x".repeat(MAX_BODY_BYTES + 1));
     assertThat(outcomes.next()).startsWith("lost: ");
-    assertServerSeesEnd();
+    assertClosedByClient();
     assertThat(outcomes.isEmpty()).isTrue();
   }
 
@@ -194,7 +194,7 @@
     receiveRequest("body");
     reply("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     assertThat(outcomes.next()).isEqualTo("200 null  false");
-    assertServerSeesEnd();
+    assertClosedByClient();
   }
 
   @Test
@@ -216,7 +216,7 @@
     receiveRequest("body");
     reply("SPDY/9.9 no number\r\n\r\n");
     assertThat(outcomes.next()).startsWith("lost: ");
-    assertServerSeesEnd();
+    assertClosedByClient();
   }
 
   @Test
@@ -226,7 +226,7 @@
     client.abandon(new Outcomes()); // This handler has no pending exchange.
     assertThat(client.isUsable()).isTrue();
     client.abandon(outcomes);
-    assertServerSeesEnd();
+    assertClosedByClient();
     assertThat(outcomes.isEmpty()).isTrue();
   }
 }
--- a/src/test/java/switchgap/net/HttpServerFixture.java
+++ b/src/test/java/switchgap/net/HttpServerFixture.java
@@ -79,7 +79,7 @@
     return bytes.toString();
   }
 
-  static void assertEnds(Socket client) throws IOException {
+  static void assertClosedByServer(Socket client) throws IOException {
     assertThat(client.getInputStream().read()).isEqualTo(-1);
   }
 
--- a/src/test/java/switchgap/net/HttpServerLimitsTest.java
+++ b/src/test/java/switchgap/net/HttpServerLimitsTest.java
@@ -19,7 +19,7 @@
               "\r\n\r\n"
                   + "{\"title\":\"refused\",\"status\":413,\"detail\":\"body larger than 100"
                   + " bytes\"}");
-      assertEnds(client);
+      assertClosedByServer(client);
     }
     assertThat(received).isEmpty();
   }
@@ -46,7 +46,7 @@
         nextExchange();
       }
       try (Socket third = connect()) {
-        assertEnds(third);
+        assertClosedByServer(third);
       }
       assertThat(first.isClosed()).isFalse();
     }
@@ -58,11 +58,11 @@
         Socket silent = connect()) {
       long startedNanos = System.nanoTime();
       send(partial, "GET / HTTP/1.1\r\nHos");
-      assertEnds(partial);
+      assertClosedByServer(partial);
       assertThat(System.nanoTime() - startedNanos)
           .as("receive timeout")
           .isGreaterThan(LIMITS.receiveTimeout().toNanos());
-      assertEnds(silent);
+      assertClosedByServer(silent);
       assertThat(System.nanoTime() - startedNanos)
           .as("idle timeout")
           .isGreaterThan(LIMITS.idleTimeout().minusMillis(100).toNanos());
@@ -77,7 +77,7 @@
       nextExchange().respond(200, Map.of(), ascii("x"));
       long startedNanos = System.nanoTime();
       receive(client, "\r\n\r\nx");
-      assertEnds(client);
+      assertClosedByServer(client);
       assertThat(System.nanoTime() - startedNanos)
           .isGreaterThan(LIMITS.idleTimeout().minusMillis(100).toNanos());
     }
--- a/src/test/java/switchgap/net/HttpServerTest.java
+++ b/src/test/java/switchgap/net/HttpServerTest.java
@@ -60,7 +60,7 @@
       send(client, "GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: h2c\r\n\r\n");
       assertThat(nextExchange().respond(200, Map.of(), ascii("plain"))).isTrue();
       assertThat(receive(client, "plain")).startsWith("HTTP/1.1 200 ");
-      assertEnds(client);
+      assertClosedByServer(client);
     }
   }
 
@@ -70,7 +70,7 @@
       send(client, "GET /1 HTTP/1.1\r\nHost: x\r\n\r\n");
       HttpExchange exchange = nextExchange();
       send(client, "GET /2 HTTP/1.1\r\nHost: x\r\n\r\n");
-      assertEnds(client);
+      assertClosedByServer(client);
       assertThat(disconnected.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isSameAs(exchange);
     }
     assertThat(received).isEmpty();
@@ -109,7 +109,7 @@
       send(client, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
       HttpExchange exchange = nextExchange();
       exchange.drop();
-      assertEnds(client);
+      assertClosedByServer(client);
       assertThat(exchange.respond(200, Map.of(), ascii("late"))).isFalse();
     }
   }
@@ -122,7 +122,7 @@
       exchange.sendRaw(ascii("no "), false);
       exchange.sendRaw(ascii("http"), true);
       assertThat(receive(client, "http")).isEqualTo("no http");
-      assertEnds(client);
+      assertClosedByServer(client);
     }
   }
 }
--- a/src/test/java/switchgap/policy/AttemptEnd.java
+++ b/src/test/java/switchgap/policy/AttemptEnd.java
@@ -53,7 +53,6 @@
     return this;
   }
 
-  /** Sets the duration of the attempt. */
   AttemptEnd withDuration(int millis) {
     durationMillis = millis;
     return this;
--- a/src/test/java/switchgap/policy/LoadEstimatorTest.java
+++ b/src/test/java/switchgap/policy/LoadEstimatorTest.java
@@ -20,7 +20,7 @@
     int time = series.run(100, 20_000, 60, 40);
     time = series.run(time, 400, 400, 390);
     int arrival = time;
-    // The time-out is less than 1.5 times the recent durations of 390 ms.
+    // The timeout is less than 1.5 times the recent durations of 390 ms.
     harness.at(arrival, events -> harness.requestArrives(events, 99, 0, 420));
     String trace = harness.trace();
     assertThat(trace.substring(Math.max(0, trace.length() - 300)))
@@ -30,7 +30,7 @@
   /** The request is sent whether the workers are probed or not. */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.01, 0.08})
-  void probesLoadOnlyWhereItsPriceIsLow(double price) {
+  void probesLoadOnlyWhenProbePriceIsLow(double price) {
     TestSettings settings = new TestSettings();
     settings.routerCount = 200;
     settings.probePrice = price;
--- a/src/test/java/switchgap/policy/LoadPaceTest.java
+++ b/src/test/java/switchgap/policy/LoadPaceTest.java
@@ -13,14 +13,14 @@
 
 /** Adaptation of the limit of load commands in flight to slow and failed loads. */
 class LoadPaceTest {
-  private record PendingLoad(int endsAt, int worker, int function) {}
+  private record PendingLoad(int endsAtMillis, int worker, int function) {}
 
   /**
    * The initial limit is three loads: one plus four workers divided by two routers. It rises while
    * loads are quick and falls to one when they are slow.
    */
   @Test
-  void adaptsLoadLimitToThroughputOfStore() {
+  void adaptsLimitOfLoadsInFlightToLoadDuration() {
     for (int loadMillis : new int[] {100, 4000}) {
       PolicyHarness harness = new PolicyHarness(new TestSettings());
       List<PendingLoad> pending = new ArrayList<>();
@@ -39,7 +39,7 @@
             events -> {
               harness.requestArrives(events, function, function);
               for (PendingLoad load : List.copyOf(pending)) {
-                if (load.endsAt() <= nowMillis[0] && pending.remove(load)) {
+                if (load.endsAtMillis() <= nowMillis[0] && pending.remove(load)) {
                   replicaLoaded(events, load.worker(), load.function(), loadMillis);
                 }
               }
@@ -114,14 +114,14 @@
   }
 
   @Test
-  void failedLoadsOfMissingFunctionsDoNotSlowOtherLoads() {
+  void failedLoadsOfMissingFunctionsDoNotLimitOtherLoads() {
     assertThat(loadCommandsAfterFailures(0)).isGreaterThan(3);
     assertThat(loadCommandsAfterFailures(6)).isEqualTo(loadCommandsAfterFailures(0));
   }
 
   /** Clients may immediately retry requests for a function that does not exist. */
   @Test
-  void loadsFunctionThatNeverLoadedOnlyOnceASecondAfterTwoFailures() {
+  void retriesFailingLoadOnlyOnceASecondAfterTwoFailures() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
     List<Integer> pendingWorkers = new ArrayList<>();
     int[] commandCount = {0};
--- a/src/test/java/switchgap/policy/PolicyHarness.java
+++ b/src/test/java/switchgap/policy/PolicyHarness.java
@@ -109,7 +109,7 @@
     return functions().get(function).targetReplicas();
   }
 
-  @SuppressWarnings("unchecked") // the field's declared type
+  @SuppressWarnings("unchecked") // the field is declared with this type
   private IndexedTable<Function> functions() {
     return (IndexedTable<Function>)
         ReachableObjects.field(ReachableObjects.field(policy, "state"), "functions");
--- a/src/test/java/switchgap/policy/PolicyInvariants.java
+++ b/src/test/java/switchgap/policy/PolicyInvariants.java
@@ -20,8 +20,8 @@
   private static final Duration DEADLINE_MARGIN = millis(10);
 
   /**
-   * Far above the overload budget, which {@link SlowStartFleetTest} checks: only shows that slow
-   * start limits attempts at all.
+   * Far above the overload budget, which {@link SlowStartFleetTest} checks. This limit only shows
+   * that slow start limits attempts at all.
    */
   private static final int MAX_SLOW_START_ATTEMPTS = 25;
 
@@ -38,7 +38,7 @@
   void checkAttempt(TrackedRequest request, Duration now, Duration timeout) {
     assertThat(request.isClosed()).as("attempt after the final response").isFalse();
     assertThat(now.plus(timeout))
-        .as("end of the attempt, at most two ticks before the deadline")
+        .as("end of the attempt, which must be at least two ticks before the deadline")
         .isLessThanOrEqualTo(request.deadline().minus(DEADLINE_MARGIN));
     assertThat(request.inFlight()).as("other attempts in flight").isZero();
   }
@@ -58,7 +58,7 @@
       assertThat(cell(workerId)).as("cell of the retry").isEqualTo(cell(firstWorkerId));
     }
     assertThat(now.minus(request.firstSentAt()))
-        .as("time of the retry in the deduplication window")
+        .as("time from the first attempt that may have executed to the retry")
         .isLessThan(settings.deduplicationWindow(0).minus(DEADLINE_MARGIN));
   }
 
--- a/src/test/java/switchgap/policy/RandomFleet.java
+++ b/src/test/java/switchgap/policy/RandomFleet.java
@@ -33,7 +33,7 @@
   private final IndexAllocator requestIndices = new IndexAllocator();
   private final RandomEndpoints endpoints = new RandomEndpoints();
   private final IndexAllocator functionIndices = new IndexAllocator();
-  private final TreeMap<Duration, List<Consumer<PolicyEvents>>> due = new TreeMap<>();
+  private final TreeMap<Duration, List<Consumer<PolicyEvents>>> eventsByTime = new TreeMap<>();
   private final Map<Integer, TrackedRequest> requests = new HashMap<>();
   private final RoutingPolicy policy;
   private final PolicyInvariants invariants;
@@ -89,12 +89,12 @@
   }
 
   private void schedule(long millis, Consumer<PolicyEvents> event) {
-    due.computeIfAbsent(now.plus(millis(millis)), time -> new ArrayList<>()).add(event);
+    eventsByTime.computeIfAbsent(now.plus(millis(millis)), time -> new ArrayList<>()).add(event);
   }
 
   private void runUntil(Duration end) {
-    while (!due.isEmpty() && due.firstKey().compareTo(end) <= 0) {
-      Map.Entry<Duration, List<Consumer<PolicyEvents>>> tick = due.pollFirstEntry();
+    while (!eventsByTime.isEmpty() && eventsByTime.firstKey().compareTo(end) <= 0) {
+      Map.Entry<Duration, List<Consumer<PolicyEvents>>> tick = eventsByTime.pollFirstEntry();
       now = tick.getKey();
       policy.tick(now, events -> tick.getValue().forEach(event -> event.accept(events)), this);
     }
@@ -207,7 +207,8 @@
 
   @Override
   public void scheduleWakeUp(Duration delay, long token) {
-    due.computeIfAbsent(now.plus(delay), time -> new ArrayList<>())
+    eventsByTime
+        .computeIfAbsent(now.plus(delay), time -> new ArrayList<>())
         .add(events -> events.wakeUp(token));
   }
 
--- a/src/test/java/switchgap/policy/ReplicaLoaderTest.java
+++ b/src/test/java/switchgap/policy/ReplicaLoaderTest.java
@@ -157,8 +157,8 @@
           time,
           events -> {
             loadedWorkers.forEach(worker -> replicaLoaded(events, worker, function, 2));
-            harness.requestArrives(
-                events, request, function); // exceeds the one warm worker's capacity
+            // The requests exceed the capacity of the one warm worker.
+            harness.requestArrives(events, request, function);
           });
     }
     assertThat(commandCount[0]).isBetween(1, 2);
--- a/src/test/java/switchgap/policy/RequestQueueTest.java
+++ b/src/test/java/switchgap/policy/RequestQueueTest.java
@@ -71,7 +71,10 @@
     assertThat(List.of(harness.sentTo(40), harness.sentTo(41), harness.sentTo(42))).containsOnly(0);
   }
 
-  /** Otherwise queued requests would only be sent when other events arrive. */
+  /**
+   * Guards against a lost wake-up, after which queued requests would be sent only when other events
+   * arrive.
+   */
   @Test
   void schedulesWakeUpAgainWhenOneIsLost() {
     PolicyHarness harness = new PolicyHarness(new TestSettings());
--- a/src/test/java/switchgap/policy/RequestRouterTest.java
+++ b/src/test/java/switchgap/policy/RequestRouterTest.java
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void decidesTheSameForTheSameEventsAndSeed() {
+  void makesSameDecisionsForSameEventsAndSeed() {
     assertThat(traceOfRetry()).isEqualTo(traceOfRetry());
   }
 
@@ -101,7 +101,8 @@
   }
 
   /**
-   * All routers rank the workers for a function alike, so that their requests share its replicas.
+   * All routers rank the workers for a function alike, whatever their index, so that their requests
+   * share its replicas.
    */
   @Test
   void allRoutersHaveTheSameHashOrder() {
--- a/src/test/java/switchgap/policy/RetryPolicyTest.java
+++ b/src/test/java/switchgap/policy/RetryPolicyTest.java
@@ -118,8 +118,8 @@
   }
 
   /**
-   * The load of the replica ends at 2,003 ms, within the margin of two ticks of 5 ms before the
-   * deadline at 2,010 ms.
+   * After a pause, the router handles the end of the load at 2,003 ms, within the margin of two
+   * ticks of 5 ms before the deadline at 2,010 ms.
    */
   @Test
   void doesNotSendRequestWithinDeadlineMargin() {
--- a/src/test/java/switchgap/policy/RoutingInvariantsTest.java
+++ b/src/test/java/switchgap/policy/RoutingInvariantsTest.java
@@ -9,7 +9,10 @@
 import switchgap.policy.api.DeduplicationScope;
 import switchgap.policy.api.Idempotency;
 
-/** The invariants of the policy under random events, and its release of state that has ended. */
+/**
+ * The invariants of the policy under random events, and the release of the state of requests,
+ * functions and workers that have ended.
+ */
 class RoutingInvariantsTest {
   private static TestSettings settingsWithQuota() {
     TestSettings settings = new TestSettings();
--- a/src/test/java/switchgap/policy/TrackedRequest.java
+++ b/src/test/java/switchgap/policy/TrackedRequest.java
@@ -22,6 +22,7 @@
     return deadline;
   }
 
+  /** Whether the request has its final response or its client has disconnected. */
   boolean isClosed() {
     return closed;
   }
--- a/src/test/java/switchgap/policy/WorkerLeasesTest.java
+++ b/src/test/java/switchgap/policy/WorkerLeasesTest.java
@@ -183,7 +183,10 @@
     assertThat(harness.count("load function 0 at worker " + primary)).isEqualTo(1);
   }
 
-  /** The process may be new, without replicas, and its start missing from the endpoint list. */
+  /**
+   * The process may be new, cold and without replicas, and its start missing from the endpoint
+   * list.
+   */
   @Test
   void presumesRestartOfReconnectedWorker() {
     serveOnceWhileConfirmed();
@@ -207,7 +210,9 @@
     assertThat(harness.sentTo(1)).isEqualTo(primary);
   }
 
-  /** The list became unconfirmed before it had to report a restart, so one has to be presumed. */
+  /**
+   * The list became unconfirmed before it would have reported a restart, so a restart is presumed.
+   */
   @Test
   void presumesRestartOfWorkerReconnectedShortlyBeforeListIsUnconfirmed() {
     serveOnceWhileConfirmed();
--- a/src/test/java/switchgap/protocol/inference/OrcaLoadReportTest.java
+++ b/src/test/java/switchgap/protocol/inference/OrcaLoadReportTest.java
@@ -36,7 +36,10 @@
     assertThat(OrcaLoadReport.EMPTY.reportsNotExecuted()).isFalse();
   }
 
-  /** Guards against negative, infinite and huge values that reach the routing policy. */
+  /**
+   * Guards against negative, infinite and huge values that reach the routing policy. The JSON form
+   * once did not reject them.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"-1", "1e999", "1e6"})
   void metricsOutOfRangeAreIgnoredInBothForms(String value) {
--- a/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
+++ b/src/test/java/switchgap/protocol/resp/RespConnectionPoolTest.java
@@ -175,7 +175,9 @@
     pool.submit(exchange);
     try (Socket socket = server.accept()) {
       Consumer<RouterCore> connectionOpened = takeNextEvent();
-      now = now.plusMillis(1); // The exchange must be sent later than the connection was opened.
+      // A connection is treated as responsive at the time of its opening, so the exchange must be
+      // sent later than that.
+      now = now.plusMillis(1);
       connectionOpened.accept(null);
       int commandBytes = command(exchange).length;
       now = TIMEOUT;
--- a/src/test/java/switchgap/protocol/resp/WaitingExchangesTest.java
+++ b/src/test/java/switchgap/protocol/resp/WaitingExchangesTest.java
@@ -12,21 +12,22 @@
   private final WorkerEntry worker = new WorkerEntry("w", "127.0.0.1", 1, 0);
   private final WaitingExchanges waitingExchanges = new WaitingExchanges(3);
 
-  private RespExchange addExchange(String tag) {
+  private RespExchange addExchange(String replyId) {
     RespExchange exchange =
-        RespExchange.ofCommand(worker, tag, false, new byte[0], 0, (core, outcome, reply) -> {});
+        RespExchange.ofCommand(
+            worker, replyId, false, new byte[0], 0, (core, outcome, reply) -> {});
     waitingExchanges.add(exchange);
     return exchange;
   }
 
-  private List<String> waitingTags() {
-    List<String> tags = new ArrayList<>();
+  private List<String> waitingReplyIds() {
+    List<String> replyIds = new ArrayList<>();
     waitingExchanges.removeIfHandled(
         exchange -> {
-          tags.add(exchange.replyId());
+          replyIds.add(exchange.replyId());
           return false;
         });
-    return tags;
+    return replyIds;
   }
 
   @Test
@@ -44,7 +45,7 @@
     RespExchange second = addExchange("second");
     addExchange("third");
     waitingExchanges.removeIfHandled(exchange -> exchange == second);
-    assertThat(waitingTags()).containsExactly("first", "third");
+    assertThat(waitingReplyIds()).containsExactly("first", "third");
   }
 
   @Test
@@ -52,6 +53,6 @@
     RespExchange first = addExchange("first");
     addExchange("second");
     waitingExchanges.remove(first);
-    assertThat(waitingTags()).containsExactly("second");
+    assertThat(waitingReplyIds()).containsExactly("second");
   }
 }
--- a/src/test/java/switchgap/protocol/resp/WorkerReplyTest.java
+++ b/src/test/java/switchgap/protocol/resp/WorkerReplyTest.java
@@ -26,7 +26,7 @@
     "well,SUCCEEDED,false",
     "ill,FAILED,false"
   })
-  void statusDeterminesWhetherRequestWasExecuted(
+  void statusDeterminesOutcomeAndWhetherRequestWasExecuted(
       String status, AttemptOutcome outcome, boolean neverExecuted) throws Exception {
     assertThat(reply(status, "-").outcome()).isEqualTo(outcome);
     assertThat(outcome.neverExecuted()).isEqualTo(neverExecuted);
--- a/src/test/java/switchgap/protocol/sse/ServerSentEventDecoderTest.java
+++ b/src/test/java/switchgap/protocol/sse/ServerSentEventDecoderTest.java
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void rejectsLineOrDataLongerThanTheBound() {
+  void rejectsLineOrDataLongerThanMaximum() {
     assertThat(decode("x".repeat(MAX_BYTES))).isTrue();
     assertThat(decode("x")).isFalse();
     ServerSentEventDecoder dataDecoder = new ServerSentEventDecoder(MAX_BYTES);
--- a/src/test/java/switchgap/protocol/thrift/SubmitRequestDecoderTest.java
+++ b/src/test/java/switchgap/protocol/thrift/SubmitRequestDecoderTest.java
@@ -52,7 +52,7 @@
     "extras,load_ms:0.0;memory_mb:100",
     "extras,memory_mb:0;lanes:2"
   })
-  void acceptsFigureRoundedToZero(String field, String value) throws Exception {
+  void acceptsNumberRoundedToZero(String field, String value) throws Exception {
     assertThat(requestWith(field, value)).isNotNull();
   }
 
@@ -85,7 +85,7 @@
         "extras,memory_mb:-3",
         "extras,load_ms:soon"
       })
-  void namesMissingOrInvalidField(String field, String value) {
+  void errorNamesMissingOrInvalidField(String field, String value) {
     assertThatThrownBy(() -> requestWith(field, value))
         .isInstanceOf(InvalidSubmitException.class)
         .hasMessage(field);
--- a/src/test/java/switchgap/server/gateway/ClientConnectionsTest.java
+++ b/src/test/java/switchgap/server/gateway/ClientConnectionsTest.java
@@ -4,7 +4,7 @@
 import static switchgap.server.gateway.GatewayFixture.IDEMPOTENT;
 import static switchgap.server.gateway.GatewayFixture.NON_IDEMPOTENT;
 import static switchgap.server.gateway.GatewayFixture.SUCCEEDED;
-import static switchgap.server.gateway.GatewayFixture.endOf;
+import static switchgap.server.gateway.GatewayFixture.outcomeOf;
 import static switchgap.testing.BoundedWait.until;
 
 import java.io.IOException;
@@ -89,7 +89,7 @@
       }
       until(
           Duration.ofMillis(100),
-          () -> fixture.invokeForEndAsync(IDEMPOTENT, "1").join().equals(SUCCEEDED));
+          () -> fixture.invokeForOutcomeAsync(IDEMPOTENT, "1").join().equals(SUCCEEDED));
     }
   }
 
@@ -142,7 +142,7 @@
         while (client.getInputStream().read() >= 0) {}
         client.close();
       }
-      assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
+      assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
     }
   }
 
@@ -179,7 +179,7 @@
         }
       }
       until(() -> fixture.router().pendingRequests() == 0);
-      assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "{}"))).isEqualTo(SUCCEEDED);
+      assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "{}"))).isEqualTo(SUCCEEDED);
     }
   }
 }
--- a/src/test/java/switchgap/server/gateway/ConnectionFaultsTest.java
+++ b/src/test/java/switchgap/server/gateway/ConnectionFaultsTest.java
@@ -5,7 +5,7 @@
 import static switchgap.server.gateway.GatewayFixture.IDEMPOTENT;
 import static switchgap.server.gateway.GatewayFixture.NON_IDEMPOTENT;
 import static switchgap.server.gateway.GatewayFixture.SUCCEEDED;
-import static switchgap.server.gateway.GatewayFixture.endOf;
+import static switchgap.server.gateway.GatewayFixture.outcomeOf;
 import static switchgap.testing.BoundedWait.until;
 
 import java.io.IOException;
@@ -46,7 +46,7 @@
         GatewayFixture fixture = GatewayFixture.start(worker)) {
       for (int i = 0; i < 3; i++) {
         HttpResponse<String> response = fixture.invoke(NON_IDEMPOTENT, "\"n" + i + "\"");
-        assertThat(endOf(response)).isEqualTo(SUCCEEDED);
+        assertThat(outcomeOf(response)).isEqualTo(SUCCEEDED);
         assertThat(response.body()).isEqualTo("{\"echo\":\"n" + i + "\"}");
       }
       assertThat(worker.inferenceRequestCount()).isEqualTo(3);
@@ -88,7 +88,7 @@
         String largeBody = "\"" + "x".repeat(4_000_000) + "\"";
         // The router sees either the response or the broken connection first; both are correct.
         for (int i = 0; i < 3; i++) {
-          assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, largeBody))).isIn(SUCCEEDED, FAILED);
+          assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, largeBody))).isIn(SUCCEEDED, FAILED);
         }
         until(() -> fixture.router().pendingRequests() == 0);
       }
@@ -109,11 +109,11 @@
     try (HttpTestServer worker = new HttpTestServer(closeAfterFirstHead);
         HttpTestServer otherWorker = new HttpTestServer(closeAfterFirstHead);
         GatewayFixture fixture = GatewayFixture.start(worker, otherWorker)) {
-      assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(FAILED);
+      assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(FAILED);
       assertThat(worker.inferenceRequestCount() + otherWorker.inferenceRequestCount()).isEqualTo(1);
 
       requests.set(0);
-      assertThat(endOf(fixture.invoke(IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
+      assertThat(outcomeOf(fixture.invoke(IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
       assertThat(worker.inferenceRequestCount() + otherWorker.inferenceRequestCount()).isEqualTo(3);
     }
   }
@@ -127,7 +127,7 @@
     try (HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
         GatewayFixture fixture = GatewayFixture.start(worker)) {
       for (int i = 0; i < 5; i++) {
-        assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
+        assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
         worker.closeConnections();
         // The test can't observe when the router has noticed the close.
         Thread.sleep(60);
@@ -153,7 +153,7 @@
       for (int i = 0; i < 4; i++) {
         // Several functions, since each prefers one of the two workers.
         String function = "once-" + i;
-        until(() -> endOf(fixture.invokeAsync(function, "1").join()).equals(SUCCEEDED));
+        until(() -> outcomeOf(fixture.invokeAsync(function, "1").join()).equals(SUCCEEDED));
       }
       assertThat(failingLoader.loadCount()).isLessThanOrEqualTo(8);
       assertThat(fixture.router().pendingRequests()).isZero();
@@ -225,10 +225,10 @@
 
   /** Invokes {@code count} functions concurrently; returns how many of the requests succeeded. */
   private static long invokeConcurrently(GatewayFixture fixture, int count) {
-    List<CompletableFuture<String>> ends = new ArrayList<>();
+    List<CompletableFuture<String>> outcomes = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      ends.add(fixture.invokeForEndAsync("once-" + i, "1"));
+      outcomes.add(fixture.invokeForOutcomeAsync("once-" + i, "1"));
     }
-    return ends.stream().filter(end -> end.join().equals(SUCCEEDED)).count();
+    return outcomes.stream().filter(outcome -> outcome.join().equals(SUCCEEDED)).count();
   }
 }
--- a/src/test/java/switchgap/server/gateway/DeferredRequestsTest.java
+++ b/src/test/java/switchgap/server/gateway/DeferredRequestsTest.java
@@ -59,16 +59,16 @@
                 .sections("holds: {calls: 20000, deferred: 20000}\n")
                 .workers(worker)
                 .start()) {
-      List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
+      List<CompletableFuture<HttpResponse<String>>> responses = new ArrayList<>();
       for (int i = 0; i < 10_000; i++) {
         String function = i % 2 == 0 ? NON_IDEMPOTENT : IDEMPOTENT;
-        all.add(fixture.invokeAsync(function, "1", "Prefer", "respond-async"));
+        responses.add(fixture.invokeAsync(function, "1", "Prefer", "respond-async"));
         if (i % 200 == 199) {
-          all.get(i).get();
+          responses.get(i).get();
         }
       }
       String last = "";
-      for (var future : all) {
+      for (var future : responses) {
         assertThat(future.get().statusCode()).isEqualTo(202);
         last = locationOf(future.get());
       }
--- a/src/test/java/switchgap/server/gateway/GatewayEndpointListTest.java
+++ b/src/test/java/switchgap/server/gateway/GatewayEndpointListTest.java
@@ -5,7 +5,7 @@
 import static switchgap.server.gateway.GatewayFixture.NON_IDEMPOTENT;
 import static switchgap.server.gateway.GatewayFixture.REJECTED;
 import static switchgap.server.gateway.GatewayFixture.SUCCEEDED;
-import static switchgap.server.gateway.GatewayFixture.endOf;
+import static switchgap.server.gateway.GatewayFixture.outcomeOf;
 import static switchgap.testing.BoundedWait.until;
 
 import java.net.http.HttpResponse;
@@ -76,9 +76,9 @@
     return entry(name, server, state, 0);
   }
 
-  private static boolean invocationEndsWith(
-      GatewayFixture fixture, String function, String expectedEnd) {
-    return fixture.invokeForEndAsync(function, "0").join().equals(expectedEnd);
+  private static boolean invocationHasOutcome(
+      GatewayFixture fixture, String function, String expectedOutcome) {
+    return fixture.invokeForOutcomeAsync(function, "0").join().equals(expectedOutcome);
   }
 
   @Test
@@ -89,7 +89,7 @@
             .sections("list: {port: " + listService.port() + ", ask_again: 50ms}\n")
             .start()) {
       until(() -> listService.entries().size() == 1);
-      until(Duration.ofMillis(200), () -> invocationEndsWith(fixture, NON_IDEMPOTENT, SUCCEEDED));
+      until(Duration.ofMillis(200), () -> invocationHasOutcome(fixture, NON_IDEMPOTENT, SUCCEEDED));
 
       assertPendingRequestSucceedsAfterItsWorkerIsGone(fixture);
       assertDrainingWorkerGetsNoRequest(fixture);
@@ -109,19 +109,19 @@
           listService.put(entry("w1", otherWorker, EndpointState.READY));
         });
     // The worker still responds on its open connection.
-    assertThat(endOf(pending.get())).isEqualTo(SUCCEEDED);
+    assertThat(outcomeOf(pending.get())).isEqualTo(SUCCEEDED);
     // The test can't observe when the router has applied the change.
     Thread.sleep(100);
-    assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "3"))).isEqualTo(SUCCEEDED);
+    assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "3"))).isEqualTo(SUCCEEDED);
     assertThat(worker.inferenceRequestCount()).isEqualTo(2);
   }
 
   /** The only remaining worker starts to drain. */
   private void assertDrainingWorkerGetsNoRequest(GatewayFixture fixture) throws Exception {
     scheduler.post(() -> listService.put(entry("w1", otherWorker, EndpointState.DRAINING)));
-    until(Duration.ofMillis(100), () -> invocationEndsWith(fixture, NON_IDEMPOTENT, REJECTED));
+    until(Duration.ofMillis(100), () -> invocationHasOutcome(fixture, NON_IDEMPOTENT, REJECTED));
     int requestsBefore = otherWorker.receivedRequests().size();
-    assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "4"))).isEqualTo(REJECTED);
+    assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "4"))).isEqualTo(REJECTED);
     assertThat(otherWorker.receivedRequests()).hasSize(requestsBefore);
   }
 
@@ -129,7 +129,7 @@
       throws Exception {
     scheduler.post(() -> listService.setUnavailable(true));
     Thread.sleep(200);
-    assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "5"))).isEqualTo(REJECTED);
+    assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "5"))).isEqualTo(REJECTED);
   }
 
   /** A worker returns under its old name with a later start time, as after a restart. */
@@ -139,7 +139,7 @@
           listService.put(entry("w0", worker, EndpointState.READY, System.currentTimeMillis()));
           listService.setUnavailable(false);
         });
-    until(() -> invocationEndsWith(fixture, IDEMPOTENT, SUCCEEDED));
+    until(() -> invocationHasOutcome(fixture, IDEMPOTENT, SUCCEEDED));
     assertThat(worker.inferenceRequestCount()).isGreaterThan(2);
   }
 
@@ -177,11 +177,11 @@
                 .start()) {
       until(() -> listRequests.get() == 1);
       // The router continues to use the last list.
-      assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
+      assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
       // From the third request on, the list has the worker as draining.
       until(Duration.ofSeconds(3), () -> listRequests.get() >= 3);
-      until(Duration.ofMillis(100), () -> invocationEndsWith(fixture, NON_IDEMPOTENT, REJECTED));
-      assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "2"))).isEqualTo(REJECTED);
+      until(Duration.ofMillis(100), () -> invocationHasOutcome(fixture, NON_IDEMPOTENT, REJECTED));
+      assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "2"))).isEqualTo(REJECTED);
     }
   }
 }
--- a/src/test/java/switchgap/server/gateway/GatewayFixture.java
+++ b/src/test/java/switchgap/server/gateway/GatewayFixture.java
@@ -134,10 +134,10 @@
     return client.sendAsync(builder.build(), HttpResponse.BodyHandlers.ofString());
   }
 
-  /** Invokes a function; the result is how the request ended, or "none" without a response. */
-  CompletableFuture<String> invokeForEndAsync(String function, String body) {
+  /** Invokes a function; the result is the outcome of the request, or "none" without a response. */
+  CompletableFuture<String> invokeForOutcomeAsync(String function, String body) {
     return invokeAsync(function, body)
-        .handle((response, failure) -> failure == null ? endOf(response) : "none");
+        .handle((response, failure) -> failure == null ? outcomeOf(response) : "none");
   }
 
   /** Invokes a function with a deferred response; returns the path at which to poll for it. */
@@ -162,8 +162,8 @@
     return new Socket("127.0.0.1", router.port());
   }
 
-  /** Returns how a request ended, or "none" if the response has no such header. */
-  static String endOf(HttpResponse<?> response) {
+  /** Returns the value of the header {@code Switchgap-End}, or "none" if the response has none. */
+  static String outcomeOf(HttpResponse<?> response) {
     return response.headers().firstValue("Switchgap-End").orElse("none");
   }
 
--- a/src/test/java/switchgap/server/gateway/GatewayServiceLevelsTest.java
+++ b/src/test/java/switchgap/server/gateway/GatewayServiceLevelsTest.java
@@ -6,7 +6,7 @@
 import static switchgap.server.gateway.GatewayFixture.NON_IDEMPOTENT;
 import static switchgap.server.gateway.GatewayFixture.REJECTED;
 import static switchgap.server.gateway.GatewayFixture.SUCCEEDED;
-import static switchgap.server.gateway.GatewayFixture.endOf;
+import static switchgap.server.gateway.GatewayFixture.outcomeOf;
 import static switchgap.testing.BoundedWait.until;
 
 import java.net.http.HttpRequest;
@@ -29,14 +29,14 @@
       assertThat(pin(fixture, "least", 1).statusCode()).isEqualTo(200);
 
       HttpResponse<String> response = fixture.invoke(IDEMPOTENT, "1");
-      assertThat(endOf(response)).isEqualTo(REJECTED);
+      assertThat(outcomeOf(response)).isEqualTo(REJECTED);
       assertThat(response.headers().firstValue("Switchgap-Level")).hasValue("least");
       assertThat(response.headers().firstValue("Retry-After")).isPresent();
       assertThat(response.body())
           .contains("\"level\":\"least\"")
           .contains("\"repeat_harmless\":true");
       // This request class has the highest priority weight, so the level does not reject it.
-      assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
+      assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
       assertThat(worker.receivedRequests())
           .noneMatch(request -> request.line().contains(IDEMPOTENT));
       assertThat(fixture.get("/v1/levels").body())
@@ -46,7 +46,7 @@
           .contains("switchgap_level 2\n")
           .contains("level=\"least\",workload=\"again\"} 1");
 
-      until(() -> fixture.invokeForEndAsync(IDEMPOTENT, "2").join().equals(SUCCEEDED));
+      until(() -> fixture.invokeForOutcomeAsync(IDEMPOTENT, "2").join().equals(SUCCEEDED));
       assertThat(fixture.get("/v1/levels").body()).contains("the pin has expired");
       assertThat(fixture.router().pendingRequests()).isZero();
     }
@@ -69,7 +69,7 @@
 
       HttpResponse<String> response = fixture.get(fixture.invokeDeferred(IDEMPOTENT, "9"));
 
-      assertThat(endOf(response)).isEqualTo(REJECTED);
+      assertThat(outcomeOf(response)).isEqualTo(REJECTED);
       // The response names the first level that rejects the request, not the pinned one.
       assertThat(response.headers().firstValue("Switchgap-Level")).hasValue("least");
       assertThat(worker.inferenceRequestCount()).isZero();
@@ -86,14 +86,15 @@
                 .workers(worker)
                 .start()) {
       // The configuration pins the level HOLD.
-      assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(REJECTED);
+      assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(REJECTED);
       // The setting spare exempts this request class.
-      assertThat(endOf(fixture.invoke(KEYED, "1", "Idempotency-Key", "k"))).isEqualTo(SUCCEEDED);
+      assertThat(outcomeOf(fixture.invoke(KEYED, "1", "Idempotency-Key", "k")))
+          .isEqualTo(SUCCEEDED);
       assertThat(pin(fixture, "share", 5).statusCode()).isEqualTo(400);
       assertThat(pin(fixture, "least", 0).statusCode()).isEqualTo(400);
       assertThat(pin(fixture, "least", 99_999_999).statusCode()).isEqualTo(400);
       Thread.sleep(500); // longer than pin_for
-      assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
+      assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
     }
     try (HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
         GatewayFixture fixture =
--- a/src/test/java/switchgap/server/gateway/InvokeApiTest.java
+++ b/src/test/java/switchgap/server/gateway/InvokeApiTest.java
@@ -5,7 +5,7 @@
 import static switchgap.server.gateway.GatewayFixture.KEYED;
 import static switchgap.server.gateway.GatewayFixture.NON_IDEMPOTENT;
 import static switchgap.server.gateway.GatewayFixture.SUCCEEDED;
-import static switchgap.server.gateway.GatewayFixture.endOf;
+import static switchgap.server.gateway.GatewayFixture.outcomeOf;
 import static switchgap.testing.BoundedWait.until;
 
 import java.io.IOException;
@@ -113,8 +113,8 @@
 
       assertThat(third.statusCode()).isEqualTo(503);
       assertThat(third.body()).contains("not-taken").contains("\"repeat_harmless\":true");
-      assertThat(endOf(first.get())).isEqualTo(SUCCEEDED);
-      assertThat(endOf(second.get())).isEqualTo(SUCCEEDED);
+      assertThat(outcomeOf(first.get())).isEqualTo(SUCCEEDED);
+      assertThat(outcomeOf(second.get())).isEqualTo(SUCCEEDED);
     }
   }
 
@@ -127,14 +127,14 @@
                   return HttpTestServer.echo(request, out);
                 });
         GatewayFixture fixture = GatewayFixture.start(worker)) {
-      assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "0"))).isEqualTo(SUCCEEDED);
+      assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "0"))).isEqualTo(SUCCEEDED);
       var pending = fixture.invokeAsync(NON_IDEMPOTENT, "1");
       until(() -> fixture.router().pendingRequests() == 1);
 
       Thread stop = new Thread(fixture.router()::stop);
       stop.start();
 
-      assertThat(endOf(pending.get())).isEqualTo(SUCCEEDED);
+      assertThat(outcomeOf(pending.get())).isEqualTo(SUCCEEDED);
       stop.join(3000);
       assertThat(stop.isAlive()).isFalse();
     }
@@ -145,7 +145,7 @@
     try (HttpTestServer worker = new HttpTestServer(HttpTestServer::echo);
         GatewayFixture fixture = GatewayFixture.start(worker)) {
       HttpResponse<String> response = fixture.invoke(KEYED, "1", "Idempotency-Key", "k1");
-      assertThat(endOf(response)).isEqualTo(SUCCEEDED);
+      assertThat(outcomeOf(response)).isEqualTo(SUCCEEDED);
     }
   }
 }
--- a/src/test/java/switchgap/server/gateway/LostResponsesTest.java
+++ b/src/test/java/switchgap/server/gateway/LostResponsesTest.java
@@ -6,7 +6,7 @@
 import static switchgap.server.gateway.GatewayFixture.NON_IDEMPOTENT;
 import static switchgap.server.gateway.GatewayFixture.REJECTED;
 import static switchgap.server.gateway.GatewayFixture.SUCCEEDED;
-import static switchgap.server.gateway.GatewayFixture.endOf;
+import static switchgap.server.gateway.GatewayFixture.outcomeOf;
 
 import java.net.http.HttpResponse;
 import java.nio.charset.StandardCharsets;
@@ -33,7 +33,7 @@
         GatewayFixture fixture = GatewayFixture.start(worker, otherWorker)) {
       long startNanos = System.nanoTime();
       HttpResponse<String> response = fixture.invoke(NON_IDEMPOTENT, "{}");
-      assertThat(endOf(response)).isEqualTo(FAILED);
+      assertThat(outcomeOf(response)).isEqualTo(FAILED);
       assertThat(response.statusCode()).isEqualTo(504);
       assertThat(response.body()).contains("\"repeat_harmless\":false");
       assertThat(millisSince(startNanos)).isLessThan(MAX_MILLIS_UNTIL_FAILURE);
@@ -51,16 +51,16 @@
   void onlyAnIdempotentRequestIsRetriedAfterItsConnectionIsClosed() throws Exception {
     try (HttpTestServer worker = new HttpTestServer(closeAtSecondRequest());
         GatewayFixture fixture = GatewayFixture.start(worker)) {
-      assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
+      assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
       // It is sent on the idle connection, which the worker then closes.
-      assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "2"))).isEqualTo(FAILED);
+      assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "2"))).isEqualTo(FAILED);
       assertThat(worker.inferenceRequestCount()).isEqualTo(2);
     }
     try (HttpTestServer worker = new HttpTestServer(closeAtSecondRequest());
         GatewayFixture fixture = GatewayFixture.start(worker)) {
-      assertThat(endOf(fixture.invoke(IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
+      assertThat(outcomeOf(fixture.invoke(IDEMPOTENT, "1"))).isEqualTo(SUCCEEDED);
       // An idempotent request is retried.
-      assertThat(endOf(fixture.invoke(IDEMPOTENT, "2"))).isEqualTo(SUCCEEDED);
+      assertThat(outcomeOf(fixture.invoke(IDEMPOTENT, "2"))).isEqualTo(SUCCEEDED);
       assertThat(worker.inferenceRequestCount()).isEqualTo(3);
     }
   }
@@ -78,7 +78,7 @@
     try (HttpTestServer worker = new HttpTestServer(partial);
         GatewayFixture fixture = GatewayFixture.start(worker)) {
       long startNanos = System.nanoTime();
-      assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "{}"))).isEqualTo(FAILED);
+      assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "{}"))).isEqualTo(FAILED);
       assertThat(millisSince(startNanos)).isLessThan(MAX_MILLIS_UNTIL_FAILURE);
     }
   }
@@ -94,7 +94,7 @@
         };
     try (HttpTestServer worker = new HttpTestServer(sometimesSlow);
         GatewayFixture fixture = GatewayFixture.start(worker)) {
-      assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "\"slow\""))).isEqualTo(FAILED);
+      assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "\"slow\""))).isEqualTo(FAILED);
       for (int i = 0; i < 20; i++) {
         HttpResponse<String> response = fixture.invoke(NON_IDEMPOTENT, "\"request " + i + "\"");
         assertThat(response.body()).isEqualTo("{\"echo\":\"request " + i + "\"}");
@@ -121,11 +121,11 @@
       List<HttpTestServer> workers = List.of(worker, otherWorker, thirdWorker);
       int succeeded = 0;
       for (int i = 0; i < 200; i++) {
-        String end = endOf(responses.get(i).get());
-        assertThat(end).isIn(SUCCEEDED, REJECTED, FAILED);
-        succeeded += end.equals(SUCCEEDED) ? 1 : 0;
+        String outcome = outcomeOf(responses.get(i).get());
+        assertThat(outcome).isIn(SUCCEEDED, REJECTED, FAILED);
+        succeeded += outcome.equals(SUCCEEDED) ? 1 : 0;
         if (i % 2 == 0) {
-          assertExecutedAsReported(workers, "n" + i + ".", end);
+          assertExecutedAsReported(workers, "n" + i + ".", outcome);
         }
       }
       assertThat(succeeded).isGreaterThan(100);
@@ -145,12 +145,12 @@
 
   /** A non-idempotent request is executed at most once, and never if it was rejected. */
   private static void assertExecutedAsReported(
-      List<HttpTestServer> workers, String body, String end) {
+      List<HttpTestServer> workers, String body, String outcome) {
     long executions =
         workers.stream()
             .flatMap(worker -> worker.receivedRequests().stream())
             .filter(request -> request.body().contains(body))
             .count();
-    assertThat(executions).as(body).isLessThanOrEqualTo(end.equals(REJECTED) ? 0 : 1);
+    assertThat(executions).as(body).isLessThanOrEqualTo(outcome.equals(REJECTED) ? 0 : 1);
   }
 }
--- a/src/test/java/switchgap/server/gateway/UnexpectedResponsesTest.java
+++ b/src/test/java/switchgap/server/gateway/UnexpectedResponsesTest.java
@@ -5,7 +5,7 @@
 import static switchgap.server.gateway.GatewayFixture.IDEMPOTENT;
 import static switchgap.server.gateway.GatewayFixture.NON_IDEMPOTENT;
 import static switchgap.server.gateway.GatewayFixture.SUCCEEDED;
-import static switchgap.server.gateway.GatewayFixture.endOf;
+import static switchgap.server.gateway.GatewayFixture.outcomeOf;
 
 import java.net.http.HttpResponse;
 import java.nio.charset.StandardCharsets;
@@ -22,7 +22,7 @@
       "endpoint-load-metrics: TEXT named_metrics.executed=0\r\n";
 
   private static void assertBodyIfSucceeded(HttpResponse<String> response, String body) {
-    if (endOf(response).equals(SUCCEEDED)) {
+    if (outcomeOf(response).equals(SUCCEEDED)) {
       assertThat(response.body()).isEqualTo(body);
     }
   }
@@ -88,7 +88,7 @@
         };
     try (HttpTestServer worker = new HttpTestServer(otherRequestId);
         GatewayFixture fixture = GatewayFixture.start(worker)) {
-      assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "{}"))).isEqualTo(FAILED);
+      assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "{}"))).isEqualTo(FAILED);
     }
   }
 
@@ -105,7 +105,7 @@
         };
     try (HttpTestServer worker = new HttpTestServer(missFirst);
         GatewayFixture fixture = GatewayFixture.start(worker)) {
-      assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "{}"))).isEqualTo(SUCCEEDED);
+      assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "{}"))).isEqualTo(SUCCEEDED);
       assertThat(worker.receivedRequests().stream().map(HttpTestServer.ReceivedRequest::line))
           .anyMatch(line -> line.contains("/v2/repository/models/once-1/load"));
     }
@@ -116,14 +116,14 @@
 
   /** Without a load report, an error response may come from a request that was executed. */
   private static void assertFailsWithoutLoadReport(int status) throws Exception {
-    HttpTestServer.Responder unproven =
+    HttpTestServer.Responder withoutLoadReport =
         (request, out) -> {
           out.write(HttpTestServer.response(status, "", "{}"));
           return true;
         };
-    try (HttpTestServer worker = new HttpTestServer(unproven);
+    try (HttpTestServer worker = new HttpTestServer(withoutLoadReport);
         GatewayFixture fixture = GatewayFixture.start(worker)) {
-      assertThat(endOf(fixture.invoke(NON_IDEMPOTENT, "{}")))
+      assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "{}")))
           .as("status %d", status)
           .isEqualTo(FAILED);
       assertThat(worker.inferenceRequestCount()).isEqualTo(1);
@@ -147,7 +147,7 @@
               .formatted(closedPort, worker.port());
       try (GatewayFixture fixture = GatewayFixture.builder().sections(workers).start()) {
         for (int i = 0; i < 8; i++) {
-          assertThat(endOf(fixture.invoke("once-" + i, "{}"))).isEqualTo(SUCCEEDED);
+          assertThat(outcomeOf(fixture.invoke("once-" + i, "{}"))).isEqualTo(SUCCEEDED);
         }
         assertThat(worker.inferenceRequestCount()).isEqualTo(8);
       }
--- a/src/test/java/switchgap/server/platform/ClientDisconnectTest.java
+++ b/src/test/java/switchgap/server/platform/ClientDisconnectTest.java
@@ -14,7 +14,7 @@
  */
 class ClientDisconnectTest extends PlatformFixture {
   @Test
-  void cancelsAttemptsOfRevokedAndDisconnectedRequests() throws Exception {
+  void cancelsAttemptWhenRequestIsRevokedOrClientDisconnects() throws Exception {
     RespTestServer worker = RespTestServer.neverReplying();
     startRouter(MANY_SOCKETS, worker);
     ThriftTestClient client = connectClient();
@@ -69,7 +69,7 @@
    * one tick.
    */
   @Test
-  void startsNoRetryInTickThatSeesClientDisconnect() throws Exception {
+  void startsNoRetryInTickThatHandlesClientDisconnect() throws Exception {
     CountDownLatch allowReply = new CountDownLatch(1);
     CountDownLatch replied = new CountDownLatch(1);
     RespTestServer.CommandHandler rejecting =
@@ -88,8 +88,8 @@
     startRouter(MANY_SOCKETS, firstWorker, secondWorker);
     ThriftTestClient stayingClient = connectClient();
     int sequenceId = 0;
-    while (firstWorker.executions().isEmpty()
-        || secondWorker.executions().isEmpty()) { // repeats until both workers have a connection
+    // Repeats until the router has a connection to each worker.
+    while (firstWorker.executions().isEmpty() || secondWorker.executions().isEmpty()) {
       stayingClient.submit(++sequenceId, TestSubmit.idempotent(nextId()).function(sequenceId));
       assertThat(stayingClient.receiveReply().outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
     }
@@ -104,9 +104,8 @@
     try (AutoCloseable gate = blockEventLoop()) {
       allowReply.countDown();
       replied.await();
-      awaitMessagesRead(
-          stayingClient,
-          ++sequenceId); // a second heartbeat, as the first may be read before the reply
+      // Two heartbeats, as the first may be read before the reply.
+      awaitMessagesRead(stayingClient, ++sequenceId);
       awaitMessagesRead(stayingClient, ++sequenceId);
       leavingClient.close();
       await(() -> router.openClientConnections() == openBefore - 1);
@@ -129,7 +128,10 @@
             .count();
   }
 
-  /** Applies even if the settings do not allow the cancellation of attempts. */
+  /**
+   * An attempt that has not been sent is dropped even if the settings do not allow the cancellation
+   * of attempts.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void dropsAttemptWaitingForConnectionWhenClientDisconnects(boolean mayCancel) throws Exception {
@@ -187,10 +189,10 @@
     assertThat(oldClient.receiveReply()).isNull();
   }
 
-  private void assertServed(ThriftTestClient client, RespTestServer worker, int number)
+  private void assertServed(ThriftTestClient client, RespTestServer worker, int sequenceId)
       throws Exception {
     String id = nextId();
-    client.submit(number, TestSubmit.idempotent(id).body("served"));
+    client.submit(sequenceId, TestSubmit.idempotent(id).body("served"));
     assertThat(client.receiveReply().bodyText()).isEqualTo(id + ":served");
     assertThat(worker.executions().stream().filter(command -> command.id().equals(id))).hasSize(1);
   }
--- a/src/test/java/switchgap/server/platform/ClientEvictionTest.java
+++ b/src/test/java/switchgap/server/platform/ClientEvictionTest.java
@@ -41,7 +41,9 @@
     for (int i = 0; i < slowClients.size(); i++) {
       slowClients.get(i).sendBytes(remainingBytes.get(i));
       ThriftTestClient.Reply reply = slowClients.get(i).receiveReply();
-      assertThat(reply).as("client %d was closed", i).isNotNull();
+      assertThat(reply)
+          .as("reply to client %d, null if the router closed its connection", i)
+          .isNotNull();
       assertThat(reply.outcome()).isEqualTo(ReplyOutcome.SUCCEEDED);
     }
   }
@@ -92,14 +94,15 @@
     }
     for (int i = 0; i < clients.size(); i++) {
       assertThat(clients.get(i).receiveReply())
-          .as("client %d was closed without an answer", i)
+          .as("reply to client %d, null if the router closed its connection", i)
           .isNotNull();
       clients.get(i).close();
     }
   }
 
   /**
-   * A connection is in use shortly after a reply, as the client's next request may be in transit.
+   * A connection is treated as in use shortly after a reply, as the client's next request may be in
+   * transit.
    */
   @Test
   void keepsConnectionThatWasJustAnswered() throws Exception {
@@ -111,7 +114,9 @@
     ThriftTestClient activeClient = connectClient();
     for (int number = 1; number <= 10; number++) {
       activeClient.submit(number, TestSubmit.idempotent(nextId()));
-      assertThat(activeClient.receiveReply()).as("request %d", number).isNotNull();
+      assertThat(activeClient.receiveReply())
+          .as("reply to request %d, null if the router closed the connection", number)
+          .isNotNull();
       for (int i = 0; i < 30; i++) {
         connectClient();
       }
@@ -152,8 +157,8 @@
     await(() -> usage().pendingRequests() == 10);
     try (AutoCloseable gate = blockEventLoop()) {
       ThriftTestClient newestClient = connectClient();
-      newestClient.submit(
-          1, TestSubmit.idempotent(nextId())); // puts the newest connection in use as well
+      // Puts the newest connection in use as well.
+      newestClient.submit(1, TestSubmit.idempotent(nextId()));
       awaitMessagesRead(newestClient, 2);
       clients.add(newestClient);
     }
--- a/src/test/java/switchgap/server/platform/DescriptorLimitTest.java
+++ b/src/test/java/switchgap/server/platform/DescriptorLimitTest.java
@@ -19,18 +19,15 @@
     int maxOpen = 0;
     try (AutoCloseable gate = blockEventLoop()) {
       for (int i = 0; i < 60; i++) {
-        ThriftTestClient waiting = connectClient();
-        await(waiting::isConnected);
+        ThriftTestClient waitingClient = connectClient();
+        await(waitingClient::isConnected);
         maxOpen = Math.max(maxOpen, router.openClientConnections());
       }
       await(() -> router.openClientConnections() == MAX_SOCKETS / 3 + MAX_SOCKETS / 12);
       maxOpen = Math.max(maxOpen, router.openClientConnections());
     }
-    assertThat(maxOpen)
-        .isLessThanOrEqualTo(
-            MAX_SOCKETS / 3
-                + MAX_SOCKETS / 12
-                + 1); // a connection that is being closed may still count
+    // A connection that is being closed is still counted.
+    assertThat(maxOpen).isLessThanOrEqualTo(MAX_SOCKETS / 3 + MAX_SOCKETS / 12 + 1);
     await(() -> router.openClientConnections() <= MAX_SOCKETS / 3);
     ThriftTestClient client = connectClient();
     client.submit(1, TestSubmit.idempotent(nextId()).timeoutMillis(LONG_TIMEOUT_MILLIS));
@@ -65,7 +62,7 @@
     }
     assertThat(workers.stream().filter(worker -> !worker.executions().isEmpty()).count())
         .isGreaterThan(MAX_SOCKETS / 2);
-    assertThat(maxOpen)
-        .isBetween(MAX_SOCKETS / 4, MAX_SOCKETS / 3 + 2); // evicted connections may still count
+    // A connection that is being evicted is still counted.
+    assertThat(maxOpen).isBetween(MAX_SOCKETS / 4, MAX_SOCKETS / 3 + 2);
   }
 }
--- a/src/test/java/switchgap/server/platform/DiscoveryOutageTest.java
+++ b/src/test/java/switchgap/server/platform/DiscoveryOutageTest.java
@@ -66,9 +66,8 @@
         MANY_SOCKETS, drainedWorker, RespTestServer.executingAll(), RespTestServer.executingAll());
     await(() -> eventStream.hasClient());
     ThriftTestClient client = connectClient();
-    for (int i = 0;
-        i < FUNCTION_COUNT * 3;
-        i++) { // enough requests that each function has a replica
+    // Sends enough requests that each function gets a replica.
+    for (int i = 0; i < FUNCTION_COUNT * 3; i++) {
       eventStream.sendHeartbeats();
       submit(client);
     }
@@ -124,7 +123,7 @@
 
   @ParameterizedTest
   @EnumSource(Outage.class)
-  void sendsNothingToWorkerThatDrains(Outage outage) throws Exception {
+  void sendsNoNewWorkToDrainingWorkerAfterDrainGrace(Outage outage) throws Exception {
     ThriftTestClient client = startWithThreeWorkers();
     isStreamSilent = true;
     if (outage == Outage.REFUSES_CONNECTIONS) {
@@ -135,7 +134,7 @@
 
   /** A new process replaces the drained worker under the same name and address. */
   @Test
-  void usesWorkerThatRepliesReadyAgain() throws Exception {
+  void sendsRequestsToDrainedWorkerOnceItIsReadyAgain() throws Exception {
     ThriftTestClient client = startWithThreeWorkers();
     eventStream.close();
     drainableHandler.setDraining(true);
@@ -150,7 +149,7 @@
   }
 
   @Test
-  void servesWhileStreamDeliversNothing() throws Exception {
+  void servesRequestsWhileEventStreamDeliversNothing() throws Exception {
     RespTestServer worker = RespTestServer.executingAll();
     startRouter(MANY_SOCKETS, worker);
     ThriftTestClient client = connectClient();
--- a/src/test/java/switchgap/server/platform/EventStreamTestServer.java
+++ b/src/test/java/switchgap/server/platform/EventStreamTestServer.java
@@ -70,8 +70,8 @@
       long lastEventId = readLastEventId(socket);
       OutputStream output = socket.getOutputStream();
       output.write(RESPONSE_HEAD.getBytes(StandardCharsets.US_ASCII));
-      requestedEventIds.add(
-          lastEventId); // must follow the head, as tests send events once it is set
+      // Must follow the head, as tests send events once this list has an entry.
+      requestedEventIds.add(lastEventId);
       streamingSockets.add(socket);
       if (!handler.handle(connection, lastEventId, output)) {
         socket.close();
--- a/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
+++ b/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
@@ -94,13 +94,13 @@
               return RespTestServer.executeAll(command, output);
             });
     startRouter(MANY_SOCKETS, worker);
-    ThriftTestClient client =
-        new ThriftTestClient(router.port(), 4096); // a small receive buffer holds few unread bytes
+    // A small receive buffer holds few unread bytes.
+    ThriftTestClient client = new ThriftTestClient(router.port(), 4096);
     resources.add(client);
     int sentCount = 0;
+    // Repeats until responses wait to be written.
     while (router.resourceUsage().activeClientConnections() == 0
-        || router.resourceUsage().pendingRequests()
-            > 0) { // repeats until responses wait to be written
+        || router.resourceUsage().pendingRequests() > 0) {
       assertThat(++sentCount).isLessThan(2000);
       int sequenceId = sentCount;
       client.submit(sequenceId, TestSubmit.idempotent(nextId()));
@@ -116,9 +116,12 @@
     assertEnds(shutdown);
   }
 
-  /** Requests whose timeout ends after the earliest SIGKILL are failed before it. */
+  /**
+   * Requests whose timeout ends after the earliest possible SIGKILL are rejected or failed before
+   * it.
+   */
   @Test
-  void failsRequestsPastShutdownDeadline() throws Exception {
+  void rejectsOrFailsRequestsWhoseTimeoutEndsAfterEarliestKill() throws Exception {
     settings = settings.replace("\"DeadlineUs\":1000000", "\"DeadlineUs\":2900000");
     RespTestServer worker = RespTestServer.neverReplying();
     startRouter(MANY_SOCKETS, worker);
@@ -130,16 +133,14 @@
     Thread shutdown = beginShutdownAndAwaitUnhealthy();
     Thread.sleep(500); // shorter than the minimum drain duration
     ThriftTestClient lateClient = connectClient();
-    lateClient.submit(
-        1,
-        TestSubmit.idempotent(nextId())
-            .timeoutMillis(5800)); // the process exits before this timeout
+    // The process exits before this timeout.
+    lateClient.submit(1, TestSubmit.idempotent(nextId()).timeoutMillis(5800));
     assertThat(client.receiveReply().outcome()).isIn(ReplyOutcome.REJECTED, ReplyOutcome.FAILED);
     assertThat(lateClient.receiveReply().outcome())
         .isIn(ReplyOutcome.REJECTED, ReplyOutcome.FAILED);
     assertEnds(shutdown);
-    assertThat((System.nanoTime() - startedNanos) / 1_000_000)
-        .isLessThan(3700 + 100); // the earliest SIGKILL is 3.7 s after SIGTERM
+    // The earliest SIGKILL is 3.7 s after SIGTERM.
+    assertThat((System.nanoTime() - startedNanos) / 1_000_000).isLessThan(3700 + 100);
   }
 
   @Test
@@ -159,7 +160,7 @@
    * connections.
    */
   @Test
-  void handlesRequestsQueuedForEventLoop() throws Exception {
+  void answersRequestQueuedForEventLoopDuringShutdown() throws Exception {
     CountDownLatch allowReply = new CountDownLatch(1);
     RespTestServer worker = RespTestServer.executingAfter(allowReply);
     startRouter(MANY_SOCKETS, worker);
--- a/src/test/java/switchgap/server/platform/InvalidClientTest.java
+++ b/src/test/java/switchgap/server/platform/InvalidClientTest.java
@@ -45,9 +45,8 @@
     duplicateClient.submit(1, TestSubmit.idempotent(nextId()).function("00000000000000f2"));
     duplicateClient.submit(
         1, TestSubmit.idempotent(nextId()).function("00000000000000f2").body("y"));
-    ThriftTestClient.Reply reply =
-        duplicateClient
-            .receiveReply(); // the first submit may be answered before the second is read
+    // The first submit may be answered before the second is read.
+    ThriftTestClient.Reply reply = duplicateClient.receiveReply();
     assertThat(reply == null || reply.sequenceId() == 1).isTrue();
     ThriftTestClient unreadableClient = connectClient();
     unreadableClient.sendBytes(
--- a/src/test/java/switchgap/server/platform/PlatformConfigTest.java
+++ b/src/test/java/switchgap/server/platform/PlatformConfigTest.java
@@ -11,7 +11,7 @@
 class PlatformConfigTest extends PlatformFixture {
   @ParameterizedTest
   @ValueSource(strings = {"settings", "known", "feed", "seed", "limits", "Lanes", "Zones"})
-  void namesMissingKey(String key) throws Exception {
+  void errorNamesMissingKey(String key) throws Exception {
     Map<String, String> environment =
         environment(configJson(256).replace("\"" + key + "\":", "\"not" + key + "\":"));
     assertThatThrownBy(
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void namesMissingVariableOrFile() throws Exception {
+  void errorNamesMissingVariableOrUnreadableFile() throws Exception {
     assertThatThrownBy(() -> PlatformConfig.read(Map.of(), 0)).hasMessageContaining("NODE_CONFIG");
     assertThatThrownBy(() -> PlatformConfig.read(Map.of("NODE_CONFIG", directory + "/none"), 0))
         .hasMessageContaining("none: no such file");
--- a/src/test/java/switchgap/server/platform/PlatformProcessTest.java
+++ b/src/test/java/switchgap/server/platform/PlatformProcessTest.java
@@ -30,9 +30,9 @@
             new EventStreamTestServer((connection, lastEventId, output) -> true)) {
       String config = configJson(MANY_SOCKETS, worker);
       startProcess("");
-      try (OutputStream pipe =
-          Files.newOutputStream(
-              configFile)) { // opens once the router reads it, after installing its handlers
+      // Blocks until the router reads the file, which it does after it has installed its signal
+      // handlers.
+      try (OutputStream pipe = Files.newOutputStream(configFile)) {
         Path nextConfigFile =
             Files.writeString(
                 directory.resolve("next.json"),
@@ -124,8 +124,8 @@
           new EventStreamTestServer(port, (connection, lastEventId, output) -> true)) {
         await(() -> restarted.hasClient());
       }
-      assertThat(processorTime().minus(processorTimeBefore).toMillis())
-          .isLessThan(1500); // no thread busy-waits
+      // No thread may busy-wait.
+      assertThat(processorTime().minus(processorTimeBefore).toMillis()).isLessThan(1500);
       signal("TERM");
       awaitCleanExit();
     }
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void keepsEventStreamWhenNewNameDoesNotResolve() throws Exception {
+  void keepsEventStreamWhenNewHostNameDoesNotResolve() throws Exception {
     try (RespTestServer worker = RespTestServer.executingAll()) {
       String config = configJson(MANY_SOCKETS, worker);
       Files.writeString(configFile, config);
--- a/src/test/java/switchgap/server/platform/PlatformSettingsTest.java
+++ b/src/test/java/switchgap/server/platform/PlatformSettingsTest.java
@@ -36,11 +36,12 @@
   private static Stream<Variant> variants() {
     return Stream.of(
         Variant.of(
-            "no tenants", json -> json.replaceAll("\"Tenants\":\\[[^]]*]", "\"Tenants\":[]")),
-        Variant.of("tenants not stated", json -> json.replaceAll("\"Tenants\":\\[[^]]*],", "")),
-        Variant.of("no zones", json -> json.replace("[\"east\",\"west\"]", "[]")),
+            "empty list of tenants",
+            json -> json.replaceAll("\"Tenants\":\\[[^]]*]", "\"Tenants\":[]")),
+        Variant.of("key Tenants missing", json -> json.replaceAll("\"Tenants\":\\[[^]]*],", "")),
+        Variant.of("empty list of zones", json -> json.replace("[\"east\",\"west\"]", "[]")),
         new Variant(
-            "one class",
+            "one request class",
             json -> json.replaceAll("(?s)\\{\"Name\":\"again\"[^}]*},", ""),
             TestSubmit.NON_IDEMPOTENT_CLASS,
             TIMEOUT_MILLIS),
@@ -49,7 +50,7 @@
             json ->
                 json.replaceAll("\"Costs\":\\{[^}]*},", "").replaceAll("\"MemoryPrice\":0,", "")),
         Variant.of(
-            "no reports",
+            "no load reports",
             json ->
                 json.replaceAll("(?s),\\s*\"Telemetry\":\\{[^}]*}", "")
                     .replace(",\"SaysCompany\":true", "")),
@@ -80,7 +81,7 @@
                     "\"IfCold\":\"miss\",\"PlacementCalls\":true",
                     "\"IfCold\":\"load\",\"PlacementCalls\":false")),
         Variant.of(
-            "a hundred routers",
+            "100 routers",
             json -> json.replace("\"Balancers\":1,\"Me\":0", "\"Balancers\":100,\"Me\":99")));
   }
 
--- a/src/test/java/switchgap/server/platform/ProcessPauseTest.java
+++ b/src/test/java/switchgap/server/platform/ProcessPauseTest.java
@@ -8,7 +8,7 @@
 import switchgap.testbed.soak.SystemCallFaults.Call;
 import switchgap.testbed.soak.SystemCallFaults.ErrorNumber;
 
-/** The process, or only its accepts, are paused while unread requests wait. */
+/** The process is suspended, or only its accepts fail, while requests wait to be read. */
 class ProcessPauseTest extends SystemCallFaultFixture {
   private static final long TIMEOUT_MILLIS = 900;
   private static final long TIME_IN_BACKLOG_MILLIS = 700;
@@ -22,7 +22,7 @@
    * They must be read before the timeout is checked.
    */
   @Test
-  void readsRequestsReceivedDuringPauseBeforeTimeouts() throws Exception {
+  void readsRequestsReceivedDuringPauseBeforeCheckingReceiveTimeout() throws Exception {
     try (RespTestServer worker = RespTestServer.executingAll()) {
       int port = startAndAwaitServing(worker);
       for (int round = 0; round < 3; round++) {
--- a/src/test/java/switchgap/server/platform/RequestAnswerTest.java
+++ b/src/test/java/switchgap/server/platform/RequestAnswerTest.java
@@ -33,14 +33,14 @@
     client.submit(
         2, TestSubmit.nonIdempotent(nextId()).timeoutMillis(300).function("00000000000000f2"));
     await(() -> worker.executions().size() == 2);
-    ThriftTestClient late = connectClient();
+    ThriftTestClient lateClient = connectClient();
     try (AutoCloseable gate = blockEventLoop()) {
-      late.submit(1, TestSubmit.idempotent(nextId()).timeoutMillis(150).body("queued"));
+      lateClient.submit(1, TestSubmit.idempotent(nextId()).timeoutMillis(150).body("queued"));
       Thread.sleep(400); // longer than each timeout
     }
     assertThat(List.of(client.receiveReply().sequenceId(), client.receiveReply().sequenceId()))
         .containsExactlyInAnyOrder(1, 2);
-    assertThat(late.receiveReply().outcome()).isEqualTo(ReplyOutcome.REJECTED);
+    assertThat(lateClient.receiveReply().outcome()).isEqualTo(ReplyOutcome.REJECTED);
     assertThat(router.resourceUsage().pendingRequests()).isZero();
   }
 
@@ -89,6 +89,6 @@
       awaitMessagesRead(client, 5);
     }
     Thread.sleep(200); // leaves time for a reply, which must not be sent
-    awaitMessagesRead(client, 6); // fails if another reply precedes the heartbeat's
+    awaitMessagesRead(client, 6); // fails if another reply precedes that to the heartbeat
   }
 }
--- a/src/test/java/switchgap/server/platform/RequestForwardingTest.java
+++ b/src/test/java/switchgap/server/platform/RequestForwardingTest.java
@@ -73,7 +73,8 @@
                 return true;
               }
               RespTestServer.executeAll(command, output);
-              if (command.isExecution()) { // sends a duplicate reply and one without a request
+              // Sends a duplicate reply and one with an unknown request id.
+              if (command.isExecution()) {
                 RespTestServer.executeAll(command, output);
                 RespTestServer.sendReply(
                     output,
@@ -94,8 +95,8 @@
     assertThat(worker.received(RespTestServer.LOAD).get(0).options())
         .isEqualTo("thing=" + FUNCTION + ",count=1");
     client.heartbeat(9);
-    assertThat(client.receiveReply().sequenceId())
-        .isEqualTo(9); // fails if another reply precedes the heartbeat's
+    // Fails if another reply precedes that to the heartbeat.
+    assertThat(client.receiveReply().sequenceId()).isEqualTo(9);
   }
 
   /**
--- a/src/test/java/switchgap/server/platform/ShutdownTrafficTest.java
+++ b/src/test/java/switchgap/server/platform/ShutdownTrafficTest.java
@@ -41,7 +41,7 @@
     Thread.sleep(TRAFFIC_BEFORE_SIGTERM_MILLIS);
     sigtermNanos = System.nanoTime();
     signal("TERM");
-    boolean exited = process.waitFor(millisToKill(timeoutMillis), TimeUnit.MILLISECONDS);
+    boolean exited = process.waitFor(millisUntilEarliestKill(timeoutMillis), TimeUnit.MILLISECONDS);
     process.destroyForcibly().waitFor();
     for (Thread client : clients) {
       client.join();
@@ -65,7 +65,7 @@
       Thread.sleep(TRAFFIC_BEFORE_SIGTERM_MILLIS / 5);
     }
     long elapsedMillis = (System.nanoTime() - sigtermNanos) / 1_000_000;
-    process.waitFor(millisToKill(timeoutMillis) - elapsedMillis, TimeUnit.MILLISECONDS);
+    process.waitFor(millisUntilEarliestKill(timeoutMillis) - elapsedMillis, TimeUnit.MILLISECONDS);
     process.destroyForcibly().waitFor();
     for (Thread client : clients) {
       client.join();
@@ -73,7 +73,8 @@
     assertThat(lostRequests).as("requests without an answer").isEmpty();
   }
 
-  private static int millisToKill(int timeoutMillis) {
+  /** The shortest time from SIGTERM to SIGKILL on the platform for settings with this timeout. */
+  private static int millisUntilEarliestKill(int timeoutMillis) {
     return Math.min(timeoutMillis, MAX_ASSUMED_TIMEOUT_MILLIS) + KILL_MARGIN_MILLIS;
   }
 
--- a/src/test/java/switchgap/server/platform/SystemCallFailureTest.java
+++ b/src/test/java/switchgap/server/platform/SystemCallFailureTest.java
@@ -187,7 +187,8 @@
       assertThat(countServed(port)).as(processLog()).isEqualTo(REQUEST_COUNT);
       faults.clear();
       if (call == Call.WRITE) {
-        await(() -> eventStream.hasClient()); // no request could be written before that
+        // Until now the router could not write its request for the stream.
+        await(() -> eventStream.hasClient());
       }
       assertThat(countServed(port)).as(processLog()).isEqualTo(REQUEST_COUNT);
     }
--- a/src/test/java/switchgap/testbed/scenario/InvariantCheckerTest.java
+++ b/src/test/java/switchgap/testbed/scenario/InvariantCheckerTest.java
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void excusesMissingResponseWhenRouterWasTerminated() throws IOException {
+  void excusesMissingResponseWhenRouterWasKilled() throws IOException {
     logs.attemptSent(100, "j0.1", IDEMPOTENT).attemptEnded(300, "j0.1", "broken").routerKilled(300);
 
     assertThat(writeAndCheck(logs).violations()).isEmpty();
