--- a/src/test/java/switchgap/net/AcceptStallTest.java
+++ b/src/test/java/switchgap/net/AcceptStallTest.java
@@ -37,10 +37,10 @@
     stall.resume();
     assertThat(stall.isPaused()).isFalse();
     assertThat(stall.maxAcceptDelay())
-        .as("clients from the stall may still be waiting")
+        .as("delay while clients from the stall may still be waiting")
         .isEqualTo(STALL_LENGTH);
     passTime(CATCH_UP_TIME);
-    assertThat(stall.maxAcceptDelay()).as("accept queue processed").isZero();
+    assertThat(stall.maxAcceptDelay()).as("delay once the accept queue is processed").isZero();
   }
 
   @Test
@@ -70,7 +70,9 @@
     stall.eventLoopResumed(STALL_LENGTH);
     assertThat(stall.maxAcceptDelay()).isEqualTo(STALL_LENGTH);
     stall.eventLoopResumed(STALL_LENGTH.dividedBy(2));
-    assertThat(stall.maxAcceptDelay()).as("the longer of two stalls").isEqualTo(STALL_LENGTH);
+    assertThat(stall.maxAcceptDelay())
+        .as("delay of the longer of two stalls")
+        .isEqualTo(STALL_LENGTH);
     passTime(CATCH_UP_TIME);
     assertThat(stall.maxAcceptDelay()).isZero();
   }
--- a/src/test/java/switchgap/net/HttpServerLimitsTest.java
+++ b/src/test/java/switchgap/net/HttpServerLimitsTest.java
@@ -60,11 +60,11 @@
       send(partial, "GET / HTTP/1.1\r\nHos");
       assertClosedByServer(partial);
       assertThat(System.nanoTime() - startedNanos)
-          .as("receive timeout")
+          .as("time until the close of a partial request, after the receive timeout")
           .isGreaterThan(LIMITS.receiveTimeout().toNanos());
       assertClosedByServer(silent);
       assertThat(System.nanoTime() - startedNanos)
-          .as("idle timeout")
+          .as("time until the close of a silent connection, after the idle timeout")
           .isGreaterThan(LIMITS.idleTimeout().minusMillis(100).toNanos());
     }
     assertThat(received).isEmpty();
--- a/src/test/java/switchgap/net/SelectorThreadsTest.java
+++ b/src/test/java/switchgap/net/SelectorThreadsTest.java
@@ -53,7 +53,9 @@
         try (Socket faulty = new Socket("127.0.0.1", server.port());
             Socket healthy = new Socket("127.0.0.1", server.port())) {
           faulty.getOutputStream().write('x');
-          assertThat(readByte(faulty)).as("the faulty connection ends").isEqualTo(END_OF_STREAM);
+          assertThat(readByte(faulty))
+              .as("byte read from the faulty connection")
+              .isEqualTo(END_OF_STREAM);
           healthy.getOutputStream().write('g');
           assertThat(readByte(healthy)).isEqualTo('y');
         }
--- a/src/test/java/switchgap/net/StallDetectorTest.java
+++ b/src/test/java/switchgap/net/StallDetectorTest.java
@@ -15,10 +15,10 @@
   void reportsStallOnceWhenCheckIsLateByMoreThanThreshold() {
     StallDetector detector = new StallDetector(millis(200), millis(0));
     assertThat(detector.recordCheck(millis(210))).isZero();
-    assertThat(detector.recordCheck(millis(500))).as("check delayed by 90 ms").isZero();
+    assertThat(detector.recordCheck(millis(500))).as("stall for a check delayed by 90 ms").isZero();
     assertThat(detector.recordCheck(millis(2700))).isEqualTo(millis(2000));
     assertThat(detector.recordCheck(millis(2701)))
-        .as("check immediately after a delayed one")
+        .as("stall for a check immediately after a delayed one")
         .isZero();
     assertThat(detector.recordCheck(millis(2900))).isZero();
   }
--- a/src/test/java/switchgap/net/StallHistoryTest.java
+++ b/src/test/java/switchgap/net/StallHistoryTest.java
@@ -22,8 +22,12 @@
     stalls.add(millis(3000), millis(2000));
     stalls.add(millis(3200), Duration.ZERO);
     assertThat(elapsed(500, 3500)).isEqualTo(millis(1000));
-    assertThat(elapsed(2500, 3500)).as("started during the stall").isEqualTo(millis(500));
-    assertThat(elapsed(3100, 3500)).as("started after the stall").isEqualTo(millis(400));
+    assertThat(elapsed(2500, 3500))
+        .as("elapsed time since a start during the stall")
+        .isEqualTo(millis(500));
+    assertThat(elapsed(3100, 3500))
+        .as("elapsed time since a start after the stall")
+        .isEqualTo(millis(400));
   }
 
   @Test
--- a/src/test/java/switchgap/planner/LoadSchedulerTest.java
+++ b/src/test/java/switchgap/planner/LoadSchedulerTest.java
@@ -32,7 +32,7 @@
     }
     LoadPlan plan = scheduler.plan(backlogOf(waiting));
     assertThat(plan.ids())
-        .as("highest weight, then shortest load time, then first requested")
+        .as("order of the plan: highest weight, then shortest load time, then first requested")
         .startsWith(HIGH_PRIORITY_LOAD_ID, SHORT_LOAD_ID, 0);
     assertThat(plan.ids())
         .as("plan contains all loads, because the router limits loads in flight")
--- a/src/test/java/switchgap/planner/UnreliablePlannerLink.java
+++ b/src/test/java/switchgap/planner/UnreliablePlannerLink.java
@@ -155,7 +155,9 @@
     now = now.plusSeconds(1);
     queue.releaseTimedOut(now);
     for (long id = 0; id < queue.nextId(); id++) {
-      assertThat(released.contains(id) || withdrawn.contains(id)).as("load " + id).isTrue();
+      assertThat(released.contains(id) || withdrawn.contains(id))
+          .as("load released or withdrawn: " + id)
+          .isTrue();
     }
   }
 }
--- a/src/test/java/switchgap/policy/LoadPaceTest.java
+++ b/src/test/java/switchgap/policy/LoadPaceTest.java
@@ -58,7 +58,7 @@
         maxPending = Math.max(maxPending, pending.size());
         finalMaxPending = i > 2000 ? Math.max(finalMaxPending, pending.size()) : finalMaxPending;
         if (i == 8) {
-          assertThat(pending.size()).as("initial limit").isEqualTo(3);
+          assertThat(pending.size()).as("loads in flight at the initial limit").isEqualTo(3);
         }
       }
       if (loadMillis == 100) {
--- a/src/test/java/switchgap/policy/SlowStartFleetTest.java
+++ b/src/test/java/switchgap/policy/SlowStartFleetTest.java
@@ -34,7 +34,9 @@
     SlowStartBudget budget = fleet.budget();
     assertThat(budget.attempts()).as("number of attempts at the new worker").isGreaterThan(5);
     assertThat(budget.maxShare())
-        .as("share of the budget, %d attempts", budget.attempts())
+        .as(
+            "highest share of the overload budget that was used, with %d attempts",
+            budget.attempts())
         .isLessThanOrEqualTo(1);
   }
 }
--- a/src/test/java/switchgap/policy/WorkerLeasesTest.java
+++ b/src/test/java/switchgap/policy/WorkerLeasesTest.java
@@ -86,11 +86,15 @@
         .at(1203, events -> probeEnds(events, primary, AttemptOutcome.SUCCEEDED))
         .at(1253, events -> harness.attemptEnds(events, succeeded(1, primary).withDuration(50)))
         .at(1690, events -> harness.requestArrives(events, 2, 0));
-    assertThat(harness.sentTo(2)).as("within the drain grace period").isEqualTo(primary);
+    assertThat(harness.sentTo(2))
+        .as("worker of a request within the drain grace period")
+        .isEqualTo(primary);
 
     harness.at(1704, events -> harness.requestArrives(events, 3, 0));
 
-    assertThat(harness.sentTo(3)).as("after the drain grace period").isEqualTo(-1);
+    assertThat(harness.sentTo(3))
+        .as("worker of a request after the drain grace period")
+        .isEqualTo(-1);
     assertThat(probesOf(primary)).isEqualTo(2);
   }
 
@@ -133,7 +137,9 @@
         .at(2303, events -> probeEnds(events, primary, AttemptOutcome.SUCCEEDED))
         .at(2310, events -> harness.requestArrives(events, 4, 0));
 
-    assertThat(harness.sentTo(4)).as("the new process has no replica").isNotEqualTo(primary);
+    assertThat(harness.sentTo(4))
+        .as("worker of the request, since the new process has no replica")
+        .isNotEqualTo(primary);
   }
 
   @Test
@@ -195,7 +201,9 @@
         .at(2200, events -> harness.requestArrives(events, 1, 0))
         .at(2203, events -> probeEnds(events, primary, AttemptOutcome.SUCCEEDED))
         .until(2300);
-    assertThat(harness.sentTo(1)).as("the restarted worker has no replica").isNotEqualTo(primary);
+    assertThat(harness.sentTo(1))
+        .as("worker of the request, since the restarted one has no replica")
+        .isNotEqualTo(primary);
   }
 
   /** An interruption of the event stream that ends at once cannot hide the start of a process. */
@@ -222,7 +230,9 @@
         .at(2200, events -> harness.requestArrives(events, 1, 0))
         .at(2203, events -> probeEnds(events, primary, AttemptOutcome.SUCCEEDED))
         .until(2300);
-    assertThat(harness.sentTo(1)).as("the restarted worker has no replica").isNotEqualTo(primary);
+    assertThat(harness.sentTo(1))
+        .as("worker of the request, since the restarted one has no replica")
+        .isNotEqualTo(primary);
   }
 
   @Test
--- a/src/test/java/switchgap/protocol/thrift/ThriftCodecTest.java
+++ b/src/test/java/switchgap/protocol/thrift/ThriftCodecTest.java
@@ -126,7 +126,7 @@
     for (int length = 0; length < frame.length; length++) {
       byte[] truncated = Arrays.copyOf(frame, length);
       assertThatThrownBy(() -> ThriftMessageDecoder.decode(truncated))
-          .as("truncated to %d bytes", length)
+          .as("error for a frame truncated to %d bytes", length)
           .isInstanceOf(MalformedMessageException.class);
     }
     assertThatThrownBy(() -> ThriftMessageDecoder.decode(Arrays.copyOf(frame, frame.length + 1)))
--- a/src/test/java/switchgap/server/gateway/UnexpectedResponsesTest.java
+++ b/src/test/java/switchgap/server/gateway/UnexpectedResponsesTest.java
@@ -124,7 +124,7 @@
     try (HttpTestServer worker = new HttpTestServer(withoutLoadReport);
         GatewayFixture fixture = GatewayFixture.start(worker)) {
       assertThat(outcomeOf(fixture.invoke(NON_IDEMPOTENT, "{}")))
-          .as("status %d", status)
+          .as("outcome after a response with status %d and no load report", status)
           .isEqualTo(FAILED);
       assertThat(worker.inferenceRequestCount()).isEqualTo(1);
     }
--- a/src/test/java/switchgap/server/platform/ClientEvictionTest.java
+++ b/src/test/java/switchgap/server/platform/ClientEvictionTest.java
@@ -134,7 +134,9 @@
       ThriftTestClient client = connectClient();
       clients.add(client);
       client.submit(1, TestSubmit.idempotent(nextId()));
-      assertThat(client.receiveReply()).as("client %d", i).isNotNull();
+      assertThat(client.receiveReply())
+          .as("reply to client %d, null if the router closed its connection", i)
+          .isNotNull();
     }
     assertThat(clients.get(0).receiveReply()).isNull();
     ThriftTestClient newestClient = clients.get(24);
@@ -166,7 +168,9 @@
     assertThat(router.openClientConnections()).isEqualTo(11);
     allowReply.countDown();
     for (int i = 0; i < 11; i++) {
-      assertThat(clients.get(i).receiveReply()).as("client %d", i).isNotNull();
+      assertThat(clients.get(i).receiveReply())
+          .as("reply to client %d, null if the router closed its connection", i)
+          .isNotNull();
     }
     await(() -> router.openClientConnections() == 10);
   }
--- a/src/test/java/switchgap/server/platform/DescriptorLimitTest.java
+++ b/src/test/java/switchgap/server/platform/DescriptorLimitTest.java
@@ -56,7 +56,7 @@
           number,
           TestSubmit.idempotent(nextId()).timeoutMillis(LONG_TIMEOUT_MILLIS).function(number));
       assertThat(client.receiveReply().outcome())
-          .as("request %d", number)
+          .as("outcome of request %d", number)
           .isEqualTo(ReplyOutcome.SUCCEEDED);
       maxOpen = Math.max(maxOpen, router.resourceUsage().workerConnections());
     }
--- a/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
+++ b/src/test/java/switchgap/server/platform/GracefulShutdownTest.java
@@ -110,7 +110,7 @@
     Thread.sleep(1300); // longer than the minimum drain duration
     for (int number = 1; number <= sentCount; number++) {
       ThriftTestClient.Reply reply = client.receiveReply();
-      assertThat(reply).as("reply %d", number).isNotNull();
+      assertThat(reply).as("reply %d to the slow client", number).isNotNull();
       assertThat(reply.body()).hasSize(16000);
     }
     assertEnds(shutdown);
--- a/src/test/java/switchgap/server/platform/InvalidClientTest.java
+++ b/src/test/java/switchgap/server/platform/InvalidClientTest.java
@@ -39,7 +39,7 @@
     for (int length : new int[] {-1, 0, 60_000_000, 32769}) {
       ThriftTestClient client = connectClient();
       client.sendBytes(ByteBuffer.allocate(8).putInt(length).putInt(7).array());
-      assertThat(client.receiveReply()).as("length %d", length).isNull();
+      assertThat(client.receiveReply()).as("reply to a frame of length %d", length).isNull();
     }
     ThriftTestClient duplicateClient = connectClient();
     duplicateClient.submit(1, TestSubmit.idempotent(nextId()).function("00000000000000f2"));
--- a/src/test/java/switchgap/server/platform/ProcessPauseTest.java
+++ b/src/test/java/switchgap/server/platform/ProcessPauseTest.java
@@ -114,7 +114,7 @@
         for (RespTestServer.Command command :
             worker.executions().subList(executionsBefore, worker.executions().size())) {
           assertThat(timeoutMillis(command))
-              .as("round %d", round)
+              .as("timeout in ms that the worker received in round %d", round)
               .isLessThanOrEqualTo(TIMEOUT_MILLIS - PAUSE_MILLIS + TIMEOUT_SLACK_MILLIS);
         }
       }
--- a/src/test/java/switchgap/server/platform/SystemCallFailureTest.java
+++ b/src/test/java/switchgap/server/platform/SystemCallFailureTest.java
@@ -168,7 +168,7 @@
       assertThat(faults.affectedCalls(call)).isPositive();
       faults.clear();
       assertThat(countServed(port))
-          .as("after the faults: " + processLog())
+          .as("requests served after the faults; log of the router: " + processLog())
           .isEqualTo(REQUEST_COUNT);
     }
   }
