--- a/src/main/java/switchgap/admission/AdmissionController.java
+++ b/src/main/java/switchgap/admission/AdmissionController.java
@@ -102,19 +102,19 @@
 
   /** The level that rejects a request, or null if it is admitted. */
   private ServiceLevel rejectingLevel(int tenant, int requestClass, long key) {
-    ServiceLevel firstRejecting = rules.firstRejecting(requestClass);
-    if (firstRejecting == null) {
+    ServiceLevel firstRejectingLevel = rules.firstRejectingLevel(requestClass);
+    if (firstRejectingLevel == null) {
       return null;
     }
     ServiceLevel current = globalController.level();
-    if (current.compareTo(firstRejecting) > 0) {
-      return firstRejecting;
+    if (current.compareTo(firstRejectingLevel) > 0) {
+      return firstRejectingLevel;
     }
     double weight = settings.priorityWeights()[requestClass];
-    if (current == firstRejecting
+    if (current == firstRejectingLevel
         && rotation.sheds(
             tenant, key, weight, globalController.shedFraction(), random.nextDouble())) {
-      return firstRejecting;
+      return firstRejectingLevel;
     }
     boolean tenantSheds =
         tenant >= 0
--- a/src/main/java/switchgap/admission/AdmissionSettings.java
+++ b/src/main/java/switchgap/admission/AdmissionSettings.java
@@ -10,7 +10,7 @@
  * @param idempotency idempotency of each request class
  * @param latencyObjectives latency objective of each request class
  * @param tenantQuotas quota of each tenant, in any unit; only the ratios matter
- * @param exempt whether a request class may not be rejected by any level
+ * @param exempt whether each request class is exempt from rejection by any level
  * @param lowestLevel the lowest level that the controller may enter without a pin
  * @param maxRetryAfter the longest retry delay sent to rejected clients; null to send none
  * @param protectedFraction fraction of the top priority requests that should meet their latency
--- a/src/main/java/switchgap/admission/RejectionRules.java
+++ b/src/main/java/switchgap/admission/RejectionRules.java
@@ -5,16 +5,16 @@
 
 /** The request classes that each service level may reject, derived from the settings. Immutable. */
 final class RejectionRules {
-  private final ServiceLevel[] firstRejecting;
+  private final ServiceLevel[] firstRejectingLevels;
 
   RejectionRules(AdmissionSettings settings) {
-    firstRejecting = new ServiceLevel[settings.priorityWeights().length];
-    for (int i = 0; i < firstRejecting.length; i++) {
-      firstRejecting[i] = firstRejecting(settings, i);
+    firstRejectingLevels = new ServiceLevel[settings.priorityWeights().length];
+    for (int i = 0; i < firstRejectingLevels.length; i++) {
+      firstRejectingLevels[i] = firstRejectingLevel(settings, i);
     }
   }
 
-  private static ServiceLevel firstRejecting(AdmissionSettings settings, int requestClass) {
+  private static ServiceLevel firstRejectingLevel(AdmissionSettings settings, int requestClass) {
     if (settings.exempt()[requestClass]) {
       return null;
     }
@@ -25,8 +25,8 @@
   }
 
   /** The first level that may reject a request class; null if the class is exempt. */
-  ServiceLevel firstRejecting(int requestClass) {
-    return firstRejecting[requestClass];
+  ServiceLevel firstRejectingLevel(int requestClass) {
+    return firstRejectingLevels[requestClass];
   }
 
   /**
@@ -35,7 +35,7 @@
    */
   ServiceLevel[] effectiveLevels() {
     Set<ServiceLevel> levels = EnumSet.of(ServiceLevel.FULL, ServiceLevel.HOLD);
-    for (ServiceLevel level : firstRejecting) {
+    for (ServiceLevel level : firstRejectingLevels) {
       if (level != null) {
         levels.add(level);
       }
--- a/src/main/java/switchgap/admission/ServiceLevel.java
+++ b/src/main/java/switchgap/admission/ServiceLevel.java
@@ -1,14 +1,15 @@
 package switchgap.admission;
 
 /**
- * The service levels, in descending order of service. Each level also rejects the requests that the
- * levels before it reject.
+ * The service levels, in descending order of service. All levels except {@link #SHARE} apply to all
+ * requests; each of these also rejects the requests that the ones before it reject. No level
+ * rejects requests of exempt classes.
  */
 public enum ServiceLevel {
   /** All requests are admitted. */
   FULL,
   /**
-   * Idempotent requests of a tenant beyond its quota are rejected. Only used for single tenants.
+   * Idempotent requests of a tenant over its quota are rejected. Applies to single tenants only.
    */
   SHARE,
   /** Idempotent requests below the top priority are rejected. */
--- a/src/main/java/switchgap/policy/CandidateSelector.java
+++ b/src/main/java/switchgap/policy/CandidateSelector.java
@@ -93,7 +93,7 @@
       double minDifference = MIN_LOAD_DIFFERENCE * state.ownShare;
       survey.foundAvailable(worker, comparableLoad(worker, replica), minDifference);
     } else if (isUnknown || state.settings.loadsOnDemand) {
-      survey.foundUnknownReplica(worker);
+      survey.foundPossiblyMissing(worker);
     }
   }
 
--- a/src/main/java/switchgap/policy/LoadEstimator.java
+++ b/src/main/java/switchgap/policy/LoadEstimator.java
@@ -141,7 +141,7 @@
   private void record(Worker worker, LoadReport report, double load, double cpuUtilization) {
     double foreignLoad = Math.max(0, load);
     worker.report.update(foreignLoad, cpuUtilization, state.now());
-    // The fleet's mean takes no estimates: it enters the estimates and would drive itself up.
+    // Estimates are derived from the fleet's mean. Adding them to it would drive it up.
     boolean isReported = reportsForeignLoad(report);
     state.fleet.foreignLoads.add(isReported ? foreignLoad : Math.max(0, report.concurrency()));
   }
@@ -200,13 +200,15 @@
    */
   double concurrencyLimit(Worker worker) {
     Histogram durations = worker.relativeDurations; // includes attempts that waited for a load
-    double medianDuration = durations.total() < 1 ? 0 : durations.quantile(0.5);
-    double rate = durations.total() / DURATION_WINDOW_SECONDS;
-    double fullLimit = ownCapacity + rate * toSeconds(state.settings.shortestObjective) / 2;
+    double medianRelativeDuration = durations.total() < 1 ? 0 : durations.quantile(0.5);
+    double completionRate = durations.total() / DURATION_WINDOW_SECONDS;
+    double fullLimit =
+        ownCapacity + completionRate * toSeconds(state.settings.shortestObjective) / 2;
     double capacityShare = slowStart.capacityShare(worker);
     double minLimit = Math.max(1, Math.min(MIN_CONCURRENCY, ownCapacity) * capacityShare);
     return Math.max(
-        minLimit, fullLimit * Math.min(capacityShare, FAST_RELATIVE_DURATION / medianDuration));
+        minLimit,
+        fullLimit * Math.min(capacityShare, FAST_RELATIVE_DURATION / medianRelativeDuration));
   }
 
   /**
--- a/src/main/java/switchgap/policy/OutlierDetector.java
+++ b/src/main/java/switchgap/policy/OutlierDetector.java
@@ -68,8 +68,9 @@
   }
 
   /**
-   * Counts a time-out as an error only if the worker sent no other response during the attempt: a
-   * hung worker responds to nothing, whereas other responses still arrive if single ones are lost.
+   * Counts a timeout as an error only if the attempt lasted at least the latency objective and the
+   * worker sent no other response during it: a hung worker responds to nothing, whereas other
+   * responses still arrive if single ones are lost.
    */
   private void attemptTimedOut(Request request, Worker worker, AttemptResult result) {
     boolean exceedsObjective = !isShorter(result.duration(), request.requestClass.latencyObjective);
--- a/src/main/java/switchgap/policy/ReplicaLoader.java
+++ b/src/main/java/switchgap/policy/ReplicaLoader.java
@@ -19,7 +19,7 @@
   /** A load halves the limit unless it takes less than the idle timeout divided by this. */
   private static final int QUICK_LOADS_PER_IDLE_TIMEOUT = 3;
 
-  /** Failed loads after which a function that was never loaded is not loaded for one second. */
+  /** Failed loads above which a function that was never loaded is not loaded for one second. */
   private static final int MAX_FAILED_LOADS = 1;
 
   private final PolicyState state;
--- a/src/main/java/switchgap/policy/ReplicaScaler.java
+++ b/src/main/java/switchgap/policy/ReplicaScaler.java
@@ -39,8 +39,11 @@
   /** Maximum memory of all target replicas, as a share of the memory of the ready workers. */
   private static final double MAX_MEMORY_SHARE = 0.5;
 
-  /** A function is overloaded if at least one in this many arrivals found only full replicas. */
-  private static final int ARRIVALS_PER_SATURATED = 4;
+  /**
+   * A function with saturated placements is overloaded if its recent arrivals are at most this many
+   * times as many.
+   */
+  private static final int ARRIVALS_PER_SATURATED_PLACEMENT = 4;
 
   /** Number of requests from which on a function keeps one replica while it is idle. */
   private static final int MIN_REQUESTS_TO_KEEP_REPLICA = 2;
@@ -141,11 +144,11 @@
 
   private void rescale(Function function, int maxReplicas) {
     double concurrency = meanConcurrency(function);
-    boolean overloaded = isOverloaded(function, concurrency);
-    if (overloaded || concurrency > SCALE_DOWN_CONCURRENCY) {
+    boolean isOverloaded = isOverloaded(function, concurrency);
+    if (isOverloaded || concurrency > SCALE_DOWN_CONCURRENCY) {
       function.markBusy(state.now());
     }
-    if (overloaded && function.targetReplicas() < maxReplicas && fitsMemory(function)) {
+    if (isOverloaded && function.targetReplicas() < maxReplicas && fitsMemory(function)) {
       scaleUp(function, concurrency, maxReplicas);
     } else if (function.targetReplicas() > 1 && !state.isWithin(idleTimeout, function.lastBusy())) {
       scaleDown(function);
@@ -156,7 +159,10 @@
     function.restartArrivalCounts();
   }
 
-  /** Mean concurrency per slot of the target replicas; 0 if there are too few reports. */
+  /**
+   * Mean concurrency per slot of the target replicas; 0 if there are too few reports. With many
+   * routers the mean includes a prior of 0 that weighs up to one report.
+   */
   private double meanConcurrency(Function function) {
     double reports = function.concurrency.total();
     double mean = function.concurrency.sum() / (reports + 1 - state.ownShare);
@@ -166,10 +172,10 @@
   private boolean isOverloaded(Function function, double concurrency) {
     double minReports = state.ownShare < 1 ? MIN_REPORTS_MANY_ROUTERS : MIN_REPORTS;
     boolean hasEnoughReports = function.concurrency.total() >= minReports;
-    int saturatedArrivals = function.saturatedArrivals();
+    int saturatedPlacements = function.saturatedPlacements();
     return (hasEnoughReports && concurrency > SCALE_UP_CONCURRENCY)
-        || (saturatedArrivals > 0
-            && saturatedArrivals * ARRIVALS_PER_SATURATED >= function.recentArrivals());
+        || (saturatedPlacements > 0
+            && saturatedPlacements * ARRIVALS_PER_SATURATED_PLACEMENT >= function.recentArrivals());
   }
 
   /**
--- a/src/main/java/switchgap/policy/RequestQueue.java
+++ b/src/main/java/switchgap/policy/RequestQueue.java
@@ -13,8 +13,10 @@
 
 /**
  * Holds the requests that could not be sent at once. At each step the queue tries to send them in
- * descending order of weight. A request that can no longer meet its latency objective or its
- * deadline gets its final response.
+ * descending order of weight. A request gets its final response when it can no longer meet its
+ * deadline, has no attempt left, finds the queue of its worker full, or can no longer meet its
+ * latency objective; the latency objective is ignored while the request waits for a replica to
+ * load.
  */
 final class RequestQueue {
   /**
@@ -105,9 +107,11 @@
    */
   private boolean enqueueExceedsLimit(Request request, Worker worker) {
     RequestClass requestClass = request.requestClass;
-    double rate = worker.relativeDurations.total() / 2;
+    double completionRate = worker.relativeDurations.total() / 2;
     double maxLength =
-        Math.max(MIN_QUEUE_LENGTH, rate * Durations.toSeconds(requestClass.latencyObjective) / 2);
+        Math.max(
+            MIN_QUEUE_LENGTH,
+            completionRate * Durations.toSeconds(requestClass.latencyObjective) / 2);
     return worker.countQueued() >= maxLength * request.weight() / requestClass.priorityWeight;
   }
 }
--- a/src/main/java/switchgap/policy/RequestRouter.java
+++ b/src/main/java/switchgap/policy/RequestRouter.java
@@ -85,18 +85,19 @@
   }
 
   /**
-   * Returns the worker to send to, or null. If no target replica is available, a worker with a
-   * replica in unknown state is preferred to a loaded replica beyond the targets. If workers load
-   * on demand it is the other way round, since the attempt might have to wait for the load.
+   * Returns the worker to send to, or null. If no target replica is available, a target whose
+   * replica may have to be loaded first is preferred to a loaded replica beyond the targets. If
+   * workers load on demand it is the other way round, since the attempt might have to wait for the
+   * load.
    */
   private Worker selectWorker(CandidateSurvey survey) {
     if (survey.best() != null) {
       return survey.best();
     }
     boolean prefersOverflow = survey.overflow() != null && state.settings.loadsOnDemand;
-    return prefersOverflow || survey.unknownReplica() == null
+    return prefersOverflow || survey.possiblyMissing() == null
         ? survey.overflow()
-        : survey.unknownReplica();
+        : survey.possiblyMissing();
   }
 
   /**
@@ -107,7 +108,8 @@
     if (survey.anySaturated()) {
       function.placementSaturated();
       Worker next = survey.nextToLoad();
-      // If the next replica is already loaded, its worker is warming up and admits no attempt yet.
+      // If the next replica is already loaded, it may not be sent an attempt now, for example
+      // because its worker is warming up.
       if (selected == null
           && next != null
           && !survey.anyLoading()
@@ -115,7 +117,7 @@
           && state.replicaState(function, next) != Replica.State.LOADED) {
         loader.load(function, next);
       }
-    } else if (survey.unknownReplica() == null && !survey.anyLoading()) {
+    } else if (survey.possiblyMissing() == null && !survey.anyLoading()) {
       loader.loadFirstMissing(function);
     }
   }
--- a/src/main/java/switchgap/policy/RoutingPolicy.java
+++ b/src/main/java/switchgap/policy/RoutingPolicy.java
@@ -136,7 +136,8 @@
     double weight = request.weight() * (isOverQuota ? state.settings.overQuotaWeight : 1);
     double capacityDraw = state.random.nextDouble() * state.settings.maxPriorityWeight / weight;
     request.prioritize(weight, capacityDraw);
-    // A request that would time out before its response, and its retries, only load the workers.
+    // A request that would time out before its response is given up now: it and its retries would
+    // only load the workers.
     Duration minTime = scale(estimator.expectedDuration(request), MIN_TIME_FACTOR);
     sendOrGiveUp(request, retries.endsInTime(request, minTime));
   }
--- a/src/main/java/switchgap/policy/SlowStart.java
+++ b/src/main/java/switchgap/policy/SlowStart.java
@@ -57,8 +57,8 @@
     averageWorkerRate = 0;
     for (Worker worker : state.workers) {
       // The histogram covers the last one to two seconds.
-      double rate = worker.relativeDurations.total() / 2;
-      averageWorkerRate += worker.isReady() ? rate / state.readyWorkers() : 0;
+      double completionRate = worker.relativeDurations.total() / 2;
+      averageWorkerRate += worker.isReady() ? completionRate / state.readyWorkers() : 0;
     }
   }
 
--- a/src/main/java/switchgap/policy/WorkerLeases.java
+++ b/src/main/java/switchgap/policy/WorkerLeases.java
@@ -18,7 +18,7 @@
  * period, counted from the time at which a command was sent that the worker accepted. A successful
  * attempt renews the lease; once it has expired, the request waits for a load probe that renews it.
  * A worker that may have restarted is treated as warming up. If the settings forbid probes, a
- * worker stays in use until it rejects an attempt or closes its connections.
+ * worker stays in use until an attempt at it is rejected, cannot connect or loses its connection.
  */
 final class WorkerLeases {
   /** Minimum interval between two probes of a worker that has no lease. */
--- a/src/main/java/switchgap/policy/api/AttemptResult.java
+++ b/src/main/java/switchgap/policy/api/AttemptResult.java
@@ -10,7 +10,8 @@
  * @param worker index of the worker
  * @param outcome how the attempt ended
  * @param duration time from the start of the attempt to its end
- * @param requestClosed whether the client has received the final response
+ * @param requestClosed whether the request needs no further response: it was answered, cancelled or
+ *     missed its deadline
  * @param load the load that the worker reported with the response
  */
 public record AttemptResult(
--- a/src/main/java/switchgap/policy/api/EndpointEntry.java
+++ b/src/main/java/switchgap/policy/api/EndpointEntry.java
@@ -13,8 +13,8 @@
  * @param kind index of the worker's kind in the settings; beyond the last one if the kind is
  *     unknown
  * @param capacity capacity of the worker, 0 if not reported
- * @param startedAt when the worker's process started, as time since the router's start; null if
- *     that was long ago
+ * @param startedAt when the worker's process started, as time since the router's start; null if not
+ *     listed, for example because that was long ago; the worker is then treated as warmed up
  */
 public record EndpointEntry(
     int worker,
--- a/src/main/java/switchgap/policy/state/CandidateSurvey.java
+++ b/src/main/java/switchgap/policy/state/CandidateSurvey.java
@@ -9,7 +9,7 @@
   private Worker first;
   private Worker best;
   private Worker alternative;
-  private Worker unknownReplica;
+  private Worker possiblyMissing;
   private Worker overflow;
   private Worker nextToLoad;
   private boolean anyLoaded;
@@ -39,8 +39,8 @@
   }
 
   /** Records an available worker among the targets whose replica may have to be loaded first. */
-  public void foundUnknownReplica(Worker worker) {
-    unknownReplica = unknownReplica == null ? worker : unknownReplica;
+  public void foundPossiblyMissing(Worker worker) {
+    possiblyMissing = possiblyMissing == null ? worker : possiblyMissing;
   }
 
   /** Records a target replica that is at its concurrency limit. */
@@ -74,8 +74,8 @@
   }
 
   /** The first available worker among the targets whose replica may have to be loaded first. */
-  public Worker unknownReplica() {
-    return unknownReplica;
+  public Worker possiblyMissing() {
+    return possiblyMissing;
   }
 
   /** The available loaded replica beyond the target replicas. */
--- a/src/main/java/switchgap/policy/state/Function.java
+++ b/src/main/java/switchgap/policy/state/Function.java
@@ -22,7 +22,7 @@
   private int openRequests;
   private int pendingCommands;
   private int recentArrivals;
-  private int saturatedArrivals;
+  private int saturatedPlacements;
   private int totalRequests;
   private boolean everLoaded;
   private int failedLoads;
@@ -71,9 +71,12 @@
     return recentArrivals;
   }
 
-  /** Placements that found only saturated replicas since the counts were last restarted. */
-  public int saturatedArrivals() {
-    return saturatedArrivals;
+  /**
+   * Number of times since the counts were last restarted that a request found a saturated target
+   * replica and no available one; a queued request is counted at each queue step.
+   */
+  public int saturatedPlacements() {
+    return saturatedPlacements;
   }
 
   /** Requests since this router first received one for the function. */
@@ -132,12 +135,12 @@
   /** Resets the counts of arrivals and of saturated placements. */
   public void restartArrivalCounts() {
     recentArrivals = 0;
-    saturatedArrivals = 0;
+    saturatedPlacements = 0;
   }
 
-  /** Counts a placement that found only saturated replicas. */
+  /** Counts a request that found a saturated target replica and no available one. */
   public void placementSaturated() {
-    saturatedArrivals++;
+    saturatedPlacements++;
   }
 
   /** Counts a load command or a replica query as in flight at a worker. */
--- a/src/main/java/switchgap/policy/state/PolicyState.java
+++ b/src/main/java/switchgap/policy/state/PolicyState.java
@@ -48,7 +48,7 @@
   /** Until when the endpoint list is confirmed; null if at all times. */
   private Duration listConfirmedUntil;
 
-  /** Since when the endpoint list is unconfirmed, or from when on unless it is confirmed again. */
+  /** Start of the current unconfirmed period of the list, or of the next if it is confirmed now. */
   private Duration listUnconfirmedSince;
 
   /** Creates empty tables and a random number generator with this seed. */
--- a/src/main/java/switchgap/policy/state/ProcessStart.java
+++ b/src/main/java/switchgap/policy/state/ProcessStart.java
@@ -10,12 +10,12 @@
   private Duration listed;
   private Duration presumed;
 
-  /** Creates an instance with the listed start, null if that was long ago. */
+  /** Creates an instance with the listed start, null if none is listed. */
   ProcessStart(Duration listed) {
     this.listed = listed;
   }
 
-  /** The presumed start if there is one, else the listed start; null if that was long ago. */
+  /** The presumed start if there is one, else the listed start; null if there is neither. */
   Duration effective() {
     return presumed == null ? listed : presumed;
   }
@@ -25,7 +25,7 @@
     return presumed;
   }
 
-  /** Sets the start that the endpoint list reports, null if that was long ago. */
+  /** Sets the start that the endpoint list reports, null if it reports none. */
   void listed(Duration start) {
     listed = start;
     presumed = null;
--- a/src/main/java/switchgap/policy/state/Replica.java
+++ b/src/main/java/switchgap/policy/state/Replica.java
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Records the end of a query or renewal. If the state is known by then, it may be more recent
-   * than the result, which is applied only if the worker rejected the command.
+   * Records the end of a query or renewal. If the state is no longer unknown, it may be more recent
+   * than the result, which is then applied only if the worker rejected the command.
    */
   public void queryEnded(int loadedReplicas, boolean rejected, Duration now) {
     queryPending = false;
--- a/src/main/java/switchgap/policy/state/SettingsSnapshot.java
+++ b/src/main/java/switchgap/policy/state/SettingsSnapshot.java
@@ -7,8 +7,7 @@
 
 /**
  * The settings of a router, read once at its start because some are parsed at each access. The
- * fields correspond to the methods of {@link RouterSettings}; a setting that requires a permission
- * that is not granted is null.
+ * fields correspond to the methods of {@link RouterSettings}; a field that may be null says so.
  */
 public final class SettingsSnapshot {
   public final int routerIndex;
--- a/src/main/java/switchgap/policy/state/Worker.java
+++ b/src/main/java/switchgap/policy/state/Worker.java
@@ -147,7 +147,7 @@
     return start;
   }
 
-  /** Time when its process started, null if that was long ago. */
+  /** Time when its process started; null if unknown, so that it is treated as warmed up. */
   public Duration startedAt() {
     return start.effective();
   }
--- a/src/main/java/switchgap/policy/state/WorkerLease.java
+++ b/src/main/java/switchgap/policy/state/WorkerLease.java
@@ -32,7 +32,7 @@
     return reconnectedAt;
   }
 
-  /** Whether the last probe got no reply or showed that the worker does not accept requests. */
+  /** Whether the worker is presumed not to accept requests, see {@link #deny}. */
   public boolean isDenied() {
     return deniedAt != null;
   }
@@ -76,7 +76,11 @@
     }
   }
 
-  /** Ends the lease because a probe got no reply or showed that the worker drains. */
+  /**
+   * Ends the lease, and presumes until the next grant that the worker does not accept requests: a
+   * probe got no reply or showed that the worker drains, or an attempt failed that cannot be
+   * followed by a probe because probes are not allowed.
+   */
   public void deny(Duration now, boolean isDraining) {
     expiresAt = null;
     deniedAt = now;
--- a/src/main/java/switchgap/protocol/thrift/RequestResponder.java
+++ b/src/main/java/switchgap/protocol/thrift/RequestResponder.java
@@ -39,7 +39,7 @@
     return new ResponseSender(address);
   }
 
-  /** From now on closes each connection after the answer that leaves it idle. */
+  /** From now on closes each connection after the reply that leaves it idle. */
   void closeIdleConnections() {
     isClosingIdleConnections = true;
   }
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Rejects a request that never reached the routing policy, with the configured retry-after. */
+  /** Rejects a request of which no attempt was started, with the configured retry-after. */
   void reject(ReplyAddress address, PendingRequest request, AnswerReason reason, Duration now) {
     recordAnswer(request, reason, now);
     sendRejection(address, configuredRetryAfter());
@@ -86,9 +86,14 @@
     closeIfIdle(address.connection());
   }
 
-  private void recordAnswer(PendingRequest request, AnswerReason reason, Duration now) {
-    diagnostics.invariants().beforeAnswer(request, now);
-    diagnostics.events().record(new RouterEvent.RequestAnswered(reason, request.id(), now));
+  /**
+   * Records the answer to a pending request.
+   *
+   * @param time the time of the answer, or the request's deadline if the core answers it
+   */
+  private void recordAnswer(PendingRequest request, AnswerReason reason, Duration time) {
+    diagnostics.invariants().beforeAnswer(request, time);
+    diagnostics.events().record(new RouterEvent.RequestAnswered(reason, request.id(), time));
   }
 
   /** Records the answer to a message that did not become a pending request. */
--- a/src/main/java/switchgap/protocol/thrift/ThriftServer.java
+++ b/src/main/java/switchgap/protocol/thrift/ThriftServer.java
@@ -153,8 +153,8 @@
   // ------------------------------------------------------------------ event loop only
 
   /**
-   * Schedules evictions at an interval while there are too many connections, as one pass can evict
-   * many.
+   * Schedules the next eviction pass if there are too many connections. Passes run at an interval,
+   * not for each new connection, as one pass can evict many.
    */
   private void scheduleEviction(RouterCore core) {
     if (isEvictionScheduled || connections.size() <= limits.maxConnections()) {
--- a/src/main/java/switchgap/router/DeferredResults.java
+++ b/src/main/java/switchgap/router/DeferredResults.java
@@ -11,8 +11,9 @@
 /**
  * The deferred requests of one router: pending requests, and the responses of ended requests, which
  * are cached for a configured time. Bounded by the number of entries and by the bytes of the cached
- * responses. When full, the oldest responses are evicted; if pending requests occupy all entries,
- * no new request is accepted. Confined to the event loop thread.
+ * responses. When full, the oldest responses are evicted, except that the latest one is kept even
+ * if it alone exceeds the limit of bytes. If pending requests occupy all entries, no new request is
+ * accepted. Confined to the event loop thread.
  */
 public final class DeferredResults {
   /** The status of an id of a deferred request. */
@@ -93,7 +94,8 @@
    * @param idPrefix prefix of all ids; must be different for each start of a router
    * @param retention how long a response is cached
    * @param maxEntries maximum number of pending and ended entries together
-   * @param maxBytes maximum total size of the bodies of the cached responses
+   * @param maxBytes maximum total size of the bodies of the cached responses; a single larger
+   *     response is cached nevertheless
    */
   public DeferredResults(String idPrefix, Duration retention, int maxEntries, long maxBytes) {
     this.idPrefix = idPrefix;
--- a/src/main/java/switchgap/router/RouterEvent.java
+++ b/src/main/java/switchgap/router/RouterEvent.java
@@ -98,7 +98,8 @@
    * A request received its final answer.
    *
    * @param subjectId id of the request, or of its connection if the request's id is unknown
-   * @param context the time of the answer, or other data that identifies the request
+   * @param context the time of the answer, the deadline of a request that the core answered, or
+   *     other data that identifies the request
    */
   record RequestAnswered(AnswerReason reason, String subjectId, Object context)
       implements WithReason {
--- a/src/main/java/switchgap/server/platform/EndpointStreamReloader.java
+++ b/src/main/java/switchgap/server/platform/EndpointStreamReloader.java
@@ -6,8 +6,8 @@
 
 /**
  * On SIGHUP, rereads the configuration file and follows the event stream that it names. An invalid
- * file is reread for a limited time, as it may be half written; until then the current event stream
- * stays in use. A later signal supersedes an earlier one. Thread-safe.
+ * file is reread for a limited time, as it may be half written; the current event stream stays in
+ * use until the file is valid. A later signal supersedes an earlier one. Thread-safe.
  */
 final class EndpointStreamReloader {
   /** Follows one event stream at a time. */
--- a/src/main/java/switchgap/server/platform/GracefulShutdown.java
+++ b/src/main/java/switchgap/server/platform/GracefulShutdown.java
@@ -13,8 +13,8 @@
  *       connections.
  *   <li>The listener and all quiet connections are closed; the other connections are still served.
  *   <li>Shortly before the earliest possible SIGKILL, pending requests are failed, later ones are
- *       rejected, and each connection is closed after the answer that leaves it idle. The client
- *       has to resend a request that is in transit when its connection is closed.
+ *       rejected, and each connection is closed after the reply that leaves it idle. The client has
+ *       to resend a request that is in transit when its connection is closed.
  * </ol>
  */
 final class GracefulShutdown {
@@ -30,7 +30,7 @@
   /** Minimum time from the end of the assumed timeout to SIGKILL. */
   private static final Duration KILL_MARGIN = Duration.ofMillis(700);
 
-  // Durations before the earliest SIGKILL at which the last two steps begin.
+  // Durations before the earliest SIGKILL at which the last two steps begin at the latest.
   private static final Duration STOP_LISTENING_BEFORE_KILL = Duration.ofMillis(350);
   private static final Duration FAIL_PENDING_BEFORE_KILL = Duration.ofMillis(250);
 
--- a/src/main/java/switchgap/server/platform/PlatformLimits.java
+++ b/src/main/java/switchgap/server/platform/PlatformLimits.java
@@ -40,8 +40,8 @@
    */
   private static final int BUFFER_HEAP_DIVISOR = 16;
 
-  /** Those bytes divided by this limit the unread responses of one client connection. */
-  private static final int UNREAD_RESPONSE_DIVISOR = 4;
+  /** Those bytes divided by this limit the unread replies of one client connection. */
+  private static final int UNREAD_REPLY_DIVISOR = 4;
 
   /** Maximum time for a complete message to arrive. */
   private static final Duration RECEIVE_TIMEOUT = Duration.ofSeconds(2);
@@ -81,7 +81,7 @@
     return new ClientConnectionLimits(
         descriptorQuota(CLIENT_CONNECTION_DIVISOR),
         descriptorQuota(EXCESS_CONNECTION_DIVISOR),
-        bufferBytes / UNREAD_RESPONSE_DIVISOR,
+        bufferBytes / UNREAD_REPLY_DIVISOR,
         bufferBytes,
         Math.min(settings.maxPendingRequests(), MAX_PENDING_REQUESTS),
         RECEIVE_TIMEOUT,
--- a/src/main/java/switchgap/server/platform/PlatformProcess.java
+++ b/src/main/java/switchgap/server/platform/PlatformProcess.java
@@ -13,7 +13,7 @@
 public final class PlatformProcess {
   private static final int EXIT_STOPPED = 0;
   private static final int EXIT_FAILED = 1;
-  private static final int EXIT_UNUSABLE_INPUT = 2;
+  private static final int EXIT_INVALID_INPUT = 2;
   private static final int EXIT_INTERNAL_ERROR = 70;
 
   /** Held in a static field, as an unreferenced logger is garbage-collected and loses its level. */
@@ -45,7 +45,7 @@
       return EXIT_STOPPED;
     } catch (InvalidConfigException e) {
       System.err.println("switchgap: " + e.getMessage());
-      return EXIT_UNUSABLE_INPUT;
+      return EXIT_INVALID_INPUT;
     } catch (IOException | ReflectiveOperationException e) {
       System.err.println("switchgap: " + e.getMessage());
       return EXIT_FAILED;
--- a/src/main/java/switchgap/server/platform/ResourceUsage.java
+++ b/src/main/java/switchgap/server/platform/ResourceUsage.java
@@ -7,7 +7,7 @@
  * @param clientConnections number of client connections that the event loop tracks
  * @param workerConnections number of connections to workers, open or being opened
  * @param activeClientConnections number of client connections with a request in flight, a partial
- *     or queued message, or an unsent response
+ *     or queued message, or an unsent reply
  */
 record ResourceUsage(
     int pendingRequests,
